--- /dev/null
+++ b/internal/upstream/held_test.go
@@ -0,0 +1,233 @@
+package upstream_test
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"math/rand/v2"
+	"os"
+	"strconv"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"wellgw/internal/core"
+	"wellgw/internal/invariant"
+	"wellgw/internal/platform"
+	"wellgw/internal/upstream"
+	"wellgw/ringdale"
+)
+
+// heldSeeds is how many scenarios the suite plays. HELD_SEED plays one, with its steps.
+const heldSeeds = 150
+
+// heldEnd is how long after the last request and fault a scenario goes on: cuts have healed,
+// and whatever is still held then is held for good.
+const heldEnd = 40 * time.Second
+
+// scenario is one drawn deployment with its clients and faults.
+type scenario struct {
+	random   *rand.Rand
+	fleet    *simFleet
+	core     *core.Core
+	settings ringdale.Settings
+	members  []core.Member
+	clients  sync.WaitGroup
+}
+
+func pick[T any](r *rand.Rand, of ...T) T { return of[r.IntN(len(of))] }
+
+// between draws a span.
+func between(r *rand.Rand, least, most time.Duration) time.Duration {
+	return least + time.Duration(r.Int64N(int64(most-least)+1))
+}
+
+// drawSettings draws another customer's settings.
+func drawSettings(r *rand.Rand) ringdale.Settings {
+	effects := []ringdale.Effect{ringdale.EffectFree, ringdale.EffectGuarded, ringdale.EffectSingleShot}
+	set := ringdale.Settings{
+		Zones: []string{"a", "b"}[:1+r.IntN(2)], Routers: 1 + r.IntN(4), MaxAttempts: 1 + r.IntN(5),
+		CanCancel: r.IntN(4) > 0, CanRetryAfter: true, MaxRetryAfter: time.Second, WritersRead: r.IntN(3) == 0,
+		Kinds: []ringdale.Kind{{Name: "r", Role: ringdale.RoleReader, Memory: 2e5}, {Name: "w", Role: ringdale.RoleWriter, Memory: 2e5}},
+		Cold:  time.Second, ColdShare: 0.3, Fall: time.Second, FallMultiple: 3,
+		PinLimit: between(r, 100*time.Millisecond, 2*time.Second), Tick: pick(r, time.Millisecond, 4*time.Millisecond, 20*time.Millisecond),
+	}
+	set.Zone = set.Zones[0]
+	for i := range 3 {
+		set.Classes = append(set.Classes, ringdale.Class{
+			Name: fmt.Sprint("c", i), Aim: between(r, 500*time.Millisecond, 3*time.Second), Gain: 1,
+			Effect: effects[i], Group: pick(r, ringdale.GroupAll, ringdale.GroupZone, ringdale.GroupCell), Window: between(r, time.Second, 5*time.Second),
+		})
+	}
+	return set
+}
+
+// newScenario draws a deployment and starts a gateway's core and pool before it.
+func newScenario(t *testing.T, seed uint64) *scenario {
+	r := rand.New(rand.NewPCG(seed, 0))
+	set := drawSettings(r)
+	s := &scenario{random: r, settings: set, fleet: newSimFleet(simRules{
+		pinLimit: set.PinLimit, anywhere: r.IntN(2) == 0, stopsWork: r.IntN(2) == 0, learnsLate: r.IntN(2) == 0,
+		ownRead: set.WritersRead, readersLast: between(r, 20*time.Millisecond, 600*time.Millisecond),
+	}, seed)}
+	for i := range 2 + r.IntN(5) {
+		s.add("r", i)
+	}
+	for i := range 2 + r.IntN(4) {
+		s.add("w", i)
+	}
+	pool := upstream.NewPool(upstream.Options{
+		ConnectTimeout: between(r, 100*time.Millisecond, time.Second), ConnIdle: 15 * time.Second, MaxConns: 400,
+		StreamSilence: 5 * time.Second, Settle: 30 * time.Millisecond, Dial: s.fleet.dial,
+	})
+	go pool.Sweep(t.Context())
+	router, err := ringdale.New(set, seed)
+	if err != nil {
+		t.Fatal(err)
+	}
+	figures := core.Figures{Slack: 16 * time.Millisecond, PinLimit: set.PinLimit, MaxSends: set.MaxAttempts}
+	engine := upstream.NewEngine(pool, func(string) upstream.Dialect { return platform.Dialect{} })
+	s.core = core.New(router, engine, still{}, figures, slog.New(slog.DiscardHandler), invariant.New())
+	go s.core.Run(t.Context())
+	s.core.Roster(ringdale.RosterFull, s.members)
+	s.fleet.step("settings %+v, rules %+v", set, s.fleet.rules)
+	return s
+}
+
+func (s *scenario) add(kind string, n int) {
+	name := fmt.Sprint(kind, n)
+	zone := n % len(s.settings.Zones)
+	s.fleet.add(name, kind == "r", 200*time.Microsecond+time.Duration(zone)*between(s.random, time.Millisecond, 3*time.Millisecond))
+	s.members = append(s.members, core.Member{Addr: name, ServerInfo: ringdale.ServerInfo{
+		Name: name, Kind: kind, Zone: s.settings.Zones[zone], Cell: n % 3, Weight: 1,
+	}})
+}
+
+// still is a directory that tells nothing by itself.
+type still struct{}
+
+func (still) Subscribe() {}
+
+// play runs clients and faults and waits until all has come to rest.
+func (s *scenario) play(t *testing.T) {
+	for n := range 25 + s.random.IntN(25) {
+		time.Sleep(between(s.random, 0, 150*time.Millisecond))
+		if s.random.IntN(5) == 0 {
+			s.fault()
+		}
+		s.ask(t.Context(), n)
+	}
+	if s.random.IntN(4) == 0 {
+		s.fleet.step("the gateway is told to end")
+		s.core.Abandon(s.random.IntN(2) == 0)
+	}
+	s.clients.Wait()
+	time.Sleep(heldEnd)
+}
+
+// ask has one client make a request; some leave early.
+func (s *scenario) ask(ctx context.Context, n int) {
+	wait := between(s.random, 300*time.Millisecond, 5*time.Second)
+	stay := wait
+	if s.random.IntN(4) == 0 {
+		stay = between(s.random, 0, wait)
+	}
+	q := core.Request{Wire: fmt.Sprint("q", n), Arrived: time.Now(), Payload: core.Payload{Method: "POST", Target: "/v1/chat/completions", Body: []byte("{}")}}
+	q.Request = ringdale.Request{Class: fmt.Sprint("c", s.random.IntN(3)), Session: fmt.Sprint(s.random.IntN(5)), Prompt: 100, MaxTokens: 10, TTL: wait}
+	s.clients.Go(func() {
+		mine, leave := context.WithTimeout(ctx, stay)
+		defer leave()
+		s.fleet.step("%s class %s comes, waits %v of %v", q.Wire, q.Class, stay, wait)
+		a, ticket, here := core.Await(mine, s.core, q)
+		s.fleet.step("%s answered: %v, verdict %v", q.Wire, here, a.Verdict)
+		if here && a.Verdict == core.Serving {
+			_ = ticket.Relay(mine, a.Stream, func([]byte) error { return nil })
+		}
+	})
+}
+
+// fault does something to an engine or its network, and mends it later.
+func (s *scenario) fault() {
+	name := pick(s.random, s.members...).Name
+	last := between(s.random, 200*time.Millisecond, 6*time.Second)
+	broken := s.random.IntN(2) == 0
+	switch s.random.IntN(6) {
+	case 0, 1:
+		names := []string{name}
+		if s.random.IntN(2) == 0 { // a zone, or a role
+			names = nil
+			for _, m := range s.members {
+				if s.random.IntN(2) == 0 {
+					names = append(names, m.Name)
+				}
+			}
+		}
+		for _, name := range names {
+			s.cut(name, last, broken)
+		}
+	case 2:
+		s.fleet.network(name, "refused", func(l *simLink) { l.change(func() { l.refused = true }); l.reset() })
+		time.AfterFunc(last, func() {
+			s.fleet.network(name, "taken again", func(l *simLink) { l.change(func() { l.refused = false }) })
+		})
+	case 3:
+		s.fleet.network(name, "reset", func(l *simLink) { l.reset() })
+	case 4:
+		late := between(s.random, 50*time.Millisecond, time.Second)
+		s.fleet.network(name, fmt.Sprint("late by ", late), func(l *simLink) { l.change(func() { l.late = late }) })
+		time.AfterFunc(last, func() {
+			s.fleet.network(name, "in time", func(l *simLink) { l.change(func() { l.late = 0 }) })
+		})
+	case 5:
+		s.fleet.restart(name)
+	}
+}
+
+func (s *scenario) cut(name string, last time.Duration, broken bool) {
+	s.fleet.network(name, "cut", func(l *simLink) { l.change(func() { l.cut = true }) })
+	time.AfterFunc(last, func() {
+		s.fleet.network(name, fmt.Sprint("healed, connections broken: ", broken), func(l *simLink) {
+			if broken {
+				l.reset()
+			}
+			l.change(func() { l.cut = false })
+		})
+	})
+}
+
+// While none of a request's attempts is out, what is held for it at an engine is taken or
+// let go within the pin limit and the slack of the protocol page: under any customer's
+// settings, and whatever engines, connections and clients do meanwhile.
+func TestNothingIsHeldPastItsLimit(t *testing.T) {
+	first, last := uint64(1), uint64(heldSeeds)
+	if v := os.Getenv("HELD_SEED"); v != "" {
+		n, err := strconv.ParseUint(v, 10, 64)
+		if err != nil {
+			t.Fatal(err)
+		}
+		first, last = n, n
+	}
+	for seed := first; seed <= last; seed++ {
+		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) { playHeld(t, seed, first == last) })
+		})
+	}
+}
+
+func playHeld(t *testing.T, seed uint64, steps bool) {
+	s := newScenario(t, seed)
+	s.play(t)
+	bad := s.fleet.verdict()
+	for _, what := range bad {
+		t.Error(what)
+	}
+	if len(bad) > 0 || steps {
+		for _, step := range s.fleet.steps {
+			t.Log(step)
+		}
+	}
+	for name := range s.fleet.links {
+		s.fleet.links[name].reset()
+	}
+}
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -25,6 +25,8 @@
 	StreamSilence  time.Duration // a stream that says nothing for this long is broken off
 	ReadBuffer     int           // bytes of each connection; 0 = leastBuffer
 	Settle         time.Duration // from an answer to the next request on its connection; 0 = none. See get
+	// Dial opens a connection; nil for the system's own. Tests give a network with faults.
+	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
 // The pool's margins.
@@ -154,8 +156,7 @@
 	}
 	p.open++
 	p.mu.Unlock()
-	d := net.Dialer{Timeout: time.Duration(connectPart * float64(p.opt.ConnectTimeout)), KeepAlive: -1}
-	nc, err := d.DialContext(ctx, "tcp", addr)
+	nc, err := p.connect(ctx, addr)
 	if err != nil {
 		p.mu.Lock()
 		p.open--
@@ -166,6 +167,21 @@
 	return &conn{Conn: nc, in: in, r: bufio.NewReaderSize(in, max(p.opt.ReadBuffer, leastBuffer)), addr: addr}, nil
 }
 
+// connect opens a connection within the connect time-out of the settings.
+func (p *Pool) connect(ctx context.Context, addr string) (net.Conn, error) {
+	timeout := time.Duration(connectPart * float64(p.opt.ConnectTimeout))
+	if p.opt.Dial == nil {
+		d := net.Dialer{Timeout: timeout, KeepAlive: -1}
+		return d.DialContext(ctx, "tcp", addr)
+	}
+	if timeout > 0 {
+		var done context.CancelFunc
+		ctx, done = context.WithTimeout(ctx, timeout)
+		defer done()
+	}
+	return p.opt.Dial(ctx, "tcp", addr)
+}
+
 // bounded reads no more than is left. The library would read a head of any length.
 type bounded struct {
 	r    io.Reader
