--- a/internal/intake/framing.go
+++ b/internal/intake/framing.go
@@ -47,6 +47,9 @@
 // between tells whether no request has begun since the last one ended.
 func (f *framing) between() bool { return f.part == inHead && f.lines == 0 && len(f.line) == 0 }
 
+// partialHead tells whether a head has begun and not ended.
+func (f *framing) partialHead() bool { return f.part == inHead && !f.between() }
+
 // next takes what has come. On an error, good is how much of p comes before the
 // head, or the part of a body, that is at fault.
 func (f *framing) next(p []byte) (good int, err error) {
--- a/internal/intake/listener.go
+++ b/internal/intake/listener.go
@@ -138,6 +138,7 @@
 			continue
 		}
 		delete(l.open, last)
+		last.answerPartial(noRoom)
 		last.Conn.Close()
 		return true
 	}
@@ -154,6 +155,30 @@
 
 func (w wait) before(o wait) bool { return w.rank < o.rank || w.rank == o.rank && w.age > o.age }
 
+// What a client is told whose request began to come and is not waited for any longer.
+const (
+	requestTimeout = "HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+	noRoom         = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+)
+
+// answerPartial answers a request whose head has come in part, before its connection is
+// closed, and tells whether there was one: net/http would close many without a word.
+func (c *Conn) answerPartial(text string) bool {
+	c.mu.Lock()
+	partial := !c.shut && !c.closing && !c.spoilt && c.frame.complete == c.answered && c.frame.partialHead()
+	c.shut = c.shut || partial
+	c.mu.Unlock()
+	if !partial {
+		return false
+	}
+	_ = c.SetWriteDeadline(time.Now().Add(answerWithin))
+	_, _ = io.WriteString(c.Conn, text)
+	return true
+}
+
+// answerWithin is how long an answer of a few bytes may take to reach the system's buffer.
+const answerWithin = 10 * time.Millisecond
+
 // Conn is a client's connection.
 type Conn struct {
 	net.Conn
@@ -228,6 +253,9 @@
 			}
 			c.mu.Unlock()
 		} else if err := c.raw.Read(c.step); err != nil {
+			if errors.Is(err, os.ErrDeadlineExceeded) && c.answerPartial(requestTimeout) {
+				_ = c.Close() // net/http would answer some of these too
+			}
 			return 0, &net.OpError{Op: "read", Net: "tcp", Addr: c.RemoteAddr(), Err: err}
 		}
 		c.into = nil // it is net/http's, which lends it to others
--- a/internal/intake/listener_test.go
+++ b/internal/intake/listener_test.go
@@ -118,8 +118,8 @@
 		return false
 	})
 	second := dial(t, addr, "GET /wait HTTP/1.1\r\nHost: x\r\n\r\n")
-	if a := got(half); a != "none" {
-		t.Errorf("half a request got %q", a)
+	if resp, err := http.ReadResponse(bufio.NewReader(half), nil); err != nil || resp.StatusCode != http.StatusServiceUnavailable {
+		t.Errorf("half a request got %v, %v: its client may send the rest, and is owed an answer", resp, err)
 	}
 	<-waiting
 	if a := got(dial(t, addr, "GET /c HTTP/1.1\r\nHost: x\r\n\r\n")); a != "none" {
@@ -405,3 +405,51 @@
 		t.Errorf("got %q", a)
 	}
 }
+
+// A head that comes too slowly is answered before its connection ends, on a new connection
+// and after an answer; one that rests is closed without a word.
+func TestAHeadThatComesTooSlowlyIsAnswered(t *testing.T) {
+	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	in := NewListener(l, 8)
+	srv := &http.Server{
+		Handler:           http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") }),
+		ReadHeaderTimeout: 50 * time.Millisecond, IdleTimeout: 50 * time.Millisecond, ConnState: in.State, ConnContext: in.ConnContext,
+	}
+	go srv.Serve(in)
+	t.Cleanup(func() { srv.Close() })
+	const whole = "GET / HTTP/1.1\r\nHost: x\r\n\r\n"
+	for name, c := range map[string]struct {
+		sent string
+		want []int
+	}{
+		"half a head":                 {"GET / HTTP/1.1\r\nHos", []int{408}},
+		"half a head after an answer": {whole + "GET /", []int{200, 408}},
+		"nothing after an answer":     {whole, []int{200}},
+		"nothing":                     {"", nil},
+	} {
+		t.Run(name, func(t *testing.T) {
+			nc, err := net.Dial("tcp4", l.Addr().String())
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer nc.Close()
+			if _, err := io.WriteString(nc, c.sent); err != nil {
+				t.Fatal(err)
+			}
+			r := bufio.NewReader(nc)
+			for _, want := range c.want {
+				resp, err := http.ReadResponse(r, nil)
+				if err != nil || resp.StatusCode != want {
+					t.Fatalf("answer %v, %v, want %d", resp, err, want)
+				}
+				_, _ = io.Copy(io.Discard, resp.Body)
+			}
+			if rest, err := io.ReadAll(r); err != nil || len(rest) > 0 {
+				t.Errorf("%q, %v after the answers", rest, err)
+			}
+		})
+	}
+}
