--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -144,6 +144,9 @@
 	if _, err := p.SeedNumber(); err != nil {
 		return nil, err
 	}
+	if p.Options.Info.PinLimit <= 0 {
+		return nil, errors.New("settings.family_info.pin_limit: missing, or not over 0")
+	}
 	if _, err := ringdale.New(p.Settings(), 0); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
