--- a/cmd/wellgw/serve.go
+++ b/cmd/wellgw/serve.go
@@ -51,6 +51,9 @@
 	// A client that is left waiting for 5 s after a stream's last event has lost it
 	// on the platform. Elsewhere a model may well think for longer.
 	platformSilence = 4500 * time.Millisecond
+	// What is held there may pass its limit by what the protocol adds: 50 ms to every time
+	// limit, and 300 ms to this one.
+	platformPinSlack = 350 * time.Millisecond
 	// An engine there may send an answer a second time, some milliseconds late.
 	platformSettle = 30 * time.Millisecond
 	chatSilence    = time.Minute
@@ -141,6 +144,7 @@
 		name: p.Name, control: p.Control,
 	}
 	g.figures.Slack = wire.Micros(p.Options.Rules.AnswerSlack)
+	g.figures.PinSlack = platformPinSlack
 	g.front = func(c *core.Core, b *intake.Budget) front { return platform.NewFront(c, g.set.Classes, b) }
 	g.directory = func(c *core.Core) (core.Directory, func(context.Context), error) {
 		w := platform.NewWatch(p.Discovery, g.set.MustSubscribe, wire.Micros(p.Options.Rules.DrainGrace), c.Roster, g.log)
@@ -275,7 +279,7 @@
 	}
 	share := max(16, (limits.Sockets-spareSockets)/2)
 	g.pool.MaxConns = share
-	g.figures.PinLimit, g.figures.MaxSends = g.set.PinLimit, g.set.MaxAttempts
+	g.figures.PinLimit, g.figures.MaxSends, g.figures.Reach = g.set.PinLimit, g.set.MaxAttempts, g.pool.ConnectTimeout
 	pool := upstream.NewPool(g.pool)
 	checks := invariant.New()
 	later := &laterDirectory{}
--- /dev/null
+++ b/decide/heldstate/heldstate_test.go
@@ -0,0 +1,235 @@
+package heldstate
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+	"pgregory.net/rapid"
+)
+
+const ms = time.Millisecond
+
+var limits = Limits{Pin: 500 * ms, Slack: 350 * ms, GiveUp: 30 * time.Second, ReadFor: 3 * time.Second}
+
+func TestDue(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		steps func(*Ledger)
+		want  []string
+	}{
+		{"nothing is held", func(*Ledger) {}, nil},
+		{"a state that waits for a writer", func(l *Ledger) { l.Read("r", 1) }, nil},
+		{"the request is over", func(l *Ledger) { l.Read("r", 1); l.Finish() }, []string{"r"}},
+		{"a read that was lost, and nothing is out", func(l *Ledger) { l.Lost("r", true) }, []string{"r"}},
+		{"a read that was lost, and another attempt is out", func(l *Ledger) { l.Lost("r", true); l.Set(SurelyOut, 1) }, nil},
+		{"the other attempt may never have arrived", func(l *Ledger) { l.Lost("r", true); l.Set(MayBeOut, 1) }, nil},
+		{"and has been out for as long as a state may wait", func(l *Ledger) { l.Lost("r", true); l.Set(MayBeOut, 1-time.Second) }, []string{"r"}},
+		{"what was lost before, and a state waits", func(l *Ledger) { l.Lost("r", true); l.Read("s", 1) }, nil},
+		{"an answer has begun", func(l *Ledger) { l.Read("r", 1); l.Begun(); l.Set(SurelyOut, 1) }, nil},
+		{"and breaks", func(l *Ledger) { l.Read("r", 1); l.Begun(); l.Set(NotOut, 1); l.Finish() }, []string{"r"}},
+		{"an answer is whole", func(l *Ledger) { l.Read("r", 1); l.Served(); l.Finish() }, nil},
+		{"an answer is whole, a read may run on", func(l *Ledger) { l.Lost("r", true); l.Read("s", 1); l.Served(); l.Finish() }, []string{"r"}},
+		{"an engine that fetches nothing goes on", func(l *Ledger) { l.Read("r", 1); l.Detach(); l.Set(SurelyOut, 1) }, []string{"r"}},
+		{"it answers", func(l *Ledger) { l.Read("r", 1); l.Detach(); l.Served(); l.Finish() }, []string{"r"}},
+		{"a writer has found no state", func(l *Ledger) { l.Read("r", 1); l.NoState() }, []string{"r"}},
+		{"an engine has failed the attempt", func(l *Ledger) { l.Failed("r"); l.Finish() }, []string{"r"}},
+		{"a release is under way", func(l *Ledger) { l.Read("r", 1); l.Finish(); l.Due(1) }, nil},
+		{"it was told", func(l *Ledger) { l.Read("r", 1); l.Finish(); l.Due(1); l.Told("r", true, 1) }, nil},
+		{"it was stopped", func(l *Ledger) { l.Read("r", 1); l.Finish(); l.Due(1); l.Told("r", false, 1) }, []string{"r"}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			l := New(limits)
+			c.steps(l)
+			if diff := cmp.Diff(c.want, l.Due(1)); diff != "" {
+				t.Errorf("told (-want +got):\n%s", diff)
+			}
+		})
+	}
+}
+
+// A state waits for a writer as long as it may, however many attempts fail meanwhile without
+// having surely been out; then it is let go.
+func TestLapse(t *testing.T) {
+	for _, c := range []struct {
+		out    Out
+		lapses bool
+		holder string
+	}{{NotOut, true, ""}, {MayBeOut, true, "r"}, {SurelyOut, false, "r"}} {
+		l := New(limits)
+		l.Set(NotOut, 10*ms)
+		l.Read("r", time.Second)
+		l.Set(c.out, time.Second+ms)
+		at := time.Second + limits.Pin + limits.Slack/2
+		if l.Lapsed(at - 1) {
+			t.Errorf("%v: lapsed before its time", c.out)
+		}
+		if l.Lapsed(at) != c.lapses {
+			t.Errorf("%v: lapsed %v, want %v", c.out, !c.lapses, c.lapses)
+		}
+		if !c.lapses {
+			continue
+		}
+		l.Lapse(at)
+		if l.Holder() != c.holder {
+			t.Errorf("%v: the request goes on with the state of %q, want %q", c.out, l.Holder(), c.holder)
+		}
+		if diff := cmp.Diff([]string{"r"}, l.Due(at)); diff != "" {
+			t.Errorf("%v: told (-want +got):\n%s", c.out, diff)
+		}
+	}
+}
+
+// A release that met an attempt at another engine let go of nothing. It is sent again once
+// that engine must know that the attempt was given up.
+func TestAReleaseThatOvertakesACancelIsSentAgain(t *testing.T) {
+	l := New(limits)
+	l.Read("r", 1)
+	l.Lost("w", false)
+	l.Finish()
+	if diff := cmp.Diff([]string{"r", "w"}, l.Due(1)); diff != "" {
+		t.Fatalf("told (-want +got):\n%s", diff)
+	}
+	l.Told("r", true, 2*ms)
+	if l.Done() {
+		t.Error("done, though the writer's engine has not been reached")
+	}
+	l.Told("w", true, 5*time.Second) // behind a cut until then
+	at, some := l.Next()
+	if want := 5*time.Second + CancelTransit; !some || at != want {
+		t.Fatalf("next at %v, want %v", at, want)
+	}
+	if due := l.Due(at); !slices.Contains(due, "r") {
+		t.Errorf("told %v, want the reader again", due)
+	}
+	l.Told("r", true, at)
+	l.Told("w", true, at)
+	if !l.Done() {
+		t.Error("not done")
+	}
+}
+
+// world is engines that hold states, as they really are, beside a ledger that has to have
+// them let go.
+type world struct {
+	t       *rapid.T
+	l       *Ledger
+	now     Time
+	held    map[string]Time // since when
+	later   map[string]Time // when a read that runs on will leave its state
+	away    map[string]bool
+	telling map[string]bool
+	out     Out
+}
+
+var engines = []string{"a", "b", "c"}
+
+// pass lets time pass in small steps. Releases arrive at engines that are not away.
+func (w *world) pass(d time.Duration) {
+	for end := w.now + d; w.now < end; w.now += 10 * ms {
+		for e, at := range w.later {
+			if w.now >= at && !w.away[e] {
+				w.held[e] = w.now
+				delete(w.later, e)
+			}
+		}
+		w.act()
+		w.check()
+	}
+}
+
+func (w *world) act() {
+	w.l.Set(w.out, w.now)
+	if w.l.Lapsed(w.now) {
+		w.l.Lapse(w.now)
+	}
+	for _, e := range w.l.Stop() {
+		delete(w.telling, e)
+		w.l.Told(e, false, w.now)
+	}
+	for _, e := range w.l.Due(w.now) {
+		w.telling[e] = true
+	}
+	for _, e := range engines {
+		if w.telling[e] && !w.away[e] {
+			delete(w.telling, e)
+			if w.out == NotOut || w.l.over {
+				delete(w.held, e)
+			}
+			w.l.Told(e, true, w.now)
+		}
+	}
+}
+
+// check is the rule: nothing is held for longer than the limits while no attempt is out, at
+// an engine that can be told.
+func (w *world) check() {
+	for e, since := range w.held {
+		if w.out != NotOut || w.away[e] {
+			w.held[e] = w.now
+			continue
+		}
+		if held := w.now - since; held > limits.Pin+limits.Slack {
+			w.t.Fatalf("%s has held a state for %v at %v", e, held, w.now)
+		}
+	}
+}
+
+// outcome ends the attempt that is out. The time of all that is held counts from the last
+// outcome.
+func (w *world) outcome() {
+	w.out = NotOut
+	for e := range w.held {
+		w.held[e] = w.now
+	}
+}
+
+// lose ends an attempt at an engine without its word. The read may have ended, or run on.
+func (w *world) lose(e string) {
+	w.outcome()
+	switch rapid.IntRange(0, 2).Draw(w.t, "what the read left") {
+	case 0:
+		w.held[e] = w.now
+	case 1:
+		w.later[e] = w.now + time.Duration(rapid.IntRange(0, int(limits.ReadFor/ms)).Draw(w.t, "read runs on, ms"))*ms
+	}
+	w.l.Lost(e, true)
+}
+
+func TestNothingIsHeldPastItsLimits(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		w := &world{t: t, l: New(limits), now: ms, held: map[string]Time{}, later: map[string]Time{}, away: map[string]bool{}, telling: map[string]bool{}}
+		for range rapid.IntRange(1, 12).Draw(t, "steps") {
+			e := rapid.SampledFrom(engines).Draw(t, "engine")
+			switch rapid.IntRange(0, 5).Draw(t, "step") {
+			case 0:
+				w.outcome()
+				w.held[e] = w.now
+				w.l.Read(e, w.now)
+			case 1:
+				w.lose(e)
+			case 2:
+				w.out = rapid.SampledFrom([]Out{MayBeOut, SurelyOut}).Draw(t, "out")
+			case 3:
+				w.outcome()
+			case 4:
+				w.away[e] = !w.away[e]
+			case 5:
+				w.out = NotOut
+				clear(w.held)
+				w.l.Served()
+			}
+			w.pass(time.Duration(rapid.IntRange(0, 150).Draw(t, "for, in 10 ms")) * 10 * ms)
+		}
+		w.out = NotOut
+		w.l.Set(w.out, w.now)
+		w.l.Finish()
+		w.pass(time.Duration(rapid.IntRange(0, 1000).Draw(t, "after the end, in 10 ms")) * 10 * ms)
+		clear(w.away)
+		w.pass(2*limits.ReadFor + limits.GiveUp)
+		if len(w.held) > 0 || !w.l.Done() {
+			t.Fatalf("at the end: held %v, done %v", w.held, w.l.Done())
+		}
+	})
+}
--- a/internal/core/api.go
+++ b/internal/core/api.go
@@ -8,6 +8,7 @@
 
 import (
 	"context"
+	"sync/atomic"
 	"time"
 
 	"wellgw/ringdale"
@@ -101,19 +102,46 @@
 	// Connected is called once there is a connection and before anything is written to
 	// it, which waits for its return; nil for nothing to wait for.
 	Connected func()
+	// Written is called once the last byte has been written.
+	Written func()
+	// Left tells whether the client has gone. It is asked right before the first byte is
+	// written; then nothing is, and the attempt ends as unsent.
+	Left func() bool
+}
+
+// Handle is an attempt under way.
+type Handle interface {
+	// Cancel gives the attempt up and closes its connection at once. It may be called twice.
+	Cancel()
+	// Withdraw does the same if nothing has been written yet, and tells whether that is so;
+	// otherwise it does nothing.
+	Withdraw() bool
+}
+
+// Release is what an engine is to be told: to let go of all that it holds for a request.
+type Release struct {
+	At   Member
+	Wire string
+	// Elsewhere are engines to be told as long as At is not: by the platform's protocol any
+	// engine takes a release and lets go at whatever engine the state is held.
+	Elsewhere      []Member
+	ElsewhereAfter time.Duration // from now on
+	ElsewhereEvery time.Duration // from one that was told to the next
+	Until          time.Time     // when it is to be given up
 }
 
 // Engine makes attempts. No method blocks; what comes of a call is told later,
 // from another goroutine.
 type Engine interface {
 	// Start sends the request. One of first and ended is called once: first when
-	// events begin to come, ended when the attempt is over without any. The
-	// function returned gives the attempt up and closes its connection at once.
-	Start(a Attempt, first func(Stream), ended func(Result)) (cancel func())
-	// Release lets go of all that an engine holds for a request, trying again
-	// until it has been told or the time is over. If up is given, it is called once the
-	// engine is known to be reached, before it is told; not at all if it never is.
-	Release(at Member, wire string, until time.Time, up func(), done func(error))
+	// events begin to come, ended when the attempt is over without any.
+	Start(a Attempt, first func(Stream), ended func(Result)) Handle
+	// Release tells an engine to let go, trying again until it has been told, the time is
+	// over or stop is called. done is called once, with nil if the engine was told.
+	Release(r Release, done func(error)) (stop func())
+	// Reach finds out whether an engine is reached: by a connection of its own, as an idle one
+	// does not show a cut. One that refuses it is.
+	Reach(at Member, done func(reached bool))
 	// Probe asks an engine for its load.
 	Probe(at Member, done func(ringdale.Status, *ringdale.Report))
 }
@@ -135,6 +163,8 @@
 type Figures struct {
 	Slack    time.Duration          // past the deadline an answer still counts for this long
 	PinLimit time.Duration          // longest a state may be held with no attempt out
+	PinSlack time.Duration          // and by how much it may be passed while a release arrives
+	Reach    time.Duration          // how long Engine.Reach takes at most
 	MaxSends int                    // attempts for one request
 	Alone    func(kind string) bool // engines of a kind serve whole requests and fetch no state; nil: all fetch
 }
@@ -150,11 +180,16 @@
 // Ticket names a request that the core has taken.
 type Ticket struct {
 	core *Core
-	q    *request // owned by the core's goroutine
+	q    *request    // owned by the core's goroutine
+	left atomic.Bool // the client has gone
 }
 
-// Gone tells that the client has left before its answer.
-func (t *Ticket) Gone() { t.core.post(func() { t.core.gone(t.q) }) }
+// Gone tells that the client has left before its answer. No attempt is begun from then on,
+// however long the core's queue is.
+func (t *Ticket) Gone() {
+	t.left.Store(true)
+	t.core.post(func() { t.core.gone(t.q) })
+}
 
 // Finish tells how the stream of a Serving answer ended. Relay calls it; a front that
 // reads the stream otherwise must call it once, after Stream.Close or the stream's end.
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"log/slog"
-	"sync"
 	"sync/atomic"
 	"time"
 
@@ -14,13 +13,11 @@
 
 // The core's own margins; all else is the module's to decide.
 const (
-	queueSize    = 4096
-	strayAgain   = 150 * time.Millisecond // a second release, should a read have ended as it was given up
-	releaseLimit = 4                      // times the pin limit for which a release is tried
-	coverLimit   = 15 * time.Second       // and where an attempt covers what is held; cuts seldom last longer
-	coverMost    = 32                     // attempts that do so at once: each keeps a connection and a body
-	tellMargin   = 3 * time.Millisecond   // from the end of an attempt to what must not meet it, such as the next
-	clockOrigin  = 24 * time.Hour         // the module's clock at the start, so that no time of it is 0
+	queueSize   = 4096
+	coverLimit  = 15 * time.Second     // for which an attempt covers what is held; cuts seldom last longer
+	coverMost   = 32                   // attempts that do so at once: each keeps a connection and a body
+	tellMargin  = 3 * time.Millisecond // from the end of an attempt to what must not meet it, such as the next
+	clockOrigin = 24 * time.Hour       // the module's clock at the start, so that no time of it is 0
 )
 
 // Core owns one Router and all requests in hand.
@@ -47,8 +44,9 @@
 	timers   timers
 	pending  []ringdale.Event
 	settling []*request
-	releases int
-	covers   int // attempts over for the module whose connections are kept; see cover
+	owing    map[*request]bool    // over, and something may still be held for them
+	heard    map[string]time.Time // when each engine has last answered
+	covers   int                  // attempts over for the module whose connections are kept; see cover
 	drained  []chan struct{}
 	counts   map[string]int
 	traffic  map[string]*Traffic // by class
@@ -65,25 +63,24 @@
 	streaming *attempt
 	stream    Stream
 	attempts  []*attempt
-	out       int               // attempts that have not ended
-	cover     *attempt          // given up, its connection not closed yet
-	holder    string            // the reader whose state waits, as far as is known
-	held      map[string]Member // engines that may hold something
-	status    ringdale.Status   // how the latest attempt ended, and why
+	out       int             // attempts that have not ended
+	cover     *attempt        // given up, its connection not closed yet
+	held      heldStates      // at engines
+	status    ringdale.Status // how the latest attempt ended, and why
 	cause     error
-	ran       bool            // an attempt has ended that may have run
-	unsure    map[string]bool // of these, those whose read may end after its release
+	ran       bool         // an attempt has ended that may have run
+	left      *atomic.Bool // its client has gone, whether or not the core has been told
 }
 
 type attempt struct {
-	number int
-	server Member
-	sent   time.Time
-	ended  bool
-	begun  bool // its answer has
-	// connected is set once it may have gone out; see Core.connected.
-	connected bool
-	cancel    func()
+	number  int
+	server  Member
+	sent    time.Time
+	ended   bool
+	begun   bool // its answer has
+	out     bool // its last byte has been written
+	written time.Time
+	handle  Handle
 }
 
 // New returns a core round a router. Run must be called for it to work.
@@ -92,7 +89,7 @@
 		router: r, engine: e, directory: d, fig: fig, log: log, checks: checks,
 		origin: time.Now().Add(-clockOrigin),
 		queue:  make(chan func(), queueSize), done: make(chan struct{}),
-		members: map[string]Member{}, bans: handban.New(), requests: map[ringdale.RequestID]*request{},
+		members: map[string]Member{}, bans: handban.New(), requests: map[ringdale.RequestID]*request{}, owing: map[*request]bool{}, heard: map[string]time.Time{},
 		wires: map[string]bool{}, counts: map[string]int{}, traffic: map[string]*Traffic{},
 	}
 }
@@ -136,7 +133,7 @@
 // Drain waits until no request is in hand and no release is under way.
 func (c *Core) Drain(ctx context.Context) error {
 	ch := make(chan struct{})
-	c.post(func() { c.drained = append(c.drained, ch) })
+	c.post(func() { c.drained = append(c.drained, ch); c.awaitPressing() })
 	select {
 	case <-ch:
 		return nil
@@ -236,6 +233,7 @@
 		c.bans.See(m.Name)
 		ev.Servers = append(ev.Servers, c.bans.Show(m.ServerInfo))
 	}
+	c.forgetUnlisted()
 	c.setReady()
 	c.tell(ev)
 }
@@ -278,10 +276,7 @@
 		if q := c.requests[a.ID]; q != nil && a.Attempt < len(q.attempts) && q.streaming != q.attempts[a.Attempt] {
 			c.end(q, q.attempts[a.Attempt], Result{Status: ringdale.StatusCancelled})
 		}
-	case ringdale.Release:
-		if q := c.requests[a.ID]; q != nil {
-			c.release(q, c.fig.PinLimit*releaseLimit)
-		}
+	case ringdale.Release: // the ledger of held states sees to it; see settle
 	case ringdale.SetTimer:
 		c.after(a.In, func() { c.tell(ringdale.TimerFired{Name: a.Name}) })
 	case ringdale.Probe:
@@ -299,7 +294,8 @@
 	for c.lastID++; c.requests[c.lastID] != nil; c.lastID++ {
 	}
 	in.ID = c.lastID
-	q := &request{Request: in, front: f, deadline: in.Arrived.Add(in.TTL), free: c.router.Free(in.Class), held: map[string]Member{}, unsure: map[string]bool{}}
+	q := &request{Request: in, front: f, deadline: in.Arrived.Add(in.TTL), free: c.router.Free(in.Class), left: &t.left}
+	q.held = newHeldStates(c.heldLimits(in.TTL))
 	t.q = q
 	if c.wires[in.Wire] {
 		// Engines know a request by its wire id alone: two at once would share
@@ -329,7 +325,7 @@
 	}
 	m, known := c.members[a.Server]
 	now := time.Now()
-	at := &attempt{number: len(q.attempts), server: m, sent: now, cancel: func() {}}
+	at := &attempt{number: len(q.attempts), server: m, sent: now, handle: noHandle{}}
 	at.server.Name = a.Server
 	q.attempts = append(q.attempts, at)
 	q.out++
@@ -337,22 +333,23 @@
 	if a.Limit > 0 {
 		limit = min(limit, a.Limit)
 	}
-	unsent := limit <= 0 || len(q.attempts) > c.fig.MaxSends
+	unsent := limit <= 0 || len(q.attempts) > c.fig.MaxSends || q.left.Load()
 	if unsent || !c.checks.Hold(known && m.Phase == ringdale.PhaseOn, "a send goes to an engine on the list") {
 		c.end(q, at, Result{Status: ringdale.StatusUnsent})
 		return
 	}
 	c.counts["attempts"]++
-	if q.holder != "" && c.fig.Alone != nil && c.fig.Alone(m.Kind) {
-		// It will not fetch what was read for it elsewhere, so nobody will.
-		c.release(q, c.fig.PinLimit*releaseLimit)
+	if q.held.ledger.Holder() != "" && c.fig.Alone != nil && c.fig.Alone(m.Kind) {
+		q.held.ledger.Detach() // it will not fetch what was read for it elsewhere
+		c.settling = append(c.settling, q)
 	}
 	c.after(limit, func() { c.end(q, at, Result{Status: ringdale.StatusTimeout}) })
-	out := Attempt{Wire: q.Wire, Number: at.number, To: m, Limit: limit, Payload: q.Payload}
-	if at.connected = q.cover == nil; !at.connected {
+	out := Attempt{Wire: q.Wire, Number: at.number, To: m, Limit: limit, Payload: q.Payload, Left: q.left.Load}
+	if q.cover != nil {
 		out.Connected = func() { c.connected(q, at) }
 	}
-	at.cancel = c.engine.Start(
+	out.Written = func() { c.post(func() { c.written(q, at) }) }
+	at.handle = c.engine.Start(
 		out,
 		func(s Stream) { c.post(func() { c.first(q, at, s) }) },
 		func(r Result) { c.post(func() { c.end(q, at, r) }) },
@@ -369,7 +366,6 @@
 			close(clear)
 			return
 		}
-		at.connected = true
 		c.afterEnd(q, func() { close(clear) })
 	})
 	select {
@@ -378,6 +374,15 @@
 	}
 }
 
+// written notes that an attempt is out: from now on it answers for what is held.
+func (c *Core) written(q *request, at *attempt) {
+	if at.ended {
+		return
+	}
+	at.out, at.written = true, time.Now()
+	c.settling = append(c.settling, q)
+}
+
 // first gives an attempt's stream to the client, if the client still waits for it.
 func (c *Core) first(q *request, at *attempt, s Stream) {
 	if at.ended || q.answered {
@@ -386,8 +391,8 @@
 		return
 	}
 	q.streaming, q.stream, at.begun = at, s, true
-	q.holder = ""
-	q.held[at.server.Name] = at.server // for a break; a whole stream leaves nothing
+	c.hear(at.server.Name)
+	q.held.ledger.Begun()
 	for _, other := range q.attempts {
 		if other != at {
 			c.end(q, other, Result{Status: ringdale.StatusCancelled})
@@ -401,8 +406,7 @@
 	if at := q.streaming; at != nil {
 		q.streaming, q.stream = nil, nil
 		if r.Status == ringdale.StatusServed {
-			// The engines let go by themselves; nothing is left to release.
-			clear(q.held)
+			q.held.ledger.Served()
 			c.count(q.Class, func(t *Traffic) { t.Served++; t.ServedPrompt += q.Prompt; t.Output += r.Output })
 		}
 		c.end(q, at, r)
@@ -411,10 +415,8 @@
 
 // end closes an attempt and tells the module how it went, once.
 func (c *Core) end(q *request, at *attempt, r Result) {
-	if at.ended && r.Status == ringdale.StatusRead && q.answered {
-		// Its answer came while it covered what is held: it covers nothing any more, and the
-		// connection that brought it is the surest way to its engine.
-		c.releaseAt(at.server, q.Wire, c.fig.PinLimit*releaseLimit, nil)
+	if at.ended && r.Status == ringdale.StatusRead {
+		c.readLate(q, at)
 	}
 	if at.ended || q.streaming == at {
 		return
@@ -427,11 +429,11 @@
 		q.ran = true
 	}
 	givenUp := r.Status == ringdale.StatusCancelled || r.Status == ringdale.StatusTimeout
-	if givenUp && !at.begun && at.connected {
+	if givenUp && !at.begun && at.out {
 		c.uncover(q)
 		q.cover = at
 	} else {
-		at.cancel()
+		at.handle.Cancel()
 	}
 	q.out--
 	c.settling = append(c.settling, q)
@@ -446,30 +448,15 @@
 	})
 }
 
-// keep notes what an attempt may have left at its engine. A read that was broken
-// or given up may have ended well a moment before, so it counts as held.
-func (c *Core) keep(q *request, at *attempt, r Result) {
-	switch r.Status {
-	case ringdale.StatusRead:
-		q.holder = at.server.Name
-		q.held[at.server.Name] = at.server
-	case ringdale.StatusTimeout, ringdale.StatusCancelled, ringdale.StatusReset, ringdale.StatusError:
-		q.held[at.server.Name] = at.server
-		q.unsure[at.server.Name] = r.Status != ringdale.StatusError
-	case ringdale.StatusFull:
-		if r.NoState {
-			delete(q.held, q.holder)
-			q.holder = ""
-		}
-	}
-}
-
 // answer gives the final answer; a second one is a fault of the module's.
 func (c *Core) answer(q *request, a Answer) {
 	if !c.checks.Hold(!q.answered, "a request gets one final answer") {
 		return
 	}
 	q.answered = true
+	if a.Verdict != Serving {
+		c.withdraw(q)
+	}
 	a.Status, a.Cause, a.MayRun = q.status, q.cause, q.mayRun()
 	if s, has := c.router.Standing(q.Tenant); has {
 		a.Standing = &s
@@ -516,6 +503,17 @@
 	c.counts["gone"]++
 	c.settling = append(c.settling, q)
 	c.tell(ringdale.Gone{ID: q.ID})
+	c.withdraw(q)
+}
+
+// withdraw ends the attempts of a request that is over that are not out yet, also where the
+// settings allow no cancel: nothing has been sent that could be cancelled.
+func (c *Core) withdraw(q *request) {
+	for _, at := range q.attempts {
+		if !at.ended && !at.out && at.handle.Withdraw() {
+			c.end(q, at, Result{Status: ringdale.StatusUnsent})
+		}
+	}
 }
 
 func (c *Core) overdue(q *request) {
@@ -529,30 +527,19 @@
 	}
 }
 
-// settle closes the books on requests that something has happened to: what no
-// attempt waits for and nobody will take is let go, and what is over is forgotten.
+// settle closes the books on requests that something has happened to: engines are told to
+// let go of what nobody will take, and what is over is forgotten.
 func (c *Core) settle() {
 	for len(c.settling) > 0 {
 		q := c.settling[0]
 		c.settling = c.settling[1:]
-		switch {
-		case q.out > 0:
-		case q.answered:
-			c.release(q, c.fig.PinLimit*releaseLimit)
-			if c.requests[q.ID] == q {
-				delete(c.requests, q.ID)
-				delete(c.wires, q.Wire)
-				q.Payload.Body = nil // timers may keep q itself for a while
-			}
-		case q.holder == "":
-			// The request waits for a server while a stray state of an earlier
-			// attempt may be held: its time is running. Tried briefly only, lest a
-			// late call should meet the next read.
-			c.release(q, c.fig.PinLimit/5)
+		if q.answered && q.out == 0 {
+			c.forget(q)
 		}
+		c.letGo(q)
 	}
 	c.settling = nil
-	if len(c.requests) == 0 && c.releases == 0 {
+	if len(c.drained) > 0 && len(c.requests) == 0 && !c.pressing() {
 		for _, ch := range c.drained {
 			close(ch)
 		}
@@ -560,82 +547,27 @@
 	}
 }
 
-// uncover closes the connection of an attempt that has been given up.
-func (c *Core) uncover(q *request) {
-	if q.cover != nil {
-		q.cover.cancel()
-		q.cover = nil
-	}
-}
-
-// covered returns the engine that has to be reached before the connection of the attempt
-// that was given up is closed: the one that surely holds a state or, without one, the
-// attempt's own. A state must not be held for long while no attempt is out, and an engine
-// behind a cut can't be told to let go: as long as it is not reached, the attempt stays out,
-// and its engine goes on answering for the state.
-func (c *Core) covered(q *request) string {
-	name := q.holder
-	if name == "" && q.cover != nil {
-		name = q.cover.server.Name
+// forget takes a request that is over off the table. What may still be held for it is seen
+// to on its own.
+func (c *Core) forget(q *request) {
+	if holder := q.held.ledger.Holder(); holder != "" {
+		q.held.holder = holder
 	}
-	if _, held := q.held[name]; q.cover == nil || !held || !q.answered || c.covers >= coverMost {
-		c.uncover(q)
-		return ""
-	}
-	return name
-}
-
-// release tells every engine that may hold something for a request to let it go.
-func (c *Core) release(q *request, within time.Duration) {
-	cover := c.covered(q)
-	for name, m := range q.held {
-		if name == cover {
-			c.releaseAt(m, q.Wire, within, q.cover)
-			q.cover = nil
-		} else {
-			c.releaseAt(m, q.Wire, within, nil)
-		}
-		if q.unsure[name] && q.answered {
-			// The engine may see the closed connection only after the release, and
-			// its read may end in between.
-			c.releases++
-			c.after(strayAgain, func() {
-				c.releases--
-				c.releaseAt(m, q.Wire, within, nil)
-			})
-		}
+	q.held.ledger.Finish()
+	if c.requests[q.ID] != q {
+		return
 	}
-	clear(q.held)
-	q.holder = ""
+	delete(c.requests, q.ID)
+	delete(c.wires, q.Wire)
+	q.Payload.Body = nil // timers may keep q itself for a while
 }
 
-// releaseAt tells one engine. An attempt that covers what is held there, nil for none, stays
-// out until the engine is reached, but who waits for the last releases waits no longer for it.
-func (c *Core) releaseAt(m Member, wire string, within time.Duration, cover *attempt) {
-	c.releases++
-	c.counts["releases"]++
-	over := sync.OnceFunc(func() { c.releases-- })
-	var up func()
-	until := time.Now().Add(within)
-	if cover != nil {
-		c.covers++
-		up, until = cover.cancel, time.Now().Add(max(within, coverLimit))
-		c.after(within, over)
+// uncover closes the connection of an attempt that has been given up.
+func (c *Core) uncover(q *request) {
+	if q.cover != nil {
+		q.cover.handle.Cancel()
+		q.cover = nil
 	}
-	c.engine.Release(m, wire, until, up, func(err error) {
-		c.post(func() {
-			over()
-			if cover != nil {
-				c.covers--
-				cover.cancel()
-			}
-			if err != nil {
-				c.counts["releases failed"]++
-				c.log.Debug("release failed", "id", wire, "cause", err)
-			}
-			c.settle()
-		})
-	})
 }
 
 func (c *Core) probe(server string) {
--- /dev/null
+++ b/internal/core/held_test.go
@@ -0,0 +1,144 @@
+package core
+
+import (
+	"log/slog"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+
+	"wellgw/internal/invariant"
+	"wellgw/internal/playback"
+	"wellgw/ringdale"
+)
+
+// coreWith returns a core like newCore's under other settings.
+func coreWith(t *testing.T, f *fake, change func(*ringdale.Settings)) *Core {
+	set := testSettings()
+	change(&set)
+	router, err := ringdale.New(set, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	c := New(router, f, f, Figures{Slack: 50 * time.Millisecond, PinLimit: set.PinLimit, MaxSends: set.MaxAttempts},
+		slog.New(slog.DiscardHandler), invariant.New())
+	go c.Run(t.Context())
+	c.Roster(ringdale.RosterFull, []Member{
+		{ServerInfo: ringdale.ServerInfo{Name: "r1", Kind: "r", Weight: 1}},
+		{ServerInfo: ringdale.ServerInfo{Name: "w1", Kind: "w", Weight: 1}},
+	})
+	return c
+}
+
+// names returns the engines that attempts were begun at.
+func (f *fake) names() []string {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return append([]string(nil), f.attempts...)
+}
+
+// A state is read, and the connection to its writer does not come up. Once the state has
+// waited for as long as it may it is let go, the attempt is taken back, and the prompt is
+// read anew.
+func TestAStateDoesNotWaitForAConnectionPastItsLimit(t *testing.T) {
+	f := &fake{away: func(a Attempt) bool { return a.To.Kind == "w" }}
+	f.script = func(a Attempt) (Stream, *Result) {
+		if a.To.Kind == "r" {
+			return ended(ringdale.StatusRead)
+		}
+		return nil, nil
+	}
+	c := coreWith(t, f, func(s *ringdale.Settings) { s.PinLimit = 50 * time.Millisecond })
+	ticket := c.Submit(ask("once", time.Minute), make(waiter, 1))
+	playback.Eventually(t, "the state is let go, and read anew", func() bool {
+		_, closed, _ := f.tally()
+		return f.has("r1") && closed >= 2 && len(f.names()) >= 3
+	})
+	if diff := cmp.Diff([]string{"r1", "w1", "r1"}, f.names()[:3]); diff != "" {
+		t.Errorf("attempts (-want +got):\n%s", diff)
+	}
+	ticket.Gone()
+}
+
+// An attempt that waits for its connection is taken back when the client leaves, also where
+// the settings allow no cancel: nothing has been sent that could be cancelled.
+func TestWhatIsNotOutIsTakenBackWhenItsClientLeaves(t *testing.T) {
+	for _, may := range []bool{false, true} {
+		f := &fake{away: func(Attempt) bool { return true }, script: func(Attempt) (Stream, *Result) { return nil, nil }}
+		c := coreWith(t, f, func(s *ringdale.Settings) { s.CanCancel = may })
+		ticket := c.Submit(ask("once", time.Minute), make(waiter, 1))
+		playback.Eventually(t, "the attempt waits for its connection", func() bool { all, _, _ := f.tally(); return all == 1 })
+		ticket.Gone()
+		if err := c.Drain(t.Context()); err != nil {
+			t.Fatal(err)
+		}
+		if all, closed, _ := f.tally(); closed != all {
+			t.Errorf("cancels allowed %v: %d of %d attempts are taken back", may, closed, all)
+		}
+	}
+}
+
+// Nothing is sent for a request whose client has left while it was waiting in the core's own
+// queue, though the core has yet to be told.
+func TestNothingIsSentForAClientThatLeftInTheQueue(t *testing.T) {
+	f := &fake{script: func(Attempt) (Stream, *Result) { return nil, nil }}
+	c := newCore(t, f)
+	busy := make(chan struct{})
+	c.post(func() { <-busy })
+	ticket := c.Submit(ask("once", time.Minute), make(waiter, 1))
+	ticket.Gone()
+	close(busy)
+	if err := c.Drain(t.Context()); err != nil {
+		t.Fatal(err)
+	}
+	if all, _, _ := f.tally(); all > 0 {
+		t.Errorf("%d attempts for a client that has left", all)
+	}
+}
+
+// A read that was given up may end after its release, where a cancel does not stop what
+// runs. Its engine is told again until the read must have ended, whatever has become of the
+// request.
+func TestAReadThatMayRunOnIsToldAgain(t *testing.T) {
+	f := &fake{script: func(Attempt) (Stream, *Result) { return nil, nil }}
+	c := coreWith(t, f, func(s *ringdale.Settings) { s.PinLimit = 20 * time.Millisecond })
+	const wait = 600 * time.Millisecond
+	if a, _, _ := Await(t.Context(), c, ask("once", wait)); a.Verdict != Refused {
+		t.Fatalf("answer %+v", a)
+	}
+	playback.Eventually(t, "the reader is told several times", func() bool { _, _, released := f.tally(); return released >= 4 })
+	playback.Eventually(t, "nothing more is owed", func() bool {
+		return query(t.Context(), c, func() bool { return len(c.owing) == 0 })
+	})
+}
+
+// A writer that finds no state says nothing of the reader: it may only have been out of the
+// writer's reach. The state is let go there all the same.
+func TestAStateThatAWriterDidNotFindIsLetGo(t *testing.T) {
+	f := &fake{script: script(func() (Stream, *Result) { return nil, &Result{Status: ringdale.StatusFull, NoState: true} })}
+	c := coreWith(t, f, func(s *ringdale.Settings) { s.MaxAttempts = 2 })
+	if a, _, _ := Await(t.Context(), c, ask("once", time.Minute)); a.Verdict != Refused {
+		t.Fatalf("answer %+v", a)
+	}
+	if err := c.Drain(t.Context()); err != nil {
+		t.Fatal(err)
+	}
+	if !f.has("r1") {
+		t.Errorf("released at %v", f.released)
+	}
+}
+
+// A pin limit as long as can be written is no limit, and hurts nothing.
+func TestAHugePinLimit(t *testing.T) {
+	f := &fake{script: script(func() (Stream, *Result) { return ended(ringdale.StatusError) })}
+	c := coreWith(t, f, func(s *ringdale.Settings) { s.PinLimit = 1<<63 - 1 })
+	if a, _, _ := Await(t.Context(), c, ask("once", time.Minute)); a.Verdict != Failed {
+		t.Fatalf("answer %+v", a)
+	}
+	if err := c.Drain(t.Context()); err != nil {
+		t.Fatal(err)
+	}
+	if !f.has("r1") || !f.has("w1") {
+		t.Errorf("released at %v", f.released)
+	}
+}
--- a/internal/directory/sources.go
+++ b/internal/directory/sources.go
@@ -39,7 +39,7 @@
 }
 
 // Start makes an attempt; see core.Engine.
-func (w Watched) Start(a core.Attempt, first func(core.Stream), ended func(core.Result)) func() {
+func (w Watched) Start(a core.Attempt, first func(core.Stream), ended func(core.Result)) core.Handle {
 	return w.Engine.Start(a, first, func(r core.Result) {
 		if errors.Is(r.Cause, syscall.ECONNREFUSED) {
 			w.Broke(a.To.Name, a.To.Addr)
--- a/internal/telemetry/trace.go
+++ b/internal/telemetry/trace.go
@@ -87,13 +87,13 @@
 }
 
 // Start makes an attempt; see core.Engine.
-func (e traced) Start(a core.Attempt, first func(core.Stream), ended func(core.Result)) func() {
+func (e traced) Start(a core.Attempt, first func(core.Stream), ended func(core.Result)) core.Handle {
 	begun := time.Now()
 	note := func(what, failed string) {
 		e.t.span(within("request "+a.Wire), what, begun, time.Now(), failed,
 			attribute.String("engine", a.To.Name), attribute.String("role", a.To.Kind), attribute.Int("attempt", a.Number))
 	}
-	cancel := e.Engine.Start(a, func(s core.Stream) {
+	return e.Engine.Start(a, func(s core.Stream) {
 		note("attempt, to its first event", "")
 		first(s)
 	}, func(r core.Result) {
@@ -104,18 +104,17 @@
 		note("attempt", failed)
 		ended(r)
 	})
-	return cancel
 }
 
 // Release lets go of what is held; see core.Engine.
-func (e traced) Release(at core.Member, wire string, until time.Time, up func(), done func(error)) {
+func (e traced) Release(r core.Release, done func(error)) (stop func()) {
 	begun := time.Now()
-	e.Engine.Release(at, wire, until, up, func(err error) {
+	return e.Engine.Release(r, func(err error) {
 		failed := ""
 		if err != nil {
 			failed = err.Error()
 		}
-		e.t.span(within("request "+wire), "release", begun, time.Now(), failed, attribute.String("engine", at.Name))
+		e.t.span(within("request "+r.Wire), "release", begun, time.Now(), failed, attribute.String("engine", r.At.Name))
 		done(err)
 	})
 }
--- a/internal/upstream/engine.go
+++ b/internal/upstream/engine.go
@@ -50,37 +50,39 @@
 
 // Bounds of what is read and waited for.
 const (
-	maxHead      = 64 << 10 // of an answer, with what comes of its body meanwhile
-	maxAnswer    = 64 << 10 // of an answer that is no stream
-	tailSize     = 4 << 10
-	headSpan     = time.Second      // a head that has begun has come by then, and a short answer's body
-	doneSpan     = time.Second      // and so has the last chunk once the last event has
-	leakGuard    = 20 * time.Second // past an attempt's limit: it may cover what is held, or nobody gives it up
-	releaseWait  = 300 * time.Millisecond
-	releasePause = 50 * time.Millisecond
-	probeWait    = time.Second
-	silencePart  = 64 // of the time that a stream may be silent: how exactly that is kept
+	maxHead     = 64 << 10 // of an answer, with what comes of its body meanwhile
+	maxAnswer   = 64 << 10 // of an answer that is no stream
+	tailSize    = 4 << 10
+	headSpan    = time.Second      // a head that has begun has come by then, and a short answer's body
+	doneSpan    = time.Second      // and so has the last chunk once the last event has
+	leakGuard   = 20 * time.Second // past an attempt's limit: it may cover what is held, or nobody gives it up
+	probeWait   = time.Second
+	silencePart = 64 // of the time that a stream may be silent: how exactly that is kept
 )
 
 // Engine makes attempts over a pool. It is a core.Engine.
 type Engine struct {
 	pool    *Pool
 	dialect func(kind string) Dialect
+
+	mu        sync.Mutex
+	releasing map[string]*turns // by address
 }
 
 // NewEngine returns an engine that speaks over p, with each kind of server in
 // the dialect that dialect names.
 func NewEngine(p *Pool, dialect func(kind string) Dialect) *Engine {
-	return &Engine{pool: p, dialect: dialect}
+	return &Engine{pool: p, dialect: dialect, releasing: map[string]*turns{}}
 }
 
 // try is one attempt under way. Whoever takes its connection out answers for it.
 type try struct {
-	mu     sync.Mutex
-	c      *conn
-	over   bool
-	cancel context.CancelFunc
-	pool   *Pool
+	mu      sync.Mutex
+	c       *conn
+	over    bool
+	writing bool // the first byte may have been written
+	cancel  context.CancelFunc
+	pool    *Pool
 }
 
 // hold notes the connection in use; false if the attempt has been given up.
@@ -91,6 +93,30 @@
 	return !t.over
 }
 
+// begin notes that the first byte is about to be written; false if the attempt has been
+// given up.
+func (t *try) begin() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.writing = !t.over
+	return t.writing
+}
+
+// Cancel is core.Handle's.
+func (t *try) Cancel() { t.stop() }
+
+// Withdraw is core.Handle's.
+func (t *try) Withdraw() bool {
+	t.mu.Lock()
+	writing := t.writing
+	t.over = t.over || !writing
+	t.mu.Unlock()
+	if !writing {
+		t.stop()
+	}
+	return !writing
+}
+
 // stop gives the attempt up: to close its connection is how an engine is told.
 func (t *try) stop() {
 	t.mu.Lock()
@@ -121,7 +147,7 @@
 }
 
 // Start begins an attempt; see core.Engine.
-func (e *Engine) Start(a core.Attempt, first func(core.Stream), ended func(core.Result)) func() {
+func (e *Engine) Start(a core.Attempt, first func(core.Stream), ended func(core.Result)) core.Handle {
 	ctx, cancel := context.WithTimeout(context.Background(), a.Limit+leakGuard)
 	t := &try{cancel: cancel, pool: e.pool}
 	go func() {
@@ -132,9 +158,12 @@
 		}
 		ended(r)
 	}()
-	return t.stop
+	return t
 }
 
+// errLeft is the cause of an attempt that was not made.
+var errLeft = errors.New("the client has left")
+
 func (e *Engine) attempt(ctx context.Context, t *try, a core.Attempt) (core.Stream, core.Result) {
 	dialect := e.dialect(a.To.Kind)
 	fail := func(s ringdale.Status, err error) (core.Stream, core.Result) {
@@ -154,6 +183,12 @@
 	if a.Connected != nil {
 		a.Connected()
 	}
+	if a.Left != nil && a.Left() {
+		return fail(ringdale.StatusUnsent, errLeft)
+	}
+	if !t.begin() {
+		return fail(ringdale.StatusCancelled, context.Canceled)
+	}
 	c.SetDeadline(until)
 	a.Limit -= time.Since(begun) // what is left is what its engine is told
 	// An attempt counts once its last byte is out. It is never sent again from
@@ -162,6 +197,9 @@
 	if err := write(c, dialect.Attempt(a)); err != nil {
 		return fail(ringdale.StatusNoConnect, err)
 	}
+	if a.Written != nil {
+		a.Written()
+	}
 	resp, err := readHead(c, until)
 	if err != nil {
 		return fail(broken(err), err)
@@ -439,37 +477,6 @@
 	return nil
 }
 
-// Release lets go of what is held for a request; see core.Engine. The call has
-// no effect but that, so it may be sent again.
-func (e *Engine) Release(at core.Member, wire string, until time.Time, up func(), done func(error)) {
-	call, given := e.dialect(at.Kind).Release(wire)
-	take := e.pool.get
-	if up != nil {
-		up = sync.OnceFunc(up)
-		take = func(ctx context.Context, addr string) (*conn, error) {
-			c, err := e.pool.sure(ctx, addr)
-			if err == nil {
-				up()
-			}
-			return c, err
-		}
-	}
-	go func() {
-		if !given {
-			done(nil)
-			return
-		}
-		for pause := releasePause; ; pause = min(2*pause, releaseWait) {
-			_, _, err := e.exchange(at.Addr, call, releaseWait, take, e.pool.put)
-			if err == nil || time.Now().Add(pause).After(until) {
-				done(err)
-				return
-			}
-			time.Sleep(pause)
-		}
-	}()
-}
-
 // Probe asks for a load report; see core.Engine.
 func (e *Engine) Probe(at core.Member, done func(ringdale.Status, *ringdale.Report)) {
 	call, given := e.dialect(at.Kind).Probe()
@@ -502,6 +509,11 @@
 		e.pool.drop(c)
 		return nil, nil, fmt.Errorf("write: %w", err)
 	}
+	return e.answer(c, wait, put)
+}
+
+// answer reads the answer to a short call on its connection, which put gives back.
+func (e *Engine) answer(c *conn, wait time.Duration, put func(*conn)) (*http.Response, []byte, error) {
 	resp, err := readHead(c, time.Now().Add(wait))
 	if err != nil {
 		e.pool.drop(c)
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -11,6 +11,7 @@
 	"io"
 	"math"
 	"net"
+	"os"
 	"slices"
 	"sync"
 	"syscall"
@@ -33,7 +34,6 @@
 const (
 	idlePart    = 0.5                    // of ConnIdle, after which an idle connection is retired
 	briefIdle   = 300 * time.Millisecond // a connection opened for a probe waits so long for a request
-	sureIdle    = 200 * time.Millisecond // an engine that answered this lately is taken to be reached
 	sweepEvery  = 200 * time.Millisecond // how often idle connections are looked at
 	leastBuffer = 4 << 10
 	connectPart = 0.95 // of the connect time-out, so that ours comes first
@@ -111,22 +111,26 @@
 	}
 }
 
-// sure returns a connection on which the engine is surely reached: a new one, or one over
-// which it has answered just now. On one that has been idle for longer nothing shows a cut.
-func (p *Pool) sure(ctx context.Context, addr string) (*conn, error) {
-	p.mu.Lock()
-	list := p.idle[addr]
-	if n := len(list); n > 0 && time.Since(list[n-1].idle) < sureIdle {
-		p.mu.Unlock()
-		return p.get(ctx, addr)
-	}
-	return p.dial(ctx, addr)
-}
-
 // get returns an idle connection that its engine has not closed, or a new one. One that has
 // had its answer just now is left alone: what comes on it next may be that answer once more,
 // and nothing tells it from the next one's.
 func (p *Pool) get(ctx context.Context, addr string) (*conn, error) {
+	return p.getWithin(ctx, addr, p.connectTimeout())
+}
+
+// connectTimeout is how long a connection for an attempt may take.
+func (p *Pool) connectTimeout() time.Duration {
+	return time.Duration(connectPart * float64(p.opt.ConnectTimeout))
+}
+
+// dialNew opens a connection whatever idle ones there are, within ctx's time.
+func (p *Pool) dialNew(ctx context.Context, addr string) (*conn, error) {
+	p.mu.Lock()
+	return p.dial(ctx, addr, 0)
+}
+
+// getWithin is get with a time-out of its own for a new connection; 0 leaves it to ctx.
+func (p *Pool) getWithin(ctx context.Context, addr string, timeout time.Duration) (*conn, error) {
 	p.mu.Lock()
 	now := time.Now()
 	for at := len(p.idle[addr]) - 1; at >= 0; at-- {
@@ -145,18 +149,18 @@
 		c.Close()
 		p.open--
 	}
-	return p.dial(ctx, addr)
+	return p.dial(ctx, addr, timeout)
 }
 
-// dial opens a connection. The lock is held and let go.
-func (p *Pool) dial(ctx context.Context, addr string) (*conn, error) {
+// dial opens a connection within a time-out, 0 for ctx's alone. The lock is held and let go.
+func (p *Pool) dial(ctx context.Context, addr string, timeout time.Duration) (*conn, error) {
 	if p.opt.MaxConns > 0 && p.open >= p.opt.MaxConns && !p.evict() {
 		p.mu.Unlock()
 		return nil, errTooMany
 	}
 	p.open++
 	p.mu.Unlock()
-	nc, err := p.connect(ctx, addr)
+	nc, err := p.connect(ctx, addr, timeout)
 	if err != nil {
 		p.mu.Lock()
 		p.open--
@@ -167,9 +171,7 @@
 	return &conn{Conn: nc, in: in, r: bufio.NewReaderSize(in, max(p.opt.ReadBuffer, leastBuffer)), addr: addr}, nil
 }
 
-// connect opens a connection within the connect time-out of the settings.
-func (p *Pool) connect(ctx context.Context, addr string) (net.Conn, error) {
-	timeout := time.Duration(connectPart * float64(p.opt.ConnectTimeout))
+func (p *Pool) connect(ctx context.Context, addr string, timeout time.Duration) (net.Conn, error) {
 	if p.opt.Dial == nil {
 		d := net.Dialer{Timeout: timeout, KeepAlive: -1}
 		return d.DialContext(ctx, "tcp", addr)
@@ -252,15 +254,19 @@
 // quiet tells whether a connection is open with nothing to read. An engine that
 // has closed its side, or has sent something unasked, gets no further request.
 func quiet(nc net.Conn) bool {
+	var b [1]byte
 	sc, ok := nc.(syscall.Conn)
-	if !ok {
-		return true
+	if !ok { // of another make than the system's: read without waiting
+		if nc.SetReadDeadline(time.Now()) != nil {
+			return false
+		}
+		_, err := nc.Read(b[:])
+		return errors.Is(err, os.ErrDeadlineExceeded) && nc.SetReadDeadline(time.Time{}) == nil
 	}
 	raw, err := sc.SyscallConn()
 	if err != nil {
 		return false
 	}
-	var b [1]byte
 	open := false
 	err = raw.Read(func(fd uintptr) bool {
 		_, _, e := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
--- /dev/null
+++ b/internal/upstream/reach.go
@@ -0,0 +1,23 @@
+package upstream
+
+import (
+	"context"
+	"errors"
+	"syscall"
+
+	"wellgw/internal/core"
+)
+
+// Reach finds out whether an engine is reached; see core.Engine. A request that comes soon
+// may use the connection.
+func (e *Engine) Reach(at core.Member, done func(reached bool)) {
+	go func() {
+		ctx, cancel := context.WithTimeout(context.Background(), e.pool.connectTimeout())
+		defer cancel()
+		c, err := e.pool.dialNew(ctx, at.Addr)
+		if err == nil {
+			e.pool.putBrief(c)
+		}
+		done(err == nil || errors.Is(err, syscall.ECONNREFUSED))
+	}()
+}
--- a/ringdale/policy.go
+++ b/ringdale/policy.go
@@ -233,14 +233,14 @@
 
 // hold keeps a request for a look at every tick, a read state well inside the pin limit.
 func (r *Router) hold(q *request, p phase) {
-	limit := time.Duration(pinPart * float64(r.set.PinLimit))
-	if p == waitReader {
-		limit = time.Duration(holdPart * float64(q.class.Aim))
-	}
 	if q.phase != p {
 		r.shift(q, p, nil)
 	}
-	if r.now+r.tick() >= min(q.since+limit, q.deadline-leastRemain) { // the next look would be too late
+	end := q.outAt + time.Duration(pinPart*float64(r.set.PinLimit)) // however many are not reached
+	if p == waitReader {
+		end = q.since + time.Duration(holdPart*float64(q.class.Aim))
+	}
+	if r.now+r.tick() >= min(end, q.deadline-leastRemain) { // the next look would be too late
 		r.giveUp(q, seconds(r.survey(RoleReader).age+r.writerWait()))
 		return
 	}
@@ -348,7 +348,7 @@
 	if n := len(q.risks); n > 0 && w.role() != RoleReader && neverRan(e.Status) {
 		q.risks = q.risks[:n-1]
 	}
-	r.shift(q, waitReader, nil)
+	r.attemptOver(q, e.Status)
 	if e.Status == StatusRead {
 		q.holder = w
 	}
--- a/ringdale/state.go
+++ b/ringdale/state.go
@@ -36,6 +36,7 @@
 	avoid         *worker // the last server that failed it
 	attempts      int
 	sentAt, since Time    // when the attempt left; when the phase began
+	outAt         Time    // when an attempt was last out, from which a waiting state's time counts
 	todo          int     // tokens the reader is expected to read
 	ahead         float64 // tokens queued there before it
 	shown         float64 // tokens that its report showed waiting
@@ -346,6 +347,12 @@
 	return c != nil && c.Effect == EffectFree
 }
 
+// Reads tells whether servers of a kind may read a prompt.
+func (r *Router) Reads(kind string) bool {
+	k := r.kinds[kind]
+	return k != nil && (k.Role == RoleReader || k.Role == RoleMixed || k.Role == RoleWriter && r.set.WritersRead)
+}
+
 // onPeers takes the number of routers that share the pools: this router's part of
 // every quota follows, and so does all that is reckoned with that number.
 func (r *Router) onPeers(routers int) {
@@ -434,6 +441,15 @@
 	r.account(q, 1)
 }
 
+// attemptOver accounts for the end of a request's attempt. One that had no connection was
+// never out.
+func (r *Router) attemptOver(q *request, s Status) {
+	r.shift(q, waitReader, nil)
+	if s != StatusNoConnect {
+		q.outAt = r.now
+	}
+}
+
 func (w *worker) forget() {
 	w.sessions, w.prefixes = map[string]held{}, map[string]held{}
 }
