--- /dev/null
+++ b/lab/fleetsim/floors_test.go
@@ -0,0 +1,109 @@
+package fleetsim
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"wellgw/ringdale"
+)
+
+// The floors of the standing test, against what a plain policy serves on the same day.
+const (
+	floorOfClass = 0.5 // of each class, and of the classes of each effect
+	floorOfThird = 0.2 // of each third of the day
+	leastServed  = 0.3 // where the plain policy itself serves less, nothing is asked
+)
+
+// served is the part of some worth that was earned.
+type served struct{ asked, earned float64 }
+
+func (s served) part() float64 { return s.earned / max(s.asked, 1e-9) }
+
+// thirds adds up a day by thirds.
+func thirds(r Result) (sums [3]served) {
+	for i, second := range r.BySecond {
+		third := &sums[min(3*i/max(len(r.BySecond), 1), 2)]
+		third.asked += second[0]
+		third.earned += second[1]
+	}
+	return sums
+}
+
+// starved tells what a policy serves too little of, against another.
+func starved(d *Deployment, got, plain Result) (found []string) {
+	check := func(what string, part, floor, plain float64) {
+		if plain >= leastServed && part < floor*plain {
+			found = append(found, fmt.Sprintf("%s: %.2f of the worth is served, by the plain policy %.2f", what, part, plain))
+		}
+	}
+	effects := map[ringdale.Effect][2]float64{}
+	for i, class := range d.Classes {
+		check("class "+class.Name, got.ByClass[i], floorOfClass, plain.ByClass[i])
+		sum := effects[class.Effect]
+		effects[class.Effect] = [2]float64{sum[0] + got.ByClass[i], sum[1] + plain.ByClass[i]}
+	}
+	for effect, sum := range effects {
+		check("effect "+effectName(effect), sum[0], floorOfClass, sum[1])
+	}
+	mine, theirs := thirds(got), thirds(plain)
+	for i := range mine {
+		check(fmt.Sprint("third ", i+1, " of the day"), mine[i].part(), floorOfThird, theirs[i].part())
+	}
+	return found
+}
+
+// fewest is the plain policy that floors are measured against.
+func fewest(t *testing.T) Policy {
+	for _, b := range Baselines() {
+		if b.Name == "fewest in hand" {
+			return b.Policy
+		}
+	}
+	t.Fatal("there is no such policy")
+	return nil
+}
+
+// No class, effect or third of a day is starved.
+func TestNothingIsStarved(t *testing.T) {
+	long(t)
+	for seed := range uint64(12) {
+		got, plain := Play(Draw(seed), Module, false), Play(Draw(seed), fewest(t), false)
+		if found := starved(Draw(seed), got, plain); len(found) > 0 {
+			t.Errorf("seed %d: %q", seed, found)
+		}
+	}
+}
+
+// late turns requests away from a moment on.
+type late struct {
+	Decider
+	from ringdale.Time
+}
+
+func (l late) Handle(now ringdale.Time, ev ringdale.Event) []ringdale.Action {
+	if q, is := ev.(ringdale.Request); is && now > l.from {
+		return []ringdale.Action{ringdale.Refuse{ID: q.ID}}
+	}
+	return l.Decider.Handle(now, ev)
+}
+
+// What starves is seen: a policy that turns one class away, and one that serves only the
+// first part of the day.
+func TestStarvingIsSeen(t *testing.T) {
+	const seed = 2 // a day on which a plain policy serves all
+	d := Draw(seed)
+	plain := Play(Draw(seed), fewest(t), false)
+	day := ringdale.Time(len(plain.BySecond)) * ringdale.Time(1e9)
+	for what, policy := range map[string]Policy{
+		"class " + d.Classes[0].Name: func(set ringdale.Settings, seed uint64) Decider {
+			return picky{Module(set, seed), func(q ringdale.Request) bool { return q.Class == d.Classes[0].Name }}
+		},
+		"third 3": func(set ringdale.Settings, seed uint64) Decider { return late{Module(set, seed), day / 2} },
+	} {
+		found := strings.Join(starved(d, Play(Draw(seed), policy, false), plain), "; ")
+		if !strings.Contains(found, what) {
+			t.Errorf("%s: found %q", what, found)
+		}
+	}
+}
