--- a/decide/heldstate/heldstate.go
+++ b/decide/heldstate/heldstate.go
@@ -333,10 +333,10 @@
 }
 
 // Stop returns the releases under way that must not meet an attempt that has just gone out.
-func (l *Ledger) Stop() []string {
+func (l *Ledger) Stop(now Time) []string {
 	var stop []string
 	for name, e := range l.entries {
-		if _, wanted := l.wanted(e); e.telling && !wanted {
+		if at, wanted := l.wanted(e); e.telling && (!wanted || at > now) {
 			stop = append(stop, name)
 		}
 	}
--- a/decide/heldstate/heldstate_test.go
+++ b/decide/heldstate/heldstate_test.go
@@ -81,6 +81,23 @@
 	}
 }
 
+// A release under way is stopped once an attempt has gone out: it could meet the end of the
+// next read, whose state it would free.
+func TestAReleaseDoesNotMeetTheNextRead(t *testing.T) {
+	for _, out := range []Out{MayBeOut, SurelyOut} {
+		l := New(limits)
+		l.Lost("r", true)
+		l.Due(1)
+		if stop := l.Stop(1); len(stop) > 0 {
+			t.Errorf("stopped at %v with nothing out", stop)
+		}
+		l.Set(out, 2)
+		if diff := cmp.Diff([]string{"r"}, l.Stop(2)); diff != "" {
+			t.Errorf("%v: stopped (-want +got):\n%s", out, diff)
+		}
+	}
+}
+
 // A release that met an attempt at another engine let go of nothing. It is sent again once
 // that engine must know that the attempt was given up.
 func TestAReleaseThatOvertakesACancelIsSentAgain(t *testing.T) {
@@ -144,7 +161,7 @@
 	if w.l.Lapsed(w.now) {
 		w.l.Lapse(w.now)
 	}
-	for _, e := range w.l.Stop() {
+	for _, e := range w.l.Stop(w.now) {
 		delete(w.telling, e)
 		w.l.Told(e, false, w.now)
 	}
--- a/internal/core/held.go
+++ b/internal/core/held.go
@@ -117,7 +117,7 @@
 func (c *Core) letGo(q *request) {
 	now, ledger := c.now(), q.held.ledger
 	ledger.Set(c.out(q), now)
-	for _, engine := range ledger.Stop() {
+	for _, engine := range ledger.Stop(now) {
 		q.held.stops[engine]()
 	}
 	if ledger.Check(now) {
