--- a/decide/heldstate/heldstate.go
+++ b/decide/heldstate/heldstate.go
@@ -1,10 +1,10 @@
-// Package heldstate decides when engines are told to let go of the read states that they
-// may hold for one request.
+// Package heldstate decides when engines are told to release the read states that they may
+// hold for one request.
 //
-// A read leaves a state at its engine. An attempt at a writer takes it; otherwise it must be
-// released within the pin limit, counted while no attempt is out. A Ledger is the one owner
-// of that duty for a request: it knows which engines may hold something, since when, and how
-// surely, until each has let go. It does no I/O and reads no clock.
+// A read leaves a state at its engine. An attempt at a writer fetches it; otherwise it must be
+// released within the pin limit, counted while no attempt is out. A Ledger is the single owner
+// of that duty for one request: it records which engines may hold something, since when and how
+// certainly, until each release has been delivered. It does no I/O and reads no clock.
 package heldstate
 
 import (
@@ -13,62 +13,65 @@
 	"time"
 )
 
-// Time is a point on the caller's clock, as the span since an arbitrary origin.
+// Time is a point on the caller's clock, as the duration since an arbitrary origin.
 type Time = time.Duration
 
 // Margins of the ledger.
 const (
-	// CancelTransit is how long an engine may take to learn that an attempt was given up. A
+	// CancelTransit is how long an engine may take to learn that an attempt was cancelled. A
 	// release that overtakes the cancel has no effect, so it is sent again after this.
 	CancelTransit = 150 * time.Millisecond
-	// RepeatLeast is the least span between two releases at one engine.
+	// RepeatLeast is the least time between two releases at one engine.
 	RepeatLeast = 100 * time.Millisecond
+
+	checkPart    = 4 // an engine is checked after this part of the pin limit at the earliest
+	urgentLimits = 4 // pin limits for which a draining gateway waits for an engine out of reach
 )
 
-// Limits are the figures of a ledger. They follow from the settings.
+// Limits are the durations a ledger works with. They follow from the settings.
 type Limits struct {
 	Pin     time.Duration // a state may be held this long while no attempt is out
 	Slack   time.Duration // and this much longer, which is left for the release to arrive
-	GiveUp  time.Duration // a release is tried this long at an engine that is not reached
-	Reach   time.Duration // how long it takes at most to find out whether an engine is reached
-	ReadFor time.Duration // a read whose engine knows that its attempt was given up may run on this long
+	GiveUp  time.Duration // a release is retried this long at an engine out of reach
+	Reach   time.Duration // the longest that a check of whether an engine is in reach takes
+	ReadFor time.Duration // a cancelled read may run on this long once its engine knows
 }
 
 // entry is one engine that may hold something.
 type entry struct {
-	doubtful   bool // the attempt ended without an answer: there may be no state, or not yet
-	detached   bool // no attempt will take it, nor does an answer that begins let go of it
-	asked      bool // one release is to be sent, although an attempt may be out
-	reads      bool // it may be a read, which runs on: its state may come after a release
-	due        Time // since when it is to be released; 0 while it is not
-	telling    bool // a release is under way
-	told       int  // releases that have arrived with no attempt out
-	first      Time // the first of them
-	last       Time // and the latest
-	unreleased bool // it has been given up
+	uncertain bool // the attempt ended without an answer: there may be no state, or not yet
+	detached  bool // no attempt will fetch it, and an answer does not release it
+	forced    bool // one release is due although an attempt may be out
+	reads     bool // a read may run on there: its state may appear after a release
+	due       Time // since when it is to be released; 0 while it is not
+	inFlight  bool // a release is under way
+	delivered int  // releases delivered with no attempt out
+	first     Time // delivery of the first of them
+	last      Time // delivery of the latest release of any kind
+	abandoned bool // the release was not delivered in time
 }
 
-// Ledger keeps what engines may hold for one request. Use New.
+// Ledger records what engines may hold for one request. Use New.
 type Ledger struct {
 	limits  Limits
 	entries map[string]*entry
-	holder  string // the engine whose state the request is to go on with; "" for none
-	over    bool   // the request has had its answer
+	holder  string // the engine whose state the request continues with; "" for none
+	over    bool   // the request has its final answer
 	out     Out
-	exposed Time // since when no attempt has surely been out
-	checked bool // it has been asked whether the attempt that may be out has arrived
+	exposed Time // since when no attempt has certainly been out
+	checked bool // the engine of an unconfirmed attempt has been checked
 }
 
-// Out says how an attempt answers for what is held.
+// Out says whether an attempt of the request is out.
 type Out uint8
 
-// What is out for a request.
+// The values of Out.
 const (
-	NotOut Out = iota // nothing, as far as the engines know
-	// MayBeOut: an attempt was written, but nothing has been heard of its engine since. It may
-	// never have arrived: on a connection that has been idle nothing shows a cut.
-	MayBeOut
-	SurelyOut // and its engine has been heard since
+	None Out = iota
+	// Unconfirmed means that an attempt was written but its engine has not been heard since: a
+	// connection that was idle does not show a network partition, so it may never have arrived.
+	Unconfirmed
+	Confirmed // the engine has been heard since the attempt was written
 )
 
 // New returns an empty ledger.
@@ -79,12 +82,12 @@
 // Holder returns the engine whose state waits for a writer, "" if there is none.
 func (l *Ledger) Holder() string { return l.holder }
 
-// Read notes that a prompt has been read and its state waits at an engine.
-func (l *Ledger) Read(engine string, now Time) {
+// ReadDone records that a prompt has been read and its state waits at an engine.
+func (l *Ledger) ReadDone(engine string, now Time) {
 	l.exposed = now
 	e := &entry{}
-	if was := l.entries[engine]; was != nil { // an earlier read there may still run on
-		e.doubtful, e.reads = was.doubtful, was.reads
+	if old := l.entries[engine]; old != nil { // an earlier read there may still run on
+		e.uncertain, e.reads = old.uncertain, old.reads
 	}
 	l.entries[engine] = e
 	if !l.over {
@@ -92,32 +95,32 @@
 	}
 }
 
-// Lost notes that an attempt ended without its engine's word: it may have left a state, or
-// leave one yet where the read runs on.
-func (l *Ledger) Lost(engine string, reads bool) {
+// AttemptLost records that an attempt ended without an answer: it may have left a state or,
+// where it is a read that runs on, may leave one later.
+func (l *Ledger) AttemptLost(engine string, reads bool) {
 	e := l.entries[engine]
 	if e == nil {
 		e = &entry{}
 		l.entries[engine] = e
 	}
-	e.doubtful, e.told, e.last = true, 0, 0
+	e.uncertain, e.delivered, e.last = true, 0, 0
 	e.reads = e.reads || reads
 }
 
-// Failed notes that an engine failed an attempt. Its word ends the attempt there.
-func (l *Ledger) Failed(engine string) {
+// AttemptFailed records that an engine answered an attempt with an error.
+func (l *Ledger) AttemptFailed(engine string) {
 	if l.entries[engine] == nil {
 		l.entries[engine] = &entry{}
 	}
 }
 
-// Begun notes that an answer has begun: the state was fetched. Should the answer break, the
-// engines are told all the same.
-func (l *Ledger) Begun() { l.holder = "" }
+// AnswerBegan records that an answer has begun, so the state was fetched. Should the answer
+// break, the engines are told all the same.
+func (l *Ledger) AnswerBegan() { l.holder = "" }
 
-// Served notes that an answer has come to its end: the engines have let go of the rest. A
-// read that was given up and may run on is kept in mind, and so is what no attempt fetches.
-func (l *Ledger) Served() {
+// AnswerDone records that an answer is complete, with which engines release everything else.
+// A cancelled read that may run on stays recorded, and so does a detached state.
+func (l *Ledger) AnswerDone() {
 	l.holder = ""
 	maps.DeleteFunc(l.entries, func(_ string, e *entry) bool { return !e.detached && !e.reads })
 }
@@ -126,50 +129,52 @@
 // none.
 func (l *Ledger) Detach() {
 	if e := l.entries[l.holder]; e != nil {
-		e.detached, e.asked = true, true
+		e.detached, e.forced = true, true
 	}
 	l.holder = ""
 }
 
-// NoState notes that a writer has found no state. The reader may only have been out of the
-// writer's reach, so it is told to let go all the same.
+// NoState records that a writer found no state. The reader may only have been out of the
+// writer's reach, so it is told to release all the same.
 func (l *Ledger) NoState() { l.holder = "" }
 
-// Finish notes that the request has had its answer: nothing goes on with what is held.
+// Finish records that the request has its final answer.
 func (l *Ledger) Finish() {
-	if !l.over {
-		l.over, l.holder = true, ""
-		l.hurry()
+	if l.over {
+		return
 	}
+	l.over, l.holder = true, ""
+	l.resetPacing()
 }
 
-// hurry has the engines told at once that were told only while an attempt may have waited.
-func (l *Ledger) hurry() {
+// resetPacing makes releases due at once that were delivered only while an attempt may have
+// been waiting for the state.
+func (l *Ledger) resetPacing() {
 	for _, e := range l.entries {
-		if e.told == 0 {
+		if e.delivered == 0 {
 			e.last = 0
 		}
 	}
 }
 
-// Renew has every engine told anew: an attempt that may have waited for the state until now,
-// so that no release let go of it, has ended.
-func (l *Ledger) Renew() {
+// ReleaseAgain makes a release due at every engine: an attempt that may have been waiting for
+// the state until now, so that no release had an effect, has ended.
+func (l *Ledger) ReleaseAgain() {
 	for _, e := range l.entries {
-		e.told, e.last = 0, 0
+		e.delivered, e.last = 0, 0
 	}
 }
 
-// Proven notes that an attempt was out until now: its engine has ended it.
-func (l *Ledger) Proven(now Time) { l.exposed = now }
+// WasOut records that an attempt was certainly out until now.
+func (l *Ledger) WasOut(now Time) { l.exposed = now }
 
-// Set says whether an attempt of the request is out.
-func (l *Ledger) Set(out Out, now Time) {
-	if l.out == SurelyOut && out != SurelyOut || l.exposed == 0 {
+// SetOut says whether an attempt of the request is out.
+func (l *Ledger) SetOut(out Out, now Time) {
+	if l.out == Confirmed && out != Confirmed || l.exposed == 0 {
 		l.exposed = now
 	}
-	if l.out != NotOut && out == NotOut {
-		l.hurry()
+	if l.out != None && out == None {
+		l.resetPacing()
 	}
 	if l.out != out {
 		l.checked = false
@@ -177,134 +182,128 @@
 	l.out = out
 }
 
-// checks is when it has to be found out whether the engine of an attempt that may be out is
-// reached: early enough for an answer before the state has to be let go.
-func (l *Ledger) checks() Time {
-	return max(l.exposed+l.limits.Pin/checkPart, l.lapses()-l.limits.Reach)
-}
-
-// checkPart is the part of the pin limit that is waited for at least.
-const checkPart = 4
-
-// mayCheck tells whether there is something to be found out: a release while an attempt waits
-// in its engine's queue may let go of the state that it waits for.
-func (l *Ledger) mayCheck() bool {
-	return l.out == MayBeOut && !l.checked && !l.over && len(l.entries) > 0
-}
-
-// Check tells, once for each attempt, that it is time to find out whether its engine is
-// reached. If it is, the caller says so with Set.
-func (l *Ledger) Check(now Time) bool {
-	due := l.mayCheck() && now >= l.checks()
-	l.checked = l.checked || due
-	return due
-}
-
-// lapses is when the waiting state has to be let go unless an attempt is surely out by then.
-// Half of the slack is left for the release.
-func (l *Ledger) lapses() Time { return l.exposed + l.limits.Pin + l.limits.Slack/2 }
+// expiresAt is when the waiting state has to be released unless an attempt is certainly out by
+// then. Half of the slack is left for the release.
+func (l *Ledger) expiresAt() Time { return l.exposed + l.limits.Pin + l.limits.Slack/2 }
 
-// mayLapse tells whether the time of a waiting state runs.
-func (l *Ledger) mayLapse() bool { return l.holder != "" && l.out != SurelyOut }
+// mayExpire tells whether the time of a waiting state is running.
+func (l *Ledger) mayExpire() bool { return l.holder != "" && l.out != Confirmed }
 
-// Lapsed tells whether the state has waited for a writer for as long as it may. With an
-// attempt that may be out the state is to be released all the same: a release lets go of
-// nothing that an attempt waits for.
-func (l *Ledger) Lapsed(now Time) bool { return l.mayLapse() && now >= l.lapses() }
+// Expired tells whether the state has waited for a writer as long as it may.
+func (l *Ledger) Expired(now Time) bool { return l.mayExpire() && now >= l.expiresAt() }
 
-// Lapse has the waiting state released. The request may still go on with it if an attempt
-// proves to have been out.
-func (l *Ledger) Lapse(now Time) {
-	if l.out == NotOut {
+// Expire has the waiting state released. Where an attempt may be out, one release is sent
+// without giving the state up: it has no effect if the attempt has arrived.
+func (l *Ledger) Expire(now Time) {
+	if l.out == None {
 		l.holder = ""
 		return
 	}
 	l.exposed = now
 	for _, e := range l.entries {
-		e.asked = true
+		e.forced = true
 	}
 }
 
-// period is the span between two releases of what may come to be held in between.
+// checkAt is when an unconfirmed attempt's engine has to be checked: early enough for a result
+// before the state expires.
+func (l *Ledger) checkAt() Time {
+	return max(l.exposed+l.limits.Pin/checkPart, l.expiresAt()-l.limits.Reach)
+}
+
+// needsCheck tells whether a check can avoid a release under an attempt. Such a release may
+// take the state from an attempt that waits in its engine's queue.
+func (l *Ledger) needsCheck() bool {
+	return l.out == Unconfirmed && !l.checked && !l.over && len(l.entries) > 0
+}
+
+// CheckDue tells, once for each unconfirmed attempt, that its engine has to be checked now. If
+// the engine is in reach, the caller reports it with SetOut.
+func (l *Ledger) CheckDue(now Time) bool {
+	due := l.needsCheck() && now >= l.checkAt()
+	l.checked = l.checked || due
+	return due
+}
+
+// period is the time between two releases at an engine where a read may run on.
 func (l *Ledger) period() time.Duration { return max(l.limits.Pin, RepeatLeast) }
 
-// wanted is from when on an engine's state is to be let go, as far as the request goes; false
-// if it is not. A release lets go of all that no attempt waits for, at whatever engine it is:
-// as long as a state waits for a writer, none is sent for what an earlier attempt may have
-// left, and while an attempt may be reading, none before it has to be.
-func (l *Ledger) wanted(e *entry) (at Time, is bool) {
+// releasableAt returns from when on an engine may be told to release; false if it may not.
+// One release frees everything that no attempt waits for, at whatever engine it is held. So
+// none is sent for what an earlier attempt may have left while a state waits for a writer, and
+// none before it has to be while an attempt may be reading.
+func (l *Ledger) releasableAt(e *entry) (at Time, ok bool) {
 	switch {
-	case l.over || e.asked:
+	case l.over || e.forced:
 		return 0, true
-	case l.holder != "" || l.out == SurelyOut:
+	case l.holder != "" || l.out == Confirmed:
 		return 0, false
-	case l.out == MayBeOut:
-		return l.lapses(), true
+	case l.out == Unconfirmed:
+		return l.expiresAt(), true
 	}
 	return 0, true
 }
 
-// next is when an engine is to be told next; false if it need not be.
-func (l *Ledger) next(e *entry) (at Time, some bool) {
-	from, is := l.wanted(e)
-	if e.telling || e.unreleased || !is {
+// nextRelease returns when a release at an engine is due; false if none is.
+func (l *Ledger) nextRelease(e *entry) (at Time, ok bool) {
+	from, ok := l.releasableAt(e)
+	if !ok || e.inFlight || e.abandoned {
 		return 0, false
 	}
 	switch {
-	case e.asked || e.told == 0 && e.last == 0:
+	case e.forced || e.delivered == 0 && e.last == 0:
 		return from, true
-	case e.told == 0:
+	case e.delivered == 0:
 		return max(from, e.last+l.period()), true
 	}
-	at, some = l.repeat(e)
-	return max(from, at), some
+	at, ok = l.nextRepeat(e)
+	return max(from, at), ok
 }
 
-// repeat is when an engine that has been told is to be told once more; false if it need not
-// be.
-func (l *Ledger) repeat(e *entry) (at Time, some bool) {
-	at, some = l.again(e)
-	if repeat := e.last + l.period(); e.reads && e.last < e.first+l.limits.ReadFor && (!some || repeat < at) {
+// nextRepeat returns when a delivered release is due once more; false if it is not.
+func (l *Ledger) nextRepeat(e *entry) (at Time, ok bool) {
+	at, ok = l.afterCancels(e)
+	readMayRun := e.reads && e.last < e.first+l.limits.ReadFor
+	if repeat := e.last + l.period(); readMayRun && (!ok || repeat < at) {
 		return repeat, true
 	}
-	return at, some
+	return at, ok
 }
 
-// again is when an engine has to be told once more, as its latest release may have overtaken
-// the word to another engine that an attempt there was given up: until that one knows, the
-// attempt waits for the state, which is not let go then.
-func (l *Ledger) again(e *entry) (at Time, some bool) {
+// afterCancels returns when a release is due again because the latest may have overtaken the
+// cancel of an attempt at another engine: until that engine knows, the attempt waits for the
+// state, and a release does not free it.
+func (l *Ledger) afterCancels(e *entry) (at Time, ok bool) {
 	for _, other := range l.entries {
-		if !other.doubtful || other.told == 0 {
+		if !other.uncertain || other.delivered == 0 {
 			continue
 		}
-		if knows := other.first + CancelTransit; e.last < knows && (!some || knows < at) {
-			at, some = knows, true
+		if known := other.first + CancelTransit; e.last < known && (!ok || known < at) {
+			at, ok = known, true
 		}
 	}
-	return at, some
+	return at, ok
 }
 
-// Due returns the engines that are to be told now, in order of name. The caller tells each
-// and says how that went with Told.
+// Due returns the engines that are to be told to release now, in order of name. The caller
+// reports the end of each release with ReleaseEnded.
 func (l *Ledger) Due(now Time) []string {
 	var due []string
 	for _, name := range slices.Sorted(maps.Keys(l.entries)) {
 		e := l.entries[name]
-		at, wanted := l.next(e)
-		if !wanted || at > now {
+		if at, ok := l.nextRelease(e); !ok || at > now {
 			continue
 		}
 		if e.due == 0 {
 			e.due = now
 		}
-		e.telling = true
+		e.inFlight = true
 		due = append(due, name)
 	}
 	return due
 }
 
-// Until is when a release that is under way at an engine is to be given up.
+// Until returns when a release that is under way at an engine is to be given up.
 func (l *Ledger) Until(engine string) Time {
 	if e := l.entries[engine]; e != nil {
 		return e.due + l.limits.GiveUp
@@ -312,83 +311,84 @@
 	return 0
 }
 
-// Told notes how a release ended: it has arrived, or was stopped, or was given up in time.
-func (l *Ledger) Told(engine string, arrived bool, now Time) {
+// ReleaseEnded records how a release ended: delivered, cancelled, or given up in time.
+func (l *Ledger) ReleaseEnded(engine string, delivered bool, now Time) {
 	e := l.entries[engine]
-	if e == nil || !e.telling {
+	if e == nil || !e.inFlight {
 		return
 	}
-	e.telling, e.asked = false, false
+	e.inFlight, e.forced = false, false
 	switch {
-	case arrived && !l.over && l.out != NotOut:
-		e.last = now // an attempt may have waited for the state, so that this let go of nothing
-	case arrived:
-		if e.told++; e.told == 1 {
+	case delivered && !l.over && l.out != None:
+		e.last = now // an attempt may have been waiting for the state: it counts for nothing
+	case delivered:
+		if e.delivered++; e.delivered == 1 {
 			e.first = now
 		}
 		e.last = now
 	case now >= e.due+l.limits.GiveUp:
-		e.unreleased = true
+		e.abandoned = true
 	}
 }
 
-// Stop returns the releases under way that must not meet an attempt that has just gone out.
-func (l *Ledger) Stop(now Time) []string {
-	var stop []string
+// Superseded returns the engines whose release under way must not meet an attempt that has
+// just gone out.
+func (l *Ledger) Superseded(now Time) []string {
+	var engines []string
 	for name, e := range l.entries {
-		if at, wanted := l.wanted(e); e.telling && (!wanted || at > now) {
-			stop = append(stop, name)
+		if at, ok := l.releasableAt(e); e.inFlight && (!ok || at > now) {
+			engines = append(engines, name)
 		}
 	}
-	slices.Sort(stop)
-	return stop
+	slices.Sort(engines)
+	return engines
 }
 
-// Next returns when Due or Lapsed may have something new to say; false if only an event can
-// bring that.
-func (l *Ledger) Next() (at Time, some bool) {
+// Next returns when Due, Expired or CheckDue may have something new to say; false if only an
+// event can bring that.
+func (l *Ledger) Next() (at Time, ok bool) {
+	earliest := func(t Time) {
+		if !ok || t < at {
+			at, ok = t, true
+		}
+	}
 	for _, e := range l.entries {
-		if t, wanted := l.next(e); wanted && (!some || t < at) {
-			at, some = t, true
+		if t, due := l.nextRelease(e); due {
+			earliest(t)
 		}
 	}
-	if t := l.lapses(); l.mayLapse() && (!some || t < at) {
-		at, some = t, true
+	if l.mayExpire() {
+		earliest(l.expiresAt())
 	}
-	if t := l.checks(); l.mayCheck() && (!some || t < at) {
-		at, some = t, true
+	if l.needsCheck() {
+		earliest(l.checkAt())
 	}
-	return at, some
+	return at, ok
 }
 
-// Done tells whether nothing is left to do for the request once it is over.
+// Done tells whether the request is over and nothing is left to release.
 func (l *Ledger) Done() bool {
 	if !l.over {
 		return false
 	}
 	for _, e := range l.entries {
-		if _, wanted := l.next(e); wanted || e.telling {
+		if _, due := l.nextRelease(e); due || e.inFlight {
 			return false
 		}
 	}
 	return true
 }
 
-// Pressing tells whether an engine has still to be told for the first time, or once more
-// because a release may have overtaken a cancel: what a gateway that leaves waits for. Reads
-// that may run on, and engines that are not reached, are not waited for past the pin limit.
-func (l *Ledger) Pressing(now Time) bool {
+// Urgent tells whether a draining gateway has to wait for a release: one that has not been
+// delivered yet, or that may have overtaken a cancel. Reads that may run on, and engines out of
+// reach for several pin limits, are not waited for.
+func (l *Ledger) Urgent(now Time) bool {
 	for _, e := range l.entries {
-		switch {
-		case e.unreleased:
-		case e.told == 0 && (e.due == 0 || now < e.due+pressing*l.limits.Pin):
-			return true
-		case e.doubtful && e.told > 0 && e.last < e.first+CancelTransit:
+		undelivered := e.delivered == 0 && (e.due == 0 || now < e.due+urgentLimits*l.limits.Pin)
+		overtaken := e.uncertain && e.delivered > 0 && e.last < e.first+CancelTransit
+		if !e.abandoned && (undelivered || overtaken) {
 			return true
 		}
 	}
 	return false
 }
-
-// pressing is how many pin limits a leaving gateway waits for an engine that is not reached.
-const pressing = 4
--- a/decide/heldstate/heldstate_test.go
+++ b/decide/heldstate/heldstate_test.go
@@ -20,24 +20,24 @@
 		want  []string
 	}{
 		{"nothing is held", func(*Ledger) {}, nil},
-		{"a state that waits for a writer", func(l *Ledger) { l.Read("r", 1) }, nil},
-		{"the request is over", func(l *Ledger) { l.Read("r", 1); l.Finish() }, []string{"r"}},
-		{"a read that was lost, and nothing is out", func(l *Ledger) { l.Lost("r", true) }, []string{"r"}},
-		{"a read that was lost, and another attempt is out", func(l *Ledger) { l.Lost("r", true); l.Set(SurelyOut, 1) }, nil},
-		{"the other attempt may never have arrived", func(l *Ledger) { l.Lost("r", true); l.Set(MayBeOut, 1) }, nil},
-		{"and has been out for as long as a state may wait", func(l *Ledger) { l.Lost("r", true); l.Set(MayBeOut, 1-time.Second) }, []string{"r"}},
-		{"what was lost before, and a state waits", func(l *Ledger) { l.Lost("r", true); l.Read("s", 1) }, nil},
-		{"an answer has begun", func(l *Ledger) { l.Read("r", 1); l.Begun(); l.Set(SurelyOut, 1) }, nil},
-		{"and breaks", func(l *Ledger) { l.Read("r", 1); l.Begun(); l.Set(NotOut, 1); l.Finish() }, []string{"r"}},
-		{"an answer is whole", func(l *Ledger) { l.Read("r", 1); l.Served(); l.Finish() }, nil},
-		{"an answer is whole, a read may run on", func(l *Ledger) { l.Lost("r", true); l.Read("s", 1); l.Served(); l.Finish() }, []string{"r"}},
-		{"an engine that fetches nothing goes on", func(l *Ledger) { l.Read("r", 1); l.Detach(); l.Set(SurelyOut, 1) }, []string{"r"}},
-		{"it answers", func(l *Ledger) { l.Read("r", 1); l.Detach(); l.Served(); l.Finish() }, []string{"r"}},
-		{"a writer has found no state", func(l *Ledger) { l.Read("r", 1); l.NoState() }, []string{"r"}},
-		{"an engine has failed the attempt", func(l *Ledger) { l.Failed("r"); l.Finish() }, []string{"r"}},
-		{"a release is under way", func(l *Ledger) { l.Read("r", 1); l.Finish(); l.Due(1) }, nil},
-		{"it was told", func(l *Ledger) { l.Read("r", 1); l.Finish(); l.Due(1); l.Told("r", true, 1) }, nil},
-		{"it was stopped", func(l *Ledger) { l.Read("r", 1); l.Finish(); l.Due(1); l.Told("r", false, 1) }, []string{"r"}},
+		{"a state that waits for a writer", func(l *Ledger) { l.ReadDone("r", 1) }, nil},
+		{"the request is over", func(l *Ledger) { l.ReadDone("r", 1); l.Finish() }, []string{"r"}},
+		{"a read that was lost, and nothing is out", func(l *Ledger) { l.AttemptLost("r", true) }, []string{"r"}},
+		{"a read that was lost, and another attempt is out", func(l *Ledger) { l.AttemptLost("r", true); l.SetOut(Confirmed, 1) }, nil},
+		{"the other attempt may never have arrived", func(l *Ledger) { l.AttemptLost("r", true); l.SetOut(Unconfirmed, 1) }, nil},
+		{"and has been out for as long as a state may wait", func(l *Ledger) { l.AttemptLost("r", true); l.SetOut(Unconfirmed, 1-time.Second) }, []string{"r"}},
+		{"what was lost before, and a state waits", func(l *Ledger) { l.AttemptLost("r", true); l.ReadDone("s", 1) }, nil},
+		{"an answer has begun", func(l *Ledger) { l.ReadDone("r", 1); l.AnswerBegan(); l.SetOut(Confirmed, 1) }, nil},
+		{"and breaks", func(l *Ledger) { l.ReadDone("r", 1); l.AnswerBegan(); l.SetOut(None, 1); l.Finish() }, []string{"r"}},
+		{"an answer is whole", func(l *Ledger) { l.ReadDone("r", 1); l.AnswerDone(); l.Finish() }, nil},
+		{"an answer is whole, a read may run on", func(l *Ledger) { l.AttemptLost("r", true); l.ReadDone("s", 1); l.AnswerDone(); l.Finish() }, []string{"r"}},
+		{"an engine that fetches nothing goes on", func(l *Ledger) { l.ReadDone("r", 1); l.Detach(); l.SetOut(Confirmed, 1) }, []string{"r"}},
+		{"it answers", func(l *Ledger) { l.ReadDone("r", 1); l.Detach(); l.AnswerDone(); l.Finish() }, []string{"r"}},
+		{"a writer has found no state", func(l *Ledger) { l.ReadDone("r", 1); l.NoState() }, []string{"r"}},
+		{"an engine has failed the attempt", func(l *Ledger) { l.AttemptFailed("r"); l.Finish() }, []string{"r"}},
+		{"a release is under way", func(l *Ledger) { l.ReadDone("r", 1); l.Finish(); l.Due(1) }, nil},
+		{"it was told", func(l *Ledger) { l.ReadDone("r", 1); l.Finish(); l.Due(1); l.ReleaseEnded("r", true, 1) }, nil},
+		{"it was stopped", func(l *Ledger) { l.ReadDone("r", 1); l.Finish(); l.Due(1); l.ReleaseEnded("r", false, 1) }, []string{"r"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l := New(limits)
@@ -56,22 +56,22 @@
 		out    Out
 		lapses bool
 		holder string
-	}{{NotOut, true, ""}, {MayBeOut, true, "r"}, {SurelyOut, false, "r"}} {
+	}{{None, true, ""}, {Unconfirmed, true, "r"}, {Confirmed, false, "r"}} {
 		l := New(limits)
-		l.Set(NotOut, 10*ms)
-		l.Read("r", time.Second)
-		l.Set(c.out, time.Second+ms)
+		l.SetOut(None, 10*ms)
+		l.ReadDone("r", time.Second)
+		l.SetOut(c.out, time.Second+ms)
 		at := time.Second + limits.Pin + limits.Slack/2
-		if l.Lapsed(at - 1) {
+		if l.Expired(at - 1) {
 			t.Errorf("%v: lapsed before its time", c.out)
 		}
-		if l.Lapsed(at) != c.lapses {
+		if l.Expired(at) != c.lapses {
 			t.Errorf("%v: lapsed %v, want %v", c.out, !c.lapses, c.lapses)
 		}
 		if !c.lapses {
 			continue
 		}
-		l.Lapse(at)
+		l.Expire(at)
 		if l.Holder() != c.holder {
 			t.Errorf("%v: the request goes on with the state of %q, want %q", c.out, l.Holder(), c.holder)
 		}
@@ -81,19 +81,19 @@
 	}
 }
 
-// A release under way is stopped once an attempt has gone out: it could meet the end of the
+// A release in flight is cancelled once an attempt has gone out: it could meet the end of the
 // next read, whose state it would free.
 func TestAReleaseDoesNotMeetTheNextRead(t *testing.T) {
-	for _, out := range []Out{MayBeOut, SurelyOut} {
+	for _, out := range []Out{Unconfirmed, Confirmed} {
 		l := New(limits)
-		l.Lost("r", true)
+		l.AttemptLost("r", true)
 		l.Due(1)
-		if stop := l.Stop(1); len(stop) > 0 {
-			t.Errorf("stopped at %v with nothing out", stop)
+		if engines := l.Superseded(1); len(engines) > 0 {
+			t.Errorf("cancelled at %v with nothing out", engines)
 		}
-		l.Set(out, 2)
-		if diff := cmp.Diff([]string{"r"}, l.Stop(2)); diff != "" {
-			t.Errorf("%v: stopped (-want +got):\n%s", out, diff)
+		l.SetOut(out, 2)
+		if diff := cmp.Diff([]string{"r"}, l.Superseded(2)); diff != "" {
+			t.Errorf("%v: cancelled (-want +got):\n%s", out, diff)
 		}
 	}
 }
@@ -102,17 +102,17 @@
 // that engine must know that the attempt was given up.
 func TestAReleaseThatOvertakesACancelIsSentAgain(t *testing.T) {
 	l := New(limits)
-	l.Read("r", 1)
-	l.Lost("w", false)
+	l.ReadDone("r", 1)
+	l.AttemptLost("w", false)
 	l.Finish()
 	if diff := cmp.Diff([]string{"r", "w"}, l.Due(1)); diff != "" {
 		t.Fatalf("told (-want +got):\n%s", diff)
 	}
-	l.Told("r", true, 2*ms)
+	l.ReleaseEnded("r", true, 2*ms)
 	if l.Done() {
 		t.Error("done, though the writer's engine has not been reached")
 	}
-	l.Told("w", true, 5*time.Second) // behind a cut until then
+	l.ReleaseEnded("w", true, 5*time.Second) // behind a cut until then
 	at, some := l.Next()
 	if want := 5*time.Second + CancelTransit; !some || at != want {
 		t.Fatalf("next at %v, want %v", at, want)
@@ -120,8 +120,8 @@
 	if due := l.Due(at); !slices.Contains(due, "r") {
 		t.Errorf("told %v, want the reader again", due)
 	}
-	l.Told("r", true, at)
-	l.Told("w", true, at)
+	l.ReleaseEnded("r", true, at)
+	l.ReleaseEnded("w", true, at)
 	if !l.Done() {
 		t.Error("not done")
 	}
@@ -157,13 +157,13 @@
 }
 
 func (w *world) act() {
-	w.l.Set(w.out, w.now)
-	if w.l.Lapsed(w.now) {
-		w.l.Lapse(w.now)
+	w.l.SetOut(w.out, w.now)
+	if w.l.Expired(w.now) {
+		w.l.Expire(w.now)
 	}
-	for _, e := range w.l.Stop(w.now) {
+	for _, e := range w.l.Superseded(w.now) {
 		delete(w.telling, e)
-		w.l.Told(e, false, w.now)
+		w.l.ReleaseEnded(e, false, w.now)
 	}
 	for _, e := range w.l.Due(w.now) {
 		w.telling[e] = true
@@ -171,10 +171,10 @@
 	for _, e := range engines {
 		if w.telling[e] && !w.away[e] {
 			delete(w.telling, e)
-			if w.out == NotOut || w.l.over {
+			if w.out == None || w.l.over {
 				delete(w.held, e)
 			}
-			w.l.Told(e, true, w.now)
+			w.l.ReleaseEnded(e, true, w.now)
 		}
 	}
 }
@@ -183,7 +183,7 @@
 // an engine that can be told.
 func (w *world) check() {
 	for e, since := range w.held {
-		if w.out != NotOut || w.away[e] {
+		if w.out != None || w.away[e] {
 			w.held[e] = w.now
 			continue
 		}
@@ -196,7 +196,7 @@
 // outcome ends the attempt that is out. The time of all that is held counts from the last
 // outcome.
 func (w *world) outcome() {
-	w.out = NotOut
+	w.out = None
 	for e := range w.held {
 		w.held[e] = w.now
 	}
@@ -211,7 +211,7 @@
 	case 1:
 		w.later[e] = w.now + time.Duration(rapid.IntRange(0, int(limits.ReadFor/ms)).Draw(w.t, "read runs on, ms"))*ms
 	}
-	w.l.Lost(e, true)
+	w.l.AttemptLost(e, true)
 }
 
 func TestNothingIsHeldPastItsLimits(t *testing.T) {
@@ -223,24 +223,24 @@
 			case 0:
 				w.outcome()
 				w.held[e] = w.now
-				w.l.Read(e, w.now)
+				w.l.ReadDone(e, w.now)
 			case 1:
 				w.lose(e)
 			case 2:
-				w.out = rapid.SampledFrom([]Out{MayBeOut, SurelyOut}).Draw(t, "out")
+				w.out = rapid.SampledFrom([]Out{Unconfirmed, Confirmed}).Draw(t, "out")
 			case 3:
 				w.outcome()
 			case 4:
 				w.away[e] = !w.away[e]
 			case 5:
-				w.out = NotOut
+				w.out = None
 				clear(w.held)
-				w.l.Served()
+				w.l.AnswerDone()
 			}
 			w.pass(time.Duration(rapid.IntRange(0, 150).Draw(t, "for, in 10 ms")) * 10 * ms)
 		}
-		w.out = NotOut
-		w.l.Set(w.out, w.now)
+		w.out = None
+		w.l.SetOut(w.out, w.now)
 		w.l.Finish()
 		w.pass(time.Duration(rapid.IntRange(0, 1000).Draw(t, "after the end, in 10 ms")) * 10 * ms)
 		clear(w.away)
--- /dev/null
+++ b/internal/core/attempt.go
@@ -0,0 +1,171 @@
+package core
+
+import (
+	"time"
+
+	"wellgw/ringdale"
+)
+
+type attempt struct {
+	number  int
+	server  Member
+	sent    time.Time
+	ended   bool
+	begun   bool // its answer has
+	out     bool // its last byte has been written
+	written time.Time
+	handle  Handle
+}
+
+// send makes an attempt, or says at once that it was not made.
+func (c *Core) send(a ringdale.Send) {
+	q := c.requests[a.ID]
+	if !c.checks.Hold(q != nil && !q.answered, "a send is for a request that awaits its answer") {
+		return
+	}
+	m, known := c.members[a.Server]
+	now := time.Now()
+	at := &attempt{number: len(q.attempts), server: m, sent: now, handle: noHandle{}}
+	at.server.Name = a.Server
+	q.attempts = append(q.attempts, at)
+	q.out++
+	limit := q.deadline.Sub(now)
+	if a.Limit > 0 {
+		limit = min(limit, a.Limit)
+	}
+	unsent := limit <= 0 || len(q.attempts) > c.fig.MaxSends || q.left.Load()
+	if unsent || !c.checks.Hold(known && m.Phase == ringdale.PhaseOn, "a send goes to an engine on the list") {
+		c.end(q, at, Result{Status: ringdale.StatusUnsent})
+		return
+	}
+	c.counts["attempts"]++
+	if q.held.ledger.Holder() != "" && c.fig.Alone != nil && c.fig.Alone(m.Kind) {
+		q.held.ledger.Detach() // it will not fetch what was read for it elsewhere
+		c.settling = append(c.settling, q)
+	}
+	c.after(limit, func() { c.end(q, at, Result{Status: ringdale.StatusTimeout}) })
+	out := Attempt{Wire: q.Wire, Number: at.number, To: m, Limit: limit, Payload: q.Payload, Left: q.left.Load}
+	if q.lingering != nil {
+		out.Connected = func() { c.connected(q, at) }
+	}
+	out.Written = func() { c.post(func() { c.written(q, at) }) }
+	at.handle = c.engine.Start(
+		out,
+		func(s Stream) { c.post(func() { c.first(q, at, s) }) },
+		func(r Result) { c.post(func() { c.end(q, at, r) }) },
+	)
+}
+
+// connected has the attempt before closed now that the next one can go out, and returns
+// when the two can't meet any more. Until then the one before covers what is held: the
+// next may never come up.
+func (c *Core) connected(q *request, at *attempt) {
+	clear := make(chan struct{})
+	c.post(func() {
+		if at.ended {
+			close(clear)
+			return
+		}
+		c.afterEnd(q, func() { close(clear) })
+	})
+	select {
+	case <-clear:
+	case <-c.done:
+	}
+}
+
+// written notes that an attempt is out: from now on it answers for what is held.
+func (c *Core) written(q *request, at *attempt) {
+	if at.ended {
+		return
+	}
+	at.out, at.written = true, time.Now()
+	c.settling = append(c.settling, q)
+}
+
+// first gives an attempt's stream to the client, if the client still waits for it.
+func (c *Core) first(q *request, at *attempt, s Stream) {
+	if at.ended || q.answered {
+		s.Close()
+		c.end(q, at, Result{Status: ringdale.StatusCancelled})
+		return
+	}
+	q.streaming, q.stream, at.begun = at, s, true
+	c.noteHeard(at.server.Name)
+	q.held.ledger.AnswerBegan()
+	for _, other := range q.attempts {
+		if other != at {
+			c.end(q, other, Result{Status: ringdale.StatusCancelled})
+		}
+	}
+	c.answer(q, Answer{Verdict: Serving, Stream: s})
+	c.tell(ringdale.FirstToken{ID: q.ID, Attempt: at.number, Server: at.server.Name, Latency: time.Since(at.sent)})
+}
+
+func (c *Core) streamEnded(q *request, r Result) {
+	if at := q.streaming; at != nil {
+		q.streaming, q.stream = nil, nil
+		if r.Status == ringdale.StatusServed {
+			q.held.ledger.AnswerDone()
+			c.count(q.Class, func(t *Traffic) { t.Served++; t.ServedPrompt += q.Prompt; t.Output += r.Output })
+		}
+		c.end(q, at, r)
+	}
+}
+
+// end closes an attempt and tells the module how it went, once.
+func (c *Core) end(q *request, at *attempt, r Result) {
+	if at.ended && r.Status == ringdale.StatusRead {
+		c.readAfterCancel(q, at)
+	}
+	if at.ended || q.streaming == at {
+		return
+	}
+	at.ended, q.status, q.cause = true, r.Status, r.Cause
+	switch r.Status {
+	case ringdale.StatusUnsent, ringdale.StatusNoConnect, ringdale.StatusFull, ringdale.StatusRead:
+		// Turned away, never out, or read only: nothing was carried out.
+	default:
+		q.ran = true
+	}
+	givenUp := r.Status == ringdale.StatusCancelled || r.Status == ringdale.StatusTimeout
+	if givenUp && !at.begun && at.out {
+		c.closeLingering(q)
+		q.lingering = at
+	} else {
+		at.handle.Cancel()
+	}
+	q.out--
+	c.settling = append(c.settling, q)
+	c.counts[statusNames[r.Status]]++
+	c.noteOutcome(q, at, r)
+	if r.Cause != nil {
+		c.log.Debug("attempt failed", "id", q.Wire, "attempt", at.number, "engine", at.server.Name, "cause", r.Cause)
+	}
+	c.tell(ringdale.Outcome{
+		ID: q.ID, Attempt: at.number, Server: at.server.Name, Status: r.Status, Latency: time.Since(at.sent),
+		Final: q.answered, Kept: r.Kept, NoState: r.NoState, Report: r.Report,
+	})
+}
+
+// afterEnd closes the connection of an attempt that has been given up, and does what must
+// not meet that attempt once its engine can have learned of it: both take their own ways.
+// Without one it is done at once.
+func (c *Core) afterEnd(q *request, job func()) {
+	if q.lingering == nil {
+		job()
+		return
+	}
+	c.closeLingering(q)
+	c.after(cancelMargin, job)
+}
+
+// withdraw ends the attempts of a request that is over that are not out yet, also where the
+// settings allow no cancel: nothing has been sent that could be cancelled.
+func (c *Core) withdraw(q *request) {
+	for _, at := range q.attempts {
+		if !at.ended && !at.out && at.handle.Withdraw() {
+			c.end(q, at, Result{Status: ringdale.StatusUnsent})
+		}
+	}
+}
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -598,9 +598,9 @@
 	defer close(f.cut)
 	core := newCore(t, f)
 	all, closed := 0, 0
-	for round := 0; all <= coverMost; round++ { // some are refused as they would wait too long
+	for round := 0; all <= lingerMost; round++ { // some are refused as they would wait too long
 		var group sync.WaitGroup
-		for i := range coverMost {
+		for i := range lingerMost {
 			q := ask("free", 300*time.Millisecond)
 			q.Wire = fmt.Sprint("id", round, "-", i)
 			group.Go(func() { Await(t.Context(), core, q) })
@@ -609,13 +609,13 @@
 		core.Counts(t.Context()) // what has been answered is settled
 		all, closed, _ = f.tally()
 	}
-	if all-closed != coverMost {
-		t.Errorf("%d of %d attempts are still open, want %d", all-closed, all, coverMost)
+	if all-closed != lingerMost {
+		t.Errorf("%d of %d attempts are still open, want %d", all-closed, all, lingerMost)
 	}
 	if err := core.Drain(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	if _, closed, _ = f.tally(); all-closed != coverMost {
+	if _, closed, _ = f.tally(); all-closed != lingerMost {
 		t.Errorf("the core has waited until only %d attempts cover what is held", all-closed)
 	}
 }
@@ -634,7 +634,7 @@
 	}
 	core := newCore(t, f)
 	a, _, _ := Await(t.Context(), core, ask("once", 300*time.Millisecond))
-	if d := since(); a.Verdict != Refused || d < tellMargin {
+	if d := since(); a.Verdict != Refused || d < cancelMargin {
 		t.Errorf("verdict %v, %v after the attempt's end", a.Verdict, d)
 	}
 	go Await(t.Context(), core, ask("free", time.Minute))
@@ -644,7 +644,7 @@
 			core.end(q, q.attempts[0], Result{Status: ringdale.StatusCancelled})
 		}
 	})
-	if d := <-after; d < tellMargin {
+	if d := <-after; d < cancelMargin {
 		t.Errorf("the next attempt goes out %v after the end of the one before", d)
 	}
 }
--- a/internal/core/held.go
+++ b/internal/core/held.go
@@ -12,29 +12,32 @@
 
 // Bounds of what is done about held states.
 const (
-	releaseFor     = 30 * time.Second       // a release is tried this long at an engine that is not reached
-	longestPin     = time.Hour              // a longer pin limit is as good as none
-	longestRead    = 15 * time.Second       // a read that was given up has ended by then
-	elsewhereMost  = 8                      // other engines that are told where the holder is not reached
-	elsewhereAfter = 100 * time.Millisecond // for which the holder is tried alone
+	releaseFor     = 30 * time.Second       // a release is retried this long at an engine out of reach
+	longestPin     = time.Hour              // a longer pin limit is treated as this
+	longestRead    = 15 * time.Second       // a cancelled read has ended by then
+	elsewhereMost  = 8                      // other engines that are told while the holder is out of reach
+	elsewhereAfter = 100 * time.Millisecond // for which only the holder is tried
+	lingerLimit    = 15 * time.Second       // for which a cancelled attempt is kept open; partitions seldom last longer
+	lingerMost     = 32                     // attempts kept open at once: each keeps a connection and a body
+	drainLook      = 20 * time.Millisecond  // between looks at whether a draining gateway may end
 )
 
-// heldStates is what engines may hold for one request, and the releases under way.
+// heldStates is what engines may hold for one request, and the releases in flight.
 type heldStates struct {
 	ledger  *heldstate.Ledger
 	members map[string]Member // the engines that the ledger names
-	holder  string            // whose state waited as the request ended; "" for none
-	stops   map[string]func() // of the releases under way
-	look    time.Time         // when the ledger is to be looked at next
-	covered bool              // by an attempt that was given up, after the answer
+	holder  string            // whose state waited when the request ended; "" for none
+	cancels map[string]func() // of the releases in flight, by engine
+	update  time.Time         // when the ledger is to be looked at next
+	lingers bool              // an attempt is kept open after the final answer; see keepLingering
 }
 
 func newHeldStates(limits heldstate.Limits) heldStates {
-	return heldStates{ledger: heldstate.New(limits), members: map[string]Member{}, stops: map[string]func(){}}
+	return heldStates{ledger: heldstate.New(limits), members: map[string]Member{}, cancels: map[string]func(){}}
 }
 
-// heldLimits are the figures of a request's ledger. An engine is told how long the client
-// waits: a read that was given up does not run on for longer.
+// heldLimits returns the limits of a request's ledger. Engines are told how long the client
+// waits, so a cancelled read does not run on for longer.
 func (c *Core) heldLimits(wait time.Duration) heldstate.Limits {
 	return heldstate.Limits{
 		Pin: min(c.fig.PinLimit, longestPin), Slack: c.fig.PinSlack,
@@ -42,125 +45,127 @@
 	}
 }
 
-// keep notes what an attempt that has ended may have left at its engine.
-func (c *Core) keep(q *request, at *attempt, r Result) {
+// noteOutcome records what an attempt that has ended may have left at its engine.
+func (c *Core) noteOutcome(q *request, at *attempt, r Result) {
 	ledger, engine := q.held.ledger, at.server.Name
+	q.held.members[engine] = at.server
 	switch r.Status {
 	case ringdale.StatusRead:
-		ledger.Read(engine, c.now())
+		ledger.ReadDone(engine, c.now())
 	case ringdale.StatusTimeout, ringdale.StatusCancelled, ringdale.StatusReset:
-		ledger.Lost(engine, c.reads(at.server.Kind))
+		ledger.AttemptLost(engine, c.router.Reads(at.server.Kind))
 	case ringdale.StatusError:
-		ledger.Failed(engine)
+		ledger.AttemptFailed(engine)
 	}
 	if r.NoState {
 		ledger.NoState()
 	}
 	switch r.Status {
 	case ringdale.StatusRead, ringdale.StatusFull, ringdale.StatusError, ringdale.StatusServed:
-		c.hear(engine)
+		c.noteHeard(engine)
 	}
-	q.held.members[engine] = at.server
-	if at.out && c.heard[engine].After(at.written) {
-		ledger.Proven(c.now())
+	if at.out && c.lastHeard[engine].After(at.written) {
+		ledger.WasOut(c.now())
 	}
 }
 
-// readLate notes a read that has ended after its attempt was given up, while its connection
-// was still open.
-func (c *Core) readLate(q *request, at *attempt) {
-	c.hear(at.server.Name)
-	if q.cover == at {
-		q.cover = nil
-		c.endCover(q)
+// readAfterCancel records a read that ended after its attempt was cancelled, while the
+// attempt's connection was still open.
+func (c *Core) readAfterCancel(q *request, at *attempt) {
+	engine := at.server.Name
+	c.noteHeard(engine)
+	if q.lingering == at {
+		q.lingering = nil
+		c.endLingering(q)
 	}
-	q.held.ledger.Lost(at.server.Name, false)
-	if stop := q.held.stops[at.server.Name]; stop != nil {
-		stop() // the connection that brought the answer is a surer way than the one that is waited for
+	q.held.members[engine] = at.server
+	q.held.ledger.AttemptLost(engine, false)
+	if cancel := q.held.cancels[engine]; cancel != nil {
+		cancel() // a release on the connection that brought the answer arrives sooner
 	}
-	q.held.members[at.server.Name] = at.server
 	c.settling = append(c.settling, q)
 }
 
-// reads tells whether engines of a kind may read a prompt.
-func (c *Core) reads(kind string) bool { return c.router.Reads(kind) }
-
-// hear notes that an engine has answered just now.
-func (c *Core) hear(engine string) { c.heard[engine] = time.Now() }
+// noteHeard records that an engine has answered just now.
+func (c *Core) noteHeard(engine string) { c.lastHeard[engine] = time.Now() }
 
-// forgetUnlisted forgets engines that are no longer listed: they come under ever new names.
+// forgetUnlisted forgets when engines that are no longer listed were heard. Engines come under
+// ever new names.
 func (c *Core) forgetUnlisted() {
-	maps.DeleteFunc(c.heard, func(name string, _ time.Time) bool {
+	maps.DeleteFunc(c.lastHeard, func(name string, _ time.Time) bool {
 		_, listed := c.members[name]
 		return !listed
 	})
 }
 
-// elsewhere returns engines other than one, those first that have answered last.
+// elsewhere returns other engines than one, those first that were heard last.
 func (c *Core) elsewhere(engine string) []Member {
 	latest := func(a, b Member) int {
-		return cmp.Or(c.heard[b.Name].Compare(c.heard[a.Name]), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(c.lastHeard[b.Name].Compare(c.lastHeard[a.Name]), cmp.Compare(a.Name, b.Name))
 	}
-	some := make([]Member, 0, elsewhereMost+1)
+	others := make([]Member, 0, elsewhereMost+1)
 	for name, m := range c.members {
-		if name == engine || len(some) == elsewhereMost && latest(some[elsewhereMost-1], m) < 0 {
+		full := len(others) == elsewhereMost
+		if name == engine || full && latest(others[elsewhereMost-1], m) < 0 {
 			continue
 		}
-		at, _ := slices.BinarySearchFunc(some, m, latest)
-		some = slices.Insert(some, at, m)
-		some = some[:min(len(some), elsewhereMost)]
+		at, _ := slices.BinarySearchFunc(others, m, latest)
+		others = slices.Insert(others, at, m)
+		others = others[:min(len(others), elsewhereMost)]
 	}
-	return some
+	return others
 }
 
-// letGo does what is due about a request's held states, and sees to the next look at them.
-func (c *Core) letGo(q *request) {
+// updateHeld does what is due for a request's held states and schedules the next update.
+func (c *Core) updateHeld(q *request) {
 	now, ledger := c.now(), q.held.ledger
-	ledger.Set(c.out(q), now)
-	for _, engine := range ledger.Stop(now) {
-		q.held.stops[engine]()
+	ledger.SetOut(c.out(q), now)
+	for _, engine := range ledger.Superseded(now) {
+		q.held.cancels[engine]()
 	}
-	if ledger.Check(now) {
-		c.check(q)
+	if ledger.CheckDue(now) {
+		c.checkReach(q)
 	}
-	if ledger.Lapsed(now) {
-		c.lapse(q)
+	if ledger.Expired(now) {
+		c.expireState(q)
 	}
-	c.keepCover(q)
+	c.keepLingering(q)
 	for _, engine := range ledger.Due(now) {
 		c.release(q, engine)
 	}
-	c.owe(q)
-	c.lookAgain(q)
+	c.trackUnreleased(q)
+	c.scheduleUpdate(q)
 }
 
-// out tells how an attempt answers for what is held: one that has been written and has not
-// ended, or one that was given up and whose connection is kept.
+// out tells whether an attempt of the request is out: one that was written and has not ended,
+// or one that was cancelled and is kept open.
 func (c *Core) out(q *request) heldstate.Out {
-	out := heldstate.NotOut
+	out := heldstate.None
 	for _, at := range q.attempts {
 		switch {
-		case !at.out || at.ended && at != q.cover:
-		case at.begun || c.heard[at.server.Name].After(at.written):
-			return heldstate.SurelyOut
+		case !q.keepsOut(at):
+		case at.begun || c.lastHeard[at.server.Name].After(at.written):
+			return heldstate.Confirmed
 		default:
-			out = heldstate.MayBeOut
+			out = heldstate.Unconfirmed
 		}
 	}
 	return out
 }
 
-// check finds out whether the engine of an attempt that may be out is reached.
-func (c *Core) check(q *request) {
+func (q *request) keepsOut(at *attempt) bool { return at.out && (!at.ended || at == q.lingering) }
+
+// checkReach finds out whether the engines of the attempts that are out are in reach.
+func (c *Core) checkReach(q *request) {
 	for _, at := range q.attempts {
-		if !at.out || at.ended && at != q.cover {
+		if !q.keepsOut(at) {
 			continue
 		}
 		c.counts["engines checked"]++
 		c.engine.Reach(at.server, func(reached bool) {
 			if reached {
 				c.post(func() {
-					c.hear(at.server.Name)
+					c.noteHeard(at.server.Name)
 					c.settling = append(c.settling, q)
 				})
 			}
@@ -168,11 +173,11 @@
 	}
 }
 
-// lapse gives up a state that has waited too long for a writer: a connection that does not
-// come up must not keep it. The module has the prompt read anew, if there is time.
-func (c *Core) lapse(q *request) {
-	c.counts["states lapsed"]++
-	q.held.ledger.Lapse(c.now())
+// expireState gives up a state that has waited too long for a writer: a connection that does
+// not come up must not hold it. The module has the prompt read again if there is time.
+func (c *Core) expireState(q *request) {
+	c.counts["states expired"]++
+	q.held.ledger.Expire(c.now())
 	for _, at := range q.attempts {
 		if !at.ended && !at.out && at.handle.Withdraw() {
 			c.end(q, at, Result{Status: ringdale.StatusNoConnect, NoState: true})
@@ -180,68 +185,75 @@
 	}
 }
 
-// owe keeps a request that is over while something may be held for it.
-func (c *Core) owe(q *request) {
+// trackUnreleased keeps a request that is over in a table while something may be held for it.
+func (c *Core) trackUnreleased(q *request) {
 	if q.held.ledger.Done() {
-		delete(c.owing, q)
+		delete(c.unreleased, q)
 	} else if q.answered {
-		c.owing[q] = true
+		c.unreleased[q] = true
 	}
 }
 
-// lookAgain has the ledger looked at when it may have something to say.
-func (c *Core) lookAgain(q *request) {
-	next, some := q.held.ledger.Next()
-	if !some || next <= c.now() { // what was due has just been seen to
+// scheduleUpdate sets a timer for the next update, unless one is due before that.
+func (c *Core) scheduleUpdate(q *request) {
+	next, ok := q.held.ledger.Next()
+	if !ok || next <= c.now() { // what was due has just been done
 		return
 	}
-	at, look := c.origin.Add(next), q.held.look
-	if look.After(time.Now()) && !at.Before(look) {
-		return // it is looked at before that anyway
+	at := c.origin.Add(next)
+	if q.held.update.After(time.Now()) && !at.Before(q.held.update) {
+		return
 	}
-	q.held.look = at
+	q.held.update = at
 	c.timers.add(at, func() { c.settling = append(c.settling, q) })
 }
 
-// keepCover keeps the connection of an attempt that was given up once its request is over:
-// a state must not be held for long while no attempt is out, and an engine behind a cut can't
-// be told to let go. As long as it is not told, the attempt stays out, and its engine goes on
-// answering for the state. That is bounded in time and number.
-func (c *Core) keepCover(q *request) {
-	if q.cover == nil || q.held.covered || !q.answered || q.out > 0 {
+// keepLingering keeps the connection of a cancelled attempt open once its request is over. A
+// state must not be held for long while no attempt is out, and an engine behind a network
+// partition cannot be told to release it; until it has been told, the attempt stays out. Time
+// and number are bounded.
+func (c *Core) keepLingering(q *request) {
+	if q.lingering == nil || q.held.lingers || !q.answered || q.out > 0 {
 		return
 	}
-	if c.covers >= coverMost {
-		c.uncover(q)
+	if c.lingering >= lingerMost {
+		c.closeLingering(q)
 		return
 	}
-	q.held.covered = true
-	c.covers++
-	c.after(coverLimit, func() { c.endCover(q) })
+	q.held.lingers = true
+	c.lingering++
+	c.after(lingerLimit, func() { c.endLingering(q) })
 }
 
-// coverTarget is the engine that has to be told before the connection of the attempt that
-// was given up is closed: the one that surely holds a state or, without one, the attempt's
-// own.
-func (q *request) coverTarget() string { return cmp.Or(q.held.holder, q.cover.server.Name) }
+// lingerTarget is the engine whose release ends the lingering: the one that certainly holds a
+// state or, without one, the attempt's own.
+func (q *request) lingerTarget() string { return cmp.Or(q.held.holder, q.lingering.server.Name) }
 
-// endCover closes the connection of the attempt that covers what is held. Its engine may
-// take the release that came before for one that the attempt still waits behind.
-func (c *Core) endCover(q *request) {
-	if !q.held.covered {
+// endLingering closes the connection of the attempt that was kept open. Releases that arrived
+// before may have had no effect, as the attempt was still waiting for the state.
+func (c *Core) endLingering(q *request) {
+	if !q.held.lingers {
 		return
 	}
-	q.held.covered = false
-	c.covers--
-	if at := q.cover; at != nil {
-		c.uncover(q)
-		q.held.ledger.Lost(at.server.Name, c.reads(at.server.Kind))
-		q.held.ledger.Renew()
+	q.held.lingers = false
+	c.lingering--
+	if at := q.lingering; at != nil {
+		c.closeLingering(q)
+		q.held.ledger.AttemptLost(at.server.Name, c.router.Reads(at.server.Kind))
+		q.held.ledger.ReleaseAgain()
 	}
 	c.settling = append(c.settling, q)
 }
 
-// release tells one engine to let go.
+// closeLingering closes the connection of a cancelled attempt that was kept open.
+func (c *Core) closeLingering(q *request) {
+	if q.lingering != nil {
+		q.lingering.handle.Cancel()
+		q.lingering = nil
+	}
+}
+
+// release tells one engine to release what it holds for a request.
 func (c *Core) release(q *request, engine string) {
 	c.counts["releases"]++
 	r := Release{
@@ -249,50 +261,45 @@
 		Elsewhere: c.elsewhere(engine), ElsewhereAfter: min(elsewhereAfter, c.fig.PinLimit/4),
 		ElsewhereEvery: max(c.fig.PinLimit/2, heldstate.RepeatLeast),
 	}
-	q.held.stops[engine] = c.engine.Release(r, func(err error) {
-		c.post(func() { c.told(q, engine, err) })
+	q.held.cancels[engine] = c.engine.Release(r, func(err error) {
+		c.post(func() { c.releaseEnded(q, engine, err) })
 	})
 }
 
-// told notes how a release has ended.
-func (c *Core) told(q *request, engine string, err error) {
-	delete(q.held.stops, engine)
+// releaseEnded records how a release ended.
+func (c *Core) releaseEnded(q *request, engine string, err error) {
+	delete(q.held.cancels, engine)
+	q.held.ledger.ReleaseEnded(engine, err == nil, c.now())
+	c.settling = append(c.settling, q)
 	if err != nil {
 		c.counts["releases failed"]++
 		c.log.Debug("release failed", "id", q.Wire, "engine", engine, "cause", err)
+		return
 	}
-	if err == nil {
-		c.hear(engine)
-	}
-	q.held.ledger.Told(engine, err == nil, c.now())
-	if err == nil && q.held.covered && q.cover != nil && engine == q.coverTarget() {
-		c.endCover(q)
+	c.noteHeard(engine)
+	if q.held.lingers && q.lingering != nil && engine == q.lingerTarget() {
+		c.endLingering(q)
 	}
-	c.settling = append(c.settling, q)
 }
 
-// pressing tells whether a gateway that leaves has still to wait for a release.
-func (c *Core) pressing() bool {
+// releasesUrgent tells whether a draining gateway has to wait for a release.
+func (c *Core) releasesUrgent() bool {
 	now := c.now()
-	for q := range c.owing {
-		if q.held.ledger.Pressing(now) {
+	for q := range c.unreleased {
+		if q.held.ledger.Urgent(now) {
 			return true
 		}
 	}
 	return false
 }
 
-// awaitPressing looks at what is pressing until who waits for it has been told.
-func (c *Core) awaitPressing() {
-	if len(c.drained) == 0 {
-		return
+// watchDrain settles from time to time until nobody waits for a drain any longer.
+func (c *Core) watchDrain() {
+	if len(c.drained) > 0 {
+		c.after(drainLook, c.watchDrain)
 	}
-	c.after(drainLook, c.awaitPressing)
 }
 
-// drainLook is how often it is looked whether a leaving gateway still has to wait.
-const drainLook = 20 * time.Millisecond
-
 // noHandle is the handle of an attempt that was never begun.
 type noHandle struct{}
 
--- a/internal/core/held_test.go
+++ b/internal/core/held_test.go
@@ -108,7 +108,7 @@
 	}
 	playback.Eventually(t, "the reader is told several times", func() bool { _, _, released := f.tally(); return released >= 4 })
 	playback.Eventually(t, "nothing more is owed", func() bool {
-		return query(t.Context(), c, func() bool { return len(c.owing) == 0 })
+		return query(t.Context(), c, func() bool { return len(c.unreleased) == 0 })
 	})
 }
 
--- /dev/null
+++ b/internal/core/queries.go
@@ -0,0 +1,66 @@
+package core
+
+import (
+	"context"
+	"time"
+)
+
+// Quiet returns for how long no request has come and none has been in hand.
+func (c *Core) Quiet(ctx context.Context) time.Duration {
+	return query(ctx, c, func() time.Duration {
+		if len(c.requests) > 0 {
+			c.lastBusy = time.Now()
+		}
+		return time.Since(c.lastBusy)
+	})
+}
+
+// classesMost bounds the classes that are counted: clients may name any.
+const classesMost = 64
+
+func (c *Core) count(class string, add func(*Traffic)) {
+	t := c.traffic[class]
+	if t == nil {
+		if len(c.traffic) >= classesMost {
+			return
+		}
+		t = &Traffic{}
+		c.traffic[class] = t
+	}
+	add(t)
+}
+
+// Traffic returns what has been asked and served, by class.
+func (c *Core) Traffic(ctx context.Context) map[string]Traffic {
+	return query(ctx, c, func() map[string]Traffic {
+		m := make(map[string]Traffic, len(c.traffic))
+		for class, t := range c.traffic {
+			m[class] = *t
+		}
+		return m
+	})
+}
+
+// query has the core's goroutine answer a question; it returns the zero value if the core
+// or ctx ends first.
+func query[T any](ctx context.Context, c *Core, answer func() T) (out T) {
+	ch := make(chan T, 1)
+	c.post(func() { ch <- answer() })
+	select {
+	case out = <-ch:
+	case <-c.done:
+	case <-ctx.Done():
+	}
+	return out
+}
+
+// Counts returns how often each outcome and answer came, for the log.
+func (c *Core) Counts(ctx context.Context) map[string]int {
+	return query(ctx, c, func() map[string]int {
+		m := map[string]int{"open": len(c.requests)}
+		for k, v := range c.counts {
+			m[k] = v
+		}
+		return m
+	})
+}
--- /dev/null
+++ b/internal/core/request.go
@@ -0,0 +1,128 @@
+package core
+
+import (
+	"sync/atomic"
+	"time"
+
+	"wellgw/ringdale"
+)
+
+// request is one client's try, kept until it is answered and no attempt is out.
+type request struct {
+	Request
+	front     Front
+	deadline  time.Time
+	free      bool // may be repeated at will, by the settings with which it was taken
+	answered  bool // has had its final answer, or its client has gone
+	streaming *attempt
+	stream    Stream
+	attempts  []*attempt
+	out       int             // attempts that have not ended
+	lingering *attempt        // cancelled or timed out, its connection kept open for now
+	held      heldStates      // at engines
+	status    ringdale.Status // how the latest attempt ended, and why
+	cause     error
+	ran       bool         // an attempt has ended that may have run
+	left      *atomic.Bool // its client has gone, whether or not the core has been told
+}
+
+func (c *Core) submit(t *Ticket, in Request, f Front) {
+	// Ids count up and wrap; one that is still in hand is passed over, as a stream
+	// may outlast any number of others.
+	for c.lastID++; c.requests[c.lastID] != nil; c.lastID++ {
+	}
+	in.ID = c.lastID
+	q := &request{Request: in, front: f, deadline: in.Arrived.Add(in.TTL), free: c.router.Free(in.Class), left: &t.left}
+	q.held = newHeldStates(c.heldLimits(in.TTL))
+	t.q = q
+	if c.wires[in.Wire] {
+		// Engines know a request by its wire id alone: two at once would share
+		// attempts and states. The first goes on; the second never ran.
+		q.answered = true
+		c.counts["duplicate id"]++
+		f.Answer(Answer{Verdict: Duplicate, Status: ringdale.StatusUnsent})
+		return
+	}
+	c.requests[q.ID], c.wires[in.Wire] = q, true
+	c.lastBusy = time.Now()
+	c.counts["requests"]++
+	c.count(in.Class, func(t *Traffic) { t.Asked++; t.Prompt += in.Prompt })
+	c.settling = append(c.settling, q)
+	// The backstop guards against a request that neither the module nor an engine
+	// ever ends: it is answered inside the slack whatever else happens.
+	c.after(time.Until(q.deadline)+c.fig.Slack, func() { c.overdue(q) })
+	in.TTL = time.Until(q.deadline)
+	c.tell(in.Request)
+}
+
+// answer gives the final answer; a second one is a fault of the module's.
+func (c *Core) answer(q *request, a Answer) {
+	if !c.checks.Hold(!q.answered, "a request gets one final answer") {
+		return
+	}
+	q.answered = true
+	if a.Verdict != Serving {
+		c.withdraw(q)
+	}
+	a.Status, a.Cause, a.MayRun = q.status, q.cause, q.mayRun()
+	if s, has := c.router.Standing(q.Tenant); has {
+		a.Standing = &s
+	}
+	c.counts[verdictNames[a.Verdict]]++
+	c.settling = append(c.settling, q)
+	if a.Verdict == Refused && !q.free { // it is said never to have run
+		c.afterEnd(q, func() { q.front.Answer(a) })
+	} else {
+		q.front.Answer(a)
+	}
+	if c.observer != nil {
+		c.observer.Answered(q.Request, a, verdictNames[a.Verdict])
+	}
+}
+
+// gone forgets a request whose client has left.
+func (c *Core) gone(q *request) {
+	if q == nil {
+		return
+	}
+	if q.streaming != nil { // the answer and the client's leaving have crossed
+		q.stream.Close()
+		c.streamEnded(q, Result{Status: ringdale.StatusCancelled})
+	}
+	if q.answered {
+		return
+	}
+	q.answered = true
+	c.counts["gone"]++
+	c.settling = append(c.settling, q)
+	c.tell(ringdale.Gone{ID: q.ID})
+	c.withdraw(q)
+}
+
+func (c *Core) overdue(q *request) {
+	if q.answered {
+		return
+	}
+	c.answer(q, Answer{Verdict: Overdue})
+	c.tell(ringdale.Gone{ID: q.ID})
+	for _, at := range q.attempts {
+		c.end(q, at, Result{Status: ringdale.StatusTimeout})
+	}
+}
+
+// forget takes a request that is over off the table. What may still be held for it is seen
+// to on its own.
+func (c *Core) forget(q *request) {
+	if holder := q.held.ledger.Holder(); holder != "" {
+		q.held.holder = holder
+	}
+	q.held.ledger.Finish()
+	if c.requests[q.ID] != q {
+		return
+	}
+	delete(c.requests, q.ID)
+	delete(c.wires, q.Wire)
+	q.Payload.Body = nil // timers may keep q itself for a while
+}
+
+func (q *request) mayRun() bool { return q.ran || q.out > 0 }
--- /dev/null
+++ b/internal/core/roster.go
@@ -0,0 +1,52 @@
+package core
+
+import (
+	"time"
+
+	"wellgw/ringdale"
+)
+
+// Roster tells what a directory has learned.
+func (c *Core) Roster(scope ringdale.RosterScope, members []Member) {
+	c.post(func() { c.roster(scope, members) })
+}
+
+func (c *Core) roster(scope ringdale.RosterScope, members []Member) {
+	ev := ringdale.Roster{Scope: scope}
+	// Who has left is forgotten: engines come under ever new ids. What one still holds
+	// is let go by the entry that its request keeps.
+	if scope == ringdale.RosterFull || scope == ringdale.RosterCached {
+		clear(c.members)
+	}
+	for _, m := range members {
+		if m.CameUp = 0; !m.StartedAt.IsZero() {
+			m.CameUp = m.StartedAt.Sub(c.origin)
+		}
+		if c.members[m.Name] = m; m.Phase == ringdale.PhaseOff {
+			delete(c.members, m.Name)
+		}
+		c.bans.See(m.Name)
+		ev.Servers = append(ev.Servers, c.bans.Show(m.ServerInfo))
+	}
+	c.forgetUnlisted()
+	c.setReady()
+	c.tell(ev)
+}
+
+// Gateways tells how many gateways share the engines from now on.
+func (c *Core) Gateways(n int) {
+	c.post(func() { c.tell(ringdale.Peers{Routers: n}) })
+}
+
+func (c *Core) probe(server string) {
+	m, known := c.members[server]
+	if !c.checks.Hold(known, "a probe goes to a known engine") {
+		return
+	}
+	sent := time.Now()
+	c.engine.Probe(m, func(s ringdale.Status, r *ringdale.Report) {
+		c.post(func() {
+			c.tell(ringdale.ProbeResult{Server: server, Status: s, Latency: time.Since(sent), Report: r})
+		})
+	})
+}
