--- a/cmd/wellgw/calls_test.go
+++ b/cmd/wellgw/calls_test.go
@@ -75,7 +75,7 @@
 			})
 		}
 	}
-	if !seen["internal/platform"] || !seen["internal/upstream"] || !seen["ringdale"] {
+	if !seen["internal/platform"] || !seen["internal/upstream"] || !seen["routing"] {
 		t.Fatalf("the walk missed packages: %v", seen)
 	}
 	if _, err := os.Stat(filepath.Join(root, "go.mod")); err != nil {
--- a/cmd/wellgw/serve.go
+++ b/cmd/wellgw/serve.go
@@ -27,7 +27,7 @@
 	"wellgw/internal/platform"
 	"wellgw/internal/upstream"
 	"wellgw/internal/wire"
-	"wellgw/ringdale"
+	"wellgw/routing"
 )
 
 // The program's own margins.
@@ -82,7 +82,7 @@
 type gateway struct {
 	listen  string
 	limits  config.Limits
-	set     ringdale.Settings
+	set     routing.Settings
 	seed    uint64
 	figures core.Figures
 	pool    upstream.Options
@@ -273,7 +273,7 @@
 		limits.MemoryMB, limits.Sockets = limits.MemoryMB/2, limits.Sockets/2
 	}
 	fitLimits(limits, cmp.Or(g.garbage, usualGarbage))
-	router, err := ringdale.New(g.set, g.seed)
+	router, err := routing.New(g.set, g.seed)
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
--- a/decide/handban/handban.go
+++ b/decide/handban/handban.go
@@ -9,7 +9,7 @@
 import (
 	"slices"
 
-	"wellgw/ringdale"
+	"wellgw/routing"
 )
 
 // MaxListed bounds the names remembered as once listed; the oldest are forgotten
@@ -22,16 +22,16 @@
 	listed map[string]bool
 	order  []string // of listed, oldest first
 	out    map[string]bool
-	outAt  map[string]ringdale.Time // when each ban in force began
-	back   map[string]ret           // bans that ended, while they may still count
+	outAt  map[string]routing.Time // when each ban in force began
+	back   map[string]ret          // bans that ended, while they may still count
 }
 
 // ret is the end of a ban.
-type ret struct{ out, at ringdale.Time } // when it began and ended
+type ret struct{ out, at routing.Time } // when it began and ended
 
 // New returns an empty set of bans.
 func New() *Bans {
-	return &Bans{listed: map[string]bool{}, out: map[string]bool{}, outAt: map[string]ringdale.Time{}, back: map[string]ret{}}
+	return &Bans{listed: map[string]bool{}, out: map[string]bool{}, outAt: map[string]routing.Time{}, back: map[string]ret{}}
 }
 
 // See records that a name is on a list.
@@ -71,7 +71,7 @@
 
 // Call takes one operator's call: out for maint-on, else maint-off. It refuses a
 // name that was never listed, nor out. A call that changes nothing is accepted.
-func (b *Bans) Call(name string, out bool, now ringdale.Time) (Change, bool) {
+func (b *Bans) Call(name string, out bool, now routing.Time) (Change, bool) {
 	if !b.listed[name] && !b.out[name] {
 		return Change{}, false
 	}
@@ -89,7 +89,7 @@
 
 // Take makes names the whole set of bans, as another process of the same
 // gateway has written it.
-func (b *Bans) Take(names []string, now ringdale.Time) Change {
+func (b *Bans) Take(names []string, now routing.Time) Change {
 	next := map[string]bool{}
 	for _, n := range names {
 		next[n] = true
@@ -97,7 +97,7 @@
 	return b.take(next, now)
 }
 
-func (b *Bans) take(next map[string]bool, now ringdale.Time) Change {
+func (b *Bans) take(next map[string]bool, now routing.Time) Change {
 	var ch Change
 	for n := range next {
 		if !b.out[n] {
@@ -125,10 +125,10 @@
 // out. An engine out by hand is restarted meanwhile and comes back cold: a start
 // that the list shows after the ban began stands; without one, the engine is shown
 // as started at its return, until the list tells of a later start.
-func (b *Bans) Show(s ringdale.ServerInfo) ringdale.ServerInfo {
+func (b *Bans) Show(s routing.ServerInfo) routing.ServerInfo {
 	if b.out[s.Name] {
-		if s.Phase == ringdale.PhaseOn {
-			s.Phase = ringdale.PhaseDraining
+		if s.Phase == routing.PhaseOn {
+			s.Phase = routing.PhaseDraining
 		}
 		return s
 	}
--- a/decide/handban/handban_test.go
+++ b/decide/handban/handban_test.go
@@ -7,34 +7,34 @@
 
 	"pgregory.net/rapid"
 
-	"wellgw/ringdale"
+	"wellgw/routing"
 )
 
-func on(name string, up ringdale.Time) ringdale.ServerInfo {
-	return ringdale.ServerInfo{Name: name, Phase: ringdale.PhaseOn, CameUp: up}
+func on(name string, up routing.Time) routing.ServerInfo {
+	return routing.ServerInfo{Name: name, Phase: routing.PhaseOn, CameUp: up}
 }
 
 func TestCalls(t *testing.T) {
-	const now = ringdale.Time(time.Hour)
+	const now = routing.Time(time.Hour)
 	for _, c := range []struct {
 		name   string
 		calls  func(b *Bans) bool // the last call's answer
 		want   bool
 		out    []string
-		phase  ringdale.Phase
-		cameUp ringdale.Time
+		phase  routing.Phase
+		cameUp routing.Time
 	}{
-		{"never listed", func(b *Bans) bool { _, ok := b.Call("x", true, now); return ok }, false, nil, ringdale.PhaseOn, 0},
-		{"out", func(b *Bans) bool { _, ok := b.Call("e1", true, now); return ok }, true, []string{"e1"}, ringdale.PhaseDraining, 0},
-		{"out twice", func(b *Bans) bool { b.Call("e1", true, now); _, ok := b.Call("e1", true, now); return ok }, true, []string{"e1"}, ringdale.PhaseDraining, 0},
+		{"never listed", func(b *Bans) bool { _, ok := b.Call("x", true, now); return ok }, false, nil, routing.PhaseOn, 0},
+		{"out", func(b *Bans) bool { _, ok := b.Call("e1", true, now); return ok }, true, []string{"e1"}, routing.PhaseDraining, 0},
+		{"out twice", func(b *Bans) bool { b.Call("e1", true, now); _, ok := b.Call("e1", true, now); return ok }, true, []string{"e1"}, routing.PhaseDraining, 0},
 		{"out twice, back once", func(b *Bans) bool {
 			b.Call("e1", true, now)
 			b.Call("e1", true, now)
 			_, ok := b.Call("e1", false, now+time.Second)
 			return ok
-		}, true, nil, ringdale.PhaseOn, now + time.Second},
-		{"back without a ban", func(b *Bans) bool { _, ok := b.Call("e1", false, now); return ok }, true, nil, ringdale.PhaseOn, 0},
-		{"taken from a file", func(b *Bans) bool { b.Take([]string{"e1", "gone"}, now); return true }, true, []string{"e1", "gone"}, ringdale.PhaseDraining, 0},
+		}, true, nil, routing.PhaseOn, now + time.Second},
+		{"back without a ban", func(b *Bans) bool { _, ok := b.Call("e1", false, now); return ok }, true, nil, routing.PhaseOn, 0},
+		{"taken from a file", func(b *Bans) bool { b.Take([]string{"e1", "gone"}, now); return true }, true, []string{"e1", "gone"}, routing.PhaseDraining, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := New()
@@ -58,12 +58,12 @@
 func TestBackIsCold(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		lists []ringdale.Time // the list's starts, one look after another
-		want  []ringdale.Time
+		lists []routing.Time // the list's starts, one look after another
+		want  []routing.Time
 	}{
-		{"no restart seen", []ringdale.Time{5, 5}, []ringdale.Time{20, 20}},
-		{"restart seen during the ban", []ringdale.Time{15, 5}, []ringdale.Time{15, 5}},
-		{"restart seen after the return", []ringdale.Time{5, 30, 5}, []ringdale.Time{20, 30, 5}},
+		{"no restart seen", []routing.Time{5, 5}, []routing.Time{20, 20}},
+		{"restart seen during the ban", []routing.Time{15, 5}, []routing.Time{15, 5}},
+		{"restart seen after the return", []routing.Time{5, 30, 5}, []routing.Time{20, 30, 5}},
 	} {
 		b := New()
 		b.See("e1")
@@ -85,9 +85,9 @@
 		names := []string{"a", "b", "c", "d"}
 		out := map[string]bool{}
 		listed := map[string]bool{}
-		now := ringdale.Time(0)
+		now := routing.Time(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			now += ringdale.Time(rapid.IntRange(0, 1000).Draw(t, "dt"))
+			now += routing.Time(rapid.IntRange(0, 1000).Draw(t, "dt"))
 			n := rapid.SampledFrom(names).Draw(t, "name")
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
@@ -104,7 +104,7 @@
 				}
 			case 3:
 				s := b.Show(on(n, 0))
-				if (s.Phase == ringdale.PhaseOn) == out[n] {
+				if (s.Phase == routing.PhaseOn) == out[n] {
 					t.Fatalf("%s shown %v while out is %v", n, s.Phase, out[n])
 				}
 			}
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -11,7 +11,7 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"wellgw/ringdale"
+	"wellgw/routing"
 )
 
 // Contract is what a model promises its callers: a class of the decision module.
@@ -139,7 +139,7 @@
 	if err := o.validate(); err != nil {
 		return nil, err
 	}
-	if _, err := ringdale.New(o.Settings(), 0); err != nil {
+	if _, err := routing.New(o.Settings(), 0); err != nil {
 		return nil, fmt.Errorf("contracts: %w", err)
 	}
 	return o, nil
@@ -269,31 +269,31 @@
 
 // Settings are what the decision module is given for the chat front. Work beyond
 // a team's budget is worth nothing, so the module refuses it.
-func (o *Operator) Settings() ringdale.Settings {
-	s := ringdale.Settings{
+func (o *Operator) Settings() routing.Settings {
+	s := routing.Settings{
 		Zone: o.Zone, Zones: o.Zones, Routers: max(o.Gateways, 1),
 		CanCancel: true, CanRetryAfter: true, MaxRetryAfter: 30 * time.Second, MaxAttempts: 4,
 		Cold: 14 * time.Second, ColdShare: 0.3, Fall: 3 * time.Second, FallMultiple: 4,
 		PinLimit: 500 * time.Millisecond, Tick: 4 * time.Millisecond,
-		Kinds: []ringdale.Kind{
-			{Name: RoleRead, Role: ringdale.RoleReader, Memory: o.MemoryTokens},
-			{Name: RoleWrite, Role: ringdale.RoleWriter, Memory: o.MemoryTokens},
-			{Name: RoleBoth, Role: ringdale.RoleMixed, Memory: o.MemoryTokens},
-			{Name: RoleOpenAI, Role: ringdale.RoleMixed, Memory: o.MemoryTokens},
+		Kinds: []routing.Kind{
+			{Name: RoleRead, Role: routing.RoleReader, Memory: o.MemoryTokens},
+			{Name: RoleWrite, Role: routing.RoleWriter, Memory: o.MemoryTokens},
+			{Name: RoleBoth, Role: routing.RoleMixed, Memory: o.MemoryTokens},
+			{Name: RoleOpenAI, Role: routing.RoleMixed, Memory: o.MemoryTokens},
 		},
 	}
 	for _, c := range o.Contracts {
-		class := ringdale.Class{
+		class := routing.Class{
 			Name: c.Name, Aim: time.Duration(c.AimMS) * time.Millisecond,
 			AimPerToken: 40 * time.Microsecond, TokenAim: 80 * time.Millisecond, Gain: max(c.Worth, 0.01),
 		}
 		if c.Effect == EffectOnce {
-			class.Effect = ringdale.EffectSingleShot
+			class.Effect = routing.EffectSingleShot
 		}
 		s.Classes = append(s.Classes, class)
 	}
 	for _, t := range o.Teams {
-		s.Tenants = append(s.Tenants, ringdale.Tenant{Name: t.Name, Quota: t.RequestsPerS})
+		s.Tenants = append(s.Tenants, routing.Tenant{Name: t.Name, Quota: t.RequestsPerS})
 	}
 	return s
 }
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -14,7 +14,7 @@
 	jsoniter "github.com/json-iterator/go"
 
 	"wellgw/internal/wire"
-	"wellgw/ringdale"
+	"wellgw/routing"
 )
 
 // ListEntry is an engine in discovery's form.
@@ -147,7 +147,7 @@
 	if p.Options.Info.PinLimit <= 0 {
 		return nil, errors.New("settings.family_info.pin_limit: missing, or not over 0")
 	}
-	if _, err := ringdale.New(p.Settings(), 0); err != nil {
+	if _, err := routing.New(p.Settings(), 0); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	return p, nil
@@ -177,7 +177,7 @@
 
 // Settings are what the decision module is given. Over HTTP every refusal can
 // carry Retry-After, also where the simulator's clients are given no advice.
-func (p *Platform) Settings() ringdale.Settings {
+func (p *Platform) Settings() routing.Settings {
 	s := p.Options.Settings()
 	s.CanRetryAfter = true
 	s.SendDelay = wire.Micros(p.Options.Limits.ConnTimeout) // a connection may have to come up first
--- a/internal/consul/consul_test.go
+++ b/internal/consul/consul_test.go
@@ -24,7 +24,7 @@
 	"wellgw/internal/core"
 	"wellgw/internal/directory"
 	"wellgw/internal/playback"
-	"wellgw/ringdale"
+	"wellgw/routing"
 	"wellgw/standin/consul"
 )
 
@@ -40,7 +40,7 @@
 	cfg    config.Consul
 
 	mu       sync.Mutex
-	phases   map[string]ringdale.Phase
+	phases   map[string]routing.Phase
 	gateways int
 	alive    map[string]roster.Pulse // by address; absent: alive
 }
@@ -49,7 +49,7 @@
 // may alter the configuration.
 func begin(t *testing.T, agents int, list func(*world), change func(*world, *config.Consul)) *world {
 	t.Helper()
-	w := &world{T: t, store: consul.NewStore(), phases: map[string]ringdale.Phase{}, alive: map[string]roster.Pulse{}}
+	w := &world{T: t, store: consul.NewStore(), phases: map[string]routing.Phase{}, alive: map[string]roster.Pulse{}}
 	t.Cleanup(w.store.Close)
 	for range agents {
 		a, err := consul.NewAgent(w.store, node)
@@ -88,11 +88,11 @@
 	return w
 }
 
-func (w *world) tell(_ ringdale.RosterScope, members []core.Member) {
+func (w *world) tell(_ routing.RosterScope, members []core.Member) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, m := range members {
-		if w.phases[m.Name] = m.Phase; m.Phase == ringdale.PhaseOff {
+		if w.phases[m.Name] = m.Phase; m.Phase == routing.PhaseOff {
 			delete(w.phases, m.Name)
 		}
 	}
@@ -124,7 +124,7 @@
 	defer w.mu.Unlock()
 	var words []string
 	for id, p := range w.phases {
-		if p != ringdale.PhaseOn {
+		if p != routing.PhaseOn {
 			id += "!"
 		}
 		words = append(words, id)
@@ -476,7 +476,7 @@
 			defer w.mu.Unlock()
 			n := 0
 			for _, p := range w.phases {
-				if p != ringdale.PhaseOn {
+				if p != routing.PhaseOn {
 					n++
 				}
 			}
--- a/internal/core/api.go
+++ b/internal/core/api.go
@@ -11,15 +11,15 @@
 	"sync/atomic"
 	"time"
 
-	"wellgw/ringdale"
+	"wellgw/routing"
 )
 
 // Request is what a front has taken from a client.
 type Request struct {
-	ringdale.Request        // the core fills in ID; TTL counts from Arrived
-	Wire             string // the id by which client and engines know it
-	Arrived          time.Time
-	Payload          Payload
+	routing.Request        // the core fills in ID; TTL counts from Arrived
+	Wire            string // the id by which client and engines know it
+	Arrived         time.Time
+	Payload         Payload
 }
 
 // Payload is what the engines get to see of a request. The core only passes it on.
@@ -46,13 +46,13 @@
 // Answer is the one final answer to a request.
 type Answer struct {
 	Verdict    Verdict
-	RetryAfter time.Duration      // with Refused: when to come back; 0 = no advice
-	OverQuota  bool               // with Refused: the tenant's budget is spent
-	Stream     Stream             // with Serving; the front must call Ticket.Relay or Ticket.Finish
-	Status     ringdale.Status    // else how the latest attempt ended
-	Cause      error              // and why, as far as its engine said
-	Standing   *ringdale.Standing // of the tenant with its quota; nil without one
-	MayRun     bool               // an attempt has been out that is not known to have been turned away
+	RetryAfter time.Duration     // with Refused: when to come back; 0 = no advice
+	OverQuota  bool              // with Refused: the tenant's budget is spent
+	Stream     Stream            // with Serving; the front must call Ticket.Relay or Ticket.Finish
+	Status     routing.Status    // else how the latest attempt ended
+	Cause      error             // and why, as far as its engine said
+	Standing   *routing.Standing // of the tenant with its quota; nil without one
+	MayRun     bool              // an attempt has been out that is not known to have been turned away
 }
 
 // Front takes the one final answer to a request. Answer must not block.
@@ -84,11 +84,11 @@
 
 // Result is how an attempt ended at its engine.
 type Result struct {
-	Status  ringdale.Status
+	Status  routing.Status
 	Kept    int  // prompt tokens found kept
 	Output  int  // tokens of the answer, if the engine said so
 	NoState bool // with StatusFull: there was no state to fetch
-	Report  *ringdale.Report
+	Report  *routing.Report
 	Cause   error // for the log
 }
 
@@ -143,7 +143,7 @@
 	// does not show a cut. One that refuses it is.
 	Reach(at Member, done func(reached bool))
 	// Probe asks an engine for its load.
-	Probe(at Member, done func(ringdale.Status, *ringdale.Report))
+	Probe(at Member, done func(routing.Status, *routing.Report))
 }
 
 // Directory tells the core which engines there are, through Core.Roster.
@@ -154,7 +154,7 @@
 
 // Member is an engine as a directory knows it.
 type Member struct {
-	ringdale.ServerInfo
+	routing.ServerInfo
 	Addr      string
 	StartedAt time.Time // last start; zero means long ago
 }
@@ -215,7 +215,7 @@
 		if n > 0 {
 			if werr := write(buf[:n]); werr != nil {
 				s.Close()
-				t.Finish(Result{Status: ringdale.StatusCancelled, Cause: werr})
+				t.Finish(Result{Status: routing.StatusCancelled, Cause: werr})
 				return werr
 			}
 		}
@@ -223,11 +223,11 @@
 			continue
 		}
 		r := s.Result()
-		if ctx.Err() != nil && r.Status != ringdale.StatusServed {
-			r.Status = ringdale.StatusCancelled
+		if ctx.Err() != nil && r.Status != routing.StatusServed {
+			r.Status = routing.StatusCancelled
 		}
 		t.Finish(r)
-		if r.Status == ringdale.StatusServed {
+		if r.Status == routing.StatusServed {
 			return nil
 		}
 		return err
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"wellgw/ringdale"
+	"wellgw/routing"
 )
 
 type attempt struct {
@@ -18,7 +18,7 @@
 }
 
 // send makes an attempt, or says at once that it was not made.
-func (c *Core) send(a ringdale.Send) {
+func (c *Core) send(a routing.Send) {
 	q := c.requests[a.ID]
 	if !c.checks.Hold(q != nil && !q.answered, "a send is for a request that awaits its answer") {
 		return
@@ -34,8 +34,8 @@
 		limit = min(limit, a.Limit)
 	}
 	unsent := limit <= 0 || len(q.attempts) > c.fig.MaxSends || q.left.Load()
-	if unsent || !c.checks.Hold(known && m.Phase == ringdale.PhaseOn, "a send goes to an engine on the list") {
-		c.end(q, at, Result{Status: ringdale.StatusUnsent})
+	if unsent || !c.checks.Hold(known && m.Phase == routing.PhaseOn, "a send goes to an engine on the list") {
+		c.end(q, at, Result{Status: routing.StatusUnsent})
 		return
 	}
 	c.counts["attempts"]++
@@ -43,7 +43,7 @@
 		q.held.ledger.Detach() // it will not fetch what was read for it elsewhere
 		c.settling = append(c.settling, q)
 	}
-	c.after(limit, func() { c.end(q, at, Result{Status: ringdale.StatusTimeout}) })
+	c.after(limit, func() { c.end(q, at, Result{Status: routing.StatusTimeout}) })
 	out := Attempt{Wire: q.Wire, Number: at.number, To: m, Limit: limit, Payload: q.Payload, Left: q.left.Load}
 	if q.lingering != nil {
 		out.Connected = func() { c.connected(q, at) }
@@ -87,7 +87,7 @@
 func (c *Core) first(q *request, at *attempt, s Stream) {
 	if at.ended || q.answered {
 		s.Close()
-		c.end(q, at, Result{Status: ringdale.StatusCancelled})
+		c.end(q, at, Result{Status: routing.StatusCancelled})
 		return
 	}
 	q.streaming, q.stream, at.begun = at, s, true
@@ -95,17 +95,17 @@
 	q.held.ledger.AnswerBegan()
 	for _, other := range q.attempts {
 		if other != at {
-			c.end(q, other, Result{Status: ringdale.StatusCancelled})
+			c.end(q, other, Result{Status: routing.StatusCancelled})
 		}
 	}
 	c.answer(q, Answer{Verdict: Serving, Stream: s})
-	c.tell(ringdale.FirstToken{ID: q.ID, Attempt: at.number, Server: at.server.Name, Latency: time.Since(at.sent)})
+	c.tell(routing.FirstToken{ID: q.ID, Attempt: at.number, Server: at.server.Name, Latency: time.Since(at.sent)})
 }
 
 func (c *Core) streamEnded(q *request, r Result) {
 	if at := q.streaming; at != nil {
 		q.streaming, q.stream = nil, nil
-		if r.Status == ringdale.StatusServed {
+		if r.Status == routing.StatusServed {
 			q.held.ledger.AnswerDone()
 			c.count(q.Class, func(t *Traffic) { t.Served++; t.ServedPrompt += q.Prompt; t.Output += r.Output })
 		}
@@ -115,7 +115,7 @@
 
 // end closes an attempt and tells the module how it went, once.
 func (c *Core) end(q *request, at *attempt, r Result) {
-	if at.ended && r.Status == ringdale.StatusRead {
+	if at.ended && r.Status == routing.StatusRead {
 		c.readAfterCancel(q, at)
 	}
 	if at.ended || q.streaming == at {
@@ -123,12 +123,12 @@
 	}
 	at.ended, q.status, q.cause = true, r.Status, r.Cause
 	switch r.Status {
-	case ringdale.StatusUnsent, ringdale.StatusNoConnect, ringdale.StatusFull, ringdale.StatusRead:
+	case routing.StatusUnsent, routing.StatusNoConnect, routing.StatusFull, routing.StatusRead:
 		// Turned away, never out, or read only: nothing was carried out.
 	default:
 		q.ran = true
 	}
-	givenUp := r.Status == ringdale.StatusCancelled || r.Status == ringdale.StatusTimeout
+	givenUp := r.Status == routing.StatusCancelled || r.Status == routing.StatusTimeout
 	if givenUp && !at.begun && at.out {
 		c.closeLingering(q)
 		q.lingering = at
@@ -142,7 +142,7 @@
 	if r.Cause != nil {
 		c.log.Debug("attempt failed", "id", q.Wire, "attempt", at.number, "engine", at.server.Name, "cause", r.Cause)
 	}
-	c.tell(ringdale.Outcome{
+	c.tell(routing.Outcome{
 		ID: q.ID, Attempt: at.number, Server: at.server.Name, Status: r.Status, Latency: time.Since(at.sent),
 		Final: q.answered, Kept: r.Kept, NoState: r.NoState, Report: r.Report,
 	})
@@ -165,7 +165,7 @@
 func (c *Core) withdraw(q *request) {
 	for _, at := range q.attempts {
 		if !at.ended && !at.out && at.handle.Withdraw() {
-			c.end(q, at, Result{Status: ringdale.StatusUnsent})
+			c.end(q, at, Result{Status: routing.StatusUnsent})
 		}
 	}
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -8,7 +8,7 @@
 
 	"wellgw/decide/handban"
 	"wellgw/internal/invariant"
-	"wellgw/ringdale"
+	"wellgw/routing"
 )
 
 // The core's own margins; all else is the module's to decide.
@@ -20,7 +20,7 @@
 
 // Core owns one Router and all requests in hand.
 type Core struct {
-	router    *ringdale.Router
+	router    *routing.Router
 	engine    Engine
 	directory Directory
 	fig       Figures
@@ -36,11 +36,11 @@
 	// Owned by the goroutine of Run.
 	members    map[string]Member
 	bans       *handban.Bans // engines out by hand
-	requests   map[ringdale.RequestID]*request
+	requests   map[routing.RequestID]*request
 	wires      map[string]bool
-	lastID     ringdale.RequestID
+	lastID     routing.RequestID
 	timers     timers
-	pending    []ringdale.Event
+	pending    []routing.Event
 	settling   []*request
 	unreleased map[*request]bool    // over, and something may still be held for them
 	lastHeard  map[string]time.Time // when each engine has last answered
@@ -52,12 +52,12 @@
 }
 
 // New returns a core round a router. Run must be called for it to work.
-func New(r *ringdale.Router, e Engine, d Directory, fig Figures, log *slog.Logger, checks *invariant.Checks) *Core {
+func New(r *routing.Router, e Engine, d Directory, fig Figures, log *slog.Logger, checks *invariant.Checks) *Core {
 	return &Core{
 		router: r, engine: e, directory: d, fig: fig, log: log, checks: checks,
 		origin: time.Now().Add(-clockOrigin),
 		queue:  make(chan func(), queueSize), done: make(chan struct{}),
-		members: map[string]Member{}, bans: handban.New(), requests: map[ringdale.RequestID]*request{}, unreleased: map[*request]bool{}, lastHeard: map[string]time.Time{},
+		members: map[string]Member{}, bans: handban.New(), requests: map[routing.RequestID]*request{}, unreleased: map[*request]bool{}, lastHeard: map[string]time.Time{},
 		wires: map[string]bool{}, counts: map[string]int{}, traffic: map[string]*Traffic{},
 	}
 }
@@ -116,13 +116,13 @@
 // now on, as the gateway has no time left; with last those too that a writer may be about
 // to answer. Streams are the fronts' to end.
 func (c *Core) Abandon(last bool) {
-	c.post(func() { c.tell(ringdale.Closing{Last: last}) })
+	c.post(func() { c.tell(routing.Closing{Last: last}) })
 }
 
 // tell gives the module an event, carries out what it asks for, and goes on with
 // what that brings at once. Handle's result ends with the next call, so events
 // that an action brings wait in pending.
-func (c *Core) tell(ev ringdale.Event) {
+func (c *Core) tell(ev routing.Event) {
 	c.pending = append(c.pending, ev)
 	if len(c.pending) > 1 {
 		return
@@ -136,28 +136,28 @@
 	c.pending = nil
 }
 
-func (c *Core) act(action ringdale.Action) {
+func (c *Core) act(action routing.Action) {
 	switch a := action.(type) {
-	case ringdale.Send:
+	case routing.Send:
 		c.send(a)
-	case ringdale.Refuse:
+	case routing.Refuse:
 		if q := c.requests[a.ID]; c.checks.Hold(q != nil, "a refusal names a request in hand") {
 			c.answer(q, Answer{Verdict: Refused, RetryAfter: a.RetryAfter, OverQuota: a.OverQuota})
 		}
-	case ringdale.Fail:
+	case routing.Fail:
 		if q := c.requests[a.ID]; c.checks.Hold(q != nil, "a failure names a request in hand") {
 			c.answer(q, Answer{Verdict: Failed})
 		}
-	case ringdale.CancelAttempt:
+	case routing.CancelAttempt:
 		if q := c.requests[a.ID]; q != nil && a.Attempt < len(q.attempts) && q.streaming != q.attempts[a.Attempt] {
-			c.end(q, q.attempts[a.Attempt], Result{Status: ringdale.StatusCancelled})
+			c.end(q, q.attempts[a.Attempt], Result{Status: routing.StatusCancelled})
 		}
-	case ringdale.Release: // the ledger of held states sees to it; see settle
-	case ringdale.SetTimer:
-		c.after(a.In, func() { c.tell(ringdale.TimerFired{Name: a.Name}) })
-	case ringdale.Probe:
+	case routing.Release: // the ledger of held states sees to it; see settle
+	case routing.SetTimer:
+		c.after(a.In, func() { c.tell(routing.TimerFired{Name: a.Name}) })
+	case routing.Probe:
 		c.probe(a.Server)
-	case ringdale.Subscribe:
+	case routing.Subscribe:
 		c.directory.Subscribe()
 	default:
 		c.checks.Hold(false, "every action of the module is known")
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -14,7 +14,7 @@
 
 	"wellgw/internal/invariant"
 	"wellgw/internal/playback"
-	"wellgw/ringdale"
+	"wellgw/routing"
 )
 
 // fake is an engine pool whose attempts end as the test says.
@@ -106,8 +106,8 @@
 
 func (f *fake) Reach(m Member, done func(bool)) { go done(!f.unreached) }
 
-func (f *fake) Probe(Member, func(ringdale.Status, *ringdale.Report)) {}
-func (f *fake) Subscribe()                                            {}
+func (f *fake) Probe(Member, func(routing.Status, *routing.Report)) {}
+func (f *fake) Subscribe()                                          {}
 
 func (f *fake) has(server string) bool {
 	f.mu.Lock()
@@ -120,44 +120,44 @@
 	return false
 }
 
-func testSettings() ringdale.Settings {
-	return ringdale.Settings{
+func testSettings() routing.Settings {
+	return routing.Settings{
 		Zones: []string{""}, Routers: 1, MaxAttempts: 4, CanCancel: true, CanRetryAfter: true, MaxRetryAfter: time.Second,
-		Classes: []ringdale.Class{
+		Classes: []routing.Class{
 			{Name: "free", Aim: 10 * time.Second, Gain: 1},
-			{Name: "once", Aim: 10 * time.Second, Gain: 1, Effect: ringdale.EffectSingleShot},
+			{Name: "once", Aim: 10 * time.Second, Gain: 1, Effect: routing.EffectSingleShot},
 		},
-		Kinds: []ringdale.Kind{{Name: "r", Role: ringdale.RoleReader, Memory: 2e5}, {Name: "w", Role: ringdale.RoleWriter, Memory: 2e5}},
+		Kinds: []routing.Kind{{Name: "r", Role: routing.RoleReader, Memory: 2e5}, {Name: "w", Role: routing.RoleWriter, Memory: 2e5}},
 		Cold:  time.Second, ColdShare: 0.3, Fall: time.Second, FallMultiple: 3, PinLimit: 500 * time.Millisecond,
 	}
 }
 
 func newCore(t *testing.T, f *fake) *Core {
-	router, err := ringdale.New(testSettings(), 1)
+	router, err := routing.New(testSettings(), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	c := New(router, f, f, Figures{Slack: 50 * time.Millisecond, PinLimit: 500 * time.Millisecond, MaxSends: 4},
 		slog.New(slog.DiscardHandler), invariant.New())
 	go c.Run(t.Context())
-	c.Roster(ringdale.RosterFull, []Member{
-		{ServerInfo: ringdale.ServerInfo{Name: "r1", Kind: "r", Weight: 1}},
-		{ServerInfo: ringdale.ServerInfo{Name: "w1", Kind: "w", Weight: 1}},
+	c.Roster(routing.RosterFull, []Member{
+		{ServerInfo: routing.ServerInfo{Name: "r1", Kind: "r", Weight: 1}},
+		{ServerInfo: routing.ServerInfo{Name: "w1", Kind: "w", Weight: 1}},
 	})
 	return c
 }
 
 func ask(class string, ttl time.Duration) Request {
-	return Request{Wire: "id-" + class, Arrived: time.Now(), Request: ringdale.Request{Class: class, Prompt: 100, MaxTokens: 10, TTL: ttl}}
+	return Request{Wire: "id-" + class, Arrived: time.Now(), Request: routing.Request{Class: class, Prompt: 100, MaxTokens: 10, TTL: ttl}}
 }
 
-func ended(s ringdale.Status) (Stream, *Result) { return nil, &Result{Status: s} }
+func ended(s routing.Status) (Stream, *Result) { return nil, &Result{Status: s} }
 
 // script reads at readers and does as told at writers.
 func script(writer func() (Stream, *Result)) func(Attempt) (Stream, *Result) {
 	return func(a Attempt) (Stream, *Result) {
 		if a.To.Kind == "r" {
-			return ended(ringdale.StatusRead)
+			return ended(routing.StatusRead)
 		}
 		return writer()
 	}
@@ -170,9 +170,9 @@
 		want        Verdict
 		attempts    []string
 	}{
-		{"a broken order is not sent again", "once", func() (Stream, *Result) { return ended(ringdale.StatusReset) }, Failed, []string{"r1", "w1"}},
-		{"an order that failed may have run", "once", func() (Stream, *Result) { return ended(ringdale.StatusError) }, Failed, []string{"r1", "w1"}},
-		{"a lookup that breaks is tried again", "free", func() (Stream, *Result) { return ended(ringdale.StatusReset) }, Refused, []string{"r1", "w1", "w1"}},
+		{"a broken order is not sent again", "once", func() (Stream, *Result) { return ended(routing.StatusReset) }, Failed, []string{"r1", "w1"}},
+		{"an order that failed may have run", "once", func() (Stream, *Result) { return ended(routing.StatusError) }, Failed, []string{"r1", "w1"}},
+		{"a lookup that breaks is tried again", "free", func() (Stream, *Result) { return ended(routing.StatusReset) }, Refused, []string{"r1", "w1", "w1"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := &fake{script: script(c.writer)}
@@ -235,10 +235,10 @@
 		answer := make(chan struct{})
 		f := &fake{script: func(a Attempt) (Stream, *Result) {
 			if a.To.Kind == "r" {
-				return ended(ringdale.StatusRead)
+				return ended(routing.StatusRead)
 			}
 			if <-answer; fails {
-				return ended(ringdale.StatusFull)
+				return ended(routing.StatusFull)
 			}
 			return &text{end: io.EOF}, nil
 		}}
@@ -269,7 +269,7 @@
 			if a.To.Kind == kind { // silent
 				return nil, nil
 			}
-			return ended(ringdale.StatusRead)
+			return ended(routing.StatusRead)
 		}}
 		core := newCore(t, f)
 		w := make(waiter, 1)
@@ -308,12 +308,12 @@
 		return len(f.attempts) == 2
 	})
 	for n := range 100 {
-		m := Member{ServerInfo: ringdale.ServerInfo{Name: fmt.Sprint("e", n), Kind: "r", Weight: 1}}
-		core.Roster(ringdale.RosterChanges, []Member{m})
-		m.Phase = ringdale.PhaseOff
-		core.Roster(ringdale.RosterChanges, []Member{m})
+		m := Member{ServerInfo: routing.ServerInfo{Name: fmt.Sprint("e", n), Kind: "r", Weight: 1}}
+		core.Roster(routing.RosterChanges, []Member{m})
+		m.Phase = routing.PhaseOff
+		core.Roster(routing.RosterChanges, []Member{m})
 	}
-	core.Roster(ringdale.RosterFull, nil)
+	core.Roster(routing.RosterFull, nil)
 	left := make(chan int)
 	core.post(func() { left <- len(core.members) })
 	if n := <-left; n > 0 || core.Ready() {
@@ -370,9 +370,9 @@
 
 func (s *text) Result() Result {
 	if s.end == io.EOF {
-		return Result{Status: ringdale.StatusServed}
+		return Result{Status: routing.StatusServed}
 	}
-	return Result{Status: ringdale.StatusReset}
+	return Result{Status: routing.StatusReset}
 }
 
 func (s *text) Close() error { s.closed = true; return nil }
@@ -435,8 +435,8 @@
 // A request whose attempts were all turned away has not run; one that ended otherwise may
 // have.
 func TestWhatMayHaveRun(t *testing.T) {
-	for status, want := range map[ringdale.Status]bool{
-		ringdale.StatusFull: false, ringdale.StatusNoConnect: false, ringdale.StatusError: true, ringdale.StatusReset: true,
+	for status, want := range map[routing.Status]bool{
+		routing.StatusFull: false, routing.StatusNoConnect: false, routing.StatusError: true, routing.StatusReset: true,
 	} {
 		f := &fake{script: script(func() (Stream, *Result) { return ended(status) })}
 		c := newCore(t, f)
@@ -453,7 +453,7 @@
 	f := &fake{script: script(func() (Stream, *Result) {
 		reached <- true
 		<-answer
-		return ended(ringdale.StatusError)
+		return ended(routing.StatusError)
 	})}
 	c := newCore(t, f)
 	got := make(chan Answer, 1)
@@ -539,12 +539,12 @@
 	f.script = func(a Attempt) (Stream, *Result) {
 		switch {
 		case a.To.Kind == "r":
-			return ended(ringdale.StatusRead)
+			return ended(routing.StatusRead)
 		case a.Number == 1:
 			return nil, nil
 		}
 		<-second
-		return ended(ringdale.StatusNoConnect)
+		return ended(routing.StatusNoConnect)
 	}
 	core := newCore(t, f)
 	answered := make(chan Answer, 1)
@@ -556,7 +556,7 @@
 	playback.Eventually(t, "the writer's attempt is out", out(2))
 	core.post(func() {
 		for _, q := range core.requests {
-			core.end(q, q.attempts[1], Result{Status: ringdale.StatusTimeout})
+			core.end(q, q.attempts[1], Result{Status: routing.StatusTimeout})
 		}
 	})
 	playback.Eventually(t, "the next one is begun", out(3))
@@ -582,7 +582,7 @@
 	playback.Eventually(t, "its attempt is out", func() bool { all, _, _ := f.tally(); return all > 0 })
 	next := testSettings()
 	for i := range next.Classes {
-		next.Classes[i].Effect = ringdale.EffectFree
+		next.Classes[i].Effect = routing.EffectFree
 	}
 	if err := core.Retune(t.Context(), next); err != nil {
 		t.Fatal(err)
@@ -641,7 +641,7 @@
 	playback.Eventually(t, "its first attempt is out", func() bool { all, _, _ := f.tally(); return all == 2 })
 	core.post(func() {
 		for _, q := range core.requests {
-			core.end(q, q.attempts[0], Result{Status: ringdale.StatusCancelled})
+			core.end(q, q.attempts[0], Result{Status: routing.StatusCancelled})
 		}
 	})
 	if d := <-after; d < cancelMargin {
@@ -657,7 +657,7 @@
 	defer close(f.cut)
 	f.script = func(Attempt) (Stream, *Result) {
 		<-read
-		return ended(ringdale.StatusRead)
+		return ended(routing.StatusRead)
 	}
 	core := newCore(t, f)
 	if a, _, _ := Await(t.Context(), core, ask("free", 300*time.Millisecond)); a.Verdict != Refused {
--- a/internal/core/hand.go
+++ b/internal/core/hand.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"wellgw/decide/handban"
-	"wellgw/ringdale"
+	"wellgw/routing"
 )
 
 // handAnswer is what the core's goroutine says of a call on an engine.
@@ -35,11 +35,11 @@
 }
 
 // now is the module's clock.
-func (c *Core) now() ringdale.Time { return time.Since(c.origin) }
+func (c *Core) now() routing.Time { return time.Since(c.origin) }
 
 // banned shows the module the engines whose ban began or ended.
 func (c *Core) banned(ch handban.Change) {
-	ev := ringdale.Roster{Scope: ringdale.RosterChanges}
+	ev := routing.Roster{Scope: routing.RosterChanges}
 	for _, names := range [][]string{ch.Out, ch.Back} {
 		for _, n := range names {
 			if m, ok := c.members[n]; ok {
@@ -63,14 +63,14 @@
 func (c *Core) setReady() {
 	on := false
 	for _, m := range c.members {
-		on = on || m.Phase == ringdale.PhaseOn && !c.bans.Out(m.Name)
+		on = on || m.Phase == routing.PhaseOn && !c.bans.Out(m.Name)
 	}
 	c.ready.Store(on)
 }
 
 // Retune gives the module new classes and attempts. Requests in hand keep what
 // they came with. An error names the setting at fault; nothing changes then.
-func (c *Core) Retune(ctx context.Context, set ringdale.Settings) error {
+func (c *Core) Retune(ctx context.Context, set routing.Settings) error {
 	err := query(ctx, c, func() *error {
 		err := c.router.Retune(set.Classes, set.MaxAttempts)
 		if err == nil {
--- a/internal/core/hand_test.go
+++ b/internal/core/hand_test.go
@@ -5,15 +5,15 @@
 	"testing"
 	"time"
 
-	"wellgw/ringdale"
+	"wellgw/routing"
 )
 
 // An engine out by hand gets nothing new, whatever the list says, until it is
 // called back; a name never listed is refused.
 func TestEnginesOutByHand(t *testing.T) {
-	f := &fake{script: script(func() (Stream, *Result) { return ended(ringdale.StatusError) })}
+	f := &fake{script: script(func() (Stream, *Result) { return ended(routing.StatusError) })}
 	c := newCore(t, f)
-	c.Roster(ringdale.RosterChanges, []Member{{ServerInfo: ringdale.ServerInfo{Name: "w2", Kind: "w", Weight: 1}}})
+	c.Roster(routing.RosterChanges, []Member{{ServerInfo: routing.ServerInfo{Name: "w2", Kind: "w", Weight: 1}}})
 	if _, ok := c.Hand(t.Context(), "nobody", true); ok {
 		t.Fatal("a name never listed was taken out")
 	}
@@ -24,10 +24,10 @@
 		t.Fatalf("a second call out: %v %v", names, ok)
 	}
 	// The list says it is on: the ban holds.
-	c.Roster(ringdale.RosterFull, []Member{
-		{ServerInfo: ringdale.ServerInfo{Name: "r1", Kind: "r", Weight: 1}},
-		{ServerInfo: ringdale.ServerInfo{Name: "w1", Kind: "w", Weight: 1}},
-		{ServerInfo: ringdale.ServerInfo{Name: "w2", Kind: "w", Weight: 1}},
+	c.Roster(routing.RosterFull, []Member{
+		{ServerInfo: routing.ServerInfo{Name: "r1", Kind: "r", Weight: 1}},
+		{ServerInfo: routing.ServerInfo{Name: "w1", Kind: "w", Weight: 1}},
+		{ServerInfo: routing.ServerInfo{Name: "w2", Kind: "w", Weight: 1}},
 	})
 	for range 20 {
 		Await(t.Context(), c, ask("free", time.Minute))
@@ -54,13 +54,13 @@
 // New settings bind new requests; a dropped class is still served; a bad set
 // changes nothing.
 func TestRetune(t *testing.T) {
-	f := &fake{script: script(func() (Stream, *Result) { return ended(ringdale.StatusError) })}
+	f := &fake{script: script(func() (Stream, *Result) { return ended(routing.StatusError) })}
 	c := newCore(t, f)
-	bad := ringdale.Settings{Classes: []ringdale.Class{{Name: "new", Aim: time.Second}}, MaxAttempts: 0}
+	bad := routing.Settings{Classes: []routing.Class{{Name: "new", Aim: time.Second}}, MaxAttempts: 0}
 	if err := c.Retune(t.Context(), bad); err == nil {
 		t.Fatal("no attempts were taken")
 	}
-	good := ringdale.Settings{Classes: []ringdale.Class{{Name: "new", Aim: 10 * time.Second, Gain: 1, Effect: ringdale.EffectSingleShot}}, MaxAttempts: 2}
+	good := routing.Settings{Classes: []routing.Class{{Name: "new", Aim: 10 * time.Second, Gain: 1, Effect: routing.EffectSingleShot}}, MaxAttempts: 2}
 	if err := c.Retune(t.Context(), good); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/core/held.go
+++ b/internal/core/held.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"wellgw/decide/heldstate"
-	"wellgw/ringdale"
+	"wellgw/routing"
 )
 
 // Bounds of what is done about held states.
@@ -50,18 +50,18 @@
 	ledger, engine := q.held.ledger, at.server.Name
 	q.held.members[engine] = at.server
 	switch r.Status {
-	case ringdale.StatusRead:
+	case routing.StatusRead:
 		ledger.ReadDone(engine, c.now())
-	case ringdale.StatusTimeout, ringdale.StatusCancelled, ringdale.StatusReset:
+	case routing.StatusTimeout, routing.StatusCancelled, routing.StatusReset:
 		ledger.AttemptLost(engine, c.router.Reads(at.server.Kind))
-	case ringdale.StatusError:
+	case routing.StatusError:
 		ledger.AttemptFailed(engine)
 	}
 	if r.NoState {
 		ledger.NoState()
 	}
 	switch r.Status {
-	case ringdale.StatusRead, ringdale.StatusFull, ringdale.StatusError, ringdale.StatusServed:
+	case routing.StatusRead, routing.StatusFull, routing.StatusError, routing.StatusServed:
 		c.noteHeard(engine)
 	}
 	if at.out && c.lastHeard[engine].After(at.written) {
@@ -180,7 +180,7 @@
 	q.held.ledger.Expire(c.now())
 	for _, at := range q.attempts {
 		if !at.ended && !at.out && at.handle.Withdraw() {
-			c.end(q, at, Result{Status: ringdale.StatusNoConnect, NoState: true})
+			c.end(q, at, Result{Status: routing.StatusNoConnect, NoState: true})
 		}
 	}
 }
--- a/internal/core/held_test.go
+++ b/internal/core/held_test.go
@@ -9,23 +9,23 @@
 
 	"wellgw/internal/invariant"
 	"wellgw/internal/playback"
-	"wellgw/ringdale"
+	"wellgw/routing"
 )
 
 // coreWith returns a core like newCore's under other settings.
-func coreWith(t *testing.T, f *fake, change func(*ringdale.Settings)) *Core {
+func coreWith(t *testing.T, f *fake, change func(*routing.Settings)) *Core {
 	set := testSettings()
 	change(&set)
-	router, err := ringdale.New(set, 1)
+	router, err := routing.New(set, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	c := New(router, f, f, Figures{Slack: 50 * time.Millisecond, PinLimit: set.PinLimit, MaxSends: set.MaxAttempts},
 		slog.New(slog.DiscardHandler), invariant.New())
 	go c.Run(t.Context())
-	c.Roster(ringdale.RosterFull, []Member{
-		{ServerInfo: ringdale.ServerInfo{Name: "r1", Kind: "r", Weight: 1}},
-		{ServerInfo: ringdale.ServerInfo{Name: "w1", Kind: "w", Weight: 1}},
+	c.Roster(routing.RosterFull, []Member{
+		{ServerInfo: routing.ServerInfo{Name: "r1", Kind: "r", Weight: 1}},
+		{ServerInfo: routing.ServerInfo{Name: "w1", Kind: "w", Weight: 1}},
 	})
 	return c
 }
@@ -44,11 +44,11 @@
 	f := &fake{away: func(a Attempt) bool { return a.To.Kind == "w" }}
 	f.script = func(a Attempt) (Stream, *Result) {
 		if a.To.Kind == "r" {
-			return ended(ringdale.StatusRead)
+			return ended(routing.StatusRead)
 		}
 		return nil, nil
 	}
-	c := coreWith(t, f, func(s *ringdale.Settings) { s.PinLimit = 50 * time.Millisecond })
+	c := coreWith(t, f, func(s *routing.Settings) { s.PinLimit = 50 * time.Millisecond })
 	ticket := c.Submit(ask("once", time.Minute), make(waiter, 1))
 	playback.Eventually(t, "the state is let go, and read anew", func() bool {
 		_, closed, _ := f.tally()
@@ -65,7 +65,7 @@
 func TestWhatIsNotOutIsTakenBackWhenItsClientLeaves(t *testing.T) {
 	for _, may := range []bool{false, true} {
 		f := &fake{away: func(Attempt) bool { return true }, script: func(Attempt) (Stream, *Result) { return nil, nil }}
-		c := coreWith(t, f, func(s *ringdale.Settings) { s.CanCancel = may })
+		c := coreWith(t, f, func(s *routing.Settings) { s.CanCancel = may })
 		ticket := c.Submit(ask("once", time.Minute), make(waiter, 1))
 		playback.Eventually(t, "the attempt waits for its connection", func() bool { all, _, _ := f.tally(); return all == 1 })
 		ticket.Gone()
@@ -101,7 +101,7 @@
 // request.
 func TestAReadThatMayRunOnIsToldAgain(t *testing.T) {
 	f := &fake{script: func(Attempt) (Stream, *Result) { return nil, nil }}
-	c := coreWith(t, f, func(s *ringdale.Settings) { s.PinLimit = 20 * time.Millisecond })
+	c := coreWith(t, f, func(s *routing.Settings) { s.PinLimit = 20 * time.Millisecond })
 	const wait = 600 * time.Millisecond
 	if a, _, _ := Await(t.Context(), c, ask("once", wait)); a.Verdict != Refused {
 		t.Fatalf("answer %+v", a)
@@ -115,8 +115,8 @@
 // A writer that finds no state says nothing of the reader: it may only have been out of the
 // writer's reach. The state is let go there all the same.
 func TestAStateThatAWriterDidNotFindIsLetGo(t *testing.T) {
-	f := &fake{script: script(func() (Stream, *Result) { return nil, &Result{Status: ringdale.StatusFull, NoState: true} })}
-	c := coreWith(t, f, func(s *ringdale.Settings) { s.MaxAttempts = 2 })
+	f := &fake{script: script(func() (Stream, *Result) { return nil, &Result{Status: routing.StatusFull, NoState: true} })}
+	c := coreWith(t, f, func(s *routing.Settings) { s.MaxAttempts = 2 })
 	if a, _, _ := Await(t.Context(), c, ask("once", time.Minute)); a.Verdict != Refused {
 		t.Fatalf("answer %+v", a)
 	}
@@ -130,8 +130,8 @@
 
 // A pin limit as long as can be written is no limit, and hurts nothing.
 func TestAHugePinLimit(t *testing.T) {
-	f := &fake{script: script(func() (Stream, *Result) { return ended(ringdale.StatusError) })}
-	c := coreWith(t, f, func(s *ringdale.Settings) { s.PinLimit = 1<<63 - 1 })
+	f := &fake{script: script(func() (Stream, *Result) { return ended(routing.StatusError) })}
+	c := coreWith(t, f, func(s *routing.Settings) { s.PinLimit = 1<<63 - 1 })
 	if a, _, _ := Await(t.Context(), c, ask("once", time.Minute)); a.Verdict != Failed {
 		t.Fatalf("answer %+v", a)
 	}
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -4,7 +4,7 @@
 	"sync/atomic"
 	"time"
 
-	"wellgw/ringdale"
+	"wellgw/routing"
 )
 
 // request is one client's try, kept until it is answered and no attempt is out.
@@ -17,10 +17,10 @@
 	streaming *attempt
 	stream    Stream
 	attempts  []*attempt
-	out       int             // attempts that have not ended
-	lingering *attempt        // cancelled or timed out, its connection kept open for now
-	held      heldStates      // at engines
-	status    ringdale.Status // how the latest attempt ended, and why
+	out       int            // attempts that have not ended
+	lingering *attempt       // cancelled or timed out, its connection kept open for now
+	held      heldStates     // at engines
+	status    routing.Status // how the latest attempt ended, and why
 	cause     error
 	ran       bool         // an attempt has ended that may have run
 	left      *atomic.Bool // its client has gone, whether or not the core has been told
@@ -40,7 +40,7 @@
 		// attempts and states. The first goes on; the second never ran.
 		q.answered = true
 		c.counts["duplicate id"]++
-		f.Answer(Answer{Verdict: Duplicate, Status: ringdale.StatusUnsent})
+		f.Answer(Answer{Verdict: Duplicate, Status: routing.StatusUnsent})
 		return
 	}
 	c.requests[q.ID], c.wires[in.Wire] = q, true
@@ -87,7 +87,7 @@
 	}
 	if q.streaming != nil { // the answer and the client's leaving have crossed
 		q.stream.Close()
-		c.streamEnded(q, Result{Status: ringdale.StatusCancelled})
+		c.streamEnded(q, Result{Status: routing.StatusCancelled})
 	}
 	if q.answered {
 		return
@@ -95,7 +95,7 @@
 	q.answered = true
 	c.counts["gone"]++
 	c.settling = append(c.settling, q)
-	c.tell(ringdale.Gone{ID: q.ID})
+	c.tell(routing.Gone{ID: q.ID})
 	c.withdraw(q)
 }
 
@@ -104,9 +104,9 @@
 		return
 	}
 	c.answer(q, Answer{Verdict: Overdue})
-	c.tell(ringdale.Gone{ID: q.ID})
+	c.tell(routing.Gone{ID: q.ID})
 	for _, at := range q.attempts {
-		c.end(q, at, Result{Status: ringdale.StatusTimeout})
+		c.end(q, at, Result{Status: routing.StatusTimeout})
 	}
 }
 
--- a/internal/core/roster.go
+++ b/internal/core/roster.go
@@ -3,26 +3,26 @@
 import (
 	"time"
 
-	"wellgw/ringdale"
+	"wellgw/routing"
 )
 
 // Roster tells what a directory has learned.
-func (c *Core) Roster(scope ringdale.RosterScope, members []Member) {
+func (c *Core) Roster(scope routing.RosterScope, members []Member) {
 	c.post(func() { c.roster(scope, members) })
 }
 
-func (c *Core) roster(scope ringdale.RosterScope, members []Member) {
-	ev := ringdale.Roster{Scope: scope}
+func (c *Core) roster(scope routing.RosterScope, members []Member) {
+	ev := routing.Roster{Scope: scope}
 	// Who has left is forgotten: engines come under ever new ids. What one still holds
 	// is let go by the entry that its request keeps.
-	if scope == ringdale.RosterFull || scope == ringdale.RosterCached {
+	if scope == routing.RosterFull || scope == routing.RosterCached {
 		clear(c.members)
 	}
 	for _, m := range members {
 		if m.CameUp = 0; !m.StartedAt.IsZero() {
 			m.CameUp = m.StartedAt.Sub(c.origin)
 		}
-		if c.members[m.Name] = m; m.Phase == ringdale.PhaseOff {
+		if c.members[m.Name] = m; m.Phase == routing.PhaseOff {
 			delete(c.members, m.Name)
 		}
 		c.bans.See(m.Name)
@@ -35,7 +35,7 @@
 
 // Gateways tells how many gateways share the engines from now on.
 func (c *Core) Gateways(n int) {
-	c.post(func() { c.tell(ringdale.Peers{Routers: n}) })
+	c.post(func() { c.tell(routing.Peers{Routers: n}) })
 }
 
 func (c *Core) probe(server string) {
@@ -44,9 +44,9 @@
 		return
 	}
 	sent := time.Now()
-	c.engine.Probe(m, func(s ringdale.Status, r *ringdale.Report) {
+	c.engine.Probe(m, func(s routing.Status, r *routing.Report) {
 		c.post(func() {
-			c.tell(ringdale.ProbeResult{Server: server, Status: s, Latency: time.Since(sent), Report: r})
+			c.tell(routing.ProbeResult{Server: server, Status: s, Latency: time.Since(sent), Report: r})
 		})
 	})
 }
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -4,7 +4,7 @@
 	"container/heap"
 	"time"
 
-	"wellgw/ringdale"
+	"wellgw/routing"
 )
 
 // timers holds jobs by the time they are due. They can't be taken back: a job
@@ -51,9 +51,9 @@
 }
 
 var statusNames = [...]string{
-	ringdale.StatusServed: "served", ringdale.StatusRead: "read", ringdale.StatusError: "error",
-	ringdale.StatusFull: "full", ringdale.StatusTimeout: "timeout", ringdale.StatusNoConnect: "no connect",
-	ringdale.StatusReset: "reset", ringdale.StatusCancelled: "cancelled", ringdale.StatusUnsent: "unsent",
+	routing.StatusServed: "served", routing.StatusRead: "read", routing.StatusError: "error",
+	routing.StatusFull: "full", routing.StatusTimeout: "timeout", routing.StatusNoConnect: "no connect",
+	routing.StatusReset: "reset", routing.StatusCancelled: "cancelled", routing.StatusUnsent: "unsent",
 }
 
 var verdictNames = [...]string{Refused: "refused", Failed: "failed", Overdue: "overdue", Duplicate: "duplicate", Serving: "serving"}
--- a/internal/directory/keeper.go
+++ b/internal/directory/keeper.go
@@ -14,7 +14,7 @@
 	"wellgw/decide/roster"
 	"wellgw/internal/core"
 	"wellgw/internal/lastview"
-	"wellgw/ringdale"
+	"wellgw/routing"
 )
 
 // The keeper's margins.
@@ -29,7 +29,7 @@
 type Options struct {
 	Policy roster.Policy
 	// Tell takes what has changed. It may block for a moment.
-	Tell func(ringdale.RosterScope, []core.Member)
+	Tell func(routing.RosterScope, []core.Member)
 	// Check looks whether an engine at an address answers.
 	Check func(ctx context.Context, addr string) roster.Pulse
 	// StateFile is where the last good view is kept; "" for nowhere.
@@ -142,7 +142,7 @@
 	}
 	k.mu.Unlock()
 	if len(members) > 0 {
-		k.opt.Tell(ringdale.RosterChanges, members)
+		k.opt.Tell(routing.RosterChanges, members)
 	}
 }
 
@@ -150,16 +150,16 @@
 // gets no new work but keeps its place: what is known of it holds if it comes back.
 func member(e roster.Engine) core.Member {
 	m := core.Member{
-		ServerInfo: ringdale.ServerInfo{Name: e.ID, Kind: e.Kind, Zone: e.Zone, Cell: e.Cell, Weight: 1},
+		ServerInfo: routing.ServerInfo{Name: e.ID, Kind: e.Kind, Zone: e.Zone, Cell: e.Cell, Weight: 1},
 		Addr:       e.Addr, StartedAt: e.Started,
 	}
 	switch e.State {
 	case roster.In:
-		m.Phase = ringdale.PhaseOn
+		m.Phase = routing.PhaseOn
 	case roster.Gone:
-		m.Phase = ringdale.PhaseOff
+		m.Phase = routing.PhaseOff
 	default:
-		m.Phase = ringdale.PhaseDraining
+		m.Phase = routing.PhaseDraining
 	}
 	return m
 }
--- a/internal/openai/call.go
+++ b/internal/openai/call.go
@@ -14,7 +14,7 @@
 	"wellgw/internal/config"
 	"wellgw/internal/core"
 	"wellgw/internal/relay"
-	"wellgw/ringdale"
+	"wellgw/routing"
 )
 
 // form is the way in which a client gets its answer.
@@ -76,7 +76,7 @@
 		q.Arrived = c.arrived
 	}
 	s := a.shape
-	q.Request = ringdale.Request{
+	q.Request = routing.Request{
 		Class: c.contract.Name, Tenant: c.team.Name, Session: s.session, Prefix: s.opening, PrefixLen: s.openingLen,
 		Prompt: s.prompt, MaxTokens: s.maxOut, TTL: c.contract.Deadline(),
 	}
@@ -285,7 +285,7 @@
 	if c.r.Context().Err() == nil && c.begun {
 		_ = c.put(c.form.fail(broken(err)))
 	} else if c.r.Context().Err() == nil {
-		e := refusal(core.Answer{Verdict: core.Failed, Status: ringdale.StatusReset}, c.once)
+		e := refusal(core.Answer{Verdict: core.Failed, Status: routing.StatusReset}, c.once)
 		var told reportedError
 		if errors.As(err, &told) {
 			e.code, e.text = codeReported, told.Error()+"; the request may have been carried out"
--- a/internal/openai/conformance/conformance_test.go
+++ b/internal/openai/conformance/conformance_test.go
@@ -15,7 +15,7 @@
 	"wellgw/internal/openai"
 	"wellgw/internal/openai/conformance"
 	"wellgw/internal/upstream"
-	"wellgw/ringdale"
+	"wellgw/routing"
 	"wellgw/standin/engine"
 )
 
@@ -44,7 +44,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			router, err := ringdale.New(o.Settings(), 1)
+			router, err := routing.New(o.Settings(), 1)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -57,7 +57,7 @@
 			})
 			c := core.New(router, up, nil, core.Figures{Slack: 50 * time.Millisecond, PinLimit: 500 * time.Millisecond, MaxSends: 4}, log, invariant.New())
 			go c.Run(t.Context())
-			c.Roster(ringdale.RosterFull, []core.Member{{ServerInfo: ringdale.ServerInfo{Name: "e1", Kind: role, Zone: "a", Weight: 1}, Addr: e.Addr()}})
+			c.Roster(routing.RosterFull, []core.Member{{ServerInfo: routing.ServerInfo{Name: "e1", Kind: role, Zone: "a", Weight: 1}, Addr: e.Addr()}})
 			keys, err := idempotency.Open("", idem.DefaultLimits(), log)
 			if err != nil {
 				t.Fatal(err)
--- a/internal/openai/dialect.go
+++ b/internal/openai/dialect.go
@@ -8,7 +8,7 @@
 	"wellgw/internal/core"
 	"wellgw/internal/platform"
 	"wellgw/internal/upstream"
-	"wellgw/ringdale"
+	"wellgw/routing"
 )
 
 // Dialect is how engines that offer only the chat API are spoken with. They read
@@ -41,9 +41,9 @@
 // Judge maps an error. 429 says that a limit was met before any work began;
 // X-Not-Run says so outright.
 func (Dialect) Judge(status int, h http.Header, body []byte) core.Result {
-	r := core.Result{Status: ringdale.StatusError, Cause: &EngineError{Status: status, Body: body}}
+	r := core.Result{Status: routing.StatusError, Cause: &EngineError{Status: status, Body: body}}
 	if status == http.StatusTooManyRequests || h.Get("X-Not-Run") == "1" {
-		r.Status = ringdale.StatusFull
+		r.Status = routing.StatusFull
 	}
 	return r
 }
--- a/internal/openai/errors.go
+++ b/internal/openai/errors.go
@@ -10,7 +10,7 @@
 
 	"wellgw/internal/core"
 	"wellgw/internal/relay"
-	"wellgw/ringdale"
+	"wellgw/routing"
 )
 
 // The codes of errors, as docs/chat-errors.md lists them. They do not change.
@@ -124,7 +124,7 @@
 	case a.Verdict == core.Refused:
 		return apiError{status: http.StatusServiceUnavailable, kind: typeServer, code: codeOverloaded,
 			text: "no engine can take this in time; nothing was done", retryAfter: a.RetryAfter}
-	case a.Verdict == core.Overdue || a.Status == ringdale.StatusTimeout:
+	case a.Verdict == core.Overdue || a.Status == routing.StatusTimeout:
 		return apiError{status: http.StatusGatewayTimeout, kind: typeServer, code: codeTimeout, final: once,
 			text: "no engine answered in time; the request may have been carried out"}
 	}
--- a/internal/openai/front_test.go
+++ b/internal/openai/front_test.go
@@ -24,7 +24,7 @@
 	"wellgw/internal/invariant"
 	"wellgw/internal/playback"
 	"wellgw/internal/upstream"
-	"wellgw/ringdale"
+	"wellgw/routing"
 )
 
 const operator = `{
@@ -46,7 +46,7 @@
 func start(t *testing.T, engines map[string]*playback.Engine) (url string, c *core.Core) {
 	var members []core.Member
 	for role, e := range engines {
-		members = append(members, core.Member{ServerInfo: ringdale.ServerInfo{Name: role, Kind: role, Zone: "a", Weight: 1}, Addr: e.Addr})
+		members = append(members, core.Member{ServerInfo: routing.ServerInfo{Name: role, Kind: role, Zone: "a", Weight: 1}, Addr: e.Addr})
 	}
 	return serve(t, operator, members)
 }
@@ -62,7 +62,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	router, err := ringdale.New(o.Settings(), 1)
+	router, err := routing.New(o.Settings(), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,7 +76,7 @@
 	log := slog.New(slog.DiscardHandler)
 	c = core.New(router, engine, nil, core.Figures{Slack: 50 * time.Millisecond, PinLimit: 500 * time.Millisecond, MaxSends: 4}, log, invariant.New())
 	go c.Run(t.Context())
-	c.Roster(ringdale.RosterFull, members)
+	c.Roster(routing.RosterFull, members)
 	keys, err := idempotency.Open("", idem.DefaultLimits(), log)
 	if err != nil {
 		t.Fatal(err)
@@ -93,7 +93,7 @@
 // body is on the way: neither the team nor the contract of the other is seen.
 func TestARequestGoesByOneFile(t *testing.T) {
 	e := playback.NewEngine(t, func(playback.Call) string { return playback.Stream(2, 0) })
-	url, _, f := serveFront(t, operator, []core.Member{{ServerInfo: ringdale.ServerInfo{Name: "e1", Kind: config.RoleOpenAI, Zone: "a", Weight: 1}, Addr: e.Addr}})
+	url, _, f := serveFront(t, operator, []core.Member{{ServerInfo: routing.ServerInfo{Name: "e1", Kind: config.RoleOpenAI, Zone: "a", Weight: 1}, Addr: e.Addr}})
 	other, err := config.ParseOperator([]byte(strings.NewReplacer(`"k1"`, `"k9"`, `"name": "orders"`, `"name": "works"`, `"parts", "orders", "quick"`, `"parts", "works", "quick"`).Replace(operator)))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/platform/dialect.go
+++ b/internal/platform/dialect.go
@@ -13,7 +13,7 @@
 	"wellgw/internal/core"
 	"wellgw/internal/upstream"
 	"wellgw/internal/wire"
-	"wellgw/ringdale"
+	"wellgw/routing"
 )
 
 // Dialect is how the platform's engines are spoken with.
@@ -73,18 +73,18 @@
 	turnedAway := h.Get("X-Not-Run") == "1"
 	switch {
 	case status == http.StatusOK: // of a probe; an attempt's is a stream
-		r.Status, r.Report = ringdale.StatusServed, loadReport(body)
+		r.Status, r.Report = routing.StatusServed, loadReport(body)
 	case status == http.StatusAccepted:
 		var kept struct {
 			Tokens int `json:"cached_tokens"`
 		}
 		// Without a body that makes sense the prompt is read all the same.
 		_ = jsoniter.Unmarshal(body, &kept)
-		r.Status, r.Kept = ringdale.StatusRead, max(0, kept.Tokens)
+		r.Status, r.Kept = routing.StatusRead, max(0, kept.Tokens)
 	case turnedAway:
-		r.Status, r.NoState = ringdale.StatusFull, status == http.StatusGone
+		r.Status, r.NoState = routing.StatusFull, status == http.StatusGone
 	default:
-		r.Status = ringdale.StatusError
+		r.Status = routing.StatusError
 	}
 	return r
 }
@@ -109,7 +109,7 @@
 	return upstream.Call{Method: http.MethodGet, Target: "/load"}, true
 }
 
-func loadReport(raw []byte) *ringdale.Report {
+func loadReport(raw []byte) *routing.Report {
 	if len(bytes.TrimSpace(raw)) == 0 {
 		return nil
 	}
--- a/internal/platform/events_test.go
+++ b/internal/platform/events_test.go
@@ -13,7 +13,7 @@
 
 	"wellgw/internal/core"
 	"wellgw/internal/playback"
-	"wellgw/ringdale"
+	"wellgw/routing"
 )
 
 // Each event is passed on before the next one comes: the engine writes one only when the
@@ -54,9 +54,9 @@
 		io.WriteString(w, "data: [DONE]\n\n")
 	}))
 	t.Cleanup(func() { writer.CloseClientConnections(); writer.Close() })
-	c.Roster(ringdale.RosterFull, []core.Member{
-		{ServerInfo: ringdale.ServerInfo{Name: "r1", Kind: "r", Zone: "a", Weight: 1}, Addr: r.Addr},
-		{ServerInfo: ringdale.ServerInfo{Name: "w2", Kind: "w", Zone: "a", Weight: 1}, Addr: writer.Listener.Addr().String()},
+	c.Roster(routing.RosterFull, []core.Member{
+		{ServerInfo: routing.ServerInfo{Name: "r1", Kind: "r", Zone: "a", Weight: 1}, Addr: r.Addr},
+		{ServerInfo: routing.ServerInfo{Name: "w2", Kind: "w", Zone: "a", Weight: 1}, Addr: writer.Listener.Addr().String()},
 	})
 	ask := func(id string) net.Conn {
 		nc, err := net.Dial("tcp", addr)
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -14,7 +14,7 @@
 
 	"wellgw/internal/core"
 	"wellgw/internal/intake"
-	"wellgw/ringdale"
+	"wellgw/routing"
 )
 
 // Bounds towards clients.
@@ -39,7 +39,7 @@
 func (f *Front) Standby(on bool) { f.standby.Store(on) }
 
 // NewFront returns a front to a core that knows these classes.
-func NewFront(c *core.Core, classes []ringdale.Class, bodies *intake.Budget) *Front {
+func NewFront(c *core.Core, classes []routing.Class, bodies *intake.Budget) *Front {
 	f := &Front{core: c, bodies: bodies}
 	known := map[string]bool{}
 	for _, class := range classes {
@@ -150,7 +150,7 @@
 	case core.Overdue:
 		http.Error(w, "no answer in time", http.StatusGatewayTimeout)
 	default:
-		if a.Status == ringdale.StatusTimeout {
+		if a.Status == routing.StatusTimeout {
 			http.Error(w, "no answer in time", http.StatusGatewayTimeout)
 			return
 		}
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -21,7 +21,7 @@
 	"wellgw/internal/invariant"
 	"wellgw/internal/playback"
 	"wellgw/internal/upstream"
-	"wellgw/ringdale"
+	"wellgw/routing"
 )
 
 func list(revision int64, complete bool, entries ...string) config.List {
@@ -39,31 +39,31 @@
 	for _, c := range []struct {
 		name  string
 		lists []config.List
-		want  map[string]ringdale.Phase
+		want  map[string]routing.Phase
 	}{
-		{"a first list of revision 0", []config.List{list(0, true, "a active 0")}, map[string]ringdale.Phase{"a": ringdale.PhaseOn}},
+		{"a first list of revision 0", []config.List{list(0, true, "a active 0")}, map[string]routing.Phase{"a": routing.PhaseOn}},
 		{"a change", []config.List{list(1, true, "a active 0", "b active 0"), list(2, false, "a leaving 0")},
-			map[string]ringdale.Phase{"a": ringdale.PhaseDraining, "b": ringdale.PhaseOn}},
+			map[string]routing.Phase{"a": routing.PhaseDraining, "b": routing.PhaseOn}},
 		{"an older change after it", []config.List{list(1, true, "a active 0"), list(5, false, "a leaving 0"), list(4, false, "a active 0")},
-			map[string]ringdale.Phase{"a": ringdale.PhaseDraining}},
+			map[string]routing.Phase{"a": routing.PhaseDraining}},
 		{"an older whole list after it", []config.List{list(5, false, "a leaving 0", "b active 0"), list(4, true, "a active 0")},
-			map[string]ringdale.Phase{"a": ringdale.PhaseDraining, "b": ringdale.PhaseOn}},
+			map[string]routing.Phase{"a": routing.PhaseDraining, "b": routing.PhaseOn}},
 		{"the same revision again", []config.List{list(5, false, "a left 0"), list(5, false, "a active 0")},
-			map[string]ringdale.Phase{"a": ringdale.PhaseOff}},
+			map[string]routing.Phase{"a": routing.PhaseOff}},
 		{"a late drain", []config.List{list(5, true, "a active 0"), list(4, false, "a leaving 0")},
-			map[string]ringdale.Phase{"a": ringdale.PhaseDraining}},
+			map[string]routing.Phase{"a": routing.PhaseDraining}},
 		{"a late drain of an earlier start", []config.List{list(5, true, "a active 9"), list(4, false, "a leaving 0")},
-			map[string]ringdale.Phase{"a": ringdale.PhaseOn}},
+			map[string]routing.Phase{"a": routing.PhaseOn}},
 		{"a later start", []config.List{list(5, true, "a left 0"), list(6, false, "a active 9")},
-			map[string]ringdale.Phase{"a": ringdale.PhaseOn}},
+			map[string]routing.Phase{"a": routing.PhaseOn}},
 		{"absent from changes", []config.List{list(1, true, "a active 0", "b active 0"), list(2, false, "b active 0")},
-			map[string]ringdale.Phase{"a": ringdale.PhaseOn, "b": ringdale.PhaseOn}},
+			map[string]routing.Phase{"a": routing.PhaseOn, "b": routing.PhaseOn}},
 		{"absent from a whole list", []config.List{list(1, true, "a active 0", "b active 0"), list(2, true, "b active 0")},
-			map[string]ringdale.Phase{"a": ringdale.PhaseOff, "b": ringdale.PhaseOn}},
-		{"an unknown phase", []config.List{list(1, true, "a odd 0")}, map[string]ringdale.Phase{"a": ringdale.PhaseDraining}},
+			map[string]routing.Phase{"a": routing.PhaseOff, "b": routing.PhaseOn}},
+		{"an unknown phase", []config.List{list(1, true, "a odd 0")}, map[string]routing.Phase{"a": routing.PhaseDraining}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r, got := NewRoster(), map[string]ringdale.Phase{}
+			r, got := NewRoster(), map[string]routing.Phase{}
 			for _, l := range c.lists {
 				for _, m := range r.Apply(l) {
 					got[m.Name] = m.Phase
@@ -126,7 +126,7 @@
 	if diff := cmp.Diff([]string{"watch=1&after=41", "watch=1&after=43", "watch=1&after=43"}, asked[:3]); diff != "" {
 		t.Errorf("asked (-want +got):\n%s", diff)
 	}
-	want := []string{fmt.Sprint(ringdale.RosterCached, "a", ringdale.PhaseOn), fmt.Sprint(ringdale.RosterChanges, "a", ringdale.PhaseDraining)}
+	want := []string{fmt.Sprint(routing.RosterCached, "a", routing.PhaseOn), fmt.Sprint(routing.RosterChanges, "a", routing.PhaseDraining)}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("told (-want +got):\n%s", diff)
 	}
@@ -159,8 +159,8 @@
 	mu.Lock()
 	defer mu.Unlock()
 	want := []string{
-		fmt.Sprint(ringdale.RosterCached, "a", ringdale.PhaseOn), fmt.Sprint(ringdale.RosterChanges, "a", ringdale.PhaseDraining),
-		fmt.Sprint(ringdale.RosterChanges, "b", ringdale.PhaseOn),
+		fmt.Sprint(routing.RosterCached, "a", routing.PhaseOn), fmt.Sprint(routing.RosterChanges, "a", routing.PhaseDraining),
+		fmt.Sprint(routing.RosterChanges, "b", routing.PhaseOn),
 	}
 	if diff := cmp.Diff(want, got); diff != "" || asked[1] != "watch=1&after=44" {
 		t.Errorf("asked %v, told (-want +got):\n%s", asked, diff)
@@ -168,8 +168,8 @@
 }
 
 // told returns a roster's receiver that notes each entry in got, as scope, name and phase.
-func told(mu *sync.Mutex, got *[]string) func(ringdale.RosterScope, []core.Member) {
-	return func(scope ringdale.RosterScope, members []core.Member) {
+func told(mu *sync.Mutex, got *[]string) func(routing.RosterScope, []core.Member) {
+	return func(scope routing.RosterScope, members []core.Member) {
 		mu.Lock()
 		defer mu.Unlock()
 		for _, m := range members {
@@ -186,16 +186,16 @@
 
 // gatewayFront is gateway, with its front.
 func gatewayFront(t *testing.T, reader, writer func(playback.Call) string) (addr string, r, w *playback.Engine, c *core.Core, f *Front) {
-	set := ringdale.Settings{
+	set := routing.Settings{
 		Zones: []string{"a"}, Routers: 1, MaxAttempts: 4, CanCancel: true, CanRetryAfter: true, MaxRetryAfter: time.Second,
-		Classes: []ringdale.Class{
+		Classes: []routing.Class{
 			{Name: "lookup", Aim: 10 * time.Second, Gain: 1},
-			{Name: "order", Aim: 10 * time.Second, Gain: 1, Effect: ringdale.EffectSingleShot},
+			{Name: "order", Aim: 10 * time.Second, Gain: 1, Effect: routing.EffectSingleShot},
 		},
-		Kinds: []ringdale.Kind{{Name: "r", Role: ringdale.RoleReader, Memory: 2e5}, {Name: "w", Role: ringdale.RoleWriter, Memory: 2e5}},
+		Kinds: []routing.Kind{{Name: "r", Role: routing.RoleReader, Memory: 2e5}, {Name: "w", Role: routing.RoleWriter, Memory: 2e5}},
 		Cold:  time.Second, ColdShare: 0.3, Fall: time.Second, FallMultiple: 3, PinLimit: 500 * time.Millisecond,
 	}
-	router, err := ringdale.New(set, 1)
+	router, err := routing.New(set, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -213,9 +213,9 @@
 	engine := upstream.NewEngine(pool, func(string) upstream.Dialect { return Dialect{} })
 	c = core.New(router, engine, nil, core.Figures{Slack: 50 * time.Millisecond, PinLimit: set.PinLimit, MaxSends: 4}, log, invariant.New())
 	go c.Run(t.Context())
-	c.Roster(ringdale.RosterFull, []core.Member{
-		{ServerInfo: ringdale.ServerInfo{Name: "r1", Kind: "r", Zone: "a", Weight: 1}, Addr: r.Addr},
-		{ServerInfo: ringdale.ServerInfo{Name: "w1", Kind: "w", Zone: "a", Weight: 1}, Addr: w.Addr},
+	c.Roster(routing.RosterFull, []core.Member{
+		{ServerInfo: routing.ServerInfo{Name: "r1", Kind: "r", Zone: "a", Weight: 1}, Addr: r.Addr},
+		{ServerInfo: routing.ServerInfo{Name: "w1", Kind: "w", Zone: "a", Weight: 1}, Addr: w.Addr},
 	})
 	f = NewFront(c, set.Classes, intake.NewBudget(1<<20))
 	server := httptest.NewUnstartedServer(f)
@@ -327,11 +327,11 @@
 	defer discovery.Close()
 	w := NewWatch(discovery.Listener.Addr().String(), false, 0, told(&mu, &got), slog.New(slog.DiscardHandler))
 	go w.Run(t.Context(), list(41, true, "a active 0"))
-	drained := fmt.Sprint(ringdale.RosterChanges, "a", ringdale.PhaseDraining)
+	drained := fmt.Sprint(routing.RosterChanges, "a", routing.PhaseDraining)
 	playback.Eventually(t, "the drain told", func() bool { mu.Lock(); defer mu.Unlock(); return slices.Contains(got, drained) })
 	mu.Lock()
 	defer mu.Unlock()
-	if !slices.Contains(got, fmt.Sprint(ringdale.RosterChanges, "b", ringdale.PhaseOn)) {
+	if !slices.Contains(got, fmt.Sprint(routing.RosterChanges, "b", routing.PhaseOn)) {
 		t.Errorf("told %v, want b as new", got)
 	}
 }
@@ -356,7 +356,7 @@
 	defer discovery.Close()
 	w := NewWatch(discovery.Listener.Addr().String(), false, 400*time.Millisecond, told(&mu, &got), slog.New(slog.DiscardHandler))
 	go w.Run(t.Context(), list(41, true, "a active 0"))
-	drained := fmt.Sprint(ringdale.RosterChanges, "a", ringdale.PhaseDraining)
+	drained := fmt.Sprint(routing.RosterChanges, "a", routing.PhaseDraining)
 	// Twelve calls that each wait as long as a watch's silence would take half a minute.
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(10 * time.Millisecond) {
 		mu.Lock()
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -17,7 +17,7 @@
 	"wellgw/decide/follow"
 	"wellgw/internal/config"
 	"wellgw/internal/core"
-	"wellgw/ringdale"
+	"wellgw/routing"
 )
 
 // The watch's margins. A line comes every 2 s at least.
@@ -57,7 +57,7 @@
 func (r *Roster) Apply(l config.List) []core.Member {
 	var changed []core.Member
 	take := func(e config.ListEntry) {
-		if phaseOf(e.Phase) == ringdale.PhaseOff {
+		if phaseOf(e.Phase) == routing.PhaseOff {
 			r.left = append(r.left, e.ID)
 		}
 		r.entries[e.ID] = entry{e, l.Revision}
@@ -77,7 +77,7 @@
 	}
 	if l.Complete && l.Revision >= r.revision {
 		for id, e := range r.entries {
-			if !named[id] && phaseOf(e.Phase) != ringdale.PhaseOff {
+			if !named[id] && phaseOf(e.Phase) != routing.PhaseOff {
 				e.Phase = "left"
 				take(e.ListEntry)
 			}
@@ -92,7 +92,7 @@
 // bring it back: see forgotten.
 func (r *Roster) forget() {
 	for len(r.left) > keepLeft {
-		if e, known := r.entries[r.left[0]]; known && phaseOf(e.Phase) == ringdale.PhaseOff {
+		if e, known := r.entries[r.left[0]]; known && phaseOf(e.Phase) == routing.PhaseOff {
 			r.forgotten = max(r.forgotten, e.revision)
 			delete(r.entries, r.left[0])
 		}
@@ -101,19 +101,19 @@
 }
 
 // phaseOf reads a phase; one that is unknown is not sent to.
-func phaseOf(s string) ringdale.Phase {
+func phaseOf(s string) routing.Phase {
 	switch s {
 	case "active":
-		return ringdale.PhaseOn
+		return routing.PhaseOn
 	case "left":
-		return ringdale.PhaseOff
+		return routing.PhaseOff
 	}
-	return ringdale.PhaseDraining
+	return routing.PhaseDraining
 }
 
 func member(e config.ListEntry) core.Member {
 	m := core.Member{
-		ServerInfo: ringdale.ServerInfo{
+		ServerInfo: routing.ServerInfo{
 			Name: e.ID, Kind: e.Flavor, Zone: e.Locality, Cell: e.Cell, Weight: e.Size, Phase: phaseOf(e.Phase),
 		},
 		Addr: e.HostPort,
@@ -126,7 +126,7 @@
 
 // Watch follows discovery and tells the core what it learns.
 type Watch struct {
-	tell   func(ringdale.RosterScope, []core.Member)
+	tell   func(routing.RosterScope, []core.Member)
 	log    *slog.Logger
 	roster *Roster
 	wake   chan struct{} // a Subscribe; nil where changes come by themselves
@@ -142,7 +142,7 @@
 // NewWatch returns a watch on discovery's address. If asked is true it begins
 // only with the first Subscribe. Sends must end so long after a drain was told as grace
 // says, and what a discovery that was away has to tell counts as told from when it is back.
-func NewWatch(addr string, asked bool, grace time.Duration, tell func(ringdale.RosterScope, []core.Member), log *slog.Logger) *Watch {
+func NewWatch(addr string, asked bool, grace time.Duration, tell func(routing.RosterScope, []core.Member), log *slog.Logger) *Watch {
 	w := &Watch{addr: addr, tell: tell, log: log, roster: NewRoster(), moved: make(chan struct{}, 1), pace: follow.PaceFor(grace, watchBeat)}
 	if asked {
 		w.wake = make(chan struct{}, 1)
@@ -192,7 +192,7 @@
 
 // Run starts from the list as last held and follows the watch until ctx ends.
 func (w *Watch) Run(ctx context.Context, known config.List) {
-	w.tell(ringdale.RosterCached, w.roster.Apply(known))
+	w.tell(routing.RosterCached, w.roster.Apply(known))
 	wait := pauses(w.pace)
 	for ctx.Err() == nil {
 		if w.wake != nil {
@@ -215,7 +215,7 @@
 			}
 		}
 		if w.wake != nil {
-			w.tell(ringdale.RosterFailed, nil)
+			w.tell(routing.RosterFailed, nil)
 		}
 		if lines > 0 {
 			wait.Reset()
@@ -257,7 +257,7 @@
 		return fmt.Errorf("list: %w", err)
 	}
 	if changed := w.roster.Apply(l); len(changed) > 0 {
-		w.tell(ringdale.RosterChanges, changed)
+		w.tell(routing.RosterChanges, changed)
 	}
 	return nil
 }
@@ -297,7 +297,7 @@
 		lines++
 		// The roster has worked out who is gone, so changes say all there is.
 		if changed := w.roster.Apply(l); len(changed) > 0 || lines == 1 {
-			w.tell(ringdale.RosterChanges, changed)
+			w.tell(routing.RosterChanges, changed)
 		}
 	}
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -18,7 +18,7 @@
 	"time"
 
 	"wellgw/internal/core"
-	"wellgw/ringdale"
+	"wellgw/routing"
 )
 
 // ErrGone is wrapped by errors that tell of the client, not of the stream.
@@ -146,7 +146,7 @@
 		var wrong error
 		if out, wrong = r.Take(out, buf[:n]); wrong != nil {
 			r.stream.Close()
-			r.ticket.Finish(core.Result{Status: ringdale.StatusError, Cause: wrong})
+			r.ticket.Finish(core.Result{Status: routing.StatusError, Cause: wrong})
 			return out, true, wrong
 		}
 	}
@@ -154,17 +154,17 @@
 		return out, false, nil
 	}
 	res := r.stream.Result()
-	if res.Status == ringdale.StatusServed {
+	if res.Status == routing.StatusServed {
 		var wrong error
 		if out, wrong = r.End(out); wrong != nil {
-			res.Status, res.Cause, err = ringdale.StatusError, wrong, wrong
+			res.Status, res.Cause, err = routing.StatusError, wrong, wrong
 		}
 	}
-	if r.ctx.Err() != nil && res.Status != ringdale.StatusServed {
-		res.Status = ringdale.StatusCancelled
+	if r.ctx.Err() != nil && res.Status != routing.StatusServed {
+		res.Status = routing.StatusCancelled
 	}
 	r.ticket.Finish(res)
-	if res.Status == ringdale.StatusServed {
+	if res.Status == routing.StatusServed {
 		err = nil
 	} else if err == nil || errors.Is(err, io.EOF) {
 		err = io.ErrUnexpectedEOF
@@ -198,7 +198,7 @@
 		r.held = nil
 		r.mu.Unlock()
 	case !over:
-		r.ticket.Finish(core.Result{Status: ringdale.StatusCancelled, Cause: err})
+		r.ticket.Finish(core.Result{Status: routing.StatusCancelled, Cause: err})
 	}
 	return fmt.Errorf("%w: %w", ErrGone, err)
 }
@@ -246,7 +246,7 @@
 		if !fits && !over {
 			r.mu.Unlock()
 			r.stream.Close()
-			r.ticket.Finish(core.Result{Status: ringdale.StatusCancelled, Cause: ErrSlow})
+			r.ticket.Finish(core.Result{Status: routing.StatusCancelled, Cause: ErrSlow})
 			r.mu.Lock()
 		}
 		if !fits {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"wellgw/internal/core"
-	"wellgw/ringdale"
+	"wellgw/routing"
 )
 
 // source is a stream that is given out part by part.
@@ -30,7 +30,7 @@
 func (s *source) Read(p []byte) (int, error) {
 	select {
 	case <-s.closed:
-		s.result.Status = ringdale.StatusCancelled
+		s.result.Status = routing.StatusCancelled
 		return 0, errors.New("closed")
 	default:
 	}
@@ -40,13 +40,13 @@
 			return copy(p, part), nil
 		}
 		if s.broken {
-			s.result.Status = ringdale.StatusReset
+			s.result.Status = routing.StatusReset
 			return 0, io.ErrUnexpectedEOF
 		}
-		s.result.Status = ringdale.StatusServed
+		s.result.Status = routing.StatusServed
 		return 0, io.EOF
 	case <-s.closed:
-		s.result.Status = ringdale.StatusCancelled
+		s.result.Status = routing.StatusCancelled
 		return 0, errors.New("closed")
 	}
 }
@@ -66,7 +66,7 @@
 	t.got = append(t.got, r)
 }
 
-func (t *ticket) once(test *testing.T, want ringdale.Status) {
+func (t *ticket) once(test *testing.T, want routing.Status) {
 	test.Helper()
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -95,7 +95,7 @@
 	if err != nil || got.String() != "abc|end" {
 		t.Errorf("%v, %q", err, got.String())
 	}
-	tk.once(t, ringdale.StatusServed)
+	tk.once(t, routing.StatusServed)
 }
 
 func TestABreak(t *testing.T) {
@@ -107,7 +107,7 @@
 	if err == nil || got.String() != "a" {
 		t.Errorf("%v, %q", err, got.String())
 	}
-	tk.once(t, ringdale.StatusReset)
+	tk.once(t, routing.StatusReset)
 }
 
 func TestWhatCannotBeTakenEndsTheAttempt(t *testing.T) {
@@ -124,7 +124,7 @@
 		if err := Run(t.Context(), tk, s, p, NewBounds(time.Minute, 100, 100)); !errors.Is(err, wrong) || got.String() != "before" {
 			t.Errorf("%s: %v, %q", name, err, got.String())
 		}
-		tk.once(t, ringdale.StatusError)
+		tk.once(t, routing.StatusError)
 	}
 }
 
@@ -155,7 +155,7 @@
 	}
 	close(s.parts)
 	eventually(t, func() bool { tk.mu.Lock(); defer tk.mu.Unlock(); return len(tk.got) == 1 })
-	tk.once(t, ringdale.StatusServed)
+	tk.once(t, routing.StatusServed)
 	close(read)
 	if err := <-ended; err != nil || got.String() != "first"+strings.Repeat("more", 10)+"|end" {
 		t.Errorf("%v, %q", err, got.String())
@@ -189,7 +189,7 @@
 			}
 			<-s.closed // the engine is free before the client reads
 			eventually(t, func() bool { tk.mu.Lock(); defer tk.mu.Unlock(); return len(tk.got) == 1 })
-			tk.once(t, ringdale.StatusCancelled)
+			tk.once(t, routing.StatusCancelled)
 			close(read)
 			if err := <-ended; !errors.Is(err, ErrSlow) {
 				t.Error(err)
@@ -210,7 +210,7 @@
 			t.Error(err)
 		}
 		<-s.closed
-		tk.once(t, ringdale.StatusCancelled)
+		tk.once(t, routing.StatusCancelled)
 	})
 	t.Run("between events", func(t *testing.T) {
 		s, tk := newSource(false), &ticket{}
@@ -223,7 +223,7 @@
 		if err := <-ended; err == nil {
 			t.Error("no error")
 		}
-		tk.once(t, ringdale.StatusCancelled)
+		tk.once(t, routing.StatusCancelled)
 	})
 	t.Run("while it is slow", func(t *testing.T) {
 		s, tk := newSource(false), &ticket{}
@@ -240,7 +240,7 @@
 		if err := <-ended; !errors.Is(err, gone) {
 			t.Error(err)
 		}
-		tk.once(t, ringdale.StatusCancelled)
+		tk.once(t, routing.StatusCancelled)
 		if b.Left() != 1000 {
 			t.Errorf("%d bytes left", b.Left())
 		}
--- a/internal/rolectl/rolectl_test.go
+++ b/internal/rolectl/rolectl_test.go
@@ -19,7 +19,7 @@
 	"wellgw/internal/core"
 	"wellgw/internal/directory"
 	"wellgw/internal/playback"
-	"wellgw/ringdale"
+	"wellgw/routing"
 	standin "wellgw/standin/consul"
 	"wellgw/standin/engine"
 )
@@ -33,7 +33,7 @@
 	stop   func()
 
 	mu    sync.Mutex
-	phase map[string]ringdale.Phase
+	phase map[string]routing.Phase
 }
 
 // world is a catalogue, engines and gateways.
@@ -95,8 +95,8 @@
 	if err != nil {
 		w.Fatal(err)
 	}
-	g := &gate{client: client, agent: agent, phase: map[string]ringdale.Phase{}}
-	g.keeper = directory.New(directory.Options{Policy: roster.DefaultPolicy(), Log: log, Check: directory.Checker(""), Tell: func(_ ringdale.RosterScope, list []core.Member) {
+	g := &gate{client: client, agent: agent, phase: map[string]routing.Phase{}}
+	g.keeper = directory.New(directory.Options{Policy: roster.DefaultPolicy(), Log: log, Check: directory.Checker(""), Tell: func(_ routing.RosterScope, list []core.Member) {
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		for _, m := range list {
@@ -163,7 +163,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	p, known := g.phase[id+" "+role]
-	return known && p != ringdale.PhaseOn
+	return known && p != routing.PhaseOn
 }
 
 // Hard case: the owner is killed at every step. The next one finishes what it finds, or
@@ -203,7 +203,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	p, known := g.phase[id+" "+role]
-	return known && p == ringdale.PhaseOn
+	return known && p == routing.PhaseOn
 }
 
 // Hard case: a lease ends in the middle. The owner stops; the other goes on with a
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -17,7 +17,7 @@
 	"wellgw/internal/directory"
 	"wellgw/internal/peers"
 	"wellgw/internal/rolectl"
-	"wellgw/ringdale"
+	"wellgw/routing"
 )
 
 func TestMetrics(t *testing.T) {
@@ -69,7 +69,7 @@
 type engines struct{ core.Engine }
 
 func (engines) Start(_ core.Attempt, _ func(core.Stream), ended func(core.Result)) core.Handle {
-	ended(core.Result{Status: ringdale.StatusReset, Cause: errors.New("broke")})
+	ended(core.Result{Status: routing.StatusReset, Cause: errors.New("broke")})
 	return nil
 }
 
--- a/internal/telemetry/trace.go
+++ b/internal/telemetry/trace.go
@@ -19,7 +19,7 @@
 	"wellgw/decide/rolechange"
 	"wellgw/internal/core"
 	"wellgw/internal/peers"
-	"wellgw/ringdale"
+	"wellgw/routing"
 )
 
 // Tracer writes spans. All spans of a request share one trace, by its wire id; so do
@@ -98,7 +98,7 @@
 		first(s)
 	}, func(r core.Result) {
 		failed := ""
-		if r.Status != ringdale.StatusRead {
+		if r.Status != routing.StatusRead {
 			failed = fmt.Sprint("status ", r.Status, ": ", r.Cause)
 		}
 		note("attempt", failed)
--- a/internal/upstream/engine.go
+++ b/internal/upstream/engine.go
@@ -17,7 +17,7 @@
 
 	"wellgw/internal/core"
 	"wellgw/internal/sse"
-	"wellgw/ringdale"
+	"wellgw/routing"
 )
 
 // Call is a request as it is written to an engine.
@@ -166,7 +166,7 @@
 
 func (e *Engine) attempt(ctx context.Context, t *try, a core.Attempt) (core.Stream, core.Result) {
 	dialect := e.dialect(a.To.Kind)
-	fail := func(s ringdale.Status, err error) (core.Stream, core.Result) {
+	fail := func(s routing.Status, err error) (core.Stream, core.Result) {
 		t.done(false)
 		return nil, core.Result{Status: s, Cause: err}
 	}
@@ -174,20 +174,20 @@
 	until := begun.Add(a.Limit + leakGuard)
 	c, err := e.pool.get(ctx, a.To.Addr)
 	if err != nil {
-		return fail(ringdale.StatusNoConnect, err)
+		return fail(routing.StatusNoConnect, err)
 	}
 	if !t.hold(c) {
 		e.pool.drop(c)
-		return fail(ringdale.StatusCancelled, context.Canceled)
+		return fail(routing.StatusCancelled, context.Canceled)
 	}
 	if a.Connected != nil {
 		a.Connected()
 	}
 	if a.Left != nil && a.Left() {
-		return fail(ringdale.StatusUnsent, errLeft)
+		return fail(routing.StatusUnsent, errLeft)
 	}
 	if !t.begin() {
-		return fail(ringdale.StatusCancelled, context.Canceled)
+		return fail(routing.StatusCancelled, context.Canceled)
 	}
 	c.SetDeadline(until)
 	a.Limit -= time.Since(begun) // what is left is what its engine is told
@@ -195,7 +195,7 @@
 	// here, not even after a reset on a kept connection: only the module knows
 	// whether the class allows that.
 	if err := write(c, dialect.Attempt(a)); err != nil {
-		return fail(ringdale.StatusNoConnect, err)
+		return fail(routing.StatusNoConnect, err)
 	}
 	if a.Written != nil {
 		a.Written()
@@ -208,7 +208,7 @@
 		body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
 		t.done(err == nil && len(body) < maxAnswer && !resp.Close)
 		r := dialect.Judge(resp.StatusCode, resp.Header, body)
-		if r.Cause == nil && r.Status != ringdale.StatusRead {
+		if r.Cause == nil && r.Status != routing.StatusRead {
 			r.Cause = fmt.Errorf("status %d", resp.StatusCode)
 		}
 		return nil, r
@@ -236,11 +236,11 @@
 	s.opener = nil
 	switch {
 	case s.failed != nil:
-		return fail(ringdale.StatusError, s.failed)
+		return fail(routing.StatusError, s.failed)
 	case s.begun:
 		return s, core.Result{}
 	case errors.Is(s.err, io.EOF):
-		return fail(ringdale.StatusError, errors.New("stream without an event"))
+		return fail(routing.StatusError, errors.New("stream without an event"))
 	}
 	return fail(broken(s.err), s.err)
 }
@@ -255,11 +255,11 @@
 // broken tells a connection that broke from an answer that is spoilt: bytes that
 // are none, or that stop in the middle. The engine that sent these is up and has
 // run the request.
-func broken(err error) ringdale.Status {
+func broken(err error) routing.Status {
 	if op := (*net.OpError)(nil); errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &op) && !op.Timeout() {
-		return ringdale.StatusReset
+		return routing.StatusReset
 	}
-	return ringdale.StatusError
+	return routing.StatusError
 }
 
 // write sends a call in one piece, without a copy of its body. It fails only if
@@ -386,7 +386,7 @@
 	if junk != nil {
 		err = junk
 	}
-	if err != nil && (errors.Is(err, io.EOF) || broken(err) == ringdale.StatusReset) {
+	if err != nil && (errors.Is(err, io.EOF) || broken(err) == routing.StatusReset) {
 		if rest := s.sieve.left(errors.Is(err, io.EOF) && s.framed()); len(rest) > 0 { // what has come before a break goes out
 			sound = append(slices.Clone(sound), rest...)
 		}
@@ -454,7 +454,7 @@
 		err = io.ErrUnexpectedEOF
 	}
 	if errors.Is(err, io.EOF) {
-		s.result.Status = ringdale.StatusServed
+		s.result.Status = routing.StatusServed
 		s.dialect.Tail(s.tail, &s.result)
 	} else {
 		s.result.Status, s.result.Cause = broken(err), err
@@ -478,16 +478,16 @@
 }
 
 // Probe asks for a load report; see core.Engine.
-func (e *Engine) Probe(at core.Member, done func(ringdale.Status, *ringdale.Report)) {
+func (e *Engine) Probe(at core.Member, done func(routing.Status, *routing.Report)) {
 	call, given := e.dialect(at.Kind).Probe()
 	go func() {
 		if !given {
-			done(ringdale.StatusUnsent, nil)
+			done(routing.StatusUnsent, nil)
 			return
 		}
 		resp, body, err := e.exchange(at.Addr, call, probeWait, e.pool.get, e.pool.putBrief)
 		if err != nil {
-			done(ringdale.StatusNoConnect, nil)
+			done(routing.StatusNoConnect, nil)
 			return
 		}
 		r := e.dialect(at.Kind).Judge(resp.StatusCode, resp.Header, body)
--- a/internal/upstream/held_test.go
+++ b/internal/upstream/held_test.go
@@ -16,7 +16,7 @@
 	"wellgw/internal/invariant"
 	"wellgw/internal/platform"
 	"wellgw/internal/upstream"
-	"wellgw/ringdale"
+	"wellgw/routing"
 )
 
 // heldSeeds is how many scenarios the suite plays. HELD_SEED plays one, with its steps, and
@@ -35,7 +35,7 @@
 	random   *rand.Rand
 	fleet    *simFleet
 	core     *core.Core
-	settings ringdale.Settings
+	settings routing.Settings
 	members  []core.Member
 	clients  sync.WaitGroup
 }
@@ -48,20 +48,20 @@
 }
 
 // drawSettings draws another customer's settings.
-func drawSettings(r *rand.Rand) ringdale.Settings {
-	effects := []ringdale.Effect{ringdale.EffectFree, ringdale.EffectGuarded, ringdale.EffectSingleShot}
-	set := ringdale.Settings{
+func drawSettings(r *rand.Rand) routing.Settings {
+	effects := []routing.Effect{routing.EffectFree, routing.EffectGuarded, routing.EffectSingleShot}
+	set := routing.Settings{
 		Zones: []string{"a", "b"}[:1+r.IntN(2)], Routers: 1 + r.IntN(4), MaxAttempts: 1 + r.IntN(5),
 		CanCancel: r.IntN(4) > 0, CanRetryAfter: true, MaxRetryAfter: time.Second, WritersRead: r.IntN(3) == 0,
-		Kinds: []ringdale.Kind{{Name: "r", Role: ringdale.RoleReader, Memory: 2e5}, {Name: "w", Role: ringdale.RoleWriter, Memory: 2e5}},
+		Kinds: []routing.Kind{{Name: "r", Role: routing.RoleReader, Memory: 2e5}, {Name: "w", Role: routing.RoleWriter, Memory: 2e5}},
 		Cold:  time.Second, ColdShare: 0.3, Fall: time.Second, FallMultiple: 3,
 		PinLimit: between(r, 100*time.Millisecond, 2*time.Second), Tick: pick(r, time.Millisecond, 4*time.Millisecond, 20*time.Millisecond),
 	}
 	set.Zone = set.Zones[0]
 	for i := range 3 {
-		set.Classes = append(set.Classes, ringdale.Class{
+		set.Classes = append(set.Classes, routing.Class{
 			Name: fmt.Sprint("c", i), Aim: between(r, 500*time.Millisecond, 3*time.Second), Gain: 1,
-			Effect: effects[i], Group: pick(r, ringdale.GroupAll, ringdale.GroupZone, ringdale.GroupCell), Window: between(r, time.Second, 5*time.Second),
+			Effect: effects[i], Group: pick(r, routing.GroupAll, routing.GroupZone, routing.GroupCell), Window: between(r, time.Second, 5*time.Second),
 		})
 	}
 	return set
@@ -87,7 +87,7 @@
 		StreamSilence: 5 * time.Second, Settle: 30 * time.Millisecond, Dial: s.fleet.dial,
 	})
 	go pool.Sweep(t.Context())
-	router, err := ringdale.New(set, seed)
+	router, err := routing.New(set, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -95,7 +95,7 @@
 	engine := upstream.NewEngine(pool, func(string) upstream.Dialect { return platform.Dialect{} })
 	s.core = core.New(router, engine, still{}, figures, slog.New(slog.DiscardHandler), invariant.New())
 	go s.core.Run(t.Context())
-	s.core.Roster(ringdale.RosterFull, s.members)
+	s.core.Roster(routing.RosterFull, s.members)
 	s.fleet.step("settings %+v, rules %+v", set, s.fleet.rules)
 	return s
 }
@@ -104,7 +104,7 @@
 	name := fmt.Sprint(kind, n)
 	zone := n % len(s.settings.Zones)
 	s.fleet.add(name, kind == "r", 200*time.Microsecond+time.Duration(zone)*between(s.random, time.Millisecond, 3*time.Millisecond))
-	s.members = append(s.members, core.Member{Addr: name, ServerInfo: ringdale.ServerInfo{
+	s.members = append(s.members, core.Member{Addr: name, ServerInfo: routing.ServerInfo{
 		Name: name, Kind: kind, Zone: s.settings.Zones[zone], Cell: n % 3, Weight: 1,
 	}})
 }
@@ -139,7 +139,7 @@
 		stay = between(s.random, 0, wait)
 	}
 	q := core.Request{Wire: fmt.Sprint("q", n), Arrived: time.Now(), Payload: core.Payload{Method: "POST", Target: "/v1/chat/completions", Body: []byte("{}")}}
-	q.Request = ringdale.Request{Class: fmt.Sprint("c", s.random.IntN(3)), Session: fmt.Sprint(s.random.IntN(5)), Prompt: 100, MaxTokens: 10, TTL: wait}
+	q.Request = routing.Request{Class: fmt.Sprint("c", s.random.IntN(3)), Session: fmt.Sprint(s.random.IntN(5)), Prompt: 100, MaxTokens: 10, TTL: wait}
 	s.clients.Go(func() {
 		mine, leave := context.WithTimeout(ctx, stay)
 		defer leave()
--- a/internal/upstream/memory_test.go
+++ b/internal/upstream/memory_test.go
@@ -20,7 +20,7 @@
 	"wellgw/internal/platform"
 	"wellgw/internal/playback"
 	"wellgw/internal/upstream"
-	"wellgw/ringdale"
+	"wellgw/routing"
 )
 
 // memorySlack is how much more may be live after many requests than after some: what maps
@@ -86,21 +86,21 @@
 	var members []core.Member
 	for _, name := range []string{"r0", "r1", "w0", "w1"} {
 		c.links[name] = newSimLink(time.Millisecond, careless(random, name[0] == 'r'))
-		members = append(members, core.Member{Addr: name, ServerInfo: ringdale.ServerInfo{Name: name, Kind: name[:1], Zone: set.Zone, Weight: 1}})
+		members = append(members, core.Member{Addr: name, ServerInfo: routing.ServerInfo{Name: name, Kind: name[:1], Zone: set.Zone, Weight: 1}})
 	}
 	pool := upstream.NewPool(upstream.Options{
 		ConnectTimeout: 250 * time.Millisecond, ConnIdle: 15 * time.Second, MaxConns: 200, StreamSilence: time.Second,
 		Dial: func(ctx context.Context, _, addr string) (net.Conn, error) { return c.links[addr].dial(ctx) },
 	})
 	go pool.Sweep(t.Context())
-	router, err := ringdale.New(set, 1)
+	router, err := routing.New(set, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	engine := upstream.NewEngine(pool, func(string) upstream.Dialect { return platform.Dialect{} })
 	c.core = core.New(router, engine, still{}, core.Figures{PinLimit: set.PinLimit, MaxSends: 4}, slog.New(slog.DiscardHandler), invariant.New())
 	go c.core.Run(t.Context())
-	c.core.Roster(ringdale.RosterFull, members)
+	c.core.Roster(routing.RosterFull, members)
 	return c
 }
 
@@ -110,7 +110,7 @@
 	for range n {
 		c.next++
 		q := core.Request{Wire: fmt.Sprint("q", c.next), Arrived: time.Now(), Payload: core.Payload{Method: "POST", Target: "/v1/chat/completions", Body: make([]byte, 1<<10)}}
-		q.Request = ringdale.Request{Class: fmt.Sprint("c", c.next%3), Session: fmt.Sprint(c.next % 50), Prompt: 100, MaxTokens: 10, TTL: 2 * time.Second}
+		q.Request = routing.Request{Class: fmt.Sprint("c", c.next%3), Session: fmt.Sprint(c.next % 50), Prompt: 100, MaxTokens: 10, TTL: 2 * time.Second}
 		stay := q.TTL
 		if c.next%5 == 0 {
 			stay = time.Duration(c.next%40) * time.Millisecond
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -14,7 +14,7 @@
 	"wellgw/internal/platform"
 	"wellgw/internal/playback"
 	"wellgw/internal/upstream"
-	"wellgw/ringdale"
+	"wellgw/routing"
 )
 
 func engine(t *testing.T) *upstream.Engine {
@@ -46,37 +46,37 @@
 		name, script, text string
 		want               core.Result
 	}{
-		{"read", playback.Status(202, "", `{"cached_tokens":4096}`), "", core.Result{Status: ringdale.StatusRead, Kept: 4096}},
-		{"read, odd body", playback.Status(202, "", `{`), "", core.Result{Status: ringdale.StatusRead}},
-		{"error", playback.Status(500, "", ""), "", core.Result{Status: ringdale.StatusError}},
-		{"full", playback.Status(503, notRun, ""), "", core.Result{Status: ringdale.StatusFull}},
-		{"over already", playback.Status(504, notRun, ""), "", core.Result{Status: ringdale.StatusFull}},
-		{"503 that proves nothing", playback.Status(503, "", ""), "", core.Result{Status: ringdale.StatusError}},
-		{"no state", playback.Status(410, notRun, ""), "", core.Result{Status: ringdale.StatusFull, NoState: true}},
-		{"410 that proves nothing", playback.Status(410, "", ""), "", core.Result{Status: ringdale.StatusError}},
-		{"break before the head", playback.Cut, "", core.Result{Status: ringdale.StatusReset}},
-		{"break in the head", "HTTP/1.1 20" + playback.Cut, "", core.Result{Status: ringdale.StatusError}},
-		{"endless head", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-A: b\r\n", 20_000) + playback.Hang, "", core.Result{Status: ringdale.StatusError}},
-		{"head that does not end", "HTTP/1.1 200 OK\r\nX-A: b" + playback.Hang, "", core.Result{Status: ringdale.StatusError}},
-		{"noise", "\x07\xff no answer at all" + playback.Hang, "", core.Result{Status: ringdale.StatusError}},
-		{"noise in place of events", playback.StreamHead + playback.Chunk("\x07\xff no event") + playback.Hang, "", core.Result{Status: ringdale.StatusError}},
-		{"noise among events", playback.StreamHead + event + playback.Chunk("data: y\n\nno event") + playback.Hang, "data: x\n\ndata: y\n\n", core.Result{Status: ringdale.StatusError}},
-		{"chunk size that is none", playback.StreamHead + event + "zz\r\n" + playback.Hang, "data: x\n\n", core.Result{Status: ringdale.StatusError}},
-		{"chunk of 3 GB", playback.StreamHead + event + "C0000000\r\ndata: y\n\n" + playback.Hang, "data: x\n\n", core.Result{Status: ringdale.StatusError}},
-		{"chunk that does not fit", playback.StreamHead + event + "3\r\ndata: y\n\n\r\n" + playback.Hang, "data: x\n\n", core.Result{Status: ringdale.StatusError}},
-		{"no last chunk", playback.StreamHead + event + playback.Chunk("data: [DONE]\n\n") + playback.Hang, "data: x\n\ndata: [DONE]\n\n", core.Result{Status: ringdale.StatusError}},
-		{"interim answers in front", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + playback.StreamHead + event + "0\r\n\r\n", "data: x\n\n", core.Result{Status: ringdale.StatusServed}},
-		{"load reports that can't be read", strings.Replace(playback.StreamHead, "\r\n\r\n", "\r\nX-Load: {\"util\":\r\n\r\n", 1) + event + playback.Chunk(": X-Load: \xff{\n") + "0\r\n\r\n", "data: x\n\n: X-Load: \xff{\n", core.Result{Status: ringdale.StatusServed}},
-		{"break before an event", playback.StreamHead + playback.Cut, "", core.Result{Status: ringdale.StatusReset}},
-		{"break in the first event's line", playback.StreamHead + "9\r\ndata: x" + playback.Cut, "", core.Result{Status: ringdale.StatusReset}},
-		{"break before the first event ends", playback.StreamHead + playback.Chunk("data: x\n") + playback.Cut, "", core.Result{Status: ringdale.StatusReset}},
-		{"first event in pieces", playback.StreamHead + playback.Chunk("da") + playback.Chunk("ta: x\n") + playback.Chunk("\n") + "0\r\n\r\n", "data: x\n\n", core.Result{Status: ringdale.StatusServed}},
-		{"an event that only the stream's end ends", playback.StreamHead + playback.Chunk("data: x") + "0\r\n\r\n", "data: x", core.Result{Status: ringdale.StatusServed}},
-		{"no event", playback.StreamHead + "0\r\n\r\n", "", core.Result{Status: ringdale.StatusError}},
-		{"break after an event", playback.StreamHead + event + playback.Cut, "data: x\n\n", core.Result{Status: ringdale.StatusReset}},
-		{"break in a chunk", playback.StreamHead + event + "9\r\nda" + playback.Cut, "data: x\n\nda", core.Result{Status: ringdale.StatusReset}},
+		{"read", playback.Status(202, "", `{"cached_tokens":4096}`), "", core.Result{Status: routing.StatusRead, Kept: 4096}},
+		{"read, odd body", playback.Status(202, "", `{`), "", core.Result{Status: routing.StatusRead}},
+		{"error", playback.Status(500, "", ""), "", core.Result{Status: routing.StatusError}},
+		{"full", playback.Status(503, notRun, ""), "", core.Result{Status: routing.StatusFull}},
+		{"over already", playback.Status(504, notRun, ""), "", core.Result{Status: routing.StatusFull}},
+		{"503 that proves nothing", playback.Status(503, "", ""), "", core.Result{Status: routing.StatusError}},
+		{"no state", playback.Status(410, notRun, ""), "", core.Result{Status: routing.StatusFull, NoState: true}},
+		{"410 that proves nothing", playback.Status(410, "", ""), "", core.Result{Status: routing.StatusError}},
+		{"break before the head", playback.Cut, "", core.Result{Status: routing.StatusReset}},
+		{"break in the head", "HTTP/1.1 20" + playback.Cut, "", core.Result{Status: routing.StatusError}},
+		{"endless head", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-A: b\r\n", 20_000) + playback.Hang, "", core.Result{Status: routing.StatusError}},
+		{"head that does not end", "HTTP/1.1 200 OK\r\nX-A: b" + playback.Hang, "", core.Result{Status: routing.StatusError}},
+		{"noise", "\x07\xff no answer at all" + playback.Hang, "", core.Result{Status: routing.StatusError}},
+		{"noise in place of events", playback.StreamHead + playback.Chunk("\x07\xff no event") + playback.Hang, "", core.Result{Status: routing.StatusError}},
+		{"noise among events", playback.StreamHead + event + playback.Chunk("data: y\n\nno event") + playback.Hang, "data: x\n\ndata: y\n\n", core.Result{Status: routing.StatusError}},
+		{"chunk size that is none", playback.StreamHead + event + "zz\r\n" + playback.Hang, "data: x\n\n", core.Result{Status: routing.StatusError}},
+		{"chunk of 3 GB", playback.StreamHead + event + "C0000000\r\ndata: y\n\n" + playback.Hang, "data: x\n\n", core.Result{Status: routing.StatusError}},
+		{"chunk that does not fit", playback.StreamHead + event + "3\r\ndata: y\n\n\r\n" + playback.Hang, "data: x\n\n", core.Result{Status: routing.StatusError}},
+		{"no last chunk", playback.StreamHead + event + playback.Chunk("data: [DONE]\n\n") + playback.Hang, "data: x\n\ndata: [DONE]\n\n", core.Result{Status: routing.StatusError}},
+		{"interim answers in front", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + playback.StreamHead + event + "0\r\n\r\n", "data: x\n\n", core.Result{Status: routing.StatusServed}},
+		{"load reports that can't be read", strings.Replace(playback.StreamHead, "\r\n\r\n", "\r\nX-Load: {\"util\":\r\n\r\n", 1) + event + playback.Chunk(": X-Load: \xff{\n") + "0\r\n\r\n", "data: x\n\n: X-Load: \xff{\n", core.Result{Status: routing.StatusServed}},
+		{"break before an event", playback.StreamHead + playback.Cut, "", core.Result{Status: routing.StatusReset}},
+		{"break in the first event's line", playback.StreamHead + "9\r\ndata: x" + playback.Cut, "", core.Result{Status: routing.StatusReset}},
+		{"break before the first event ends", playback.StreamHead + playback.Chunk("data: x\n") + playback.Cut, "", core.Result{Status: routing.StatusReset}},
+		{"first event in pieces", playback.StreamHead + playback.Chunk("da") + playback.Chunk("ta: x\n") + playback.Chunk("\n") + "0\r\n\r\n", "data: x\n\n", core.Result{Status: routing.StatusServed}},
+		{"an event that only the stream's end ends", playback.StreamHead + playback.Chunk("data: x") + "0\r\n\r\n", "data: x", core.Result{Status: routing.StatusServed}},
+		{"no event", playback.StreamHead + "0\r\n\r\n", "", core.Result{Status: routing.StatusError}},
+		{"break after an event", playback.StreamHead + event + playback.Cut, "data: x\n\n", core.Result{Status: routing.StatusReset}},
+		{"break in a chunk", playback.StreamHead + event + "9\r\nda" + playback.Cut, "data: x\n\nda", core.Result{Status: routing.StatusReset}},
 		{"whole", playback.StreamHead + event + playback.Chunk(`data: {"usage":{"prompt_tokens_details":{"cached_tokens":7}}}`+"\n") + "0\r\n\r\n",
-			"data: x\n\n" + `data: {"usage":{"prompt_tokens_details":{"cached_tokens":7}}}` + "\n", core.Result{Status: ringdale.StatusServed, Kept: 7}},
+			"data: x\n\n" + `data: {"usage":{"prompt_tokens_details":{"cached_tokens":7}}}` + "\n", core.Result{Status: routing.StatusServed, Kept: 7}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			server := playback.NewEngine(t, func(playback.Call) string { return c.script })
@@ -97,7 +97,7 @@
 		t.Fatal(err)
 	}
 	l.Close() // nobody listens there now
-	if _, r := attempt(engine(t), l.Addr().String()); r.Status != ringdale.StatusNoConnect {
+	if _, r := attempt(engine(t), l.Addr().String()); r.Status != routing.StatusNoConnect {
 		t.Errorf("status %v", r.Status)
 	}
 }
@@ -112,12 +112,12 @@
 		return playback.Status(202, "", "{}")
 	})
 	e := engine(t)
-	var got []ringdale.Status
+	var got []routing.Status
 	for range 3 {
 		_, r := attempt(e, server.Addr)
 		got = append(got, r.Status)
 	}
-	want := []ringdale.Status{ringdale.StatusRead, ringdale.StatusReset, ringdale.StatusRead}
+	want := []routing.Status{routing.StatusRead, routing.StatusReset, routing.StatusRead}
 	if diff := cmp.Diff(want, got); diff != "" || len(server.Calls("POST")) != 3 {
 		t.Errorf("%d calls; statuses (-want +got):\n%s", len(server.Calls("POST")), diff)
 	}
@@ -130,7 +130,7 @@
 	})
 	e := engine(t)
 	for n := 1; n <= 3; n++ {
-		if _, r := attempt(e, server.Addr); r.Status != ringdale.StatusRead || r.Kept != n {
+		if _, r := attempt(e, server.Addr); r.Status != routing.StatusRead || r.Kept != n {
 			t.Errorf("attempt %d: %+v", n, r)
 		}
 	}
@@ -173,7 +173,7 @@
 		return engine(t).Start(a, nil, func(r core.Result) { end <- r }), end
 	}
 	_, end := start(core.Attempt{Left: func() bool { return true }})
-	if r := <-end; r.Status != ringdale.StatusUnsent {
+	if r := <-end; r.Status != routing.StatusUnsent {
 		t.Errorf("its client has left: %+v", r)
 	}
 	reached, back := make(chan struct{}), make(chan struct{})
@@ -183,7 +183,7 @@
 		t.Error("not taken back, though nothing has been written")
 	}
 	close(back)
-	if r := <-end; r.Status != ringdale.StatusCancelled {
+	if r := <-end; r.Status != routing.StatusCancelled {
 		t.Errorf("taken back: %+v", r)
 	}
 	if calls := server.Calls("POST"); len(calls) > 0 {
--- a/internal/wire/options.go
+++ b/internal/wire/options.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"wellgw/ringdale"
+	"wellgw/routing"
 )
 
 // Options mirrors the settings object of the dialect. Unknown keys are ignored.
@@ -79,19 +79,19 @@
 	return v
 }
 
-var roles = map[string]ringdale.Role{
-	"read": ringdale.RoleReader, "write": ringdale.RoleWriter, "both": ringdale.RoleMixed,
+var roles = map[string]routing.Role{
+	"read": routing.RoleReader, "write": routing.RoleWriter, "both": routing.RoleMixed,
 }
 
-var effects = map[string]ringdale.Effect{
-	"": ringdale.EffectFree, "free": ringdale.EffectFree, "guarded": ringdale.EffectGuarded,
+var effects = map[string]routing.Effect{
+	"": routing.EffectFree, "free": routing.EffectFree, "guarded": routing.EffectGuarded,
 }
 
-var groups = map[string]ringdale.Group{"zone": ringdale.GroupZone, "cell": ringdale.GroupCell, "bay": ringdale.GroupCell}
+var groups = map[string]routing.Group{"zone": routing.GroupZone, "cell": routing.GroupCell, "bay": routing.GroupCell}
 
 // Settings returns what the decision module needs of the object.
-func (o *Options) Settings() ringdale.Settings {
-	s := ringdale.Settings{
+func (o *Options) Settings() routing.Settings {
+	s := routing.Settings{
 		Zone: o.Az, Zones: o.Zones, Routers: o.Balancers,
 		WritersRead:    o.Info.LocalRead,
 		OverShareWorth: o.OverShareWorth, MustSubscribe: o.Membership == "subscribe",
@@ -106,9 +106,9 @@
 	for i, c := range o.Classes {
 		effect, known := effects[c.Effect]
 		if !known {
-			effect = ringdale.EffectSingleShot
+			effect = routing.EffectSingleShot
 		}
-		s.Classes = append(s.Classes, ringdale.Class{
+		s.Classes = append(s.Classes, routing.Class{
 			Name: c.Name, Aim: Micros(c.Aim), Gain: c.Gain,
 			AimPerToken: time.Duration(at(o.Info.AimPer1000, i)), // microseconds per 1,000 = nanoseconds per 1
 			TokenAim:    Micros(int64(at(o.Info.TokenAim, i))),
@@ -116,12 +116,12 @@
 		})
 	}
 	for i, k := range o.Kinds {
-		s.Kinds = append(s.Kinds, ringdale.Kind{
+		s.Kinds = append(s.Kinds, routing.Kind{
 			Name: k, Role: roles[at(o.Info.Duty, i)], Memory: at(o.Info.Tokens, i),
 		})
 	}
 	for _, t := range o.Tenants {
-		s.Tenants = append(s.Tenants, ringdale.Tenant{Name: t.Name, Quota: t.Quota})
+		s.Tenants = append(s.Tenants, routing.Tenant{Name: t.Name, Quota: t.Quota})
 	}
 	return s
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,4 +1,4 @@
-// Package wire translates between the simulator's JSON dialect and ringdale's
+// Package wire translates between the simulator's JSON dialect and routing's
 // interface, and hosts one independent Router per instance. It decides nothing.
 package wire
 
@@ -12,7 +12,7 @@
 	"io"
 	"time"
 
-	"wellgw/ringdale"
+	"wellgw/routing"
 )
 
 // inLine is any line of a batch; absent fields keep their zero values.
@@ -100,32 +100,32 @@
 	Turn    *int64  `json:"turn,omitempty"`
 }
 
-var phases = map[string]ringdale.Phase{
-	"on": ringdale.PhaseOn, "fading": ringdale.PhaseDraining, "off": ringdale.PhaseOff,
+var phases = map[string]routing.Phase{
+	"on": routing.PhaseOn, "fading": routing.PhaseDraining, "off": routing.PhaseOff,
 }
 
-var scopes = map[string]ringdale.RosterScope{
-	"D": ringdale.RosterChanges, "F": ringdale.RosterFull, "C": ringdale.RosterCached, "X": ringdale.RosterFailed,
+var scopes = map[string]routing.RosterScope{
+	"D": routing.RosterChanges, "F": routing.RosterFull, "C": routing.RosterCached, "X": routing.RosterFailed,
 }
 
-var statuses = map[string]ringdale.Status{
-	"S": ringdale.StatusServed, "E": ringdale.StatusError, "F": ringdale.StatusFull,
-	"T": ringdale.StatusTimeout, "C": ringdale.StatusNoConnect, "R": ringdale.StatusReset,
-	"X": ringdale.StatusCancelled, "N": ringdale.StatusUnsent, "ready_to_answer": ringdale.StatusRead,
+var statuses = map[string]routing.Status{
+	"S": routing.StatusServed, "E": routing.StatusError, "F": routing.StatusFull,
+	"T": routing.StatusTimeout, "C": routing.StatusNoConnect, "R": routing.StatusReset,
+	"X": routing.StatusCancelled, "N": routing.StatusUnsent, "ready_to_answer": routing.StatusRead,
 }
 
 // host holds the instances of one process; they share nothing but the lists.
 type host struct {
-	routers map[int]*ringdale.Router // nil once stopped
-	lists   map[int][]ringdale.ServerInfo
-	now     ringdale.Time
+	routers map[int]*routing.Router // nil once stopped
+	lists   map[int][]routing.ServerInfo
+	now     routing.Time
 	out     bytes.Buffer
 }
 
 // Serve answers batches from in on out until in ends. An error names the line
 // at fault; no part of an unanswerable batch's reply is written.
 func Serve(in io.Reader, out io.Writer) error {
-	h := &host{routers: map[int]*ringdale.Router{}, lists: map[int][]ringdale.ServerInfo{}}
+	h := &host{routers: map[int]*routing.Router{}, lists: map[int][]routing.ServerInfo{}}
 	r := bufio.NewReaderSize(in, 1<<20)
 	w := bufio.NewWriter(out)
 	var turn *int64
@@ -220,7 +220,7 @@
 	if err != nil {
 		return err
 	}
-	router, err := ringdale.New(o.Settings(), seed)
+	router, err := routing.New(o.Settings(), seed)
 	if err != nil {
 		h.emit(outLine{Verb: "Die", Who: l.Who, Message: err.Error()})
 	}
@@ -244,7 +244,7 @@
 }
 
 // handle gives one event to a router; a panic becomes the dialect's Die.
-func (h *host) handle(who int, router *ringdale.Router, ev ringdale.Event) {
+func (h *host) handle(who int, router *routing.Router, ev routing.Event) {
 	defer func() {
 		if p := recover(); p != nil {
 			h.emit(outLine{Verb: "Die", Who: &who, Message: fmt.Sprint("panic: ", p)})
@@ -264,14 +264,14 @@
 	h.out.WriteByte('\n')
 }
 
-func servers(lines []entry) []ringdale.ServerInfo {
-	list := make([]ringdale.ServerInfo, 0, len(lines))
+func servers(lines []entry) []routing.ServerInfo {
+	list := make([]routing.ServerInfo, 0, len(lines))
 	for _, e := range lines {
 		phase, known := phases[e.Phase]
 		if !known {
-			phase = ringdale.PhaseDraining
+			phase = routing.PhaseDraining
 		}
-		list = append(list, ringdale.ServerInfo{
+		list = append(list, routing.ServerInfo{
 			Name: e.Worker, Kind: e.Family, Zone: e.DC, Cell: e.Bay, Weight: e.Scale,
 			CameUp: Micros(e.CameUp), Phase: phase,
 		})
@@ -279,16 +279,16 @@
 	return list
 }
 
-func (h *host) decode(l *inLine) (ringdale.Event, error) {
-	id := ringdale.RequestID(l.Xid)
+func (h *host) decode(l *inLine) (routing.Event, error) {
+	id := routing.RequestID(l.Xid)
 	switch l.Verb {
 	case "Fleet":
 		scope, known := scopes[l.Scope]
 		if !known {
 			return nil, fmt.Errorf("unknown scope %q", l.Scope)
 		}
-		ev := ringdale.Roster{Scope: scope}
-		if scope != ringdale.RosterFailed {
+		ev := routing.Roster{Scope: scope}
+		if scope != routing.RosterFailed {
 			list, given := h.lists[l.List]
 			if !given {
 				return nil, fmt.Errorf("list %d was never given", l.List)
@@ -297,15 +297,15 @@
 		}
 		return ev, nil
 	case "Call":
-		return ringdale.Request{
+		return routing.Request{
 			ID: id, Class: l.Lane, Tenant: string(l.Team), Session: string(l.Talk), Prefix: string(l.Prefix),
 			PrefixLen: int(l.PrefixLen), Prompt: int(l.Prompt), MaxTokens: int(l.MaxTokens),
 			Hint: Micros(int64(l.Predicted)), TTL: Micros(l.TTL), Repeat: l.Resent, Reconnect: l.Reconnect,
 		}, nil
 	case "UnderWay":
-		return ringdale.FirstToken{ID: id, Attempt: l.Copy, Server: l.Worker, Latency: Micros(l.Latency)}, nil
+		return routing.FirstToken{ID: id, Attempt: l.Copy, Server: l.Worker, Latency: Micros(l.Latency)}, nil
 	case "HeldNote":
-		return ringdale.PlaceNote{ID: id, Held: l.What == 1}, nil
+		return routing.PlaceNote{ID: id, Held: l.What == 1}, nil
 	case "Verdict":
 		status, known := statuses[l.Reason]
 		if !known {
@@ -313,15 +313,15 @@
 		}
 		return outcome(l, status), nil
 	case "Gone":
-		return ringdale.Gone{ID: id}, nil
+		return routing.Gone{ID: id}, nil
 	case "DeadlineHit":
-		return ringdale.TimerFired{Name: l.Mark}, nil
+		return routing.TimerFired{Name: l.Mark}, nil
 	case "Health":
 		status, known := statuses[l.Reason]
 		if !known {
 			return nil, fmt.Errorf("unknown outcome %q", l.Reason)
 		}
-		return ringdale.ProbeResult{
+		return routing.ProbeResult{
 			Server: l.Worker, Status: status, Latency: Micros(l.Latency), Report: ReadReport(l.Usage),
 		}, nil
 	case "FromPeer":
@@ -329,17 +329,17 @@
 		if err != nil {
 			return nil, fmt.Errorf("contents: %w", err)
 		}
-		return ringdale.PeerMessage{From: l.From, Payload: payload}, nil
+		return routing.PeerMessage{From: l.From, Payload: payload}, nil
 	}
 	return nil, fmt.Errorf("unknown event %q", l.Verb)
 }
 
-func outcome(l *inLine, status ringdale.Status) ringdale.Outcome {
-	o := ringdale.Outcome{
-		ID: ringdale.RequestID(l.Xid), Attempt: l.Copy, Server: l.Worker, Status: status,
+func outcome(l *inLine, status routing.Status) routing.Outcome {
+	o := routing.Outcome{
+		ID: routing.RequestID(l.Xid), Attempt: l.Copy, Server: l.Worker, Status: status,
 		Latency: Micros(l.Latency), Final: l.Last, Report: ReadReport(l.Usage),
 	}
-	if status == ringdale.StatusFull {
+	if status == routing.StatusFull {
 		o.NoState = l.Info == 1
 	} else {
 		o.Kept = int(l.Info)
@@ -349,7 +349,7 @@
 
 // ReadReport turns the values of a load report into the module's form, nil if
 // there are none.
-func ReadReport(usage map[string]float64) *ringdale.Report {
+func ReadReport(usage map[string]float64) *routing.Report {
 	if len(usage) == 0 {
 		return nil
 	}
@@ -360,7 +360,7 @@
 		}
 		return nil
 	}
-	r := &ringdale.Report{
+	r := &routing.Report{
 		Memory: value("x0", 1), WaitingTokens: value("x1", 1000), Queue: value("queue", 1), Util: value("util", 1),
 	}
 	if ms, given := usage["latency_ms"]; given {
@@ -370,26 +370,26 @@
 	return r
 }
 
-func encode(who int, action ringdale.Action) outLine {
+func encode(who int, action routing.Action) outLine {
 	l := outLine{Who: &who}
-	id := func(v ringdale.RequestID) *uint32 { n := uint32(v); return &n }
+	id := func(v routing.RequestID) *uint32 { n := uint32(v); return &n }
 	switch a := action.(type) {
-	case ringdale.Send:
+	case routing.Send:
 		l.Verb, l.Xid, l.Worker, l.Limit = "Issue", id(a.ID), a.Server, a.Limit.Microseconds()
-	case ringdale.Refuse:
+	case routing.Refuse:
 		l.Verb, l.Xid, l.Backoff = "Decline", id(a.ID), a.RetryAfter.Microseconds()
-	case ringdale.Fail:
+	case routing.Fail:
 		l.Verb, l.Xid = "Surrender", id(a.ID)
-	case ringdale.CancelAttempt:
+	case routing.CancelAttempt:
 		l.Verb, l.Xid, l.Copy = "DropAttempt", id(a.ID), &a.Attempt
-	case ringdale.Release:
+	case routing.Release:
 		l.Verb, l.Xid = "FreeState", id(a.ID)
-	case ringdale.SetTimer:
+	case routing.SetTimer:
 		in := a.In.Microseconds()
 		l.Verb, l.In, l.Mark = "Timer", &in, a.Name
-	case ringdale.Probe:
+	case routing.Probe:
 		l.Verb, l.Worker = "AskLoad", a.Server
-	case ringdale.Subscribe:
+	case routing.Subscribe:
 		want := true
 		l.Verb, l.Want = "Tail", &want
 	default:
--- a/lab/fleetrun/fleetrun.go
+++ b/lab/fleetrun/fleetrun.go
@@ -10,7 +10,7 @@
 
 	"wellgw/lab"
 	"wellgw/lab/fleetsim"
-	"wellgw/ringdale"
+	"wellgw/routing"
 )
 
 // Experiment returns the experiment.
@@ -55,7 +55,7 @@
 				defer func() { <-free }()
 				if ctx.Err() == nil {
 					d := fleetsim.Fleet(opt.Seed+uint64(i), n)
-					cells[i][j] = cell{d, fleetsim.Play(d, func(set ringdale.Settings, seed uint64) fleetsim.Decider { return fleetsim.Module(set, seed) }, false)}
+					cells[i][j] = cell{d, fleetsim.Play(d, func(set routing.Settings, seed uint64) fleetsim.Decider { return fleetsim.Module(set, seed) }, false)}
 				}
 			})
 		}
--- a/lab/fleetsim/baseline.go
+++ b/lab/fleetsim/baseline.go
@@ -4,12 +4,12 @@
 	"math/rand/v2"
 	"slices"
 
-	"wellgw/ringdale"
+	"wellgw/routing"
 )
 
 // Module is the gateway's own module.
-func Module(set ringdale.Settings, seed uint64) Decider {
-	r, err := ringdale.New(set, seed)
+func Module(set routing.Settings, seed uint64) Decider {
+	r, err := routing.New(set, seed)
 	if err != nil {
 		panic(err) // a drawn deployment is always one that can be used
 	}
@@ -27,10 +27,10 @@
 // shared beginning. They keep the rules and turn nothing away before it has failed.
 func Baselines() []Baseline {
 	of := func(pick func(*plain, *plainRequest, []*plainServer) *plainServer) Policy {
-		return func(set ringdale.Settings, seed uint64) Decider {
+		return func(set routing.Settings, seed uint64) Decider {
 			return &plain{
 				set: set, pick: pick, rng: rand.New(rand.NewPCG(seed, 5)), last: map[string]string{},
-				reqs: map[ringdale.RequestID]*plainRequest{}, servers: map[string]*plainServer{},
+				reqs: map[routing.RequestID]*plainRequest{}, servers: map[string]*plainServer{},
 			}
 		}
 	}
@@ -38,13 +38,13 @@
 }
 
 type plainServer struct {
-	ringdale.ServerInfo
-	role   ringdale.Role
+	routing.ServerInfo
+	role   routing.Role
 	inHand int
 }
 
 type plainRequest struct {
-	ringdale.Request
+	routing.Request
 	at       *plainServer
 	attempts int
 	ran      bool
@@ -52,14 +52,14 @@
 }
 
 type plain struct {
-	set     ringdale.Settings
+	set     routing.Settings
 	pick    func(*plain, *plainRequest, []*plainServer) *plainServer
 	rng     *rand.Rand
 	last    map[string]string // reader by session and by beginning
-	reqs    map[ringdale.RequestID]*plainRequest
+	reqs    map[routing.RequestID]*plainRequest
 	servers map[string]*plainServer
 	order   []*plainServer
-	out     []ringdale.Action
+	out     []routing.Action
 }
 
 func (p *plain) random(_ *plainRequest, pool []*plainServer) *plainServer {
@@ -80,7 +80,7 @@
 func (p *plain) match(q *plainRequest, pool []*plainServer) *plainServer {
 	for _, key := range []string{"s:" + q.Session, "p:" + q.Prefix} {
 		for _, s := range pool {
-			if s.role == ringdale.RoleReader && s.Name == p.last[key] {
+			if s.role == routing.RoleReader && s.Name == p.last[key] {
 				return s
 			}
 		}
@@ -89,26 +89,26 @@
 }
 
 // Handle takes one event, as a router does.
-func (p *plain) Handle(_ ringdale.Time, ev ringdale.Event) []ringdale.Action {
+func (p *plain) Handle(_ routing.Time, ev routing.Event) []routing.Action {
 	p.out = p.out[:0]
 	switch e := ev.(type) {
-	case ringdale.Roster:
+	case routing.Roster:
 		p.roster(e)
-	case ringdale.Request:
+	case routing.Request:
 		q := &plainRequest{Request: e}
 		p.reqs[e.ID] = q
 		p.next(q)
-	case ringdale.FirstToken:
+	case routing.FirstToken:
 		p.reqs[e.ID].ran = true
-	case ringdale.Outcome:
+	case routing.Outcome:
 		p.outcome(e)
-	case ringdale.Gone:
+	case routing.Gone:
 		delete(p.reqs, e.ID)
 	}
 	return p.out
 }
 
-func (p *plain) roster(e ringdale.Roster) {
+func (p *plain) roster(e routing.Roster) {
 	for _, info := range e.Servers {
 		s := p.servers[info.Name]
 		if s == nil {
@@ -116,34 +116,34 @@
 			p.servers[info.Name], p.order = s, append(p.order, s)
 		}
 		s.ServerInfo = info
-		i := slices.IndexFunc(p.set.Kinds, func(k ringdale.Kind) bool { return k.Name == info.Kind })
+		i := slices.IndexFunc(p.set.Kinds, func(k routing.Kind) bool { return k.Name == info.Kind })
 		s.role = p.set.Kinds[i].Role
 	}
 }
 
 // next sends a request on, or gives it up.
 func (p *plain) next(q *plainRequest) {
-	role := ringdale.RoleReader
+	role := routing.RoleReader
 	if q.read {
-		role = ringdale.RoleWriter
+		role = routing.RoleWriter
 	}
 	var pool []*plainServer
 	for _, s := range p.order {
-		if s.role == role && s.Phase == ringdale.PhaseOn {
+		if s.role == role && s.Phase == routing.PhaseOn {
 			pool = append(pool, s)
 		}
 	}
-	single := slices.ContainsFunc(p.set.Classes, func(c ringdale.Class) bool {
-		return c.Name == q.Class && c.Effect == ringdale.EffectSingleShot
+	single := slices.ContainsFunc(p.set.Classes, func(c routing.Class) bool {
+		return c.Name == q.Class && c.Effect == routing.EffectSingleShot
 	})
 	if len(pool) == 0 || q.attempts >= p.set.MaxAttempts || q.ran && single {
 		if q.read {
-			p.out = append(p.out, ringdale.Release{ID: q.ID})
+			p.out = append(p.out, routing.Release{ID: q.ID})
 		}
 		if q.ran && single {
-			p.out = append(p.out, ringdale.Fail{ID: q.ID})
+			p.out = append(p.out, routing.Fail{ID: q.ID})
 		} else {
-			p.out = append(p.out, ringdale.Refuse{ID: q.ID})
+			p.out = append(p.out, routing.Refuse{ID: q.ID})
 		}
 		delete(p.reqs, q.ID)
 		return
@@ -151,30 +151,30 @@
 	q.at = p.pick(p, q, pool)
 	q.at.inHand++
 	q.attempts++
-	p.out = append(p.out, ringdale.Send{ID: q.ID, Server: q.at.Name})
+	p.out = append(p.out, routing.Send{ID: q.ID, Server: q.at.Name})
 }
 
-func (p *plain) outcome(e ringdale.Outcome) {
+func (p *plain) outcome(e routing.Outcome) {
 	q := p.reqs[e.ID]
 	if q == nil {
 		return
 	}
 	q.at.inHand--
-	if e.Status == ringdale.StatusRead {
+	if e.Status == routing.StatusRead {
 		q.read = true
 		p.last["s:"+q.Session], p.last["p:"+q.Prefix] = e.Server, e.Server
-	} else if q.at.role == ringdale.RoleWriter {
-		never := e.Status == ringdale.StatusFull || e.Status == ringdale.StatusNoConnect
+	} else if q.at.role == routing.RoleWriter {
+		never := e.Status == routing.StatusFull || e.Status == routing.StatusNoConnect
 		q.ran = q.ran || !never
 		q.read = q.read && !e.NoState
 	}
 	switch {
 	case e.Final:
 		if q.read {
-			p.out = append(p.out, ringdale.Release{ID: q.ID})
+			p.out = append(p.out, routing.Release{ID: q.ID})
 		}
 		delete(p.reqs, e.ID)
-	case e.Status == ringdale.StatusTimeout: // the client's time is over
+	case e.Status == routing.StatusTimeout: // the client's time is over
 		q.attempts = p.set.MaxAttempts
 		p.next(q)
 	default:
--- a/lab/fleetsim/deployment.go
+++ b/lab/fleetsim/deployment.go
@@ -1,5 +1,5 @@
 // Package fleetsim emulates a two-stage deployment in virtual time and drives routers of
-// package ringdale through their own events: no sockets, no clock, no goroutines. The
+// package routing through their own events: no sockets, no clock, no goroutines. The
 // same seed gives the same figures, byte for byte.
 //
 // A Deployment is drawn from a seed over ranges wide enough that no one site is special.
@@ -12,12 +12,12 @@
 	"math/rand/v2"
 	"time"
 
-	"wellgw/ringdale"
+	"wellgw/routing"
 )
 
 // Class is a class of requests with the habits of its clients. Lengths are in tokens.
 type Class struct {
-	ringdale.Class
+	routing.Class
 	Deadline   time.Duration // a client's patience without a first token
 	LateWorth  float64       // share of the worth that an answer after the aim earns
 	Share      float64       // of the sessions
@@ -32,7 +32,7 @@
 
 // Kind is a kind of engines. Rates are in tokens a second, memory in tokens.
 type Kind struct {
-	ringdale.Kind
+	routing.Kind
 	Slots, Queue int
 	ReadRate     float64
 	Chunk        int           // tokens read in one step of a writer
@@ -69,7 +69,7 @@
 type Deployment struct {
 	Seed         uint64
 	Name         string
-	Settings     ringdale.Settings // without what differs by gateway
+	Settings     routing.Settings // without what differs by gateway
 	Zones        []string
 	Gateways     []string // the zone of each
 	Kinds        []Kind
@@ -80,7 +80,7 @@
 	Load         float64       // of what the weaker pool is reckoned to do
 	Swing        float64       // of a wave over the day
 	Bursts       bool
-	Report       ringdale.Report // which values reports carry (non-nil), with answers; all nil: none
+	Report       routing.Report // which values reports carry (non-nil), with answers; all nil: none
 	ReportPeriod time.Duration
 	ReportDelay  time.Duration
 	Noise        float64
@@ -157,12 +157,12 @@
 	d.drawEngines(r)
 	value := 0.0
 	if wait := time.Duration(0); r.chance(0.6) {
-		d.Report = ringdale.Report{Memory: &value, WaitingTokens: &value}
+		d.Report = routing.Report{Memory: &value, WaitingTokens: &value}
 		if r.chance(0.5) {
 			d.Report.Latency = &wait
 		}
 	}
-	d.Settings = ringdale.Settings{
+	d.Settings = routing.Settings{
 		Zones: d.Zones, Routers: len(d.Gateways), CanCancel: r.chance(0.8), CanRetryAfter: r.chance(0.7),
 		MaxRetryAfter: r.span(500*time.Millisecond, 3*time.Second), MaxAttempts: 3 + r.IntN(4),
 		WritersRead: r.chance(0.5), Cold: d.ColdSpan, ColdShare: d.ColdFrom,
@@ -210,16 +210,16 @@
 // answer would be of little use.
 func (d *Deployment) pulled() {
 	value := 0.0
-	d.Pull, d.Report = true, ringdale.Report{Memory: &value, Queue: &value, Util: &value}
+	d.Pull, d.Report = true, routing.Report{Memory: &value, Queue: &value, Util: &value}
 	d.Settings.CanProbe, d.Settings.CanCancel, d.Settings.WritersRead = true, true, false
 }
 
 func (d *Deployment) drawClasses(r draw) {
-	effects := []ringdale.Effect{ringdale.EffectFree, ringdale.EffectSingleShot}
+	effects := []routing.Effect{routing.EffectFree, routing.EffectSingleShot}
 	for i := range 1 + r.IntN(3) {
 		aim := r.span(800*time.Millisecond, 3*time.Second)
 		d.Classes = append(d.Classes, Class{
-			Class: ringdale.Class{
+			Class: routing.Class{
 				Name: fmt.Sprint("class-", i), Aim: aim, AimPerToken: 40 * time.Microsecond,
 				TokenAim: r.span(50*time.Millisecond, 90*time.Millisecond), Gain: r.in(1, 4), Effect: effects[r.IntN(2)],
 			},
@@ -242,13 +242,13 @@
 // of the two pools, and the rate by the weaker one.
 func (d *Deployment) drawEngines(r draw) {
 	reader := Kind{
-		Kind:  ringdale.Kind{Name: "kind-0", Role: ringdale.RoleReader, Memory: math.Round(r.in(1.5e5, 3e5))},
+		Kind:  routing.Kind{Name: "kind-0", Role: routing.RoleReader, Memory: math.Round(r.in(1.5e5, 3e5))},
 		Slots: 4 + r.IntN(8), Queue: 20 + r.IntN(40), Step: 10 * time.Millisecond,
 	}
 	d.Kinds = []Kind{reader}
 	for i := range 1 + r.IntN(2) {
 		d.Kinds = append(d.Kinds, Kind{
-			Kind:  ringdale.Kind{Name: fmt.Sprint("kind-", i+1), Role: ringdale.RoleWriter, Memory: math.Round(r.in(1e5, 2.2e5))},
+			Kind:  routing.Kind{Name: fmt.Sprint("kind-", i+1), Role: routing.RoleWriter, Memory: math.Round(r.in(1e5, 2.2e5))},
 			Slots: 50 + r.IntN(70), Queue: 10 + r.IntN(30), ReadRate: r.in(5000, 9000), Chunk: 512 << r.IntN(3),
 			Step: r.span(9*time.Millisecond, 20*time.Millisecond), PerAnswer: r.span(50*time.Microsecond, 350*time.Microsecond),
 			PerK: r.span(20*time.Microsecond, 80*time.Microsecond),
--- a/lab/fleetsim/engine.go
+++ b/lab/fleetsim/engine.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"wellgw/ringdale"
+	"wellgw/routing"
 )
 
 // kept is a text that an engine keeps: of a session, or a shared beginning.
@@ -44,7 +44,7 @@
 	held     int          // tokens of all of them and of running work
 	linkFree time.Duration
 	latency  time.Duration
-	report   *ringdale.Report
+	report   *routing.Report
 	arrivals []arrival // while cold
 	sends    int       // attempts sent here
 }
@@ -54,7 +54,7 @@
 	weight float64
 }
 
-func (e *engine) reader() bool { return e.kind.Role == ringdale.RoleReader }
+func (e *engine) reader() bool { return e.kind.Role == routing.RoleReader }
 
 // capacity is the part of its warm speed that it has now.
 func (e *engine) capacity() float64 {
@@ -120,18 +120,18 @@
 func (e *engine) take(a *attempt) {
 	t := a.t
 	if !e.up {
-		e.w.reply(a, ringdale.StatusNoConnect, 0, false)
+		e.w.reply(a, routing.StatusNoConnect, 0, false)
 		return
 	}
 	e.push(t)
 	if e.draining || len(e.running)+len(e.queue) >= e.kind.Slots+e.kind.Queue {
-		e.w.reply(a, ringdale.StatusFull, 0, false)
+		e.w.reply(a, routing.StatusFull, 0, false)
 		return
 	}
 	j := &job{a: a, context: t.call.prompt, left: t.call.out}
 	if !e.reader() && t.state == nil {
 		if !e.w.d.Settings.WritersRead {
-			e.w.reply(a, ringdale.StatusFull, 0, true)
+			e.w.reply(a, routing.StatusFull, 0, true)
 			return
 		}
 		a.whole = true
@@ -230,7 +230,7 @@
 				e.release(t)
 			} else {
 				t.state = e
-				e.w.reply(j.a, ringdale.StatusRead, found, false)
+				e.w.reply(j.a, routing.StatusRead, found, false)
 			}
 		}
 		e.work()
@@ -251,7 +251,7 @@
 	case from.states[t] == 0:
 		t.state = nil
 		e.drop(j.a)
-		e.w.reply(j.a, ringdale.StatusFull, 0, true)
+		e.w.reply(j.a, routing.StatusFull, 0, true)
 	default:
 		j.ready = e.w.fetch(from, e, j.context)
 		e.w.at(j.ready, func() { from.release(t) })
@@ -307,7 +307,7 @@
 			if j.a.whole {
 				e.keep(j.a.t.call)
 			}
-			e.w.reply(j.a, ringdale.StatusServed, 0, false)
+			e.w.reply(j.a, routing.StatusServed, 0, false)
 		}
 	}
 	if reads != nil {
@@ -331,7 +331,7 @@
 		v *= math.Max(0, 1+d.Noise*e.w.noise.NormFloat64())
 		return &v
 	}
-	rep := &ringdale.Report{}
+	rep := &routing.Report{}
 	waiting := 0
 	for _, j := range append(slices.Clone(e.queue), e.running...) {
 		if j.todo > 0 || !j.begun && j.ready == 0 {
@@ -368,7 +368,7 @@
 	}
 	clear(e.states)
 	for _, j := range jobs {
-		e.w.reply(j.a, ringdale.StatusReset, 0, false)
+		e.w.reply(j.a, routing.StatusReset, 0, false)
 	}
 }
 
--- a/lab/fleetsim/experiment.go
+++ b/lab/fleetsim/experiment.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"wellgw/lab"
-	"wellgw/ringdale"
+	"wellgw/routing"
 )
 
 // slack is how much less than the best plain policy the module may serve.
@@ -65,7 +65,7 @@
 func mean(d *Deployment, policy Policy) Result {
 	var sum Result
 	for salt := range uint64(plays) {
-		r := Play(d, func(set ringdale.Settings, seed uint64) Decider { return policy(set, seed+salt<<32) }, false)
+		r := Play(d, func(set routing.Settings, seed uint64) Decider { return policy(set, seed+salt<<32) }, false)
 		sum.Service, sum.Worst10 = sum.Service+r.Service/plays, sum.Worst10+r.Worst10/plays
 		sum.Requests, sum.Refused, sum.Late = r.Requests, sum.Refused+r.Refused, sum.Late+r.Late
 		sum.Broken = append(sum.Broken, r.Broken...)
@@ -178,8 +178,8 @@
 	return ": " + list[0]
 }
 
-func effectName(e ringdale.Effect) string {
-	if e == ringdale.EffectSingleShot {
+func effectName(e routing.Effect) string {
+	if e == routing.EffectSingleShot {
 		return "once"
 	}
 	return "free"
--- a/lab/fleetsim/fair_test.go
+++ b/lab/fleetsim/fair_test.go
@@ -9,28 +9,28 @@
 	"strings"
 	"testing"
 
-	"wellgw/ringdale"
+	"wellgw/routing"
 )
 
 // tally notes what is asked of a tier's modules and what of it began to be answered.
 type tally struct {
 	Decider
-	asked    map[ringdale.RequestID]ringdale.Request
-	answered map[ringdale.RequestID]bool
+	asked    map[routing.RequestID]routing.Request
+	answered map[routing.RequestID]bool
 }
 
-func (c *tally) Handle(now ringdale.Time, ev ringdale.Event) []ringdale.Action {
+func (c *tally) Handle(now routing.Time, ev routing.Event) []routing.Action {
 	switch e := ev.(type) {
-	case ringdale.Request:
+	case routing.Request:
 		c.asked[e.ID] = e
-	case ringdale.FirstToken:
+	case routing.FirstToken:
 		c.answered[e.ID] = true
 	}
 	return c.Decider.Handle(now, ev)
 }
 
 // answeredPart is the part of the requests that was answered.
-func (c *tally) answeredPart(of []ringdale.Request) float64 {
+func (c *tally) answeredPart(of []routing.Request) float64 {
 	n := 0
 	for _, q := range of {
 		if c.answered[q.ID] {
@@ -49,13 +49,13 @@
 		least, d.Troubles, d.Swing, d.Bursts = 2.0/3, nil, 0, false
 		d.Rate *= min(1, 0.55/d.Load)
 	}
-	c := &tally{asked: map[ringdale.RequestID]ringdale.Request{}, answered: map[ringdale.RequestID]bool{}}
-	Play(d, func(set ringdale.Settings, seed uint64) Decider {
+	c := &tally{asked: map[routing.RequestID]routing.Request{}, answered: map[routing.RequestID]bool{}}
+	Play(d, func(set routing.Settings, seed uint64) Decider {
 		return &tally{Decider: policy(set, seed), asked: c.asked, answered: c.answered}
 	}, false)
 	for _, class := range d.Classes {
-		var all []ringdale.Request
-		sessions := map[string][]ringdale.Request{}
+		var all []routing.Request
+		sessions := map[string][]routing.Request{}
 		for _, q := range c.asked {
 			if q.Class == class.Name {
 				all = append(all, q)
@@ -65,13 +65,13 @@
 		if len(all) < 100 {
 			continue
 		}
-		slices.SortFunc(all, func(a, b ringdale.Request) int { return cmp.Or(b.Prompt-a.Prompt, int(a.ID)-int(b.ID)) })
+		slices.SortFunc(all, func(a, b routing.Request) int { return cmp.Or(b.Prompt-a.Prompt, int(a.ID)-int(b.ID)) })
 		part := c.answeredPart(all)
 		tenth := len(all) / 10
 		if len(all) < 400 {
 			tenth = len(all) / 4
 		}
-		for what, some := range map[string][]ringdale.Request{"longest": all[:tenth], "next": all[tenth : tenth+len(all)/5]} {
+		for what, some := range map[string][]routing.Request{"longest": all[:tenth], "next": all[tenth : tenth+len(all)/5]} {
 			if got := c.answeredPart(some); got < least*part {
 				found = append(found, fmt.Sprintf("%s: of the %s prompts %.2f are answered, of all %.2f", class.Name, what, got, part))
 			}
@@ -105,12 +105,12 @@
 // picky turns requests away by what they are, though there is room.
 type picky struct {
 	Decider
-	away func(ringdale.Request) bool
+	away func(routing.Request) bool
 }
 
-func (p picky) Handle(now ringdale.Time, ev ringdale.Event) []ringdale.Action {
-	if q, is := ev.(ringdale.Request); is && p.away(q) {
-		return []ringdale.Action{ringdale.Refuse{ID: q.ID}}
+func (p picky) Handle(now routing.Time, ev routing.Event) []routing.Action {
+	if q, is := ev.(routing.Request); is && p.away(q) {
+		return []routing.Action{routing.Refuse{ID: q.ID}}
 	}
 	return p.Decider.Handle(now, ev)
 }
@@ -118,11 +118,11 @@
 // What singles out is seen: a policy that turns long prompts away, and one that does so with
 // half of the sessions.
 func TestSinglingOutIsSeen(t *testing.T) {
-	for what, away := range map[string]func(ringdale.Request) bool{
-		"prompts": func(q ringdale.Request) bool { return q.Prompt > 1500 },
-		"session": func(q ringdale.Request) bool { return crc32.ChecksumIEEE([]byte(q.Session))%2 == 0 },
+	for what, away := range map[string]func(routing.Request) bool{
+		"prompts": func(q routing.Request) bool { return q.Prompt > 1500 },
+		"session": func(q routing.Request) bool { return crc32.ChecksumIEEE([]byte(q.Session))%2 == 0 },
 	} {
-		found := unfair(Draw(1), func(set ringdale.Settings, seed uint64) Decider { return picky{Module(set, seed), away} }, true)
+		found := unfair(Draw(1), func(set routing.Settings, seed uint64) Decider { return picky{Module(set, seed), away} }, true)
 		if !strings.Contains(strings.Join(found, " "), what) {
 			t.Errorf("%s: found %q", what, found)
 		}
--- a/lab/fleetsim/fleetsim_test.go
+++ b/lab/fleetsim/fleetsim_test.go
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	"wellgw/ringdale"
+	"wellgw/routing"
 )
 
 // long leaves a test out of the short run, which comes after the whole one.
@@ -75,10 +75,10 @@
 // breaker is a plain policy that breaks one rule.
 type breaker struct {
 	Decider
-	how func(ev ringdale.Event, out []ringdale.Action) []ringdale.Action
+	how func(ev routing.Event, out []routing.Action) []routing.Action
 }
 
-func (b breaker) Handle(now ringdale.Time, ev ringdale.Event) []ringdale.Action {
+func (b breaker) Handle(now routing.Time, ev routing.Event) []routing.Action {
 	return b.how(ev, b.Decider.Handle(now, ev))
 }
 
@@ -89,42 +89,42 @@
 		d.Troubles = []Trouble{{What: what, At: 18 * time.Second, For: 6 * time.Second, Part: 0.5, Size: 2}}
 		d.Grace, d.Notice = 500*time.Millisecond, 300*time.Millisecond
 		for i := range d.Classes {
-			d.Classes[i].Effect = ringdale.EffectSingleShot
-			d.Settings.Classes[i].Effect = ringdale.EffectSingleShot
+			d.Classes[i].Effect = routing.EffectSingleShot
+			d.Settings.Classes[i].Effect = routing.EffectSingleShot
 		}
 		return d
 	}
 	for _, c := range []struct {
 		name, trouble, want string
 		careless            bool // takes every class for one that may be repeated
-		how                 func(ev ringdale.Event, out []ringdale.Action) []ringdale.Action
+		how                 func(ev routing.Event, out []routing.Action) []routing.Action
 	}{
-		{"silent", Flush, "got no final answer", false, func(ev ringdale.Event, out []ringdale.Action) []ringdale.Action {
-			if _, ok := ev.(ringdale.Request); ok {
+		{"silent", Flush, "got no final answer", false, func(ev routing.Event, out []routing.Action) []routing.Action {
+			if _, ok := ev.(routing.Request); ok {
 				return nil
 			}
 			return out
 		}},
-		{"two at once", Flush, "two attempts", false, func(_ ringdale.Event, out []ringdale.Action) []ringdale.Action {
+		{"two at once", Flush, "two attempts", false, func(_ routing.Event, out []routing.Action) []routing.Action {
 			return append(out, out...)
 		}},
-		{"pins", Flush, "stayed pinned", false, func(ev ringdale.Event, out []ringdale.Action) []ringdale.Action {
-			if o, ok := ev.(ringdale.Outcome); ok && o.Status == ringdale.StatusRead {
+		{"pins", Flush, "stayed pinned", false, func(ev routing.Event, out []routing.Action) []routing.Action {
+			if o, ok := ev.(routing.Outcome); ok && o.Status == routing.StatusRead {
 				return nil
 			}
 			return out
 		}},
-		{"sends after the end", Flush, "which has ended", false, func(ev ringdale.Event, out []ringdale.Action) []ringdale.Action {
-			if o, ok := ev.(ringdale.Outcome); ok && o.Final {
-				out = append(out, ringdale.Send{ID: o.ID, Server: o.Server})
+		{"sends after the end", Flush, "which has ended", false, func(ev routing.Event, out []routing.Action) []routing.Action {
+			if o, ok := ev.(routing.Outcome); ok && o.Final {
+				out = append(out, routing.Send{ID: o.ID, Server: o.Server})
 			}
 			return out
 		}},
-		{"runs twice", Crash, "may run twice", true, func(_ ringdale.Event, out []ringdale.Action) []ringdale.Action { return out }},
+		{"runs twice", Crash, "may run twice", true, func(_ routing.Event, out []routing.Action) []routing.Action { return out }},
 		{"ignores drains", Drain, "after its drain was told", false, nil},
 	} {
 		d := day(c.trouble)
-		policy := func(set ringdale.Settings, seed uint64) Decider {
+		policy := func(set routing.Settings, seed uint64) Decider {
 			if c.careless {
 				set.Classes = nil
 			}
@@ -143,8 +143,8 @@
 // deaf hears of no change of the list.
 type deaf struct{ Decider }
 
-func (p deaf) Handle(now ringdale.Time, ev ringdale.Event) []ringdale.Action {
-	if e, ok := ev.(ringdale.Roster); ok && e.Scope == ringdale.RosterChanges {
+func (p deaf) Handle(now routing.Time, ev routing.Event) []routing.Action {
+	if e, ok := ev.(routing.Roster); ok && e.Scope == routing.RosterChanges {
 		return nil
 	}
 	return p.Decider.Handle(now, ev)
--- a/lab/fleetsim/floors_test.go
+++ b/lab/fleetsim/floors_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"wellgw/ringdale"
+	"wellgw/routing"
 )
 
 // The floors of the standing test, against what a plain policy serves on the same day.
@@ -37,7 +37,7 @@
 			found = append(found, fmt.Sprintf("%s: %.2f of the worth is served, by the plain policy %.2f", what, part, plain))
 		}
 	}
-	effects := map[ringdale.Effect][2]float64{}
+	effects := map[routing.Effect][2]float64{}
 	for i, class := range d.Classes {
 		check("class "+class.Name, got.ByClass[i], floorOfClass, plain.ByClass[i])
 		sum := effects[class.Effect]
@@ -78,12 +78,12 @@
 // late turns requests away from a moment on.
 type late struct {
 	Decider
-	from ringdale.Time
+	from routing.Time
 }
 
-func (l late) Handle(now ringdale.Time, ev ringdale.Event) []ringdale.Action {
-	if q, is := ev.(ringdale.Request); is && now > l.from {
-		return []ringdale.Action{ringdale.Refuse{ID: q.ID}}
+func (l late) Handle(now routing.Time, ev routing.Event) []routing.Action {
+	if q, is := ev.(routing.Request); is && now > l.from {
+		return []routing.Action{routing.Refuse{ID: q.ID}}
 	}
 	return l.Decider.Handle(now, ev)
 }
@@ -94,12 +94,12 @@
 	const seed = 2 // a day on which a plain policy serves all
 	d := Draw(seed)
 	plain := Play(Draw(seed), fewest(t), false)
-	day := ringdale.Time(len(plain.BySecond)) * ringdale.Time(1e9)
+	day := routing.Time(len(plain.BySecond)) * routing.Time(1e9)
 	for what, policy := range map[string]Policy{
-		"class " + d.Classes[0].Name: func(set ringdale.Settings, seed uint64) Decider {
-			return picky{Module(set, seed), func(q ringdale.Request) bool { return q.Class == d.Classes[0].Name }}
+		"class " + d.Classes[0].Name: func(set routing.Settings, seed uint64) Decider {
+			return picky{Module(set, seed), func(q routing.Request) bool { return q.Class == d.Classes[0].Name }}
 		},
-		"third 3": func(set ringdale.Settings, seed uint64) Decider { return late{Module(set, seed), day / 2} },
+		"third 3": func(set routing.Settings, seed uint64) Decider { return late{Module(set, seed), day / 2} },
 	} {
 		found := strings.Join(starved(d, Play(Draw(seed), policy, false), plain), "; ")
 		if !strings.Contains(found, what) {
--- a/lab/fleetsim/world.go
+++ b/lab/fleetsim/world.go
@@ -8,16 +8,16 @@
 	"slices"
 	"time"
 
-	"wellgw/ringdale"
+	"wellgw/routing"
 )
 
 // Decider is what is played: a router, or a plain policy with its events and actions.
 type Decider interface {
-	Handle(now ringdale.Time, ev ringdale.Event) []ringdale.Action
+	Handle(now routing.Time, ev routing.Event) []routing.Action
 }
 
 // Policy makes the decider of one gateway.
-type Policy func(set ringdale.Settings, seed uint64) Decider
+type Policy func(set routing.Settings, seed uint64) Decider
 
 // Result is what came of a deployment's day.
 type Result struct {
@@ -50,7 +50,7 @@
 
 // try is one request to a gateway.
 type try struct {
-	id           ringdale.RequestID
+	id           routing.RequestID
 	call         *call
 	gw           *gateway
 	deadline     time.Duration
@@ -117,8 +117,8 @@
 	links    map[int]time.Duration // when a cell's link is free
 	linkSlow float64
 	calls    []*call
-	tries    map[ringdale.RequestID]*try
-	nextID   ringdale.RequestID
+	tries    map[routing.RequestID]*try
+	nextID   routing.RequestID
 	hotLen   int
 	res      Result
 	trace    bool
@@ -130,7 +130,7 @@
 	w := &world{
 		d: d, noise: rand.New(rand.NewPCG(d.Seed, 2)), clients: draw{rand.New(rand.NewPCG(d.Seed, 3))},
 		byName: map[string]*engine{}, links: map[int]time.Duration{}, linkSlow: 1,
-		tries: map[ringdale.RequestID]*try{}, trace: trace,
+		tries: map[routing.RequestID]*try{}, trace: trace,
 	}
 	for _, spec := range d.Engines {
 		e := &engine{w: w, Engine: spec, kind: &d.Kinds[spec.Kind], up: true, slow: 1, states: map[*try]int{}}
@@ -145,7 +145,7 @@
 		if i == d.Busy {
 			w.busy = g
 		}
-		w.tell(g, ringdale.Roster{Scope: ringdale.RosterCached, Servers: w.list()})
+		w.tell(g, routing.Roster{Scope: routing.RosterCached, Servers: w.list()})
 	}
 	w.arrivals()
 	for _, t := range d.Troubles {
@@ -182,21 +182,21 @@
 	}
 }
 
-func (w *world) list() []ringdale.ServerInfo {
-	var out []ringdale.ServerInfo
+func (w *world) list() []routing.ServerInfo {
+	var out []routing.ServerInfo
 	for _, e := range w.engines {
 		out = append(out, e.info())
 	}
 	return out
 }
 
-func (e *engine) info() ringdale.ServerInfo {
-	s := ringdale.ServerInfo{Name: e.Name, Kind: e.kind.Name, Zone: e.Zone, Cell: e.Cell, Weight: 1, CameUp: e.cameUp}
+func (e *engine) info() routing.ServerInfo {
+	s := routing.ServerInfo{Name: e.Name, Kind: e.kind.Name, Zone: e.Zone, Cell: e.Cell, Weight: 1, CameUp: e.cameUp}
 	switch {
 	case !e.up:
-		s.Phase = ringdale.PhaseOff
+		s.Phase = routing.PhaseOff
 	case e.draining:
-		s.Phase = ringdale.PhaseDraining
+		s.Phase = routing.PhaseDraining
 	}
 	return s
 }
@@ -316,12 +316,12 @@
 	info := e.info()
 	for _, g := range w.gateways {
 		w.at(w.now+time.Duration(w.clients.in(0.7, 1)*float64(w.d.Notice)), func() {
-			if info.Phase == ringdale.PhaseOn {
+			if info.Phase == routing.PhaseOn {
 				delete(g.told, e.Name)
 			} else if _, known := g.told[e.Name]; !known {
 				g.told[e.Name] = w.now
 			}
-			w.tell(g, ringdale.Roster{Servers: []ringdale.ServerInfo{info}})
+			w.tell(g, routing.Roster{Servers: []routing.ServerInfo{info}})
 		})
 	}
 }
@@ -353,7 +353,7 @@
 	t := &try{id: w.nextID, call: c, gw: near[w.clients.IntN(len(near))], deadline: w.now + ttl}
 	w.tries[t.id] = t
 	w.at(t.deadline, func() { w.expire(t) })
-	w.tell(t.gw, ringdale.Request{
+	w.tell(t.gw, routing.Request{
 		ID: t.id, Class: class.Name, Session: c.session, Prefix: c.prefix, PrefixLen: c.prefixLen,
 		Prompt: c.prompt, MaxTokens: class.MaxOut, TTL: ttl, Repeat: c.tries > 1,
 	})
@@ -368,14 +368,14 @@
 		return
 	}
 	if a := t.out; a != nil {
-		w.finish(a, ringdale.StatusTimeout)
+		w.finish(a, routing.StatusTimeout)
 		w.at(w.now, func() { w.withdraw(a) })
 	}
 	w.at(w.now+answerSlack, func() {
 		if !t.ended && t.first == 0 {
 			w.broke("request %d got no final answer in time", t.id)
 			t.ended, t.gone = true, true
-			w.tell(t.gw, ringdale.Gone{ID: t.id})
+			w.tell(t.gw, routing.Gone{ID: t.id})
 		}
 	})
 }
@@ -445,28 +445,28 @@
 
 // ---- gateways
 
-func (w *world) tell(g *gateway, ev ringdale.Event) {
+func (w *world) tell(g *gateway, ev routing.Event) {
 	for _, a := range slices.Clone(g.decider.Handle(w.now, ev)) {
 		w.act(g, a)
 	}
 }
 
-func (w *world) act(g *gateway, action ringdale.Action) {
+func (w *world) act(g *gateway, action routing.Action) {
 	if w.trace {
-		if _, timer := action.(ringdale.SetTimer); !timer {
+		if _, timer := action.(routing.SetTimer); !timer {
 			w.res.Decisions = append(w.res.Decisions, fmt.Sprintf("%d %T %+v", w.now, action, action))
 		}
 	}
 	switch a := action.(type) {
-	case ringdale.SetTimer:
+	case routing.SetTimer:
 		w.at(w.now+max(a.In, w.d.Settings.Tick), func() {
 			if w.now < w.d.Length+30*time.Second {
-				w.tell(g, ringdale.TimerFired{Name: a.Name})
+				w.tell(g, routing.TimerFired{Name: a.Name})
 			}
 		})
-	case ringdale.Send:
+	case routing.Send:
 		w.send(g, a)
-	case ringdale.Refuse:
+	case routing.Refuse:
 		if t := w.ending(g, a.ID); t != nil {
 			if t.ran && w.single(t) {
 				w.broke("request %d was refused though it may have run", t.id)
@@ -474,21 +474,21 @@
 			w.res.Refused++
 			w.answered(t, true, a.RetryAfter)
 		}
-	case ringdale.Fail:
+	case routing.Fail:
 		if t := w.ending(g, a.ID); t != nil {
 			w.answered(t, !w.single(t), 0)
 		}
-	case ringdale.CancelAttempt:
+	case routing.CancelAttempt:
 		t := w.tries[a.ID]
 		if t == nil || t.out == nil || t.out.n != a.Attempt || t.first > 0 {
 			return
 		}
 		out := t.out
-		w.at(w.now+w.d.Settings.Tick, func() { w.finish(out, ringdale.StatusCancelled) })
+		w.at(w.now+w.d.Settings.Tick, func() { w.finish(out, routing.StatusCancelled) })
 		w.at(w.now+w.way(g, out.e), func() { w.withdraw(out) })
-	case ringdale.Probe:
+	case routing.Probe:
 		w.probe(g, w.byName[a.Server])
-	case ringdale.Release:
+	case routing.Release:
 		if t := w.tries[a.ID]; t != nil {
 			w.free(t)
 		}
@@ -496,11 +496,11 @@
 }
 
 func (w *world) single(t *try) bool {
-	return w.d.Classes[t.call.class].Effect == ringdale.EffectSingleShot
+	return w.d.Classes[t.call.class].Effect == routing.EffectSingleShot
 }
 
 // ending returns the try that a final answer ends, nil if the answer is out of place.
-func (w *world) ending(g *gateway, id ringdale.RequestID) *try {
+func (w *world) ending(g *gateway, id routing.RequestID) *try {
 	t := w.tries[id]
 	switch {
 	case t == nil || t.gw != g:
@@ -514,7 +514,7 @@
 	return nil
 }
 
-func (w *world) send(g *gateway, a ringdale.Send) {
+func (w *world) send(g *gateway, a routing.Send) {
 	t, e := w.tries[a.ID], w.byName[a.Server]
 	switch {
 	case t == nil || t.gw != g || t.ended && !t.gone:
@@ -543,7 +543,7 @@
 	if a.Limit > 0 && w.now+a.Limit < t.deadline {
 		w.at(w.now+a.Limit, func() {
 			if t.first == 0 {
-				w.finish(out, ringdale.StatusTimeout)
+				w.finish(out, routing.StatusTimeout)
 				w.withdraw(out)
 			}
 		})
@@ -567,11 +567,11 @@
 		up, rep := e.up, e.report
 		w.at(w.now+w.way(g, e), func() {
 			done()
-			s := ringdale.StatusServed
+			s := routing.StatusServed
 			if !up {
-				s, rep = ringdale.StatusNoConnect, nil
+				s, rep = routing.StatusNoConnect, nil
 			}
-			w.tell(g, ringdale.ProbeResult{Server: e.Name, Status: s, Latency: 2 * w.way(g, e), Report: rep})
+			w.tell(g, routing.ProbeResult{Server: e.Name, Status: s, Latency: 2 * w.way(g, e), Report: rep})
 		})
 	})
 }
@@ -658,19 +658,19 @@
 		}
 		t.first = w.now
 		w.free(t)
-		w.tell(t.gw, ringdale.FirstToken{ID: t.id, Attempt: a.n, Server: a.e.Name, Latency: w.now - a.sent})
+		w.tell(t.gw, routing.FirstToken{ID: t.id, Attempt: a.n, Server: a.e.Name, Latency: w.now - a.sent})
 	})
 }
 
 // reply brings an attempt's end to the gateway, with the report that the engine last gave out.
-func (w *world) reply(a *attempt, s ringdale.Status, found int, noState bool) {
+func (w *world) reply(a *attempt, s routing.Status, found int, noState bool) {
 	rep := a.e.report
 	if w.d.Pull {
 		rep = nil
 	}
 	w.at(w.now+w.way(a.t.gw, a.e), func() {
 		if a.over {
-			if s == ringdale.StatusRead { // nobody asked any more: the state goes by itself
+			if s == routing.StatusRead { // nobody asked any more: the state goes by itself
 				a.e.release(a.t)
 			}
 			return
@@ -680,36 +680,36 @@
 }
 
 // finish ends an attempt at the gateway's side.
-func (w *world) finish(a *attempt, s ringdale.Status) {
+func (w *world) finish(a *attempt, s routing.Status) {
 	if !a.over {
 		w.end(a, s, 0, false, nil)
 	}
 }
 
-func (w *world) end(a *attempt, s ringdale.Status, found int, noState bool, rep *ringdale.Report) {
+func (w *world) end(a *attempt, s routing.Status, found int, noState bool, rep *routing.Report) {
 	t := a.t
 	a.over, t.out = true, nil
-	if s != ringdale.StatusCancelled && s != ringdale.StatusTimeout { // those are closed
+	if s != routing.StatusCancelled && s != routing.StatusTimeout { // those are closed
 		a.done()
 	}
-	if !a.e.reader() && (s == ringdale.StatusError || s == ringdale.StatusTimeout || s == ringdale.StatusReset || s == ringdale.StatusCancelled) {
+	if !a.e.reader() && (s == routing.StatusError || s == routing.StatusTimeout || s == routing.StatusReset || s == routing.StatusCancelled) {
 		t.ran = true
 	}
-	if a.e.reader() && s != ringdale.StatusRead && t.state == a.e { // cancelled or out of time: it goes by itself
+	if a.e.reader() && s != routing.StatusRead && t.state == a.e { // cancelled or out of time: it goes by itself
 		t.state = nil
 		a.e.release(t)
 	}
-	final := t.ended || s == ringdale.StatusServed || t.first > 0
+	final := t.ended || s == routing.StatusServed || t.first > 0
 	if final && !t.ended {
 		t.ended = true
-		if s == ringdale.StatusServed {
+		if s == routing.StatusServed {
 			w.earn(t)
 		}
 	}
 	if t.state != nil {
 		w.pin(t)
 	}
-	w.tell(t.gw, ringdale.Outcome{
+	w.tell(t.gw, routing.Outcome{
 		ID: t.id, Attempt: a.n, Server: a.e.Name, Status: s, Latency: w.now - a.sent, Final: final,
 		Kept: found, NoState: noState, Report: rep,
 	})
--- a/ringdale/api.go
+++ b/routing/api.go
@@ -1,9 +1,9 @@
-// Package ringdale decides, for one router of a two-stage model service, which
+// Package routing decides, for one router of a two-stage model service, which
 // reader takes a prompt, which writer answers it, and what is refused.
 //
 // This file is the whole interface: the settings, the events a router is told,
 // and the actions it answers with. The decisions are in policy.go.
-package ringdale
+package routing
 
 import "time"
 
--- a/ringdale/policy.go
+++ b/routing/policy.go
@@ -3,7 +3,7 @@
 // in that reader's cell with most free memory. What else stands here guards that
 // path against servers, lists and loads that are not as they should be.
 
-package ringdale
+package routing
 
 import (
 	"cmp"
--- a/ringdale/state.go
+++ b/routing/state.go
@@ -1,4 +1,4 @@
-package ringdale
+package routing
 
 import (
 	"cmp"
