--- a/cmd/wellgw/operate.go
+++ b/cmd/wellgw/operate.go
@@ -12,7 +12,7 @@
 	"wellgw/internal/config"
 	"wellgw/internal/control"
 	"wellgw/internal/core"
-	"wellgw/internal/handfile"
+	"wellgw/internal/ejectionfile"
 	"wellgw/internal/intake"
 	"wellgw/internal/operate"
 )
@@ -67,8 +67,8 @@
 	// Bans come only by calls, here or in the other process of an upgrade; where
 	// neither can be, nothing is read or polled.
 	if g.name != "" && (g.control != "" || handOver != nil) {
-		desk.Store = handfile.Open(os.TempDir(), g.name)
-		desk.Self, desk.Newer = handfile.Self{Started: time.Now(), PID: os.Getpid()}, handOver
+		desk.Store = ejectionfile.Open(os.TempDir(), g.name)
+		desk.Self, desk.Newer = ejectionfile.Self{Started: time.Now(), PID: os.Getpid()}, handOver
 		desk.Load()
 		go desk.Watch(ctx)
 	}
--- a/decide/handban/handban.go
+++ b/decide/ejection/ejection.go
@@ -1,10 +1,10 @@
-// Package handban decides what the module is shown of engines that operators
+// Package ejection decides what the module is shown of engines that operators
 // have taken out by hand: a banned engine is draining whatever the list says, and
 // one that comes back is cold from that moment.
 //
 // It does no I/O and reads no clock: times come in as arguments, on the module's
 // clock.
-package handban
+package ejection
 
 import (
 	"slices"
--- a/decide/handban/handban_test.go
+++ b/decide/ejection/ejection_test.go
@@ -1,4 +1,4 @@
-package handban
+package ejection
 
 import (
 	"slices"
--- a/internal/core/hand.go
+++ b/internal/core/ejection.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"wellgw/decide/handban"
+	"wellgw/decide/ejection"
 	"wellgw/routing"
 )
 
@@ -38,7 +38,7 @@
 func (c *Core) now() routing.Time { return time.Since(c.origin) }
 
 // banned shows the module the engines whose ban began or ended.
-func (c *Core) banned(ch handban.Change) {
+func (c *Core) banned(ch ejection.Change) {
 	ev := routing.Roster{Scope: routing.RosterChanges}
 	for _, names := range [][]string{ch.Out, ch.Back} {
 		for _, n := range names {
--- a/internal/handfile/handfile.go
+++ b/internal/ejectionfile/ejectionfile.go
@@ -1,7 +1,7 @@
-// Package handfile keeps what the two processes of one gateway share over an
+// Package ejectionfile keeps what the two processes of one gateway share over an
 // upgrade, in files in a directory both see ($TMPDIR on the platform): the
 // engines that operators took out by hand, and which process is ready to serve.
-package handfile
+package ejectionfile
 
 import (
 	"bytes"
--- a/internal/handfile/ready.go
+++ b/internal/ejectionfile/ready.go
@@ -1,4 +1,4 @@
-package handfile
+package ejectionfile
 
 import (
 	"fmt"
--- a/internal/operate/operate.go
+++ b/internal/operate/operate.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"wellgw/internal/control"
-	"wellgw/internal/handfile"
+	"wellgw/internal/ejectionfile"
 )
 
 // Look is how often the files shared with the other process of an upgrade are
@@ -25,14 +25,14 @@
 // Desk answers calls. Its fields are set before the first call.
 type Desk struct {
 	Core    Core
-	Store   *handfile.Store // nil keeps bans in this process alone
-	Ready   func() bool     // this process can serve
-	Standby func(on bool)   // clients are sent away while on
+	Store   *ejectionfile.Store // nil keeps bans in this process alone
+	Ready   func() bool         // this process can serve
+	Standby func(on bool)       // clients are sent away while on
 	Log     *slog.Logger
 
 	// With a Store, Self says it is ready there, and Newer is called once when a
 	// newer process says so; nil Newer for a process that shares no socket.
-	Self  handfile.Self
+	Self  ejectionfile.Self
 	Newer func()
 
 	mu sync.Mutex // one call on engines at a time, file included
