--- a/cmd/wellgw/operate.go
+++ b/cmd/wellgw/operate.go
@@ -9,11 +9,11 @@
 	"sync/atomic"
 	"time"
 
+	"wellgw/internal/clientconn"
 	"wellgw/internal/config"
 	"wellgw/internal/control"
 	"wellgw/internal/core"
 	"wellgw/internal/ejectionfile"
-	"wellgw/internal/intake"
 	"wellgw/internal/operate"
 )
 
@@ -44,7 +44,7 @@
 // the watch on the files shared with another process, the call line where the
 // configuration names one, and the settings taken on SIGHUP. handOver, nil where
 // the clients' socket is not shared, is called once a newer version is ready.
-func (g *gateway) operate(ctx context.Context, c *core.Core, f front, clients *intake.Listener, handOver func()) {
+func (g *gateway) operate(ctx context.Context, c *core.Core, f front, clients *clientconn.Listener, handOver func()) {
 	var round atomic.Int64 // of standby; a call ends what the one before began
 	desk := &operate.Desk{
 		Core:  c,
--- a/cmd/wellgw/serve.go
+++ b/cmd/wellgw/serve.go
@@ -18,10 +18,10 @@
 	"time"
 
 	"wellgw/decide/idem"
+	"wellgw/internal/clientconn"
 	"wellgw/internal/config"
 	"wellgw/internal/core"
 	"wellgw/internal/idempotency"
-	"wellgw/internal/intake"
 	"wellgw/internal/invariant"
 	"wellgw/internal/openai"
 	"wellgw/internal/platform"
@@ -87,7 +87,7 @@
 	figures core.Figures
 	pool    upstream.Options
 	dialect func(kind string) upstream.Dialect
-	front   func(*core.Core, *intake.Budget) front
+	front   func(*core.Core, *clientconn.Budget) front
 	// directory returns what the module may ask for changes, and its work.
 	directory func(c *core.Core) (core.Directory, func(context.Context), error)
 	// watched wraps the engines, so that the directory learns from attempts; nil leaves them.
@@ -145,7 +145,7 @@
 	}
 	g.figures.Slack = wire.Micros(p.Options.Rules.AnswerSlack)
 	g.figures.PinSlack = platformPinSlack
-	g.front = func(c *core.Core, b *intake.Budget) front { return platform.NewFront(c, g.set.Classes, b) }
+	g.front = func(c *core.Core, b *clientconn.Budget) front { return platform.NewFront(c, g.set.Classes, b) }
 	g.directory = func(c *core.Core) (core.Directory, func(context.Context), error) {
 		w := platform.NewWatch(p.Discovery, g.set.MustSubscribe, wire.Micros(p.Options.Rules.DrainGrace), c.Roster, g.log)
 		current := p // as last read; reloads come one at a time
@@ -193,7 +193,7 @@
 		}
 		return nil
 	}
-	g.front = func(c *core.Core, b *intake.Budget) front {
+	g.front = func(c *core.Core, b *clientconn.Budget) front {
 		f = openai.NewFront(openai.Options{
 			Core: c, File: o, Bodies: b, Keys: keys, Held: int64(heldPart * float64(o.Limits.MemoryMB) * (1 << 20)),
 			Others: func() bool {
@@ -305,9 +305,9 @@
 			return fmt.Errorf("listen: %w", err)
 		}
 	}
-	f := g.front(c, intake.NewBudget(int64(bodyPart*float64(limits.MemoryMB)*(1<<20))))
+	f := g.front(c, clientconn.NewBudget(int64(bodyPart*float64(limits.MemoryMB)*(1<<20))))
 	srv := newServer(f, g.log)
-	clients := intake.NewListener(l, share)
+	clients := clientconn.NewListener(l, share)
 	var handed atomic.Bool // a newer version takes the clients from now on
 	var handOver func()
 	if inherited != nil {
@@ -384,7 +384,7 @@
 //
 // On an inherited socket the next version takes new clients at once, so nothing
 // new is waited for: what is in hand is finished before the kill.
-func (g *gateway) leave(ctx context.Context, srv *http.Server, clients *intake.Listener, c *core.Core, f front, handed bool) {
+func (g *gateway) leave(ctx context.Context, srv *http.Server, clients *clientconn.Listener, c *core.Core, f front, handed bool) {
 	kill := time.Now().Add(timeLeft(g.longest, time.Duration(g.kept.Load())))
 	finish, done := ctx, context.CancelFunc(func() {})
 	if handed {
--- a/internal/intake/intake.go
+++ b/internal/clientconn/clientconn.go
@@ -1,6 +1,6 @@
-// Package intake keeps what clients send within bounds: the connections they hold,
+// Package clientconn keeps what clients send within bounds: the connections they hold,
 // where their requests begin and end, one body, and all bodies in hand at once.
-package intake
+package clientconn
 
 import (
 	"errors"
--- a/internal/intake/listener_test.go
+++ b/internal/clientconn/listener_test.go
@@ -1,4 +1,4 @@
-package intake
+package clientconn
 
 import (
 	"bufio"
--- a/internal/openai/conformance/conformance_test.go
+++ b/internal/openai/conformance/conformance_test.go
@@ -7,10 +7,10 @@
 	"time"
 
 	"wellgw/decide/idem"
+	"wellgw/internal/clientconn"
 	"wellgw/internal/config"
 	"wellgw/internal/core"
 	"wellgw/internal/idempotency"
-	"wellgw/internal/intake"
 	"wellgw/internal/invariant"
 	"wellgw/internal/openai"
 	"wellgw/internal/openai/conformance"
@@ -62,7 +62,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			server := httptest.NewServer(openai.NewFront(openai.Options{Core: c, File: o, Bodies: intake.NewBudget(1 << 20), Keys: keys, Held: 1 << 20}))
+			server := httptest.NewServer(openai.NewFront(openai.Options{Core: c, File: o, Bodies: clientconn.NewBudget(1 << 20), Keys: keys, Held: 1 << 20}))
 			t.Cleanup(server.Close)
 			for _, r := range conformance.Run(t.Context(), conformance.Options{
 				BaseURL: server.URL, Key: "k1", Model: "parts", OrderModel: "orders", Refuse: "please-refuse", Think: "please-think",
--- a/internal/openai/front.go
+++ b/internal/openai/front.go
@@ -15,10 +15,10 @@
 	"time"
 
 	"wellgw/decide/idem"
+	"wellgw/internal/clientconn"
 	"wellgw/internal/config"
 	"wellgw/internal/core"
 	"wellgw/internal/idempotency"
-	"wellgw/internal/intake"
 	"wellgw/internal/relay"
 )
 
@@ -38,7 +38,7 @@
 type Options struct {
 	Core   *core.Core
 	File   *config.Operator
-	Bodies *intake.Budget
+	Bodies *clientconn.Budget
 	Keys   *idempotency.Keeper // of requests that must not run twice
 	Held   int64               // bytes that are held for all slow callers together, and of answers under way that are to be kept
 	// Others tells whether other gateways serve the same clients; nil for none.
@@ -48,7 +48,7 @@
 // Front answers callers of the chat API.
 type Front struct {
 	core    *core.Core
-	bodies  *intake.Budget
+	bodies  *clientconn.Budget
 	keys    *idempotency.Keeper
 	others  func() bool
 	bounds  *relay.Bounds
@@ -120,7 +120,7 @@
 	b := f.book.Load() // one for the whole request, whatever is read anew meanwhile
 	team := b.team(r)
 	if team == nil {
-		intake.Reject(w, r)
+		clientconn.Reject(w, r)
 		w.Header().Set("WWW-Authenticate", "Bearer")
 		apiError{status: http.StatusUnauthorized, kind: typeRequest, code: codeKey, text: "missing or unknown API key"}.send(w)
 		return
@@ -133,11 +133,11 @@
 	case (r.URL.Path == modelPath || one) && r.Method == http.MethodGet:
 		b.list(w, team, model, one, f.started)
 	case post || r.URL.Path == modelPath || one:
-		intake.Reject(w, r)
+		clientconn.Reject(w, r)
 		w.Header().Set("Allow", map[bool]string{true: http.MethodPost, false: http.MethodGet}[post])
 		apiError{status: http.StatusMethodNotAllowed, kind: typeRequest, code: codeMethod, text: "method not allowed"}.send(w)
 	default:
-		intake.Reject(w, r)
+		clientconn.Reject(w, r)
 		apiError{status: http.StatusNotFound, kind: typeRequest, code: codeURL, text: "no such path"}.send(w)
 	}
 }
@@ -188,18 +188,18 @@
 	arrived := time.Now()
 	raw, free, err := f.bodies.Read(w, r)
 	switch {
-	case errors.Is(err, intake.ErrTooBig):
-		intake.Reject(w, r)
+	case errors.Is(err, clientconn.ErrTooBig):
+		clientconn.Reject(w, r)
 		apiError{status: http.StatusRequestEntityTooLarge, kind: typeRequest, code: codeTooBig, text: err.Error()}.send(w)
 		return
-	case errors.Is(err, intake.ErrBusy):
+	case errors.Is(err, clientconn.ErrBusy):
 		if name := r.Header.Get(keyHeader); name != "" && len(name) <= maxKey && f.keys != nil {
 			f.keys.Spare(idem.Key{Team: team.Name, Name: name})
 		}
 		refusal(core.Answer{Verdict: core.Refused, RetryAfter: busyPause}, false).send(w)
 		return
 	case err != nil:
-		intake.Reject(w, r)
+		clientconn.Reject(w, r)
 		badRequest(err.Error(), "").send(w)
 		return
 	}
--- a/internal/openai/front_test.go
+++ b/internal/openai/front_test.go
@@ -17,10 +17,10 @@
 	"github.com/google/go-cmp/cmp"
 
 	"wellgw/decide/idem"
+	"wellgw/internal/clientconn"
 	"wellgw/internal/config"
 	"wellgw/internal/core"
 	"wellgw/internal/idempotency"
-	"wellgw/internal/intake"
 	"wellgw/internal/invariant"
 	"wellgw/internal/playback"
 	"wellgw/internal/upstream"
@@ -81,7 +81,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f = NewFront(Options{Core: c, File: o, Bodies: intake.NewBudget(1 << 20), Keys: keys, Held: 1 << 20})
+	f = NewFront(Options{Core: c, File: o, Bodies: clientconn.NewBudget(1 << 20), Keys: keys, Held: 1 << 20})
 	server := httptest.NewUnstartedServer(f)
 	server.Config.ErrorLog = slog.NewLogLogger(log.Handler(), 0)
 	server.Start()
@@ -164,7 +164,7 @@
 				return playback.Stream(2, 0)
 			}, t)
 			url, c := start(t, engines)
-			playback.Play(t, strings.TrimPrefix(url, "http://"), file, "BIG", strings.Repeat("x", intake.MaxBody+1))
+			playback.Play(t, strings.TrimPrefix(url, "http://"), file, "BIG", strings.Repeat("x", clientconn.MaxBody+1))
 			if err := c.Drain(t.Context()); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -12,8 +12,8 @@
 	"sync/atomic"
 	"time"
 
+	"wellgw/internal/clientconn"
 	"wellgw/internal/core"
-	"wellgw/internal/intake"
 	"wellgw/routing"
 )
 
@@ -28,7 +28,7 @@
 // Front answers the platform's clients.
 type Front struct {
 	core    *core.Core
-	bodies  *intake.Budget
+	bodies  *clientconn.Budget
 	classes atomic.Pointer[map[string]bool] // known classes; swapped whole on a retune
 	closing atomic.Bool
 	standby atomic.Bool // operators send clients away
@@ -39,7 +39,7 @@
 func (f *Front) Standby(on bool) { f.standby.Store(on) }
 
 // NewFront returns a front to a core that knows these classes.
-func NewFront(c *core.Core, classes []routing.Class, bodies *intake.Budget) *Front {
+func NewFront(c *core.Core, classes []routing.Class, bodies *clientconn.Budget) *Front {
 	f := &Front{core: c, bodies: bodies}
 	known := map[string]bool{}
 	for _, class := range classes {
@@ -80,7 +80,7 @@
 	case "/v1/chat/completions":
 		f.chat(w, r)
 	default:
-		intake.Reject(w, r)
+		clientconn.Reject(w, r)
 		http.NotFound(w, r)
 	}
 }
@@ -95,14 +95,14 @@
 func (f *Front) chat(w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
 	if r.Method != http.MethodPost {
-		intake.Reject(w, r)
+		clientconn.Reject(w, r)
 		w.Header().Set("Allow", http.MethodPost)
 		http.Error(w, "POST only", http.StatusMethodNotAllowed)
 		return
 	}
 	q, err := f.parse(r)
 	if err != nil {
-		intake.Reject(w, r)
+		clientconn.Reject(w, r)
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
@@ -110,15 +110,15 @@
 	q.Payload = core.Payload{Method: r.Method, Target: r.URL.RequestURI(), Header: passed(r.Header)}
 	body, free, err := f.bodies.Read(w, r)
 	switch {
-	case errors.Is(err, intake.ErrTooBig):
-		intake.Reject(w, r)
+	case errors.Is(err, clientconn.ErrTooBig):
+		clientconn.Reject(w, r)
 		http.Error(w, err.Error(), http.StatusRequestEntityTooLarge)
 		return
-	case errors.Is(err, intake.ErrBusy):
+	case errors.Is(err, clientconn.ErrBusy):
 		refuse(w, core.Answer{Verdict: core.Refused, RetryAfter: busyPause})
 		return
 	case err != nil:
-		intake.Reject(w, r)
+		clientconn.Reject(w, r)
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -15,9 +15,9 @@
 
 	"github.com/google/go-cmp/cmp"
 
+	"wellgw/internal/clientconn"
 	"wellgw/internal/config"
 	"wellgw/internal/core"
-	"wellgw/internal/intake"
 	"wellgw/internal/invariant"
 	"wellgw/internal/playback"
 	"wellgw/internal/upstream"
@@ -217,10 +217,10 @@
 		{ServerInfo: routing.ServerInfo{Name: "r1", Kind: "r", Zone: "a", Weight: 1}, Addr: r.Addr},
 		{ServerInfo: routing.ServerInfo{Name: "w1", Kind: "w", Zone: "a", Weight: 1}, Addr: w.Addr},
 	})
-	f = NewFront(c, set.Classes, intake.NewBudget(1<<20))
+	f = NewFront(c, set.Classes, clientconn.NewBudget(1<<20))
 	server := httptest.NewUnstartedServer(f)
 	server.Config.ErrorLog = slog.NewLogLogger(log.Handler(), 0)
-	clients := intake.NewListener(server.Listener, 64)
+	clients := clientconn.NewListener(server.Listener, 64)
 	server.Listener, server.Config.ConnState, server.Config.ConnContext = clients, clients.State, clients.ConnContext
 	server.Start()
 	t.Cleanup(server.Close)
@@ -247,7 +247,7 @@
 				}
 				return playback.Stream(2, 0)
 			})
-			playback.Play(t, addr, file, "BIG", strings.Repeat("x", intake.MaxBody+1))
+			playback.Play(t, addr, file, "BIG", strings.Repeat("x", clientconn.MaxBody+1))
 			if err := c.Drain(t.Context()); err != nil {
 				t.Fatal(err)
 			}
