--- a/internal/openai/call.go
+++ b/internal/openai/call.go
@@ -13,7 +13,7 @@
 	"wellgw/decide/resume"
 	"wellgw/internal/config"
 	"wellgw/internal/core"
-	"wellgw/internal/relay"
+	"wellgw/internal/streambuffer"
 	"wellgw/routing"
 )
 
@@ -92,7 +92,7 @@
 		terms.Most = c.ask.shape.maxOut
 	}
 	step := resume.Decide(terms, c.form.answer(), resume.Break{
-		Lost:     errors.Is(err, relay.ErrGone) || errors.Is(err, relay.ErrSlow) || c.r.Context().Err() != nil,
+		Lost:     errors.Is(err, streambuffer.ErrGone) || errors.Is(err, streambuffer.ErrSlow) || c.r.Context().Err() != nil,
 		Reported: errors.As(err, &told), Times: c.resumed, Since: time.Since(c.arrived),
 	})
 	c.counts.breaks[step].Add(1)
@@ -235,7 +235,7 @@
 // else by an error event, after which the connection ends without the last chunk. Either
 // is the one final answer; the request is not sent again.
 func (c *call) serve(s core.Stream, t *core.Ticket) {
-	pipe := relay.Pipe{
+	pipe := streambuffer.Pipe{
 		Take: func(dst, p []byte) ([]byte, error) {
 			dst, err := c.form.take(dst, p)
 			c.keep(dst)
@@ -252,7 +252,7 @@
 		},
 		Write: c.put,
 	}
-	err := relay.Run(c.r.Context(), t, s, pipe, c.bounds)
+	err := streambuffer.Run(c.r.Context(), t, s, pipe, c.bounds)
 	for err != nil {
 		step, next, ticket := c.resume(err)
 		if step == resume.GiveUp {
@@ -262,7 +262,7 @@
 		c.form.drop()
 		if next != nil {
 			c.form.next()
-			err = relay.Run(c.r.Context(), ticket, next, pipe, c.bounds)
+			err = streambuffer.Run(c.r.Context(), ticket, next, pipe, c.bounds)
 			continue
 		}
 		var last []byte
@@ -279,7 +279,7 @@
 
 // broke ends a call whose answer broke; it does not return unless by a status.
 func (c *call) broke(err error) {
-	if errors.Is(err, relay.ErrSlow) {
+	if errors.Is(err, streambuffer.ErrSlow) {
 		c.counts.slow.Add(1)
 	}
 	if c.r.Context().Err() == nil && c.begun {
@@ -297,4 +297,4 @@
 	panic(http.ErrAbortHandler)
 }
 
-var _ relay.Ticket = (*core.Ticket)(nil)
+var _ streambuffer.Ticket = (*core.Ticket)(nil)
--- a/internal/openai/errors.go
+++ b/internal/openai/errors.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"wellgw/internal/core"
-	"wellgw/internal/relay"
+	"wellgw/internal/streambuffer"
 	"wellgw/routing"
 )
 
@@ -134,7 +134,7 @@
 
 // broken words the error event that ends a stream.
 func broken(err error) apiError {
-	if errors.Is(err, relay.ErrSlow) {
+	if errors.Is(err, streambuffer.ErrSlow) {
 		return apiError{kind: typeServer, code: codeSlow, text: "the client read too slowly; the request may have been carried out"}
 	}
 	var told reportedError
--- a/internal/openai/front.go
+++ b/internal/openai/front.go
@@ -19,7 +19,7 @@
 	"wellgw/internal/config"
 	"wellgw/internal/core"
 	"wellgw/internal/idempotency"
-	"wellgw/internal/relay"
+	"wellgw/internal/streambuffer"
 )
 
 // Bounds towards callers.
@@ -51,7 +51,7 @@
 	bodies  *clientconn.Budget
 	keys    *idempotency.Keeper
 	others  func() bool
-	bounds  *relay.Bounds
+	bounds  *streambuffer.Bounds
 	book    atomic.Pointer[book]
 	started time.Time
 	closing atomic.Bool
@@ -73,7 +73,7 @@
 func NewFront(o Options) *Front {
 	f := &Front{
 		core: o.Core, bodies: o.Bodies, keys: o.Keys, others: o.Others, started: time.Now(),
-		bounds: relay.NewBounds(stallLimit, heldEach, o.Held), keepMost: o.Held,
+		bounds: streambuffer.NewBounds(stallLimit, heldEach, o.Held), keepMost: o.Held,
 	}
 	f.Reload(o.File)
 	return f
--- a/internal/relay/relay.go
+++ b/internal/streambuffer/streambuffer.go
@@ -1,11 +1,11 @@
-// Package relay passes an attempt's stream on to a client, and keeps the two apart: a
+// Package streambuffer passes an attempt's stream on to a client, and keeps the two apart: a
 // client that is slow to read must not hold an engine's slot.
 //
 // As long as the client takes what it is given, one goroutine reads and writes in turn,
 // and what has come together goes out together. Once a write has blocked for a moment, a
 // helper reads on into a bounded store, so that the engine can end its work. A stream
 // that outgrows the store is given up at once, its client told in what is left to it.
-package relay
+package streambuffer
 
 import (
 	"context"
--- a/internal/relay/relay_test.go
+++ b/internal/streambuffer/streambuffer_test.go
@@ -1,4 +1,4 @@
-package relay
+package streambuffer
 
 import (
 	"bytes"
