--- a/internal/upstream/engine.go
+++ b/internal/upstream/engine.go
@@ -314,24 +314,24 @@
 // stream is an attempt's answer from its first event on.
 type stream struct {
 	*try
-	c       *conn
-	resp    *http.Response
-	body    io.Reader
-	dialect Dialect
-	opener  Opener // until the answer has begun; nil for none
-	lead    sse.Scanner
-	silence time.Duration
-	until   time.Time // the read deadline, once the answer has begun
-	sieve   sieve
-	plain   bool   // a body of any kind, not events
-	begun   bool   // the answer has
-	pending []byte // sound, and not yet read
-	last    bool   // the last event has passed
-	tail    []byte
-	err     error
-	ended   bool  // finish has been called
-	failed  error // the engine's own word that it has
-	result  core.Result
+	c          *conn
+	resp       *http.Response
+	body       io.Reader
+	dialect    Dialect
+	opener     Opener // until the answer has begun; nil for none
+	lead       sse.Scanner
+	silence    time.Duration
+	until      time.Time // the read deadline, once the answer has begun
+	lineFilter lineFilter
+	plain      bool   // a body of any kind, not events
+	begun      bool   // the answer has
+	pending    []byte // sound, and not yet read
+	last       bool   // the last event has passed
+	tail       []byte
+	err        error
+	ended      bool  // finish has been called
+	failed     error // the engine's own word that it has
+	result     core.Result
 }
 
 // Read returns events as they come. io.EOF comes after the last chunk only: a
@@ -381,13 +381,13 @@
 	n, err := s.body.Read(p)
 	sound, junk := p[:n], error(nil)
 	if !s.plain {
-		sound, junk = s.sieve.take(sound)
+		sound, junk = s.lineFilter.take(sound)
 	}
 	if junk != nil {
 		err = junk
 	}
 	if err != nil && (errors.Is(err, io.EOF) || broken(err) == routing.StatusReset) {
-		if rest := s.sieve.left(errors.Is(err, io.EOF) && s.framed()); len(rest) > 0 { // what has come before a break goes out
+		if rest := s.lineFilter.left(errors.Is(err, io.EOF) && s.framed()); len(rest) > 0 { // what has come before a break goes out
 			sound = append(slices.Clone(sound), rest...)
 		}
 	}
@@ -404,7 +404,7 @@
 	case s.plain:
 		s.begun = len(s.pending) > 0 || errors.Is(s.err, io.EOF)
 	case s.opener == nil:
-		s.begun = s.sieve.begun
+		s.begun = s.lineFilter.begun
 	default:
 		each := func(e sse.Event) error {
 			if s.begun {
--- a/internal/upstream/sieve.go
+++ b/internal/upstream/linefilter.go
@@ -11,10 +11,10 @@
 
 var errJunk = errors.New("what came is no line of an event stream")
 
-// sieve lets pass what an event stream may hold, line by line and unchanged, and
+// lineFilter lets pass what an event stream may hold, line by line and unchanged, and
 // stops at anything else. It guards against an engine or a broken framing that
 // puts other bytes in the place of events.
-type sieve struct {
+type lineFilter struct {
 	rest  []byte // of a line that has not ended
 	begun bool   // a whole event with data has passed
 	data  bool   // data of the event under way has
@@ -25,7 +25,7 @@
 
 // take returns what may be passed on now that p has come. It is valid until the
 // next call.
-func (s *sieve) take(p []byte) ([]byte, error) {
+func (s *lineFilter) take(p []byte) ([]byte, error) {
 	if len(s.rest) > 0 {
 		s.rest = append(s.rest, p...)
 		p = s.rest
@@ -62,7 +62,7 @@
 
 // event follows where events end: an empty line ends one. Half of one is nothing that a
 // client could make anything of.
-func (s *sieve) event(line []byte) {
+func (s *lineFilter) event(line []byte) {
 	if len(bytes.TrimRight(line, "\r\n")) > 0 {
 		s.data = s.data || bytes.HasPrefix(line, []byte("data:"))
 		return
@@ -73,7 +73,7 @@
 
 // left returns a last line that its end has not followed. Where the stream itself is whole,
 // its end stands for the event's.
-func (s *sieve) left(whole bool) []byte {
+func (s *lineFilter) left(whole bool) []byte {
 	rest := s.rest
 	s.rest = nil
 	s.begun = s.begun || whole && (s.data || bytes.HasPrefix(rest, []byte("data:")))
@@ -81,7 +81,7 @@
 }
 
 // fits tells whether a line, or the beginning of one, may stand in a stream.
-func (s *sieve) fits(line []byte) bool {
+func (s *lineFilter) fits(line []byte) bool {
 	if line[0] == ':' || line[0] == '\r' || line[0] == '\n' {
 		return true
 	}
