--- a/cmd/wirehost/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command wirehost runs routers behind the simulator's wire on standard input
+// Command simadapter runs routers behind the simulator's wire on standard input
 // and output.
 package main
 
@@ -11,7 +11,7 @@
 
 func main() {
 	if err := wire.Serve(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "wirehost:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/wirehost/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -9,7 +9,7 @@
 
 // TestProcess runs the built command on a good and on a bad batch.
 func TestProcess(t *testing.T) {
-	bin := filepath.Join(t.TempDir(), "wirehost")
+	bin := filepath.Join(t.TempDir(), "simadapter")
 	if out, err := exec.Command("go", "build", "-o", bin, ".").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
