--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -132,20 +132,7 @@
 	}
 }
 
-func newCore(t *testing.T, f *fake) *Core {
-	router, err := routing.New(testSettings(), 1)
-	if err != nil {
-		t.Fatal(err)
-	}
-	c := New(router, f, f, Figures{Slack: 50 * time.Millisecond, PinLimit: 500 * time.Millisecond, MaxSends: 4},
-		slog.New(slog.DiscardHandler), invariant.New())
-	go c.Run(t.Context())
-	c.Roster(routing.RosterFull, []Member{
-		{ServerInfo: routing.ServerInfo{Name: "r1", Kind: "r", Weight: 1}},
-		{ServerInfo: routing.ServerInfo{Name: "w1", Kind: "w", Weight: 1}},
-	})
-	return c
-}
+func newCore(t *testing.T, f *fake) *Core { return coreWith(t, f, func(*routing.Settings) {}) }
 
 func ask(class string, ttl time.Duration) Request {
 	return Request{Wire: "id-" + class, Arrived: time.Now(), Request: routing.Request{Class: class, Prompt: 100, MaxTokens: 10, TTL: ttl}}
