--- a/internal/upstream/engine.go
+++ b/internal/upstream/engine.go
@@ -9,14 +9,11 @@
 	"math"
 	"net"
 	"net/http"
-	"slices"
 	"strconv"
-	"strings"
 	"sync"
 	"time"
 
 	"wellgw/internal/core"
-	"wellgw/internal/sse"
 	"wellgw/routing"
 )
 
@@ -164,85 +161,68 @@
 // errLeft is the cause of an attempt that was not made.
 var errLeft = errors.New("the client has left")
 
+// attempt makes an attempt and returns its stream once the answer has begun, else how it ended.
 func (e *Engine) attempt(ctx context.Context, t *try, a core.Attempt) (core.Stream, core.Result) {
 	dialect := e.dialect(a.To.Kind)
-	fail := func(s routing.Status, err error) (core.Stream, core.Result) {
+	until := time.Now().Add(a.Limit + leakGuard)
+	c, unsent := e.sendAttempt(ctx, t, a, dialect, until)
+	if unsent != nil {
 		t.done(false)
-		return nil, core.Result{Status: s, Cause: err}
+		return nil, *unsent
 	}
+	resp, err := readHead(c, until)
+	if err != nil {
+		t.done(false)
+		return nil, core.Result{Status: broken(err), Cause: err}
+	}
+	if resp.StatusCode != http.StatusOK {
+		return nil, judgeWhole(t, dialect, resp)
+	}
+	return e.openStream(t, c, resp, a.Payload, dialect, until)
+}
+
+// sendAttempt gets a connection and writes the request to it. A result says that it was not
+// written whole. An attempt counts once its last byte is out. It is never sent again from here,
+// not even after a reset on a kept connection: only the module knows whether the class allows
+// that.
+func (e *Engine) sendAttempt(ctx context.Context, t *try, a core.Attempt, dialect Dialect, until time.Time) (*conn, *core.Result) {
 	begun := time.Now()
-	until := begun.Add(a.Limit + leakGuard)
 	c, err := e.pool.get(ctx, a.To.Addr)
 	if err != nil {
-		return fail(routing.StatusNoConnect, err)
+		return nil, &core.Result{Status: routing.StatusNoConnect, Cause: err}
 	}
-	if !t.hold(c) {
-		e.pool.drop(c)
-		return fail(routing.StatusCancelled, context.Canceled)
+	if !t.hold(c) { // the caller drops it
+		return nil, &core.Result{Status: routing.StatusCancelled, Cause: context.Canceled}
 	}
 	if a.Connected != nil {
 		a.Connected()
 	}
 	if a.Left != nil && a.Left() {
-		return fail(routing.StatusUnsent, errLeft)
+		return nil, &core.Result{Status: routing.StatusUnsent, Cause: errLeft}
 	}
 	if !t.begin() {
-		return fail(routing.StatusCancelled, context.Canceled)
+		return nil, &core.Result{Status: routing.StatusCancelled, Cause: context.Canceled}
 	}
 	c.SetDeadline(until)
 	a.Limit -= time.Since(begun) // what is left is what its engine is told
-	// An attempt counts once its last byte is out. It is never sent again from
-	// here, not even after a reset on a kept connection: only the module knows
-	// whether the class allows that.
 	if err := write(c, dialect.Attempt(a)); err != nil {
-		return fail(routing.StatusNoConnect, err)
+		return nil, &core.Result{Status: routing.StatusNoConnect, Cause: err}
 	}
 	if a.Written != nil {
 		a.Written()
 	}
-	resp, err := readHead(c, until)
-	if err != nil {
-		return fail(broken(err), err)
-	}
-	if resp.StatusCode != http.StatusOK {
-		body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
-		t.done(err == nil && len(body) < maxAnswer && !resp.Close)
-		r := dialect.Judge(resp.StatusCode, resp.Header, body)
-		if r.Cause == nil && r.Status != routing.StatusRead {
-			r.Cause = fmt.Errorf("status %d", resp.StatusCode)
-		}
-		return nil, r
-	}
-	s := &stream{try: t, c: c, resp: resp, body: resp.Body, dialect: dialect, silence: e.pool.opt.StreamSilence, plain: a.Payload.Plain}
-	if slices.Contains(resp.TransferEncoding, "chunked") {
-		s.body = &chunked{r: c.r}
-	}
-	if strings.EqualFold(resp.Header.Get("Content-Encoding"), "gzip") { // unasked, but some do
-		s.body = &unzipped{from: s.body}
-	}
-	s.opener, _ = dialect.(Opener)
-	c.SetDeadline(until) // an engine may send its head before it has an event
-	// Until the answer begins the client has been given nothing: the attempt has failed,
-	// not the stream.
-	store := leads.Get().(*[leadSize]byte)
-	defer leads.Put(store)
-	buf := store[:]
-	s.tail = tails.Get().([]byte)[:0]
-	for s.err == nil && !s.begun {
-		if s.fill(buf, a.Payload); len(s.pending) > maxHead {
-			s.err = errJunk // comments without end
-		}
-	}
-	s.opener = nil
-	switch {
-	case s.failed != nil:
-		return fail(routing.StatusError, s.failed)
-	case s.begun:
-		return s, core.Result{}
-	case errors.Is(s.err, io.EOF):
-		return fail(routing.StatusError, errors.New("stream without an event"))
+	return c, nil
+}
+
+// judgeWhole reads an answer that is no stream.
+func judgeWhole(t *try, dialect Dialect, resp *http.Response) core.Result {
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	t.done(err == nil && len(body) < maxAnswer && !resp.Close)
+	r := dialect.Judge(resp.StatusCode, resp.Header, body)
+	if r.Cause == nil && r.Status != routing.StatusRead {
+		r.Cause = fmt.Errorf("status %d", resp.StatusCode)
 	}
-	return fail(broken(s.err), s.err)
+	return r
 }
 
 const leadSize = 4 << 10
@@ -311,172 +291,6 @@
 	}
 }
 
-// stream is an attempt's answer from its first event on.
-type stream struct {
-	*try
-	c          *conn
-	resp       *http.Response
-	body       io.Reader
-	dialect    Dialect
-	opener     Opener // until the answer has begun; nil for none
-	lead       sse.Scanner
-	silence    time.Duration
-	until      time.Time // the read deadline, once the answer has begun
-	lineFilter lineFilter
-	plain      bool   // a body of any kind, not events
-	begun      bool   // the answer has
-	pending    []byte // sound, and not yet read
-	last       bool   // the last event has passed
-	tail       []byte
-	err        error
-	ended      bool  // finish has been called
-	failed     error // the engine's own word that it has
-	result     core.Result
-}
-
-// Read returns events as they come. io.EOF comes after the last chunk only: a
-// connection that just ends is a broken stream.
-func (s *stream) Read(p []byte) (int, error) {
-	for len(s.pending) == 0 {
-		if s.err != nil {
-			return 0, s.finish(s.err)
-		}
-		s.await()
-		sound := s.next(p)
-		// Mostly what has come is already where it is wanted.
-		n := copy(p, sound)
-		if s.pending = append(s.pending[:0], sound[n:]...); n > 0 {
-			return n, nil
-		}
-	}
-	n := copy(p, s.pending)
-	s.pending = s.pending[n:]
-	return n, nil
-}
-
-// await sets how long the next part is waited for. A deadline that is near enough to what
-// it should be is left alone.
-func (s *stream) await() {
-	var until time.Time
-	switch now := time.Now(); {
-	case s.last:
-		until = now.Add(doneSpan)
-	case s.silence > 0: // a machine that has vanished says nothing; a client is not left waiting for it
-		if until = now.Add(s.silence); until.Sub(s.until) < s.silence/silencePart {
-			return
-		}
-	case s.begun && s.until.IsZero():
-		s.until = now
-	default:
-		return
-	}
-	s.c.SetReadDeadline(until)
-	if s.until = until; s.last {
-		s.until = time.Time{}
-	}
-}
-
-// next reads on by way of p and returns what is sound.
-func (s *stream) next(p []byte) []byte {
-	n, err := s.body.Read(p)
-	sound, junk := p[:n], error(nil)
-	if !s.plain {
-		sound, junk = s.lineFilter.take(sound)
-	}
-	if junk != nil {
-		err = junk
-	}
-	if err != nil && (errors.Is(err, io.EOF) || broken(err) == routing.StatusReset) {
-		if rest := s.lineFilter.left(errors.Is(err, io.EOF) && s.framed()); len(rest) > 0 { // what has come before a break goes out
-			sound = append(slices.Clone(sound), rest...)
-		}
-	}
-	s.err = err
-	s.note(sound)
-	return sound
-}
-
-// fill adds what comes next to what is pending, until the answer begins.
-func (s *stream) fill(p []byte, payload core.Payload) {
-	sound := s.next(p)
-	s.pending = append(s.pending, sound...)
-	switch {
-	case s.plain:
-		s.begun = len(s.pending) > 0 || errors.Is(s.err, io.EOF)
-	case s.opener == nil:
-		s.begun = s.lineFilter.begun
-	default:
-		each := func(e sse.Event) error {
-			if s.begun {
-				return nil
-			}
-			var err error
-			s.begun, err = s.opener.Opens(payload, e.Data)
-			return err
-		}
-		err := s.lead.Write(sound, each)
-		if err == nil && errors.Is(s.err, io.EOF) {
-			err = s.lead.End(each)
-		}
-		if err != nil && !s.begun {
-			s.failed, s.err = err, err
-		}
-	}
-}
-
-// note keeps the last part of what has passed, where the usage stands.
-func (s *stream) note(p []byte) {
-	if over := len(p) - 2*tailSize; over > 0 {
-		s.tail = append(s.tail[:0], p[over:]...)
-	} else {
-		s.tail = append(s.tail, p...)
-	}
-	if len(s.tail) > 2*tailSize {
-		s.tail = append(s.tail[:0], s.tail[len(s.tail)-tailSize:]...)
-	}
-	s.last = s.last || bytes.Contains(p[max(0, len(p)-lastWithin):], lastEvent)
-}
-
-// lastWithin is how near to the end of what has come the last event stands.
-const lastWithin = 1 << 10
-
-var lastEvent = []byte("data: [DONE]")
-
-// framed tells whether the stream's end is told otherwise than by the connection's.
-func (s *stream) framed() bool { return s.resp.ContentLength >= 0 || len(s.resp.TransferEncoding) > 0 }
-
-func (s *stream) finish(err error) error {
-	if s.ended {
-		return err
-	}
-	framed := s.framed()
-	if errors.Is(err, io.EOF) && !framed && !bytes.Contains(s.tail, lastEvent) {
-		err = io.ErrUnexpectedEOF
-	}
-	if errors.Is(err, io.EOF) {
-		s.result.Status = routing.StatusServed
-		s.dialect.Tail(s.tail, &s.result)
-	} else {
-		s.result.Status, s.result.Cause = broken(err), err
-	}
-	s.ended = true
-	if cap(s.tail) <= 4*tailSize {
-		tails.Put(s.tail[:0])
-	}
-	s.tail = nil
-	s.done(err == io.EOF && framed && !s.resp.Close)
-	return err
-}
-
-// Result tells how the stream ended.
-func (s *stream) Result() core.Result { return s.result }
-
-// Close gives the rest of the stream up.
-func (s *stream) Close() error {
-	s.stop()
-	return nil
-}
-
 // Probe asks for a load report; see core.Engine.
 func (e *Engine) Probe(at core.Member, done func(routing.Status, *routing.Report)) {
 	call, given := e.dialect(at.Kind).Probe()
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -1,11 +1,14 @@
 package upstream
 
 import (
+	"context"
 	"io"
+	"net"
 	"sync"
 	"testing"
 	"time"
 
+	"wellgw/internal/core"
 	"wellgw/internal/playback"
 )
 
@@ -124,3 +127,27 @@
 		t.Errorf("%d connections open: the spoilt one is kept", p.open)
 	}
 }
+
+// An attempt that is cancelled while its connection comes up gives that connection back to
+// the count of open ones once, not twice: the bound on connections would grow with each.
+func TestACancelledAttemptCountsItsConnectionOnce(t *testing.T) {
+	server := playback.NewEngine(t, func(playback.Call) string { return playback.Hang })
+	dialled, goOn := make(chan struct{}), make(chan struct{})
+	p := NewPool(Options{Dial: func(_ context.Context, network, addr string) (net.Conn, error) {
+		close(dialled)
+		<-goOn // a connection that comes up just as it is given up
+		return net.Dial(network, addr)
+	}})
+	ended := make(chan core.Result, 1)
+	attempt := NewEngine(p, func(string) Dialect { return nil }).Start(
+		core.Attempt{To: core.Member{Addr: server.Addr}, Limit: time.Minute}, nil, func(r core.Result) { ended <- r })
+	<-dialled
+	attempt.Cancel()
+	close(goOn)
+	<-ended
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.open != 0 {
+		t.Errorf("%d connections count as open, want 0", p.open)
+	}
+}
