--- a/decide/ejection/ejection.go
+++ b/decide/ejection/ejection.go
@@ -16,9 +16,9 @@
 // first. Engines come under ever new names, so the set would otherwise grow.
 const MaxListed = 1 << 16
 
-// Bans holds the names ever listed, those out by hand, and when each of those
+// Set holds the names ever listed, those out by hand, and when each of those
 // that came back did so. The zero value is not ready; use New.
-type Bans struct {
+type Set struct {
 	listed map[string]bool
 	order  []string // of listed, oldest first
 	out    map[string]bool
@@ -30,12 +30,12 @@
 type ret struct{ out, at routing.Time } // when it began and ended
 
 // New returns an empty set of bans.
-func New() *Bans {
-	return &Bans{listed: map[string]bool{}, out: map[string]bool{}, outAt: map[string]routing.Time{}, back: map[string]ret{}}
+func New() *Set {
+	return &Set{listed: map[string]bool{}, out: map[string]bool{}, outAt: map[string]routing.Time{}, back: map[string]ret{}}
 }
 
 // See records that a name is on a list.
-func (b *Bans) See(name string) {
+func (b *Set) See(name string) {
 	if b.listed[name] {
 		return
 	}
@@ -48,13 +48,13 @@
 }
 
 // Listed tells whether a name has been on a list.
-func (b *Bans) Listed(name string) bool { return b.listed[name] }
+func (b *Set) Listed(name string) bool { return b.listed[name] }
 
 // Out tells whether an engine is out by hand.
-func (b *Bans) Out(name string) bool { return b.out[name] }
+func (b *Set) Out(name string) bool { return b.out[name] }
 
 // Names returns the names out by hand, in order.
-func (b *Bans) Names() []string {
+func (b *Set) Names() []string {
 	names := make([]string, 0, len(b.out))
 	for n := range b.out {
 		names = append(names, n)
@@ -71,7 +71,7 @@
 
 // Call takes one operator's call: out for maint-on, else maint-off. It refuses a
 // name that was never listed, nor out. A call that changes nothing is accepted.
-func (b *Bans) Call(name string, out bool, now routing.Time) (Change, bool) {
+func (b *Set) Call(name string, out bool, now routing.Time) (Change, bool) {
 	if !b.listed[name] && !b.out[name] {
 		return Change{}, false
 	}
@@ -89,7 +89,7 @@
 
 // Take makes names the whole set of bans, as another process of the same
 // gateway has written it.
-func (b *Bans) Take(names []string, now routing.Time) Change {
+func (b *Set) Take(names []string, now routing.Time) Change {
 	next := map[string]bool{}
 	for _, n := range names {
 		next[n] = true
@@ -97,7 +97,7 @@
 	return b.take(next, now)
 }
 
-func (b *Bans) take(next map[string]bool, now routing.Time) Change {
+func (b *Set) take(next map[string]bool, now routing.Time) Change {
 	var ch Change
 	for n := range next {
 		if !b.out[n] {
@@ -125,7 +125,7 @@
 // out. An engine out by hand is restarted meanwhile and comes back cold: a start
 // that the list shows after the ban began stands; without one, the engine is shown
 // as started at its return, until the list tells of a later start.
-func (b *Bans) Show(s routing.ServerInfo) routing.ServerInfo {
+func (b *Set) Show(s routing.ServerInfo) routing.ServerInfo {
 	if b.out[s.Name] {
 		if s.Phase == routing.PhaseOn {
 			s.Phase = routing.PhaseDraining
--- a/decide/ejection/ejection_test.go
+++ b/decide/ejection/ejection_test.go
@@ -18,23 +18,23 @@
 	const now = routing.Time(time.Hour)
 	for _, c := range []struct {
 		name   string
-		calls  func(b *Bans) bool // the last call's answer
+		calls  func(b *Set) bool // the last call's answer
 		want   bool
 		out    []string
 		phase  routing.Phase
 		cameUp routing.Time
 	}{
-		{"never listed", func(b *Bans) bool { _, ok := b.Call("x", true, now); return ok }, false, nil, routing.PhaseOn, 0},
-		{"out", func(b *Bans) bool { _, ok := b.Call("e1", true, now); return ok }, true, []string{"e1"}, routing.PhaseDraining, 0},
-		{"out twice", func(b *Bans) bool { b.Call("e1", true, now); _, ok := b.Call("e1", true, now); return ok }, true, []string{"e1"}, routing.PhaseDraining, 0},
-		{"out twice, back once", func(b *Bans) bool {
+		{"never listed", func(b *Set) bool { _, ok := b.Call("x", true, now); return ok }, false, nil, routing.PhaseOn, 0},
+		{"out", func(b *Set) bool { _, ok := b.Call("e1", true, now); return ok }, true, []string{"e1"}, routing.PhaseDraining, 0},
+		{"out twice", func(b *Set) bool { b.Call("e1", true, now); _, ok := b.Call("e1", true, now); return ok }, true, []string{"e1"}, routing.PhaseDraining, 0},
+		{"out twice, back once", func(b *Set) bool {
 			b.Call("e1", true, now)
 			b.Call("e1", true, now)
 			_, ok := b.Call("e1", false, now+time.Second)
 			return ok
 		}, true, nil, routing.PhaseOn, now + time.Second},
-		{"back without a ban", func(b *Bans) bool { _, ok := b.Call("e1", false, now); return ok }, true, nil, routing.PhaseOn, 0},
-		{"taken from a file", func(b *Bans) bool { b.Take([]string{"e1", "gone"}, now); return true }, true, []string{"e1", "gone"}, routing.PhaseDraining, 0},
+		{"back without a ban", func(b *Set) bool { _, ok := b.Call("e1", false, now); return ok }, true, nil, routing.PhaseOn, 0},
+		{"taken from a file", func(b *Set) bool { b.Take([]string{"e1", "gone"}, now); return true }, true, []string{"e1", "gone"}, routing.PhaseDraining, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := New()
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -35,7 +35,7 @@
 
 	// Owned by the goroutine of Run.
 	members    map[string]Member
-	bans       *ejection.Bans // engines out by hand
+	ejections  *ejection.Set // engines out by hand
 	requests   map[routing.RequestID]*request
 	wires      map[string]bool
 	lastID     routing.RequestID
@@ -57,7 +57,7 @@
 		router: r, engine: e, directory: d, fig: fig, log: log, checks: checks,
 		origin: time.Now().Add(-clockOrigin),
 		queue:  make(chan func(), queueSize), done: make(chan struct{}),
-		members: map[string]Member{}, bans: ejection.New(), requests: map[routing.RequestID]*request{}, unreleased: map[*request]bool{}, lastHeard: map[string]time.Time{},
+		members: map[string]Member{}, ejections: ejection.New(), requests: map[routing.RequestID]*request{}, unreleased: map[*request]bool{}, lastHeard: map[string]time.Time{},
 		wires: map[string]bool{}, counts: map[string]int{}, traffic: map[string]*Traffic{},
 	}
 }
--- a/internal/core/ejection.go
+++ b/internal/core/ejection.go
@@ -8,42 +8,42 @@
 	"wellgw/routing"
 )
 
-// handAnswer is what the core's goroutine says of a call on an engine.
-type handAnswer struct {
+// ejectionAnswer is what the core's goroutine says of a call on an engine.
+type ejectionAnswer struct {
 	names []string
 	ok    bool
 }
 
-// Hand takes an operator's call on an engine: out for maint-on, else maint-off.
+// Eject takes an operator's call on an engine: out for maint-on, else maint-off.
 // It returns the names out by hand afterwards, and false for a name that was
 // never listed (nothing changes then) or if ctx ends first.
-func (c *Core) Hand(ctx context.Context, name string, out bool) (names []string, ok bool) {
-	a := query(ctx, c, func() handAnswer {
-		ch, ok := c.bans.Call(name, out, c.now())
+func (c *Core) Eject(ctx context.Context, name string, out bool) (names []string, ok bool) {
+	a := query(ctx, c, func() ejectionAnswer {
+		ch, ok := c.ejections.Call(name, out, c.now())
 		if ok {
-			c.banned(ch)
+			c.showEjections(ch)
 		}
-		return handAnswer{c.bans.Names(), ok}
+		return ejectionAnswer{c.ejections.Names(), ok}
 	})
 	return a.names, a.ok
 }
 
-// Bans makes names the whole set of engines out by hand, as another process of
+// SetEjected makes names the whole set of engines out by hand, as another process of
 // this gateway has written it.
-func (c *Core) Bans(names []string) {
-	c.post(func() { c.banned(c.bans.Take(names, c.now())) })
+func (c *Core) SetEjected(names []string) {
+	c.post(func() { c.showEjections(c.ejections.Take(names, c.now())) })
 }
 
 // now is the module's clock.
 func (c *Core) now() routing.Time { return time.Since(c.origin) }
 
-// banned shows the module the engines whose ban began or ended.
-func (c *Core) banned(ch ejection.Change) {
+// showEjections shows the module the engines whose ban began or ended.
+func (c *Core) showEjections(ch ejection.Change) {
 	ev := routing.Roster{Scope: routing.RosterChanges}
 	for _, names := range [][]string{ch.Out, ch.Back} {
 		for _, n := range names {
 			if m, ok := c.members[n]; ok {
-				ev.Servers = append(ev.Servers, c.bans.Show(m.ServerInfo))
+				ev.Servers = append(ev.Servers, c.ejections.Show(m.ServerInfo))
 			}
 		}
 	}
@@ -63,7 +63,7 @@
 func (c *Core) setReady() {
 	on := false
 	for _, m := range c.members {
-		on = on || m.Phase == routing.PhaseOn && !c.bans.Out(m.Name)
+		on = on || m.Phase == routing.PhaseOn && !c.ejections.Out(m.Name)
 	}
 	c.ready.Store(on)
 }
--- a/internal/core/ejection_test.go
+++ b/internal/core/ejection_test.go
@@ -14,13 +14,13 @@
 	f := &fake{script: script(func() (Stream, *Result) { return ended(routing.StatusError) })}
 	c := newCore(t, f)
 	c.Roster(routing.RosterChanges, []Member{{ServerInfo: routing.ServerInfo{Name: "w2", Kind: "w", Weight: 1}}})
-	if _, ok := c.Hand(t.Context(), "nobody", true); ok {
+	if _, ok := c.Eject(t.Context(), "nobody", true); ok {
 		t.Fatal("a name never listed was taken out")
 	}
-	if names, ok := c.Hand(t.Context(), "w1", true); !ok || !slices.Equal(names, []string{"w1"}) {
+	if names, ok := c.Eject(t.Context(), "w1", true); !ok || !slices.Equal(names, []string{"w1"}) {
 		t.Fatalf("out: %v %v", names, ok)
 	}
-	if names, ok := c.Hand(t.Context(), "w1", true); !ok || len(names) != 1 {
+	if names, ok := c.Eject(t.Context(), "w1", true); !ok || len(names) != 1 {
 		t.Fatalf("a second call out: %v %v", names, ok)
 	}
 	// The list says it is on: the ban holds.
@@ -41,12 +41,12 @@
 	if slices.Contains(sent, "w1") || !slices.Contains(sent, "w2") {
 		t.Fatalf("attempts during the ban: %v", sent)
 	}
-	if names, ok := c.Hand(t.Context(), "w1", false); !ok || len(names) != 0 {
+	if names, ok := c.Eject(t.Context(), "w1", false); !ok || len(names) != 0 {
 		t.Fatalf("back: %v %v", names, ok)
 	}
 	// Another process's file: the set is taken whole.
-	c.Bans([]string{"w2"})
-	if names, ok := c.Hand(t.Context(), "r1", false); !ok || !slices.Equal(names, []string{"w2"}) {
+	c.SetEjected([]string{"w2"})
+	if names, ok := c.Eject(t.Context(), "r1", false); !ok || !slices.Equal(names, []string{"w2"}) {
 		t.Fatalf("after the file: %v %v", names, ok)
 	}
 }
--- a/internal/core/roster.go
+++ b/internal/core/roster.go
@@ -25,8 +25,8 @@
 		if c.members[m.Name] = m; m.Phase == routing.PhaseOff {
 			delete(c.members, m.Name)
 		}
-		c.bans.See(m.Name)
-		ev.Servers = append(ev.Servers, c.bans.Show(m.ServerInfo))
+		c.ejections.See(m.Name)
+		ev.Servers = append(ev.Servers, c.ejections.Show(m.ServerInfo))
 	}
 	c.forgetUnlisted()
 	c.setReady()
--- a/internal/operate/operate.go
+++ b/internal/operate/operate.go
@@ -18,8 +18,8 @@
 
 // Core is what of the core the desk needs.
 type Core interface {
-	Hand(ctx context.Context, name string, out bool) (names []string, ok bool)
-	Bans(names []string)
+	Eject(ctx context.Context, name string, out bool) (names []string, ok bool)
+	SetEjected(names []string)
 }
 
 // Desk answers calls. Its fields are set before the first call.
@@ -50,7 +50,7 @@
 	}
 	if changed {
 		d.Log.Info("engines out by hand, as found", "engines", names)
-		d.Core.Bans(names)
+		d.Core.SetEjected(names)
 	}
 }
 
@@ -99,7 +99,7 @@
 	case control.MaintOn, control.MaintOff:
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		names, ok := d.Core.Hand(ctx, c.ID, c.Verb == control.MaintOn)
+		names, ok := d.Core.Eject(ctx, c.ID, c.Verb == control.MaintOn)
 		if !ok {
 			return false
 		}
