--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -4,7 +4,6 @@
 	"errors"
 	"fmt"
 	"io"
-	"log/slog"
 	"sync"
 	"sync/atomic"
 	"testing"
@@ -12,7 +11,6 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"wellgw/internal/invariant"
 	"wellgw/internal/playback"
 	"wellgw/routing"
 )
