--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -6,6 +6,7 @@
 	"wellgw/routing"
 )
 
+// attempt is one try at one engine.
 type attempt struct {
 	number  int
 	server  Member
@@ -57,7 +58,7 @@
 }
 
 // connected has the attempt before closed now that the next one can go out, and returns
-// when the two can't meet any more. Until then the one before covers what is held: the
+// when the two can't meet any more. Until then the one before stays out: the connection of the
 // next may never come up.
 func (c *Core) connected(q *request, at *attempt) {
 	clear := make(chan struct{})
@@ -74,7 +75,7 @@
 	}
 }
 
-// written notes that an attempt is out: from now on it answers for what is held.
+// written records that an attempt is out.
 func (c *Core) written(q *request, at *attempt) {
 	if at.ended {
 		return
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -164,8 +164,8 @@
 	}
 }
 
-// settle closes the books on requests that something has happened to: engines are told to
-// let go of what nobody will take, and what is over is forgotten.
+// settle updates the requests that something has happened to: held states are released, and
+// what is over is forgotten.
 func (c *Core) settle() {
 	for len(c.settling) > 0 {
 		q := c.settling[0]
--- a/internal/core/held_test.go
+++ b/internal/core/held_test.go
@@ -1,6 +1,7 @@
 package core
 
 import (
+	"errors"
 	"log/slog"
 	"testing"
 	"time"
@@ -142,3 +143,24 @@
 		t.Errorf("released at %v", f.released)
 	}
 }
+
+// The answer tells how the latest attempt ended at an engine, not that another, whose
+// connection was not up yet, was withdrawn for it.
+func TestAnAnswerTellsOfTheAttemptThatWasOut(t *testing.T) {
+	f := &fake{away: func(a Attempt) bool { return a.Number > 0 }}
+	failed := errors.New("the engine's own word")
+	f.script = func(a Attempt) (Stream, *Result) {
+		if a.Number > 0 {
+			return nil, nil
+		}
+		return nil, &Result{Status: routing.StatusError, Cause: failed}
+	}
+	c := coreWith(t, f, func(s *routing.Settings) { s.CanCancel = false })
+	w := make(waiter, 1)
+	c.Submit(ask("free", time.Minute), w)
+	playback.Eventually(t, "a second attempt waits for its connection", func() bool { all, _, _ := f.tally(); return all == 2 })
+	c.Abandon(true)
+	if a := <-w; a.Status != routing.StatusError || !errors.Is(a.Cause, failed) {
+		t.Errorf("answer %+v, want the first attempt's end", a)
+	}
+}
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -26,6 +26,7 @@
 	left      *atomic.Bool // its client has gone, whether or not the core has been told
 }
 
+// submit takes a request into the table and gives it to the module.
 func (c *Core) submit(t *Ticket, in Request, f Front) {
 	// Ids count up and wrap; one that is still in hand is passed over, as a stream
 	// may outlast any number of others.
@@ -61,10 +62,11 @@
 		return
 	}
 	q.answered = true
+	a.Status, a.Cause = q.status, q.cause
 	if a.Verdict != Serving {
 		c.withdraw(q)
 	}
-	a.Status, a.Cause, a.MayRun = q.status, q.cause, q.mayRun()
+	a.MayRun = q.mayRun()
 	if s, has := c.router.Standing(q.Tenant); has {
 		a.Standing = &s
 	}
@@ -99,6 +101,7 @@
 	c.withdraw(q)
 }
 
+// overdue gives a request that neither the module nor an engine has ended its final answer.
 func (c *Core) overdue(q *request) {
 	if q.answered {
 		return
@@ -110,8 +113,8 @@
 	}
 }
 
-// forget takes a request that is over off the table. What may still be held for it is seen
-// to on its own.
+// forget takes a request that is over off the table. Its held states are released on their own
+// account; see updateHeld.
 func (c *Core) forget(q *request) {
 	if holder := q.held.ledger.Holder(); holder != "" {
 		q.held.holder = holder
@@ -125,4 +128,5 @@
 	q.Payload.Body = nil // timers may keep q itself for a while
 }
 
+// mayRun tells whether an attempt has been out that is not known to have been turned away.
 func (q *request) mayRun() bool { return q.ran || q.out > 0 }
