--- a/lab/faultnet/stream.go
+++ b/lab/faultnet/stream.go
@@ -89,13 +89,17 @@
 	defer out.Close()
 	l := &link{pair: p, in: in, out: out}
 	n.mu.Lock()
-	n.links[l] = true
+	over := n.over // Close has reset all links and would wait for this one
+	n.links[l] = !over
 	n.mu.Unlock()
 	defer func() {
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		delete(n.links, l)
 	}()
+	if over {
+		return
+	}
 	var both sync.WaitGroup
 	both.Go(func() { n.carry(p, in, out) })
 	both.Go(func() { n.carry(pair{p.to, p.from}, out, in) })
