--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -46,7 +46,7 @@
 	}
 	c.after(limit, func() { c.end(q, at, Result{Status: routing.StatusTimeout}) })
 	out := Attempt{Wire: q.Wire, Number: at.number, To: m, Limit: limit, Payload: q.Payload, Left: q.left.Load}
-	if q.lingering != nil {
+	if q.lingering != nil || q.cancelPause(now) > 0 {
 		out.Connected = func() { c.connected(q, at) }
 	}
 	out.Written = func() { c.post(func() { c.written(q, at) }) }
@@ -130,10 +130,14 @@
 		q.ran = true
 	}
 	givenUp := r.Status == routing.StatusCancelled || r.Status == routing.StatusTimeout
-	if givenUp && !at.begun && at.out {
+	switch {
+	case givenUp && !at.begun && at.out:
 		c.closeLingering(q)
 		q.lingering = at
-	} else {
+	case givenUp && !at.begun && !at.handle.Withdraw():
+		// It is being written, or has been and the core is yet to hear of it.
+		q.cancel(at)
+	default:
 		at.handle.Cancel()
 	}
 	q.out--
@@ -150,15 +154,26 @@
 }
 
 // afterEnd closes the connection of an attempt that has been given up, and does what must
-// not meet that attempt once its engine can have learned of it: both take their own ways.
-// Without one it is done at once.
+// not meet that attempt once its engine can have learned of the end: both take their own ways.
+// Without such an attempt it is done at once.
 func (c *Core) afterEnd(q *request, job func()) {
-	if q.lingering == nil {
-		job()
+	c.closeLingering(q)
+	if pause := q.cancelPause(time.Now()); pause > 0 {
+		c.after(pause, job)
 		return
 	}
-	c.closeLingering(q)
-	c.after(cancelMargin, job)
+	job()
+}
+
+// cancel closes the connection of an attempt that its engine may have, or be about to get.
+func (q *request) cancel(at *attempt) {
+	at.handle.Cancel()
+	q.cancelled = time.Now()
+}
+
+// cancelPause returns how long the engine of the attempt cancelled last may need to learn of it.
+func (q *request) cancelPause(now time.Time) time.Duration {
+	return cancelMargin - now.Sub(q.cancelled)
 }
 
 // withdraw ends the attempts of a request that is over that are not out yet, also where the
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -27,6 +27,22 @@
 	// unreached engines take no connection by which they could be checked
 	unreached bool
 	cut       chan struct{} // if set, no engine is reached by a release before it is closed
+	unnoticed chan struct{} // if set, the core hears that a first attempt is written once it is closed
+	begun     []handle
+}
+
+// handles returns the attempts begun so far.
+func (f *fake) handles() []handle {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return append([]handle(nil), f.begun...)
+}
+
+// sinceEnd returns the time since an attempt was closed last.
+func (f *fake) sinceEnd() time.Duration {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return time.Since(f.lastEnd)
 }
 
 // handle is an attempt of a fake.
@@ -50,12 +66,24 @@
 	f.attempts = append(f.attempts, a.To.Name)
 	f.mu.Unlock()
 	h := handle{written: &atomic.Bool{}}
+	h.cancel = sync.OnceFunc(func() {
+		f.mu.Lock()
+		defer f.mu.Unlock()
+		f.closed++
+		f.lastEnd = time.Now()
+	})
+	f.mu.Lock()
+	f.begun = append(f.begun, h)
+	f.mu.Unlock()
 	go func() {
 		if f.away == nil || !f.away(a) {
 			if a.Connected != nil {
 				a.Connected()
 			}
 			h.written.Store(true)
+			if f.unnoticed != nil && a.Number == 0 {
+				<-f.unnoticed
+			}
 			a.Written()
 		}
 		if s, r := f.script(a); s != nil {
@@ -64,12 +92,6 @@
 			ended(*r)
 		}
 	}()
-	h.cancel = sync.OnceFunc(func() {
-		f.mu.Lock()
-		defer f.mu.Unlock()
-		f.closed++
-		f.lastEnd = time.Now()
-	})
 	return h
 }
 
@@ -608,29 +630,53 @@
 // What must not meet an attempt waits until its engine can have learned of its end: a
 // further attempt, and the word that an order never ran. Both take other ways than the end.
 func TestWhatMustNotMeetAnAttemptWaitsForItsEnd(t *testing.T) {
-	after := make(chan time.Duration, 8)
 	f := &fake{}
-	since := func() time.Duration { f.mu.Lock(); defer f.mu.Unlock(); return time.Since(f.lastEnd) }
-	f.script = func(a Attempt) (Stream, *Result) {
-		if a.Number > 0 {
-			after <- since()
-		}
-		return nil, nil
-	}
+	f.script = func(Attempt) (Stream, *Result) { return nil, nil }
 	core := newCore(t, f)
 	a, _, _ := Await(t.Context(), core, ask("once", 300*time.Millisecond))
-	if d := since(); a.Verdict != Refused || d < cancelMargin {
+	if d := f.sinceEnd(); a.Verdict != Refused || d < cancelMargin {
 		t.Errorf("verdict %v, %v after the attempt's end", a.Verdict, d)
 	}
-	go Await(t.Context(), core, ask("free", time.Minute))
-	playback.Eventually(t, "its first attempt is out", func() bool { all, _, _ := f.tally(); return all == 2 })
-	core.post(func() {
-		for _, q := range core.requests {
-			core.end(q, q.attempts[0], Result{Status: routing.StatusCancelled})
+}
+
+// The same for a further attempt after one that was cancelled, be the core told that it has
+// been written before its cancel or only afterwards.
+func TestNextAttemptWaitsAfterACancel(t *testing.T) {
+	for _, told := range []bool{true, false} {
+		written, after := make(chan struct{}, 8), make(chan time.Duration, 8)
+		f := &fake{}
+		f.script = func(a Attempt) (Stream, *Result) {
+			if a.Number > 0 {
+				after <- f.sinceEnd()
+			}
+			written <- struct{}{}
+			return nil, nil
+		}
+		if !told {
+			f.unnoticed = make(chan struct{})
+		}
+		core := newCore(t, f)
+		go Await(t.Context(), core, ask("free", time.Minute))
+		if told {
+			<-written // the core's queue has it, before what is posted now
+		} else {
+			playback.Eventually(t, "its first attempt is written", func() bool {
+				handles := f.handles()
+				return len(handles) == 1 && handles[0].written.Load()
+			})
+		}
+		core.post(func() {
+			for _, q := range core.requests {
+				core.end(q, q.attempts[0], Result{Status: routing.StatusCancelled})
+			}
+		})
+		if !told {
+			playback.Eventually(t, "the first attempt is closed", func() bool { _, closed, _ := f.tally(); return closed == 1 })
+			close(f.unnoticed)
+		}
+		if d := <-after; d < cancelMargin {
+			t.Errorf("told before %v: the next attempt goes out %v after the end of the one before", told, d)
 		}
-	})
-	if d := <-after; d < cancelMargin {
-		t.Errorf("the next attempt goes out %v after the end of the one before", d)
 	}
 }
 
--- a/internal/core/held.go
+++ b/internal/core/held.go
@@ -248,7 +248,7 @@
 // closeLingering closes the connection of a cancelled attempt that was kept open.
 func (c *Core) closeLingering(q *request) {
 	if q.lingering != nil {
-		q.lingering.handle.Cancel()
+		q.cancel(q.lingering)
 		q.lingering = nil
 	}
 }
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -19,6 +19,7 @@
 	attempts  []*attempt
 	out       int            // attempts that have not ended
 	lingering *attempt       // cancelled or timed out, its connection kept open for now
+	cancelled time.Time      // when the connection of an attempt that may be out was closed last
 	held      heldStates     // at engines
 	status    routing.Status // how the latest attempt ended, and why
 	cause     error
