--- a/cmd/wellgw/serve.go
+++ b/cmd/wellgw/serve.go
@@ -421,13 +421,24 @@
 		defer done()
 		finish = release
 	}
-	if err := c.Drain(finish); err != nil {
-		g.log.Warn("requests left behind", "cause", err)
+	drain, stop := g.drainTime(finish, kill)
+	defer stop()
+	if err := c.Drain(drain); err != nil {
+		g.log.Warn("left before the end of all requests and releases", "cause", err)
 	}
 	_ = clients.Shutdown(finish) // the last answers are given time to arrive
 	g.log.Info("left", "counts", c.Counts(ctx))
 }
 
+// drainTime bounds the drain of a gateway by the kill, where one is known to come that it would
+// find waiting for releases.
+func (g *gateway) drainTime(finish context.Context, kill time.Time) (context.Context, context.CancelFunc) {
+	if !g.killed || time.Now().After(kill) {
+		return finish, func() {}
+	}
+	return context.WithDeadline(finish, kill)
+}
+
 // endsEarly tells whether what has no answer yet is given up shortly before a kill that is
 // known to come, while streams go on to it.
 func (g *gateway) endsEarly(handed bool) bool { return g.killed && !g.resume && !handed }
--- a/decide/heldstate/heldstate.go
+++ b/decide/heldstate/heldstate.go
@@ -379,14 +379,24 @@
 	return true
 }
 
+// Forget records that an engine holds nothing and never will, as engines of its kind take no
+// releases.
+func (l *Ledger) Forget(engine string) {
+	delete(l.entries, engine)
+	if l.holder == engine {
+		l.holder = ""
+	}
+}
+
 // Urgent tells whether a draining gateway has to wait for a release: one that has not been
-// delivered yet, or that may have overtaken a cancel. Reads that may run on, and engines out of
-// reach for several pin limits, are not waited for.
+// delivered yet, or that has to be repeated, as it may have overtaken a cancel or as a read may
+// run on and leave a state when the gateway has ended. Engines out of reach for several pin
+// limits are not waited for.
 func (l *Ledger) Urgent(now Time) bool {
 	for _, e := range l.entries {
 		undelivered := e.delivered == 0 && (e.due == 0 || now < e.due+urgentLimits*l.limits.Pin)
-		overtaken := e.uncertain && e.delivered > 0 && e.last < e.first+CancelTransit
-		if !e.abandoned && (undelivered || overtaken) {
+		_, repeated := l.nextRepeat(e)
+		if !e.abandoned && (undelivered || e.delivered > 0 && repeated) {
 			return true
 		}
 	}
--- a/decide/heldstate/heldstate_test.go
+++ b/decide/heldstate/heldstate_test.go
@@ -250,3 +250,45 @@
 		}
 	})
 }
+
+// A draining gateway waits for what only it can still release, but not for engines that have
+// long been out of reach.
+func TestUrgent(t *testing.T) {
+	lost := func(reads bool) func(*Ledger) {
+		return func(l *Ledger) {
+			l.AttemptLost("r", reads)
+			l.Finish()
+			l.Due(1)
+		}
+	}
+	delivered := func(reads bool, at Time) func(*Ledger) {
+		return func(l *Ledger) {
+			lost(reads)(l)
+			l.ReleaseEnded("r", true, 1)
+			for at > 1 && len(l.Due(at)) > 0 {
+				l.ReleaseEnded("r", true, at)
+			}
+		}
+	}
+	for _, c := range []struct {
+		name  string
+		steps func(*Ledger)
+		at    Time
+		want  bool
+	}{
+		{"nothing is held", func(l *Ledger) { l.Finish() }, 1, false},
+		{"a release is under way", lost(true), 1, true},
+		{"its engine has been out of reach for several pin limits", lost(true), 1 + urgentLimits*limits.Pin, false},
+		{"the release may have overtaken the cancel", delivered(false, 1), 1, true},
+		{"it was repeated since", delivered(false, 1+CancelTransit), 1 + CancelTransit, false},
+		{"the read may run on", delivered(true, 1+limits.ReadFor-1), 1 + limits.ReadFor - 1, true},
+		{"the read has surely ended", delivered(true, 1+limits.ReadFor), 1 + limits.ReadFor, false},
+		{"engines of its kind take no releases", func(l *Ledger) { lost(true)(l); l.Forget("r") }, 1, false},
+	} {
+		l := New(limits)
+		c.steps(l)
+		if got := l.Urgent(c.at); got != c.want {
+			t.Errorf("%s: urgent %v, want %v", c.name, got, c.want)
+		}
+	}
+}
--- a/internal/core/api.go
+++ b/internal/core/api.go
@@ -8,6 +8,7 @@
 
 import (
 	"context"
+	"errors"
 	"sync/atomic"
 	"time"
 
@@ -130,6 +131,9 @@
 	Until          time.Time     // when it is to be given up
 }
 
+// ErrNoRelease is how a release ends at an engine whose kind takes none: it holds nothing.
+var ErrNoRelease = errors.New("engines of this kind take no releases")
+
 // Engine makes attempts. No method blocks; what comes of a call is told later,
 // from another goroutine.
 type Engine interface {
@@ -137,7 +141,8 @@
 	// events begin to come, ended when the attempt is over without any.
 	Start(a Attempt, first func(Stream), ended func(Result)) Handle
 	// Release tells an engine to let go, trying again until it has been told, the time is
-	// over or stop is called. done is called once, with nil if the engine was told.
+	// over or stop is called. done is called once, with nil if the engine was told, and with
+	// ErrNoRelease if engines of its kind hold nothing.
 	Release(r Release, done func(error)) (stop func())
 	// Reach finds out whether an engine is reached: by a connection of its own, as an idle one
 	// does not show a cut. One that refuses it is.
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -123,27 +123,14 @@
 		return
 	}
 	at.ended, q.status, q.cause = true, r.Status, r.Cause
-	switch r.Status {
-	case routing.StatusUnsent, routing.StatusNoConnect, routing.StatusFull, routing.StatusRead:
-		// Turned away, never out, or read only: nothing was carried out.
-	default:
-		q.ran = true
-	}
-	givenUp := r.Status == routing.StatusCancelled || r.Status == routing.StatusTimeout
-	switch {
-	case givenUp && !at.begun && at.out:
-		c.closeLingering(q)
-		q.lingering = at
-	case givenUp && !at.begun && !at.handle.Withdraw():
-		// It is being written, or has been and the core is yet to hear of it.
-		q.cancel(at)
-	default:
-		at.handle.Cancel()
-	}
+	withdrawn := c.close(q, at, r.Status)
+	q.ran = q.ran || !withdrawn && mayHaveRun(r.Status)
 	q.out--
 	c.settling = append(c.settling, q)
 	c.counts[statusNames[r.Status]]++
-	c.noteOutcome(q, at, r)
+	if !withdrawn {
+		c.noteOutcome(q, at, r)
+	}
 	if r.Cause != nil {
 		c.log.Debug("attempt failed", "id", q.Wire, "attempt", at.number, "engine", at.server.Name, "cause", r.Cause)
 	}
@@ -153,6 +140,36 @@
 	})
 }
 
+// close closes an attempt that has ended, or keeps it open for a while if it was given up. It
+// tells whether the attempt was given up before anything of it was written.
+func (c *Core) close(q *request, at *attempt, s routing.Status) (withdrawn bool) {
+	givenUp := s == routing.StatusCancelled || s == routing.StatusTimeout
+	switch {
+	case !givenUp || at.begun:
+		at.handle.Cancel()
+		return false
+	case at.out:
+		c.closeLingering(q)
+		q.lingering = at
+		return false
+	case at.handle.Withdraw():
+		return true
+	}
+	// It is being written, or has been and the core is yet to hear of it.
+	q.cancel(at)
+	return false
+}
+
+// mayHaveRun tells whether an attempt that was written and ended so may have been carried out:
+// it was not turned away, and did more than read.
+func mayHaveRun(s routing.Status) bool {
+	switch s {
+	case routing.StatusUnsent, routing.StatusNoConnect, routing.StatusFull, routing.StatusRead:
+		return false
+	}
+	return true
+}
+
 // afterEnd closes the connection of an attempt that has been given up, and does what must
 // not meet that attempt once its engine can have learned of the end: both take their own ways.
 // Without such an attempt it is done at once.
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -27,8 +27,10 @@
 	// unreached engines take no connection by which they could be checked
 	unreached bool
 	cut       chan struct{} // if set, no engine is reached by a release before it is closed
-	unnoticed chan struct{} // if set, the core hears that a first attempt is written once it is closed
-	begun     []handle
+	// releaseErr is how releases end that are not cut off
+	releaseErr error
+	unnoticed  chan struct{} // if set, the core hears that a first attempt is written once it is closed
+	begun      []handle
 }
 
 // handles returns the attempts begun so far.
@@ -112,7 +114,7 @@
 				return
 			}
 		}
-		done(nil)
+		done(f.releaseErr)
 	}()
 	return sync.OnceFunc(func() { close(stopped) })
 }
@@ -280,7 +282,7 @@
 		}}
 		core := newCore(t, f)
 		w := make(waiter, 1)
-		core.Submit(ask("once", time.Minute), w)
+		core.Submit(ask("once", 2*time.Second), w)
 		playback.Eventually(t, "the attempt is out", func() bool {
 			f.mu.Lock()
 			defer f.mu.Unlock()
@@ -291,7 +293,7 @@
 		if a := <-w; a.Verdict != want {
 			t.Errorf("at %s: %+v, want %v", kind, a, want)
 		}
-		if a, _, _ := Await(t.Context(), core, Request{Wire: "late", Arrived: time.Now(), Request: ask("once", time.Minute).Request}); a.Verdict != Refused {
+		if a, _, _ := Await(t.Context(), core, Request{Wire: "late", Arrived: time.Now(), Request: ask("once", 2*time.Second).Request}); a.Verdict != Refused {
 			t.Errorf("a late one: %+v", a)
 		}
 		if after, _, _ := f.tally(); after != before {
--- a/internal/core/held.go
+++ b/internal/core/held.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"errors"
 	"maps"
 	"slices"
 	"time"
@@ -269,8 +270,12 @@
 // releaseEnded records how a release ended.
 func (c *Core) releaseEnded(q *request, engine string, err error) {
 	delete(q.held.cancels, engine)
-	q.held.ledger.ReleaseEnded(engine, err == nil, c.now())
 	c.settling = append(c.settling, q)
+	if errors.Is(err, ErrNoRelease) {
+		q.held.ledger.Forget(engine)
+		return
+	}
+	q.held.ledger.ReleaseEnded(engine, err == nil, c.now())
 	if err != nil {
 		c.counts["releases failed"]++
 		c.log.Debug("release failed", "id", q.Wire, "engine", engine, "cause", err)
--- a/internal/core/held_test.go
+++ b/internal/core/held_test.go
@@ -73,8 +73,8 @@
 		if err := c.Drain(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		if all, closed, _ := f.tally(); closed != all {
-			t.Errorf("cancels allowed %v: %d of %d attempts are taken back", may, closed, all)
+		if all, closed, released := f.tally(); closed != all || released > 0 {
+			t.Errorf("cancels allowed %v: %d of %d attempts are taken back, %d releases for what was never written", may, closed, all, released)
 		}
 	}
 }
@@ -164,3 +164,35 @@
 		t.Errorf("answer %+v, want the first attempt's end", a)
 	}
 }
+
+// A read that was cancelled may run on and leave a state at its end. A gateway that is told to
+// end stays until its engine has been told for the last time.
+func TestDrainWaitsForReadsThatMayRunOn(t *testing.T) {
+	f := &fake{script: func(Attempt) (Stream, *Result) { return nil, nil }}
+	c := coreWith(t, f, func(s *routing.Settings) { s.PinLimit = 20 * time.Millisecond })
+	if a, _, _ := Await(t.Context(), c, ask("once", 600*time.Millisecond)); a.Verdict != Refused {
+		t.Fatalf("answer %+v", a)
+	}
+	if err := c.Drain(t.Context()); err != nil {
+		t.Fatal(err)
+	}
+	if left := query(t.Context(), c, func() int { return len(c.unreleased) }); left > 0 {
+		t.Errorf("the gateway has ended, and its read may run on")
+	}
+}
+
+// Engines whose kind takes no releases hold nothing: they are asked once, and a gateway that is
+// told to end does not wait for reads that may run on there.
+func TestEnginesThatTakeNoReleases(t *testing.T) {
+	f := &fake{script: func(Attempt) (Stream, *Result) { return nil, nil }, releaseErr: ErrNoRelease}
+	c := coreWith(t, f, func(s *routing.Settings) { s.PinLimit = 20 * time.Millisecond })
+	if a, _, _ := Await(t.Context(), c, ask("once", 600*time.Millisecond)); a.Verdict != Refused {
+		t.Fatalf("answer %+v", a)
+	}
+	if err := c.Drain(t.Context()); err != nil {
+		t.Fatal(err)
+	}
+	if attempts, _, released := f.tally(); released != attempts {
+		t.Errorf("%d releases after %d attempts", released, attempts)
+	}
+}
--- a/internal/upstream/held_test.go
+++ b/internal/upstream/held_test.go
@@ -6,8 +6,10 @@
 	"log/slog"
 	"math/rand/v2"
 	"os"
+	"slices"
 	"strconv"
 	"sync"
+	"sync/atomic"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -38,6 +40,9 @@
 	settings routing.Settings
 	members  []core.Member
 	clients  sync.WaitGroup
+	end      context.CancelFunc // of the process: the core and the pool
+	leaving  atomic.Bool        // it has been told to end, and takes no more
+	gone     chan struct{}      // closed once it has ended; nil if it is not told to
 }
 
 func pick[T any](r *rand.Rand, of ...T) T { return of[r.IntN(len(of))] }
@@ -53,11 +58,13 @@
 	set := routing.Settings{
 		Zones: []string{"a", "b"}[:1+r.IntN(2)], Routers: 1 + r.IntN(4), MaxAttempts: 1 + r.IntN(5),
 		CanCancel: r.IntN(4) > 0, CanRetryAfter: true, MaxRetryAfter: time.Second, WritersRead: r.IntN(3) == 0,
-		Kinds: []routing.Kind{{Name: "r", Role: routing.RoleReader, Memory: 2e5}, {Name: "w", Role: routing.RoleWriter, Memory: 2e5}},
-		Cold:  time.Second, ColdShare: 0.3, Fall: time.Second, FallMultiple: 3,
+		Cold: time.Second, ColdShare: 0.3, Fall: time.Second, FallMultiple: 3,
 		PinLimit: between(r, 100*time.Millisecond, 2*time.Second), Tick: pick(r, time.Millisecond, 4*time.Millisecond, 20*time.Millisecond),
 	}
 	set.Zone = set.Zones[0]
+	for _, role := range []routing.Role{routing.RoleReader, routing.RoleWriter, routing.RoleMixed} {
+		set.Kinds = append(set.Kinds, routing.Kind{Name: kindNames[role], Role: role, Memory: 2e5})
+	}
 	for i := range 3 {
 		set.Classes = append(set.Classes, routing.Class{
 			Name: fmt.Sprint("c", i), Aim: between(r, 500*time.Millisecond, 3*time.Second), Gain: 1,
@@ -76,17 +83,24 @@
 		ownRead: set.WritersRead, readersLast: between(r, 20*time.Millisecond, 600*time.Millisecond),
 	}, seed)}
 	for i := range 2 + r.IntN(5) {
-		s.add("r", i)
+		s.add(routing.RoleReader, i)
 	}
 	for i := range 2 + r.IntN(4) {
-		s.add("w", i)
+		s.add(routing.RoleWriter, i)
+	}
+	if r.IntN(3) == 0 {
+		for i := range 1 + r.IntN(3) {
+			s.add(routing.RoleMixed, i)
+		}
 	}
 	connect := between(r, 100*time.Millisecond, time.Second)
 	pool := upstream.NewPool(upstream.Options{
 		ConnectTimeout: connect, ConnIdle: 15 * time.Second, MaxConns: 400,
 		StreamSilence: 5 * time.Second, Settle: 30 * time.Millisecond, Dial: s.fleet.dial,
 	})
-	go pool.Sweep(t.Context())
+	process, end := context.WithCancel(t.Context())
+	s.end = end
+	go pool.Sweep(process)
 	router, err := routing.New(set, seed)
 	if err != nil {
 		t.Fatal(err)
@@ -94,16 +108,20 @@
 	figures := core.Figures{Slack: 16 * time.Millisecond, PinLimit: set.PinLimit, MaxSends: set.MaxAttempts, Reach: connect}
 	engine := upstream.NewEngine(pool, func(string) upstream.Dialect { return platform.Dialect{} })
 	s.core = core.New(router, engine, still{}, figures, slog.New(slog.DiscardHandler), invariant.New())
-	go s.core.Run(t.Context())
+	go s.core.Run(process)
 	s.core.Roster(routing.RosterFull, s.members)
 	s.fleet.step("settings %+v, rules %+v", set, s.fleet.rules)
 	return s
 }
 
-func (s *scenario) add(kind string, n int) {
+// kindNames are the names of the kinds of engines, by role.
+var kindNames = map[routing.Role]string{routing.RoleReader: "r", routing.RoleWriter: "w", routing.RoleMixed: "m"}
+
+func (s *scenario) add(role routing.Role, n int) {
+	kind := kindNames[role]
 	name := fmt.Sprint(kind, n)
 	zone := n % len(s.settings.Zones)
-	s.fleet.add(name, kind == "r", 200*time.Microsecond+time.Duration(zone)*between(s.random, time.Millisecond, 3*time.Millisecond))
+	s.fleet.add(name, role, 200*time.Microsecond+time.Duration(zone)*between(s.random, time.Millisecond, 3*time.Millisecond))
 	s.members = append(s.members, core.Member{Addr: name, ServerInfo: routing.ServerInfo{
 		Name: name, Kind: kind, Zone: s.settings.Zones[zone], Cell: n % 3, Weight: 1,
 	}})
@@ -116,27 +134,76 @@
 
 // play runs clients and faults and waits until all has come to rest.
 func (s *scenario) play(t *testing.T) {
-	for n := range 25 + s.random.IntN(25) {
+	asks := 25 + s.random.IntN(25)
+	s.planReloads(t, asks)
+	s.planEnd(t, asks)
+	for n := range asks {
 		time.Sleep(between(s.random, 0, 150*time.Millisecond))
 		if s.random.IntN(5) == 0 {
 			s.fault()
 		}
-		s.ask(t.Context(), n)
-	}
-	if s.random.IntN(4) == 0 {
-		s.fleet.step("the gateway is told to end")
-		s.core.Abandon(s.random.IntN(2) == 0)
+		if !s.leaving.Load() {
+			s.ask(t.Context(), n)
+		}
 	}
 	s.clients.Wait()
 	time.Sleep(heldEnd)
+	if s.leaving.Load() {
+		<-s.gone
+	}
+}
+
+// planReloads has the settings in force replaced, as SIGHUP does, when requests reach stages.
+func (s *scenario) planReloads(t *testing.T, asks int) {
+	for range s.random.IntN(3) {
+		next := s.settings
+		next.MaxAttempts = 1 + s.random.IntN(5)
+		next.Classes = slices.Clone(next.Classes)
+		for i := range next.Classes {
+			next.Classes[i].Effect = pick(s.random, routing.EffectFree, routing.EffectGuarded, routing.EffectSingleShot)
+		}
+		s.fleet.on(trigger{stage: pick(s.random, stages...), skip: s.random.IntN(asks), run: func() {
+			s.fleet.step("settings are replaced")
+			if err := s.core.Retune(t.Context(), next); err != nil {
+				t.Error(err)
+			}
+		}})
+	}
+}
+
+// planEnd has the process told to end, in half of the scenarios, when a request reaches a stage.
+func (s *scenario) planEnd(t *testing.T, asks int) {
+	s.gone = make(chan struct{})
+	if s.random.IntN(2) == 0 {
+		return
+	}
+	early, atOnce := between(s.random, 0, time.Second), s.random.IntN(2) == 0
+	kill := early + between(s.random, time.Second, 4*time.Second)
+	s.fleet.on(trigger{stage: pick(s.random, stages...), skip: s.random.IntN(asks), run: func() {
+		defer close(s.gone)
+		s.fleet.step("the gateway is told to end, gives up after %v, is killed after %v", early, kill)
+		s.leaving.Store(true)
+		process, stop := context.WithTimeout(t.Context(), kill)
+		defer stop()
+		time.Sleep(early)
+		s.core.Abandon(atOnce)
+		last := time.AfterFunc((kill-early)/2, func() { s.core.Abandon(true) })
+		defer last.Stop()
+		killed := s.core.Drain(process) != nil
+		s.end()
+		s.fleet.processEnds(killed)
+	}})
 }
 
 // ask has one client make a request; some leave early.
 func (s *scenario) ask(ctx context.Context, n int) {
 	wait := between(s.random, 300*time.Millisecond, 5*time.Second)
-	stay := wait
-	if s.random.IntN(4) == 0 {
+	stay, leaveAt := wait, stage("")
+	switch s.random.IntN(8) {
+	case 0:
 		stay = between(s.random, 0, wait)
+	case 1, 2:
+		leaveAt = pick(s.random, stages...)
 	}
 	q := core.Request{Wire: fmt.Sprint("q", n), Arrived: time.Now(), Payload: core.Payload{Method: "POST", Target: "/v1/chat/completions", Body: []byte("{}")}}
 	q.Request = routing.Request{Class: fmt.Sprint("c", s.random.IntN(3)), Session: fmt.Sprint(s.random.IntN(5)), Prompt: 100, MaxTokens: 10, TTL: wait}
@@ -144,6 +211,9 @@
 		mine, leave := context.WithTimeout(ctx, stay)
 		defer leave()
 		s.fleet.step("%s class %s comes, waits %v of %v", q.Wire, q.Class, stay, wait)
+		if leaveAt != "" {
+			s.fleet.on(trigger{id: q.Wire, stage: leaveAt, run: leave})
+		}
 		s.fleet.account(q.Wire, func(r *record) { r.due = q.Arrived.Add(wait) })
 		a, ticket, here := core.Await(mine, s.core, q)
 		s.fleet.step("%s answered: %v, verdict %v", q.Wire, here, a.Verdict)
--- a/internal/upstream/release.go
+++ b/internal/upstream/release.go
@@ -43,7 +43,7 @@
 	go func() {
 		defer cancel()
 		if !given {
-			done(nil)
+			done(core.ErrNoRelease)
 			return
 		}
 		job := &release{engine: e, Release: r, call: call, ctx: ctx, told: make(chan struct{})}
--- a/internal/upstream/simfleet_test.go
+++ b/internal/upstream/simfleet_test.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"wellgw/internal/playback"
+	"wellgw/routing"
 )
 
 // releaseSlack is what the protocol page adds to the pin limit: 50 ms for every rule on
@@ -44,6 +45,9 @@
 	broken   []string
 	steps    []string
 	releases int
+	triggers []*trigger
+	ended    time.Time // when the gateway's process did; zero before
+	killed   bool      // its time was up
 }
 
 // record is what is out and held for one request.
@@ -59,7 +63,7 @@
 type simEngine struct {
 	fleet *simFleet
 	name  string
-	reads bool
+	role  routing.Role
 	link  *simLink
 }
 
@@ -71,8 +75,8 @@
 }
 
 // add places an engine at a distance.
-func (f *simFleet) add(name string, reads bool, delay time.Duration) {
-	e := &simEngine{fleet: f, name: name, reads: reads}
+func (f *simFleet) add(name string, role routing.Role, delay time.Duration) {
+	e := &simEngine{fleet: f, name: name, role: role}
 	e.link = newSimLink(delay, e.serve)
 	f.links[name], f.engines[name] = e.link, e
 }
@@ -82,6 +86,9 @@
 	if link == nil {
 		return nil, errUnknownAddress
 	}
+	f.mu.Lock()
+	f.reached("", stageDialing)
+	f.mu.Unlock()
 	return link.dial(ctx)
 }
 
@@ -267,6 +274,7 @@
 			e.fleet.note("%s release at %s", id, e.name)
 			delete(r.held, e.name)
 		}
+		e.fleet.reached(id, stageReleased)
 	})
 }
 
@@ -303,18 +311,24 @@
 func (t *turn) play() bool {
 	f := t.engine.fleet
 	t.conn.link.change(func() { t.conn.answered = false })
+	fetches := t.engine.role != routing.RoleReader // a mixed one without a state does the whole itself
 	f.account(t.id, func(r *record) {
 		r.out++
 		f.note("%s attempt at %s", t.id, t.engine.name)
 		f.judge(t, r)
+		if fetches {
+			f.reached(t.id, stageWaiting)
+		} else {
+			f.reached(t.id, stageReading)
+		}
 	})
 	over := make(chan struct{})
 	go t.watch(over)
 	good := false
-	if t.engine.reads {
-		good = t.read()
-	} else {
+	if fetches {
 		good = t.write()
+	} else {
+		good = t.read()
 	}
 	if !good {
 		t.conn.abort()
@@ -383,8 +397,13 @@
 		return false
 	}
 	f.account(t.id, func(r *record) {
+		if !f.ended.IsZero() {
+			f.readAfterEnd(t.id, e.name)
+			return
+		}
 		r.held[e.name] = true
 		f.note("%s is read and held at %s", t.id, e.name)
+		f.reached(t.id, stageHeld)
 	})
 	switch kind {
 	case 4: // its answer never comes
@@ -393,7 +412,11 @@
 	case 5: // its connection breaks just then
 		return false
 	}
-	return t.say(playback.Status(202, "", `{"cached_tokens":0}`))
+	if !t.say(playback.Status(202, "", `{"cached_tokens":0}`)) {
+		return false
+	}
+	f.account(t.id, func(*record) { f.reached(t.id, stageRead) })
+	return true
 }
 
 func (t *turn) write() bool {
@@ -405,7 +428,7 @@
 			r.waits++
 		}
 	})
-	if !has && !f.rules.ownRead {
+	if !has && !f.rules.ownRead && e.role != routing.RoleMixed {
 		return t.say(playback.Status(410, "X-Not-Run: 1\r\n", ""))
 	}
 	kind := f.chance(16)
@@ -459,6 +482,7 @@
 	if !t.say(playback.StreamHead + playback.Chunk("data: x\n\n")) {
 		return false
 	}
+	t.engine.fleet.account(t.id, func(*record) { t.engine.fleet.reached(t.id, stageStream) })
 	if !t.spend(20*time.Millisecond, true) || breaks {
 		return false
 	}
