--- a/cmd/wellgw/held_test.go
+++ b/cmd/wellgw/held_test.go
@@ -4,6 +4,7 @@
 	"context"
 	"fmt"
 	"net/http"
+	"os"
 	"os/exec"
 	"path"
 	"strings"
@@ -15,17 +16,26 @@
 	"wellgw/lab/faultnet"
 )
 
-// released returns the requests that engines were told to let go of.
-func released(engines ...*playback.Engine) map[string]bool {
-	ids := map[string]bool{}
+// releases counts, by request, how often engines were told to release what they hold for it.
+func releases(engines ...*playback.Engine) map[string]int {
+	ids := map[string]int{}
 	for _, e := range engines {
 		for _, call := range e.Calls(http.MethodDelete) {
-			ids[path.Base(call.Path)] = true
+			ids[path.Base(call.Path)]++
 		}
 	}
 	return ids
 }
 
+// released returns the requests that engines were told to release.
+func released(engines ...*playback.Engine) map[string]bool {
+	ids := map[string]bool{}
+	for id := range releases(engines...) {
+		ids[id] = true
+	}
+	return ids
+}
+
 // holders is three gateways before one reader and two writers that never answer, so that
 // every state that is read waits.
 type holders struct {
@@ -34,6 +44,7 @@
 	reader  *playback.Engine
 	writers [2]*playback.Engine
 	urls    []string
+	configs []string
 	cmds    []*exec.Cmd
 	leave   []context.CancelFunc
 	clients sync.WaitGroup
@@ -41,8 +52,9 @@
 
 const ordersEach = 3
 
-func newHolders(t *testing.T) *holders {
-	h := &holders{t: t, fabric: faultnet.New(1), reader: playback.NewEngine(t, until(read))}
+// newHolders starts them before a reader that answers by a script.
+func newHolders(t *testing.T, reader func() string) *holders {
+	h := &holders{t: t, fabric: faultnet.New(1), reader: playback.NewEngine(t, until(reader))}
 	t.Cleanup(h.fabric.Close)
 	h.fabric.Listens("r", h.reader.Addr)
 	for i := range h.writers {
@@ -73,7 +85,7 @@
 		name, set, h.way(name, "r"), h.way(name, "w0"), h.way(name, "w1")))
 	cmd, url := serving(h.t, []string{"EDGE_CONFIG=" + config}, "serve")
 	healthy(h.t, url)
-	h.cmds, h.urls = append(h.cmds, cmd), append(h.urls, url)
+	h.cmds, h.urls, h.configs = append(h.cmds, cmd), append(h.urls, url), append(h.configs, config)
 }
 
 // ask has clients of every gateway place orders, which go on until they leave.
@@ -106,28 +118,43 @@
 	return true
 }
 
-// Three gateways have states waiting at a reader while the writers' machines are silent. One
-// is then cut off from the reader, one is told to end, and the clients of two leave. Every
-// state is let go: behind the cut by way of another engine, and by the one that leaves before
-// its process ends.
-func TestHeldStatesAreLetGoAtThreeGateways(t *testing.T) {
-	h := newHolders(t)
-	h.ask()
-	playback.Eventually(t, "every order has been read and is at a writer", func() bool {
+// untilOut waits until every order of every gateway has been sent to one of some engines.
+func (h *holders) untilOut(what string, engines ...*playback.Engine) {
+	playback.Eventually(h.t, what, func() bool {
 		out := map[string]bool{}
-		for _, w := range h.writers {
-			for _, call := range w.Calls(http.MethodPost) {
+		for _, e := range engines {
+			for _, call := range e.Calls(http.MethodPost) {
 				out[call.ID] = true
 			}
 		}
 		return h.all(0, out) && h.all(1, out) && h.all(2, out)
 	})
-	for _, way := range [][2]string{{"g0", "r"}, {"r", "g0"}} {
-		h.fabric.Set(way[0], way[1], faultnet.Rule{Cut: true})
+}
+
+// cut cuts a gateway off from engines, or ends that.
+func (h *holders) cut(gateway string, cut bool, engines ...string) {
+	for _, engine := range engines {
+		h.fabric.Set(gateway, engine, faultnet.Rule{Cut: cut})
+		h.fabric.Set(engine, gateway, faultnet.Rule{Cut: cut})
 	}
-	if err := h.cmds[1].Process.Signal(syscall.SIGTERM); err != nil {
-		t.Fatal(err)
+}
+
+func (h *holders) signal(gateway int, s os.Signal) {
+	if err := h.cmds[gateway].Process.Signal(s); err != nil {
+		h.t.Fatal(err)
 	}
+}
+
+// Three gateways have states waiting at a reader while the writers' machines are silent. One
+// is then cut off from the reader, one is told to end, and the clients of two leave. Every
+// state is let go: behind the cut by way of another engine, and by the one that leaves before
+// its process ends.
+func TestHeldStatesAreLetGoAtThreeGateways(t *testing.T) {
+	h := newHolders(t, read)
+	h.ask()
+	h.untilOut("every order has been read and is at a writer", h.writers[:]...)
+	h.cut("g0", true, "r")
+	h.signal(1, syscall.SIGTERM)
 	h.leave[0]()
 	h.leave[2]()
 	playback.Eventually(t, "behind the cut another engine is told", func() bool { return h.all(0, released(h.writers[:]...)) })
@@ -141,9 +168,85 @@
 	if h.all(0, released(h.reader)) {
 		t.Error("the reader was told through the cut: the test shows nothing")
 	}
-	h.fabric.Set("g0", "r", faultnet.Rule{})
-	h.fabric.Set("r", "g0", faultnet.Rule{})
+	h.cut("g0", false, "r")
 	playback.Eventually(t, "the reader is told once the cut has healed", func() bool { return h.all(0, released(h.reader)) })
 	h.leave[1]()
 	h.clients.Wait()
 }
+
+// One of three gateways is cut off from every engine, one reads its settings anew, and one's
+// connections to the engine that holds its states are reset. The clients leave. The states of
+// the latter two are released at once, those of the first when the cut has healed.
+func TestHeldStatesAreReleasedAfterEveryEngineWasOutOfReach(t *testing.T) {
+	h := newHolders(t, read)
+	h.ask()
+	h.untilOut("every order has been read and is at a writer", h.writers[:]...)
+	h.cut("g0", true, "r", "w0", "w1")
+	text, err := os.ReadFile(h.configs[1])
+	if err != nil {
+		t.Fatal(err)
+	}
+	next := strings.Replace(string(text), `"effect":"single_shot"`, `"effect":"free"`, 1)
+	if err := os.WriteFile(h.configs[1], []byte(next), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	h.signal(1, syscall.SIGHUP)
+	h.fabric.Reset("g2", "r")
+	for _, leave := range h.leave {
+		leave()
+	}
+	h.clients.Wait()
+	for _, gateway := range []int{1, 2} {
+		playback.Eventually(t, "the holder is told", func() bool { return h.all(gateway, released(h.reader)) })
+	}
+	for id := range released(h.reader, h.writers[0], h.writers[1]) {
+		if strings.HasPrefix(id, "g0") {
+			t.Errorf("%s was released through the cut: the test shows nothing", id)
+		}
+	}
+	h.cut("g0", false, "r", "w0", "w1")
+	playback.Eventually(t, "the holder is told once the cut has healed", func() bool { return h.all(0, released(h.reader)) })
+}
+
+// The clients of three gateways leave while their prompts are read at an engine that goes on
+// reading, and one gateway is told to end. Releases arrive until the reads end, and once more
+// after that: also from the gateway that is about to end.
+func TestReadsThatRunOnAreReleasedByAGatewayThatEnds(t *testing.T) {
+	finish := make(chan struct{})
+	h := newHolders(t, func() string { <-finish; return read() })
+	endReads := sync.OnceFunc(func() { close(finish) })
+	t.Cleanup(endReads) // the engine's end waits for them
+	h.ask()
+	h.untilOut("every order is being read", h.reader)
+	for _, leave := range h.leave {
+		leave()
+	}
+	h.clients.Wait()
+	h.signal(1, syscall.SIGTERM)
+	h.untilReleased(longerThanItsExit)
+	endReads()
+	h.untilReleased(1)
+	if err := h.cmds[1].Wait(); err != nil {
+		t.Errorf("the gateway that was told to end: %v", err)
+	}
+}
+
+// longerThanItsExit is more releases, one a pin limit, than a gateway can send from SIGTERM to
+// its exit if it waits for nothing but the clients that have yet to notice.
+const longerThanItsExit = 8
+
+// untilReleased waits until the holder has been told so many times more of every order.
+func (h *holders) untilReleased(more int) {
+	before := releases(h.reader)
+	playback.Eventually(h.t, fmt.Sprint("releases of every order: ", more), func() bool {
+		now := releases(h.reader)
+		for gateway := range h.urls {
+			for n := range ordersEach {
+				if id := h.order(gateway, n); now[id] < before[id]+more {
+					return false
+				}
+			}
+		}
+		return true
+	})
+}
