--- a/lab/fleetsim/clients.go
+++ b/lab/fleetsim/clients.go
@@ -11,6 +11,8 @@
 // call is what a client wants answered, over all its tries.
 type call struct {
 	class             int
+	tenant            int  // -1: none
+	inShare           bool // of its tenant's quota
 	zone              string
 	session, prefix   string
 	prefixLen, prompt int
@@ -63,7 +65,7 @@
 			class++
 		}
 		c := &d.Classes[class]
-		s := call{class: class, zone: d.Zones[r.IntN(len(d.Zones))], session: fmt.Sprint(n), at: at}
+		s := call{class: class, tenant: d.tenant(n), zone: d.Zones[r.IntN(len(d.Zones))], session: fmt.Sprint(n), at: at}
 		if hot := d.hotAt(at); r.chance(hot) {
 			s.prefix, s.prefixLen = "hot", w.hotLen
 		} else if r.chance(c.PrefixPart) {
@@ -109,6 +111,9 @@
 			}
 		}
 	}
+	if c.tries == 0 && c.tenant >= 0 {
+		c.inShare = w.allowances[c.tenant].take(w.now)
+	}
 	c.tries++
 	ttl := min(time.Duration(w.clients.in(0.5, 1)*float64(patience)), c.at+patience-w.now)
 	if ttl <= 50*time.Millisecond {
@@ -119,7 +124,7 @@
 	w.tries[t.id] = t
 	w.at(t.deadline, func() { w.expire(t) })
 	w.tell(t.gw, routing.Request{
-		ID: t.id, Class: class.Name, Session: c.session, Prefix: c.prefix, PrefixLen: c.prefixLen,
+		ID: t.id, Class: class.Name, Tenant: w.d.tenantName(c.tenant), Session: c.session, Prefix: c.prefix, PrefixLen: c.prefixLen,
 		Prompt: c.prompt, MaxTokens: class.MaxOut, TTL: ttl, Repeat: c.tries > 1,
 	})
 }
--- a/lab/fleetsim/deployment.go
+++ b/lab/fleetsim/deployment.go
@@ -75,6 +75,7 @@
 	Kinds        []Kind
 	Engines      []Engine
 	Classes      []Class
+	TenantShares []float64     // of the sessions, for each of Settings.Tenants
 	Warm, Length time.Duration // the first part of the day, which does not count, and all of it
 	Rate         float64       // requests a second, on average
 	Load         float64       // of what the weaker pool is reckoned to do
--- a/lab/fleetsim/floors_test.go
+++ b/lab/fleetsim/floors_test.go
@@ -10,9 +10,11 @@
 
 // The floors of the standing test, against what a plain policy serves on the same day.
 const (
-	floorOfClass = 0.5 // of each class, and of the classes of each effect
-	floorOfThird = 0.2 // of each third of the day
-	leastServed  = 0.3 // where the plain policy itself serves less, nothing is asked
+	floorOfClass = 0.5     // of each class, and of the classes of each effect
+	floorOfThird = 0.2     // of each third of the day
+	floorOfQuota = 1.0 / 3 // of each tenant's requests within its quota
+	tenantLeast  = 0.05    // of the worth within quotas; a tenant with less is not looked at
+	leastServed  = 0.3     // where the plain policy itself serves less, nothing is asked
 )
 
 // served is the part of some worth that was earned.
@@ -46,6 +48,15 @@
 	for effect, sum := range effects {
 		check("effect "+effectName(effect), sum[0], floorOfClass, sum[1])
 	}
+	within := 0.0
+	for _, worth := range plain.ByTenant {
+		within += worth[0]
+	}
+	for i, worth := range plain.ByTenant {
+		if worth[0] >= tenantLeast*within {
+			check("tenant "+d.Settings.Tenants[i].Name, served{worth[0], got.ByTenant[i][1]}.part(), floorOfQuota, served{worth[0], worth[1]}.part())
+		}
+	}
 	mine, theirs := thirds(got), thirds(plain)
 	for i := range mine {
 		check(fmt.Sprint("third ", i+1, " of the day"), mine[i].part(), floorOfThird, theirs[i].part())
@@ -75,6 +86,32 @@
 	}
 }
 
+// withTenants draws a deployment that three tenants share. The largest asks for twice its quota,
+// the others stay within theirs.
+func withTenants(seed uint64) *Deployment {
+	d := Draw(seed)
+	d.Settings.OverShareWorth = 0.2
+	for _, t := range []struct {
+		name         string
+		share, quota float64
+	}{{"over", 0.6, 0.3}, {"within", 0.3, 0.4}, {"small", 0.1, 0.15}} {
+		d.TenantShares = append(d.TenantShares, t.share)
+		d.Settings.Tenants = append(d.Settings.Tenants, routing.Tenant{Name: t.name, Quota: t.quota * d.Rate})
+	}
+	return d
+}
+
+// No tenant is starved of what it asks for within its quota, nor by one that asks for more.
+func TestNoTenantIsStarved(t *testing.T) {
+	long(t)
+	for seed := range uint64(12) {
+		got, plain := Play(withTenants(seed), Module, false), Play(withTenants(seed), fewest(t), false)
+		if found := starved(withTenants(seed), got, plain); len(found) > 0 {
+			t.Errorf("seed %d: %q", seed, found)
+		}
+	}
+}
+
 // late turns requests away from a moment on.
 type late struct {
 	Decider
@@ -92,16 +129,19 @@
 // first part of the day.
 func TestStarvingIsSeen(t *testing.T) {
 	const seed = 2 // a day on which a plain policy serves all
-	d := Draw(seed)
-	plain := Play(Draw(seed), fewest(t), false)
+	d := withTenants(seed)
+	plain := Play(withTenants(seed), fewest(t), false)
 	day := routing.Time(len(plain.BySecond)) * routing.Time(1e9)
 	for what, policy := range map[string]Policy{
 		"class " + d.Classes[0].Name: func(set routing.Settings, seed uint64) Decider {
 			return picky{Module(set, seed), func(q routing.Request) bool { return q.Class == d.Classes[0].Name }}
 		},
+		"tenant small": func(set routing.Settings, seed uint64) Decider {
+			return picky{Module(set, seed), func(q routing.Request) bool { return q.Tenant == "small" }}
+		},
 		"third 3": func(set routing.Settings, seed uint64) Decider { return late{Module(set, seed), day / 2} },
 	} {
-		found := strings.Join(starved(d, Play(Draw(seed), policy, false), plain), "; ")
+		found := strings.Join(starved(d, Play(withTenants(seed), policy, false), plain), "; ")
 		if !strings.Contains(found, what) {
 			t.Errorf("%s: found %q", what, found)
 		}
--- a/lab/fleetsim/result.go
+++ b/lab/fleetsim/result.go
@@ -9,6 +9,7 @@
 type Result struct {
 	Service   float64      // worth served in time over worth asked, late answers in part
 	ByClass   []float64    // the same by class
+	ByTenant  [][2]float64 // worth asked within each tenant's quota, and what of it was earned
 	Worst10   float64      // the worst 10 s of it
 	BySecond  [][2]float64 // worth asked in each second, and what of it was earned
 	Requests  int
@@ -25,10 +26,15 @@
 	d := w.d
 	asked, earned := make([]float64, len(d.Classes)), make([]float64, len(d.Classes))
 	bySecond := make([][2]float64, int(d.Length/time.Second)+1)
+	w.res.ByTenant = make([][2]float64, len(d.Settings.Tenants))
 	for _, c := range w.calls {
 		if c.at < d.Warm {
 			continue
 		}
+		if c.inShare {
+			t := &w.res.ByTenant[c.tenant]
+			t[0], t[1] = t[0]+c.worth, t[1]+c.earned
+		}
 		w.res.Requests++
 		asked[c.class] += c.worth
 		earned[c.class] += c.earned
--- a/lab/fleetsim/world.go
+++ b/lab/fleetsim/world.go
@@ -40,25 +40,26 @@
 }
 
 type world struct {
-	d        *Deployment
-	now      time.Duration
-	agenda   agenda
-	seq      int
-	noise    *rand.Rand
-	clients  draw
-	engines  []*engine
-	byName   map[string]*engine
-	gateways []*gateway
-	busy     *gateway
-	links    map[int]time.Duration // when a cell's link is free
-	linkSlow float64
-	calls    []*call
-	tries    map[routing.RequestID]*try
-	nextID   routing.RequestID
-	hotLen   int
-	res      Result
-	trace    bool
-	windows  [][2]float64
+	d          *Deployment
+	now        time.Duration
+	agenda     agenda
+	seq        int
+	noise      *rand.Rand
+	clients    draw
+	engines    []*engine
+	byName     map[string]*engine
+	gateways   []*gateway
+	allowances []*allowance // of tenants
+	busy       *gateway
+	links      map[int]time.Duration // when a cell's link is free
+	linkSlow   float64
+	calls      []*call
+	tries      map[routing.RequestID]*try
+	nextID     routing.RequestID
+	hotLen     int
+	res        Result
+	trace      bool
+	windows    [][2]float64
 }
 
 // Play plays a deployment under a policy. With trace, the result lists every decision.
@@ -83,6 +84,9 @@
 		}
 		w.tell(g, routing.Roster{Scope: routing.RosterCached, Servers: w.list()})
 	}
+	for _, t := range d.Settings.Tenants {
+		w.allowances = append(w.allowances, newAllowance(t.Quota))
+	}
 	w.arrivals()
 	for _, t := range d.Troubles {
 		w.strike(t)
