--- a/routing/policy_test.go
+++ b/routing/policy_test.go
@@ -184,10 +184,11 @@
 	}
 	counts := map[string]int{}
 	for id := RequestID(1); id <= 100; id++ {
-		if pick(id) != pick(id) {
+		first, second := pick(id), pick(id)
+		if first != second {
 			t.Fatal("a tie fell differently the second time")
 		}
-		counts[pick(id)]++
+		counts[first]++
 	}
 	if counts["a"] < 30 || counts["b"] < 30 {
 		t.Errorf("ties lean: %v", counts)
--- /dev/null
+++ b/routing/settings.go
@@ -0,0 +1,58 @@
+package routing
+
+import (
+	"fmt"
+	"slices"
+)
+
+// Retune takes new classes and a new number of attempts while the router runs.
+// Requests in hand keep the class and the attempts they came with; a class no
+// longer named stays known under its last rules, for requests that still name it.
+// An error names the setting at fault, and then nothing changes.
+func (r *Router) Retune(classes []Class, attempts int) error {
+	next := r.set
+	next.Classes, next.MaxAttempts = slices.Clone(classes), attempts
+	if err := validate(&next); err != nil {
+		return err
+	}
+	for _, old := range r.set.Classes {
+		if !slices.ContainsFunc(classes, func(c Class) bool { return c.Name == old.Name }) {
+			next.Classes = append(next.Classes, old)
+		}
+	}
+	r.set.Classes, r.set.MaxAttempts = next.Classes, attempts
+	r.classes, r.topGain = map[string]*Class{}, 0
+	for i := range r.set.Classes {
+		r.classes[r.set.Classes[i].Name] = &r.set.Classes[i]
+		r.topGain = max(r.topGain, r.set.Classes[i].Gain, 1e-9)
+	}
+	return nil
+}
+
+// SettingError is a setting that a router can't work with.
+type SettingError struct{ Field, Problem string }
+
+func (e SettingError) Error() string { return e.Field + ": " + e.Problem }
+
+func validate(s *Settings) error {
+	switch {
+	case s.Routers < 1:
+		return SettingError{"Routers", "must be at least 1"}
+	case len(s.Classes) == 0:
+		return SettingError{"Classes", "none given"}
+	case len(s.Kinds) == 0:
+		return SettingError{"Kinds", "none given"}
+	case s.MaxAttempts < 1:
+		return SettingError{"MaxAttempts", "must be at least 1"}
+	case s.PinLimit <= 0:
+		return SettingError{"PinLimit", "must be above 0"}
+	case s.Fall <= 0 || s.FallMultiple <= 0 || s.ColdShare <= 0:
+		return SettingError{"Fall, FallMultiple, ColdShare", "must be above 0"}
+	}
+	for _, c := range s.Classes {
+		if c.Aim <= 0 {
+			return SettingError{"Classes", fmt.Sprintf("%q has no Aim", c.Name)}
+		}
+	}
+	return nil
+}
--- a/routing/state.go
+++ b/routing/state.go
@@ -1,10 +1,6 @@
 package routing
 
 import (
-	"cmp"
-	"errors"
-	"fmt"
-	"iter"
 	"maps"
 	"slices"
 	"time"
@@ -61,38 +57,6 @@
 	seen   Time
 }
 
-// worker is what this router knows of a server.
-type worker struct {
-	ServerInfo
-	kind   *Kind
-	usable bool // on the roster, with a known kind and zone
-	// own work there
-	reads, states, answers  int
-	missed                  int // reads in a row that found far less kept than the table says
-	readTokens, stateTokens float64
-	memory                  float64
-	out                     []*request // without a first token, oldest first
-	sessions, prefixes      map[string]held
-	report                  Report
-	reportAt                Time
-	askedAt, answeredAt     Time    // of the latest probe
-	sentSince, readSince    float64 // memory, and tokens to read, sent since the report
-	fail, pace              float64 // failing part; time per token against peers
-	heard                   Time    // the last sign of life
-	paceAt, asideTill       Time
-	fullTo                  map[string]Time // by tenant and class, as rateKey joins them
-	behind                  float64         // tokens that others have queued there, as reads tell
-	behindAt                Time
-	passed                  Time // when the latest attempt was sent that has come through
-	asideFor                time.Duration
-	sends                   []sendMark
-}
-
-type sendMark struct {
-	at     Time
-	weight float64
-}
-
 // stage holds what is usual at the servers of a role.
 type stage struct {
 	took, read  float64 // seconds and tokens of a read
@@ -103,37 +67,6 @@
 	reads       shown
 }
 
-// shown holds reads by the tokens that the report had shown and those that were to be
-// read, as sums of products with the time that the read took; old ones fade.
-type shown struct{ n, aa, ab, bb, at, bt float64 }
-
-func (f *shown) add(reported, toRead, took float64) {
-	const keep = 0.99
-	if reported <= 0 {
-		return
-	}
-	for _, x := range []struct {
-		sum *float64
-		v   float64
-	}{
-		{&f.n, 1}, {&f.aa, reported * reported}, {&f.ab, reported * toRead}, {&f.bb, toRead * toRead},
-		{&f.at, reported * took}, {&f.bt, toRead * took},
-	} {
-		*x.sum = *x.sum*keep + x.v
-	}
-}
-
-// worth is the time that a reported token stands for against one to be read, by least
-// squares: what deployments count as waiting differs, as do the reports' ages.
-func (f *shown) worth() float64 {
-	const enough, least = 20, 0.1
-	token := f.aa*f.bt - f.ab*f.at
-	if f.n < enough || token <= 0 {
-		return 1
-	}
-	return min(1, max(least, (f.bb*f.at-f.ab*f.bt)/token))
-}
-
 // survey is one look at the servers of a role, good for one event.
 type survey struct {
 	n, warm              int
@@ -141,12 +74,6 @@
 	waiting              float64 // tokens that reports show, the mean
 }
 
-// cell is a cell's part in the plan, in writers' weight.
-type cell struct {
-	id                      int
-	readers, writers, reads float64
-}
-
 type quota struct {
 	rate, saved float64
 	at          Time
@@ -250,36 +177,9 @@
 	delete(r.reqs, q.ID)
 }
 
-// oldest is a server's oldest attempt out that no later one has passed. One that
-// was passed hangs for a reason of its own and tells nothing of the queue.
-func (w *worker) oldest() *request {
-	for _, q := range w.out {
-		if q.sentAt >= w.passed {
-			return q
-		}
-	}
-	return nil
-}
-
-// lag is how many times its expected time a server's oldest attempt has been out.
-func (r *Router) lag(w *worker) float64 {
-	if q := w.oldest(); q != nil {
-		return float64(r.now-q.sentAt) / float64(q.expect)
-	}
-	return 0
-}
-
 // aim is when the first token is wanted after a prompt of so many tokens.
 func (c *Class) aim(prompt int) time.Duration { return c.Aim + time.Duration(prompt)*c.AimPerToken }
 
-// age is how many seconds a server's oldest attempt has been out.
-func (r *Router) age(w *worker) float64 {
-	if q := w.oldest(); q != nil {
-		return (r.now - q.sentAt).Seconds()
-	}
-	return 0
-}
-
 func newRouter(set Settings, seed uint64) (*Router, error) {
 	r := &Router{
 		set: set, seed: seed, classes: map[string]*Class{}, kinds: map[string]*Kind{},
@@ -299,37 +199,6 @@
 	return r, nil
 }
 
-// tally adds up the usable servers' weights by cell, in order of cell.
-func (r *Router) tally() []*cell {
-	cells := []*cell{}
-	for _, w := range r.order {
-		if !w.usable {
-			continue
-		}
-		c := cellOf(cells, w.Cell)
-		if c == nil {
-			c = &cell{id: w.Cell}
-			cells = append(cells, c)
-		}
-		switch w.role() {
-		case RoleReader:
-			c.readers += w.Weight
-		case RoleWriter:
-			c.writers += w.Weight
-		}
-	}
-	slices.SortFunc(cells, func(a, b *cell) int { return cmp.Compare(a.id, b.id) })
-	return cells
-}
-
-// cellOf returns the cell with an id, nil if there is none.
-func cellOf(cells []*cell, id int) *cell {
-	if i := slices.IndexFunc(cells, func(c *cell) bool { return c.id == id }); i >= 0 {
-		return cells[i]
-	}
-	return nil
-}
-
 // Standing returns how a tenant stands with its quota at this router, as of its latest
 // request; false if it has none.
 func (r *Router) Standing(tenant string) (Standing, bool) {
@@ -353,66 +222,10 @@
 	return k != nil && (k.Role == RoleReader || k.Role == RoleMixed || k.Role == RoleWriter && r.set.WritersRead)
 }
 
-// onPeers takes the number of routers that share the pools: this router's part of
-// every quota follows, and so does all that is reckoned with that number.
-func (r *Router) onPeers(routers int) {
-	if routers < 1 || routers == r.set.Routers {
-		return
-	}
-	for _, q := range r.quotas {
-		q.rate *= float64(r.set.Routers) / float64(routers)
-		q.saved = min(q.saved, max(q.rate*quotaSpan, 1))
-	}
-	r.set.Routers = routers
-}
-
-func (r *Router) subscribe() {
-	r.calling, r.callAt = true, r.now
-	r.do(Subscribe{})
-}
-
 // rateKey names what a server may limit the rate of. No name holds the byte between the two:
 // tenants and classes of other names never meet in one key.
 func rateKey(q *request) string { return q.Tenant + "\x00" + q.Request.Class }
 
-func (r *Router) onRoster(e Roster) {
-	r.calling = e.Scope != RosterFailed && r.calling
-	if e.Scope == RosterCached && r.set.MustSubscribe {
-		r.subscribe()
-	}
-	named := make(map[string]bool, len(e.Servers))
-	for _, s := range e.Servers {
-		named[s.Name] = true
-		r.learn(s)
-	}
-	r.cells = nil
-	if e.Scope == RosterFull || e.Scope == RosterCached {
-		for _, w := range r.order {
-			if !named[w.Name] {
-				w.usable, w.Phase = false, PhaseOff
-			}
-		}
-	}
-	r.order = slices.DeleteFunc(r.order, func(w *worker) bool {
-		if !r.over(w) {
-			return false
-		}
-		delete(r.workers, w.Name)
-		return true
-	})
-}
-
-// over tells whether a server has left and nothing of it is left to account for:
-// servers come under ever new names. One that has just been sent work is kept, as it
-// may come up again under its name, cold, and what was sent then counts.
-func (r *Router) over(w *worker) bool {
-	if w.Phase != PhaseOff || len(w.out) > 0 || w.reads+w.states+w.answers > 0 {
-		return false
-	}
-	n := len(w.sends)
-	return n == 0 || r.now-w.sends[n-1].at > r.set.Fall
-}
-
 // count keeps how often each shared beginning comes, and all under ""; old counts fade.
 func (r *Router) count(prefix string) {
 	r.seen[""]++
@@ -450,17 +263,6 @@
 	}
 }
 
-func (w *worker) forget() {
-	w.sessions, w.prefixes = map[string]held{}, map[string]held{}
-}
-
-func (w *worker) role() Role {
-	if w.kind == nil {
-		return RoleNone
-	}
-	return w.kind.Role
-}
-
 // chance returns a number in [0,1) that depends on seed, request and salt alone.
 func (r *Router) chance(id RequestID, salt string) float64 {
 	x := r.seed ^ uint64(id)*0x9e3779b97f4a7c15
@@ -485,53 +287,6 @@
 	return (float64((x^x>>31)>>11) + 0.5) / (1 << 53)
 }
 
-// Retune takes new classes and a new number of attempts while the router runs.
-// Requests in hand keep the class and the attempts they came with; a class no
-// longer named stays known under its last rules, for requests that still name it.
-// An error names the setting at fault, and then nothing changes.
-func (r *Router) Retune(classes []Class, attempts int) error {
-	next := r.set
-	next.Classes, next.MaxAttempts = slices.Clone(classes), attempts
-	if err := validate(&next); err != nil {
-		return err
-	}
-	for _, old := range r.set.Classes {
-		if !slices.ContainsFunc(classes, func(c Class) bool { return c.Name == old.Name }) {
-			next.Classes = append(next.Classes, old)
-		}
-	}
-	r.set.Classes, r.set.MaxAttempts = next.Classes, attempts
-	r.classes, r.topGain = map[string]*Class{}, 0
-	for i := range r.set.Classes {
-		r.classes[r.set.Classes[i].Name] = &r.set.Classes[i]
-		r.topGain = max(r.topGain, r.set.Classes[i].Gain, 1e-9)
-	}
-	return nil
-}
-
-func validate(s *Settings) error {
-	switch {
-	case s.Routers < 1:
-		return errors.New("Routers: must be at least 1")
-	case len(s.Classes) == 0:
-		return errors.New("Classes: none given")
-	case len(s.Kinds) == 0:
-		return errors.New("Kinds: none given")
-	case s.MaxAttempts < 1:
-		return errors.New("MaxAttempts: must be at least 1")
-	case s.PinLimit <= 0:
-		return errors.New("PinLimit: must be above 0")
-	case s.Fall <= 0 || s.FallMultiple <= 0 || s.ColdShare <= 0:
-		return errors.New("Fall, FallMultiple, ColdShare: must be above 0")
-	}
-	for _, c := range s.Classes {
-		if c.Aim <= 0 {
-			return fmt.Errorf("Classes: %q has no Aim", c.Name)
-		}
-	}
-	return nil
-}
-
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // median returns the middle of the values, or none if there are none.
@@ -550,28 +305,3 @@
 	}
 	return list
 }
-
-// worker returns the record of a named server, new if need be, in order of name.
-func (r *Router) worker(name string) *worker {
-	w := r.workers[name]
-	if w == nil {
-		w = &worker{ServerInfo: ServerInfo{Name: name}, pace: 1, fullTo: map[string]Time{}}
-		w.forget()
-		r.workers[name] = w
-		byName := func(w *worker, n string) int { return cmp.Compare(w.Name, n) }
-		at, _ := slices.BinarySearchFunc(r.order, name, byName)
-		r.order = slices.Insert(r.order, at, w)
-	}
-	return w
-}
-
-// all calls yield for each usable server of a role, in order of name.
-func (r *Router) all(role Role) iter.Seq[*worker] {
-	return func(yield func(*worker) bool) {
-		for _, w := range r.order {
-			if w.usable && w.role() == role && !yield(w) {
-				return
-			}
-		}
-	}
-}
