--- a/internal/idempotency/keeper.go
+++ b/internal/idempotency/keeper.go
@@ -23,6 +23,7 @@
 	"github.com/cespare/xxhash/v2"
 	jsoniter "github.com/json-iterator/go"
 	"go.etcd.io/bbolt"
+	bolterrors "go.etcd.io/bbolt/errors"
 
 	"wellgw/decide/idem"
 )
@@ -79,7 +80,7 @@
 			return nil, fmt.Errorf("idempotency file: %w", errors.Join(err, rerr))
 		}
 		log.Error("idempotency file set aside: orders sent again under keys of before are not run for a while", "file", aside, "cause", err)
-		entries, clean, err = k.load(path)
+		entries, _, err = k.load(path)
 		clean, statErr = false, nil
 	}
 	if err != nil {
@@ -111,7 +112,7 @@
 	}()
 	db, err = bbolt.Open(path, fileMode, &bbolt.Options{Timeout: lockWait})
 	if err != nil {
-		if errors.Is(err, bbolt.ErrInvalid) || errors.Is(err, bbolt.ErrChecksum) || errors.Is(err, bbolt.ErrVersionMismatch) ||
+		if errors.Is(err, bolterrors.ErrInvalid) || errors.Is(err, bolterrors.ErrChecksum) || errors.Is(err, bolterrors.ErrVersionMismatch) ||
 			strings.Contains(err.Error(), "file size too small") || strings.Contains(err.Error(), "unexpected EOF") {
 			err = fmt.Errorf("%w: %w", errDamaged, err)
 		}
--- a/internal/upstream/engine.go
+++ b/internal/upstream/engine.go
@@ -229,7 +229,7 @@
 
 var (
 	leads = sync.Pool{New: func() any { return new([leadSize]byte) }}
-	tails = sync.Pool{New: func() any { return make([]byte, 0, 2*tailSize) }}
+	tails = sync.Pool{New: func() any { b := make([]byte, 0, 2*tailSize); return &b }}
 )
 
 // broken tells a connection that broke from an answer that is spoilt: bytes that
--- a/internal/upstream/release.go
+++ b/internal/upstream/release.go
@@ -26,12 +26,10 @@
 type release struct {
 	engine *Engine
 	core.Release
-	call  Call
-	ctx   context.Context
-	stop  context.CancelFunc
-	told  chan struct{} // closed once At has been told
-	once  sync.Once
-	turns chan struct{} // bounds the tries at At
+	call Call
+	ctx  context.Context
+	told chan struct{} // closed once At has been told
+	once sync.Once
 }
 
 // Release tells an engine to let go; see core.Engine. The call has no effect but that, so it
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -17,24 +17,25 @@
 // stream is an attempt's answer from its first event on.
 type stream struct {
 	*try
-	c       *conn
-	resp    *http.Response
-	body    io.Reader
-	dialect Dialect
-	opener  Opener // until the answer has begun; nil for none
-	lead    sse.Scanner
-	silence time.Duration
-	until   time.Time // the read deadline, once the answer has begun
-	lines   lineFilter
-	plain   bool   // a body of any kind, not events
-	begun   bool   // the answer has
-	pending []byte // sound, and not yet read
-	last    bool   // the last event has passed
-	tail    []byte
-	err     error
-	ended   bool  // finish has been called
-	failed  error // the engine's own word that it has
-	result  core.Result
+	c          *conn
+	resp       *http.Response
+	body       io.Reader
+	dialect    Dialect
+	opener     Opener // until the answer has begun; nil for none
+	lead       sse.Scanner
+	silence    time.Duration
+	until      time.Time // the read deadline, once the answer has begun
+	lines      lineFilter
+	plain      bool   // a body of any kind, not events
+	begun      bool   // the answer has
+	pending    []byte // sound, and not yet read
+	last       bool   // the last event has passed
+	tail       []byte
+	tailBuffer *[]byte // of tails, to be given back
+	err        error
+	ended      bool  // finish has been called
+	failed     error // the engine's own word that it has
+	result     core.Result
 }
 
 // openStream reads an answer until it has begun, and returns the stream from there. Until then
@@ -62,8 +63,9 @@
 func (e *Engine) newStream(t *try, c *conn, resp *http.Response, p core.Payload, dialect Dialect) *stream {
 	s := &stream{
 		try: t, c: c, resp: resp, body: resp.Body, dialect: dialect,
-		silence: e.pool.opt.StreamSilence, plain: p.Plain, tail: tails.Get().([]byte)[:0],
+		silence: e.pool.opt.StreamSilence, plain: p.Plain, tailBuffer: tails.Get().(*[]byte),
 	}
+	s.tail = (*s.tailBuffer)[:0]
 	s.opener, _ = dialect.(Opener)
 	if slices.Contains(resp.TransferEncoding, "chunked") {
 		s.body = &chunked{r: c.r}
@@ -213,7 +215,8 @@
 	}
 	s.ended = true
 	if cap(s.tail) <= 4*tailSize {
-		tails.Put(s.tail[:0])
+		*s.tailBuffer = s.tail[:0]
+		tails.Put(s.tailBuffer)
 	}
 	s.tail = nil
 	s.done(err == io.EOF && framed && !s.resp.Close)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -168,7 +168,7 @@
 	case l.Verb == "Turn" && turn != nil:
 		return nil, fmt.Errorf("a batch begins inside batch %d", *turn)
 	case l.Verb == "Turn" && (l.Turn == nil || l.Time == nil):
-		return nil, errors.New("Turn without turn or time")
+		return nil, errors.New("a Turn without turn or time")
 	case l.Verb == "Turn":
 		h.now = Micros(*l.Time)
 		return l.Turn, nil
@@ -211,7 +211,7 @@
 func (h *host) start(l *inLine) error {
 	var o Options
 	if len(l.Options) == 0 {
-		return errors.New("Hello without options")
+		return errors.New("a Hello without options")
 	}
 	if err := json.Unmarshal(l.Options, &o); err != nil {
 		return fmt.Errorf("options: %w", err)
--- a/lab/fleetsim/world.go
+++ b/lab/fleetsim/world.go
@@ -59,7 +59,6 @@
 	hotLen     int
 	res        Result
 	trace      bool
-	windows    [][2]float64
 }
 
 // Play plays a deployment under a policy. With trace, the result lists every decision.
--- a/standin/consul/write.go
+++ b/standin/consul/write.go
@@ -81,6 +81,12 @@
 	DeregisterCriticalServiceAfter    string
 }
 
+// invalidCheckError is a check that can't be registered, in the words of Consul's API.
+type invalidCheckError struct{ cause error }
+
+func (e invalidCheckError) Error() string { return "Invalid check: " + e.cause.Error() }
+func (e invalidCheckError) Unwrap() error { return e.cause }
+
 func (b checkBody) check(defaultID string) (Check, error) {
 	c := Check{CheckID: b.CheckID, Name: b.Name, Status: b.Status, Notes: b.Notes}
 	if c.CheckID == "" {
@@ -101,7 +107,7 @@
 		}
 		v, err := time.ParseDuration(d.text)
 		if err != nil {
-			return c, fmt.Errorf("Invalid check: %w", err)
+			return c, invalidCheckError{err}
 		}
 		*d.to = v
 	}
