--- a/cmd/wellgw/main_test.go
+++ b/cmd/wellgw/main_test.go
@@ -8,7 +8,6 @@
 	"net/http"
 	"net/http/httptest"
 	"os"
-	"os/exec"
 	"path/filepath"
 	"regexp"
 	"strconv"
@@ -35,99 +34,6 @@
 	os.Exit(m.Run())
 }
 
-func program(t *testing.T, env []string, args ...string) *exec.Cmd {
-	cmd := exec.CommandContext(t.Context(), os.Args[0], args...)
-	cmd.Env = append(append(os.Environ(), "WELLGW_TEST_RUN=1"), env...)
-	return cmd
-}
-
-var listening = regexp.MustCompile(`"listen":"([^"]+)","message":"serving"`)
-var adminListening = regexp.MustCompile(`"listen":"([^"]+)","message":"admin"`)
-
-// serving starts the program and waits until it says where it listens.
-func serving(t *testing.T, env []string, args ...string) (*exec.Cmd, string) {
-	t.Helper()
-	cmd, url, _ := servingWith(t, env, args...)
-	return cmd, url
-}
-
-// servingWith also returns where its operators' listener is, if it has one.
-func servingWith(t *testing.T, env []string, args ...string) (cmd *exec.Cmd, url, admin string) {
-	t.Helper()
-	cmd = program(t, env, args...)
-	errs, err := cmd.StderrPipe()
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := cmd.Start(); err != nil {
-		t.Fatal(err)
-	}
-	log := bufio.NewScanner(errs)
-	for log.Scan() {
-		if m := adminListening.FindStringSubmatch(log.Text()); m != nil {
-			admin = m[1]
-		}
-		if m := listening.FindStringSubmatch(log.Text()); m != nil {
-			go io.Copy(io.Discard, errs)
-			return cmd, "http://" + m[1], admin
-		}
-	}
-	t.Fatal("the program ended without serving")
-	return nil, "", ""
-}
-
-// healthy waits until the program can serve.
-func healthy(t *testing.T, url string) {
-	t.Helper()
-	playback.Eventually(t, "healthy", func() bool {
-		resp, err := http.Get(url + "/healthz")
-		if err != nil {
-			return false
-		}
-		resp.Body.Close()
-		return resp.StatusCode == http.StatusOK
-	})
-}
-
-// post makes a platform client's request.
-func post(t *testing.T, url string) *http.Request {
-	t.Helper()
-	req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, url+"/v1/chat/completions", strings.NewReader(`{}`))
-	if err != nil {
-		t.Fatal(err)
-	}
-	for k, v := range map[string]string{"X-Request-Id": "9b1f", "X-Class": "order", "X-Key": "s", "X-Deadline-Ms": "60000", "X-Extras": "prompt_len=100,max_out=50"} {
-		req.Header.Set(k, v)
-	}
-	return req
-}
-
-// until answers a release at once and anything else by script.
-func until(script func() string) func(playback.Call) string {
-	return func(c playback.Call) string {
-		if c.Method == http.MethodDelete {
-			return "HTTP/1.1 204 No Content\r\n\r\n"
-		}
-		return script()
-	}
-}
-
-func read() string { return playback.Status(202, "", `{"cached_tokens":0}`) }
-
-func file(t *testing.T, text string) string {
-	path := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	return path
-}
-
-const settings = `{"az":"a","zones":["a"],"balancers":1,"kinds":["r","w"],"tick":4000,
-	"classes":[{"name":"order","aim":10000000,"hard_limit":60000000,"effect":"single_shot","gain":1}],
-	"family_info":{"duty_by_kind":["read","write"],"pin_limit":500000,"tokens_by_kind":[200000,200000]},
-	"limits":{"send_cap":4,"cancelling":true,"conn_idle":15000000,"connect_timeout":1000000},
-	"rules":{"answer_slack":16000,"fall":3000000,"fall_multiple":4,"cold_share":0.3,"cold":1000000}}`
-
 // The program takes its engines from discovery, serves, and on SIGTERM still
 // finishes what it has taken, on a connection that it ends, then exits with 0.
 func TestPlatformFromStartToLeave(t *testing.T) {
@@ -187,94 +93,6 @@
 	}
 }
 
-// SIGHUP moves the watch to the address that the file now names and keeps what is
-// known; a file that can't be read changes nothing, nor does SIGHUP while leaving.
-func TestPlatformReloads(t *testing.T) {
-	discovery := func() (addr string, asked chan string) {
-		asked = make(chan string, 10)
-		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			asked <- r.URL.RawQuery
-			io.WriteString(w, `{"revision":2,"complete":true,"members":[{"id":"r1","host_port":"127.0.0.1:1","locality":"a","flavor":"r","phase":"active"}]}`+"\n")
-			w.(http.Flusher).Flush()
-			<-r.Context().Done()
-			asked <- "ended"
-		}))
-		t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
-		return s.Listener.Addr().String(), asked
-	}
-	old, oldAsked := discovery()
-	next, nextAsked := discovery()
-	text := fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":%q,"settings":%s}`, old, settings)
-	config := file(t, text)
-	cmd, url := serving(t, []string{"EDGE_CONFIG=" + config, "EDGE_DISCOVERY=" + old}, "serve")
-	healthy(t, url)
-	said := func(asked chan string) string {
-		select {
-		case q := <-asked:
-			return q
-		case <-time.After(20 * time.Second):
-			return "nothing"
-		}
-	}
-	if q := said(oldAsked); q != "watch=1&after=0" {
-		t.Errorf("the old address was asked %q", q)
-	}
-	for _, text := range []string{`{"discovery":`, strings.Replace(text, old, "nowhere", 1), strings.Replace(text, old, next, 1)} {
-		if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
-			t.Fatal(err)
-		}
-	}
-	if a, b := said(oldAsked), said(nextAsked); a != "ended" || b != "watch=1&after=2" {
-		t.Errorf("old address: %q; new address: %q", a, b)
-	}
-	healthy(t, url)
-	cmd.Process.Signal(syscall.SIGTERM)
-	cmd.Process.Signal(syscall.SIGHUP)
-	if err := cmd.Wait(); err != nil {
-		t.Errorf("exit: %v", err)
-	}
-}
-
-// An operator's new keys and models hold after SIGHUP; what needs a restart does not.
-func TestChatReloads(t *testing.T) {
-	raw, err := os.ReadFile("../../deploy/operator.json")
-	if err != nil {
-		t.Fatal(err)
-	}
-	text := strings.Replace(string(raw), "127.0.0.1:8080", "127.0.0.1:0", 1)
-	path := file(t, text)
-	cmd, url := serving(t, nil, "serve", "--operator", path)
-	models := func(key string) string {
-		req, _ := http.NewRequestWithContext(t.Context(), http.MethodGet, url+"/v1/models", nil)
-		req.Header.Set("Authorization", "Bearer "+key)
-		resp, err := http.DefaultClient.Do(req)
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer resp.Body.Close()
-		b, _ := io.ReadAll(resp.Body)
-		return string(b)
-	}
-	for _, c := range []struct{ old, new, key, want string }{
-		{"change-me-counter", "fresh-key", "fresh-key", "order-assistant"},
-		{`"deadline_ms": 4000`, `"deadline_ms": 4001`, "fresh-key", "order-assistant"},
-		{"order-assistant", "orders", "change-me-counter", `"orders"`},
-	} {
-		if err := os.WriteFile(path, []byte(strings.ReplaceAll(text, c.old, c.new)), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		cmd.Process.Signal(syscall.SIGHUP)
-		playback.Eventually(t, "models for "+c.key, func() bool { return strings.Contains(models(c.key), c.want) })
-	}
-	cmd.Process.Signal(syscall.SIGTERM)
-	if err := cmd.Wait(); err != nil {
-		t.Errorf("exit: %v", err)
-	}
-}
-
 // Streams that outlast the time before SIGKILL are cut off in good order where
 // clients ask for the rest, so that their states are let go.
 func TestLeavingEndsWhatOutlastsIt(t *testing.T) {
@@ -478,31 +296,6 @@
 	}
 }
 
-var calling = regexp.MustCompile(`"control":"([^"]+)","message":"calls taken"`)
-
-// dial makes one operator's call and returns the answer's line.
-func dial(t *testing.T, addr, line string) string {
-	t.Helper()
-	conn, err := net.Dial("tcp4", addr)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer conn.Close()
-	io.WriteString(conn, line+"\n")
-	conn.SetReadDeadline(time.Now().Add(10 * time.Second)) // a bound for a broken test only
-	answer, _ := bufio.NewReader(conn).ReadString('\n')
-	return strings.TrimSpace(answer)
-}
-
-func health(url string) int {
-	resp, err := http.Get(url + "/healthz")
-	if err != nil {
-		return 0
-	}
-	resp.Body.Close()
-	return resp.StatusCode
-}
-
 // The program serves on the socket it inherits, answers calls at the address
 // EDGE_CONTROL names, drains and comes back by call, and keeps bans in TMPDIR.
 func TestCallsOnAnInheritedSocket(t *testing.T) {
@@ -590,40 +383,3 @@
 		t.Errorf("exit of the new version: %v", err)
 	}
 }
-
-var handing = regexp.MustCompile(`"message":"a newer version serves`)
-
-// onSocket starts the program on the clients' socket, as descriptor 3, and
-// returns where it takes calls and a channel closed once it has handed over.
-func onSocket(t *testing.T, env []string, socket *os.File) (cmd *exec.Cmd, control string, handed <-chan struct{}) {
-	t.Helper()
-	cmd = program(t, env, "serve")
-	cmd.ExtraFiles = []*os.File{socket}
-	errs, err := cmd.StderrPipe()
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := cmd.Start(); err != nil {
-		t.Fatal(err)
-	}
-	log := bufio.NewScanner(errs)
-	for control == "" && log.Scan() {
-		if m := calling.FindStringSubmatch(log.Text()); m != nil {
-			control = m[1]
-		}
-	}
-	if control == "" {
-		t.Fatal("no call line")
-	}
-	done := make(chan struct{})
-	go func() {
-		for log.Scan() {
-			if handing.MatchString(log.Text()) {
-				close(done)
-				break
-			}
-		}
-		io.Copy(io.Discard, errs)
-	}()
-	return cmd, control, done
-}
--- /dev/null
+++ b/cmd/wellgw/roll_test.go
@@ -0,0 +1,227 @@
+package main
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"os/exec"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"wellgw/internal/config"
+	"wellgw/internal/playback"
+)
+
+// rollers are the clients of a roll. Each keeps a connection for as long as its gateway
+// does, and sends a request once more, elsewhere, only where the connection ended with no
+// byte of an answer.
+type rollers struct {
+	t       *testing.T
+	mu      sync.Mutex
+	addrs   []string
+	refused atomic.Int64
+	served  atomic.Int64
+	again   atomic.Int64
+	failed  atomic.Int64
+	wait    time.Duration // of a client for its first token
+	cut     bool          // engines may be out of reach: what may have run may fail
+	whole   sync.Map
+}
+
+func (c *rollers) addr(n int) string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.addrs[n%len(c.addrs)]
+}
+
+// run asks one request after another until stop is closed.
+func (c *rollers) run(n int, stop <-chan struct{}) {
+	var conn net.Conn
+	var in *bufio.Reader
+	for k := 0; ; k++ {
+		select {
+		case <-stop:
+			if conn != nil {
+				conn.Close()
+			}
+			return
+		default:
+		}
+		id := fmt.Sprintf("c%d-%d", n, k)
+		done := false
+		for try := range 8 { // a gateway that has just left may still be named for a moment
+			if conn == nil {
+				nc, err := net.Dial("tcp", c.addr(n+try))
+				if err != nil {
+					time.Sleep(20 * time.Millisecond) // its place is taken soon
+					continue
+				}
+				conn, in = nc, bufio.NewReader(nc)
+			}
+			conn.SetDeadline(time.Now().Add(30 * time.Second))
+			fmt.Fprintf(conn, "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nX-Request-Id: %s\r\nX-Class: order\r\nX-Key: s%d\r\nX-Deadline-Ms: %d\r\nX-Extras: prompt_len=100,max_out=50\r\nContent-Length: 2\r\n\r\n{}", id, n, c.wait.Milliseconds())
+			if _, err := in.Peek(1); err != nil {
+				conn.Close()
+				conn = nil
+				c.again.Add(1)
+				continue
+			}
+			resp, err := http.ReadResponse(in, nil)
+			if err != nil {
+				c.t.Errorf("%s: half an answer's head: %v", id, err)
+				return
+			}
+			b, err := io.ReadAll(resp.Body)
+			switch {
+			case resp.StatusCode == http.StatusOK && err == nil && strings.HasSuffix(string(b), "data: [DONE]\n\n"):
+				c.served.Add(1)
+				c.whole.Store(id, true)
+			case resp.StatusCode == http.StatusServiceUnavailable && err == nil:
+				c.refused.Add(1)
+			case c.cut && err == nil && (resp.StatusCode == http.StatusBadGateway || resp.StatusCode == http.StatusGatewayTimeout):
+				c.failed.Add(1)
+			default:
+				c.t.Errorf("%s: status %d, %q, %v", id, resp.StatusCode, b, err)
+			}
+			if done = true; resp.Close {
+				conn.Close()
+				conn = nil
+			}
+			break
+		}
+		if !done {
+			c.t.Errorf("%s: no answer from any gateway", id)
+		}
+	}
+}
+
+// Where streams go on to the kill, a request whose engine never answers still has its answer
+// before it, and the gateway ends by itself.
+func TestWhatTheKillWouldFindUnansweredIsAnswered(t *testing.T) {
+	reader := playback.NewEngine(t, until(read))
+	out := make(chan bool, 1)
+	writer := playback.NewEngine(t, until(func() string {
+		out <- true
+		return playback.Hang
+	}))
+	cmd, url := serving(t, []string{"EDGE_CONFIG=" + platformFile(t, "n1", "127.0.0.1:1", settings, reader, writer)}, "serve")
+	healthy(t, url)
+	status := make(chan int, 1)
+	go func() {
+		resp, err := http.DefaultClient.Do(post(t, url))
+		if err != nil {
+			status <- 0
+			return
+		}
+		resp.Body.Close()
+		status <- resp.StatusCode
+	}()
+	<-out
+	cmd.Process.Signal(syscall.SIGTERM)
+	if code := <-status; code != http.StatusBadGateway { // 504 would be its deadline's, a minute later
+		t.Errorf("status %d", code)
+	}
+	if err := cmd.Wait(); err != nil {
+		t.Errorf("exit: %v", err)
+	}
+}
+
+// Three gateways are told to end and started anew, one after the other, under clients that
+// send on every connection that stays open, in the very moment of a close too. Every order
+// gets one final answer, and none runs twice.
+func TestARollLosesNoRequest(t *testing.T) {
+	for _, resume := range []string{"false", "true"} {
+		t.Run("resume "+resume, func(t *testing.T) {
+			reader := playback.NewEngine(t, until(read))
+			writer := playback.NewEngine(t, until(func() string { return playback.Stream(3, 0) }))
+			set := strings.NewReplacer(`"balancers":1`, `"balancers":3`, `"hard_limit":60000000`, `"hard_limit":2000000`, `"aim":10000000`, `"aim":1500000`,
+				`"pin_limit"`, `"resume":`+resume+`,"pin_limit"`).Replace(settings)
+			clients := &rollers{t: t, wait: 2 * time.Second}
+			start := func(n int) (*exec.Cmd, string) {
+				cmd, url := serving(t, []string{"EDGE_CONFIG=" + platformFile(t, fmt.Sprint("n", n), "127.0.0.1:1", set, reader, writer)}, "serve")
+				healthy(t, url)
+				return cmd, strings.TrimPrefix(url, "http://")
+			}
+			var programs []*exec.Cmd
+			for n := range 3 {
+				cmd, addr := start(n)
+				programs, clients.addrs = append(programs, cmd), append(clients.addrs, addr)
+			}
+			stop := make(chan struct{})
+			var group sync.WaitGroup
+			for n := range 12 {
+				group.Go(func() { clients.run(n, stop) })
+			}
+			for n, cmd := range programs {
+				seen := clients.served.Load()
+				playback.Eventually(t, "requests are under way", func() bool { return clients.served.Load() > seen+20 })
+				if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
+					t.Fatal(err)
+				}
+				if err := cmd.Wait(); err != nil {
+					t.Errorf("exit: %v", err)
+				}
+				next, addr := start(n)
+				clients.mu.Lock()
+				programs[n], clients.addrs[n] = next, addr
+				clients.mu.Unlock()
+			}
+			close(stop)
+			group.Wait()
+			ranOnce(t, writer)
+			t.Logf("%d served, %d refused, %d sent once more", clients.served.Load(), clients.refused.Load(), clients.again.Load())
+			for _, cmd := range programs {
+				cmd.Process.Signal(syscall.SIGTERM)
+			}
+			for _, cmd := range programs {
+				if err := cmd.Wait(); err != nil {
+					t.Errorf("exit: %v", err)
+				}
+			}
+		})
+	}
+}
+
+// A gateway ends in time for the kill by the settings in force: a reload may have made the
+// longest wait shorter. It never takes more than the first ones gave.
+func TestTimeLeftGoesByTheSettingsInForce(t *testing.T) {
+	const s = time.Second
+	for _, c := range []struct{ first, anew, want time.Duration }{
+		{2 * s, 0, 1600 * time.Millisecond}, {2 * s, s, 600 * time.Millisecond}, {2 * s, 4 * s, 1600 * time.Millisecond},
+		{60 * s, 0, 2600 * time.Millisecond}, {60 * s, 4 * s, 2600 * time.Millisecond},
+	} {
+		if got := timeLeft(c.first, c.anew); got != c.want {
+			t.Errorf("waits of %v, then %v: %v, want %v", c.first, c.anew, got, c.want)
+		}
+	}
+}
+
+// Only where the platform's kill is known to come is a request given up before it: the chat
+// front's callers wait for their answers as long as their contract says.
+func TestOnlyAKnownKillEndsRequestsEarly(t *testing.T) {
+	for _, c := range []struct {
+		g            *gateway
+		handed, want bool
+	}{
+		{&gateway{killed: true}, false, true}, {&gateway{}, false, false},
+		{&gateway{killed: true, resume: true}, false, false}, {&gateway{killed: true}, true, false},
+	} {
+		if got := c.g.endsEarly(c.handed); got != c.want {
+			t.Errorf("killed %v, resume %v, handed %v: %v", c.g.killed, c.g.resume, c.handed, got)
+		}
+	}
+	o, err := config.ReadOperator("../../deploy/operator.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if chatGateway("", o, slog.New(slog.DiscardHandler)).endsEarly(false) {
+		t.Error("the chat front gives requests up by the platform's clock")
+	}
+}
--- /dev/null
+++ b/cmd/wellgw/tierharness_test.go
@@ -0,0 +1,194 @@
+package main
+
+import (
+	"bytes"
+	"context"
+	"encoding/base64"
+	"encoding/json"
+	"fmt"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"wellgw/decide/membership"
+	"wellgw/internal/admin"
+	"wellgw/internal/peers"
+	"wellgw/internal/playback"
+	"wellgw/lab/faultnet"
+)
+
+const operatorFile = `{"listen": "127.0.0.1:0", "zone": "z",
+	"contracts": [{"name": "c", "effect": "free", "aim_ms": 1000, "deadline_ms": 4000, "worth": 1}],
+	"models": [{"name": "m", "contract": "c"}],
+	"teams": [{"name": "t", "keys": ["k"], "models": ["m"]}],
+	"engines": [{"id": "e", "address": "127.0.0.1:9", "role": "openai"}]}`
+
+// member is one gateway of a tier, a program of its own.
+type member struct {
+	name, admin, url, keys string
+	stop                   func(syscall.Signal)
+	over                   chan struct{}
+}
+
+// tier is programs, each behind a relay.
+type tier struct {
+	t     *testing.T
+	dir   string
+	net   *faultnet.Net
+	names []string
+	at    map[string]string // relays
+	gates map[string]*member
+}
+
+// newTier starts gateways that join by the first two and waits until they agree. change
+// alters what the file says of a gateway's peers.
+func newTier(t *testing.T, names []string, change func(name string, peers map[string]any)) *tier {
+	t.Helper()
+	if testing.Short() {
+		t.Skip("several programs; the whole run has them")
+	}
+	w := &tier{t: t, dir: t.TempDir(), net: faultnet.New(1), names: names, at: map[string]string{}, gates: map[string]*member{}}
+	t.Cleanup(w.net.Close)
+	for _, name := range names {
+		w.relay(name)
+	}
+	for _, name := range names {
+		w.start(name, name, change)
+	}
+	w.agree("after the start")
+	return w
+}
+
+func (w *tier) relay(name string) {
+	w.t.Helper()
+	at, err := w.net.Port(name)
+	if err != nil {
+		w.t.Fatal(err)
+	}
+	w.at[name] = at
+}
+
+func tierKey(n byte) string { return base64.StdEncoding.EncodeToString(bytes.Repeat([]byte{n}, 32)) }
+
+func (m *member) setKeys(t *testing.T, keys ...string) {
+	t.Helper()
+	if err := os.WriteFile(m.keys, []byte(strings.Join(keys, "\n")+"\n"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// start begins a program behind the relay place, under a name.
+func (w *tier) start(place, name string, change func(string, map[string]any)) *member {
+	w.t.Helper()
+	m := &member{name: name, keys: filepath.Join(w.dir, place+".keys"), over: make(chan struct{})}
+	if _, err := os.Stat(m.keys); err != nil {
+		m.setKeys(w.t, tierKey(7))
+	}
+	p := map[string]any{
+		"listen": "127.0.0.1:0", "advertise": w.at[place], "name": name, "tier": "t", "key_file": m.keys,
+		"join": []string{w.at[w.names[0]], w.at[w.names[min(1, len(w.names)-1)]]}, "incarnation_file": filepath.Join(w.dir, place+".incarnation"),
+	}
+	if change != nil {
+		change(name, p)
+	}
+	raw, err := json.Marshal(p)
+	if err != nil {
+		w.t.Fatal(err)
+	}
+	text := strings.Replace(operatorFile, `"engines":`, fmt.Sprintf(`"admin": {"listen": "127.0.0.1:0"}, "peers": %s, "engines":`, raw), 1)
+	cmd, url, at := servingWith(w.t, nil, "serve", "--operator", file(w.t, text))
+	m.admin, m.url = at, url
+	m.stop = func(s syscall.Signal) { _ = cmd.Process.Signal(s) }
+	go func() { defer close(m.over); _ = cmd.Wait() }()
+	w.t.Cleanup(func() { m.stop(syscall.SIGCONT); m.kill() })
+	w.gates[place] = m
+	if err := w.net.Behind(place, m.status(w.t).Listen); err != nil {
+		w.t.Fatal(err)
+	}
+	return m
+}
+
+func (m *member) kill() {
+	m.stop(syscall.SIGKILL)
+	<-m.over
+}
+
+func (m *member) status(t *testing.T) (s peers.Status) {
+	t.Helper()
+	ctx, done := context.WithTimeout(t.Context(), 5*time.Second)
+	defer done()
+	if err := admin.AskPage(ctx, m.admin, admin.PeersPath, &s); err != nil {
+		return peers.Status{}
+	}
+	return s
+}
+
+// of is how a gateway holds another.
+func (m *member) of(t *testing.T, name string) (membership.Gateway, bool) {
+	t.Helper()
+	all := m.status(t).View.Others
+	at := slices.IndexFunc(all, func(g membership.Gateway) bool { return g.ID == name })
+	if at < 0 {
+		return membership.Gateway{}, false
+	}
+	return all[at], true
+}
+
+func (m *member) holds(t *testing.T, name string, s membership.Status) bool {
+	t.Helper()
+	g, known := m.of(t, name)
+	return known && g.Status == s
+}
+
+func alive(v membership.View) (n int) {
+	for _, g := range v.Others {
+		if g.Status == membership.Alive {
+			n++
+		}
+	}
+	return n
+}
+
+// agree waits until all hold one view in which all are alive.
+func (w *tier) agree(when string) {
+	w.t.Helper()
+	playback.Eventually(w.t, when+" all agree", func() bool {
+		var first membership.View
+		for i, name := range w.names {
+			v := w.gates[name].status(w.t).View
+			if i == 0 {
+				first = v
+			}
+			if alive(v) < len(w.names)-1 || v.Digest != first.Digest || v.Epoch != first.Epoch {
+				return false
+			}
+		}
+		return true
+	})
+}
+
+// eventually waits until all of some gateways are so.
+func (w *tier) eventually(what string, names []string, is func(peers.Status) bool) {
+	w.t.Helper()
+	for _, name := range names {
+		playback.Eventually(w.t, name+": "+what, func() bool { return is(w.gates[name].status(w.t)) })
+	}
+}
+
+// cut gives both directions between two sets a rule.
+func (w *tier) cut(some, rest []string, r faultnet.Rule) {
+	for _, a := range some {
+		for _, b := range rest {
+			w.net.Set(a, b, r)
+			w.net.Set(b, a, r)
+		}
+	}
+}
+
+func minority(s peers.Status) bool { return s.View.Minority }
+
+func majority(s peers.Status) bool { return s.View.Sharing > 0 && !s.View.Minority }
--- a/internal/consul/consul_test.go
+++ b/internal/consul/consul_test.go
@@ -2,165 +2,25 @@
 
 import (
 	"bytes"
-	"context"
 	"encoding/pem"
 	"fmt"
-	"io"
 	"log/slog"
-	"net"
-	"net/http"
 	"net/http/httptest"
 	"os"
 	"path/filepath"
 	"slices"
 	"strconv"
 	"strings"
-	"sync"
 	"testing"
 	"time"
 
 	"wellgw/decide/roster"
 	"wellgw/internal/config"
-	"wellgw/internal/core"
-	"wellgw/internal/directory"
 	"wellgw/internal/playback"
 	"wellgw/routing"
 	"wellgw/standin/consul"
 )
 
-const node = "node-1"
-
-// world is a stand-in, a directory that follows it, and what the core was told.
-type world struct {
-	*testing.T
-	store  *consul.Store
-	agents []*consul.Agent
-	keeper *directory.Keeper
-	dir    *Directory
-	cfg    config.Consul
-
-	mu       sync.Mutex
-	phases   map[string]routing.Phase
-	gateways int
-	alive    map[string]roster.Pulse // by address; absent: alive
-}
-
-// begin makes a world of so many agents with the services that list names; change
-// may alter the configuration.
-func begin(t *testing.T, agents int, list func(*world), change func(*world, *config.Consul)) *world {
-	t.Helper()
-	w := &world{T: t, store: consul.NewStore(), phases: map[string]routing.Phase{}, alive: map[string]roster.Pulse{}}
-	t.Cleanup(w.store.Close)
-	for range agents {
-		a, err := consul.NewAgent(w.store, node)
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(a.Close)
-		w.agents = append(w.agents, a)
-		w.cfg.Addresses = append(w.cfg.Addresses, a.Addr)
-	}
-	list(w)
-	w.cfg.Service = "llm"
-	if change != nil {
-		change(w, &w.cfg)
-	}
-	log := slog.New(slog.DiscardHandler)
-	w.keeper = directory.New(directory.Options{Policy: Policy(w.cfg), Log: log, Tell: w.tell, Check: func(_ context.Context, addr string) roster.Pulse {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		return w.alive[addr]
-	}})
-	var err error
-	w.dir, err = New(Options{Config: w.cfg, Zone: "here", Keeper: w.keeper, Log: log, Ready: func() bool { return true }, Gateways: func(n int) {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		w.gateways = n
-	}})
-	if err != nil {
-		t.Fatal(err)
-	}
-	ctx, stop := context.WithCancel(t.Context())
-	var group sync.WaitGroup
-	group.Go(func() { w.keeper.Run(ctx) })
-	group.Go(func() { w.dir.Run(ctx) })
-	t.Cleanup(func() { stop(); group.Wait() })
-	return w
-}
-
-func (w *world) tell(_ routing.RosterScope, members []core.Member) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, m := range members {
-		if w.phases[m.Name] = m.Phase; m.Phase == routing.PhaseOff {
-			delete(w.phases, m.Name)
-		}
-	}
-}
-
-// list lists an engine, passing, at 127.0.0.1 and a port.
-func (w *world) list(service, id string, port int, tags ...string) {
-	w.store.Register(consul.Service{ID: id, Name: service, Node: node, Address: "127.0.0.1", Port: port, Tags: tags}, map[string]string{"alive:" + id: "passing"})
-}
-
-func (w *world) three() {
-	for i, id := range []string{"a", "b", "c"} {
-		w.list("llm", id, 9001+i, "engine")
-	}
-}
-
-func (w *world) fail(f consul.Faults) {
-	w.Helper()
-	for _, a := range w.agents {
-		if err := a.Fail(f); err != nil {
-			w.Fatal(err)
-		}
-	}
-}
-
-// says words what the core has been told: "a b!", "!" for one that gets no new work.
-func (w *world) says() string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	var words []string
-	for id, p := range w.phases {
-		if p != routing.PhaseOn {
-			id += "!"
-		}
-		words = append(words, id)
-	}
-	slices.Sort(words)
-	return strings.Join(words, " ")
-}
-
-func (w *world) await(want string) {
-	w.Helper()
-	playback.Eventually(w.T, "the core is told "+want, func() bool { return w.says() == want })
-}
-
-// stays looks for a while whether what was told stays as it is.
-func (w *world) stays(want string, span time.Duration) {
-	w.Helper()
-	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if got := w.says(); got != want {
-			w.Fatalf("told %q, was %q", got, want)
-		}
-	}
-}
-
-func (w *world) doubt() string {
-	v := w.keeper.View()
-	if len(v.Sources) == 0 {
-		return "nothing"
-	}
-	return v.Sources[0].Doubt
-}
-
-func (w *world) awaitDoubt(want roster.Reason) {
-	w.Helper()
-	playback.Eventually(w.T, "the source is "+string(want), func() bool { return w.doubt() == string(want) })
-}
-
 func TestMarksAreFollowed(t *testing.T) {
 	w := begin(t, 1, (*world).three, nil)
 	w.await("a b c")
@@ -506,89 +366,3 @@
 		t.Errorf("%d queries open", open)
 	}
 }
-
-func TestParse(t *testing.T) {
-	entry := func(id, addr, meta, checks string) string {
-		return fmt.Sprintf(`{"Node":{"Node":"n","Address":"127.0.0.9"},"Service":{"ID":%q,"Address":%q,"Port":80,"Meta":{%s},"CreateIndex":3,"ModifyIndex":5},"Checks":[%s]}`, id, addr, meta, checks)
-	}
-	v, nodes, err := parseHealth([]byte("["+strings.Join([]string{
-		entry("a", "", `"role":"read","zone":"z","cell":"3","started_ms":"1700000000000"`, `{"CheckID":"x","Status":"warning","ModifyIndex":9}`),
-		entry("b", "127.0.0.8", `"started":"2026-01-02T03:04:05Z"`, `{"CheckID":"x","Status":"odd"}`),
-		entry("a", "127.0.0.7", ``, `{"CheckID":"_node_maintenance","Status":"critical"}`),
-		`{"Service":{"ID":"c","Port":70000},"Checks":[{"Status":"critical"}]}`, `7`,
-	}, ",")+"]"), "here")
-	if err != nil {
-		t.Fatal(err)
-	}
-	want := []roster.Entry{
-		{ID: "a", Addr: "127.0.0.9:80", Kind: "read", Zone: "z", Cell: 3, Mark: roster.Maintenance, Started: time.UnixMilli(1700000000000), Registered: 3, Index: 9},
-		{ID: "b", Addr: "127.0.0.8:80", Kind: "openai", Zone: "here", Mark: roster.Critical, Started: time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC), Registered: 3, Index: 5},
-	}
-	for i := range want {
-		if got := v.Entries[i]; !got.Started.Equal(want[i].Started) {
-			t.Errorf("started %v", got.Started)
-		} else if got.Started = want[i].Started; got != want[i] {
-			t.Errorf("%+v, want %+v", got, want[i])
-		}
-	}
-	if len(v.Entries) != 2 || !slices.Equal(v.Unread, []string{"c", ""}) || v.Against["c"] != roster.Critical || len(nodes) != 3 {
-		t.Errorf("%+v, nodes %v", v, nodes)
-	}
-}
-
-// Whatever comes in the place of a list, reading it ends, and never in a panic.
-func FuzzParse(f *testing.F) {
-	for _, seed := range []string{
-		`[]`, `[null]`, `[{"Node":null,"Service":{"ID":"e1","Port":-4}}]`, `{}`, `[{"Service":{"ID":"x","Port":1},"Checks":{}}]`, `[{"Service":[],"Checks":3}]`, `null`,
-	} {
-		f.Add([]byte(seed))
-	}
-	f.Fuzz(func(t *testing.T, body []byte) {
-		v, _, err := parseHealth(body, "z")
-		if err == nil {
-			for _, e := range v.Entries {
-				if _, _, err := net.SplitHostPort(e.Addr); err != nil || e.ID == "" {
-					t.Errorf("taken: %+v", e)
-				}
-			}
-		}
-		_, _, _ = parseServices(body, "t")
-	})
-}
-
-// What the configuration selects reaches the agent with every query, in the documented
-// parameters.
-func TestSelection(t *testing.T) {
-	for name, c := range map[string]struct {
-		cfg  config.Consul
-		want string
-	}{
-		"plain":      {config.Consul{}, ""},
-		"all":        {config.Consul{Tag: "gpu", Filter: `Service.Meta.zone == "a"`, Datacenter: "dc2"}, "dc=dc2&filter=Service.Meta.zone+%3D%3D+%22a%22&tag=gpu"},
-		"stale":      {config.Consul{Consistency: "stale"}, "stale="},
-		"consistent": {config.Consul{Consistency: "consistent"}, "consistent="},
-	} {
-		t.Run(name, func(t *testing.T) {
-			asked := make(chan string, 100)
-			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				if strings.HasPrefix(r.URL.Path, "/v1/health/") {
-					asked <- r.URL.RawQuery
-				}
-				w.Header().Set("X-Consul-Index", "5")
-				io.WriteString(w, "[]")
-			}))
-			t.Cleanup(server.Close)
-			begin(t, 0, func(*world) {}, func(_ *world, cfg *config.Consul) {
-				service := cfg.Service
-				*cfg = c.cfg
-				cfg.Service, cfg.Address = service, server.Listener.Addr().String()
-			})
-			if got := <-asked; got != c.want {
-				t.Errorf("first %q, want %q", got, c.want)
-			}
-			if got := <-asked; !strings.Contains(got, "index=5") || !strings.Contains(got, "wait=1000ms") {
-				t.Errorf("then %q", got)
-			}
-		})
-	}
-}
--- /dev/null
+++ b/internal/core/fake_test.go
@@ -0,0 +1,169 @@
+package core
+
+import (
+	"errors"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"wellgw/routing"
+)
+
+// fake is an engine pool whose attempts end as the test says.
+type fake struct {
+	mu       sync.Mutex
+	script   func(a Attempt) (Stream, *Result) // neither: silence
+	attempts []string                          // servers
+	closed   int
+	lastEnd  time.Time // when an attempt was closed last
+	released []string
+	away     func(a Attempt) bool // if set, tells whose engine no connection comes up to
+	// unreached engines take no connection by which they could be checked
+	unreached bool
+	cut       chan struct{} // if set, no engine is reached by a release before it is closed
+	// releaseErr is how releases end that are not cut off
+	releaseErr error
+	unnoticed  chan struct{} // if set, the core hears that a first attempt is written once it is closed
+	begun      []handle
+}
+
+// handles returns the attempts begun so far.
+func (f *fake) handles() []handle {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return append([]handle(nil), f.begun...)
+}
+
+// sinceEnd returns the time since an attempt was closed last.
+func (f *fake) sinceEnd() time.Duration {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return time.Since(f.lastEnd)
+}
+
+// handle is an attempt of a fake.
+type handle struct {
+	cancel  func()
+	written *atomic.Bool
+}
+
+func (h handle) Cancel() { h.cancel() }
+
+func (h handle) Withdraw() bool {
+	if h.written.Load() {
+		return false
+	}
+	h.cancel()
+	return true
+}
+
+func (f *fake) Start(a Attempt, first func(Stream), ended func(Result)) Handle {
+	f.mu.Lock()
+	f.attempts = append(f.attempts, a.To.Name)
+	f.mu.Unlock()
+	h := handle{written: &atomic.Bool{}}
+	h.cancel = sync.OnceFunc(func() {
+		f.mu.Lock()
+		defer f.mu.Unlock()
+		f.closed++
+		f.lastEnd = time.Now()
+	})
+	f.mu.Lock()
+	f.begun = append(f.begun, h)
+	f.mu.Unlock()
+	go func() {
+		if f.away == nil || !f.away(a) {
+			if a.Connected != nil {
+				a.Connected()
+			}
+			h.written.Store(true)
+			if f.unnoticed != nil && a.Number == 0 {
+				<-f.unnoticed
+			}
+			a.Written()
+		}
+		if s, r := f.script(a); s != nil {
+			first(s)
+		} else if r != nil {
+			ended(*r)
+		}
+	}()
+	return h
+}
+
+func (f *fake) Release(r Release, done func(error)) (stop func()) {
+	f.mu.Lock()
+	f.released = append(f.released, r.At.Name)
+	f.mu.Unlock()
+	stopped := make(chan struct{})
+	go func() {
+		if f.cut != nil {
+			select {
+			case <-f.cut:
+			case <-stopped:
+				done(errors.New("stopped"))
+				return
+			case <-time.After(time.Until(r.Until)):
+				done(errors.New("not reached"))
+				return
+			}
+		}
+		done(f.releaseErr)
+	}()
+	return sync.OnceFunc(func() { close(stopped) })
+}
+
+// tally returns how many attempts were made and closed, and how many releases.
+func (f *fake) tally() (attempts, closed, released int) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return len(f.attempts), f.closed, len(f.released)
+}
+
+func (f *fake) Reach(m Member, done func(bool)) { go done(!f.unreached) }
+
+func (f *fake) Probe(Member, func(routing.Status, *routing.Report)) {}
+
+func (f *fake) Subscribe() {}
+
+func (f *fake) has(server string) bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for _, s := range f.released {
+		if s == server {
+			return true
+		}
+	}
+	return false
+}
+
+func testSettings() routing.Settings {
+	return routing.Settings{
+		Zones: []string{""}, Routers: 1, MaxAttempts: 4, CanCancel: true, CanRetryAfter: true, MaxRetryAfter: time.Second,
+		Classes: []routing.Class{
+			{Name: "free", Aim: 10 * time.Second, Gain: 1},
+			{Name: "once", Aim: 10 * time.Second, Gain: 1, Effect: routing.EffectSingleShot},
+		},
+		Kinds: []routing.Kind{{Name: "r", Role: routing.RoleReader, Memory: 2e5}, {Name: "w", Role: routing.RoleWriter, Memory: 2e5}},
+		Cold:  time.Second, ColdShare: 0.3, Fall: time.Second, FallMultiple: 3, PinLimit: 500 * time.Millisecond,
+	}
+}
+
+func newCore(t *testing.T, f *fake) *Core { return coreWith(t, f, func(*routing.Settings) {}) }
+
+func ask(class string, ttl time.Duration) Request {
+	return Request{Wire: "id-" + class, Arrived: time.Now(), Request: routing.Request{Class: class, Prompt: 100, MaxTokens: 10, TTL: ttl}}
+}
+
+func ended(s routing.Status) (Stream, *Result) { return nil, &Result{Status: s} }
+
+// script reads at readers and does as told at writers.
+func script(writer func() (Stream, *Result)) func(Attempt) (Stream, *Result) {
+	return func(a Attempt) (Stream, *Result) {
+		if a.To.Kind == "r" {
+			return ended(routing.StatusRead)
+		}
+		return writer()
+	}
+}
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -6,16 +6,9 @@
 	"crypto/cipher"
 	"crypto/rand"
 	"encoding/binary"
-	"errors"
 	"fmt"
 	"log/slog"
 	"net"
-	"net/netip"
-	"os"
-	"path/filepath"
-	"slices"
-	"strconv"
-	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -57,21 +50,6 @@
 	formerFor  = 10 * time.Second // of silence, after which a lower instance is a clock set back, not an earlier life
 )
 
-// Counts are datagrams since the start.
-type Counts struct {
-	Sent, SentBytes, Received, ReceivedBytes                 uint64
-	Short, Version, Key, Seal, Replay, Payload, Former, Full uint64 // dropped, by reason
-	Unsent                                                   uint64 // the system would not take them
-}
-
-// Status is what operators are shown.
-type Status struct {
-	Name, Tier, Listen, Key string
-	View                    membership.View
-	Clock                   time.Duration // the view's times count from the same origin
-	Counts                  Counts
-}
-
 // life is the latest process heard of a name.
 type life struct {
 	instance uint64
@@ -157,75 +135,9 @@
 	return p, nil
 }
 
-// startIncarnation is above that of an earlier life, by what was written down or, without
-// it, by the clock. The tier corrects it if both are lost.
-func startIncarnation(path string) (uint64, error) {
-	clock := uint64(time.Now().Unix())
-	if path == "" {
-		return clock, nil
-	}
-	text, err := os.ReadFile(path)
-	if errors.Is(err, os.ErrNotExist) {
-		return clock, writeIncarnation(path, clock)
-	}
-	if err != nil {
-		return 0, fmt.Errorf("peers.incarnation_file: %w", err)
-	}
-	last, err := strconv.ParseUint(strings.TrimSpace(string(text)), 10, 64)
-	if err != nil { // cut off or overwritten: the tier knows better
-		last = 0
-	}
-	next := max(last+1, clock)
-	return next, writeIncarnation(path, next)
-}
-
-// writeIncarnation replaces the file whole.
-func writeIncarnation(path string, n uint64) error {
-	f, err := os.CreateTemp(filepath.Dir(path), ".incarnation")
-	if err != nil {
-		return fmt.Errorf("peers.incarnation_file: %w", err)
-	}
-	defer os.Remove(f.Name())
-	_, err = fmt.Fprintln(f, n)
-	if err = errors.Join(err, f.Sync(), f.Close()); err == nil {
-		err = os.Rename(f.Name(), path)
-	}
-	if err != nil {
-		return fmt.Errorf("peers.incarnation_file: %w", err)
-	}
-	return nil
-}
-
 // Addr is where the gateway is reached by the others.
 func (p *Peers) Addr() string { return p.conn.LocalAddr().String() }
 
-// Status returns the present view and counts, for people. Nothing that serves waits for it:
-// it asks the goroutine that owns the view and, if that is not to be had at once, takes the
-// view of the last change.
-func (p *Peers) Status() Status {
-	s := *p.status.Load()
-	answer := make(chan Status, 1)
-	late := time.NewTimer(statusWait)
-	defer late.Stop()
-	select {
-	case p.asked <- answer:
-		s = <-answer
-	case <-late.C:
-	}
-	s.Clock, s.Key, s.Counts = time.Since(p.origin), p.opt.Keys.InUse(), p.Counts()
-	return s
-}
-
-// Counts returns what has been sent, received and dropped.
-func (p *Peers) Counts() Counts {
-	c := &p.counts
-	return Counts{
-		Sent: c.sent.Load(), SentBytes: c.sentBytes.Load(), Received: c.received.Load(), ReceivedBytes: c.receivedBytes.Load(),
-		Short: c.short.Load(), Version: c.version.Load(), Key: c.key.Load(), Seal: c.seal.Load(), Replay: c.replay.Load(),
-		Payload: c.payload.Load(), Former: c.former.Load(), Full: c.full.Load(), Unsent: c.unsent.Load(),
-	}
-}
-
 // Leave tells the tier that this gateway is about to end. It does not wait.
 func (p *Peers) Leave() {
 	select {
@@ -277,107 +189,6 @@
 	}
 }
 
-func (p *Peers) now() Status {
-	return Status{Name: p.opt.Name, Tier: p.opt.Tier, Listen: p.Addr(), View: p.machine.View()}
-}
-
-// publish shows the view, and tells of it if it is another one.
-func (p *Peers) publish() {
-	s := p.now()
-	v, before := s.View, p.status.Load()
-	p.status.Store(&s)
-	p.sharing, p.aging = v.Sharing, slices.ContainsFunc(v.Others, func(g membership.Gateway) bool { return g.Status == membership.Dead })
-	if before == nil {
-		return
-	}
-	p.tell(before.View, v)
-	if was := before.View; was.Epoch == v.Epoch && was.Digest == v.Digest && was.Sharing == v.Sharing && was.Minority == v.Minority && was.Silenced == v.Silenced {
-		return
-	}
-	if v.Self.Incarnation != before.View.Self.Incarnation {
-		select {
-		case <-p.inc: // an older one that has not been written
-		default:
-		}
-		p.inc <- v.Self.Incarnation
-	}
-	p.opt.Log.Info("tier", "epoch", v.Epoch, "others", len(v.Others), "sharing", v.Sharing, "minority", v.Minority, "silenced", v.Silenced)
-	if p.opt.Changed != nil {
-		p.opt.Changed(v)
-	}
-}
-
-// Event is a change of how a gateway stands, with what is needed to find out why.
-type Event struct {
-	Gateway, From, To string        // From is "" for one that was not known
-	Incarnation       uint64        // of the gateway
-	Since             time.Time     // it stood as From
-	Silent            time.Duration // since it was last heard
-	OneWay            bool          // others reach it, but our own pings are not answered
-	Accusers          int           // that held it for suspect
-	Distrust          int           // steps by which this gateway distrusts itself
-	Pauses            uint64        // of this gateway's own since its start
-}
-
-// tell logs and hands on who stands otherwise than before. Suspicions come and go, and are
-// told of only to whoever traces.
-func (p *Peers) tell(before, now membership.View) {
-	was := make(map[string]membership.Gateway, len(before.Others))
-	for _, g := range before.Others {
-		was[g.ID] = g
-	}
-	clock := time.Since(p.origin)
-	for _, g := range now.Others {
-		old, known := was[g.ID]
-		if known && old.Status == g.Status {
-			continue
-		}
-		e := Event{
-			Gateway: g.ID, To: g.Status.String(), Incarnation: g.Incarnation, Since: p.origin.Add(old.Since), Silent: clock - g.Heard,
-			OneWay: old.OneWay, Accusers: old.Accusers, Distrust: now.Health, Pauses: now.Stats.Pauses,
-		}
-		if known {
-			e.From = old.Status.String()
-		} else {
-			e.Since = time.Now()
-		}
-		if p.opt.Event != nil {
-			p.opt.Event(e)
-		}
-		if g.Status == membership.Suspect || known && old.Status == membership.Suspect && g.Status == membership.Alive {
-			continue
-		}
-		p.opt.Log.Info("member", "gateway", g.ID, "standing", e.To, "incarnation", g.Incarnation, "accusers", e.Accusers,
-			"heard_ms", e.Silent.Milliseconds(), "distrust", e.Distrust, "pauses", e.Pauses)
-	}
-}
-
-// read takes datagrams off the socket, as fast as they come: what nobody has time for is
-// dropped here and not in the system's buffer, where it would crowd out what is good.
-func (p *Peers) read(packets chan<- []byte) {
-	buf := make([]byte, 2*MaxMessage)
-	for {
-		n, _, err := p.conn.ReadFromUDPAddrPort(buf)
-		if errors.Is(err, net.ErrClosed) {
-			return
-		}
-		if err != nil {
-			continue // an answer to what was sent to nobody
-		}
-		p.counts.received.Add(1)
-		p.counts.receivedBytes.Add(uint64(n))
-		if n == 0 || n > MaxMessage {
-			p.counts.short.Add(1)
-			continue
-		}
-		select {
-		case packets <- append([]byte(nil), buf[:n]...):
-		default:
-			p.counts.full.Add(1)
-		}
-	}
-}
-
 // What becomes of a datagram.
 const (
 	dropped = iota
@@ -385,88 +196,6 @@
 	taken
 )
 
-// decode opens and reads a datagram, and counts why one is not taken.
-func (p *Peers) decode(b []byte) (membership.Message, int) {
-	var m membership.Message
-	payload, from, err := p.opened.open(b)
-	if err == nil && p.opt.Plain && b[0] > oldest {
-		err = errVersion
-	}
-	if err == nil {
-		m, err = decode(b[0], payload)
-	}
-	if was := p.latest[m.From]; err == nil && from.instance < was.instance && time.Since(was.heard) < formerFor {
-		p.counts.former.Add(1) // of an earlier life: late, or sent again by somebody
-		return m, former
-	}
-	switch {
-	case errors.Is(err, errShort):
-		p.counts.short.Add(1)
-	case errors.Is(err, errVersion):
-		p.counts.version.Add(1)
-	case errors.Is(err, errKey):
-		p.counts.key.Add(1)
-	case errors.Is(err, errSeal):
-		p.counts.seal.Add(1)
-	case errors.Is(err, errReplay):
-		p.counts.replay.Add(1)
-	case err != nil:
-		p.counts.payload.Add(1)
-	default:
-		if len(p.latest) >= mostNames {
-			clear(p.latest)
-		}
-		p.latest[m.From] = life{from.instance, time.Now()}
-		p.speaks.heard(m.Addr, b[0])
-		m.Instance = from.instance
-		return m, taken
-	}
-	return m, dropped
-}
-
-func (p *Peers) send(out []membership.Send) {
-	if len(out) == 0 {
-		return
-	}
-	first := (*p.opt.Keys.keys.Load())[0]
-	aead := p.sealers[first.id]
-	if aead == nil {
-		var err error
-		if aead, err = sealer(first.value, p.opt.Tier, p.me); err != nil {
-			p.opt.Log.Error("peers", "cause", err)
-			return
-		}
-		clear(p.sealers)
-		p.sealers[first.id] = aead
-	}
-	for _, s := range out {
-		say := p.speaks.of(s.To, s.Kind)
-		if p.opt.Plain {
-			say = say[:1]
-		}
-		to := s.To
-		if p.opt.Route != nil {
-			to = p.opt.Route(to)
-		}
-		at, bad := netip.ParseAddrPort(to)
-		for _, as := range say {
-			payload, err := encode(as, s.Message)
-			if err != nil || bad != nil {
-				p.counts.unsent.Add(1)
-				continue
-			}
-			p.counter++
-			b := seal(aead, as, first.id, p.me, p.counter, payload)
-			if _, err := p.conn.WriteToUDPAddrPort(b, at); err != nil {
-				p.counts.unsent.Add(1)
-				continue
-			}
-			p.counts.sent.Add(1)
-			p.counts.sentBytes.Add(uint64(len(b)))
-		}
-	}
-}
-
 // watchKeys reads the key file anew every now and then.
 func (p *Peers) watchKeys(ctx context.Context) {
 	tick := time.NewTicker(cmp.Or(p.opt.KeysEvery, keysEvery))
@@ -489,20 +218,3 @@
 		}
 	}
 }
-
-// keepIncarnation writes down what the tier has made us raise.
-func (p *Peers) keepIncarnation(ctx context.Context) {
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case n := <-p.inc:
-			if p.opt.IncarnationFile == "" {
-				continue
-			}
-			if err := writeIncarnation(p.opt.IncarnationFile, n); err != nil {
-				p.opt.Log.Warn("incarnation not written", "cause", err)
-			}
-		}
-	}
-}
--- /dev/null
+++ b/internal/peers/status.go
@@ -0,0 +1,125 @@
+package peers
+
+import (
+	"slices"
+	"time"
+
+	"wellgw/decide/membership"
+)
+
+// Counts are datagrams since the start.
+type Counts struct {
+	Sent, SentBytes, Received, ReceivedBytes                 uint64
+	Short, Version, Key, Seal, Replay, Payload, Former, Full uint64 // dropped, by reason
+	Unsent                                                   uint64 // the system would not take them
+}
+
+// Status is what operators are shown.
+type Status struct {
+	Name, Tier, Listen, Key string
+	View                    membership.View
+	Clock                   time.Duration // the view's times count from the same origin
+	Counts                  Counts
+}
+
+// Status returns the present view and counts, for people. Nothing that serves waits for it:
+// it asks the goroutine that owns the view and, if that is not to be had at once, takes the
+// view of the last change.
+func (p *Peers) Status() Status {
+	s := *p.status.Load()
+	answer := make(chan Status, 1)
+	late := time.NewTimer(statusWait)
+	defer late.Stop()
+	select {
+	case p.asked <- answer:
+		s = <-answer
+	case <-late.C:
+	}
+	s.Clock, s.Key, s.Counts = time.Since(p.origin), p.opt.Keys.InUse(), p.Counts()
+	return s
+}
+
+// Counts returns what has been sent, received and dropped.
+func (p *Peers) Counts() Counts {
+	c := &p.counts
+	return Counts{
+		Sent: c.sent.Load(), SentBytes: c.sentBytes.Load(), Received: c.received.Load(), ReceivedBytes: c.receivedBytes.Load(),
+		Short: c.short.Load(), Version: c.version.Load(), Key: c.key.Load(), Seal: c.seal.Load(), Replay: c.replay.Load(),
+		Payload: c.payload.Load(), Former: c.former.Load(), Full: c.full.Load(), Unsent: c.unsent.Load(),
+	}
+}
+
+func (p *Peers) now() Status {
+	return Status{Name: p.opt.Name, Tier: p.opt.Tier, Listen: p.Addr(), View: p.machine.View()}
+}
+
+// publish shows the view, and tells of it if it is another one.
+func (p *Peers) publish() {
+	s := p.now()
+	v, before := s.View, p.status.Load()
+	p.status.Store(&s)
+	p.sharing, p.aging = v.Sharing, slices.ContainsFunc(v.Others, func(g membership.Gateway) bool { return g.Status == membership.Dead })
+	if before == nil {
+		return
+	}
+	p.tell(before.View, v)
+	if was := before.View; was.Epoch == v.Epoch && was.Digest == v.Digest && was.Sharing == v.Sharing && was.Minority == v.Minority && was.Silenced == v.Silenced {
+		return
+	}
+	if v.Self.Incarnation != before.View.Self.Incarnation {
+		select {
+		case <-p.inc: // an older one that has not been written
+		default:
+		}
+		p.inc <- v.Self.Incarnation
+	}
+	p.opt.Log.Info("tier", "epoch", v.Epoch, "others", len(v.Others), "sharing", v.Sharing, "minority", v.Minority, "silenced", v.Silenced)
+	if p.opt.Changed != nil {
+		p.opt.Changed(v)
+	}
+}
+
+// Event is a change of how a gateway stands, with what is needed to find out why.
+type Event struct {
+	Gateway, From, To string        // From is "" for one that was not known
+	Incarnation       uint64        // of the gateway
+	Since             time.Time     // it stood as From
+	Silent            time.Duration // since it was last heard
+	OneWay            bool          // others reach it, but our own pings are not answered
+	Accusers          int           // that held it for suspect
+	Distrust          int           // steps by which this gateway distrusts itself
+	Pauses            uint64        // of this gateway's own since its start
+}
+
+// tell logs and hands on who stands otherwise than before. Suspicions come and go, and are
+// told of only to whoever traces.
+func (p *Peers) tell(before, now membership.View) {
+	was := make(map[string]membership.Gateway, len(before.Others))
+	for _, g := range before.Others {
+		was[g.ID] = g
+	}
+	clock := time.Since(p.origin)
+	for _, g := range now.Others {
+		old, known := was[g.ID]
+		if known && old.Status == g.Status {
+			continue
+		}
+		e := Event{
+			Gateway: g.ID, To: g.Status.String(), Incarnation: g.Incarnation, Since: p.origin.Add(old.Since), Silent: clock - g.Heard,
+			OneWay: old.OneWay, Accusers: old.Accusers, Distrust: now.Health, Pauses: now.Stats.Pauses,
+		}
+		if known {
+			e.From = old.Status.String()
+		} else {
+			e.Since = time.Now()
+		}
+		if p.opt.Event != nil {
+			p.opt.Event(e)
+		}
+		if g.Status == membership.Suspect || known && old.Status == membership.Suspect && g.Status == membership.Alive {
+			continue
+		}
+		p.opt.Log.Info("member", "gateway", g.ID, "standing", e.To, "incarnation", g.Incarnation, "accusers", e.Accusers,
+			"heard_ms", e.Silent.Milliseconds(), "distrust", e.Distrust, "pauses", e.Pauses)
+	}
+}
--- /dev/null
+++ b/routing/harness_test.go
@@ -0,0 +1,81 @@
+package routing
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+const ms = time.Millisecond
+
+func testSettings() Settings {
+	return Settings{
+		Zone: "z", Zones: []string{"z", "y"}, Routers: 2, MaxAttempts: 6, CanCancel: true, CanRetryAfter: true,
+		MaxRetryAfter: time.Second,
+		Classes: []Class{
+			{Name: "c", Aim: time.Second, TokenAim: 50 * ms, Gain: 1},
+			{Name: "keyed", Aim: time.Second, Gain: 1, Effect: EffectGuarded, Group: GroupCell, Window: 2 * time.Second},
+			{Name: "once", Aim: time.Second, Gain: 1, Effect: EffectSingleShot},
+		},
+		Kinds: []Kind{
+			{Name: "r", Role: RoleReader, Memory: 2e5}, {Name: "w", Role: RoleWriter, Memory: 2e5},
+			{Name: "m", Role: RoleMixed, Memory: 2e5},
+		},
+		Cold: 10 * time.Second, ColdShare: 0.3, Fall: 2 * time.Second, FallMultiple: 3,
+		PinLimit: 500 * ms, Tick: ms,
+	}
+}
+
+func server(name, kind string, cell int) ServerInfo {
+	return ServerInfo{Name: name, Kind: kind, Zone: "z", Cell: cell, Weight: 1}
+}
+
+func router(t *testing.T, set Settings, servers ...ServerInfo) *Router {
+	t.Helper()
+	r, err := New(set, 7)
+	if err != nil {
+		t.Fatal(err)
+	}
+	r.Handle(0, Roster{Scope: RosterCached, Servers: servers})
+	return r
+}
+
+func ask(id RequestID, prompt int) Request {
+	return Request{ID: id, Class: "c", Session: fmt.Sprint("s", id), Prompt: prompt, MaxTokens: 100, TTL: 5 * time.Second}
+}
+
+// sent returns the only server that the actions send a request to.
+func sent(t *testing.T, actions []Action) string {
+	t.Helper()
+	to := ""
+	for _, a := range actions {
+		if s, ok := a.(Send); ok {
+			if to != "" {
+				t.Fatal("two sends at once")
+			}
+			to = s.Server
+		}
+	}
+	if to == "" {
+		t.Fatalf("nothing sent: %v", actions)
+	}
+	return to
+}
+
+func has[A Action](actions []Action) bool {
+	for _, a := range actions {
+		if _, ok := a.(A); ok {
+			return true
+		}
+	}
+	return false
+}
+
+func read(id RequestID, attempt int, at string, kept int) Outcome {
+	return Outcome{ID: id, Attempt: attempt, Server: at, Status: StatusRead, Latency: 20 * ms, Kept: kept}
+}
+
+// keep makes a reader known to hold tokens of a session.
+func keep(r *Router, at, session string, tokens int) {
+	r.workers[at].sessions[session] = held{tokens, r.now}
+}
