--- a/cmd/wellgw/serve.go
+++ b/cmd/wellgw/serve.go
@@ -17,7 +17,7 @@
 	"syscall"
 	"time"
 
-	"wellgw/decide/idem"
+	"wellgw/decide/deduplication"
 	"wellgw/internal/clientconn"
 	"wellgw/internal/config"
 	"wellgw/internal/core"
@@ -197,7 +197,7 @@
 		f = openai.NewFront(openai.Options{
 			Core: c, File: o, Bodies: b, Keys: keys, Held: int64(heldPart * float64(o.Limits.MemoryMB) * (1 << 20)),
 			Others: func() bool {
-				return idem.Others{
+				return deduplication.Others{
 					Sticky: o.Idempotency != nil && o.Idempotency.Sticky, Said: o.Gateways, Talk: o.Peers != nil, Shown: int(g.shared.Load()),
 				}.May()
 			},
--- a/decide/idem/ending.go
+++ b/decide/deduplication/ending.go
@@ -1,4 +1,4 @@
-package idem
+package deduplication
 
 // Ending is what is known of how a request that was run has ended.
 type Ending struct {
--- a/decide/idem/idem.go
+++ b/decide/deduplication/table.go
@@ -1,11 +1,11 @@
-// Package idem decides what becomes of a request that comes under an idempotency key
+// Package deduplication decides what becomes of a request that comes under an idempotency key
 // (IETF draft-ietf-httpapi-idempotency-key-header), so that an order which its client
 // sends again does not run again. It does no I/O and reads no clock.
 //
 // The one rule above all: a key under which something may have run is never run again
 // while it is remembered, and it is remembered for at least Limits.Least. Where there is
 // no room to remember one more, nothing is run.
-package idem
+package deduplication
 
 import (
 	"cmp"
--- a/decide/idem/idem_test.go
+++ b/decide/deduplication/table_test.go
@@ -1,4 +1,4 @@
-package idem
+package deduplication
 
 import (
 	"fmt"
--- a/internal/config/idempotency.go
+++ b/internal/config/idempotency.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"wellgw/decide/idem"
+	"wellgw/decide/deduplication"
 )
 
 // Idempotency says how keys are remembered under which clients ask for what must not run
@@ -22,9 +22,9 @@
 // answerPart is the most of the memory limit that kept answers take.
 const answerPart = 12
 
-// KeyLimits are what decide/idem is given.
-func (o *Operator) KeyLimits() idem.Limits {
-	l := idem.DefaultLimits()
+// KeyLimits are what decide/deduplication is given.
+func (o *Operator) KeyLimits() deduplication.Limits {
+	l := deduplication.DefaultLimits()
 	l.Bytes = min(l.Bytes, int64(o.Limits.MemoryMB)<<20/answerPart)
 	i := o.Idempotency
 	if i == nil {
--- a/internal/idempotency/keeper.go
+++ b/internal/idempotency/keeper.go
@@ -1,10 +1,10 @@
 // Package idempotency keeps the keys under which clients ask, over restarts as well. What
-// becomes of a request under a key is decided in decide/idem; this package holds the
+// becomes of a request under a key is decided in decide/deduplication; this package holds the
 // table for many goroutines and writes it to disk.
 //
 // The file is a bbolt database. Changes are written together every WriteEvery, in one
 // transaction, and the file says whether it was closed in good order: after a crash, what
-// the last moment began may be missing, and decide/idem doubts unseen keys for a while.
+// the last moment began may be missing, and decide/deduplication doubts unseen keys for a while.
 // Each record carries a checksum. A file that can't be read is set aside.
 package idempotency
 
@@ -25,7 +25,7 @@
 	"go.etcd.io/bbolt"
 	bolterrors "go.etcd.io/bbolt/errors"
 
-	"wellgw/decide/idem"
+	"wellgw/decide/deduplication"
 )
 
 // How often the file is written and old keys are looked for, and how long another
@@ -51,23 +51,23 @@
 // Keeper is a table for many goroutines.
 type Keeper struct {
 	log    *slog.Logger
-	limits idem.Limits
+	limits deduplication.Limits
 
 	mu      sync.Mutex
-	table   *idem.Table
-	changed map[idem.Key]*idem.Entry // to be written; nil = to be deleted
-	db      *bbolt.DB                // nil without a file
+	table   *deduplication.Table
+	changed map[deduplication.Key]*deduplication.Entry // to be written; nil = to be deleted
+	db      *bbolt.DB                                  // nil without a file
 }
 
 // Open returns a keeper with what the file at path holds; path may be empty. A file that
 // is damaged is set aside with a log line. An error tells of limits that can't be used, or
 // of a file that can't be opened at all.
-func Open(path string, l idem.Limits, log *slog.Logger) (*Keeper, error) {
-	table, err := idem.NewTable(l)
+func Open(path string, l deduplication.Limits, log *slog.Logger) (*Keeper, error) {
+	table, err := deduplication.NewTable(l)
 	if err != nil {
 		return nil, err
 	}
-	k := &Keeper{log: log, limits: l, table: table, changed: map[idem.Key]*idem.Entry{}}
+	k := &Keeper{log: log, limits: l, table: table, changed: map[deduplication.Key]*deduplication.Entry{}}
 	if path == "" {
 		table.Restore(time.Now(), nil, false) // an earlier run's keys are gone
 		return k, nil
@@ -96,7 +96,7 @@
 
 // load opens the file, reads it whole, and marks it as in use. Pages that are damaged may
 // be met as a panic or a fault in bbolt.
-func (k *Keeper) load(path string) (entries []idem.Entry, clean bool, err error) {
+func (k *Keeper) load(path string) (entries []deduplication.Entry, clean bool, err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	var db *bbolt.DB
 	defer func() {
@@ -158,7 +158,7 @@
 
 const sumSize = 8
 
-func read(raw []byte) (e idem.Entry, err error) {
+func read(raw []byte) (e deduplication.Entry, err error) {
 	if len(raw) < sumSize || binary.BigEndian.Uint64(raw) != xxhash.Sum64(raw[sumSize:]) {
 		return e, errors.New("its checksum is wrong")
 	}
@@ -166,7 +166,7 @@
 	return e, err
 }
 
-func written(e idem.Entry) ([]byte, error) {
+func written(e deduplication.Entry) ([]byte, error) {
 	body, err := jsoniter.Marshal(e)
 	if err != nil {
 		return nil, err
@@ -174,19 +174,19 @@
 	return append(binary.BigEndian.AppendUint64(nil, xxhash.Sum64(body)), body...), nil
 }
 
-func name(k idem.Key) []byte { return []byte(k.Team + "\x00" + k.Name) }
+func name(k deduplication.Key) []byte { return []byte(k.Team + "\x00" + k.Name) }
 
-// Begin decides on a request; see idem.Table. With idem.Run, End must follow.
-func (k *Keeper) Begin(a idem.Ask) (idem.Verdict, idem.Entry) {
+// Begin decides on a request; see deduplication.Table. With deduplication.Run, End must follow.
+func (k *Keeper) Begin(a deduplication.Ask) (deduplication.Verdict, deduplication.Entry) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	v, e := k.table.Begin(time.Now(), a)
-	k.note(e, v == idem.Run)
+	k.note(e, v == deduplication.Run)
 	return v, e
 }
 
 // End tells how a request that was run has ended.
-func (k *Keeper) End(key idem.Key, id string, how idem.Outcome, kind string, answer []byte) {
+func (k *Keeper) End(key deduplication.Key, id string, how deduplication.Outcome, kind string, answer []byte) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	e, kept := k.table.End(time.Now(), key, id, how, kind, answer)
@@ -194,14 +194,14 @@
 }
 
 // Spare takes it that a try under a key was turned away and did not run.
-func (k *Keeper) Spare(key idem.Key) {
+func (k *Keeper) Spare(key deduplication.Key) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.table.Spare(time.Now(), key)
 }
 
 // note has what has changed written. The lock is held.
-func (k *Keeper) note(e idem.Entry, changed bool) {
+func (k *Keeper) note(e deduplication.Entry, changed bool) {
 	dropped := k.table.Dropped()
 	if k.db == nil {
 		return
@@ -247,7 +247,7 @@
 		case <-expire.C:
 			k.mu.Lock()
 			k.table.Expire(time.Now())
-			k.note(idem.Entry{}, false)
+			k.note(deduplication.Entry{}, false)
 			k.mu.Unlock()
 		}
 	}
@@ -261,7 +261,7 @@
 		k.mu.Unlock()
 		return nil
 	}
-	k.changed = map[idem.Key]*idem.Entry{}
+	k.changed = map[deduplication.Key]*deduplication.Entry{}
 	k.mu.Unlock()
 	err := db.Update(func(tx *bbolt.Tx) error {
 		keys := tx.Bucket(bucketKeys)
--- a/internal/idempotency/keeper_test.go
+++ b/internal/idempotency/keeper_test.go
@@ -6,23 +6,23 @@
 	"path/filepath"
 	"testing"
 
-	"wellgw/decide/idem"
+	"wellgw/decide/deduplication"
 )
 
 func open(t *testing.T, path string) *Keeper {
 	t.Helper()
-	k, err := Open(path, idem.DefaultLimits(), slog.New(slog.DiscardHandler))
+	k, err := Open(path, deduplication.DefaultLimits(), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return k
 }
 
-func ask(name string) idem.Ask {
-	return idem.Ask{Key: idem.Key{Team: "a", Name: name}, Digest: "d", ID: "id" + name}
+func ask(name string) deduplication.Ask {
+	return deduplication.Ask{Key: deduplication.Key{Team: "a", Name: name}, Digest: "d", ID: "id" + name}
 }
 
-func begin(t *testing.T, k *Keeper, name string, want idem.Verdict) idem.Entry {
+func begin(t *testing.T, k *Keeper, name string, want deduplication.Verdict) deduplication.Entry {
 	t.Helper()
 	v, e := k.Begin(ask(name))
 	if v != want {
@@ -35,25 +35,25 @@
 	path := filepath.Join(t.TempDir(), "keys")
 	k := open(t, path)
 	for _, name := range []string{"whole", "broken", "refused", "running"} {
-		begin(t, k, name, idem.Run)
+		begin(t, k, name, deduplication.Run)
 	}
-	k.End(ask("whole").Key, "idwhole", idem.Whole, "text/event-stream", []byte("data: x\n\n"))
-	k.End(ask("broken").Key, "idbroken", idem.Broken, "", nil)
-	k.End(ask("refused").Key, "idrefused", idem.NotRun, "", nil)
+	k.End(ask("whole").Key, "idwhole", deduplication.Whole, "text/event-stream", []byte("data: x\n\n"))
+	k.End(ask("broken").Key, "idbroken", deduplication.Broken, "", nil)
+	k.End(ask("refused").Key, "idrefused", deduplication.NotRun, "", nil)
 	if err := k.Close(); err != nil {
 		t.Fatal(err)
 	}
 	k = open(t, path)
 	defer k.Close()
-	if e := begin(t, k, "whole", idem.Replay); string(e.Answer) != "data: x\n\n" || e.Type != "text/event-stream" || e.ID != "idwhole" {
+	if e := begin(t, k, "whole", deduplication.Replay); string(e.Answer) != "data: x\n\n" || e.Type != "text/event-stream" || e.ID != "idwhole" {
 		t.Errorf("%+v", e)
 	}
-	begin(t, k, "broken", idem.Lost)
-	begin(t, k, "running", idem.Lost)
-	begin(t, k, "refused", idem.Run)
+	begin(t, k, "broken", deduplication.Lost)
+	begin(t, k, "running", deduplication.Lost)
+	begin(t, k, "refused", deduplication.Run)
 	retry := ask("unseen")
 	retry.Retry = 1
-	if v, _ := k.Begin(retry); v != idem.Run {
+	if v, _ := k.Begin(retry); v != deduplication.Run {
 		t.Errorf("a retry after a restart in good order: %v", v)
 	}
 }
@@ -63,23 +63,23 @@
 func TestACrashIsNoticed(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "keys")
 	k := open(t, path)
-	begin(t, k, "written", idem.Run)
+	begin(t, k, "written", deduplication.Run)
 	if err := k.flush(false); err != nil {
 		t.Fatal(err)
 	}
-	begin(t, k, "lost", idem.Run)
+	begin(t, k, "lost", deduplication.Run)
 	if err := k.db.Close(); err != nil { // what a crash does to the lock on the file
 		t.Fatal(err)
 	}
 	k = open(t, path)
 	defer k.Close()
-	begin(t, k, "written", idem.Lost)
+	begin(t, k, "written", deduplication.Lost)
 	lost := ask("lost")
 	lost.Retry = 1
-	if v, _ := k.Begin(lost); v != idem.Lost {
+	if v, _ := k.Begin(lost); v != deduplication.Lost {
 		t.Errorf("%v", v)
 	}
-	begin(t, k, "new", idem.Run)
+	begin(t, k, "new", deduplication.Run)
 }
 
 func TestADamagedFileIsSetAside(t *testing.T) {
@@ -92,8 +92,8 @@
 		t.Run(name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "keys")
 			k := open(t, path)
-			begin(t, k, "one", idem.Run)
-			k.End(ask("one").Key, "idone", idem.Whole, "text/plain", []byte("an answer that is easily found"))
+			begin(t, k, "one", deduplication.Run)
+			k.End(ask("one").Key, "idone", deduplication.Whole, "text/plain", []byte("an answer that is easily found"))
 			if err := k.Close(); err != nil {
 				t.Fatal(err)
 			}
@@ -108,7 +108,7 @@
 			defer k.Close()
 			retry := ask("one")
 			retry.Retry = 1
-			if v, _ := k.Begin(retry); v != idem.Lost {
+			if v, _ := k.Begin(retry); v != deduplication.Lost {
 				t.Errorf("a retry after the file was lost: %v", v)
 			}
 			if aside, _ := filepath.Glob(path + ".damaged-*"); len(aside) != 1 {
--- a/internal/openai/call.go
+++ b/internal/openai/call.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"wellgw/decide/idem"
+	"wellgw/decide/deduplication"
 	"wellgw/decide/resume"
 	"wellgw/internal/config"
 	"wellgw/internal/core"
@@ -52,9 +52,9 @@
 	armed    time.Time // when the write deadline was set
 	resumed  int       // times that its answer has gone on at another engine
 
-	key     idem.Key
+	key     deduplication.Key
 	claimed bool
-	ending  idem.Ending
+	ending  deduplication.Ending
 	kept    []byte // of the answer as it went out
 	tooMuch bool   // more than is kept
 }
@@ -128,33 +128,33 @@
 	sum := sha256.New()
 	sum.Write([]byte(c.r.URL.Path + "\x00"))
 	sum.Write(body)
-	a := idem.Ask{Key: idem.Key{Team: c.team.Name, Name: name}, Digest: hex.EncodeToString(sum.Sum(nil)), ID: c.head.id}
+	a := deduplication.Ask{Key: deduplication.Key{Team: c.team.Name, Name: name}, Digest: hex.EncodeToString(sum.Sum(nil)), ID: c.head.id}
 	a.Retry, _ = strconv.Atoi(c.r.Header.Get(retryHeader))
 	a.Others = c.others != nil && c.others()
 	verdict, e := c.keys.Begin(a)
 	c.counts.keys[verdict].Add(1)
 	conflict := apiError{status: http.StatusConflict, kind: typeRequest, param: keyHeader}
 	switch verdict {
-	case idem.Run:
+	case deduplication.Run:
 		c.key, c.claimed = a.Key, true
 		return false
-	case idem.Replay:
+	case deduplication.Replay:
 		h := c.w.Header()
 		h.Set("Content-Type", e.Type)
 		h.Set(replayedHeader, "true")
 		h.Set("X-Request-Id", requestID(e.ID))
 		c.w.Write(e.Answer)
 		return true
-	case idem.UnderWay:
+	case deduplication.UnderWay:
 		conflict.code, conflict.retryAfter = codeUnderWay, keyPause
 		conflict.text = "a request under this key is under way"
-	case idem.NotKept:
+	case deduplication.NotKept:
 		conflict.code, conflict.final = codeNotKept, true
 		conflict.text = "a request under this key has been carried out; its answer was too large, or is too old, to be kept"
-	case idem.Reused:
+	case deduplication.Reused:
 		conflict.status, conflict.code, conflict.final = http.StatusUnprocessableEntity, codeReused, true
 		conflict.text = "this key was used for another request"
-	case idem.Lost:
+	case deduplication.Lost:
 		conflict.code, conflict.final = codeUnknown, true
 		conflict.text = "an earlier request under this key may have been carried out, or may not; it is not carried out again. Look before asking under another key"
 	default:
--- a/internal/openai/front.go
+++ b/internal/openai/front.go
@@ -14,7 +14,7 @@
 	"sync/atomic"
 	"time"
 
-	"wellgw/decide/idem"
+	"wellgw/decide/deduplication"
 	"wellgw/internal/clientconn"
 	"wellgw/internal/config"
 	"wellgw/internal/core"
@@ -194,7 +194,7 @@
 		return
 	case errors.Is(err, clientconn.ErrBusy):
 		if name := r.Header.Get(keyHeader); name != "" && len(name) <= maxKey && f.keys != nil {
-			f.keys.Spare(idem.Key{Team: team.Name, Name: name})
+			f.keys.Spare(deduplication.Key{Team: team.Name, Name: name})
 		}
 		refusal(core.Answer{Verdict: core.Refused, RetryAfter: busyPause}, false).send(w)
 		return
@@ -233,7 +233,7 @@
 	}
 	c := &call{
 		Front: f, w: w, r: r, out: http.NewResponseController(w), ask: a, head: h, once: once, contract: contract, team: team, arrived: arrived,
-		ending: idem.Ending{MayRun: true}, form: formOf(a, typed, h, contract),
+		ending: deduplication.Ending{MayRun: true}, form: formOf(a, typed, h, contract),
 	}
 	if once {
 		if answered := c.claim(raw); answered {
@@ -249,10 +249,10 @@
 	}
 	rates(w.Header(), answer)
 	if answer.Verdict != core.Serving {
-		c.ending = idem.Ending{
+		c.ending = deduplication.Ending{
 			Refused: answer.Verdict == core.Refused || answer.Verdict == core.Duplicate, Rejected: rejected(answer) != nil, MayRun: answer.MayRun,
 		}
-		refusal(answer, once && c.ending.Outcome() == idem.Broken).send(w)
+		refusal(answer, once && c.ending.Outcome() == deduplication.Broken).send(w)
 		return
 	}
 	c.serve(answer.Stream, ticket)
--- a/internal/openai/front_test.go
+++ b/internal/openai/front_test.go
@@ -16,7 +16,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"wellgw/decide/idem"
+	"wellgw/decide/deduplication"
 	"wellgw/internal/clientconn"
 	"wellgw/internal/config"
 	"wellgw/internal/core"
@@ -77,7 +77,7 @@
 	c = core.New(router, engine, nil, core.Figures{Slack: 50 * time.Millisecond, PinLimit: 500 * time.Millisecond, MaxSends: 4}, log, invariant.New())
 	go c.Run(t.Context())
 	c.Roster(routing.RosterFull, members)
-	keys, err := idempotency.Open("", idem.DefaultLimits(), log)
+	keys, err := idempotency.Open("", deduplication.DefaultLimits(), log)
 	if err != nil {
 		t.Fatal(err)
 	}
