--- a/decide/follow/pace.go
+++ b/decide/watch/pace.go
@@ -1,4 +1,4 @@
-package follow
+package watch
 
 import "time"
 
@@ -23,7 +23,7 @@
 	beatSpare   = 1.3 // of the span between lines, after which silence is a break
 )
 
-// PaceFor returns the pace for sends that must end so long after a drain was told (0: not
+// PaceFor returns the pace for sends that must end so long after a drain was announced (0: not
 // said), where a line comes every beat at least. With it a source that has come back, and
 // answers at once, is heard within nine tenths of the grace.
 func PaceFor(grace, beat time.Duration) Pace {
--- a/decide/follow/turns.go
+++ b/decide/watch/turns.go
@@ -1,4 +1,4 @@
-package follow
+package watch
 
 import (
 	"maps"
--- a/decide/follow/follow.go
+++ b/decide/watch/watch.go
@@ -1,8 +1,8 @@
-// Package follow decides how a catalogue is followed: what is asked next and for how
+// Package watch decides how a catalogue is followed: what is asked next and for how
 // long, what an answer or a failure is worth, which of several agents is asked, and
 // whether each service can have a query of its own. It does no I/O and reads no clock;
 // what an answer makes of the engines is decided in decide/roster.
-package follow
+package watch
 
 import (
 	"time"
--- a/internal/consul/client.go
+++ b/internal/consul/client.go
@@ -25,7 +25,7 @@
 	"sync"
 	"time"
 
-	"wellgw/decide/follow"
+	"wellgw/decide/watch"
 	"wellgw/internal/config"
 	"wellgw/internal/pause"
 )
@@ -104,7 +104,7 @@
 
 	mu      sync.Mutex
 	agents  map[string]*agent
-	choice  *follow.Agents
+	choice  *watch.Agents
 	back    chan struct{} // closed when an agent has come back
 	token   string
 	tokenAt time.Time // the file's time as it was read
@@ -129,7 +129,7 @@
 		}
 	}
 	c.http, c.beats = &http.Client{Transport: data}, &http.Client{Transport: beat}
-	c.agents, c.choice = map[string]*agent{}, follow.NewAgents(cfg.Agents())
+	c.agents, c.choice = map[string]*agent{}, watch.NewAgents(cfg.Agents())
 	for _, addr := range cfg.Agents() {
 		a := &agent{addr: addr}
 		a.epoch, a.end = context.WithCancel(context.Background())
--- a/internal/consul/follow.go
+++ b/internal/consul/follow.go
@@ -13,8 +13,8 @@
 	"github.com/cespare/xxhash/v2"
 	jsoniter "github.com/json-iterator/go"
 
-	"wellgw/decide/follow"
 	"wellgw/decide/roster"
+	"wellgw/decide/watch"
 	"wellgw/internal/config"
 	"wellgw/internal/directory"
 	"wellgw/internal/pause"
@@ -44,28 +44,28 @@
 
 	mu     sync.Mutex
 	stats  Stats
-	turns  *follow.Turns
+	turns  *watch.Turns
 	turned chan struct{} // closed when the way of asking changes
-	marked *follow.Marks
+	marked *watch.Marks
 	wake   map[string]chan struct{} // by service
 }
 
 // subject is one thing that is asked about again and again.
 type subject struct {
-	*follow.Subject
+	*watch.Subject
 	path   string
 	params url.Values
 	retry  backoff.BackOff
 }
 
 func (f *follower) subject(path string, params url.Values) *subject {
-	l := follow.DefaultLimits()
+	l := watch.DefaultLimits()
 	l.Wait, l.MaxAge = f.cfg.Wait(), f.policy.MaxAge
 	b := backoff.NewExponentialBackOff()
 	b.MaxInterval = l.RetryMost
 	b.InitialInterval = l.PauseLeast
 	b.Reset()
-	return &subject{Subject: follow.NewSubject(l), path: path, params: params, retry: b}
+	return &subject{Subject: watch.NewSubject(l), path: path, params: params, retry: b}
 }
 
 // ask makes one query. Those in turn take a slot: only so many are open at once.
@@ -93,21 +93,21 @@
 }
 
 // failureOf reads an error, and the wait that the agent asked for.
-func failureOf(err error) (follow.Failure, time.Duration) {
+func failureOf(err error) (watch.Failure, time.Duration) {
 	var status *StatusError
 	switch {
 	case errors.Is(err, errNone):
-		return follow.NoAgent, 0
+		return watch.NoAgent, 0
 	case errors.Is(err, errHung):
-		return follow.Hung, 0
+		return watch.Hung, 0
 	case errors.Is(err, errNoList), errors.Is(err, errBig), errors.Is(err, errIndex):
-		return follow.Nonsense, 0
+		return watch.Nonsense, 0
 	case errors.As(err, &status) && status.noLeader():
-		return follow.Leaderless, status.RetryAfter
+		return watch.Leaderless, status.RetryAfter
 	case errors.As(err, &status):
-		return follow.Denied, status.RetryAfter
+		return watch.Denied, status.RetryAfter
 	}
-	return follow.Broken, 0
+	return watch.Broken, 0
 }
 
 // fail notes that a query failed, and waits as long as is due.
@@ -138,7 +138,7 @@
 		}
 		a, err := f.ask(ctx, s, next != nil)
 		begun := time.Now()
-		answer := follow.Answer{Index: a.Index, Sum: xxhash.Sum64(a.Body), Leader: a.KnownLeader, Age: a.LastContact}
+		answer := watch.Answer{Index: a.Index, Sum: xxhash.Sum64(a.Body), Leader: a.KnownLeader, Age: a.LastContact}
 		news := false
 		if err == nil {
 			news = s.Answered(answer) || !same()
@@ -406,9 +406,9 @@
 	if err := jsoniter.Unmarshal(a.Body, &list); err != nil {
 		return fmt.Errorf("critical checks: %w: %w", errNoList, err)
 	}
-	failing := make([]follow.Check, len(list))
+	failing := make([]watch.Check, len(list))
 	for i, c := range list {
-		failing[i] = follow.Check{Node: c.Node, CheckID: c.CheckID, ServiceID: c.ServiceID, Service: c.ServiceName}
+		failing[i] = watch.Check{Node: c.Node, CheckID: c.CheckID, ServiceID: c.ServiceID, Service: c.ServiceName}
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/platform/pauses_test.go
+++ b/internal/platform/pauses_test.go
@@ -4,14 +4,14 @@
 	"testing"
 	"time"
 
-	"wellgw/decide/follow"
+	"wellgw/decide/watch"
 )
 
 // Gateways refused by discovery together must not call again together: the pauses
 // of a fleet spread out and keep their bounds.
 func TestWatchPausesOfAFleetAreNotInStep(t *testing.T) {
 	last := map[time.Duration]bool{}
-	pace := follow.PaceFor(2*time.Second, watchBeat)
+	pace := watch.PaceFor(2*time.Second, watchBeat)
 	for range 80 {
 		b := pauses(pace)
 		for n, mean := 0, pace.First; n < 8; n, mean = n+1, min(2*mean, pace.Most) {
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -14,7 +14,7 @@
 	"github.com/cenkalti/backoff/v5"
 	jsoniter "github.com/json-iterator/go"
 
-	"wellgw/decide/follow"
+	"wellgw/decide/watch"
 	"wellgw/internal/config"
 	"wellgw/internal/core"
 	"wellgw/routing"
@@ -28,7 +28,7 @@
 	keepLeft  = 256 // engines that have left are remembered; more would grow with the days
 )
 
-// Roster holds what discovery has told. It guards the drain rule: an engine that
+// Roster holds what discovery has announced. It guards the drain rule: an engine that
 // is leaving or gone stays so, whatever older news comes after.
 type Roster struct {
 	revision  int64
@@ -131,7 +131,7 @@
 	roster *Roster
 	wake   chan struct{} // a Subscribe; nil where changes come by themselves
 	moved  chan struct{} // the address has changed
-	pace   follow.Pace
+	pace   watch.Pace
 	client *http.Client
 
 	mu    sync.Mutex
@@ -140,10 +140,10 @@
 }
 
 // NewWatch returns a watch on discovery's address. If asked is true it begins
-// only with the first Subscribe. Sends must end so long after a drain was told as grace
-// says, and what a discovery that was away has to tell counts as told from when it is back.
+// only with the first Subscribe. Sends must end so long after a drain was announced as grace
+// says, and what a discovery that was away has to announce counts as announced from when it is back.
 func NewWatch(addr string, asked bool, grace time.Duration, tell func(routing.RosterScope, []core.Member), log *slog.Logger) *Watch {
-	w := &Watch{addr: addr, tell: tell, log: log, roster: NewRoster(), moved: make(chan struct{}, 1), pace: follow.PaceFor(grace, watchBeat)}
+	w := &Watch{addr: addr, tell: tell, log: log, roster: NewRoster(), moved: make(chan struct{}, 1), pace: watch.PaceFor(grace, watchBeat)}
 	if asked {
 		w.wake = make(chan struct{}, 1)
 		w.pace.Answer = askWait
@@ -182,7 +182,7 @@
 // random about their mean. A fleet of gateways started or refused together must
 // not call again together: in step, their calls would keep an overbooked discovery
 // overbooked, and fixed pauses of a second did exactly that.
-func pauses(p follow.Pace) *backoff.ExponentialBackOff {
+func pauses(p watch.Pace) *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
 	b.InitialInterval, b.MaxInterval, b.RandomizationFactor = p.First, p.Most, p.Spread
 	b.Multiplier = 2
