--- a/cmd/wellgw/harness_test.go
+++ b/cmd/wellgw/harness_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"wellgw/internal/playback"
+	"wellgw/internal/enginetest"
 )
 
 func program(t *testing.T, env []string, args ...string) *exec.Cmd {
@@ -61,7 +61,7 @@
 // healthy waits until the program can serve.
 func healthy(t *testing.T, url string) {
 	t.Helper()
-	playback.Eventually(t, "healthy", func() bool {
+	enginetest.Eventually(t, "healthy", func() bool {
 		resp, err := http.Get(url + "/healthz")
 		if err != nil {
 			return false
@@ -85,8 +85,8 @@
 }
 
 // until answers a release at once and anything else by script.
-func until(script func() string) func(playback.Call) string {
-	return func(c playback.Call) string {
+func until(script func() string) func(enginetest.Call) string {
+	return func(c enginetest.Call) string {
 		if c.Method == http.MethodDelete {
 			return "HTTP/1.1 204 No Content\r\n\r\n"
 		}
@@ -94,7 +94,7 @@
 	}
 }
 
-func read() string { return playback.Status(202, "", `{"cached_tokens":0}`) }
+func read() string { return enginetest.Status(202, "", `{"cached_tokens":0}`) }
 
 func file(t *testing.T, text string) string {
 	path := filepath.Join(t.TempDir(), "config.json")
--- a/cmd/wellgw/held_test.go
+++ b/cmd/wellgw/held_test.go
@@ -12,12 +12,12 @@
 	"syscall"
 	"testing"
 
-	"wellgw/internal/playback"
+	"wellgw/internal/enginetest"
 	"wellgw/lab/faultnet"
 )
 
 // releases counts, by request, how often engines were told to release what they hold for it.
-func releases(engines ...*playback.Engine) map[string]int {
+func releases(engines ...*enginetest.Engine) map[string]int {
 	ids := map[string]int{}
 	for _, e := range engines {
 		for _, call := range e.Calls(http.MethodDelete) {
@@ -28,7 +28,7 @@
 }
 
 // released returns the requests that engines were told to release.
-func released(engines ...*playback.Engine) map[string]bool {
+func released(engines ...*enginetest.Engine) map[string]bool {
 	ids := map[string]bool{}
 	for id := range releases(engines...) {
 		ids[id] = true
@@ -41,8 +41,8 @@
 type holders struct {
 	t       *testing.T
 	fabric  *faultnet.Net
-	reader  *playback.Engine
-	writers [2]*playback.Engine
+	reader  *enginetest.Engine
+	writers [2]*enginetest.Engine
 	urls    []string
 	configs []string
 	cmds    []*exec.Cmd
@@ -54,11 +54,11 @@
 
 // newHolders starts them before a reader that answers by a script.
 func newHolders(t *testing.T, reader func() string) *holders {
-	h := &holders{t: t, fabric: faultnet.New(1), reader: playback.NewEngine(t, until(reader))}
+	h := &holders{t: t, fabric: faultnet.New(1), reader: enginetest.NewEngine(t, until(reader))}
 	t.Cleanup(h.fabric.Close)
 	h.fabric.Listens("r", h.reader.Addr)
 	for i := range h.writers {
-		h.writers[i] = playback.NewEngine(t, until(func() string { return playback.Hang }))
+		h.writers[i] = enginetest.NewEngine(t, until(func() string { return enginetest.Hang }))
 		h.fabric.Listens(fmt.Sprint("w", i), h.writers[i].Addr)
 	}
 	for g := range 3 {
@@ -119,8 +119,8 @@
 }
 
 // untilOut waits until every order of every gateway has been sent to one of some engines.
-func (h *holders) untilOut(what string, engines ...*playback.Engine) {
-	playback.Eventually(h.t, what, func() bool {
+func (h *holders) untilOut(what string, engines ...*enginetest.Engine) {
+	enginetest.Eventually(h.t, what, func() bool {
 		out := map[string]bool{}
 		for _, e := range engines {
 			for _, call := range e.Calls(http.MethodPost) {
@@ -157,8 +157,8 @@
 	h.signal(1, syscall.SIGTERM)
 	h.leave[0]()
 	h.leave[2]()
-	playback.Eventually(t, "behind the cut another engine is told", func() bool { return h.all(0, released(h.writers[:]...)) })
-	playback.Eventually(t, "the reader is told", func() bool { return h.all(2, released(h.reader)) })
+	enginetest.Eventually(t, "behind the cut another engine is told", func() bool { return h.all(0, released(h.writers[:]...)) })
+	enginetest.Eventually(t, "the reader is told", func() bool { return h.all(2, released(h.reader)) })
 	if err := h.cmds[1].Wait(); err != nil {
 		t.Errorf("the gateway that was told to end: %v", err)
 	}
@@ -169,7 +169,7 @@
 		t.Error("the reader was told through the cut: the test shows nothing")
 	}
 	h.cut("g0", false, "r")
-	playback.Eventually(t, "the reader is told once the cut has healed", func() bool { return h.all(0, released(h.reader)) })
+	enginetest.Eventually(t, "the reader is told once the cut has healed", func() bool { return h.all(0, released(h.reader)) })
 	h.leave[1]()
 	h.clients.Wait()
 }
@@ -197,7 +197,7 @@
 	}
 	h.clients.Wait()
 	for _, gateway := range []int{1, 2} {
-		playback.Eventually(t, "the holder is told", func() bool { return h.all(gateway, released(h.reader)) })
+		enginetest.Eventually(t, "the holder is told", func() bool { return h.all(gateway, released(h.reader)) })
 	}
 	for id := range released(h.reader, h.writers[0], h.writers[1]) {
 		if strings.HasPrefix(id, "g0") {
@@ -205,7 +205,7 @@
 		}
 	}
 	h.cut("g0", false, "r", "w0", "w1")
-	playback.Eventually(t, "the holder is told once the cut has healed", func() bool { return h.all(0, released(h.reader)) })
+	enginetest.Eventually(t, "the holder is told once the cut has healed", func() bool { return h.all(0, released(h.reader)) })
 }
 
 // The clients of three gateways leave while their prompts are read at an engine that goes on
@@ -238,7 +238,7 @@
 // untilReleased waits until the holder has been told so many times more of every order.
 func (h *holders) untilReleased(more int) {
 	before := releases(h.reader)
-	playback.Eventually(h.t, fmt.Sprint("releases of every order: ", more), func() bool {
+	enginetest.Eventually(h.t, fmt.Sprint("releases of every order: ", more), func() bool {
 		now := releases(h.reader)
 		for gateway := range h.urls {
 			for n := range ordersEach {
--- a/cmd/wellgw/main_test.go
+++ b/cmd/wellgw/main_test.go
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"wellgw/internal/playback"
+	"wellgw/internal/enginetest"
 	"wellgw/standin/consul"
 )
 
@@ -38,11 +38,11 @@
 // finishes what it has taken, on a connection that it ends, then exits with 0.
 func TestPlatformFromStartToLeave(t *testing.T) {
 	asked, answer := make(chan bool, 1), make(chan bool)
-	reader := playback.NewEngine(t, until(read))
-	writer := playback.NewEngine(t, until(func() string {
+	reader := enginetest.NewEngine(t, until(read))
+	writer := enginetest.NewEngine(t, until(func() string {
 		asked <- true
 		<-answer
-		return playback.Stream(3, 0)
+		return enginetest.Stream(3, 0)
 	}))
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprintf(w, `{"revision":2,"complete":true,"members":[{"id":"r1","host_port":%q,"locality":"a","flavor":"r","phase":"active","size":1},{"id":"w1","host_port":%q,"locality":"a","flavor":"w","phase":"active","size":1}]}`+"\n", reader.Addr, writer.Addr)
@@ -76,7 +76,7 @@
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	playback.Eventually(t, "unhealthy, or no longer listening", func() bool {
+	enginetest.Eventually(t, "unhealthy, or no longer listening", func() bool {
 		resp, err := http.Get(url + "/healthz")
 		if err != nil {
 			return true
@@ -96,9 +96,9 @@
 // Streams that outlast the time before SIGKILL are cut off in good order where
 // clients ask for the rest, so that their states are let go.
 func TestLeavingEndsWhatOutlastsIt(t *testing.T) {
-	reader := playback.NewEngine(t, until(read))
-	writer := playback.NewEngine(t, until(func() string {
-		return playback.StreamHead + playback.Chunk("data: x\n\n") + playback.Hang
+	reader := enginetest.NewEngine(t, until(read))
+	writer := enginetest.NewEngine(t, until(func() string {
+		return enginetest.StreamHead + enginetest.Chunk("data: x\n\n") + enginetest.Hang
 	}))
 	config := file(t, fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":%s,
 		"known":{"revision":1,"complete":true,"members":[
@@ -138,7 +138,7 @@
 
 // The chat API that an operator's file sets up answers over sockets.
 func TestOperatorsChatAPI(t *testing.T) {
-	engine := playback.NewEngine(t, func(playback.Call) string { return playback.Stream(3, 0) })
+	engine := enginetest.NewEngine(t, func(enginetest.Call) string { return enginetest.Stream(3, 0) })
 	host, port, err := net.SplitHostPort(engine.Addr)
 	if err != nil {
 		t.Fatal(err)
@@ -208,7 +208,7 @@
 	path := file(t, strings.Replace(text, "127.0.0.1:8080", "127.0.0.1:0", 1))
 	cmd, _, at := servingWith(t, nil, "serve", "--operator", path)
 	var out string
-	playback.Eventually(t, "both engines are shown", func() bool {
+	enginetest.Eventually(t, "both engines are shown", func() bool {
 		b, _ := program(t, nil, "engines", "--admin", at).CombinedOutput()
 		out = string(b)
 		return strings.Contains(out, "critical by service llm") && strings.Contains(out, "1 of 2 engines take new work; 1 gateways share them")
@@ -231,7 +231,7 @@
 // Without Consul the engines of the file are shown the same way, metrics told, and a
 // request and its attempts written as one trace.
 func TestOperatorsListenerWithoutConsul(t *testing.T) {
-	engine := playback.NewEngine(t, func(playback.Call) string { return playback.Stream(3, 0) })
+	engine := enginetest.NewEngine(t, func(enginetest.Call) string { return enginetest.Stream(3, 0) })
 	raw, err := os.ReadFile("../../deploy/operator.json")
 	if err != nil {
 		t.Fatal(err)
@@ -321,7 +321,7 @@
 	cmd, control, handed := onSocket(t, env, socket)
 	url := "http://" + clients.Addr().String()
 	healthy(t, url)
-	playback.Eventually(t, "status is yes", func() bool { return dial(t, control, "status") == "YES" })
+	enginetest.Eventually(t, "status is yes", func() bool { return dial(t, control, "status") == "YES" })
 	idle, err := net.Dial("tcp4", clients.Addr().String()) // kept idle from before the drain
 	if err != nil {
 		t.Fatal(err)
@@ -365,7 +365,7 @@
 	// and leaves in good order; the new one serves on.
 	next, nextControl, _ := onSocket(t, env, socket)
 	socket.Close()
-	playback.Eventually(t, "the new version is ready", func() bool { return dial(t, nextControl, "status") == "YES" })
+	enginetest.Eventually(t, "the new version is ready", func() bool { return dial(t, nextControl, "status") == "YES" })
 	select {
 	case <-handed:
 	case <-time.After(20 * time.Second): // a bound for a broken test only
--- a/cmd/wellgw/moments_test.go
+++ b/cmd/wellgw/moments_test.go
@@ -16,12 +16,12 @@
 	"testing"
 	"time"
 
-	"wellgw/internal/playback"
+	"wellgw/internal/enginetest"
 	"wellgw/lab/faultnet"
 )
 
 // platformFile is a gateway's object with one reader and one writer as last known.
-func platformFile(t *testing.T, name, discovery, settings string, reader, writer *playback.Engine) string {
+func platformFile(t *testing.T, name, discovery, settings string, reader, writer *enginetest.Engine) string {
 	return file(t, fmt.Sprintf(`{"name":%q,"listen":"127.0.0.1:0","discovery":%q,"settings":%s,
 		"known":{"revision":1,"complete":true,"members":[
 			{"id":"r1","host_port":%q,"locality":"a","flavor":"r","phase":"active"},
@@ -32,8 +32,8 @@
 // A process that starts is ready by the list as last held, whatever discovery does, and
 // serves: none that is up serves nobody.
 func TestReadyWhateverDiscoveryDoes(t *testing.T) {
-	reader := playback.NewEngine(t, until(read))
-	writer := playback.NewEngine(t, until(func() string { return playback.Stream(2, 0) }))
+	reader := enginetest.NewEngine(t, until(read))
+	writer := enginetest.NewEngine(t, until(func() string { return enginetest.Stream(2, 0) }))
 	held := make(chan struct{})
 	server := func(h http.HandlerFunc) string {
 		s := httptest.NewServer(h)
@@ -78,7 +78,7 @@
 }
 
 // ranOnce tells which orders an engine got twice.
-func ranOnce(t *testing.T, writer *playback.Engine) {
+func ranOnce(t *testing.T, writer *enginetest.Engine) {
 	t.Helper()
 	ran := map[string]int{}
 	for _, call := range writer.Calls(http.MethodPost) {
@@ -92,19 +92,19 @@
 // order gets one final answer, none runs twice, the other gateway's are all served, and
 // once the cut has healed every state that was read and not fetched is let go.
 func TestACutBetweenOneGatewayAndItsEngines(t *testing.T) {
-	reader := playback.NewEngine(t, until(read))
-	writer := playback.NewEngine(t, until(func() string { return playback.Stream(3, 0) }))
+	reader := enginetest.NewEngine(t, until(read))
+	writer := enginetest.NewEngine(t, until(func() string { return enginetest.Stream(3, 0) }))
 	fabric := faultnet.New(1)
 	t.Cleanup(fabric.Close)
 	fabric.Listens("r", reader.Addr)
 	fabric.Listens("w", writer.Addr)
 	set := strings.NewReplacer(`"balancers":1`, `"balancers":2`, `"hard_limit":60000000`, `"hard_limit":4000000`, `"aim":10000000`, `"aim":3000000`).Replace(settings)
-	way := func(from, to string) *playback.Engine {
+	way := func(from, to string) *enginetest.Engine {
 		addr, err := fabric.Dial(from, to)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return &playback.Engine{Addr: addr}
+		return &enginetest.Engine{Addr: addr}
 	}
 	clients := [2]*rollers{{t: t, wait: 4 * time.Second, cut: true}, {t: t, wait: 4 * time.Second}}
 	stop := make(chan struct{})
@@ -121,7 +121,7 @@
 	more := func(c *rollers, what string) {
 		t.Helper()
 		seen := c.served.Load()
-		playback.Eventually(t, what, func() bool { return c.served.Load() > seen+20 })
+		enginetest.Eventually(t, what, func() bool { return c.served.Load() > seen+20 })
 	}
 	rule := func(r faultnet.Rule) {
 		for _, engine := range []string{"r", "w"} {
@@ -133,7 +133,7 @@
 	rule(faultnet.Rule{Cut: true})
 	ended := func(c *rollers) int64 { return c.failed.Load() + c.refused.Load() }
 	before := ended(clients[0])
-	playback.Eventually(t, "one behind the cut has its answer", func() bool { return ended(clients[0]) > before })
+	enginetest.Eventually(t, "one behind the cut has its answer", func() bool { return ended(clients[0]) > before })
 	more(clients[1], "the other gateway serves")
 	rule(faultnet.Rule{})
 	more(clients[0], "served again")
@@ -148,7 +148,7 @@
 		_, two := clients[1].whole.Load(id)
 		return one || two
 	}
-	playback.Eventually(t, "all that was read is fetched or let go", func() bool {
+	enginetest.Eventually(t, "all that was read is fetched or let go", func() bool {
 		gone := map[string]bool{}
 		for _, call := range reader.Calls(http.MethodDelete) {
 			gone[path.Base(call.Path)] = true
@@ -167,8 +167,8 @@
 // engine begins to drain meanwhile: each opens a new watch from what it knows, learns of the
 // drain, and sends nothing there any more.
 func TestAListGoneQuietAtThreeGateways(t *testing.T) {
-	gone, stays := playback.NewEngine(t, until(read)), playback.NewEngine(t, until(read))
-	writer := playback.NewEngine(t, until(func() string { return playback.Stream(2, 0) }))
+	gone, stays := enginetest.NewEngine(t, until(read)), enginetest.NewEngine(t, until(read))
+	writer := enginetest.NewEngine(t, until(func() string { return enginetest.Stream(2, 0) }))
 	list := func(revision int, phase string) string {
 		return fmt.Sprintf(`{"revision":%d,"complete":true,"members":[{"id":"r1","host_port":%q,"locality":"a","flavor":"r","phase":%q},
 			{"id":"r2","host_port":%q,"locality":"a","flavor":"r","phase":"active"},{"id":"w1","host_port":%q,"locality":"a","flavor":"w","phase":"active"}]}`+"\n",
@@ -211,15 +211,15 @@
 			t.Fatalf("status %d, %v", resp.StatusCode, err)
 		}
 	}
-	playback.Eventually(t, "both readers are used", func() bool {
+	enginetest.Eventually(t, "both readers are used", func() bool {
 		for _, url := range urls {
 			ask(url)
 		}
 		return len(gone.Calls(http.MethodPost)) > 0 && len(stays.Calls(http.MethodPost)) > 0
 	})
-	playback.Eventually(t, "each gateway has opened a watch anew", func() bool { return anew.Load() >= 3 })
+	enginetest.Eventually(t, "each gateway has opened a watch anew", func() bool { return anew.Load() >= 3 })
 	for _, url := range urls {
-		playback.Eventually(t, "one goes elsewhere ten times on end", func() bool {
+		enginetest.Eventually(t, "one goes elsewhere ten times on end", func() bool {
 			before := len(gone.Calls(http.MethodPost))
 			for range 10 {
 				ask(url)
@@ -243,8 +243,8 @@
 // to be let go, and for the watch that is opened anew.
 func TestIdleClientsLeaveRoomForWhatMatters(t *testing.T) {
 	const files = 96
-	reader := playback.NewEngine(t, until(read))
-	writer := playback.NewEngine(t, until(func() string { return playback.Status(500, "", "") })) // so that the state has to be let go
+	reader := enginetest.NewEngine(t, until(read))
+	writer := enginetest.NewEngine(t, until(func() string { return enginetest.Status(500, "", "") })) // so that the state has to be let go
 	var back atomic.Bool
 	var watches atomic.Int64
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -299,11 +299,11 @@
 			}
 		})
 	}
-	playback.Eventually(t, "they have taken all", func() bool { return rested.Load() > 2*files })
+	enginetest.Eventually(t, "they have taken all", func() bool { return rested.Load() > 2*files })
 	back.Store(true)
-	playback.Eventually(t, "a watch is opened anew", func() bool { return watches.Load() > 0 })
+	enginetest.Eventually(t, "a watch is opened anew", func() bool { return watches.Load() > 0 })
 	answered := 0
-	playback.Eventually(t, "ten requests are answered beside them", func() bool {
+	enginetest.Eventually(t, "ten requests are answered beside them", func() bool {
 		req := post(t, url)
 		req.Header.Set("X-Request-Id", fmt.Sprint("q", answered))
 		req.Close = true
@@ -313,7 +313,7 @@
 		}
 		return answered >= 10
 	})
-	playback.Eventually(t, "what was read for them is let go", func() bool {
+	enginetest.Eventually(t, "what was read for them is let go", func() bool {
 		gone := map[string]bool{}
 		for _, call := range reader.Calls(http.MethodDelete) {
 			gone[path.Base(call.Path)] = true
--- a/cmd/wellgw/reload_test.go
+++ b/cmd/wellgw/reload_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"wellgw/internal/playback"
+	"wellgw/internal/enginetest"
 )
 
 // SIGHUP moves the watch to the address that the file now names and keeps what is
@@ -94,7 +94,7 @@
 			t.Fatal(err)
 		}
 		cmd.Process.Signal(syscall.SIGHUP)
-		playback.Eventually(t, "models for "+c.key, func() bool { return strings.Contains(models(c.key), c.want) })
+		enginetest.Eventually(t, "models for "+c.key, func() bool { return strings.Contains(models(c.key), c.want) })
 	}
 	cmd.Process.Signal(syscall.SIGTERM)
 	if err := cmd.Wait(); err != nil {
--- a/cmd/wellgw/roll_test.go
+++ b/cmd/wellgw/roll_test.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"wellgw/internal/config"
-	"wellgw/internal/playback"
+	"wellgw/internal/enginetest"
 )
 
 // rollers are the clients of a roll. Each keeps a connection for as long as its gateway
@@ -105,11 +105,11 @@
 // Where streams go on to the kill, a request whose engine never answers still has its answer
 // before it, and the gateway ends by itself.
 func TestWhatTheKillWouldFindUnansweredIsAnswered(t *testing.T) {
-	reader := playback.NewEngine(t, until(read))
+	reader := enginetest.NewEngine(t, until(read))
 	out := make(chan bool, 1)
-	writer := playback.NewEngine(t, until(func() string {
+	writer := enginetest.NewEngine(t, until(func() string {
 		out <- true
-		return playback.Hang
+		return enginetest.Hang
 	}))
 	cmd, url := serving(t, []string{"EDGE_CONFIG=" + platformFile(t, "n1", "127.0.0.1:1", settings, reader, writer)}, "serve")
 	healthy(t, url)
@@ -139,8 +139,8 @@
 func TestARollLosesNoRequest(t *testing.T) {
 	for _, resume := range []string{"false", "true"} {
 		t.Run("resume "+resume, func(t *testing.T) {
-			reader := playback.NewEngine(t, until(read))
-			writer := playback.NewEngine(t, until(func() string { return playback.Stream(3, 0) }))
+			reader := enginetest.NewEngine(t, until(read))
+			writer := enginetest.NewEngine(t, until(func() string { return enginetest.Stream(3, 0) }))
 			set := strings.NewReplacer(`"balancers":1`, `"balancers":3`, `"hard_limit":60000000`, `"hard_limit":2000000`, `"aim":10000000`, `"aim":1500000`,
 				`"pin_limit"`, `"resume":`+resume+`,"pin_limit"`).Replace(settings)
 			clients := &rollers{t: t, wait: 2 * time.Second}
@@ -161,7 +161,7 @@
 			}
 			for n, cmd := range programs {
 				seen := clients.served.Load()
-				playback.Eventually(t, "requests are under way", func() bool { return clients.served.Load() > seen+20 })
+				enginetest.Eventually(t, "requests are under way", func() bool { return clients.served.Load() > seen+20 })
 				if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 					t.Fatal(err)
 				}
--- a/cmd/wellgw/tier_test.go
+++ b/cmd/wellgw/tier_test.go
@@ -17,8 +17,8 @@
 	"time"
 
 	"wellgw/decide/membership"
+	"wellgw/internal/enginetest"
 	"wellgw/internal/peers"
-	"wellgw/internal/playback"
 	"wellgw/lab/faultnet"
 )
 
@@ -36,7 +36,7 @@
 
 	c.stop(syscall.SIGSTOP)
 	for _, m := range []*member{a, b} {
-		playback.Eventually(t, m.name+" sees the silent one dead", func() bool { return m.holds(t, "c", membership.Dead) })
+		enginetest.Eventually(t, m.name+" sees the silent one dead", func() bool { return m.holds(t, "c", membership.Dead) })
 	}
 	w.eventually("one that just died still counts, and two of three are a majority", []string{"a", "b"}, func(s peers.Status) bool {
 		return s.View.Sharing == 3 && !s.View.Minority
@@ -135,13 +135,13 @@
 				continue
 			}
 			w.net.Set(from, to, faultnet.Rule{Cut: true})
-			playback.Eventually(t, fmt.Sprintf("%s knows that only others reach %s", from, to), func() bool {
+			enginetest.Eventually(t, fmt.Sprintf("%s knows that only others reach %s", from, to), func() bool {
 				g, known := w.gates[from].of(t, to)
 				return known && g.OneWay && g.Status < membership.Dead
 			})
 			w.net.Set(from, to, faultnet.Rule{})
 			w.agree("after the cut")
-			playback.Eventually(t, "it is direct again", func() bool { g, known := w.gates[from].of(t, to); return known && !g.OneWay })
+			enginetest.Eventually(t, "it is direct again", func() bool { g, known := w.gates[from].of(t, to); return known && !g.OneWay })
 		}
 	}
 }
@@ -221,9 +221,9 @@
 	former := w.gates["c"]
 	w.relay("c again")
 	later := w.start("c again", "c", nil)
-	playback.Eventually(t, "the former one is silenced", func() bool { return former.status(t).View.Silenced })
+	enginetest.Eventually(t, "the former one is silenced", func() bool { return former.status(t).View.Silenced })
 	for _, name := range []string{"a", "b"} {
-		playback.Eventually(t, name+" holds the later one for c", func() bool {
+		enginetest.Eventually(t, name+" holds the later one for c", func() bool {
 			g, known := w.gates[name].of(t, "c")
 			return known && g.Status == membership.Alive && g.Addr == w.at["c again"]
 		})
@@ -272,7 +272,7 @@
 	}
 	w.eventually("all are there", w.names, func(s peers.Status) bool { return there(s.View) == many+2 })
 	for _, p := range storm {
-		playback.Eventually(t, "each of them knows all", func() bool { return there(p.Status().View) == many+2 })
+		enginetest.Eventually(t, "each of them knows all", func() bool { return there(p.Status().View) == many+2 })
 	}
 	for _, p := range storm {
 		p.Leave() // as on SIGTERM, some time before the end
@@ -350,7 +350,7 @@
 			good = append(good, bytes.Clone(b))
 		}
 	})
-	playback.Eventually(t, "some are overheard", func() bool { mu.Lock(); defer mu.Unlock(); return len(good) == 64 })
+	enginetest.Eventually(t, "some are overheard", func() bool { mu.Lock(); defer mu.Unlock(); return len(good) == 64 })
 	conn, err := net.Dial("udp4", w.gates["a"].status(t).Listen)
 	if err != nil {
 		t.Fatal(err)
@@ -411,7 +411,7 @@
 		}
 		kill = sync.OnceFunc(func() { _ = cmd.Process.Kill(); _ = cmd.Wait(); log.Close() })
 		t.Cleanup(kill)
-		playback.Eventually(t, name+" serves", func() bool { return said(`"message":"serving"`) })
+		enginetest.Eventually(t, name+" serves", func() bool { return said(`"message":"serving"`) })
 		if text, _ := os.ReadFile(log.Name()); said(`"message":"peers"`) {
 			listen := regexp.MustCompile(`"listen":"([^"]+)"[^\n]*"message":"peers"`).FindSubmatch(text)
 			if err := net.Behind(name, string(listen[1])); err != nil {
@@ -432,10 +432,10 @@
 		said, kills = append(said, s), append(kills, kill)
 	}
 	for i := range names {
-		playback.Eventually(t, names[i]+" has found the others", func() bool { return said[i](`"others":2,"sharing":3,"minority":false`) })
+		enginetest.Eventually(t, names[i]+" has found the others", func() bool { return said[i](`"others":2,"sharing":3,"minority":false`) })
 	}
 	kills[2]()
 	for i := range names[:2] {
-		playback.Eventually(t, names[i]+" sees one die", func() bool { return said[i](`"gateway":"n2"[^\n]*"standing":"dead"`) })
+		enginetest.Eventually(t, names[i]+" sees one die", func() bool { return said[i](`"gateway":"n2"[^\n]*"standing":"dead"`) })
 	}
 }
--- a/cmd/wellgw/tierharness_test.go
+++ b/cmd/wellgw/tierharness_test.go
@@ -16,8 +16,8 @@
 
 	"wellgw/decide/membership"
 	"wellgw/internal/admin"
+	"wellgw/internal/enginetest"
 	"wellgw/internal/peers"
-	"wellgw/internal/playback"
 	"wellgw/lab/faultnet"
 )
 
@@ -156,7 +156,7 @@
 // agree waits until all hold one view in which all are alive.
 func (w *tier) agree(when string) {
 	w.t.Helper()
-	playback.Eventually(w.t, when+" all agree", func() bool {
+	enginetest.Eventually(w.t, when+" all agree", func() bool {
 		var first membership.View
 		for i, name := range w.names {
 			v := w.gates[name].status(w.t).View
@@ -175,7 +175,7 @@
 func (w *tier) eventually(what string, names []string, is func(peers.Status) bool) {
 	w.t.Helper()
 	for _, name := range names {
-		playback.Eventually(w.t, name+": "+what, func() bool { return is(w.gates[name].status(w.t)) })
+		enginetest.Eventually(w.t, name+": "+what, func() bool { return is(w.gates[name].status(w.t)) })
 	}
 }
 
--- a/internal/clientconn/listener_test.go
+++ b/internal/clientconn/listener_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"wellgw/internal/playback"
+	"wellgw/internal/enginetest"
 )
 
 // However the bytes are cut up, requests end where they end, or are in error.
@@ -107,7 +107,7 @@
 	if a := got(silent); a != "none" {
 		t.Errorf("the silent one got %q", a)
 	}
-	playback.Eventually(t, "half a request is read", func() bool {
+	enginetest.Eventually(t, "half a request is read", func() bool {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		for c := range l.open {
@@ -129,7 +129,7 @@
 	if a, b := got(first), got(second); a != "/wait" || b != "/wait" {
 		t.Errorf("those in hand got %q and %q", a, b)
 	}
-	playback.Eventually(t, "after an answer a newcomer has its own", func() bool {
+	enginetest.Eventually(t, "after an answer a newcomer has its own", func() bool {
 		return got(dial(t, addr, "GET /d HTTP/1.1\r\nHost: x\r\n\r\n")) == "/d"
 	})
 }
@@ -152,7 +152,7 @@
 		return c.(*Conn)
 	}
 	asks := accept("GET / HTTP/1.1\r\n\r\n") // the oldest
-	playback.Eventually(t, "its request is there", func() bool { return unread(asks.Conn) })
+	enginetest.Eventually(t, "its request is there", func() bool { return unread(asks.Conn) })
 	silent, late := accept(""), accept("")
 	next := accept("")
 	for c, kept := range map[*Conn]bool{asks: true, silent: false, late: true, next: true} {
@@ -186,7 +186,7 @@
 
 	_, c, client := moment(t)
 	io.WriteString(client, ask)
-	playback.Eventually(t, "the request is there", func() bool { return unread(c.Conn) })
+	enginetest.Eventually(t, "the request is there", func() bool { return unread(c.Conn) })
 	if c.rest(time.Now(), 0) {
 		t.Error("shut over a request that nobody has read")
 	}
@@ -247,7 +247,7 @@
 	}
 	fresh := dial(t, addr, "")
 	io.WriteString(begun, "G")
-	playback.Eventually(t, "all are accepted, and the byte is read", func() bool {
+	enginetest.Eventually(t, "all are accepted, and the byte is read", func() bool {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		part := false
@@ -287,7 +287,7 @@
 	<-waiting
 	done = make(chan error, 1)
 	go func() { done <- l.Shutdown(t.Context()) }()
-	playback.Eventually(t, "the shutdown has begun", l.last.Load)
+	enginetest.Eventually(t, "the shutdown has begun", l.last.Load)
 	close(answer)
 	return c, bufio.NewReader(c), done
 }
@@ -332,7 +332,7 @@
 	}
 	io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok")
 	io.WriteString(client, "GET /next HTTP/1.1\r\n")
-	playback.Eventually(t, "the next request is there", func() bool { return unread(c.Conn) })
+	enginetest.Eventually(t, "the next request is there", func() bool { return unread(c.Conn) })
 	c.Close()
 	in := bufio.NewReader(client)
 	if a := next(in); a != "ok" {
@@ -341,7 +341,7 @@
 	if _, err := in.ReadByte(); err != io.EOF {
 		t.Errorf("then %v, not the end of the sending", err)
 	}
-	playback.Eventually(t, "then it is closed", func() bool {
+	enginetest.Eventually(t, "then it is closed", func() bool {
 		c.from.mu.Lock()
 		defer c.from.mu.Unlock()
 		return len(c.from.open) == 0
@@ -355,7 +355,7 @@
 	var l *Listener
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		c := r.Context().Value(connKey{}).(*Conn)
-		playback.Eventually(t, "the client's end arrives", c.hungUp)
+		enginetest.Eventually(t, "the client's end arrives", c.hungUp)
 		_, _, err := NewBudget(1<<20).Read(w, r)
 		read <- err
 	}))
@@ -390,7 +390,7 @@
 	io.WriteString(c, strings.Repeat("GET /b HTTP/1.1\r\nHost: x\r\n\r\n", 100))
 	c.Close()
 	defer close(enough)
-	playback.Eventually(t, "the request ends", func() bool { return len(ended) > 0 })
+	enginetest.Eventually(t, "the request ends", func() bool { return len(ended) > 0 })
 }
 
 // An error whose request's body never comes is not held back for it.
--- a/internal/consul/consul_test.go
+++ b/internal/consul/consul_test.go
@@ -16,7 +16,7 @@
 
 	"wellgw/decide/roster"
 	"wellgw/internal/config"
-	"wellgw/internal/playback"
+	"wellgw/internal/enginetest"
 	"wellgw/routing"
 	"wellgw/standin/consul"
 )
@@ -123,7 +123,7 @@
 		return ""
 	}
 	w.list("llm", "a", 9100)
-	playback.Eventually(t, "a has moved", func() bool { return addr("a") == "127.0.0.1:9100" })
+	enginetest.Eventually(t, "a has moved", func() bool { return addr("a") == "127.0.0.1:9100" })
 	w.list("llm", "d", 9002)
 	w.await("a c d")
 	w.store.Deregister(node, "b")
@@ -287,7 +287,7 @@
 		}
 		return false
 	}
-	playback.Eventually(t, "the gateway is listed", listed)
+	enginetest.Eventually(t, "the gateway is listed", listed)
 	w.list("wellgw", "g2", 8081)
 	w.list("wellgw", "g3", 8082)
 	count := func() int {
@@ -295,16 +295,16 @@
 		defer w.mu.Unlock()
 		return w.gateways
 	}
-	playback.Eventually(t, "three gateways are counted", func() bool { return count() == 3 })
+	enginetest.Eventually(t, "three gateways are counted", func() bool { return count() == 3 })
 	w.store.Deregister(node, "g1") // the agent has lost it
-	playback.Eventually(t, "the gateway is listed again", listed)
+	enginetest.Eventually(t, "the gateway is listed again", listed)
 	if n := count(); n != 3 {
 		t.Errorf("%d gateways, though one was away for a moment only", n)
 	}
 	w.dir.mu.Lock()
 	w.dir.leave() // as Move would; the listing is taken off and made anew
 	w.dir.mu.Unlock()
-	playback.Eventually(t, "the gateway was taken off", func() bool {
+	enginetest.Eventually(t, "the gateway was taken off", func() bool {
 		gone := 0
 		for _, m := range w.store.Marks() {
 			if m.Service == "g1" && m.What == "gone" {
@@ -343,7 +343,7 @@
 			return len(w.phases) == engines && n == off
 		}
 	}
-	playback.Eventually(t, "all engines are told", told(0))
+	enginetest.Eventually(t, "all engines are told", told(0))
 	for n := range 10 {
 		by := map[string]string{}
 		for i := range 100 {
@@ -358,7 +358,7 @@
 	}
 	all[id(7)], all[id(8)] = "critical", "critical"
 	w.store.SetChecks(node, all, "alive")
-	playback.Eventually(t, "the last marks are told", told(2))
+	enginetest.Eventually(t, "the last marks are told", told(2))
 	if s := w.dir.Stats(); !s.Rounds || s.Services != services {
 		t.Errorf("%+v", s)
 	}
--- a/internal/consul/harness_test.go
+++ b/internal/consul/harness_test.go
@@ -13,7 +13,7 @@
 	"wellgw/internal/config"
 	"wellgw/internal/core"
 	"wellgw/internal/directory"
-	"wellgw/internal/playback"
+	"wellgw/internal/enginetest"
 	"wellgw/routing"
 	"wellgw/standin/consul"
 )
@@ -125,7 +125,7 @@
 
 func (w *world) await(want string) {
 	w.Helper()
-	playback.Eventually(w.T, "the core is told "+want, func() bool { return w.says() == want })
+	enginetest.Eventually(w.T, "the core is told "+want, func() bool { return w.says() == want })
 }
 
 // stays looks for a while whether what was told stays as it is.
@@ -148,5 +148,5 @@
 
 func (w *world) awaitDoubt(want roster.Reason) {
 	w.Helper()
-	playback.Eventually(w.T, "the source is "+string(want), func() bool { return w.doubt() == string(want) })
+	enginetest.Eventually(w.T, "the source is "+string(want), func() bool { return w.doubt() == string(want) })
 }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"wellgw/internal/playback"
+	"wellgw/internal/enginetest"
 	"wellgw/routing"
 )
 
@@ -54,7 +54,7 @@
 	if took := time.Since(start); took < 100*time.Millisecond || a.Verdict == Serving {
 		t.Errorf("%+v after %v", a, took)
 	}
-	playback.Eventually(t, "the attempt is closed and its state let go", func() bool {
+	enginetest.Eventually(t, "the attempt is closed and its state let go", func() bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		return f.closed == len(f.attempts) && len(f.released) >= 2 // the second catches a read that ended meanwhile
@@ -95,7 +95,7 @@
 		core := newCore(t, f)
 		w := make(waiter, 1)
 		core.Submit(ask("once", time.Minute), w)
-		playback.Eventually(t, "it is out at the writer", func() bool { all, _, _ := f.tally(); return all == 2 })
+		enginetest.Eventually(t, "it is out at the writer", func() bool { all, _, _ := f.tally(); return all == 2 })
 		core.Abandon(false)
 		if n := core.Counts(t.Context())["open"]; n != 1 || len(w) > 0 {
 			t.Errorf("fails %v: %d open, %d answers", fails, n, len(w))
@@ -124,7 +124,7 @@
 		core := newCore(t, f)
 		w := make(waiter, 1)
 		core.Submit(ask("once", 2*time.Second), w)
-		playback.Eventually(t, "the attempt is out", func() bool {
+		enginetest.Eventually(t, "the attempt is out", func() bool {
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			return len(f.attempts) == map[string]int{"r": 1, "w": 2}[kind]
@@ -152,7 +152,7 @@
 	f := &fake{script: script(func() (Stream, *Result) { return nil, nil })}
 	core := newCore(t, f)
 	ticket := core.Submit(ask("free", time.Minute), make(waiter, 1))
-	playback.Eventually(t, "the writer is asked", func() bool {
+	enginetest.Eventually(t, "the writer is asked", func() bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		return len(f.attempts) == 2
@@ -179,7 +179,7 @@
 	f := &fake{script: script(func() (Stream, *Result) { return nil, nil })}
 	core := newCore(t, f)
 	ticket := core.Submit(ask("free", time.Minute), make(waiter, 1))
-	playback.Eventually(t, "the writer is asked", func() bool {
+	enginetest.Eventually(t, "the writer is asked", func() bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		return len(f.attempts) == 2
@@ -318,7 +318,7 @@
 	core := newCore(t, f)
 	w := make(waiter, 1)
 	core.Submit(ask("once", 300*time.Millisecond), w)
-	playback.Eventually(t, "its attempt is out", func() bool { all, _, _ := f.tally(); return all > 0 })
+	enginetest.Eventually(t, "its attempt is out", func() bool { all, _, _ := f.tally(); return all > 0 })
 	next := testSettings()
 	for i := range next.Classes {
 		next.Classes[i].Effect = routing.EffectFree
--- a/internal/core/held_test.go
+++ b/internal/core/held_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/google/go-cmp/cmp"
 
+	"wellgw/internal/enginetest"
 	"wellgw/internal/invariant"
-	"wellgw/internal/playback"
 	"wellgw/routing"
 )
 
@@ -51,7 +51,7 @@
 	}
 	c := coreWith(t, f, func(s *routing.Settings) { s.PinLimit = 50 * time.Millisecond })
 	ticket := c.Submit(ask("once", time.Minute), make(waiter, 1))
-	playback.Eventually(t, "the state is let go, and read anew", func() bool {
+	enginetest.Eventually(t, "the state is let go, and read anew", func() bool {
 		_, closed, _ := f.tally()
 		return f.has("r1") && closed >= 2 && len(f.names()) >= 3
 	})
@@ -68,7 +68,7 @@
 		f := &fake{away: func(Attempt) bool { return true }, script: func(Attempt) (Stream, *Result) { return nil, nil }}
 		c := coreWith(t, f, func(s *routing.Settings) { s.CanCancel = may })
 		ticket := c.Submit(ask("once", time.Minute), make(waiter, 1))
-		playback.Eventually(t, "the attempt waits for its connection", func() bool { all, _, _ := f.tally(); return all == 1 })
+		enginetest.Eventually(t, "the attempt waits for its connection", func() bool { all, _, _ := f.tally(); return all == 1 })
 		ticket.Gone()
 		if err := c.Drain(t.Context()); err != nil {
 			t.Fatal(err)
@@ -107,8 +107,8 @@
 	if a, _, _ := Await(t.Context(), c, ask("once", wait)); a.Verdict != Refused {
 		t.Fatalf("answer %+v", a)
 	}
-	playback.Eventually(t, "the reader is told several times", func() bool { _, _, released := f.tally(); return released >= 4 })
-	playback.Eventually(t, "nothing more is owed", func() bool {
+	enginetest.Eventually(t, "the reader is told several times", func() bool { _, _, released := f.tally(); return released >= 4 })
+	enginetest.Eventually(t, "nothing more is owed", func() bool {
 		return query(t.Context(), c, func() bool { return len(c.unreleased) == 0 })
 	})
 }
@@ -158,7 +158,7 @@
 	c := coreWith(t, f, func(s *routing.Settings) { s.CanCancel = false })
 	w := make(waiter, 1)
 	c.Submit(ask("free", time.Minute), w)
-	playback.Eventually(t, "a second attempt waits for its connection", func() bool { all, _, _ := f.tally(); return all == 2 })
+	enginetest.Eventually(t, "a second attempt waits for its connection", func() bool { all, _, _ := f.tally(); return all == 2 })
 	c.Abandon(true)
 	if a := <-w; a.Status != routing.StatusError || !errors.Is(a.Cause, failed) {
 		t.Errorf("answer %+v, want the first attempt's end", a)
--- a/internal/core/linger_test.go
+++ b/internal/core/linger_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"wellgw/internal/playback"
+	"wellgw/internal/enginetest"
 	"wellgw/routing"
 )
 
@@ -19,7 +19,7 @@
 		c.fig.Alone = func(k string) bool { return alone && k == "w" }
 		q := ask("once", 10*time.Second)
 		ticket := c.Submit(q, make(waiter, 1))
-		playback.Eventually(t, "it is at the writer", func() bool {
+		enginetest.Eventually(t, "it is at the writer", func() bool {
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			return len(f.attempts) == 2
@@ -38,7 +38,7 @@
 // if it covers the state, afterwards none is.
 func letGo(t *testing.T, core *Core, f *fake, covered bool) {
 	t.Helper()
-	playback.Eventually(t, "the reader is told to let go", func() bool { return f.has("r1") })
+	enginetest.Eventually(t, "the reader is told to let go", func() bool { return f.has("r1") })
 	core.Counts(t.Context())
 	if all, closed, _ := f.tally(); (closed == all-1) != covered {
 		t.Errorf("%d of %d attempts are closed before the reader is reached", closed, all)
@@ -103,13 +103,13 @@
 		answered <- a
 	}()
 	out := func(n int) func() bool { return func() bool { all, _, _ := f.tally(); return all == n } }
-	playback.Eventually(t, "the writer's attempt is out", out(2))
+	enginetest.Eventually(t, "the writer's attempt is out", out(2))
 	core.post(func() {
 		for _, q := range core.requests {
 			core.end(q, q.attempts[1], Result{Status: routing.StatusTimeout})
 		}
 	})
-	playback.Eventually(t, "the next one is begun", out(3))
+	enginetest.Eventually(t, "the next one is begun", out(3))
 	core.Counts(t.Context())
 	if _, closed, _ := f.tally(); closed != 1 { // the read, which ended by itself
 		t.Errorf("%d attempts are closed before the next has a connection, want 1", closed)
@@ -181,7 +181,7 @@
 		if told {
 			<-written // the core's queue has it, before what is posted now
 		} else {
-			playback.Eventually(t, "its first attempt is written", func() bool {
+			enginetest.Eventually(t, "its first attempt is written", func() bool {
 				handles := f.handles()
 				return len(handles) == 1 && handles[0].written.Load()
 			})
@@ -192,7 +192,7 @@
 			}
 		})
 		if !told {
-			playback.Eventually(t, "the first attempt is closed", func() bool { _, closed, _ := f.tally(); return closed == 1 })
+			enginetest.Eventually(t, "the first attempt is closed", func() bool { _, closed, _ := f.tally(); return closed == 1 })
 			close(f.unnoticed)
 		}
 		if d := <-after; d < cancelMargin {
@@ -216,7 +216,7 @@
 		t.Fatalf("answer %+v", a)
 	}
 	calls := func(n int) func() bool { return func() bool { _, _, released := f.tally(); return released == n } }
-	playback.Eventually(t, "the call that waits for a connection", calls(1))
+	enginetest.Eventually(t, "the call that waits for a connection", calls(1))
 	close(read)
-	playback.Eventually(t, "a call for the state that was read", calls(2))
+	enginetest.Eventually(t, "a call for the state that was read", calls(2))
 }
--- a/internal/directory/keeper_test.go
+++ b/internal/directory/keeper_test.go
@@ -18,8 +18,8 @@
 	"wellgw/decide/roster"
 	"wellgw/internal/config"
 	"wellgw/internal/core"
+	"wellgw/internal/enginetest"
 	"wellgw/internal/logging"
-	"wellgw/internal/playback"
 	"wellgw/routing"
 )
 
@@ -81,7 +81,7 @@
 
 func awaits(t *testing.T, c *told, want string) {
 	t.Helper()
-	playback.Eventually(t, "told "+want, func() bool { return c.says() == want })
+	enginetest.Eventually(t, "told "+want, func() bool { return c.says() == want })
 }
 
 // A gateway that starts while its sources are away serves from the view on disk, with
@@ -144,8 +144,8 @@
 }
 
 func TestChecker(t *testing.T) {
-	answers := playback.NewEngine(t, func(playback.Call) string { return playback.Status(503, "", "") })
-	hangs := playback.NewEngine(t, func(playback.Call) string { return playback.Hang })
+	answers := enginetest.NewEngine(t, func(enginetest.Call) string { return enginetest.Status(503, "", "") })
+	hangs := enginetest.NewEngine(t, func(enginetest.Call) string { return enginetest.Hang })
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- /dev/null
+++ b/internal/enginetest/exchange.go
@@ -0,0 +1,113 @@
+// Package enginetest holds what tests of several packages share: recorded byte exchanges that are
+// played against a program under test, engines that answer by a script, and waits for events.
+package enginetest
+
+import (
+	"io"
+	"net"
+	"os"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+// Exchange is one recorded file: what is sent, and what is expected back. In the
+// files `> ` begins a line that is sent, `< ` one that is expected, `# ` a remark.
+// Lines end in CRLF on the wire, but for those that end in a backslash here.
+type Exchange struct{ Send, Want string }
+
+// Read reads a recording.
+func Read(t testing.TB, path string) Exchange {
+	t.Helper()
+	raw, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var x Exchange
+	for line := range strings.Lines(string(raw)) {
+		line = strings.TrimSuffix(line, "\n") + "\r\n"
+		line = strings.Replace(line, "\\\r\n", "", 1)
+		switch {
+		case strings.HasPrefix(line, ">"):
+			x.Send += strings.TrimPrefix(line[1:], " ")
+		case strings.HasPrefix(line, "<"):
+			x.Want += strings.TrimPrefix(line[1:], " ")
+		}
+	}
+	return x
+}
+
+// Play sends a recording's bytes to addr and compares what comes back until the
+// other side closes. Dates, ids and times of creation, which differ from run
+// to run, do not count.
+func Play(t *testing.T, addr, path string, replace ...string) {
+	t.Helper()
+	x := Read(t, path)
+	c, err := net.Dial("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	c.SetDeadline(time.Now().Add(20 * time.Second))
+	if _, err := io.WriteString(c, strings.NewReplacer(replace...).Replace(x.Send)); err != nil {
+		t.Fatal(err)
+	}
+	got, err := io.ReadAll(c)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if os.Getenv(recordVar) != "" {
+		record(t, path, string(got))
+		return
+	}
+	if diff := cmp.Diff(lines(x.Want), lines(string(got))); diff != "" {
+		t.Errorf("%s (-want +got):\n%s", path, diff)
+	}
+}
+
+// recordVar has Play write what comes back into the recordings, for a person to read
+// through before it is kept.
+const recordVar = "PLAYBACK_RECORD"
+
+func record(t *testing.T, path, got string) {
+	raw, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var out strings.Builder
+	for line := range strings.Lines(string(raw)) {
+		if !strings.HasPrefix(line, "<") {
+			out.WriteString(line)
+		}
+	}
+	head, _, _ := strings.Cut(got, "\r\n\r\n")
+	for i, line := range lines(got) {
+		if i == len(lines(head)) {
+			out.WriteString("< \n")
+		}
+		out.WriteString("< " + line + "\n")
+	}
+	if err := os.WriteFile(path, []byte(out.String()), 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// lines makes an answer comparable: its headers are sorted, and of the framing,
+// which is free, only the last chunk counts.
+func lines(s string) []string {
+	s = regexp.MustCompile(`(cmpl-|resp_|msg_|fc_|X-Request-Id: )[0-9a-f]{24}`).ReplaceAllString(s, "${1}ID")
+	s = regexp.MustCompile(`"created(_at)?":[0-9]+`).ReplaceAllString(s, `"created$1":0`)
+	head, body, _ := strings.Cut(s, "\r\n\r\n")
+	headers := strings.Split(head, "\r\n")
+	slices.Sort(headers[1:])
+	size := regexp.MustCompile(`^[1-9a-f][0-9a-f]*$`)
+	return slices.DeleteFunc(append(headers, strings.FieldsFunc(body, func(r rune) bool { return r == '\r' || r == '\n' })...),
+		func(line string) bool { return strings.HasPrefix(line, "Date:") || size.MatchString(line) })
+}
+
+// StreamHead is the head of a stream.
+const StreamHead = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
--- a/internal/openai/front_test.go
+++ b/internal/openai/front_test.go
@@ -20,9 +20,9 @@
 	"wellgw/internal/clientconn"
 	"wellgw/internal/config"
 	"wellgw/internal/core"
+	"wellgw/internal/enginetest"
 	"wellgw/internal/idempotency"
 	"wellgw/internal/invariant"
-	"wellgw/internal/playback"
 	"wellgw/internal/upstream"
 	"wellgw/routing"
 )
@@ -43,7 +43,7 @@
 }`
 
 // start starts a front on loopback before engines of the roles given.
-func start(t *testing.T, engines map[string]*playback.Engine) (url string, c *core.Core) {
+func start(t *testing.T, engines map[string]*enginetest.Engine) (url string, c *core.Core) {
 	var members []core.Member
 	for role, e := range engines {
 		members = append(members, core.Member{ServerInfo: routing.ServerInfo{Name: role, Kind: role, Zone: "a", Weight: 1}, Addr: e.Addr})
@@ -92,7 +92,7 @@
 // A request goes by one file from its head to its answer, though another is read while its
 // body is on the way: neither the team nor the contract of the other is seen.
 func TestARequestGoesByOneFile(t *testing.T) {
-	e := playback.NewEngine(t, func(playback.Call) string { return playback.Stream(2, 0) })
+	e := enginetest.NewEngine(t, func(enginetest.Call) string { return enginetest.Stream(2, 0) })
 	url, _, f := serveFront(t, operator, []core.Member{{ServerInfo: routing.ServerInfo{Name: "e1", Kind: config.RoleOpenAI, Zone: "a", Weight: 1}, Addr: e.Addr}})
 	other, err := config.ParseOperator([]byte(strings.NewReplacer(`"k1"`, `"k9"`, `"name": "orders"`, `"name": "works"`, `"parts", "orders", "quick"`, `"parts", "works", "quick"`).Replace(operator)))
 	if err != nil {
@@ -134,9 +134,9 @@
 	}
 }
 
-func one(role string, script func(playback.Call) string, t *testing.T) (map[string]*playback.Engine, *playback.Engine) {
-	e := playback.NewEngine(t, script)
-	return map[string]*playback.Engine{role: e}, e
+func one(role string, script func(enginetest.Call) string, t *testing.T) (map[string]*enginetest.Engine, *enginetest.Engine) {
+	e := enginetest.NewEngine(t, script)
+	return map[string]*enginetest.Engine{role: e}, e
 }
 
 func chat(t *testing.T, url, key, model string, stream bool) (*http.Response, error) {
@@ -157,14 +157,14 @@
 	}
 	for _, file := range files {
 		t.Run(filepath.Base(file), func(t *testing.T) {
-			engines, e := one(config.RoleOpenAI, func(c playback.Call) string {
+			engines, e := one(config.RoleOpenAI, func(c enginetest.Call) string {
 				if strings.Contains(c.Body, "reject") {
-					return playback.Status(400, "", "too long")
+					return enginetest.Status(400, "", "too long")
 				}
-				return playback.Stream(2, 0)
+				return enginetest.Stream(2, 0)
 			}, t)
 			url, c := start(t, engines)
-			playback.Play(t, strings.TrimPrefix(url, "http://"), file, "BIG", strings.Repeat("x", clientconn.MaxBody+1))
+			enginetest.Play(t, strings.TrimPrefix(url, "http://"), file, "BIG", strings.Repeat("x", clientconn.MaxBody+1))
 			if err := c.Drain(t.Context()); err != nil {
 				t.Fatal(err)
 			}
@@ -180,12 +180,12 @@
 // A place-order stream that breaks, wherever it does, ends in one final answer
 // and is not sent again: its engine may have reserved stock already.
 func TestABrokenOrderIsNotSentAgain(t *testing.T) {
-	whole := playback.Stream(6, 0)
+	whole := enginetest.Stream(6, 0)
 	random := rand.New(rand.NewPCG(7, 11))
 	for n := range 40 {
 		cut, stream := random.IntN(len(whole)-1), n%2 == 0
 		t.Run(fmt.Sprintf("cut at %d, stream %v", cut, stream), func(t *testing.T) {
-			engines, e := one(config.RoleOpenAI, func(playback.Call) string { return whole[:cut] + playback.Cut }, t)
+			engines, e := one(config.RoleOpenAI, func(enginetest.Call) string { return whole[:cut] + enginetest.Cut }, t)
 			url, c := start(t, engines)
 			resp, err := chat(t, url, "k1", "orders", stream)
 			if err != nil {
@@ -222,12 +222,12 @@
 		first  string
 		sent   int
 		broken bool
-	}{{playback.StreamHead + playback.Cut, 2, false}, {playback.Stream(2, 0)[:200] + playback.Cut, 1, true}} {
-		engines, e := one(config.RoleOpenAI, func(call playback.Call) string {
+	}{{enginetest.StreamHead + enginetest.Cut, 2, false}, {enginetest.Stream(2, 0)[:200] + enginetest.Cut, 1, true}} {
+		engines, e := one(config.RoleOpenAI, func(call enginetest.Call) string {
 			if call.N == 1 {
 				return c.first
 			}
-			return playback.Stream(2, 0)
+			return enginetest.Stream(2, 0)
 		}, t)
 		url, _ := start(t, engines)
 		resp, err := chat(t, url, "k1", "parts", true)
@@ -245,29 +245,29 @@
 // A caller that drops mid-stream frees the state its request holds, at two-stage
 // engines by a release and at an OpenAI-only one by the closed connection.
 func TestACallerThatDropsFreesItsState(t *testing.T) {
-	whole := playback.Stream(6, 0)
+	whole := enginetest.Stream(6, 0)
 	random := rand.New(rand.NewPCG(3, 5))
 	begun := strings.Index(whole, "w1")
 	for range 8 {
 		at := begun + random.IntN(len(whole)-begun-10)
-		hang := func(c playback.Call) string {
+		hang := func(c enginetest.Call) string {
 			if c.Method == http.MethodDelete {
 				return "HTTP/1.1 204 No Content\r\n\r\n"
 			}
-			return whole[:at] + playback.Hang
+			return whole[:at] + enginetest.Hang
 		}
-		reader := playback.NewEngine(t, func(c playback.Call) string {
+		reader := enginetest.NewEngine(t, func(c enginetest.Call) string {
 			if c.Method == http.MethodDelete {
 				return "HTTP/1.1 204 No Content\r\n\r\n"
 			}
-			return playback.Status(202, "", `{"cached_tokens":0}`)
+			return enginetest.Status(202, "", `{"cached_tokens":0}`)
 		})
-		writer, alone := playback.NewEngine(t, hang), playback.NewEngine(t, hang)
-		for _, engines := range []map[string]*playback.Engine{
+		writer, alone := enginetest.NewEngine(t, hang), enginetest.NewEngine(t, hang)
+		for _, engines := range []map[string]*enginetest.Engine{
 			{config.RoleRead: reader, config.RoleWrite: writer}, {config.RoleOpenAI: alone},
 		} {
 			url, c := start(t, engines)
-			playback.Within(t, 500*time.Millisecond, func() time.Duration {
+			enginetest.Within(t, 500*time.Millisecond, func() time.Duration {
 				resp, err := chat(t, url, "k1", "orders", true)
 				if err != nil {
 					t.Fatal(err)
@@ -281,7 +281,7 @@
 				if last == nil {
 					last, states = writer, len(reader.Calls("POST"))
 				}
-				playback.Eventually(t, "the attempt is closed and the state let go", func() bool {
+				enginetest.Eventually(t, "the attempt is closed and the state let go", func() bool {
 					return len(last.Dropped()) >= len(last.Calls("POST")) && len(reader.Calls("DELETE")) >= states
 				})
 				return time.Since(left)
@@ -299,15 +299,15 @@
 		status                   int
 		sent                     int
 	}{
-		{"silence to the deadline", "k1", "quick", playback.Hang, 504, 1},
-		{"an order that failed", "k1", "orders", playback.Status(500, "", ""), 502, 1},
-		{"an order at an engine that says it is busy", "k1", "orders", playback.Status(503, "", ""), 502, 1},
-		{"an engine that reports an error in its stream", "k1", "orders", playback.StreamHead +
-			playback.Chunk(`data: {"error":{"message":"out of memory"}}`+"\n\n") + playback.Chunk("data: [DONE]\n\n") + "0\r\n\r\n", 502, 1},
-		{"an order that was turned away", "k1", "orders", playback.Status(429, "", ""), 503, 0},
+		{"silence to the deadline", "k1", "quick", enginetest.Hang, 504, 1},
+		{"an order that failed", "k1", "orders", enginetest.Status(500, "", ""), 502, 1},
+		{"an order at an engine that says it is busy", "k1", "orders", enginetest.Status(503, "", ""), 502, 1},
+		{"an engine that reports an error in its stream", "k1", "orders", enginetest.StreamHead +
+			enginetest.Chunk(`data: {"error":{"message":"out of memory"}}`+"\n\n") + enginetest.Chunk("data: [DONE]\n\n") + "0\r\n\r\n", 502, 1},
+		{"an order that was turned away", "k1", "orders", enginetest.Status(429, "", ""), 503, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			engines, e := one(config.RoleOpenAI, func(playback.Call) string { return c.answer }, t)
+			engines, e := one(config.RoleOpenAI, func(enginetest.Call) string { return c.answer }, t)
 			url, _ := start(t, engines)
 			begin := time.Now()
 			resp, err := chat(t, url, c.key, c.model, false)
@@ -329,7 +329,7 @@
 }
 
 func TestASpentBudgetIsRefused(t *testing.T) {
-	engines, e := one(config.RoleOpenAI, func(playback.Call) string { return playback.Stream(1, 0) }, t)
+	engines, e := one(config.RoleOpenAI, func(enginetest.Call) string { return enginetest.Stream(1, 0) }, t)
 	url, _ := start(t, engines)
 	var got []int
 	for range 3 {
--- a/internal/openai/idempotency_test.go
+++ b/internal/openai/idempotency_test.go
@@ -9,7 +9,7 @@
 	"testing"
 
 	"wellgw/internal/config"
-	"wellgw/internal/playback"
+	"wellgw/internal/enginetest"
 )
 
 // order asks for an order under a key.
@@ -34,7 +34,7 @@
 
 // What becomes of an order that its client sends again, by how the first try ended.
 func TestAnOrderSentAgain(t *testing.T) {
-	whole := playback.Stream(3, 0)
+	whole := enginetest.Stream(3, 0)
 	for _, c := range []struct {
 		name, first   string
 		status, again int
@@ -42,16 +42,16 @@
 		sent          int
 	}{
 		{"whole", whole, 200, 200, "", 1},
-		{"broken in the middle", whole[:len(whole)/2] + playback.Cut, 502, 409, codeUnknown, 1},
-		{"broken before its head", playback.Cut, 502, 409, codeUnknown, 1},
-		{"failed", playback.Status(500, "", ""), 502, 409, codeUnknown, 1},
-		{"turned away", playback.Status(429, "", ""), 503, 503, codeOverloaded, 0},
-		{"not accepted", playback.Status(400, "", "too long"), 400, 400, codeRejected, 2},
-		{"reported in the stream", playback.StreamHead + playback.Chunk("data: "+chunkOf(0, "null")+"\n\n") + playback.Chunk(`data: {"error":{"message":"no"}}`+"\n\n") + "0\r\n\r\n", 502, 409, codeUnknown, 1},
+		{"broken in the middle", whole[:len(whole)/2] + enginetest.Cut, 502, 409, codeUnknown, 1},
+		{"broken before its head", enginetest.Cut, 502, 409, codeUnknown, 1},
+		{"failed", enginetest.Status(500, "", ""), 502, 409, codeUnknown, 1},
+		{"turned away", enginetest.Status(429, "", ""), 503, 503, codeOverloaded, 0},
+		{"not accepted", enginetest.Status(400, "", "too long"), 400, 400, codeRejected, 2},
+		{"reported in the stream", enginetest.StreamHead + enginetest.Chunk("data: "+chunkOf(0, "null")+"\n\n") + enginetest.Chunk(`data: {"error":{"message":"no"}}`+"\n\n") + "0\r\n\r\n", 502, 409, codeUnknown, 1},
 	} {
 		for _, stream := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, stream %v", c.name, stream), func(t *testing.T) {
-				engines, e := one(config.RoleOpenAI, func(playback.Call) string { return c.first }, t)
+				engines, e := one(config.RoleOpenAI, func(enginetest.Call) string { return c.first }, t)
 				url, core := start(t, engines)
 				first, text := order(t.Context(), t, url, "k", "a hull", stream, 0)
 				status := c.status
@@ -94,7 +94,7 @@
 // While an order runs, its client is told to come again; it runs once. When its client
 // goes, its fate is unknown.
 func TestAnOrderUnderWay(t *testing.T) {
-	engines, e := one(config.RoleOpenAI, func(playback.Call) string { return playback.Hang }, t)
+	engines, e := one(config.RoleOpenAI, func(enginetest.Call) string { return enginetest.Hang }, t)
 	url, core := start(t, engines)
 	ctx, leave := context.WithCancel(t.Context())
 	ended := make(chan struct{})
@@ -102,7 +102,7 @@
 		defer close(ended)
 		order(ctx, t, url, "k", "a hull", false, 0)
 	}()
-	playback.Eventually(t, "the order is at the engine", func() bool { return len(e.Calls("POST")) == 1 })
+	enginetest.Eventually(t, "the order is at the engine", func() bool { return len(e.Calls("POST")) == 1 })
 	resp, text := order(t.Context(), t, url, "k", "a hull", false, 1)
 	if resp.StatusCode != http.StatusConflict || !strings.Contains(text, codeUnderWay) || resp.Header.Get("Retry-After") == "" || resp.Header.Get("X-Should-Retry") != "" {
 		t.Errorf("%d, %s, %v", resp.StatusCode, text, resp.Header)
@@ -112,7 +112,7 @@
 	if err := core.Drain(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	playback.Eventually(t, "its fate is unknown", func() bool {
+	enginetest.Eventually(t, "its fate is unknown", func() bool {
 		_, text = order(t.Context(), t, url, "k", "a hull", false, 1)
 		return strings.Contains(text, codeUnknown)
 	})
@@ -122,7 +122,7 @@
 }
 
 func TestKeysThatAreNone(t *testing.T) {
-	engines, e := one(config.RoleOpenAI, func(playback.Call) string { return playback.Stream(1, 0) }, t)
+	engines, e := one(config.RoleOpenAI, func(enginetest.Call) string { return enginetest.Stream(1, 0) }, t)
 	url, _ := start(t, engines)
 	for _, key := range []string{strings.Repeat("k", maxKey+1), "k\u00e9"} {
 		if resp, text := order(t.Context(), t, url, key, "a hull", false, 0); resp.StatusCode != http.StatusBadRequest || !strings.Contains(text, codeKeyLength) {
@@ -154,10 +154,10 @@
 			body := ""
 			for rest := text; rest != ""; {
 				n := min(part, len(rest))
-				body += playback.Chunk(rest[:n])
+				body += enginetest.Chunk(rest[:n])
 				rest = rest[n:]
 			}
-			engines, _ := one(config.RoleOpenAI, func(playback.Call) string { return playback.StreamHead + body + "0\r\n\r\n" }, t)
+			engines, _ := one(config.RoleOpenAI, func(enginetest.Call) string { return enginetest.StreamHead + body + "0\r\n\r\n" }, t)
 			url, _ := start(t, engines)
 			for _, stream := range []bool{false, true} {
 				resp, err := chat(t, url, "k1", "orders", stream)
--- a/internal/platform/events_test.go
+++ b/internal/platform/events_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"wellgw/internal/core"
-	"wellgw/internal/playback"
+	"wellgw/internal/enginetest"
 	"wellgw/routing"
 )
 
@@ -20,7 +20,7 @@
 // client has the one before, so that an event held back or lumped with the next would never
 // arrive. Meanwhile another client takes nothing of a stream without end, and delays nobody.
 func TestEventsGoOnOneByOneBesideASlowClient(t *testing.T) {
-	addr, r, _, c, _ := gatewayFront(t, read, func(playback.Call) string { return playback.Stream(1, 0) })
+	addr, r, _, c, _ := gatewayFront(t, read, func(enginetest.Call) string { return enginetest.Stream(1, 0) })
 	const events = 50
 	got, flooded := make(chan int, 1), make(chan bool, 1)
 	writer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
--- a/internal/platform/leave_test.go
+++ b/internal/platform/leave_test.go
@@ -4,13 +4,13 @@
 	"net/http"
 
 	"testing"
-	"wellgw/internal/playback"
+	"wellgw/internal/enginetest"
 )
 
 // Standby turns health to no, with every answer closing its connection, and
 // back; requests are still served meanwhile.
 func TestStandby(t *testing.T) {
-	addr, _, _, _, f := gatewayFront(t, read, func(playback.Call) string { return playback.Stream(2, 0) })
+	addr, _, _, _, f := gatewayFront(t, read, func(enginetest.Call) string { return enginetest.Stream(2, 0) })
 	url := "http://" + addr
 	health := func() (int, bool) {
 		resp, err := http.Get(url + "/healthz")
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -18,8 +18,8 @@
 	"wellgw/internal/clientconn"
 	"wellgw/internal/config"
 	"wellgw/internal/core"
+	"wellgw/internal/enginetest"
 	"wellgw/internal/invariant"
-	"wellgw/internal/playback"
 	"wellgw/internal/upstream"
 	"wellgw/routing"
 )
@@ -120,7 +120,7 @@
 	defer discovery.CloseClientConnections()
 	w := NewWatch(discovery.Listener.Addr().String(), false, 0, told(&mu, &got), slog.New(slog.DiscardHandler))
 	go w.Run(t.Context(), list(41, true, "a active 0"))
-	playback.Eventually(t, "a third watch", func() bool { mu.Lock(); defer mu.Unlock(); return len(asked) >= 3 })
+	enginetest.Eventually(t, "a third watch", func() bool { mu.Lock(); defer mu.Unlock(); return len(asked) >= 3 })
 	mu.Lock()
 	defer mu.Unlock()
 	if diff := cmp.Diff([]string{"watch=1&after=41", "watch=1&after=43", "watch=1&after=43"}, asked[:3]); diff != "" {
@@ -155,7 +155,7 @@
 	defer discovery.CloseClientConnections()
 	w := NewWatch(discovery.Listener.Addr().String(), false, 0, told(&mu, &got), slog.New(slog.DiscardHandler))
 	go w.Run(t.Context(), list(41, true, "a active 0"))
-	playback.Eventually(t, "a second watch", func() bool { mu.Lock(); defer mu.Unlock(); return len(asked) >= 2 })
+	enginetest.Eventually(t, "a second watch", func() bool { mu.Lock(); defer mu.Unlock(); return len(asked) >= 2 })
 	mu.Lock()
 	defer mu.Unlock()
 	want := []string{
@@ -179,13 +179,13 @@
 }
 
 // gateway starts a front on loopback before one reader and one writer.
-func gateway(t *testing.T, reader, writer func(playback.Call) string) (addr string, r, w *playback.Engine, c *core.Core) {
+func gateway(t *testing.T, reader, writer func(enginetest.Call) string) (addr string, r, w *enginetest.Engine, c *core.Core) {
 	addr, r, w, c, _ = gatewayFront(t, reader, writer)
 	return addr, r, w, c
 }
 
 // gatewayFront is gateway, with its front.
-func gatewayFront(t *testing.T, reader, writer func(playback.Call) string) (addr string, r, w *playback.Engine, c *core.Core, f *Front) {
+func gatewayFront(t *testing.T, reader, writer func(enginetest.Call) string) (addr string, r, w *enginetest.Engine, c *core.Core, f *Front) {
 	set := routing.Settings{
 		Zones: []string{"a"}, Routers: 1, MaxAttempts: 4, CanCancel: true, CanRetryAfter: true, MaxRetryAfter: time.Second,
 		Classes: []routing.Class{
@@ -199,15 +199,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	release := func(script func(playback.Call) string) func(playback.Call) string {
-		return func(c playback.Call) string {
+	release := func(script func(enginetest.Call) string) func(enginetest.Call) string {
+		return func(c enginetest.Call) string {
 			if c.Method == http.MethodDelete {
 				return "HTTP/1.1 204 No Content\r\n\r\n"
 			}
 			return script(c)
 		}
 	}
-	r, w = playback.NewEngine(t, release(reader)), playback.NewEngine(t, release(writer))
+	r, w = enginetest.NewEngine(t, release(reader)), enginetest.NewEngine(t, release(writer))
 	log := slog.New(slog.DiscardHandler)
 	pool := upstream.NewPool(upstream.Options{ConnectTimeout: time.Second, ConnIdle: time.Minute})
 	engine := upstream.NewEngine(pool, func(string) upstream.Dialect { return Dialect{} })
@@ -227,7 +227,7 @@
 	return server.Listener.Addr().String(), r, w, c, f
 }
 
-func read(playback.Call) string { return playback.Status(202, "", `{"cached_tokens":0}`) }
+func read(enginetest.Call) string { return enginetest.Status(202, "", `{"cached_tokens":0}`) }
 
 // Each recording is played on a connection of its own.
 func TestRecordedExchanges(t *testing.T) {
@@ -237,17 +237,17 @@
 	}
 	for _, file := range files {
 		t.Run(filepath.Base(file), func(t *testing.T) {
-			addr, r, w, c := gateway(t, read, func(c playback.Call) string {
+			addr, r, w, c := gateway(t, read, func(c enginetest.Call) string {
 				if strings.Contains(c.Body, "break") {
-					whole := playback.Stream(2, 0)
-					return whole[:strings.Index(whole, "w1")] + playback.Cut
+					whole := enginetest.Stream(2, 0)
+					return whole[:strings.Index(whole, "w1")] + enginetest.Cut
 				}
 				if strings.Contains(c.Body, "fail") {
-					return playback.Status(500, "", "")
+					return enginetest.Status(500, "", "")
 				}
-				return playback.Stream(2, 0)
+				return enginetest.Stream(2, 0)
 			})
-			playback.Play(t, addr, file, "BIG", strings.Repeat("x", clientconn.MaxBody+1))
+			enginetest.Play(t, addr, file, "BIG", strings.Repeat("x", clientconn.MaxBody+1))
 			if err := c.Drain(t.Context()); err != nil {
 				t.Fatal(err)
 			}
@@ -285,9 +285,9 @@
 }
 
 func TestClientDropFreesItsState(t *testing.T) {
-	whole := playback.Stream(2, 0)
-	addr, r, w, _ := gateway(t, read, func(playback.Call) string { return whole[:len(whole)/2] + playback.Hang })
-	playback.Within(t, 500*time.Millisecond, func() time.Duration {
+	whole := enginetest.Stream(2, 0)
+	addr, r, w, _ := gateway(t, read, func(enginetest.Call) string { return whole[:len(whole)/2] + enginetest.Hang })
+	enginetest.Within(t, 500*time.Millisecond, func() time.Duration {
 		dropped, freed := len(w.Dropped()), len(r.Calls("DELETE"))+len(w.Calls("DELETE"))
 		req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+addr+"/v1/chat/completions", strings.NewReader("{}"))
 		if err != nil {
@@ -305,7 +305,7 @@
 		}
 		resp.Body.Close()
 		left := time.Now()
-		playback.Eventually(t, "attempt closed, state freed", func() bool {
+		enginetest.Eventually(t, "attempt closed, state freed", func() bool {
 			return len(w.Dropped()) > dropped && len(r.Calls("DELETE"))+len(w.Calls("DELETE")) >= freed+2
 		})
 		return time.Since(left)
@@ -328,7 +328,7 @@
 	w := NewWatch(discovery.Listener.Addr().String(), false, 0, told(&mu, &got), slog.New(slog.DiscardHandler))
 	go w.Run(t.Context(), list(41, true, "a active 0"))
 	drained := fmt.Sprint(routing.RosterChanges, "a", routing.PhaseDraining)
-	playback.Eventually(t, "the drain told", func() bool { mu.Lock(); defer mu.Unlock(); return slices.Contains(got, drained) })
+	enginetest.Eventually(t, "the drain told", func() bool { mu.Lock(); defer mu.Unlock(); return slices.Contains(got, drained) })
 	mu.Lock()
 	defer mu.Unlock()
 	if !slices.Contains(got, fmt.Sprint(routing.RosterChanges, "b", routing.PhaseOn)) {
--- a/internal/rolectl/rolectl_test.go
+++ b/internal/rolectl/rolectl_test.go
@@ -18,7 +18,7 @@
 	"wellgw/internal/consul"
 	"wellgw/internal/core"
 	"wellgw/internal/directory"
-	"wellgw/internal/playback"
+	"wellgw/internal/enginetest"
 	"wellgw/routing"
 	standin "wellgw/standin/consul"
 	"wellgw/standin/engine"
@@ -146,7 +146,7 @@
 func (w *world) ended(g *gate, id string) rolechange.Outcome {
 	w.Helper()
 	outcome := rolechange.Going
-	playback.Eventually(w.T, "the change of "+id+" ends", func() bool {
+	enginetest.Eventually(w.T, "the change of "+id+" ends", func() bool {
 		s := g.Status()
 		for _, e := range s.Ends {
 			if e.Engine == id && e.Outcome != rolechange.Going {
@@ -184,7 +184,7 @@
 			if step == rolechange.Undoing {
 				want = rolechange.Undone
 			} else {
-				playback.Eventually(t, "it has its new role at both gateways", func() bool {
+				enginetest.Eventually(t, "it has its new role at both gateways", func() bool {
 					return w.eng["w1"].RoleNow() == engine.Read && own.takes("w1", "read") && second.takes("w1", "read")
 				})
 				for _, g := range w.gates {
@@ -211,7 +211,7 @@
 func TestALeaseThatEndsInTheMiddle(t *testing.T) {
 	w := newWorld(t)
 	one := w.gate("g1", nil)
-	playback.Eventually(t, "g1 owns", func() bool { return one.Status().Mine })
+	enginetest.Eventually(t, "g1 owns", func() bool { return one.Status().Mine })
 	two := w.gate("g2", nil)
 	lock, _, err := two.client.Read(t.Context(), one.lockKey())
 	if err != nil {
@@ -224,10 +224,10 @@
 	if err := two.client.EndSession(t.Context(), lock.Session); err != nil {
 		t.Fatal(err)
 	}
-	playback.Eventually(t, "g2 owns", func() bool { s := two.Status(); return s.Mine && s.Fence > lock.LockIndex })
+	enginetest.Eventually(t, "g2 owns", func() bool { s := two.Status(); return s.Mine && s.Fence > lock.LockIndex })
 	w.leave(two, "w1", "read", rolechange.Announced)
-	playback.Eventually(t, "the engine has been told by g2", func() bool { return w.eng["w1"].RoleNow() == engine.Read })
-	playback.Eventually(t, "g1 has stopped", func() bool { return !one.Status().Mine })
+	enginetest.Eventually(t, "the engine has been told by g2", func() bool { return w.eng["w1"].RoleNow() == engine.Read })
+	enginetest.Eventually(t, "g1 has stopped", func() bool { return !one.Status().Mine })
 
 	// An owner that was paused for longer than its lease and wakes up does nothing.
 	stale := &hand{Controller: two.Controller, client: two.client, lease: &lease{session: lock.Session, Lease: rolechange.NewLease(lock.LockIndex, time.Second, time.Now().Add(-time.Hour))}}
@@ -270,11 +270,11 @@
 		o.Gateways = func() int { return 2 }
 	})
 	w.leave(g, "w1", "read", rolechange.Announced)
-	playback.Eventually(t, "it is held", func() bool { return g.holds("w1", "write") })
+	enginetest.Eventually(t, "it is held", func() bool { return g.holds("w1", "write") })
 	if err := g.agent.Fail(standin.Faults{Refuse: true}); err != nil {
 		t.Fatal(err)
 	}
-	playback.Eventually(t, "nobody owns", func() bool { return !g.Status().Mine })
+	enginetest.Eventually(t, "nobody owns", func() bool { return !g.Status().Mine })
 	if !g.holds("w1", "write") {
 		t.Error("the engine has new work while the change can't be read")
 	}
@@ -282,7 +282,7 @@
 		t.Fatal(err)
 	}
 	second := w.gate("g2", nil) // whose word was missing
-	playback.Eventually(t, "it has its new role at both", func() bool { return g.takes("w1", "read") && second.takes("w1", "read") })
+	enginetest.Eventually(t, "it has its new role at both", func() bool { return g.takes("w1", "read") && second.takes("w1", "read") })
 }
 
 // Hard case: gateways see a mark at different times. The engine is told to drain only
@@ -293,10 +293,10 @@
 		o.Limits.See = 1500 * time.Millisecond
 		o.Gateways = func() int { return 2 }
 	})
-	playback.Eventually(t, "g1 owns", func() bool { return g.Status().Mine })
+	enginetest.Eventually(t, "g1 owns", func() bool { return g.Status().Mine })
 	begun := time.Now()
 	w.leave(g, "w1", "read", rolechange.Announced)
-	playback.Eventually(t, "it has its new role", func() bool { return g.takes("w1", "read") })
+	enginetest.Eventually(t, "it has its new role", func() bool { return g.takes("w1", "read") })
 	if took := time.Since(begun); took < 1500*time.Millisecond {
 		t.Errorf("after %v, though a gateway had not seen it", took)
 	}
@@ -337,14 +337,14 @@
 	w := newWorld(t)
 	g := w.gate("g1", func(o *Options) { o.Limits.Cold = time.Minute })
 	w.leave(g, "w1", "read", rolechange.Announced)
-	playback.Eventually(t, "it has its new role", func() bool { return g.takes("w1", "read") })
+	enginetest.Eventually(t, "it has its new role", func() bool { return g.takes("w1", "read") })
 	if err := w.eng["w1"].Restart(false); err != nil {
 		t.Fatal(err)
 	}
 	if got := w.ended(g, "w1"); got != rolechange.Failed {
 		t.Errorf("%s", got)
 	}
-	playback.Eventually(t, "it is taken for what it is", func() bool { return g.takes("w1", "write") })
+	enginetest.Eventually(t, "it is taken for what it is", func() bool { return g.takes("w1", "write") })
 }
 
 // A dry run decides and changes nothing.
@@ -366,7 +366,7 @@
 	w.eng["r1"].Hold(8)
 	w.eng["r2"].Hold(8)
 	w.eng["w1"].Hold(1)
-	playback.Eventually(t, "a change is wanted", func() bool { return g.Status().Plan.Change != nil })
+	enginetest.Eventually(t, "a change is wanted", func() bool { return g.Status().Plan.Change != nil })
 	s := g.Status()
 	if len(s.Changes) > 0 || len(s.Ends) > 0 || s.Plan.Change.To != roles.Prompt {
 		t.Errorf("%+v", s)
--- a/internal/upstream/memory_test.go
+++ b/internal/upstream/memory_test.go
@@ -16,9 +16,9 @@
 	"time"
 
 	"wellgw/internal/core"
+	"wellgw/internal/enginetest"
 	"wellgw/internal/invariant"
 	"wellgw/internal/platform"
-	"wellgw/internal/playback"
 	"wellgw/internal/upstream"
 	"wellgw/routing"
 )
@@ -49,7 +49,7 @@
 			if req.Method == http.MethodPost {
 				text = carelessAnswer(random(10), reads)
 			}
-			if text == playback.Hang {
+			if text == enginetest.Hang {
 				_, _ = io.Copy(io.Discard, r)
 				return
 			}
@@ -63,17 +63,17 @@
 func carelessAnswer(kind int, reads bool) string {
 	switch {
 	case kind == 0:
-		return playback.Hang
+		return enginetest.Hang
 	case kind == 1:
 		return ""
 	case kind == 2:
-		return playback.Status(503, "X-Not-Run: 1\r\n", "")
+		return enginetest.Status(503, "X-Not-Run: 1\r\n", "")
 	case reads:
-		return playback.Status(202, "", `{"cached_tokens":0}`)
+		return enginetest.Status(202, "", `{"cached_tokens":0}`)
 	case kind == 3:
-		return playback.StreamHead + playback.Chunk("data: x\n\n")
+		return enginetest.StreamHead + enginetest.Chunk("data: x\n\n")
 	}
-	return playback.Stream(2, 0)
+	return enginetest.Stream(2, 0)
 }
 
 func newCrowd(t *testing.T) *crowd {
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -9,13 +9,13 @@
 	"time"
 
 	"wellgw/internal/core"
-	"wellgw/internal/playback"
+	"wellgw/internal/enginetest"
 )
 
 // A connection that its engine has closed, or may close at any moment, would end
 // the next request in a reset, and a place-order in a failure.
 func TestStaleConnectionsAreNotUsed(t *testing.T) {
-	server := playback.NewEngine(t, func(playback.Call) string { return playback.Cut })
+	server := enginetest.NewEngine(t, func(enginetest.Call) string { return enginetest.Cut })
 	for _, c := range []struct {
 		name   string
 		spoil  func(*conn)
@@ -25,7 +25,7 @@
 		{"idle for a moment", func(c *conn) { c.idle = time.Now().Add(-time.Second) }, true},
 		{"closed by the engine", func(c *conn) {
 			c.Write([]byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"))
-			playback.Eventually(t, "the close arrives", func() bool { return !quiet(c.Conn) })
+			enginetest.Eventually(t, "the close arrives", func() bool { return !quiet(c.Conn) })
 		}, false},
 		{"near the idle limit", func(c *conn) { c.idle = time.Now().Add(-31 * time.Second) }, false},
 	} {
@@ -56,7 +56,7 @@
 // before, then is retired, so that many gateways' probes do not fill the few that an
 // engine holds. One taken by a request, or that had carried work, lives as any other.
 func TestProbesKeepTheirConnectionsBriefly(t *testing.T) {
-	server := playback.NewEngine(t, func(playback.Call) string { return playback.Cut })
+	server := enginetest.NewEngine(t, func(enginetest.Call) string { return enginetest.Cut })
 	p := NewPool(Options{ConnectTimeout: time.Second, ConnIdle: time.Minute})
 	get := func() *conn { c, _ := p.get(t.Context(), server.Addr); return c }
 	probed := get()
@@ -80,11 +80,11 @@
 // one may still come, and never on a connection on which one has.
 func TestNoRequestIsWrittenWhereASecondAnswerMayCome(t *testing.T) {
 	second := make(chan struct{})
-	server := playback.NewEngine(t, func(c playback.Call) string {
+	server := enginetest.NewEngine(t, func(c enginetest.Call) string {
 		if c.N == 2 { // a call of the same connection, that stands for what its engine does later
 			<-second
 		}
-		return playback.Status(202, "", "{}")
+		return enginetest.Status(202, "", "{}")
 	})
 	let := sync.OnceFunc(func() { close(second) })
 	t.Cleanup(let) // before the engine's end, which waits for its script
@@ -117,7 +117,7 @@
 	}
 	p.put(other)
 	let()
-	playback.Eventually(t, "the second answer comes", func() bool { return !quiet(first.Conn) })
+	enginetest.Eventually(t, "the second answer comes", func() bool { return !quiet(first.Conn) })
 	first.idle = first.idle.Add(-time.Minute) // it has settled
 	other.idle = first.idle.Add(-time.Millisecond)
 	if c := get(); c == first {
@@ -131,7 +131,7 @@
 // An attempt that is cancelled while its connection comes up gives that connection back to
 // the count of open ones once, not twice: the bound on connections would grow with each.
 func TestACancelledAttemptCountsItsConnectionOnce(t *testing.T) {
-	server := playback.NewEngine(t, func(playback.Call) string { return playback.Hang })
+	server := enginetest.NewEngine(t, func(enginetest.Call) string { return enginetest.Hang })
 	dialled, goOn := make(chan struct{}), make(chan struct{})
 	p := NewPool(Options{Dial: func(_ context.Context, network, addr string) (net.Conn, error) {
 		close(dialled)
--- a/internal/upstream/release_test.go
+++ b/internal/upstream/release_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"wellgw/internal/core"
-	"wellgw/internal/playback"
+	"wellgw/internal/enginetest"
 )
 
 const letGo = "HTTP/1.1 204 No Content\r\n\r\n"
@@ -33,13 +33,13 @@
 
 // A release is tried until its engine has answered it, and no other engine is told then.
 func TestReleaseIsTriedAgain(t *testing.T) {
-	server := playback.NewEngine(t, func(c playback.Call) string {
+	server := enginetest.NewEngine(t, func(c enginetest.Call) string {
 		if c.N < 3 {
-			return playback.Cut
+			return enginetest.Cut
 		}
 		return letGo
 	})
-	other := playback.NewEngine(t, func(playback.Call) string { return letGo })
+	other := enginetest.NewEngine(t, func(enginetest.Call) string { return letGo })
 	ended, _ := startRelease(t, core.Release{
 		At: core.Member{Addr: server.Addr}, Elsewhere: []core.Member{{Addr: other.Addr}}, ElsewhereAfter: time.Minute,
 	})
@@ -57,13 +57,13 @@
 // As long as the engine is not reached others are told, one after the other, and again once
 // one has been: an attempt may have waited for the state until then.
 func TestAReleaseIsToldElsewhere(t *testing.T) {
-	first := playback.NewEngine(t, func(playback.Call) string { return playback.Cut })
-	second := playback.NewEngine(t, func(playback.Call) string { return letGo })
+	first := enginetest.NewEngine(t, func(enginetest.Call) string { return enginetest.Cut })
+	second := enginetest.NewEngine(t, func(enginetest.Call) string { return letGo })
 	ended, stop := startRelease(t, core.Release{
 		At: core.Member{Addr: nobody(t)}, Elsewhere: []core.Member{{Addr: first.Addr}, {Addr: second.Addr}},
 		ElsewhereAfter: time.Millisecond, ElsewhereEvery: time.Millisecond,
 	})
-	playback.Eventually(t, "both are told, and one of them again", func() bool {
+	enginetest.Eventually(t, "both are told, and one of them again", func() bool {
 		return len(first.Calls("DELETE")) > 0 && len(second.Calls("DELETE")) > 1
 	})
 	select {
--- a/internal/upstream/simturn_test.go
+++ b/internal/upstream/simturn_test.go
@@ -5,7 +5,7 @@
 	"io"
 	"time"
 
-	"wellgw/internal/playback"
+	"wellgw/internal/enginetest"
 	"wellgw/routing"
 )
 
@@ -115,9 +115,9 @@
 	took := time.Duration(1+f.chance(60)) * f.rules.readersLast / 60
 	switch kind {
 	case 0:
-		return t.say(playback.Status(500, "", ""))
+		return t.say(enginetest.Status(500, "", ""))
 	case 1:
-		return t.say(playback.Status(503, "X-Not-Run: 1\r\n", ""))
+		return t.say(enginetest.Status(503, "X-Not-Run: 1\r\n", ""))
 	case 2: // hangs before the read's end
 		<-t.learned
 		return false
@@ -143,7 +143,7 @@
 	case 5: // its connection breaks just then
 		return false
 	}
-	if !t.say(playback.Status(202, "", `{"cached_tokens":0}`)) {
+	if !t.say(enginetest.Status(202, "", `{"cached_tokens":0}`)) {
 		return false
 	}
 	f.account(t.id, func(*record) { f.reached(t.id, stageRead) })
@@ -160,7 +160,7 @@
 		}
 	})
 	if !has && !f.rules.ownRead && e.role != routing.RoleMixed {
-		return t.say(playback.Status(410, "X-Not-Run: 1\r\n", ""))
+		return t.say(enginetest.Status(410, "X-Not-Run: 1\r\n", ""))
 	}
 	kind := f.chance(16)
 	fetched := t.wait(kind, time.Duration(1+f.chance(80))*time.Millisecond)
@@ -201,21 +201,21 @@
 func (t *turn) refuse(kind int) bool {
 	switch kind {
 	case 2:
-		return t.say(playback.Status(500, "", ""))
+		return t.say(enginetest.Status(500, "", ""))
 	case 3:
-		return t.say(playback.Status(503, "X-Not-Run: 1\r\n", ""))
+		return t.say(enginetest.Status(503, "X-Not-Run: 1\r\n", ""))
 	}
 	return false
 }
 
 // stream answers in events; breaks tells whether the connection does after the first.
 func (t *turn) stream(breaks bool) bool {
-	if !t.say(playback.StreamHead + playback.Chunk("data: x\n\n")) {
+	if !t.say(enginetest.StreamHead + enginetest.Chunk("data: x\n\n")) {
 		return false
 	}
 	t.engine.fleet.account(t.id, func(*record) { t.engine.fleet.reached(t.id, stageStream) })
 	if !t.spend(20*time.Millisecond, true) || breaks {
 		return false
 	}
-	return t.say(playback.Chunk("data: [DONE]\n\n") + "0\r\n\r\n")
+	return t.say(enginetest.Chunk("data: [DONE]\n\n") + "0\r\n\r\n")
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -11,8 +11,8 @@
 	"github.com/google/go-cmp/cmp"
 
 	"wellgw/internal/core"
+	"wellgw/internal/enginetest"
 	"wellgw/internal/platform"
-	"wellgw/internal/playback"
 	"wellgw/internal/upstream"
 	"wellgw/routing"
 )
@@ -41,45 +41,45 @@
 
 func TestOutcomes(t *testing.T) {
 	notRun := "X-Not-Run: 1\r\n"
-	event := playback.Chunk("data: x\n\n")
+	event := enginetest.Chunk("data: x\n\n")
 	for _, c := range []struct {
 		name, script, text string
 		want               core.Result
 	}{
-		{"read", playback.Status(202, "", `{"cached_tokens":4096}`), "", core.Result{Status: routing.StatusRead, Kept: 4096}},
-		{"read, odd body", playback.Status(202, "", `{`), "", core.Result{Status: routing.StatusRead}},
-		{"error", playback.Status(500, "", ""), "", core.Result{Status: routing.StatusError}},
-		{"full", playback.Status(503, notRun, ""), "", core.Result{Status: routing.StatusFull}},
-		{"over already", playback.Status(504, notRun, ""), "", core.Result{Status: routing.StatusFull}},
-		{"503 that proves nothing", playback.Status(503, "", ""), "", core.Result{Status: routing.StatusError}},
-		{"no state", playback.Status(410, notRun, ""), "", core.Result{Status: routing.StatusFull, NoState: true}},
-		{"410 that proves nothing", playback.Status(410, "", ""), "", core.Result{Status: routing.StatusError}},
-		{"break before the head", playback.Cut, "", core.Result{Status: routing.StatusReset}},
-		{"break in the head", "HTTP/1.1 20" + playback.Cut, "", core.Result{Status: routing.StatusError}},
-		{"endless head", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-A: b\r\n", 20_000) + playback.Hang, "", core.Result{Status: routing.StatusError}},
-		{"head that does not end", "HTTP/1.1 200 OK\r\nX-A: b" + playback.Hang, "", core.Result{Status: routing.StatusError}},
-		{"noise", "\x07\xff no answer at all" + playback.Hang, "", core.Result{Status: routing.StatusError}},
-		{"noise in place of events", playback.StreamHead + playback.Chunk("\x07\xff no event") + playback.Hang, "", core.Result{Status: routing.StatusError}},
-		{"noise among events", playback.StreamHead + event + playback.Chunk("data: y\n\nno event") + playback.Hang, "data: x\n\ndata: y\n\n", core.Result{Status: routing.StatusError}},
-		{"chunk size that is none", playback.StreamHead + event + "zz\r\n" + playback.Hang, "data: x\n\n", core.Result{Status: routing.StatusError}},
-		{"chunk of 3 GB", playback.StreamHead + event + "C0000000\r\ndata: y\n\n" + playback.Hang, "data: x\n\n", core.Result{Status: routing.StatusError}},
-		{"chunk that does not fit", playback.StreamHead + event + "3\r\ndata: y\n\n\r\n" + playback.Hang, "data: x\n\n", core.Result{Status: routing.StatusError}},
-		{"no last chunk", playback.StreamHead + event + playback.Chunk("data: [DONE]\n\n") + playback.Hang, "data: x\n\ndata: [DONE]\n\n", core.Result{Status: routing.StatusError}},
-		{"interim answers in front", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + playback.StreamHead + event + "0\r\n\r\n", "data: x\n\n", core.Result{Status: routing.StatusServed}},
-		{"load reports that can't be read", strings.Replace(playback.StreamHead, "\r\n\r\n", "\r\nX-Load: {\"util\":\r\n\r\n", 1) + event + playback.Chunk(": X-Load: \xff{\n") + "0\r\n\r\n", "data: x\n\n: X-Load: \xff{\n", core.Result{Status: routing.StatusServed}},
-		{"break before an event", playback.StreamHead + playback.Cut, "", core.Result{Status: routing.StatusReset}},
-		{"break in the first event's line", playback.StreamHead + "9\r\ndata: x" + playback.Cut, "", core.Result{Status: routing.StatusReset}},
-		{"break before the first event ends", playback.StreamHead + playback.Chunk("data: x\n") + playback.Cut, "", core.Result{Status: routing.StatusReset}},
-		{"first event in pieces", playback.StreamHead + playback.Chunk("da") + playback.Chunk("ta: x\n") + playback.Chunk("\n") + "0\r\n\r\n", "data: x\n\n", core.Result{Status: routing.StatusServed}},
-		{"an event that only the stream's end ends", playback.StreamHead + playback.Chunk("data: x") + "0\r\n\r\n", "data: x", core.Result{Status: routing.StatusServed}},
-		{"no event", playback.StreamHead + "0\r\n\r\n", "", core.Result{Status: routing.StatusError}},
-		{"break after an event", playback.StreamHead + event + playback.Cut, "data: x\n\n", core.Result{Status: routing.StatusReset}},
-		{"break in a chunk", playback.StreamHead + event + "9\r\nda" + playback.Cut, "data: x\n\nda", core.Result{Status: routing.StatusReset}},
-		{"whole", playback.StreamHead + event + playback.Chunk(`data: {"usage":{"prompt_tokens_details":{"cached_tokens":7}}}`+"\n") + "0\r\n\r\n",
+		{"read", enginetest.Status(202, "", `{"cached_tokens":4096}`), "", core.Result{Status: routing.StatusRead, Kept: 4096}},
+		{"read, odd body", enginetest.Status(202, "", `{`), "", core.Result{Status: routing.StatusRead}},
+		{"error", enginetest.Status(500, "", ""), "", core.Result{Status: routing.StatusError}},
+		{"full", enginetest.Status(503, notRun, ""), "", core.Result{Status: routing.StatusFull}},
+		{"over already", enginetest.Status(504, notRun, ""), "", core.Result{Status: routing.StatusFull}},
+		{"503 that proves nothing", enginetest.Status(503, "", ""), "", core.Result{Status: routing.StatusError}},
+		{"no state", enginetest.Status(410, notRun, ""), "", core.Result{Status: routing.StatusFull, NoState: true}},
+		{"410 that proves nothing", enginetest.Status(410, "", ""), "", core.Result{Status: routing.StatusError}},
+		{"break before the head", enginetest.Cut, "", core.Result{Status: routing.StatusReset}},
+		{"break in the head", "HTTP/1.1 20" + enginetest.Cut, "", core.Result{Status: routing.StatusError}},
+		{"endless head", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-A: b\r\n", 20_000) + enginetest.Hang, "", core.Result{Status: routing.StatusError}},
+		{"head that does not end", "HTTP/1.1 200 OK\r\nX-A: b" + enginetest.Hang, "", core.Result{Status: routing.StatusError}},
+		{"noise", "\x07\xff no answer at all" + enginetest.Hang, "", core.Result{Status: routing.StatusError}},
+		{"noise in place of events", enginetest.StreamHead + enginetest.Chunk("\x07\xff no event") + enginetest.Hang, "", core.Result{Status: routing.StatusError}},
+		{"noise among events", enginetest.StreamHead + event + enginetest.Chunk("data: y\n\nno event") + enginetest.Hang, "data: x\n\ndata: y\n\n", core.Result{Status: routing.StatusError}},
+		{"chunk size that is none", enginetest.StreamHead + event + "zz\r\n" + enginetest.Hang, "data: x\n\n", core.Result{Status: routing.StatusError}},
+		{"chunk of 3 GB", enginetest.StreamHead + event + "C0000000\r\ndata: y\n\n" + enginetest.Hang, "data: x\n\n", core.Result{Status: routing.StatusError}},
+		{"chunk that does not fit", enginetest.StreamHead + event + "3\r\ndata: y\n\n\r\n" + enginetest.Hang, "data: x\n\n", core.Result{Status: routing.StatusError}},
+		{"no last chunk", enginetest.StreamHead + event + enginetest.Chunk("data: [DONE]\n\n") + enginetest.Hang, "data: x\n\ndata: [DONE]\n\n", core.Result{Status: routing.StatusError}},
+		{"interim answers in front", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + enginetest.StreamHead + event + "0\r\n\r\n", "data: x\n\n", core.Result{Status: routing.StatusServed}},
+		{"load reports that can't be read", strings.Replace(enginetest.StreamHead, "\r\n\r\n", "\r\nX-Load: {\"util\":\r\n\r\n", 1) + event + enginetest.Chunk(": X-Load: \xff{\n") + "0\r\n\r\n", "data: x\n\n: X-Load: \xff{\n", core.Result{Status: routing.StatusServed}},
+		{"break before an event", enginetest.StreamHead + enginetest.Cut, "", core.Result{Status: routing.StatusReset}},
+		{"break in the first event's line", enginetest.StreamHead + "9\r\ndata: x" + enginetest.Cut, "", core.Result{Status: routing.StatusReset}},
+		{"break before the first event ends", enginetest.StreamHead + enginetest.Chunk("data: x\n") + enginetest.Cut, "", core.Result{Status: routing.StatusReset}},
+		{"first event in pieces", enginetest.StreamHead + enginetest.Chunk("da") + enginetest.Chunk("ta: x\n") + enginetest.Chunk("\n") + "0\r\n\r\n", "data: x\n\n", core.Result{Status: routing.StatusServed}},
+		{"an event that only the stream's end ends", enginetest.StreamHead + enginetest.Chunk("data: x") + "0\r\n\r\n", "data: x", core.Result{Status: routing.StatusServed}},
+		{"no event", enginetest.StreamHead + "0\r\n\r\n", "", core.Result{Status: routing.StatusError}},
+		{"break after an event", enginetest.StreamHead + event + enginetest.Cut, "data: x\n\n", core.Result{Status: routing.StatusReset}},
+		{"break in a chunk", enginetest.StreamHead + event + "9\r\nda" + enginetest.Cut, "data: x\n\nda", core.Result{Status: routing.StatusReset}},
+		{"whole", enginetest.StreamHead + event + enginetest.Chunk(`data: {"usage":{"prompt_tokens_details":{"cached_tokens":7}}}`+"\n") + "0\r\n\r\n",
 			"data: x\n\n" + `data: {"usage":{"prompt_tokens_details":{"cached_tokens":7}}}` + "\n", core.Result{Status: routing.StatusServed, Kept: 7}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			server := playback.NewEngine(t, func(playback.Call) string { return c.script })
+			server := enginetest.NewEngine(t, func(enginetest.Call) string { return c.script })
 			text, got := attempt(engine(t), server.Addr)
 			if diff := cmp.Diff(c.want, got); diff != "" || text != c.text {
 				t.Errorf("text %q, result (-want +got):\n%s", text, diff)
@@ -105,11 +105,11 @@
 // A request on a kept connection that breaks may have run: it must not be sent
 // anew by the transport, as net/http's client would do.
 func TestABreakOnAKeptConnectionIsNotResent(t *testing.T) {
-	server := playback.NewEngine(t, func(c playback.Call) string {
+	server := enginetest.NewEngine(t, func(c enginetest.Call) string {
 		if c.N == 2 {
-			return playback.Cut
+			return enginetest.Cut
 		}
-		return playback.Status(202, "", "{}")
+		return enginetest.Status(202, "", "{}")
 	})
 	e := engine(t)
 	var got []routing.Status
@@ -125,8 +125,8 @@
 
 // A second answer right behind a good one must not be taken for the next request's.
 func TestASecondAnswerHarmsNothing(t *testing.T) {
-	server := playback.NewEngine(t, func(c playback.Call) string {
-		return playback.Status(202, "", fmt.Sprintf(`{"cached_tokens":%d}`, c.N)) + playback.Status(202, "", `{"cached_tokens":99}`)
+	server := enginetest.NewEngine(t, func(c enginetest.Call) string {
+		return enginetest.Status(202, "", fmt.Sprintf(`{"cached_tokens":%d}`, c.N)) + enginetest.Status(202, "", `{"cached_tokens":99}`)
 	})
 	e := engine(t)
 	for n := 1; n <= 3; n++ {
@@ -139,7 +139,7 @@
 // An engine is told the time that is left when its request is written: a connection that
 // comes up late, and what is waited for before, have taken their part.
 func TestTheTimeToldIsWhatIsLeft(t *testing.T) {
-	server := playback.NewEngine(t, func(playback.Call) string { return playback.Status(202, "", "{}") })
+	server := enginetest.NewEngine(t, func(enginetest.Call) string { return enginetest.Status(202, "", "{}") })
 	const limit, taken = 10 * time.Second, 60 * time.Millisecond
 	end := make(chan core.Result, 1)
 	engine(t).Start(core.Attempt{
@@ -153,20 +153,20 @@
 }
 
 func TestGivingUpClosesTheConnection(t *testing.T) {
-	server := playback.NewEngine(t, func(playback.Call) string { return playback.Hang })
+	server := enginetest.NewEngine(t, func(enginetest.Call) string { return enginetest.Hang })
 	attempt := engine(t).Start(core.Attempt{
 		To: core.Member{Addr: server.Addr}, Limit: time.Minute, Payload: core.Payload{Method: "POST", Target: "/"},
 	}, nil, func(core.Result) {})
-	playback.Eventually(t, "the request arrives", func() bool { return len(server.Calls("POST")) > 0 })
+	enginetest.Eventually(t, "the request arrives", func() bool { return len(server.Calls("POST")) > 0 })
 	attempt.Cancel()
 	attempt.Cancel()
-	playback.Eventually(t, "the connection closes", func() bool { return len(server.Dropped()) == 1 })
+	enginetest.Eventually(t, "the connection closes", func() bool { return len(server.Dropped()) == 1 })
 }
 
 // Nothing is written for a client that has left, and an attempt can be taken back as long as
 // nothing has been.
 func TestAnAttemptIsTakenBackBeforeItIsWritten(t *testing.T) {
-	server := playback.NewEngine(t, func(playback.Call) string { return playback.Hang })
+	server := enginetest.NewEngine(t, func(enginetest.Call) string { return enginetest.Hang })
 	start := func(a core.Attempt) (core.Handle, chan core.Result) {
 		a.To, a.Limit, a.Payload = core.Member{Addr: server.Addr}, time.Minute, core.Payload{Method: "POST", Target: "/"}
 		end := make(chan core.Result, 1)
@@ -195,6 +195,6 @@
 	if attempt.Withdraw() {
 		t.Error("taken back after it was written")
 	}
-	playback.Eventually(t, "the request has come", func() bool { return len(server.Calls("POST")) == 1 })
+	enginetest.Eventually(t, "the request has come", func() bool { return len(server.Calls("POST")) == 1 })
 	attempt.Cancel()
 }
