--- a/cmd/wellgw/main_test.go
+++ b/cmd/wellgw/main_test.go
@@ -16,8 +16,8 @@
 	"testing"
 	"time"
 
+	"wellgw/fake/consul"
 	"wellgw/internal/enginetest"
-	"wellgw/standin/consul"
 )
 
 // TestMain runs the program itself when a test starts this binary as such.
--- a/cmd/wellgwlab/main.go
+++ b/cmd/wellgwlab/main.go
@@ -1,4 +1,4 @@
-// Command wellgwlab stages experiments on stand-ins and checks their bounds.
+// Command wellgwlab stages experiments on fakes of outside systems and checks their bounds.
 package main
 
 import (
@@ -29,7 +29,7 @@
 
 func main() {
 	app := &cli.Command{
-		Name: "wellgwlab", Usage: "load and experiments on stand-ins",
+		Name: "wellgwlab", Usage: "load and experiments on fakes of outside systems",
 		Commands: []*cli.Command{
 			{Name: "list", Usage: "list the experiments", Action: list},
 			{Name: "run", Usage: "stage an experiment; exits with 1 if a bound is missed", ArgsUsage: "NAME", Action: run, Flags: []cli.Flag{
--- a/example/toyengine/main.go
+++ b/example/toyengine/main.go
@@ -1,4 +1,4 @@
-// Command toyengine is a stand-in for an engine that offers only the chat API. It
+// Command toyengine is a fake engine that offers only the chat API. It
 // streams back what it was asked, word by word, so that a newcomer can watch the
 // gateway at work without any model.
 package main
--- a/standin/consul/agent.go
+++ b/fake/consul/agent.go
@@ -79,7 +79,7 @@
 func (a *Agent) listen(addr string) error {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
-		return fmt.Errorf("stand-in agent: %w", err)
+		return fmt.Errorf("fake agent: %w", err)
 	}
 	a.Addr = l.Addr().String()
 	srv := &http.Server{Handler: a, ErrorLog: log.New(io.Discard, "", 0), ReadHeaderTimeout: 10 * time.Second}
--- a/standin/consul/store.go
+++ b/fake/consul/store.go
@@ -1,4 +1,4 @@
-// Package consul is a stand-in for a Consul agent and the servers behind it, written
+// Package consul is a fake of a Consul agent and the servers behind it, written
 // from the published HTTP API: catalogue, health, the agent's services and checks,
 // key-value entries with locks and sessions, blocking queries with an index for each
 // service, and faults that a test or an experiment scripts. It keeps no data on disk
--- a/standin/engine/engine.go
+++ b/fake/engine/engine.go
@@ -1,4 +1,4 @@
-// Package engine is a stand-in for model engines: those of the platform's two-stage
+// Package engine is a fake of model engines: those of the platform's two-stage
 // protocol and those that offer only the chat API. It has slots, a queue, memory, a
 // cold start, a drain and a crash, and it keeps an account of every attempt, from
 // which a checker tells what ran twice, and what was sent to an engine that should
@@ -107,7 +107,7 @@
 func (e *Engine) listen(addr string) error {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
-		return fmt.Errorf("stand-in engine: %w", err)
+		return fmt.Errorf("fake engine: %w", err)
 	}
 	srv := &http.Server{Handler: e, ErrorLog: log.New(io.Discard, "", 0), ReadHeaderTimeout: 10 * time.Second}
 	e.mu.Lock()
--- a/internal/consul/consul_test.go
+++ b/internal/consul/consul_test.go
@@ -15,10 +15,10 @@
 	"time"
 
 	"wellgw/decide/roster"
+	"wellgw/fake/consul"
 	"wellgw/internal/config"
 	"wellgw/internal/enginetest"
 	"wellgw/routing"
-	"wellgw/standin/consul"
 )
 
 func TestMarksAreFollowed(t *testing.T) {
--- a/internal/consul/harness_test.go
+++ b/internal/consul/harness_test.go
@@ -10,17 +10,17 @@
 	"time"
 
 	"wellgw/decide/roster"
+	"wellgw/fake/consul"
 	"wellgw/internal/config"
 	"wellgw/internal/core"
 	"wellgw/internal/directory"
 	"wellgw/internal/enginetest"
 	"wellgw/routing"
-	"wellgw/standin/consul"
 )
 
 const node = "node-1"
 
-// world is a stand-in, a directory that follows it, and what the core was told.
+// world is a fake Consul, a directory that follows it, and what the core was told.
 type world struct {
 	*testing.T
 	store  *consul.Store
--- a/internal/openai/conformance/conformance_test.go
+++ b/internal/openai/conformance/conformance_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"wellgw/decide/deduplication"
+	"wellgw/fake/engine"
 	"wellgw/internal/clientconn"
 	"wellgw/internal/config"
 	"wellgw/internal/core"
@@ -16,7 +17,6 @@
 	"wellgw/internal/openai/conformance"
 	"wellgw/internal/upstream"
 	"wellgw/routing"
-	"wellgw/standin/engine"
 )
 
 const operator = `{
--- a/internal/openai/resume_test.go
+++ b/internal/openai/resume_test.go
@@ -7,10 +7,10 @@
 	"strings"
 	"testing"
 
+	"wellgw/fake/engine"
 	"wellgw/internal/config"
 	"wellgw/internal/core"
 	"wellgw/routing"
-	"wellgw/standin/engine"
 )
 
 // Answers that break go on at another engine if their contract says so: what the client
--- a/internal/rolectl/rolectl_test.go
+++ b/internal/rolectl/rolectl_test.go
@@ -14,14 +14,14 @@
 	"wellgw/decide/rolechange"
 	"wellgw/decide/roles"
 	"wellgw/decide/roster"
+	fakeconsul "wellgw/fake/consul"
+	"wellgw/fake/engine"
 	"wellgw/internal/config"
 	"wellgw/internal/consul"
 	"wellgw/internal/core"
 	"wellgw/internal/directory"
 	"wellgw/internal/enginetest"
 	"wellgw/routing"
-	standin "wellgw/standin/consul"
-	"wellgw/standin/engine"
 )
 
 // gate is one gateway, as far as changes of role need it.
@@ -29,7 +29,7 @@
 	*Controller
 	keeper *directory.Keeper
 	client *consul.Client
-	agent  *standin.Agent
+	agent  *fakeconsul.Agent
 	stop   func()
 
 	mu    sync.Mutex
@@ -39,7 +39,7 @@
 // world is a catalogue, engines and gateways.
 type world struct {
 	*testing.T
-	store *standin.Store
+	store *fakeconsul.Store
 	fleet *engine.Fleet
 	eng   map[string]*engine.Engine
 	roles map[string]string // as their own files have them
@@ -51,7 +51,7 @@
 
 func newWorld(t *testing.T) *world {
 	t.Helper()
-	w := &world{T: t, store: standin.NewStore(), fleet: engine.NewFleet(), eng: map[string]*engine.Engine{}}
+	w := &world{T: t, store: fakeconsul.NewStore(), fleet: engine.NewFleet(), eng: map[string]*engine.Engine{}}
 	w.roles = map[string]string{"r1": engine.Read, "r2": engine.Read, "w1": engine.Write, "w2": engine.Write}
 	t.Cleanup(w.store.Close)
 	t.Cleanup(w.fleet.Close)
@@ -85,7 +85,7 @@
 // gate starts a gateway; change may alter its options.
 func (w *world) gate(name string, change func(*Options)) *gate {
 	w.Helper()
-	agent, err := standin.NewAgent(w.store, node)
+	agent, err := fakeconsul.NewAgent(w.store, node)
 	if err != nil {
 		w.Fatal(err)
 	}
@@ -218,7 +218,7 @@
 		t.Fatal(err)
 	}
 	// The owner is cut off, and its session ends.
-	if err := one.agent.Fail(standin.Faults{Hang: true}); err != nil {
+	if err := one.agent.Fail(fakeconsul.Faults{Hang: true}); err != nil {
 		t.Fatal(err)
 	}
 	if err := two.client.EndSession(t.Context(), lock.Session); err != nil {
@@ -271,14 +271,14 @@
 	})
 	w.leave(g, "w1", "read", rolechange.Announced)
 	enginetest.Eventually(t, "it is held", func() bool { return g.holds("w1", "write") })
-	if err := g.agent.Fail(standin.Faults{Refuse: true}); err != nil {
+	if err := g.agent.Fail(fakeconsul.Faults{Refuse: true}); err != nil {
 		t.Fatal(err)
 	}
 	enginetest.Eventually(t, "nobody owns", func() bool { return !g.Status().Mine })
 	if !g.holds("w1", "write") {
 		t.Error("the engine has new work while the change can't be read")
 	}
-	if err := g.agent.Fail(standin.Faults{}); err != nil {
+	if err := g.agent.Fail(fakeconsul.Faults{}); err != nil {
 		t.Fatal(err)
 	}
 	second := w.gate("g2", nil) // whose word was missing
--- a/lab/chatrun/chatrun.go
+++ b/lab/chatrun/chatrun.go
@@ -12,13 +12,13 @@
 	"sync"
 	"time"
 
+	"wellgw/fake/engine"
 	"wellgw/internal/admin"
 	"wellgw/internal/openai/conformance"
 	"wellgw/internal/pause"
 	"wellgw/lab"
 	"wellgw/lab/gateway"
 	"wellgw/lab/load"
-	"wellgw/standin/engine"
 )
 
 // Experiment returns the experiment.
--- a/lab/consulrun/consulrun.go
+++ b/lab/consulrun/consulrun.go
@@ -8,12 +8,12 @@
 	"sync"
 	"time"
 
+	"wellgw/fake/consul"
 	"wellgw/internal/admin"
 	"wellgw/internal/pause"
 	"wellgw/lab"
 	"wellgw/lab/gateway"
 	"wellgw/lab/load"
-	"wellgw/standin/consul"
 )
 
 // Experiment returns the experiment.
--- a/lab/consulrun/cost.go
+++ b/lab/consulrun/cost.go
@@ -7,11 +7,11 @@
 	"sync"
 	"time"
 
+	"wellgw/fake/consul"
 	"wellgw/internal/admin"
 	"wellgw/internal/pause"
 	"wellgw/lab"
 	"wellgw/lab/gateway"
-	"wellgw/standin/consul"
 )
 
 // size is one size of catalogue, and how it is followed.
--- a/lab/consulrun/stage.go
+++ b/lab/consulrun/stage.go
@@ -12,12 +12,12 @@
 	"sync"
 	"time"
 
+	"wellgw/fake/consul"
+	"wellgw/fake/engine"
 	"wellgw/internal/admin"
 	"wellgw/lab"
 	"wellgw/lab/gateway"
 	"wellgw/lab/load"
-	"wellgw/standin/consul"
-	"wellgw/standin/engine"
 )
 
 // The bounds.
--- a/lab/fleetrun/programs.go
+++ b/lab/fleetrun/programs.go
@@ -8,6 +8,8 @@
 	"time"
 
 	"wellgw/decide/membership"
+	"wellgw/fake/consul"
+	"wellgw/fake/engine"
 	"wellgw/internal/admin"
 	"wellgw/internal/pause"
 	"wellgw/internal/peers"
@@ -15,8 +17,6 @@
 	"wellgw/lab/faultnet"
 	"wellgw/lab/gateway"
 	"wellgw/lab/load"
-	"wellgw/standin/consul"
-	"wellgw/standin/engine"
 )
 
 // The stage, and what must hold on it.
--- a/lab/membersrun/membersrun.go
+++ b/lab/membersrun/membersrun.go
@@ -8,12 +8,12 @@
 	"slices"
 	"time"
 
+	"wellgw/fake/engine"
 	"wellgw/internal/peers"
 	"wellgw/lab"
 	"wellgw/lab/faultnet"
 	"wellgw/lab/gateway"
 	"wellgw/lab/membersim"
-	"wellgw/standin/engine"
 )
 
 // Experiment returns the experiment.
--- a/lab/membersrun/tier.go
+++ b/lab/membersrun/tier.go
@@ -6,12 +6,12 @@
 	"time"
 
 	"wellgw/decide/membership"
+	"wellgw/fake/engine"
 	"wellgw/internal/admin"
 	"wellgw/internal/peers"
 	"wellgw/lab"
 	"wellgw/lab/faultnet"
 	"wellgw/lab/gateway"
-	"wellgw/standin/engine"
 )
 
 // tier is the programs and the net between them.
--- a/lab/rolesrun/rolesrun.go
+++ b/lab/rolesrun/rolesrun.go
@@ -13,14 +13,14 @@
 	"time"
 
 	"wellgw/decide/roles"
+	"wellgw/fake/consul"
+	"wellgw/fake/engine"
 	"wellgw/internal/admin"
 	"wellgw/internal/rolectl"
 	"wellgw/lab"
 	"wellgw/lab/gateway"
 	"wellgw/lab/load"
 	"wellgw/lab/rolesim"
-	"wellgw/standin/consul"
-	"wellgw/standin/engine"
 )
 
 // Experiment returns the experiment.
