--- a/cmd/wellgw/held_test.go
+++ b/cmd/wellgw/held_test.go
@@ -12,8 +12,8 @@
 	"syscall"
 	"testing"
 
+	"wellgw/experiments/faultnet"
 	"wellgw/internal/enginetest"
-	"wellgw/lab/faultnet"
 )
 
 // releases counts, by request, how often engines were told to release what they hold for it.
--- a/cmd/wellgw/moments_test.go
+++ b/cmd/wellgw/moments_test.go
@@ -16,8 +16,8 @@
 	"testing"
 	"time"
 
+	"wellgw/experiments/faultnet"
 	"wellgw/internal/enginetest"
-	"wellgw/lab/faultnet"
 )
 
 // platformFile is a gateway's object with one reader and one writer as last known.
--- a/cmd/wellgw/orders_test.go
+++ b/cmd/wellgw/orders_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
+	"wellgw/experiments/load"
 	"wellgw/fake/engine"
-	"wellgw/lab/load"
 )
 
 // Three gateways that know nothing of each other, engines from the file, and nothing said of
--- a/cmd/wellgw/tier_test.go
+++ b/cmd/wellgw/tier_test.go
@@ -17,9 +17,9 @@
 	"time"
 
 	"wellgw/decide/membership"
+	"wellgw/experiments/faultnet"
 	"wellgw/internal/enginetest"
 	"wellgw/internal/peers"
-	"wellgw/lab/faultnet"
 )
 
 // Three programs: after a short pause all is as before, a longer one is a death that heals,
--- a/cmd/wellgw/tierharness_test.go
+++ b/cmd/wellgw/tierharness_test.go
@@ -15,10 +15,10 @@
 	"time"
 
 	"wellgw/decide/membership"
+	"wellgw/experiments/faultnet"
 	"wellgw/internal/admin"
 	"wellgw/internal/enginetest"
 	"wellgw/internal/peers"
-	"wellgw/lab/faultnet"
 )
 
 const operatorFile = `{"listen": "127.0.0.1:0", "zone": "z",
--- a/cmd/wellgwlab/main.go
+++ b/cmd/wellgwlab/main.go
@@ -12,19 +12,19 @@
 
 	"github.com/urfave/cli/v3"
 
+	"wellgw/experiments"
+	"wellgw/experiments/chatrun"
+	"wellgw/experiments/consulrun"
+	"wellgw/experiments/fleetrun"
+	"wellgw/experiments/fleetsim"
+	"wellgw/experiments/membersrun"
+	"wellgw/experiments/rolesrun"
 	"wellgw/internal/openai/conformance"
-	"wellgw/lab"
-	"wellgw/lab/chatrun"
-	"wellgw/lab/consulrun"
-	"wellgw/lab/fleetrun"
-	"wellgw/lab/fleetsim"
-	"wellgw/lab/membersrun"
-	"wellgw/lab/rolesrun"
 )
 
-// experiments are all that there are.
-func experiments() []lab.Experiment {
-	return []lab.Experiment{consulrun.Experiment(), rolesrun.Experiment(), chatrun.Experiment(), fleetsim.Experiment(), fleetrun.Experiment(), membersrun.Experiment()}
+// all returns the experiments that can be run.
+func all() []experiments.Experiment {
+	return []experiments.Experiment{consulrun.Experiment(), rolesrun.Experiment(), chatrun.Experiment(), fleetsim.Experiment(), fleetrun.Experiment(), membersrun.Experiment()}
 }
 
 func main() {
@@ -59,7 +59,7 @@
 }
 
 func list(_ context.Context, cmd *cli.Command) error {
-	for _, e := range experiments() {
+	for _, e := range all() {
 		fmt.Fprintf(cmd.Root().Writer, "%-12s %s\n", e.Name, e.About)
 	}
 	return nil
@@ -67,7 +67,7 @@
 
 func run(ctx context.Context, cmd *cli.Command) error {
 	name := cmd.Args().First()
-	for _, e := range experiments() {
+	for _, e := range all() {
 		if e.Name == name {
 			return stage(ctx, cmd, e)
 		}
@@ -76,8 +76,8 @@
 }
 
 func conform(ctx context.Context, cmd *cli.Command) error {
-	r := &lab.Report{}
-	t := lab.Table{Title: "Conformance", Head: []string{"case", "passed", "took", "detail"}}
+	r := &experiments.Report{}
+	t := experiments.Table{Title: "Conformance", Head: []string{"case", "passed", "took", "detail"}}
 	failed := 0
 	for _, c := range conformance.Run(ctx, conformance.Options{
 		BaseURL: cmd.String("url"), Key: cmd.String("key"), Model: cmd.String("model"), OrderModel: cmd.String("order-model"),
@@ -95,7 +95,7 @@
 	return nil
 }
 
-func stage(ctx context.Context, cmd *cli.Command, e lab.Experiment) error {
+func stage(ctx context.Context, cmd *cli.Command, e experiments.Experiment) error {
 	program := cmd.String("program")
 	if program == "" {
 		self, err := os.Executable()
@@ -112,7 +112,7 @@
 		defer os.RemoveAll(work)
 	}
 	out := cmd.Root().Writer
-	r, err := e.Run(ctx, lab.Options{Quick: cmd.Bool("quick"), Program: program, Former: cmd.String("former"), Work: work, Out: out, Seed: cmd.Uint64("seed"),
+	r, err := e.Run(ctx, experiments.Options{Quick: cmd.Bool("quick"), Program: program, Former: cmd.String("former"), Work: work, Out: out, Seed: cmd.Uint64("seed"),
 		Schedule: cmd.String("schedule"), Shrink: cmd.Bool("shrink"),
 	})
 	if err != nil {
--- a/lab/chatrun/chatrun.go
+++ b/experiments/chatrun/chatrun.go
@@ -12,18 +12,18 @@
 	"sync"
 	"time"
 
+	"wellgw/experiments"
+	"wellgw/experiments/gateway"
+	"wellgw/experiments/load"
 	"wellgw/fake/engine"
 	"wellgw/internal/admin"
 	"wellgw/internal/openai/conformance"
 	"wellgw/internal/pause"
-	"wellgw/lab"
-	"wellgw/lab/gateway"
-	"wellgw/lab/load"
 )
 
 // Experiment returns the experiment.
-func Experiment() lab.Experiment {
-	return lab.Experiment{
+func Experiment() experiments.Experiment {
+	return experiments.Experiment{
 		Name:  "chat",
 		About: "Streams that break at random bytes under retrying clients: orders run twice, final answers, states held; a planned restart; slow clients; conformance; and the cost of a stream, old against new.",
 		Run:   run,
@@ -39,12 +39,12 @@
 	freedIn  = 2 * time.Second       // an engine whose client does not read
 )
 
-func run(ctx context.Context, opt lab.Options) (*lab.Report, error) {
-	r := &lab.Report{}
+func run(ctx context.Context, opt experiments.Options) (*experiments.Report, error) {
+	r := &experiments.Report{}
 	begun := time.Now()
 	for _, part := range []struct {
 		name string
-		run  func(context.Context, lab.Options, *lab.Report) error
+		run  func(context.Context, experiments.Options, *experiments.Report) error
 	}{{"breaks", breaks}, {"slow clients", slow}, {"conformance", conform}, {"cost", cost}} {
 		opt.Say(begun, "%s", part.name)
 		if err := part.run(ctx, opt, r); err != nil {
@@ -69,7 +69,7 @@
 	return file
 }
 
-func start(ctx context.Context, opt lab.Options, program, name string, file map[string]any, engines int) (*gateway.Gateway, error) {
+func start(ctx context.Context, opt experiments.Options, program, name string, file map[string]any, engines int) (*gateway.Gateway, error) {
 	g, err := gateway.Start(ctx, program, opt.Work, name, file)
 	if err != nil {
 		return nil, err
@@ -82,7 +82,7 @@
 }
 
 // breaks has engines break their streams anywhere, and clients drop and retry.
-func breaks(ctx context.Context, opt lab.Options, r *lab.Report) error {
+func breaks(ctx context.Context, opt experiments.Options, r *experiments.Report) error {
 	fleet := engine.NewFleet()
 	defer fleet.Close()
 	var all []*engine.Engine
@@ -146,7 +146,7 @@
 	sum := tally(outcomes)
 	twice := engine.RunTwice(fleet.Attempts(), func(string) bool { return true })
 	long, which := held.longest(outcomes)
-	r.Tables = append(r.Tables, lab.Table{
+	r.Tables = append(r.Tables, experiments.Table{
 		Title: "Orders whose streams break anywhere, under keys and retrying clients",
 		Head:  []string{"orders", "tries", "served", "of these replayed", "fate unknown", "turned away to the end", "other", "run twice", "tries without one final answer", "longest state after its end"},
 		Rows:  [][]any{{sum.orders, sum.tries, sum.served, sum.replayed, sum.unknown, sum.refused, sum.other, len(twice), len(sum.faults), long.Round(time.Millisecond)}},
@@ -161,7 +161,7 @@
 
 // restart ends a gateway as planned, starts it again, and asks for all its orders anew:
 // what was served is replayed, what may have run is not run.
-func restart(ctx context.Context, opt lab.Options, r *lab.Report, fleet *engine.Fleet, gates []*gateway.Gateway, files []map[string]any, plan load.Plan, outcomes []load.Outcome) error {
+func restart(ctx context.Context, opt experiments.Options, r *experiments.Report, fleet *engine.Fleet, gates []*gateway.Gateway, files []map[string]any, plan load.Plan, outcomes []load.Outcome) error {
 	g := gates[0]
 	before := len(fleet.Attempts())
 	if !g.Stop(10 * time.Second) {
@@ -267,7 +267,7 @@
 }
 
 // slow has clients that read nothing, and looks whether their engine is free again.
-func slow(ctx context.Context, opt lab.Options, r *lab.Report) error {
+func slow(ctx context.Context, opt experiments.Options, r *experiments.Report) error {
 	fleet := engine.NewFleet()
 	defer fleet.Close()
 	e, err := fleet.Start(engine.Options{ID: "e0", Role: engine.OpenAI, Slots: 4, Tokens: 150_000, Burst: true}, true)
@@ -306,8 +306,8 @@
 }
 
 // conform plays the conformance suite before engines of all odd ways.
-func conform(ctx context.Context, opt lab.Options, r *lab.Report) error {
-	t := lab.Table{Title: "Conformance, by the official Go client library", Head: []string{"case", "failed before engines that have"}}
+func conform(ctx context.Context, opt experiments.Options, r *experiments.Report) error {
+	t := experiments.Table{Title: "Conformance, by the official Go client library", Head: []string{"case", "failed before engines that have"}}
 	failed := map[string][]string{}
 	var names []string
 	cases := 0
@@ -348,7 +348,7 @@
 const costEvents = 40
 
 // cost measures the CPU of a stream and what the first event waits for.
-func cost(ctx context.Context, opt lab.Options, r *lab.Report) error {
+func cost(ctx context.Context, opt experiments.Options, r *experiments.Report) error {
 	type version struct{ name, program string }
 	versions := []version{{"this", opt.Program}}
 	if opt.Former != "" {
@@ -358,7 +358,7 @@
 	if opt.Quick {
 		span, rounds = 2*time.Second, 2
 	}
-	t := lab.Table{Title: fmt.Sprintf("Cost of a stream of %d events on one core", costEvents), Head: []string{"version", "requests a second", "µs of CPU a request", "first event, p50 over direct", "p99 over direct", "MB"}}
+	t := experiments.Table{Title: fmt.Sprintf("Cost of a stream of %d events on one core", costEvents), Head: []string{"version", "requests a second", "µs of CPU a request", "first event, p50 over direct", "p99 over direct", "MB"}}
 	best := map[string]float64{}
 	first := map[string]time.Duration{}
 	for round := range rounds { // in turn, so that a noisy moment meets all alike
@@ -378,7 +378,7 @@
 	}
 	r.Tables = append(r.Tables, t)
 	// What these come to depends on the machine; they are aims, and told beside what was found.
-	r.Tables = append(r.Tables, lab.Table{Title: "Aims", Head: []string{"aim", "found, best of the rounds"}, Rows: [][]any{
+	r.Tables = append(r.Tables, experiments.Table{Title: "Aims", Head: []string{"aim", "found, best of the rounds"}, Rows: [][]any{
 		{fmt.Sprintf("%.0f µs of CPU a request of %d events", costGoal, costEvents), fmt.Sprintf("%.0f µs", best["this"])},
 		{"the first event within 0.3 ms of direct at light load", first["this"]},
 	}})
@@ -388,7 +388,7 @@
 	return nil
 }
 
-func costOf(ctx context.Context, opt lab.Options, version, program, name string, span time.Duration) ([]any, float64, time.Duration, error) {
+func costOf(ctx context.Context, opt experiments.Options, version, program, name string, span time.Duration) ([]any, float64, time.Duration, error) {
 	fleet := engine.NewFleet()
 	defer fleet.Close()
 	var all []*engine.Engine
--- a/lab/consulrun/consulrun.go
+++ b/experiments/consulrun/consulrun.go
@@ -8,25 +8,25 @@
 	"sync"
 	"time"
 
+	"wellgw/experiments"
+	"wellgw/experiments/gateway"
+	"wellgw/experiments/load"
 	"wellgw/fake/consul"
 	"wellgw/internal/admin"
 	"wellgw/internal/pause"
-	"wellgw/lab"
-	"wellgw/lab/gateway"
-	"wellgw/lab/load"
 )
 
 // Experiment returns the experiment.
-func Experiment() lab.Experiment {
-	return lab.Experiment{
+func Experiment() experiments.Experiment {
+	return experiments.Experiment{
 		Name:  "consul",
 		About: "Gateways under load find their engines in a Consul that hangs, refuses, lags, is restored and answers nonsense.",
 		Run:   run,
 	}
 }
 
-func run(ctx context.Context, opt lab.Options) (*lab.Report, error) {
-	r := &lab.Report{}
+func run(ctx context.Context, opt experiments.Options) (*experiments.Report, error) {
+	r := &experiments.Report{}
 	agents, err := newStage("agents", opt, 2, r)
 	if err != nil {
 		return nil, err
@@ -48,17 +48,17 @@
 	if err := errors.Join(errs...); err != nil {
 		return nil, err
 	}
-	phases := lab.Table{Title: "Phases", Head: []string{"stage", "phase", "took", "limit", "asked", "served", "first p50", "first p99", "longest gap"}}
+	phases := experiments.Table{Title: "Phases", Head: []string{"stage", "phase", "took", "limit", "asked", "served", "first p50", "first p99", "longest gap"}}
 	for _, s := range []*stage{agents, catalogue} {
 		s.judge()
 		phases.Rows = append(phases.Rows, s.rows...)
 		served, not := load.Buckets(s.rec.All(), s.begun)
-		r.Charts = append(r.Charts, lab.Chart{
+		r.Charts = append(r.Charts, experiments.Chart{
 			Name: s.name, Title: "Stage " + s.name + ": requests by the second in which they were asked", X: "seconds", Y: "requests",
-			Lines: []lab.Line{{Name: "served", At: served}, {Name: "not served", At: not}},
+			Lines: []experiments.Line{{Name: "served", At: served}, {Name: "not served", At: not}},
 		})
 	}
-	r.Tables = append(r.Tables, phases, lab.Table{
+	r.Tables = append(r.Tables, phases, experiments.Table{
 		Title: "Cost of following",
 		Head:  []string{"engines", "services", "way", "resident MB", "CPU idle", "queries/s idle", "KB/s idle", "mark seen", "flaps/s", "CPU flapping", "KB/s flapping", "told/s"},
 		Rows:  costs,
--- a/lab/consulrun/cost.go
+++ b/experiments/consulrun/cost.go
@@ -7,11 +7,11 @@
 	"sync"
 	"time"
 
+	"wellgw/experiments"
+	"wellgw/experiments/gateway"
 	"wellgw/fake/consul"
 	"wellgw/internal/admin"
 	"wellgw/internal/pause"
-	"wellgw/lab"
-	"wellgw/lab/gateway"
 )
 
 // size is one size of catalogue, and how it is followed.
@@ -23,7 +23,7 @@
 
 // playCost measures what it costs to follow catalogues of growing size, at rest and
 // while checks flap. Their engines are of a role that is never sent to.
-func playCost(ctx context.Context, opt lab.Options, r *lab.Report, mu *sync.Mutex) ([][]any, error) {
+func playCost(ctx context.Context, opt experiments.Options, r *experiments.Report, mu *sync.Mutex) ([][]any, error) {
 	sizes := []size{{300, 20, 64}, {1000, 70, 128}, {3000, 200, 256}, {3000, 200, 64}}
 	if opt.Quick {
 		sizes = []size{{300, 20, 64}, {3000, 200, 256}, {3000, 200, 64}}
@@ -39,7 +39,7 @@
 	return rows, nil
 }
 
-func measure(ctx context.Context, opt lab.Options, z size, r *lab.Report, mu *sync.Mutex) ([]any, error) {
+func measure(ctx context.Context, opt experiments.Options, z size, r *experiments.Report, mu *sync.Mutex) ([]any, error) {
 	store := consul.NewStore()
 	defer store.Close()
 	agent, err := consul.NewAgent(store, node)
--- a/lab/consulrun/stage.go
+++ b/experiments/consulrun/stage.go
@@ -12,12 +12,12 @@
 	"sync"
 	"time"
 
+	"wellgw/experiments"
+	"wellgw/experiments/gateway"
+	"wellgw/experiments/load"
 	"wellgw/fake/consul"
 	"wellgw/fake/engine"
 	"wellgw/internal/admin"
-	"wellgw/lab"
-	"wellgw/lab/gateway"
-	"wellgw/lab/load"
 )
 
 // The bounds.
@@ -33,7 +33,7 @@
 // stage is one set of stand-ins, gateways and load.
 type stage struct {
 	name   string
-	opt    lab.Options
+	opt    experiments.Options
 	begun  time.Time
 	store  *consul.Store
 	agents []*consul.Agent
@@ -41,7 +41,7 @@
 	byID   map[string]*engine.Engine
 	gates  []*gateway.Gateway
 	rec    load.Recorder
-	report *lab.Report
+	report *experiments.Report
 
 	mu     sync.Mutex
 	spans  []engine.Span
@@ -51,7 +51,7 @@
 
 type window struct{ from, to time.Time }
 
-func newStage(name string, opt lab.Options, agents int, r *lab.Report) (*stage, error) {
+func newStage(name string, opt experiments.Options, agents int, r *experiments.Report) (*stage, error) {
 	s := &stage{name: name, opt: opt, begun: time.Now(), store: consul.NewStore(), fleet: engine.NewFleet(), byID: map[string]*engine.Engine{}, report: r}
 	for range agents {
 		a, err := consul.NewAgent(s.store, node)
--- a/lab/lab.go
+++ b/experiments/experiments.go
@@ -1,7 +1,7 @@
-// Package lab stages experiments: gateways as programs of their own, before stand-ins
-// for all that is outside, under load. An experiment states bounds, and fails if one
+// Package experiments stages experiments: gateways as programs of their own, before fakes
+// of all that is outside, under load. An experiment states bounds, and fails if one
 // is missed.
-package lab
+package experiments
 
 import (
 	"context"
--- a/lab/fleetrun/fleetrun.go
+++ b/experiments/fleetrun/fleetrun.go
@@ -8,14 +8,14 @@
 	"fmt"
 	"sync"
 
-	"wellgw/lab"
-	"wellgw/lab/fleetsim"
+	"wellgw/experiments"
+	"wellgw/experiments/fleetsim"
 	"wellgw/routing"
 )
 
 // Experiment returns the experiment.
-func Experiment() lab.Experiment {
-	return lab.Experiment{
+func Experiment() experiments.Experiment {
+	return experiments.Experiment{
 		Name:  "fleet",
 		About: "Fleets of 3 to 300 gateways before the same hundred engines in virtual time; twelve gateways as programs before eight engines, killed, stopped and cut off in turn.",
 		Run:   run,
@@ -25,8 +25,8 @@
 // points is how much less than at 3 gateways may be served at 300.
 const points = 0.03
 
-func run(ctx context.Context, opt lab.Options) (*lab.Report, error) {
-	r := &lab.Report{}
+func run(ctx context.Context, opt experiments.Options) (*experiments.Report, error) {
+	r := &experiments.Report{}
 	if err := programs(ctx, opt, r); err != nil {
 		return nil, err
 	}
@@ -35,7 +35,7 @@
 }
 
 // emulated plays each fleet's day with more and more gateways.
-func emulated(ctx context.Context, opt lab.Options, r *lab.Report) {
+func emulated(ctx context.Context, opt experiments.Options, r *experiments.Report) {
 	fleets, sizes := 4, []int{3, 30, 80, 300}
 	if opt.Quick {
 		fleets, sizes = 1, []int{3, 30}
@@ -64,10 +64,10 @@
 	if ctx.Err() != nil {
 		return
 	}
-	t := lab.Table{Title: "The same day with more gateways, in virtual time", Head: []string{
+	t := experiments.Table{Title: "The same day with more gateways, in virtual time", Head: []string{
 		"fleet", "troubles", "gateways", "requests", "service", "worst 10 s", "refused tries", "late", "probes a request", "new connections a request",
 	}}
-	service := lab.Line{Name: "service, mean"}
+	service := experiments.Line{Name: "service, mean"}
 	for j, n := range sizes {
 		mean := 0.0
 		for i := range cells {
@@ -94,5 +94,5 @@
 		r.Hold(many >= few-points, fmt.Sprintf("%s: service at %d gateways is within 3 points of that at %d", cells[i][0].d.Name, sizes[len(sizes)-1], sizes[0]), "%.3f against %.3f", many, few)
 	}
 	r.Tables = append(r.Tables, t)
-	r.Charts = append(r.Charts, lab.Chart{Name: "service", Title: "Service by the number of gateways, the same load", X: "gateways", Y: "service", Lines: []lab.Line{service}})
+	r.Charts = append(r.Charts, experiments.Chart{Name: "service", Title: "Service by the number of gateways, the same load", X: "gateways", Y: "service", Lines: []experiments.Line{service}})
 }
--- a/lab/fleetrun/programs.go
+++ b/experiments/fleetrun/programs.go
@@ -8,15 +8,15 @@
 	"time"
 
 	"wellgw/decide/membership"
+	"wellgw/experiments"
+	"wellgw/experiments/faultnet"
+	"wellgw/experiments/gateway"
+	"wellgw/experiments/load"
 	"wellgw/fake/consul"
 	"wellgw/fake/engine"
 	"wellgw/internal/admin"
 	"wellgw/internal/pause"
 	"wellgw/internal/peers"
-	"wellgw/lab"
-	"wellgw/lab/faultnet"
-	"wellgw/lab/gateway"
-	"wellgw/lab/load"
 )
 
 // The stage, and what must hold on it.
@@ -37,7 +37,7 @@
 
 // tier is the programs and all that they stand before.
 type tier struct {
-	opt    lab.Options
+	opt    experiments.Options
 	begun  time.Time
 	net    *faultnet.Net
 	store  *consul.Store
@@ -50,15 +50,15 @@
 	gates  map[string]*gateway.Gateway
 	tier   *gateway.Tier
 	spans  []engine.Span
-	spread lab.Table
+	spread experiments.Table
 }
 
 // programs plays kills, stops, cuts, a drain and a restart under load.
-func programs(ctx context.Context, opt lab.Options, r *lab.Report) error {
+func programs(ctx context.Context, opt experiments.Options, r *experiments.Report) error {
 	t := &tier{
 		opt: opt, begun: time.Now(), net: faultnet.New(opt.Seed), store: consul.NewStore(), fleet: engine.NewFleet(), byID: map[string]*engine.Engine{},
 		peers: map[string]string{}, gates: map[string]*gateway.Gateway{},
-		spread: lab.Table{Title: "Twelve gateways before eight engines: load after each change", Head: []string{"change", "attempts", "busiest engine against the mean", "asked", "served"}},
+		spread: experiments.Table{Title: "Twelve gateways before eight engines: load after each change", Head: []string{"change", "attempts", "busiest engine against the mean", "asked", "served"}},
 	}
 	defer t.close()
 	if err := t.start(ctx); err != nil {
@@ -202,7 +202,7 @@
 }
 
 // course makes one change after the other, and looks at the load after each.
-func (t *tier) course(ctx context.Context, r *lab.Report, rec *load.Recorder, all []string) error {
+func (t *tier) course(ctx context.Context, r *experiments.Report, rec *load.Recorder, all []string) error {
 	even := func(what string, at time.Time, among []string) {
 		pause.Sleep(ctx, time.Until(at.Add(evenIn)))
 		t.even(r, rec, what, at.Add(evenIn-evenFor), among)
@@ -283,7 +283,7 @@
 }
 
 // even states how load has been spread over some engines since a time.
-func (t *tier) even(r *lab.Report, rec *load.Recorder, what string, from time.Time, among []string) {
+func (t *tier) even(r *experiments.Report, rec *load.Recorder, what string, from time.Time, among []string) {
 	by, total, most := map[string]int{}, 0, 0
 	for _, a := range t.fleet.Attempts() {
 		if a.Came.After(from) {
--- a/lab/fleetsim/experiment.go
+++ b/experiments/fleetsim/experiment.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"wellgw/lab"
+	"wellgw/experiments"
 	"wellgw/routing"
 )
 
@@ -15,8 +15,8 @@
 const slack = 0.01
 
 // Experiment returns the experiment "deployments".
-func Experiment() lab.Experiment {
-	return lab.Experiment{
+func Experiment() experiments.Experiment {
+	return experiments.Experiment{
 		Name:  "deployments",
 		About: "Deployments drawn from a seed and emulated in virtual time: the module against three plain policies, on the same requests and troubles.",
 		Run:   run,
@@ -24,7 +24,7 @@
 }
 
 // run plays the deployments of the seeds that follow opt.Seed.
-func run(ctx context.Context, opt lab.Options) (*lab.Report, error) {
+func run(ctx context.Context, opt experiments.Options) (*experiments.Report, error) {
 	n := 40
 	if opt.Quick {
 		n = 12
@@ -82,8 +82,8 @@
 
 // troubles plays each trouble alone, on deployments at two thirds of their load, and tells
 // how deep service falls and how long it takes to come back.
-func troubles(seed uint64, n int) lab.Table {
-	t := lab.Table{
+func troubles(seed uint64, n int) experiments.Table {
+	t := experiments.Table{
 		Title: "Each trouble alone, at load 0.65: the module's service, over several deployments",
 		Head:  []string{"trouble", "asked in the 6 s before", "worst 3 s", "back after its begin", "back after its end", "service"},
 	}
@@ -129,15 +129,15 @@
 	return t
 }
 
-func report(days []*Deployment, policies []Baseline, results [][]Result) *lab.Report {
-	r := &lab.Report{}
-	t := lab.Table{Title: "Service by deployment: worth in time over worth asked", Head: []string{"deployment", "what it is", "requests"}}
-	classes := lab.Table{Title: "Service of the module by class", Head: []string{"deployment", "aim, gain, effect: service", "worst 10 s", "tries refused", "late"}}
-	chart := lab.Chart{Name: "service", Title: "Service by deployment", X: "deployment", Y: "service"}
-	worst := lab.Chart{Name: "classes", Title: "The module's best and worst served class", X: "deployment", Y: "service", Lines: []lab.Line{{Name: "best"}, {Name: "worst"}}}
+func report(days []*Deployment, policies []Baseline, results [][]Result) *experiments.Report {
+	r := &experiments.Report{}
+	t := experiments.Table{Title: "Service by deployment: worth in time over worth asked", Head: []string{"deployment", "what it is", "requests"}}
+	classes := experiments.Table{Title: "Service of the module by class", Head: []string{"deployment", "aim, gain, effect: service", "worst 10 s", "tries refused", "late"}}
+	chart := experiments.Chart{Name: "service", Title: "Service by deployment", X: "deployment", Y: "service"}
+	worst := experiments.Chart{Name: "classes", Title: "The module's best and worst served class", X: "deployment", Y: "service", Lines: []experiments.Line{{Name: "best"}, {Name: "worst"}}}
 	for _, p := range policies {
 		t.Head = append(t.Head, p.Name)
-		chart.Lines = append(chart.Lines, lab.Line{Name: p.Name})
+		chart.Lines = append(chart.Lines, experiments.Line{Name: p.Name})
 	}
 	for i, d := range days {
 		row := []any{d.Name, d.about(), results[i][0].Requests}
@@ -166,8 +166,8 @@
 		r.Hold(len(m.Broken) == 0, d.Name+": no rule broken", "%d%s", len(m.Broken), firstOf(m.Broken))
 		r.Hold(m.Service >= best-slack, d.Name+": no less than the best plain policy that keeps the rules, less a point", "%.3f against %.3f (%s)", m.Service, best, who)
 	}
-	r.Tables = []lab.Table{t, classes}
-	r.Charts = []lab.Chart{chart, worst}
+	r.Tables = []experiments.Table{t, classes}
+	r.Charts = []experiments.Chart{chart, worst}
 	return r
 }
 
--- a/lab/membersrun/faults.go
+++ b/experiments/membersrun/faults.go
@@ -10,12 +10,12 @@
 	"time"
 
 	"wellgw/decide/membership"
-	"wellgw/lab"
-	"wellgw/lab/faultnet"
+	"wellgw/experiments"
+	"wellgw/experiments/faultnet"
 )
 
 // kills ends one after the other at once, and sees when each of the others knows.
-func (t *tier) kills(ctx context.Context, r *lab.Report, n int) error {
+func (t *tier) kills(ctx context.Context, r *experiments.Report, n int) error {
 	var all []time.Duration
 	for i := range n {
 		victim := t.names[(i*4+3)%len(t.names)]
@@ -52,7 +52,7 @@
 	}
 	slices.Sort(all)
 	p99 := all[(len(all)-1)*99/100]
-	r.Tables = append(r.Tables, lab.Table{
+	r.Tables = append(r.Tables, experiments.Table{
 		Title: "Time until a kill is known, over all gateways that run", Head: []string{"kills", "p50 ms", "p99 ms", "longest ms"},
 		Rows: [][]any{{n, all[len(all)/2].Milliseconds(), p99.Milliseconds(), all[len(all)-1].Milliseconds()}},
 	})
@@ -76,7 +76,7 @@
 
 // faults plays a schedule of pauses and one-sided cuts under loss, in which nobody dies. It
 // is written out, and can be played again.
-func (t *tier) faults(ctx context.Context, r *lab.Report, span time.Duration) error {
+func (t *tier) faults(ctx context.Context, r *experiments.Report, span time.Duration) error {
 	s := faultnet.Draw(t.opt.Seed, t.names, span, longPause)
 	if t.opt.Schedule != "" {
 		raw, err := os.ReadFile(t.opt.Schedule)
@@ -155,7 +155,7 @@
 }
 
 // halves cuts four of nine off the rest for some seconds.
-func (t *tier) halves(ctx context.Context, r *lab.Report) error {
+func (t *tier) halves(ctx context.Context, r *experiments.Report) error {
 	cut := func(rule faultnet.Rule) {
 		for _, a := range t.names[:4] {
 			for _, b := range t.names[4:] {
@@ -182,7 +182,7 @@
 }
 
 // oneSided cuts one direction after the other among three for longer than a death takes.
-func (t *tier) oneSided(ctx context.Context, r *lab.Report) error {
+func (t *tier) oneSided(ctx context.Context, r *experiments.Report) error {
 	before, err := t.deaths(ctx)
 	if err != nil {
 		return err
@@ -215,7 +215,7 @@
 }
 
 // hub leaves two halves one gateway alone by which to reach each other.
-func (t *tier) hub(ctx context.Context, r *lab.Report) error {
+func (t *tier) hub(ctx context.Context, r *experiments.Report) error {
 	before, err := t.deaths(ctx)
 	if err != nil {
 		return err
@@ -242,7 +242,7 @@
 }
 
 // stalled serves clients while every link between gateways stands still.
-func (t *tier) stalled(ctx context.Context, r *lab.Report) error {
+func (t *tier) stalled(ctx context.Context, r *experiments.Report) error {
 	span := 5 * time.Second
 	if !t.opt.Quick {
 		span = 20 * time.Second
@@ -257,7 +257,7 @@
 		return err
 	}
 	t.net.All(t.names, faultnet.Rule{})
-	r.Tables = append(r.Tables, lab.Table{
+	r.Tables = append(r.Tables, experiments.Table{
 		Title: "Service to clients while all links between gateways stand still", Head: []string{"links", "asked", "served", "first event p50 us", "p99 us"},
 		Rows: [][]any{
 			{"as usual", usual.Asked, fmt.Sprintf("%.4f", part(usual.Summary)), usual.FirstP50.Microseconds(), usual.FirstP99.Microseconds()},
--- a/lab/membersrun/flood.go
+++ b/experiments/membersrun/flood.go
@@ -9,9 +9,9 @@
 	"sync"
 	"time"
 
-	"wellgw/lab"
-	"wellgw/lab/gateway"
-	"wellgw/lab/load"
+	"wellgw/experiments"
+	"wellgw/experiments/gateway"
+	"wellgw/experiments/load"
 )
 
 func floodFor(quick bool) time.Duration {
@@ -22,7 +22,7 @@
 }
 
 // flood sends forged datagrams, and good ones again, to three gateways under load.
-func (t *tier) flood(ctx context.Context, r *lab.Report, span time.Duration) error {
+func (t *tier) flood(ctx context.Context, r *experiments.Report, span time.Duration) error {
 	var mu sync.Mutex
 	good := map[string][][]byte{}
 	t.net.Tap(func(_, to string, b []byte) {
@@ -59,7 +59,7 @@
 	if err != nil {
 		return err
 	}
-	r.Tables = append(r.Tables, lab.Table{
+	r.Tables = append(r.Tables, experiments.Table{
 		Title: "Three gateways under forged and replayed datagrams and load", Head: []string{"datagrams a second each", "asked", "served", "first event p50 us", "p99 us", "CPU a gateway, s a s"},
 		Rows: [][]any{
 			{0, usual.Asked, fmt.Sprintf("%.4f", part(usual.Summary)), usual.FirstP50.Microseconds(), usual.FirstP99.Microseconds(), fmt.Sprintf("%.2f", usual.cpu)},
--- a/lab/membersrun/membersrun.go
+++ b/experiments/membersrun/membersrun.go
@@ -8,17 +8,17 @@
 	"slices"
 	"time"
 
+	"wellgw/experiments"
+	"wellgw/experiments/faultnet"
+	"wellgw/experiments/gateway"
+	"wellgw/experiments/membersim"
 	"wellgw/fake/engine"
 	"wellgw/internal/peers"
-	"wellgw/lab"
-	"wellgw/lab/faultnet"
-	"wellgw/lab/gateway"
-	"wellgw/lab/membersim"
 )
 
 // Experiment returns the experiment.
-func Experiment() lab.Experiment {
-	return lab.Experiment{
+func Experiment() experiments.Experiment {
+	return experiments.Experiment{
 		Name:  "members",
 		About: "Nine gateways as programs that tell each other who is there: kills, loss, pauses, one-sided cuts, halves, stalled links under load; and tiers of 3, 30 and 300 in virtual time.",
 		Run:   run,
@@ -43,9 +43,9 @@
 	hubFor     = 8 * time.Second
 )
 
-func run(ctx context.Context, opt lab.Options) (*lab.Report, error) {
+func run(ctx context.Context, opt experiments.Options) (*experiments.Report, error) {
 	begun := time.Now()
-	r := &lab.Report{}
+	r := &experiments.Report{}
 	t := &tier{opt: opt, net: faultnet.New(opt.Seed), gates: map[string]*gateway.Gateway{}, fleet: engine.NewFleet(), files: map[string]map[string]any{}}
 	defer t.close()
 	if err := t.start(ctx); err != nil {
@@ -58,14 +58,14 @@
 	if !opt.Quick {
 		kills, span = 12, 90*time.Second
 	}
-	steps := []func(context.Context, *lab.Report) error{
-		func(ctx context.Context, r *lab.Report) error { return t.kills(ctx, r, kills) },
-		func(ctx context.Context, r *lab.Report) error { return t.faults(ctx, r, span) },
+	steps := []func(context.Context, *experiments.Report) error{
+		func(ctx context.Context, r *experiments.Report) error { return t.kills(ctx, r, kills) },
+		func(ctx context.Context, r *experiments.Report) error { return t.faults(ctx, r, span) },
 		t.halves,
 		t.oneSided,
 		t.hub,
 		t.stalled,
-		func(ctx context.Context, r *lab.Report) error { return t.flood(ctx, r, floodFor(opt.Quick)) },
+		func(ctx context.Context, r *experiments.Report) error { return t.flood(ctx, r, floodFor(opt.Quick)) },
 	}
 	for _, step := range steps {
 		if err := step(ctx, r); err != nil {
@@ -79,15 +79,15 @@
 
 // sizes measures tiers in virtual time: what a gateway sends, how soon deaths and joins are
 // known, and what it costs.
-func sizes(r *lab.Report, opt lab.Options) {
+func sizes(r *experiments.Report, opt experiments.Options) {
 	all := []int{3, 30}
 	if !opt.Quick {
 		all = append(all, 300)
 	}
-	t := lab.Table{Title: "Tiers in virtual time", Head: []string{
+	t := experiments.Table{Title: "Tiers in virtual time", Head: []string{
 		"gateways", "join s", "messages a second", "bytes a second", "CPU us a second", "kill known p50 ms", "p99 ms", "one more known s", "heal s",
 	}}
-	bytesLine, kills, cost := lab.Line{Name: "bytes a second of a gateway"}, lab.Line{Name: "kill known, p99 ms"}, lab.Line{Name: "CPU of its machine, us a second"}
+	bytesLine, kills, cost := experiments.Line{Name: "bytes a second of a gateway"}, experiments.Line{Name: "kill known, p99 ms"}, experiments.Line{Name: "CPU of its machine, us a second"}
 	for _, n := range all {
 		tier := membersim.New(opt.Seed, n)
 		tier.Size = peers.Size
@@ -130,7 +130,7 @@
 		kills.At = append(kills.At, [2]float64{float64(n), float64(p99.Milliseconds())})
 	}
 	r.Tables = append(r.Tables, t)
-	r.Charts = append(r.Charts, lab.Chart{Name: "sizes", Title: "What a gateway sends, and how soon a kill is known, by the number of gateways", X: "gateways", Y: "bytes a second; ms", Lines: []lab.Line{bytesLine, kills, cost}})
+	r.Charts = append(r.Charts, experiments.Chart{Name: "sizes", Title: "What a gateway sends, and how soon a kill is known, by the number of gateways", X: "gateways", Y: "bytes a second; ms", Lines: []experiments.Line{bytesLine, kills, cost}})
 	first, last := bytesLine.At[0], bytesLine.At[len(bytesLine.At)-1]
 	// From 3 to n gateways the logarithm grows by log2(n+1)/log2(4).
 	grown := 1.0
--- a/lab/membersrun/tier.go
+++ b/experiments/membersrun/tier.go
@@ -6,17 +6,17 @@
 	"time"
 
 	"wellgw/decide/membership"
+	"wellgw/experiments"
+	"wellgw/experiments/faultnet"
+	"wellgw/experiments/gateway"
 	"wellgw/fake/engine"
 	"wellgw/internal/admin"
 	"wellgw/internal/peers"
-	"wellgw/lab"
-	"wellgw/lab/faultnet"
-	"wellgw/lab/gateway"
 )
 
 // tier is the programs and the net between them.
 type tier struct {
-	opt   lab.Options
+	opt   experiments.Options
 	net   *faultnet.Net
 	names []string
 	addrs []string // public ones, by name's place
--- a/lab/rolesrun/rolesrun.go
+++ b/experiments/rolesrun/rolesrun.go
@@ -13,19 +13,19 @@
 	"time"
 
 	"wellgw/decide/roles"
+	"wellgw/experiments"
+	"wellgw/experiments/gateway"
+	"wellgw/experiments/load"
+	"wellgw/experiments/rolesim"
 	"wellgw/fake/consul"
 	"wellgw/fake/engine"
 	"wellgw/internal/admin"
 	"wellgw/internal/rolectl"
-	"wellgw/lab"
-	"wellgw/lab/gateway"
-	"wellgw/lab/load"
-	"wellgw/lab/rolesim"
 )
 
 // Experiment returns the experiment.
-func Experiment() lab.Experiment {
-	return lab.Experiment{
+func Experiment() experiments.Experiment {
+	return experiments.Experiment{
 		Name:  "roles",
 		About: "Ten engines under a mix that swings between 80 per cent lookups and 80 per cent orders: fixed roles, roles that move, and an oracle that knows the mix.",
 		Run:   run,
@@ -58,8 +58,8 @@
 	still  bool // the mix stands at half
 }
 
-func run(ctx context.Context, opt lab.Options) (*lab.Report, error) {
-	r := &lab.Report{}
+func run(ctx context.Context, opt experiments.Options) (*experiments.Report, error) {
+	r := &experiments.Report{}
 	emulate(r, opt)
 	phase, phases := 120*time.Second, 3
 	if opt.Quick {
@@ -80,15 +80,15 @@
 	if err := errors.Join(errs...); err != nil {
 		return nil, err
 	}
-	t := lab.Table{Title: "Gateways and stand-in engines", Head: []string{"roles", "service", "worst phase", "worst 10 s", "lookups", "orders", "changes", "pushed over", "orders run twice", "work after a mark"}}
-	chart := lab.Chart{Name: "service", Title: "Service by second", X: "seconds", Y: "worth in time over worth asked"}
+	t := experiments.Table{Title: "Gateways and stand-in engines", Head: []string{"roles", "service", "worst phase", "worst 10 s", "lookups", "orders", "changes", "pushed over", "orders run twice", "work after a mark"}}
+	chart := experiments.Chart{Name: "service", Title: "Service by second", X: "seconds", Y: "worth in time over worth asked"}
 	for _, x := range results {
 		t.Rows = append(t.Rows, []any{x.name, f3(x.service), f3(x.worst), f3(x.worst10), f3(x.byModel["parts"]), f3(x.byModel["orders"]), x.changes, x.fallen, len(x.twice), len(x.after)})
 		r.Hold(x.fallen == 0, x.name+": no cold engine pushed over", "%d", x.fallen)
 		r.Hold(len(x.twice) == 0, x.name+": no order ran twice", "%d %s", len(x.twice), strings.Join(x.twice[:min(2, len(x.twice))], " "))
 		r.Hold(x.held == 0, x.name+": no read state is held by nobody", "%d", x.held)
 		r.Hold(len(x.after) == 0, x.name+": no work of the old kind after a mark", "%v", x.after)
-		chart.Lines = append(chart.Lines, lab.Line{Name: x.name, At: x.over})
+		chart.Lines = append(chart.Lines, experiments.Line{Name: x.name, At: x.over})
 	}
 	best := max(results[0].worst, results[1].worst, results[2].worst)
 	moving, fixedStill, movingStill := results[3], results[5], results[6]
@@ -145,7 +145,7 @@
 	s.store.Close()
 }
 
-func play(ctx context.Context, opt lab.Options, v variant, phase time.Duration, phases int) (*result, error) {
+func play(ctx context.Context, opt experiments.Options, v variant, phase time.Duration, phases int) (*result, error) {
 	s := &stage{variant: v, store: consul.NewStore(), fleet: engine.NewFleet()}
 	var err error
 	if s.agent, err = consul.NewAgent(s.store, node); err != nil {
@@ -379,8 +379,8 @@
 }
 
 // emulate weighs the strategies on the emulator.
-func emulate(r *lab.Report, opt lab.Options) {
-	t := lab.Table{Title: "Emulator, 40 min, 10 engines", Head: []string{"mix", "roles", "service", "worst phase", "worst 10 s", "changes"}}
+func emulate(r *experiments.Report, opt experiments.Options) {
+	t := experiments.Table{Title: "Emulator, 40 min, 10 engines", Head: []string{"mix", "roles", "service", "worst phase", "worst 10 s", "changes"}}
 	for _, mix := range []struct {
 		name string
 		at   func(time.Duration) float64
