--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command simadapter runs routers behind the simulator's wire on standard input
+// Command simadapter runs routers behind the simulator's protocol on standard input
 // and output.
 package main
 
@@ -6,11 +6,11 @@
 	"fmt"
 	"os"
 
-	"wellgw/internal/wire"
+	"wellgw/internal/simulator"
 )
 
 func main() {
-	if err := wire.Serve(os.Stdin, os.Stdout); err != nil {
+	if err := simulator.Serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
--- a/cmd/wellgw/harness_test.go
+++ b/cmd/wellgw/harness_test.go
@@ -104,7 +104,7 @@
 	return path
 }
 
-const settings = `{"az":"a","zones":["a"],"balancers":1,"kinds":["r","w"],"tick":4000,
+const testSettings = `{"az":"a","zones":["a"],"balancers":1,"kinds":["r","w"],"tick":4000,
 	"classes":[{"name":"order","aim":10000000,"hard_limit":60000000,"effect":"single_shot","gain":1}],
 	"family_info":{"duty_by_kind":["read","write"],"pin_limit":500000,"tokens_by_kind":[200000,200000]},
 	"limits":{"send_cap":4,"cancelling":true,"conn_idle":15000000,"connect_timeout":1000000},
--- a/cmd/wellgw/held_test.go
+++ b/cmd/wellgw/held_test.go
@@ -76,7 +76,7 @@
 }
 
 func (h *holders) start(name string) {
-	set := strings.NewReplacer(`"balancers":1`, `"balancers":3`, `"pin_limit":500000`, `"pin_limit":100000`).Replace(settings)
+	set := strings.NewReplacer(`"balancers":1`, `"balancers":3`, `"pin_limit":500000`, `"pin_limit":100000`).Replace(testSettings)
 	config := file(h.t, fmt.Sprintf(`{"name":%q,"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":%s,
 		"known":{"revision":1,"complete":true,"members":[
 			{"id":"r","host_port":%q,"locality":"a","flavor":"r","phase":"active"},
--- a/cmd/wellgw/main_test.go
+++ b/cmd/wellgw/main_test.go
@@ -51,7 +51,7 @@
 	}))
 	defer discovery.Close()
 	defer discovery.CloseClientConnections()
-	config := file(t, fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":%q,"seed":"1f","settings":%s}`, discovery.Listener.Addr(), settings))
+	config := file(t, fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":%q,"seed":"1f","settings":%s}`, discovery.Listener.Addr(), testSettings))
 	cmd, url := serving(t, []string{"EDGE_CONFIG=" + config}, "serve")
 	healthy(t, url)
 	req := post(t, url)
@@ -104,7 +104,7 @@
 		"known":{"revision":1,"complete":true,"members":[
 			{"id":"r1","host_port":%q,"locality":"a","flavor":"r","phase":"active"},
 			{"id":"w1","host_port":%q,"locality":"a","flavor":"w","phase":"active"}]}}`,
-		strings.Replace(settings, `"pin_limit"`, `"resume":true,"pin_limit"`, 1), reader.Addr, writer.Addr))
+		strings.Replace(testSettings, `"pin_limit"`, `"resume":true,"pin_limit"`, 1), reader.Addr, writer.Addr))
 	cmd, url := serving(t, []string{"EDGE_CONFIG=" + config}, "serve")
 	req := post(t, url)
 	resp, err := http.DefaultClient.Do(req)
@@ -316,7 +316,7 @@
 	}
 	clients.Close() // the program holds the socket now, as on the platform
 	tmp := t.TempDir()
-	config := file(t, fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:1","discovery":%q,"seed":"1f","settings":%s}`, discovery.Listener.Addr(), settings))
+	config := file(t, fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:1","discovery":%q,"seed":"1f","settings":%s}`, discovery.Listener.Addr(), testSettings))
 	env := []string{"EDGE_CONFIG=" + config, "EDGE_CONTROL=127.0.0.1:0", "EDGE_SOCKET_FD=3", "TMPDIR=" + tmp}
 	cmd, control, handed := onSocket(t, env, socket)
 	url := "http://" + clients.Addr().String()
--- a/cmd/wellgw/moments_test.go
+++ b/cmd/wellgw/moments_test.go
@@ -26,7 +26,7 @@
 		"known":{"revision":1,"complete":true,"members":[
 			{"id":"r1","host_port":%q,"locality":"a","flavor":"r","phase":"active"},
 			{"id":"w1","host_port":%q,"locality":"a","flavor":"w","phase":"active"}]}}`,
-		name, discovery, settings, reader.Addr, writer.Addr))
+		name, discovery, testSettings, reader.Addr, writer.Addr))
 }
 
 // A process that starts is ready by the list as last held, whatever discovery does, and
@@ -58,7 +58,7 @@
 		}),
 	} {
 		t.Run(name, func(t *testing.T) {
-			cmd, url := serving(t, []string{"EDGE_CONFIG=" + platformFile(t, "n1", addr, settings, reader, writer)}, "serve")
+			cmd, url := serving(t, []string{"EDGE_CONFIG=" + platformFile(t, "n1", addr, testSettings, reader, writer)}, "serve")
 			healthy(t, url)
 			resp, err := http.DefaultClient.Do(post(t, url))
 			if err != nil {
@@ -98,7 +98,7 @@
 	t.Cleanup(fabric.Close)
 	fabric.Listens("r", reader.Addr)
 	fabric.Listens("w", writer.Addr)
-	set := strings.NewReplacer(`"balancers":1`, `"balancers":2`, `"hard_limit":60000000`, `"hard_limit":4000000`, `"aim":10000000`, `"aim":3000000`).Replace(settings)
+	set := strings.NewReplacer(`"balancers":1`, `"balancers":2`, `"hard_limit":60000000`, `"hard_limit":4000000`, `"aim":10000000`, `"aim":3000000`).Replace(testSettings)
 	way := func(from, to string) *enginetest.Engine {
 		addr, err := fabric.Dial(from, to)
 		if err != nil {
@@ -190,7 +190,7 @@
 	var urls []string
 	for n := range 3 {
 		config := file(t, fmt.Sprintf(`{"name":"n%d","listen":"127.0.0.1:0","discovery":%q,"settings":%s}`,
-			n, discovery.Listener.Addr(), strings.Replace(settings, `"balancers":1`, `"balancers":3`, 1)))
+			n, discovery.Listener.Addr(), strings.Replace(testSettings, `"balancers":1`, `"balancers":3`, 1)))
 		_, url := serving(t, []string{"EDGE_CONFIG=" + config}, "serve")
 		healthy(t, url)
 		urls = append(urls, url)
@@ -255,7 +255,7 @@
 		<-r.Context().Done()
 	}))
 	t.Cleanup(func() { discovery.CloseClientConnections(); discovery.Close() })
-	config := platformFile(t, "n1", discovery.Listener.Addr().String(), settings, reader, writer)
+	config := platformFile(t, "n1", discovery.Listener.Addr().String(), testSettings, reader, writer)
 	text, err := os.ReadFile(config)
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/wellgw/reload_test.go
+++ b/cmd/wellgw/reload_test.go
@@ -31,7 +31,7 @@
 	}
 	old, oldAsked := discovery()
 	next, nextAsked := discovery()
-	text := fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":%q,"settings":%s}`, old, settings)
+	text := fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":%q,"settings":%s}`, old, testSettings)
 	config := file(t, text)
 	cmd, url := serving(t, []string{"EDGE_CONFIG=" + config, "EDGE_DISCOVERY=" + old}, "serve")
 	healthy(t, url)
--- a/cmd/wellgw/roll_test.go
+++ b/cmd/wellgw/roll_test.go
@@ -111,7 +111,7 @@
 		out <- true
 		return enginetest.Hang
 	}))
-	cmd, url := serving(t, []string{"EDGE_CONFIG=" + platformFile(t, "n1", "127.0.0.1:1", settings, reader, writer)}, "serve")
+	cmd, url := serving(t, []string{"EDGE_CONFIG=" + platformFile(t, "n1", "127.0.0.1:1", testSettings, reader, writer)}, "serve")
 	healthy(t, url)
 	status := make(chan int, 1)
 	go func() {
@@ -142,7 +142,7 @@
 			reader := enginetest.NewEngine(t, until(read))
 			writer := enginetest.NewEngine(t, until(func() string { return enginetest.Stream(3, 0) }))
 			set := strings.NewReplacer(`"balancers":1`, `"balancers":3`, `"hard_limit":60000000`, `"hard_limit":2000000`, `"aim":10000000`, `"aim":1500000`,
-				`"pin_limit"`, `"resume":`+resume+`,"pin_limit"`).Replace(settings)
+				`"pin_limit"`, `"resume":`+resume+`,"pin_limit"`).Replace(testSettings)
 			clients := &rollers{t: t, wait: 2 * time.Second}
 			start := func(n int) (*exec.Cmd, string) {
 				cmd, url := serving(t, []string{"EDGE_CONFIG=" + platformFile(t, fmt.Sprint("n", n), "127.0.0.1:1", set, reader, writer)}, "serve")
--- a/cmd/wellgw/serve.go
+++ b/cmd/wellgw/serve.go
@@ -25,8 +25,8 @@
 	"wellgw/internal/invariant"
 	"wellgw/internal/openai"
 	"wellgw/internal/platform"
+	"wellgw/internal/settings"
 	"wellgw/internal/upstream"
-	"wellgw/internal/wire"
 	"wellgw/routing"
 )
 
@@ -136,18 +136,18 @@
 	g := &gateway{
 		listen: p.Listen, limits: p.Limits, set: p.Settings(), seed: seed, log: log.With("name", p.Name),
 		pool: upstream.Options{
-			ConnectTimeout: wire.Micros(p.Options.Limits.ConnTimeout), ConnIdle: wire.Micros(p.Options.Limits.ConnIdle),
+			ConnectTimeout: settings.Micros(p.Options.Limits.ConnTimeout), ConnIdle: settings.Micros(p.Options.Limits.ConnIdle),
 			StreamSilence: platformSilence, Settle: platformSettle,
 		},
 		dialect: func(string) upstream.Dialect { return platform.Dialect{} },
 		longest: p.LongestWait(), resume: p.Options.Info.Resume, killed: true,
 		name: p.Name, control: p.Control,
 	}
-	g.figures.Slack = wire.Micros(p.Options.Rules.AnswerSlack)
+	g.figures.Slack = settings.Micros(p.Options.Rules.AnswerSlack)
 	g.figures.PinSlack = platformPinSlack
 	g.front = func(c *core.Core, b *clientconn.Budget) front { return platform.NewFront(c, g.set.Classes, b) }
 	g.directory = func(c *core.Core) (core.Directory, func(context.Context), error) {
-		w := platform.NewWatch(p.Discovery, g.set.MustSubscribe, wire.Micros(p.Options.Rules.DrainGrace), c.Roster, g.log)
+		w := platform.NewWatch(p.Discovery, g.set.MustSubscribe, settings.Micros(p.Options.Rules.DrainGrace), c.Roster, g.log)
 		current := p // as last read; reloads come one at a time
 		g.reload = func() error {
 			next, err := current.Anew(os.Getenv)
--- a/cmd/wellgw/tier_test.go
+++ b/cmd/wellgw/tier_test.go
@@ -395,7 +395,7 @@
 	}
 	begin := func(name, allowed string, me int) (said func(string) bool, kill func()) {
 		config := fmt.Sprintf(`{"name":%q,"listen":"127.0.0.1:0","discovery":"127.0.0.1:9","peer_listen":"127.0.0.1:0","peers":["%s"],"settings":%s}`,
-			name, strings.Join(at, `","`), strings.NewReplacer(`"send_cap"`, `"peers":`+allowed+`,"send_cap"`, `"balancers":1`, fmt.Sprintf(`"balancers":3,"me":%d`, me)).Replace(settings))
+			name, strings.Join(at, `","`), strings.NewReplacer(`"send_cap"`, `"peers":`+allowed+`,"send_cap"`, `"balancers":1`, fmt.Sprintf(`"balancers":3,"me":%d`, me)).Replace(testSettings))
 		log, err := os.Create(filepath.Join(dir, name+allowed))
 		if err != nil {
 			t.Fatal(err)
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -13,7 +13,7 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"wellgw/internal/wire"
+	"wellgw/internal/settings"
 	"wellgw/routing"
 )
 
@@ -57,7 +57,7 @@
 	Peers      []string `json:"peers"`       // of every gateway, as this one reaches it, by number
 	PeerKeys   string   `json:"-"`           // the operators' key file; "" for no talk between gateways
 
-	Options wire.Options `json:"settings"`
+	Options settings.Options `json:"settings"`
 
 	shape shape // which keys of the settings the text had
 }
@@ -180,7 +180,7 @@
 func (p *Platform) Settings() routing.Settings {
 	s := p.Options.Settings()
 	s.CanRetryAfter = true
-	s.SendDelay = wire.Micros(p.Options.Limits.ConnTimeout) // a connection may have to come up first
+	s.SendDelay = settings.Micros(p.Options.Limits.ConnTimeout) // a connection may have to come up first
 	if s.MaxRetryAfter <= 0 {
 		s.MaxRetryAfter = 2 * time.Second
 	}
@@ -191,7 +191,7 @@
 func (p *Platform) LongestWait() time.Duration {
 	longest := time.Duration(0)
 	for _, c := range p.Options.Classes {
-		longest = max(longest, wire.Micros(c.Limit))
+		longest = max(longest, settings.Micros(c.Limit))
 	}
 	return longest
 }
--- a/internal/platform/dialect.go
+++ b/internal/platform/dialect.go
@@ -11,8 +11,8 @@
 	jsoniter "github.com/json-iterator/go"
 
 	"wellgw/internal/core"
+	"wellgw/internal/settings"
 	"wellgw/internal/upstream"
-	"wellgw/internal/wire"
 	"wellgw/routing"
 )
 
@@ -117,5 +117,5 @@
 	if jsoniter.Unmarshal(raw, &values) != nil {
 		return nil
 	}
-	return wire.ReadReport(values)
+	return settings.ReadReport(values)
 }
--- /dev/null
+++ b/internal/settings/report.go
@@ -0,0 +1,30 @@
+package settings
+
+import (
+	"time"
+
+	"wellgw/routing"
+)
+
+// ReadReport turns the values of a load report into the module's form, nil if
+// there are none.
+func ReadReport(usage map[string]float64) *routing.Report {
+	if len(usage) == 0 {
+		return nil
+	}
+	value := func(name string, unit float64) *float64 {
+		if v, given := usage[name]; given {
+			v *= unit
+			return &v
+		}
+		return nil
+	}
+	r := &routing.Report{
+		Memory: value("x0", 1), WaitingTokens: value("x1", 1000), Queue: value("queue", 1), Util: value("util", 1),
+	}
+	if ms, given := usage["latency_ms"]; given {
+		d := time.Duration(ms * float64(time.Millisecond))
+		r.Latency = &d
+	}
+	return r
+}
--- a/internal/wire/options.go
+++ b/internal/settings/settings.go
@@ -1,4 +1,6 @@
-package wire
+// Package settings reads the settings document of a deployment, as the platform and the simulator
+// write it, into what the routing policy and the gateway work with.
+package settings
 
 import (
 	"math"
@@ -8,7 +10,7 @@
 	"wellgw/routing"
 )
 
-// Options mirrors the settings object of the dialect. Unknown keys are ignored.
+// Options mirrors the settings document. Unknown keys are ignored.
 type Options struct {
 	Az        string   `json:"az"`
 	Zones     []string `json:"zones"`
@@ -64,7 +66,7 @@
 	Tick int64 `json:"tick"`
 }
 
-// Micros turns the dialect's microseconds into a span.
+// Micros turns the document's microseconds into a span.
 func Micros(n int64) time.Duration {
 	if n > math.MaxInt64/1000 || n < math.MinInt64/1000 {
 		return math.MaxInt64
--- a/internal/wire/wire.go
+++ b/internal/simulator/simulator.go
@@ -1,6 +1,6 @@
-// Package wire translates between the simulator's JSON dialect and routing's
+// Package simulator translates between the simulator's JSON protocol and routing's
 // interface, and hosts one independent Router per instance. It decides nothing.
-package wire
+package simulator
 
 import (
 	"bufio"
@@ -10,8 +10,8 @@
 	"errors"
 	"fmt"
 	"io"
-	"time"
 
+	"wellgw/internal/settings"
 	"wellgw/routing"
 )
 
@@ -170,7 +170,7 @@
 	case l.Verb == "Turn" && (l.Turn == nil || l.Time == nil):
 		return nil, errors.New("a Turn without turn or time")
 	case l.Verb == "Turn":
-		h.now = Micros(*l.Time)
+		h.now = settings.Micros(*l.Time)
 		return l.Turn, nil
 	case turn == nil:
 		return nil, fmt.Errorf("%q outside a batch", l.Verb)
@@ -209,7 +209,7 @@
 }
 
 func (h *host) start(l *inLine) error {
-	var o Options
+	var o settings.Options
 	if len(l.Options) == 0 {
 		return errors.New("a Hello without options")
 	}
@@ -273,7 +273,7 @@
 		}
 		list = append(list, routing.ServerInfo{
 			Name: e.Worker, Kind: e.Family, Zone: e.DC, Cell: e.Bay, Weight: e.Scale,
-			CameUp: Micros(e.CameUp), Phase: phase,
+			CameUp: settings.Micros(e.CameUp), Phase: phase,
 		})
 	}
 	return list
@@ -300,10 +300,10 @@
 		return routing.Request{
 			ID: id, Class: l.Lane, Tenant: string(l.Team), Session: string(l.Talk), Prefix: string(l.Prefix),
 			PrefixLen: int(l.PrefixLen), Prompt: int(l.Prompt), MaxTokens: int(l.MaxTokens),
-			Hint: Micros(int64(l.Predicted)), TTL: Micros(l.TTL), Repeat: l.Resent, Reconnect: l.Reconnect,
+			Hint: settings.Micros(int64(l.Predicted)), TTL: settings.Micros(l.TTL), Repeat: l.Resent, Reconnect: l.Reconnect,
 		}, nil
 	case "UnderWay":
-		return routing.FirstToken{ID: id, Attempt: l.Copy, Server: l.Worker, Latency: Micros(l.Latency)}, nil
+		return routing.FirstToken{ID: id, Attempt: l.Copy, Server: l.Worker, Latency: settings.Micros(l.Latency)}, nil
 	case "HeldNote":
 		return routing.PlaceNote{ID: id, Held: l.What == 1}, nil
 	case "Verdict":
@@ -322,7 +322,7 @@
 			return nil, fmt.Errorf("unknown outcome %q", l.Reason)
 		}
 		return routing.ProbeResult{
-			Server: l.Worker, Status: status, Latency: Micros(l.Latency), Report: ReadReport(l.Usage),
+			Server: l.Worker, Status: status, Latency: settings.Micros(l.Latency), Report: settings.ReadReport(l.Usage),
 		}, nil
 	case "FromPeer":
 		payload, err := hex.DecodeString(l.Contents)
@@ -337,7 +337,7 @@
 func outcome(l *inLine, status routing.Status) routing.Outcome {
 	o := routing.Outcome{
 		ID: routing.RequestID(l.Xid), Attempt: l.Copy, Server: l.Worker, Status: status,
-		Latency: Micros(l.Latency), Final: l.Last, Report: ReadReport(l.Usage),
+		Latency: settings.Micros(l.Latency), Final: l.Last, Report: settings.ReadReport(l.Usage),
 	}
 	if status == routing.StatusFull {
 		o.NoState = l.Info == 1
@@ -347,29 +347,6 @@
 	return o
 }
 
-// ReadReport turns the values of a load report into the module's form, nil if
-// there are none.
-func ReadReport(usage map[string]float64) *routing.Report {
-	if len(usage) == 0 {
-		return nil
-	}
-	value := func(name string, unit float64) *float64 {
-		if v, given := usage[name]; given {
-			v *= unit
-			return &v
-		}
-		return nil
-	}
-	r := &routing.Report{
-		Memory: value("x0", 1), WaitingTokens: value("x1", 1000), Queue: value("queue", 1), Util: value("util", 1),
-	}
-	if ms, given := usage["latency_ms"]; given {
-		d := time.Duration(ms * float64(time.Millisecond))
-		r.Latency = &d
-	}
-	return r
-}
-
 func encode(who int, action routing.Action) outLine {
 	l := outLine{Who: &who}
 	id := func(v routing.RequestID) *uint32 { n := uint32(v); return &n }
--- a/internal/wire/wire_test.go
+++ b/internal/simulator/simulator_test.go
@@ -1,4 +1,4 @@
-package wire
+package simulator
 
 import (
 	"bytes"
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-const settings = `{"az":"a","balancers":2,"zones":["a"],"unknown_key":1,
+const testSettings = `{"az":"a","balancers":2,"zones":["a"],"unknown_key":1,
 "classes":[{"aim":1200000,"effect":"free","gain":1.0,"group":"all","name":"c"}],
 "family_info":{"aim_us_per_1000_prompt_tokens":[40000.0],"duty_by_kind":["read","write"],"pin_limit":500000,
 "token_aim":[60000.0],"tokens_by_kind":[259519,164852]},"kinds":["prefill","decode"],
@@ -16,7 +16,7 @@
 "rules":{"cold":13000000,"cold_share":0.28,"fall":2000000,"fall_multiple":2.5},"tick":4000}`
 
 func hello(who int) string {
-	return fmt.Sprintf(`{"verb":"Hello","who":%d,"salt":-5,"options":%s}`, who, strings.ReplaceAll(settings, "\n", "")) + "\n"
+	return fmt.Sprintf(`{"verb":"Hello","who":%d,"salt":-5,"options":%s}`, who, strings.ReplaceAll(testSettings, "\n", "")) + "\n"
 }
 
 func fleet(who, list int) string {
