--- a/decide/ejection/ejection.go
+++ b/decide/ejection/ejection.go
@@ -125,7 +125,7 @@
 // out. An engine out by hand is restarted meanwhile and comes back cold: a start
 // that the list shows after the ban began stands; without one, the engine is shown
 // as started at its return, until the list tells of a later start.
-func (b *Set) Show(s routing.ServerInfo) routing.ServerInfo {
+func (b *Set) Show(s routing.EngineInfo) routing.EngineInfo {
 	if b.out[s.Name] {
 		if s.Phase == routing.PhaseOn {
 			s.Phase = routing.PhaseDraining
--- a/decide/ejection/ejection_test.go
+++ b/decide/ejection/ejection_test.go
@@ -10,8 +10,8 @@
 	"wellgw/routing"
 )
 
-func on(name string, up routing.Time) routing.ServerInfo {
-	return routing.ServerInfo{Name: name, Phase: routing.PhaseOn, CameUp: up}
+func on(name string, up routing.Time) routing.EngineInfo {
+	return routing.EngineInfo{Name: name, Phase: routing.PhaseOn, CameUp: up}
 }
 
 func TestCalls(t *testing.T) {
--- a/decide/heldstate/heldstate.go
+++ b/decide/heldstate/heldstate.go
@@ -1,7 +1,7 @@
 // Package heldstate decides when engines are told to release the read states that they may
 // hold for one request.
 //
-// A read leaves a state at its engine. An attempt at a writer fetches it; otherwise it must be
+// A read leaves a state at its engine. An attempt at a decode engine fetches it; otherwise it must be
 // released within the pin limit, counted while no attempt is out. A Ledger is the single owner
 // of that duty for one request: it records which engines may hold something, since when and how
 // certainly, until each release has been delivered. It does no I/O and reads no clock.
@@ -79,7 +79,7 @@
 	return &Ledger{limits: limits, entries: map[string]*entry{}}
 }
 
-// Holder returns the engine whose state waits for a writer, "" if there is none.
+// Holder returns the engine whose state waits for a decode engine, "" if there is none.
 func (l *Ledger) Holder() string { return l.holder }
 
 // ReadDone records that a prompt has been read and its state waits at an engine.
@@ -134,8 +134,8 @@
 	l.holder = ""
 }
 
-// NoState records that a writer found no state. The reader may only have been out of the
-// writer's reach, so it is told to release all the same.
+// NoState records that a decode engine found no state. The prefill engine may only have been out of the
+// decode engine's reach, so it is told to release all the same.
 func (l *Ledger) NoState() { l.holder = "" }
 
 // Finish records that the request has its final answer.
@@ -189,7 +189,7 @@
 // mayExpire tells whether the time of a waiting state is running.
 func (l *Ledger) mayExpire() bool { return l.holder != "" && l.out != Confirmed }
 
-// Expired tells whether the state has waited for a writer as long as it may.
+// Expired tells whether the state has waited for a decode engine as long as it may.
 func (l *Ledger) Expired(now Time) bool { return l.mayExpire() && now >= l.expiresAt() }
 
 // Expire has the waiting state released. Where an attempt may be out, one release is sent
@@ -230,7 +230,7 @@
 
 // releasableAt returns from when on an engine may be told to release; false if it may not.
 // One release frees everything that no attempt waits for, at whatever engine it is held. So
-// none is sent for what an earlier attempt may have left while a state waits for a writer, and
+// none is sent for what an earlier attempt may have left while a state waits for a decode engine, and
 // none before it has to be while an attempt may be reading.
 func (l *Ledger) releasableAt(e *entry) (at Time, ok bool) {
 	switch {
--- a/decide/heldstate/heldstate_test.go
+++ b/decide/heldstate/heldstate_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// A state waits for a writer as long as it may, however many attempts fail meanwhile without
+// A state waits for a decode engine as long as it may, however many attempts fail meanwhile without
 // having surely been out; then it is let go.
 func TestLapse(t *testing.T) {
 	for _, c := range []struct {
--- a/experiments/fleetsim/attempts.go
+++ b/experiments/fleetsim/attempts.go
@@ -98,7 +98,7 @@
 		}
 		t.first = w.now
 		w.free(t)
-		w.tell(t.gw, routing.FirstToken{ID: t.id, Attempt: a.n, Server: a.e.Name, Latency: w.now - a.sent})
+		w.tell(t.gw, routing.FirstToken{ID: t.id, Attempt: a.n, Engine: a.e.Name, Latency: w.now - a.sent})
 	})
 }
 
@@ -132,10 +132,10 @@
 	if s != routing.StatusCancelled && s != routing.StatusTimeout { // those are closed
 		a.done()
 	}
-	if !a.e.reader() && (s == routing.StatusError || s == routing.StatusTimeout || s == routing.StatusReset || s == routing.StatusCancelled) {
+	if !a.e.prefills() && (s == routing.StatusError || s == routing.StatusTimeout || s == routing.StatusReset || s == routing.StatusCancelled) {
 		t.ran = true
 	}
-	if a.e.reader() && s != routing.StatusRead && t.state == a.e { // cancelled or out of time: it goes by itself
+	if a.e.prefills() && s != routing.StatusRead && t.state == a.e { // cancelled or out of time: it goes by itself
 		t.state = nil
 		a.e.release(t)
 	}
@@ -150,7 +150,7 @@
 		w.pin(t)
 	}
 	w.tell(t.gw, routing.Outcome{
-		ID: t.id, Attempt: a.n, Server: a.e.Name, Status: s, Latency: w.now - a.sent, Final: final,
+		ID: t.id, Attempt: a.n, Engine: a.e.Name, Status: s, Latency: w.now - a.sent, Final: final,
 		Kept: found, NoState: noState, Report: rep,
 	})
 }
--- a/experiments/fleetsim/baseline.go
+++ b/experiments/fleetsim/baseline.go
@@ -23,7 +23,7 @@
 }
 
 // Baselines are what a gateway does with no thought: any engine; the one that has the
-// fewest requests of this gateway in hand; the reader last used for the session or its
+// fewest requests of this gateway in hand; the prefill engine last used for the session or its
 // shared beginning. They keep the rules and turn nothing away before it has failed.
 func Baselines() []Baseline {
 	of := func(pick func(*plain, *plainRequest, []*plainServer) *plainServer) Policy {
@@ -38,7 +38,7 @@
 }
 
 type plainServer struct {
-	routing.ServerInfo
+	routing.EngineInfo
 	role   routing.Role
 	inHand int
 }
@@ -55,7 +55,7 @@
 	set     routing.Settings
 	pick    func(*plain, *plainRequest, []*plainServer) *plainServer
 	rng     *rand.Rand
-	last    map[string]string // reader by session and by beginning
+	last    map[string]string // prefill engine by session and by beginning
 	reqs    map[routing.RequestID]*plainRequest
 	servers map[string]*plainServer
 	order   []*plainServer
@@ -80,7 +80,7 @@
 func (p *plain) match(q *plainRequest, pool []*plainServer) *plainServer {
 	for _, key := range []string{"s:" + q.Session, "p:" + q.Prefix} {
 		for _, s := range pool {
-			if s.role == routing.RoleReader && s.Name == p.last[key] {
+			if s.role == routing.RolePrefill && s.Name == p.last[key] {
 				return s
 			}
 		}
@@ -109,13 +109,13 @@
 }
 
 func (p *plain) roster(e routing.Roster) {
-	for _, info := range e.Servers {
+	for _, info := range e.Engines {
 		s := p.servers[info.Name]
 		if s == nil {
 			s = &plainServer{}
 			p.servers[info.Name], p.order = s, append(p.order, s)
 		}
-		s.ServerInfo = info
+		s.EngineInfo = info
 		i := slices.IndexFunc(p.set.Kinds, func(k routing.Kind) bool { return k.Name == info.Kind })
 		s.role = p.set.Kinds[i].Role
 	}
@@ -123,9 +123,9 @@
 
 // next sends a request on, or gives it up.
 func (p *plain) next(q *plainRequest) {
-	role := routing.RoleReader
+	role := routing.RolePrefill
 	if q.read {
-		role = routing.RoleWriter
+		role = routing.RoleDecode
 	}
 	var pool []*plainServer
 	for _, s := range p.order {
@@ -151,7 +151,7 @@
 	q.at = p.pick(p, q, pool)
 	q.at.inHand++
 	q.attempts++
-	p.out = append(p.out, routing.Send{ID: q.ID, Server: q.at.Name})
+	p.out = append(p.out, routing.Send{ID: q.ID, Engine: q.at.Name})
 }
 
 func (p *plain) outcome(e routing.Outcome) {
@@ -162,8 +162,8 @@
 	q.at.inHand--
 	if e.Status == routing.StatusRead {
 		q.read = true
-		p.last["s:"+q.Session], p.last["p:"+q.Prefix] = e.Server, e.Server
-	} else if q.at.role == routing.RoleWriter {
+		p.last["s:"+q.Session], p.last["p:"+q.Prefix] = e.Engine, e.Engine
+	} else if q.at.role == routing.RoleDecode {
 		never := e.Status == routing.StatusFull || e.Status == routing.StatusNoConnect
 		q.ran = q.ran || !never
 		q.read = q.read && !e.NoState
--- a/experiments/fleetsim/deployment.go
+++ b/experiments/fleetsim/deployment.go
@@ -35,8 +35,8 @@
 	routing.Kind
 	Slots, Queue int
 	ReadRate     float64
-	Chunk        int           // tokens read in one step of a writer
-	Step         time.Duration // of a writer, with nothing to do in it
+	Chunk        int           // tokens read in one step of a decode engine
+	Step         time.Duration // of a decode engine, with nothing to do in it
 	PerAnswer    time.Duration // added to a step by each running answer
 	PerK         time.Duration // and by each 1,000 tokens of context
 }
@@ -51,7 +51,7 @@
 // What may go wrong.
 const (
 	Slow  = "slow"  // engines run Size times slower
-	Flush = "flush" // readers lose their kept texts
+	Flush = "flush" // prefill engines lose their kept texts
 	Hot   = "hot"   // a part Size of all sessions begins with a long text not seen before
 	Links = "links" // links between cells run Size times slower
 	Crash = "crash" // engines die and come back cold
@@ -86,7 +86,7 @@
 	ReportDelay  time.Duration
 	Noise        float64
 	Same, Cross  time.Duration // one way, within and across zones
-	Near, Far    float64       // tokens a second from a reader within its cell, and over a cell's link
+	Near, Far    float64       // tokens a second from a prefill engine within its cell, and over a cell's link
 	Grace        time.Duration // sends allowed to an engine after its drain was told
 	Notice       time.Duration // of a change, by discovery
 	ColdFrom     float64
@@ -104,7 +104,7 @@
 }
 
 // Size is what a fleet is made of.
-type Size struct{ Gateways, Readers, Writers, Cells, Zones int }
+type Size struct{ Gateways, Prefill, Decode, Cells, Zones int }
 
 type draw struct{ *rand.Rand }
 
@@ -126,7 +126,7 @@
 // Fleet returns the fleet of a seed: a hundred engines before so many gateways. Whatever the
 // number of gateways, engines, requests and troubles are the same.
 func Fleet(seed uint64, gateways int) *Deployment {
-	return drawn(seed, &Size{Gateways: gateways, Readers: 40, Writers: 60, Cells: 10, Zones: 4})
+	return drawn(seed, &Size{Gateways: gateways, Prefill: 40, Decode: 60, Cells: 10, Zones: 4})
 }
 
 func drawn(seed uint64, size *Size) *Deployment {
@@ -166,7 +166,7 @@
 	d.Settings = routing.Settings{
 		Zones: d.Zones, Routers: len(d.Gateways), CanCancel: r.chance(0.8), CanRetryAfter: r.chance(0.7),
 		MaxRetryAfter: r.span(500*time.Millisecond, 3*time.Second), MaxAttempts: 3 + r.IntN(4),
-		WritersRead: r.chance(0.5), Cold: d.ColdSpan, ColdShare: d.ColdFrom,
+		DecodePrefills: r.chance(0.5), Cold: d.ColdSpan, ColdShare: d.ColdFrom,
 		Fall: r.span(2*time.Second, 4*time.Second), FallMultiple: r.in(3, 5),
 		PinLimit: r.span(300*time.Millisecond, 700*time.Millisecond), Tick: 2 * time.Millisecond,
 	}
@@ -212,7 +212,7 @@
 func (d *Deployment) pulled() {
 	value := 0.0
 	d.Pull, d.Report = true, routing.Report{Memory: &value, Queue: &value, Util: &value}
-	d.Settings.CanProbe, d.Settings.CanCancel, d.Settings.WritersRead = true, true, false
+	d.Settings.CanProbe, d.Settings.CanCancel, d.Settings.DecodePrefills = true, true, false
 }
 
 func (d *Deployment) drawClasses(r draw) {
@@ -231,7 +231,7 @@
 	}
 }
 
-// prompt is the mean length of a class's prompts, and kept what of it a reader that has
+// prompt is the mean length of a class's prompts, and kept what of it a prefill engine that has
 // seen its session would find.
 func (c *Class) prompt() (mean, kept float64) {
 	first := c.PrefixPart*float64(c.PrefixLen) + c.New
@@ -239,29 +239,29 @@
 	return first + grown, c.PrefixPart*float64(c.PrefixLen) + grown*(c.Turns-1)/c.Turns
 }
 
-// drawEngines draws kinds and engines, then settles how fast readers read by a drawn ratio
+// drawEngines draws kinds and engines, then settles how fast prefill engines read by a drawn ratio
 // of the two pools, and the rate by the weaker one.
 func (d *Deployment) drawEngines(r draw) {
-	reader := Kind{
-		Kind:  routing.Kind{Name: "kind-0", Role: routing.RoleReader, Memory: math.Round(r.in(1.5e5, 3e5))},
+	prefills := Kind{
+		Kind:  routing.Kind{Name: "kind-0", Role: routing.RolePrefill, Memory: math.Round(r.in(1.5e5, 3e5))},
 		Slots: 4 + r.IntN(8), Queue: 20 + r.IntN(40), Step: 10 * time.Millisecond,
 	}
-	d.Kinds = []Kind{reader}
+	d.Kinds = []Kind{prefills}
 	for i := range 1 + r.IntN(2) {
 		d.Kinds = append(d.Kinds, Kind{
-			Kind:  routing.Kind{Name: fmt.Sprint("kind-", i+1), Role: routing.RoleWriter, Memory: math.Round(r.in(1e5, 2.2e5))},
+			Kind:  routing.Kind{Name: fmt.Sprint("kind-", i+1), Role: routing.RoleDecode, Memory: math.Round(r.in(1e5, 2.2e5))},
 			Slots: 50 + r.IntN(70), Queue: 10 + r.IntN(30), ReadRate: r.in(5000, 9000), Chunk: 512 << r.IntN(3),
 			Step: r.span(9*time.Millisecond, 20*time.Millisecond), PerAnswer: r.span(50*time.Microsecond, 350*time.Microsecond),
 			PerK: r.span(20*time.Microsecond, 80*time.Microsecond),
 		})
 	}
-	readers, writers, cells := 3+r.IntN(4), 4+r.IntN(5), max(len(d.Zones), 1+r.IntN(3))
+	prefillEngines, decodeEngines, cells := 3+r.IntN(4), 4+r.IntN(5), max(len(d.Zones), 1+r.IntN(3))
 	if d.Size != nil {
-		readers, writers, cells = d.Size.Readers, d.Size.Writers, d.Size.Cells
+		prefillEngines, decodeEngines, cells = d.Size.Prefill, d.Size.Decode, d.Size.Cells
 	}
-	for i := range readers + writers {
+	for i := range prefillEngines + decodeEngines {
 		e := Engine{Name: fmt.Sprintf("e-%08x", r.Uint32()), Cell: i % cells, Speed: r.in(0.85, 1.15)}
-		if i >= readers {
+		if i >= prefillEngines {
 			e.Kind = 1 + r.IntN(len(d.Kinds)-1)
 		}
 		e.Zone = d.Zones[e.Cell%len(d.Zones)]
@@ -275,7 +275,7 @@
 		share, prompt, read, out = share+n, prompt+n*mean, read+n*(mean-0.85*kept), out+n*c.Out
 	}
 	prompt, read, out = prompt/share, read/share, out/share
-	answers := 0.0 // that the writers do in a second
+	answers := 0.0 // that the decode engines do in a second
 	for _, e := range d.Engines {
 		if k := d.Kinds[e.Kind]; e.Kind > 0 {
 			n := math.Min(0.8*k.Memory/(prompt+out/2), float64(k.Slots))
@@ -284,7 +284,7 @@
 		}
 	}
 	k := &d.Kinds[0]
-	k.ReadRate = r.in(1, 1.7) * answers * read / float64(readers)
+	k.ReadRate = r.in(1, 1.7) * answers * read / float64(prefillEngines)
 	d.Far = r.in(1, 3.5) * answers * prompt / float64(cells)
 	d.Rate = d.Load * answers
 }
--- a/experiments/fleetsim/engine.go
+++ b/experiments/fleetsim/engine.go
@@ -37,7 +37,7 @@
 	warmth   int           // requests served since its start
 	slow     float64
 	queue    []*job
-	running  []*job // at a reader the one that it reads
+	running  []*job // at a prefill engine the one that it reads
 	busy     bool   // a step is under way
 	texts    []*kept
 	states   map[*try]int // read states that wait here, in tokens
@@ -54,7 +54,7 @@
 	weight float64
 }
 
-func (e *engine) reader() bool { return e.kind.Role == routing.RoleReader }
+func (e *engine) prefills() bool { return e.kind.Role == routing.RolePrefill }
 
 // capacity is the part of its warm speed that it has now.
 func (e *engine) capacity() float64 {
@@ -129,8 +129,8 @@
 		return
 	}
 	j := &job{a: a, context: t.call.prompt, left: t.call.out}
-	if !e.reader() && t.state == nil {
-		if !e.w.d.Settings.WritersRead {
+	if !e.prefills() && t.state == nil {
+		if !e.w.d.Settings.DecodePrefills {
 			e.w.reply(a, routing.StatusFull, 0, true)
 			return
 		}
@@ -185,7 +185,7 @@
 	if !e.up || e.busy {
 		return
 	}
-	if e.reader() {
+	if e.prefills() {
 		if len(e.queue) > 0 && e.held+e.queue[0].context <= int(e.kind.Memory) {
 			e.read()
 		}
--- a/experiments/fleetsim/experiment.go
+++ b/experiments/fleetsim/experiment.go
@@ -187,17 +187,17 @@
 
 // about says in a line what a deployment is.
 func (d *Deployment) about() string {
-	readers := 0
+	prefillEngines := 0
 	for _, e := range d.Engines {
 		if e.Kind == 0 {
-			readers++
+			prefillEngines++
 		}
 	}
-	parts := []string{fmt.Sprintf("%d gateways, %d readers, %d writers, load %.2f", len(d.Gateways), readers, len(d.Engines)-readers, d.Load)}
+	parts := []string{fmt.Sprintf("%d gateways, %d readers, %d writers, load %.2f", len(d.Gateways), prefillEngines, len(d.Engines)-prefillEngines, d.Load)}
 	if d.Report.Memory != nil {
 		parts = append(parts, "reports")
 	}
-	if d.Settings.WritersRead {
+	if d.Settings.DecodePrefills {
 		parts = append(parts, "writers read")
 	}
 	for _, t := range d.Troubles {
--- a/experiments/fleetsim/fleetsim_test.go
+++ b/experiments/fleetsim/fleetsim_test.go
@@ -116,7 +116,7 @@
 		}},
 		{"sends after the end", Flush, "which has ended", false, func(ev routing.Event, out []routing.Action) []routing.Action {
 			if o, ok := ev.(routing.Outcome); ok && o.Final {
-				out = append(out, routing.Send{ID: o.ID, Server: o.Server})
+				out = append(out, routing.Send{ID: o.ID, Engine: o.Engine})
 			}
 			return out
 		}},
--- a/experiments/fleetsim/gateways.go
+++ b/experiments/fleetsim/gateways.go
@@ -25,7 +25,7 @@
 			} else if _, known := g.told[e.Name]; !known {
 				g.told[e.Name] = w.now
 			}
-			w.tell(g, routing.Roster{Servers: []routing.ServerInfo{info}})
+			w.tell(g, routing.Roster{Engines: []routing.EngineInfo{info}})
 		})
 	}
 }
@@ -72,7 +72,7 @@
 		w.at(w.now+w.d.Settings.Tick, func() { w.finish(out, routing.StatusCancelled) })
 		w.at(w.now+w.way(g, out.e), func() { w.withdraw(out) })
 	case routing.Probe:
-		w.probe(g, w.byName[a.Server])
+		w.probe(g, w.byName[a.Engine])
 	case routing.Release:
 		if t := w.tries[a.ID]; t != nil {
 			w.free(t)
@@ -100,13 +100,13 @@
 }
 
 func (w *world) send(g *gateway, a routing.Send) {
-	t, e := w.tries[a.ID], w.byName[a.Server]
+	t, e := w.tries[a.ID], w.byName[a.Engine]
 	switch {
 	case t == nil || t.gw != g || t.ended && !t.gone:
 		w.broke("a send for request %d, which has ended", a.ID)
 		return
 	case e == nil:
-		w.broke("a send to %q, which is in no list", a.Server)
+		w.broke("a send to %q, which is in no list", a.Engine)
 		return
 	case t.out != nil:
 		w.broke("two attempts of request %d are out", a.ID)
@@ -156,7 +156,7 @@
 			if !up {
 				s, rep = routing.StatusNoConnect, nil
 			}
-			w.tell(g, routing.ProbeResult{Server: e.Name, Status: s, Latency: 2 * w.way(g, e), Report: rep})
+			w.tell(g, routing.ProbeResult{Engine: e.Name, Status: s, Latency: 2 * w.way(g, e), Report: rep})
 		})
 	})
 }
--- a/experiments/fleetsim/troubles.go
+++ b/experiments/fleetsim/troubles.go
@@ -26,7 +26,7 @@
 	case Flush:
 		w.at(t.At, func() {
 			for _, e := range w.engines {
-				if e.reader() && r.chance(t.Part) {
+				if e.prefills() && r.chance(t.Part) {
 					e.texts = nil
 				}
 			}
--- a/experiments/fleetsim/world.go
+++ b/experiments/fleetsim/world.go
@@ -81,7 +81,7 @@
 		if i == d.Busy {
 			w.busy = g
 		}
-		w.tell(g, routing.Roster{Scope: routing.RosterCached, Servers: w.list()})
+		w.tell(g, routing.Roster{Scope: routing.RosterCached, Engines: w.list()})
 	}
 	for _, t := range d.Settings.Tenants {
 		w.allowances = append(w.allowances, newAllowance(t.Quota))
@@ -121,16 +121,16 @@
 	}
 }
 
-func (w *world) list() []routing.ServerInfo {
-	var out []routing.ServerInfo
+func (w *world) list() []routing.EngineInfo {
+	var out []routing.EngineInfo
 	for _, e := range w.engines {
 		out = append(out, e.info())
 	}
 	return out
 }
 
-func (e *engine) info() routing.ServerInfo {
-	s := routing.ServerInfo{Name: e.Name, Kind: e.kind.Name, Zone: e.Zone, Cell: e.Cell, Weight: 1, CameUp: e.cameUp}
+func (e *engine) info() routing.EngineInfo {
+	s := routing.EngineInfo{Name: e.Name, Kind: e.kind.Name, Zone: e.Zone, Cell: e.Cell, Weight: 1, CameUp: e.cameUp}
 	switch {
 	case !e.up:
 		s.Phase = routing.PhaseOff
@@ -144,7 +144,7 @@
 func (w *world) weight(e *engine, class int) float64 {
 	c := &w.d.Classes[class]
 	mean, _ := c.prompt()
-	if e.reader() {
+	if e.prefills() {
 		return 0.4 * mean / e.kind.ReadRate // much is kept
 	}
 	n := math.Min(0.8*e.kind.Memory/mean, float64(e.kind.Slots))
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -276,8 +276,8 @@
 		Cold: 14 * time.Second, ColdShare: 0.3, Fall: 3 * time.Second, FallMultiple: 4,
 		PinLimit: 500 * time.Millisecond, Tick: 4 * time.Millisecond,
 		Kinds: []routing.Kind{
-			{Name: RoleRead, Role: routing.RoleReader, Memory: o.MemoryTokens},
-			{Name: RoleWrite, Role: routing.RoleWriter, Memory: o.MemoryTokens},
+			{Name: RoleRead, Role: routing.RolePrefill, Memory: o.MemoryTokens},
+			{Name: RoleWrite, Role: routing.RoleDecode, Memory: o.MemoryTokens},
 			{Name: RoleBoth, Role: routing.RoleMixed, Memory: o.MemoryTokens},
 			{Name: RoleOpenAI, Role: routing.RoleMixed, Memory: o.MemoryTokens},
 		},
--- a/internal/core/api.go
+++ b/internal/core/api.go
@@ -159,7 +159,7 @@
 
 // Member is an engine as a directory knows it.
 type Member struct {
-	routing.ServerInfo
+	routing.EngineInfo
 	Addr      string
 	StartedAt time.Time // last start; zero means long ago
 }
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -9,7 +9,7 @@
 // attempt is one try at one engine.
 type attempt struct {
 	number  int
-	server  Member
+	engine  Member
 	sent    time.Time
 	ended   bool
 	begun   bool // its answer has
@@ -24,10 +24,10 @@
 	if !c.checks.Hold(q != nil && !q.answered, "a send is for a request that awaits its answer") {
 		return
 	}
-	m, known := c.members[a.Server]
+	m, known := c.members[a.Engine]
 	now := time.Now()
-	at := &attempt{number: len(q.attempts), server: m, sent: now, handle: noHandle{}}
-	at.server.Name = a.Server
+	at := &attempt{number: len(q.attempts), engine: m, sent: now, handle: noHandle{}}
+	at.engine.Name = a.Engine
 	q.attempts = append(q.attempts, at)
 	q.out++
 	limit := q.deadline.Sub(now)
@@ -92,7 +92,7 @@
 		return
 	}
 	q.streaming, q.stream, at.begun = at, s, true
-	c.noteHeard(at.server.Name)
+	c.noteHeard(at.engine.Name)
 	q.held.ledger.AnswerBegan()
 	for _, other := range q.attempts {
 		if other != at {
@@ -100,7 +100,7 @@
 		}
 	}
 	c.answer(q, Answer{Verdict: Serving, Stream: s})
-	c.tell(routing.FirstToken{ID: q.ID, Attempt: at.number, Server: at.server.Name, Latency: time.Since(at.sent)})
+	c.tell(routing.FirstToken{ID: q.ID, Attempt: at.number, Engine: at.engine.Name, Latency: time.Since(at.sent)})
 }
 
 func (c *Core) streamEnded(q *request, r Result) {
@@ -132,10 +132,10 @@
 		c.noteOutcome(q, at, r)
 	}
 	if r.Cause != nil {
-		c.log.Debug("attempt failed", "id", q.Wire, "attempt", at.number, "engine", at.server.Name, "cause", r.Cause)
+		c.log.Debug("attempt failed", "id", q.Wire, "attempt", at.number, "engine", at.engine.Name, "cause", r.Cause)
 	}
 	c.tell(routing.Outcome{
-		ID: q.ID, Attempt: at.number, Server: at.server.Name, Status: r.Status, Latency: time.Since(at.sent),
+		ID: q.ID, Attempt: at.number, Engine: at.engine.Name, Status: r.Status, Latency: time.Since(at.sent),
 		Final: q.answered, Kept: r.Kept, NoState: r.NoState, Report: r.Report,
 	})
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -113,7 +113,7 @@
 }
 
 // Abandon has the module give up every request that still waits, and all that come from
-// now on, as the gateway has no time left; with last those too that a writer may be about
+// now on, as the gateway has no time left; with last those too that a decode engine may be about
 // to answer. Streams are the fronts' to end.
 func (c *Core) Abandon(last bool) {
 	c.post(func() { c.tell(routing.Closing{Last: last}) })
@@ -156,7 +156,7 @@
 	case routing.SetTimer:
 		c.after(a.In, func() { c.tell(routing.TimerFired{Name: a.Name}) })
 	case routing.Probe:
-		c.probe(a.Server)
+		c.probe(a.Engine)
 	case routing.Subscribe:
 		c.directory.Subscribe()
 	default:
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -78,7 +78,7 @@
 	}
 }
 
-// What is out at a writer when the end is told is still answered, and if its attempt fails
+// What is out at a decode engine when the end is told is still answered, and if its attempt fails
 // nothing more is sent for it.
 func TestAbandonWaitsForWhatAWriterMayAnswer(t *testing.T) {
 	for _, fails := range []bool{false, true} {
@@ -158,7 +158,7 @@
 		return len(f.attempts) == 2
 	})
 	for n := range 100 {
-		m := Member{ServerInfo: routing.ServerInfo{Name: fmt.Sprint("e", n), Kind: "r", Weight: 1}}
+		m := Member{EngineInfo: routing.EngineInfo{Name: fmt.Sprint("e", n), Kind: "r", Weight: 1}}
 		core.Roster(routing.RosterChanges, []Member{m})
 		m.Phase = routing.PhaseOff
 		core.Roster(routing.RosterChanges, []Member{m})
--- a/internal/core/ejection.go
+++ b/internal/core/ejection.go
@@ -43,12 +43,12 @@
 	for _, names := range [][]string{ch.Out, ch.Back} {
 		for _, n := range names {
 			if m, ok := c.members[n]; ok {
-				ev.Servers = append(ev.Servers, c.ejections.Show(m.ServerInfo))
+				ev.Engines = append(ev.Engines, c.ejections.Show(m.EngineInfo))
 			}
 		}
 	}
 	c.setReady()
-	if len(ev.Servers) > 0 {
+	if len(ev.Engines) > 0 {
 		for _, n := range ch.Out {
 			c.log.Info("engine out by hand", "engine", n)
 		}
--- a/internal/core/ejection_test.go
+++ b/internal/core/ejection_test.go
@@ -13,7 +13,7 @@
 func TestEnginesOutByHand(t *testing.T) {
 	f := &fake{script: script(func() (Stream, *Result) { return ended(routing.StatusError) })}
 	c := newCore(t, f)
-	c.Roster(routing.RosterChanges, []Member{{ServerInfo: routing.ServerInfo{Name: "w2", Kind: "w", Weight: 1}}})
+	c.Roster(routing.RosterChanges, []Member{{EngineInfo: routing.EngineInfo{Name: "w2", Kind: "w", Weight: 1}}})
 	if _, ok := c.Eject(t.Context(), "nobody", true); ok {
 		t.Fatal("a name never listed was taken out")
 	}
@@ -25,9 +25,9 @@
 	}
 	// The list says it is on: the ban holds.
 	c.Roster(routing.RosterFull, []Member{
-		{ServerInfo: routing.ServerInfo{Name: "r1", Kind: "r", Weight: 1}},
-		{ServerInfo: routing.ServerInfo{Name: "w1", Kind: "w", Weight: 1}},
-		{ServerInfo: routing.ServerInfo{Name: "w2", Kind: "w", Weight: 1}},
+		{EngineInfo: routing.EngineInfo{Name: "r1", Kind: "r", Weight: 1}},
+		{EngineInfo: routing.EngineInfo{Name: "w1", Kind: "w", Weight: 1}},
+		{EngineInfo: routing.EngineInfo{Name: "w2", Kind: "w", Weight: 1}},
 	})
 	for range 20 {
 		Await(t.Context(), c, ask("free", time.Minute))
--- a/internal/core/fake_test.go
+++ b/internal/core/fake_test.go
@@ -14,7 +14,7 @@
 type fake struct {
 	mu       sync.Mutex
 	script   func(a Attempt) (Stream, *Result) // neither: silence
-	attempts []string                          // servers
+	attempts []string                          // engines
 	closed   int
 	lastEnd  time.Time // when an attempt was closed last
 	released []string
@@ -127,11 +127,11 @@
 
 func (f *fake) Subscribe() {}
 
-func (f *fake) has(server string) bool {
+func (f *fake) has(engine string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, s := range f.released {
-		if s == server {
+		if s == engine {
 			return true
 		}
 	}
@@ -145,7 +145,7 @@
 			{Name: "free", Aim: 10 * time.Second, Gain: 1},
 			{Name: "once", Aim: 10 * time.Second, Gain: 1, Effect: routing.EffectSingleShot},
 		},
-		Kinds: []routing.Kind{{Name: "r", Role: routing.RoleReader, Memory: 2e5}, {Name: "w", Role: routing.RoleWriter, Memory: 2e5}},
+		Kinds: []routing.Kind{{Name: "r", Role: routing.RolePrefill, Memory: 2e5}, {Name: "w", Role: routing.RoleDecode, Memory: 2e5}},
 		Cold:  time.Second, ColdShare: 0.3, Fall: time.Second, FallMultiple: 3, PinLimit: 500 * time.Millisecond,
 	}
 }
@@ -158,7 +158,7 @@
 
 func ended(s routing.Status) (Stream, *Result) { return nil, &Result{Status: s} }
 
-// script reads at readers and does as told at writers.
+// script reads at prefill engines and does as told at decode engines.
 func script(writer func() (Stream, *Result)) func(Attempt) (Stream, *Result) {
 	return func(a Attempt) (Stream, *Result) {
 		if a.To.Kind == "r" {
--- a/internal/core/held.go
+++ b/internal/core/held.go
@@ -48,13 +48,13 @@
 
 // noteOutcome records what an attempt that has ended may have left at its engine.
 func (c *Core) noteOutcome(q *request, at *attempt, r Result) {
-	ledger, engine := q.held.ledger, at.server.Name
-	q.held.members[engine] = at.server
+	ledger, engine := q.held.ledger, at.engine.Name
+	q.held.members[engine] = at.engine
 	switch r.Status {
 	case routing.StatusRead:
 		ledger.ReadDone(engine, c.now())
 	case routing.StatusTimeout, routing.StatusCancelled, routing.StatusReset:
-		ledger.AttemptLost(engine, c.router.Reads(at.server.Kind))
+		ledger.AttemptLost(engine, c.router.Reads(at.engine.Kind))
 	case routing.StatusError:
 		ledger.AttemptFailed(engine)
 	}
@@ -73,13 +73,13 @@
 // readAfterCancel records a read that ended after its attempt was cancelled, while the
 // attempt's connection was still open.
 func (c *Core) readAfterCancel(q *request, at *attempt) {
-	engine := at.server.Name
+	engine := at.engine.Name
 	c.noteHeard(engine)
 	if q.lingering == at {
 		q.lingering = nil
 		c.endLingering(q)
 	}
-	q.held.members[engine] = at.server
+	q.held.members[engine] = at.engine
 	q.held.ledger.AttemptLost(engine, false)
 	if cancel := q.held.cancels[engine]; cancel != nil {
 		cancel() // a release on the connection that brought the answer arrives sooner
@@ -145,7 +145,7 @@
 	for _, at := range q.attempts {
 		switch {
 		case !q.keepsOut(at):
-		case at.begun || c.lastHeard[at.server.Name].After(at.written):
+		case at.begun || c.lastHeard[at.engine.Name].After(at.written):
 			return heldstate.Confirmed
 		default:
 			out = heldstate.Unconfirmed
@@ -163,10 +163,10 @@
 			continue
 		}
 		c.counts["engines checked"]++
-		c.engine.Reach(at.server, func(reached bool) {
+		c.engine.Reach(at.engine, func(reached bool) {
 			if reached {
 				c.post(func() {
-					c.noteHeard(at.server.Name)
+					c.noteHeard(at.engine.Name)
 					c.settling = append(c.settling, q)
 				})
 			}
@@ -174,7 +174,7 @@
 	}
 }
 
-// expireState gives up a state that has waited too long for a writer: a connection that does
+// expireState gives up a state that has waited too long for a decode engine: a connection that does
 // not come up must not hold it. The module has the prompt read again if there is time.
 func (c *Core) expireState(q *request) {
 	c.counts["states expired"]++
@@ -228,7 +228,7 @@
 
 // lingerTarget is the engine whose release ends the lingering: the one that certainly holds a
 // state or, without one, the attempt's own.
-func (q *request) lingerTarget() string { return cmp.Or(q.held.holder, q.lingering.server.Name) }
+func (q *request) lingerTarget() string { return cmp.Or(q.held.holder, q.lingering.engine.Name) }
 
 // endLingering closes the connection of the attempt that was kept open. Releases that arrived
 // before may have had no effect, as the attempt was still waiting for the state.
@@ -240,7 +240,7 @@
 	c.lingering--
 	if at := q.lingering; at != nil {
 		c.closeLingering(q)
-		q.held.ledger.AttemptLost(at.server.Name, c.router.Reads(at.server.Kind))
+		q.held.ledger.AttemptLost(at.engine.Name, c.router.Reads(at.engine.Kind))
 		q.held.ledger.ReleaseAgain()
 	}
 	c.settling = append(c.settling, q)
--- a/internal/core/held_test.go
+++ b/internal/core/held_test.go
@@ -25,8 +25,8 @@
 		slog.New(slog.DiscardHandler), invariant.New())
 	go c.Run(t.Context())
 	c.Roster(routing.RosterFull, []Member{
-		{ServerInfo: routing.ServerInfo{Name: "r1", Kind: "r", Weight: 1}},
-		{ServerInfo: routing.ServerInfo{Name: "w1", Kind: "w", Weight: 1}},
+		{EngineInfo: routing.EngineInfo{Name: "r1", Kind: "r", Weight: 1}},
+		{EngineInfo: routing.EngineInfo{Name: "w1", Kind: "w", Weight: 1}},
 	})
 	return c
 }
@@ -38,7 +38,7 @@
 	return append([]string(nil), f.attempts...)
 }
 
-// A state is read, and the connection to its writer does not come up. Once the state has
+// A state is read, and the connection to its decode engine does not come up. Once the state has
 // waited for as long as it may it is let go, the attempt is taken back, and the prompt is
 // read anew.
 func TestAStateDoesNotWaitForAConnectionPastItsLimit(t *testing.T) {
@@ -113,8 +113,8 @@
 	})
 }
 
-// A writer that finds no state says nothing of the reader: it may only have been out of the
-// writer's reach. The state is let go there all the same.
+// A decode engine that finds no state says nothing of the prefill engine: it may only have been out of the
+// decode engine's reach. The state is let go there all the same.
 func TestAStateThatAWriterDidNotFindIsLetGo(t *testing.T) {
 	f := &fake{script: script(func() (Stream, *Result) { return nil, &Result{Status: routing.StatusFull, NoState: true} })}
 	c := coreWith(t, f, func(s *routing.Settings) { s.MaxAttempts = 2 })
--- a/internal/core/linger_test.go
+++ b/internal/core/linger_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// letGo heals the cut before a reader that is told to let go. Until then one attempt is open
+// letGo heals the cut before a prefill engine that is told to let go. Until then one attempt is open
 // if it covers the state, afterwards none is.
 func letGo(t *testing.T, core *Core, f *fake, covered bool) {
 	t.Helper()
@@ -80,7 +80,7 @@
 
 // Attempts that cover what is held are bounded: each keeps a connection. A gateway that
 // leaves waits no longer for them than for other releases.
-// A writer that is silent is given up, the next one's connection never comes up: until that
+// A decode engine that is silent is given up, the next one's connection never comes up: until that
 // would have been there, and after, the one given up answers for the state that was read.
 func TestAnAttemptThatNeverComesUpLeavesTheCoverBeforeIt(t *testing.T) {
 	f := &fake{cut: make(chan struct{})}
--- a/internal/core/roster.go
+++ b/internal/core/roster.go
@@ -26,7 +26,7 @@
 			delete(c.members, m.Name)
 		}
 		c.ejections.See(m.Name)
-		ev.Servers = append(ev.Servers, c.ejections.Show(m.ServerInfo))
+		ev.Engines = append(ev.Engines, c.ejections.Show(m.EngineInfo))
 	}
 	c.forgetUnlisted()
 	c.setReady()
@@ -38,15 +38,15 @@
 	c.post(func() { c.tell(routing.Peers{Routers: n}) })
 }
 
-func (c *Core) probe(server string) {
-	m, known := c.members[server]
+func (c *Core) probe(engine string) {
+	m, known := c.members[engine]
 	if !c.checks.Hold(known, "a probe goes to a known engine") {
 		return
 	}
 	sent := time.Now()
 	c.engine.Probe(m, func(s routing.Status, r *routing.Report) {
 		c.post(func() {
-			c.tell(routing.ProbeResult{Server: server, Status: s, Latency: time.Since(sent), Report: r})
+			c.tell(routing.ProbeResult{Engine: engine, Status: s, Latency: time.Since(sent), Report: r})
 		})
 	})
 }
--- a/internal/directory/keeper.go
+++ b/internal/directory/keeper.go
@@ -150,7 +150,7 @@
 // gets no new work but keeps its place: what is known of it holds if it comes back.
 func member(e roster.Engine) core.Member {
 	m := core.Member{
-		ServerInfo: routing.ServerInfo{Name: e.ID, Kind: e.Kind, Zone: e.Zone, Cell: e.Cell, Weight: 1},
+		EngineInfo: routing.EngineInfo{Name: e.ID, Kind: e.Kind, Zone: e.Zone, Cell: e.Cell, Weight: 1},
 		Addr:       e.Addr, StartedAt: e.Started,
 	}
 	switch e.State {
--- a/internal/openai/front_test.go
+++ b/internal/openai/front_test.go
@@ -46,7 +46,7 @@
 func start(t *testing.T, engines map[string]*enginetest.Engine) (url string, c *core.Core) {
 	var members []core.Member
 	for role, e := range engines {
-		members = append(members, core.Member{ServerInfo: routing.ServerInfo{Name: role, Kind: role, Zone: "a", Weight: 1}, Addr: e.Addr})
+		members = append(members, core.Member{EngineInfo: routing.EngineInfo{Name: role, Kind: role, Zone: "a", Weight: 1}, Addr: e.Addr})
 	}
 	return serve(t, operator, members)
 }
@@ -93,7 +93,7 @@
 // body is on the way: neither the team nor the contract of the other is seen.
 func TestARequestGoesByOneFile(t *testing.T) {
 	e := enginetest.NewEngine(t, func(enginetest.Call) string { return enginetest.Stream(2, 0) })
-	url, _, f := serveFront(t, operator, []core.Member{{ServerInfo: routing.ServerInfo{Name: "e1", Kind: config.RoleOpenAI, Zone: "a", Weight: 1}, Addr: e.Addr}})
+	url, _, f := serveFront(t, operator, []core.Member{{EngineInfo: routing.EngineInfo{Name: "e1", Kind: config.RoleOpenAI, Zone: "a", Weight: 1}, Addr: e.Addr}})
 	other, err := config.ParseOperator([]byte(strings.NewReplacer(`"k1"`, `"k9"`, `"name": "orders"`, `"name": "works"`, `"parts", "orders", "quick"`, `"parts", "works", "quick"`).Replace(operator)))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/openai/resume_test.go
+++ b/internal/openai/resume_test.go
@@ -28,7 +28,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				members = append(members, core.Member{ServerInfo: routing.ServerInfo{Name: e.ID, Kind: role, Zone: "a", Weight: 1}, Addr: e.Addr()})
+				members = append(members, core.Member{EngineInfo: routing.EngineInfo{Name: e.ID, Kind: role, Zone: "a", Weight: 1}, Addr: e.Addr()})
 			}
 			file := strings.Replace(operator, `"effect": "free",`, fmt.Sprintf(`"effect": "free", "continue": %d,`, times), 1)
 			url, _ := serve(t, file, members)
--- a/internal/platform/events_test.go
+++ b/internal/platform/events_test.go
@@ -55,8 +55,8 @@
 	}))
 	t.Cleanup(func() { writer.CloseClientConnections(); writer.Close() })
 	c.Roster(routing.RosterFull, []core.Member{
-		{ServerInfo: routing.ServerInfo{Name: "r1", Kind: "r", Zone: "a", Weight: 1}, Addr: r.Addr},
-		{ServerInfo: routing.ServerInfo{Name: "w2", Kind: "w", Zone: "a", Weight: 1}, Addr: writer.Listener.Addr().String()},
+		{EngineInfo: routing.EngineInfo{Name: "r1", Kind: "r", Zone: "a", Weight: 1}, Addr: r.Addr},
+		{EngineInfo: routing.EngineInfo{Name: "w2", Kind: "w", Zone: "a", Weight: 1}, Addr: writer.Listener.Addr().String()},
 	})
 	ask := func(id string) net.Conn {
 		nc, err := net.Dial("tcp", addr)
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -192,7 +192,7 @@
 			{Name: "lookup", Aim: 10 * time.Second, Gain: 1},
 			{Name: "order", Aim: 10 * time.Second, Gain: 1, Effect: routing.EffectSingleShot},
 		},
-		Kinds: []routing.Kind{{Name: "r", Role: routing.RoleReader, Memory: 2e5}, {Name: "w", Role: routing.RoleWriter, Memory: 2e5}},
+		Kinds: []routing.Kind{{Name: "r", Role: routing.RolePrefill, Memory: 2e5}, {Name: "w", Role: routing.RoleDecode, Memory: 2e5}},
 		Cold:  time.Second, ColdShare: 0.3, Fall: time.Second, FallMultiple: 3, PinLimit: 500 * time.Millisecond,
 	}
 	router, err := routing.New(set, 1)
@@ -214,8 +214,8 @@
 	c = core.New(router, engine, nil, core.Figures{Slack: 50 * time.Millisecond, PinLimit: set.PinLimit, MaxSends: 4}, log, invariant.New())
 	go c.Run(t.Context())
 	c.Roster(routing.RosterFull, []core.Member{
-		{ServerInfo: routing.ServerInfo{Name: "r1", Kind: "r", Zone: "a", Weight: 1}, Addr: r.Addr},
-		{ServerInfo: routing.ServerInfo{Name: "w1", Kind: "w", Zone: "a", Weight: 1}, Addr: w.Addr},
+		{EngineInfo: routing.EngineInfo{Name: "r1", Kind: "r", Zone: "a", Weight: 1}, Addr: r.Addr},
+		{EngineInfo: routing.EngineInfo{Name: "w1", Kind: "w", Zone: "a", Weight: 1}, Addr: w.Addr},
 	})
 	f = NewFront(c, set.Classes, clientconn.NewBudget(1<<20))
 	server := httptest.NewUnstartedServer(f)
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -113,7 +113,7 @@
 
 func member(e config.ListEntry) core.Member {
 	m := core.Member{
-		ServerInfo: routing.ServerInfo{
+		EngineInfo: routing.EngineInfo{
 			Name: e.ID, Kind: e.Flavor, Zone: e.Locality, Cell: e.Cell, Weight: e.Size, Phase: phaseOf(e.Phase),
 		},
 		Addr: e.HostPort,
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -82,7 +82,7 @@
 }
 
 var roles = map[string]routing.Role{
-	"read": routing.RoleReader, "write": routing.RoleWriter, "both": routing.RoleMixed,
+	"read": routing.RolePrefill, "write": routing.RoleDecode, "both": routing.RoleMixed,
 }
 
 var effects = map[string]routing.Effect{
@@ -95,7 +95,7 @@
 func (o *Options) Settings() routing.Settings {
 	s := routing.Settings{
 		Zone: o.Az, Zones: o.Zones, Routers: o.Balancers,
-		WritersRead:    o.Info.LocalRead,
+		DecodePrefills: o.Info.LocalRead,
 		OverShareWorth: o.OverShareWorth, MustSubscribe: o.Membership == "subscribe",
 		CanCancel: o.Limits.Cancelling, CanRetryAfter: o.Limits.RetryAfter,
 		MaxRetryAfter: Micros(o.Limits.MaxRetryAfter), MaxAttempts: o.Limits.SendCap,
--- a/internal/simulator/simulator.go
+++ b/internal/simulator/simulator.go
@@ -117,7 +117,7 @@
 // host holds the instances of one process; they share nothing but the lists.
 type host struct {
 	routers map[int]*routing.Router // nil once stopped
-	lists   map[int][]routing.ServerInfo
+	lists   map[int][]routing.EngineInfo
 	now     routing.Time
 	out     bytes.Buffer
 }
@@ -125,7 +125,7 @@
 // Serve answers batches from in on out until in ends. An error names the line
 // at fault; no part of an unanswerable batch's reply is written.
 func Serve(in io.Reader, out io.Writer) error {
-	h := &host{routers: map[int]*routing.Router{}, lists: map[int][]routing.ServerInfo{}}
+	h := &host{routers: map[int]*routing.Router{}, lists: map[int][]routing.EngineInfo{}}
 	r := bufio.NewReaderSize(in, 1<<20)
 	w := bufio.NewWriter(out)
 	var turn *int64
@@ -264,14 +264,14 @@
 	h.out.WriteByte('\n')
 }
 
-func servers(lines []entry) []routing.ServerInfo {
-	list := make([]routing.ServerInfo, 0, len(lines))
+func servers(lines []entry) []routing.EngineInfo {
+	list := make([]routing.EngineInfo, 0, len(lines))
 	for _, e := range lines {
 		phase, known := phases[e.Phase]
 		if !known {
 			phase = routing.PhaseDraining
 		}
-		list = append(list, routing.ServerInfo{
+		list = append(list, routing.EngineInfo{
 			Name: e.Worker, Kind: e.Family, Zone: e.DC, Cell: e.Bay, Weight: e.Scale,
 			CameUp: settings.Micros(e.CameUp), Phase: phase,
 		})
@@ -293,7 +293,7 @@
 			if !given {
 				return nil, fmt.Errorf("list %d was never given", l.List)
 			}
-			ev.Servers = list
+			ev.Engines = list
 		}
 		return ev, nil
 	case "Call":
@@ -303,7 +303,7 @@
 			Hint: settings.Micros(int64(l.Predicted)), TTL: settings.Micros(l.TTL), Repeat: l.Resent, Reconnect: l.Reconnect,
 		}, nil
 	case "UnderWay":
-		return routing.FirstToken{ID: id, Attempt: l.Copy, Server: l.Worker, Latency: settings.Micros(l.Latency)}, nil
+		return routing.FirstToken{ID: id, Attempt: l.Copy, Engine: l.Worker, Latency: settings.Micros(l.Latency)}, nil
 	case "HeldNote":
 		return routing.PlaceNote{ID: id, Held: l.What == 1}, nil
 	case "Verdict":
@@ -322,7 +322,7 @@
 			return nil, fmt.Errorf("unknown outcome %q", l.Reason)
 		}
 		return routing.ProbeResult{
-			Server: l.Worker, Status: status, Latency: settings.Micros(l.Latency), Report: settings.ReadReport(l.Usage),
+			Engine: l.Worker, Status: status, Latency: settings.Micros(l.Latency), Report: settings.ReadReport(l.Usage),
 		}, nil
 	case "FromPeer":
 		payload, err := hex.DecodeString(l.Contents)
@@ -336,7 +336,7 @@
 
 func outcome(l *inLine, status routing.Status) routing.Outcome {
 	o := routing.Outcome{
-		ID: routing.RequestID(l.Xid), Attempt: l.Copy, Server: l.Worker, Status: status,
+		ID: routing.RequestID(l.Xid), Attempt: l.Copy, Engine: l.Worker, Status: status,
 		Latency: settings.Micros(l.Latency), Final: l.Last, Report: settings.ReadReport(l.Usage),
 	}
 	if status == routing.StatusFull {
@@ -352,7 +352,7 @@
 	id := func(v routing.RequestID) *uint32 { n := uint32(v); return &n }
 	switch a := action.(type) {
 	case routing.Send:
-		l.Verb, l.Xid, l.Worker, l.Limit = "Issue", id(a.ID), a.Server, a.Limit.Microseconds()
+		l.Verb, l.Xid, l.Worker, l.Limit = "Issue", id(a.ID), a.Engine, a.Limit.Microseconds()
 	case routing.Refuse:
 		l.Verb, l.Xid, l.Backoff = "Decline", id(a.ID), a.RetryAfter.Microseconds()
 	case routing.Fail:
@@ -365,7 +365,7 @@
 		in := a.In.Microseconds()
 		l.Verb, l.In, l.Mark = "Timer", &in, a.Name
 	case routing.Probe:
-		l.Verb, l.Worker = "AskLoad", a.Server
+		l.Verb, l.Worker = "AskLoad", a.Engine
 	case routing.Subscribe:
 		want := true
 		l.Verb, l.Want = "Tail", &want
--- a/internal/upstream/held_test.go
+++ b/internal/upstream/held_test.go
@@ -57,12 +57,12 @@
 	effects := []routing.Effect{routing.EffectFree, routing.EffectGuarded, routing.EffectSingleShot}
 	set := routing.Settings{
 		Zones: []string{"a", "b"}[:1+r.IntN(2)], Routers: 1 + r.IntN(4), MaxAttempts: 1 + r.IntN(5),
-		CanCancel: r.IntN(4) > 0, CanRetryAfter: true, MaxRetryAfter: time.Second, WritersRead: r.IntN(3) == 0,
+		CanCancel: r.IntN(4) > 0, CanRetryAfter: true, MaxRetryAfter: time.Second, DecodePrefills: r.IntN(3) == 0,
 		Cold: time.Second, ColdShare: 0.3, Fall: time.Second, FallMultiple: 3,
 		PinLimit: between(r, 100*time.Millisecond, 2*time.Second), Tick: pick(r, time.Millisecond, 4*time.Millisecond, 20*time.Millisecond),
 	}
 	set.Zone = set.Zones[0]
-	for _, role := range []routing.Role{routing.RoleReader, routing.RoleWriter, routing.RoleMixed} {
+	for _, role := range []routing.Role{routing.RolePrefill, routing.RoleDecode, routing.RoleMixed} {
 		set.Kinds = append(set.Kinds, routing.Kind{Name: kindNames[role], Role: role, Memory: 2e5})
 	}
 	for i := range 3 {
@@ -80,13 +80,13 @@
 	set := drawSettings(r)
 	s := &scenario{random: r, settings: set, fleet: newSimFleet(simRules{
 		pinLimit: set.PinLimit, anywhere: r.IntN(2) == 0, stopsWork: r.IntN(2) == 0, learnsLate: r.IntN(2) == 0,
-		ownRead: set.WritersRead, readersLast: between(r, 20*time.Millisecond, 600*time.Millisecond),
+		ownRead: set.DecodePrefills, readersLast: between(r, 20*time.Millisecond, 600*time.Millisecond),
 	}, seed)}
 	for i := range 2 + r.IntN(5) {
-		s.add(routing.RoleReader, i)
+		s.add(routing.RolePrefill, i)
 	}
 	for i := range 2 + r.IntN(4) {
-		s.add(routing.RoleWriter, i)
+		s.add(routing.RoleDecode, i)
 	}
 	if r.IntN(3) == 0 {
 		for i := range 1 + r.IntN(3) {
@@ -115,14 +115,14 @@
 }
 
 // kindNames are the names of the kinds of engines, by role.
-var kindNames = map[routing.Role]string{routing.RoleReader: "r", routing.RoleWriter: "w", routing.RoleMixed: "m"}
+var kindNames = map[routing.Role]string{routing.RolePrefill: "r", routing.RoleDecode: "w", routing.RoleMixed: "m"}
 
 func (s *scenario) add(role routing.Role, n int) {
 	kind := kindNames[role]
 	name := fmt.Sprint(kind, n)
 	zone := n % len(s.settings.Zones)
 	s.fleet.add(name, role, 200*time.Microsecond+time.Duration(zone)*between(s.random, time.Millisecond, 3*time.Millisecond))
-	s.members = append(s.members, core.Member{Addr: name, ServerInfo: routing.ServerInfo{
+	s.members = append(s.members, core.Member{Addr: name, EngineInfo: routing.EngineInfo{
 		Name: name, Kind: kind, Zone: s.settings.Zones[zone], Cell: n % 3, Weight: 1,
 	}})
 }
--- a/internal/upstream/memory_test.go
+++ b/internal/upstream/memory_test.go
@@ -86,7 +86,7 @@
 	var members []core.Member
 	for _, name := range []string{"r0", "r1", "w0", "w1"} {
 		c.links[name] = newSimLink(time.Millisecond, careless(random, name[0] == 'r'))
-		members = append(members, core.Member{Addr: name, ServerInfo: routing.ServerInfo{Name: name, Kind: name[:1], Zone: set.Zone, Weight: 1}})
+		members = append(members, core.Member{Addr: name, EngineInfo: routing.EngineInfo{Name: name, Kind: name[:1], Zone: set.Zone, Weight: 1}})
 	}
 	pool := upstream.NewPool(upstream.Options{
 		ConnectTimeout: 250 * time.Millisecond, ConnIdle: 15 * time.Second, MaxConns: 200, StreamSilence: time.Second,
--- a/internal/upstream/simturn_test.go
+++ b/internal/upstream/simturn_test.go
@@ -42,7 +42,7 @@
 func (t *turn) play() bool {
 	f := t.engine.fleet
 	t.conn.link.change(func() { t.conn.answered = false })
-	fetches := t.engine.role != routing.RoleReader // a mixed one without a state does the whole itself
+	fetches := t.engine.role != routing.RolePrefill // a mixed one without a state does the whole itself
 	f.account(t.id, func(r *record) {
 		r.out++
 		f.note("%s attempt at %s", t.id, t.engine.name)
--- a/routing/api.go
+++ b/routing/api.go
@@ -1,5 +1,5 @@
 // Package routing decides, for one router of a two-stage model service, which
-// reader takes a prompt, which writer answers it, and what is refused.
+// prefill engine takes a prompt, which decode engine answers it, and what is refused.
 //
 // This file is the whole interface: the settings, the events a router is told,
 // and the actions it answers with. The decisions are in policy.go.
@@ -13,15 +13,15 @@
 // RequestID names a request; the caller chooses it.
 type RequestID uint32
 
-// Role says what a kind of server does.
+// Role says what a kind of engine does.
 type Role uint8
 
-// The roles of a server kind. A kind with RoleNone is never sent to.
+// The roles of an engine kind. A kind with RoleNone is never sent to.
 const (
-	RoleNone   Role = iota
-	RoleReader      // reads prompts and keeps the read state until it is fetched
-	RoleWriter      // fetches read states and streams answers
-	RoleMixed       // does either, or a whole request by itself
+	RoleNone    Role = iota
+	RolePrefill      // reads prompts and keeps the read state until it is fetched
+	RoleDecode       // fetches read states and streams answers
+	RoleMixed        // does either, or a whole request by itself
 )
 
 // Effect says what repeating a request of a class may do.
@@ -34,7 +34,7 @@
 	EffectSingleShot               // must not run twice
 )
 
-// Group is the set of servers that drop each other's repeats of a guarded request.
+// Group is the set of engines that drop each other's repeats of a guarded request.
 type Group uint8
 
 // The groups of a guarded class.
@@ -56,7 +56,7 @@
 	Window      time.Duration // how long a guarded repeat is remembered
 }
 
-// Kind describes one kind of server.
+// Kind describes one kind of engine.
 type Kind struct {
 	Name   string
 	Role   Role
@@ -91,12 +91,12 @@
 	CanRetryAfter  bool          // Refuse may advise a wait
 	MaxRetryAfter  time.Duration // longest advice that clients honour
 	MaxAttempts    int           // attempts per request
-	CanProbe       bool          // Probe is allowed, and its report tells a server's queue
-	WritersRead    bool          // a writer that gets a request with no state reads its prompt itself
+	CanProbe       bool          // Probe is allowed, and its report tells an engine's queue
+	DecodePrefills bool          // a decode engine that gets a request with no state reads its prompt itself
 
-	Cold         time.Duration // a started server is warm after this
+	Cold         time.Duration // a started engine is warm after this
 	ColdShare    float64       // least share of its capacity at the start
-	Fall         time.Duration // span over which a cold server's load is counted
+	Fall         time.Duration // span over which a cold engine's load is counted
 	FallMultiple float64       // times its capacity that makes it fall over
 	PinLimit     time.Duration // longest a state may wait with no attempt out
 	SendDelay    time.Duration // longest from a Send to its arrival: what may not come late is not sent
@@ -109,18 +109,18 @@
 // Action is something a router asks for.
 type Action interface{ isAction() }
 
-// Phase is a server's state on the roster.
+// Phase is an engine's state on the roster.
 type Phase uint8
 
-// The phases of a server.
+// The phases of an engine.
 const (
 	PhaseOn Phase = iota
 	PhaseDraining
 	PhaseOff
 )
 
-// ServerInfo is a server's entry on the roster.
-type ServerInfo struct {
+// EngineInfo is an engine's entry on the roster.
+type EngineInfo struct {
 	Name, Kind, Zone string
 	Cell             int
 	Weight           float64 // size against others of its role
@@ -139,10 +139,10 @@
 	RosterFailed // a call failed; no entries
 )
 
-// Roster reports the servers that discovery knows.
+// Roster reports the engines that discovery knows.
 type Roster struct {
 	Scope   RosterScope
-	Servers []ServerInfo
+	Engines []EngineInfo
 }
 
 // Request is a client's try that now needs one final answer.
@@ -161,7 +161,7 @@
 	Reconnect bool          // the client continues a broken or moved stream
 }
 
-// Report is a server's word on its load; nil fields were not reported.
+// Report is an engine's word on its load; nil fields were not reported.
 type Report struct {
 	Latency       *time.Duration // recent service time
 	Memory        *float64       // share of memory held
@@ -176,8 +176,8 @@
 // The statuses of an Outcome.
 const (
 	StatusServed    Status = iota
-	StatusRead             // the prompt is read and its state waits at the reader
-	StatusError            // the server failed it; it may have run
+	StatusRead             // the prompt is read and its state waits at the prefill engine
+	StatusError            // the engine failed it; it may have run
 	StatusFull             // turned away; it never ran
 	StatusTimeout          // no answer in time; it may have run
 	StatusNoConnect        // no connection; it never ran
@@ -190,7 +190,7 @@
 type Outcome struct {
 	ID      RequestID
 	Attempt int
-	Server  string
+	Engine  string
 	Status  Status
 	Latency time.Duration
 	Final   bool // the request has its final answer
@@ -203,7 +203,7 @@
 type FirstToken struct {
 	ID      RequestID
 	Attempt int
-	Server  string
+	Engine  string
 	Latency time.Duration
 }
 
@@ -214,7 +214,7 @@
 type Peers struct{ Routers int }
 
 // Closing reports that the gateway is about to end: nothing more is sent, and what comes
-// from now on is refused. What a writer may be about to answer is waited for until Last.
+// from now on is refused. What a decode engine may be about to answer is waited for until Last.
 type Closing struct{ Last bool }
 
 // TimerFired reports that a timer is due.
@@ -222,7 +222,7 @@
 
 // ProbeResult answers a Probe.
 type ProbeResult struct {
-	Server  string
+	Engine  string
 	Status  Status
 	Latency time.Duration
 	Report  *Report
@@ -252,10 +252,10 @@
 func (PlaceNote) isEvent()   {}
 func (PeerMessage) isEvent() {}
 
-// Send makes an attempt at a server. A Limit of 0 lasts until the client gives up.
+// Send makes an attempt at an engine. A Limit of 0 lasts until the client gives up.
 type Send struct {
 	ID     RequestID
-	Server string
+	Engine string
 	Limit  time.Duration
 }
 
@@ -284,8 +284,8 @@
 	Name string
 }
 
-// Probe asks a server for its load.
-type Probe struct{ Server string }
+// Probe asks an engine for its load.
+type Probe struct{ Engine string }
 
 // Subscribe asks discovery for changes from now on.
 type Subscribe struct{}
--- a/routing/cold_test.go
+++ b/routing/cold_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// bears is how many calls a server that has just started bears in any span of the settings'
+// bears is how many calls an engine that has just started bears in any span of the settings'
 // length, n being what the settings allow it: a little more for chance.
 func bears(n float64) float64 {
 	if n < 30 {
@@ -19,18 +19,18 @@
 }
 
 // Whatever the number of routers and however uneven their traffic, what all of them send to
-// a server that has just started stays within what it bears, in any span of that length.
-// The worst is played: warm servers turn all away, and a burst of half as much again comes.
-// It holds at large and at small servers, where each router's part is far below one call,
-// where half of the servers that carried the work have just left, and where the routers know
+// an engine that has just started stays within what it bears, in any span of that length.
+// The worst is played: warm engines turn all away, and a burst of half as much again comes.
+// It holds at large and at small engines, where each router's part is far below one call,
+// where half of the engines that carried the work have just left, and where the routers know
 // nothing yet.
 func TestAColdServerBearsWhatAllRoutersSend(t *testing.T) {
 	for _, c := range []struct {
 		name     string
-		capacity float64 // requests a second of each server
+		capacity float64 // requests a second of each engine
 		routers  []int
 		learn    time.Duration
-		leave    int // of the four warm servers, a second before the cold one comes
+		leave    int // of the four warm engines, a second before the cold one comes
 		starved  bool
 	}{
 		{"servers of 12 requests a second", 12, []int{1, 2, 3, 5, 10, 30, 80, 300}, 40 * time.Second, 0, false},
@@ -44,7 +44,7 @@
 }
 
 // playCold plays one deployment under routers of several numbers and shares. With starved a
-// cold server may get nothing.
+// cold engine may get nothing.
 func playCold(t *testing.T, capacity float64, routers []int, learn time.Duration, leave int, starved bool) {
 	shares := map[string]func(i, n int) float64{
 		"even":               func(int, int) float64 { return 1 },
@@ -56,7 +56,7 @@
 		for name, share := range shares {
 			t.Run(fmt.Sprint(n, " routers, ", name), func(t *testing.T) {
 				set := testSettings()
-				servers := []ServerInfo{server("w", "w", 0)}
+				servers := []EngineInfo{server("w", "w", 0)}
 				for i := range warm {
 					servers = append(servers, server(fmt.Sprint("r", i), "r", 0))
 				}
@@ -70,7 +70,7 @@
 				}
 				id, now := RequestID(0), Time(0)
 				toCold := []Time{}
-				full := false // warm servers turn all away
+				full := false // warm engines turn all away
 				// one has a request come to one router, and answers what it sends at once.
 				one := func(rate float64) {
 					now += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
@@ -79,7 +79,7 @@
 					id++
 					if full {
 						for i := range warm {
-							r.workers[fmt.Sprint("r", i)].fullTo["\x00c"] = now + time.Minute
+							r.engines[fmt.Sprint("r", i)].fullTo["\x00c"] = now + time.Minute
 						}
 					}
 					actions := slices.Clone(r.Handle(now, ask(id, prompt)))
@@ -89,8 +89,8 @@
 							toCold = append(toCold, now)
 						}
 						if to == "w" {
-							r.Handle(now, FirstToken{ID: id, Attempt: attempt, Server: to, Latency: 20 * ms})
-							r.Handle(now, Outcome{ID: id, Attempt: attempt, Server: to, Status: StatusServed, Final: true})
+							r.Handle(now, FirstToken{ID: id, Attempt: attempt, Engine: to, Latency: 20 * ms})
+							r.Handle(now, Outcome{ID: id, Attempt: attempt, Engine: to, Status: StatusServed, Final: true})
 							break
 						}
 						actions = slices.Clone(r.Handle(now, read(id, attempt, to, 0)))
@@ -104,7 +104,7 @@
 						gone := server(fmt.Sprint("r", i), "r", 0)
 						gone.Phase = PhaseDraining
 						for _, r := range all {
-							r.Handle(now, Roster{Servers: []ServerInfo{gone}})
+							r.Handle(now, Roster{Engines: []EngineInfo{gone}})
 						}
 					}
 					for end := now + time.Second; now < end; {
@@ -115,7 +115,7 @@
 				cold := server("cold", "r", 0)
 				cold.CameUp = now
 				for _, r := range all {
-					r.Handle(now, Roster{Servers: []ServerInfo{cold}})
+					r.Handle(now, Roster{Engines: []EngineInfo{cold}})
 				}
 				for end := now + 4*set.Fall; now < end; {
 					one(1.2 * capacity * warm)
--- a/routing/example_test.go
+++ b/routing/example_test.go
@@ -12,8 +12,8 @@
 		Zone: "a", Zones: []string{"a"}, Routers: 1, MaxAttempts: 4,
 		Classes: []routing.Class{{Name: "chat", Aim: time.Second, Gain: 1}},
 		Kinds: []routing.Kind{
-			{Name: "prefill", Role: routing.RoleReader, Memory: 200_000},
-			{Name: "decode", Role: routing.RoleWriter, Memory: 150_000},
+			{Name: "prefill", Role: routing.RolePrefill, Memory: 200_000},
+			{Name: "decode", Role: routing.RoleDecode, Memory: 150_000},
 		},
 		Cold: 10 * time.Second, ColdShare: 0.3, Fall: 2 * time.Second, FallMultiple: 3,
 		PinLimit: 500 * time.Millisecond,
@@ -21,12 +21,12 @@
 	if err != nil {
 		panic(err)
 	}
-	router.Handle(0, routing.Roster{Scope: routing.RosterFull, Servers: []routing.ServerInfo{
+	router.Handle(0, routing.Roster{Scope: routing.RosterFull, Engines: []routing.EngineInfo{
 		{Name: "p1", Kind: "prefill", Zone: "a", Weight: 1}, {Name: "d1", Kind: "decode", Zone: "a", Weight: 1},
 	}})
 	actions := router.Handle(time.Millisecond, routing.Request{
 		ID: 1, Class: "chat", Session: "s", Prompt: 900, MaxTokens: 200, TTL: 5 * time.Second,
 	})
-	fmt.Println(actions[0].(routing.Send).Server)
+	fmt.Println(actions[0].(routing.Send).Engine)
 	// Output: p1
 }
--- a/routing/failure_test.go
+++ b/routing/failure_test.go
@@ -9,15 +9,15 @@
 func TestSilentServerSetAsideAndTriedAgain(t *testing.T) {
 	r := router(t, testSettings(), server("a", "r", 0), server("b", "r", 0), server("c", "r", 0), server("w", "w", 0))
 	for range 2 {
-		r.blame(r.workers["a"], 1, 1)
+		r.blame(r.engines["a"], 1, 1)
 	}
-	w := r.workers["a"]
+	w := r.engines["a"]
 	if r.trusted(w) {
 		t.Fatal("two failures in a row and still trusted")
 	}
-	r.now += asideFirst
+	r.now += ejectFirst
 	if !r.trusted(w) {
-		t.Error("no trial after the time aside")
+		t.Error("no trial after the ejection")
 	}
 	w.out = append(w.out, &request{})
 	if r.trusted(w) {
@@ -28,7 +28,7 @@
 func TestFloorKeepsHalfThePool(t *testing.T) {
 	r := router(t, testSettings(), server("a", "r", 0), server("b", "r", 0), server("w", "w", 0))
 	for _, n := range []string{"a", "b"} {
-		r.workers[n].asideTill = time.Hour
+		r.engines[n].ejectedUntil = time.Hour
 	}
 	q := &request{Request: ask(1, 500), class: r.classes["c"]}
 	if n := len(r.eligible(q, true)); n != 1 {
@@ -37,18 +37,18 @@
 }
 
 func TestBusyPeersDoNotShieldAFailingServer(t *testing.T) {
-	var list []ServerInfo
+	var list []EngineInfo
 	for i := range 8 {
 		list = append(list, server(fmt.Sprint("r", i), "r", 0))
 	}
 	r := router(t, testSettings(), list...)
 	for i := 1; i < 5; i++ { // half of the peers look bad as well
-		r.workers[fmt.Sprint("r", i)].fail = 0.6
+		r.engines[fmt.Sprint("r", i)].fail = 0.6
 	}
 	for range 3 {
-		r.blame(r.workers["r0"], 1, 1)
+		r.blame(r.engines["r0"], 1, 1)
 	}
-	if r.trusted(r.workers["r0"]) {
+	if r.trusted(r.engines["r0"]) {
 		t.Error("a server that fails everything stays in use because other servers are sick too")
 	}
 }
@@ -60,14 +60,14 @@
 			r.blame(w, 1, 1)
 		}
 	}
-	aside := 0
+	ejected := 0
 	for _, w := range r.order {
 		if !r.trusted(w) {
-			aside++
+			ejected++
 		}
 	}
-	if aside > 1 { // the first to fail twice stands out until the others have
-		t.Errorf("%d of 3 servers set aside for a common cause", aside)
+	if ejected > 1 { // the first to fail twice stands out until the others have
+		t.Errorf("%d of 3 engines ejected for a common cause", ejected)
 	}
 }
 
@@ -76,8 +76,8 @@
 	sent(t, r.Handle(ms, ask(1, 500)))
 	sent(t, r.Handle(2*ms, ask(2, 500)))
 	r.Handle(30*ms, read(2, 0, "a", 0))
-	r.Handle(900*ms, Outcome{ID: 1, Server: "a", Status: StatusTimeout, Latency: 899 * ms})
-	if w := r.workers["a"]; w.fail > 0 {
+	r.Handle(900*ms, Outcome{ID: 1, Engine: "a", Status: StatusTimeout, Latency: 899 * ms})
+	if w := r.engines["a"]; w.fail > 0 {
 		t.Errorf("a server that answered others meanwhile is blamed %.2f", w.fail)
 	}
 }
@@ -91,8 +91,8 @@
 			t.Fatalf("%v: the hung attempt held the others back: %v", now, a)
 		}
 		r.Handle(now+15*ms, read(id, 0, "a", 0))
-		r.Handle(now+25*ms, FirstToken{ID: id, Attempt: 1, Server: "w", Latency: 10 * ms})
-		r.Handle(now+26*ms, Outcome{ID: id, Attempt: 1, Server: "w", Status: StatusServed, Final: true})
+		r.Handle(now+25*ms, FirstToken{ID: id, Attempt: 1, Engine: "w", Latency: 10 * ms})
+		r.Handle(now+26*ms, Outcome{ID: id, Attempt: 1, Engine: "w", Status: StatusServed, Final: true})
 		now += 30 * ms
 		if has[CancelAttempt](r.Handle(now, TimerFired{Name: "tick"})) {
 			return
@@ -105,9 +105,9 @@
 	r := router(t, testSettings(), server("w1", "w", 0), server("w2", "w", 0), server("w3", "w", 0))
 	r.now = 5 * time.Second
 	for range 3 {
-		r.workers["w1"].out = append(r.workers["w1"].out, &request{sentAt: 0, phase: writing, expect: ms})
+		r.engines["w1"].out = append(r.engines["w1"].out, &request{sentAt: 0, phase: writing, expect: ms})
 	}
-	if w := r.writerWait(); w != 0 {
+	if w := r.decodeWait(); w != 0 {
 		t.Errorf("states stuck at one of three writers make the wait %.1f s", w)
 	}
 }
--- a/routing/fleet_test.go
+++ b/routing/fleet_test.go
@@ -8,7 +8,7 @@
 )
 
 // fleet makes routers that differ in seed alone.
-func fleet(t *testing.T, n int, set Settings, servers ...ServerInfo) []*Router {
+func fleet(t *testing.T, n int, set Settings, servers ...EngineInfo) []*Router {
 	t.Helper()
 	set.Routers = n
 	var all []*Router
@@ -17,13 +17,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.Handle(0, Roster{Scope: RosterCached, Servers: servers})
+		r.Handle(0, Roster{Scope: RosterCached, Engines: servers})
 		all = append(all, r)
 	}
 	return all
 }
 
-// A cold server that looks empty to 200 routers would draw a first send from each.
+// A cold engine that looks empty to 200 routers would draw a first send from each.
 func TestManyRoutersTogetherSpareAColdServer(t *testing.T) {
 	set, now := testSettings(), 20*time.Second
 	cold := server("cold", "r", 0)
@@ -31,7 +31,7 @@
 	all := fleet(t, 200, set, server("a", "r", 0), server("b", "r", 0), server("w", "w", 0), cold)
 	toCold, sends := 0, 0
 	for i, r := range all {
-		r.stages[RoleReader] = stage{peak: 500 / 2.0, at: now} // half a request of 500 tokens a second
+		r.stages[RolePrefill] = stage{peak: 500 / 2.0, at: now} // half a request of 500 tokens a second
 		r.weights["c"] = 500
 		if sent(t, r.Handle(now, ask(RequestID(i), 500))) == "cold" {
 			toCold++
@@ -43,12 +43,12 @@
 		t.Errorf("%d of %d first sends went to a cold server, want some but at most %d", toCold, sends, most)
 	}
 	for _, r := range all {
-		r.stages[RoleReader].peak = 0.01 * 500
-		r.workers["cold"].sends = nil
+		r.stages[RolePrefill].peak = 0.01 * 500
+		r.engines["cold"].sends = nil
 	}
 	toCold = 0
 	for i, r := range all {
-		r.workers["a"].fullTo["\x00c"], r.workers["b"].fullTo["\x00c"] = time.Hour, time.Hour
+		r.engines["a"].fullTo["\x00c"], r.engines["b"].fullTo["\x00c"] = time.Hour, time.Hour
 		if has[Send](r.Handle(now+time.Millisecond, ask(RequestID(1000+i), 500))) {
 			toCold++
 		}
@@ -58,19 +58,19 @@
 	}
 }
 
-// readers returns a writer and n readers.
-func readers(n int) []ServerInfo {
-	servers := []ServerInfo{server("w", "w", 0)}
+// prefill engines returns a decode engine and n prefill engines.
+func prefillEngines(n int) []EngineInfo {
+	servers := []EngineInfo{server("w", "w", 0)}
 	for i := range n {
 		servers = append(servers, server(fmt.Sprint("r", i), "r", 0))
 	}
 	return servers
 }
 
-// Each router would learn a kept text anew; they must expect it at the same reader.
+// Each router would learn a kept text anew; they must expect it at the same prefill engine.
 func TestRoutersExpectATextAtTheSameReader(t *testing.T) {
 	perText := map[string]map[string]bool{}
-	for i, r := range fleet(t, 60, testSettings(), readers(20)...) {
+	for i, r := range fleet(t, 60, testSettings(), prefillEngines(20)...) {
 		q := ask(RequestID(i), 4000)
 		q.Prefix, q.PrefixLen = fmt.Sprint("p", i%2), 3500
 		to := sent(t, r.Handle(ms, q))
@@ -90,7 +90,7 @@
 // rare text more homes, and each home would have to read it first.
 func TestATextSeenOnceHasNoMoreHomesThanAny(t *testing.T) {
 	at, again := map[string]bool{}, map[string]bool{}
-	for i, r := range fleet(t, 200, testSettings(), readers(90)...) {
+	for i, r := range fleet(t, 200, testSettings(), prefillEngines(90)...) {
 		q := ask(RequestID(i), 4000)
 		q.Prefix, q.PrefixLen, q.Session = "rare", 3500, fmt.Sprint("s", i)
 		at[sent(t, r.Handle(ms, q))] = true
@@ -108,9 +108,9 @@
 	}
 }
 
-// Reads follow the writers of their cells, and what is over goes to cells that lack readers.
+// Reads follow the decode engines of their cells, and what is over goes to cells that lack prefill engines.
 func TestReadsAndAnswersAreSpreadEvenlyOverUnevenCells(t *testing.T) {
-	var servers []ServerInfo
+	var servers []EngineInfo
 	for i := range 6 {
 		servers = append(servers, server(fmt.Sprint("ra", i), "r", 1), server(fmt.Sprint("wb", i), "w", 2))
 	}
@@ -130,17 +130,17 @@
 	}
 }
 
-// Among many routers each sees a reader too seldom to know its queue: before a
-// request's first choice the likeliest reader is probed, and the request goes by the
-// report. A lost probe delays it by a tick at most; a reader awaited is not asked again.
+// Among many routers each sees a prefill engine too seldom to know its queue: before a
+// request's first choice the likeliest prefill engine is probed, and the request goes by the
+// report. A lost probe delays it by a tick at most; a prefill engine awaited is not asked again.
 func TestManyRoutersAskReadersForTheirQueues(t *testing.T) {
 	set := testSettings()
 	set.Routers, set.CanProbe = 80, true
-	servers := []ServerInfo{server("r1", "r", 0), server("r2", "r", 0), server("w1", "w", 0)}
+	servers := []EngineInfo{server("r1", "r", 0), server("r2", "r", 0), server("w1", "w", 0)}
 	probes := func(actions []Action) (to []string) {
 		for _, a := range actions {
 			if p, ok := a.(Probe); ok {
-				to = append(to, p.Server)
+				to = append(to, p.Engine)
 			}
 		}
 		return to
@@ -155,7 +155,7 @@
 		t.Errorf("%s was probed again while its answer was awaited", asked[0])
 	}
 	long := 40.0
-	if to := sent(t, r.Handle(time.Second+ms, ProbeResult{Server: asked[0], Report: &Report{Queue: &long}})); to == asked[0] {
+	if to := sent(t, r.Handle(time.Second+ms, ProbeResult{Engine: asked[0], Report: &Report{Queue: &long}})); to == asked[0] {
 		t.Errorf("sent to %s, whose report shows a long queue", to)
 	}
 	r = router(t, set, servers...)
--- a/routing/harness_test.go
+++ b/routing/harness_test.go
@@ -18,7 +18,7 @@
 			{Name: "once", Aim: time.Second, Gain: 1, Effect: EffectSingleShot},
 		},
 		Kinds: []Kind{
-			{Name: "r", Role: RoleReader, Memory: 2e5}, {Name: "w", Role: RoleWriter, Memory: 2e5},
+			{Name: "r", Role: RolePrefill, Memory: 2e5}, {Name: "w", Role: RoleDecode, Memory: 2e5},
 			{Name: "m", Role: RoleMixed, Memory: 2e5},
 		},
 		Cold: 10 * time.Second, ColdShare: 0.3, Fall: 2 * time.Second, FallMultiple: 3,
@@ -26,17 +26,17 @@
 	}
 }
 
-func server(name, kind string, cell int) ServerInfo {
-	return ServerInfo{Name: name, Kind: kind, Zone: "z", Cell: cell, Weight: 1}
+func server(name, kind string, cell int) EngineInfo {
+	return EngineInfo{Name: name, Kind: kind, Zone: "z", Cell: cell, Weight: 1}
 }
 
-func router(t *testing.T, set Settings, servers ...ServerInfo) *Router {
+func router(t *testing.T, set Settings, servers ...EngineInfo) *Router {
 	t.Helper()
 	r, err := New(set, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Handle(0, Roster{Scope: RosterCached, Servers: servers})
+	r.Handle(0, Roster{Scope: RosterCached, Engines: servers})
 	return r
 }
 
@@ -44,7 +44,7 @@
 	return Request{ID: id, Class: "c", Session: fmt.Sprint("s", id), Prompt: prompt, MaxTokens: 100, TTL: 5 * time.Second}
 }
 
-// sent returns the only server that the actions send a request to.
+// sent returns the only engine that the actions send a request to.
 func sent(t *testing.T, actions []Action) string {
 	t.Helper()
 	to := ""
@@ -53,7 +53,7 @@
 			if to != "" {
 				t.Fatal("two sends at once")
 			}
-			to = s.Server
+			to = s.Engine
 		}
 	}
 	if to == "" {
@@ -72,10 +72,10 @@
 }
 
 func read(id RequestID, attempt int, at string, kept int) Outcome {
-	return Outcome{ID: id, Attempt: attempt, Server: at, Status: StatusRead, Latency: 20 * ms, Kept: kept}
+	return Outcome{ID: id, Attempt: attempt, Engine: at, Status: StatusRead, Latency: 20 * ms, Kept: kept}
 }
 
-// keep makes a reader known to hold tokens of a session.
+// keep makes a prefill engine known to hold tokens of a session.
 func keep(r *Router, at, session string, tokens int) {
-	r.workers[at].sessions[session] = held{tokens, r.now}
+	r.engines[at].sessions[session] = held{tokens, r.now}
 }
--- a/routing/hostile_test.go
+++ b/routing/hostile_test.go
@@ -12,7 +12,7 @@
 type attempt struct {
 	id     RequestID
 	n      int
-	server ServerInfo
+	server EngineInfo
 	begun  bool
 }
 
@@ -28,7 +28,7 @@
 
 func hostileRun(t *testing.T, seed uint64) []Action {
 	rng := rand.New(rand.NewPCG(seed, 1))
-	servers := map[string]ServerInfo{}
+	servers := map[string]EngineInfo{}
 	var names []string
 	for i := range 9 {
 		s := server(fmt.Sprint("n", i), []string{"r", "w", "m"}[i%3], i%2)
@@ -68,14 +68,14 @@
 				timer = now + a.In
 			case Send:
 				q, open := live[a.ID]
-				s := servers[a.Server]
+				s := servers[a.Engine]
 				switch {
 				case !open:
 					t.Fatalf("seed %d: send for %d, which has ended", seed, a.ID)
 				case isOut(a.ID) >= 0:
 					t.Fatalf("seed %d: two attempts of %d out", seed, a.ID)
 				case s.Phase != PhaseOn:
-					t.Fatalf("seed %d: send to %s, which is leaving", seed, a.Server)
+					t.Fatalf("seed %d: send to %s, which is leaving", seed, a.Engine)
 				case counts[a.ID] >= set.MaxAttempts:
 					t.Fatalf("seed %d: too many attempts", seed)
 				}
@@ -109,7 +109,7 @@
 	roster := func(scope RosterScope) {
 		ev := Roster{Scope: scope}
 		for _, n := range names {
-			ev.Servers = append(ev.Servers, servers[n])
+			ev.Engines = append(ev.Engines, servers[n])
 		}
 		handle(ev)
 	}
@@ -130,7 +130,7 @@
 		if a.begun {
 			delete(holding, a.id)
 		}
-		handle(Outcome{ID: a.id, Attempt: a.n, Server: a.server.Name, Status: st, Latency: 5 * ms, Final: final,
+		handle(Outcome{ID: a.id, Attempt: a.n, Engine: a.server.Name, Status: st, Latency: 5 * ms, Final: final,
 			Kept: rng.IntN(500)})
 	}
 	for id := RequestID(1); now < 20*time.Second || len(out) > 0 || len(live) > 0; {
@@ -196,7 +196,7 @@
 			default:
 				out[i].begun = true
 				delete(holding, a.id)
-				handle(FirstToken{ID: a.id, Attempt: a.n, Server: a.server.Name, Latency: 5 * ms})
+				handle(FirstToken{ID: a.id, Attempt: a.n, Engine: a.server.Name, Latency: 5 * ms})
 			}
 		}
 	}
--- a/routing/policy.go
+++ b/routing/policy.go
@@ -1,7 +1,7 @@
-// This file holds every decision; its interface is api.go. A request goes to the reader whose kept text
-// and queue promise the soonest read (gate, cap), then, once read, to the writer
-// in that reader's cell with most free memory. What else stands here guards that
-// path against servers, lists and loads that are not as they should be.
+// This file holds every decision; its interface is api.go. A request goes to the prefill engine
+// whose kept text and queue promise the soonest read (gate, cap), then, once read, to the decode
+// engine in its cell with most free memory. What else stands here guards that path against
+// engines, lists and loads that are not as they should be.
 
 package routing
 
@@ -15,30 +15,30 @@
 
 const (
 	gateThreshold = 0.1 // a best match of no more than this part of the prompt counts as none
-	capMultiple   = 2.0 // a reader may hold this many times its fair share of active requests
-	answerWeight  = 0.3 // part of a read at a mixed server that each answer there is held to lose
-	spareWeight   = 0.7 // of a read at a writer against one at a reader, where nobody waits behind it
+	capMultiple   = 2.0 // a prefill engine may hold this many times its fair share of active requests
+	answerWeight  = 0.3 // part of a read at a mixed engine that each answer there is held to lose
+	spareWeight   = 0.7 // of a read at a decode engine against one at a prefill engine, nobody behind it
 	stateWeight   = 0.2 // a waiting state holds memory and a port but is read already
 	readWeight    = 4.0 // of a token to read against one queued: it delays all later ones and drives out text
 
 	// The table and the plan.
 	horizon    = time.Minute     // most sessions' turns lie closer; older entries are as likely gone as kept
-	tableMost  = 4096            // entries a reader; a sweep drops the aged ones beyond it
-	homeParts  = 4.0             // shared beginnings that a reader is home to, so that their loads even out
+	tableMost  = 4096            // entries a prefill engine; a sweep drops the aged ones beyond it
+	homeParts  = 4.0             // shared beginnings that a prefill engine is home to: their loads even out
 	seenMost   = 400.0           // requests over which the share of a beginning is counted
 	seenLeast  = 40.0            // with fewer of them a share is not believed
-	planExcess = 1.5             // times its even share that the plan gives a reader at most
-	mixedShare = 0.6             // work of a mixed server against a writer's, which need not read
+	planExcess = 1.5             // times its even share that the plan gives a prefill engine at most
+	mixedShare = 0.6             // work of a mixed engine against a decode engine's, which need not read
 	ownEnough  = 10              // among fewer routers own load tells a queue, and reads add but noise
 	behindStep = 0.5             // weight of one read: two in a row are rare
 	behindFade = 8 * time.Second // about as long as a session lasts
 
-	// The judge of servers.
+	// The judge of engines.
 	failStep    = 0.3                    // weight of one outcome; two failures in a row pass failBound
-	failBound   = 0.35                   // above this, and twice the peers' mean, a server is set aside
-	failCleared = 0.15                   // below this a server that was set aside is trusted again
-	asideFirst  = 800 * time.Millisecond // first time aside; doubles, as most troubles outlast it
-	asideMost   = 6400 * time.Millisecond
+	failBound   = 0.35                   // above this, and twice the peers' mean, an engine is ejected
+	failCleared = 0.15                   // below this an engine that was ejected is trusted again
+	ejectFirst  = 800 * time.Millisecond // first ejection; doubles, as most troubles outlast it
+	ejectMost   = 6400 * time.Millisecond
 	slowBand    = 1.8 // paces within this of the peers' median are chance, not slowness
 	slowMost    = 20.0
 	paceStep    = 0.25            // weight of one pace sample
@@ -51,35 +51,35 @@
 	patienceAim  = 0.4                    // and at least this part of the aim, so chance never trips it
 	leastExpect  = 30 * time.Millisecond  // expectations below this are noise
 	retryRate    = 0.25                   // further attempts that each request adds to the budget
-	retryMost    = 40.0                   // and how many all routers may save up: those out at a few servers
+	retryMost    = 40.0                   // and how many all routers may save up: those out at a few engines
 	leastRemain  = 30 * time.Millisecond  // with less time left an attempt cannot be answered
-	fullPause    = 150 * time.Millisecond // a server that was full is passed over this long by the like
-	limitShare   = 0.25                   // part turned away, above what full servers bring by chance
+	fullPause    = 150 * time.Millisecond // an engine that was full is passed over this long by the like
+	limitShare   = 0.25                   // part turned away, above what full engines bring by chance
 	limitOthers  = 0.2                    // of it for others: in an overload all are turned away alike
-	limitPause   = 10 * time.Second       // a server that limits a tenant's or class's rate does so for long
+	limitPause   = 10 * time.Second       // an engine that limits a tenant's or class's rate does so for long
 	tickSpan     = 50 * time.Millisecond  // how often held requests and silent attempts are looked at
-	pinPart      = 0.5                    // part of the pin limit for which a state may wait for a writer
-	holdPart     = 0.4                    // part of the aim for which a request may wait for a reader
+	pinPart      = 0.5                    // part of the pin limit for which a state may wait for a decode engine
+	holdPart     = 0.4                    // part of the aim for which a request may wait for a prefill engine
 	leastAdvice  = 200 * time.Millisecond // a refused client is told to stay away for this long at least
 	subscribeGap = time.Second            // between calls to a discovery that fails
 
-	// Cold servers.
+	// Cold engines.
 	coldMargin = 0.7             // part of the budget used: others' estimates differ from ours
-	carryFade  = 8 * time.Second // memory of what warm servers carry
+	carryFade  = 8 * time.Second // memory of what warm engines carry
 	peakFade   = 90 * time.Second
 
 	// Admission.
-	readGuess    = 1e-4        // seconds a token, before the first read has ended
-	leastRead    = 300.0       // tokens that a step costs, however little it reads
-	usualStep    = 0.1         // weight of one sample in the usual figures
-	sampleMost   = 3.0         // a sample counts as at most this many times the usual
-	outGuess     = 0.3         // part of the longest answer that an answer takes, when no hint is given
-	firstFade    = time.Second // half-life of the usual wait for a writer when no answer begins
-	crowdedShare = 0.4         // part of the aim that the wait may take for work of no worth
-	crowdedMost  = 0.7         // and for work of the highest; estimates are off by about a third
-	quotaSlack   = 1.2         // a router's share of a quota is uneven
-	quotaSpan    = 2.0         // seconds of quota that may be saved up
-	shortWeight  = 4.0         // times that the wait for a writer counts anew where memory seems short
+	readGuess   = 1e-4        // seconds a token, before the first read has ended
+	leastRead   = 300.0       // tokens that a step costs, however little it reads
+	usualStep   = 0.1         // weight of one sample in the usual figures
+	sampleMost  = 3.0         // a sample counts as at most this many times the usual
+	outGuess    = 0.3         // part of the longest answer that an answer takes, when no hint is given
+	firstFade   = time.Second // half-life of the usual wait for a decode engine when no answer begins
+	admitLeast  = 0.4         // part of the aim that the wait may take for work of no worth
+	admitMost   = 0.7         // and for work of the highest; estimates are off by about a third
+	quotaSlack  = 1.2         // a router's share of a quota is uneven
+	quotaSpan   = 2.0         // seconds of quota that may be saved up
+	shortWeight = 4.0         // times that the wait for a decode engine counts anew where memory seems short
 
 	memoryFull, memoryRoomy = 0.95, 0.75
 
@@ -109,16 +109,16 @@
 
 func (r *Router) tick() time.Duration { return max(min(tickSpan, r.set.PinLimit/8), r.set.Tick) }
 
-// learn takes a roster entry. A new start empties what the server kept, and old
+// learn takes a roster entry. A new start empties what the engine kept, and old
 // grudges with it; a drain or removal stops new sends from this moment on.
-func (r *Router) learn(s ServerInfo) {
-	w := r.worker(s.Name)
+func (r *Router) learn(s EngineInfo) {
+	w := r.engine(s.Name)
 	if w.CameUp != s.CameUp {
 		w.forget()
-		w.fail, w.pace, w.asideFor, w.asideTill = 0, 1, 0, 0
+		w.fail, w.pace, w.ejectedFor, w.ejectedUntil = 0, 1, 0, 0
 	}
 	s.Weight = cmp.Or(max(s.Weight, 0), 1)
-	w.ServerInfo, w.kind = s, r.kinds[s.Kind]
+	w.EngineInfo, w.kind = s, r.kinds[s.Kind]
 	w.usable = s.Phase == PhaseOn && w.role() != RoleNone && slices.Contains(r.set.Zones, s.Zone)
 }
 
@@ -146,7 +146,7 @@
 	r.retries = min(1+retryMost/float64(r.set.Routers), r.retries+retryRate)
 	r.count(e.Prefix)
 	r.weights[e.Class] += (float64(e.Prompt) - r.weights[e.Class]) * usualStep
-	r.toReader(q)
+	r.toPrefill(q)
 }
 
 // overShare returns what a tenant's next request is worth against others.
@@ -165,9 +165,9 @@
 	return 1
 }
 
-// crowded refuses early what would come too late, or make work of more worth come too late.
-func (r *Router) crowded(q *request, wait float64) bool {
-	part := crowdedShare + (crowdedMost-crowdedShare)*min(1, q.density/r.topGain)
+// overloaded tells what to refuse early: it would come too late, or make worthier work late.
+func (r *Router) overloaded(q *request, wait float64) bool {
+	part := admitLeast + (admitMost-admitLeast)*min(1, q.density/r.topGain)
 	left := q.aim - r.now
 	for i := range r.set.Classes {
 		if c := &r.set.Classes[i]; c.Gain > q.density {
@@ -177,21 +177,21 @@
 	return wait > part*left.Seconds()
 }
 
-// writerWait is the usual wait for a first token while fresh, or that at half of the writers now.
-func (r *Router) writerWait() float64 {
-	st := &r.stages[RoleWriter]
+// decodeWait is the usual wait for a first token while fresh, or that at half of the decode engines now.
+func (r *Router) decodeWait() float64 {
+	st := &r.stages[RoleDecode]
 	usual := st.first * math.Exp2(-(r.now-st.firstAt).Seconds()/firstFade.Seconds())
-	return max(usual, r.survey(RoleWriter).age)
+	return max(usual, r.survey(RoleDecode).age)
 }
 
-// room is how many tokens the writers are believed to have free for what is not yet being read.
+// room is how many tokens the decode engines are believed to have free for what is not yet being read.
 func (r *Router) room() float64 {
 	free := 0.0
 	for _, w := range r.order {
 		switch {
-		case w.role() == RoleWriter && w.usable && r.trusted(w):
+		case w.role() == RoleDecode && w.usable && r.trusted(w):
 			free += max(0, 1-r.fill(w)) * w.kind.Memory
-		case w.role() == RoleReader:
+		case w.role() == RolePrefill:
 			for _, q := range w.out {
 				free -= r.size(q) * float64(r.set.Routers)
 			}
@@ -200,15 +200,15 @@
 	return free
 }
 
-// toReader sends a request to the design's choice of reader, or holds it for a
-// short part of its aim when no server may be sent to.
-func (r *Router) toReader(q *request) {
-	w, wait := r.pickReader(q)
+// toPrefill sends a request to the design's choice of prefill engine, or holds it for a
+// short part of its aim when no engine may be sent to.
+func (r *Router) toPrefill(q *request) {
+	w, wait := r.pickPrefill(q)
 	if w == nil {
-		r.hold(q, waitReader)
+		r.hold(q, waitPrefill)
 		return
 	}
-	if r.crowded(q, wait) {
+	if r.overloaded(q, wait) {
 		r.giveUp(q, seconds(wait/2))
 		return
 	}
@@ -220,11 +220,11 @@
 	r.send(q, w, reading)
 }
 
-// toWriter sends a read request on, or holds it well inside the pin limit.
-func (r *Router) toWriter(q *request) {
-	w := r.pickWriter(q)
+// toDecode sends a read request on, or holds it well inside the pin limit.
+func (r *Router) toDecode(q *request) {
+	w := r.pickDecode(q)
 	if w == nil {
-		r.hold(q, waitWriter)
+		r.hold(q, waitDecode)
 		return
 	}
 	q.expect = max(leastExpect, seconds(r.stages[w.role()].first))
@@ -237,20 +237,20 @@
 		r.shift(q, p, nil)
 	}
 	end := q.outAt + time.Duration(pinPart*float64(r.set.PinLimit)) // however many are not reached
-	if p == waitReader {
+	if p == waitPrefill {
 		end = q.since + time.Duration(holdPart*float64(q.class.Aim))
 	}
 	if r.now+r.tick() >= min(end, q.deadline-leastRemain) { // the next look would be too late
-		r.giveUp(q, seconds(r.survey(RoleReader).age+r.writerWait()))
+		r.giveUp(q, seconds(r.survey(RolePrefill).age+r.decodeWait()))
 		return
 	}
 	r.held = append(r.held, q)
 }
 
-// account says what counts as load and as memory taken at a server.
+// account says what counts as load and as memory taken at an engine.
 func (r *Router) account(q *request, sign int) {
 	n := float64(sign)
-	if q.holder != nil && (q.phase == waitWriter || q.phase == writing) {
+	if q.holder != nil && (q.phase == waitDecode || q.phase == writing) {
 		q.holder.states += sign
 		q.holder.stateTokens += n * float64(q.Prompt)
 	}
@@ -262,7 +262,7 @@
 		q.at.readTokens += n * float64(q.todo)
 		q.at.readSince += max(n, 0) * float64(q.todo)
 	}
-	if q.at.role() != RoleReader {
+	if q.at.role() != RolePrefill {
 		q.at.answers += sign
 		q.at.memory += n * r.size(q)
 		if sign > 0 {
@@ -271,10 +271,10 @@
 	}
 }
 
-func (r *Router) send(q *request, w *worker, p phase) {
+func (r *Router) send(q *request, w *engine, p phase) {
 	r.shift(q, p, w)
 	q.attempts++
-	q.whole = p == reading && w.role() != RoleReader
+	q.whole = p == reading && w.role() != RolePrefill
 	q.sentAt, q.cancelled = r.now, false
 	limit := r.patience(q)
 	if r.set.CanCancel { // silence is seen by watch, so that a crowd is not mistaken for it
@@ -284,10 +284,10 @@
 		limit = q.deadline - r.now
 	}
 	w.sends = append(w.sends, sendMark{r.now, r.weights[q.Class]})
-	if w.role() != RoleReader {
+	if w.role() != RolePrefill {
 		q.risks = append(q.risks, risk{w.Zone, w.Cell, r.now})
 	}
-	r.do(Send{ID: q.ID, Server: w.Name, Limit: limit})
+	r.do(Send{ID: q.ID, Engine: w.Name, Limit: limit})
 }
 
 // patience is how long an attempt may take before it counts as overdue.
@@ -331,11 +331,11 @@
 
 func (r *Router) sample(usual *float64, v float64) {
 	*usual = cmp.Or(*usual, v)
-	*usual += (min(v, sampleMost**usual) - *usual) * usualStep // one slow server is not the pool
+	*usual += (min(v, sampleMost**usual) - *usual) * usualStep // one slow engine is not the pool
 }
 
 func (r *Router) onOutcome(e Outcome) {
-	q, w := r.reqs[e.ID], r.workers[e.Server]
+	q, w := r.reqs[e.ID], r.engines[e.Engine]
 	r.noteReport(w, e.Report)
 	if q == nil || q.at == nil || e.Attempt != q.attempts-1 {
 		return
@@ -345,7 +345,7 @@
 	if e.Status == StatusRead || e.Status == StatusServed && q.whole {
 		r.noteKept(q, w)
 	}
-	if n := len(q.risks); n > 0 && w.role() != RoleReader && neverRan(e.Status) {
+	if n := len(q.risks); n > 0 && w.role() != RolePrefill && neverRan(e.Status) {
 		q.risks = q.risks[:n-1]
 	}
 	r.attemptOver(q, e.Status)
@@ -356,7 +356,7 @@
 	case e.Final || q.ended:
 		r.close(q)
 	case e.Status == StatusRead && q.attempts < q.most:
-		r.toWriter(q)
+		r.toDecode(q)
 	default:
 		if e.NoState {
 			q.holder = nil
@@ -367,7 +367,7 @@
 }
 
 // again decides what follows a failed attempt: a waiting state goes to another
-// writer, anything else is read anew, within the retry budget.
+// decode engine, anything else is read anew, within the retry budget.
 func (r *Router) again(q *request, s Status) {
 	left := q.most - q.attempts
 	spent := left < 1 || left < 2 && q.holder == nil || q.deadline-r.now < leastRemain || s == StatusUnsent
@@ -377,19 +377,19 @@
 	}
 	if s != StatusFull || !r.singledOut(q) {
 		if r.retries < 1 {
-			r.giveUp(q, seconds(r.survey(RoleReader).age+r.writerWait()))
+			r.giveUp(q, seconds(r.survey(RolePrefill).age+r.decodeWait()))
 			return
 		}
 		r.retries--
 	}
 	if q.holder != nil {
-		r.toWriter(q)
+		r.toDecode(q)
 		return
 	}
-	r.toReader(q)
+	r.toPrefill(q)
 }
 
-// singledOut tells whether servers turn away the like of a request, one tenant's or
+// singledOut tells whether engines turn away the like of a request, one tenant's or
 // class's, far more than of others: then they have room, and another try is cheap.
 // In an overload all are turned away alike. It could do harm where one asks far more.
 func (r *Router) singledOut(q *request) bool {
@@ -403,7 +403,7 @@
 }
 
 // mayRun tells whether an effect's group and window allow an attempt at w.
-func (r *Router) mayRun(q *request, w *worker) bool {
+func (r *Router) mayRun(q *request, w *engine) bool {
 	if q.class.Effect == EffectFree {
 		return true
 	}
@@ -430,7 +430,7 @@
 }
 
 // onClosing gives up what has not begun to be answered, so that clients may try elsewhere.
-// What is out at a writer may have run, and is soon answered: it is waited for to the last.
+// What is out at a decode engine may have run, and is soon answered: it is waited for to the last.
 func (r *Router) onClosing(last bool) {
 	for _, id := range slices.Sorted(maps.Keys(r.reqs)) {
 		if q := r.reqs[id]; !q.ended && q.phase != streaming && (last || q.phase != writing) {
@@ -465,22 +465,22 @@
 	held := r.held
 	r.held = nil
 	for _, q := range held {
-		if q.phase == waitWriter {
-			r.toWriter(q)
+		if q.phase == waitDecode {
+			r.toDecode(q)
 		} else {
-			r.toReader(q)
+			r.toPrefill(q)
 		}
 	}
-	for role := RoleReader; role <= RoleMixed && r.set.CanCancel; role++ {
+	for role := RolePrefill; role <= RoleMixed && r.set.CanCancel; role++ {
 		r.watch(role)
 	}
 }
 
 // ---- choosing
 
-// pickReader is the design's choice: held prefix against queued load behind gate and cap.
-func (r *Router) pickReader(q *request) (*worker, float64) {
-	later := r.writerWait()
+// pickPrefill is the design's choice: held prefix against queued load behind gate and cap.
+func (r *Router) pickPrefill(q *request) (*engine, float64) {
+	later := r.decodeWait()
 	pool := r.eligible(q, true)
 	q.home, q.spare = nil, nil
 	best, active := 0, 1
@@ -497,15 +497,15 @@
 	}
 	gated := best <= gate
 	most := capMultiple * math.Ceil(float64(active)/float64(max(len(pool), 1)))
-	over := func(w *worker) bool { return float64(w.reads+w.states+1) > most }
+	over := func(w *engine) bool { return float64(w.reads+w.states+1) > most }
 	capped := slices.DeleteFunc(slices.Clone(pool), over)
 	if len(capped) == 0 {
 		capped = pool
 	}
-	if r.set.WritersRead {
-		capped = append(capped, r.spareWriters(q)...)
+	if r.set.DecodePrefills {
+		capped = append(capped, r.spareDecodeEngines(q)...)
 	}
-	cost := func(w *worker) float64 {
+	cost := func(w *engine) float64 {
 		m := 0
 		if !gated {
 			m = r.match(q, w)
@@ -513,30 +513,30 @@
 		tokens := r.queue(w) + readWeight*float64(q.Prompt-m) + leastRead
 		cost := tokens * r.perToken(w.role()) * r.slow(w) / w.Weight
 		switch w.role() {
-		case RoleReader: // its state waits for a writer
+		case RolePrefill: // its state waits for a decode engine
 			return cost + later
-		case RoleWriter:
+		case RoleDecode:
 			return cost * spareWeight
 		}
-		// At a mixed server each running answer waits out the read.
+		// At a mixed engine each running answer waits out the read.
 		return cost * (1 + answerWeight*float64(w.answers*r.set.Routers))
 	}
 	if !gated && r.ask(q, capped, cost) { // kept text draws every router's choice alike
 		return nil, 0
 	}
-	w := r.least(q, capped, func(w *worker) float64 {
+	w := r.least(q, capped, func(w *engine) float64 {
 		return cost(w) + r.queued(w)*r.perToken(w.role())*r.slow(w)/w.Weight
 	})
 	if w == nil {
 		return nil, 0
 	}
 	wait := cost(w)
-	if w.reads == 0 && w.role() == RoleReader && r.queued(w) < leastRead { // an idle one is tried
+	if w.reads == 0 && w.role() == RolePrefill && r.queued(w) < leastRead { // an idle one is tried
 		wait = later
 	}
 	wait = max(wait, r.age(w)) // first come, first read: the oldest tells what the wait is at least
 	switch {
-	case w.role() == RoleReader && r.room() < r.size(q): // by a guess: the wait seen tells how much it matters
+	case w.role() == RolePrefill && r.room() < r.size(q): // by a guess: the wait seen tells how much it matters
 		wait += shortWeight * later
 	case w.role() == RoleMixed && r.fill(w)+r.size(q)/max(w.kind.Memory, 1) > 1:
 		wait = max(wait, q.class.Aim.Seconds())
@@ -544,17 +544,17 @@
 	return w, wait
 }
 
-// spareWriters are those that may read a prompt themselves and have memory to spare. They
-// relieve readers that have a queue. Their running answers wait meanwhile: one read at a time.
-func (r *Router) spareWriters(q *request) []*worker {
-	return slices.DeleteFunc(r.eligible(q, false), func(w *worker) bool {
-		return w.role() != RoleWriter || w.reads > 0 || r.fill(w)+r.size(q)/max(w.kind.Memory, 1) > memoryRoomy
+// spareDecodeEngines are those that may read a prompt themselves and have memory to spare. They
+// relieve prefill engines that have a queue. Their running answers wait meanwhile: one read at a time.
+func (r *Router) spareDecodeEngines(q *request) []*engine {
+	return slices.DeleteFunc(r.eligible(q, false), func(w *engine) bool {
+		return w.role() != RoleDecode || w.reads > 0 || r.fill(w)+r.size(q)/max(w.kind.Memory, 1) > memoryRoomy
 	})
 }
 
-// least returns the worker of least cost; ties go by chance of request and seed.
-func (r *Router) least(q *request, pool []*worker, cost func(*worker) float64) *worker {
-	var best *worker
+// least returns the engine of least cost; ties go by chance of request and seed.
+func (r *Router) least(q *request, pool []*engine, cost func(*engine) float64) *engine {
+	var best *engine
 	var low, tie float64
 	for _, w := range pool {
 		c, t := cost(w), r.chance(q.ID, w.Name)
@@ -565,38 +565,38 @@
 	return best
 }
 
-// ask probes the likeliest reader, once a request, where its report is old: among many routers
+// ask probes the likeliest prefill engine, once a request, where its report is old: among many routers
 // each sees it too seldom to know its queue. The request is held until it answers, or askWait.
-func (r *Router) ask(q *request, pool []*worker, cost func(*worker) float64) bool {
+func (r *Router) ask(q *request, pool []*engine, cost func(*engine) float64) bool {
 	if !r.set.CanProbe || r.set.Routers < ownEnough || q.asked != nil || len(pool) < 2 {
 		return false
 	}
-	w := slices.MinFunc(pool, func(a, b *worker) int { return cmp.Compare(cost(a), cost(b)) })
-	q.asked = []*worker{w}
+	w := slices.MinFunc(pool, func(a, b *engine) int { return cmp.Compare(cost(a), cost(b)) })
+	q.asked = []*engine{w}
 	if r.now-w.reportAt < askFresh {
 		return false
 	}
 	if !r.asking(w) {
 		w.askedAt = r.now
-		r.do(Probe{Server: w.Name})
+		r.do(Probe{Engine: w.Name})
 	}
 	return true
 }
 
-// queued is how many tokens a reported queue holds beyond this router's own. It ranks readers
+// queued is how many tokens a reported queue holds beyond this router's own. It ranks prefill engines
 // and sets how long a read is waited for, but turns nothing away: perToken holds it already.
-func (r *Router) queued(w *worker) float64 {
+func (r *Router) queued(w *engine) float64 {
 	if w.report.Queue == nil {
 		return 0
 	}
 	return max(0, *w.report.Queue*max(r.stages[w.role()].read, leastRead)*r.fresh(w)-w.readTokens)
 }
 
-func (r *Router) asking(w *worker) bool { return w.askedAt > w.answeredAt && r.now-w.askedAt < askWait }
+func (r *Router) asking(w *engine) bool { return w.askedAt > w.answeredAt && r.now-w.askedAt < askWait }
 
 // onProbed takes a report and sends on what waited for it alone.
 func (r *Router) onProbed(e ProbeResult) {
-	w := r.workers[e.Server]
+	w := r.engines[e.Engine]
 	if w == nil {
 		return
 	}
@@ -605,8 +605,8 @@
 	held := r.held
 	r.held = nil
 	for _, q := range held {
-		if q.phase == waitReader && len(q.asked) > 0 && !slices.ContainsFunc(q.asked, r.asking) {
-			r.toReader(q)
+		if q.phase == waitPrefill && len(q.asked) > 0 && !slices.ContainsFunc(q.asked, r.asking) {
+			r.toPrefill(q)
 		} else {
 			r.held = append(r.held, q)
 		}
@@ -615,7 +615,7 @@
 
 // queue is the load before a new read, in tokens: this router's own or, if more, what was
 // reported and sent since. As a report ages, the peers' mean takes the place of what it said.
-func (r *Router) queue(w *worker) float64 {
+func (r *Router) queue(w *engine) float64 {
 	own := w.readTokens + stateWeight*w.stateTokens
 	if w.report.WaitingTokens != nil {
 		return max(own, r.stages[w.role()].reads.worth()*r.reported(w)+w.readSince)
@@ -627,7 +627,7 @@
 }
 
 // reported is how many tokens a report shows waiting, as far as it is still believed.
-func (r *Router) reported(w *worker) float64 {
+func (r *Router) reported(w *engine) float64 {
 	if w.report.WaitingTokens == nil {
 		return 0
 	}
@@ -635,15 +635,15 @@
 	return usual + (*w.report.WaitingTokens-usual)*r.fresh(w)
 }
 
-// fresh is how far a server's report is still believed, from 1 to 0.
-func (r *Router) fresh(w *worker) float64 {
+// fresh is how far an engine's report is still believed, from 1 to 0.
+func (r *Router) fresh(w *engine) float64 {
 	return math.Exp2(-(r.now - w.reportAt).Seconds() / reportFade.Seconds())
 }
 
-// pickWriter takes the writer with most free memory in the reader's cell. It leaves the cell
+// pickDecode takes the decode engine with most free memory in the prefill engine's cell. It leaves the cell
 // only when nobody there may be sent to, or all are full while another cell has room.
-func (r *Router) pickWriter(q *request) *worker {
-	var near, far, mixed []*worker
+func (r *Router) pickDecode(q *request) *engine {
+	var near, far, mixed []*engine
 	cell := r.answerCell(q)
 	for _, w := range r.eligible(q, false) {
 		switch {
@@ -655,7 +655,7 @@
 			far = append(far, w)
 		}
 	}
-	fill := func(w *worker) float64 { return r.fill(w) * r.slow(w) }
+	fill := func(w *engine) float64 { return r.fill(w) * r.slow(w) }
 	n, f := r.least(q, near, fill), r.least(q, far, fill)
 	switch {
 	case n == nil && f == nil:
@@ -666,28 +666,28 @@
 	return n
 }
 
-// answerCell is the reader's cell but for what is too much for its writers by the plan.
+// answerCell is the prefill engine's cell but for what is too much for its decode engines by the plan.
 func (r *Router) answerCell(q *request) int {
 	plan := r.plan()
 	c := cellOf(plan, q.holder.Cell)
-	if c == nil || c.reads <= c.writers {
+	if c == nil || c.reads <= c.decodeEngines {
 		return q.holder.Cell
 	}
 	lacking := 0.0
 	for _, c := range plan {
-		lacking += max(0, c.writers-c.reads)
+		lacking += max(0, c.decodeEngines-c.reads)
 	}
-	at := r.chance(q.ID, "cell") * c.reads / (c.reads - c.writers) * lacking
+	at := r.chance(q.ID, "cell") * c.reads / (c.reads - c.decodeEngines) * lacking
 	for _, to := range plan {
-		if at -= max(0, to.writers-to.reads); at < 0 {
+		if at -= max(0, to.decodeEngines-to.reads); at < 0 {
 			return to.id
 		}
 	}
 	return q.holder.Cell
 }
 
-// fill guesses how much of a server's memory is taken, by its report and own work.
-func (r *Router) fill(w *worker) float64 {
+// fill guesses how much of an engine's memory is taken, by its report and own work.
+func (r *Router) fill(w *engine) float64 {
 	room := max(w.kind.Memory, 1)
 	own := w.memory * float64(r.set.Routers) / room
 	if w.report.Memory == nil {
@@ -696,12 +696,12 @@
 	return own + (*w.report.Memory+w.sentSince/room-own)*r.fresh(w)
 }
 
-// eligible lists the servers that the guards admit for a read or an answer.
-func (r *Router) eligible(q *request, read bool) []*worker {
-	var fit, well []*worker
+// eligible lists the engines that the guards admit for a read or an answer.
+func (r *Router) eligible(q *request, read bool) []*engine {
+	var fit, well []*engine
 	for _, w := range r.order {
 		role := w.role()
-		wanted := role == RoleMixed || read && role == RoleReader || !read && role == RoleWriter
+		wanted := role == RoleMixed || read && role == RolePrefill || !read && role == RoleDecode
 		full := w.fullTo[rateKey(q)] > r.now
 		if !wanted || !w.usable || full || !r.mayRun(q, w) || !r.coldRoom(w, r.weights[q.Class]) {
 			continue
@@ -713,8 +713,8 @@
 	}
 	// The floor: at least half of those fit are kept, the least failing first.
 	if short := (len(fit)+1)/2 - len(well); short > 0 {
-		rest := slices.DeleteFunc(slices.Clone(fit), func(w *worker) bool { return slices.Contains(well, w) })
-		slices.SortStableFunc(rest, func(a, b *worker) int { return cmp.Compare(a.fail, b.fail) })
+		rest := slices.DeleteFunc(slices.Clone(fit), func(w *engine) bool { return slices.Contains(well, w) })
+		slices.SortStableFunc(rest, func(a, b *engine) int { return cmp.Compare(a.fail, b.fail) })
 		well = append(well, rest[:short]...)
 	}
 	return well
@@ -722,18 +722,18 @@
 
 // ---- the judge
 
-// trusted tells whether a server may take ordinary work. One set aside comes
+// trusted tells whether an engine may take ordinary work. One ejected comes
 // back by trial: one request at a time until its outcomes clear it.
-func (r *Router) trusted(w *worker) bool {
-	if r.now < w.asideTill {
+func (r *Router) trusted(w *engine) bool {
+	if r.now < w.ejectedUntil {
 		return false
 	}
-	return w.asideFor == 0 || len(w.out) == 0
+	return w.ejectedFor == 0 || len(w.out) == 0
 }
 
-// judge is fed by every outcome. It guards against servers that fail, reset, refuse or stay
+// judge is fed by every outcome. It guards against engines that fail, reset, refuse or stay
 // silent, also towards this router alone. A common cause fails all alike: see blame and eligible.
-func (r *Router) judge(w *worker, q *request, e Outcome) {
+func (r *Router) judge(w *engine, q *request, e Outcome) {
 	if e.Status != StatusTimeout && e.Status != StatusCancelled && e.Status != StatusUnsent {
 		w.heard = r.now
 	}
@@ -753,7 +753,7 @@
 	case StatusError:
 		r.blame(w, 1, 1)
 	case StatusTimeout:
-		if w.heard <= q.sentAt { // silent since; a busy server is not to blame
+		if w.heard <= q.sentAt { // silent since; a busy engine is not to blame
 			r.blame(w, 1, 1)
 		}
 	case StatusReset, StatusNoConnect:
@@ -768,22 +768,22 @@
 	}
 }
 
-func (r *Router) blame(w *worker, v float64, times int) {
+func (r *Router) blame(w *engine, v float64, times int) {
 	for range times {
 		w.fail += (v - w.fail) * failStep
 	}
 	r.surveys[w.role()] = survey{}
 	if v == 0 && w.fail < failCleared {
-		w.asideFor = 0
+		w.ejectedFor = 0
 	}
-	if v > 0 && w.usable && w.fail > failBound && w.fail > 2*r.survey(w.role()).fail && r.now >= w.asideTill {
-		w.asideFor = min(max(2*w.asideFor, asideFirst), asideMost)
-		w.asideTill = r.now + w.asideFor
+	if v > 0 && w.usable && w.fail > failBound && w.fail > 2*r.survey(w.role()).fail && r.now >= w.ejectedUntil {
+		w.ejectedFor = min(max(2*w.ejectedFor, ejectFirst), ejectMost)
+		w.ejectedUntil = r.now + w.ejectedFor
 	}
 }
 
-// survey looks at a role's servers, once an event at most. Failing is that of the
-// better quarter: a common cause shows there too, a few sick servers do not.
+// survey looks at a role's engines, once an event at most. Failing is that of the
+// better quarter: a common cause shows there too, a few sick engines do not.
 func (r *Router) survey(role Role) *survey {
 	v := &r.surveys[role]
 	if v.n > 0 {
@@ -809,8 +809,8 @@
 	return v
 }
 
-// noteRead takes one sample of the time that a server needs for a read.
-func (r *Router) noteRead(w *worker, q *request, toRead float64, took time.Duration) {
+// noteRead takes one sample of the time that an engine needs for a read.
+func (r *Router) noteRead(w *engine, q *request, toRead float64, took time.Duration) {
 	st := &r.stages[w.role()]
 	tokens := q.ahead + toRead + leastRead
 	st.reads.add(q.shown, toRead+leastRead, took.Seconds())
@@ -822,14 +822,14 @@
 }
 
 // behind is how many tokens more, or fewer, than usual a read has lately waited out
-// at a server beside this router's own: what the others have sent there.
-func (r *Router) behind(w *worker) float64 {
+// at an engine beside this router's own: what the others have sent there.
+func (r *Router) behind(w *engine) float64 {
 	return w.behind * math.Exp2(-(r.now-w.behindAt).Seconds()/behindFade.Seconds())
 }
 
 // perToken is the usual time for a token; an untried role counts as quick as the other.
 func (r *Router) perToken(role Role) float64 {
-	for _, st := range []*stage{&r.stages[role], &r.stages[RoleReader], &r.stages[RoleMixed]} {
+	for _, st := range []*stage{&r.stages[role], &r.stages[RolePrefill], &r.stages[RoleMixed]} {
 		if st.read > 0 {
 			return st.took / st.read
 		}
@@ -837,19 +837,19 @@
 	return readGuess
 }
 
-// notePace takes one sample of a server's time against the usual of its role.
-func (r *Router) notePace(w *worker, ratio float64) {
+// notePace takes one sample of an engine's time against the usual of its role.
+func (r *Router) notePace(w *engine, ratio float64) {
 	w.pace = r.faded(w)
 	w.pace += (min(ratio, slowMost) - w.pace) * paceStep
 	w.paceAt = r.now
 }
 
-func (r *Router) faded(w *worker) float64 {
+func (r *Router) faded(w *engine) float64 {
 	return 1 + (w.pace-1)*math.Exp2(-(r.now-w.paceAt).Seconds()/paceFade.Seconds())
 }
 
-// slow is how many times slower than its peers a server is, 1 if it is not clear.
-func (r *Router) slow(w *worker) float64 {
+// slow is how many times slower than its peers an engine is, 1 if it is not clear.
+func (r *Router) slow(w *engine) float64 {
 	s := 1.0
 	if p := r.faded(w) / max(r.survey(w.role()).pace, 0.1); p > slowBand {
 		s = p
@@ -861,7 +861,7 @@
 }
 
 // watch withdraws attempts that are overdue while the peers' are not, or that later ones have
-// passed: they hang. A server not heard of since is blamed for silence; else it is only busy.
+// passed: they hang. An engine not heard of since is blamed for silence; else it is only busy.
 func (r *Router) watch(role Role) {
 	usual := max(r.survey(role).lag, 1)
 	for w := range r.all(role) {
@@ -881,13 +881,13 @@
 	}
 }
 
-// ---- cold servers
+// ---- cold engines
 
-// coldRoom bounds this router's sends to a cold server within any fall window by what warm
+// coldRoom bounds this router's sends to a cold engine within any fall window by what warm
 // peers carried for it, so that the routers' shares add up to less than the rule's multiple.
 // Where that is less than one request, chance decides once a window whether to send one:
 // first ones from many would push it over. It could starve a pool that is cold as a whole.
-func (r *Router) coldRoom(w *worker, weight float64) bool {
+func (r *Router) coldRoom(w *engine, weight float64) bool {
 	for len(w.sends) > 0 && r.now-w.sends[0].at > r.set.Fall { // they are in order of time
 		w.sends = w.sends[1:]
 	}
@@ -905,8 +905,8 @@
 	return weight <= limit
 }
 
-// carry notes work done by a warm server and keeps the best rate seen at one.
-func (r *Router) carry(w *worker, weight float64) {
+// carry notes work done by a warm engine and keeps the best rate seen at one.
+func (r *Router) carry(w *engine, weight float64) {
 	if r.cold(w) {
 		return
 	}
@@ -918,13 +918,13 @@
 	st.peak = max(st.peak*math.Exp(-dt/peakFade.Seconds()), rate)
 }
 
-func (r *Router) cold(w *worker) bool { return w.CameUp != 0 && r.now-w.CameUp < r.set.Cold }
+func (r *Router) cold(w *engine) bool { return w.CameUp != 0 && r.now-w.CameUp < r.set.Cold }
 
 // ---- the table
 
-// match is how many of a prompt's tokens a server is believed to keep: what its
+// match is how many of a prompt's tokens an engine is believed to keep: what its
 // table says or, at the prompt's home, the shared beginning.
-func (r *Router) match(q *request, w *worker) int {
+func (r *Router) match(q *request, w *engine) int {
 	best := 0
 	if h, ok := w.sessions[q.Session]; ok && q.Session != "" && r.now-h.seen < horizon {
 		best = h.tokens
@@ -941,11 +941,11 @@
 	return max(min(best, q.Prompt-1), 0)
 }
 
-// home names two readers at which to expect the text of a session that this router has not
+// home names two prefill engines at which to expect the text of a session that this router has not
 // seen: the same at every router, by rendezvous hash. A shared beginning has more homes the
 // more requests begin with it; the session picks among them by the plan's weights. It does
 // harm where a home has just lost its text.
-func (r *Router) home(q *request, pool []*worker) (home, spare *worker) {
+func (r *Router) home(q *request, pool []*engine) (home, spare *engine) {
 	text := cmp.Or(q.Prefix, q.Session)
 	if text == "" || len(pool) == 0 {
 		return nil, nil
@@ -955,20 +955,20 @@
 	homes := 2 + int(share*homeParts*float64(len(pool))) // one, a spare and more for a hot one
 	ranked := slices.Clone(pool)
 	if homes < len(pool) {
-		of := make(map[*worker]float64, len(pool))
+		of := make(map[*engine]float64, len(pool))
 		for _, w := range pool {
 			of[w] = blend(text, w.Name)
 		}
-		slices.SortFunc(ranked, func(a, b *worker) int { return cmp.Compare(of[a], of[b]) })
+		slices.SortFunc(ranked, func(a, b *engine) int { return cmp.Compare(of[a], of[b]) })
 		ranked = ranked[:homes]
 	}
 	low, next := math.Inf(1), math.Inf(1)
 	plan := r.plan()
 	for _, w := range ranked {
 		weight := w.Weight * mixedShare
-		if w.role() == RoleReader {
+		if w.role() == RolePrefill {
 			c := cellOf(plan, w.Cell)
-			weight = w.Weight * c.reads / c.readers
+			weight = w.Weight * c.reads / c.prefillEngines
 		}
 		if far := -math.Log(blend(cmp.Or(q.Session, text), w.Name)) / max(weight, 1e-9); far < low {
 			home, low, spare, next = w, far, home, low
@@ -979,32 +979,32 @@
 	return home, spare
 }
 
-// plan spreads reads over the cells as their writers can take them, but gives no reader more
+// plan spreads reads over the cells as their decode engines can take them, but gives no prefill engine more
 // than planExcess of an even share. What a cell reads beyond that is answered elsewhere.
 func (r *Router) plan() []*cell {
 	if r.cells != nil {
 		return r.cells
 	}
 	r.cells = r.tally()
-	readers, writers, given := 0.0, 0.0, 0.0
+	prefillEngines, decodeEngines, given := 0.0, 0.0, 0.0
 	for _, c := range r.cells {
-		readers, writers = readers+c.readers, writers+c.writers
+		prefillEngines, decodeEngines = prefillEngines+c.prefillEngines, decodeEngines+c.decodeEngines
 	}
-	most := planExcess * writers / max(readers, 1e-9) // what a reader may get
+	most := planExcess * decodeEngines / max(prefillEngines, 1e-9) // what a prefill engine may get
 	for _, c := range r.cells {
-		c.reads = min(c.writers, most*c.readers)
+		c.reads = min(c.decodeEngines, most*c.prefillEngines)
 		given += c.reads
 	}
-	rest := max(0, writers-given) / max(most*readers-given, 1e-9)
+	rest := max(0, decodeEngines-given) / max(most*prefillEngines-given, 1e-9)
 	for _, c := range r.cells {
-		c.reads += (most*c.readers - c.reads) * rest
+		c.reads += (most*c.prefillEngines - c.reads) * rest
 	}
 	return r.cells
 }
 
-// noteKept enters what a server keeps after a read. It needs no correction by what
+// noteKept enters what an engine keeps after a read. It needs no correction by what
 // the read found: an entry that was wrong is right now.
-func (r *Router) noteKept(q *request, w *worker) {
+func (r *Router) noteKept(q *request, w *engine) {
 	if q.Session != "" {
 		w.sessions[q.Session] = held{q.Prompt, r.now}
 	}
@@ -1017,7 +1017,7 @@
 	}
 }
 
-func (r *Router) noteReport(w *worker, rep *Report) {
+func (r *Router) noteReport(w *engine, rep *Report) {
 	if w != nil && rep != nil {
 		w.report, w.reportAt, w.sentSince, w.readSince = *rep, r.now, 0, 0
 	}
--- a/routing/policy_test.go
+++ b/routing/policy_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Servers under ever new names leave nothing behind; one whose attempt is out is kept
+// Engines under ever new names leave nothing behind; one whose attempt is out is kept
 // until it has ended, and until what was sent to it no longer counts.
 func TestServersThatLeaveAreForgotten(t *testing.T) {
 	set := testSettings()
@@ -16,11 +16,11 @@
 	r.Handle(time.Second, ask(1, 100))
 	for n := range 50 {
 		s := server(fmt.Sprint("x", n), "r", 0)
-		r.Handle(time.Second, Roster{Servers: []ServerInfo{s}})
+		r.Handle(time.Second, Roster{Engines: []EngineInfo{s}})
 		s.Phase = PhaseOff
-		r.Handle(time.Second, Roster{Servers: []ServerInfo{s}})
+		r.Handle(time.Second, Roster{Engines: []EngineInfo{s}})
 	}
-	full := Roster{Scope: RosterFull, Servers: []ServerInfo{server("w1", "w", 0)}}
+	full := Roster{Scope: RosterFull, Engines: []EngineInfo{server("w1", "w", 0)}}
 	later := time.Second + set.Fall + ms
 	for _, c := range []struct {
 		at   Time
@@ -28,10 +28,10 @@
 		kept int
 	}{
 		{time.Second, full, 2}, {later, full, 2},
-		{later, Outcome{ID: 1, Server: "r1", Status: StatusReset}, 2}, {later, full, 1},
+		{later, Outcome{ID: 1, Engine: "r1", Status: StatusReset}, 2}, {later, full, 1},
 	} {
-		if r.Handle(c.at, c.ev); len(r.workers) != c.kept || len(r.order) != c.kept {
-			t.Errorf("after %+v at %v: %d and %d servers, want %d", c.ev, c.at, len(r.workers), len(r.order), c.kept)
+		if r.Handle(c.at, c.ev); len(r.engines) != c.kept || len(r.order) != c.kept {
+			t.Errorf("after %+v at %v: %d and %d servers, want %d", c.ev, c.at, len(r.engines), len(r.order), c.kept)
 		}
 	}
 }
@@ -64,13 +64,13 @@
 		keep(r, "a", q.Session, 3999)
 		counts[sent(t, r.Handle(ms, q))]++
 	}
-	if counts["a"] != 2 { // 2.0 x ceil(3 active / 3 readers) = 2
+	if counts["a"] != 2 { // 2.0 x ceil(3 active / 3 prefill engines) = 2
 		t.Errorf("the cap let %d of 3 to one reader, want 2", counts["a"])
 	}
 }
 
 func TestCapSetAsideWhenAllAreCapped(t *testing.T) {
-	// One reader alone may always hold 2.0 times all; the pool of the rest is empty only for none.
+	// One prefill engine alone may always hold 2.0 times all; the pool of the rest is empty only for none.
 	r := router(t, testSettings(), server("a", "r", 0), server("w", "w", 0))
 	for id := RequestID(1); id <= 4; id++ {
 		if got := sent(t, r.Handle(ms, ask(id, 100))); got != "a" {
@@ -81,8 +81,8 @@
 	for _, w := range r.order {
 		w.states = 1000 * (1 + len(w.out)) // beyond any cap
 	}
-	r.workers["a"].reads = -999 // the total stays small, so that every reader is past its share
-	if w, _ := r.pickReader(q); w == nil {
+	r.engines["a"].reads = -999 // the total stays small, so that every prefill engine is past its share
+	if w, _ := r.pickPrefill(q); w == nil {
 		t.Error("with every reader capped the cap must be set aside")
 	}
 }
@@ -120,7 +120,7 @@
 
 func TestTableAgesAndIsCorrected(t *testing.T) {
 	r := router(t, testSettings(), server("a", "r", 0), server("w", "w", 0))
-	w := r.workers["a"]
+	w := r.engines["a"]
 	q := &request{Request: Request{Session: "s", Prefix: "p", PrefixLen: 300, Prompt: 1000}}
 	r.noteKept(q, w)
 	if m := r.match(q, w); m != 999 {
@@ -134,7 +134,7 @@
 	keep(r, "a", "t", 900)
 	fresh := server("a", "r", 0)
 	fresh.CameUp = r.now
-	r.Handle(r.now, Roster{Scope: RosterChanges, Servers: []ServerInfo{fresh}})
+	r.Handle(r.now, Roster{Scope: RosterChanges, Engines: []EngineInfo{fresh}})
 	if m := r.match(other, w); m != 0 {
 		t.Error("entries outlived a restart")
 	}
@@ -143,14 +143,14 @@
 func TestWriterInCellThenOut(t *testing.T) {
 	r := router(t, testSettings(), server("a", "r", 1), server("near", "w", 1), server("near2", "w", 1),
 		server("far", "w", 2), server("b", "r", 2))
-	r.workers["b"].fullTo["\x00c"] = time.Minute // the plan is even; only a reads
+	r.engines["b"].fullTo["\x00c"] = time.Minute // the plan is even; only a reads
 	used := 0.5
-	r.noteReport(r.workers["near"], &Report{Memory: &used})
+	r.noteReport(r.engines["near"], &Report{Memory: &used})
 	sent(t, r.Handle(ms, ask(1, 500)))
 	if to := sent(t, r.Handle(20*ms, read(1, 0, "a", 0))); to != "near2" {
 		t.Fatalf("went to %s, want the one with most free memory in the cell", to)
 	}
-	r.Handle(20*ms, Roster{Scope: RosterChanges, Servers: []ServerInfo{
+	r.Handle(20*ms, Roster{Scope: RosterChanges, Engines: []EngineInfo{
 		{Name: "near", Kind: "w", Zone: "z", Cell: 1, Phase: PhaseDraining},
 		{Name: "near2", Kind: "w", Zone: "z", Cell: 1, Phase: PhaseOff}}})
 	sent(t, r.Handle(21*ms, ask(2, 500)))
@@ -164,7 +164,7 @@
 	if to := sent(t, r.Handle(ms, ask(1, 500))); to != "m" {
 		t.Fatal(to)
 	}
-	if a := r.Handle(50*ms, FirstToken{ID: 1, Server: "m", Latency: 49 * ms}); has[Send](a) {
+	if a := r.Handle(50*ms, FirstToken{ID: 1, Engine: "m", Latency: 49 * ms}); has[Send](a) {
 		t.Error("a request read by a mixed server was sent on")
 	}
 }
@@ -172,7 +172,7 @@
 func TestStateReleasedWhenNoWriter(t *testing.T) {
 	r := router(t, testSettings(), server("a", "r", 0), server("w", "w", 0))
 	sent(t, r.Handle(ms, ask(1, 500)))
-	r.Handle(2*ms, Roster{Scope: RosterFull, Servers: []ServerInfo{server("a", "r", 0)}})
+	r.Handle(2*ms, Roster{Scope: RosterFull, Engines: []EngineInfo{server("a", "r", 0)}})
 	now := 20 * ms
 	r.Handle(now, read(1, 0, "a", 0))
 	released := false
@@ -206,23 +206,23 @@
 }
 
 func TestColdServerGetsABoundedBurst(t *testing.T) {
-	warm := []ServerInfo{server("a", "r", 0), server("b", "r", 0), server("w", "w", 0)}
+	warm := []EngineInfo{server("a", "r", 0), server("b", "r", 0), server("w", "w", 0)}
 	r := router(t, testSettings(), warm...)
 	now, id := time.Duration(0), RequestID(0)
 	serve := func() string {
 		id++
 		to := sent(t, r.Handle(now, ask(id, 500)))
 		r.Handle(now+10*ms, read(id, 0, to, 0))
-		r.Handle(now+20*ms, FirstToken{ID: id, Attempt: 1, Server: "w", Latency: 10 * ms})
-		r.Handle(now+20*ms, Outcome{ID: id, Attempt: 1, Server: "w", Status: StatusServed, Final: true})
+		r.Handle(now+20*ms, FirstToken{ID: id, Attempt: 1, Engine: "w", Latency: 10 * ms})
+		r.Handle(now+20*ms, Outcome{ID: id, Attempt: 1, Engine: "w", Status: StatusServed, Final: true})
 		return to
 	}
 	for ; now < 10*time.Second; now += 100 * ms {
-		serve() // 5 a second at each of the two readers
+		serve() // 5 a second at each of the two prefill engines
 	}
 	cold := server("c", "r", 0)
 	cold.CameUp = now
-	r.Handle(now, Roster{Scope: RosterChanges, Servers: []ServerInfo{cold}})
+	r.Handle(now, Roster{Scope: RosterChanges, Engines: []EngineInfo{cold}})
 	got := 0
 	for end := now + 2*time.Second; now < end; now += 20 * ms { // a burst
 		if serve() == "c" {
@@ -252,9 +252,9 @@
 }
 
 func TestUnknownThingsAreIgnored(t *testing.T) {
-	r := router(t, testSettings(), server("x", "nonesuch", 0), ServerInfo{Name: "v", Kind: "r", Zone: "nowhere"})
+	r := router(t, testSettings(), server("x", "nonesuch", 0), EngineInfo{Name: "v", Kind: "r", Zone: "nowhere"})
 	for _, ev := range []Event{
-		Outcome{ID: 9, Server: "q"}, FirstToken{ID: 9}, Gone{ID: 9}, ProbeResult{Server: "q"},
+		Outcome{ID: 9, Engine: "q"}, FirstToken{ID: 9}, Gone{ID: 9}, ProbeResult{Engine: "q"},
 		PlaceNote{ID: 9}, PeerMessage{}, TimerFired{Name: "other"}, Roster{Scope: RosterFailed},
 	} {
 		if a := r.Handle(ms, ev); has[Send](a) {
@@ -307,7 +307,7 @@
 
 func TestFullMixedServerRefuses(t *testing.T) {
 	r := router(t, testSettings(), server("m", "m", 0))
-	r.workers["m"].memory = 1e5 // of two routers each: all of it
+	r.engines["m"].memory = 1e5 // of two routers each: all of it
 	if a := r.Handle(ms, ask(1, 500)); !has[Refuse](a) {
 		t.Errorf("a mixed server without memory took a request: %v", a)
 	}
@@ -315,10 +315,10 @@
 
 func TestAnswersCountAgainstReadsAtAMixedServer(t *testing.T) {
 	r := router(t, testSettings(), server("m", "m", 0), server("a", "r", 0), server("w", "w", 0))
-	r.workers["m"].answers = 20
+	r.engines["m"].answers = 20
 	for id := RequestID(1); id < 20; id++ {
 		q := &request{Request: ask(id, 500), class: r.classes["c"], aim: time.Second}
-		if w, _ := r.pickReader(q); w.Name != "a" {
+		if w, _ := r.pickPrefill(q); w.Name != "a" {
 			t.Fatal("a read went to a mixed server with many answers though a reader was idle")
 		}
 	}
@@ -342,8 +342,8 @@
 		refused bool
 	}{{0.02, false}, {0.3, true}} {
 		r := router(t, testSettings(), server("a", "r", 0), server("w", "w", 0))
-		r.workers["w"].memory = 1e5
-		r.stages[RoleWriter].first = c.first
+		r.engines["w"].memory = 1e5
+		r.stages[RoleDecode].first = c.first
 		if a := r.Handle(ms, ask(1, 500)); has[Send](a) == c.refused || has[Refuse](a) != c.refused {
 			t.Errorf("first tokens within %.2f s: %v", c.first, a)
 		}
@@ -368,7 +368,7 @@
 		class := &Class{Name: "g", Aim: time.Second, Effect: EffectGuarded, Group: GroupAll, Window: time.Second}
 		r := &Router{set: set, now: c.at}
 		q := &request{class: class, risks: []risk{{sent: 0}}}
-		if got := r.mayRun(q, &worker{}); got != c.repeated {
+		if got := r.mayRun(q, &engine{}); got != c.repeated {
 			t.Errorf("delay %v, %v after the first attempt: %v", c.delay, c.at, got)
 		}
 	}
@@ -383,22 +383,22 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			var servers []ServerInfo
+			var servers []EngineInfo
 			for i := range n {
 				servers = append(servers, server(fmt.Sprint("s", i), []string{"r", "w"}[i%2], i/6))
 			}
-			r.Handle(0, Roster{Scope: RosterFull, Servers: servers})
+			r.Handle(0, Roster{Scope: RosterFull, Engines: servers})
 			for i := range b.N {
 				id, now, to := RequestID(i), time.Duration(i)*time.Second, ""
 				for _, e := range []func() Event{
 					func() Event { return ask(id, 3000) },
 					func() Event { return read(id, 0, to, 0) },
-					func() Event { return FirstToken{ID: id, Attempt: 1, Server: to, Latency: ms} },
-					func() Event { return Outcome{ID: id, Attempt: 1, Server: to, Status: StatusServed, Final: true} },
+					func() Event { return FirstToken{ID: id, Attempt: 1, Engine: to, Latency: ms} },
+					func() Event { return Outcome{ID: id, Attempt: 1, Engine: to, Status: StatusServed, Final: true} },
 				} {
 					for _, a := range r.Handle(now, e()) {
 						if s, ok := a.(Send); ok {
-							to = s.Server
+							to = s.Engine
 						}
 					}
 				}
@@ -418,8 +418,8 @@
 		set := testSettings()
 		set.Classes = []Class{{Name: "near", Aim: time.Second, Gain: c.gain}, {Name: "c", Aim: 4 * time.Second, Gain: 2}}
 		r := router(t, set, server("a", "r", 0), server("w", "w", 0))
-		r.stages[RoleWriter].first = 1.5 // every state waits so long for its writer
-		r.stages[RoleWriter].firstAt = 0
+		r.stages[RoleDecode].first = 1.5 // every state waits so long for its decode engine
+		r.stages[RoleDecode].firstAt = 0
 		if a := r.Handle(ms, ask(1, 500)); has[Refuse](a) != c.refused {
 			t.Errorf("%s: %v", c.name, a)
 		}
--- a/routing/quota_test.go
+++ b/routing/quota_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Servers that limit one tenant have room: it is tried elsewhere, and nobody else avoids them.
+// Engines that limit one tenant have room: it is tried elsewhere, and nobody else avoids them.
 // In an overload all are turned away alike, and the retry budget holds.
 func TestALimitedTenantIsToldFromAnOverload(t *testing.T) {
 	for _, limited := range []bool{true, false} {
@@ -18,12 +18,12 @@
 			to := sent(t, r.Handle(now, q))
 			if limited && q.Tenant == "y" {
 				r.Handle(now+ms, read(id, 0, to, 0))
-				r.Handle(now+2*ms, FirstToken{ID: id, Attempt: 1, Server: "w", Latency: ms})
-				r.Handle(now+3*ms, Outcome{ID: id, Attempt: 1, Server: "w", Status: StatusServed, Final: true})
+				r.Handle(now+2*ms, FirstToken{ID: id, Attempt: 1, Engine: "w", Latency: ms})
+				r.Handle(now+3*ms, Outcome{ID: id, Attempt: 1, Engine: "w", Status: StatusServed, Final: true})
 				continue
 			}
 			r.retries = 0
-			if has[Send](r.Handle(now+ms, Outcome{ID: id, Server: to, Status: StatusFull})) {
+			if has[Send](r.Handle(now+ms, Outcome{ID: id, Engine: to, Status: StatusFull})) {
 				second++
 				r.Handle(now+2*ms, Gone{ID: id})
 				r.Handle(now+3*ms, Outcome{ID: id, Attempt: 1, Status: StatusCancelled, Final: true})
@@ -34,7 +34,7 @@
 		}
 		q := ask(99, 500)
 		q.Tenant = "y"
-		if at := r.workers["a"]; limited && at.fullTo["y\x00c"] > r.now {
+		if at := r.engines["a"]; limited && at.fullTo["y\x00c"] > r.now {
 			t.Error("a server that limits one tenant is avoided for another")
 		}
 		sent(t, r.Handle(now+time.Second, q))
@@ -62,7 +62,7 @@
 	}
 	late := ask(3, 400)
 	late.Tenant = "team"
-	r.Handle(20*ms, Outcome{ID: 1, Server: "m1", Status: StatusServed, Latency: 19 * ms, Final: true})
+	r.Handle(20*ms, Outcome{ID: 1, Engine: "m1", Status: StatusServed, Latency: 19 * ms, Final: true})
 	sent(t, r.Handle(5*time.Second, late)) // the budget has filled again
 }
 
--- a/routing/reports_test.go
+++ b/routing/reports_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// Where writers read, one with memory to spare takes a prompt for which every reader has
+// Where decode engines read, one with memory to spare takes a prompt for which every prefill engine has
 // a long queue; nowhere else, and not one that is full or reads already.
 func TestWritersReadWhereReadersHaveAQueue(t *testing.T) {
 	queued, full := 40_000.0, 0.9
@@ -53,11 +53,11 @@
 		{"no memory to spare", true, &full, false, "a"}, {"reads already", true, nil, true, "a"},
 	} {
 		set := testSettings()
-		set.WritersRead = c.allowed
+		set.DecodePrefills = c.allowed
 		r := router(t, set, server("a", "r", 0), server("w", "w", 0))
-		r.noteReport(r.workers["a"], &Report{WaitingTokens: &queued})
+		r.noteReport(r.engines["a"], &Report{WaitingTokens: &queued})
 		if c.memory != nil {
-			r.noteReport(r.workers["w"], &Report{Memory: c.memory})
+			r.noteReport(r.engines["w"], &Report{Memory: c.memory})
 		}
 		if c.first {
 			r.Handle(ms, ask(1, 1000))
@@ -65,7 +65,7 @@
 		to := ""
 		for _, a := range r.Handle(ms, ask(2, 1000)) {
 			if s, ok := a.(Send); ok {
-				to = s.Server
+				to = s.Engine
 			}
 		}
 		if to != c.to {
@@ -80,7 +80,7 @@
 func TestReportsAreBelievedByAge(t *testing.T) {
 	long, short := 40_000.0, 0.0
 	r := router(t, testSettings(), server("a", "r", 0), server("b", "r", 0), server("w", "w", 0))
-	a, b := r.workers["a"], r.workers["b"]
+	a, b := r.engines["a"], r.engines["b"]
 	r.noteReport(a, &Report{WaitingTokens: &long})
 	r.noteReport(b, &Report{WaitingTokens: &short})
 	last := r.queue(a)
@@ -117,7 +117,7 @@
 			}
 			at := sent(t, r.Handle(1200*ms, ask(id, 100)))
 			r.retries = 0
-			for _, a := range r.Handle(2200*ms, Outcome{ID: id, Server: at, Status: StatusError}) {
+			for _, a := range r.Handle(2200*ms, Outcome{ID: id, Engine: at, Status: StatusError}) {
 				if f, ok := a.(Refuse); ok {
 					all = append(all, f.RetryAfter)
 				}
@@ -138,7 +138,7 @@
 	}
 }
 
-// Among many routers a reader with none of our own reads is not idle if its fresh report
+// Among many routers a prefill engine with none of our own reads is not idle if its fresh report
 // shows a queue: what can't be in time there is refused, not tried.
 func TestAReportedQueueIsNotIdle(t *testing.T) {
 	for _, c := range []struct {
@@ -150,10 +150,10 @@
 		set.Routers, set.CanProbe = 80, true
 		r := router(t, set, server("r1", "r", 0), server("r2", "r", 0), server("w1", "w", 0))
 		for _, name := range []string{"r1", "r2"} {
-			r.Handle(time.Second, ProbeResult{Server: name, Report: &Report{Queue: &c.queue}})
+			r.Handle(time.Second, ProbeResult{Engine: name, Report: &Report{Queue: &c.queue}})
 		}
 		actions := slices.Clone(r.Handle(time.Second+c.at, ask(1, 8000)))
-		if c.at > 0 { // the report is old: the likeliest reader is asked, and does not answer
+		if c.at > 0 { // the report is old: the likeliest prefill engine is asked, and does not answer
 			actions = append(actions, r.Handle(time.Second+c.at+60*ms, TimerFired{Name: "tick"})...)
 		}
 		if has[Refuse](actions) != c.refused || has[Send](actions) == c.refused {
--- a/routing/roster.go
+++ b/routing/roster.go
@@ -5,13 +5,13 @@
 	"slices"
 )
 
-// cell is a cell's part in the plan, in writers' weight.
+// cell is a cell's part in the plan, in decode engines' weight.
 type cell struct {
-	id                      int
-	readers, writers, reads float64
+	id                                   int
+	prefillEngines, decodeEngines, reads float64
 }
 
-// tally adds up the usable servers' weights by cell, in order of cell.
+// tally adds up the usable engines' weights by cell, in order of cell.
 func (r *Router) tally() []*cell {
 	cells := []*cell{}
 	for _, w := range r.order {
@@ -24,10 +24,10 @@
 			cells = append(cells, c)
 		}
 		switch w.role() {
-		case RoleReader:
-			c.readers += w.Weight
-		case RoleWriter:
-			c.writers += w.Weight
+		case RolePrefill:
+			c.prefillEngines += w.Weight
+		case RoleDecode:
+			c.decodeEngines += w.Weight
 		}
 	}
 	slices.SortFunc(cells, func(a, b *cell) int { return cmp.Compare(a.id, b.id) })
@@ -65,8 +65,8 @@
 	if e.Scope == RosterCached && r.set.MustSubscribe {
 		r.subscribe()
 	}
-	named := make(map[string]bool, len(e.Servers))
-	for _, s := range e.Servers {
+	named := make(map[string]bool, len(e.Engines))
+	for _, s := range e.Engines {
 		named[s.Name] = true
 		r.learn(s)
 	}
@@ -78,19 +78,19 @@
 			}
 		}
 	}
-	r.order = slices.DeleteFunc(r.order, func(w *worker) bool {
+	r.order = slices.DeleteFunc(r.order, func(w *engine) bool {
 		if !r.over(w) {
 			return false
 		}
-		delete(r.workers, w.Name)
+		delete(r.engines, w.Name)
 		return true
 	})
 }
 
-// over tells whether a server has left and nothing of it is left to account for:
-// servers come under ever new names. One that has just been sent work is kept, as it
+// over tells whether an engine has left and nothing of it is left to account for:
+// engines come under ever new names. One that has just been sent work is kept, as it
 // may come up again under its name, cold, and what was sent then counts.
-func (r *Router) over(w *worker) bool {
+func (r *Router) over(w *engine) bool {
 	if w.Phase != PhaseOff || len(w.out) > 0 || w.reads+w.states+w.answers > 0 {
 		return false
 	}
--- a/routing/state.go
+++ b/routing/state.go
@@ -12,11 +12,11 @@
 type phase uint8
 
 const (
-	waitReader phase = iota // no attempt out, nothing held
-	reading                 // an attempt is out at a reader, or whole at a mixed server
-	waitWriter              // no attempt out, the state waits at a reader
-	writing                 // an attempt is out at a writer
-	streaming               // the answer has begun
+	waitPrefill phase = iota // no attempt out, nothing held
+	reading                  // an attempt is out at a prefill engine, or whole at a mixed engine
+	waitDecode               // no attempt out, the state waits at a prefill engine
+	writing                  // an attempt is out at a decode engine
+	streaming                // the answer has begun
 )
 
 // request is one client's try. It is kept until its attempts have ended.
@@ -27,13 +27,13 @@
 	density       float64 // worth per unit of work, lower beyond the tenant's quota
 	deadline, aim Time
 	phase         phase
-	home, spare   *worker // where its text is expected
-	at, holder    *worker // where the attempt is out; which reader holds the state
-	avoid         *worker // the last server that failed it
+	home, spare   *engine // where its text is expected
+	at, holder    *engine // where the attempt is out; which prefill engine holds the state
+	avoid         *engine // the last engine that failed it
 	attempts      int
 	sentAt, since Time    // when the attempt left; when the phase began
 	outAt         Time    // when an attempt was last out, from which a waiting state's time counts
-	todo          int     // tokens the reader is expected to read
+	todo          int     // tokens the prefill engine is expected to read
 	ahead         float64 // tokens queued there before it
 	shown         float64 // tokens that its report showed waiting
 	match         int     // tokens expected kept there
@@ -41,7 +41,7 @@
 	ended         bool // answered, or nobody waits any more
 	cancelled     bool
 	whole         bool      // the attempt reads and answers
-	asked         []*worker // readers probed for it before its first choice
+	asked         []*engine // prefill engines probed for it before its first choice
 	risks         []risk
 }
 
@@ -57,17 +57,17 @@
 	seen   Time
 }
 
-// stage holds what is usual at the servers of a role.
+// stage holds what is usual at the engines of a role.
 type stage struct {
 	took, read  float64 // seconds and tokens of a read
-	first       float64 // seconds to the first token, writers
-	carried     float64 // weight done by warm servers, fading
+	first       float64 // seconds to the first token, decode engines
+	carried     float64 // weight done by warm engines, fading
 	at, firstAt Time
-	peak        float64 // best rate per warm server
+	peak        float64 // best rate per warm engine
 	reads       shown
 }
 
-// survey is one look at the servers of a role, good for one event.
+// survey is one look at the engines of a role, good for one event.
 type survey struct {
 	n, warm              int
 	pace, fail, age, lag float64 // fail of the better quarter, else the median
@@ -87,12 +87,12 @@
 	out     []Action
 	classes map[string]*Class
 	kinds   map[string]*Kind
-	weights map[string]float64 // mean prompt of a class: what a send to a cold server weighs
+	weights map[string]float64 // mean prompt of a class: what a send to a cold engine weighs
 	quotas  map[string]*quota
-	workers map[string]*worker
-	order   []*worker // by name
+	engines map[string]*engine
+	order   []*engine // by name
 	reqs    map[RequestID]*request
-	held    []*request // waitReader and waitWriter, in order of arrival
+	held    []*request // waitPrefill and waitDecode, in order of arrival
 	stages  [RoleMixed + 1]stage
 	surveys [RoleMixed + 1]survey
 	seen    map[string]float64 // requests by shared beginning, "" for all, fading
@@ -172,7 +172,7 @@
 	if q.holder != nil {
 		r.do(Release{q.ID})
 	}
-	r.shift(q, waitReader, nil)
+	r.shift(q, waitPrefill, nil)
 	r.held = without(r.held, q)
 	delete(r.reqs, q.ID)
 }
@@ -183,7 +183,7 @@
 func newRouter(set Settings, seed uint64) (*Router, error) {
 	r := &Router{
 		set: set, seed: seed, classes: map[string]*Class{}, kinds: map[string]*Kind{},
-		weights: map[string]float64{}, quotas: map[string]*quota{}, workers: map[string]*worker{},
+		weights: map[string]float64{}, quotas: map[string]*quota{}, engines: map[string]*engine{},
 		reqs: map[RequestID]*request{}, seen: map[string]float64{}, turned: map[string]float64{},
 	}
 	if err := validate(&set); err != nil {
@@ -216,13 +216,13 @@
 	return c != nil && c.Effect == EffectFree
 }
 
-// Reads tells whether servers of a kind may read a prompt.
+// Reads tells whether engines of a kind may read a prompt.
 func (r *Router) Reads(kind string) bool {
 	k := r.kinds[kind]
-	return k != nil && (k.Role == RoleReader || k.Role == RoleMixed || k.Role == RoleWriter && r.set.WritersRead)
+	return k != nil && (k.Role == RolePrefill || k.Role == RoleMixed || k.Role == RoleDecode && r.set.DecodePrefills)
 }
 
-// rateKey names what a server may limit the rate of. No name holds the byte between the two:
+// rateKey names what an engine may limit the rate of. No name holds the byte between the two:
 // tenants and classes of other names never meet in one key.
 func rateKey(q *request) string { return q.Tenant + "\x00" + q.Request.Class }
 
@@ -241,8 +241,8 @@
 }
 
 // shift is the one place where a request changes phase: it keeps the account of
-// what is out, queued and held at each server.
-func (r *Router) shift(q *request, p phase, at *worker) {
+// what is out, queued and held at each engine.
+func (r *Router) shift(q *request, p phase, at *engine) {
 	r.account(q, -1)
 	if q.at != nil {
 		q.at.out = without(q.at.out, q)
@@ -257,7 +257,7 @@
 // attemptOver accounts for the end of a request's attempt. One that had no connection was
 // never out.
 func (r *Router) attemptOver(q *request, s Status) {
-	r.shift(q, waitReader, nil)
+	r.shift(q, waitPrefill, nil)
 	if s != StatusNoConnect {
 		q.outAt = r.now
 	}
--- a/routing/worker.go
+++ b/routing/worker.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// worker is what this router knows of a server.
-type worker struct {
-	ServerInfo
+// engine is what this router knows of an engine.
+type engine struct {
+	EngineInfo
 	kind   *Kind
 	usable bool // on the roster, with a known kind and zone
 	// own work there
@@ -24,12 +24,12 @@
 	sentSince, readSince    float64 // memory, and tokens to read, sent since the report
 	fail, pace              float64 // failing part; time per token against peers
 	heard                   Time    // the last sign of life
-	paceAt, asideTill       Time
+	paceAt, ejectedUntil    Time
 	fullTo                  map[string]Time // by tenant and class, as rateKey joins them
 	behind                  float64         // tokens that others have queued there, as reads tell
 	behindAt                Time
 	passed                  Time // when the latest attempt was sent that has come through
-	asideFor                time.Duration
+	ejectedFor              time.Duration
 	sends                   []sendMark
 }
 
@@ -69,9 +69,9 @@
 	return min(1, max(least, (f.bb*f.at-f.ab*f.bt)/token))
 }
 
-// oldest is a server's oldest attempt out that no later one has passed. One that
+// oldest is an engine's oldest attempt out that no later one has passed. One that
 // was passed hangs for a reason of its own and tells nothing of the queue.
-func (w *worker) oldest() *request {
+func (w *engine) oldest() *request {
 	for _, q := range w.out {
 		if q.sentAt >= w.passed {
 			return q
@@ -80,50 +80,50 @@
 	return nil
 }
 
-// lag is how many times its expected time a server's oldest attempt has been out.
-func (r *Router) lag(w *worker) float64 {
+// lag is how many times its expected time an engine's oldest attempt has been out.
+func (r *Router) lag(w *engine) float64 {
 	if q := w.oldest(); q != nil {
 		return float64(r.now-q.sentAt) / float64(q.expect)
 	}
 	return 0
 }
 
-// age is how many seconds a server's oldest attempt has been out.
-func (r *Router) age(w *worker) float64 {
+// age is how many seconds an engine's oldest attempt has been out.
+func (r *Router) age(w *engine) float64 {
 	if q := w.oldest(); q != nil {
 		return (r.now - q.sentAt).Seconds()
 	}
 	return 0
 }
 
-func (w *worker) forget() {
+func (w *engine) forget() {
 	w.sessions, w.prefixes = map[string]held{}, map[string]held{}
 }
 
-func (w *worker) role() Role {
+func (w *engine) role() Role {
 	if w.kind == nil {
 		return RoleNone
 	}
 	return w.kind.Role
 }
 
-// worker returns the record of a named server, new if need be, in order of name.
-func (r *Router) worker(name string) *worker {
-	w := r.workers[name]
+// engine returns the record of a named engine, new if need be, in order of name.
+func (r *Router) engine(name string) *engine {
+	w := r.engines[name]
 	if w == nil {
-		w = &worker{ServerInfo: ServerInfo{Name: name}, pace: 1, fullTo: map[string]Time{}}
+		w = &engine{EngineInfo: EngineInfo{Name: name}, pace: 1, fullTo: map[string]Time{}}
 		w.forget()
-		r.workers[name] = w
-		byName := func(w *worker, n string) int { return cmp.Compare(w.Name, n) }
+		r.engines[name] = w
+		byName := func(w *engine, n string) int { return cmp.Compare(w.Name, n) }
 		at, _ := slices.BinarySearchFunc(r.order, name, byName)
 		r.order = slices.Insert(r.order, at, w)
 	}
 	return w
 }
 
-// all calls yield for each usable server of a role, in order of name.
-func (r *Router) all(role Role) iter.Seq[*worker] {
-	return func(yield func(*worker) bool) {
+// all calls yield for each usable engine of a role, in order of name.
+func (r *Router) all(role Role) iter.Seq[*engine] {
+	return func(yield func(*engine) bool) {
 		for _, w := range r.order {
 			if w.usable && w.role() == role && !yield(w) {
 				return
