--- a/cmd/wellgw/held_test.go
+++ b/cmd/wellgw/held_test.go
@@ -149,7 +149,7 @@
 // is then cut off from the reader, one is told to end, and the clients of two leave. Every
 // state is let go: behind the cut by way of another engine, and by the one that leaves before
 // its process ends.
-func TestHeldStatesAreLetGoAtThreeGateways(t *testing.T) {
+func TestHeldStatesReleasedByThreeGateways(t *testing.T) {
 	h := newHolders(t, read)
 	h.ask()
 	h.untilOut("every order has been read and is at a writer", h.writers[:]...)
@@ -177,7 +177,7 @@
 // One of three gateways is cut off from every engine, one reads its settings anew, and one's
 // connections to the engine that holds its states are reset. The clients leave. The states of
 // the latter two are released at once, those of the first when the cut has healed.
-func TestHeldStatesAreReleasedAfterEveryEngineWasOutOfReach(t *testing.T) {
+func TestHeldStatesReleasedAfterFullPartition(t *testing.T) {
 	h := newHolders(t, read)
 	h.ask()
 	h.untilOut("every order has been read and is at a writer", h.writers[:]...)
@@ -211,7 +211,7 @@
 // The clients of three gateways leave while their prompts are read at an engine that goes on
 // reading, and one gateway is told to end. Releases arrive until the reads end, and once more
 // after that: also from the gateway that is about to end.
-func TestReadsThatRunOnAreReleasedByAGatewayThatEnds(t *testing.T) {
+func TestShutdownReleasesCancelledReads(t *testing.T) {
 	finish := make(chan struct{})
 	h := newHolders(t, func() string { <-finish; return read() })
 	endReads := sync.OnceFunc(func() { close(finish) })
--- a/cmd/wellgw/main_test.go
+++ b/cmd/wellgw/main_test.go
@@ -95,7 +95,7 @@
 
 // Streams that outlast the time before SIGKILL are cut off in good order where
 // clients ask for the rest, so that their states are let go.
-func TestLeavingEndsWhatOutlastsIt(t *testing.T) {
+func TestShutdownCutsOffLongStreams(t *testing.T) {
 	reader := enginetest.NewEngine(t, until(read))
 	writer := enginetest.NewEngine(t, until(func() string {
 		return enginetest.StreamHead + enginetest.Chunk("data: x\n\n") + enginetest.Hang
--- a/cmd/wellgw/moments_test.go
+++ b/cmd/wellgw/moments_test.go
@@ -31,7 +31,7 @@
 
 // A process that starts is ready by the list as last held, whatever discovery does, and
 // serves: none that is up serves nobody.
-func TestReadyWhateverDiscoveryDoes(t *testing.T) {
+func TestReadyWithFailingDiscovery(t *testing.T) {
 	reader := enginetest.NewEngine(t, until(read))
 	writer := enginetest.NewEngine(t, until(func() string { return enginetest.Stream(2, 0) }))
 	held := make(chan struct{})
@@ -91,7 +91,7 @@
 // One of two gateways loses both engines behind a cut while orders are in flight: every
 // order gets one final answer, none runs twice, the other gateway's are all served, and
 // once the cut has healed every state that was read and not fetched is let go.
-func TestACutBetweenOneGatewayAndItsEngines(t *testing.T) {
+func TestPartitionBetweenGatewayAndEngines(t *testing.T) {
 	reader := enginetest.NewEngine(t, until(read))
 	writer := enginetest.NewEngine(t, until(func() string { return enginetest.Stream(3, 0) }))
 	fabric := faultnet.New(1)
@@ -166,7 +166,7 @@
 // Discovery's watches fall silent at three gateways at once, on open connections, and an
 // engine begins to drain meanwhile: each opens a new watch from what it knows, learns of the
 // drain, and sends nothing there any more.
-func TestAListGoneQuietAtThreeGateways(t *testing.T) {
+func TestDiscoverySilentAtThreeGateways(t *testing.T) {
 	gone, stays := enginetest.NewEngine(t, until(read)), enginetest.NewEngine(t, until(read))
 	writer := enginetest.NewEngine(t, until(func() string { return enginetest.Stream(2, 0) }))
 	list := func(revision int, phase string) string {
@@ -241,7 +241,7 @@
 // Idle clients take all the descriptors that a gateway has for clients while discovery is
 // silent. There is room left: for a request of another client, for its engines, for what has
 // to be let go, and for the watch that is opened anew.
-func TestIdleClientsLeaveRoomForWhatMatters(t *testing.T) {
+func TestIdleClientsLeaveDescriptorsFree(t *testing.T) {
 	const files = 96
 	reader := enginetest.NewEngine(t, until(read))
 	writer := enginetest.NewEngine(t, until(func() string { return enginetest.Status(500, "", "") })) // so that the state has to be let go
--- a/cmd/wellgw/orders_test.go
+++ b/cmd/wellgw/orders_test.go
@@ -16,7 +16,7 @@
 // Three gateways that know nothing of each other, engines from the file, and nothing said of
 // how many there are: one is killed and one stopped while clients send orders, and each
 // client asks the next gateway again under its key. No order may run twice.
-func TestOrdersSentAgainElsewhereRunOnce(t *testing.T) {
+func TestOrderRetriedAtOtherGatewayRunsOnce(t *testing.T) {
 	fleet := engine.NewFleet()
 	defer fleet.Close()
 	var engines []string
--- a/cmd/wellgw/roll_test.go
+++ b/cmd/wellgw/roll_test.go
@@ -104,7 +104,7 @@
 
 // Where streams go on to the kill, a request whose engine never answers still has its answer
 // before it, and the gateway ends by itself.
-func TestWhatTheKillWouldFindUnansweredIsAnswered(t *testing.T) {
+func TestShutdownAnswersBeforeKill(t *testing.T) {
 	reader := enginetest.NewEngine(t, until(read))
 	out := make(chan bool, 1)
 	writer := enginetest.NewEngine(t, until(func() string {
@@ -136,7 +136,7 @@
 // Three gateways are told to end and started anew, one after the other, under clients that
 // send on every connection that stays open, in the very moment of a close too. Every order
 // gets one final answer, and none runs twice.
-func TestARollLosesNoRequest(t *testing.T) {
+func TestRollingRestartLosesNoRequest(t *testing.T) {
 	for _, resume := range []string{"false", "true"} {
 		t.Run("resume "+resume, func(t *testing.T) {
 			reader := enginetest.NewEngine(t, until(read))
@@ -191,7 +191,7 @@
 
 // A gateway ends in time for the kill by the settings in force: a reload may have made the
 // longest wait shorter. It never takes more than the first ones gave.
-func TestTimeLeftGoesByTheSettingsInForce(t *testing.T) {
+func TestTimeLeftFollowsReload(t *testing.T) {
 	const s = time.Second
 	for _, c := range []struct{ first, anew, want time.Duration }{
 		{2 * s, 0, 1600 * time.Millisecond}, {2 * s, s, 600 * time.Millisecond}, {2 * s, 4 * s, 1600 * time.Millisecond},
@@ -205,7 +205,7 @@
 
 // Only where the platform's kill is known to come is a request given up before it: the chat
 // front's callers wait for their answers as long as their contract says.
-func TestOnlyAKnownKillEndsRequestsEarly(t *testing.T) {
+func TestEarlyRefusalsNeedKnownKill(t *testing.T) {
 	for _, c := range []struct {
 		g            *gateway
 		handed, want bool
--- a/cmd/wellgw/tier_test.go
+++ b/cmd/wellgw/tier_test.go
@@ -83,7 +83,7 @@
 
 // One, and a third, stand still for half a minute. The rest count them for a while, then go on
 // without; those who wake are back, though they have heard of nobody for long.
-func TestPausedForHalfAMinute(t *testing.T) {
+func TestGatewayPausedForHalfAMinute(t *testing.T) {
 	t.Parallel()
 	for _, n := range []int{1, 2} {
 		t.Run(fmt.Sprint(n, " of 6"), func(t *testing.T) {
@@ -113,7 +113,7 @@
 }
 
 // A third of what is sent is lost, both ways between all: the tier holds, and a kill is known.
-func TestLossBothWays(t *testing.T) {
+func TestPacketLoss(t *testing.T) {
 	t.Parallel()
 	w := newTier(t, []string{"a", "b", "c", "d"}, nil)
 	w.net.All(w.names, faultnet.Rule{Loss: 0.3, Double: 0.1, Jitter: 20 * time.Millisecond})
@@ -126,7 +126,7 @@
 }
 
 // Each direction among three is cut in turn: the third vouches, and it shows.
-func TestEachOneSidedCut(t *testing.T) {
+func TestOneWayPartitions(t *testing.T) {
 	t.Parallel()
 	w := newTier(t, []string{"a", "b", "c"}, nil)
 	for _, from := range w.names {
@@ -148,7 +148,7 @@
 
 // Two halves, and two and one, are cut apart, each side has a gateway started again meanwhile,
 // and they meet.
-func TestHalvesThatMovedOn(t *testing.T) {
+func TestPartitionHeals(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ some, rest []string }{
 		{[]string{"a", "b"}, []string{"c", "d"}},
@@ -186,7 +186,7 @@
 }
 
 // Two halves that reach each other by one gateway alone stay one tier.
-func TestAHubThatReachesBothHalves(t *testing.T) {
+func TestPartitionBridgedByOneGateway(t *testing.T) {
 	t.Parallel()
 	w := newTier(t, []string{"a", "b", "c", "d", "hub"}, nil)
 	w.cut([]string{"a", "b"}, []string{"c", "d"}, faultnet.Rule{Cut: true})
@@ -197,7 +197,7 @@
 
 // A gateway is killed and back before anybody has missed it, and what its former life sent
 // arrives after that.
-func TestARestartFasterThanDetection(t *testing.T) {
+func TestRestartFasterThanDetection(t *testing.T) {
 	t.Parallel()
 	w := newTier(t, []string{"a", "b", "c"}, nil)
 	w.net.Set("b", "a", faultnet.Rule{Delay: 8 * time.Second})
@@ -234,7 +234,7 @@
 }
 
 // Sixty join within a moment from one address, and leave again.
-func TestAJoinStormFromOneAddress(t *testing.T) {
+func TestJoinStormFromOneAddress(t *testing.T) {
 	t.Parallel()
 	w := newTier(t, []string{"a", "b", "c"}, nil)
 	path := filepath.Join(t.TempDir(), "keys")
@@ -285,7 +285,7 @@
 
 // Keys are rotated while one of three stands still: the others go on without a gap, and it
 // finds them again by the key that it has.
-func TestKeysRotatedWhileAThirdIsAway(t *testing.T) {
+func TestKeyRotationDuringPartition(t *testing.T) {
 	t.Parallel()
 	w := newTier(t, []string{"a", "b", "c"}, nil)
 	w.gates["c"].stop(syscall.SIGSTOP)
@@ -313,7 +313,7 @@
 }
 
 // One speaks as the first version did; a newcomer that knows nobody else finds the tier by it.
-func TestAnOlderVersionInTheTier(t *testing.T) {
+func TestOlderVersionInTier(t *testing.T) {
 	t.Parallel()
 	old := func(name string, p map[string]any) {
 		if name == "a" {
@@ -338,7 +338,7 @@
 
 // A flood of forged datagrams, and of good ones sent again: the tier goes on, and so does the
 // clients' side.
-func TestAFlood(t *testing.T) {
+func TestMessageFlood(t *testing.T) {
 	t.Parallel()
 	w := newTier(t, []string{"a", "b", "c"}, nil)
 	var mu sync.Mutex
@@ -375,7 +375,7 @@
 
 // On the platform gateways talk only where the settings allow it and operators give a key.
 // Each knows the others by addresses of its own.
-func TestThePlatformsGatewaysTalkWhereTheyMay(t *testing.T) {
+func TestPlatformPeersOnlyWhereAllowed(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
 	key := filepath.Join(dir, "keys")
--- a/decide/deduplication/table_test.go
+++ b/decide/deduplication/table_test.go
@@ -27,7 +27,7 @@
 	return Ask{Key: Key{team, key}, Digest: digest, ID: "id-" + key + "-" + digest}
 }
 
-func TestWhatBecomesOfARepeat(t *testing.T) {
+func TestRepeatOutcomes(t *testing.T) {
 	first := ask("a", "k", "d")
 	for name, c := range map[string]struct {
 		end    *Outcome
@@ -113,7 +113,7 @@
 
 // Tries that were turned away here did not run: so many retries are safe here, whatever
 // other gateways there may be, and not one more.
-func TestRetriesOfWhatWasTurnedAway(t *testing.T) {
+func TestRetryAfterRefusal(t *testing.T) {
 	tb := table(t, nil)
 	tb.Restore(t0, nil, false)
 	try := func(at time.Duration, retry int) Verdict {
@@ -146,7 +146,7 @@
 	}
 }
 
-func TestWhoMayHaveHadAnEarlierTry(t *testing.T) {
+func TestEarlierTryAtOtherGateway(t *testing.T) {
 	for name, c := range map[string]struct {
 		know Others
 		may  bool
@@ -165,7 +165,7 @@
 	}
 }
 
-func TestWhatARestartKeeps(t *testing.T) {
+func TestRestoreAfterRestart(t *testing.T) {
 	tb := table(t, nil)
 	entry := func(k string, s State, age time.Duration, answer string) Entry {
 		return Entry{Key: Key{"a", k}, Digest: "d", State: s, Since: t0.Add(-age), Answer: []byte(answer)}
@@ -183,7 +183,7 @@
 
 // A team that floods the table with keys costs another team neither its keys nor its
 // answers, as long as that one has less than its part.
-func TestAFloodCostsOthersNothing(t *testing.T) {
+func TestFloodOfKeysIsBounded(t *testing.T) {
 	tb := table(t, func(l *Limits) { l.Entries, l.Bytes, l.PerTeam = 100, 1000, 80 })
 	done := func(now time.Time, a Ask) Verdict {
 		v, _ := tb.Begin(now, a)
@@ -232,7 +232,7 @@
 // Whatever comes in whatever order: what may have run under a key does not run again
 // while it is younger than the least age, two never run at once, bounds are kept, and
 // the accounts are right.
-func TestNothingRunsTwice(t *testing.T) {
+func TestNoKeyRunsTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tb := table(t, func(l *Limits) {
 			l.Entries, l.Bytes, l.Answer = rapid.IntRange(1, 8).Draw(t, "entries"), int64(rapid.IntRange(0, 60).Draw(t, "bytes")), 20
--- a/decide/ejection/ejection_test.go
+++ b/decide/ejection/ejection_test.go
@@ -55,7 +55,7 @@
 
 // After a ban, a start that the list showed during it stands; without one the
 // engine is shown as started at its return, until the list shows a later start.
-func TestBackIsCold(t *testing.T) {
+func TestReturnedEngineIsCold(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		lists []routing.Time // the list's starts, one look after another
@@ -79,7 +79,7 @@
 
 // Whatever the calls and lists, an engine is shown on only while it is not out,
 // and a call on a name never listed changes nothing.
-func TestBansHold(t *testing.T) {
+func TestEjectionsPersist(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := New()
 		names := []string{"a", "b", "c", "d"}
--- a/decide/heldstate/heldstate_test.go
+++ b/decide/heldstate/heldstate_test.go
@@ -51,7 +51,7 @@
 
 // A state waits for a decode engine as long as it may, however many attempts fail meanwhile without
 // having surely been out; then it is let go.
-func TestLapse(t *testing.T) {
+func TestExpire(t *testing.T) {
 	for _, c := range []struct {
 		out    Out
 		lapses bool
@@ -83,7 +83,7 @@
 
 // A release in flight is cancelled once an attempt has gone out: it could meet the end of the
 // next read, whose state it would free.
-func TestAReleaseDoesNotMeetTheNextRead(t *testing.T) {
+func TestReleaseDoesNotMeetNextRead(t *testing.T) {
 	for _, out := range []Out{Unconfirmed, Confirmed} {
 		l := New(limits)
 		l.AttemptLost("r", true)
@@ -100,7 +100,7 @@
 
 // A release that met an attempt at another engine let go of nothing. It is sent again once
 // that engine must know that the attempt was given up.
-func TestAReleaseThatOvertakesACancelIsSentAgain(t *testing.T) {
+func TestReleaseRepeatedAfterCancel(t *testing.T) {
 	l := New(limits)
 	l.ReadDone("r", 1)
 	l.AttemptLost("w", false)
@@ -214,7 +214,7 @@
 	w.l.AttemptLost(e, true)
 }
 
-func TestNothingIsHeldPastItsLimits(t *testing.T) {
+func TestStatesReleasedWithinLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &world{t: t, l: New(limits), now: ms, held: map[string]Time{}, later: map[string]Time{}, away: map[string]bool{}, telling: map[string]bool{}}
 		for range rapid.IntRange(1, 12).Draw(t, "steps") {
--- a/decide/membership/membership_test.go
+++ b/decide/membership/membership_test.go
@@ -168,7 +168,7 @@
 	tt.Fatalf("%s: no agreement within %v: %v", what, within, err)
 }
 
-func TestAKillIsKnownToAll(t *testing.T) {
+func TestDeathSpreadsToAll(t *testing.T) {
 	var took []time.Duration
 	for seed := range uint64(40) {
 		tier := newTier(seed, 9)
@@ -205,7 +205,7 @@
 	return out
 }
 
-func TestLossPausesAndOneSidedCutsKillNobody(t *testing.T) {
+func TestFaultsCauseNoFalseDeath(t *testing.T) {
 	for seed := range uint64(25) {
 		tier := newTier(seed, 9)
 		tier.mustAgree(t, 10*time.Second, "join")
@@ -228,7 +228,7 @@
 	}
 }
 
-func TestALongPauseIsADeathAndAReturn(t *testing.T) {
+func TestLongPauseIsDeathAndReturn(t *testing.T) {
 	tier := newTier(3, 5)
 	tier.mustAgree(t, 10*time.Second, "join")
 	x := tier.nodes["g002"]
@@ -250,7 +250,7 @@
 	}
 }
 
-func TestHalvesKnowThatTheyAreAMinorityAndMerge(t *testing.T) {
+func TestPartitionMinorityAndMerge(t *testing.T) {
 	for _, c := range []struct {
 		left                  int
 		leftMinor, rightMinor bool
@@ -285,7 +285,7 @@
 }
 
 // A hub that alone reaches both halves keeps all of them alive.
-func TestAHubHoldsTheTierTogether(t *testing.T) {
+func TestPartitionBridgedByOneMember(t *testing.T) {
 	tier := newTier(5, 5)
 	tier.mustAgree(t, 10*time.Second, "join")
 	side := func(id string) int { return slices.Index(tier.names, id) % 2 }
@@ -296,7 +296,7 @@
 	}
 }
 
-func TestOneWayShows(t *testing.T) {
+func TestOneWayPartitionIsDetected(t *testing.T) {
 	tier := newTier(8, 3)
 	tier.mustAgree(t, 10*time.Second, "join")
 	tier.fails = func(a, b string) bool { return a == "g000" && b == "g001" }
@@ -311,7 +311,7 @@
 	}
 }
 
-func TestARestartFasterThanDetection(t *testing.T) {
+func TestRestartFasterThanDetection(t *testing.T) {
 	tier := newTier(11, 4)
 	tier.mustAgree(t, 10*time.Second, "join")
 	old := tier.nodes["g003"]
@@ -327,7 +327,7 @@
 }
 
 // Where what was written down is lost and the clock went back, the tier knows better.
-func TestIncarnationsOutliveARestart(t *testing.T) {
+func TestIncarnationSurvivesRestart(t *testing.T) {
 	tier := newTier(12, 4)
 	tier.nodes["g003"].self.Incarnation = 500
 	tier.mustAgree(t, 10*time.Second, "join")
@@ -340,7 +340,7 @@
 	}
 }
 
-func TestOfNamesakesOneStays(t *testing.T) {
+func TestDuplicateNameLeavesOne(t *testing.T) {
 	tier := newTier(2, 3)
 	tier.mustAgree(t, 10*time.Second, "join")
 	a, b := tier.nodes["g002"], New(Config{ID: "g002", Addr: "x", Instance: 1<<60 + 1, Incarnation: 1}, 0)
@@ -354,7 +354,7 @@
 	}
 }
 
-func TestClocksThatJumpKillNobody(t *testing.T) {
+func TestClockJumpsCauseNoDeath(t *testing.T) {
 	for _, jump := range []time.Duration{10 * time.Minute, -10 * time.Minute} {
 		tier := newTier(6, 3)
 		tier.mustAgree(t, 10*time.Second, "join")
@@ -369,7 +369,7 @@
 }
 
 // A suspicion does not run on while we are paused: the suspect could not be heard.
-func TestAPauseOfOnesOwnMovesDeadlines(t *testing.T) {
+func TestOwnPauseExtendsDeadlines(t *testing.T) {
 	m := New(Config{ID: "a", Addr: "a"}, 0)
 	m.take(Update{ID: "b", Addr: "b"})
 	m.take(Update{ID: "b", Addr: "b", Status: Suspect})
@@ -389,7 +389,7 @@
 	}
 }
 
-func TestAJoinStorm(t *testing.T) {
+func TestJoinStorm(t *testing.T) {
 	tier := newTier(4, 3)
 	tier.mustAgree(t, 10*time.Second, "join")
 	for i := range 60 {
@@ -445,7 +445,7 @@
 // An accusation may be older than what we have heard of the accused since: it then runs from
 // what was heard, and of two accusations the younger holds. On nine programs under loss, an
 // accusation half a second old when a pause began made a pause of 1.8 s a death to all.
-func TestASuspicionRunsFromTheLastSignOfLife(t *testing.T) {
+func TestSuspicionCountsFromLastHeard(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		heard Time // of b itself
--- a/decide/membership/model_test.go
+++ b/decide/membership/model_test.go
@@ -12,7 +12,7 @@
 //   - whoever runs is dead to nobody (no silence here lasts as long as a death takes);
 //   - no incarnation that a gateway holds of another goes back;
 //   - within 5 s of the last fault all hold one view.
-func TestSmallWorlds(t *testing.T) {
+func TestSmallTiersExhaustively(t *testing.T) {
 	const (
 		settled = 3 * time.Second
 		while   = 500 * ms
--- a/decide/resume/resume_test.go
+++ b/decide/resume/resume_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestWhenAnAnswerIsWhole(t *testing.T) {
+func TestAnswerComplete(t *testing.T) {
 	for name, c := range map[string]struct {
 		come func(*Answer)
 		want bool
@@ -80,7 +80,7 @@
 
 // Whatever comes in whatever order: what must not run twice is never sent again, nothing
 // is sent for a client that has gone, and never more often than the contract says.
-func TestNothingIsSentThatMustNotBe(t *testing.T) {
+func TestResumeRespectsContracts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		terms := Terms{Free: rapid.Bool().Draw(t, "free"), Allowed: rapid.IntRange(0, 3).Draw(t, "allowed"), Plain: rapid.Bool().Draw(t, "plain"), Most: rapid.IntRange(0, 4).Draw(t, "most")}
 		a, b := &Answer{}, Break{}
--- a/decide/rolechange/rolechange_test.go
+++ b/decide/rolechange/rolechange_test.go
@@ -84,7 +84,7 @@
 
 // Whatever step an owner was killed at, the next one takes the record over, goes on
 // from it, and the change ends.
-func TestAnOwnerIsKilledAtEveryStep(t *testing.T) {
+func TestOwnerCrashAtEveryStep(t *testing.T) {
 	for _, at := range []Step{Announced, Draining, Flipping, Warming, Settled, Undoing} {
 		r, now := record(at), t0.Add(20*s)
 		engine := Report{Role: "read", Fence: 5, Draining: at == Draining || at == Flipping || at == Undoing}
@@ -122,7 +122,7 @@
 }
 
 // An owner whose lease has passed to another touches nothing, whichever way it learns.
-func TestAnOutdatedOwnerStops(t *testing.T) {
+func TestFormerOwnerStops(t *testing.T) {
 	newer := record(Draining)
 	newer.Fence = 6
 	for name, a := range map[string]Action{
@@ -138,7 +138,7 @@
 
 // Whatever happens, an engine is told to flip only once it was seen empty, and gateways
 // send it nothing between the announcement and its new role.
-func TestNeverFlippedFull(t *testing.T) {
+func TestNoRoleChangeWithRequestsInFlight(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r, now := record(Announced), t0
 		for range 60 {
--- a/decide/roles/roles_test.go
+++ b/decide/roles/roles_test.go
@@ -143,7 +143,7 @@
 
 // A swing is known from what is asked within a few seconds, though the engines of the
 // stage that rises can do no more and those behind it are let do less.
-func TestDemandIsWhatIsAsked(t *testing.T) {
+func TestDemandCountsRequested(t *testing.T) {
 	d := demand{smooth: 8 * time.Second}
 	var lookup, order total
 	ask := func(lookups, orders, readBusy, writeBusy, served float64) [2]float64 {
@@ -236,7 +236,7 @@
 
 // A mixed engine keeps its place whatever is asked for; beside the only one of a rack the
 // last of a role may not go either.
-func TestTheOnlyMixedEngineOfARack(t *testing.T) {
+func TestLastMixedEngineOfRack(t *testing.T) {
 	list := fleet(2, 2) // one of each in both racks
 	list = append(list, Engine{ID: "m", Rack: 0, Role: Mixed, Ready: true, Util: 1})
 	load(list, Prompt, 1, 0)
@@ -249,7 +249,7 @@
 
 // A burst of one kind comes just as half a rack drains away from it: what is under way
 // is not counted as lost, and no further engine goes.
-func TestABurstWhileHalfARackDrains(t *testing.T) {
+func TestBurstDuringRackDrain(t *testing.T) {
 	p := planner(t, func(s *Settings) { s.FleetPart = 0.5 })
 	list := fleet(4, 6)
 	load(list, Prompt, 1, 0)
--- a/decide/roster/property_test.go
+++ b/decide/roster/property_test.go
@@ -34,7 +34,7 @@
 
 // A source that can't be read, for however long and whatever checks say meanwhile,
 // never empties a roster that had an engine in it.
-func TestAnUnreadableSourceNeverEmptiesTheRoster(t *testing.T) {
+func TestUnreadableSourceKeepsRoster(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b, now := New(DefaultPolicy()), t0
 		v := drawView(t, "first")
@@ -67,7 +67,7 @@
 // From the moment a mark is seen, in whatever state its source is, its engine gets
 // no new work until a believed view of that source, or one whose hold is over, is
 // without the mark.
-func TestNoWorkAfterAMark(t *testing.T) {
+func TestNoWorkAfterDrainMark(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := DefaultPolicy()
 		b, now := New(p), t0
--- a/decide/roster/roster_test.go
+++ b/decide/roster/roster_test.go
@@ -229,7 +229,7 @@
 	return out
 }
 
-func TestOwnStartComesBeforeGuesses(t *testing.T) {
+func TestReportedStartTakesPrecedence(t *testing.T) {
 	b := New(DefaultPolicy())
 	v := list(1, "a")
 	v.Entries[0].Started = t0.Add(-time.Hour)
@@ -250,7 +250,7 @@
 	}
 }
 
-func TestWhoIsChecked(t *testing.T) {
+func TestEnginesToCheck(t *testing.T) {
 	b := New(DefaultPolicy())
 	b.Observe(t0, llm, list(1, "a b! c d e f g h i"))
 	names := func(probes []Probe) string {
@@ -327,7 +327,7 @@
 	}
 }
 
-func TestNotesAreForPeople(t *testing.T) {
+func TestNotes(t *testing.T) {
 	b := New(DefaultPolicy())
 	b.Observe(t0, llm, list(100, "a b c"))
 	b.Observe(t0.Add(s), llm, list(3, ""))
--- a/decide/watch/pace_test.go
+++ b/decide/watch/pace_test.go
@@ -8,7 +8,7 @@
 )
 
 // Whatever the grace, a source that is back is heard within it, and nothing spins.
-func TestADrainIsHeardWithinItsGrace(t *testing.T) {
+func TestDrainSeenWithinGrace(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		grace := time.Duration(rapid.Int64Range(0, int64(10*time.Second)).Draw(t, "grace"))
 		p := PaceFor(grace, 2*time.Second)
--- a/experiments/fleetsim/fair_test.go
+++ b/experiments/fleetsim/fair_test.go
@@ -91,7 +91,7 @@
 }
 
 // Neither long prompts nor sessions are singled out, on quiet days and on others.
-func TestLongPromptsAndSessionsAreNotSingledOut(t *testing.T) {
+func TestFairnessByPromptAndSession(t *testing.T) {
 	long(t)
 	for seed := range uint64(12) {
 		for _, quiet := range []bool{true, false} {
@@ -117,7 +117,7 @@
 
 // What singles out is seen: a policy that turns long prompts away, and one that does so with
 // half of the sessions.
-func TestSinglingOutIsSeen(t *testing.T) {
+func TestUnfairnessIsDetected(t *testing.T) {
 	for what, away := range map[string]func(routing.Request) bool{
 		"prompts": func(q routing.Request) bool { return q.Prompt > 1500 },
 		"session": func(q routing.Request) bool { return crc32.ChecksumIEEE([]byte(q.Session))%2 == 0 },
--- a/experiments/fleetsim/fleetsim_test.go
+++ b/experiments/fleetsim/fleetsim_test.go
@@ -18,7 +18,7 @@
 	}
 }
 
-func TestSameSeedSameFigures(t *testing.T) {
+func TestSameSeedSameResult(t *testing.T) {
 	for seed := range uint64(3) {
 		a, b := Play(Draw(seed), Module, true), Play(Draw(seed), Module, true)
 		if !reflect.DeepEqual(a, b) {
@@ -38,7 +38,7 @@
 
 // Names tell the module nothing: with those of site, classes, kinds and zones changed, it
 // decides the same.
-func TestNamesDecideNothing(t *testing.T) {
+func TestDecisionsIgnoreNames(t *testing.T) {
 	for seed := range uint64(4) {
 		d, other := Draw(seed), Draw(seed)
 		other.rename()
@@ -83,7 +83,7 @@
 }
 
 // A checker that cannot fail is none: each rule is broken by a policy made for it.
-func TestCheckersSee(t *testing.T) {
+func TestCheckersDetectFaults(t *testing.T) {
 	day := func(what string) *Deployment {
 		d := Draw(2)
 		d.Troubles = []Trouble{{What: what, At: 18 * time.Second, For: 6 * time.Second, Part: 0.5, Size: 2}}
--- a/experiments/fleetsim/floors_test.go
+++ b/experiments/fleetsim/floors_test.go
@@ -76,7 +76,7 @@
 }
 
 // No class, effect or third of a day is starved.
-func TestNothingIsStarved(t *testing.T) {
+func TestServiceFloors(t *testing.T) {
 	long(t)
 	for seed := range uint64(12) {
 		got, plain := Play(Draw(seed), Module, false), Play(Draw(seed), fewest(t), false)
@@ -102,7 +102,7 @@
 }
 
 // No tenant is starved of what it asks for within its quota, nor by one that asks for more.
-func TestNoTenantIsStarved(t *testing.T) {
+func TestServiceFloorByTenant(t *testing.T) {
 	long(t)
 	for seed := range uint64(12) {
 		got, plain := Play(withTenants(seed), Module, false), Play(withTenants(seed), fewest(t), false)
@@ -127,7 +127,7 @@
 
 // What starves is seen: a policy that turns one class away, and one that serves only the
 // first part of the day.
-func TestStarvingIsSeen(t *testing.T) {
+func TestServiceFloorsDetectStarvation(t *testing.T) {
 	const seed = 2 // a day on which a plain policy serves all
 	d := withTenants(seed)
 	plain := Play(withTenants(seed), fewest(t), false)
--- a/experiments/membersim/membersim_test.go
+++ b/experiments/membersim/membersim_test.go
@@ -8,7 +8,7 @@
 	"wellgw/internal/peers"
 )
 
-func TestATierOfThirty(t *testing.T) {
+func TestTierOfThirty(t *testing.T) {
 	tier := New(1, 30)
 	if _, ok := tier.Until(20 * time.Second); !ok {
 		t.Fatal("thirty gateways do not agree within 20 s of their start")
@@ -29,7 +29,7 @@
 
 // Where messages are long under way, each hop of an accusation must not make it younger:
 // nobody would ever die.
-func TestLongWaysHideNoDeath(t *testing.T) {
+func TestDeathDetectedOverLongDelays(t *testing.T) {
 	for _, way := range []time.Duration{100 * time.Millisecond, 200 * time.Millisecond} {
 		tier := New(1, 9)
 		tier.Way = way
@@ -50,7 +50,7 @@
 }
 
 // A newcomer, and a half that comes back, know all within seconds, among sixty too.
-func TestViewsThatDifferAreWalked(t *testing.T) {
+func TestAntiEntropyMergesViews(t *testing.T) {
 	tier := New(1, 60)
 	if _, ok := tier.Until(20 * time.Second); !ok {
 		t.Fatal("sixty that start together do not agree within 20 s")
@@ -69,7 +69,7 @@
 
 // Where names are long a datagram has room for fewer updates than a message holds: what is
 // left out must not be left out of every walk.
-func TestLongNamesAreWalkedToo(t *testing.T) {
+func TestAntiEntropyWithLongNames(t *testing.T) {
 	tier := New(1, 2)
 	tier.Fits = peers.Fits
 	for i := range 40 {
--- a/experiments/rolesim/rolesim_test.go
+++ b/experiments/rolesim/rolesim_test.go
@@ -54,7 +54,7 @@
 
 // Moving engines beats the best split that stands by 10 points in the worst phase, and
 // costs at most 2 where the mix stands still.
-func TestMovingBeatsStanding(t *testing.T) {
+func TestRoleChangesBeatFixedSplit(t *testing.T) {
 	swing := day(Swing(5 * time.Minute))
 	fixed, moving := bestFixed(swing), planned(t, swing, roles.Predictive, nil)
 	if worst(moving) < worst(fixed)+0.1 {
@@ -81,7 +81,7 @@
 	}
 }
 
-func TestTheSameSeedGivesTheSameDay(t *testing.T) {
+func TestSameSeedSameDay(t *testing.T) {
 	d := day(Wave(10 * time.Minute))
 	a, b := planned(t, d, roles.Predictive, nil), planned(t, d, roles.Predictive, nil)
 	if a.Service != b.Service || a.Changes != b.Changes {
--- a/fake/consul/conformance_test.go
+++ b/fake/consul/conformance_test.go
@@ -105,7 +105,7 @@
 	}
 }
 
-func TestATTLRunsOutAndTheServiceIsTakenOff(t *testing.T) {
+func TestTTLExpiryDeregisters(t *testing.T) {
 	store, _, c := start(t)
 	if err := c.Agent().ServiceRegister(&api.AgentServiceRegistration{
 		ID: "g1", Name: "wellgw", Port: 1, Check: &api.AgentServiceCheck{TTL: "100ms", Status: api.HealthPassing, DeregisterCriticalServiceAfter: "100ms"},
--- a/fake/engine/engine_test.go
+++ b/fake/engine/engine_test.go
@@ -79,7 +79,7 @@
 	}
 }
 
-func TestFullDrainedAndFallen(t *testing.T) {
+func TestEngineStates(t *testing.T) {
 	_, e := start(t, Options{ID: "e", Role: OpenAI, Memory: 10}, true)
 	if status, _, _ := ask(t, e, "q", strings.Repeat("x", 100)); status != http.StatusTooManyRequests {
 		t.Errorf("without memory: %d", status)
--- a/internal/clientconn/listener_test.go
+++ b/internal/clientconn/listener_test.go
@@ -97,7 +97,7 @@
 
 // Connections that ask nothing give way to one that does; those that have a
 // request in hand never do, and past them a newcomer is turned away, not held.
-func TestSilentConnectionsGiveWay(t *testing.T) {
+func TestIdleConnectionsAreReclaimed(t *testing.T) {
 	l, waiting, answer := serve(t, 2)
 	addr := l.Addr().String()
 	first := dial(t, addr, "GET /wait HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -136,7 +136,7 @@
 
 // A connection whose request has come, though nobody has read it yet, is passed over,
 // and to make room only the one chosen is looked at.
-func TestAnUnreadRequestIsPassedOver(t *testing.T) {
+func TestUnreadRequestIsHandedOver(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -180,7 +180,7 @@
 
 // A request that comes in the moment in which its connection is shut is read and kept, or
 // never read: there is no third.
-func TestAConnectionIsShutBeforeItsRequestIsReadOrNotAtAll(t *testing.T) {
+func TestShutdownNeverInterruptsRequest(t *testing.T) {
 	const ask = "GET / HTTP/1.1\r\nHost: x\r\n\r\n"
 	read := make([]byte, 256)
 
@@ -230,7 +230,7 @@
 
 // What is in hand when the server shuts is answered, a request of which one byte has come
 // included; a connection that rests ends, a new one once its request had time to come.
-func TestShutdownAnswersWhatHasBegunToCome(t *testing.T) {
+func TestShutdownAnswersPartialRequests(t *testing.T) {
 	l, waiting, answer := serve(t, 8)
 	addr := l.Addr().String()
 	inHand := dial(t, addr, "GET /wait HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
@@ -294,7 +294,7 @@
 
 // A connection whose answer began before the shutdown ends with it: the next request on it,
 // which has come by then, is never read. It would be taken when there is no time left for it.
-func TestNothingIsReadAfterAnAnswerOnceTheServerShuts(t *testing.T) {
+func TestNoReadAfterAnswerDuringShutdown(t *testing.T) {
 	c, in, done := shutting(t, "GET /wait HTTP/1.1\r\nHost: x\r\n\r\n")
 	if a := next(in); a != "/wait" {
 		t.Fatalf("got %q", a)
@@ -310,7 +310,7 @@
 
 // Of requests that were sent together, and read together, the shutdown leaves none without
 // its answer.
-func TestShutdownAnswersAPipelineThatWasRead(t *testing.T) {
+func TestShutdownAnswersPipelinedRequests(t *testing.T) {
 	_, in, done := shutting(t, "GET /wait HTTP/1.1\r\nHost: x\r\n\r\nGET /second HTTP/1.1\r\nHost: x\r\n\r\n")
 	for _, want := range []string{"/wait", "/second", "none"} {
 		if a := next(in); a != want {
@@ -324,7 +324,7 @@
 
 // An answer reaches a client that still sends: the close does not reset the connection
 // under it, whatever has come and is not read.
-func TestACloseOverUnreadBytesLosesNoAnswer(t *testing.T) {
+func TestCloseWithUnreadBytesKeepsAnswer(t *testing.T) {
 	_, c, client := moment(t)
 	io.WriteString(client, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
 	if _, err := c.Read(make([]byte, 256)); err != nil {
@@ -350,7 +350,7 @@
 
 // A client that has gone before its whole request was read is not served: the request may
 // have waited in the socket for long.
-func TestARequestWhoseClientHasLeftIsNotTaken(t *testing.T) {
+func TestRequestOfLeftClientIsDropped(t *testing.T) {
 	read := make(chan error)
 	var l *Listener
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -371,7 +371,7 @@
 
 // A client that sends much at once and goes is known to have gone while its first request
 // is in hand, though what it sent ahead is never read.
-func TestAClientThatSentAheadIsSeenToGo(t *testing.T) {
+func TestPipelinedClientLeaving(t *testing.T) {
 	waiting, ended, enough := make(chan bool, 200), make(chan bool, 200), make(chan struct{})
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		waiting <- true
@@ -408,7 +408,7 @@
 
 // A head that comes too slowly is answered before its connection ends, on a new connection
 // and after an answer; one that rests is closed without a word.
-func TestAHeadThatComesTooSlowlyIsAnswered(t *testing.T) {
+func TestSlowHeadIsAnswered(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -13,7 +13,7 @@
 		"rules":{"fall":3000000,"fall_multiple":4,"cold_share":0.3}}}`
 
 // A mistake is named by its field, on one line.
-func TestMistakesAreNamed(t *testing.T) {
+func TestErrorsNameTheField(t *testing.T) {
 	operator, err := os.ReadFile("../../deploy/operator.json")
 	if err != nil {
 		t.Fatal(err)
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestVariablesComeFirst(t *testing.T) {
+func TestEnvironmentTakesPrecedence(t *testing.T) {
 	p, err := ParsePlatform([]byte(platformText), func(name string) string {
 		return map[string]string{"EDGE_LISTEN": "127.0.0.1:4000"}[name]
 	})
--- a/internal/config/retune_test.go
+++ b/internal/config/retune_test.go
@@ -9,7 +9,7 @@
 
 // A file read anew that is broken leaves the running settings; the error names
 // the field at fault. A good one with a class more and other attempts is taken.
-func TestReadAnew(t *testing.T) {
+func TestReload(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "config.json")
 	env := func(name string) string {
--- a/internal/consul/consul_test.go
+++ b/internal/consul/consul_test.go
@@ -21,7 +21,7 @@
 	"wellgw/routing"
 )
 
-func TestMarksAreFollowed(t *testing.T) {
+func TestDrainMarks(t *testing.T) {
 	w := begin(t, 1, (*world).three, nil)
 	w.await("a b c")
 	w.store.SetCheck(node, "a", "alive", "critical")
@@ -38,7 +38,7 @@
 }
 
 // Hard case: the mark arrives in the same body as an entry that can't be read.
-func TestAMarkBesideNonsense(t *testing.T) {
+func TestDrainMarkBesideInvalidEntries(t *testing.T) {
 	w := begin(t, 1, (*world).three, nil)
 	w.await("a b c")
 	w.fail(consul.Faults{Rewrite: func(_ string, body []byte) []byte {
@@ -55,7 +55,7 @@
 }
 
 // Bodies that are no list at all change nothing, and are asked about again.
-func TestBodiesThatAreNoList(t *testing.T) {
+func TestInvalidBodies(t *testing.T) {
 	w := begin(t, 1, (*world).three, nil)
 	w.await("a b c")
 	for i, body := range []string{`{}`, `null`, `[null,3,"x",[]]`, `[`, ``, `[{"Node":null}]`} {
@@ -70,7 +70,7 @@
 
 // Hard case: a hang begins in the middle of a blocking query, and the agent comes back
 // with a lower index and a mark.
-func TestAHangAndALowerIndex(t *testing.T) {
+func TestHangAndLowerIndex(t *testing.T) {
 	w := begin(t, 1, (*world).three, nil)
 	old := w.store.Snapshot()
 	w.await("a b c")
@@ -131,7 +131,7 @@
 }
 
 // Hard case: the tag is taken away during a drain, and comes back while it lasts.
-func TestATagTakenAwayDuringADrain(t *testing.T) {
+func TestTagRemovedDuringDrain(t *testing.T) {
 	w := begin(t, 1, (*world).three, func(_ *world, cfg *config.Consul) { cfg.Service, cfg.Tag = "", "engine" })
 	w.await("a b c")
 	w.store.Maintain(node, "a", true, "")
@@ -146,7 +146,7 @@
 
 // A service that vanishes from the catalogue, though nobody took its tag away, is held
 // while its engines answer.
-func TestAServiceThatVanishes(t *testing.T) {
+func TestServiceVanishes(t *testing.T) {
 	w := begin(t, 1, func(w *world) { w.three(); w.list("web", "x", 80) }, func(_ *world, cfg *config.Consul) { cfg.Service, cfg.Tag = "", "engine" })
 	w.await("a b c")
 	w.mu.Lock()
@@ -210,7 +210,7 @@
 }
 
 // Without a leader any server is asked, so that marks are still seen.
-func TestMarksAreSeenWithoutALeader(t *testing.T) {
+func TestDrainMarksWithoutLeader(t *testing.T) {
 	w := begin(t, 1, (*world).three, nil)
 	w.await("a b c")
 	w.fail(consul.Faults{Leaderless: true})
@@ -264,7 +264,7 @@
 }
 
 // An answer that is too long is not taken, and removes nobody.
-func TestAnAnswerThatIsTooLong(t *testing.T) {
+func TestOversizedAnswer(t *testing.T) {
 	w := begin(t, 1, (*world).three, func(_ *world, cfg *config.Consul) { cfg.MaxBodyMB = 1 })
 	w.await("a b c")
 	w.fail(consul.Faults{Body: "[" + strings.Repeat(" ", 1<<20) + "]"})
@@ -317,7 +317,7 @@
 
 // Hard cases: 3,000 engines in 200 services, more than there are watches, and a
 // catalogue that flaps 1,000 of them a second. What is told in the end is what holds.
-func TestManyServicesThatFlap(t *testing.T) {
+func TestManyFlappingServices(t *testing.T) {
 	engines, services := 3000, 200
 	if testing.Short() {
 		engines, services = 300, 40
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -95,7 +95,7 @@
 
 // Callers who hold on silently do not keep others from their answers: each has
 // its own deadline, and beyond MaxOpen the newcomer is told no at once.
-func TestSilentCallersHoldNothing(t *testing.T) {
+func TestSilentCallersAreClosed(t *testing.T) {
 	var calls atomic.Int32
 	addr := serve(t, func(ctx context.Context, c Call) bool { calls.Add(1); return yes(ctx, c) })
 	var silent []net.Conn
@@ -120,7 +120,7 @@
 }
 
 // A handler that outlasts the deadline is answered no.
-func TestLateIsNo(t *testing.T) {
+func TestLateCallIsRefused(t *testing.T) {
 	addr := serve(t, func(ctx context.Context, c Call) bool { <-ctx.Done(); return true })
 	if got := call(t, addr, "status\n", false); got != "NO" {
 		t.Errorf("late: %q", got)
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -46,7 +46,7 @@
 
 // A silent engine must not hold an answer past the deadline, nor may a read that
 // was given up leave its state.
-func TestSilenceEndsAtTheDeadline(t *testing.T) {
+func TestSilentEngineEndsAtDeadline(t *testing.T) {
 	f := &fake{script: func(Attempt) (Stream, *Result) { return nil, nil }}
 	core := newCore(t, f)
 	start := time.Now()
@@ -62,7 +62,7 @@
 }
 
 // The backstop answers though the module has lost a request.
-func TestBackstopAnswersWithoutTheModule(t *testing.T) {
+func TestOverdueRequestIsAnswered(t *testing.T) {
 	f := &fake{script: func(Attempt) (Stream, *Result) { return nil, nil }}
 	core := newCore(t, f)
 	w := make(waiter, 2)
@@ -80,7 +80,7 @@
 
 // What is out at a decode engine when the end is told is still answered, and if its attempt fails
 // nothing more is sent for it.
-func TestAbandonWaitsForWhatAWriterMayAnswer(t *testing.T) {
+func TestAbandonWaitsForDecode(t *testing.T) {
 	for _, fails := range []bool{false, true} {
 		answer := make(chan struct{})
 		f := &fake{script: func(a Attempt) (Stream, *Result) {
@@ -113,7 +113,7 @@
 
 // A gateway that ends refuses what can't have run, so that its client may try
 // elsewhere, and promises nothing of what may have.
-func TestAbandonRefusesWhatHasNotRun(t *testing.T) {
+func TestAbandonRefusesUnstarted(t *testing.T) {
 	for kind, want := range map[string]Verdict{"r": Refused, "w": Failed} {
 		f := &fake{script: func(a Attempt) (Stream, *Result) {
 			if a.To.Kind == kind { // silent
@@ -148,7 +148,7 @@
 
 // Engines under ever new names leave nothing behind, but what one that has left still
 // holds is let go there all the same.
-func TestEnginesThatLeaveAreForgotten(t *testing.T) {
+func TestRemovedEnginesAreForgotten(t *testing.T) {
 	f := &fake{script: script(func() (Stream, *Result) { return nil, nil })}
 	core := newCore(t, f)
 	ticket := core.Submit(ask("free", time.Minute), make(waiter, 1))
@@ -193,7 +193,7 @@
 	}
 }
 
-func TestOneRequestAWireID(t *testing.T) {
+func TestDuplicateWireIDIsRefused(t *testing.T) {
 	f := &fake{script: func(Attempt) (Stream, *Result) { return nil, nil }}
 	core := newCore(t, f)
 	core.Submit(ask("free", time.Minute), make(waiter, 1))
@@ -260,7 +260,7 @@
 
 // A request whose attempts were all turned away has not run; one that ended otherwise may
 // have.
-func TestWhatMayHaveRun(t *testing.T) {
+func TestMayRun(t *testing.T) {
 	for status, want := range map[routing.Status]bool{
 		routing.StatusFull: false, routing.StatusNoConnect: false, routing.StatusError: true, routing.StatusReset: true,
 	} {
@@ -274,7 +274,7 @@
 }
 
 // Views of the tier come as one event, whatever they say, and touch no request in hand.
-func TestViewsTouchNoRequestInHand(t *testing.T) {
+func TestRosterChangeKeepsRequests(t *testing.T) {
 	reached, answer := make(chan bool, 1), make(chan bool)
 	f := &fake{script: script(func() (Stream, *Result) {
 		reached <- true
@@ -312,7 +312,7 @@
 
 // An order that was taken under one configuration is refused by its rules, though another has
 // made its class one that may be repeated meanwhile.
-func TestARequestKeepsTheSettingsItWasTakenWith(t *testing.T) {
+func TestRequestKeepsSettingsAcrossReload(t *testing.T) {
 	f := &fake{script: func(Attempt) (Stream, *Result) { return nil, nil }, cut: make(chan struct{})}
 	defer close(f.cut)
 	core := newCore(t, f)
--- a/internal/core/ejection_test.go
+++ b/internal/core/ejection_test.go
@@ -10,7 +10,7 @@
 
 // An engine out by hand gets nothing new, whatever the list says, until it is
 // called back; a name never listed is refused.
-func TestEnginesOutByHand(t *testing.T) {
+func TestManualEjection(t *testing.T) {
 	f := &fake{script: script(func() (Stream, *Result) { return ended(routing.StatusError) })}
 	c := newCore(t, f)
 	c.Roster(routing.RosterChanges, []Member{{EngineInfo: routing.EngineInfo{Name: "w2", Kind: "w", Weight: 1}}})
--- a/internal/core/held_test.go
+++ b/internal/core/held_test.go
@@ -41,7 +41,7 @@
 // A state is read, and the connection to its decode engine does not come up. Once the state has
 // waited for as long as it may it is let go, the attempt is taken back, and the prompt is
 // read anew.
-func TestAStateDoesNotWaitForAConnectionPastItsLimit(t *testing.T) {
+func TestStateExpiresWhileConnecting(t *testing.T) {
 	f := &fake{away: func(a Attempt) bool { return a.To.Kind == "w" }}
 	f.script = func(a Attempt) (Stream, *Result) {
 		if a.To.Kind == "r" {
@@ -63,7 +63,7 @@
 
 // An attempt that waits for its connection is taken back when the client leaves, also where
 // the settings allow no cancel: nothing has been sent that could be cancelled.
-func TestWhatIsNotOutIsTakenBackWhenItsClientLeaves(t *testing.T) {
+func TestUnwrittenAttemptWithdrawnWhenClientLeaves(t *testing.T) {
 	for _, may := range []bool{false, true} {
 		f := &fake{away: func(Attempt) bool { return true }, script: func(Attempt) (Stream, *Result) { return nil, nil }}
 		c := coreWith(t, f, func(s *routing.Settings) { s.CanCancel = may })
@@ -81,7 +81,7 @@
 
 // Nothing is sent for a request whose client has left while it was waiting in the core's own
 // queue, though the core has yet to be told.
-func TestNothingIsSentForAClientThatLeftInTheQueue(t *testing.T) {
+func TestNoAttemptAfterClientLeftInQueue(t *testing.T) {
 	f := &fake{script: func(Attempt) (Stream, *Result) { return nil, nil }}
 	c := newCore(t, f)
 	busy := make(chan struct{})
@@ -100,7 +100,7 @@
 // A read that was given up may end after its release, where a cancel does not stop what
 // runs. Its engine is told again until the read must have ended, whatever has become of the
 // request.
-func TestAReadThatMayRunOnIsToldAgain(t *testing.T) {
+func TestReleaseRepeatedWhileReadMayRun(t *testing.T) {
 	f := &fake{script: func(Attempt) (Stream, *Result) { return nil, nil }}
 	c := coreWith(t, f, func(s *routing.Settings) { s.PinLimit = 20 * time.Millisecond })
 	const wait = 600 * time.Millisecond
@@ -115,7 +115,7 @@
 
 // A decode engine that finds no state says nothing of the prefill engine: it may only have been out of the
 // decode engine's reach. The state is let go there all the same.
-func TestAStateThatAWriterDidNotFindIsLetGo(t *testing.T) {
+func TestStateNotFoundByDecodeIsReleased(t *testing.T) {
 	f := &fake{script: script(func() (Stream, *Result) { return nil, &Result{Status: routing.StatusFull, NoState: true} })}
 	c := coreWith(t, f, func(s *routing.Settings) { s.MaxAttempts = 2 })
 	if a, _, _ := Await(t.Context(), c, ask("once", time.Minute)); a.Verdict != Refused {
@@ -130,7 +130,7 @@
 }
 
 // A pin limit as long as can be written is no limit, and hurts nothing.
-func TestAHugePinLimit(t *testing.T) {
+func TestHugePinLimit(t *testing.T) {
 	f := &fake{script: script(func() (Stream, *Result) { return ended(routing.StatusError) })}
 	c := coreWith(t, f, func(s *routing.Settings) { s.PinLimit = 1<<63 - 1 })
 	if a, _, _ := Await(t.Context(), c, ask("once", time.Minute)); a.Verdict != Failed {
@@ -146,7 +146,7 @@
 
 // The answer tells how the latest attempt ended at an engine, not that another, whose
 // connection was not up yet, was withdrawn for it.
-func TestAnAnswerTellsOfTheAttemptThatWasOut(t *testing.T) {
+func TestAnswerReportsLastWrittenAttempt(t *testing.T) {
 	f := &fake{away: func(a Attempt) bool { return a.Number > 0 }}
 	failed := errors.New("the engine's own word")
 	f.script = func(a Attempt) (Stream, *Result) {
@@ -183,7 +183,7 @@
 
 // Engines whose kind takes no releases hold nothing: they are asked once, and a gateway that is
 // told to end does not wait for reads that may run on there.
-func TestEnginesThatTakeNoReleases(t *testing.T) {
+func TestEnginesWithoutReleases(t *testing.T) {
 	f := &fake{script: func(Attempt) (Stream, *Result) { return nil, nil }, releaseErr: ErrNoRelease}
 	c := coreWith(t, f, func(s *routing.Settings) { s.PinLimit = 20 * time.Millisecond })
 	if a, _, _ := Await(t.Context(), c, ask("once", 600*time.Millisecond)); a.Verdict != Refused {
--- a/internal/core/linger_test.go
+++ b/internal/core/linger_test.go
@@ -12,7 +12,7 @@
 
 // What was read for a request that then goes to an engine which fetches nothing is let go
 // as it is sent there, and what may have run is told.
-func TestAStateThatNobodyWillFetch(t *testing.T) {
+func TestDetachedStateIsReleased(t *testing.T) {
 	for kind, alone := range map[string]bool{"w": false, "alone": true} {
 		f := &fake{script: script(func() (Stream, *Result) { return nil, nil })}
 		c := newCore(t, f)
@@ -54,7 +54,7 @@
 
 // The engine that holds a state is behind a cut: the attempt that has been given up stays
 // out until that engine can be told to let go, and its client has had its answer at once.
-func TestAnAttemptCoversAStateThatCannotBeLetGo(t *testing.T) {
+func TestAttemptLingersUntilRelease(t *testing.T) {
 	silent := func() (Stream, *Result) { return nil, nil }
 	for _, c := range []struct {
 		name, class string
@@ -82,7 +82,7 @@
 // leaves waits no longer for them than for other releases.
 // A decode engine that is silent is given up, the next one's connection never comes up: until that
 // would have been there, and after, the one given up answers for the state that was read.
-func TestAnAttemptThatNeverComesUpLeavesTheCoverBeforeIt(t *testing.T) {
+func TestLingeringSurvivesFailedConnect(t *testing.T) {
 	f := &fake{cut: make(chan struct{})}
 	second := make(chan struct{})
 	f.away = func(a Attempt) bool { return a.Number >= 2 }
@@ -121,7 +121,7 @@
 	letGo(t, core, f, true)
 }
 
-func TestCoversAreBounded(t *testing.T) {
+func TestLingeringIsBounded(t *testing.T) {
 	f := &fake{script: func(Attempt) (Stream, *Result) { return nil, nil }, cut: make(chan struct{})}
 	defer close(f.cut)
 	core := newCore(t, f)
@@ -150,7 +150,7 @@
 
 // What must not meet an attempt waits until its engine can have learned of its end: a
 // further attempt, and the word that an order never ran. Both take other ways than the end.
-func TestWhatMustNotMeetAnAttemptWaitsForItsEnd(t *testing.T) {
+func TestRefusalWaitsAfterCancel(t *testing.T) {
 	f := &fake{}
 	f.script = func(Attempt) (Stream, *Result) { return nil, nil }
 	core := newCore(t, f)
@@ -203,7 +203,7 @@
 
 // A read that ends while its attempt covers it leaves a state that nothing covers: it is let
 // go at once, whatever becomes of the call that waits for a connection.
-func TestAReadThatEndsUnderCoverIsLetGo(t *testing.T) {
+func TestReadEndingWhileLingeringIsReleased(t *testing.T) {
 	read := make(chan struct{})
 	f := &fake{cut: make(chan struct{})}
 	defer close(f.cut)
--- a/internal/idempotency/keeper_test.go
+++ b/internal/idempotency/keeper_test.go
@@ -31,7 +31,7 @@
 	return e
 }
 
-func TestARestartKeepsKeys(t *testing.T) {
+func TestRestartKeepsKeys(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "keys")
 	k := open(t, path)
 	for _, name := range []string{"whole", "broken", "refused", "running"} {
@@ -60,7 +60,7 @@
 
 // A process that ends without closing the file may have lost the last keys: a retry under
 // an unseen one is not run.
-func TestACrashIsNoticed(t *testing.T) {
+func TestCrashIsDetected(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "keys")
 	k := open(t, path)
 	begin(t, k, "written", deduplication.Run)
@@ -82,7 +82,7 @@
 	begin(t, k, "new", deduplication.Run)
 }
 
-func TestADamagedFileIsSetAside(t *testing.T) {
+func TestDamagedFileIsRenamed(t *testing.T) {
 	for name, spoil := range map[string]func([]byte) []byte{
 		"cut":      func(b []byte) []byte { return b[:len(b)/4] },
 		"tiny":     func([]byte) []byte { return []byte("x") },
--- a/internal/jsonscan/jsonscan_test.go
+++ b/internal/jsonscan/jsonscan_test.go
@@ -91,7 +91,7 @@
 	}
 }
 
-func TestNothingIsAllocated(t *testing.T) {
+func TestNoAllocations(t *testing.T) {
 	event := []byte(`{"id":"x","object":"chat.completion.chunk","choices":[{"index":0,"delta":{"content":"a word"},"finish_reason":null}]}`)
 	if n := testing.AllocsPerRun(100, func() {
 		w := Object(event)
--- a/internal/openai/front_test.go
+++ b/internal/openai/front_test.go
@@ -91,7 +91,7 @@
 
 // A request goes by one file from its head to its answer, though another is read while its
 // body is on the way: neither the team nor the contract of the other is seen.
-func TestARequestGoesByOneFile(t *testing.T) {
+func TestRequestUsesOneConfiguration(t *testing.T) {
 	e := enginetest.NewEngine(t, func(enginetest.Call) string { return enginetest.Stream(2, 0) })
 	url, _, f := serveFront(t, operator, []core.Member{{EngineInfo: routing.EngineInfo{Name: "e1", Kind: config.RoleOpenAI, Zone: "a", Weight: 1}, Addr: e.Addr}})
 	other, err := config.ParseOperator([]byte(strings.NewReplacer(`"k1"`, `"k9"`, `"name": "orders"`, `"name": "works"`, `"parts", "orders", "quick"`, `"parts", "works", "quick"`).Replace(operator)))
@@ -179,7 +179,7 @@
 
 // A place-order stream that breaks, wherever it does, ends in one final answer
 // and is not sent again: its engine may have reserved stock already.
-func TestABrokenOrderIsNotSentAgain(t *testing.T) {
+func TestBrokenOrderIsNotRetried(t *testing.T) {
 	whole := enginetest.Stream(6, 0)
 	random := rand.New(rand.NewPCG(7, 11))
 	for n := range 40 {
@@ -217,7 +217,7 @@
 }
 
 // A lookup may be sent again, but never once its first event has been passed on.
-func TestALookupIsSentAgainBeforeItsFirstEventOnly(t *testing.T) {
+func TestLookupRetriedOnlyBeforeFirstEvent(t *testing.T) {
 	for _, c := range []struct {
 		first  string
 		sent   int
@@ -244,7 +244,7 @@
 
 // A caller that drops mid-stream frees the state its request holds, at two-stage
 // engines by a release and at an OpenAI-only one by the closed connection.
-func TestACallerThatDropsFreesItsState(t *testing.T) {
+func TestClientDisconnectReleasesState(t *testing.T) {
 	whole := enginetest.Stream(6, 0)
 	random := rand.New(rand.NewPCG(3, 5))
 	begun := strings.Index(whole, "w1")
@@ -328,7 +328,7 @@
 	}
 }
 
-func TestASpentBudgetIsRefused(t *testing.T) {
+func TestExhaustedQuotaIsRefused(t *testing.T) {
 	engines, e := one(config.RoleOpenAI, func(enginetest.Call) string { return enginetest.Stream(1, 0) }, t)
 	url, _ := start(t, engines)
 	var got []int
--- a/internal/openai/idempotency_test.go
+++ b/internal/openai/idempotency_test.go
@@ -33,7 +33,7 @@
 }
 
 // What becomes of an order that its client sends again, by how the first try ended.
-func TestAnOrderSentAgain(t *testing.T) {
+func TestOrderReplay(t *testing.T) {
 	whole := enginetest.Stream(3, 0)
 	for _, c := range []struct {
 		name, first   string
@@ -93,7 +93,7 @@
 
 // While an order runs, its client is told to come again; it runs once. When its client
 // goes, its fate is unknown.
-func TestAnOrderUnderWay(t *testing.T) {
+func TestOrderInProgress(t *testing.T) {
 	engines, e := one(config.RoleOpenAI, func(enginetest.Call) string { return enginetest.Hang }, t)
 	url, core := start(t, engines)
 	ctx, leave := context.WithCancel(t.Context())
@@ -121,7 +121,7 @@
 	}
 }
 
-func TestKeysThatAreNone(t *testing.T) {
+func TestInvalidKeys(t *testing.T) {
 	engines, e := one(config.RoleOpenAI, func(enginetest.Call) string { return enginetest.Stream(1, 0) }, t)
 	url, _ := start(t, engines)
 	for _, key := range []string{strings.Repeat("k", maxKey+1), "k\u00e9"} {
@@ -135,7 +135,7 @@
 }
 
 // Whatever engines do within what clients of theirs put up with, the answer is the same.
-func TestEnginesOfOddWays(t *testing.T) {
+func TestEngineDeviations(t *testing.T) {
 	events := []string{chunkOf(0, "null"), chunkOf(0, `"stop"`), `{"choices":[],"usage":{"prompt_tokens":1,"completion_tokens":2}}`, done}
 	join := func(form string) string {
 		out := ""
--- a/internal/openai/resume_test.go
+++ b/internal/openai/resume_test.go
@@ -15,7 +15,7 @@
 
 // Answers that break go on at another engine if their contract says so: what the client
 // has in the end is the answer, without a gap and without a repeat, its events numbered.
-func TestABrokenAnswerGoesOn(t *testing.T) {
+func TestResumeBrokenAnswer(t *testing.T) {
 	const tokens, asked = 12, 40
 	for _, role := range []string{config.RoleOpenAI, config.RoleBoth} {
 		served := map[int]int{}
--- a/internal/openai/rewrite_test.go
+++ b/internal/openai/rewrite_test.go
@@ -179,7 +179,7 @@
 	}
 }
 
-func TestAnAnswerPutTogether(t *testing.T) {
+func TestCollectedAnswer(t *testing.T) {
 	events := []string{
 		`{"system_fingerprint":"fp","choices":[{"index":1,"delta":{"role":"assistant","content":""}},{"index":0,"delta":{"role":"assistant","reasoning_content":"let "}}]}`,
 		`{"system_fingerprint":"fp","choices":[{"index":0,"delta":{"reasoning_content":"me\n"},"logprobs":{"content":[{"token":"a"}],"refusal":null}}]}`,
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -88,7 +88,7 @@
 	return n
 }
 
-func TestThreeFindEachOtherAndOneLeaves(t *testing.T) {
+func TestJoinAndLeave(t *testing.T) {
 	dir := t.TempDir()
 	keys := keyFile(t, dir, "keys", newKey(t))
 	var mu sync.Mutex
@@ -152,7 +152,7 @@
 }
 
 // What strangers send is dropped by kind, and the tier goes on while they flood it.
-func TestStrangersAreDroppedAndCounted(t *testing.T) {
+func TestUnauthenticatedMessagesAreDropped(t *testing.T) {
 	dir := t.TempDir()
 	good := newKey(t)
 	keys := keyFile(t, dir, "keys", good)
@@ -243,7 +243,7 @@
 }
 
 // A counter passes once, however the datagrams are ordered.
-func TestCountersPassOnce(t *testing.T) {
+func TestReplayedMessagesAreDropped(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w, seen, top := &window{}, map[uint64]bool{}, uint64(0)
 		for _, jump := range rapid.SliceOfN(rapid.IntRange(-1200, 1200), 1, 400).Draw(t, "jumps") {
@@ -260,7 +260,7 @@
 
 // A gateway that restarts after its clock went back has a lower instance than before. What
 // comes right after its former life is taken for that life's; after a silence it is heard.
-func TestAClockSetBackMutesNobody(t *testing.T) {
+func TestClockSetBack(t *testing.T) {
 	a, end := begin(t, Options{Name: "a", Keys: ring(t, keyFile(t, t.TempDir(), "keys", newKey(t)))})
 	end() // from here on the test is the goroutine that owns it
 	k := (*a.opt.Keys.keys.Load())[0]
--- a/internal/platform/events_test.go
+++ b/internal/platform/events_test.go
@@ -19,7 +19,7 @@
 // Each event is passed on before the next one comes: the engine writes one only when the
 // client has the one before, so that an event held back or lumped with the next would never
 // arrive. Meanwhile another client takes nothing of a stream without end, and delays nobody.
-func TestEventsGoOnOneByOneBesideASlowClient(t *testing.T) {
+func TestEventsUnbatchedBesideSlowClient(t *testing.T) {
 	addr, r, _, c, _ := gatewayFront(t, read, func(enginetest.Call) string { return enginetest.Stream(1, 0) })
 	const events = 50
 	got, flooded := make(chan int, 1), make(chan bool, 1)
--- a/internal/platform/pauses_test.go
+++ b/internal/platform/pauses_test.go
@@ -9,7 +9,7 @@
 
 // Gateways refused by discovery together must not call again together: the pauses
 // of a fleet spread out and keep their bounds.
-func TestWatchPausesOfAFleetAreNotInStep(t *testing.T) {
+func TestWatchRetryJitter(t *testing.T) {
 	last := map[time.Duration]bool{}
 	pace := watch.PaceFor(2*time.Second, watchBeat)
 	for range 80 {
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -78,7 +78,7 @@
 
 // Engines under ever new ids leave no more behind than a bound, and an old list does
 // not bring back one that has been forgotten.
-func TestRosterForgetsWhoLeft(t *testing.T) {
+func TestRosterForgetsRemoved(t *testing.T) {
 	r := NewRoster()
 	for n := range int64(5 * keepLeft) {
 		id := fmt.Sprint("e", n)
@@ -97,7 +97,7 @@
 }
 
 // A watch that breaks goes on from the revision it had, and forgets no drain.
-func TestWatchGoesOnWhereItBroke(t *testing.T) {
+func TestWatchResumes(t *testing.T) {
 	var mu sync.Mutex
 	var asked []string
 	var got []string
@@ -134,7 +134,7 @@
 
 // Lists may come indented, over several lines and in pieces; a watch reads them all the same,
 // and one that is no list ends it.
-func TestAWatchReadsIndentedLists(t *testing.T) {
+func TestWatchReadsIndentedLists(t *testing.T) {
 	var mu sync.Mutex
 	var asked, got []string
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -261,7 +261,7 @@
 // A client that leaves mid-stream frees what it holds within the pin limit.
 // What a client says of its request reaches its engines as it was said, a key for repeats
 // above all; what is the connection's own or proves who the client is does not.
-func TestAClientsHeadersReachItsEngines(t *testing.T) {
+func TestClientHeadersAreForwarded(t *testing.T) {
 	h := http.Header{
 		"Idempotency-Key": {"k-1"}, "X-Class": {"order"}, "X-Many": {"a", "b"}, "Content-Type": {"text/plain"},
 		"Connection": {"close, X-Hop"}, "X-Hop": {"1"}, "Transfer-Encoding": {"chunked"}, "Content-Length": {"9"},
@@ -284,7 +284,7 @@
 	}
 }
 
-func TestClientDropFreesItsState(t *testing.T) {
+func TestClientDisconnectReleasesState(t *testing.T) {
 	whole := enginetest.Stream(2, 0)
 	addr, r, w, _ := gateway(t, read, func(enginetest.Call) string { return whole[:len(whole)/2] + enginetest.Hang })
 	enginetest.Within(t, 500*time.Millisecond, func() time.Duration {
@@ -338,7 +338,7 @@
 
 // Calls made while discovery is away stay silent for ever: they are given up soon, or a drain
 // that it tells when it is back is learned too late.
-func TestCallsToASilentDiscoveryAreMadeAnew(t *testing.T) {
+func TestSilentDiscoveryIsRetried(t *testing.T) {
 	var mu sync.Mutex
 	var got []string
 	calls := 0
--- a/internal/rolectl/rolectl_test.go
+++ b/internal/rolectl/rolectl_test.go
@@ -168,7 +168,7 @@
 
 // Hard case: the owner is killed at every step. The next one finishes what it finds, or
 // takes it back, and every gateway holds meanwhile.
-func TestTheNextOwnerEndsWhatItFinds(t *testing.T) {
+func TestNewOwnerCompletesChange(t *testing.T) {
 	for _, step := range []rolechange.Step{rolechange.Announced, rolechange.Draining, rolechange.Flipping, rolechange.Warming, rolechange.Settled, rolechange.Undoing} {
 		t.Run(string(step), func(t *testing.T) {
 			t.Parallel()
@@ -208,7 +208,7 @@
 
 // Hard case: a lease ends in the middle. The owner stops; the other goes on with a
 // higher fence, and what the first still believes to be its own is refused everywhere.
-func TestALeaseThatEndsInTheMiddle(t *testing.T) {
+func TestLeaseExpiresMidChange(t *testing.T) {
 	w := newWorld(t)
 	one := w.gate("g1", nil)
 	enginetest.Eventually(t, "g1 owns", func() bool { return one.Status().Mine })
@@ -263,7 +263,7 @@
 
 // Hard case: Consul is away in the middle. Gateways hold on, nobody owns, and the
 // change ends once it is back.
-func TestConsulIsAwayInTheMiddle(t *testing.T) {
+func TestConsulUnavailableMidChange(t *testing.T) {
 	w := newWorld(t)
 	g := w.gate("g1", func(o *Options) {
 		o.Limits.See = time.Hour
@@ -287,7 +287,7 @@
 
 // Hard case: gateways see a mark at different times. The engine is told to drain only
 // once all hold to it, or the time for that is over.
-func TestAGatewayThatSeesTheMarkLate(t *testing.T) {
+func TestLateDrainMark(t *testing.T) {
 	w := newWorld(t)
 	g := w.gate("g1", func(o *Options) {
 		o.Limits.See = 1500 * time.Millisecond
@@ -333,7 +333,7 @@
 }
 
 // An engine that comes back in its old role is what it says, at once.
-func TestItComesBackInItsOldRole(t *testing.T) {
+func TestEngineRestartsInOldRole(t *testing.T) {
 	w := newWorld(t)
 	g := w.gate("g1", func(o *Options) { o.Limits.Cold = time.Minute })
 	w.leave(g, "w1", "read", rolechange.Announced)
--- a/internal/sse/sse_test.go
+++ b/internal/sse/sse_test.go
@@ -96,7 +96,7 @@
 	})
 }
 
-func TestAnEventWithoutEndIsRefused(t *testing.T) {
+func TestUnterminatedEventIsRefused(t *testing.T) {
 	var s Scanner
 	var err error
 	for range 2 * MaxEvent / 1024 {
@@ -109,7 +109,7 @@
 	}
 }
 
-func TestNothingIsAllocated(t *testing.T) {
+func TestNoAllocations(t *testing.T) {
 	text := []byte(strings.Repeat("data: {\"a\":1}\n\n", 20) + "data: {\"b")
 	var s Scanner
 	each := func(Event) error { return nil }
--- a/internal/streambuffer/streambuffer_test.go
+++ b/internal/streambuffer/streambuffer_test.go
@@ -84,7 +84,7 @@
 	}
 }
 
-func TestAWholeStream(t *testing.T) {
+func TestCompleteStream(t *testing.T) {
 	s, tk := newSource(false), &ticket{}
 	for _, p := range []string{"a", "b", "c"} {
 		s.parts <- p
@@ -98,7 +98,7 @@
 	tk.once(t, routing.StatusServed)
 }
 
-func TestABreak(t *testing.T) {
+func TestBrokenStream(t *testing.T) {
 	s, tk := newSource(true), &ticket{}
 	s.parts <- "a"
 	close(s.parts)
@@ -110,7 +110,7 @@
 	tk.once(t, routing.StatusReset)
 }
 
-func TestWhatCannotBeTakenEndsTheAttempt(t *testing.T) {
+func TestBufferOverflowEndsAttempt(t *testing.T) {
 	wrong := errors.New("wrong")
 	for name, p := range map[string]Pipe{
 		"in the middle": {Take: func(dst, p []byte) ([]byte, error) { return append(dst, "before"...), wrong }},
@@ -130,7 +130,7 @@
 
 // A client that does not read keeps nobody: the stream is read to its end meanwhile, and
 // the client gets all of it once it reads.
-func TestASlowClientDoesNotHoldTheEngine(t *testing.T) {
+func TestSlowClientDoesNotBlockEngine(t *testing.T) {
 	s, tk := newSource(false), &ticket{}
 	s.parts <- "first"
 	blocked, read := make(chan struct{}), make(chan struct{})
@@ -166,7 +166,7 @@
 }
 
 // What is held for a slow client is bounded, by itself and over all.
-func TestAClientThatIsTooSlowIsCut(t *testing.T) {
+func TestTooSlowClientIsDisconnected(t *testing.T) {
 	for name, b := range map[string]*Bounds{"its own bound": NewBounds(5*time.Millisecond, 20, 1000), "that of all": NewBounds(5*time.Millisecond, 1000, 20)} {
 		t.Run(name, func(t *testing.T) {
 			all := b.Left()
@@ -201,7 +201,7 @@
 	}
 }
 
-func TestAClientThatGoes(t *testing.T) {
+func TestClientLeaves(t *testing.T) {
 	gone := errors.New("gone")
 	t.Run("at a write", func(t *testing.T) {
 		s, tk := newSource(false), &ticket{}
--- a/internal/upstream/held_test.go
+++ b/internal/upstream/held_test.go
@@ -279,7 +279,7 @@
 // While none of a request's attempts is out, what is held for it at an engine is taken or
 // let go within the pin limit and the slack of the protocol page: under any customer's
 // settings, and whatever engines, connections and clients do meanwhile.
-func TestNothingIsHeldPastItsLimit(t *testing.T) {
+func TestHeldStatesUnderDrawnFaults(t *testing.T) {
 	first, last := uint64(1), uint64(heldSeeds)
 	if n := number(t, "HELD_SEEDS"); n > 0 {
 		last = n
--- a/internal/upstream/memory_test.go
+++ b/internal/upstream/memory_test.go
@@ -139,7 +139,7 @@
 
 // Requests that are over leave nothing behind: not those that were served, turned away,
 // broken off or left, nor their connections, timers and releases.
-func TestRequestsLeaveNoMemoryBehind(t *testing.T) {
+func TestMemoryIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCrowd(t)
 		c.ask(t, 500)
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -78,7 +78,7 @@
 // A second answer may come when its connection is idle again, or carries the next request
 // already: then nothing tells it from that one's. So the next request goes another way while
 // one may still come, and never on a connection on which one has.
-func TestNoRequestIsWrittenWhereASecondAnswerMayCome(t *testing.T) {
+func TestNoReuseBeforeSettle(t *testing.T) {
 	second := make(chan struct{})
 	server := enginetest.NewEngine(t, func(c enginetest.Call) string {
 		if c.N == 2 { // a call of the same connection, that stands for what its engine does later
@@ -130,7 +130,7 @@
 
 // An attempt that is cancelled while its connection comes up gives that connection back to
 // the count of open ones once, not twice: the bound on connections would grow with each.
-func TestACancelledAttemptCountsItsConnectionOnce(t *testing.T) {
+func TestCancelledAttemptCountsConnectionOnce(t *testing.T) {
 	server := enginetest.NewEngine(t, func(enginetest.Call) string { return enginetest.Hang })
 	dialled, goOn := make(chan struct{}), make(chan struct{})
 	p := NewPool(Options{Dial: func(_ context.Context, network, addr string) (net.Conn, error) {
--- a/internal/upstream/release_test.go
+++ b/internal/upstream/release_test.go
@@ -32,7 +32,7 @@
 }
 
 // A release is tried until its engine has answered it, and no other engine is told then.
-func TestReleaseIsTriedAgain(t *testing.T) {
+func TestReleaseRetriesUntilAnswered(t *testing.T) {
 	server := enginetest.NewEngine(t, func(c enginetest.Call) string {
 		if c.N < 3 {
 			return enginetest.Cut
@@ -56,7 +56,7 @@
 
 // As long as the engine is not reached others are told, one after the other, and again once
 // one has been: an attempt may have waited for the state until then.
-func TestAReleaseIsToldElsewhere(t *testing.T) {
+func TestReleaseAtOtherEngine(t *testing.T) {
 	first := enginetest.NewEngine(t, func(enginetest.Call) string { return enginetest.Cut })
 	second := enginetest.NewEngine(t, func(enginetest.Call) string { return letGo })
 	ended, stop := startRelease(t, core.Release{
@@ -78,7 +78,7 @@
 }
 
 // An engine that nobody runs is given up in time.
-func TestAReleaseIsGivenUp(t *testing.T) {
+func TestReleaseGivesUp(t *testing.T) {
 	ended, _ := startRelease(t, core.Release{At: core.Member{Addr: nobody(t)}, Until: time.Now()})
 	if err := <-ended; err == nil {
 		t.Error("let go, though nobody listens")
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -91,7 +91,7 @@
 	}
 }
 
-func TestNoConnectionIsProvenNotToHaveRun(t *testing.T) {
+func TestRefusedConnectionNeverRan(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -104,7 +104,7 @@
 
 // A request on a kept connection that breaks may have run: it must not be sent
 // anew by the transport, as net/http's client would do.
-func TestABreakOnAKeptConnectionIsNotResent(t *testing.T) {
+func TestResetOnReusedConnectionIsNotRetried(t *testing.T) {
 	server := enginetest.NewEngine(t, func(c enginetest.Call) string {
 		if c.N == 2 {
 			return enginetest.Cut
@@ -124,7 +124,7 @@
 }
 
 // A second answer right behind a good one must not be taken for the next request's.
-func TestASecondAnswerHarmsNothing(t *testing.T) {
+func TestSecondAnswerIsIgnored(t *testing.T) {
 	server := enginetest.NewEngine(t, func(c enginetest.Call) string {
 		return enginetest.Status(202, "", fmt.Sprintf(`{"cached_tokens":%d}`, c.N)) + enginetest.Status(202, "", `{"cached_tokens":99}`)
 	})
@@ -138,7 +138,7 @@
 
 // An engine is told the time that is left when its request is written: a connection that
 // comes up late, and what is waited for before, have taken their part.
-func TestTheTimeToldIsWhatIsLeft(t *testing.T) {
+func TestDeadlineToldIsTimeLeft(t *testing.T) {
 	server := enginetest.NewEngine(t, func(enginetest.Call) string { return enginetest.Status(202, "", "{}") })
 	const limit, taken = 10 * time.Second, 60 * time.Millisecond
 	end := make(chan core.Result, 1)
@@ -152,7 +152,7 @@
 	}
 }
 
-func TestGivingUpClosesTheConnection(t *testing.T) {
+func TestCancelClosesConnection(t *testing.T) {
 	server := enginetest.NewEngine(t, func(enginetest.Call) string { return enginetest.Hang })
 	attempt := engine(t).Start(core.Attempt{
 		To: core.Member{Addr: server.Addr}, Limit: time.Minute, Payload: core.Payload{Method: "POST", Target: "/"},
@@ -165,7 +165,7 @@
 
 // Nothing is written for a client that has left, and an attempt can be taken back as long as
 // nothing has been.
-func TestAnAttemptIsTakenBackBeforeItIsWritten(t *testing.T) {
+func TestWithdrawBeforeWrite(t *testing.T) {
 	server := enginetest.NewEngine(t, func(enginetest.Call) string { return enginetest.Hang })
 	start := func(a core.Attempt) (core.Handle, chan core.Result) {
 		a.To, a.Limit, a.Payload = core.Member{Addr: server.Addr}, time.Minute, core.Payload{Method: "POST", Target: "/"}
--- a/routing/cold_test.go
+++ b/routing/cold_test.go
@@ -24,7 +24,7 @@
 // It holds at large and at small engines, where each router's part is far below one call,
 // where half of the engines that carried the work have just left, and where the routers know
 // nothing yet.
-func TestAColdServerBearsWhatAllRoutersSend(t *testing.T) {
+func TestColdBudgetOverAllRouters(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		capacity float64 // requests a second of each engine
--- a/routing/failure_test.go
+++ b/routing/failure_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestSilentServerSetAsideAndTriedAgain(t *testing.T) {
+func TestSilentEngineEjectedAndRetried(t *testing.T) {
 	r := router(t, testSettings(), server("a", "r", 0), server("b", "r", 0), server("c", "r", 0), server("w", "w", 0))
 	for range 2 {
 		r.blame(r.engines["a"], 1, 1)
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestBusyPeersDoNotShieldAFailingServer(t *testing.T) {
+func TestFailingEngineAmongBusyPeers(t *testing.T) {
 	var list []EngineInfo
 	for i := range 8 {
 		list = append(list, server(fmt.Sprint("r", i), "r", 0))
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestNobodyIsToBlameForWhatAllSuffer(t *testing.T) {
+func TestCommonFailureEjectsNone(t *testing.T) {
 	r := router(t, testSettings(), server("a", "r", 0), server("b", "r", 0), server("c", "r", 0))
 	for range 6 {
 		for _, w := range r.order {
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestTimeoutAtABusyServerIsNoBlame(t *testing.T) {
+func TestTimeoutAtBusyEngineIsNoFailure(t *testing.T) {
 	r := router(t, testSettings(), server("a", "r", 0), server("w", "w", 0))
 	sent(t, r.Handle(ms, ask(1, 500)))
 	sent(t, r.Handle(2*ms, ask(2, 500)))
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestAHungAttemptIsWithdrawnAndSpeaksForNobody(t *testing.T) {
+func TestHungAttemptIsWithdrawn(t *testing.T) {
 	r := router(t, testSettings(), server("a", "r", 0), server("w", "w", 0))
 	sent(t, r.Handle(ms, ask(1, 500))) // its answer is lost on the way
 	now := 2 * ms
@@ -101,7 +101,7 @@
 	t.Error("an attempt that 38 later ones passed was never withdrawn")
 }
 
-func TestStuckWritersDoNotSpeakForTheRest(t *testing.T) {
+func TestStuckDecodeEnginesDoNotSkewEstimate(t *testing.T) {
 	r := router(t, testSettings(), server("w1", "w", 0), server("w2", "w", 0), server("w3", "w", 0))
 	r.now = 5 * time.Second
 	for range 3 {
--- a/routing/fleet_test.go
+++ b/routing/fleet_test.go
@@ -24,7 +24,7 @@
 }
 
 // A cold engine that looks empty to 200 routers would draw a first send from each.
-func TestManyRoutersTogetherSpareAColdServer(t *testing.T) {
+func TestManyRoutersSpareColdEngine(t *testing.T) {
 	set, now := testSettings(), 20*time.Second
 	cold := server("cold", "r", 0)
 	cold.CameUp = now
@@ -68,7 +68,7 @@
 }
 
 // Each router would learn a kept text anew; they must expect it at the same prefill engine.
-func TestRoutersExpectATextAtTheSameReader(t *testing.T) {
+func TestRoutersAgreeOnPrefixHome(t *testing.T) {
 	perText := map[string]map[string]bool{}
 	for i, r := range fleet(t, 60, testSettings(), prefillEngines(20)...) {
 		q := ask(RequestID(i), 4000)
@@ -88,7 +88,7 @@
 
 // To have seen a text once says nothing of its share: each of many routers would give every
 // rare text more homes, and each home would have to read it first.
-func TestATextSeenOnceHasNoMoreHomesThanAny(t *testing.T) {
+func TestRarePrefixHasTwoHomes(t *testing.T) {
 	at, again := map[string]bool{}, map[string]bool{}
 	for i, r := range fleet(t, 200, testSettings(), prefillEngines(90)...) {
 		q := ask(RequestID(i), 4000)
@@ -109,7 +109,7 @@
 }
 
 // Reads follow the decode engines of their cells, and what is over goes to cells that lack prefill engines.
-func TestReadsAndAnswersAreSpreadEvenlyOverUnevenCells(t *testing.T) {
+func TestSpreadOverUnevenCells(t *testing.T) {
 	var servers []EngineInfo
 	for i := range 6 {
 		servers = append(servers, server(fmt.Sprint("ra", i), "r", 1), server(fmt.Sprint("wb", i), "w", 2))
@@ -133,7 +133,7 @@
 // Among many routers each sees a prefill engine too seldom to know its queue: before a
 // request's first choice the likeliest prefill engine is probed, and the request goes by the
 // report. A lost probe delays it by a tick at most; a prefill engine awaited is not asked again.
-func TestManyRoutersAskReadersForTheirQueues(t *testing.T) {
+func TestManyRoutersProbePrefillEngines(t *testing.T) {
 	set := testSettings()
 	set.Routers, set.CanProbe = 80, true
 	servers := []EngineInfo{server("r1", "r", 0), server("r2", "r", 0), server("w1", "w", 0)}
--- a/routing/policy_test.go
+++ b/routing/policy_test.go
@@ -10,7 +10,7 @@
 
 // Engines under ever new names leave nothing behind; one whose attempt is out is kept
 // until it has ended, and until what was sent to it no longer counts.
-func TestServersThatLeaveAreForgotten(t *testing.T) {
+func TestRemovedEnginesAreForgotten(t *testing.T) {
 	set := testSettings()
 	r := router(t, set, server("r1", "r", 0), server("w1", "w", 0))
 	r.Handle(time.Second, ask(1, 100))
@@ -69,7 +69,7 @@
 	}
 }
 
-func TestCapSetAsideWhenAllAreCapped(t *testing.T) {
+func TestCapIgnoredWhenAllAreCapped(t *testing.T) {
 	// One prefill engine alone may always hold 2.0 times all; the pool of the rest is empty only for none.
 	r := router(t, testSettings(), server("a", "r", 0), server("w", "w", 0))
 	for id := RequestID(1); id <= 4; id++ {
@@ -140,7 +140,7 @@
 	}
 }
 
-func TestWriterInCellThenOut(t *testing.T) {
+func TestDecodeInCellThenOutside(t *testing.T) {
 	r := router(t, testSettings(), server("a", "r", 1), server("near", "w", 1), server("near2", "w", 1),
 		server("far", "w", 2), server("b", "r", 2))
 	r.engines["b"].fullTo["\x00c"] = time.Minute // the plan is even; only a reads
@@ -169,7 +169,7 @@
 	}
 }
 
-func TestStateReleasedWhenNoWriter(t *testing.T) {
+func TestStateReleasedWithoutDecode(t *testing.T) {
 	r := router(t, testSettings(), server("a", "r", 0), server("w", "w", 0))
 	sent(t, r.Handle(ms, ask(1, 500)))
 	r.Handle(2*ms, Roster{Scope: RosterFull, Engines: []EngineInfo{server("a", "r", 0)}})
@@ -205,7 +205,7 @@
 	}
 }
 
-func TestColdServerGetsABoundedBurst(t *testing.T) {
+func TestColdEngineGetsBoundedBurst(t *testing.T) {
 	warm := []EngineInfo{server("a", "r", 0), server("b", "r", 0), server("w", "w", 0)}
 	r := router(t, testSettings(), warm...)
 	now, id := time.Duration(0), RequestID(0)
@@ -305,7 +305,7 @@
 
 // The failures below were found on the bench; each test fails without its answer.
 
-func TestFullMixedServerRefuses(t *testing.T) {
+func TestFullMixedEngineRefuses(t *testing.T) {
 	r := router(t, testSettings(), server("m", "m", 0))
 	r.engines["m"].memory = 1e5 // of two routers each: all of it
 	if a := r.Handle(ms, ask(1, 500)); !has[Refuse](a) {
@@ -313,7 +313,7 @@
 	}
 }
 
-func TestAnswersCountAgainstReadsAtAMixedServer(t *testing.T) {
+func TestAnswersCountAtMixedEngine(t *testing.T) {
 	r := router(t, testSettings(), server("m", "m", 0), server("a", "r", 0), server("w", "w", 0))
 	r.engines["m"].answers = 20
 	for id := RequestID(1); id < 20; id++ {
@@ -324,7 +324,7 @@
 	}
 }
 
-func TestLastAttemptIsNotSpentOnAWriter(t *testing.T) {
+func TestLastAttemptIsNotSpentOnDecode(t *testing.T) {
 	set := testSettings()
 	set.MaxAttempts = 1
 	r := router(t, set, server("a", "r", 0), server("w", "w", 0))
@@ -336,7 +336,7 @@
 }
 
 // Memory that seems short turns a request away only where answers are seen to wait for it.
-func TestNoRoomAtWritersRefusesBeforeTheRead(t *testing.T) {
+func TestFullDecodeEnginesRefuseBeforeRead(t *testing.T) {
 	for _, c := range []struct {
 		first   float64 // seconds to the first token, as usual
 		refused bool
@@ -352,7 +352,7 @@
 
 // A repeat of a guarded request must arrive within the window that opened with the first
 // attempt: one that could come late, as its connection has yet to come up, is not sent.
-func TestAGuardedRepeatArrivesWithinItsWindow(t *testing.T) {
+func TestGuardedRepeatWithinWindow(t *testing.T) {
 	for _, c := range []struct {
 		delay, at Time
 		repeated  bool
@@ -409,7 +409,7 @@
 
 // Under one wait for all, work of less worth is turned away before it makes work of more
 // worth late, though its own aim is far; with no worthier work about it is not.
-func TestWorkOfLessWorthGivesWay(t *testing.T) {
+func TestLessWorthyWorkYields(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		gain    float64 // of the class with the near aim
--- a/routing/quota_test.go
+++ b/routing/quota_test.go
@@ -7,7 +7,7 @@
 
 // Engines that limit one tenant have room: it is tried elsewhere, and nobody else avoids them.
 // In an overload all are turned away alike, and the retry budget holds.
-func TestALimitedTenantIsToldFromAnOverload(t *testing.T) {
+func TestTenantLimitVersusOverload(t *testing.T) {
 	for _, limited := range []bool{true, false} {
 		r := router(t, testSettings(), server("a", "r", 0), server("b", "r", 0), server("w", "w", 0))
 		now, second := 10*ms, 0
@@ -43,7 +43,7 @@
 
 // BenchmarkRequest plays whole requests over pools of growing size.
 // A spent budget was only valued less, so that an idle pool served any excess.
-func TestSpentBudgetIsRefusedWithAdvice(t *testing.T) {
+func TestExhaustedQuotaIsRefusedWithAdvice(t *testing.T) {
 	set := testSettings()
 	set.Routers, set.Tenants = 1, []Tenant{{Name: "team", Quota: 0.4}}
 	r := router(t, set, server("m1", "m", 0))
@@ -67,7 +67,7 @@
 }
 
 // What is learned of one tenant's class is never another's, whatever the two are called.
-func TestTenantsOfLikeNamesShareNoLimit(t *testing.T) {
+func TestTenantNamesAreNotConfused(t *testing.T) {
 	one := &request{Request: Request{Tenant: "a|b", Class: "c"}}
 	other := &request{Request: Request{Tenant: "a", Class: "b|c"}}
 	if rateKey(one) == rateKey(other) {
--- a/routing/reports_test.go
+++ b/routing/reports_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestOldestReadIsNoReasonToMoveASession(t *testing.T) {
+func TestOldestReadDoesNotMoveSession(t *testing.T) {
 	r := router(t, testSettings(), server("a", "r", 0), server("b", "r", 0), server("w", "w", 0))
 	q := ask(1, 4000)
 	keep(r, "a", q.Session, 3999)
@@ -21,7 +21,7 @@
 
 // What a deployment counts as waiting differs: whole prompts, or what of them is not kept.
 // The time that reads took tells what a reported token stands for against one to be read.
-func TestReportedTokensAreWorthWhatTheyTake(t *testing.T) {
+func TestReportedTokensAreWeighed(t *testing.T) {
 	for _, c := range []struct{ worth, noise, want float64 }{{1, 0, 1}, {0.25, 0, 0.25}, {0.25, 0.3, 0.25}, {0, 0, 0.1}, {5, 0, 1}} {
 		rng := rand.New(rand.NewPCG(4, 4))
 		var f shown
@@ -40,7 +40,7 @@
 
 // Where decode engines read, one with memory to spare takes a prompt for which every prefill engine has
 // a long queue; nowhere else, and not one that is full or reads already.
-func TestWritersReadWhereReadersHaveAQueue(t *testing.T) {
+func TestDecodePrefillsUnderQueue(t *testing.T) {
 	queued, full := 40_000.0, 0.9
 	for _, c := range []struct {
 		name    string
@@ -77,7 +77,7 @@
 // A report is believed by its age, the peers' mean in its place as it ages, and what this
 // router has sent since comes on top; before, an old one counted in full for 1.5 s, then not
 // at all, and a queue of 40,000 tokens was one of none a moment later.
-func TestReportsAreBelievedByAge(t *testing.T) {
+func TestReportsDecayWithAge(t *testing.T) {
 	long, short := 40_000.0, 0.0
 	r := router(t, testSettings(), server("a", "r", 0), server("b", "r", 0), server("w", "w", 0))
 	a, b := r.engines["a"], r.engines["b"]
@@ -106,7 +106,7 @@
 
 // A refusal for want of retries advises the wait that is seen, not a part of the aim: short
 // where nobody waits, long where the oldest have waited long, and not the same for all.
-func TestAdviceFollowsTheWaitSeen(t *testing.T) {
+func TestRetryAfterFollowsObservedWait(t *testing.T) {
 	advice := func(crowd int) (all []time.Duration) {
 		for id := RequestID(100); id < 110; id++ {
 			set := testSettings()
@@ -140,7 +140,7 @@
 
 // Among many routers a prefill engine with none of our own reads is not idle if its fresh report
 // shows a queue: what can't be in time there is refused, not tried.
-func TestAReportedQueueIsNotIdle(t *testing.T) {
+func TestReportedQueueCountsAsLoad(t *testing.T) {
 	for _, c := range []struct {
 		queue   float64
 		at      time.Duration // of the request, after the report
