--- a/cmd/wellgw/main_test.go
+++ b/cmd/wellgw/main_test.go
@@ -297,7 +297,7 @@
 }
 
 // The program serves on the socket it inherits, answers calls at the address
-// EDGE_CONTROL names, drains and comes back by call, and keeps bans in TMPDIR.
+// EDGE_CONTROL names, drains and comes back by call, and keeps ejections in TMPDIR.
 func TestCallsOnAnInheritedSocket(t *testing.T) {
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.WriteString(w, `{"revision":2,"complete":true,"members":[{"id":"r1","host_port":"127.0.0.1:1","locality":"a","flavor":"r","phase":"active"},{"id":"w1","host_port":"127.0.0.1:1","locality":"a","flavor":"w","phase":"active"}]}`+"\n")
@@ -347,7 +347,7 @@
 		t.Errorf("an idle connection outlived the drain: %d %v", n, err)
 	}
 	if text, err := os.ReadFile(tmp + "/wellgw-bans-n1"); err != nil || string(text) != "w1\n" {
-		t.Errorf("file of bans: %q %v", text, err)
+		t.Errorf("file of ejections: %q %v", text, err)
 	}
 	if code := health(url); code != http.StatusServiceUnavailable {
 		t.Errorf("health in standby: %d", code)
--- a/cmd/wellgw/operate.go
+++ b/cmd/wellgw/operate.go
@@ -40,7 +40,7 @@
 // standbyFront is a front that can send clients away for a while.
 type standbyFront interface{ Standby(on bool) }
 
-// operate sets up the desk for operators' calls: the bans an earlier process left,
+// operate sets up the desk for operators' calls: the ejections an earlier process left,
 // the watch on the files shared with another process, the call line where the
 // configuration names one, and the settings taken on SIGHUP. handOver, nil where
 // the clients' socket is not shared, is called once a newer version is ready.
@@ -64,7 +64,7 @@
 		},
 		Log: g.log,
 	}
-	// Bans come only by calls, here or in the other process of an upgrade; where
+	// Ejections come only by calls, here or in the other process of an upgrade; where
 	// neither can be, nothing is read or polled.
 	if g.name != "" && (g.control != "" || handOver != nil) {
 		desk.Store = ejectionfile.Open(os.TempDir(), g.name)
--- a/cmd/wellgw/serve.go
+++ b/cmd/wellgw/serve.go
@@ -104,7 +104,7 @@
 	killed  bool                  // SIGKILL follows SIGTERM by the platform's clock; elsewhere nobody says when
 	log     *slog.Logger
 
-	name    string                      // of the gateway, for the file of bans; "" keeps none
+	name    string                      // of the gateway, for the file of ejections; "" keeps none
 	control string                      // where operators call; "" for nowhere
 	retune  func(next *config.Platform) // takes new settings on SIGHUP; set by run
 }
--- a/decide/ejection/ejection.go
+++ b/decide/ejection/ejection.go
@@ -22,14 +22,14 @@
 	listed map[string]bool
 	order  []string // of listed, oldest first
 	out    map[string]bool
-	outAt  map[string]routing.Time // when each ban in force began
-	back   map[string]ret          // bans that ended, while they may still count
+	outAt  map[string]routing.Time // when each ejection in force began
+	back   map[string]ret          // ejections that ended, while they may still count
 }
 
-// ret is the end of a ban.
+// ret is the end of an ejection.
 type ret struct{ out, at routing.Time } // when it began and ended
 
-// New returns an empty set of bans.
+// New returns an empty set of ejections.
 func New() *Set {
 	return &Set{listed: map[string]bool{}, out: map[string]bool{}, outAt: map[string]routing.Time{}, back: map[string]ret{}}
 }
@@ -63,7 +63,7 @@
 	return names
 }
 
-// Change is what a call or a new set of bans did.
+// Change is what a call or a new set of ejections did.
 type Change struct {
 	Out  []string // now out, and not before
 	Back []string // back, and out before
@@ -87,7 +87,7 @@
 	return b.take(next, now), true
 }
 
-// Take makes names the whole set of bans, as another process of the same
+// Take makes names the whole set of ejections, as another process of the same
 // gateway has written it.
 func (b *Set) Take(names []string, now routing.Time) Change {
 	next := map[string]bool{}
@@ -123,7 +123,7 @@
 
 // Show returns the entry that the module is to see for s: draining while it is
 // out. An engine out by hand is restarted meanwhile and comes back cold: a start
-// that the list shows after the ban began stands; without one, the engine is shown
+// that the list shows after the ejection began stands; without one, the engine is shown
 // as started at its return, until the list tells of a later start.
 func (b *Set) Show(s routing.EngineInfo) routing.EngineInfo {
 	if b.out[s.Name] {
--- a/decide/ejection/ejection_test.go
+++ b/decide/ejection/ejection_test.go
@@ -33,7 +33,7 @@
 			_, ok := b.Call("e1", false, now+time.Second)
 			return ok
 		}, true, nil, routing.PhaseOn, now + time.Second},
-		{"back without a ban", func(b *Set) bool { _, ok := b.Call("e1", false, now); return ok }, true, nil, routing.PhaseOn, 0},
+		{"back without an ejection", func(b *Set) bool { _, ok := b.Call("e1", false, now); return ok }, true, nil, routing.PhaseOn, 0},
 		{"taken from a file", func(b *Set) bool { b.Take([]string{"e1", "gone"}, now); return true }, true, []string{"e1", "gone"}, routing.PhaseDraining, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -53,7 +53,7 @@
 	}
 }
 
-// After a ban, a start that the list showed during it stands; without one the
+// After an ejection, a start that the list showed during it stands; without one the
 // engine is shown as started at its return, until the list shows a later start.
 func TestReturnedEngineIsCold(t *testing.T) {
 	for _, c := range []struct {
@@ -62,7 +62,7 @@
 		want  []routing.Time
 	}{
 		{"no restart seen", []routing.Time{5, 5}, []routing.Time{20, 20}},
-		{"restart seen during the ban", []routing.Time{15, 5}, []routing.Time{15, 5}},
+		{"restart seen during the ejection", []routing.Time{15, 5}, []routing.Time{15, 5}},
 		{"restart seen after the return", []routing.Time{5, 30, 5}, []routing.Time{20, 30, 5}},
 	} {
 		b := New()
--- a/internal/core/ejection.go
+++ b/internal/core/ejection.go
@@ -37,7 +37,7 @@
 // now is the module's clock.
 func (c *Core) now() routing.Time { return time.Since(c.origin) }
 
-// showEjections shows the module the engines whose ban began or ended.
+// showEjections shows the module the engines whose ejection began or ended.
 func (c *Core) showEjections(ch ejection.Change) {
 	ev := routing.Roster{Scope: routing.RosterChanges}
 	for _, names := range [][]string{ch.Out, ch.Back} {
--- a/internal/core/ejection_test.go
+++ b/internal/core/ejection_test.go
@@ -23,7 +23,7 @@
 	if names, ok := c.Eject(t.Context(), "w1", true); !ok || len(names) != 1 {
 		t.Fatalf("a second call out: %v %v", names, ok)
 	}
-	// The list says it is on: the ban holds.
+	// The list says it is on: the ejection holds.
 	c.Roster(routing.RosterFull, []Member{
 		{EngineInfo: routing.EngineInfo{Name: "r1", Kind: "r", Weight: 1}},
 		{EngineInfo: routing.EngineInfo{Name: "w1", Kind: "w", Weight: 1}},
@@ -39,7 +39,7 @@
 	sent := slices.Clone(f.attempts)
 	f.mu.Unlock()
 	if slices.Contains(sent, "w1") || !slices.Contains(sent, "w2") {
-		t.Fatalf("attempts during the ban: %v", sent)
+		t.Fatalf("attempts during the ejection: %v", sent)
 	}
 	if names, ok := c.Eject(t.Context(), "w1", false); !ok || len(names) != 0 {
 		t.Fatalf("back: %v %v", names, ok)
--- a/internal/ejectionfile/ejectionfile.go
+++ b/internal/ejectionfile/ejectionfile.go
@@ -18,10 +18,10 @@
 // maxSize bounds what is read of the file, in bytes.
 const maxSize = 1 << 20
 
-// Store is the file of one gateway's bans. It is safe for use by several
+// Store is the file of one gateway's ejections. It is safe for use by several
 // goroutines.
 type Store struct {
-	path  string // of the bans
+	path  string // of the ejections
 	ready string // of the process that is ready
 	mu    sync.Mutex
 	last  []byte // the content last written or read here
@@ -50,7 +50,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := writeAside(s.path, string(text)); err != nil {
-		return fmt.Errorf("bans: %w", err)
+		return fmt.Errorf("ejections: %w", err)
 	}
 	s.last = text
 	return nil
@@ -81,17 +81,17 @@
 		return []byte{}, nil
 	}
 	if err != nil {
-		return nil, fmt.Errorf("bans: %w", err)
+		return nil, fmt.Errorf("ejections: %w", err)
 	}
 	if info.Size() > maxSize {
-		return nil, fmt.Errorf("bans: %s is over %d bytes", path, maxSize)
+		return nil, fmt.Errorf("ejections: %s is over %d bytes", path, maxSize)
 	}
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return []byte{}, nil
 	}
 	if err != nil {
-		return nil, fmt.Errorf("bans: %w", err)
+		return nil, fmt.Errorf("ejections: %w", err)
 	}
 	return text, nil
 }
--- a/internal/ejectionfile/ready.go
+++ b/internal/ejectionfile/ready.go
@@ -23,7 +23,7 @@
 	return o.PID > s.PID
 }
 
-// MarkReady says in the file beside the bans that s is ready to serve.
+// MarkReady says in the file beside the ejections that s is ready to serve.
 func (s *Store) MarkReady(self Self) error {
 	return writeAside(s.ready, strconv.FormatInt(self.Started.UnixNano(), 10)+" "+strconv.Itoa(self.PID)+"\n")
 }
--- a/internal/operate/operate.go
+++ b/internal/operate/operate.go
@@ -13,7 +13,7 @@
 )
 
 // Look is how often the files shared with the other process of an upgrade are
-// read: its bans, and whether it is a newer version that is ready.
+// read: its ejections, and whether it is a newer version that is ready.
 const Look = 100 * time.Millisecond
 
 // Core is what of the core the desk needs.
@@ -25,7 +25,7 @@
 // Desk answers calls. Its fields are set before the first call.
 type Desk struct {
 	Core    Core
-	Store   *ejectionfile.Store // nil keeps bans in this process alone
+	Store   *ejectionfile.Store // nil keeps ejections in this process alone
 	Ready   func() bool         // this process can serve
 	Standby func(on bool)       // clients are sent away while on
 	Log     *slog.Logger
@@ -38,14 +38,14 @@
 	mu sync.Mutex // one call on engines at a time, file included
 }
 
-// Load reads the bans that an earlier process left and gives them to the core.
+// Load reads the ejections that an earlier process left and gives them to the core.
 func (d *Desk) Load() {
 	if d.Store == nil {
 		return
 	}
 	names, changed, err := d.Store.Read()
 	if err != nil {
-		d.Log.Error("bans not read", "cause", err)
+		d.Log.Error("ejections not read", "cause", err)
 		return
 	}
 	if changed {
@@ -105,7 +105,7 @@
 		}
 		if d.Store != nil {
 			if err := d.Store.Write(names); err != nil {
-				d.Log.Error("bans not written; they hold in this process only", "cause", err)
+				d.Log.Error("ejections not written; they hold in this process only", "cause", err)
 			}
 		}
 		return true
