--- a/decide/rolechange/rolechange.go
+++ b/decide/rolechange/rolechange.go
@@ -137,87 +137,117 @@
 		r.Fence, r.Owner, r.Since = f.Fence, f.Owner, f.Now // the step's time begins anew: nobody saw to it meanwhile
 		return Action{Write: true, Record: r, Why: "taken over from its last owner"}
 	}
-	in := f.Now.Sub(r.Since)
 	if !f.Listed && f.Silent >= l.Lost {
 		return end(r, Failed, "the engine is gone")
 	}
-	if f.Report == nil && f.Silent >= l.Lost {
-		switch r.Step {
-		case Announced, Draining:
-			// Nothing has been changed: should it come back, it is as it was.
-			return end(r, Failed, "the engine does not answer")
-		case Undoing:
-			return end(r, Failed, "the engine does not answer; it was to stay as it is")
-		}
-		// It may have flipped: what it is is known once it answers, or is listed no more.
-		return Action{Record: r, Why: "waiting for the engine to answer"}
-	}
 	if f.Report == nil {
-		return Action{Record: r, Why: "the engine does not answer"}
+		return withoutReport(r, f, l)
 	}
 	if f.Report.Role != r.From && f.Report.Role != r.To {
 		return end(r, Failed, "the engine says that it is "+f.Report.Role+", which is neither what it was nor what it is to be")
 	}
+	in := f.Now.Sub(r.Since)
 	switch r.Step {
 	case Announced:
-		switch {
-		case f.Report.Role == r.To:
-			return flipped(r, f)
-		case f.Seen >= f.Gateways:
-			return step(r, f, Draining, "all gateways have seen it")
-		case in >= l.See:
-			return step(r, f, Draining, "not all gateways have said that they saw it; the engine turns their work away")
-		}
-		return Action{Record: r, Why: "gateways are to see it"}
+		return announced(r, f, l, in)
 	case Draining:
-		switch {
-		case f.Report.Role == r.To:
-			return flipped(r, f)
-		case f.Reply == Refused:
-			return step(r, f, Undoing, "the engine refused to drain")
-		case f.Report.Draining && f.Report.Running == 0 && f.Report.Held == 0:
-			return step(r, f, Flipping, "it is empty")
-		case in >= l.Drain:
-			return step(r, f, Undoing, "its drain hangs")
-		}
-		return Action{Record: r, Tell: Drain, Why: "its running work ends"}
+		return draining(r, f, l, in)
 	case Flipping:
-		switch {
-		case f.Report.Role == r.To:
-			return flipped(r, f)
-		case f.Reply == Refused:
-			return step(r, f, Undoing, "the engine refused its new role")
-		case !f.Report.Draining: // it has restarted, or was never told
-			return step(r, f, Draining, "it does not drain any more")
-		case in >= l.Flip:
-			return step(r, f, Undoing, "it did not take its new role")
-		}
-		return Action{Record: r, Tell: Flip, Why: "it is to take its new role"}
+		return flipping(r, f, l, in)
 	case Warming, Settled:
-		if f.Report.Role == r.From { // restarted, perhaps, and as its files say
-			return end(r, Failed, "it came back in its old role")
-		}
-		switch {
-		case r.Step == Warming && f.Now.Sub(r.Flipped) >= l.Cold:
-			return step(r, f, Settled, "it is warm")
-		case r.Step == Settled && f.ListedAs == r.To:
-			return end(r, Done, "the catalogue says the same")
-		}
-		return Action{Record: r, Why: "in its new role"}
+		return inNewRole(r, f, l)
 	case Undoing:
-		switch {
-		case f.Report.Role == r.To: // the flip came through after all
-			return flipped(r, f)
-		case !f.Report.Draining:
-			return end(r, Undone, "it stays as it was")
-		case in >= l.Undo:
-			return end(r, Failed, "it does not end its drain")
-		}
-		return Action{Record: r, Tell: Cancel, Why: "it is to stay as it was"}
+		return undoing(r, f, l, in)
 	}
 	return end(r, Failed, "a step that is not known: "+string(r.Step))
 }
 
+// withoutReport decides while the engine does not answer.
+func withoutReport(r Record, f Facts, l Limits) Action {
+	if f.Silent < l.Lost {
+		return Action{Record: r, Why: "the engine does not answer"}
+	}
+	switch r.Step {
+	case Announced, Draining:
+		// Nothing has been changed: should it come back, it is as it was.
+		return end(r, Failed, "the engine does not answer")
+	case Undoing:
+		return end(r, Failed, "the engine does not answer; it was to stay as it is")
+	}
+	// It may have flipped: what it is is known once it answers, or is listed no more.
+	return Action{Record: r, Why: "waiting for the engine to answer"}
+}
+
+// announced waits for the gateways to see the change.
+func announced(r Record, f Facts, l Limits, in time.Duration) Action {
+	switch {
+	case f.Report.Role == r.To:
+		return flipped(r, f)
+	case f.Seen >= f.Gateways:
+		return step(r, f, Draining, "all gateways have seen it")
+	case in >= l.See:
+		return step(r, f, Draining, "not all gateways have said that they saw it; the engine turns their work away")
+	}
+	return Action{Record: r, Why: "gateways are to see it"}
+}
+
+// draining has the engine drain, and waits until it is empty.
+func draining(r Record, f Facts, l Limits, in time.Duration) Action {
+	switch {
+	case f.Report.Role == r.To:
+		return flipped(r, f)
+	case f.Reply == Refused:
+		return step(r, f, Undoing, "the engine refused to drain")
+	case f.Report.Draining && f.Report.Running == 0 && f.Report.Held == 0:
+		return step(r, f, Flipping, "it is empty")
+	case in >= l.Drain:
+		return step(r, f, Undoing, "its drain hangs")
+	}
+	return Action{Record: r, Tell: Drain, Why: "its running work ends"}
+}
+
+// flipping has the engine take its new role.
+func flipping(r Record, f Facts, l Limits, in time.Duration) Action {
+	switch {
+	case f.Report.Role == r.To:
+		return flipped(r, f)
+	case f.Reply == Refused:
+		return step(r, f, Undoing, "the engine refused its new role")
+	case !f.Report.Draining: // it has restarted, or was never told
+		return step(r, f, Draining, "it does not drain any more")
+	case in >= l.Flip:
+		return step(r, f, Undoing, "it did not take its new role")
+	}
+	return Action{Record: r, Tell: Flip, Why: "it is to take its new role"}
+}
+
+// inNewRole waits until the engine is warm and the catalogue names its new role.
+func inNewRole(r Record, f Facts, l Limits) Action {
+	if f.Report.Role == r.From { // restarted, perhaps, and as its files say
+		return end(r, Failed, "it came back in its old role")
+	}
+	switch {
+	case r.Step == Warming && f.Now.Sub(r.Flipped) >= l.Cold:
+		return step(r, f, Settled, "it is warm")
+	case r.Step == Settled && f.ListedAs == r.To:
+		return end(r, Done, "the catalogue says the same")
+	}
+	return Action{Record: r, Why: "in its new role"}
+}
+
+// undoing ends the drain of an engine that keeps its role.
+func undoing(r Record, f Facts, l Limits, in time.Duration) Action {
+	switch {
+	case f.Report.Role == r.To: // the flip came through after all
+		return flipped(r, f)
+	case !f.Report.Draining:
+		return end(r, Undone, "it stays as it was")
+	case in >= l.Undo:
+		return end(r, Failed, "it does not end its drain")
+	}
+	return Action{Record: r, Tell: Cancel, Why: "it is to stay as it was"}
+}
+
 func step(r Record, f Facts, to Step, why string) Action {
 	r.Step, r.Since, r.Why = to, f.Now, why
 	a := Action{Write: true, Record: r, Why: why}
--- a/decide/roster/merge.go
+++ b/decide/roster/merge.go
@@ -165,63 +165,28 @@
 // settle works out what is made of one engine and notes a change.
 func (b *Book) settle(now time.Time, e *engine) {
 	if len(e.records) == 0 {
-		b.place(e, place{})
-		delete(b.engines, e.id)
-		if e.known {
-			e.told.State, e.told.Why = Gone, "listed no more"
-			b.changes = append(b.changes, e.told)
-		}
+		b.unlist(e)
 		return
 	}
-	var src Source
-	best := (*record)(nil)
-	for s, r := range e.records {
-		if best == nil || ahead(r, best, s, src) {
-			best, src = r, s
-		}
-	}
-	e.best = best
-	if rank := [2]uint64{best.Registered, best.Index}; e.rank != rank {
-		e.rank = rank
-		b.touchRivals(e, e.at)
-	}
-	next := Engine{ID: e.id, Addr: best.Addr, Kind: best.Kind, Zone: best.Zone, Cell: best.Cell, Listed: best.Kind}
+	b.rank(e)
+	next := Engine{ID: e.id, Addr: e.best.Addr, Kind: e.best.Kind, Zone: e.best.Zone, Cell: e.best.Cell, Listed: e.best.Kind}
 	over, overridden := b.over[e.id]
 	if over.Kind != "" {
 		next.Kind = over.Kind
 	}
 	moved := e.known && e.told.Addr != next.Addr
 	b.place(e, place{next.Addr, next.Kind})
-	mark, born, started := Clear, time.Time{}, time.Time{}
-	confidence := Restored
-	marker := ""
-	for i, s := range sortedSources(e.records) {
-		r := e.records[s]
-		if r.Mark > mark {
-			mark, marker = r.Mark, s.String()
-		}
-		if i == 0 || r.born.Before(born) { // who has listed it longest knows best
-			born = r.born
-		}
-		if r.Started.After(started) {
-			started = r.Started
-		}
-		next.Sources = append(next.Sources, s.String())
-		if r.seen.After(next.Seen) {
-			next.Seen = r.seen
-		}
-		confidence = min(confidence, b.confidence(s, r))
-	}
-	next.Confidence = confidence
+	said := b.combine(e)
+	next.Sources, next.Seen, next.Confidence = said.sources, said.seen, said.confidence
 	switch {
-	case mark == Critical:
-		next.State, next.Why = Out, "critical by "+marker
-	case mark == Maintenance:
-		next.State, next.Why = Draining, "maintenance by "+marker
+	case said.mark == Critical:
+		next.State, next.Why = Out, "critical by "+said.marker
+	case said.mark == Maintenance:
+		next.State, next.Why = Draining, "maintenance by "+said.marker
 	case b.suspect(now, e):
 		next.State, next.Why = Suspect, "its sources are silent and it refuses connections"
-	case confidence != Confirmed:
-		next.Why = confidence.String() + ": " + b.whyHeld(e)
+	case said.confidence != Confirmed:
+		next.Why = said.confidence.String() + ": " + b.whyHeld(e)
 	}
 	if overridden && over.Hold && next.State == In {
 		next.State, next.Why = Draining, over.Why
@@ -233,22 +198,87 @@
 			e.turned = over.Started
 		}
 	}
-	next.Started = born
-	if e.restart.After(born) {
-		next.Started = e.restart
-	}
-	if !started.IsZero() { // its own word comes before any guess
-		next.Started = started
-	}
-	if e.turned.After(next.Started) {
-		next.Started = e.turned
-	}
+	next.Started = e.startOf(said)
 	if rival := b.rival(e); rival != nil && next.State != Out {
 		next.State, next.Why = Gone, "another id has come at its address: "+rival.id
 	}
 	b.tell(e, next)
 }
 
+// unlist takes an engine that no source lists any more off the book.
+func (b *Book) unlist(e *engine) {
+	b.place(e, place{})
+	delete(b.engines, e.id)
+	if e.known {
+		e.told.State, e.told.Why = Gone, "listed no more"
+		b.changes = append(b.changes, e.told)
+	}
+}
+
+// rank finds the record that speaks for an engine.
+func (b *Book) rank(e *engine) {
+	var src Source
+	e.best = nil
+	for s, r := range e.records {
+		if e.best == nil || ahead(r, e.best, s, src) {
+			e.best, src = r, s
+		}
+	}
+	if rank := [2]uint64{e.best.Registered, e.best.Index}; e.rank != rank {
+		e.rank = rank
+		b.touchRivals(e, e.at)
+	}
+}
+
+// combined is what all sources together say of an engine.
+type combined struct {
+	mark       Mark
+	marker     string    // the source of the mark
+	born       time.Time // since when the source that listed it first has listed it
+	started    time.Time // its own word of its last start
+	seen       time.Time
+	sources    []string
+	confidence Confidence
+}
+
+// combine adds up what the sources of an engine say.
+func (b *Book) combine(e *engine) combined {
+	said := combined{mark: Clear, confidence: Restored}
+	for i, s := range sortedSources(e.records) {
+		r := e.records[s]
+		if r.Mark > said.mark {
+			said.mark, said.marker = r.Mark, s.String()
+		}
+		if i == 0 || r.born.Before(said.born) { // who has listed it longest knows best
+			said.born = r.born
+		}
+		if r.Started.After(said.started) {
+			said.started = r.Started
+		}
+		said.sources = append(said.sources, s.String())
+		if r.seen.After(said.seen) {
+			said.seen = r.seen
+		}
+		said.confidence = min(said.confidence, b.confidence(s, r))
+	}
+	return said
+}
+
+// startOf returns when an engine last started. Its own word comes before any guess.
+func (e *engine) startOf(said combined) time.Time {
+	at := said.born
+	if e.restart.After(at) {
+		at = e.restart
+	}
+	if !said.started.IsZero() {
+		at = said.started
+	}
+	if e.turned.After(at) {
+		at = e.turned
+	}
+	return at
+}
+
 func sortedSources(records map[Source]*record) []Source {
 	list := make([]Source, 0, len(records))
 	for s := range records {
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -170,41 +170,74 @@
 	if o.StateFile != "" && o.Consul == nil {
 		return errors.New("state_file: there is nothing to keep without consul")
 	}
-	if a := o.Admin; a != nil {
-		if _, _, err := net.SplitHostPort(a.Listen); err != nil {
-			return fmt.Errorf("admin.listen: %w", err)
-		}
-		if a.TraceShare < 0 || a.TraceShare > 1 {
-			return errors.New("admin.trace_share: must lie between 0 and 1")
-		}
+	if err := o.Admin.validate(); err != nil {
+		return err
 	}
 	if err := o.validateKeys(); err != nil {
 		return err
 	}
+	contracts, err := o.validateContracts()
+	if err != nil {
+		return err
+	}
+	models, err := o.validateModels(contracts)
+	if err != nil {
+		return err
+	}
+	if err := o.validateTeams(models); err != nil {
+		return err
+	}
+	return o.validateEngines()
+}
+
+func (a *Admin) validate() error {
+	if a == nil {
+		return nil
+	}
+	if _, _, err := net.SplitHostPort(a.Listen); err != nil {
+		return fmt.Errorf("admin.listen: %w", err)
+	}
+	if a.TraceShare < 0 || a.TraceShare > 1 {
+		return errors.New("admin.trace_share: must lie between 0 and 1")
+	}
+	return nil
+}
+
+// validateContracts returns the names of the contracts.
+func (o *Operator) validateContracts() (map[string]bool, error) {
 	contracts := map[string]bool{}
 	for i, c := range o.Contracts {
 		switch {
 		case c.Name == "" || contracts[c.Name]:
-			return fmt.Errorf("contracts[%d].name: missing or given twice", i)
+			return nil, fmt.Errorf("contracts[%d].name: missing or given twice", i)
 		case c.Effect != EffectFree && c.Effect != EffectOnce:
-			return fmt.Errorf("contracts[%d].effect: %q is neither free nor single_shot", i, c.Effect)
+			return nil, fmt.Errorf("contracts[%d].effect: %q is neither free nor single_shot", i, c.Effect)
 		case c.AimMS <= 0 || c.DeadlineMS < c.AimMS:
-			return fmt.Errorf("contracts[%d]: aim_ms must be above 0 and deadline_ms no less", i)
+			return nil, fmt.Errorf("contracts[%d]: aim_ms must be above 0 and deadline_ms no less", i)
 		case c.Continue < 0 || c.Continue > 0 && c.Effect != EffectFree:
-			return fmt.Errorf("contracts[%d].continue: only a free contract lets an answer go on at another engine", i)
+			return nil, fmt.Errorf("contracts[%d].continue: only a free contract lets an answer go on at another engine", i)
 		}
 		contracts[c.Name] = true
 	}
+	return contracts, nil
+}
+
+// validateModels returns the names of the models.
+func (o *Operator) validateModels(contracts map[string]bool) (map[string]bool, error) {
 	models := map[string]bool{}
 	for i, m := range o.Models {
 		if m.Name == "" || models[m.Name] {
-			return fmt.Errorf("models[%d].name: missing or given twice", i)
+			return nil, fmt.Errorf("models[%d].name: missing or given twice", i)
 		}
 		if !contracts[m.Contract] {
-			return fmt.Errorf("models[%d].contract: %q is not a contract", i, m.Contract)
+			return nil, fmt.Errorf("models[%d].contract: %q is not a contract", i, m.Contract)
 		}
 		models[m.Name] = true
 	}
+	return models, nil
+}
+
+func (o *Operator) validateTeams(models map[string]bool) error {
 	names, keys := map[string]bool{}, map[string]bool{}
 	for i, t := range o.Teams {
 		if t.Name == "" || names[t.Name] {
@@ -226,6 +259,10 @@
 			}
 		}
 	}
+	return nil
+}
+
+func (o *Operator) validateEngines() error {
 	ids := map[string]bool{}
 	for i, e := range o.Engines {
 		if e.ID == "" || ids[e.ID] {
