--- /dev/null
+++ b/cmd/wellgw/gateway.go
@@ -0,0 +1,137 @@
+package main
+
+import (
+	"cmp"
+	"context"
+	"fmt"
+	"log/slog"
+	"math"
+	"net/http"
+	"runtime"
+	"runtime/debug"
+	"sync/atomic"
+	"time"
+
+	"wellgw/internal/clientconn"
+	"wellgw/internal/config"
+	"wellgw/internal/core"
+	"wellgw/internal/invariant"
+	"wellgw/internal/upstream"
+	"wellgw/routing"
+)
+
+// front is what stands between clients and the core.
+type front interface {
+	http.Handler
+	Close() // from now on every answer ends its connection
+}
+
+// gateway is all that differs between the platform and an operator's machine.
+type gateway struct {
+	listen  string
+	limits  config.Limits
+	set     routing.Settings
+	seed    uint64
+	figures core.Figures
+	pool    upstream.Options
+	dialect func(kind string) upstream.Dialect
+	front   func(*core.Core, *clientconn.Budget) front
+	// directory returns what the module may ask for changes, and its work.
+	directory func(c *core.Core) (core.Directory, func(context.Context), error)
+	// watched wraps the engines, so that the directory learns from attempts; nil leaves them.
+	watched func(core.Engine) core.Engine
+	reload  func() error          // reads the configuration anew; set by directory
+	depart  func()                // tells the other gateways that this one is about to end; set by directory, nil for none
+	longest time.Duration         // wait of any client for its first token, by the settings
+	kept    atomic.Int64          // the same by settings read later, nanoseconds; 0 for none
+	serving atomic.Value          // the address that it listens on, once it does
+	shared  atomic.Int64          // gateways that share the engines; set by directory
+	counts  func() map[string]int // of the front's own, beside the core's; nil for none
+	garbage int                   // see fitLimits; 0 = usualGarbage
+	resume  bool                  // clients ask for the rest of a stream that is cut off
+	killed  bool                  // SIGKILL follows SIGTERM by the platform's clock; elsewhere nobody says when
+	log     *slog.Logger
+
+	name    string                      // of the gateway, for the file of ejections; "" keeps none
+	control string                      // where operators call; "" for nowhere
+	retune  func(next *config.Platform) // takes new settings on SIGHUP; set by run
+}
+
+// fitLimits keeps the runtime inside what the machine gives. garbage is how much may come
+// on top of what is in use before it is collected, in per cent; the limit stands whatever
+// it says.
+func fitLimits(l config.Limits, garbage int) {
+	debug.SetGCPercent(garbage)
+	runtime.GOMAXPROCS(max(1, int(math.Ceil(l.Cores))))
+	debug.SetMemoryLimit(int64(memoryPart * float64(l.MemoryMB) * (1 << 20)))
+}
+
+// newServer is net/http's server with bounds on what a client may hold up. There
+// is no limit on a whole answer: streams last as long as they do.
+func newServer(h http.Handler, log *slog.Logger) *http.Server {
+	return &http.Server{
+		Handler: h, MaxHeaderBytes: headerLimit,
+		ReadHeaderTimeout: headerWait, ReadTimeout: requestWait, IdleTimeout: idleWait,
+		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
+	}
+}
+
+// fit keeps the runtime within the limits and returns them. A gateway on an inherited socket
+// takes half: a new version may run beside it.
+func (g *gateway) fit(inherited bool) config.Limits {
+	limits := g.limits
+	if inherited {
+		limits.MemoryMB, limits.Sockets = limits.MemoryMB/2, limits.Sockets/2
+	}
+	fitLimits(limits, cmp.Or(g.garbage, usualGarbage))
+	return limits
+}
+
+// startCore starts the core with its pool of at most so many connections to engines, and the
+// directory, whose end worked tells.
+func (g *gateway) startCore(ctx context.Context, connections int, checks *invariant.Checks) (c *core.Core, worked <-chan struct{}, err error) {
+	router, err := routing.New(g.set, g.seed)
+	if err != nil {
+		return nil, nil, fmt.Errorf("settings: %w", err)
+	}
+	g.pool.MaxConns = connections
+	g.figures.PinLimit, g.figures.MaxSends, g.figures.Reach = g.set.PinLimit, g.set.MaxAttempts, g.pool.ConnectTimeout
+	pool := upstream.NewPool(g.pool)
+	directory := &laterDirectory{}
+	engine := &laterEngine{Engine: upstream.NewEngine(pool, g.dialect)}
+	c = core.New(router, engine, directory, g.figures, g.log, checks)
+	from, work, err := g.directory(c)
+	if err != nil {
+		return nil, nil, err
+	}
+	directory.Directory = from
+	if g.watched != nil {
+		engine.Engine = g.watched(engine.Engine)
+	}
+	go c.Run(ctx)
+	go pool.Sweep(ctx)
+	ended := make(chan struct{})
+	go func() { defer close(ended); work(ctx) }()
+	return c, ended, nil
+}
+
+// laterDirectory breaks the circle between core and directory: each is told of
+// the other. It is filled in before the core runs.
+type laterDirectory struct{ core.Directory }
+
+// laterEngine does the same for engines.
+type laterEngine struct{ core.Engine }
+
+func logCounts(ctx context.Context, c *core.Core, checks *invariant.Checks, log *slog.Logger) {
+	t := time.NewTicker(logEvery)
+	defer t.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-t.C:
+			log.Info("counts", "counts", c.Counts(ctx))
+			checks.Log(log)
+		}
+	}
+}
