--- a/fake/engine/serve.go
+++ b/fake/engine/serve.go
@@ -49,6 +49,32 @@
 
 const charsPerToken = 4
 
+// turn is one request under way at an engine.
+type turn struct {
+	*Engine
+	w      http.ResponseWriter
+	r      *http.Request
+	raw    []byte
+	q      request
+	id     string
+	change func(func(*Attempt)) // alters the attempt's entry in the account
+	tokens int                  // of the prompt
+	out    int                  // of the answer
+	role   string
+}
+
+// answer ends the request with a status.
+func (t *turn) answer(status int, notRun bool, body string) {
+	t.change(func(a *Attempt) { a.Status = status })
+	if notRun {
+		t.w.Header().Set("X-Not-Run", "1")
+	}
+	t.w.Header().Set("Content-Type", "application/json")
+	t.w.WriteHeader(status)
+	io.WriteString(t.w, body)
+}
+
+// complete serves a request as the engine's role and faults have it.
 func (e *Engine) complete(w http.ResponseWriter, r *http.Request) {
 	raw, err := io.ReadAll(io.LimitReader(r.Body, maxBody))
 	if err != nil {
@@ -59,37 +85,41 @@
 	if all := orderName.FindAllSubmatch(raw, -1); len(all) > 0 { // the latest turn's
 		a.Order = string(all[len(all)-1][1])
 	}
-	change := e.fleet.note(a)
-	answer := func(status int, notRun bool, body string) {
-		change(func(a *Attempt) { a.Status = status })
-		if notRun {
-			w.Header().Set("X-Not-Run", "1")
-		}
-		w.Header().Set("Content-Type", "application/json")
-		w.WriteHeader(status)
-		io.WriteString(w, body)
-	}
-	var q request
-	if jsoniter.Unmarshal(raw, &q) != nil || a.Request == "" {
-		answer(http.StatusBadRequest, true, `{"error":{"message":"not a chat request"}}`)
+	t := &turn{Engine: e, w: w, r: r, raw: raw, id: a.Request, change: e.fleet.note(a)}
+	if jsoniter.Unmarshal(raw, &t.q) != nil || t.id == "" {
+		t.answer(http.StatusBadRequest, true, `{"error":{"message":"not a chat request"}}`)
 		return
 	}
-	tokens := max(1, len(raw)/charsPerToken)
-	out := max(1, e.Tokens-q.said())
-	if limit := max(q.MaxTokens, q.MostOut); limit > 0 {
-		out = min(out, limit)
+	t.tokens = max(1, len(raw)/charsPerToken)
+	t.out = max(1, e.Tokens-t.q.said())
+	if limit := max(t.q.MaxTokens, t.q.MostOut); limit > 0 {
+		t.out = min(t.out, limit)
+	}
+	life := t.admit(now)
+	ctx, stop := context.WithCancel(r.Context())
+	defer stop()
+	defer context.AfterFunc(life, stop)()
+	if !t.waitForSlot(ctx) {
+		return
 	}
+	defer func() { e.leave(life, t.tokens) }()
+	t.run(ctx)
+}
+
+// admit takes the role and the process in force. A cold engine that is pushed too hard falls over.
+func (t *turn) admit(now time.Time) (life context.Context) {
+	e := t.Engine
 	e.mu.Lock()
-	role := e.Role
-	work := float64(tokens) / e.ReadPerS
-	switch role {
+	t.role = e.Role
+	work := float64(t.tokens) / e.ReadPerS
+	switch t.role {
 	case Write:
-		work = float64(out) * e.TokenEvery.Seconds()
+		work = float64(t.out) * e.TokenEvery.Seconds()
 	case Both, OpenAI:
-		work += float64(out) * e.TokenEvery.Seconds()
+		work += float64(t.out) * e.TokenEvery.Seconds()
 	}
 	over := e.pushed(now, work)
-	life := e.life
+	life = e.life
 	e.mu.Unlock()
 	if over {
 		e.fleet.mu.Lock()
@@ -98,55 +128,58 @@
 		go e.Crash()
 		panic(http.ErrAbortHandler)
 	}
-	ctx, stop := context.WithCancel(r.Context())
-	defer stop()
-	defer context.AfterFunc(life, stop)()
-	if err := e.enter(ctx, tokens); err != nil {
-		if errors.Is(err, errFull) {
-			status := http.StatusServiceUnavailable
-			if role == OpenAI {
-				status = http.StatusTooManyRequests
-			}
-			answer(status, true, `{"error":{"message":"full"}}`)
-			return
-		}
+	return life
+}
+
+// waitForSlot waits for a slot; false if the request has been turned away.
+func (t *turn) waitForSlot(ctx context.Context) bool {
+	err := t.enter(ctx, t.tokens)
+	switch {
+	case err == nil:
+		return true
+	case !errors.Is(err, errFull):
 		panic(http.ErrAbortHandler)
+	case t.role == OpenAI:
+		t.answer(http.StatusTooManyRequests, true, `{"error":{"message":"full"}}`)
+	default:
+		t.answer(http.StatusServiceUnavailable, true, `{"error":{"message":"full"}}`)
 	}
-	defer func() { e.leave(life, tokens) }()
+	return false
+}
+
+// run reads the prompt, unless its state is fetched, and answers.
+func (t *turn) run(ctx context.Context) {
 	begun := time.Now()
-	change(func(a *Attempt) { a.Ran, a.Role = true, role })
-	had := false
-	if role == Write || role == Both {
-		if had = e.fleet.fetch(a.Request); !had && role == Write {
-			change(func(a *Attempt) { a.Ran = false })
-			answer(http.StatusGone, true, "")
-			return
-		}
+	t.change(func(a *Attempt) { a.Ran, a.Role = true, t.role })
+	had := (t.role == Write || t.role == Both) && t.fleet.fetch(t.id)
+	if !had && t.role == Write {
+		t.change(func(a *Attempt) { a.Ran = false })
+		t.answer(http.StatusGone, true, "")
+		return
 	}
-	kept := e.keptOf(q, tokens)
-	if !had && !e.spend(ctx, time.Duration(float64(tokens-kept)/e.ReadPerS*float64(time.Second))) {
+	kept := t.keptOf(t.q, t.tokens)
+	if !had && !t.spend(ctx, time.Duration(float64(t.tokens-kept)/t.ReadPerS*float64(time.Second))) {
 		panic(http.ErrAbortHandler)
 	}
-	if role == Read {
-		e.account(tokens, begun)
-		e.fleet.hold(a.Request, e, tokens)
-		answer(http.StatusAccepted, false, fmt.Sprintf(`{"cached_tokens":%d}`, kept))
+	if t.role == Read {
+		t.account(t.tokens, begun)
+		t.fleet.hold(t.id, t.Engine, t.tokens)
+		t.answer(http.StatusAccepted, false, fmt.Sprintf(`{"cached_tokens":%d}`, kept))
 		return
 	}
-	change(func(a *Attempt) { a.Status = http.StatusOK })
-	if r.URL.Path == embeddingPath {
-		w.Header().Set("Content-Type", "application/json")
-		w.Write(embed(q, raw))
-		change(func(a *Attempt) { a.Whole = true })
-		e.account(1, begun)
+	t.change(func(a *Attempt) { a.Status = http.StatusOK })
+	if t.r.URL.Path == embeddingPath {
+		t.w.Header().Set("Content-Type", "application/json")
+		t.w.Write(embed(t.q, t.raw))
+		t.change(func(a *Attempt) { a.Whole = true })
+		t.account(1, begun)
 		return
 	}
-	if e.stream(ctx, w, e.script(r.URL.Path, q, raw, tokens, kept, out)) {
-		change(func(a *Attempt) { a.Whole = true })
-		e.account(out, begun)
-		return
+	if !t.stream(ctx, t.w, t.script(t.r.URL.Path, t.q, t.raw, t.tokens, kept, t.out)) {
+		panic(http.ErrAbortHandler)
 	}
-	panic(http.ErrAbortHandler)
+	t.change(func(a *Attempt) { a.Whole = true })
+	t.account(t.out, begun)
 }
 
 // account notes work that is done.
--- a/internal/openai/front.go
+++ b/internal/openai/front.go
@@ -186,73 +186,97 @@
 // call serves one request to a model.
 func (f *Front) call(w http.ResponseWriter, r *http.Request, b *book, team *config.Team, id string) {
 	arrived := time.Now()
+	raw, free, ok := f.body(w, r, team)
+	if !ok {
+		return
+	}
+	defer free()
+	a, typed, contract, err := b.accept(r.URL.Path, raw, team)
+	if err != nil {
+		err.send(w)
+		return
+	}
+	once := contract.Effect != config.EffectFree
+	h := head{id: "chatcmpl-" + id, model: a.model, object: "chat.completion", created: arrived.Unix()}
+	if a.path == completionPath {
+		h.id, h.object = "cmpl-"+id, "text_completion"
+	}
+	c := &call{
+		Front: f, w: w, r: r, out: http.NewResponseController(w), ask: a, head: h, once: once, contract: contract, team: team, arrived: arrived,
+		ending: deduplication.Ending{MayRun: true}, form: formOf(a, typed, h, contract),
+	}
+	if once {
+		if answered := c.claim(raw); answered {
+			return
+		}
+		defer c.settle()
+	}
+	c.carry()
+}
+
+// body reads a request's body; false if there is none to go on with, and the client has been told.
+func (f *Front) body(w http.ResponseWriter, r *http.Request, team *config.Team) (raw []byte, free func(), ok bool) {
 	raw, free, err := f.bodies.Read(w, r)
 	switch {
 	case errors.Is(err, clientconn.ErrTooBig):
 		clientconn.Reject(w, r)
 		apiError{status: http.StatusRequestEntityTooLarge, kind: typeRequest, code: codeTooBig, text: err.Error()}.send(w)
-		return
 	case errors.Is(err, clientconn.ErrBusy):
 		if name := r.Header.Get(keyHeader); name != "" && len(name) <= maxKey && f.keys != nil {
 			f.keys.Spare(deduplication.Key{Team: team.Name, Name: name})
 		}
 		refusal(core.Answer{Verdict: core.Refused, RetryAfter: busyPause}, false).send(w)
-		return
 	case err != nil:
 		clientconn.Reject(w, r)
 		badRequest(err.Error(), "").send(w)
-		return
+	default:
+		return raw, free, true
 	}
-	defer free()
+	return nil, nil, false
+}
+
+// accept parses a request and finds its contract. The error is what its client is told.
+func (b *book) accept(path string, raw []byte, team *config.Team) (*ask, *typedAnswer, config.Contract, *apiError) {
 	var a *ask
 	var typed *typedAnswer // of /v1/responses
-	if r.URL.Path == responsePath {
+	var err error
+	if path == responsePath {
 		a, typed, err = parseResponses(raw, team.Name)
 	} else {
-		a, err = parse(r.URL.Path, raw, team.Name)
+		a, err = parse(path, raw, team.Name)
 	}
 	if err != nil {
 		var p paramError
 		errors.As(err, &p)
-		badRequest(err.Error(), p.param).send(w)
-		return
+		wrong := badRequest(err.Error(), p.param)
+		return nil, nil, config.Contract{}, &wrong
 	}
 	contract, known := b.contracts[a.model]
 	if !known || !slices.Contains(team.Models, a.model) {
-		noModel(a.model).send(w)
-		return
+		wrong := noModel(a.model)
+		return nil, nil, config.Contract{}, &wrong
 	}
-	once := contract.Effect != config.EffectFree
-	if a.path == embeddingPath && once {
-		badRequest("model: embeddings need a model under a free contract", "model").send(w)
-		return
-	}
-	h := head{id: "chatcmpl-" + id, model: a.model, object: "chat.completion", created: arrived.Unix()}
-	if a.path == completionPath {
-		h.id, h.object = "cmpl-"+id, "text_completion"
+	if a.path == embeddingPath && contract.Effect != config.EffectFree {
+		wrong := badRequest("model: embeddings need a model under a free contract", "model")
+		return nil, nil, config.Contract{}, &wrong
 	}
-	c := &call{
-		Front: f, w: w, r: r, out: http.NewResponseController(w), ask: a, head: h, once: once, contract: contract, team: team, arrived: arrived,
-		ending: deduplication.Ending{MayRun: true}, form: formOf(a, typed, h, contract),
-	}
-	if once {
-		if answered := c.claim(raw); answered {
-			return
-		}
-		defer c.settle()
-	}
-	answer, ticket, here := c.submit(a, h.id)
-	f.lastOnes(w) // the request may have waited since before the gateway began to leave
+	return a, typed, contract, nil
+}
+
+// carry submits the request and gives its client the answer.
+func (c *call) carry() {
+	answer, ticket, here := c.submit(c.ask, c.head.id)
+	c.lastOnes(c.w) // the request may have waited since before the gateway began to leave
 	if !here {
-		c.ending.MayRun = !once || ticket.MayRun(context.WithoutCancel(r.Context()))
+		c.ending.MayRun = !c.once || ticket.MayRun(context.WithoutCancel(c.r.Context()))
 		panic(http.ErrAbortHandler) // the caller has gone: there is nobody to answer
 	}
-	rates(w.Header(), answer)
+	rates(c.w.Header(), answer)
 	if answer.Verdict != core.Serving {
 		c.ending = deduplication.Ending{
 			Refused: answer.Verdict == core.Refused || answer.Verdict == core.Duplicate, Rejected: rejected(answer) != nil, MayRun: answer.MayRun,
 		}
-		refusal(answer, once && c.ending.Outcome() == deduplication.Broken).send(w)
+		refusal(answer, c.once && c.ending.Outcome() == deduplication.Broken).send(c.w)
 		return
 	}
 	c.serve(answer.Stream, ticket)
--- a/internal/openai/rewrite.go
+++ b/internal/openai/rewrite.go
@@ -115,13 +115,49 @@
 	}
 	from := len(r.out)
 	r.like.of = 0
-	var has struct{ id, model, object, created, counts, choices bool }
-	var choices jsonscan.Span
-	choicesAt := 0 // in what goes out
 	if r.follows {
 		r.number()
 	}
 	r.out = append(r.out, "data: {"...)
+	has, err := r.members(data, from)
+	if err != nil {
+		r.out = r.out[:from]
+		return err
+	}
+	r.missing(has)
+	if bytes.IndexByte(data, '\n') >= 0 || bytes.IndexByte(data, '\r') >= 0 {
+		flat(r.out[bytes.IndexByte(r.out[from:], '{')+from:]) // in JSON a line feed stands between values only
+	}
+	r.out = append(r.out, "}\n\n"...)
+	if has.choices {
+		some, err := progress(&r.so, has.choicesSpan.Of(data), r.follows)
+		if err != nil {
+			r.out = r.out[:from]
+			return err
+		}
+		if !some && has.counts && !r.usage {
+			r.out = r.out[:from] // asked for by the gateway, not by the client
+			return nil
+		}
+		if !has.counts {
+			r.like.learn(data, has.choicesSpan, has.choicesAt, r.out[from:])
+		}
+	}
+	r.so.Passed()
+	return nil
+}
+
+// found is what an event had of the members that the rewriter looks at.
+type found struct {
+	id, model, object, created, counts, choices bool
+
+	choicesSpan jsonscan.Span // in what came
+	choicesAt   int           // in what goes out, from the event's begin
+}
+
+// members writes an event's members, those that name the answer replaced. from is where the
+// event begins in what goes out.
+func (r *rewriter) members(data []byte, from int) (has found, err error) {
 	w := jsonscan.Object(data)
 	for {
 		name, value, ok := w.Next()
@@ -139,7 +175,7 @@
 		case "created":
 			has.created = true
 		case "choices":
-			has.choices, choices = true, value
+			has.choices, has.choicesSpan = true, value
 		case "usage":
 			has.counts = !value.Null(data)
 			if !r.usage {
@@ -149,8 +185,7 @@
 			if value.Null(data) {
 				continue
 			}
-			r.out = r.out[:from]
-			return reportedError{message(text)}
+			return has, reportedError{message(text)}
 		}
 		if r.out[len(r.out)-1] != '{' {
 			r.out = append(r.out, ',')
@@ -158,14 +193,18 @@
 		member := w.Member()
 		// The name as it came, then the value.
 		r.out = append(append(r.out, data[member.Start:value.Start]...), text...)
-		if value == choices && has.choices {
-			choicesAt = len(r.out) - len(text) - from
+		if has.choices && value == has.choicesSpan {
+			has.choicesAt = len(r.out) - len(text) - from
 		}
 	}
 	if w.Err() != nil {
-		r.out = r.out[:from]
-		return errNotChunk
+		return has, errNotChunk
 	}
+	return has, nil
+}
+
+// missing adds the members that every event has and this one had not.
+func (r *rewriter) missing(has found) {
 	if !has.id {
 		r.out = appendMember(r.out, nameID, r.id)
 	}
@@ -178,26 +217,6 @@
 	if !has.model {
 		r.out = appendMember(r.out, nameModel, r.model)
 	}
-	if bytes.IndexByte(data, '\n') >= 0 || bytes.IndexByte(data, '\r') >= 0 {
-		flat(r.out[bytes.IndexByte(r.out[from:], '{')+from:]) // in JSON a line feed stands between values only
-	}
-	r.out = append(r.out, "}\n\n"...)
-	if has.choices {
-		some, err := progress(&r.so, choices.Of(data), r.follows)
-		if err != nil {
-			r.out = r.out[:from]
-			return err
-		}
-		if !some && has.counts && !r.usage {
-			r.out = r.out[:from] // asked for by the gateway, not by the client
-			return nil
-		}
-		if !has.counts {
-			r.like.learn(data, choices, choicesAt, r.out[from:])
-		}
-	}
-	r.so.Passed()
-	return nil
 }
 
 // number writes the number of the event under way.
