--- a/internal/clientconn/listener.go
+++ b/internal/clientconn/listener.go
@@ -19,6 +19,8 @@
 	idleGrace   = 2 * time.Second        // and one that has had an answer, to bring the next
 	evictTries  = 8                      // connections looked at to make room for one
 	lingerFor   = 250 * time.Millisecond // from the end of the sending to the close: a client's answer has arrived
+	awayMost    = 16                     // newcomers turned away at once: they are beyond the limit
+	awayWait    = 50 * time.Millisecond  // for the request of a newcomer that is turned away
 	restLeast   = time.Millisecond       // pauses between looks for connections to shut
 	restMost    = 20 * time.Millisecond
 )
@@ -32,16 +34,17 @@
 	limit int
 	mu    sync.Mutex
 	open  map[*Conn]bool
-	last  atomic.Bool // no connection outlasts its answer; see Shutdown
+	last  atomic.Bool   // no connection outlasts its answer; see Shutdown
+	away  chan struct{} // bounds the newcomers that are being turned away
 }
 
 // NewListener returns a listener over l that holds limit connections at most.
 func NewListener(l net.Listener, limit int) *Listener {
-	return &Listener{Listener: l, limit: limit, open: map[*Conn]bool{}}
+	return &Listener{Listener: l, limit: limit, open: map[*Conn]bool{}, away: make(chan struct{}, awayMost)}
 }
 
 // Accept returns the next connection there is room for. A newcomer that comes
-// while every other has a request in hand is closed at once, unread.
+// while every other has a request in hand is turned away.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		nc, err := l.Listener.Accept()
@@ -58,8 +61,34 @@
 		if room {
 			return c, nil
 		}
+		l.turnAway(nc)
+	}
+}
+
+// turnAway closes a newcomer for whom there is no room. One whose request comes is answered
+// first. Where too many are being answered it is closed unread: its client sends once more.
+func (l *Listener) turnAway(nc net.Conn) {
+	select {
+	case l.away <- struct{}{}:
+	default:
 		nc.Close()
+		return
 	}
+	go func() {
+		defer func() { <-l.away }()
+		defer nc.Close()
+		_ = nc.SetReadDeadline(time.Now().Add(awayWait))
+		if n, _ := nc.Read(make([]byte, 1)); n == 0 {
+			return
+		}
+		_ = nc.SetWriteDeadline(time.Now().Add(answerWithin))
+		if _, err := io.WriteString(nc, noRoom); err != nil {
+			return
+		}
+		if half, ok := nc.(interface{ CloseWrite() error }); ok && half.CloseWrite() == nil {
+			time.Sleep(lingerFor)
+		}
+	}()
 }
 
 // State is net/http's ConnState: it tells when a request has had its answer.
--- a/internal/clientconn/listener_test.go
+++ b/internal/clientconn/listener_test.go
@@ -96,7 +96,7 @@
 }
 
 // Connections that ask nothing give way to one that does; those that have a
-// request in hand never do, and past them a newcomer is turned away, not held.
+// request in hand never do, and past them a newcomer is turned away with an answer, not held.
 func TestIdleConnectionsAreReclaimed(t *testing.T) {
 	l, waiting, answer := serve(t, 2)
 	addr := l.Addr().String()
@@ -122,8 +122,12 @@
 		t.Errorf("half a request got %v, %v: its client may send the rest, and is owed an answer", resp, err)
 	}
 	<-waiting
-	if a := got(dial(t, addr, "GET /c HTTP/1.1\r\nHost: x\r\n\r\n")); a != "none" {
-		t.Errorf("one too many got %q", a)
+	tooMany := dial(t, addr, "GET /c HTTP/1.1\r\nHost: x\r\n\r\n")
+	if resp, err := http.ReadResponse(bufio.NewReader(tooMany), nil); err != nil || resp.StatusCode != http.StatusServiceUnavailable {
+		t.Errorf("one too many got %v, %v: its request is there, and owed an answer", resp, err)
+	}
+	if a := got(dial(t, addr, "")); a != "none" {
+		t.Errorf("one too many that asks nothing got %q", a)
 	}
 	close(answer)
 	if a, b := got(first), got(second); a != "/wait" || b != "/wait" {
