--- a/experiments/consulrun/consulrun.go
+++ b/experiments/consulrun/consulrun.go
@@ -94,126 +94,146 @@
 	stop := s.load(ctx, 8)
 	defer stop()
 	s.phase(ctx, "all well", func() { pause.Sleep(ctx, time.Second) })
-	silent := func(name, id string, f consul.Faults) {
-		s.phase(ctx, name, func() {
-			s.fail(s.agents, f)
-			pause.Sleep(ctx, s.span(5*time.Second, 1500*time.Millisecond))
-			s.mark("critical", id) // while nobody can be asked
-			pause.Sleep(ctx, s.span(3*time.Second, 1500*time.Millisecond))
-			s.fail(s.agents, consul.Faults{})
-			back := time.Now()
-			end := s.forbid(id, name, back.Add(followLimit))
-			s.followed(ctx, name+": mark followed after the agents' return", id, "critical", back, followLimit)
-			pause.Sleep(ctx, time.Until(back.Add(followLimit+500*time.Millisecond)))
-			end()
-			s.mark("passing", id)
-		})
-	}
-	silent("both agents hang", "e1", consul.Faults{Hang: true})
-	silent("both agents refuse", "e2", consul.Faults{Refuse: true})
-	s.phase(ctx, "bodies that are no list", func() {
-		for _, body := range []string{`{}`, `null`, `"x"`, `[`, `[{"Node":null,"Service":{"ID":"e1","Port":-4}}]`} {
-			s.fail(s.agents, consul.Faults{Body: body})
-			s.store.SetCheck(node, "e6", "other", "passing") // so that the query ends and brings it
-			pause.Sleep(ctx, s.span(2*time.Second, 500*time.Millisecond))
-		}
-		s.fail(s.agents, consul.Faults{})
-	})
-	s.phase(ctx, "null nodes and a port of -4 beside a mark", func() {
-		s.fail(s.agents, consul.Faults{Rewrite: func(_ string, body []byte) []byte {
-			body = bytes.Replace(body, []byte(`"ID":"e4"`), []byte(`"ID":""`), 1)
-			return bytes.Replace(body, []byte(`"Node":{`), []byte(`"Node":null,"Was":{`), 2)
-		}})
-		at := time.Now()
-		s.mark("critical", "e3")
-		end := s.forbid("e3", "beside nonsense", at.Add(markLimit))
-		s.followed(ctx, "mark beside nonsense followed", "e3", "critical", at, markLimit)
-		pause.Sleep(ctx, time.Until(at.Add(markLimit+500*time.Millisecond)))
-		end()
-		s.fail(s.agents, consul.Faults{})
-		s.mark("passing", "e3")
-	})
-	s.phase(ctx, "429, 403, 500, no leader, resets, a trickle", func() {
-		for _, f := range []consul.Faults{
-			{Status: 429, Hint: "1"}, {Status: 403}, {Status: 500}, {Leaderless: true}, {Reset: 1}, {Trickle: 2 * time.Millisecond},
-			{Contact: time.Hour}, {Ignore: true},
-		} {
-			if ctx.Err() != nil {
-				break
-			}
-			s.fail(s.agents, f)
-			s.store.SetCheck(node, "e6", "other", "passing")
-			pause.Sleep(ctx, s.span(2*time.Second, 400*time.Millisecond))
-		}
-		s.fail(s.agents, consul.Faults{})
-	})
-	s.phase(ctx, "two agents disagree", func() {
-		old := s.store.Snapshot()
-		at := time.Now()
-		s.mark("critical", "e5")
-		end := s.forbid("e5", "a lagging agent", at.Add(markLimit))
-		s.followed(ctx, "mark followed before the agents disagree", "e5", "critical", at, markLimit)
-		for _, a := range s.agents[1:] {
-			s.fail([]*consul.Agent{a}, consul.Faults{Lag: old, Contact: time.Second})
-		}
-		s.fail(s.agents[:1], consul.Faults{Refuse: true}) // the other one, which lags, is asked now
-		pause.Sleep(ctx, s.span(6*time.Second, 2500*time.Millisecond))
+	s.silentAgents(ctx, "both agents hang", "e1", consul.Faults{Hang: true})
+	s.silentAgents(ctx, "both agents refuse", "e2", consul.Faults{Refuse: true})
+	s.phase(ctx, "bodies that are no list", func() { s.invalidBodies(ctx) })
+	s.phase(ctx, "null nodes and a port of -4 beside a mark", func() { s.markBesideNonsense(ctx) })
+	s.phase(ctx, "429, 403, 500, no leader, resets, a trickle", func() { s.badAnswers(ctx) })
+	s.phase(ctx, "two agents disagree", func() { s.disagree(ctx) })
+	s.phase(ctx, "an engine restarts while another's check flaps", func() { s.restartBesideFlap(ctx) })
+	s.phase(ctx, "SIGHUP moves Consul while it hangs", func() { s.moveByReload(ctx) })
+	return nil
+}
+
+// silentAgents marks an engine while no agent can be asked.
+func (s *stage) silentAgents(ctx context.Context, name, id string, f consul.Faults) {
+	s.phase(ctx, name, func() {
+		s.fail(s.agents, f)
+		pause.Sleep(ctx, s.span(5*time.Second, 1500*time.Millisecond))
+		s.mark("critical", id) // while nobody can be asked
+		pause.Sleep(ctx, s.span(3*time.Second, 1500*time.Millisecond))
 		s.fail(s.agents, consul.Faults{})
-		pause.Sleep(ctx, 500*time.Millisecond)
+		back := time.Now()
+		end := s.forbid(id, name, back.Add(followLimit))
+		s.followed(ctx, name+": mark followed after the agents' return", id, "critical", back, followLimit)
+		pause.Sleep(ctx, time.Until(back.Add(followLimit+500*time.Millisecond)))
 		end()
-		s.mark("passing", "e5")
+		s.mark("passing", id)
 	})
-	s.phase(ctx, "an engine restarts while another's check flaps", func() {
-		at := time.Now()
-		s.byID["e1"].Crash()
-		s.mark("critical", "e1", "e2")
-		// Requests that ran there have failed with the engine.
-		s.excuseFrom(at.Add(-500*time.Millisecond), at.Add(markLimit))
-		end := s.forbid("e1", "restarting", at.Add(markLimit))
-		pause.Sleep(ctx, 1500*time.Millisecond)
-		if err := s.byID["e1"].Restart(false); err != nil {
-			s.say("%v", err)
-		}
-		pause.Sleep(ctx, 500*time.Millisecond)
-		end()
-		back := time.Now()
-		s.mark("passing", "e1", "e2")
-		s.followed(ctx, "a restarted engine is in again", "e1", "in", back, recoveryLimit)
-		for _, g := range s.gates {
-			v, err := g.View(ctx)
-			cold, warm := since(v, "e1"), since(v, "e2")
-			s.report.Hold(err == nil && cold > 0 && cold < coldFor && warm == 0, g.Name+": a restart is told from a flap",
-				"up for: restarted %v, flapped %v (0 = long)", cold.Round(time.Millisecond), warm)
+}
+
+// invalidBodies answers with bodies that are no list.
+func (s *stage) invalidBodies(ctx context.Context) {
+	for _, body := range []string{`{}`, `null`, `"x"`, `[`, `[{"Node":null,"Service":{"ID":"e1","Port":-4}}]`} {
+		s.fail(s.agents, consul.Faults{Body: body})
+		s.store.SetCheck(node, "e6", "other", "passing") // so that the query ends and brings it
+		pause.Sleep(ctx, s.span(2*time.Second, 500*time.Millisecond))
+	}
+	s.fail(s.agents, consul.Faults{})
+}
+
+// markBesideNonsense follows a mark that stands beside entries without meaning.
+func (s *stage) markBesideNonsense(ctx context.Context) {
+	s.fail(s.agents, consul.Faults{Rewrite: func(_ string, body []byte) []byte {
+		body = bytes.Replace(body, []byte(`"ID":"e4"`), []byte(`"ID":""`), 1)
+		return bytes.Replace(body, []byte(`"Node":{`), []byte(`"Node":null,"Was":{`), 2)
+	}})
+	at := time.Now()
+	s.mark("critical", "e3")
+	end := s.forbid("e3", "beside nonsense", at.Add(markLimit))
+	s.followed(ctx, "mark beside nonsense followed", "e3", "critical", at, markLimit)
+	pause.Sleep(ctx, time.Until(at.Add(markLimit+500*time.Millisecond)))
+	end()
+	s.fail(s.agents, consul.Faults{})
+	s.mark("passing", "e3")
+}
+
+// badAnswers has the agents answer in all ways but the right one.
+func (s *stage) badAnswers(ctx context.Context) {
+	for _, f := range []consul.Faults{
+		{Status: 429, Hint: "1"}, {Status: 403}, {Status: 500}, {Leaderless: true}, {Reset: 1}, {Trickle: 2 * time.Millisecond},
+		{Contact: time.Hour}, {Ignore: true},
+	} {
+		if ctx.Err() != nil {
+			break
 		}
-		pause.Sleep(ctx, s.span(6*time.Second, 1500*time.Millisecond))
-	})
-	s.phase(ctx, "SIGHUP moves Consul while it hangs", func() {
-		third, err := consul.NewAgent(s.store, node)
-		if err != nil {
+		s.fail(s.agents, f)
+		s.store.SetCheck(node, "e6", "other", "passing")
+		pause.Sleep(ctx, s.span(2*time.Second, 400*time.Millisecond))
+	}
+	s.fail(s.agents, consul.Faults{})
+}
+
+// disagree has one agent lag behind what the other has told.
+func (s *stage) disagree(ctx context.Context) {
+	old := s.store.Snapshot()
+	at := time.Now()
+	s.mark("critical", "e5")
+	end := s.forbid("e5", "a lagging agent", at.Add(markLimit))
+	s.followed(ctx, "mark followed before the agents disagree", "e5", "critical", at, markLimit)
+	for _, a := range s.agents[1:] {
+		s.fail([]*consul.Agent{a}, consul.Faults{Lag: old, Contact: time.Second})
+	}
+	s.fail(s.agents[:1], consul.Faults{Refuse: true}) // the other one, which lags, is asked now
+	pause.Sleep(ctx, s.span(6*time.Second, 2500*time.Millisecond))
+	s.fail(s.agents, consul.Faults{})
+	pause.Sleep(ctx, 500*time.Millisecond)
+	end()
+	s.mark("passing", "e5")
+}
+
+// restartBesideFlap tells an engine that restarted from one whose check flaps.
+func (s *stage) restartBesideFlap(ctx context.Context) {
+	at := time.Now()
+	s.byID["e1"].Crash()
+	s.mark("critical", "e1", "e2")
+	// Requests that ran there have failed with the engine.
+	s.excuseFrom(at.Add(-500*time.Millisecond), at.Add(markLimit))
+	end := s.forbid("e1", "restarting", at.Add(markLimit))
+	pause.Sleep(ctx, 1500*time.Millisecond)
+	if err := s.byID["e1"].Restart(false); err != nil {
+		s.say("%v", err)
+	}
+	pause.Sleep(ctx, 500*time.Millisecond)
+	end()
+	back := time.Now()
+	s.mark("passing", "e1", "e2")
+	s.followed(ctx, "a restarted engine is in again", "e1", "in", back, recoveryLimit)
+	for _, g := range s.gates {
+		v, err := g.View(ctx)
+		cold, warm := since(v, "e1"), since(v, "e2")
+		s.report.Hold(err == nil && cold > 0 && cold < coldFor && warm == 0, g.Name+": a restart is told from a flap",
+			"up for: restarted %v, flapped %v (0 = long)", cold.Round(time.Millisecond), warm)
+	}
+	pause.Sleep(ctx, s.span(6*time.Second, 1500*time.Millisecond))
+}
+
+// moveByReload moves the gateways to another agent while theirs hang.
+func (s *stage) moveByReload(ctx context.Context) {
+	third, err := consul.NewAgent(s.store, node)
+	if err != nil {
+		s.say("%v", err)
+		return
+	}
+	s.fail(s.agents, consul.Faults{Hang: true})
+	pause.Sleep(ctx, 1500*time.Millisecond)
+	s.agents = append(s.agents, third)
+	at := time.Now()
+	for _, g := range s.gates {
+		file := s.settings(map[string]any{"address": third.Addr, "service": "llm"})
+		file["state_file"] = s.opt.Work + "/" + g.Name + ".view"
+		if err := g.Write(file); err != nil {
 			s.say("%v", err)
-			return
 		}
-		s.fail(s.agents, consul.Faults{Hang: true})
-		pause.Sleep(ctx, 1500*time.Millisecond)
-		s.agents = append(s.agents, third)
-		at := time.Now()
-		for _, g := range s.gates {
-			file := s.settings(map[string]any{"address": third.Addr, "service": "llm"})
-			file["state_file"] = s.opt.Work + "/" + g.Name + ".view"
-			if err := g.Write(file); err != nil {
-				s.say("%v", err)
-			}
-			g.Reload()
-		}
-		s.store.Maintain(node, "e6", true, "moved")
-		end := s.forbid("e6", "after SIGHUP", at.Add(followLimit))
-		s.followed(ctx, "mark followed after SIGHUP", "e6", "draining", at, followLimit)
-		pause.Sleep(ctx, time.Until(at.Add(followLimit+500*time.Millisecond)))
-		end()
-		s.store.Maintain(node, "e6", false, "")
-		pause.Sleep(ctx, 300*time.Millisecond)
-	})
-	return nil
+		g.Reload()
+	}
+	s.store.Maintain(node, "e6", true, "moved")
+	end := s.forbid("e6", "after SIGHUP", at.Add(followLimit))
+	s.followed(ctx, "mark followed after SIGHUP", "e6", "draining", at, followLimit)
+	pause.Sleep(ctx, time.Until(at.Add(followLimit+500*time.Millisecond)))
+	end()
+	s.store.Maintain(node, "e6", false, "")
+	pause.Sleep(ctx, 300*time.Millisecond)
 }
 
 // playCatalogue has the catalogue itself go wrong or change.
@@ -242,78 +262,87 @@
 		s.store.Restore(good)
 		pause.Sleep(ctx, time.Second)
 	})
-	s.phase(ctx, "all critical, then passing", func() {
-		all := []string{"a1", "a2", "a3", "b1", "b2", "b3"}
-		at := time.Now()
-		s.mark("critical", all...)
-		var ends []func()
-		for _, id := range all {
-			ends = append(ends, s.forbid(id, "all critical", at.Add(markLimit)))
-		}
-		pause.Sleep(ctx, 5*time.Second)
-		for _, end := range ends {
-			end()
-		}
-		back := time.Now()
-		s.mark("passing", all...)
-		s.excuseFrom(at, back.Add(recoveryLimit))
-		pause.Sleep(ctx, recoveryLimit+s.span(3*time.Second, 1500*time.Millisecond))
-		// Recovery is over with the last request that was asked before all were served.
-		last, first := back, time.Duration(0)
-		for _, o := range s.rec.All() {
-			switch {
-			case o.Asked.Before(back):
-			case !o.Served && o.Asked.After(last):
-				last = o.Asked
-			case o.Served && (first == 0 || o.Asked.Add(o.Total).Sub(back) < first):
-				first = o.Asked.Add(o.Total).Sub(back)
-			}
-		}
-		took := last.Sub(back)
-		s.rows = append(s.rows, []any{s.name, "recovery from all critical", took.Round(10 * time.Millisecond), recoveryLimit})
-		s.report.Hold(took <= recoveryLimit && first > 0, "recovery from all critical, no engine restarted", "all served after %v, the first after %v", took.Round(time.Millisecond), first.Round(time.Millisecond))
-	})
-	s.phase(ctx, "an engine moves; another id takes an address", func() {
-		at := time.Now()
-		if err := s.engine("llm-a", tags, "a1-moved", "a1", false); err != nil {
-			s.say("%v", err)
-		}
-		end := s.forbid("a1", "moved away", at.Add(markLimit))
-		s.list("llm-a", tags, "a9", s.byID["a2"]) // the same process, under another id
-		pause.Sleep(ctx, markLimit+s.span(4*time.Second, 700*time.Millisecond))
+	s.phase(ctx, "all critical, then passing", func() { s.allCritical(ctx) })
+	s.phase(ctx, "an engine moves; another id takes an address", func() { s.moveAndRename(ctx, tags) })
+	s.phase(ctx, "a tag is taken away during a drain, and comes back", func() { s.tagDuringDrain(ctx, tags) })
+	return errors.Join(restartWithoutConsul(ctx, s, section), nil)
+}
+
+// allCritical marks every engine critical, and takes that back.
+func (s *stage) allCritical(ctx context.Context) {
+	all := []string{"a1", "a2", "a3", "b1", "b2", "b3"}
+	at := time.Now()
+	s.mark("critical", all...)
+	var ends []func()
+	for _, id := range all {
+		ends = append(ends, s.forbid(id, "all critical", at.Add(markLimit)))
+	}
+	pause.Sleep(ctx, 5*time.Second)
+	for _, end := range ends {
 		end()
-		for _, g := range s.gates {
-			v, err := g.View(ctx)
-			ok := err == nil && state(v, "a2") == "gone" && state(v, "a9") == "in"
-			s.report.Hold(ok, g.Name+": an address has one engine", "a2 %s, a9 %s", state(v, "a2"), state(v, "a9"))
-		}
-		s.store.Deregister(node, "a2")
-	})
-	s.phase(ctx, "a tag is taken away during a drain, and comes back", func() {
-		at := time.Now()
-		s.store.Maintain(node, "b1", true, "drain")
-		end := s.forbid("b1", "drained without its tag", at.Add(markLimit))
-		s.followed(ctx, "drain followed", "b1", "draining", at, markLimit)
-		for _, id := range []string{"b1", "b2", "b3"} {
-			s.list("llm-b", []string{"other"}, id, s.byID[id])
-		}
-		gone := time.Now()
-		var ends []func()
-		for _, id := range []string{"b2", "b3"} {
-			ends = append(ends, s.forbid(id, "its service lost the tag", gone.Add(markLimit)))
-		}
-		pause.Sleep(ctx, markLimit+s.span(3*time.Second, 500*time.Millisecond))
-		for _, e := range ends {
-			e()
-		}
-		for _, id := range []string{"b1", "b2", "b3"} {
-			s.list("llm-b", tags, id, s.byID[id])
+	}
+	back := time.Now()
+	s.mark("passing", all...)
+	s.excuseFrom(at, back.Add(recoveryLimit))
+	pause.Sleep(ctx, recoveryLimit+s.span(3*time.Second, 1500*time.Millisecond))
+	// Recovery is over with the last request that was asked before all were served.
+	last, first := back, time.Duration(0)
+	for _, o := range s.rec.All() {
+		switch {
+		case o.Asked.Before(back):
+		case !o.Served && o.Asked.After(last):
+			last = o.Asked
+		case o.Served && (first == 0 || o.Asked.Add(o.Total).Sub(back) < first):
+			first = o.Asked.Add(o.Total).Sub(back)
 		}
-		pause.Sleep(ctx, 1500*time.Millisecond)
-		end()
-		s.store.Maintain(node, "b1", false, "")
-	})
-	return errors.Join(restartWithoutConsul(ctx, s, section), nil)
+	}
+	took := last.Sub(back)
+	s.rows = append(s.rows, []any{s.name, "recovery from all critical", took.Round(10 * time.Millisecond), recoveryLimit})
+	s.report.Hold(took <= recoveryLimit && first > 0, "recovery from all critical, no engine restarted", "all served after %v, the first after %v", took.Round(time.Millisecond), first.Round(time.Millisecond))
+}
+
+// moveAndRename moves one engine, and lists another under a second id.
+func (s *stage) moveAndRename(ctx context.Context, tags []string) {
+	at := time.Now()
+	if err := s.engine("llm-a", tags, "a1-moved", "a1", false); err != nil {
+		s.say("%v", err)
+	}
+	end := s.forbid("a1", "moved away", at.Add(markLimit))
+	s.list("llm-a", tags, "a9", s.byID["a2"]) // the same process, under another id
+	pause.Sleep(ctx, markLimit+s.span(4*time.Second, 700*time.Millisecond))
+	end()
+	for _, g := range s.gates {
+		v, err := g.View(ctx)
+		ok := err == nil && state(v, "a2") == "gone" && state(v, "a9") == "in"
+		s.report.Hold(ok, g.Name+": an address has one engine", "a2 %s, a9 %s", state(v, "a2"), state(v, "a9"))
+	}
+	s.store.Deregister(node, "a2")
+}
+
+// tagDuringDrain takes the tag of a service away while one of its engines drains.
+func (s *stage) tagDuringDrain(ctx context.Context, tags []string) {
+	at := time.Now()
+	s.store.Maintain(node, "b1", true, "drain")
+	end := s.forbid("b1", "drained without its tag", at.Add(markLimit))
+	s.followed(ctx, "drain followed", "b1", "draining", at, markLimit)
+	for _, id := range []string{"b1", "b2", "b3"} {
+		s.list("llm-b", []string{"other"}, id, s.byID[id])
+	}
+	gone := time.Now()
+	var ends []func()
+	for _, id := range []string{"b2", "b3"} {
+		ends = append(ends, s.forbid(id, "its service lost the tag", gone.Add(markLimit)))
+	}
+	pause.Sleep(ctx, markLimit+s.span(3*time.Second, 500*time.Millisecond))
+	for _, e := range ends {
+		e()
+	}
+	for _, id := range []string{"b1", "b2", "b3"} {
+		s.list("llm-b", tags, id, s.byID[id])
+	}
+	pause.Sleep(ctx, 1500*time.Millisecond)
+	end()
+	s.store.Maintain(node, "b1", false, "")
 }
 
 // restartWithoutConsul starts a gateway from its last good view alone.
--- a/experiments/load/load.go
+++ b/experiments/load/load.go
@@ -229,26 +229,36 @@
 	defer resp.Body.Close()
 	defer func() { o.Ends = append(o.Ends, End{resp.Header.Get("X-Request-Id"), time.Now()}) }()
 	o.Status, o.Again = resp.StatusCode, resp.Header.Get("Idempotent-Replayed") != ""
-	if resp.StatusCode != http.StatusOK {
-		text, _ := io.ReadAll(io.LimitReader(resp.Body, 600))
-		o.Problem = fmt.Sprintf("status %d: %.300s", resp.StatusCode, bytes.TrimSpace(text))
-		if _, after, found := strings.Cut(string(text), `"code":"`); found {
-			o.Code, _, _ = strings.Cut(after, `"`)
-		}
-		seconds, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
-		again = resp.StatusCode == http.StatusTooManyRequests || resp.StatusCode == http.StatusServiceUnavailable
-		if p.Keyed { // it asks again whatever it is told, as long as that is not final
-			again = !slices.Contains(final, o.Code) && resp.StatusCode != http.StatusBadRequest
-		}
-		return again, time.Duration(seconds * float64(time.Second))
-	}
-	if p.Whole {
+	switch {
+	case resp.StatusCode != http.StatusOK:
+		return o.turnedAway(p, resp)
+	case p.Whole:
 		_, err := io.Copy(io.Discard, resp.Body)
 		o.First = time.Since(o.Asked)
 		o.Served, o.Problem = err == nil, ""
 		return false, 0
 	}
-	lines, done, failed, events := bufio.NewReader(resp.Body), 0, 0, 0
+	return o.stream(p, resp.Body, drop), 0
+}
+
+// turnedAway notes an answer other than 200, and tells whether and when to ask again.
+func (o *Outcome) turnedAway(p Plan, resp *http.Response) (again bool, hint time.Duration) {
+	text, _ := io.ReadAll(io.LimitReader(resp.Body, 600))
+	o.Problem = fmt.Sprintf("status %d: %.300s", resp.StatusCode, bytes.TrimSpace(text))
+	if _, after, found := strings.Cut(string(text), `"code":"`); found {
+		o.Code, _, _ = strings.Cut(after, `"`)
+	}
+	seconds, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
+	again = resp.StatusCode == http.StatusTooManyRequests || resp.StatusCode == http.StatusServiceUnavailable
+	if p.Keyed { // it asks again whatever it is told, as long as that is not final
+		again = !slices.Contains(final, o.Code) && resp.StatusCode != http.StatusBadRequest
+	}
+	return again, time.Duration(seconds * float64(time.Second))
+}
+
+// stream reads a stream to its end, or drops it at an event, and tells whether to ask again.
+func (o *Outcome) stream(p Plan, body io.Reader, drop int) (again bool) {
+	lines, done, failed, events := bufio.NewReader(body), 0, 0, 0
 	for {
 		line, err := lines.ReadSlice('\n')
 		if bytes.HasPrefix(line, []byte("data:")) {
@@ -257,7 +267,7 @@
 			}
 			if events++; events == drop {
 				o.Problem = "dropped by the client"
-				return p.Keyed, 0
+				return p.Keyed
 			}
 			switch {
 			case bytes.HasPrefix(line, []byte("data: [DONE]")):
@@ -274,10 +284,10 @@
 		}
 		if o.Served = err == io.EOF && done == 1; o.Served {
 			o.Problem = ""
-			return false, 0
+			return false
 		}
 		o.Problem = "the stream broke: " + err.Error()
-		return p.Keyed, 0
+		return p.Keyed
 	}
 }
 
--- a/experiments/rolesim/rolesim.go
+++ b/experiments/rolesim/rolesim.go
@@ -80,156 +80,221 @@
 
 // Play emulates a day with so many engines of the prompt stage at the start.
 func Play(d Day, classes []Class, prompt int, decide Decide) Result {
-	random := rand.New(rand.NewPCG(d.Seed, 1))
-	epoch := time.Unix(0, 0)
-	engines := make([]*engine, d.Engines)
-	for i := range engines {
+	p := newPlay(d, classes, prompt)
+	for p.now = 0; p.now < d.For; p.now += step {
+		p.arrive()
+		p.run()
+		used := p.serve()
+		if p.now%decides != 0 {
+			continue
+		}
+		p.result.Answers = append(p.result.Answers, [2]float64{p.now.Seconds(), p.power[roles.Answer]})
+		if decide != nil {
+			p.change(decide(time.Unix(0, 0).Add(p.now), p.view(used), p.traffic))
+		}
+	}
+	return p.sum()
+}
+
+// play is one day under way.
+type play struct {
+	Day
+	classes []Class
+	random  *rand.Rand
+	now     time.Duration
+	engines []*engine
+	queues  [2][]cohort // by role
+	traffic []roles.Traffic
+	power   [2]float64 // of the engines of each role, cold ones in part
+	serving [2]float64 // how many there are
+
+	asked, earned []float64    // worth, by class
+	bySecond      [][2]float64 // worth asked, worth earned
+	byPhase       [][2]float64
+	result        Result
+}
+
+func newPlay(d Day, classes []Class, prompt int) *play {
+	phases := int(math.Ceil(float64(d.For) / float64(d.Phase)))
+	p := &play{
+		Day: d, classes: classes, random: rand.New(rand.NewPCG(d.Seed, 1)),
+		traffic: make([]roles.Traffic, len(classes)), byPhase: make([][2]float64, phases),
+		asked: make([]float64, len(classes)), earned: make([]float64, len(classes)),
+	}
+	p.result.Phases = make([]float64, phases)
+	for i := range d.Engines {
 		role := roles.Answer
 		if i*prompt/d.Engines != (i+1)*prompt/d.Engines {
 			role = roles.Prompt
 		}
-		engines[i] = &engine{Engine: roles.Engine{ID: string(rune('a' + i)), Rack: i % max(d.Racks, 1), Role: role, Ready: true}, flipped: -time.Hour}
+		e := roles.Engine{ID: string(rune('a' + i)), Rack: i % max(d.Racks, 1), Role: role, Ready: true}
+		p.engines = append(p.engines, &engine{Engine: e, flipped: -time.Hour})
+	}
+	return p
+}
+
+// What is booked of some worth.
+const (
+	worthAsked = iota
+	worthEarned
+)
+
+// book notes worth by the time at which it was asked for.
+func (p *play) book(at time.Duration, worth float64, what int) {
+	second, phase := int(at/time.Second), min(int(at/p.Phase), len(p.byPhase)-1)
+	for len(p.bySecond) <= second {
+		p.bySecond = append(p.bySecond, [2]float64{})
 	}
-	var queues [2][]cohort
-	var r Result
-	asked, earned := make([]float64, len(classes)), make([]float64, len(classes))
-	var bySecond []([2]float64) // worth asked, worth earned
-	r.Phases = make([]float64, int(math.Ceil(float64(d.For)/float64(d.Phase))))
-	phase := make([][2]float64, len(r.Phases))
-	traffic := make([]roles.Traffic, len(classes))
-	book := func(at time.Duration, worth float64, got bool) {
-		i, k := int(at/time.Second), min(int(at/d.Phase), len(phase)-1)
-		for len(bySecond) <= i {
-			bySecond = append(bySecond, [2]float64{})
+	p.bySecond[second][what] += worth
+	p.byPhase[phase][what] += worth
+}
+
+// arrive brings a step's requests.
+func (p *play) arrive() {
+	lookups := p.Lookups(p.now)
+	for c, class := range p.classes {
+		share := lookups
+		if c == 1 {
+			share = 1 - lookups
 		}
-		j := 0
-		if got {
-			j = 1
+		n := p.Rate * share * step.Seconds() * (1 + 0.2*p.random.NormFloat64())
+		if n <= 0 {
+			continue
 		}
-		bySecond[i][j] += worth
-		phase[k][j] += worth
+		p.asked[c] += n * class.Worth
+		// The owner sees its own gateway's part alone, and takes it for all.
+		seen := max(0, n/sampled+math.Sqrt(n/sampled)*p.random.NormFloat64())
+		p.traffic[c].Class = class.Name
+		p.traffic[c].Asked += seen
+		p.traffic[c].Prompt += seen * class.Prompt * tokens
+		p.book(p.now, n*class.Worth, worthAsked)
+		p.queues[roles.Prompt] = append(p.queues[roles.Prompt], cohort{c, p.now, n, n * class.Prompt})
 	}
-	for t := time.Duration(0); t < d.For; t += step {
-		lookups := d.Lookups(t)
-		for c, class := range classes {
-			share := lookups
-			if c == 1 {
-				share = 1 - lookups
-			}
-			n := d.Rate * share * step.Seconds() * (1 + 0.2*random.NormFloat64())
-			if n <= 0 {
-				continue
-			}
-			asked[c] += n * class.Worth
-			// The owner sees its own gateway's part alone, and takes it for all.
-			seen := max(0, n/sampled+math.Sqrt(n/sampled)*random.NormFloat64())
-			traffic[c].Class = class.Name
-			traffic[c].Asked += seen
-			traffic[c].Prompt += seen * class.Prompt * tokens
-			book(t, n*class.Worth, false)
-			queues[roles.Prompt] = append(queues[roles.Prompt], cohort{c, t, n, n * class.Prompt})
+}
+
+// run ends changes of role that are due, and adds up what the engines can do.
+func (p *play) run() {
+	p.power, p.serving = [2]float64{}, [2]float64{}
+	for _, e := range p.engines {
+		if e.Changing && p.now-e.since >= p.Drain {
+			e.Changing, e.Role, e.flipped = false, e.to, p.now
 		}
-		var power, serving [2]float64
-		for _, e := range engines {
-			if e.Changing && t-e.since >= d.Drain {
-				e.Changing, e.Role, e.flipped = false, e.to, t
-			}
-			if e.Changing {
+		if e.Changing {
+			continue
+		}
+		e.Pace = 1
+		if age := p.now - e.flipped; age < p.Cold {
+			e.Pace = p.ColdShare + (1-p.ColdShare)*float64(age)/float64(p.Cold)
+		}
+		p.power[e.Role] += e.Pace
+		p.serving[e.Role]++
+	}
+}
+
+// serve works on what waits and returns how much work of each role was done.
+func (p *play) serve() (used [2]float64) {
+	for s := range p.queues {
+		budget := p.power[s] * step.Seconds()
+		var keep []cohort
+		for _, q := range p.queues[s] {
+			class := p.classes[q.class]
+			if p.now-q.at > class.Deadline { // given up
 				continue
 			}
-			p := 1.0
-			if age := t - e.flipped; age < d.Cold {
-				p = d.ColdShare + (1-d.ColdShare)*float64(age)/float64(d.Cold)
+			done := min(budget, q.left)
+			budget -= done
+			used[s] += done
+			if q.left -= done; q.left > 1e-9 {
+				keep = append(keep, q)
+				continue
 			}
-			e.Pace = p
-			power[e.Role] += p
-			serving[e.Role]++
-		}
-		var used [2]float64
-		for s := range queues {
-			budget := power[s] * step.Seconds()
-			var keep []cohort
-			for _, q := range queues[s] {
-				class := classes[q.class]
-				if t-q.at > class.Deadline { // given up
-					continue
-				}
-				done := min(budget, q.left)
-				budget -= done
-				used[s] += done
-				if q.left -= done; q.left > 1e-9 {
-					keep = append(keep, q)
-					continue
-				}
-				if s == int(roles.Prompt) {
-					queues[roles.Answer] = append(queues[roles.Answer], cohort{q.class, q.at, q.n, q.n * class.Answer})
-					continue
-				}
-				worth := q.n * class.Worth
-				if t-q.at > class.Aim {
-					worth *= class.Late
-				}
-				earned[q.class] += worth
-				book(q.at, worth, true)
-				traffic[q.class].Served += q.n / sampled
-				traffic[q.class].ServedPrompt += q.n / sampled * class.Prompt * tokens
-				traffic[q.class].Output += q.n / sampled * class.Answer * tokens
+			if s == int(roles.Prompt) {
+				p.queues[roles.Answer] = append(p.queues[roles.Answer], cohort{q.class, q.at, q.n, q.n * class.Answer})
+				continue
 			}
-			queues[s] = keep
-		}
-		if t%decides == 0 {
-			r.Answers = append(r.Answers, [2]float64{t.Seconds(), power[roles.Answer]})
-		}
-		if decide == nil || t%decides != 0 {
-			continue
+			p.answered(q)
 		}
-		var view []roles.Engine
-		var backlog [2]float64
-		for s := range queues {
-			for _, q := range queues[s] {
-				backlog[s] += q.left
-			}
+		p.queues[s] = keep
+	}
+	return used
+}
+
+// answered books a cohort whose answers are complete.
+func (p *play) answered(q cohort) {
+	class := p.classes[q.class]
+	worth := q.n * class.Worth
+	if p.now-q.at > class.Aim {
+		worth *= class.Late
+	}
+	p.earned[q.class] += worth
+	p.book(q.at, worth, worthEarned)
+	traffic := &p.traffic[q.class]
+	traffic.Served += q.n / sampled
+	traffic.ServedPrompt += q.n / sampled * class.Prompt * tokens
+	traffic.Output += q.n / sampled * class.Answer * tokens
+}
+
+// view returns the engines as the owner sees them.
+func (p *play) view(used [2]float64) (view []roles.Engine) {
+	var backlog [2]float64
+	for s := range p.queues {
+		for _, q := range p.queues[s] {
+			backlog[s] += q.left
 		}
-		for _, e := range engines {
-			v := e.Engine
-			noise := 1 + d.Noise*random.NormFloat64()
-			if power[v.Role] > 0 {
-				v.Util = min(1, used[v.Role]/(power[v.Role]*step.Seconds())) * max(noise, 0)
-				v.Queue = backlog[v.Role] / serving[v.Role]
-			}
-			view = append(view, v)
+	}
+	for _, e := range p.engines {
+		v := e.Engine
+		noise := 1 + p.Noise*p.random.NormFloat64()
+		if p.power[v.Role] > 0 {
+			v.Util = min(1, used[v.Role]/(p.power[v.Role]*step.Seconds())) * max(noise, 0)
+			v.Queue = backlog[v.Role] / p.serving[v.Role]
 		}
-		c := decide(epoch.Add(t), view, traffic)
-		if c != nil {
-			for _, e := range engines {
-				if e.ID == c.Engine && !e.Changing {
-					e.Changing, e.to, e.since = true, c.To, t
-					r.Changes++
-				}
-			}
+		view = append(view, v)
+	}
+	return view
+}
+
+// change begins what was decided on; nil is nothing.
+func (p *play) change(c *roles.Change) {
+	if c == nil {
+		return
+	}
+	for _, e := range p.engines {
+		if e.ID == c.Engine && !e.Changing {
+			e.Changing, e.to, e.since = true, c.To, p.now
+			p.result.Changes++
 		}
 	}
-	totalAsked, totalEarned := 0.0, 0.0
-	for c := range classes {
-		totalAsked, totalEarned = totalAsked+asked[c], totalEarned+earned[c]
-		r.ByClass = append(r.ByClass, earned[c]/max(asked[c], 1e-9))
+}
+
+func (p *play) sum() Result {
+	r := &p.result
+	asked, earned := 0.0, 0.0
+	for c := range p.classes {
+		asked, earned = asked+p.asked[c], earned+p.earned[c]
+		r.ByClass = append(r.ByClass, p.earned[c]/max(p.asked[c], 1e-9))
 	}
-	r.Service = totalEarned / max(totalAsked, 1e-9)
-	for i, p := range phase {
-		r.Phases[i] = p[1] / max(p[0], 1e-9)
+	r.Service = earned / max(asked, 1e-9)
+	for i, worth := range p.byPhase {
+		r.Phases[i] = worth[worthEarned] / max(worth[worthAsked], 1e-9)
 	}
 	r.Worst10 = 1
-	for i := range bySecond {
-		r.Over = append(r.Over, [2]float64{float64(i), bySecond[i][1] / max(bySecond[i][0], 1e-9)})
-		if i+10 <= len(bySecond) {
-			a, e := 0.0, 0.0
-			for _, b := range bySecond[i : i+10] {
-				a, e = a+b[0], e+b[1]
-			}
-			r.Worst10 = min(r.Worst10, e/max(a, 1e-9))
+	for i, worth := range p.bySecond {
+		r.Over = append(r.Over, [2]float64{float64(i), worth[worthEarned] / max(worth[worthAsked], 1e-9)})
+		if i+10 <= len(p.bySecond) {
+			r.Worst10 = min(r.Worst10, partOf(p.bySecond[i:i+10]))
 		}
 	}
-	return r
+	return *r
+}
+
+// partOf returns the part of the worth asked for that was earned.
+func partOf(seconds [][2]float64) float64 {
+	asked, earned := 0.0, 0.0
+	for _, s := range seconds {
+		asked, earned = asked+s[worthAsked], earned+s[worthEarned]
+	}
+	return earned / max(asked, 1e-9)
 }
 
 // Swing returns a mix that goes to and fro between 80 and 20 per cent lookups.
