--- a/internal/clientconn/left.go
+++ b/internal/clientconn/left.go
@@ -39,7 +39,8 @@
 // watch has the client looked at where it has sent more than the request in hand. The lock
 // is held.
 func (c *Conn) watch() {
-	ahead := c.frame.complete > c.answered+1 || c.frame.complete > c.answered && !c.frame.between()
+	inHand := c.frame.complete > c.answered
+	ahead := c.frame.complete > c.answered+1 || inHand && (c.leftOver || !c.frame.between())
 	if ahead && !c.watched && !c.closing {
 		c.watched = true
 		time.AfterFunc(lookEvery, c.look)
--- a/internal/clientconn/listener.go
+++ b/internal/clientconn/listener.go
@@ -221,6 +221,7 @@
 	spoilt   bool
 	poison   []byte // what net/http reads in place of what must not be read
 	heard    bool   // something has been read
+	leftOver bool   // bytes have come that the shutdown keeps from being read
 	gone     bool   // the client has ended its sending, or the connection is broken
 	shut     bool   // nothing more is read: what comes is for the client to send again
 	half     bool   // net/http has ended the sending and waited
@@ -303,6 +304,11 @@
 		c.n, c.err = 0, &net.OpError{Op: "read", Net: "tcp", Addr: c.RemoteAddr(), Err: net.ErrClosed}
 		return true
 	}
+	if c.lastInHand() && hasUnread(fd) {
+		c.leftOver = true
+		c.watch()
+		return false
+	}
 	n, err := syscall.Read(int(fd), c.into)
 	for errors.Is(err, syscall.EINTR) {
 		n, err = syscall.Read(int(fd), c.into)
@@ -319,6 +325,13 @@
 	return true
 }
 
+// lastInHand tells whether the connection ends with the answer to the request in hand. net/http
+// reads the first byte of a next request while one is in hand: that byte would count as a request
+// on its way and keep the connection open beyond the shutdown. The lock is held.
+func (c *Conn) lastInHand() bool {
+	return c.from.last.Load() && c.frame.complete > c.answered && c.frame.between()
+}
+
 // take follows the frames of what has been read. The lock is held.
 func (c *Conn) take(n int, err error) {
 	c.heard = c.heard || n > 0
@@ -407,11 +420,14 @@
 	if err != nil {
 		return false
 	}
-	var b [1]byte
 	some := false
-	err = raw.Control(func(fd uintptr) {
-		n, _, e := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		some = n > 0 && e == nil
-	})
+	err = raw.Control(func(fd uintptr) { some = hasUnread(fd) })
 	return err == nil && some
 }
+
+// hasUnread tells whether a socket holds bytes that nobody has read.
+func hasUnread(fd uintptr) bool {
+	var b [1]byte
+	n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	return n > 0 && err == nil
+}
--- a/internal/clientconn/listener_test.go
+++ b/internal/clientconn/listener_test.go
@@ -312,6 +312,51 @@
 	}
 }
 
+// onlyConn returns the one connection that l has open.
+func onlyConn(t *testing.T, l *Listener) *Conn {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if len(l.open) != 1 {
+		t.Fatalf("%d connections open", len(l.open))
+	}
+	for c := range l.open {
+		return c
+	}
+	return nil
+}
+
+// arrived tells whether bytes of a next request have come, read or not.
+func arrived(c *Conn) bool {
+	c.mu.Lock()
+	begun := !c.frame.between()
+	c.mu.Unlock()
+	return begun || unread(c.Conn)
+}
+
+// A next request that comes during the shutdown, while the connection's last answer is yet to
+// be given, is not begun to be read either.
+func TestNoReadAheadDuringShutdown(t *testing.T) {
+	l, waiting, answer := serve(t, 8)
+	client := dial(t, l.Addr().String(), "GET /wait HTTP/1.1\r\nHost: x\r\n\r\n")
+	<-waiting
+	c := onlyConn(t, l)
+	done := make(chan error, 1)
+	go func() { done <- l.Shutdown(t.Context()) }()
+	enginetest.Eventually(t, "the shutdown has begun", l.last.Load)
+	io.WriteString(client, "GET /late HTTP/1.1\r\nHost: x\r\n\r\n")
+	enginetest.Eventually(t, "the late one is there", func() bool { return arrived(c) })
+	close(answer)
+	in := bufio.NewReader(client)
+	for _, want := range []string{"/wait", "none"} {
+		if a := next(in); a != want {
+			t.Errorf("got %q, want %q", a, want)
+		}
+	}
+	if err := <-done; err != nil {
+		t.Error(err)
+	}
+}
+
 // Of requests that were sent together, and read together, the shutdown leaves none without
 // its answer.
 func TestShutdownAnswersPipelinedRequests(t *testing.T) {
@@ -376,6 +421,20 @@
 // A client that sends much at once and goes is known to have gone while its first request
 // is in hand, though what it sent ahead is never read.
 func TestPipelinedClientLeaving(t *testing.T) {
+	testPipelinedClientLeaving(t, func(*Listener) {})
+}
+
+// So is one that does so while the gateway shuts down.
+func TestPipelinedClientLeavingDuringShutdown(t *testing.T) {
+	testPipelinedClientLeaving(t, func(l *Listener) {
+		go l.Shutdown(t.Context())
+		enginetest.Eventually(t, "the shutdown has begun", l.last.Load)
+	})
+}
+
+// testPipelinedClientLeaving calls before once the first request is in hand, and then has the
+// client send more and go.
+func testPipelinedClientLeaving(t *testing.T, before func(*Listener)) {
 	waiting, ended, enough := make(chan bool, 200), make(chan bool, 200), make(chan struct{})
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		waiting <- true
@@ -391,6 +450,7 @@
 	t.Cleanup(s.Close)
 	c := dial(t, l.Addr().String(), "GET /a HTTP/1.1\r\nHost: x\r\n\r\n")
 	<-waiting
+	before(l)
 	io.WriteString(c, strings.Repeat("GET /b HTTP/1.1\r\nHost: x\r\n\r\n", 100))
 	c.Close()
 	defer close(enough)
