--- a/internal/upstream/held_test.go
+++ b/internal/upstream/held_test.go
@@ -41,7 +41,10 @@
 	members  []core.Member
 	clients  sync.WaitGroup
 	end      context.CancelFunc // of the process: the core and the pool
-	leaving  atomic.Bool        // it has been told to end, and takes no more
+	resumes  bool               // clients ask for the rest of a stream that broke
+	leaving  atomic.Bool        // it takes no more, as it has been told to end
+	streams  context.Context    // ends when the process cuts off what streams
+	cut      context.CancelFunc // ends streams
 	gone     chan struct{}      // closed once it has ended; nil if it is not told to
 }
 
@@ -100,6 +103,8 @@
 	})
 	process, end := context.WithCancel(t.Context())
 	s.end = end
+	s.streams, s.cut = context.WithCancel(t.Context())
+	s.resumes = r.IntN(2) == 0
 	go pool.Sweep(process)
 	router, err := routing.New(set, seed)
 	if err != nil {
@@ -110,7 +115,7 @@
 	s.core = core.New(router, engine, still{}, figures, slog.New(slog.DiscardHandler), invariant.New())
 	go s.core.Run(process)
 	s.core.Roster(routing.RosterFull, s.members)
-	s.fleet.step("settings %+v, rules %+v", set, s.fleet.rules)
+	s.fleet.step("settings %+v, rules %+v, clients resume: %v", set, s.fleet.rules, s.resumes)
 	return s
 }
 
@@ -182,12 +187,16 @@
 	s.fleet.on(trigger{stage: pick(s.random, stages...), skip: s.random.IntN(asks), run: func() {
 		defer close(s.gone)
 		s.fleet.step("the gateway is told to end, gives up after %v, is killed after %v", early, kill)
-		s.leaving.Store(true)
+		s.leaving.Store(!s.resumes) // where clients resume, all is served as ever for a while
 		process, stop := context.WithTimeout(t.Context(), kill)
 		defer stop()
 		time.Sleep(early)
+		s.leaving.Store(true)
 		s.core.Abandon(atOnce)
-		last := time.AfterFunc((kill-early)/2, func() { s.core.Abandon(true) })
+		last := time.AfterFunc((kill-early)/2, func() {
+			s.core.Abandon(true)
+			s.cut()
+		})
 		defer last.Stop()
 		killed := s.core.Drain(process) != nil
 		s.end()
@@ -195,38 +204,89 @@
 	}})
 }
 
-// ask has one client make a request; some leave early.
-func (s *scenario) ask(ctx context.Context, n int) {
+// Clients that ask for the rest of a stream that broke come again so soon, and so often.
+const (
+	resumeWithin = 250 * time.Millisecond
+	resumeMost   = 3
+)
+
+// visit is what one client does: its request, when it leaves, and when it comes again where
+// clients ask for the rest of a stream.
+type visit struct {
+	request core.Request
+	stay    time.Duration // from when the request comes; the rest of a stream is waited for whole
+	leaveAt stage         // "" for none
+	pauses  []time.Duration
+}
+
+// drawVisit draws a client; some leave early, some of these in the middle of their stream.
+func (s *scenario) drawVisit(n int) visit {
 	wait := between(s.random, 300*time.Millisecond, 5*time.Second)
-	stay, leaveAt := wait, stage("")
+	v := visit{stay: wait}
 	switch s.random.IntN(8) {
 	case 0:
-		stay = between(s.random, 0, wait)
+		v.stay = between(s.random, 0, wait)
 	case 1, 2:
-		leaveAt = pick(s.random, stages...)
+		v.leaveAt = pick(s.random, stages...)
 	}
-	q := core.Request{Wire: fmt.Sprint("q", n), Arrived: time.Now(), Payload: core.Payload{Method: "POST", Target: "/v1/chat/completions", Body: []byte("{}")}}
-	q.Request = routing.Request{Class: fmt.Sprint("c", s.random.IntN(3)), Session: fmt.Sprint(s.random.IntN(5)), Prompt: 100, MaxTokens: 10, TTL: wait}
-	s.clients.Go(func() {
-		mine, leave := context.WithTimeout(ctx, stay)
-		defer leave()
-		s.fleet.step("%s class %s comes, waits %v of %v", q.Wire, q.Class, stay, wait)
-		if leaveAt != "" {
-			s.fleet.on(trigger{id: q.Wire, stage: leaveAt, run: leave})
+	v.request = core.Request{Wire: fmt.Sprint("q", n), Payload: core.Payload{Method: "POST", Target: "/v1/chat/completions", Body: []byte("{}")}}
+	v.request.Request = routing.Request{Class: fmt.Sprint("c", s.random.IntN(3)), Session: fmt.Sprint(s.random.IntN(5)), Prompt: 100, MaxTokens: 10, TTL: wait}
+	if s.resumes {
+		for range s.random.IntN(resumeMost + 1) {
+			v.pauses = append(v.pauses, between(s.random, 0, resumeWithin))
 		}
-		s.fleet.account(q.Wire, func(r *record) { r.due = q.Arrived.Add(wait) })
-		a, ticket, here := core.Await(mine, s.core, q)
-		s.fleet.step("%s answered: %v, verdict %v", q.Wire, here, a.Verdict)
-		s.fleet.account(q.Wire, func(r *record) { r.left = time.Now() })
-		if late := time.Since(q.Arrived) - wait; late > answerSlack {
-			s.fleet.fail("%s had no answer for %v after its time", q.Wire, late)
-		}
-		if here && a.Verdict == core.Serving {
-			_ = ticket.Relay(mine, a.Stream, func([]byte) error { return nil })
+	}
+	return v
+}
+
+// ask has one client make a request and, where clients do so, ask for the rest of its stream
+// as often as that breaks.
+func (s *scenario) ask(ctx context.Context, n int) {
+	v := s.drawVisit(n)
+	s.clients.Go(func() {
+		q := v.request
+		broke := s.try(ctx, q, v.stay, v.leaveAt)
+		for again, pause := range v.pauses {
+			time.Sleep(pause)
+			if !broke || s.leaving.Load() {
+				return
+			}
+			q.Wire = fmt.Sprint(v.request.Wire, "-", again+1)
+			q.Reconnect = true
+			broke = s.try(ctx, q, q.TTL, "")
 		}
 	})
 }
 
+// try has a client make one request and tells whether it ended with its stream broken, or left
+// by the client.
+func (s *scenario) try(ctx context.Context, q core.Request, stay time.Duration, leaveAt stage) (broke bool) {
+	mine, leave := context.WithTimeout(ctx, stay)
+	defer leave()
+	stop := context.AfterFunc(s.streams, leave)
+	defer stop()
+	s.fleet.step("%s class %s comes, waits %v of %v", q.Wire, q.Class, stay, q.TTL)
+	if leaveAt != "" {
+		s.fleet.on(trigger{id: q.Wire, stage: leaveAt, run: leave})
+	}
+	q.Arrived = time.Now()
+	s.fleet.account(q.Wire, func(r *record) { r.due = q.Arrived.Add(q.TTL) })
+	a, ticket, here := core.Await(mine, s.core, q)
+	s.fleet.step("%s answered: %v, verdict %v", q.Wire, here, a.Verdict)
+	s.fleet.account(q.Wire, func(r *record) { r.left = time.Now() })
+	if late := time.Since(q.Arrived) - q.TTL; late > answerSlack {
+		s.fleet.fail("%s had no answer for %v after its time", q.Wire, late)
+	}
+	if !here || a.Verdict != core.Serving {
+		return false
+	}
+	stopNote := context.AfterFunc(mine, func() {
+		s.fleet.account(q.Wire, func(r *record) { r.streamLeft = time.Now() })
+	})
+	defer stopNote()
+	return ticket.Relay(mine, a.Stream, func([]byte) error { return nil }) != nil
+}
+
 // fault does something to an engine or its network, and mends it later.
 func (s *scenario) fault() {
 	name := pick(s.random, s.members...).Name
@@ -244,7 +304,7 @@
 			}
 		}
 		for _, name := range names {
-			s.cut(name, last, broken)
+			s.partition(name, last, broken)
 		}
 	case 2:
 		s.fleet.network(name, "refused", func(l *simLink) { l.change(func() { l.refused = true }); l.reset() })
@@ -264,14 +324,14 @@
 	}
 }
 
-func (s *scenario) cut(name string, last time.Duration, broken bool) {
+func (s *scenario) partition(name string, last time.Duration, broken bool) {
 	s.fleet.network(name, "cut", func(l *simLink) { l.change(func() { l.cut = true }) })
 	time.AfterFunc(last, func() {
 		s.fleet.network(name, fmt.Sprint("healed, connections broken: ", broken), func(l *simLink) {
 			if broken {
 				l.reset()
 			}
-			l.change(func() { l.cut = false })
+			l.change(func() { l.cut, l.healed = false, time.Now() })
 		})
 	})
 }
--- a/internal/upstream/simfleet_test.go
+++ b/internal/upstream/simfleet_test.go
@@ -52,6 +52,8 @@
 	waits int             // of these, attempts at writers that wait for the state
 	held  map[string]bool // engines that hold a state
 	since time.Time       // nothing has been out since, while something is held; zero if not so
+
+	streamLeft time.Time // when the client left in the middle of its stream; zero if it has not
 }
 
 func newSimFleet(rules simRules, seed uint64) *simFleet {
@@ -173,7 +175,7 @@
 	f.broken = append(f.broken, fmt.Sprintf(format, args...))
 }
 
-// verdict returns what was broken, and what is still held.
+// verdict returns what was broken, and what is still held or out.
 func (f *simFleet) verdict() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -182,6 +184,9 @@
 		if len(r.held) > 0 {
 			bad = append(bad, fmt.Sprintf("%s is held to the end at %v, %d attempts out", id, r.held, r.out))
 		}
+		if r.out > 0 {
+			bad = append(bad, fmt.Sprintf("%s has %d attempts out to the end", id, r.out))
+		}
 	}
 	return bad
 }
--- a/internal/upstream/simnet_test.go
+++ b/internal/upstream/simnet_test.go
@@ -18,6 +18,7 @@
 	changed chan struct{} // closed and replaced whenever something happens
 	delay   time.Duration // one way
 	cut     bool          // nothing passes, and new connections do not come up
+	healed  time.Time     // when the latest cut ended
 	refused bool          // new connections are refused
 	late    time.Duration // a new connection comes up after this
 	accept  func(net.Conn)
@@ -63,6 +64,13 @@
 	return !l.cut && !l.refused && l.late <= lateMost
 }
 
+// cutSince tells whether the way has been cut at any time since t.
+func (l *simLink) cutSince(t time.Time) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.cut || l.healed.After(t)
+}
+
 // dial opens a connection as a gateway does.
 func (l *simLink) dial(ctx context.Context) (net.Conn, error) {
 	l.mu.Lock()
--- a/internal/upstream/simturn_test.go
+++ b/internal/upstream/simturn_test.go
@@ -24,6 +24,7 @@
 const (
 	toldSlack = 150 * time.Millisecond // over what the client has left
 	leftSlack = 100 * time.Millisecond // from the client's close to an attempt that begins
+	cutSlack  = 200 * time.Millisecond // from the client's close to the end of its stream at the engine
 )
 
 // judge checks an attempt that begins: the time it was told, and that its client still waits.
@@ -38,6 +39,17 @@
 	}
 }
 
+// judgeEnd checks that a stream whose client has left is given up at its engine, unless a cut
+// kept the engine from learning of it. The lock is held.
+func (f *simFleet) judgeEnd(t *turn, r *record) {
+	if r.streamLeft.IsZero() || t.conn.link.cutSince(r.streamLeft) {
+		return
+	}
+	if late := time.Since(r.streamLeft); late > cutSlack {
+		f.broken = append(f.broken, fmt.Sprintf("%s went on at %s for %v after its client had left", t.id, t.engine.name, late))
+	}
+}
+
 // play carries an attempt out as chance has it; false if the connection breaks with it.
 func (t *turn) play() bool {
 	f := t.engine.fleet
@@ -84,6 +96,7 @@
 	f.account(t.id, func(r *record) {
 		r.out--
 		t.stopWaiting(r)
+		f.judgeEnd(t, r)
 		f.note("%s attempt at %s is over", t.id, t.engine.name)
 	})
 }
@@ -174,7 +187,11 @@
 	if !fetched {
 		return t.refuse(kind)
 	}
-	return t.stream(f.chance(12) == 0)
+	lasts := streamShort
+	if f.chance(4) == 0 {
+		lasts = time.Duration(f.chance(streamLongMost)) * time.Millisecond
+	}
+	return t.stream(lasts, f.chance(12) == 0)
 }
 
 // wait is an attempt's time in a writer's queue; true if the state is then fetched.
@@ -208,13 +225,19 @@
 	return false
 }
 
-// stream answers in events; breaks tells whether the connection does after the first.
-func (t *turn) stream(breaks bool) bool {
+// How long an answer streams: as a rule, and in milliseconds at most.
+const (
+	streamShort    = 20 * time.Millisecond
+	streamLongMost = 2000
+)
+
+// stream answers in events over a time; breaks tells whether the connection does after the first.
+func (t *turn) stream(lasts time.Duration, breaks bool) bool {
 	if !t.say(enginetest.StreamHead + enginetest.Chunk("data: x\n\n")) {
 		return false
 	}
 	t.engine.fleet.account(t.id, func(*record) { t.engine.fleet.reached(t.id, stageStream) })
-	if !t.spend(20*time.Millisecond, true) || breaks {
+	if !t.spend(lasts, true) || breaks {
 		return false
 	}
 	return t.say(enginetest.Chunk("data: [DONE]\n\n") + "0\r\n\r\n")
