--- a/cmd/wellgw/engines.go
+++ b/cmd/wellgw/engines.go
@@ -75,11 +75,17 @@
 	return show(ctx, cmd, admin.EnginesPath, func(w io.Writer, v admin.View) { printView(w, v, cmd.Bool("out")) })
 }
 
-func printView(w io.Writer, v admin.View, outOnly bool) {
+// newTable returns a table that is printed to w.
+func newTable(w io.Writer, head ...any) table.Writer {
 	t := table.NewWriter()
 	t.SetOutputMirror(w)
 	t.SetStyle(table.StyleLight)
-	t.AppendHeader(table.Row{"engine", "address", "role", "zone", "cell", "state", "sure", "seen", "up", "sources", "why"})
+	t.AppendHeader(head)
+	return t
+}
+
+func printView(w io.Writer, v admin.View, outOnly bool) {
+	t := newTable(w, "engine", "address", "role", "zone", "cell", "state", "sure", "seen", "up", "sources", "why")
 	in := 0
 	for _, e := range v.Engines {
 		if e.State == "in" {
@@ -91,10 +97,7 @@
 		t.AppendRow(table.Row{e.ID, e.Address, e.Role, e.Zone, e.Cell, e.State, e.Confidence, span(e.AgeMS), span(e.UpMS), sourceList(e.Sources), e.Why})
 	}
 	t.Render()
-	s := table.NewWriter()
-	s.SetOutputMirror(w)
-	s.SetStyle(table.StyleLight)
-	s.AppendHeader(table.Row{"source", "engines", "index", "believed", "in doubt"})
+	s := newTable(w, "source", "engines", "index", "believed", "in doubt")
 	for _, src := range v.Sources {
 		doubt := ""
 		if src.Doubt != "" {
--- a/cmd/wellgw/harness_test.go
+++ b/cmd/wellgw/harness_test.go
@@ -33,10 +33,9 @@
 	return cmd, url
 }
 
-// servingWith also returns where its operators' listener is, if it has one.
-func servingWith(t *testing.T, env []string, args ...string) (cmd *exec.Cmd, url, admin string) {
+// startLogged starts a program and returns its log, as such and by lines.
+func startLogged(t *testing.T, cmd *exec.Cmd) (io.Reader, *bufio.Scanner) {
 	t.Helper()
-	cmd = program(t, env, args...)
 	errs, err := cmd.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -44,7 +43,14 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	log := bufio.NewScanner(errs)
+	return errs, bufio.NewScanner(errs)
+}
+
+// servingWith also returns where its operators' listener is, if it has one.
+func servingWith(t *testing.T, env []string, args ...string) (cmd *exec.Cmd, url, admin string) {
+	t.Helper()
+	cmd = program(t, env, args...)
+	errs, log := startLogged(t, cmd)
 	for log.Scan() {
 		if m := adminListening.FindStringSubmatch(log.Text()); m != nil {
 			admin = m[1]
@@ -84,6 +90,20 @@
 	return req
 }
 
+// askChat asks a gateway that runs by deploy/operator.json for a chat.
+func askChat(t *testing.T, url string) *http.Response {
+	t.Helper()
+	req := post(t, url)
+	req.Body = io.NopCloser(strings.NewReader(`{"model":"order-assistant","messages":[{"role":"user","content":"two bolts"}]}`))
+	req.ContentLength = -1
+	req.Header.Set("Authorization", "Bearer change-me-counter")
+	resp, err := http.DefaultClient.Do(req)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return resp
+}
+
 // until answers a release at once and anything else by script.
 func until(script func() string) func(enginetest.Call) string {
 	return func(c enginetest.Call) string {
@@ -143,14 +163,7 @@
 	t.Helper()
 	cmd = program(t, env, "serve")
 	cmd.ExtraFiles = []*os.File{socket}
-	errs, err := cmd.StderrPipe()
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := cmd.Start(); err != nil {
-		t.Fatal(err)
-	}
-	log := bufio.NewScanner(errs)
+	errs, log := startLogged(t, cmd)
 	for control == "" && log.Scan() {
 		if m := calling.FindStringSubmatch(log.Text()); m != nil {
 			control = m[1]
--- a/cmd/wellgw/main_test.go
+++ b/cmd/wellgw/main_test.go
@@ -164,14 +164,7 @@
 	} {
 		cmd, url := serving(t, nil, "serve", "--operator", file(t, text))
 		healthy(t, url)
-		req := post(t, url)
-		req.Body = io.NopCloser(strings.NewReader(`{"model":"order-assistant","messages":[{"role":"user","content":"two bolts"}]}`))
-		req.ContentLength = -1
-		req.Header.Set("Authorization", "Bearer change-me-counter")
-		resp, err := http.DefaultClient.Do(req)
-		if err != nil {
-			t.Fatal(err)
-		}
+		resp := askChat(t, url)
 		b, err := io.ReadAll(resp.Body)
 		resp.Body.Close()
 		if err != nil || resp.StatusCode != 200 || !strings.Contains(string(b), `"content":"w0 w1 w2 "`) {
@@ -241,14 +234,7 @@
 		`"engines":`, fmt.Sprintf(`"admin": {"listen": "127.0.0.1:0", "trace_file": %q}, "engines":`, spans)).Replace(string(raw))
 	cmd, url, at := servingWith(t, nil, "serve", "--operator", file(t, text))
 	healthy(t, url)
-	req := post(t, url)
-	req.Body = io.NopCloser(strings.NewReader(`{"model":"order-assistant","messages":[{"role":"user","content":"two bolts"}]}`))
-	req.ContentLength = -1
-	req.Header.Set("Authorization", "Bearer change-me-counter")
-	resp, err := http.DefaultClient.Do(req)
-	if err != nil {
-		t.Fatal(err)
-	}
+	resp := askChat(t, url)
 	io.Copy(io.Discard, resp.Body)
 	resp.Body.Close()
 	if b, err := program(t, nil, "engines", "--admin", at).Output(); err != nil || !strings.Contains(string(b), "1 of 1 engines take new work") {
--- a/cmd/wellgw/peers.go
+++ b/cmd/wellgw/peers.go
@@ -25,10 +25,7 @@
 }
 
 func printPeers(w io.Writer, s peers.Status) {
-	t := table.NewWriter()
-	t.SetOutputMirror(w)
-	t.SetStyle(table.StyleLight)
-	t.AppendHeader(table.Row{"gateway", "address", "standing", "since", "incarnation", "heard", "round trip", "remarks"})
+	t := newTable(w, "gateway", "address", "standing", "since", "incarnation", "heard", "round trip", "remarks")
 	v := s.View
 	t.AppendRow(table.Row{s.Name + " (this one)", s.Listen, v.Self.Status, "", v.Self.Incarnation, "", "", ""})
 	for _, g := range v.Others {
--- a/cmd/wellgw/roles.go
+++ b/cmd/wellgw/roles.go
@@ -41,18 +41,12 @@
 	} else {
 		fmt.Fprintln(w, "the plan is its owner's to tell")
 	}
-	t := table.NewWriter()
-	t.SetOutputMirror(w)
-	t.SetStyle(table.StyleLight)
-	t.AppendHeader(table.Row{"engine", "from", "to", "step", "for", "begun", "owner", "fence", "why"})
+	t := newTable(w, "engine", "from", "to", "step", "for", "begun", "owner", "fence", "why")
 	for _, r := range s.Changes {
 		t.AppendRow(table.Row{r.Engine, r.From, r.To, r.Step, now.Sub(r.Since).Round(time.Second), ago(r.Begun), r.Owner, r.Fence, r.Why})
 	}
 	t.Render()
-	e := table.NewWriter()
-	e.SetOutputMirror(w)
-	e.SetStyle(table.StyleLight)
-	e.AppendHeader(table.Row{"when", "engine", "to", "what", "why"})
+	e := newTable(w, "when", "engine", "to", "what", "why")
 	for _, x := range s.Ends {
 		what := string(x.Outcome)
 		if what == "" {
--- a/decide/deduplication/table.go
+++ b/decide/deduplication/table.go
@@ -9,7 +9,6 @@
 
 import (
 	"cmp"
-	"fmt"
 	"slices"
 	"time"
 )
@@ -33,15 +32,23 @@
 	}
 }
 
+// LimitError is a limit that a table can't work with.
+type LimitError struct {
+	Field   string // as in the operator's file
+	Problem string
+}
+
+func (e LimitError) Error() string { return e.Field + ": " + e.Problem }
+
 // Validate tells what is wrong with limits, by the field's name.
 func (l Limits) Validate() error {
 	switch {
 	case l.Entries < 1:
-		return fmt.Errorf("keys: below 1")
+		return LimitError{"keys", "below 1"}
 	case l.Bytes < 0 || l.Answer < 0:
-		return fmt.Errorf("answer_bytes, largest_answer: below 0")
+		return LimitError{"answer_bytes, largest_answer", "below 0"}
 	case l.Least <= 0 || l.Age < l.Least:
-		return fmt.Errorf("least_ms, age_ms: the age must be no less than the least, and both above 0")
+		return LimitError{"least_ms, age_ms", "the age must be no less than the least, and both above 0"}
 	}
 	return nil
 }
--- a/decide/deduplication/table_test.go
+++ b/decide/deduplication/table_test.go
@@ -1,6 +1,7 @@
 package deduplication
 
 import (
+	"errors"
 	"fmt"
 	"strings"
 	"testing"
@@ -223,7 +224,8 @@
 	} {
 		l := DefaultLimits()
 		change(&l)
-		if _, err := NewTable(l); err == nil || !strings.Contains(err.Error(), field) {
+		var wrong LimitError
+		if _, err := NewTable(l); !errors.As(err, &wrong) || !strings.Contains(wrong.Field, field) {
 			t.Errorf("%s: %v", field, err)
 		}
 	}
--- a/decide/roles/roles_test.go
+++ b/decide/roles/roles_test.go
@@ -1,6 +1,7 @@
 package roles
 
 import (
+	"errors"
 	"math"
 	"strings"
 	"testing"
@@ -323,7 +324,8 @@
 	} {
 		set := DefaultSettings()
 		change(&set)
-		if _, err := NewPlanner(set); err == nil || !strings.Contains(err.Error(), field) {
+		var wrong SettingError
+		if _, err := NewPlanner(set); !errors.As(err, &wrong) || !strings.Contains(wrong.Field, field) {
 			t.Errorf("%s: %v", field, err)
 		}
 	}
--- a/experiments/fleetsim/floors_test.go
+++ b/experiments/fleetsim/floors_test.go
@@ -77,10 +77,15 @@
 
 // No class, effect or third of a day is starved.
 func TestServiceFloors(t *testing.T) {
+	testFloors(t, Draw)
+}
+
+// testFloors plays deployments under the module and under the plain policy.
+func testFloors(t *testing.T, draw func(uint64) *Deployment) {
 	long(t)
 	for seed := range uint64(12) {
-		got, plain := Play(Draw(seed), Module, false), Play(Draw(seed), fewest(t), false)
-		if found := starved(Draw(seed), got, plain); len(found) > 0 {
+		got, plain := Play(draw(seed), Module, false), Play(draw(seed), fewest(t), false)
+		if found := starved(draw(seed), got, plain); len(found) > 0 {
 			t.Errorf("seed %d: %q", seed, found)
 		}
 	}
@@ -103,13 +108,7 @@
 
 // No tenant is starved of what it asks for within its quota, nor by one that asks for more.
 func TestServiceFloorByTenant(t *testing.T) {
-	long(t)
-	for seed := range uint64(12) {
-		got, plain := Play(withTenants(seed), Module, false), Play(withTenants(seed), fewest(t), false)
-		if found := starved(withTenants(seed), got, plain); len(found) > 0 {
-			t.Errorf("seed %d: %q", seed, found)
-		}
-	}
+	testFloors(t, withTenants)
 }
 
 // late turns requests away from a moment on.
--- a/experiments/load/load.go
+++ b/experiments/load/load.go
@@ -8,6 +8,7 @@
 	"bytes"
 	"cmp"
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"math/rand/v2"
@@ -17,6 +18,7 @@
 	"strconv"
 	"strings"
 	"sync"
+	"syscall"
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
@@ -224,7 +226,7 @@
 		if drop < 0 && p.Keyed {
 			o.Faults = append(o.Faults, o.Problem)
 		}
-		return p.Keyed || strings.Contains(err.Error(), "refused"), 0
+		return p.Keyed || errors.Is(err, syscall.ECONNREFUSED), 0
 	}
 	defer resp.Body.Close()
 	defer func() { o.Ends = append(o.Ends, End{resp.Header.Get("X-Request-Id"), time.Now()}) }()
--- a/fake/consul/store.go
+++ b/fake/consul/store.go
@@ -329,14 +329,14 @@
 		}
 	}
 	st.checks[key] = c
-	st.critical = index
 	if c.ServiceID == "" {
 		put(st.byNode, c.Node, key)
-		st.touchNode(c.Node, index)
+	} else {
+		put(st.ofID, serviceKey{c.Node, c.ServiceID}, key)
+	}
+	if st.touchOwner(c, index); c.ServiceID == "" {
 		return
 	}
-	put(st.ofID, serviceKey{c.Node, c.ServiceID}, key)
-	st.touchService(c.ServiceName, index)
 	for id, s := range st.sessions { // a session ends with one of its checks
 		if c.Status == "critical" && s.Node == c.Node && slices.Contains(slices.Concat(s.Checks, s.NodeChecks, s.ServiceChecks), c.CheckID) {
 			st.endSession(id)
@@ -350,13 +350,21 @@
 		return
 	}
 	delete(st.checks, key)
-	st.critical = index
 	if c.ServiceID == "" {
 		take(st.byNode, c.Node, key)
+	} else {
+		take(st.ofID, serviceKey{c.Node, c.ServiceID}, key)
+	}
+	st.touchOwner(c, index)
+}
+
+// touchOwner notes that a check has changed: of a service, or of a node as a whole.
+func (st *state) touchOwner(c Check, index uint64) {
+	st.critical = index
+	if c.ServiceID == "" {
 		st.touchNode(c.Node, index)
 		return
 	}
-	take(st.ofID, serviceKey{c.Node, c.ServiceID}, key)
 	st.touchService(c.ServiceName, index)
 }
 
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -16,6 +16,7 @@
 
 	"wellgw/internal/consul"
 	"wellgw/internal/directory"
+	"wellgw/internal/fetch"
 )
 
 // Where the present view of the engines is, the state of changes of roles, and the tier.
@@ -78,19 +79,7 @@
 func AskPage(ctx context.Context, addr, path string, v any) error {
 	ctx, cancel := context.WithTimeout(ctx, askWait)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+path, nil)
-	if err != nil {
-		return fmt.Errorf("admin listener: %w", err)
-	}
-	resp, err := http.DefaultClient.Do(req)
-	if err != nil {
-		return fmt.Errorf("admin listener: %w", err)
-	}
-	defer resp.Body.Close()
-	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("admin listener: status %d", resp.StatusCode)
-	}
-	if err := jsoniter.NewDecoder(http.MaxBytesReader(nil, resp.Body, maxView)).Decode(v); err != nil {
+	if err := fetch.JSON(ctx, http.DefaultClient, "http://"+addr+path, maxView, v); err != nil {
 		return fmt.Errorf("admin listener: %w", err)
 	}
 	return nil
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -1,9 +1,12 @@
 package config
 
 import (
+	"errors"
 	"os"
 	"strings"
 	"testing"
+
+	"wellgw/routing"
 )
 
 const platformText = `{"name":"n1","listen":"127.0.0.1:3000","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
@@ -68,7 +71,24 @@
 		if c.say == "" && err != nil || c.say != "" && (err == nil || !strings.Contains(err.Error(), c.say) || strings.Contains(err.Error(), "\n")) {
 			t.Errorf("%s -> %s: %v", c.old, c.new, err)
 		}
+		if field := fieldOf(err); c.say != "" && (field == "" || !strings.HasSuffix(c.say, field) && !strings.HasPrefix(field, c.say)) {
+			t.Errorf("%s -> %s: %v names %q", c.old, c.new, err, field)
+		}
+	}
+}
+
+// fieldOf returns the field that an error names, by its type: a setting of the routing policy's,
+// or else one of the configuration.
+func fieldOf(err error) string {
+	var setting routing.SettingError
+	var field FieldError
+	switch {
+	case errors.As(err, &setting):
+		return setting.Field
+	case errors.As(err, &field):
+		return field.Field
 	}
+	return ""
 }
 
 func TestEnvironmentTakesPrecedence(t *testing.T) {
--- a/internal/config/consul.go
+++ b/internal/config/consul.go
@@ -1,8 +1,6 @@
 package config
 
 import (
-	"errors"
-	"fmt"
 	"net"
 	"net/url"
 	"time"
@@ -108,27 +106,27 @@
 func (c *Consul) validate() error {
 	agents := c.Agents()
 	if len(agents) == 0 {
-		return errors.New("consul.address: give it, or addresses")
+		return fieldError("consul.address", "give it, or addresses")
 	}
 	for i, a := range agents {
 		if _, _, err := net.SplitHostPort(a); err != nil {
 			if i == 0 && c.Address != "" {
-				return fmt.Errorf("consul.address: %w", err)
+				return fieldError("consul.address", "%w", err)
 			}
-			return fmt.Errorf("consul.addresses: %w", err)
+			return fieldError("consul.addresses", "%w", err)
 		}
 	}
 	if c.Service == "" && c.Tag == "" {
-		return errors.New("consul: give service, or tag, or both")
+		return fieldError("consul", "give service, or tag, or both")
 	}
 	switch c.Consistency {
 	case "", "default", "stale", "consistent":
 	default:
-		return fmt.Errorf("consul.consistency: %q is not default, stale or consistent", c.Consistency)
+		return fieldError("consul.consistency", "%q is not default, stale or consistent", c.Consistency)
 	}
 	if c.CheckPath != "" {
 		if u, err := url.ParseRequestURI(c.CheckPath); err != nil || u.Host != "" || c.CheckPath[0] != '/' {
-			return fmt.Errorf("consul.check_path: %q is no path", c.CheckPath)
+			return fieldError("consul.check_path", "%q is no path", c.CheckPath)
 		}
 	}
 	for _, f := range []struct {
@@ -139,23 +137,23 @@
 		{"max_watches", int64(c.MaxWatches)}, {"max_body_mb", c.MaxBodyMB},
 	} {
 		if f.value < 0 {
-			return fmt.Errorf("consul.%s: below 0", f.name)
+			return fieldError("consul."+f.name, "below 0")
 		}
 	}
 	if t := c.TLS; t != nil && (t.CertFile == "") != (t.KeyFile == "") {
-		return errors.New("consul.tls: give cert_file and key_file, or neither")
+		return fieldError("consul.tls", "give cert_file and key_file, or neither")
 	}
 	if r := c.Register; r != nil {
 		if r.Name == "" {
-			return errors.New("consul.register.name: missing")
+			return fieldError("consul.register.name", "missing")
 		}
 		if r.Address != "" {
 			if _, _, err := net.SplitHostPort(r.Address); err != nil {
-				return fmt.Errorf("consul.register.address: %w", err)
+				return fieldError("consul.register.address", "%w", err)
 			}
 		}
 		if r.TTLMS < 0 || r.TTLMS > 0 && r.TTL() < leastTTL {
-			return errors.New("consul.register.ttl_ms: below 1000")
+			return fieldError("consul.register.ttl_ms", "below 1000")
 		}
 	}
 	return nil
--- a/internal/config/idempotency.go
+++ b/internal/config/idempotency.go
@@ -1,8 +1,6 @@
 package config
 
 import (
-	"fmt"
-
 	"wellgw/decide/deduplication"
 )
 
@@ -48,7 +46,7 @@
 
 func (o *Operator) validateKeys() error {
 	if err := o.KeyLimits().Validate(); err != nil {
-		return fmt.Errorf("idempotency.%w", err)
+		return within("idempotency", err)
 	}
 	return nil
 }
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -1,7 +1,6 @@
 package config
 
 import (
-	"errors"
 	"fmt"
 	"net"
 	"os"
@@ -140,17 +139,17 @@
 		return nil, err
 	}
 	if _, err := routing.New(o.Settings(), 0); err != nil {
-		return nil, fmt.Errorf("contracts: %w", err)
+		return nil, fieldError("contracts", "%w", err)
 	}
 	return o, nil
 }
 
 func (o *Operator) validate() error {
 	if _, _, err := net.SplitHostPort(o.Listen); err != nil {
-		return fmt.Errorf("listen: %w", err)
+		return fieldError("listen", "%w", err)
 	}
 	if len(o.Engines) == 0 && o.Consul == nil {
-		return errors.New("engines: none given, and no consul")
+		return fieldError("engines", "none given, and no consul")
 	}
 	if c := o.Consul; c != nil {
 		if err := c.validate(); err != nil {
@@ -168,7 +167,7 @@
 		}
 	}
 	if o.StateFile != "" && o.Consul == nil {
-		return errors.New("state_file: there is nothing to keep without consul")
+		return fieldError("state_file", "there is nothing to keep without consul")
 	}
 	if err := o.Admin.validate(); err != nil {
 		return err
@@ -195,10 +194,10 @@
 		return nil
 	}
 	if _, _, err := net.SplitHostPort(a.Listen); err != nil {
-		return fmt.Errorf("admin.listen: %w", err)
+		return fieldError("admin.listen", "%w", err)
 	}
 	if a.TraceShare < 0 || a.TraceShare > 1 {
-		return errors.New("admin.trace_share: must lie between 0 and 1")
+		return fieldError("admin.trace_share", "must lie between 0 and 1")
 	}
 	return nil
 }
@@ -209,13 +208,13 @@
 	for i, c := range o.Contracts {
 		switch {
 		case c.Name == "" || contracts[c.Name]:
-			return nil, fmt.Errorf("contracts[%d].name: missing or given twice", i)
+			return nil, fieldError(element("contracts", i, "name"), "missing or given twice")
 		case c.Effect != EffectFree && c.Effect != EffectOnce:
-			return nil, fmt.Errorf("contracts[%d].effect: %q is neither free nor single_shot", i, c.Effect)
+			return nil, fieldError(element("contracts", i, "effect"), "%q is neither free nor single_shot", c.Effect)
 		case c.AimMS <= 0 || c.DeadlineMS < c.AimMS:
-			return nil, fmt.Errorf("contracts[%d]: aim_ms must be above 0 and deadline_ms no less", i)
+			return nil, fieldError(element("contracts", i, ""), "aim_ms must be above 0 and deadline_ms no less")
 		case c.Continue < 0 || c.Continue > 0 && c.Effect != EffectFree:
-			return nil, fmt.Errorf("contracts[%d].continue: only a free contract lets an answer go on at another engine", i)
+			return nil, fieldError(element("contracts", i, "continue"), "only a free contract lets an answer go on at another engine")
 		}
 		contracts[c.Name] = true
 	}
@@ -227,10 +226,10 @@
 	models := map[string]bool{}
 	for i, m := range o.Models {
 		if m.Name == "" || models[m.Name] {
-			return nil, fmt.Errorf("models[%d].name: missing or given twice", i)
+			return nil, fieldError(element("models", i, "name"), "missing or given twice")
 		}
 		if !contracts[m.Contract] {
-			return nil, fmt.Errorf("models[%d].contract: %q is not a contract", i, m.Contract)
+			return nil, fieldError(element("models", i, "contract"), "%q is not a contract", m.Contract)
 		}
 		models[m.Name] = true
 	}
@@ -241,21 +240,21 @@
 	names, keys := map[string]bool{}, map[string]bool{}
 	for i, t := range o.Teams {
 		if t.Name == "" || names[t.Name] {
-			return fmt.Errorf("teams[%d].name: missing or given twice", i)
+			return fieldError(element("teams", i, "name"), "missing or given twice")
 		}
 		names[t.Name] = true
 		if t.RequestsPerS < 0 {
-			return fmt.Errorf("teams[%d].requests_per_s: below 0", i)
+			return fieldError(element("teams", i, "requests_per_s"), "below 0")
 		}
 		for _, k := range t.Keys {
 			if k == "" || keys[k] {
-				return fmt.Errorf("teams[%d].keys: empty or given twice", i)
+				return fieldError(element("teams", i, "keys"), "empty or given twice")
 			}
 			keys[k] = true
 		}
 		for _, m := range t.Models {
 			if !models[m] {
-				return fmt.Errorf("teams[%d].models: %q is not a model", i, m)
+				return fieldError(element("teams", i, "models"), "%q is not a model", m)
 			}
 		}
 	}
@@ -266,14 +265,14 @@
 	ids := map[string]bool{}
 	for i, e := range o.Engines {
 		if e.ID == "" || ids[e.ID] {
-			return fmt.Errorf("engines[%d].id: missing or given twice", i)
+			return fieldError(element("engines", i, "id"), "missing or given twice")
 		}
 		ids[e.ID] = true
 		if _, _, err := net.SplitHostPort(e.Address); err != nil {
-			return fmt.Errorf("engines[%d].address: %w", i, err)
+			return fieldError(element("engines", i, "address"), "%w", err)
 		}
 		if !slices.Contains([]string{RoleRead, RoleWrite, RoleBoth, RoleOpenAI}, e.Role) {
-			return fmt.Errorf("engines[%d].role: %q is not read, write, both or openai", i, e.Role)
+			return fieldError(element("engines", i, "role"), "%q is not read, write, both or openai", e.Role)
 		}
 	}
 	return nil
@@ -285,21 +284,21 @@
 func (o *Operator) Takes(next *Operator) error {
 	switch {
 	case o.Listen != next.Listen || o.Limits != next.Limits:
-		return errors.New("listen, limits: need a restart")
+		return fieldError("listen, limits", "need a restart")
 	case !reflect.DeepEqual(o.Settings(), next.Settings()) || !slices.Equal(o.Contracts, next.Contracts) || o.Gateways != next.Gateways:
-		return errors.New("contracts, teams, budgets, zones, gateways: need a restart")
+		return fieldError("contracts, teams, budgets, zones, gateways", "need a restart")
 	case (o.Consul == nil) != (next.Consul == nil):
-		return errors.New("consul: to begin or end its use needs a restart")
+		return fieldError("consul", "to begin or end its use needs a restart")
 	case o.Consul != nil && !reflect.DeepEqual(o.Consul.Register, next.Consul.Register):
-		return errors.New("consul.register: needs a restart")
+		return fieldError("consul.register", "needs a restart")
 	case !reflect.DeepEqual(o.Roles, next.Roles):
-		return errors.New("roles: needs a restart")
+		return fieldError("roles", "needs a restart")
 	case !reflect.DeepEqual(o.Peers, next.Peers):
-		return errors.New("peers: needs a restart")
+		return fieldError("peers", "needs a restart")
 	case !reflect.DeepEqual(o.Idempotency, next.Idempotency):
-		return errors.New("idempotency: needs a restart")
+		return fieldError("idempotency", "needs a restart")
 	case o.StateFile != next.StateFile || !reflect.DeepEqual(o.Admin, next.Admin):
-		return errors.New("state_file, admin: need a restart")
+		return fieldError("state_file, admin", "need a restart")
 	}
 	return nil
 }
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -2,8 +2,6 @@
 
 import (
 	"cmp"
-	"errors"
-	"fmt"
 	"net"
 	"time"
 )
@@ -42,26 +40,26 @@
 
 func (p *Peers) validate() error {
 	if _, _, err := net.SplitHostPort(p.Listen); err != nil {
-		return fmt.Errorf("peers.listen: %w", err)
+		return fieldError("peers.listen", "%w", err)
 	}
 	if _, _, err := net.SplitHostPort(p.Advertise); p.Advertise != "" && err != nil {
-		return fmt.Errorf("peers.advertise: %w", err)
+		return fieldError("peers.advertise", "%w", err)
 	}
 	switch {
 	case p.Name == "" || len(p.Name) > longestName:
-		return fmt.Errorf("peers.name: must hold 1 to %d bytes", longestName)
+		return fieldError("peers.name", "must hold 1 to %d bytes", longestName)
 	case p.Tier == "":
-		return errors.New("peers.tier: missing")
+		return fieldError("peers.tier", "missing")
 	case p.KeyFile == "":
-		return errors.New("peers.key_file: missing")
+		return fieldError("peers.key_file", "missing")
 	}
 	interval, timeout := cmp.Or(p.IntervalMS, usualInterval), cmp.Or(p.TimeoutMS, usualTimeout)
 	if dead := cmp.Or(p.DeadAfterMS, usualDead); dead < leastProbes*max(interval, timeout) {
-		return fmt.Errorf("peers.dead_after_ms: %d ms of silence are fewer than %d probes of %d ms, waited for %d ms", dead, leastProbes, interval, timeout)
+		return fieldError("peers.dead_after_ms", "%d ms of silence are fewer than %d probes of %d ms, waited for %d ms", dead, leastProbes, interval, timeout)
 	}
 	for i, j := range p.Join {
 		if _, _, err := net.SplitHostPort(j); err != nil {
-			return fmt.Errorf("peers.join[%d]: %w", i, err)
+			return fieldError(element("peers.join", i, ""), "%w", err)
 		}
 	}
 	return nil
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -3,8 +3,6 @@
 package config
 
 import (
-	"errors"
-	"fmt"
 	"net"
 	"os"
 	"strconv"
@@ -105,11 +103,11 @@
 func readObject(env func(string) string) ([]byte, error) {
 	path := env("EDGE_CONFIG")
 	if path == "" {
-		return nil, errors.New("EDGE_CONFIG: not set")
+		return nil, fieldError("EDGE_CONFIG", "not set")
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("EDGE_CONFIG: %w", err)
+		return nil, fieldError("EDGE_CONFIG", "%w", err)
 	}
 	return raw, nil
 }
@@ -122,7 +120,7 @@
 func parsePlatform(raw []byte, env func(string) string, envFirst bool) (*Platform, error) {
 	p := &Platform{}
 	if err := jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(raw, p); err != nil {
-		return nil, fmt.Errorf("EDGE_CONFIG: %s", oneLine(err))
+		return nil, fieldError("EDGE_CONFIG", "%s", oneLine(err))
 	}
 	for name, field := range map[string]*string{"EDGE_NAME": &p.Name, "EDGE_LISTEN": &p.Listen, "EDGE_DISCOVERY": &p.Discovery, "EDGE_CONTROL": &p.Control, "EDGE_PEER_KEYS": &p.PeerKeys} {
 		if v := env(name); v != "" && (envFirst || *field == "") {
@@ -133,22 +131,22 @@
 	p.Limits.fill()
 	for _, a := range []struct{ field, value string }{{"listen", p.Listen}, {"discovery", p.Discovery}} {
 		if _, _, err := net.SplitHostPort(a.value); err != nil {
-			return nil, fmt.Errorf("%s: %w", a.field, err)
+			return nil, fieldError(a.field, "%w", err)
 		}
 	}
 	if p.Control != "" {
 		if _, _, err := net.SplitHostPort(p.Control); err != nil {
-			return nil, fmt.Errorf("control: %w", err)
+			return nil, fieldError("control", "%w", err)
 		}
 	}
 	if _, err := p.SeedNumber(); err != nil {
 		return nil, err
 	}
 	if p.Options.Info.PinLimit <= 0 {
-		return nil, errors.New("settings.family_info.pin_limit: missing, or not over 0")
+		return nil, fieldError("settings.family_info.pin_limit", "missing, or not over 0")
 	}
 	if _, err := routing.New(p.Settings(), 0); err != nil {
-		return nil, fmt.Errorf("settings: %w", err)
+		return nil, fieldError("settings", "%w", err)
 	}
 	return p, nil
 }
@@ -170,7 +168,7 @@
 	}
 	n, err := strconv.ParseUint(p.Seed, 16, 64)
 	if err != nil {
-		return 0, fmt.Errorf("seed: %w", err)
+		return 0, fieldError("seed", "%w", err)
 	}
 	return n, nil
 }
--- a/internal/config/retune.go
+++ b/internal/config/retune.go
@@ -1,8 +1,6 @@
 package config
 
 import (
-	"fmt"
-
 	jsoniter "github.com/json-iterator/go"
 )
 
@@ -60,7 +58,7 @@
 func (p *Platform) checkDeadlines() error {
 	for i, c := range p.Options.Classes {
 		if c.Limit < 0 || c.Limit == 0 && p.shape.classKeys["hard_limit"] {
-			return fmt.Errorf("settings.classes[%d].hard_limit: must be over 0", i)
+			return fieldError(element("settings.classes", i, "hard_limit"), "must be over 0")
 		}
 	}
 	return nil
@@ -76,7 +74,7 @@
 		return nil, err
 	}
 	if key := p.shape.lacks(next.shape); key != "" {
-		return nil, fmt.Errorf("%s: missing", key)
+		return nil, fieldError(key, "missing")
 	}
 	if err := next.checkDeadlines(); err != nil {
 		return nil, err
--- a/internal/config/retune_test.go
+++ b/internal/config/retune_test.go
@@ -56,6 +56,9 @@
 			if err == nil || !strings.Contains(err.Error(), c.say) || strings.Contains(err.Error(), "\n") {
 				t.Fatalf("error %v, want one that names %q", err, c.say)
 			}
+			if !strings.Contains(fieldOf(err), strings.TrimSuffix(c.say, ": missing")) {
+				t.Fatalf("%v names %q", err, fieldOf(err))
+			}
 			if len(first.Settings().Classes) != 1 || first.Settings().MaxAttempts != 4 {
 				t.Fatal("the running settings changed")
 			}
--- a/internal/config/roles.go
+++ b/internal/config/roles.go
@@ -1,8 +1,6 @@
 package config
 
 import (
-	"errors"
-	"fmt"
 	"strings"
 	"time"
 
@@ -76,10 +74,10 @@
 
 func (r *Roles) validate(consul *Consul) error {
 	if consul == nil {
-		return errors.New("roles: needs consul, where the lease is kept")
+		return fieldError("roles", "needs consul, where the lease is kept")
 	}
 	if err := r.Settings().Validate(); err != nil {
-		return fmt.Errorf("roles.%w", err)
+		return within("roles", err)
 	}
 	return nil
 }
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -36,7 +36,7 @@
 	}
 	value, err := jsonschema.UnmarshalJSON(bytes.NewReader(raw))
 	if err != nil {
-		return errors.New(oneLine(err))
+		return FieldError{Problem: errors.New(oneLine(err))}
 	}
 	err = schema.Validate(value)
 	if v := (*jsonschema.ValidationError)(nil); errors.As(err, &v) {
@@ -70,16 +70,13 @@
 	e := leaves[0]
 	field := fieldName(e.InstanceLocation)
 	if extra, is := e.ErrorKind.(*kind.AdditionalProperties); is {
-		return fmt.Errorf("%s: no such field", fieldName(append(slices.Clone(e.InstanceLocation), extra.Properties[0])))
+		return fieldError(fieldName(append(slices.Clone(e.InstanceLocation), extra.Properties[0])), "no such field")
 	}
 	if missing, is := e.ErrorKind.(*kind.Required); is {
-		return fmt.Errorf("%s: missing", fieldName(append(slices.Clone(e.InstanceLocation), missing.Missing[0])))
+		return fieldError(fieldName(append(slices.Clone(e.InstanceLocation), missing.Missing[0])), "missing")
 	}
 	text := e.ErrorKind.LocalizedString(message.NewPrinter(language.English))
-	if field == "" {
-		return errors.New(text)
-	}
-	return fmt.Errorf("%s: %s", field, text)
+	return FieldError{Field: field, Problem: errors.New(text)}
 }
 
 // fieldName words a place in the file as contracts[0].effect.
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -152,11 +152,7 @@
 	f := &fake{script: script(func() (Stream, *Result) { return nil, nil })}
 	core := newCore(t, f)
 	ticket := core.Submit(ask("free", time.Minute), make(waiter, 1))
-	enginetest.Eventually(t, "the writer is asked", func() bool {
-		f.mu.Lock()
-		defer f.mu.Unlock()
-		return len(f.attempts) == 2
-	})
+	f.awaitAttempts(t, 2)
 	for n := range 100 {
 		m := Member{EngineInfo: routing.EngineInfo{Name: fmt.Sprint("e", n), Kind: "r", Weight: 1}}
 		core.Roster(routing.RosterChanges, []Member{m})
@@ -179,11 +175,7 @@
 	f := &fake{script: script(func() (Stream, *Result) { return nil, nil })}
 	core := newCore(t, f)
 	ticket := core.Submit(ask("free", time.Minute), make(waiter, 1))
-	enginetest.Eventually(t, "the writer is asked", func() bool {
-		f.mu.Lock()
-		defer f.mu.Unlock()
-		return len(f.attempts) == 2
-	})
+	f.awaitAttempts(t, 2)
 	ticket.Gone()
 	if err := core.Drain(t.Context()); err != nil {
 		t.Fatal(err)
@@ -282,11 +274,7 @@
 		return ended(routing.StatusError)
 	})}
 	c := newCore(t, f)
-	got := make(chan Answer, 1)
-	go func() {
-		a, _, _ := Await(t.Context(), c, ask("once", time.Minute))
-		got <- a
-	}()
+	got := awaitLater(t, c, ask("once", time.Minute))
 	<-reached
 	for _, n := range []int{300, 1, 2, 80, 1} {
 		c.Gateways(n)
--- a/internal/core/fake_test.go
+++ b/internal/core/fake_test.go
@@ -2,11 +2,13 @@
 
 import (
 	"errors"
+	"fmt"
 	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
 
+	"wellgw/internal/enginetest"
 	"wellgw/routing"
 )
 
@@ -138,6 +140,26 @@
 	return false
 }
 
+// awaitLater makes a request and returns where its answer will come.
+func awaitLater(t *testing.T, c *Core, q Request) <-chan Answer {
+	answer := make(chan Answer, 1)
+	go func() {
+		a, _, _ := Await(t.Context(), c, q)
+		answer <- a
+	}()
+	return answer
+}
+
+// awaitAttempts waits until so many attempts have been made.
+func (f *fake) awaitAttempts(t *testing.T, n int) {
+	t.Helper()
+	enginetest.Eventually(t, fmt.Sprint(n, " attempts are made"), func() bool {
+		f.mu.Lock()
+		defer f.mu.Unlock()
+		return len(f.attempts) == n
+	})
+}
+
 func testSettings() routing.Settings {
 	return routing.Settings{
 		Zones: []string{""}, Routers: 1, MaxAttempts: 4, CanCancel: true, CanRetryAfter: true, MaxRetryAfter: time.Second,
--- a/internal/core/linger_test.go
+++ b/internal/core/linger_test.go
@@ -97,11 +97,7 @@
 		return ended(routing.StatusNoConnect)
 	}
 	core := newCore(t, f)
-	answered := make(chan Answer, 1)
-	go func() {
-		a, _, _ := Await(t.Context(), core, ask("free", time.Minute))
-		answered <- a
-	}()
+	answered := awaitLater(t, core, ask("free", time.Minute))
 	out := func(n int) func() bool { return func() bool { all, _, _ := f.tally(); return all == n } }
 	enginetest.Eventually(t, "the writer's attempt is out", out(2))
 	core.post(func() {
--- a/internal/enginetest/exchange.go
+++ b/internal/enginetest/exchange.go
@@ -6,6 +6,7 @@
 	"io"
 	"net"
 	"os"
+	"path/filepath"
 	"regexp"
 	"slices"
 	"strings"
@@ -41,6 +42,18 @@
 	return x
 }
 
+// EachRecording runs a test for each recording of a package.
+func EachRecording(t *testing.T, run func(t *testing.T, file string)) {
+	t.Helper()
+	files, err := filepath.Glob("testdata/*.txt")
+	if err != nil || len(files) == 0 {
+		t.Fatal("no recordings", err)
+	}
+	for _, file := range files {
+		t.Run(filepath.Base(file), func(t *testing.T) { run(t, file) })
+	}
+}
+
 // Play sends a recording's bytes to addr and compares what comes back until the
 // other side closes. Dates, ids and times of creation, which differ from run
 // to run, do not count.
--- /dev/null
+++ b/internal/fetch/fetch.go
@@ -0,0 +1,45 @@
+// Package fetch reads JSON documents over HTTP. It sets no time limits and never tries again:
+// callers bound a call by its context.
+package fetch
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+
+	jsoniter "github.com/json-iterator/go"
+)
+
+// ErrTooLong is a document over the limit.
+var ErrTooLong = errors.New("the document is too long")
+
+// StatusError is an answer other than 200.
+type StatusError struct{ Code int }
+
+func (e StatusError) Error() string { return fmt.Sprintf("status %d", e.Code) }
+
+// JSON reads the document at url, of limit bytes at most, into v.
+func JSON(ctx context.Context, client *http.Client, url string, limit int64, v any) error {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
+	if err != nil {
+		return err
+	}
+	resp, err := client.Do(req)
+	if err != nil {
+		return err
+	}
+	defer resp.Body.Close()
+	if resp.StatusCode != http.StatusOK {
+		return StatusError{resp.StatusCode}
+	}
+	body, err := io.ReadAll(io.LimitReader(resp.Body, limit+1))
+	if err != nil {
+		return err
+	}
+	if int64(len(body)) > limit {
+		return ErrTooLong
+	}
+	return jsoniter.Unmarshal(body, v)
+}
--- a/internal/openai/conformance/chat.go
+++ b/internal/openai/conformance/chat.go
@@ -186,11 +186,8 @@
 	return errors.Join(err, want(n > 0, "no logprobs"))
 }
 
-func (s *suite) fields(ctx context.Context) error {
-	p := s.params("a hull fitting")
-	p.Seed, p.Temperature, p.TopP = openai.Int(7), openai.Float(0.5), openai.Float(0.9)
-	p.Stop = openai.ChatCompletionNewParamsStopUnion{OfStringArray: []string{"never", "ever"}}
-	p.SetExtraFields(map[string]any{"top_k": 20, "unknown_to_all": map[string]any{"a": []int{1}}})
+// oneChoice asks for a chat that must have one choice.
+func (s *suite) oneChoice(ctx context.Context, p openai.ChatCompletionNewParams) error {
 	r, err := s.client.Chat.Completions.New(ctx, p)
 	if err != nil {
 		return err
@@ -198,6 +195,14 @@
 	return want(len(r.Choices) == 1, "%s", r.RawJSON())
 }
 
+func (s *suite) fields(ctx context.Context) error {
+	p := s.params("a hull fitting")
+	p.Seed, p.Temperature, p.TopP = openai.Int(7), openai.Float(0.5), openai.Float(0.9)
+	p.Stop = openai.ChatCompletionNewParamsStopUnion{OfStringArray: []string{"never", "ever"}}
+	p.SetExtraFields(map[string]any{"top_k": 20, "unknown_to_all": map[string]any{"a": []int{1}}})
+	return s.oneChoice(ctx, p)
+}
+
 func (s *suite) parts(ctx context.Context) error {
 	p := s.params("")
 	p.Messages[1] = openai.UserMessage([]openai.ChatCompletionContentPartUnionParam{
@@ -205,11 +210,7 @@
 		openai.ImageContentPart(openai.ChatCompletionContentPartImageImageURLParam{URL: "data:image/png;base64,iVBORw0KGgo=", Detail: "low"}),
 		openai.InputAudioContentPart(openai.ChatCompletionContentPartInputAudioInputAudioParam{Data: "UklGRg==", Format: "wav"}),
 	})
-	r, err := s.client.Chat.Completions.New(ctx, p)
-	if err != nil {
-		return err
-	}
-	return want(len(r.Choices) == 1, "%s", r.RawJSON())
+	return s.oneChoice(ctx, p)
 }
 
 func (s *suite) length(ctx context.Context) error {
--- a/internal/openai/front_test.go
+++ b/internal/openai/front_test.go
@@ -9,7 +9,6 @@
 	"net"
 	"net/http"
 	"net/http/httptest"
-	"path/filepath"
 	"strings"
 	"testing"
 	"time"
@@ -151,30 +150,24 @@
 }
 
 func TestRecordedExchanges(t *testing.T) {
-	files, err := filepath.Glob("testdata/*.txt")
-	if err != nil || len(files) == 0 {
-		t.Fatal("no recordings", err)
-	}
-	for _, file := range files {
-		t.Run(filepath.Base(file), func(t *testing.T) {
-			engines, e := one(config.RoleOpenAI, func(c enginetest.Call) string {
-				if strings.Contains(c.Body, "reject") {
-					return enginetest.Status(400, "", "too long")
-				}
-				return enginetest.Stream(2, 0)
-			}, t)
-			url, c := start(t, engines)
-			enginetest.Play(t, strings.TrimPrefix(url, "http://"), file, "BIG", strings.Repeat("x", clientconn.MaxBody+1))
-			if err := c.Drain(t.Context()); err != nil {
-				t.Fatal(err)
+	enginetest.EachRecording(t, func(t *testing.T, file string) {
+		engines, e := one(config.RoleOpenAI, func(c enginetest.Call) string {
+			if strings.Contains(c.Body, "reject") {
+				return enginetest.Status(400, "", "too long")
 			}
-			for _, call := range e.Calls("POST") {
-				if !strings.Contains(call.Body, `"stream":true`) || !strings.Contains(call.Body, `"include_usage":true`) {
-					t.Errorf("the engine was sent %s", call.Body)
-				}
+			return enginetest.Stream(2, 0)
+		}, t)
+		url, c := start(t, engines)
+		enginetest.Play(t, strings.TrimPrefix(url, "http://"), file, "BIG", strings.Repeat("x", clientconn.MaxBody+1))
+		if err := c.Drain(t.Context()); err != nil {
+			t.Fatal(err)
+		}
+		for _, call := range e.Calls("POST") {
+			if !strings.Contains(call.Body, `"stream":true`) || !strings.Contains(call.Body, `"include_usage":true`) {
+				t.Errorf("the engine was sent %s", call.Body)
 			}
-		})
-	}
+		}
+	})
 }
 
 // A place-order stream that breaks, wherever it does, ends in one final answer
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	"io"
 	"math"
 	"net/http"
@@ -194,29 +193,34 @@
 	return id != "" && len(id) <= 64 && !strings.ContainsFunc(id, odd)
 }
 
+// headerError is a header of a request that can't be used.
+type headerError struct{ header, problem string }
+
+func (e headerError) Error() string { return e.header + ": " + e.problem }
+
 // parse reads a request's headers. What is missing or malformed is named.
 func (f *Front) parse(r *http.Request) (core.Request, error) {
 	h := r.Header
 	q := core.Request{Wire: h.Get("X-Request-Id")}
 	q.Class, q.Tenant, q.Session = h.Get("X-Class"), h.Get("X-Tenant"), h.Get("X-Key")
 	if !validID(q.Wire) {
-		return q, errors.New("X-Request-Id: missing or malformed")
+		return q, headerError{"X-Request-Id", "missing or malformed"}
 	}
 	if !(*f.classes.Load())[q.Class] {
-		return q, errors.New("X-Class: missing or unknown")
+		return q, headerError{"X-Class", "missing or unknown"}
 	}
 	if len(q.Session) > 256 {
-		return q, errors.New("X-Key: too long")
+		return q, headerError{"X-Key", "too long"}
 	}
 	ms, err := strconv.ParseInt(h.Get("X-Deadline-Ms"), 10, 64)
 	if err != nil || ms <= 0 || ms > maxSpan.Milliseconds() {
-		return q, errors.New("X-Deadline-Ms: missing or malformed")
+		return q, headerError{"X-Deadline-Ms", "missing or malformed"}
 	}
 	q.TTL = time.Duration(ms) * time.Millisecond
 	if v := h.Get("X-Cost-Hint"); v != "" {
 		us, err := strconv.ParseFloat(v, 64)
 		if err != nil || !(us >= 0 && us <= float64(maxSpan.Microseconds())) {
-			return q, errors.New("X-Cost-Hint: malformed")
+			return q, headerError{"X-Cost-Hint", "malformed"}
 		}
 		q.Hint = time.Duration(us * float64(time.Microsecond))
 	}
@@ -242,13 +246,13 @@
 		if into := lengths[name]; into != nil {
 			n, err := strconv.ParseFloat(value, 64)
 			if err != nil || !(n >= 0 && n <= maxTokens) {
-				return fmt.Errorf("X-Extras: %s is malformed", name)
+				return headerError{"X-Extras", name + " is malformed"}
 			}
 			*into, given[name] = int(n), true
 		}
 	}
 	if !given["prompt_len"] {
-		return errors.New("X-Extras: prompt_len is missing")
+		return headerError{"X-Extras", "prompt_len is missing"}
 	}
 	return nil
 }
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -6,7 +6,6 @@
 	"log/slog"
 	"net/http"
 	"net/http/httptest"
-	"path/filepath"
 	"slices"
 	"strings"
 	"sync"
@@ -96,16 +95,48 @@
 	}
 }
 
+// fakeDiscovery is a discovery whose answers a test gives, with a watch on it.
+type fakeDiscovery struct {
+	mu    sync.Mutex
+	asked []string // the queries of the watches
+	told  []string // what the watch told
+}
+
+// watchFake starts a watch on a discovery that answers its n-th watch, from 1 on, by serve.
+func watchFake(t *testing.T, serve func(n int, w http.ResponseWriter, r *http.Request)) *fakeDiscovery {
+	d := &fakeDiscovery{}
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		d.mu.Lock()
+		d.asked = append(d.asked, r.URL.RawQuery)
+		n := len(d.asked)
+		d.mu.Unlock()
+		serve(n, w, r)
+	}))
+	t.Cleanup(func() {
+		server.CloseClientConnections()
+		server.Close()
+	})
+	w := NewWatch(server.Listener.Addr().String(), false, 0, told(&d.mu, &d.told), slog.New(slog.DiscardHandler))
+	go w.Run(t.Context(), list(41, true, "a active 0"))
+	return d
+}
+
+// await waits for the n-th watch and returns the queries and what was told by then.
+func (d *fakeDiscovery) await(t *testing.T, n int) (asked, told []string) {
+	t.Helper()
+	enginetest.Eventually(t, fmt.Sprint(n, " watches"), func() bool {
+		d.mu.Lock()
+		defer d.mu.Unlock()
+		return len(d.asked) >= n
+	})
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return slices.Clone(d.asked), slices.Clone(d.told)
+}
+
 // A watch that breaks goes on from the revision it had, and forgets no drain.
 func TestWatchResumes(t *testing.T) {
-	var mu sync.Mutex
-	var asked []string
-	var got []string
-	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		mu.Lock()
-		asked = append(asked, r.URL.RawQuery)
-		n := len(asked)
-		mu.Unlock()
+	asked, got := watchFake(t, func(n int, w http.ResponseWriter, r *http.Request) {
 		switch n {
 		case 1:
 			io.WriteString(w, "\n"+`{"revision":43,"complete":false,"members":[{"id":"a","phase":"leaving"}]}`+"\n")
@@ -115,14 +146,7 @@
 			w.(http.Flusher).Flush()
 			<-r.Context().Done()
 		}
-	}))
-	defer discovery.Close()
-	defer discovery.CloseClientConnections()
-	w := NewWatch(discovery.Listener.Addr().String(), false, 0, told(&mu, &got), slog.New(slog.DiscardHandler))
-	go w.Run(t.Context(), list(41, true, "a active 0"))
-	enginetest.Eventually(t, "a third watch", func() bool { mu.Lock(); defer mu.Unlock(); return len(asked) >= 3 })
-	mu.Lock()
-	defer mu.Unlock()
+	}).await(t, 3)
 	if diff := cmp.Diff([]string{"watch=1&after=41", "watch=1&after=43", "watch=1&after=43"}, asked[:3]); diff != "" {
 		t.Errorf("asked (-want +got):\n%s", diff)
 	}
@@ -135,13 +159,7 @@
 // Lists may come indented, over several lines and in pieces; a watch reads them all the same,
 // and one that is no list ends it.
 func TestWatchReadsIndentedLists(t *testing.T) {
-	var mu sync.Mutex
-	var asked, got []string
-	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		mu.Lock()
-		asked = append(asked, r.URL.RawQuery)
-		n := len(asked)
-		mu.Unlock()
+	asked, got := watchFake(t, func(n int, w http.ResponseWriter, r *http.Request) {
 		if n == 1 {
 			for _, piece := range []string{"\n{\n  \"revision\": 43,\n", "\n", "  \"complete\": false,\n  \"members\": [\n    {\n      \"id\": \"a\",\n      \"phase\": \"leaving\"\n    }\n  ]\n}\n",
 				`{"revision":44,"complete":false,"members":[{"id":"b","phase":"active"}]}` + "\n", "[]\n"} {
@@ -150,14 +168,7 @@
 			}
 		}
 		<-r.Context().Done()
-	}))
-	defer discovery.Close()
-	defer discovery.CloseClientConnections()
-	w := NewWatch(discovery.Listener.Addr().String(), false, 0, told(&mu, &got), slog.New(slog.DiscardHandler))
-	go w.Run(t.Context(), list(41, true, "a active 0"))
-	enginetest.Eventually(t, "a second watch", func() bool { mu.Lock(); defer mu.Unlock(); return len(asked) >= 2 })
-	mu.Lock()
-	defer mu.Unlock()
+	}).await(t, 2)
 	want := []string{
 		fmt.Sprint(routing.RosterCached, "a", routing.PhaseOn), fmt.Sprint(routing.RosterChanges, "a", routing.PhaseDraining),
 		fmt.Sprint(routing.RosterChanges, "b", routing.PhaseOn),
@@ -231,31 +242,25 @@
 
 // Each recording is played on a connection of its own.
 func TestRecordedExchanges(t *testing.T) {
-	files, err := filepath.Glob("testdata/*.txt")
-	if err != nil || len(files) == 0 {
-		t.Fatal("no recordings", err)
-	}
-	for _, file := range files {
-		t.Run(filepath.Base(file), func(t *testing.T) {
-			addr, r, w, c := gateway(t, read, func(c enginetest.Call) string {
-				if strings.Contains(c.Body, "break") {
-					whole := enginetest.Stream(2, 0)
-					return whole[:strings.Index(whole, "w1")] + enginetest.Cut
-				}
-				if strings.Contains(c.Body, "fail") {
-					return enginetest.Status(500, "", "")
-				}
-				return enginetest.Stream(2, 0)
-			})
-			enginetest.Play(t, addr, file, "BIG", strings.Repeat("x", clientconn.MaxBody+1))
-			if err := c.Drain(t.Context()); err != nil {
-				t.Fatal(err)
+	enginetest.EachRecording(t, func(t *testing.T, file string) {
+		addr, r, w, c := gateway(t, read, func(c enginetest.Call) string {
+			if strings.Contains(c.Body, "break") {
+				whole := enginetest.Stream(2, 0)
+				return whole[:strings.Index(whole, "w1")] + enginetest.Cut
 			}
-			if n := len(w.Calls("POST")); n > 1 || n != len(r.Calls("POST")) {
-				t.Errorf("%d reads, %d writes", len(r.Calls("POST")), n)
+			if strings.Contains(c.Body, "fail") {
+				return enginetest.Status(500, "", "")
 			}
+			return enginetest.Stream(2, 0)
 		})
-	}
+		enginetest.Play(t, addr, file, "BIG", strings.Repeat("x", clientconn.MaxBody+1))
+		if err := c.Drain(t.Context()); err != nil {
+			t.Fatal(err)
+		}
+		if n := len(w.Calls("POST")); n > 1 || n != len(r.Calls("POST")) {
+			t.Errorf("%d reads, %d writes", len(r.Calls("POST")), n)
+		}
+	})
 }
 
 // A client that leaves mid-stream frees what it holds within the pin limit.
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -17,6 +17,7 @@
 	"wellgw/decide/watch"
 	"wellgw/internal/config"
 	"wellgw/internal/core"
+	"wellgw/internal/fetch"
 	"wellgw/routing"
 )
 
@@ -236,24 +237,8 @@
 	w.mu.Lock()
 	addr := w.addr
 	w.mu.Unlock()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/v1/servers", nil)
-	if err != nil {
-		return fmt.Errorf("list: %w", err)
-	}
-	resp, err := w.client.Do(req)
-	if err != nil {
-		return fmt.Errorf("list: %w", err)
-	}
-	defer resp.Body.Close()
-	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("list: status %d", resp.StatusCode)
-	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxList))
-	if err != nil {
-		return fmt.Errorf("list: %w", err)
-	}
 	var l config.List
-	if err := jsoniter.Unmarshal(body, &l); err != nil {
+	if err := fetch.JSON(ctx, w.client, "http://"+addr+"/v1/servers", maxList, &l); err != nil {
 		return fmt.Errorf("list: %w", err)
 	}
 	if changed := w.roster.Apply(l); len(changed) > 0 {
@@ -283,9 +268,9 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return 0, fmt.Errorf("watch: status %d", resp.StatusCode)
+		return 0, fmt.Errorf("watch: %w", fetch.StatusError{Code: resp.StatusCode})
 	}
-	from := &heard{r: resp.Body, silence: silence, span: w.pace.Silence}
+	from := &heard{from: resp.Body, silence: silence, span: w.pace.Silence}
 	for lists := jsoniter.NewDecoder(from); ; {
 		from.left = maxList
 		var l config.List
@@ -304,7 +289,7 @@
 
 // heard reads a watch. All that comes, an empty line too, is a sign of life.
 type heard struct {
-	r       io.Reader
+	from    io.Reader
 	silence *time.Timer
 	span    time.Duration
 	left    int // bytes that the list under way may still have
@@ -312,14 +297,12 @@
 
 func (h *heard) Read(p []byte) (int, error) {
 	if h.left <= 0 {
-		return 0, errList
+		return 0, fetch.ErrTooLong
 	}
-	n, err := h.r.Read(p[:min(len(p), h.left)])
+	n, err := h.from.Read(p[:min(len(p), h.left)])
 	if n > 0 {
 		h.silence.Reset(h.span)
 		h.left -= n
 	}
 	return n, err
 }
-
-var errList = errors.New("a list is too long")
--- a/routing/policy_test.go
+++ b/routing/policy_test.go
@@ -1,6 +1,7 @@
 package routing
 
 import (
+	"errors"
 	"fmt"
 	"os"
 	"strings"
@@ -245,7 +246,8 @@
 	} {
 		s := testSettings()
 		spoil(&s)
-		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), field) {
+		var wrong SettingError
+		if _, err := New(s, 1); !errors.As(err, &wrong) || !strings.Contains(wrong.Field, field) {
 			t.Errorf("%s: error %v does not name it", field, err)
 		}
 	}
