--- a/decide/heldstate/heldstate_test.go
+++ b/decide/heldstate/heldstate_test.go
@@ -131,7 +131,7 @@
 // them let go.
 type world struct {
 	t       *rapid.T
-	l       *Ledger
+	ledger  *Ledger
 	now     Time
 	held    map[string]Time // since when
 	later   map[string]Time // when a read that runs on will leave its state
@@ -157,24 +157,24 @@
 }
 
 func (w *world) act() {
-	w.l.SetOut(w.out, w.now)
-	if w.l.Expired(w.now) {
-		w.l.Expire(w.now)
+	w.ledger.SetOut(w.out, w.now)
+	if w.ledger.Expired(w.now) {
+		w.ledger.Expire(w.now)
 	}
-	for _, e := range w.l.Superseded(w.now) {
+	for _, e := range w.ledger.Superseded(w.now) {
 		delete(w.telling, e)
-		w.l.ReleaseEnded(e, false, w.now)
+		w.ledger.ReleaseEnded(e, false, w.now)
 	}
-	for _, e := range w.l.Due(w.now) {
+	for _, e := range w.ledger.Due(w.now) {
 		w.telling[e] = true
 	}
 	for _, e := range engines {
 		if w.telling[e] && !w.away[e] {
 			delete(w.telling, e)
-			if w.out == None || w.l.over {
+			if w.out == None || w.ledger.over {
 				delete(w.held, e)
 			}
-			w.l.ReleaseEnded(e, true, w.now)
+			w.ledger.ReleaseEnded(e, true, w.now)
 		}
 	}
 }
@@ -211,19 +211,19 @@
 	case 1:
 		w.later[e] = w.now + time.Duration(rapid.IntRange(0, int(limits.ReadFor/ms)).Draw(w.t, "read runs on, ms"))*ms
 	}
-	w.l.AttemptLost(e, true)
+	w.ledger.AttemptLost(e, true)
 }
 
 func TestStatesReleasedWithinLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{t: t, l: New(limits), now: ms, held: map[string]Time{}, later: map[string]Time{}, away: map[string]bool{}, telling: map[string]bool{}}
+		w := &world{t: t, ledger: New(limits), now: ms, held: map[string]Time{}, later: map[string]Time{}, away: map[string]bool{}, telling: map[string]bool{}}
 		for range rapid.IntRange(1, 12).Draw(t, "steps") {
 			e := rapid.SampledFrom(engines).Draw(t, "engine")
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0:
 				w.outcome()
 				w.held[e] = w.now
-				w.l.ReadDone(e, w.now)
+				w.ledger.ReadDone(e, w.now)
 			case 1:
 				w.lose(e)
 			case 2:
@@ -235,18 +235,18 @@
 			case 5:
 				w.out = None
 				clear(w.held)
-				w.l.AnswerDone()
+				w.ledger.AnswerDone()
 			}
 			w.pass(time.Duration(rapid.IntRange(0, 150).Draw(t, "for, in 10 ms")) * 10 * ms)
 		}
 		w.out = None
-		w.l.SetOut(w.out, w.now)
-		w.l.Finish()
+		w.ledger.SetOut(w.out, w.now)
+		w.ledger.Finish()
 		w.pass(time.Duration(rapid.IntRange(0, 1000).Draw(t, "after the end, in 10 ms")) * 10 * ms)
 		clear(w.away)
 		w.pass(2*limits.ReadFor + limits.GiveUp)
-		if len(w.held) > 0 || !w.l.Done() {
-			t.Fatalf("at the end: held %v, done %v", w.held, w.l.Done())
+		if len(w.held) > 0 || !w.ledger.Done() {
+			t.Fatalf("at the end: held %v, done %v", w.held, w.ledger.Done())
 		}
 	})
 }
--- a/decide/membership/membership_test.go
+++ b/decide/membership/membership_test.go
@@ -19,16 +19,16 @@
 
 // tier is gateways on a network in virtual time.
 type tier struct {
-	now   Time
-	queue letters
-	n     int
-	rng   *rand.Rand
-	nodes map[string]*node
-	names []string
-	fails func(from, to string) bool // a message is lost
-	sent  int
-	late  time.Duration // by which the next message comes late
-	twice bool          // whether it comes twice
+	now       Time
+	queue     letters
+	lastOrder int
+	rng       *rand.Rand
+	nodes     map[string]*node
+	names     []string
+	fails     func(from, to string) bool // a message is lost
+	sent      int
+	late      time.Duration // by which the next message comes late
+	twice     bool          // whether it comes twice
 }
 
 type node struct {
@@ -42,20 +42,22 @@
 }
 
 type letter struct {
-	at   Time
-	n    int
-	to   string
-	life uint64 // of the sender
-	msg  *Message
+	at    Time
+	order int
+	to    string
+	life  uint64 // of the sender
+	msg   *Message
 }
 
 type letters []letter
 
-func (l letters) Len() int           { return len(l) }
-func (l letters) Less(i, j int) bool { return cmp.Or(cmp.Compare(l[i].at, l[j].at), l[i].n-l[j].n) < 0 }
-func (l letters) Swap(i, j int)      { l[i], l[j] = l[j], l[i] }
-func (l *letters) Push(x any)        { *l = append(*l, x.(letter)) }
-func (l *letters) Pop() any          { x := (*l)[len(*l)-1]; *l = (*l)[:len(*l)-1]; return x }
+func (l letters) Len() int { return len(l) }
+func (l letters) Less(i, j int) bool {
+	return cmp.Or(cmp.Compare(l[i].at, l[j].at), l[i].order-l[j].order) < 0
+}
+func (l letters) Swap(i, j int) { l[i], l[j] = l[j], l[i] }
+func (l *letters) Push(x any)   { *l = append(*l, x.(letter)) }
+func (l *letters) Pop() any     { x := (*l)[len(*l)-1]; *l = (*l)[:len(*l)-1]; return x }
 
 func newTier(seed uint64, n int) *tier {
 	t := &tier{rng: rand.New(rand.NewPCG(seed, 9)), nodes: map[string]*node{}, fails: func(string, string) bool { return false }}
@@ -78,8 +80,8 @@
 }
 
 func (t *tier) post(at Time, to string, life uint64, msg *Message) {
-	t.n++
-	heap.Push(&t.queue, letter{at, t.n, to, life, msg})
+	t.lastOrder++
+	heap.Push(&t.queue, letter{at, t.lastOrder, to, life, msg})
 }
 
 func (t *tier) carry(from *node, out []Send) {
--- a/decide/roles/planner.go
+++ b/decide/roles/planner.go
@@ -424,8 +424,8 @@
 // oracle or a fixed split: it weighs all splits of so many engines.
 func Split(engines int, demand [2]float64) (prompt, answer int) {
 	type split struct {
-		n     int
-		worst float64
+		engines int
+		worst   float64
 	}
 	var all []split
 	for n := 1; n < engines; n++ {
@@ -435,5 +435,5 @@
 		return engines, 0
 	}
 	best := slices.MinFunc(all, func(a, b split) int { return cmp.Compare(a.worst, b.worst) })
-	return best.n, engines - best.n
+	return best.engines, engines - best.engines
 }
--- a/decide/roster/keep.go
+++ b/decide/roster/keep.go
@@ -62,17 +62,17 @@
 // are believed once they have stayed fewer for a while: a gateway whose check has
 // flapped still sends. The zero value is not usable; see NewPeers.
 type Peers struct {
-	n     int
+	count int
 	hold  time.Duration
 	lower int // the most that was seen since the count fell; 0 if it has not
 	since time.Time
 }
 
 // NewPeers starts from the number that the operator's file gives, at least 1.
-func NewPeers(n int, hold time.Duration) *Peers { return &Peers{n: max(n, 1), hold: hold} }
+func NewPeers(n int, hold time.Duration) *Peers { return &Peers{count: max(n, 1), hold: hold} }
 
 // Count returns how many gateways there are held to be.
-func (p *Peers) Count() int { return p.n }
+func (p *Peers) Count() int { return p.count }
 
 // Observe takes a count in and tells whether it changed what is held. A count of 0
 // can't be: this gateway is one; it is no news.
@@ -80,9 +80,9 @@
 	switch {
 	case n < 1:
 		return false
-	case n >= p.n:
-		changed := n > p.n
-		p.n, p.lower = n, 0
+	case n >= p.count:
+		changed := n > p.count
+		p.count, p.lower = n, 0
 		return changed
 	case p.lower == 0:
 		p.lower, p.since = n, now
@@ -97,6 +97,6 @@
 	if p.lower == 0 || now.Sub(p.since) < p.hold {
 		return false
 	}
-	p.n, p.lower = p.lower, 0
+	p.count, p.lower = p.lower, 0
 	return true
 }
--- a/experiments/fleetrun/fleetrun.go
+++ b/experiments/fleetrun/fleetrun.go
@@ -41,8 +41,8 @@
 		fleets, sizes = 1, []int{3, 30}
 	}
 	type cell struct {
-		d *fleetsim.Deployment
-		r fleetsim.Result
+		deployment *fleetsim.Deployment
+		result     fleetsim.Result
 	}
 	cells := make([][]cell, fleets)
 	var group sync.WaitGroup
@@ -71,27 +71,27 @@
 	for j, n := range sizes {
 		mean := 0.0
 		for i := range cells {
-			mean += cells[i][j].r.Service / float64(fleets)
+			mean += cells[i][j].result.Service / float64(fleets)
 		}
 		service.At = append(service.At, [2]float64{float64(n), mean})
 	}
 	for i := range cells {
 		for j, n := range sizes {
 			c := cells[i][j]
-			each := func(n int) string { return fmt.Sprintf("%.2f", float64(n)/float64(max(c.r.Requests, 1))) }
+			each := func(n int) string { return fmt.Sprintf("%.2f", float64(n)/float64(max(c.result.Requests, 1))) }
 			what := ""
-			for _, x := range c.d.Troubles {
+			for _, x := range c.deployment.Troubles {
 				what += fmt.Sprintf("%s %.0f s ", x.What, x.At.Seconds())
 			}
 			t.Rows = append(t.Rows, []any{
-				c.d.Name, what, n, c.r.Requests, fmt.Sprintf("%.3f", c.r.Service), fmt.Sprintf("%.3f", c.r.Worst10), c.r.Refused, c.r.Late, each(c.r.Probes), each(c.r.Conns),
+				c.deployment.Name, what, n, c.result.Requests, fmt.Sprintf("%.3f", c.result.Service), fmt.Sprintf("%.3f", c.result.Worst10), c.result.Refused, c.result.Late, each(c.result.Probes), each(c.result.Conns),
 			})
-			if len(c.r.Broken) > 0 {
-				r.Hold(false, fmt.Sprintf("%s with %d gateways keeps the rules", c.d.Name, n), "%s", c.r.Broken[0])
+			if len(c.result.Broken) > 0 {
+				r.Hold(false, fmt.Sprintf("%s with %d gateways keeps the rules", c.deployment.Name, n), "%s", c.result.Broken[0])
 			}
 		}
-		few, many := cells[i][0].r.Service, cells[i][len(sizes)-1].r.Service
-		r.Hold(many >= few-points, fmt.Sprintf("%s: service at %d gateways is within 3 points of that at %d", cells[i][0].d.Name, sizes[len(sizes)-1], sizes[0]), "%.3f against %.3f", many, few)
+		few, many := cells[i][0].result.Service, cells[i][len(sizes)-1].result.Service
+		r.Hold(many >= few-points, fmt.Sprintf("%s: service at %d gateways is within 3 points of that at %d", cells[i][0].deployment.Name, sizes[len(sizes)-1], sizes[0]), "%.3f against %.3f", many, few)
 	}
 	r.Tables = append(r.Tables, t)
 	r.Charts = append(r.Charts, experiments.Chart{Name: "service", Title: "Service by the number of gateways, the same load", X: "gateways", Y: "service", Lines: []experiments.Line{service}})
--- a/experiments/fleetsim/attempts.go
+++ b/experiments/fleetsim/attempts.go
@@ -7,19 +7,19 @@
 )
 
 type attempt struct {
-	n     int
-	t     *try
-	e     *engine
-	sent  time.Duration
-	whole bool
-	over  bool
-	done  func() // frees its connection
+	number int
+	try    *try
+	engine *engine
+	sent   time.Duration
+	whole  bool
+	over   bool
+	done   func() // frees its connection
 }
 
 // connect takes a free connection to an engine, or opens one; the function returned frees it.
 func (w *world) connect(g *gateway, e *engine) (done func()) {
 	free := g.idle[e]
-	for len(free) > 0 && w.now-free[0] > w.d.ConnIdle {
+	for len(free) > 0 && w.now-free[0] > w.deployment.ConnIdle {
 		free = free[1:]
 	}
 	if len(free) > 0 {
@@ -39,30 +39,30 @@
 // way is how long a message takes between a gateway and an engine.
 func (w *world) way(g *gateway, e *engine) time.Duration {
 	if g.zone == e.Zone {
-		return w.d.Same
+		return w.deployment.Same
 	}
-	return w.d.Cross
+	return w.deployment.Cross
 }
 
 // fetch moves a state and returns when it has come.
 func (w *world) fetch(from, to *engine, tokens int) time.Duration {
 	if from.Cell == to.Cell {
-		from.linkFree = max(from.linkFree, w.now) + time.Duration(float64(tokens)/w.d.Near*float64(time.Second))
+		from.linkFree = max(from.linkFree, w.now) + time.Duration(float64(tokens)/w.deployment.Near*float64(time.Second))
 		return from.linkFree
 	}
 	slower := w.linkSlow
 	if from.Zone != to.Zone {
 		slower *= 2
 	}
-	took := time.Duration(float64(tokens) / w.d.Far * slower * float64(time.Second))
+	took := time.Duration(float64(tokens) / w.deployment.Far * slower * float64(time.Second))
 	w.links[from.Cell] = max(w.links[from.Cell], w.now) + took
 	return w.links[from.Cell]
 }
 
 // withdraw stops an engine's work on an attempt that nobody waits for.
 func (w *world) withdraw(a *attempt) {
-	if a.e.up {
-		a.e.drop(a)
+	if a.engine.up {
+		a.engine.drop(a)
 	}
 }
 
@@ -79,7 +79,7 @@
 func (w *world) pin(t *try) {
 	since := w.now
 	t.pinnedSince = since
-	w.at(since+w.d.Settings.PinLimit+time.Millisecond, func() {
+	w.at(since+w.deployment.Settings.PinLimit+time.Millisecond, func() {
 		if t.pinnedSince == since && t.state != nil && t.out == nil && !t.pinnedMarked {
 			t.pinnedMarked = true
 			w.broke("the state of request %d stayed pinned", t.id)
@@ -91,27 +91,27 @@
 
 // first brings a first token to the gateway.
 func (w *world) first(a *attempt) {
-	w.at(w.now+w.way(a.t.gw, a.e), func() {
-		t := a.t
+	w.at(w.now+w.way(a.try.gw, a.engine), func() {
+		t := a.try
 		if a.over || t.out != a {
 			return
 		}
 		t.first = w.now
 		w.free(t)
-		w.tell(t.gw, routing.FirstToken{ID: t.id, Attempt: a.n, Engine: a.e.Name, Latency: w.now - a.sent})
+		w.tell(t.gw, routing.FirstToken{ID: t.id, Attempt: a.number, Engine: a.engine.Name, Latency: w.now - a.sent})
 	})
 }
 
 // reply brings an attempt's end to the gateway, with the report that the engine last gave out.
 func (w *world) reply(a *attempt, s routing.Status, found int, noState bool) {
-	rep := a.e.report
-	if w.d.Pull {
+	rep := a.engine.report
+	if w.deployment.Pull {
 		rep = nil
 	}
-	w.at(w.now+w.way(a.t.gw, a.e), func() {
+	w.at(w.now+w.way(a.try.gw, a.engine), func() {
 		if a.over {
 			if s == routing.StatusRead { // nobody asked any more: the state goes by itself
-				a.e.release(a.t)
+				a.engine.release(a.try)
 			}
 			return
 		}
@@ -127,17 +127,17 @@
 }
 
 func (w *world) end(a *attempt, s routing.Status, found int, noState bool, rep *routing.Report) {
-	t := a.t
+	t := a.try
 	a.over, t.out = true, nil
 	if s != routing.StatusCancelled && s != routing.StatusTimeout { // those are closed
 		a.done()
 	}
-	if !a.e.prefills() && (s == routing.StatusError || s == routing.StatusTimeout || s == routing.StatusReset || s == routing.StatusCancelled) {
+	if !a.engine.prefills() && (s == routing.StatusError || s == routing.StatusTimeout || s == routing.StatusReset || s == routing.StatusCancelled) {
 		t.ran = true
 	}
-	if a.e.prefills() && s != routing.StatusRead && t.state == a.e { // cancelled or out of time: it goes by itself
+	if a.engine.prefills() && s != routing.StatusRead && t.state == a.engine { // cancelled or out of time: it goes by itself
 		t.state = nil
-		a.e.release(t)
+		a.engine.release(t)
 	}
 	final := t.ended || s == routing.StatusServed || t.first > 0
 	if final && !t.ended {
@@ -150,7 +150,7 @@
 		w.pin(t)
 	}
 	w.tell(t.gw, routing.Outcome{
-		ID: t.id, Attempt: a.n, Engine: a.e.Name, Status: s, Latency: w.now - a.sent, Final: final,
+		ID: t.id, Attempt: a.number, Engine: a.engine.Name, Status: s, Latency: w.now - a.sent, Final: final,
 		Kept: found, NoState: noState, Report: rep,
 	})
 }
--- a/experiments/fleetsim/clients.go
+++ b/experiments/fleetsim/clients.go
@@ -42,7 +42,7 @@
 
 // arrivals draws all sessions ahead: the day asks the same of every policy.
 func (w *world) arrivals() {
-	r, d := w.clients, w.d
+	r, d := w.clients, w.deployment
 	total, turns := 0.0, 0.0
 	for _, c := range d.Classes {
 		total, turns = total+c.Share, turns+c.Share*c.Turns
@@ -96,7 +96,7 @@
 }
 
 func (w *world) ask(c *call) {
-	class := &w.d.Classes[c.class]
+	class := &w.deployment.Classes[c.class]
 	patience := class.Deadline + 2*time.Duration(c.prompt)*class.AimPerToken
 	var near []*gateway
 	for _, g := range w.gateways {
@@ -106,7 +106,7 @@
 	}
 	for _, g := range near {
 		if g == w.busy {
-			for range int(w.d.BusyTimes) {
+			for range int(w.deployment.BusyTimes) {
 				near = append(near, g)
 			}
 		}
@@ -124,7 +124,7 @@
 	w.tries[t.id] = t
 	w.at(t.deadline, func() { w.expire(t) })
 	w.tell(t.gw, routing.Request{
-		ID: t.id, Class: class.Name, Tenant: w.d.tenantName(c.tenant), Session: c.session, Prefix: c.prefix, PrefixLen: c.prefixLen,
+		ID: t.id, Class: class.Name, Tenant: w.deployment.tenantName(c.tenant), Session: c.session, Prefix: c.prefix, PrefixLen: c.prefixLen,
 		Prompt: c.prompt, MaxTokens: class.MaxOut, TTL: ttl, Repeat: c.tries > 1,
 	})
 }
@@ -153,19 +153,19 @@
 // answered ends a try that was not served. Its client may come again.
 func (w *world) answered(t *try, again bool, advice time.Duration) {
 	t.ended = true
-	if !again || t.call.tries > w.d.Retries {
+	if !again || t.call.tries > w.deployment.Retries {
 		return
 	}
-	wait := time.Duration(w.clients.in(0.7, 1.3) * float64(w.d.Backoff))
-	if w.clients.chance(w.d.Honour) {
-		wait = max(wait, min(advice, w.d.Settings.MaxRetryAfter))
+	wait := time.Duration(w.clients.in(0.7, 1.3) * float64(w.deployment.Backoff))
+	if w.clients.chance(w.deployment.Honour) {
+		wait = max(wait, min(advice, w.deployment.Settings.MaxRetryAfter))
 	}
 	w.at(w.now+wait, func() { w.ask(t.call) })
 }
 
 // earn books what a whole answer is worth.
 func (w *world) earn(t *try) {
-	c, class := t.call, &w.d.Classes[t.call.class]
+	c, class := t.call, &w.deployment.Classes[t.call.class]
 	aim := class.Aim + time.Duration(c.prompt)*class.AimPerToken
 	pace := (w.now - t.first) / time.Duration(max(c.out-1, 1))
 	switch {
--- a/experiments/fleetsim/engine.go
+++ b/experiments/fleetsim/engine.go
@@ -17,7 +17,7 @@
 
 // job is an attempt's work at an engine.
 type job struct {
-	a       *attempt
+	attempt *attempt
 	context int // tokens held for it
 	todo    int // tokens still to be read here
 	left    int // tokens still to be written
@@ -27,7 +27,7 @@
 
 // engine is an engine as it is, which no router sees.
 type engine struct {
-	w *world
+	world *world
 	Engine
 	kind     *Kind
 	up       bool
@@ -61,8 +61,8 @@
 	if e.cameUp == 0 {
 		return 1
 	}
-	d := e.w.d
-	part := float64(e.w.now-e.cameUp) / float64(d.ColdSpan)
+	d := e.world.deployment
+	part := float64(e.world.now-e.cameUp) / float64(d.ColdSpan)
 	if d.WarmBy > 0 {
 		part = math.Max(part-0.5, float64(e.warmth)/float64(d.WarmBy))
 	}
@@ -79,9 +79,9 @@
 	for _, t := range e.texts {
 		switch t.key {
 		case "s:" + c.session:
-			best, t.used = max(best, t.tokens), e.w.now
+			best, t.used = max(best, t.tokens), e.world.now
 		case "p:" + c.prefix:
-			best, t.used = max(best, min(t.tokens, c.prefixLen)), e.w.now
+			best, t.used = max(best, min(t.tokens, c.prefixLen)), e.world.now
 		}
 	}
 	return max(0, min(best, c.prompt-1))
@@ -91,10 +91,10 @@
 func (e *engine) keep(c *call) {
 	put := func(key string, tokens, cost int) {
 		if i := slices.IndexFunc(e.texts, func(t *kept) bool { return t.key == key }); i >= 0 {
-			e.texts[i].tokens, e.texts[i].cost, e.texts[i].used = tokens, cost, e.w.now
+			e.texts[i].tokens, e.texts[i].cost, e.texts[i].used = tokens, cost, e.world.now
 			return
 		}
-		e.texts = append(e.texts, &kept{key, tokens, cost, e.w.now})
+		e.texts = append(e.texts, &kept{key, tokens, cost, e.world.now})
 	}
 	if c.prefix != "" {
 		put("p:"+c.prefix, c.prefixLen, c.prefixLen)
@@ -118,20 +118,20 @@
 
 // take receives an attempt.
 func (e *engine) take(a *attempt) {
-	t := a.t
+	t := a.try
 	if !e.up {
-		e.w.reply(a, routing.StatusNoConnect, 0, false)
+		e.world.reply(a, routing.StatusNoConnect, 0, false)
 		return
 	}
 	e.push(t)
 	if e.draining || len(e.running)+len(e.queue) >= e.kind.Slots+e.kind.Queue {
-		e.w.reply(a, routing.StatusFull, 0, false)
+		e.world.reply(a, routing.StatusFull, 0, false)
 		return
 	}
-	j := &job{a: a, context: t.call.prompt, left: t.call.out}
+	j := &job{attempt: a, context: t.call.prompt, left: t.call.out}
 	if !e.prefills() && t.state == nil {
-		if !e.w.d.Settings.DecodePrefills {
-			e.w.reply(a, routing.StatusFull, 0, true)
+		if !e.world.deployment.Settings.DecodePrefills {
+			e.world.reply(a, routing.StatusFull, 0, true)
 			return
 		}
 		a.whole = true
@@ -142,12 +142,12 @@
 
 // push counts work that reaches a cold engine against the rule.
 func (e *engine) push(t *try) {
-	d := e.w.d
-	if e.cameUp == 0 || e.w.now-e.cameUp > d.ColdSpan {
+	d := e.world.deployment
+	if e.cameUp == 0 || e.world.now-e.cameUp > d.ColdSpan {
 		return
 	}
-	e.arrivals = append(e.arrivals, arrival{e.w.now, e.w.weight(e, t.call.class)})
-	for len(e.arrivals) > 0 && e.w.now-e.arrivals[0].at > d.Settings.Fall {
+	e.arrivals = append(e.arrivals, arrival{e.world.now, e.world.weight(e, t.call.class)})
+	for len(e.arrivals) > 0 && e.world.now-e.arrivals[0].at > d.Settings.Fall {
 		e.arrivals = e.arrivals[1:]
 	}
 	sum, chance := 0.0, 0.0
@@ -156,17 +156,17 @@
 	}
 	most := d.Settings.FallMultiple*e.capacity()*e.Speed*d.Settings.Fall.Seconds() + 3*chance
 	if sum > most {
-		e.w.broke("a cold engine was sent %.1f engine-seconds in %v, %.1f at most", sum, d.Settings.Fall, most)
+		e.world.broke("a cold engine was sent %.1f engine-seconds in %v, %.1f at most", sum, d.Settings.Fall, most)
 		e.arrivals = nil
 	}
 }
 
 // drop forgets an attempt's work here.
 func (e *engine) drop(a *attempt) {
-	is := func(j *job) bool { return j.a == a }
+	is := func(j *job) bool { return j.attempt == a }
 	e.queue = slices.DeleteFunc(e.queue, is)
 	for _, j := range e.running {
-		if j.a == a {
+		if j.attempt == a {
 			e.held -= j.context
 		}
 	}
@@ -202,7 +202,7 @@
 // after runs do later if the engine has not started anew by then.
 func (e *engine) after(in time.Duration, do func()) {
 	start := e.start
-	e.w.at(e.w.now+in, func() {
+	e.world.at(e.world.now+in, func() {
 		if e.start == start {
 			do()
 		}
@@ -214,23 +214,23 @@
 	j := e.queue[0]
 	e.queue, e.running, e.busy = e.queue[1:], append(e.running, j), true
 	e.held += j.context
-	found := e.match(j.a.t.call)
+	found := e.match(j.attempt.try.call)
 	todo := j.context - found
 	j.todo = todo
 	e.after(e.takes(e.kind.Step.Seconds()+float64(todo)/e.kind.ReadRate), func() {
 		e.busy = false
 		if slices.Contains(e.running, j) {
 			e.running = nil
-			t := j.a.t
+			t := j.attempt.try
 			e.warmth++
 			e.keep(t.call)
 			e.states[t] = j.context
-			e.latency = e.w.now - j.a.sent
-			if t.ended || t.gone || t.out != j.a {
+			e.latency = e.world.now - j.attempt.sent
+			if t.ended || t.gone || t.out != j.attempt {
 				e.release(t)
 			} else {
 				t.state = e
-				e.w.reply(j.a, routing.StatusRead, found, false)
+				e.world.reply(j.attempt, routing.StatusRead, found, false)
 			}
 		}
 		e.work()
@@ -242,7 +242,7 @@
 	j := e.queue[0]
 	e.queue, e.running = e.queue[1:], append(e.running, j)
 	e.held += j.context
-	t := j.a.t
+	t := j.attempt.try
 	switch from := t.state; {
 	case j.begun: // it was put back for lack of memory
 		j.todo = j.context
@@ -250,11 +250,11 @@
 		j.todo = j.context - e.match(t.call)
 	case from.states[t] == 0:
 		t.state = nil
-		e.drop(j.a)
-		e.w.reply(j.a, routing.StatusFull, 0, true)
+		e.drop(j.attempt)
+		e.world.reply(j.attempt, routing.StatusFull, 0, true)
 	default:
-		j.ready = e.w.fetch(from, e, j.context)
-		e.w.at(j.ready, func() { from.release(t) })
+		j.ready = e.world.fetch(from, e, j.context)
+		e.world.at(j.ready, func() { from.release(t) })
 		t.state = nil
 	}
 }
@@ -266,7 +266,7 @@
 	var reads *job
 	for _, j := range e.running {
 		switch {
-		case j.ready > e.w.now:
+		case j.ready > e.world.now:
 		case j.todo > 0:
 			if reads == nil {
 				reads, chunk = j, min(j.todo, k.Chunk)
@@ -280,7 +280,7 @@
 		return
 	}
 	took := k.Step + time.Duration(n)*k.PerAnswer + time.Duration(float64(context)/1000*float64(k.PerK))
-	begun := e.w.now
+	begun := e.world.now
 	e.after(e.takes(took.Seconds()+float64(chunk)/k.ReadRate), func() {
 		e.busy = false
 		e.written(begun, reads, chunk)
@@ -298,16 +298,16 @@
 		e.held++
 		if !j.begun {
 			j.begun = true
-			e.latency = e.w.now - j.a.sent
-			e.w.first(j.a)
+			e.latency = e.world.now - j.attempt.sent
+			e.world.first(j.attempt)
 		}
 		if j.left <= 0 {
 			e.warmth++
-			e.drop(j.a)
-			if j.a.whole {
-				e.keep(j.a.t.call)
+			e.drop(j.attempt)
+			if j.attempt.whole {
+				e.keep(j.attempt.try.call)
 			}
-			e.w.reply(j.a, routing.StatusServed, 0, false)
+			e.world.reply(j.attempt, routing.StatusServed, 0, false)
 		}
 	}
 	if reads != nil {
@@ -323,12 +323,12 @@
 
 // publish refreshes the load report, which others see later.
 func (e *engine) publish() {
-	d := e.w.d
+	d := e.world.deployment
 	if !e.up {
 		return
 	}
 	noisy := func(v float64) *float64 {
-		v *= math.Max(0, 1+d.Noise*e.w.noise.NormFloat64())
+		v *= math.Max(0, 1+d.Noise*e.world.noise.NormFloat64())
 		return &v
 	}
 	rep := &routing.Report{}
@@ -368,10 +368,10 @@
 	}
 	clear(e.states)
 	for _, j := range jobs {
-		e.w.reply(j.a, routing.StatusReset, 0, false)
+		e.world.reply(j.attempt, routing.StatusReset, 0, false)
 	}
 }
 
 func (e *engine) rise() {
-	e.up, e.draining, e.cameUp, e.warmth, e.arrivals = true, false, e.w.now, 0, nil
+	e.up, e.draining, e.cameUp, e.warmth, e.arrivals = true, false, e.world.now, 0, nil
 }
--- a/experiments/fleetsim/gateways.go
+++ b/experiments/fleetsim/gateways.go
@@ -19,7 +19,7 @@
 func (w *world) announce(e *engine) {
 	info := e.info()
 	for _, g := range w.gateways {
-		w.at(w.now+time.Duration(w.clients.in(0.7, 1)*float64(w.d.Notice)), func() {
+		w.at(w.now+time.Duration(w.clients.in(0.7, 1)*float64(w.deployment.Notice)), func() {
 			if info.Phase == routing.PhaseOn {
 				delete(g.told, e.Name)
 			} else if _, known := g.told[e.Name]; !known {
@@ -44,8 +44,8 @@
 	}
 	switch a := action.(type) {
 	case routing.SetTimer:
-		w.at(w.now+max(a.In, w.d.Settings.Tick), func() {
-			if w.now < w.d.Length+30*time.Second {
+		w.at(w.now+max(a.In, w.deployment.Settings.Tick), func() {
+			if w.now < w.deployment.Length+30*time.Second {
 				w.tell(g, routing.TimerFired{Name: a.Name})
 			}
 		})
@@ -65,12 +65,12 @@
 		}
 	case routing.CancelAttempt:
 		t := w.tries[a.ID]
-		if t == nil || t.out == nil || t.out.n != a.Attempt || t.first > 0 {
+		if t == nil || t.out == nil || t.out.number != a.Attempt || t.first > 0 {
 			return
 		}
 		out := t.out
-		w.at(w.now+w.d.Settings.Tick, func() { w.finish(out, routing.StatusCancelled) })
-		w.at(w.now+w.way(g, out.e), func() { w.withdraw(out) })
+		w.at(w.now+w.deployment.Settings.Tick, func() { w.finish(out, routing.StatusCancelled) })
+		w.at(w.now+w.way(g, out.engine), func() { w.withdraw(out) })
 	case routing.Probe:
 		w.probe(g, w.byName[a.Engine])
 	case routing.Release:
@@ -81,7 +81,7 @@
 }
 
 func (w *world) single(t *try) bool {
-	return w.d.Classes[t.call.class].Effect == routing.EffectSingleShot
+	return w.deployment.Classes[t.call.class].Effect == routing.EffectSingleShot
 }
 
 // ending returns the try that a final answer ends, nil if the answer is out of place.
@@ -111,17 +111,17 @@
 	case t.out != nil:
 		w.broke("two attempts of request %d are out", a.ID)
 		return
-	case t.attempts >= w.d.Settings.MaxAttempts:
+	case t.attempts >= w.deployment.Settings.MaxAttempts:
 		w.broke("request %d has had its attempts", a.ID)
 		return
 	case t.ran && w.single(t):
 		w.broke("request %d may run twice", a.ID)
 	}
-	if since, known := g.told[e.Name]; known && w.now-since > w.d.Grace {
+	if since, known := g.told[e.Name]; known && w.now-since > w.deployment.Grace {
 		w.broke("a send to %s %v after its drain was told", e.Name, w.now-since)
 	}
 	w.unpin(t)
-	out := &attempt{n: t.attempts, t: t, e: e, sent: w.now, done: w.connect(g, e)}
+	out := &attempt{number: t.attempts, try: t, engine: e, sent: w.now, done: w.connect(g, e)}
 	e.sends++
 	t.attempts++
 	t.out = out
--- a/experiments/fleetsim/result.go
+++ b/experiments/fleetsim/result.go
@@ -23,7 +23,7 @@
 }
 
 func (w *world) sum() Result {
-	d := w.d
+	d := w.deployment
 	asked, earned := make([]float64, len(d.Classes)), make([]float64, len(d.Classes))
 	bySecond := make([][2]float64, int(d.Length/time.Second)+1)
 	w.res.ByTenant = make([][2]float64, len(d.Settings.Tenants))
--- a/experiments/fleetsim/troubles.go
+++ b/experiments/fleetsim/troubles.go
@@ -7,7 +7,7 @@
 
 // strike begins and ends a trouble.
 func (w *world) strike(t Trouble) {
-	r := draw{rand.New(rand.NewPCG(w.d.Seed, uint64(t.At)))}
+	r := draw{rand.New(rand.NewPCG(w.deployment.Seed, uint64(t.At)))}
 	var hit []*engine
 	for _, i := range r.Perm(len(w.engines))[:max(1, int(t.Part*float64(len(w.engines))))] {
 		hit = append(hit, w.engines[i])
--- a/experiments/fleetsim/world.go
+++ b/experiments/fleetsim/world.go
@@ -40,7 +40,7 @@
 }
 
 type world struct {
-	d          *Deployment
+	deployment *Deployment
 	now        time.Duration
 	agenda     agenda
 	seq        int
@@ -64,12 +64,12 @@
 // Play plays a deployment under a policy. With trace, the result lists every decision.
 func Play(d *Deployment, policy Policy, trace bool) Result {
 	w := &world{
-		d: d, noise: rand.New(rand.NewPCG(d.Seed, 2)), clients: draw{rand.New(rand.NewPCG(d.Seed, 3))},
+		deployment: d, noise: rand.New(rand.NewPCG(d.Seed, 2)), clients: draw{rand.New(rand.NewPCG(d.Seed, 3))},
 		byName: map[string]*engine{}, links: map[int]time.Duration{}, linkSlow: 1,
 		tries: map[routing.RequestID]*try{}, trace: trace,
 	}
 	for _, spec := range d.Engines {
-		e := &engine{w: w, Engine: spec, kind: &d.Kinds[spec.Kind], up: true, slow: 1, states: map[*try]int{}}
+		e := &engine{world: w, Engine: spec, kind: &d.Kinds[spec.Kind], up: true, slow: 1, states: map[*try]int{}}
 		w.engines, w.byName[e.Name] = append(w.engines, e), e
 		w.every(time.Duration(w.noise.Float64()*float64(d.ReportPeriod)), d.ReportPeriod, e.publish)
 	}
@@ -109,7 +109,7 @@
 func (w *world) every(first, period time.Duration, do func()) {
 	w.at(first, func() {
 		do()
-		if w.now < w.d.Length+20*time.Second {
+		if w.now < w.deployment.Length+20*time.Second {
 			w.every(w.now+period, period, do)
 		}
 	})
@@ -142,7 +142,7 @@
 
 // weight is what a request of a class takes of a warm engine of usual speed, in seconds.
 func (w *world) weight(e *engine, class int) float64 {
-	c := &w.d.Classes[class]
+	c := &w.deployment.Classes[class]
 	mean, _ := c.prompt()
 	if e.prefills() {
 		return 0.4 * mean / e.kind.ReadRate // much is kept
--- a/experiments/rolesim/rolesim.go
+++ b/experiments/rolesim/rolesim.go
@@ -65,10 +65,10 @@
 
 // cohort is what came in one step of one class.
 type cohort struct {
-	class int
-	at    time.Duration
-	n     float64 // requests
-	left  float64 // of their work at this stage
+	class    int
+	at       time.Duration
+	requests float64 // requests
+	left     float64 // of their work at this stage
 }
 
 const (
@@ -209,7 +209,7 @@
 				continue
 			}
 			if s == int(roles.Prompt) {
-				p.queues[roles.Answer] = append(p.queues[roles.Answer], cohort{q.class, q.at, q.n, q.n * class.Answer})
+				p.queues[roles.Answer] = append(p.queues[roles.Answer], cohort{q.class, q.at, q.requests, q.requests * class.Answer})
 				continue
 			}
 			p.answered(q)
@@ -222,16 +222,16 @@
 // answered books a cohort whose answers are complete.
 func (p *play) answered(q cohort) {
 	class := p.classes[q.class]
-	worth := q.n * class.Worth
+	worth := q.requests * class.Worth
 	if p.now-q.at > class.Aim {
 		worth *= class.Late
 	}
 	p.earned[q.class] += worth
 	p.book(q.at, worth, worthEarned)
 	traffic := &p.traffic[q.class]
-	traffic.Served += q.n / sampled
-	traffic.ServedPrompt += q.n / sampled * class.Prompt * tokens
-	traffic.Output += q.n / sampled * class.Answer * tokens
+	traffic.Served += q.requests / sampled
+	traffic.ServedPrompt += q.requests / sampled * class.Prompt * tokens
+	traffic.Output += q.requests / sampled * class.Answer * tokens
 }
 
 // view returns the engines as the owner sees them.
--- a/fake/consul/agent.go
+++ b/fake/consul/agent.go
@@ -41,15 +41,15 @@
 	Token string // if set, asked of every call
 	store *Store
 
-	mu      sync.Mutex
-	faults  Faults
-	changed chan struct{}
-	server  *http.Server
-	l       net.Listener
-	queries int
-	open    int
-	bytes   int64
-	seen    map[string]int
+	mu       sync.Mutex
+	faults   Faults
+	changed  chan struct{}
+	server   *http.Server
+	listener net.Listener
+	queries  int
+	open     int
+	bytes    int64
+	seen     map[string]int
 }
 
 // The bounds of blocking queries, by the documentation.
@@ -84,7 +84,7 @@
 	a.Addr = l.Addr().String()
 	srv := &http.Server{Handler: a, ErrorLog: log.New(io.Discard, "", 0), ReadHeaderTimeout: 10 * time.Second}
 	a.mu.Lock()
-	a.l, a.server = l, srv
+	a.listener, a.server = l, srv
 	a.mu.Unlock()
 	go srv.Serve(l)
 	return nil
@@ -207,7 +207,7 @@
 // call is one call as it is worked on.
 type call struct {
 	*http.Request
-	a *Agent
+	agent *Agent
 }
 
 // answer works out what a healthy agent would say.
@@ -266,23 +266,23 @@
 	}
 	wait = min(wait, mostWait)
 	until := time.Now().Add(wait + wait/(2*jitterPart))
-	c.a.store.mu.Lock()
-	epoch := c.a.store.epoch
-	c.a.store.mu.Unlock()
+	c.agent.store.mu.Lock()
+	epoch := c.agent.store.epoch
+	c.agent.store.mu.Unlock()
 	for {
-		f, faultsChanged := c.a.present()
-		c.a.store.mu.Lock()
-		st := c.a.store.now
+		f, faultsChanged := c.agent.present()
+		c.agent.store.mu.Lock()
+		st := c.agent.store.now
 		if f.Lag != nil {
 			st = f.Lag.state
 		}
 		value, index, found := c.look(st, path)
 		var body []byte
-		if index > wanted || wanted == 0 || f.Ignore || epoch != c.a.store.epoch || !time.Now().Before(until) {
+		if index > wanted || wanted == 0 || f.Ignore || epoch != c.agent.store.epoch || !time.Now().Before(until) {
 			body, _ = codec.Marshal(value)
 		}
-		changed := c.a.store.changed
-		c.a.store.mu.Unlock()
+		changed := c.agent.store.changed
+		c.agent.store.mu.Unlock()
 		if body != nil {
 			h := http.Header{}
 			h.Set("X-Consul-Index", strconv.FormatUint(max(index, 1), 10))
@@ -300,7 +300,7 @@
 			return http.StatusServiceUnavailable, nil, nil
 		case <-changed:
 		case <-faultsChanged:
-			if f, _ := c.a.present(); f.Hang {
+			if f, _ := c.agent.present(); f.Hang {
 				t.Stop()
 				return 0, nil, nil // never to be answered
 			}
--- a/fake/consul/conformance_test.go
+++ b/fake/consul/conformance_test.go
@@ -159,8 +159,8 @@
 		t.Fatalf("%d instances", n)
 	}
 	type answer struct {
-		n     int
-		index uint64
+		instances int
+		index     uint64
 	}
 	later := func() chan answer {
 		ch := make(chan answer, 1)
@@ -178,7 +178,7 @@
 	ch := later()
 	store.Register(Service{ID: "b2", Name: "y", Port: 1}, nil)
 	store.Deregister("node-1", "a2")
-	if a := <-ch; a.n != 1 || a.index <= index {
+	if a := <-ch; a.instances != 1 || a.index <= index {
 		t.Errorf("after a change: %+v, index was %d", a, index)
 	}
 	n, index = ask(0, 0)
--- a/fake/consul/write.go
+++ b/fake/consul/write.go
@@ -39,7 +39,7 @@
 		if on != "true" && on != "false" {
 			return bad("Missing value for enable")
 		}
-		if !c.a.store.Maintain(c.a.Node, rest, on == "true", c.URL.Query().Get("reason")) {
+		if !c.agent.store.Maintain(c.agent.Node, rest, on == "true", c.URL.Query().Get("reason")) {
 			return http.StatusNotFound, nil, []byte("Unknown service ID " + strconv.Quote(rest))
 		}
 		return ok("")
@@ -58,7 +58,7 @@
 	case path == "session/create":
 		return c.createSession(raw)
 	case verb == "session/destroy":
-		c.a.store.update(func(st *state) bool { return st.endSession(rest) })
+		c.agent.store.update(func(st *state) bool { return st.endSession(rest) })
 		return ok("true")
 	case verb == "session/renew":
 		return c.renewSession(rest)
@@ -148,8 +148,8 @@
 		}
 		checks = append(checks, check)
 	}
-	c.a.store.update(func(st *state) bool {
-		st.register(Service{ID: b.ID, Name: b.Name, Node: c.a.Node, Address: b.Address, Port: b.Port, Tags: b.Tags, Meta: b.Meta}, checks)
+	c.agent.store.update(func(st *state) bool {
+		st.register(Service{ID: b.ID, Name: b.Name, Node: c.agent.Node, Address: b.Address, Port: b.Port, Tags: b.Tags, Meta: b.Meta}, checks)
 		return true
 	})
 	return ok("")
@@ -157,8 +157,8 @@
 
 func (c call) deregister(id string) (int, http.Header, []byte) {
 	found := false
-	c.a.store.update(func(st *state) bool {
-		found = st.deregister(serviceKey{c.a.Node, id})
+	c.agent.store.update(func(st *state) bool {
+		found = st.deregister(serviceKey{c.agent.Node, id})
 		return found
 	})
 	if !found {
@@ -169,8 +169,8 @@
 
 func (c call) setTTL(id, status, output string) (int, http.Header, []byte) {
 	code, text := http.StatusOK, ""
-	c.a.store.update(func(st *state) bool {
-		check, there := st.checks[checkKey{c.a.Node, id}]
+	c.agent.store.update(func(st *state) bool {
+		check, there := st.checks[checkKey{c.agent.Node, id}]
 		switch {
 		case !there:
 			code, text = http.StatusNotFound, "Unknown check ID "+strconv.Quote(id)+". Ensure that the check ID is passed, not the check name."
@@ -181,7 +181,7 @@
 		}
 		check.expires = time.Now().Add(check.ttl)
 		if check.Status == status && check.Output == output {
-			st.checks[checkKey{c.a.Node, id}] = check
+			st.checks[checkKey{c.agent.Node, id}] = check
 			return false
 		}
 		check.Status, check.Output = status, output
@@ -192,11 +192,11 @@
 }
 
 func (c call) agentServices() (int, http.Header, []byte) {
-	c.a.store.mu.Lock()
-	defer c.a.store.mu.Unlock()
+	c.agent.store.mu.Lock()
+	defer c.agent.store.mu.Unlock()
 	out := map[string]serviceBody{}
-	for key, s := range c.a.store.now.services {
-		if key.node == c.a.Node {
+	for key, s := range c.agent.store.now.services {
+		if key.node == c.agent.Node {
 			out[key.id] = bodyOf(s)
 		}
 	}
@@ -205,11 +205,11 @@
 }
 
 func (c call) agentChecks() (int, http.Header, []byte) {
-	c.a.store.mu.Lock()
-	defer c.a.store.mu.Unlock()
+	c.agent.store.mu.Lock()
+	defer c.agent.store.mu.Unlock()
 	out := map[string]Check{}
-	for key, check := range c.a.store.now.checks {
-		if key.node == c.a.Node {
+	for key, check := range c.agent.store.now.checks {
+		if key.node == c.agent.Node {
 			out[key.id] = check
 		}
 	}
@@ -249,7 +249,7 @@
 		s.ServiceChecks = append(s.ServiceChecks, sc.ID)
 	}
 	if s.Node == "" {
-		s.Node = c.a.Node
+		s.Node = c.agent.Node
 	}
 	if s.Behavior == "" {
 		s.Behavior = "release"
@@ -273,7 +273,7 @@
 		s.expires = time.Now().Add(2 * d) // by the documentation it may last up to twice its TTL
 	}
 	code, text := http.StatusOK, ""
-	c.a.store.update(func(st *state) bool {
+	c.agent.store.update(func(st *state) bool {
 		for _, id := range s.Checks {
 			if check, there := st.checks[checkKey{s.Node, id}]; id != "serfHealth" && (!there || check.Status == "critical") {
 				code, text = http.StatusInternalServerError, "Missing or failing check "+strconv.Quote(id)
@@ -293,7 +293,7 @@
 
 func (c call) renewSession(id string) (int, http.Header, []byte) {
 	var found []Session
-	c.a.store.update(func(st *state) bool {
+	c.agent.store.update(func(st *state) bool {
 		if s, there := st.sessions[id]; there {
 			s.expires = time.Now().Add(2 * s.ttl)
 			st.sessions[id] = s
@@ -338,7 +338,7 @@
 	params := c.URL.Query()
 	flags, _ := strconv.ParseUint(params.Get("flags"), 10, 64)
 	done, code := false, http.StatusOK
-	c.a.store.update(func(st *state) bool {
+	c.agent.store.update(func(st *state) bool {
 		p, there := st.pairs[key]
 		if text, is := params["cas"]; is {
 			want, _ := strconv.ParseUint(text[0], 10, 64)
@@ -385,7 +385,7 @@
 	params := c.URL.Query()
 	_, recurse := params["recurse"]
 	done := true
-	c.a.store.update(func(st *state) bool {
+	c.agent.store.update(func(st *state) bool {
 		if text, is := params["cas"]; is {
 			want, _ := strconv.ParseUint(text[0], 10, 64)
 			if p := st.pairs[key]; p.ModifyIndex != want {
--- a/fake/engine/serve.go
+++ b/fake/engine/serve.go
@@ -52,15 +52,15 @@
 // turn is one request under way at an engine.
 type turn struct {
 	*Engine
-	w      http.ResponseWriter
-	r      *http.Request
-	raw    []byte
-	q      request
-	id     string
-	change func(func(*Attempt)) // alters the attempt's entry in the account
-	tokens int                  // of the prompt
-	out    int                  // of the answer
-	role   string
+	w       http.ResponseWriter
+	r       *http.Request
+	raw     []byte
+	request request
+	id      string
+	change  func(func(*Attempt)) // alters the attempt's entry in the account
+	tokens  int                  // of the prompt
+	out     int                  // of the answer
+	role    string
 }
 
 // answer ends the request with a status.
@@ -86,13 +86,13 @@
 		a.Order = string(all[len(all)-1][1])
 	}
 	t := &turn{Engine: e, w: w, r: r, raw: raw, id: a.Request, change: e.fleet.note(a)}
-	if jsoniter.Unmarshal(raw, &t.q) != nil || t.id == "" {
+	if jsoniter.Unmarshal(raw, &t.request) != nil || t.id == "" {
 		t.answer(http.StatusBadRequest, true, `{"error":{"message":"not a chat request"}}`)
 		return
 	}
 	t.tokens = max(1, len(raw)/charsPerToken)
-	t.out = max(1, e.Tokens-t.q.said())
-	if limit := max(t.q.MaxTokens, t.q.MostOut); limit > 0 {
+	t.out = max(1, e.Tokens-t.request.said())
+	if limit := max(t.request.MaxTokens, t.request.MostOut); limit > 0 {
 		t.out = min(t.out, limit)
 	}
 	life := t.admit(now)
@@ -157,7 +157,7 @@
 		t.answer(http.StatusGone, true, "")
 		return
 	}
-	kept := t.keptOf(t.q, t.tokens)
+	kept := t.keptOf(t.request, t.tokens)
 	if !had && !t.spend(ctx, time.Duration(float64(t.tokens-kept)/t.ReadPerS*float64(time.Second))) {
 		panic(http.ErrAbortHandler)
 	}
@@ -170,12 +170,12 @@
 	t.change(func(a *Attempt) { a.Status = http.StatusOK })
 	if t.r.URL.Path == embeddingPath {
 		t.w.Header().Set("Content-Type", "application/json")
-		t.w.Write(embed(t.q, t.raw))
+		t.w.Write(embed(t.request, t.raw))
 		t.change(func(a *Attempt) { a.Whole = true })
 		t.account(1, begun)
 		return
 	}
-	if !t.stream(ctx, t.w, t.script(t.r.URL.Path, t.q, t.raw, t.tokens, kept, t.out)) {
+	if !t.stream(ctx, t.w, t.script(t.r.URL.Path, t.request, t.raw, t.tokens, kept, t.out)) {
 		panic(http.ErrAbortHandler)
 	}
 	t.change(func(a *Attempt) { a.Whole = true })
--- a/internal/clientconn/listener.go
+++ b/internal/clientconn/listener.go
@@ -232,7 +232,7 @@
 	// Of the read under way; there is one at a time.
 	step func(fd uintptr) bool
 	into []byte
-	n    int
+	read int
 	err  error
 }
 
@@ -279,7 +279,7 @@
 			n, err := c.Conn.Read(p)
 			c.mu.Lock()
 			if c.take(n, err); c.shut {
-				c.n, c.err = 0, net.ErrClosed
+				c.read, c.err = 0, net.ErrClosed
 			}
 			c.mu.Unlock()
 		} else if err := c.raw.Read(c.step); err != nil {
@@ -289,8 +289,8 @@
 			return 0, &net.OpError{Op: "read", Net: "tcp", Addr: c.RemoteAddr(), Err: err}
 		}
 		c.into = nil // it is net/http's, which lends it to others
-		if !c.spoilt || c.n > 0 {
-			return c.n, c.err
+		if !c.spoilt || c.read > 0 {
+			return c.read, c.err
 		}
 	}
 }
@@ -301,7 +301,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.shut {
-		c.n, c.err = 0, &net.OpError{Op: "read", Net: "tcp", Addr: c.RemoteAddr(), Err: net.ErrClosed}
+		c.read, c.err = 0, &net.OpError{Op: "read", Net: "tcp", Addr: c.RemoteAddr(), Err: net.ErrClosed}
 		return true
 	}
 	if c.lastInHand() && hasUnread(fd) {
@@ -336,9 +336,9 @@
 func (c *Conn) take(n int, err error) {
 	c.heard = c.heard || n > 0
 	good, ferr := c.frame.next(c.into[:n])
-	if c.n, c.err = n, err; ferr != nil {
+	if c.read, c.err = n, err; ferr != nil {
 		c.spoilt, c.poison = true, []byte("\x00\r\n\r\n")
-		c.n, c.err = good, nil
+		c.read, c.err = good, nil
 	}
 	c.watch()
 	if timeout := net.Error(nil); err != nil && !(errors.As(err, &timeout) && timeout.Timeout()) {
--- a/internal/core/api.go
+++ b/internal/core/api.go
@@ -184,26 +184,26 @@
 
 // Ticket names a request that the core has taken.
 type Ticket struct {
-	core *Core
-	q    *request    // owned by the core's goroutine
-	left atomic.Bool // the client has gone
+	core    *Core
+	request *request    // owned by the core's goroutine
+	left    atomic.Bool // the client has gone
 }
 
 // Gone tells that the client has left before its answer. No attempt is begun from then on,
 // however long the core's queue is.
 func (t *Ticket) Gone() {
 	t.left.Store(true)
-	t.core.post(func() { t.core.gone(t.q) })
+	t.core.post(func() { t.core.gone(t.request) })
 }
 
 // Finish tells how the stream of a Serving answer ended. Relay calls it; a front that
 // reads the stream otherwise must call it once, after Stream.Close or the stream's end.
-func (t *Ticket) Finish(r Result) { t.core.post(func() { t.core.streamEnded(t.q, r) }) }
+func (t *Ticket) Finish(r Result) { t.core.post(func() { t.core.streamEnded(t.request, r) }) }
 
 // MayRun tells whether an attempt has been out that is not known to have been turned away;
 // true if the core has ended.
 func (t *Ticket) MayRun(ctx context.Context) bool {
-	never := query(ctx, t.core, func() bool { return t.q != nil && !t.q.mayRun() })
+	never := query(ctx, t.core, func() bool { return t.request != nil && !t.request.mayRun() })
 	return !never
 }
 
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -36,7 +36,7 @@
 	in.ID = c.lastID
 	q := &request{Request: in, front: f, deadline: in.Arrived.Add(in.TTL), free: c.router.Free(in.Class), left: &t.left}
 	q.held = newHeldStates(c.heldLimits(in.TTL))
-	t.q = q
+	t.request = q
 	if c.wires[in.Wire] {
 		// Engines know a request by its wire id alone: two at once would share
 		// attempts and states. The first goes on; the second never ran.
--- a/internal/enginetest/engine.go
+++ b/internal/enginetest/engine.go
@@ -17,7 +17,7 @@
 
 // Call is a request as an engine got it.
 type Call struct {
-	N                      int // from 1, in order of arrival at this engine
+	Number                 int // from 1, in order of arrival at this engine
 	Method, Path, ID, Body string
 	At                     time.Time
 	Deadline               time.Duration // by X-Deadline-Ms; 0 without one
@@ -80,7 +80,7 @@
 			call.Deadline = time.Duration(ms) * time.Millisecond
 		}
 		e.mu.Lock()
-		call.N = len(e.calls) + 1
+		call.Number = len(e.calls) + 1
 		e.calls = append(e.calls, call)
 		e.mu.Unlock()
 		out, hang := strings.CutSuffix(e.script(call), Hang)
--- a/internal/openai/front_test.go
+++ b/internal/openai/front_test.go
@@ -217,7 +217,7 @@
 		broken bool
 	}{{enginetest.StreamHead + enginetest.Cut, 2, false}, {enginetest.Stream(2, 0)[:200] + enginetest.Cut, 1, true}} {
 		engines, e := one(config.RoleOpenAI, func(call enginetest.Call) string {
-			if call.N == 1 {
+			if call.Number == 1 {
 				return c.first
 			}
 			return enginetest.Stream(2, 0)
--- a/internal/peers/wire.go
+++ b/internal/peers/wire.go
@@ -187,7 +187,7 @@
 
 // decode reads a payload. All of it must make sense: half a message is none.
 func decode(as byte, b []byte) (m membership.Message, err error) {
-	r := reader{b: b}
+	r := reader{rest: b}
 	m.Kind = membership.Kind(r.byte())
 	m.Seq = uint32(r.uvarint())
 	m.Epoch = r.uvarint()
@@ -196,7 +196,7 @@
 		m.Beat = uint32(r.uvarint())
 	}
 	m.From, m.About, m.Addr = r.text(), r.text(), r.addr()
-	for r.err == nil && len(r.b) > 0 {
+	for r.err == nil && len(r.rest) > 0 {
 		u := membership.Update{ID: r.text(), Addr: r.addr(), Incarnation: r.uvarint(), Status: membership.Status(r.byte())}
 		u.Age = time.Duration(min(r.uvarint(), maxAge)) * ageUnit
 		if as > oldest {
@@ -228,17 +228,17 @@
 }
 
 type reader struct {
-	b   []byte
-	err error
+	rest []byte
+	err  error
 }
 
 func (r *reader) take(n int) []byte {
-	if r.err != nil || len(r.b) < n {
+	if r.err != nil || len(r.rest) < n {
 		r.err = errPayload
 		return make([]byte, n)
 	}
-	p := r.b[:n]
-	r.b = r.b[n:]
+	p := r.rest[:n]
+	r.rest = r.rest[n:]
 	return p
 }
 
@@ -246,12 +246,12 @@
 func (r *reader) uint64() uint64 { return binary.BigEndian.Uint64(r.take(8)) }
 
 func (r *reader) uvarint() uint64 {
-	v, n := binary.Uvarint(r.b)
+	v, n := binary.Uvarint(r.rest)
 	if n <= 0 {
 		r.err = errPayload
 		return 0
 	}
-	r.b = r.b[n:]
+	r.rest = r.rest[n:]
 	return v
 }
 
--- a/internal/telemetry/trace.go
+++ b/internal/telemetry/trace.go
@@ -83,14 +83,14 @@
 
 type traced struct {
 	core.Engine
-	t *Tracer
+	tracer *Tracer
 }
 
 // Start makes an attempt; see core.Engine.
 func (e traced) Start(a core.Attempt, first func(core.Stream), ended func(core.Result)) core.Handle {
 	begun := time.Now()
 	note := func(what, failed string) {
-		e.t.span(within("request "+a.Wire), what, begun, time.Now(), failed,
+		e.tracer.span(within("request "+a.Wire), what, begun, time.Now(), failed,
 			attribute.String("engine", a.To.Name), attribute.String("role", a.To.Kind), attribute.Int("attempt", a.Number))
 	}
 	return e.Engine.Start(a, func(s core.Stream) {
@@ -114,7 +114,7 @@
 		if err != nil {
 			failed = err.Error()
 		}
-		e.t.span(within("request "+r.Wire), "release", begun, time.Now(), failed, attribute.String("engine", r.At.Name))
+		e.tracer.span(within("request "+r.Wire), "release", begun, time.Now(), failed, attribute.String("engine", r.At.Name))
 		done(err)
 	})
 }
--- a/internal/upstream/chunked.go
+++ b/internal/upstream/chunked.go
@@ -13,7 +13,7 @@
 // reader waits for the whole of a chunk that has begun, and so would hold back an
 // event that has arrived while the next one stalls.
 type chunked struct {
-	r     *bufio.Reader
+	from  *bufio.Reader
 	left  int64 // of the chunk under way
 	begun bool  // a chunk has been read, and the line end after it has not
 	err   error
@@ -40,7 +40,7 @@
 			}
 			return 0, c.err
 		}
-		n, err := c.r.Read(p[:min(int64(len(p)), c.left)])
+		n, err := c.from.Read(p[:min(int64(len(p)), c.left)])
 		if c.left -= int64(n); errors.Is(err, io.EOF) {
 			err = io.ErrUnexpectedEOF
 		}
@@ -57,12 +57,12 @@
 // here tells whether more of the body has come and can be read without waiting: the rest
 // of a chunk, or the next one's size and a part of it.
 func (c *chunked) here() bool {
-	have := c.r.Buffered()
+	have := c.from.Buffered()
 	if c.left > 0 || have == 0 {
 		return have > 0
 	}
 	const size = len("\r\n") + maxChunkHex + len("\r\n")
-	ahead, err := c.r.Peek(min(have, size))
+	ahead, err := c.from.Peek(min(have, size))
 	if err != nil {
 		return false
 	}
@@ -108,7 +108,7 @@
 }
 
 func (c *chunked) line() (string, error) {
-	raw, err := c.r.ReadSlice('\n')
+	raw, err := c.from.ReadSlice('\n')
 	if errors.Is(err, io.EOF) {
 		err = io.ErrUnexpectedEOF
 	}
--- a/internal/upstream/chunked_fuzz_test.go
+++ b/internal/upstream/chunked_fuzz_test.go
@@ -36,7 +36,7 @@
 	}
 	f.Fuzz(func(t *testing.T, text []byte, size int) {
 		read := func(size int) ([]byte, error) {
-			return io.ReadAll(&chunked{r: bufio.NewReader(&parts{text: text, size: size})})
+			return io.ReadAll(&chunked{from: bufio.NewReader(&parts{text: text, size: size})})
 		}
 		got, err := read(1 + size&63)
 		all, allErr := read(1 << 20)
--- a/internal/upstream/engine.go
+++ b/internal/upstream/engine.go
@@ -75,7 +75,7 @@
 // try is one attempt under way. Whoever takes its connection out answers for it.
 type try struct {
 	mu      sync.Mutex
-	c       *conn
+	conn    *conn
 	over    bool
 	writing bool // the first byte may have been written
 	cancel  context.CancelFunc
@@ -86,7 +86,7 @@
 func (t *try) hold(c *conn) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.c = c
+	t.conn = c
 	return !t.over
 }
 
@@ -117,8 +117,8 @@
 // stop gives the attempt up: to close its connection is how an engine is told.
 func (t *try) stop() {
 	t.mu.Lock()
-	c := t.c
-	t.c, t.over = nil, true
+	c := t.conn
+	t.conn, t.over = nil, true
 	t.mu.Unlock()
 	t.cancel()
 	if c != nil {
@@ -130,8 +130,8 @@
 // read to its end. After stop there is none.
 func (t *try) done(reuse bool) {
 	t.mu.Lock()
-	c := t.c
-	t.c, t.over = nil, true
+	c := t.conn
+	t.conn, t.over = nil, true
 	t.mu.Unlock()
 	t.cancel()
 	switch {
@@ -272,19 +272,19 @@
 	defer func() { c.in.left = math.MaxInt64 }()
 	for {
 		c.SetReadDeadline(until)
-		if _, err := c.r.Peek(1); err != nil {
+		if _, err := c.buffered.Peek(1); err != nil {
 			return nil, err
 		}
 		if span := time.Now().Add(headSpan); span.Before(until) {
 			c.SetReadDeadline(span)
 		}
 		const version = "HTTP/1."
-		if p, err := c.r.Peek(len(version)); err != nil {
+		if p, err := c.buffered.Peek(len(version)); err != nil {
 			return nil, err
 		} else if string(p) != version {
 			return nil, errNoAnswer
 		}
-		resp, err := http.ReadResponse(c.r, nil)
+		resp, err := http.ReadResponse(c.buffered, nil)
 		if err != nil || resp.StatusCode >= 200 {
 			return resp, err
 		}
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -47,13 +47,13 @@
 // conn is one connection to an engine.
 type conn struct {
 	net.Conn
-	in    *bounded
-	r     *bufio.Reader // over in
-	addr  string
-	idle  time.Time // since when it has been idle
-	until time.Time // if set, it is retired once idle past this
-	used  bool      // it has carried an exchange before
-	calm  bool      // its last answer was a probe's, to which no second one comes
+	in       *bounded
+	buffered *bufio.Reader // over in
+	addr     string
+	idle     time.Time // since when it has been idle
+	until    time.Time // if set, it is retired once idle past this
+	used     bool      // it has carried an exchange before
+	calm     bool      // its last answer was a probe's, to which no second one comes
 }
 
 // Pool keeps idle connections to engines.
@@ -167,8 +167,8 @@
 		p.mu.Unlock()
 		return nil, fmt.Errorf("connect to %s: %w", addr, err)
 	}
-	in := &bounded{r: nc, left: math.MaxInt64}
-	return &conn{Conn: nc, in: in, r: bufio.NewReaderSize(in, max(p.opt.ReadBuffer, leastBuffer)), addr: addr}, nil
+	in := &bounded{from: nc, left: math.MaxInt64}
+	return &conn{Conn: nc, in: in, buffered: bufio.NewReaderSize(in, max(p.opt.ReadBuffer, leastBuffer)), addr: addr}, nil
 }
 
 func (p *Pool) connect(ctx context.Context, addr string, timeout time.Duration) (net.Conn, error) {
@@ -186,7 +186,7 @@
 
 // bounded reads no more than is left. The library would read a head of any length.
 type bounded struct {
-	r    io.Reader
+	from io.Reader
 	left int64
 }
 
@@ -194,7 +194,7 @@
 	if b.left <= 0 {
 		return 0, errHead
 	}
-	n, err := b.r.Read(p[:min(int64(len(p)), b.left)])
+	n, err := b.from.Read(p[:min(int64(len(p)), b.left)])
 	b.left -= int64(n)
 	return n, err
 }
@@ -234,7 +234,7 @@
 	c.used = true
 	// More than the answer, such as a second one, would be taken for the next one's. What
 	// has come and is not read yet is looked for when the connection is taken again.
-	if c.r.Buffered() > 0 || c.SetDeadline(time.Time{}) != nil {
+	if c.buffered.Buffered() > 0 || c.SetDeadline(time.Time{}) != nil {
 		p.drop(c)
 		return
 	}
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -81,7 +81,7 @@
 func TestNoReuseBeforeSettle(t *testing.T) {
 	second := make(chan struct{})
 	server := enginetest.NewEngine(t, func(c enginetest.Call) string {
-		if c.N == 2 { // a call of the same connection, that stands for what its engine does later
+		if c.Number == 2 { // a call of the same connection, that stands for what its engine does later
 			<-second
 		}
 		return enginetest.Status(202, "", "{}")
--- a/internal/upstream/release_test.go
+++ b/internal/upstream/release_test.go
@@ -34,7 +34,7 @@
 // A release is tried until its engine has answered it, and no other engine is told then.
 func TestReleaseRetriesUntilAnswered(t *testing.T) {
 	server := enginetest.NewEngine(t, func(c enginetest.Call) string {
-		if c.N < 3 {
+		if c.Number < 3 {
 			return enginetest.Cut
 		}
 		return letGo
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -17,7 +17,7 @@
 // stream is an attempt's answer from its first event on.
 type stream struct {
 	*try
-	c          *conn
+	conn       *conn
 	resp       *http.Response
 	body       io.Reader
 	dialect    Dialect
@@ -62,13 +62,13 @@
 // newStream returns a stream over an answer whose head has been read.
 func (e *Engine) newStream(t *try, c *conn, resp *http.Response, p core.Payload, dialect Dialect) *stream {
 	s := &stream{
-		try: t, c: c, resp: resp, body: resp.Body, dialect: dialect,
+		try: t, conn: c, resp: resp, body: resp.Body, dialect: dialect,
 		silence: e.pool.opt.StreamSilence, plain: p.Plain, tailBuffer: tails.Get().(*[]byte),
 	}
 	s.tail = (*s.tailBuffer)[:0]
 	s.opener, _ = dialect.(Opener)
 	if slices.Contains(resp.TransferEncoding, "chunked") {
-		s.body = &chunked{r: c.r}
+		s.body = &chunked{from: c.buffered}
 	}
 	if strings.EqualFold(resp.Header.Get("Content-Encoding"), "gzip") { // unasked, but some do
 		s.body = &unzipped{from: s.body}
@@ -124,7 +124,7 @@
 	default:
 		return
 	}
-	s.c.SetReadDeadline(until)
+	s.conn.SetReadDeadline(until)
 	if s.until = until; s.last {
 		s.until = time.Time{}
 	}
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -106,7 +106,7 @@
 // anew by the transport, as net/http's client would do.
 func TestResetOnReusedConnectionIsNotRetried(t *testing.T) {
 	server := enginetest.NewEngine(t, func(c enginetest.Call) string {
-		if c.N == 2 {
+		if c.Number == 2 {
 			return enginetest.Cut
 		}
 		return enginetest.Status(202, "", "{}")
@@ -126,7 +126,7 @@
 // A second answer right behind a good one must not be taken for the next request's.
 func TestSecondAnswerIsIgnored(t *testing.T) {
 	server := enginetest.NewEngine(t, func(c enginetest.Call) string {
-		return enginetest.Status(202, "", fmt.Sprintf(`{"cached_tokens":%d}`, c.N)) + enginetest.Status(202, "", `{"cached_tokens":99}`)
+		return enginetest.Status(202, "", fmt.Sprintf(`{"cached_tokens":%d}`, c.Number)) + enginetest.Status(202, "", `{"cached_tokens":99}`)
 	})
 	e := engine(t)
 	for n := 1; n <= 3; n++ {
--- a/routing/hostile_test.go
+++ b/routing/hostile_test.go
@@ -11,7 +11,7 @@
 // attempt is the test's own record of an attempt that is out.
 type attempt struct {
 	id     RequestID
-	n      int
+	number int
 	server EngineInfo
 	begun  bool
 }
@@ -88,7 +88,7 @@
 					sentAt[a.ID] = now
 				}
 				delete(holding, a.ID)
-				out = append(out, attempt{id: a.ID, n: counts[a.ID], server: s})
+				out = append(out, attempt{id: a.ID, number: counts[a.ID], server: s})
 				counts[a.ID]++
 			case Refuse:
 				q, open := live[a.ID]
@@ -130,7 +130,7 @@
 		if a.begun {
 			delete(holding, a.id)
 		}
-		handle(Outcome{ID: a.id, Attempt: a.n, Engine: a.server.Name, Status: st, Latency: 5 * ms, Final: final,
+		handle(Outcome{ID: a.id, Attempt: a.number, Engine: a.server.Name, Status: st, Latency: 5 * ms, Final: final,
 			Kept: rng.IntN(500)})
 	}
 	for id := RequestID(1); now < 20*time.Second || len(out) > 0 || len(live) > 0; {
@@ -196,7 +196,7 @@
 			default:
 				out[i].begun = true
 				delete(holding, a.id)
-				handle(FirstToken{ID: a.id, Attempt: a.n, Engine: a.server.Name, Latency: 5 * ms})
+				handle(FirstToken{ID: a.id, Attempt: a.number, Engine: a.server.Name, Latency: 5 * ms})
 			}
 		}
 	}
--- a/routing/policy.go
+++ b/routing/policy.go
@@ -786,12 +786,12 @@
 // better quarter: a common cause shows there too, a few sick engines do not.
 func (r *Router) survey(role Role) *survey {
 	v := &r.surveys[role]
-	if v.n > 0 {
+	if v.engines > 0 {
 		return v
 	}
 	var pace, fail, age, lag []float64
 	for w := range r.all(role) {
-		v.n++
+		v.engines++
 		if !r.cold(w) {
 			v.warm++
 		}
@@ -801,7 +801,7 @@
 			v.waiting += *w.report.WaitingTokens * r.fresh(w)
 		}
 	}
-	v.waiting /= float64(max(v.n, 1))
+	v.waiting /= float64(max(v.engines, 1))
 	v.pace, v.age, v.lag = median(pace, 1), median(age, 0), median(lag, 1)
 	if slices.Sort(fail); len(fail) > 0 {
 		v.fail = fail[len(fail)/4]
--- a/routing/state.go
+++ b/routing/state.go
@@ -69,7 +69,7 @@
 
 // survey is one look at the engines of a role, good for one event.
 type survey struct {
-	n, warm              int
+	engines, warm        int
 	pace, fail, age, lag float64 // fail of the better quarter, else the median
 	waiting              float64 // tokens that reports show, the mean
 }
--- a/routing/worker.go
+++ b/routing/worker.go
@@ -40,7 +40,7 @@
 
 // shown holds reads by the tokens that the report had shown and those that were to be
 // read, as sums of products with the time that the read took; old ones fade.
-type shown struct{ n, aa, ab, bb, at, bt float64 }
+type shown struct{ count, aa, ab, bb, at, bt float64 }
 
 func (f *shown) add(reported, toRead, took float64) {
 	const keep = 0.99
@@ -48,13 +48,13 @@
 		return
 	}
 	for _, x := range []struct {
-		sum *float64
-		v   float64
+		sum   *float64
+		value float64
 	}{
-		{&f.n, 1}, {&f.aa, reported * reported}, {&f.ab, reported * toRead}, {&f.bb, toRead * toRead},
+		{&f.count, 1}, {&f.aa, reported * reported}, {&f.ab, reported * toRead}, {&f.bb, toRead * toRead},
 		{&f.at, reported * took}, {&f.bt, toRead * took},
 	} {
-		*x.sum = *x.sum*keep + x.v
+		*x.sum = *x.sum*keep + x.value
 	}
 }
 
@@ -63,7 +63,7 @@
 func (f *shown) worth() float64 {
 	const enough, least = 20, 0.1
 	token := f.aa*f.bt - f.ab*f.at
-	if f.n < enough || token <= 0 {
+	if f.count < enough || token <= 0 {
 		return 1
 	}
 	return min(1, max(least, (f.bb*f.at-f.ab*f.bt)/token))
