--- a/experiments/chatrun/chatrun.go
+++ b/experiments/chatrun/chatrun.go
@@ -85,41 +85,19 @@
 func breaks(ctx context.Context, opt experiments.Options, r *experiments.Report) error {
 	fleet := engine.NewFleet()
 	defer fleet.Close()
-	var all []*engine.Engine
-	odds := engine.Odds()
-	for i, role := range []string{
-		engine.Read, engine.Read, engine.Write, engine.Write, engine.Write, engine.Both,
-		engine.OpenAI, engine.OpenAI, engine.OpenAI, engine.OpenAI, engine.OpenAI, engine.OpenAI, engine.OpenAI, engine.OpenAI, engine.OpenAI,
-	} {
-		o := engine.Options{ID: fmt.Sprintf("e%d", i), Role: role, Slots: 16, Tokens: 12, TokenEvery: time.Millisecond, CutShare: 0.35, Seed: opt.Seed + uint64(i)}
-		if role == engine.OpenAI {
-			o.Odd = odds[i%len(odds)]
-		}
-		e, err := fleet.Start(o, true)
-		if err != nil {
-			return err
-		}
-		all = append(all, e)
-	}
-	var gates []*gateway.Gateway
-	var files []map[string]any
-	for n := range 2 {
-		name := fmt.Sprintf("chat-%d", n)
-		file := settings(all, func(f map[string]any) {
-			f["gateways"] = 2
-			f["idempotency"] = map[string]any{"sticky": true, "keys": 200_000, "file": filepath.Join(opt.Work, name+".keys")}
-		})
-		g, err := start(ctx, opt, opt.Program, name, file, len(all))
-		if err != nil {
-			return err
-		}
-		gates, files = append(gates, g), append(files, file)
+	all, err := breakingEngines(fleet, opt.Seed)
+	if err != nil {
+		return err
 	}
+	gates, files, err := pair(ctx, opt, all)
 	defer func() {
 		for _, g := range gates {
 			g.Kill()
 		}
 	}()
+	if err != nil {
+		return err
+	}
 	span := 30 * time.Second
 	if opt.Quick {
 		span = 9 * time.Second
@@ -143,6 +121,52 @@
 	stop()
 	group.Wait()
 	outcomes := rec.All()
+	reportBreaks(r, fleet, held, outcomes)
+	return restart(ctx, opt, r, fleet, gates, files, plan, outcomes)
+}
+
+// breakingEngines starts engines of all roles, those of the chat API odd in every way.
+func breakingEngines(fleet *engine.Fleet, seed uint64) ([]*engine.Engine, error) {
+	var all []*engine.Engine
+	odds := engine.Odds()
+	for i, role := range []string{
+		engine.Read, engine.Read, engine.Write, engine.Write, engine.Write, engine.Both,
+		engine.OpenAI, engine.OpenAI, engine.OpenAI, engine.OpenAI, engine.OpenAI, engine.OpenAI, engine.OpenAI, engine.OpenAI, engine.OpenAI,
+	} {
+		o := engine.Options{ID: fmt.Sprintf("e%d", i), Role: role, Slots: 16, Tokens: 12, TokenEvery: time.Millisecond, CutShare: 0.35, Seed: seed + uint64(i)}
+		if role == engine.OpenAI {
+			o.Odd = odds[i%len(odds)]
+		}
+		e, err := fleet.Start(o, true)
+		if err != nil {
+			return nil, err
+		}
+		all = append(all, e)
+	}
+	return all, nil
+}
+
+// pair starts two gateways that keep their keys over a restart, and returns their files too.
+func pair(ctx context.Context, opt experiments.Options, all []*engine.Engine) ([]*gateway.Gateway, []map[string]any, error) {
+	var gates []*gateway.Gateway
+	var files []map[string]any
+	for n := range 2 {
+		name := fmt.Sprintf("chat-%d", n)
+		file := settings(all, func(f map[string]any) {
+			f["gateways"] = 2
+			f["idempotency"] = map[string]any{"sticky": true, "keys": 200_000, "file": filepath.Join(opt.Work, name+".keys")}
+		})
+		g, err := start(ctx, opt, opt.Program, name, file, len(all))
+		if err != nil {
+			return gates, files, err
+		}
+		gates, files = append(gates, g), append(files, file)
+	}
+	return gates, files, nil
+}
+
+// reportBreaks states what came of the orders, and its bounds.
+func reportBreaks(r *experiments.Report, fleet *engine.Fleet, held *heldLog, outcomes []load.Outcome) {
 	sum := tally(outcomes)
 	twice := engine.RunTwice(fleet.Attempts(), func(string) bool { return true })
 	long, which := held.longest(outcomes)
@@ -156,7 +180,6 @@
 	r.Hold(len(sum.faults) == 0, "tries with none or two final answers", "%d %s", len(sum.faults), strings.Join(sum.faults[:min(3, len(sum.faults))], "; "))
 	r.Hold(long <= heldFor, "no state is held past 500 ms after its request's end", "%v %s", long.Round(time.Millisecond), story(fleet, which))
 	r.Hold(sum.served > sum.orders/3 && sum.unknown > 0, "some are served, and some have an unknown fate", "%d and %d of %d", sum.served, sum.unknown, sum.orders)
-	return restart(ctx, opt, r, fleet, gates, files, plan, outcomes)
 }
 
 // restart ends a gateway as planned, starts it again, and asks for all its orders anew:
--- a/experiments/rolesrun/rolesrun.go
+++ b/experiments/rolesrun/rolesrun.go
@@ -152,9 +152,49 @@
 		return nil, err
 	}
 	defer s.close()
+	if err := s.startEngines(); err != nil {
+		return nil, err
+	}
+	if err := s.startGateways(ctx, opt); err != nil {
+		return nil, err
+	}
+	begun := time.Now()
+	watch, stop := context.WithCancel(ctx)
+	var group sync.WaitGroup
+	spans := &spanLog{}
+	group.Go(func() { spans.watch(watch, s) })
+	if v.oracle {
+		group.Go(func() { s.oracle(watch, phase, phases) })
+	}
+	var rec load.Recorder
+	for p := range phases {
+		part, done := context.WithDeadline(ctx, begun.Add(time.Duration(p+1)*phase))
+		load.Run(part, s.plan(opt.Seed, p, v.lookups(p)), &rec)
+		done()
+	}
+	stop()
+	group.Wait()
+	x := judge(v.name, rec.All(), begun, phase, phases)
+	s.account(x, spans, rec.All())
+	return x, nil
+}
+
+// lookups is the part of the requests of a phase that are lookups.
+func (v variant) lookups(phase int) float64 {
+	switch {
+	case v.still:
+		return 0.5
+	case phase%2 == 1:
+		return 0.2
+	}
+	return 0.8
+}
+
+// startEngines starts the engines in the roles that the variant begins with, and lists them.
+func (s *stage) startEngines() error {
 	for i := range engines {
 		role := engine.Write
-		if i*v.prompt/engines != (i+1)*v.prompt/engines {
+		if i*s.variant.prompt/engines != (i+1)*s.variant.prompt/engines {
 			role = engine.Read
 		}
 		e, err := s.fleet.Start(engine.Options{
@@ -162,49 +202,36 @@
 			Cold: cold, ColdShare: coldShare, FallMore: 4,
 		}, true)
 		if err != nil {
-			return nil, err
+			return err
 		}
 		s.all = append(s.all, e)
 		s.list(e, i%2, role)
 	}
+	return nil
+}
+
+// startGateways starts the gateways and waits until each knows all engines.
+func (s *stage) startGateways(ctx context.Context, opt experiments.Options) error {
+	prefix := strings.NewReplacer(" ", "", ",", "-", ":", "to").Replace(s.variant.name)
 	for n := range gateways {
-		name := fmt.Sprintf("%s-%d", strings.NewReplacer(" ", "", ",", "-", ":", "to").Replace(v.name), n)
+		name := fmt.Sprintf("%s-%d", prefix, n)
 		g, err := gateway.Start(ctx, opt.Program, opt.Work, name, s.settings())
 		if err != nil {
-			return nil, err
+			return err
 		}
 		s.gates = append(s.gates, g)
 		if _, ok := g.Await(ctx, 10*time.Second, func(a admin.View) bool { return len(a.Engines) == engines }); !ok {
-			return nil, fmt.Errorf("%s: not all engines in time", name)
+			return fmt.Errorf("%s: not all engines in time", name)
 		}
 	}
-	begun := time.Now()
-	watch, stop := context.WithCancel(ctx)
-	var group sync.WaitGroup
-	spans := &spanLog{}
-	group.Go(func() { spans.watch(watch, s) })
-	if v.oracle {
-		group.Go(func() { s.oracle(watch, phase, phases) })
-	}
-	var rec load.Recorder
-	for p := range phases {
-		share := 0.8
-		if p%2 == 1 {
-			share = 0.2
-		}
-		if v.still {
-			share = 0.5
-		}
-		part, done := context.WithDeadline(ctx, begun.Add(time.Duration(p+1)*phase))
-		load.Run(part, s.plan(opt.Seed, p, share), &rec)
-		done()
-	}
-	stop()
-	group.Wait()
-	x := judge(v.name, rec.All(), begun, phase, phases)
+	return nil
+}
+
+// account adds to a result what the engines and the watch on the gateways saw.
+func (s *stage) account(x *result, spans *spanLog, outcomes []load.Outcome) {
 	x.fallen = s.fleet.Fallen()
 	orders := map[string]bool{}
-	for _, o := range rec.All() {
+	for _, o := range outcomes {
 		if o.Model == worthOf {
 			orders[o.Order] = true
 		}
@@ -214,7 +241,6 @@
 	x.changes, x.after = spans.judge(attempts)
 	time.Sleep(heldFor)
 	x.held = s.fleet.Held(heldFor)
-	return x, nil
 }
 
 func (s *stage) settings() map[string]any {
--- a/fake/engine/answer.go
+++ b/fake/engine/answer.go
@@ -50,72 +50,122 @@
 
 // script returns the data of the events that answer a request, in order.
 func (e *Engine) script(path string, q request, raw []byte, tokens, kept, out int) []string {
-	n := max(1, q.N)
-	var list []string
-	add := func(choices string) { list = append(list, e.chunk(path, q, choices)) }
-	if path == completionPath {
-		for i := range out {
-			for c := range n {
-				add(fmt.Sprintf(`{"index":%d,"text":"t%d ","logprobs":null,"finish_reason":%s}`, c, i, finish(i == out-1, "stop")))
-			}
-		}
-		return append(list, e.usage(path, tokens, kept, out*n)...)
+	a := &scripted{engine: e, path: path, request: q, raw: raw, choices: max(1, q.N), out: out}
+	used := out * a.choices
+	choice, _ := q.ToolChoice.(string)
+	switch {
+	case path == completionPath:
+		a.completion()
+	case len(q.Tools) > 0 && choice != "none":
+		a.opening()
+		used = a.toolCalls()
+	default:
+		a.opening()
+		a.content()
 	}
-	delta := func(c int, delta, logprobs, finish string) {
-		add(fmt.Sprintf(`{"index":%d,"delta":%s%s,"finish_reason":%s}`, c, delta, logprobs, finish))
+	return append(a.events, e.usage(path, tokens, kept, used)...)
+}
+
+// scripted is an answer as it is put together.
+type scripted struct {
+	engine  *Engine
+	path    string
+	request request
+	raw     []byte
+	choices int
+	out     int // tokens of each choice
+	events  []string
+}
+
+func (a *scripted) add(choice string) {
+	a.events = append(a.events, a.engine.chunk(a.path, a.request, choice))
+}
+
+func (a *scripted) delta(choice int, delta, logprobs, finish string) {
+	a.add(fmt.Sprintf(`{"index":%d,"delta":%s%s,"finish_reason":%s}`, choice, delta, logprobs, finish))
+}
+
+// completion answers a call of the older API.
+func (a *scripted) completion() {
+	for i := range a.out {
+		for c := range a.choices {
+			a.add(fmt.Sprintf(`{"index":%d,"text":"t%d ","logprobs":null,"finish_reason":%s}`, c, i, finish(i == a.out-1, "stop")))
+		}
 	}
-	for c := range n {
-		if n > 1 || len(q.Tools) > 0 {
-			delta(c, `{"role":"assistant","content":""}`, "", "null")
+}
+
+// opening adds what comes before the answer proper.
+func (a *scripted) opening() {
+	for c := range a.choices {
+		if a.choices > 1 || len(a.request.Tools) > 0 {
+			a.delta(c, `{"role":"assistant","content":""}`, "", "null")
 		}
-		if bytes.Contains(raw, []byte(wordThink)) {
-			delta(c, `{"reasoning_content":"let me "}`, "", "null")
-			delta(c, `{"reasoning_content":"see"}`, "", "null")
+		if bytes.Contains(a.raw, []byte(wordThink)) {
+			a.delta(c, `{"reasoning_content":"let me "}`, "", "null")
+			a.delta(c, `{"reasoning_content":"see"}`, "", "null")
 		}
 	}
-	if choice, _ := q.ToolChoice.(string); len(q.Tools) > 0 && choice != "none" {
-		calls := min(len(q.Tools), 2)
-		if q.Parallel != nil && !*q.Parallel {
-			calls = 1
+}
+
+// Bounds of scripted calls of tools.
+const (
+	callsMost     = 2
+	tokensPerCall = 6
+)
+
+// toolCalls answers with calls of tools, whose arguments come in turn, and returns the tokens.
+func (a *scripted) toolCalls() int {
+	calls := min(len(a.request.Tools), callsMost)
+	if a.request.Parallel != nil && !*a.request.Parallel {
+		calls = 1
+	}
+	for c := range a.choices {
+		for i := range calls {
+			a.delta(c, fmt.Sprintf(`{"tool_calls":[{"index":%d,"id":"call_%d","type":"function","function":{"name":%q,"arguments":""}}]}`, i, i, a.request.Tools[i].Function.Name), "", "null")
 		}
-		for c := range n {
+		for _, part := range []string{`{\"part\"`, `:\"hull `, `fitting\"}`} {
 			for i := range calls {
-				delta(c, fmt.Sprintf(`{"tool_calls":[{"index":%d,"id":"call_%d","type":"function","function":{"name":%q,"arguments":""}}]}`, i, i, q.Tools[i].Function.Name), "", "null")
-			}
-			for _, part := range []string{`{\"part\"`, `:\"hull `, `fitting\"}`} { // the calls' arguments come in turn
-				for i := range calls {
-					delta(c, fmt.Sprintf(`{"tool_calls":[{"index":%d,"function":{"arguments":"%s"}}]}`, i, part), "", "null")
-				}
+				a.delta(c, fmt.Sprintf(`{"tool_calls":[{"index":%d,"function":{"arguments":"%s"}}]}`, i, part), "", "null")
 			}
-			delta(c, `{}`, "", `"tool_calls"`)
 		}
-		return append(list, e.usage(path, tokens, kept, 6*calls*n)...)
+		a.delta(c, `{}`, "", `"tool_calls"`)
 	}
-	for i := range out {
-		word := fmt.Sprintf("t%d ", q.said()+i)
-		if q.ResponseFormat.Type == "json_object" || q.ResponseFormat.Type == "json_schema" {
-			switch {
-			case out == 1:
-				word = `{}`
-			case i == 0:
-				word = `{\"answer\":\"`
-			case i == out-1:
-				word = `\"}`
-			}
-		}
-		field := "content"
-		if bytes.Contains(raw, []byte(wordRefuse)) {
-			field = "refusal"
-		}
+	return tokensPerCall * calls * a.choices
+}
+
+// content answers with text, or with a refusal where the prompt asks for one.
+func (a *scripted) content() {
+	field := "content"
+	if bytes.Contains(a.raw, []byte(wordRefuse)) {
+		field = "refusal"
+	}
+	for i := range a.out {
+		word := a.word(i)
 		logprobs := ""
-		if on, _ := q.Logprobs.(bool); on {
+		if on, _ := a.request.Logprobs.(bool); on {
 			logprobs = fmt.Sprintf(`,"logprobs":{"content":[{"token":"%s","logprob":-0.5,"bytes":null,"top_logprobs":[]}],"refusal":null}`, word)
 		}
-		for c := range n {
-			delta(c, fmt.Sprintf(`{"%s":"%s"}`, field, word), logprobs, finish(i == out-1, e.reason(q, out)))
+		for c := range a.choices {
+			a.delta(c, fmt.Sprintf(`{"%s":"%s"}`, field, word), logprobs, finish(i == a.out-1, a.engine.reason(a.request, a.out)))
 		}
 	}
-	return append(list, e.usage(path, tokens, kept, out*n)...)
+}
+
+// word is the i-th token of the text: a part of an object, where the answer is to be one.
+func (a *scripted) word(i int) string {
+	format := a.request.ResponseFormat.Type
+	if format != "json_object" && format != "json_schema" {
+		return fmt.Sprintf("t%d ", a.request.said()+i)
+	}
+	switch {
+	case a.out == 1:
+		return `{}`
+	case i == 0:
+		return `{\"answer\":\"`
+	case i == a.out-1:
+		return `\"}`
+	}
+	return fmt.Sprintf("t%d ", a.request.said()+i)
 }
 
 func finish(last bool, reason string) string {
--- a/routing/cold_test.go
+++ b/routing/cold_test.go
@@ -43,93 +43,134 @@
 	}
 }
 
+// trafficShares are ways in which traffic is spread over routers: the part of the i-th of n.
+var trafficShares = map[string]func(i, n int) float64{
+	"even":               func(int, int) float64 { return 1 },
+	"some several times": func(i, _ int) float64 { return []float64{4, 1, 0.5, 0.5, 0.25}[i%5] },
+	"by rank":            func(i, _ int) float64 { return 1 / float64(i+1) },
+}
+
 // playCold plays one deployment under routers of several numbers and shares. With starved a
 // cold engine may get nothing.
 func playCold(t *testing.T, capacity float64, routers []int, learn time.Duration, leave int, starved bool) {
-	shares := map[string]func(i, n int) float64{
-		"even":               func(int, int) float64 { return 1 },
-		"some several times": func(i, _ int) float64 { return []float64{4, 1, 0.5, 0.5, 0.25}[i%5] },
-		"by rank":            func(i, _ int) float64 { return 1 / float64(i+1) },
-	}
-	const warm, prompt = 4, 500
 	for _, n := range routers {
-		for name, share := range shares {
+		for name, share := range trafficShares {
 			t.Run(fmt.Sprint(n, " routers, ", name), func(t *testing.T) {
-				set := testSettings()
-				servers := []EngineInfo{server("w", "w", 0)}
-				for i := range warm {
-					servers = append(servers, server(fmt.Sprint("r", i), "r", 0))
-				}
-				all := fleet(t, n, set, servers...)
-				rng := rand.New(rand.NewPCG(uint64(n), 5))
-				var upto []float64
-				total := 0.0
-				for i := range n {
-					total += share(i, n)
-					upto = append(upto, total)
-				}
-				id, now := RequestID(0), Time(0)
-				toCold := []Time{}
-				full := false // warm engines turn all away
-				// one has a request come to one router, and answers what it sends at once.
-				one := func(rate float64) {
-					now += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
-					at, _ := slices.BinarySearch(upto, rng.Float64()*total)
-					r := all[min(at, n-1)]
-					id++
-					if full {
-						for i := range warm {
-							r.engines[fmt.Sprint("r", i)].fullTo["\x00c"] = now + time.Minute
-						}
-					}
-					actions := slices.Clone(r.Handle(now, ask(id, prompt)))
-					for attempt := 0; has[Send](actions) && attempt < 2; attempt++ {
-						to := sent(t, actions)
-						if to == "cold" {
-							toCold = append(toCold, now)
-						}
-						if to == "w" {
-							r.Handle(now, FirstToken{ID: id, Attempt: attempt, Engine: to, Latency: 20 * ms})
-							r.Handle(now, Outcome{ID: id, Attempt: attempt, Engine: to, Status: StatusServed, Final: true})
-							break
-						}
-						actions = slices.Clone(r.Handle(now, read(id, attempt, to, 0)))
-					}
-				}
-				for now < learn {
-					one(0.8 * capacity * warm)
-				}
-				if leave > 0 {
-					for i := range leave {
-						gone := server(fmt.Sprint("r", i), "r", 0)
-						gone.Phase = PhaseDraining
-						for _, r := range all {
-							r.Handle(now, Roster{Engines: []EngineInfo{gone}})
-						}
-					}
-					for end := now + time.Second; now < end; {
-						one(0.8 * capacity * warm)
-					}
-				}
-				full = true
-				cold := server("cold", "r", 0)
-				cold.CameUp = now
-				for _, r := range all {
-					r.Handle(now, Roster{Engines: []EngineInfo{cold}})
-				}
-				for end := now + 4*set.Fall; now < end; {
-					one(1.2 * capacity * warm)
-				}
-				most := bears(set.FallMultiple * set.ColdShare * capacity * set.Fall.Seconds())
-				for i, from := range toCold {
-					if got := slices.IndexFunc(toCold[i:], func(at Time) bool { return at > from+set.Fall }); float64(got) > most || got < 0 && float64(len(toCold)-i) > most {
-						t.Fatalf("over %.0f sends in %v from %v on", most, set.Fall, from)
-					}
-				}
-				if len(toCold) == 0 && !starved {
-					t.Error("none was sent to it: it never warms")
-				}
+				w := newColdWorld(t, capacity, n, share)
+				w.play(learn, leave)
+				w.check(starved)
 			})
 		}
 	}
 }
+
+// The engines and prompts of a coldWorld.
+const (
+	coldWarm   = 4 // warm prefill engines
+	coldPrompt = 500
+)
+
+// coldWorld is many routers before a few engines, to which a cold one comes.
+type coldWorld struct {
+	t        *testing.T
+	set      Settings
+	capacity float64 // requests a second of each engine
+	random   *rand.Rand
+	routers  []*Router
+	upTo     []float64 // sums of the routers' shares
+	now      Time
+	lastID   RequestID
+	toCold   []Time
+	full     bool // warm engines turn all away
+}
+
+func newColdWorld(t *testing.T, capacity float64, routers int, share func(i, n int) float64) *coldWorld {
+	w := &coldWorld{t: t, set: testSettings(), capacity: capacity, random: rand.New(rand.NewPCG(uint64(routers), 5))}
+	servers := []EngineInfo{server("w", "w", 0)}
+	for i := range coldWarm {
+		servers = append(servers, server(warmName(i), "r", 0))
+	}
+	w.routers = fleet(t, routers, w.set, servers...)
+	total := 0.0
+	for i := range routers {
+		total += share(i, routers)
+		w.upTo = append(w.upTo, total)
+	}
+	return w
+}
+
+func warmName(i int) string { return fmt.Sprint("r", i) }
+
+// play has the routers learn, some engines leave, and then a cold one come.
+func (w *coldWorld) play(learn time.Duration, leave int) {
+	w.run(learn, 0.8)
+	if leave > 0 {
+		for i := range leave {
+			gone := server(warmName(i), "r", 0)
+			gone.Phase = PhaseDraining
+			w.tell(gone)
+		}
+		w.run(time.Second, 0.8)
+	}
+	w.full = true
+	cold := server("cold", "r", 0)
+	cold.CameUp = w.now
+	w.tell(cold)
+	w.run(4*w.set.Fall, 1.2)
+}
+
+// run has requests come for a time, so many times what the warm engines bear.
+func (w *coldWorld) run(span time.Duration, load float64) {
+	for end := w.now + span; w.now < end; {
+		w.request(load * w.capacity * coldWarm)
+	}
+}
+
+func (w *coldWorld) tell(e EngineInfo) {
+	for _, r := range w.routers {
+		r.Handle(w.now, Roster{Engines: []EngineInfo{e}})
+	}
+}
+
+// request has one come to one router, and answers what that sends at once.
+func (w *coldWorld) request(rate float64) {
+	w.now += time.Duration(w.random.ExpFloat64() / rate * float64(time.Second))
+	at, _ := slices.BinarySearch(w.upTo, w.random.Float64()*w.upTo[len(w.upTo)-1])
+	r := w.routers[min(at, len(w.routers)-1)]
+	w.lastID++
+	if w.full {
+		for i := range coldWarm {
+			r.engines[warmName(i)].fullTo["\x00c"] = w.now + time.Minute
+		}
+	}
+	actions := slices.Clone(r.Handle(w.now, ask(w.lastID, coldPrompt)))
+	for attempt := 0; has[Send](actions) && attempt < 2; attempt++ {
+		to := sent(w.t, actions)
+		if to == "cold" {
+			w.toCold = append(w.toCold, w.now)
+		}
+		if to == "w" {
+			r.Handle(w.now, FirstToken{ID: w.lastID, Attempt: attempt, Engine: to, Latency: 20 * ms})
+			r.Handle(w.now, Outcome{ID: w.lastID, Attempt: attempt, Engine: to, Status: StatusServed, Final: true})
+			return
+		}
+		actions = slices.Clone(r.Handle(w.now, read(w.lastID, attempt, to, 0)))
+	}
+}
+
+// check checks what the cold engine got in any span of the settings' length.
+func (w *coldWorld) check(starved bool) {
+	most := bears(w.set.FallMultiple * w.set.ColdShare * w.capacity * w.set.Fall.Seconds())
+	for i, from := range w.toCold {
+		got := slices.IndexFunc(w.toCold[i:], func(at Time) bool { return at > from+w.set.Fall })
+		if got < 0 {
+			got = len(w.toCold) - i
+		}
+		if float64(got) > most {
+			w.t.Fatalf("over %.0f sends in %v from %v on", most, w.set.Fall, from)
+		}
+	}
+	if len(w.toCold) == 0 && !starved {
+		w.t.Error("none was sent to it: it never warms")
+	}
+}
--- a/routing/hostile_test.go
+++ b/routing/hostile_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"math/rand/v2"
 	"reflect"
+	"slices"
 	"testing"
 	"time"
 )
@@ -26,194 +27,270 @@
 	}
 }
 
-func hostileRun(t *testing.T, seed uint64) []Action {
-	rng := rand.New(rand.NewPCG(seed, 1))
-	servers := map[string]EngineInfo{}
-	var names []string
+// hostileSpan is how long requests come in a run.
+const hostileSpan = 20 * time.Second
+
+// hostileWorld is a run of random legal events with the test's own account of what they mean.
+type hostileWorld struct {
+	t       *testing.T
+	seed    uint64
+	random  *rand.Rand
+	router  *Router
+	set     Settings
+	names   []string // of the engines
+	servers map[string]EngineInfo
+
+	now     time.Duration
+	timer   time.Duration // -1 for none
+	nextID  RequestID
+	actions []Action
+	out     []attempt
+	live    map[RequestID]Request
+	due     map[RequestID]time.Duration
+	counts  map[RequestID]int           // of attempts
+	maybe   map[RequestID][]attempt     // attempts that may have run
+	sentAt  map[RequestID]time.Duration // when the first that may have run was sent
+	holding map[RequestID]time.Duration // since when a state is held with nothing out
+}
+
+func newHostileWorld(t *testing.T, seed uint64) *hostileWorld {
+	w := &hostileWorld{
+		t: t, seed: seed, random: rand.New(rand.NewPCG(seed, 1)), set: testSettings(), timer: -1, nextID: 1,
+		servers: map[string]EngineInfo{}, live: map[RequestID]Request{}, due: map[RequestID]time.Duration{},
+		counts: map[RequestID]int{}, maybe: map[RequestID][]attempt{}, sentAt: map[RequestID]time.Duration{},
+		holding: map[RequestID]time.Duration{},
+	}
 	for i := range 9 {
 		s := server(fmt.Sprint("n", i), []string{"r", "w", "m"}[i%3], i%2)
-		servers[s.Name] = s
-		names = append(names, s.Name)
+		w.servers[s.Name] = s
+		w.names = append(w.names, s.Name)
 	}
-	set := testSettings()
-	r, err := New(set, seed)
+	router, err := New(w.set, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var (
-		now     time.Duration
-		all     []Action
-		out     []attempt
-		live    = map[RequestID]Request{}
-		due     = map[RequestID]time.Duration{}
-		counts  = map[RequestID]int{}
-		maybe   = map[RequestID][]attempt{} // attempts that may have run
-		sentAt  = map[RequestID]time.Duration{}
-		holding = map[RequestID]time.Duration{}
-		timer   = time.Duration(-1)
-		isOut   = func(id RequestID) int {
-			for i, a := range out {
-				if a.id == id {
-					return i
-				}
-			}
-			return -1
-		}
-	)
-	handle := func(ev Event) {
-		for _, a := range r.Handle(now, ev) {
-			all = append(all, a)
-			switch a := a.(type) {
-			case SetTimer:
-				timer = now + a.In
-			case Send:
-				q, open := live[a.ID]
-				s := servers[a.Engine]
-				switch {
-				case !open:
-					t.Fatalf("seed %d: send for %d, which has ended", seed, a.ID)
-				case isOut(a.ID) >= 0:
-					t.Fatalf("seed %d: two attempts of %d out", seed, a.ID)
-				case s.Phase != PhaseOn:
-					t.Fatalf("seed %d: send to %s, which is leaving", seed, a.Engine)
-				case counts[a.ID] >= set.MaxAttempts:
-					t.Fatalf("seed %d: too many attempts", seed)
-				}
-				for _, m := range maybe[a.ID] {
-					if q.Class == "once" || q.Class == "keyed" && (m.server.Cell != s.Cell || now-sentAt[a.ID] > 2*time.Second) {
-						t.Fatalf("seed %d: %s request %d may run twice", seed, q.Class, a.ID)
-					}
-				}
-				if len(maybe[a.ID]) == 0 {
-					sentAt[a.ID] = now
-				}
-				delete(holding, a.ID)
-				out = append(out, attempt{id: a.ID, number: counts[a.ID], server: s})
-				counts[a.ID]++
-			case Refuse:
-				q, open := live[a.ID]
-				if !open || q.Class != "c" && len(maybe[a.ID]) > 0 {
-					t.Fatalf("seed %d: request %d (%s) refused though it may have run or ended", seed, a.ID, q.Class)
-				}
-				delete(live, a.ID)
-			case Fail:
-				if _, open := live[a.ID]; !open {
-					t.Fatalf("seed %d: a second final answer for %d", seed, a.ID)
-				}
-				delete(live, a.ID)
-			case Release:
-				delete(holding, a.ID)
-			}
+	w.router = router
+	w.roster(RosterCached)
+	return w
+}
+
+// hostileRun plays one run and returns all actions of the router.
+func hostileRun(t *testing.T, seed uint64) []Action {
+	w := newHostileWorld(t, seed)
+	for w.now < hostileSpan || len(w.out) > 0 || len(w.live) > 0 {
+		w.now += time.Duration(w.random.IntN(8)) * ms
+		if w.timer >= 0 && w.now >= w.timer {
+			w.timer = -1
+			w.handle(TimerFired{Name: "tick"})
 		}
+		w.checkHeld()
+		w.checkAnswered()
+		w.expire()
+		w.step()
 	}
-	roster := func(scope RosterScope) {
-		ev := Roster{Scope: scope}
-		for _, n := range names {
-			ev.Engines = append(ev.Engines, servers[n])
-		}
-		handle(ev)
-	}
-	roster(RosterCached)
-	end := func(a attempt, i int, st Status) {
-		out = append(out[:i], out[i+1:]...)
-		_, open := live[a.id]
-		final := !open || a.begun || st == StatusServed
-		delete(live, ifID(final, a.id))
-		if a.server.Kind != "r" && (st == StatusError || st == StatusTimeout || st == StatusReset || st == StatusCancelled) {
-			maybe[a.id] = append(maybe[a.id], a)
-		}
-		if st == StatusRead {
-			holding[a.id] = now
-		} else if _, kept := holding[a.id]; kept || a.server.Kind == "w" && !a.begun && st != StatusServed {
-			holding[a.id] = now
-		}
-		if a.begun {
-			delete(holding, a.id)
-		}
-		handle(Outcome{ID: a.id, Attempt: a.number, Engine: a.server.Name, Status: st, Latency: 5 * ms, Final: final,
-			Kept: rng.IntN(500)})
-	}
-	for id := RequestID(1); now < 20*time.Second || len(out) > 0 || len(live) > 0; {
-		now += time.Duration(rng.IntN(8)) * ms
-		if timer >= 0 && now >= timer {
-			timer = -1
-			handle(TimerFired{Name: "tick"})
-		}
-		for id, since := range holding {
-			if isOut(id) < 0 && now-since > set.PinLimit {
-				t.Fatalf("seed %d: the state of %d stayed pinned", seed, id)
+	w.checkClosed()
+	return w.actions
+}
+
+func (w *hostileWorld) fail(format string, args ...any) {
+	w.t.Helper()
+	w.t.Fatalf("seed %d: %s", w.seed, fmt.Sprintf(format, args...))
+}
+
+// outOf returns where the attempt of a request is that is out, -1 for none.
+func (w *hostileWorld) outOf(id RequestID) int {
+	return slices.IndexFunc(w.out, func(a attempt) bool { return a.id == id })
+}
+
+// handle gives the router an event and checks what it does.
+func (w *hostileWorld) handle(ev Event) {
+	for _, action := range w.router.Handle(w.now, ev) {
+		w.actions = append(w.actions, action)
+		switch a := action.(type) {
+		case SetTimer:
+			w.timer = w.now + a.In
+		case Send:
+			w.sent(a)
+		case Refuse:
+			w.refused(a.ID)
+		case Fail:
+			if _, open := w.live[a.ID]; !open {
+				w.fail("a second final answer for %d", a.ID)
 			}
+			delete(w.live, a.ID)
+		case Release:
+			delete(w.holding, a.ID)
 		}
-		for id, d := range due {
-			if _, open := live[id]; open && now > d+16*ms {
-				if i := isOut(id); i < 0 || !out[i].begun {
-					t.Fatalf("seed %d: request %d got no final answer in time", seed, id)
-				}
-			}
+	}
+}
+
+// sent checks an attempt that the router makes, and takes it into the account.
+func (w *hostileWorld) sent(a Send) {
+	q, open := w.live[a.ID]
+	s := w.servers[a.Engine]
+	switch {
+	case !open:
+		w.fail("send for %d, which has ended", a.ID)
+	case w.outOf(a.ID) >= 0:
+		w.fail("two attempts of %d out", a.ID)
+	case s.Phase != PhaseOn:
+		w.fail("send to %s, which is leaving", a.Engine)
+	case w.counts[a.ID] >= w.set.MaxAttempts:
+		w.fail("too many attempts")
+	}
+	for _, m := range w.maybe[a.ID] {
+		if q.Class == "once" || q.Class == "keyed" && (m.server.Cell != s.Cell || w.now-w.sentAt[a.ID] > 2*time.Second) {
+			w.fail("%s request %d may run twice", q.Class, a.ID)
 		}
-		for i := 0; i < len(out); i++ { // the deadline ends attempts by itself
-			if a := out[i]; !a.begun && now >= due[a.id] {
-				end(a, i, StatusTimeout)
-				i = -1
-			}
+	}
+	if len(w.maybe[a.ID]) == 0 {
+		w.sentAt[a.ID] = w.now
+	}
+	delete(w.holding, a.ID)
+	w.out = append(w.out, attempt{id: a.ID, number: w.counts[a.ID], server: s})
+	w.counts[a.ID]++
+}
+
+func (w *hostileWorld) refused(id RequestID) {
+	q, open := w.live[id]
+	if !open || q.Class != "c" && len(w.maybe[id]) > 0 {
+		w.fail("request %d (%s) refused though it may have run or ended", id, q.Class)
+	}
+	delete(w.live, id)
+}
+
+// roster tells the router of all engines.
+func (w *hostileWorld) roster(scope RosterScope) {
+	ev := Roster{Scope: scope}
+	for _, n := range w.names {
+		ev.Engines = append(ev.Engines, w.servers[n])
+	}
+	w.handle(ev)
+}
+
+// end ends the i-th attempt that is out.
+func (w *hostileWorld) end(i int, st Status) {
+	a := w.out[i]
+	w.out = append(w.out[:i], w.out[i+1:]...)
+	_, open := w.live[a.id]
+	final := !open || a.begun || st == StatusServed
+	if final {
+		delete(w.live, a.id)
+	}
+	if a.server.Kind != "r" && (st == StatusError || st == StatusTimeout || st == StatusReset || st == StatusCancelled) {
+		w.maybe[a.id] = append(w.maybe[a.id], a)
+	}
+	if st == StatusRead {
+		w.holding[a.id] = w.now
+	} else if _, kept := w.holding[a.id]; kept || a.server.Kind == "w" && !a.begun && st != StatusServed {
+		w.holding[a.id] = w.now
+	}
+	if a.begun {
+		delete(w.holding, a.id)
+	}
+	w.handle(Outcome{
+		ID: a.id, Attempt: a.number, Engine: a.server.Name, Status: st, Latency: 5 * ms, Final: final,
+		Kept: w.random.IntN(500),
+	})
+}
+
+// expire ends the attempts whose deadline has passed.
+func (w *hostileWorld) expire() {
+	for i := 0; i < len(w.out); i++ {
+		if a := w.out[i]; !a.begun && w.now >= w.due[a.id] {
+			w.end(i, StatusTimeout)
+			i = -1
 		}
-		switch k := rng.IntN(10); {
-		case k < 2 && now < 20*time.Second:
-			q := ask(id, 100+rng.IntN(6000))
-			q.Class = []string{"c", "keyed", "once"}[rng.IntN(3)]
-			q.TTL = time.Duration(10+rng.IntN(3000)) * ms
-			live[id], due[id] = q, now+q.TTL
-			handle(q)
-			id++
-		case k < 3 && rng.IntN(20) == 0:
-			n := names[rng.IntN(len(names))]
-			s := servers[n]
-			s.Phase, s.CameUp = Phase(rng.IntN(3)), now
-			if rng.IntN(2) == 0 {
-				s.Phase = PhaseOn
-			}
-			servers[n] = s
-			roster([]RosterScope{RosterChanges, RosterFull}[rng.IntN(2)])
-		case k < 4 && len(out) > 0 && rng.IntN(10) == 0:
-			a := out[rng.IntN(len(out))]
-			if !a.begun {
-				delete(live, a.id)
-				handle(Gone{ID: a.id})
-			}
-		case len(out) > 0:
-			i := rng.IntN(len(out))
-			a := out[i]
-			fail := []Status{StatusError, StatusFull, StatusTimeout, StatusNoConnect, StatusReset}[rng.IntN(5)]
-			switch {
-			case a.begun && rng.IntN(4) > 0:
-				end(a, i, StatusServed)
-			case a.begun:
-				end(a, i, StatusReset)
-			case rng.IntN(4) == 0:
-				end(a, i, fail)
-			case a.server.Kind == "r":
-				end(a, i, StatusRead)
-			default:
-				out[i].begun = true
-				delete(holding, a.id)
-				handle(FirstToken{ID: a.id, Attempt: a.number, Engine: a.server.Name, Latency: 5 * ms})
-			}
+	}
+}
+
+// step has something happen: a request comes or is given up, the list changes, or an attempt
+// goes on or ends.
+func (w *hostileWorld) step() {
+	switch k := w.random.IntN(10); {
+	case k < 2 && w.now < hostileSpan:
+		w.request()
+	case k < 3 && w.random.IntN(20) == 0:
+		w.changeList()
+	case k < 4 && len(w.out) > 0 && w.random.IntN(10) == 0:
+		if a := w.out[w.random.IntN(len(w.out))]; !a.begun {
+			delete(w.live, a.id)
+			w.handle(Gone{ID: a.id})
 		}
+	case len(w.out) > 0:
+		w.advance(w.random.IntN(len(w.out)))
 	}
-	if len(r.reqs) != 0 || len(r.held) != 0 {
-		t.Fatalf("seed %d: %d requests left behind", seed, len(r.reqs))
+}
+
+func (w *hostileWorld) request() {
+	id := w.nextID
+	w.nextID++
+	q := ask(id, 100+w.random.IntN(6000))
+	q.Class = []string{"c", "keyed", "once"}[w.random.IntN(3)]
+	q.TTL = time.Duration(10+w.random.IntN(3000)) * ms
+	w.live[id], w.due[id] = q, w.now+q.TTL
+	w.handle(q)
+}
+
+// changeList has one engine start, drain or leave.
+func (w *hostileWorld) changeList() {
+	name := w.names[w.random.IntN(len(w.names))]
+	s := w.servers[name]
+	s.Phase, s.CameUp = Phase(w.random.IntN(3)), w.now
+	if w.random.IntN(2) == 0 {
+		s.Phase = PhaseOn
+	}
+	w.servers[name] = s
+	w.roster([]RosterScope{RosterChanges, RosterFull}[w.random.IntN(2)])
+}
+
+// advance has the i-th attempt that is out begin its answer, or end.
+func (w *hostileWorld) advance(i int) {
+	a := w.out[i]
+	fail := []Status{StatusError, StatusFull, StatusTimeout, StatusNoConnect, StatusReset}[w.random.IntN(5)]
+	switch {
+	case a.begun && w.random.IntN(4) > 0:
+		w.end(i, StatusServed)
+	case a.begun:
+		w.end(i, StatusReset)
+	case w.random.IntN(4) == 0:
+		w.end(i, fail)
+	case a.server.Kind == "r":
+		w.end(i, StatusRead)
+	default:
+		w.out[i].begun = true
+		delete(w.holding, a.id)
+		w.handle(FirstToken{ID: a.id, Attempt: a.number, Engine: a.server.Name, Latency: 5 * ms})
+	}
+}
+
+func (w *hostileWorld) checkHeld() {
+	for id, since := range w.holding {
+		if w.outOf(id) < 0 && w.now-since > w.set.PinLimit {
+			w.fail("the state of %d stayed pinned", id)
+		}
 	}
-	for _, w := range r.order {
-		if w.reads != 0 || w.states != 0 || w.answers != 0 || len(w.out) != 0 {
-			t.Fatalf("seed %d: the account of %s does not close: %+v", seed, w.Name, w)
+}
+
+func (w *hostileWorld) checkAnswered() {
+	for id, due := range w.due {
+		if _, open := w.live[id]; !open || w.now <= due+16*ms {
+			continue
+		}
+		if i := w.outOf(id); i < 0 || !w.out[i].begun {
+			w.fail("request %d got no final answer in time", id)
 		}
 	}
-	return all
 }
 
-func ifID(yes bool, id RequestID) RequestID {
-	if yes {
-		return id
+// checkClosed checks that the router keeps nothing of requests that have ended.
+func (w *hostileWorld) checkClosed() {
+	if len(w.router.reqs) != 0 || len(w.router.held) != 0 {
+		w.fail("%d requests left behind", len(w.router.reqs))
+	}
+	for _, e := range w.router.order {
+		if e.reads != 0 || e.states != 0 || e.answers != 0 || len(e.out) != 0 {
+			w.fail("the account of %s does not close: %+v", e.Name, e)
+		}
 	}
-	return 0
 }
