--- a/cmd/wellgw/operate.go
+++ b/cmd/wellgw/operate.go
@@ -56,7 +56,7 @@
 			if now := round.Add(1); on { // answers end their connections, resting ones are shut
 				go func() {
 					for round.Load() == now && ctx.Err() == nil {
-						clients.Rest()
+						clients.CloseIdle()
 						time.Sleep(quietLook)
 					}
 				}()
--- a/internal/clientconn/framing.go
+++ b/internal/clientconn/framing.go
@@ -50,9 +50,9 @@
 // partialHead tells whether a head has begun and not ended.
 func (f *framing) partialHead() bool { return f.part == inHead && !f.between() }
 
-// next takes what has come. On an error, good is how much of p comes before the
+// advance takes what has come. On an error, good is how much of p comes before the
 // head, or the part of a body, that is at fault.
-func (f *framing) next(p []byte) (good int, err error) {
+func (f *framing) advance(p []byte) (good int, err error) {
 	for i := 0; i < len(p); {
 		if f.part == inBody || f.part == inChunk {
 			n := int(min(f.left, int64(len(p)-i)))
@@ -79,7 +79,7 @@
 		if !whole {
 			return i, nil
 		}
-		if err := f.whole(); err != nil {
+		if err := f.endLine(); err != nil {
 			return good, err
 		}
 		f.line = f.line[:0]
@@ -90,8 +90,8 @@
 	return len(p), nil
 }
 
-// whole takes a line that has ended. It changes the part if the line ends one.
-func (f *framing) whole() error {
+// endLine takes a line that has ended. It changes the part if the line ends one.
+func (f *framing) endLine() error {
 	line, exact := bytes.CutSuffix(f.line, []byte("\r\n"))
 	line = bytes.TrimRight(line, "\r\n")
 	switch f.part {
--- a/internal/clientconn/framing_fuzz_test.go
+++ b/internal/clientconn/framing_fuzz_test.go
@@ -10,7 +10,7 @@
 	f.Add([]byte("\r\nGET / HTTP/1.1\n\n"), uint8(3))
 	f.Fuzz(func(t *testing.T, text []byte, step uint8) {
 		var whole framing
-		good, err := whole.next(text)
+		good, err := whole.advance(text)
 		if good < 0 || good > len(text) || err == nil && good != len(text) {
 			t.Fatalf("%d of %d good, %v", good, len(text), err)
 		}
@@ -19,7 +19,7 @@
 		for at, size := 0, int(step)+1; at < len(text) && cutErr == nil; at += size {
 			p := text[at:min(at+size, len(text))]
 			var n int
-			if n, cutErr = cut.next(p); n < 0 || n > len(p) {
+			if n, cutErr = cut.advance(p); n < 0 || n > len(p) {
 				t.Fatalf("%d of %d good", n, len(p))
 			}
 		}
--- a/internal/clientconn/listener.go
+++ b/internal/clientconn/listener.go
@@ -15,14 +15,14 @@
 
 // Who gives way when all connections are taken.
 const (
-	silentGrace = 300 * time.Millisecond // a new connection has this long to bring its request
-	idleGrace   = 2 * time.Second        // and one that has had an answer, to bring the next
-	evictTries  = 8                      // connections looked at to make room for one
-	lingerFor   = 250 * time.Millisecond // from the end of the sending to the close: a client's answer has arrived
-	awayMost    = 16                     // newcomers turned away at once: they are beyond the limit
-	awayWait    = 50 * time.Millisecond  // for the request of a newcomer that is turned away
-	restLeast   = time.Millisecond       // pauses between looks for connections to shut
-	restMost    = 20 * time.Millisecond
+	silentGrace   = 300 * time.Millisecond // a new connection has this long to bring its request
+	idleGrace     = 2 * time.Second        // and one that has had an answer, to bring the next
+	evictTries    = 8                      // connections looked at to make room for one
+	lingerFor     = 250 * time.Millisecond // from the end of the sending to the close: a client's answer has arrived
+	rejectMost    = 16                     // newcomers rejected at once: they are beyond the limit
+	rejectWait    = 50 * time.Millisecond  // for the request of a newcomer that is rejected
+	idleLookLeast = time.Millisecond       // pauses between looks for connections to shut
+	idleLookMost  = 20 * time.Millisecond
 )
 
 // Listener accepts clients' connections, so many at once. When all are taken it
@@ -31,20 +31,20 @@
 // whole request in hand is never closed.
 type Listener struct {
 	net.Listener
-	limit int
-	mu    sync.Mutex
-	open  map[*Conn]bool
-	last  atomic.Bool   // no connection outlasts its answer; see Shutdown
-	away  chan struct{} // bounds the newcomers that are being turned away
+	limit     int
+	mu        sync.Mutex
+	open      map[*Conn]bool
+	last      atomic.Bool   // no connection outlasts its answer; see Shutdown
+	rejecting chan struct{} // bounds the newcomers that are being rejected
 }
 
 // NewListener returns a listener over l that holds limit connections at most.
 func NewListener(l net.Listener, limit int) *Listener {
-	return &Listener{Listener: l, limit: limit, open: map[*Conn]bool{}, away: make(chan struct{}, awayMost)}
+	return &Listener{Listener: l, limit: limit, open: map[*Conn]bool{}, rejecting: make(chan struct{}, rejectMost)}
 }
 
 // Accept returns the next connection there is room for. A newcomer that comes
-// while every other has a request in hand is turned away.
+// while every other has a request in hand is rejected.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		nc, err := l.Listener.Accept()
@@ -61,23 +61,23 @@
 		if room {
 			return c, nil
 		}
-		l.turnAway(nc)
+		l.reject(nc)
 	}
 }
 
-// turnAway closes a newcomer for whom there is no room. One whose request comes is answered
+// reject closes a newcomer for whom there is no room. One whose request comes is answered
 // first. Where too many are being answered it is closed unread: its client sends once more.
-func (l *Listener) turnAway(nc net.Conn) {
+func (l *Listener) reject(nc net.Conn) {
 	select {
-	case l.away <- struct{}{}:
+	case l.rejecting <- struct{}{}:
 	default:
 		nc.Close()
 		return
 	}
 	go func() {
-		defer func() { <-l.away }()
+		defer func() { <-l.rejecting }()
 		defer nc.Close()
-		_ = nc.SetReadDeadline(time.Now().Add(awayWait))
+		_ = nc.SetReadDeadline(time.Now().Add(rejectWait))
 		if n, _ := nc.Read(make([]byte, 1)); n == 0 {
 			return
 		}
@@ -114,8 +114,8 @@
 func (l *Listener) Shutdown(ctx context.Context) error {
 	_ = l.Close()
 	l.last.Store(true)
-	for pause := restLeast; ; pause = min(2*pause, restMost) {
-		if l.Rest() == 0 {
+	for pause := idleLookLeast; ; pause = min(2*pause, idleLookMost) {
+		if l.CloseIdle() == 0 {
 			return nil
 		}
 		select {
@@ -126,14 +126,14 @@
 	}
 }
 
-// Rest shuts the connections on which no request is in hand or on its way, and returns how
+// CloseIdle shuts the connections on which no request is in hand or on its way, and returns how
 // many were open. One that has yet to bring its first has a moment for it.
-func (l *Listener) Rest() int {
+func (l *Listener) CloseIdle() int {
 	l.mu.Lock()
 	now := time.Now()
 	var resting []*Conn
 	for c := range l.open {
-		if c.rest(now, silentGrace) {
+		if c.shutIfIdle(now, silentGrace) {
 			resting = append(resting, c)
 		}
 	}
@@ -162,7 +162,7 @@
 		if last == nil {
 			return false
 		}
-		if worst.between && !last.rest(now, 0) { // its request has come and will be read
+		if worst.between && !last.shutIfIdle(now, 0) { // its request has come and will be read
 			spared[last] = true
 			continue
 		}
@@ -194,7 +194,7 @@
 // closed, and tells whether there was one: net/http would close many without a word.
 func (c *Conn) answerPartial(text string) bool {
 	c.mu.Lock()
-	partial := !c.shut && !c.closing && !c.spoilt && c.frame.complete == c.answered && c.frame.partialHead()
+	partial := !c.shut && !c.closing && !c.malformed && c.frame.complete == c.answered && c.frame.partialHead()
 	c.shut = c.shut || partial
 	c.mu.Unlock()
 	if !partial {
@@ -214,20 +214,20 @@
 	from *Listener
 	raw  syscall.RawConn // nil for a connection of another make than the system's
 
-	mu       sync.Mutex
-	frame    framing
-	answered int       // of the requests in frame
-	since    time.Time // the connection came, or its last answer left
-	spoilt   bool
-	poison   []byte // what net/http reads in place of what must not be read
-	heard    bool   // something has been read
-	leftOver bool   // bytes have come that the shutdown keeps from being read
-	gone     bool   // the client has ended its sending, or the connection is broken
-	shut     bool   // nothing more is read: what comes is for the client to send again
-	half     bool   // net/http has ended the sending and waited
-	closing  bool   // Close has been called
-	watched  bool   // see watch
-	stop     func() // ends the context of its requests; nil for none
+	mu          sync.Mutex
+	frame       framing
+	answered    int       // of the requests in frame
+	since       time.Time // the connection came, or its last answer left
+	malformed   bool
+	replacement []byte // what net/http reads in place of what must not be read
+	heard       bool   // something has been read
+	leftOver    bool   // bytes have come that the shutdown keeps from being read
+	gone        bool   // the client has ended its sending, or the connection is broken
+	shut        bool   // nothing more is read: what comes is for the client to send again
+	half        bool   // net/http has ended the sending and waited
+	closing     bool   // Close has been called
+	watched     bool   // see watch
+	stop        func() // ends the context of its requests; nil for none
 
 	// Of the read under way; there is one at a time.
 	step func(fd uintptr) bool
@@ -253,7 +253,7 @@
 	if c.frame.complete > c.answered && !c.closing {
 		return wait{}, false
 	}
-	w := wait{rank: 2, age: now.Sub(c.since), between: c.frame.between() && !c.spoilt}
+	w := wait{rank: 2, age: now.Sub(c.since), between: c.frame.between() && !c.malformed}
 	switch {
 	case c.shut || c.answered == 0 && w.age > silentGrace:
 		w.rank = 0
@@ -267,9 +267,9 @@
 // cannot be read, and nothing is read after it: net/http answers 400 and closes.
 func (c *Conn) Read(p []byte) (int, error) {
 	for {
-		if c.spoilt {
-			n := copy(p, c.poison)
-			if c.poison = c.poison[n:]; n == 0 && len(p) > 0 {
+		if c.malformed {
+			n := copy(p, c.replacement)
+			if c.replacement = c.replacement[n:]; n == 0 && len(p) > 0 {
 				return 0, io.EOF
 			}
 			return n, nil
@@ -289,7 +289,7 @@
 			return 0, &net.OpError{Op: "read", Net: "tcp", Addr: c.RemoteAddr(), Err: err}
 		}
 		c.into = nil // it is net/http's, which lends it to others
-		if !c.spoilt || c.read > 0 {
+		if !c.malformed || c.read > 0 {
 			return c.read, c.err
 		}
 	}
@@ -335,9 +335,9 @@
 // take follows the frames of what has been read. The lock is held.
 func (c *Conn) take(n int, err error) {
 	c.heard = c.heard || n > 0
-	good, ferr := c.frame.next(c.into[:n])
+	good, ferr := c.frame.advance(c.into[:n])
 	if c.read, c.err = n, err; ferr != nil {
-		c.spoilt, c.poison = true, []byte("\x00\r\n\r\n")
+		c.malformed, c.replacement = true, []byte("\x00\r\n\r\n")
 		c.read, c.err = good, nil
 	}
 	c.watch()
@@ -346,16 +346,16 @@
 	}
 }
 
-// rest shuts a connection on which no request is in hand or on its way, and tells
+// shutIfIdle shuts a connection on which no request is in hand or on its way, and tells
 // whether it did. One that has yet to bring its first is spared while newer than spare.
-func (c *Conn) rest(now time.Time, spare time.Duration) bool {
+func (c *Conn) shutIfIdle(now time.Time, spare time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	fresh := c.answered == 0 && now.Sub(c.since) < spare
 	if c.shut || c.closing { // a lingering one gives way to others
 		return true
 	}
-	if fresh || c.frame.complete > c.answered || !c.frame.between() || c.spoilt || unread(c.Conn) {
+	if fresh || c.frame.complete > c.answered || !c.frame.between() || c.malformed || unread(c.Conn) {
 		return false
 	}
 	c.shut = true
--- a/internal/clientconn/listener_test.go
+++ b/internal/clientconn/listener_test.go
@@ -43,7 +43,7 @@
 			for at := 0; at < len(c.text) && err == nil; at += step {
 				var good int
 				p := []byte(c.text[at:min(at+step, len(c.text))])
-				if good, err = f.next(p); good > len(p) || err == nil && good < len(p) {
+				if good, err = f.advance(p); good > len(p) || err == nil && good < len(p) {
 					t.Errorf("%s, by %d: %d of %d good", c.name, step, good, len(p))
 				}
 			}
@@ -191,19 +191,19 @@
 	_, c, client := moment(t)
 	io.WriteString(client, ask)
 	enginetest.Eventually(t, "the request is there", func() bool { return unread(c.Conn) })
-	if c.rest(time.Now(), 0) {
+	if c.shutIfIdle(time.Now(), 0) {
 		t.Error("shut over a request that nobody has read")
 	}
 	if n, err := c.Read(read); n != len(ask) || err != nil {
 		t.Errorf("read %d, %v", n, err)
 	}
-	if c.rest(time.Now(), 0) {
+	if c.shutIfIdle(time.Now(), 0) {
 		t.Error("shut with a request in hand")
 	}
 
 	_, c, client = moment(t)
 	io.WriteString(client, ask[:1])
-	if n, err := c.Read(read); n != 1 || err != nil || c.rest(time.Now(), 0) {
+	if n, err := c.Read(read); n != 1 || err != nil || c.shutIfIdle(time.Now(), 0) {
 		t.Errorf("read %d, %v; or shut with a byte of a request read", n, err)
 	}
 
@@ -216,7 +216,7 @@
 		}
 		done <- err
 	}()
-	if !c.rest(time.Now(), 0) {
+	if !c.shutIfIdle(time.Now(), 0) {
 		t.Error("a resting connection is not shut")
 	}
 	io.WriteString(client, ask) // crosses the close
--- a/internal/openai/call.go
+++ b/internal/openai/call.go
@@ -41,7 +41,7 @@
 	w        http.ResponseWriter
 	r        *http.Request
 	out      *http.ResponseController
-	ask      *ask
+	ask      *apiRequest
 	head     head
 	contract config.Contract
 	team     *config.Team
@@ -67,7 +67,7 @@
 )
 
 // submit hands a call to the core under a name and waits for its answer; see core.Await.
-func (c *call) submit(a *ask, wire string) (core.Answer, *core.Ticket, bool) {
+func (c *call) submit(a *apiRequest, wire string) (core.Answer, *core.Ticket, bool) {
 	q := core.Request{
 		Wire: wire, Arrived: time.Now(),
 		Payload: core.Payload{Method: http.MethodPost, Target: a.path, Body: a.body, Plain: a.path == embeddingPath, HoldLead: !c.once},
--- a/internal/openai/front.go
+++ b/internal/openai/front.go
@@ -104,7 +104,7 @@
 
 // ServeHTTP serves the chat API, the list of models and the health check.
 func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	f.lastOnes(w)
+	f.announceClose(w)
 	if r.URL.Path == "/healthz" {
 		if !f.core.Ready() || f.closing.Load() {
 			http.Error(w, "no engine to send to", http.StatusServiceUnavailable)
@@ -142,8 +142,8 @@
 	}
 }
 
-// lastOnes has the caller close its connection if the gateway is leaving.
-func (f *Front) lastOnes(w http.ResponseWriter) {
+// announceClose has the caller close its connection if the gateway is leaving.
+func (f *Front) announceClose(w http.ResponseWriter) {
 	if f.closing.Load() {
 		w.Header().Set("Connection", "close")
 	}
@@ -236,8 +236,8 @@
 }
 
 // accept parses a request and finds its contract. The error is what its client is told.
-func (b *book) accept(path string, raw []byte, team *config.Team) (*ask, *typedAnswer, config.Contract, *apiError) {
-	var a *ask
+func (b *book) accept(path string, raw []byte, team *config.Team) (*apiRequest, *typedAnswer, config.Contract, *apiError) {
+	var a *apiRequest
 	var typed *typedAnswer // of /v1/responses
 	var err error
 	if path == responsePath {
@@ -266,7 +266,7 @@
 // carry submits the request and gives its client the answer.
 func (c *call) carry() {
 	answer, ticket, here := c.submit(c.ask, c.head.id)
-	c.lastOnes(c.w) // the request may have waited since before the gateway began to leave
+	c.announceClose(c.w) // the request may have waited since before the gateway began to leave
 	if !here {
 		c.ending.MayRun = !c.once || ticket.MayRun(context.WithoutCancel(c.r.Context()))
 		panic(http.ErrAbortHandler) // the caller has gone: there is nobody to answer
@@ -283,7 +283,7 @@
 }
 
 // formOf is the way in which a call's client gets its answer.
-func formOf(a *ask, typed *typedAnswer, h head, contract config.Contract) form {
+func formOf(a *apiRequest, typed *typedAnswer, h head, contract config.Contract) form {
 	switch {
 	case typed != nil:
 		typed.head, typed.streams = h, a.stream
--- a/internal/openai/prompt.go
+++ b/internal/openai/prompt.go
@@ -15,7 +15,7 @@
 // messages reads a conversation's shape. All its turns begin with the same messages up to
 // the caller's first, so these name the session; the first message, if it is not all there
 // is, is the opening that others share.
-func (a *ask) messages(f *fields, session hash.Hash) error {
+func (a *apiRequest) messages(f *fields, session hash.Hash) error {
 	list := f.get("messages")
 	w := jsonscan.Array(list)
 	begun, n := false, 0
--- a/internal/openai/request.go
+++ b/internal/openai/request.go
@@ -43,8 +43,8 @@
 	modelPath      = "/v1/models"
 )
 
-// ask is one call of the API, as far as the gateway reads it; the rest passes.
-type ask struct {
+// apiRequest is one call of the API, as far as the gateway reads it; the rest passes.
+type apiRequest struct {
 	path    string // engines are called by
 	model   string
 	stream  bool
@@ -63,12 +63,12 @@
 
 // parse reads a call. Engines get it always streamed and with its usage, whatever the
 // client wants to see of that; embeddings alone come whole.
-func parse(path string, data []byte, team string) (*ask, error) {
+func parse(path string, data []byte, team string) (*apiRequest, error) {
 	f, err := readFields(data)
 	if err != nil {
 		return nil, err
 	}
-	a := &ask{path: path, choices: 1}
+	a := &apiRequest{path: path, choices: 1}
 	if err := f.into("model", &a.model); err != nil {
 		return nil, err
 	}
@@ -125,7 +125,7 @@
 // goOn is the call that has an engine go on from an answer's text so far, in the way that
 // engines with a chat template offer: the last message is the assistant's own, and is
 // continued instead of answered.
-func (a *ask) goOn(said []byte, tokens int) (*ask, error) {
+func (a *apiRequest) goOn(said []byte, tokens int) (*apiRequest, error) {
 	f, err := readFields(a.body)
 	if err != nil {
 		return nil, err
@@ -161,7 +161,7 @@
 }
 
 // readOptions returns the stream options that engines get: the client's, and the usage.
-func readOptions(f *fields, a *ask) ([]byte, error) {
+func readOptions(f *fields, a *apiRequest) ([]byte, error) {
 	const usage = `{"include_usage":true}`
 	raw := f.get("stream_options")
 	if raw == nil {
@@ -178,7 +178,7 @@
 }
 
 // outLimit returns the most tokens of one choice.
-func outLimit(f *fields, a *ask) (int, error) {
+func outLimit(f *fields, a *apiRequest) (int, error) {
 	limit := defaultOut
 	for _, name := range []string{"max_tokens", "max_completion_tokens"} {
 		value := 1.0
--- a/internal/openai/responses.go
+++ b/internal/openai/responses.go
@@ -43,7 +43,7 @@
 }
 
 // parseResponses reads a call of the responses API as a chat.
-func parseResponses(data []byte, team string) (*ask, *typedAnswer, error) {
+func parseResponses(data []byte, team string) (*apiRequest, *typedAnswer, error) {
 	f, err := readFields(data)
 	if err != nil {
 		return nil, nil, err
--- a/internal/openai/rewrite_test.go
+++ b/internal/openai/rewrite_test.go
@@ -230,7 +230,7 @@
 		}
 	}
 	f.Fuzz(func(t *testing.T, path string, data []byte) {
-		var a *ask
+		var a *apiRequest
 		var err error
 		if path == responsePath {
 			a, _, err = parseResponses(data, "team")
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -68,7 +68,7 @@
 
 // ServeHTTP takes chat requests and answers health checks.
 func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	f.lastOnes(w)
+	f.announceClose(w)
 	switch r.URL.Path {
 	case "/healthz":
 		if !f.core.Ready() || f.closing.Load() || f.standby.Load() {
@@ -84,8 +84,8 @@
 	}
 }
 
-// lastOnes has the client close its connection if the gateway is leaving.
-func (f *Front) lastOnes(w http.ResponseWriter) {
+// announceClose has the client close its connection if the gateway is leaving.
+func (f *Front) announceClose(w http.ResponseWriter) {
 	if f.closing.Load() || f.standby.Load() {
 		w.Header().Set("Connection", "close")
 	}
@@ -127,7 +127,7 @@
 	if !here {
 		panic(http.ErrAbortHandler) // the client has gone: there is nobody to answer
 	}
-	f.lastOnes(w) // the request may have waited since before the gateway began to leave
+	f.announceClose(w) // the request may have waited since before the gateway began to leave
 	if answer.Verdict == core.Serving {
 		f.stream(r.Context(), w, answer.Stream, ticket)
 		return
--- a/internal/rolectl/owner.go
+++ b/internal/rolectl/owner.go
@@ -104,8 +104,8 @@
 	return nil, err
 }
 
-// hand is the owner's work while it holds one lease.
-type hand struct {
+// owner is the owner's work while it holds one lease.
+type owner struct {
 	*Controller
 	client  *consul.Client
 	lease   *lease
@@ -133,7 +133,7 @@
 	if err != nil {
 		return err
 	}
-	h := &hand{
+	h := &owner{
 		Controller: c, client: client, lease: l, planner: planner,
 		http:   &http.Client{Timeout: askWait, Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: 10 * time.Second}},
 		silent: map[string]time.Time{}, replies: map[string]rolechange.Reply{}, reports: map[string]*report{},
@@ -156,7 +156,7 @@
 }
 
 // recall tells the planner what was done.
-func (h *hand) recall(e End) {
+func (h *owner) recall(e End) {
 	if e.Outcome != rolechange.Going {
 		h.planner.Ended(e.At, e.Engine, e.Outcome == rolechange.Done)
 		return
@@ -165,9 +165,9 @@
 	h.planner.Begun(e.At, roles.Change{Engine: e.Engine, To: to})
 }
 
-func (h *hand) sure() bool { return h.lease.Sure(time.Now()) }
+func (h *owner) sure() bool { return h.lease.Sure(time.Now()) }
 
-func (h *hand) tick(ctx context.Context) error {
+func (h *owner) tick(ctx context.Context) error {
 	// Renewed before the work, and counted from before the call.
 	asked := time.Now()
 	if kept, err := h.client.RenewSession(ctx, h.lease.session); err == nil && !kept {
@@ -204,7 +204,7 @@
 }
 
 // poll asks all engines of either role how they are.
-func (h *hand) poll(ctx context.Context, engines []directory.Engine) {
+func (h *owner) poll(ctx context.Context, engines []directory.Engine) {
 	var mu sync.Mutex
 	var group sync.WaitGroup
 	slots := make(chan struct{}, askMost)
@@ -230,7 +230,7 @@
 	group.Wait()
 }
 
-func (h *hand) call(ctx context.Context, method, addr string, body []byte) (*report, int, error) {
+func (h *owner) call(ctx context.Context, method, addr string, body []byte) (*report, int, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+"/role", bytes.NewReader(body))
 	if err != nil {
 		return nil, 0, err
@@ -255,7 +255,7 @@
 }
 
 // observe tells the planner how the engines are and what is asked.
-func (h *hand) observe(engines []directory.Engine, records []kept) {
+func (h *owner) observe(engines []directory.Engine, records []kept) {
 	now := time.Now()
 	changes := make(map[string]*roles.InChange, len(records))
 	for _, r := range records {
@@ -287,7 +287,7 @@
 }
 
 // advance takes one change a step on.
-func (h *hand) advance(ctx context.Context, r kept, engines []directory.Engine) error {
+func (h *owner) advance(ctx context.Context, r kept, engines []directory.Engine) error {
 	now := time.Now()
 	f := rolechange.Facts{Now: now, Owner: h.lease.value.Gateway, Fence: h.lease.Fence, Gateways: h.opt.Gateways(), Reply: h.replies[r.Engine]}
 	for _, e := range engines {
@@ -331,14 +331,14 @@
 }
 
 // step tells of a step that is over.
-func (h *hand) step(r rolechange.Record, to time.Time, why string) {
+func (h *owner) step(r rolechange.Record, to time.Time, why string) {
 	if h.opt.Step != nil {
 		h.opt.Step(r, to, why)
 	}
 }
 
 // seen counts the gateways that have said that they hold to a change.
-func (h *hand) seen(ctx context.Context, r rolechange.Record) int {
+func (h *owner) seen(ctx context.Context, r rolechange.Record) int {
 	pairs, _, err := h.client.List(ctx, h.seenKey(r.Engine), 0, 0)
 	if err != nil {
 		return 0
@@ -355,7 +355,7 @@
 // write writes a record that was read at an index, and tells whether that was done. If
 // it was not, it is tried again at the next tick from what is then known; an error tells
 // that somebody else owns it.
-func (h *hand) write(ctx context.Context, r rolechange.Record, modify uint64) (bool, error) {
+func (h *owner) write(ctx context.Context, r rolechange.Record, modify uint64) (bool, error) {
 	raw, err := jsoniter.Marshal(r)
 	if err != nil {
 		return false, err
@@ -369,7 +369,7 @@
 
 // reread finds out why a write was not taken: the view that it was based on may only
 // have been old, as the watch brings what this owner wrote itself a moment later.
-func (h *hand) reread(ctx context.Context, engine string) error {
+func (h *owner) reread(ctx context.Context, engine string) error {
 	p, there, err := h.client.Read(ctx, h.changeKey(engine))
 	if err != nil || !there {
 		return nil
@@ -382,7 +382,7 @@
 }
 
 // tell gives the engine a command and keeps its reply for the next tick.
-func (h *hand) tell(ctx context.Context, a rolechange.Action) {
+func (h *owner) tell(ctx context.Context, a rolechange.Action) {
 	if !h.sure() {
 		return
 	}
@@ -404,7 +404,7 @@
 }
 
 // end deletes a record whose change is over.
-func (h *hand) end(ctx context.Context, r kept, a rolechange.Action) error {
+func (h *owner) end(ctx context.Context, r kept, a rolechange.Action) error {
 	done, err := h.client.Delete(ctx, h.changeKey(r.Engine), r.modify)
 	if err != nil {
 		return nil
@@ -419,7 +419,7 @@
 }
 
 // remember keeps what was done where the next owner finds it.
-func (h *hand) remember(ctx context.Context, e End) error {
+func (h *owner) remember(ctx context.Context, e End) error {
 	h.recall(e)
 	h.lease.value.Ends = append(h.lease.value.Ends, e)
 	// Each change has a beginning and an end: an hour of them has to be known.
@@ -440,7 +440,7 @@
 }
 
 // plan begins a change if one is worth it.
-func (h *hand) plan(ctx context.Context, engines []directory.Engine, records []kept) error {
+func (h *owner) plan(ctx context.Context, engines []directory.Engine, records []kept) error {
 	now := time.Now()
 	p := h.planner.Plan(now)
 	h.mu.Lock()
--- a/internal/rolectl/rolectl_test.go
+++ b/internal/rolectl/rolectl_test.go
@@ -230,13 +230,13 @@
 	enginetest.Eventually(t, "g1 has stopped", func() bool { return !one.Status().Mine })
 
 	// An owner that was paused for longer than its lease and wakes up does nothing.
-	stale := &hand{Controller: two.Controller, client: two.client, lease: &lease{session: lock.Session, Lease: rolechange.NewLease(lock.LockIndex, time.Second, time.Now().Add(-time.Hour))}}
+	stale := &owner{Controller: two.Controller, client: two.client, lease: &lease{session: lock.Session, Lease: rolechange.NewLease(lock.LockIndex, time.Second, time.Now().Add(-time.Hour))}}
 	if err := stale.tick(t.Context()); !errors.Is(err, errLost) {
 		t.Errorf("woken up: %v", err)
 	}
 	// Even one that is sure of itself is refused by the engine and by the record.
 	planner, _ := roles.NewPlanner(roles.DefaultSettings())
-	stale = &hand{
+	stale = &owner{
 		Controller: two.Controller, client: two.client, planner: planner, http: &http.Client{Timeout: time.Second},
 		lease:  &lease{session: lock.Session, Lease: rolechange.NewLease(lock.LockIndex, time.Hour, time.Now())},
 		silent: map[string]time.Time{}, replies: map[string]rolechange.Reply{}, reports: map[string]*report{},
