--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -39,7 +39,7 @@
 		c.end(q, at, Result{Status: routing.StatusUnsent})
 		return
 	}
-	c.counts["attempts"]++
+	c.counts[countAttempts]++
 	if q.held.ledger.Holder() != "" && c.fig.Alone != nil && c.fig.Alone(m.Kind) {
 		q.held.ledger.Detach() // it will not fetch what was read for it elsewhere
 		c.settling = append(c.settling, q)
--- a/internal/core/held.go
+++ b/internal/core/held.go
@@ -162,7 +162,7 @@
 		if !q.keepsOut(at) {
 			continue
 		}
-		c.counts["engines checked"]++
+		c.counts[countEnginesChecked]++
 		c.engine.Reach(at.engine, func(reached bool) {
 			if reached {
 				c.post(func() {
@@ -177,7 +177,7 @@
 // expireState gives up a state that has waited too long for a decode engine: a connection that does
 // not come up must not hold it. The module has the prompt read again if there is time.
 func (c *Core) expireState(q *request) {
-	c.counts["states expired"]++
+	c.counts[countStatesExpired]++
 	q.held.ledger.Expire(c.now())
 	for _, at := range q.attempts {
 		if !at.ended && !at.out && at.handle.Withdraw() {
@@ -256,7 +256,7 @@
 
 // release tells one engine to release what it holds for a request.
 func (c *Core) release(q *request, engine string) {
-	c.counts["releases"]++
+	c.counts[countReleases]++
 	r := Release{
 		At: q.held.members[engine], Wire: q.Wire, Until: c.origin.Add(q.held.ledger.Until(engine)),
 		Elsewhere: c.elsewhere(engine), ElsewhereAfter: min(elsewhereAfter, c.fig.PinLimit/4),
@@ -277,7 +277,7 @@
 	}
 	q.held.ledger.ReleaseEnded(engine, err == nil, c.now())
 	if err != nil {
-		c.counts["releases failed"]++
+		c.counts[countReleasesFailed]++
 		c.log.Debug("release failed", "id", q.Wire, "engine", engine, "cause", err)
 		return
 	}
--- a/internal/core/queries.go
+++ b/internal/core/queries.go
@@ -57,7 +57,7 @@
 // Counts returns how often each outcome and answer came, for the log.
 func (c *Core) Counts(ctx context.Context) map[string]int {
 	return query(ctx, c, func() map[string]int {
-		m := map[string]int{"open": len(c.requests)}
+		m := map[string]int{countOpen: len(c.requests)}
 		for k, v := range c.counts {
 			m[k] = v
 		}
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -41,13 +41,13 @@
 		// Engines know a request by its wire id alone: two at once would share
 		// attempts and states. The first goes on; the second never ran.
 		q.answered = true
-		c.counts["duplicate id"]++
+		c.counts[countDuplicates]++
 		f.Answer(Answer{Verdict: Duplicate, Status: routing.StatusUnsent})
 		return
 	}
 	c.requests[q.ID], c.wires[in.Wire] = q, true
 	c.lastBusy = time.Now()
-	c.counts["requests"]++
+	c.counts[countRequests]++
 	c.count(in.Class, func(t *Traffic) { t.Asked++; t.Prompt += in.Prompt })
 	c.settling = append(c.settling, q)
 	// The backstop guards against a request that neither the module nor an engine
@@ -96,7 +96,7 @@
 		return
 	}
 	q.answered = true
-	c.counts["gone"]++
+	c.counts[countGone]++
 	c.settling = append(c.settling, q)
 	c.tell(routing.Gone{ID: q.ID})
 	c.withdraw(q)
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -3,8 +3,6 @@
 import (
 	"container/heap"
 	"time"
-
-	"wellgw/routing"
 )
 
 // timers holds jobs by the time they are due. They can't be taken back: a job
@@ -49,11 +47,3 @@
 	*h = old[:len(old)-1]
 	return last
 }
-
-var statusNames = [...]string{
-	routing.StatusServed: "served", routing.StatusRead: "read", routing.StatusError: "error",
-	routing.StatusFull: "full", routing.StatusTimeout: "timeout", routing.StatusNoConnect: "no connect",
-	routing.StatusReset: "reset", routing.StatusCancelled: "cancelled", routing.StatusUnsent: "unsent",
-}
-
-var verdictNames = [...]string{Refused: "refused", Failed: "failed", Overdue: "overdue", Duplicate: "duplicate", Serving: "serving"}
