--- a/internal/openai/call.go
+++ b/internal/openai/call.go
@@ -26,6 +26,8 @@
 	end(dst []byte) ([]byte, error)
 	// answer is how far it has come.
 	answer() *resume.Answer
+	// complete tells whether take has returned the whole of it, before the stream's end.
+	complete() bool
 	// drop forgets the part of an event that a break has left.
 	drop()
 	// next makes ready for another engine's stream, which goes on with the answer or, if the
@@ -173,11 +175,20 @@
 	return id
 }
 
-// settle tells how a claimed request has ended.
+// whole notes that the answer is whole, and kept, though its client may go before it has it all.
+// A client may ask again as soon as it has the last of it, so the key is settled before that
+// goes out.
+func (c *call) whole() {
+	c.ending.Whole = true
+	c.settle()
+}
+
+// settle tells, once, how a claimed request has ended.
 func (c *call) settle() {
 	if !c.claimed {
 		return
 	}
+	c.claimed = false
 	c.keeping.Add(-int64(len(c.kept)))
 	if c.tooMuch && c.ending.Whole {
 		c.counts.notKept.Add(1)
@@ -238,15 +249,16 @@
 	pipe := streambuffer.Pipe{
 		Take: func(dst, p []byte) ([]byte, error) {
 			dst, err := c.form.take(dst, p)
-			c.keep(dst)
+			if c.keep(dst); err == nil && c.form.complete() {
+				c.whole()
+			}
 			return dst, err
 		},
 		End: func(dst []byte) ([]byte, error) {
 			from := len(dst)
 			dst, err := c.form.end(dst)
 			if c.keep(dst[from:]); err == nil {
-				// It is whole, and kept, though its client may go before it has it all.
-				c.ending.Whole = true
+				c.whole()
 			}
 			return dst, err
 		},
--- a/internal/openai/collect.go
+++ b/internal/openai/collect.go
@@ -33,6 +33,7 @@
 func (w *whole) kind() string           { return jsonType }
 func (w *whole) answer() *resume.Answer { return &w.so }
 func (w *whole) fail(e apiError) []byte { return e.object() }
+func (w *whole) complete() bool         { return false }
 func (w *whole) drop()                  { w.scan = sse.Scanner{} }
 func (w *whole) next()                  { *w = whole{head: w.head} }
 
@@ -349,6 +350,7 @@
 func (p *plain) kind() string           { return jsonType }
 func (p *plain) answer() *resume.Answer { return &p.so }
 func (p *plain) fail(e apiError) []byte { return e.object() }
+func (p *plain) complete() bool         { return false }
 func (p *plain) drop()                  {}
 func (p *plain) next()                  { *p = plain{head: p.head} }
 
--- a/internal/openai/idempotency_test.go
+++ b/internal/openai/idempotency_test.go
@@ -1,6 +1,7 @@
 package openai
 
 import (
+	"bufio"
 	"context"
 	"fmt"
 	"io"
@@ -12,8 +13,8 @@
 	"wellgw/internal/enginetest"
 )
 
-// order asks for an order under a key.
-func order(ctx context.Context, t *testing.T, url, key, text string, stream bool, retry int) (*http.Response, string) {
+// orderRequest is a request for an order under a key.
+func orderRequest(ctx context.Context, t *testing.T, url, key, text string, stream bool, retry int) *http.Request {
 	t.Helper()
 	body := fmt.Sprintf(`{"model":"orders","stream":%v,"messages":[{"role":"user","content":%q}]}`, stream, text)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url+chatPath, strings.NewReader(body))
@@ -23,7 +24,13 @@
 	req.Header.Set("Authorization", "Bearer k1")
 	req.Header.Set(keyHeader, key)
 	req.Header.Set(retryHeader, fmt.Sprint(retry))
-	resp, err := http.DefaultClient.Do(req)
+	return req
+}
+
+// order asks for an order under a key.
+func order(ctx context.Context, t *testing.T, url, key, text string, stream bool, retry int) (*http.Response, string) {
+	t.Helper()
+	resp, err := http.DefaultClient.Do(orderRequest(ctx, t, url, key, text, stream, retry))
 	if err != nil {
 		return nil, err.Error()
 	}
@@ -91,6 +98,34 @@
 	}
 }
 
+// A client that has the last event of its order's answer may ask again at once: it need not wait
+// for the end of the stream.
+func TestOrderReplayAtOnce(t *testing.T) {
+	whole := enginetest.Stream(3, 0)
+	engines, _ := one(config.RoleOpenAI, func(enginetest.Call) string { return strings.TrimSuffix(whole, "0\r\n\r\n") + enginetest.Hang }, t)
+	url, _ := start(t, engines)
+	ctx, leave := context.WithCancel(t.Context())
+	defer leave()
+	req := orderRequest(ctx, t, url, "k", "a hull", true, 0)
+	resp, err := http.DefaultClient.Do(req)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer resp.Body.Close()
+	first := ""
+	for in := bufio.NewReader(resp.Body); !strings.Contains(first, "[DONE]"); {
+		line, err := in.ReadString('\n')
+		if err != nil {
+			t.Fatal(err)
+		}
+		first += line
+	}
+	second, again := order(t.Context(), t, url, "k", "a hull", true, 1)
+	if second.StatusCode != http.StatusOK || second.Header.Get(replayedHeader) != "true" || strings.TrimSpace(again) != strings.TrimSpace(first) {
+		t.Errorf("%d %s, first %s", second.StatusCode, again, first)
+	}
+}
+
 // While an order runs, its client is told to come again; it runs once. When its client
 // goes, its fate is unknown.
 func TestOrderInProgress(t *testing.T) {
--- a/internal/openai/rewrite.go
+++ b/internal/openai/rewrite.go
@@ -58,6 +58,7 @@
 
 func (r *rewriter) kind() string           { return eventStream }
 func (r *rewriter) answer() *resume.Answer { return &r.so }
+func (r *rewriter) complete() bool         { return r.so.Over() }
 func (r *rewriter) drop()                  { r.scan = sse.Scanner{} }
 func (r *rewriter) next()                  { r.so.Next() }
 
--- a/internal/openai/typedanswer.go
+++ b/internal/openai/typedanswer.go
@@ -37,7 +37,8 @@
 
 func (t *typedAnswer) answer() *resume.Answer { return &t.so }
 
-func (t *typedAnswer) drop() { t.scan = sse.Scanner{} }
+func (t *typedAnswer) complete() bool { return false }
+func (t *typedAnswer) drop()          { t.scan = sse.Scanner{} }
 
 // next forgets what came: its client has been given none of it, as events of an answer
 // that has begun can't go on.
