--- a/decide/deduplication/table.go
+++ b/decide/deduplication/table.go
@@ -11,6 +11,8 @@
 	"cmp"
 	"slices"
 	"time"
+
+	"wellgw/decide/setting"
 )
 
 // Limits bound what is remembered.
@@ -32,23 +34,15 @@
 	}
 }
 
-// LimitError is a limit that a table can't work with.
-type LimitError struct {
-	Field   string // as in the operator's file
-	Problem string
-}
-
-func (e LimitError) Error() string { return e.Field + ": " + e.Problem }
-
 // Validate tells what is wrong with limits, by the field's name.
 func (l Limits) Validate() error {
 	switch {
 	case l.Entries < 1:
-		return LimitError{"keys", "below 1"}
+		return setting.New("keys", "below 1")
 	case l.Bytes < 0 || l.Answer < 0:
-		return LimitError{"answer_bytes, largest_answer", "below 0"}
+		return setting.New("answer_bytes, largest_answer", "below 0")
 	case l.Least <= 0 || l.Age < l.Least:
-		return LimitError{"least_ms, age_ms", "the age must be no less than the least, and both above 0"}
+		return setting.New("least_ms, age_ms", "the age must be no less than the least, and both above 0")
 	}
 	return nil
 }
--- a/decide/deduplication/table_test.go
+++ b/decide/deduplication/table_test.go
@@ -8,6 +8,8 @@
 	"time"
 
 	"pgregory.net/rapid"
+
+	"wellgw/decide/setting"
 )
 
 var t0 = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
@@ -224,7 +226,7 @@
 	} {
 		l := DefaultLimits()
 		change(&l)
-		var wrong LimitError
+		var wrong setting.Error
 		if _, err := NewTable(l); !errors.As(err, &wrong) || !strings.Contains(wrong.Field, field) {
 			t.Errorf("%s: %v", field, err)
 		}
--- a/decide/roles/roles.go
+++ b/decide/roles/roles.go
@@ -8,6 +8,8 @@
 import (
 	"fmt"
 	"time"
+
+	"wellgw/decide/setting"
 )
 
 // Role is what an engine does for two-stage requests.
@@ -76,27 +78,19 @@
 	}
 }
 
-// SettingError is a setting that a planner can't work with.
-type SettingError struct {
-	Field   string // as in the operator's file
-	Problem string
-}
-
-func (e SettingError) Error() string { return e.Field + ": " + e.Problem }
-
 // Validate tells what is wrong with settings, by the field's name.
 func (s Settings) Validate() error {
 	switch {
 	case s.Strategy != Threshold && s.Strategy != QueueBalance && s.Strategy != Predictive:
-		return SettingError{"strategy", fmt.Sprintf("%q is not threshold, queue-balance or predictive", s.Strategy)}
+		return setting.New("strategy", fmt.Sprintf("%q is not threshold, queue-balance or predictive", s.Strategy))
 	case s.RackPart <= 0 || s.RackPart > 1 || s.FleetPart <= 0 || s.FleetPart > 1:
-		return SettingError{"rack_part, fleet_part", "must lie above 0 and not above 1"}
+		return setting.New("rack_part, fleet_part", "must lie above 0 and not above 1")
 	case s.AnHour < 1:
-		return SettingError{"changes_an_hour", "below 1"}
+		return setting.New("changes_an_hour", "below 1")
 	case s.Horizon <= s.Drain+s.Cold:
-		return SettingError{"horizon_ms", "a change takes longer than that"}
+		return setting.New("horizon_ms", "a change takes longer than that")
 	case s.Smooth <= 0 || s.ColdShare <= 0:
-		return SettingError{"smooth_ms, cold_share", "must be above 0"}
+		return setting.New("smooth_ms, cold_share", "must be above 0")
 	}
 	return nil
 }
--- a/decide/roles/roles_test.go
+++ b/decide/roles/roles_test.go
@@ -8,6 +8,8 @@
 	"time"
 
 	"pgregory.net/rapid"
+
+	"wellgw/decide/setting"
 )
 
 var t0 = time.Date(2026, 1, 2, 0, 0, 0, 0, time.UTC)
@@ -324,7 +326,7 @@
 	} {
 		set := DefaultSettings()
 		change(&set)
-		var wrong SettingError
+		var wrong setting.Error
 		if _, err := NewPlanner(set); !errors.As(err, &wrong) || !strings.Contains(wrong.Field, field) {
 			t.Errorf("%s: %v", field, err)
 		}
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -4,8 +4,7 @@
 	"errors"
 	"fmt"
 
-	"wellgw/decide/deduplication"
-	"wellgw/decide/roles"
+	"wellgw/decide/setting"
 )
 
 // FieldError is a field of a configuration that can't be used.
@@ -41,11 +40,8 @@
 
 // within names a setting that a decision package refused by its place in the file.
 func within(section string, err error) error {
-	if setting := (roles.SettingError{}); errors.As(err, &setting) {
-		return fieldError(section+"."+setting.Field, "%s", setting.Problem)
-	}
-	if limit := (deduplication.LimitError{}); errors.As(err, &limit) {
-		return fieldError(section+"."+limit.Field, "%s", limit.Problem)
+	if wrong := (setting.Error{}); errors.As(err, &wrong) {
+		return fieldError(section+"."+wrong.Field, "%s", wrong.Problem)
 	}
 	return FieldError{Field: section, Problem: err}
 }
