--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"wellgw/routing"
+	"wellgw/decide/setting"
 )
 
 const platformText = `{"name":"n1","listen":"127.0.0.1:3000","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
@@ -80,11 +80,11 @@
 // fieldOf returns the field that an error names, by its type: a setting of the routing policy's,
 // or else one of the configuration.
 func fieldOf(err error) string {
-	var setting routing.SettingError
+	var wrong setting.Error
 	var field FieldError
 	switch {
-	case errors.As(err, &setting):
-		return setting.Field
+	case errors.As(err, &wrong):
+		return wrong.Field
 	case errors.As(err, &field):
 		return field.Field
 	}
--- a/routing/fleet_test.go
+++ b/routing/fleet_test.go
@@ -178,3 +178,26 @@
 		}
 	}
 }
+
+// Nothing is sent for a request whose client left while a probe was awaited, whether the probe is
+// answered or lost.
+func TestNoSendAfterClientLeftDuringProbe(t *testing.T) {
+	set := testSettings()
+	set.Routers, set.CanProbe = 80, true
+	for name, after := range map[string]func(engine string) Event{
+		"answered": func(engine string) Event { return ProbeResult{Engine: engine, Report: &Report{}} },
+		"lost":     func(string) Event { return TimerFired{Name: "tick"} },
+	} {
+		r := router(t, set, server("r1", "r", 0), server("r2", "r", 0), server("w1", "w", 0))
+		first := slices.Clone(r.Handle(time.Second, ask(1, 1000)))
+		at := slices.IndexFunc(first, func(a Action) bool { _, is := a.(Probe); return is })
+		if at < 0 || has[Send](first) {
+			t.Fatalf("%s: %v, want a probe and no send", name, first)
+		}
+		gone := slices.Clone(r.Handle(time.Second+ms, Gone{ID: 1}))
+		then := r.Handle(time.Second+r.tick(), after(first[at].(Probe).Engine))
+		if has[Send](gone) || has[Send](then) || len(r.reqs) > 0 {
+			t.Errorf("%s: %v, then %v, %d requests left", name, gone, then, len(r.reqs))
+		}
+	}
+}
--- a/routing/policy_test.go
+++ b/routing/policy_test.go
@@ -7,6 +7,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"wellgw/decide/setting"
 )
 
 // Engines under ever new names leave nothing behind; one whose attempt is out is kept
@@ -246,7 +248,7 @@
 	} {
 		s := testSettings()
 		spoil(&s)
-		var wrong SettingError
+		var wrong setting.Error
 		if _, err := New(s, 1); !errors.As(err, &wrong) || !strings.Contains(wrong.Field, field) {
 			t.Errorf("%s: error %v does not name it", field, err)
 		}
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -3,6 +3,8 @@
 import (
 	"fmt"
 	"slices"
+
+	"wellgw/decide/setting"
 )
 
 // Retune takes new classes and a new number of attempts while the router runs.
@@ -29,29 +31,24 @@
 	return nil
 }
 
-// SettingError is a setting that a router can't work with.
-type SettingError struct{ Field, Problem string }
-
-func (e SettingError) Error() string { return e.Field + ": " + e.Problem }
-
 func validate(s *Settings) error {
 	switch {
 	case s.Routers < 1:
-		return SettingError{"Routers", "must be at least 1"}
+		return setting.New("Routers", "must be at least 1")
 	case len(s.Classes) == 0:
-		return SettingError{"Classes", "none given"}
+		return setting.New("Classes", "none given")
 	case len(s.Kinds) == 0:
-		return SettingError{"Kinds", "none given"}
+		return setting.New("Kinds", "none given")
 	case s.MaxAttempts < 1:
-		return SettingError{"MaxAttempts", "must be at least 1"}
+		return setting.New("MaxAttempts", "must be at least 1")
 	case s.PinLimit <= 0:
-		return SettingError{"PinLimit", "must be above 0"}
+		return setting.New("PinLimit", "must be above 0")
 	case s.Fall <= 0 || s.FallMultiple <= 0 || s.ColdShare <= 0:
-		return SettingError{"Fall, FallMultiple, ColdShare", "must be above 0"}
+		return setting.New("Fall, FallMultiple, ColdShare", "must be above 0")
 	}
 	for _, c := range s.Classes {
 		if c.Aim <= 0 {
-			return SettingError{"Classes", fmt.Sprintf("%q has no Aim", c.Name)}
+			return setting.New("Classes", fmt.Sprintf("%q has no Aim", c.Name))
 		}
 	}
 	return nil
