--- /dev/null
+++ b/decide/lifecycle/golden_test.go
@@ -0,0 +1,129 @@
+package lifecycle
+
+import (
+	"crypto/sha256"
+	"encoding/binary"
+	"fmt"
+	"hash"
+	"math/rand/v2"
+	"testing"
+	"time"
+)
+
+// goldenSums are the hashes of all that a Process decides under drawn events, by Limits: bit 0 is
+// KillKnown, bit 1 Resume, bit 2 Shared. They were taken before the names of this package were
+// reworked. A change of the hash is a change of behaviour; the numbers of states, actions and
+// verdicts, and the order of these, belong to it.
+var goldenSums = [8]string{
+	"d53817c8fa47972b6dd1a38737b95afb",
+	"1921a3fc854795e23aeddbb7cbde1c1c",
+	"a775bf812480f3c237b4ea155c16ff7a",
+	"2b5ef8977ed16d42d99bf6c695f6aa47",
+	"c169d181ec624c435234f5f5fd60cdb8",
+	"a02cc81bf79cf2fb912d6a87bae4b228",
+	"42cdea12e3f34f2fd72b6d3329cc11d8",
+	"138e8af3c3d63ac2d1c4db4f628174cf",
+}
+
+const (
+	goldenSeeds  = 200 // per Limits
+	goldenEvents = 60  // per seed
+)
+
+// TestGoldenDecisions drives processes with events drawn from fixed seeds, at times before, at and
+// after those that Next names, and compares hashes over the decisions.
+func TestGoldenDecisions(t *testing.T) {
+	for bits, want := range goldenSums {
+		t.Run(fmt.Sprintf("limits %03b", bits), func(t *testing.T) {
+			sum := sha256.New()
+			for seed := range uint64(goldenSeeds) {
+				hashProcess(sum, rand.New(rand.NewPCG(seed, uint64(bits))), bits)
+			}
+			if got := fmt.Sprintf("%x", sum.Sum(nil)[:16]); got != want {
+				t.Errorf("hash of the decisions is %s, want %s", got, want)
+			}
+		})
+	}
+}
+
+// hashProcess drives one process and adds to the hash what it decides.
+func hashProcess(sum hash.Hash, rng *rand.Rand, bits int) {
+	longest := func() time.Duration { return time.Duration(50+rng.IntN(70_000)) * time.Millisecond }
+	if rng.IntN(2) == 0 { // short waits, where the steps of the end share what time there is
+		longest = func() time.Duration { return time.Duration(1+rng.IntN(4000)) * time.Millisecond }
+	}
+	p := New(Limits{Longest: longest(), KillKnown: bits&1 != 0, Resume: bits&2 != 0, Shared: bits&4 != 0})
+	now := time.Duration(0)
+	for range goldenEvents {
+		kind := rng.IntN(16)
+		switch next := since(p.Next()); {
+		case next >= now && rng.IntN(3) == 0: // when the tick is due, to the nanosecond
+			now, kind = next, 15
+		case next > now && rng.IntN(3) == 0: // just before
+			now, kind = next-1, 15
+		default:
+			now += time.Duration(rng.IntN(400)) * time.Millisecond
+		}
+		actions, accepted := p.Handle(at(now), goldenEvent(kind, longest))
+		hashNumbers(sum, int64(kind), int64(now), number(accepted), int64(len(actions)))
+		for _, a := range actions {
+			hashNumbers(sum, int64(a))
+		}
+		s := p.Service()
+		hashNumbers(sum, int64(p.State()), number(p.Lost()), int64(since(p.Next())),
+			int64(s.State), number(s.Draining), number(s.Healthy), number(s.Reusable), number(s.Listening),
+			int64(since(s.RequestsUntil)), int64(since(s.AnswersUntil)), number(s.TakesRequest(at(now))))
+		for flags := range 16 {
+			opened := now - time.Duration(rng.IntN(600))*time.Millisecond
+			v, next := s.Connection(at(now), Connection{
+				Opened: at(opened), Answered: flags&1 != 0, InHand: flags&2 != 0, Begun: flags&4 != 0, Arriving: flags&8 != 0,
+			})
+			hashNumbers(sum, int64(v), int64(since(next)))
+		}
+	}
+}
+
+// goldenEvent returns the event that a number stands for.
+func goldenEvent(kind int, longest func() time.Duration) Event {
+	switch kind {
+	case 0, 1:
+		return Drain{}
+	case 2, 3:
+		return Activate{}
+	case 4:
+		return HandOver{}
+	case 5:
+		return Terminate{}
+	case 6:
+		return ListenerLost{}
+	case 7, 8:
+		return Retuned{longest()}
+	case 9, 10:
+		return Quieted{}
+	case 11:
+		return Idle{}
+	}
+	return Tick{}
+}
+
+func hashNumbers(sum hash.Hash, numbers ...int64) {
+	for _, n := range numbers {
+		_ = binary.Write(sum, binary.LittleEndian, n)
+	}
+}
+
+func number(b bool) int64 {
+	if b {
+		return 1
+	}
+	return 0
+}
+
+// The states' names are values in logs, and are searched for there.
+func TestStateStrings(t *testing.T) {
+	for n, want := range []string{"serving", "draining", "handed over", "leaving", "finishing", "refusing", "failing", "releasing", "ended"} {
+		if got := State(n).String(); got != want {
+			t.Errorf("state %d is %q, want %q", n, got, want)
+		}
+	}
+}
