--- /dev/null
+++ b/decide/deduplication/golden_test.go
@@ -0,0 +1,226 @@
+package deduplication
+
+import (
+	"cmp"
+	"crypto/sha256"
+	"encoding/binary"
+	"encoding/hex"
+	"fmt"
+	"hash"
+	"maps"
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+)
+
+// recorder hashes results by number and by the tests' own strings alone, so that the hash
+// outlives renames in the code.
+type recorder struct{ sum hash.Hash }
+
+func (r recorder) number(values ...int64) {
+	for _, v := range values {
+		r.sum.Write(binary.BigEndian.AppendUint64(nil, uint64(v)))
+	}
+}
+
+func (r recorder) flag(v bool) {
+	if v {
+		r.number(1)
+	} else {
+		r.number(0)
+	}
+}
+
+func (r recorder) text(values ...string) {
+	for _, v := range values {
+		r.number(int64(len(v)))
+		r.sum.Write([]byte(v))
+	}
+}
+
+func (r recorder) entry(e Entry) {
+	r.text(e.Key.Team, e.Key.Name, e.Digest, e.ID, e.Type, string(e.Answer))
+	r.flag(e.Answer == nil)
+	r.number(int64(e.State), e.Since.UnixNano())
+}
+
+func (r recorder) keys(keys []Key) {
+	slices.SortFunc(keys, compareKeys) // a table forgets in the order of a map
+	r.number(int64(len(keys)))
+	for _, k := range keys {
+		r.text(k.Team, k.Name)
+	}
+}
+
+func compareKeys(a, b Key) int {
+	return cmp.Or(cmp.Compare(a.Team, b.Team), cmp.Compare(a.Name, b.Name))
+}
+
+// TestGoldenResults drives the table with drawn events and compares a hash of all its
+// results with the one recorded before the code's names were changed.
+func TestGoldenResults(t *testing.T) {
+	for seed, want := range map[uint64]string{
+		1: "85bc1960c0c71ad8b0a931727988eccf6efdfdf203b03b24607c365dd753e751",
+		2: "20b13e9919fbfcb0e026fa52297bd273d4e149b8e81e520401e555ae89656bf4",
+		3: "14a30f3e138c27b66801ca42819e22f6a76154fea38293b28259691b36d2b836",
+		4: "7bd17984f408e5542362a9e8bb159c788e352b368f2368cf57ed1b4afc01ff6e",
+	} {
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+			if got := goldenRun(t, seed); got != want {
+				t.Errorf("hash %s, want %s", got, want)
+			}
+		})
+	}
+}
+
+// goldenRun draws limits so small that each of them is met. Times differ at every step, so that
+// no choice between equals is left to the order of a map.
+func goldenRun(t *testing.T, seed uint64) string {
+	const steps, teams, names = 20_000, 3, 40
+	rng := rand.New(rand.NewPCG(seed, 45))
+	rec := recorder{sha256.New()}
+	limits := DefaultLimits()
+	limits.Entries, limits.PerTeam = 10+rng.IntN(40), rng.IntN(30)
+	limits.Bytes, limits.Answer = int64(200+rng.IntN(400)), 40
+	limits.Age, limits.Least, limits.Distrust = 20*time.Minute, time.Minute, 2*time.Minute
+	newTable := func() *Table {
+		table, err := NewTable(limits)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return table
+	}
+	table := newTable()
+	stored := map[Key]Entry{} // what a file would hold
+	running := map[Key]string{}
+	forget := func() {
+		dropped := table.Dropped()
+		rec.keys(dropped)
+		for _, k := range dropped {
+			delete(stored, k)
+		}
+	}
+	now := t0
+	drawKey := func() Key {
+		team := fmt.Sprint("t", rng.IntN(teams))
+		return Key{Team: team, Name: fmt.Sprint(team, "-", rng.IntN(names))}
+	}
+	for step := range steps {
+		now = now.Add(time.Duration(1 + rng.Int64N(int64(4*time.Second))))
+		kind := rng.IntN(40)
+		rec.number(int64(kind))
+		switch {
+		case kind < 20:
+			request := Ask{Key: drawKey(), Digest: "d", ID: fmt.Sprint("id", step), Others: rng.IntN(2) == 0}
+			if rng.IntN(10) == 0 {
+				request.Digest = "other"
+			}
+			if rng.IntN(2) == 0 {
+				request.Retry = rng.IntN(4)
+			}
+			decision, e := table.Begin(now, request)
+			rec.number(int64(decision))
+			rec.entry(e)
+			if forget(); decision == Run {
+				running[request.Key], stored[request.Key] = request.ID, e
+			}
+		case kind < 35:
+			if len(running) == 0 {
+				continue
+			}
+			k := slices.SortedFunc(maps.Keys(running), compareKeys)[rng.IntN(len(running))]
+			id := running[k]
+			if rng.IntN(20) == 0 {
+				id = "of another request"
+			} else {
+				delete(running, k)
+			}
+			outcome := []Outcome{NotRun, Whole, Whole, Whole, Broken}[rng.IntN(5)]
+			e, kept := table.End(now, k, id, outcome, "text/plain", make([]byte, rng.IntN(60)))
+			rec.entry(e)
+			rec.flag(kept)
+			if forget(); kept {
+				stored[k] = e
+			}
+		case kind < 37:
+			table.Spare(now, drawKey())
+		case kind < 39:
+			table.Expire(now)
+			forget()
+		case rng.IntN(20) == 0: // a restart
+			var entries []Entry
+			for _, k := range slices.SortedFunc(maps.Keys(stored), compareKeys) {
+				entries = append(entries, stored[k])
+			}
+			table = newTable()
+			table.Restore(now, entries, rng.IntN(2) == 0)
+			clear(running)
+			for i := range entries { // what ran has been cut off
+				if e := &entries[i]; e.State == Running {
+					e.State, e.Since, e.Answer = Unknown, now, nil
+					stored[e.Key] = *e
+				}
+			}
+		}
+		keys, bytes := table.Counts()
+		rec.number(int64(keys), bytes)
+	}
+	return hex.EncodeToString(rec.sum.Sum(nil))
+}
+
+// TestGoldenDecisionsAboutGateways pins who is taken to have been asked before, and how a request
+// has ended, for all that may be known.
+func TestGoldenDecisionsAboutGateways(t *testing.T) {
+	const want = "285231c93e1967c538fb3308137b34b5c85d970d013c7776ecb966c736b84f8a"
+	rec := recorder{sha256.New()}
+	for bits := range 16 {
+		e := Ending{Whole: bits&1 > 0, Refused: bits&2 > 0, Rejected: bits&4 > 0, MayRun: bits&8 > 0}
+		rec.number(int64(e.Outcome()))
+	}
+	for said := range 4 {
+		for shown := range 4 {
+			for bits := range 4 {
+				o := Others{Sticky: bits&1 > 0, Talk: bits&2 > 0, Said: said, Shown: shown}
+				rec.flag(o.May())
+			}
+		}
+	}
+	if got := hex.EncodeToString(rec.sum.Sum(nil)); got != want {
+		t.Errorf("hash %s, want %s", got, want)
+	}
+}
+
+// TestTextsOfStatesAndDecisions pins texts that metrics and counts show.
+func TestTextsOfStatesAndDecisions(t *testing.T) {
+	for v, want := range []string{"run", "under way", "replay", "not kept", "reused", "lost", "full"} {
+		if got := Verdict(v).String(); got != want {
+			t.Errorf("decision %d: %q, want %q", v, got, want)
+		}
+	}
+	for s, want := range []string{"running", "complete", "unknown"} {
+		if got := State(s).String(); got != want {
+			t.Errorf("state %d: %q, want %q", s, got, want)
+		}
+	}
+}
+
+// TestTextsOfLimitErrors pins what an operator reads about a setting.
+func TestTextsOfLimitErrors(t *testing.T) {
+	for _, c := range []struct {
+		change func(*Limits)
+		want   string
+	}{
+		{func(l *Limits) { l.Entries = 0 }, "keys: below 1"},
+		{func(l *Limits) { l.Bytes = -1 }, "answer_bytes, largest_answer: below 0"},
+		{func(l *Limits) { l.Answer = -1 }, "answer_bytes, largest_answer: below 0"},
+		{func(l *Limits) { l.Least = 0 }, "least_ms, age_ms: the age must be no less than the least, and both above 0"},
+		{func(l *Limits) { l.Age = l.Least - 1 }, "least_ms, age_ms: the age must be no less than the least, and both above 0"},
+	} {
+		l := DefaultLimits()
+		c.change(&l)
+		if err := l.Validate(); err == nil || err.Error() != c.want {
+			t.Errorf("%v, want %q", err, c.want)
+		}
+	}
+}
--- /dev/null
+++ b/decide/ejection/golden_test.go
@@ -0,0 +1,112 @@
+package ejection
+
+import (
+	"crypto/sha256"
+	"encoding/binary"
+	"encoding/hex"
+	"fmt"
+	"hash"
+	"math/rand/v2"
+	"testing"
+
+	"wellgw/routing"
+)
+
+// recorder hashes results by number, length and engine name alone, so that the hash
+// outlives renames in the code.
+type recorder struct{ sum hash.Hash }
+
+func (r recorder) number(values ...int64) {
+	for _, v := range values {
+		r.sum.Write(binary.BigEndian.AppendUint64(nil, uint64(v)))
+	}
+}
+
+func (r recorder) flag(v bool) {
+	if v {
+		r.number(1)
+	} else {
+		r.number(0)
+	}
+}
+
+func (r recorder) names(names []string) {
+	r.number(int64(len(names)))
+	for _, name := range names {
+		r.number(int64(len(name)))
+		r.sum.Write([]byte(name))
+	}
+}
+
+// TestGoldenResults drives the set with drawn events and compares a hash of all its
+// results with the one recorded before the code's names were changed.
+func TestGoldenResults(t *testing.T) {
+	for seed, want := range map[uint64]string{
+		1: "3801168aaf7f8fee970050c155c4c6dadd6ffa2561f019a36c1753e8df40d5cb",
+		2: "dcf709c5e277d1df9d9c4ce008b96c4918dcb076548773c349c8629e3d3cee7f",
+		3: "0df44bb8625c4038d491e7b8ccba88c2acfb751da4f53fdab80906ed8850c4e4",
+	} {
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+			if got := goldenRun(seed); got != want {
+				t.Errorf("hash %s, want %s", got, want)
+			}
+		})
+	}
+}
+
+func goldenRun(seed uint64) string {
+	const steps, engines = 20_000, 12
+	rng := rand.New(rand.NewPCG(seed, 45))
+	rec := recorder{sha256.New()}
+	set := New()
+	now := routing.Time(0)
+	drawName := func() string { return fmt.Sprint("e", rng.IntN(engines)) }
+	for range steps {
+		now += routing.Time(rng.IntN(1000))
+		kind := rng.IntN(8)
+		rec.number(int64(kind), int64(now))
+		switch kind {
+		case 0:
+			set.See(drawName())
+		case 1, 2, 3:
+			change, ok := set.Call(drawName(), rng.IntN(2) == 0, now)
+			rec.names(change.Out)
+			rec.names(change.Back)
+			rec.flag(ok)
+		case 4:
+			if rng.IntN(4) > 0 {
+				continue
+			}
+			var names []string
+			for range rng.IntN(4) {
+				names = append(names, drawName())
+			}
+			change := set.Take(names, now)
+			rec.names(change.Out)
+			rec.names(change.Back)
+		case 5, 6:
+			phases := []routing.Phase{routing.PhaseOn, routing.PhaseDraining}
+			shown := set.Show(routing.EngineInfo{
+				Name: drawName(), Phase: phases[rng.IntN(len(phases))], CameUp: max(0, now-routing.Time(rng.IntN(5000))),
+			})
+			rec.names([]string{shown.Name})
+			rec.number(int64(shown.Phase), int64(shown.CameUp))
+		case 7:
+			name := drawName()
+			rec.flag(set.Listed(name))
+			rec.flag(set.Out(name))
+			rec.names(set.Names())
+		}
+	}
+	// More names than are remembered: the oldest are forgotten first.
+	for i := range MaxListed + 100 {
+		set.See(fmt.Sprint("n", i))
+	}
+	for i := range engines {
+		rec.flag(set.Listed(fmt.Sprint("e", i)))
+	}
+	for i := range 200 {
+		rec.flag(set.Listed(fmt.Sprint("n", i)))
+	}
+	return hex.EncodeToString(rec.sum.Sum(nil))
+}
--- /dev/null
+++ b/internal/ejectionfile/stored_test.go
@@ -0,0 +1,123 @@
+package ejectionfile
+
+import (
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+)
+
+// What the files in testdata hold, which were written before the code's names were changed, by
+// processes of the gateway "n/0".
+var (
+	storedEjections = []string{"engine-a", "engine-b", "engine/ü c"}
+	storedReady     = Self{Started: time.Unix(1760000000, 123456789), PID: 4242}
+	storedClaim     = Self{Started: time.Unix(1760000000, 123456790), PID: 4343}
+)
+
+const storedGateway = "n/0"
+
+// storedFiles copies testdata, so that a test may write beside it.
+func storedFiles(t *testing.T) string {
+	t.Helper()
+	dir := t.TempDir()
+	if err := os.CopyFS(dir, os.DirFS("testdata")); err != nil {
+		t.Fatal(err)
+	}
+	return dir
+}
+
+func TestStoredFilesAreRead(t *testing.T) {
+	s := Open(storedFiles(t), storedGateway)
+	names, changed, err := s.Read()
+	if err != nil || !changed || !slices.Equal(names, storedEjections) {
+		t.Errorf("ejections: %q %v %v", names, changed, err)
+	}
+	if ready, ok := s.Ready(); !ok || !ready.Started.Equal(storedReady.Started) || ready.PID != storedReady.PID {
+		t.Errorf("ready: %+v %v", ready, ok)
+	}
+	// A process that starts, with a clock that is behind, is newer than the one that claimed last.
+	self, err := s.Claim(time.Unix(1, 0), 5)
+	if err != nil || !self.Started.Equal(storedClaim.Started.Add(1)) || self.PID != 5 {
+		t.Errorf("claim: %+v %v", self, err)
+	}
+}
+
+func TestNewFilesAreAsStored(t *testing.T) {
+	dir := t.TempDir()
+	s := Open(dir, storedGateway)
+	if err := s.Write([]string{"engine/ü c", "engine-b", "engine-a"}); err != nil {
+		t.Fatal(err)
+	}
+	if err := s.MarkReady(storedReady); err != nil {
+		t.Fatal(err)
+	}
+	if claim, err := s.Claim(time.Unix(1760000000, 5), storedClaim.PID); err != nil || !claim.Started.Equal(storedClaim.Started) {
+		t.Errorf("claim: %+v %v", claim, err)
+	}
+	want, got := folder(t, "testdata"), folder(t, dir)
+	if len(want) != 3 || len(got) != len(want) {
+		t.Errorf("files %q, want %q", got, want)
+	}
+	for name, text := range want {
+		if got[name] != text {
+			t.Errorf("%s: %q, want %q", name, got[name], text)
+		}
+	}
+}
+
+// TestNewFilesAreReadByTheirDescription checks new files against docs/operations.md: one engine a line
+// in wellgw-bans-NAME, start and process id in wellgw-ready-NAME, private to the gateway's user.
+func TestNewFilesAreReadByTheirDescription(t *testing.T) {
+	dir := t.TempDir()
+	s := Open(dir, "gw")
+	if err := s.Write([]string{"b", "a"}); err != nil {
+		t.Fatal(err)
+	}
+	if err := s.MarkReady(Self{Started: time.Unix(7, 9), PID: 11}); err != nil {
+		t.Fatal(err)
+	}
+	got := folder(t, dir)
+	if lines := strings.Split(got["wellgw-bans-gw"], "\n"); !slices.Equal(lines, []string{"a", "b", ""}) {
+		t.Errorf("ejections: %q", lines)
+	}
+	if fields := strings.Fields(got["wellgw-ready-gw"]); !slices.Equal(fields, []string{"7000000009", "11"}) {
+		t.Errorf("ready: %q", fields)
+	}
+	for name := range got {
+		info, err := os.Stat(filepath.Join(dir, name))
+		if err != nil {
+			t.Fatal(err)
+		}
+		if info.Mode().Perm() != 0o600 {
+			t.Errorf("%s: mode %v", name, info.Mode())
+		}
+	}
+	// And what an operator writes is read.
+	if err := os.WriteFile(filepath.Join(dir, "wellgw-bans-gw"), []byte("x\n\n y \n"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if names, changed, err := s.Read(); err != nil || !changed || !slices.Equal(names, []string{"x", "y"}) {
+		t.Errorf("an operator's file: %q %v %v", names, changed, err)
+	}
+}
+
+// folder returns a folder's files by name.
+func folder(t *testing.T, dir string) map[string]string {
+	t.Helper()
+	entries, err := os.ReadDir(dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	content := map[string]string{}
+	for _, e := range entries {
+		text, err := os.ReadFile(filepath.Join(dir, e.Name()))
+		if err != nil {
+			t.Fatal(err)
+		}
+		content[e.Name()] = string(text)
+	}
+	return content
+}
--- /dev/null
+++ b/internal/idempotency/stored_test.go
@@ -0,0 +1,274 @@
+package idempotency
+
+import (
+	"cmp"
+	"encoding/binary"
+	"encoding/json"
+	"log/slog"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+	gocmp "github.com/google/go-cmp/cmp"
+	"go.etcd.io/bbolt"
+
+	"wellgw/decide/deduplication"
+	"wellgw/internal/bootclock"
+)
+
+// storedEntries are the entries of both files in testdata, without their times. The files were written
+// before the code's names were changed: keys-closed.db by a process that ended in good order,
+// keys-killed.db by one that did not. Each was asked for orders that ended in all ways.
+var storedEntries = []deduplication.Entry{
+	{Key: deduplication.Key{Team: "b", Name: "whole"}, Digest: "d", State: 1, ID: "2-whole", Type: "application/json", Answer: []byte(`{"a":1}`)},
+	{Key: deduplication.Key{Team: "team a", Name: "broken"}, Digest: "digest of broken", State: 2, ID: "1-broken"},
+	{Key: deduplication.Key{Team: "team a", Name: "kept not"}, Digest: "digest of kept not", State: 1, ID: "1-kept not", Type: "application/json"},
+	{Key: deduplication.Key{Team: "team a", Name: "running"}, Digest: "digest of running", State: 0, ID: "1-running"},
+	{Key: deduplication.Key{Team: "team a", Name: "whole"}, Digest: "digest of whole", State: 1, ID: "1-whole", Type: "text/event-stream", Answer: []byte("data: x\n\n\x00\xff")},
+}
+
+// storedCopy copies a file of testdata: to open it marks it as in use.
+func storedCopy(t *testing.T, name string) string {
+	t.Helper()
+	raw, err := os.ReadFile(filepath.Join("testdata", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	path := filepath.Join(t.TempDir(), "keys")
+	if err := os.WriteFile(path, raw, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return path
+}
+
+// unlimitedAge are limits under which no key of testdata is too old, on whatever machine it is read.
+func unlimitedAge() deduplication.Limits {
+	l := deduplication.DefaultLimits()
+	l.Age = 1 << 62
+	return l
+}
+
+func TestStoredKeysAreRead(t *testing.T) {
+	for file, wantClean := range map[string]bool{"keys-closed.db": true, "keys-killed.db": false} {
+		t.Run(file, func(t *testing.T) {
+			k := open(t, "")
+			entries, clean, err := k.load(storedCopy(t, file))
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer k.Close()
+			if clean != wantClean {
+				t.Errorf("closed in good order: %v", clean)
+			}
+			for i := range entries {
+				if entries[i].Since.IsZero() || entries[i].Since.After(time.Now()) {
+					t.Errorf("%v since %v", entries[i].Key, entries[i].Since)
+				}
+				entries[i].Since = time.Time{}
+			}
+			if diff := gocmp.Diff(storedEntries, entries); diff != "" {
+				t.Errorf("(-want +got):\n%s", diff)
+			}
+		})
+	}
+}
+
+func TestStoredKeysAreInForce(t *testing.T) {
+	for file, unseenRetry := range map[string]deduplication.Verdict{"keys-closed.db": deduplication.Run, "keys-killed.db": deduplication.Lost} {
+		t.Run(file, func(t *testing.T) {
+			k, err := Open(storedCopy(t, file), unlimitedAge(), slog.New(slog.DiscardHandler))
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer k.Close()
+			if keys, bytes := k.Counts(); keys != 5 || bytes != 18 {
+				t.Errorf("%d keys, %d bytes", keys, bytes)
+			}
+			for _, c := range []struct {
+				team, name, digest string
+				retry              int
+				want               deduplication.Verdict
+				kind, answer, id   string
+			}{
+				{"b", "whole", "d", 0, deduplication.Replay, "application/json", `{"a":1}`, "2-whole"},
+				{"team a", "whole", "digest of whole", 0, deduplication.Replay, "text/event-stream", "data: x\n\n\x00\xff", "1-whole"},
+				{"team a", "whole", "d", 0, deduplication.Reused, "text/event-stream", "data: x\n\n\x00\xff", "1-whole"},
+				{"team a", "kept not", "digest of kept not", 0, deduplication.NotKept, "application/json", "", "1-kept not"},
+				{"team a", "broken", "digest of broken", 0, deduplication.Lost, "", "", "1-broken"},
+				{"team a", "running", "digest of running", 0, deduplication.Lost, "", "", "1-running"},
+				{"team a", "unseen", "d", 1, unseenRetry, "", "", ""},
+				{"team a", "refused", "d", 0, deduplication.Run, "", "", "3-refused"},
+			} {
+				a := deduplication.Ask{Key: deduplication.Key{Team: c.team, Name: c.name}, Digest: c.digest, ID: "3-" + c.name, Retry: c.retry}
+				v, e := k.Begin(a)
+				if v != c.want {
+					t.Errorf("%s %s: %v, want %v", c.team, c.name, v, c.want)
+				}
+				if c.name != "unseen" && (e.Type != c.kind || string(e.Answer) != c.answer || e.ID != c.id) {
+					t.Errorf("%s %s: %+v", c.team, c.name, e)
+				}
+			}
+		})
+	}
+}
+
+// record is what the file holds under a key, by its description in the
+// package comment: eight bytes of checksum, then JSON.
+type record struct {
+	Key    struct{ Team, Name string }
+	Digest string
+	State  uint8
+	Since  time.Time
+	ID     string
+	Type   string
+	Answer []byte
+	At     struct {
+		Boot string
+		Up   int64
+	}
+}
+
+// readStored reads a file with no code of this package's: its meta data, and its records by key.
+func readStored(t *testing.T, path string) (meta map[string]string, records map[string]record) {
+	t.Helper()
+	db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true, Timeout: time.Second})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer db.Close()
+	meta, records = map[string]string{}, map[string]record{}
+	err = db.View(func(tx *bbolt.Tx) error {
+		if err := tx.Bucket([]byte("meta")).ForEach(func(name, value []byte) error {
+			meta[string(name)] = string(value)
+			return nil
+		}); err != nil {
+			return err
+		}
+		return tx.Bucket([]byte("keys")).ForEach(func(name, raw []byte) error {
+			if binary.BigEndian.Uint64(raw) != xxhash.Sum64(raw[8:]) {
+				t.Errorf("%q: wrong checksum", name)
+			}
+			decoder := json.NewDecoder(strings.NewReader(string(raw[8:])))
+			decoder.DisallowUnknownFields()
+			var r record
+			if err := decoder.Decode(&r); err != nil {
+				return err
+			}
+			records[string(name)] = r
+			return nil
+		})
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return meta, records
+}
+
+// checkRecords compares records with entries, without their times.
+func checkRecords(t *testing.T, records map[string]record, want []deduplication.Entry) {
+	t.Helper()
+	var got []deduplication.Entry
+	for name, r := range records {
+		if name != r.Key.Team+"\x00"+r.Key.Name {
+			t.Errorf("%q holds the record of %+v", name, r.Key)
+		}
+		if r.Since.IsZero() {
+			t.Errorf("%q has no time", name)
+		}
+		got = append(got, deduplication.Entry{
+			Key: deduplication.Key{Team: r.Key.Team, Name: r.Key.Name}, Digest: r.Digest, State: deduplication.State(r.State),
+			ID: r.ID, Type: r.Type, Answer: r.Answer,
+		})
+	}
+	slices.SortFunc(got, func(a, b deduplication.Entry) int {
+		return cmp.Or(cmp.Compare(a.Key.Team, b.Key.Team), cmp.Compare(a.Key.Name, b.Key.Name))
+	})
+	if diff := gocmp.Diff(want, got); diff != "" {
+		t.Errorf("(-want +got):\n%s", diff)
+	}
+}
+
+// TestNewKeysAreReadByTheirDescription has the package write what testdata holds, and reads both alike.
+func TestNewKeysAreReadByTheirDescription(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "keys")
+	l := deduplication.DefaultLimits()
+	l.Answer = 64
+	k, err := Open(path, l, slog.New(slog.DiscardHandler))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, e := range storedEntries {
+		k.Begin(deduplication.Ask{Key: e.Key, Digest: e.Digest, ID: e.ID})
+		switch answer := e.Answer; e.State {
+		case deduplication.Complete:
+			if answer == nil {
+				answer = make([]byte, l.Answer+1)
+			}
+			k.End(e.Key, e.ID, deduplication.Whole, e.Type, answer)
+		case deduplication.Unknown:
+			k.End(e.Key, e.ID, deduplication.Broken, "", nil)
+		}
+	}
+	refused := deduplication.Key{Team: "team a", Name: "refused"}
+	k.Begin(deduplication.Ask{Key: refused, Digest: "d", ID: "r"})
+	k.End(refused, "r", deduplication.NotRun, "", nil)
+	if err := k.Close(); err != nil {
+		t.Fatal(err)
+	}
+	for name, path := range map[string]string{"new": path, "stored": storedCopy(t, "keys-closed.db")} {
+		t.Run(name, func(t *testing.T) {
+			meta, records := readStored(t, path)
+			if len(meta) != 2 || meta["format"] != "1" || meta["clean"] != "yes" {
+				t.Errorf("meta data %q", meta)
+			}
+			checkRecords(t, records, storedEntries)
+			if now, err := bootclock.Now(); err == nil && name == "new" {
+				for key, r := range records {
+					if r.At.Boot != now.Boot || r.At.Up <= 0 || r.At.Up > int64(now.Up) {
+						t.Errorf("%q: moment %+v, now %+v", key, r.At, now)
+					}
+				}
+			}
+		})
+	}
+	t.Run("killed", func(t *testing.T) {
+		meta, records := readStored(t, storedCopy(t, "keys-killed.db"))
+		if len(meta) != 1 || meta["format"] != "1" {
+			t.Errorf("meta data %q", meta)
+		}
+		checkRecords(t, records, storedEntries)
+	})
+}
+
+// TestStoredAge pins that a record's age goes by the moment that is stored with it.
+func TestStoredAge(t *testing.T) {
+	body := `{"Key":{"Team":"a","Name":"k"},"Digest":"d","State":1,"Since":"2026-01-02T03:04:05Z","ID":"i","Type":"t","Answer":"eA==","At":{"Boot":"b","Up":1000000000}}`
+	raw := append(binary.BigEndian.AppendUint64(nil, xxhash.Sum64String(body)), body...)
+	for _, c := range []struct {
+		name string
+		now  bootclock.Moment
+		want time.Duration
+	}{
+		{"an hour later", bootclock.Moment{Boot: "b", Up: time.Hour + time.Second}, time.Hour},
+		{"after a reboot", bootclock.Moment{Boot: "c", Up: time.Hour}, 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			e, err := read(raw, c.now)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if age := time.Since(e.Since); age < c.want || age > c.want+time.Minute {
+				t.Errorf("%v old, want %v", age, c.want)
+			}
+			e.Since = time.Time{}
+			want := deduplication.Entry{Key: deduplication.Key{Team: "a", Name: "k"}, Digest: "d", State: 1, ID: "i", Type: "t", Answer: []byte("x")}
+			if diff := gocmp.Diff(want, e); diff != "" {
+				t.Errorf("(-want +got):\n%s", diff)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/operate/operate_test.go
@@ -0,0 +1,213 @@
+package operate
+
+import (
+	"context"
+	"log/slog"
+	"os"
+	"path/filepath"
+	"slices"
+	"sync"
+	"testing"
+	"time"
+
+	"wellgw/internal/control"
+	"wellgw/internal/ejectionfile"
+)
+
+// fakeCore lists engines e1 and e2.
+type fakeCore struct {
+	mu  sync.Mutex
+	out map[string]bool
+}
+
+func (f *fakeCore) Eject(_ context.Context, name string, out bool) ([]string, bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if name != "e1" && name != "e2" {
+		return nil, false
+	}
+	if f.out == nil {
+		f.out = map[string]bool{}
+	}
+	if f.out[name] = out; !out {
+		delete(f.out, name)
+	}
+	return f.names(), true
+}
+
+func (f *fakeCore) SetEjected(names []string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.out = map[string]bool{}
+	for _, name := range names {
+		f.out[name] = true
+	}
+}
+
+func (f *fakeCore) Ejected() []string {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.names()
+}
+
+func (f *fakeCore) names() []string {
+	names := []string{}
+	for name := range f.out {
+		names = append(names, name)
+	}
+	slices.Sort(names)
+	return names
+}
+
+func newDesk(t *testing.T, dir string) (*Desk, *fakeCore) {
+	t.Helper()
+	engines := &fakeCore{}
+	d := &Desk{
+		Core:  engines,
+		Ready: func() bool { return true },
+		Drain: func(context.Context, bool) bool { return true },
+		Log:   slog.New(slog.DiscardHandler),
+	}
+	if dir != "" {
+		d.Store = ejectionfile.Open(dir, "n")
+	}
+	return d, engines
+}
+
+func fileText(t *testing.T, dir string) string {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join(dir, "wellgw-bans-n"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(text)
+}
+
+func TestCommandsAreAnswered(t *testing.T) {
+	for _, c := range []struct {
+		name         string
+		command      control.Call
+		ready, drain bool
+		want         bool
+		drained      []bool
+	}{
+		{"status, ready", control.Call{Verb: control.Status}, true, true, true, nil},
+		{"status, not ready", control.Call{Verb: control.Status}, false, true, false, nil},
+		{"standby", control.Call{Verb: control.Standby}, true, true, true, []bool{true}},
+		{"standby refused", control.Call{Verb: control.Standby}, true, false, false, []bool{true}},
+		{"active", control.Call{Verb: control.Active}, true, true, true, []bool{false}},
+		{"active refused", control.Call{Verb: control.Active}, true, false, false, []bool{false}},
+		{"maint-on", control.Call{Verb: control.MaintOn, ID: "e1"}, true, true, true, nil},
+		{"maint-on, never listed", control.Call{Verb: control.MaintOn, ID: "x"}, true, true, false, nil},
+		{"maint-off", control.Call{Verb: control.MaintOff, ID: "e1"}, true, true, true, nil},
+		{"unknown", control.Call{Verb: "reboot"}, true, true, false, nil},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			d, _ := newDesk(t, "")
+			var drained []bool
+			d.Ready = func() bool { return c.ready }
+			d.Drain = func(_ context.Context, on bool) bool {
+				drained = append(drained, on)
+				return c.drain
+			}
+			if got := d.Answer(t.Context(), c.command); got != c.want {
+				t.Errorf("%v, want %v", got, c.want)
+			}
+			if !slices.Equal(drained, c.drained) {
+				t.Errorf("drains %v, want %v", drained, c.drained)
+			}
+		})
+	}
+}
+
+func TestEjectionsAreWritten(t *testing.T) {
+	dir := t.TempDir()
+	d, engines := newDesk(t, dir)
+	for _, c := range []struct {
+		command control.Call
+		want    string
+	}{
+		{control.Call{Verb: control.MaintOn, ID: "e2"}, "e2\n"},
+		{control.Call{Verb: control.MaintOn, ID: "e1"}, "e1\ne2\n"},
+		{control.Call{Verb: control.MaintOff, ID: "e2"}, "e1\n"},
+		{control.Call{Verb: control.MaintOff, ID: "e1"}, "\n"},
+	} {
+		if !d.Answer(t.Context(), c.command) {
+			t.Errorf("%+v refused", c.command)
+		}
+		if got := fileText(t, dir); got != c.want {
+			t.Errorf("%+v: file %q, want %q", c.command, got, c.want)
+		}
+	}
+	if err := os.WriteFile(filepath.Join(dir, "wellgw-bans-n"), []byte("e2\nother\n"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	d.Load()
+	if got := engines.Ejected(); !slices.Equal(got, []string{"e2", "other"}) {
+		t.Errorf("as another process wrote them: %v", got)
+	}
+	if err := os.WriteFile(filepath.Join(dir, "wellgw-bans-n"), []byte("e1\ne"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	d.Load()
+	if got := engines.Ejected(); !slices.Equal(got, []string{"e2", "other"}) {
+		t.Errorf("after a damaged file: %v", got)
+	}
+}
+
+// An ejection whose file can't be written is in force and refused; it is written once that can be done.
+func TestUnwrittenEjectionIsRefused(t *testing.T) {
+	dir := filepath.Join(t.TempDir(), "missing")
+	d, engines := newDesk(t, dir)
+	if d.Answer(t.Context(), control.Call{Verb: control.MaintOn, ID: "e1"}) {
+		t.Error("accepted, though not written")
+	}
+	if got := engines.Ejected(); !slices.Equal(got, []string{"e1"}) {
+		t.Errorf("in force: %v", got)
+	}
+	if err := os.Mkdir(dir, 0o700); err != nil {
+		t.Fatal(err)
+	}
+	ctx, cancel := context.WithCancel(t.Context())
+	done := make(chan struct{})
+	go func() { defer close(done); d.Watch(ctx) }()
+	defer func() { cancel(); <-done }()
+	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
+		if text, err := os.ReadFile(filepath.Join(dir, "wellgw-bans-n")); err == nil && string(text) == "e1\n" {
+			return
+		}
+		if time.Now().After(deadline) {
+			t.Fatal("not written")
+		}
+	}
+}
+
+// A process hands over once, to a newer one that is ready, and says that it is ready itself.
+func TestNewerProcessTakesOver(t *testing.T) {
+	dir := t.TempDir()
+	d, _ := newDesk(t, dir)
+	d.Self = ejectionfile.Self{Started: time.Unix(1000, 0), PID: 10}
+	taken := make(chan struct{}, 8)
+	d.Newer = func() { taken <- struct{}{} }
+	ctx, cancel := context.WithCancel(t.Context())
+	done := make(chan struct{})
+	go func() { defer close(done); d.Watch(ctx) }()
+	defer func() { cancel(); <-done }()
+	other := ejectionfile.Open(dir, "n")
+	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
+		if marked, ok := other.Ready(); ok && marked.Started.Equal(d.Self.Started) && marked.PID == d.Self.PID {
+			break
+		}
+		if time.Now().After(deadline) {
+			t.Fatal("not marked ready")
+		}
+	}
+	if err := other.MarkReady(ejectionfile.Self{Started: time.Unix(1001, 0), PID: 9}); err != nil {
+		t.Fatal(err)
+	}
+	<-taken
+	time.Sleep(3 * Look)
+	if len(taken) != 0 {
+		t.Error("handed over twice")
+	}
+}
