--- /dev/null
+++ b/decide/heldstate/golden_test.go
@@ -0,0 +1,117 @@
+package heldstate
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"fmt"
+	"hash"
+	"math/rand/v2"
+	"testing"
+	"time"
+)
+
+// golden is the hash over all that ledgers have said under the events of goldenRun. Every value is
+// hashed as a number or as an engine's letter, so that it outlives renames.
+const golden = "28172bb471a78a1b75d50908752244a5d5252fd9eb012b91814ac682865e3d5e"
+
+// goldenRun drives one ledger with events drawn from a seed, and hashes what it says after each.
+func goldenRun(h hash.Hash, seed uint64) {
+	draw := rand.New(rand.NewPCG(seed, 45))
+	span := func(most time.Duration) time.Duration { return time.Duration(draw.Int64N(int64(most))) }
+	lim := Limits{Pin: 20*ms + span(time.Second), Slack: span(400 * ms), GiveUp: 5 * time.Second, Reach: span(300 * ms), ReadFor: span(4 * time.Second)}
+	l := New(lim)
+	names := []string{"a", "b", "c", "d"}
+	now := Time(ms)
+	flight := map[string]bool{}
+	number := func(b bool) int {
+		if b {
+			return 1
+		}
+		return 0
+	}
+	for range 60 {
+		e := names[draw.IntN(len(names))]
+		step := draw.IntN(14)
+		fmt.Fprint(h, seed, now, step, e, ";")
+		switch step {
+		case 0:
+			l.ReadDone(e, now)
+		case 1:
+			l.AttemptLost(e, draw.IntN(2) == 0)
+		case 2:
+			l.AttemptFailed(e)
+		case 3:
+			if draw.IntN(3) == 0 {
+				l.AnswerBegan()
+			}
+		case 4:
+			if draw.IntN(3) == 0 {
+				l.AnswerDone()
+			}
+		case 5:
+			if draw.IntN(3) == 0 {
+				l.Detach()
+			}
+		case 6:
+			if draw.IntN(3) == 0 {
+				l.NoState()
+			}
+		case 7:
+			if draw.IntN(4) == 0 {
+				l.Finish()
+			}
+		case 8:
+			l.ReleaseAgain()
+		case 9:
+			l.WasOut(now)
+		case 10, 11:
+			l.SetOut([]Out{None, Unconfirmed, Confirmed}[draw.IntN(3)], now)
+		case 12:
+			if draw.IntN(4) == 0 {
+				delete(flight, e)
+				l.Forget(e)
+			}
+		case 13: // engines answer late, or never
+		}
+		for _, over := range l.Superseded(now) {
+			fmt.Fprint(h, "s", over, ",")
+			if flight[over] && draw.IntN(2) == 0 {
+				delete(flight, over)
+				l.ReleaseEnded(over, false, now)
+			}
+		}
+		check, expired := l.CheckDue(now), l.Expired(now)
+		fmt.Fprint(h, number(check), number(expired), ",")
+		if expired {
+			l.Expire(now)
+		}
+		for _, due := range l.Due(now) {
+			flight[due] = true
+			fmt.Fprint(h, "d", due, int64(l.Until(due)), ",")
+		}
+		for _, name := range names {
+			if flight[name] && draw.IntN(3) == 0 {
+				delete(flight, name)
+				l.ReleaseEnded(name, draw.IntN(3) > 0, now)
+			}
+		}
+		next, some := l.Next()
+		fmt.Fprintln(h, l.Holder(), int64(next), number(some), number(l.Done()), number(l.Urgent(now)))
+		switch {
+		case some && next > now && draw.IntN(2) == 0:
+			now = next
+		default:
+			now += span(time.Duration(1+draw.IntN(900)) * ms)
+		}
+	}
+}
+
+func TestGolden(t *testing.T) {
+	h := sha256.New()
+	for seed := range uint64(2000) {
+		goldenRun(h, seed)
+	}
+	if got := hex.EncodeToString(h.Sum(nil)); got != golden {
+		t.Errorf("the ledgers say %s, want %s", got, golden)
+	}
+}
--- /dev/null
+++ b/internal/core/trace_test.go
@@ -0,0 +1,589 @@
+package core
+
+import (
+	"context"
+	"errors"
+	"flag"
+	"fmt"
+	"io"
+	"log/slog"
+	"maps"
+	"os"
+	"slices"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+
+	"wellgw/internal/invariant"
+	"wellgw/routing"
+)
+
+var updateTrace = flag.Bool("update-trace", false, "write testdata/trace.txt anew")
+
+// tracer is an engine pool, a directory, fronts and an observer that write down, with the time, all
+// that they are told by a core. What they say to it is the scenario's.
+type tracer struct {
+	t        *testing.T
+	core     *Core
+	start    time.Time
+	mu       sync.Mutex
+	out      *strings.Builder
+	attempts []*tracedAttempt
+	releases []func(error)
+	reaches  []func(bool)
+	probes   []func(routing.Status, *routing.Report)
+}
+
+type tracedAttempt struct {
+	tr      *tracer
+	n       int
+	a       Attempt
+	written atomic.Bool
+	first   func(Stream)
+	ended   func(Result)
+}
+
+func (tr *tracer) note(format string, args ...any) {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	fmt.Fprintf(tr.out, "%8.1f "+format+"\n", append([]any{float64(time.Since(tr.start).Microseconds()) / 1000}, args...)...)
+}
+
+// add appends a call to a list and returns its number.
+func add[T any](tr *tracer, list *[]T, call T) int {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	*list = append(*list, call)
+	return len(*list) - 1
+}
+
+// all returns the calls of a list.
+func all[T any](tr *tracer, list *[]T) []T {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	return slices.Clone(*list)
+}
+
+// begun returns the attempts begun so far.
+func (tr *tracer) begun() []*tracedAttempt { return all(tr, &tr.attempts) }
+
+func (a *tracedAttempt) Cancel() { a.tr.note("cancel %d", a.n) }
+
+func (a *tracedAttempt) Withdraw() bool {
+	unwritten := !a.written.Load()
+	a.tr.note("withdraw %d: %v", a.n, unwritten)
+	return unwritten
+}
+
+func (tr *tracer) Start(a Attempt, first func(Stream), ended func(Result)) Handle {
+	at := &tracedAttempt{tr: tr, a: a, first: first, ended: ended}
+	at.n = add(tr, &tr.attempts, at)
+	tr.note("start %d: %s number %d at %s, limit %v, target %s, waits %v, client gone %v",
+		at.n, a.Wire, a.Number, a.To.Name, a.Limit, a.Payload.Target, a.Connected != nil, a.Left())
+	return at
+}
+
+func (tr *tracer) Release(r Release, done func(error)) (stop func()) {
+	n := add(tr, &tr.releases, done)
+	var others []string
+	for _, m := range r.Elsewhere {
+		others = append(others, m.Name)
+	}
+	tr.note("release %d: %s at %s, else %v after %v every %v, until %v", n, r.Wire, r.At.Name, others, r.ElsewhereAfter, r.ElsewhereEvery,
+		time.Until(r.Until).Round(time.Millisecond))
+	return func() { tr.note("stop release %d", n) }
+}
+
+func (tr *tracer) Reach(m Member, done func(bool)) {
+	tr.note("reach %d: %s", add(tr, &tr.reaches, done), m.Name)
+}
+
+func (tr *tracer) Probe(m Member, done func(routing.Status, *routing.Report)) {
+	tr.note("probe %d: %s", add(tr, &tr.probes, done), m.Name)
+}
+
+func (tr *tracer) Subscribe() { tr.note("subscribe") }
+
+func (tr *tracer) Answered(q Request, a Answer, verdict string) {
+	tr.note("observed %s: %d %q", q.Wire, a.Verdict, verdict)
+}
+
+type tracedFront struct {
+	tr   *tracer
+	name string
+}
+
+func (f tracedFront) Answer(a Answer) {
+	f.tr.note("answer %s: %d, status %d, cause %v, retry %v, quota %v, stream %v, may run %v, standing %v", f.name, a.Verdict, a.Status, a.Cause,
+		a.RetryAfter, a.OverQuota, a.Stream != nil, a.MayRun, a.Standing != nil)
+}
+
+type tracedStream struct {
+	tr   *tracer
+	name string
+	text
+	relayed bool // closed by a front at a time of its own, beside the core
+	closes  atomic.Int32
+}
+
+func (s *tracedStream) Close() error {
+	if s.closes.Add(1); !s.relayed {
+		s.tr.note("close stream %s", s.name)
+	}
+	return nil
+}
+
+func (tr *tracer) submit(class, id string, ttl time.Duration) *Ticket {
+	q := ask(class, ttl)
+	q.Wire, q.Payload.Target = id, "/"+id
+	ticket := tr.core.Submit(q, tracedFront{tr, id})
+	synctest.Wait()
+	return ticket
+}
+
+// written has the core hear that an attempt's last byte is written.
+func (tr *tracer) written(n int) {
+	tr.begun()[n].written.Store(true)
+	tr.begun()[n].a.Written()
+	synctest.Wait()
+}
+
+func (tr *tracer) ended(n int, s routing.Status) { tr.end(n, Result{Status: s}) }
+
+func (tr *tracer) end(n int, r Result) {
+	tr.begun()[n].ended(r)
+	synctest.Wait()
+}
+
+func (tr *tracer) first(n int) *tracedStream {
+	s := &tracedStream{tr: tr, name: fmt.Sprint(n)}
+	tr.begun()[n].first(s)
+	synctest.Wait()
+	return s
+}
+
+// connect has the core hear that an attempt's connection is up, and notes when it may be written.
+func (tr *tracer) connect(n int) {
+	go func() {
+		tr.begun()[n].a.Connected()
+		tr.note("clear %d", n)
+	}()
+	synctest.Wait()
+}
+
+func (tr *tracer) released(n int, err error) {
+	all(tr, &tr.releases)[n](err)
+	synctest.Wait()
+}
+
+func (tr *tracer) sleep(d time.Duration) {
+	time.Sleep(d)
+	synctest.Wait()
+}
+
+// read has an attempt written and its read end.
+func (tr *tracer) read(n int) {
+	tr.written(n)
+	tr.ended(n, routing.StatusRead)
+}
+
+var errTraced = errors.New("traced")
+
+// scenarios are what a core is put through. Engines r1 and r2 are prefill engines, w1 and w2 decode
+// engines.
+var scenarios = []struct {
+	name   string
+	change func(*routing.Settings)
+	run    func(*tracer)
+}{
+	{"served", nil, func(tr *tracer) {
+		ticket := tr.submit("free", "a", time.Minute)
+		tr.read(0)
+		tr.written(1)
+		tr.first(1)
+		tr.sleep(50 * time.Millisecond)
+		ticket.Finish(Result{Status: routing.StatusServed, Output: 7, Kept: 3})
+	}},
+	{"duplicate", nil, func(tr *tracer) {
+		tr.submit("free", "a", time.Minute)
+		tr.submit("free", "a", time.Minute).Gone()
+		tr.submit("once", "b", time.Minute)
+		tr.read(0)
+		tr.ended(2, routing.StatusError)
+	}},
+	{"gone unwritten", nil, func(tr *tracer) { tr.submit("once", "a", time.Minute).Gone() }},
+	{"gone written", nil, func(tr *tracer) {
+		ticket := tr.submit("once", "a", time.Minute)
+		tr.written(0)
+		ticket.Gone()
+		tr.sleep(time.Second)
+		tr.released(0, nil)
+	}},
+	{"gone written, no cancel", func(s *routing.Settings) { s.CanCancel = false }, func(tr *tracer) {
+		ticket := tr.submit("once", "a", time.Minute)
+		tr.written(0)
+		ticket.Gone()
+		tr.sleep(time.Second)
+		tr.ended(0, routing.StatusRead)
+	}},
+	{"gone as it streams", nil, func(tr *tracer) {
+		ticket := tr.submit("once", "a", time.Minute)
+		tr.read(0)
+		tr.written(1)
+		tr.first(1)
+		ticket.Gone()
+		synctest.Wait()
+		ticket.Finish(Result{Status: routing.StatusCancelled})
+	}},
+	{"late stream", nil, func(tr *tracer) {
+		ticket := tr.submit("once", "a", time.Minute)
+		tr.read(0)
+		tr.written(1)
+		ticket.Gone()
+		synctest.Wait()
+		tr.first(1)
+	}},
+	{"broken stream", nil, func(tr *tracer) {
+		ticket := tr.submit("free", "a", time.Minute)
+		tr.read(0)
+		tr.written(1)
+		tr.first(1)
+		ticket.Finish(Result{Status: routing.StatusReset, Cause: errTraced})
+		synctest.Wait()
+		tr.released(0, nil)
+		tr.released(1, errTraced)
+	}},
+	{"relayed", nil, func(tr *tracer) {
+		for _, c := range []struct {
+			id         string
+			end, write error
+		}{{"whole", io.EOF, nil}, {"broken", errTraced, nil}, {"unwritable", io.EOF, errTraced}} {
+			n := len(tr.begun())
+			ticket := tr.submit("free", c.id, time.Minute)
+			tr.read(n)
+			tr.written(n + 1)
+			s := &tracedStream{tr: tr, name: c.id, text: text{rest: "data: x\n\n", end: c.end}, relayed: true}
+			tr.begun()[n+1].first(s)
+			synctest.Wait()
+			err := ticket.Relay(tr.t.Context(), s, func(p []byte) error { tr.note("write %q", p); return c.write })
+			synctest.Wait()
+			tr.note("relayed: %v, closed %d times", err, s.closes.Load())
+		}
+	}},
+	{"past its deadline", nil, func(tr *tracer) { tr.submit("once", "a", -time.Second) }},
+	{"silent until its deadline", nil, func(tr *tracer) {
+		tr.submit("once", "a", 2*time.Second)
+		tr.read(0)
+		tr.written(1)
+		tr.sleep(3 * time.Second)
+		for n := range all(tr, &tr.releases) {
+			tr.released(n, nil)
+		}
+	}},
+	{"retried", nil, func(tr *tracer) {
+		tr.submit("free", "a", time.Minute)
+		for _, s := range []routing.Status{routing.StatusNoConnect, routing.StatusFull, routing.StatusError, routing.StatusReset} {
+			tr.written(len(tr.begun()) - 1)
+			tr.ended(len(tr.begun())-1, s)
+			tr.sleep(500 * time.Millisecond)
+		}
+	}},
+	{"an order that fails", nil, func(tr *tracer) {
+		tr.submit("once", "a", time.Minute)
+		tr.read(0)
+		tr.written(1)
+		tr.end(1, Result{Status: routing.StatusReset, Cause: errTraced})
+	}},
+	{"no state", nil, func(tr *tracer) {
+		tr.submit("once", "a", time.Minute)
+		tr.read(0)
+		tr.written(1)
+		tr.end(1, Result{Status: routing.StatusFull, NoState: true})
+		tr.sleep(time.Second)
+		tr.released(0, ErrNoRelease)
+	}},
+	{"over its quota", func(s *routing.Settings) { s.Tenants = []routing.Tenant{{Name: "team", Quota: 0.4}} }, func(tr *tracer) {
+		for n := range 12 {
+			q := ask("free", time.Minute)
+			q.Wire, q.Tenant = fmt.Sprint("a", n), "team"
+			tr.core.Submit(q, tracedFront{tr, q.Wire})
+			synctest.Wait()
+		}
+	}},
+	{"overtaken", nil, func(tr *tracer) {
+		tr.submit("free", "a", 20*time.Second)
+		tr.read(0)
+		tr.written(1)
+		tr.sleep(15 * time.Second) // the attempt's limit passes, its connection is kept open
+		for n := 2; n < len(tr.begun()); n++ {
+			if tr.begun()[n].a.Connected != nil {
+				tr.connect(n)
+			}
+			tr.sleep(10 * time.Millisecond)
+			tr.written(n)
+		}
+		tr.ended(1, routing.StatusRead)
+		tr.sleep(20 * time.Second)
+		for n := range all(tr, &tr.releases) {
+			tr.released(n, nil)
+		}
+	}},
+	{"read after its cancel", nil, func(tr *tracer) {
+		tr.submit("free", "a", 300*time.Millisecond)
+		tr.written(0)
+		tr.sleep(time.Second)
+		tr.ended(0, routing.StatusRead)
+		tr.sleep(time.Second)
+	}},
+	{"lingering", nil, func(tr *tracer) {
+		tr.submit("once", "a", 300*time.Millisecond)
+		tr.read(0)
+		tr.written(1)
+		tr.sleep(400 * time.Millisecond)
+		tr.released(0, nil)
+		tr.sleep(20 * time.Second)
+	}},
+	{"lingering until its limit", nil, func(tr *tracer) {
+		tr.submit("once", "a", 300*time.Millisecond)
+		tr.read(0)
+		tr.written(1)
+		tr.sleep(40 * time.Second)
+	}},
+	{"a state expires", nil, func(tr *tracer) {
+		tr.submit("once", "a", time.Minute)
+		tr.read(0)
+		tr.sleep(2 * time.Second)
+		if len(all(tr, &tr.releases)) > 0 {
+			tr.released(0, nil)
+		}
+	}},
+	{"an engine is checked", nil, func(tr *tracer) {
+		ticket := tr.submit("once", "a", time.Minute)
+		tr.read(0)
+		tr.written(1)
+		tr.sleep(460 * time.Millisecond)
+		for _, done := range all(tr, &tr.reaches) {
+			done(true)
+		}
+		tr.sleep(2 * time.Second)
+		tr.note("may run: %v", ticket.MayRun(tr.t.Context()))
+		tr.first(1)
+	}},
+	{"engines come and go", nil, func(tr *tracer) {
+		tr.core.Gateways(3)
+		names, ok := tr.core.Eject(tr.t.Context(), "w1", true)
+		tr.note("eject: %v %v", names, ok)
+		names, ok = tr.core.Eject(tr.t.Context(), "nobody", true)
+		tr.note("eject: %v %v", names, ok)
+		tr.submit("once", "a", time.Minute)
+		tr.read(0)
+		tr.core.SetEjected([]string{"w2"})
+		tr.submit("once", "b", time.Minute)
+		tr.read(len(tr.begun()) - 1)
+		tr.note("ejected %v, ready %v", tr.core.Ejected(), tr.core.Ready())
+		tr.core.Roster(routing.RosterChanges, []Member{{EngineInfo: routing.EngineInfo{Name: "w1", Kind: "w", Phase: routing.PhaseOff}}})
+		tr.core.Roster(routing.RosterFailed, nil)
+		synctest.Wait()
+		tr.note("ready %v", tr.core.Ready())
+		tr.core.Roster(routing.RosterFull, nil)
+		synctest.Wait()
+		tr.note("ready %v", tr.core.Ready())
+		tr.submit("free", "c", time.Second)
+		tr.sleep(2 * time.Second)
+	}},
+	{"abandoned", nil, func(tr *tracer) {
+		tr.submit("once", "a", time.Minute)
+		tr.submit("once", "b", time.Minute)
+		tr.read(0)
+		tr.written(2)
+		tr.core.Abandon(false)
+		synctest.Wait()
+		tr.submit("once", "c", time.Minute)
+		tr.core.Abandon(true)
+		go func() { tr.note("drained: %v", tr.core.Drain(tr.t.Context())) }()
+		synctest.Wait()
+		for range 3 {
+			for n := range all(tr, &tr.releases) {
+				tr.released(n, nil)
+			}
+			tr.sleep(time.Second)
+		}
+	}},
+	{"drain in vain", nil, func(tr *tracer) {
+		tr.submit("once", "a", time.Minute)
+		ctx, cancel := context.WithTimeout(tr.t.Context(), time.Second)
+		defer cancel()
+		tr.note("drained: %v", tr.core.Drain(ctx))
+	}},
+	{"probed", nil, func(tr *tracer) {
+		tr.submit("free", "a", 5*time.Second)
+		query(tr.t.Context(), tr.core, func() bool { tr.core.probe("r1"); return true })
+		tr.sleep(20 * time.Millisecond)
+		for _, done := range all(tr, &tr.probes) {
+			done(routing.StatusServed, &routing.Report{})
+		}
+		tr.sleep(time.Second)
+	}},
+	{"subscribed", func(s *routing.Settings) { s.MustSubscribe = true }, func(tr *tracer) {
+		tr.submit("free", "a", 5*time.Second)
+		tr.sleep(100 * time.Millisecond)
+	}},
+	{"overdue", nil, func(tr *tracer) {
+		tr.submit("free", "a", 5*time.Second)
+		tr.written(0)
+		query(tr.t.Context(), tr.core, func() bool {
+			for _, q := range tr.core.requests {
+				tr.core.overdue(q)
+			}
+			return true
+		})
+		tr.sleep(time.Second)
+	}},
+	{"next one waits for the end of the last", nil, func(tr *tracer) {
+		tr.submit("free", "a", 5*time.Second)
+		tr.written(0)
+		tr.ended(0, routing.StatusTimeout)
+		tr.sleep(10 * time.Millisecond)
+		tr.connect(1)
+		tr.sleep(10 * time.Millisecond)
+		tr.written(1)
+		tr.sleep(10 * time.Second)
+	}},
+	{"refusal waits for the end of the last", nil, func(tr *tracer) {
+		tr.submit("once", "a", 300*time.Millisecond)
+		tr.written(0)
+		tr.sleep(time.Second)
+	}},
+	{"cancelled as it is written", nil, func(tr *tracer) {
+		ticket := tr.submit("once", "a", time.Minute)
+		tr.begun()[0].written.Store(true)
+		ticket.Gone()
+		synctest.Wait()
+		tr.written(0)
+		tr.ended(0, routing.StatusReset)
+	}},
+	{"settings changed", nil, func(tr *tracer) {
+		set := testSettings()
+		set.MaxAttempts = 0
+		tr.note("refused: %v", tr.core.Retune(tr.t.Context(), set) != nil)
+		set.MaxAttempts, set.Classes = 2, set.Classes[:1]
+		tr.note("refused: %v", tr.core.Retune(tr.t.Context(), set) != nil)
+		tr.submit("free", "a", time.Minute)
+		tr.read(0)
+		tr.ended(1, routing.StatusError)
+		tr.submit("once", "b", time.Minute)
+	}},
+	{"idle", nil, func(tr *tracer) {
+		tr.sleep(time.Second)
+		ticket := tr.submit("once", "a", time.Minute)
+		tr.sleep(time.Second)
+		ticket.Gone()
+		synctest.Wait()
+		tr.sleep(time.Second)
+		tr.note("idle for %v", tr.core.Quiet(tr.t.Context()))
+	}},
+}
+
+// newTracer returns a tracer with a core that runs, and the engines listed.
+func newTracer(t *testing.T, out *strings.Builder, change func(*routing.Settings)) *tracer {
+	set := testSettings()
+	if change != nil {
+		change(&set)
+	}
+	router, err := routing.New(set, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	tr := &tracer{t: t, out: out, start: time.Now()}
+	tr.core = New(router, tr, tr, Figures{Slack: 50 * time.Millisecond, PinLimit: set.PinLimit, PinSlack: 100 * time.Millisecond, Reach: 100 * time.Millisecond, MaxSends: set.MaxAttempts},
+		slog.New(slog.NewTextHandler(io.Discard, &slog.HandlerOptions{Level: slog.LevelDebug})), invariant.New())
+	tr.core.Observe(tr)
+	go tr.core.Run(t.Context())
+	tr.core.Roster(routing.RosterFull, []Member{
+		{EngineInfo: routing.EngineInfo{Name: "r1", Kind: "r", Weight: 1}},
+		{EngineInfo: routing.EngineInfo{Name: "r2", Kind: "r", Weight: 1}},
+		{EngineInfo: routing.EngineInfo{Name: "w1", Kind: "w", Weight: 1}},
+		{EngineInfo: routing.EngineInfo{Name: "w2", Kind: "w", Weight: 1}},
+	})
+	synctest.Wait()
+	return tr
+}
+
+// TestTrace pins what engines, directory, fronts and observer see of a core in each scenario, in
+// which order and when, and what it has counted at the end.
+func TestTrace(t *testing.T) {
+	const file = "testdata/trace.txt"
+	var out strings.Builder
+	for _, scenario := range scenarios {
+		fmt.Fprintf(&out, "== %s\n", scenario.name)
+		synctest.Test(t, func(t *testing.T) {
+			tr := newTracer(t, &out, scenario.change)
+			scenario.run(tr)
+			synctest.Wait()
+			counts := tr.core.Counts(t.Context())
+			for _, name := range slices.Sorted(maps.Keys(counts)) {
+				fmt.Fprintf(&out, "%s = %d\n", name, counts[name])
+			}
+			traffic := tr.core.Traffic(t.Context())
+			for _, class := range slices.Sorted(maps.Keys(traffic)) {
+				c := traffic[class]
+				fmt.Fprintf(&out, "class %s: %d %d %d %d %d\n", class, c.Asked, c.Prompt, c.Served, c.ServedPrompt, c.Output)
+			}
+		})
+	}
+	if *updateTrace {
+		if err := os.WriteFile(file, []byte(out.String()), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if diff := cmp.Diff(strings.Split(string(want), "\n"), strings.Split(out.String(), "\n")); diff != "" {
+		t.Errorf("trace (-want +got):\n%s", diff)
+	}
+}
+
+// BenchmarkRequestServed takes requests through the core: read, written, streamed and served.
+func BenchmarkRequestServed(b *testing.B) {
+	router, err := routing.New(testSettings(), 1)
+	if err != nil {
+		b.Fatal(err)
+	}
+	e := &servingEngine{}
+	c := New(router, e, e, Figures{Slack: 50 * time.Millisecond, PinLimit: time.Second, MaxSends: 4}, slog.New(slog.DiscardHandler), invariant.New())
+	go c.Run(b.Context())
+	c.Roster(routing.RosterFull, []Member{
+		{EngineInfo: routing.EngineInfo{Name: "r1", Kind: "r", Weight: 1}},
+		{EngineInfo: routing.EngineInfo{Name: "w1", Kind: "w", Weight: 1}},
+	})
+	b.ReportAllocs()
+	for b.Loop() {
+		a, ticket, _ := Await(b.Context(), c, ask("free", time.Minute))
+		if a.Verdict != Serving {
+			b.Fatalf("%+v", a)
+		}
+		ticket.Finish(Result{Status: routing.StatusServed, Output: 5})
+	}
+}
+
+// servingEngine serves all, at once.
+type servingEngine struct{ fake }
+
+func (*servingEngine) Start(a Attempt, first func(Stream), ended func(Result)) Handle {
+	go func() {
+		a.Written()
+		if a.To.Kind == "r" {
+			ended(Result{Status: routing.StatusRead})
+			return
+		}
+		first(&text{})
+	}()
+	return noHandle{}
+}
