--- a/fake/consul/store.go
+++ b/fake/consul/store.go
@@ -108,12 +108,12 @@
 	return out
 }
 
-func (s *state) clone() *state {
-	c := *s
-	c.nodes, c.services, c.checks = maps.Clone(s.nodes), maps.Clone(s.services), maps.Clone(s.checks)
-	c.byName, c.byNode, c.ofID = cloneSets(s.byName), cloneSets(s.byNode), cloneSets(s.ofID)
-	c.changed, c.pairs, c.gone = maps.Clone(s.changed), maps.Clone(s.pairs), maps.Clone(s.gone)
-	c.sessions, c.delays = maps.Clone(s.sessions), maps.Clone(s.delays)
+func (st *state) clone() *state {
+	c := *st
+	c.nodes, c.services, c.checks = maps.Clone(st.nodes), maps.Clone(st.services), maps.Clone(st.checks)
+	c.byName, c.byNode, c.ofID = cloneSets(st.byName), cloneSets(st.byNode), cloneSets(st.ofID)
+	c.changed, c.pairs, c.gone = maps.Clone(st.changed), maps.Clone(st.pairs), maps.Clone(st.gone)
+	c.sessions, c.delays = maps.Clone(st.sessions), maps.Clone(st.delays)
 	return &c
 }
 
@@ -191,12 +191,12 @@
 
 // marked tells what is stated of each service instance. It is kept small for large
 // stores: only what is not clear is worked out, the rest is named as clear.
-func (s *state) marked() map[string]string {
-	out := make(map[string]string, len(s.services))
-	for key := range s.services {
+func (st *state) marked() map[string]string {
+	out := make(map[string]string, len(st.services))
+	for key := range st.services {
 		out[key.id] = "clear"
 	}
-	for _, c := range s.checks {
+	for _, c := range st.checks {
 		what := ""
 		switch {
 		case strings.HasPrefix(c.CheckID, "_service_maintenance") || c.CheckID == "_node_maintenance":
@@ -213,7 +213,7 @@
 			}
 			continue
 		}
-		for key := range s.services {
+		for key := range st.services {
 			if key.node == c.Node {
 				out[key.id] = what
 			}
--- a/fake/engine/answer.go
+++ b/fake/engine/answer.go
@@ -50,7 +50,7 @@
 
 // script returns the data of the events that answer a request, in order.
 func (e *Engine) script(path string, q request, raw []byte, tokens, kept, out int) []string {
-	a := &scripted{engine: e, path: path, request: q, raw: raw, choices: max(1, q.N), out: out}
+	a := &scripted{engine: e, request: q, raw: raw, choices: max(1, q.N), out: out}
 	used := out * a.choices
 	choice, _ := q.ToolChoice.(string)
 	switch {
@@ -63,13 +63,12 @@
 		a.opening()
 		a.content()
 	}
-	return append(a.events, e.usage(path, tokens, kept, used)...)
+	return append(a.events, e.usage(tokens, kept, used)...)
 }
 
 // scripted is an answer as it is put together.
 type scripted struct {
 	engine  *Engine
-	path    string
 	request request
 	raw     []byte
 	choices int
@@ -78,7 +77,7 @@
 }
 
 func (a *scripted) add(choice string) {
-	a.events = append(a.events, a.engine.chunk(a.path, a.request, choice))
+	a.events = append(a.events, a.engine.chunk(a.request, choice))
 }
 
 func (a *scripted) delta(choice int, delta, logprobs, finish string) {
@@ -184,7 +183,7 @@
 	return "stop"
 }
 
-func (e *Engine) chunk(path string, q request, choices string) string {
+func (e *Engine) chunk(q request, choices string) string {
 	if e.Odd != OddFull {
 		return `{"choices":[` + choices + `]}`
 	}
@@ -195,7 +194,7 @@
 	return fmt.Sprintf(`{"id":"its-own","object":"its-own","created":1,"model":"its-own","system_fingerprint":"fp_%d","choices":[%s],"usage":null}`, seed, choices)
 }
 
-func (e *Engine) usage(path string, tokens, kept, out int) []string {
+func (e *Engine) usage(tokens, kept, out int) []string {
 	list := []string{fmt.Sprintf(`{"choices":[],"usage":{"prompt_tokens":%d,"completion_tokens":%d,"total_tokens":%d,"prompt_tokens_details":{"cached_tokens":%d}}}`, tokens, out, tokens+out, kept)}
 	if e.Odd == OddNoDone {
 		return list
--- a/internal/streambuffer/streambuffer_test.go
+++ b/internal/streambuffer/streambuffer_test.go
@@ -113,8 +113,8 @@
 func TestBufferOverflowEndsAttempt(t *testing.T) {
 	wrong := errors.New("wrong")
 	for name, p := range map[string]Pipe{
-		"in the middle": {Take: func(dst, p []byte) ([]byte, error) { return append(dst, "before"...), wrong }},
-		"at the end":    {Take: func(dst, p []byte) ([]byte, error) { return append(dst, "before"...), nil }, End: func(dst []byte) ([]byte, error) { return dst, wrong }},
+		"in the middle": {Take: func(dst, _ []byte) ([]byte, error) { return append(dst, "before"...), wrong }},
+		"at the end":    {Take: func(dst, _ []byte) ([]byte, error) { return append(dst, "before"...), nil }, End: func(dst []byte) ([]byte, error) { return dst, wrong }},
 	} {
 		s, tk := newSource(false), &ticket{}
 		s.parts <- "a"
