--- /dev/null
+++ b/decide/membership/golden_test.go
@@ -0,0 +1,214 @@
+package membership
+
+import (
+	"encoding/binary"
+	"fmt"
+	"hash"
+	"hash/fnv"
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+)
+
+// recorder hashes what machines return: numbers and texts in a fixed order, with no name of a
+// Go type or field, so that the sums outlive renames.
+type recorder struct {
+	hash.Hash64
+}
+
+func (r recorder) numbers(list ...uint64) {
+	for _, n := range list {
+		var b [8]byte
+		binary.BigEndian.PutUint64(b[:], n)
+		r.Write(b[:])
+	}
+}
+
+func (r recorder) text(s string) {
+	r.numbers(uint64(len(s)))
+	r.Write([]byte(s))
+}
+
+func (r recorder) update(u Update) {
+	r.text(u.ID)
+	r.text(u.Addr)
+	r.numbers(u.Incarnation, uint64(u.Status), uint64(u.Age), uint64(u.Beat))
+}
+
+func (r recorder) send(s Send) {
+	r.text(s.To)
+	r.text(s.From)
+	r.text(s.Addr)
+	r.text(s.About)
+	r.numbers(uint64(s.Kind), s.Instance, uint64(s.Seq), s.Epoch, s.Digest, uint64(s.Beat), uint64(len(s.Updates)))
+	for _, u := range s.Updates {
+		r.update(u)
+	}
+}
+
+func (r recorder) flags(list ...bool) {
+	for _, b := range list {
+		n := uint64(0)
+		if b {
+			n = 1
+		}
+		r.numbers(n)
+	}
+}
+
+func (r recorder) view(v View) {
+	r.numbers(v.Epoch, v.Digest, uint64(v.Sharing), uint64(v.Health), uint64(len(v.Others)))
+	r.update(v.Self)
+	r.flags(v.Minority, v.Silenced)
+	for _, g := range v.Others {
+		r.text(g.ID)
+		r.text(g.Addr)
+		r.text(g.Status.String())
+		r.numbers(g.Incarnation, uint64(g.Status), uint64(g.Since), uint64(g.Heard), uint64(g.RTT), uint64(g.Accusers), uint64(g.Due))
+		r.flags(g.OneWay, g.Steady)
+	}
+	s := v.Stats
+	r.numbers(s.Walks, s.Probes, s.Unanswered, s.Helped, s.Suspected, s.Refuted, s.Died, s.Pauses, s.Namesakes)
+}
+
+// parcel is a message under way in the drawn tier.
+type parcel struct {
+	at  Time
+	to  string
+	msg Message
+}
+
+// drawnTier is a tier under faults that are all drawn from one seed.
+type drawnTier struct {
+	recorder
+	rng      *rand.Rand
+	now      Time
+	machines map[string]*Machine
+	addrs    []string
+	away     map[string]Time // paused until
+	under    []parcel
+	cut      [2]string // messages from the one to the other are lost
+}
+
+func (d *drawnTier) start(addr, id string, life uint64) {
+	cfg := Config{
+		ID: id, Addr: addr, Instance: life<<32 | uint64(len(d.addrs)), Incarnation: life, Seed: d.rng.Uint64(),
+		Join: []string{"g0:1", "g1:1"}, Expect: d.rng.IntN(2) * 5, Plain: d.rng.IntN(5) == 0, Forget: 20 * time.Second,
+	}
+	if d.rng.IntN(2) == 0 {
+		cfg.Fits = func(m Message) int { return min(len(m.Updates), 3) }
+	}
+	if d.machines[addr] == nil {
+		d.addrs = append(d.addrs, addr)
+	}
+	d.machines[addr] = New(cfg, d.now)
+	d.view(d.machines[addr].View())
+}
+
+// carry records what a machine sends and sets it under way, with loss, delay and repetition.
+func (d *drawnTier) carry(from string, out []Send) {
+	for _, s := range out {
+		d.send(s)
+		if d.machines[s.To] == nil || d.rng.IntN(8) == 0 || d.cut == [2]string{from, s.To} {
+			continue
+		}
+		msg := s.Message
+		msg.Updates = slices.Clone(msg.Updates)
+		for range 1 + d.rng.IntN(12)/11 {
+			d.under = append(d.under, parcel{d.now + time.Duration(d.rng.IntN(25))*time.Millisecond, s.To, msg})
+		}
+	}
+}
+
+// step plays 20 ms: one machine after the other takes what has arrived, then its tick.
+func (d *drawnTier) step() {
+	d.now += 20 * time.Millisecond
+	for _, addr := range d.addrs {
+		m := d.machines[addr]
+		if m == nil || d.now < d.away[addr] {
+			continue
+		}
+		under := d.under
+		d.under = nil
+		for _, p := range under {
+			switch {
+			case p.to != addr || p.at > d.now:
+				d.under = append(d.under, p)
+			case d.rng.IntN(200) == 0:
+				d.carry(addr, m.Former(d.now, p.msg))
+			default:
+				d.carry(addr, m.Receive(d.now, p.msg))
+			}
+		}
+		d.carry(addr, m.Tick(d.now))
+		d.flags(m.Changed())
+	}
+}
+
+// fault draws one fault, or a departure, a restart or a second process of a name.
+func (d *drawnTier) fault() {
+	addr := d.addrs[d.rng.IntN(len(d.addrs))]
+	other := d.addrs[d.rng.IntN(len(d.addrs))]
+	m := d.machines[addr]
+	switch d.rng.IntN(7) {
+	case 0, 1:
+		d.away[addr] = d.now + time.Duration(d.rng.IntN(6000))*time.Millisecond
+	case 2:
+		d.cut = [2]string{addr, other}
+	case 3:
+		d.cut = [2]string{}
+	case 4:
+		if m != nil {
+			d.carry(addr, m.Leave(d.now))
+		}
+	case 5:
+		if m != nil {
+			d.carry(addr, m.End(d.now))
+			d.machines[addr] = nil
+		} else {
+			d.start(addr, addr[:2], 2+d.rng.Uint64N(4))
+		}
+	case 6:
+		if len(d.addrs) < 12 {
+			name := fmt.Sprintf("g%d", d.rng.IntN(9))
+			d.start(fmt.Sprintf("%s:%d", name, 2+len(d.addrs)), name, 1+d.rng.Uint64N(3))
+		}
+	}
+}
+
+// What machines send and show under drawn faults is what it was when the sums were taken.
+func TestGoldenTiers(t *testing.T) {
+	var all Stats
+	for seed, want := range [...]uint64{
+		0x866154c189e3de1, 0xce6d50dd51d7b598, 0xc6a9f29113c4c511, 0xca2619445de9659e,
+		0x4f72b299d59d58ed, 0x24e53511e5f7cbbb, 0xc73bf447832226ed, 0x53d6fa2900db87f1,
+	} {
+		d := &drawnTier{
+			recorder: recorder{fnv.New64a()}, rng: rand.New(rand.NewPCG(uint64(seed), 45)),
+			machines: map[string]*Machine{}, away: map[string]Time{},
+		}
+		for i := range 6 {
+			d.start(fmt.Sprintf("g%d:1", i), fmt.Sprintf("g%d", i), 1)
+		}
+		for n := range 2000 {
+			if d.step(); n%50 == 49 {
+				for _, addr := range d.addrs {
+					if m := d.machines[addr]; m != nil {
+						s := m.View().Stats
+						d.view(m.View())
+						all.Walks, all.Helped, all.Refuted = max(all.Walks, s.Walks), max(all.Helped, s.Helped), max(all.Refuted, s.Refuted)
+						all.Died, all.Pauses, all.Namesakes = max(all.Died, s.Died), max(all.Pauses, s.Pauses), max(all.Namesakes, s.Namesakes)
+					}
+				}
+				d.fault()
+			}
+		}
+		if got := d.Sum64(); got != want {
+			t.Errorf("seed %d: %#x, want %#x", seed, got, want)
+		}
+	}
+	if all.Walks == 0 || all.Helped == 0 || all.Refuted == 0 || all.Died == 0 || all.Pauses == 0 || all.Namesakes == 0 {
+		t.Errorf("something never happened in the drawn tiers: %+v", all)
+	}
+}
--- /dev/null
+++ b/decide/roles/golden_test.go
@@ -0,0 +1,163 @@
+package roles
+
+import (
+	"fmt"
+	"hash/fnv"
+	"io"
+	"math/rand/v2"
+	"testing"
+	"time"
+)
+
+// drawnSettings draws settings of every strategy.
+func drawnSettings(rng *rand.Rand) Settings {
+	set := DefaultSettings()
+	set.Strategy = Strategy([]string{"threshold", "queue-balance", "predictive", "predictive"}[rng.IntN(4)])
+	set.AnHour = 1 + rng.IntN(30)
+	set.Dwell = time.Duration(rng.IntN(90)) * time.Second
+	set.Settle = time.Duration(rng.IntN(30)) * time.Second
+	set.FleetPart = 0.2 + rng.Float64()*0.5
+	set.RackPart = 0.2 + rng.Float64()*0.5
+	set.Gain = rng.Float64() * 0.03
+	return set
+}
+
+// drawnFleet is engines of three racks whose work and changes are drawn.
+type drawnFleet struct {
+	rng     *rand.Rand
+	engines []Engine
+	asked   [2]Traffic // two classes: a sum over more would depend on a map's order
+	ends    map[string]time.Time
+}
+
+func newDrawnFleet(rng *rand.Rand) *drawnFleet {
+	f := &drawnFleet{rng: rng, asked: [2]Traffic{{Class: "chat"}, {Class: "batch"}}, ends: map[string]time.Time{}}
+	for i := range 6 + rng.IntN(12) {
+		e := Engine{ID: fmt.Sprintf("e%02d", i), Rack: rng.IntN(3), Role: Role(rng.IntN(2)), Ready: true, Pinned: rng.IntN(9) == 0}
+		if rng.IntN(12) == 0 {
+			e.Role = Role(2)
+		}
+		f.engines = append(f.engines, e)
+	}
+	return f
+}
+
+// second draws what the fleet does in a second: answer is the part of the second stage.
+func (f *drawnFleet) second(now time.Time, answer float64) []Traffic {
+	for i := range f.engines {
+		e := &f.engines[i]
+		if end, on := f.ends[e.ID]; on && now.After(end) {
+			delete(f.ends, e.ID)
+			e.Changing, e.Role, e.Tokens, e.Busy, e.Pace = false, e.Role.Other(), 0, 0, 0.3
+		}
+		if e.Pace > 0 {
+			if e.Pace += 0.05; e.Pace >= 1 {
+				e.Pace = 0
+			}
+		}
+		e.Util, e.Queue, e.Memory = f.rng.Float64(), f.rng.Float64()*3, f.rng.Float64()
+		if part := [...]float64{1 - answer, answer, 0.5}[e.Role]; part > 0.5 {
+			e.Util = min(1, e.Util+0.6)
+		}
+		e.Busy += e.Util * 4
+		e.Tokens += e.Util * 4 * (500 + 1000*f.rng.Float64())
+		e.Ready = f.rng.IntN(40) > 0
+	}
+	for i := range f.asked {
+		t := &f.asked[i]
+		n := float64(f.rng.IntN(30))
+		served := n * (0.6 + 0.4*f.rng.Float64())
+		t.Asked, t.Served = t.Asked+n, t.Served+served
+		t.Prompt, t.ServedPrompt = t.Prompt+n*900*(1-answer), t.ServedPrompt+served*900*(1-answer)
+		t.Output += served * 200 * answer
+	}
+	return f.asked[:]
+}
+
+func writePlan(w io.Writer, p Plan) {
+	if c := p.Change; c != nil {
+		fmt.Fprintln(w, c.Engine, c.Rack, uint8(c.From), uint8(c.To), c.From.String(), c.To.String())
+	}
+	fmt.Fprintln(w, p.Why)
+	for _, x := range []float64{
+		p.Demand[0], p.Demand[1], p.Noise[0], p.Noise[1], p.Capacity[0], p.Capacity[1],
+		p.Before.Mean, p.Before.Worst, p.After.Mean, p.After.Worst,
+	} {
+		fmt.Fprintf(w, "%.9g ", x)
+	}
+	fmt.Fprintln(w)
+}
+
+// What is planned for drawn fleets is what it was when the sums were taken. What is hashed has
+// no name of a Go type or field, so that the sums outlive renames.
+func TestGoldenPlans(t *testing.T) {
+	changes := 0
+	for seed, want := range [...]uint64{
+		0xa5cea7adf718919a, 0x6541490fb12c155, 0x90d3650d963cb308, 0x83e80d6280d4deb9,
+		0xb037c565254469c1, 0x69d38a9fd63cde2b, 0xb3b17dd5867f6acb, 0xf8a058c55b2525fc,
+	} {
+		rng, sum := rand.New(rand.NewPCG(uint64(seed), 45)), fnv.New64a()
+		p, err := NewPlanner(drawnSettings(rng))
+		if err != nil {
+			t.Fatal(err)
+		}
+		f := newDrawnFleet(rng)
+		now, answer := t0, 0.5
+		for n := range 1200 {
+			now = now.Add(time.Second)
+			if n%(15+seed) == 0 {
+				answer = [...]float64{0.15, 0.85}[n/(15+seed)%2]
+			}
+			if n%200 == 199 { // an engine goes, for good
+				f.engines = f.engines[:max(4, len(f.engines)-1)]
+			}
+			p.Observe(now, f.engines, f.second(now, answer))
+			plan := p.Plan(now)
+			writePlan(sum, plan)
+			c := plan.Change
+			if c == nil {
+				continue
+			}
+			changes++
+			p.Begun(now, *c)
+			for i := range f.engines {
+				if f.engines[i].ID == c.Engine {
+					f.engines[i].Changing = true
+					f.ends[c.Engine] = now.Add(time.Duration(5+rng.IntN(20)) * time.Second)
+				}
+			}
+			if rng.IntN(6) == 0 {
+				p.Ended(now.Add(time.Second), c.Engine, rng.IntN(2) == 0)
+			}
+		}
+		if got := sum.Sum64(); got != want {
+			t.Errorf("seed %d: %#x, want %#x", seed, got, want)
+		}
+	}
+	if changes < 20 {
+		t.Errorf("only %d changes were planned", changes)
+	}
+}
+
+// What is made of drawn sights, and how engines are split, is what it was.
+func TestGoldenSights(t *testing.T) {
+	const want = uint64(0x13dd97c8251bb52c)
+	rng, sum := rand.New(rand.NewPCG(1, 45)), fnv.New64a()
+	names := []string{"read", "write", "both", ""}
+	for range 20_000 {
+		x := Sight{
+			ID: "e", Rack: rng.IntN(4), In: rng.IntN(2) == 0, Up: time.Duration(rng.IntN(20)) * time.Second, Role: names[rng.IntN(4)], Slots: rng.IntN(9),
+			Running: rng.IntN(12), Queue: rng.IntN(6), Memory: rng.Float64(), Tokens: rng.Float64() * 1e6, Busy: rng.Float64() * 1e3, Pinned: rng.IntN(2) == 0,
+		}
+		if rng.IntN(3) == 0 {
+			x.Change = &InChange{Hold: rng.IntN(2) == 0, Role: names[rng.IntN(4)], For: time.Duration(rng.IntN(20)-2) * time.Second}
+		}
+		e, known := drawnSettings(rng).See(x)
+		fmt.Fprintln(sum, known, e.ID, e.Rack, uint8(e.Role), e.Changing, e.Ready, e.Pinned)
+		fmt.Fprintf(sum, "%.9g %.9g %.9g %.9g %.9g %.9g\n", e.Util, e.Queue, e.Pace, e.Memory, e.Tokens, e.Busy)
+		fmt.Fprintln(sum, fmt.Sprint(Split(rng.IntN(20), [2]float64{rng.Float64() * 9, rng.Float64() * 9})))
+	}
+	if got := sum.Sum64(); got != want {
+		t.Errorf("%#x, want %#x", got, want)
+	}
+}
