--- a/cmd/wellgw/gateway.go
+++ b/cmd/wellgw/gateway.go
@@ -112,7 +112,7 @@
 		return nil, nil, fmt.Errorf("settings: %w", err)
 	}
 	g.pool.MaxConns = connections
-	g.figures.PinLimit, g.figures.MaxSends, g.figures.Reach = g.set.PinLimit, g.set.MaxAttempts, g.pool.ConnectTimeout
+	g.figures.PinLimit, g.figures.MaxSends, g.figures.Reach = g.set.HeldStateLimit, g.set.MaxAttempts, g.pool.ConnectTimeout
 	pool := upstream.NewPool(g.pool)
 	directory := &laterDirectory{}
 	engine := &laterEngine{Engine: upstream.NewEngine(pool, g.dialect)}
--- a/decide/ejection/ejection.go
+++ b/decide/ejection/ejection.go
@@ -127,16 +127,16 @@
 // as started at its return, until the list tells of a later start.
 func (b *Set) Show(s routing.EngineInfo) routing.EngineInfo {
 	if b.out[s.Name] {
-		if s.Phase == routing.PhaseOn {
+		if s.Phase == routing.PhaseActive {
 			s.Phase = routing.PhaseDraining
 		}
 		return s
 	}
 	if r, ok := b.back[s.Name]; ok {
-		if s.CameUp >= r.out {
+		if s.StartTime >= r.out {
 			delete(b.back, s.Name)
 		} else {
-			s.CameUp = r.at
+			s.StartTime = r.at
 		}
 	}
 	return s
--- a/decide/ejection/ejection_test.go
+++ b/decide/ejection/ejection_test.go
@@ -11,7 +11,7 @@
 )
 
 func on(name string, up routing.Time) routing.EngineInfo {
-	return routing.EngineInfo{Name: name, Phase: routing.PhaseOn, CameUp: up}
+	return routing.EngineInfo{Name: name, Phase: routing.PhaseActive, StartTime: up}
 }
 
 func TestCalls(t *testing.T) {
@@ -24,7 +24,7 @@
 		phase  routing.Phase
 		cameUp routing.Time
 	}{
-		{"never listed", func(b *Set) bool { _, ok := b.Call("x", true, now); return ok }, false, nil, routing.PhaseOn, 0},
+		{"never listed", func(b *Set) bool { _, ok := b.Call("x", true, now); return ok }, false, nil, routing.PhaseActive, 0},
 		{"out", func(b *Set) bool { _, ok := b.Call("e1", true, now); return ok }, true, []string{"e1"}, routing.PhaseDraining, 0},
 		{"out twice", func(b *Set) bool { b.Call("e1", true, now); _, ok := b.Call("e1", true, now); return ok }, true, []string{"e1"}, routing.PhaseDraining, 0},
 		{"out twice, back once", func(b *Set) bool {
@@ -32,8 +32,8 @@
 			b.Call("e1", true, now)
 			_, ok := b.Call("e1", false, now+time.Second)
 			return ok
-		}, true, nil, routing.PhaseOn, now + time.Second},
-		{"back without an ejection", func(b *Set) bool { _, ok := b.Call("e1", false, now); return ok }, true, nil, routing.PhaseOn, 0},
+		}, true, nil, routing.PhaseActive, now + time.Second},
+		{"back without an ejection", func(b *Set) bool { _, ok := b.Call("e1", false, now); return ok }, true, nil, routing.PhaseActive, 0},
 		{"taken from a file", func(b *Set) bool { b.Take([]string{"e1", "gone"}, now); return true }, true, []string{"e1", "gone"}, routing.PhaseDraining, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -46,7 +46,7 @@
 				t.Errorf("out %v, want %v", b.Names(), c.out)
 			}
 			s := b.Show(on("e1", 0))
-			if s.Phase != c.phase || s.CameUp != c.cameUp {
+			if s.Phase != c.phase || s.StartTime != c.cameUp {
 				t.Errorf("shown %+v, want phase %v came up %v", s, c.phase, c.cameUp)
 			}
 		})
@@ -70,8 +70,8 @@
 		b.Call("e1", true, 10)
 		b.Call("e1", false, 20)
 		for i, up := range c.lists {
-			if s := b.Show(on("e1", up)); s.CameUp != c.want[i] {
-				t.Errorf("%s, look %d: came up %v, want %v", c.name, i, s.CameUp, c.want[i])
+			if s := b.Show(on("e1", up)); s.StartTime != c.want[i] {
+				t.Errorf("%s, look %d: came up %v, want %v", c.name, i, s.StartTime, c.want[i])
 			}
 		}
 	}
@@ -104,7 +104,7 @@
 				}
 			case 3:
 				s := b.Show(on(n, 0))
-				if (s.Phase == routing.PhaseOn) == out[n] {
+				if (s.Phase == routing.PhaseActive) == out[n] {
 					t.Fatalf("%s shown %v while out is %v", n, s.Phase, out[n])
 				}
 			}
--- a/decide/ejection/golden_test.go
+++ b/decide/ejection/golden_test.go
@@ -85,12 +85,12 @@
 			rec.names(change.Out)
 			rec.names(change.Back)
 		case 5, 6:
-			phases := []routing.Phase{routing.PhaseOn, routing.PhaseDraining}
+			phases := []routing.Phase{routing.PhaseActive, routing.PhaseDraining}
 			shown := set.Show(routing.EngineInfo{
-				Name: drawName(), Phase: phases[rng.IntN(len(phases))], CameUp: max(0, now-routing.Time(rng.IntN(5000))),
+				Name: drawName(), Phase: phases[rng.IntN(len(phases))], StartTime: max(0, now-routing.Time(rng.IntN(5000))),
 			})
 			rec.names([]string{shown.Name})
-			rec.number(int64(shown.Phase), int64(shown.CameUp))
+			rec.number(int64(shown.Phase), int64(shown.StartTime))
 		case 7:
 			name := drawName()
 			rec.flag(set.Listed(name))
--- a/experiments/fleetsim/attempts.go
+++ b/experiments/fleetsim/attempts.go
@@ -79,7 +79,7 @@
 func (w *world) pin(t *try) {
 	since := w.now
 	t.pinnedSince = since
-	w.at(since+w.deployment.Settings.PinLimit+time.Millisecond, func() {
+	w.at(since+w.deployment.Settings.HeldStateLimit+time.Millisecond, func() {
 		if t.pinnedSince == since && t.state != nil && t.out == nil && !t.pinnedMarked {
 			t.pinnedMarked = true
 			w.broke("the state of request %d stayed pinned", t.id)
@@ -110,7 +110,7 @@
 	}
 	w.at(w.now+w.way(a.try.gw, a.engine), func() {
 		if a.over {
-			if s == routing.StatusRead { // nobody asked any more: the state goes by itself
+			if s == routing.StatusPrefilled { // nobody asked any more: the state goes by itself
 				a.engine.release(a.try)
 			}
 			return
@@ -126,7 +126,7 @@
 	}
 }
 
-func (w *world) end(a *attempt, s routing.Status, found int, noState bool, rep *routing.Report) {
+func (w *world) end(a *attempt, s routing.Status, found int, noState bool, rep *routing.LoadReport) {
 	t := a.try
 	a.over, t.out = true, nil
 	if s != routing.StatusCancelled && s != routing.StatusTimeout { // those are closed
@@ -135,7 +135,7 @@
 	if !a.engine.prefills() && (s == routing.StatusError || s == routing.StatusTimeout || s == routing.StatusReset || s == routing.StatusCancelled) {
 		t.ran = true
 	}
-	if a.engine.prefills() && s != routing.StatusRead && t.state == a.engine { // cancelled or out of time: it goes by itself
+	if a.engine.prefills() && s != routing.StatusPrefilled && t.state == a.engine { // cancelled or out of time: it goes by itself
 		t.state = nil
 		a.engine.release(t)
 	}
@@ -151,6 +151,6 @@
 	}
 	w.tell(t.gw, routing.Outcome{
 		ID: t.id, Attempt: a.number, Engine: a.engine.Name, Status: s, Latency: w.now - a.sent, Final: final,
-		Kept: found, NoState: noState, Report: rep,
+		CachedTokens: found, StateMissing: noState, Report: rep,
 	})
 }
--- a/experiments/fleetsim/baseline.go
+++ b/experiments/fleetsim/baseline.go
@@ -92,7 +92,7 @@
 func (p *plain) Handle(_ routing.Time, ev routing.Event) []routing.Action {
 	p.out = p.out[:0]
 	switch e := ev.(type) {
-	case routing.Roster:
+	case routing.EngineList:
 		p.roster(e)
 	case routing.Request:
 		q := &plainRequest{Request: e}
@@ -102,13 +102,13 @@
 		p.reqs[e.ID].ran = true
 	case routing.Outcome:
 		p.outcome(e)
-	case routing.Gone:
+	case routing.ClientGone:
 		delete(p.reqs, e.ID)
 	}
 	return p.out
 }
 
-func (p *plain) roster(e routing.Roster) {
+func (p *plain) roster(e routing.EngineList) {
 	for _, info := range e.Engines {
 		s := p.servers[info.Name]
 		if s == nil {
@@ -129,12 +129,12 @@
 	}
 	var pool []*plainServer
 	for _, s := range p.order {
-		if s.role == role && s.Phase == routing.PhaseOn {
+		if s.role == role && s.Phase == routing.PhaseActive {
 			pool = append(pool, s)
 		}
 	}
 	single := slices.ContainsFunc(p.set.Classes, func(c routing.Class) bool {
-		return c.Name == q.Class && c.Effect == routing.EffectSingleShot
+		return c.Name == q.Class && c.Effect == routing.EffectAtMostOnce
 	})
 	if len(pool) == 0 || q.attempts >= p.set.MaxAttempts || q.ran && single {
 		if q.read {
@@ -143,7 +143,7 @@
 		if q.ran && single {
 			p.out = append(p.out, routing.Fail{ID: q.ID})
 		} else {
-			p.out = append(p.out, routing.Refuse{ID: q.ID})
+			p.out = append(p.out, routing.Reject{ID: q.ID})
 		}
 		delete(p.reqs, q.ID)
 		return
@@ -160,13 +160,13 @@
 		return
 	}
 	q.at.inHand--
-	if e.Status == routing.StatusRead {
+	if e.Status == routing.StatusPrefilled {
 		q.read = true
 		p.last["s:"+q.Session], p.last["p:"+q.Prefix] = e.Engine, e.Engine
 	} else if q.at.role == routing.RoleDecode {
-		never := e.Status == routing.StatusFull || e.Status == routing.StatusNoConnect
+		never := e.Status == routing.StatusRejected || e.Status == routing.StatusConnectFailed
 		q.ran = q.ran || !never
-		q.read = q.read && !e.NoState
+		q.read = q.read && !e.StateMissing
 	}
 	switch {
 	case e.Final:
--- a/experiments/fleetsim/clients.go
+++ b/experiments/fleetsim/clients.go
@@ -77,11 +77,11 @@
 			length += 20 + int(r.spread(c.New))
 			turn := s
 			turn.prompt, turn.out = length, min(c.MaxOut, 5+int(r.spread(c.Out)))
-			turn.worth = c.Gain * (float64(turn.prompt)/3000 + float64(turn.out)/120)
+			turn.worth = c.PriorityWeight * (float64(turn.prompt)/3000 + float64(turn.out)/120)
 			w.calls = append(w.calls, &turn)
 			w.at(turn.at, func() { w.ask(&turn) })
 			length += turn.out
-			s.at += time.Duration(float64(turn.out)*float64(c.TokenAim)/2) + time.Duration(r.spread(float64(c.Think)))
+			s.at += time.Duration(float64(turn.out)*float64(c.TokenIntervalObjective)/2) + time.Duration(r.spread(float64(c.Think)))
 		}
 	}
 }
@@ -97,7 +97,7 @@
 
 func (w *world) ask(c *call) {
 	class := &w.deployment.Classes[c.class]
-	patience := class.Deadline + 2*time.Duration(c.prompt)*class.AimPerToken
+	patience := class.Deadline + 2*time.Duration(c.prompt)*class.FirstTokenPerPromptToken
 	var near []*gateway
 	for _, g := range w.gateways {
 		if g.zone == c.zone {
@@ -125,7 +125,7 @@
 	w.at(t.deadline, func() { w.expire(t) })
 	w.tell(t.gw, routing.Request{
 		ID: t.id, Class: class.Name, Tenant: w.deployment.tenantName(c.tenant), Session: c.session, Prefix: c.prefix, PrefixLen: c.prefixLen,
-		Prompt: c.prompt, MaxTokens: class.MaxOut, TTL: ttl, Repeat: c.tries > 1,
+		PromptTokens: c.prompt, MaxTokens: class.MaxOut, TTL: ttl, Retry: c.tries > 1,
 	})
 }
 
@@ -145,7 +145,7 @@
 		if !t.ended && t.first == 0 {
 			w.broke("request %d got no final answer in time", t.id)
 			t.ended, t.gone = true, true
-			w.tell(t.gw, routing.Gone{ID: t.id})
+			w.tell(t.gw, routing.ClientGone{ID: t.id})
 		}
 	})
 }
@@ -166,12 +166,12 @@
 // earn books what a whole answer is worth.
 func (w *world) earn(t *try) {
 	c, class := t.call, &w.deployment.Classes[t.call.class]
-	aim := class.Aim + time.Duration(c.prompt)*class.AimPerToken
+	aim := class.FirstTokenObjective + time.Duration(c.prompt)*class.FirstTokenPerPromptToken
 	pace := (w.now - t.first) / time.Duration(max(c.out-1, 1))
 	switch {
-	case t.first-c.at <= aim && pace <= class.TokenAim:
+	case t.first-c.at <= aim && pace <= class.TokenIntervalObjective:
 		c.earned = c.worth
-	case pace <= 2*class.TokenAim:
+	case pace <= 2*class.TokenIntervalObjective:
 		c.earned, c.late = c.worth*class.LateWorth, true
 	}
 }
--- a/experiments/fleetsim/deployment.go
+++ b/experiments/fleetsim/deployment.go
@@ -81,7 +81,7 @@
 	Load         float64       // of what the weaker pool is reckoned to do
 	Swing        float64       // of a wave over the day
 	Bursts       bool
-	Report       routing.Report // which values reports carry (non-nil), with answers; all nil: none
+	Report       routing.LoadReport // which values reports carry (non-nil), with answers; all nil: none
 	ReportPeriod time.Duration
 	ReportDelay  time.Duration
 	Noise        float64
@@ -158,17 +158,17 @@
 	d.drawEngines(r)
 	value := 0.0
 	if wait := time.Duration(0); r.chance(0.6) {
-		d.Report = routing.Report{Memory: &value, WaitingTokens: &value}
+		d.Report = routing.LoadReport{MemoryUsed: &value, WaitingTokens: &value}
 		if r.chance(0.5) {
 			d.Report.Latency = &wait
 		}
 	}
 	d.Settings = routing.Settings{
-		Zones: d.Zones, Routers: len(d.Gateways), CanCancel: r.chance(0.8), CanRetryAfter: r.chance(0.7),
+		Zones: d.Zones, Gateways: len(d.Gateways), CanCancel: r.chance(0.8), CanRetryAfter: r.chance(0.7),
 		MaxRetryAfter: r.span(500*time.Millisecond, 3*time.Second), MaxAttempts: 3 + r.IntN(4),
-		DecodePrefills: r.chance(0.5), Cold: d.ColdSpan, ColdShare: d.ColdFrom,
-		Fall: r.span(2*time.Second, 4*time.Second), FallMultiple: r.in(3, 5),
-		PinLimit: r.span(300*time.Millisecond, 700*time.Millisecond), Tick: 2 * time.Millisecond,
+		DecodePrefills: r.chance(0.5), SlowStartPeriod: d.ColdSpan, SlowStartCapacity: d.ColdFrom,
+		OverloadWindow: r.span(2*time.Second, 4*time.Second), OverloadMultiple: r.in(3, 5),
+		HeldStateLimit: r.span(300*time.Millisecond, 700*time.Millisecond), Tick: 2 * time.Millisecond,
 	}
 	if size != nil {
 		d.pulled()
@@ -211,18 +211,18 @@
 // answer would be of little use.
 func (d *Deployment) pulled() {
 	value := 0.0
-	d.Pull, d.Report = true, routing.Report{Memory: &value, Queue: &value, Util: &value}
+	d.Pull, d.Report = true, routing.LoadReport{MemoryUsed: &value, QueueLength: &value, Utilization: &value}
 	d.Settings.CanProbe, d.Settings.CanCancel, d.Settings.DecodePrefills = true, true, false
 }
 
 func (d *Deployment) drawClasses(r draw) {
-	effects := []routing.Effect{routing.EffectFree, routing.EffectSingleShot}
+	effects := []routing.Effect{routing.EffectIdempotent, routing.EffectAtMostOnce}
 	for i := range 1 + r.IntN(3) {
 		aim := r.span(800*time.Millisecond, 3*time.Second)
 		d.Classes = append(d.Classes, Class{
 			Class: routing.Class{
-				Name: fmt.Sprint("class-", i), Aim: aim, AimPerToken: 40 * time.Microsecond,
-				TokenAim: r.span(50*time.Millisecond, 90*time.Millisecond), Gain: r.in(1, 4), Effect: effects[r.IntN(2)],
+				Name: fmt.Sprint("class-", i), FirstTokenObjective: aim, FirstTokenPerPromptToken: 40 * time.Microsecond,
+				TokenIntervalObjective: r.span(50*time.Millisecond, 90*time.Millisecond), PriorityWeight: r.in(1, 4), Effect: effects[r.IntN(2)],
 			},
 			Deadline: time.Duration(r.in(3, 5) * float64(aim)), LateWorth: r.in(0.1, 0.3), Share: r.in(0.3, 1),
 			New: r.in(200, 800), Out: r.in(60, 240), MaxOut: 500, Turns: r.in(1.3, 7), Think: r.span(1500*time.Millisecond, 9*time.Second),
--- a/experiments/fleetsim/engine.go
+++ b/experiments/fleetsim/engine.go
@@ -44,7 +44,7 @@
 	held     int          // tokens of all of them and of running work
 	linkFree time.Duration
 	latency  time.Duration
-	report   *routing.Report
+	report   *routing.LoadReport
 	arrivals []arrival // while cold
 	sends    int       // attempts sent here
 }
@@ -120,18 +120,18 @@
 func (e *engine) take(a *attempt) {
 	t := a.try
 	if !e.up {
-		e.world.reply(a, routing.StatusNoConnect, 0, false)
+		e.world.reply(a, routing.StatusConnectFailed, 0, false)
 		return
 	}
 	e.push(t)
 	if e.draining || len(e.running)+len(e.queue) >= e.kind.Slots+e.kind.Queue {
-		e.world.reply(a, routing.StatusFull, 0, false)
+		e.world.reply(a, routing.StatusRejected, 0, false)
 		return
 	}
 	j := &job{attempt: a, context: t.call.prompt, left: t.call.out}
 	if !e.prefills() && t.state == nil {
 		if !e.world.deployment.Settings.DecodePrefills {
-			e.world.reply(a, routing.StatusFull, 0, true)
+			e.world.reply(a, routing.StatusRejected, 0, true)
 			return
 		}
 		a.whole = true
@@ -147,16 +147,16 @@
 		return
 	}
 	e.arrivals = append(e.arrivals, arrival{e.world.now, e.world.weight(e, t.call.class)})
-	for len(e.arrivals) > 0 && e.world.now-e.arrivals[0].at > d.Settings.Fall {
+	for len(e.arrivals) > 0 && e.world.now-e.arrivals[0].at > d.Settings.OverloadWindow {
 		e.arrivals = e.arrivals[1:]
 	}
 	sum, chance := 0.0, 0.0
 	for _, x := range e.arrivals {
 		sum, chance = sum+x.weight, math.Max(chance, x.weight)
 	}
-	most := d.Settings.FallMultiple*e.capacity()*e.Speed*d.Settings.Fall.Seconds() + 3*chance
+	most := d.Settings.OverloadMultiple*e.capacity()*e.Speed*d.Settings.OverloadWindow.Seconds() + 3*chance
 	if sum > most {
-		e.world.broke("a cold engine was sent %.1f engine-seconds in %v, %.1f at most", sum, d.Settings.Fall, most)
+		e.world.broke("a cold engine was sent %.1f engine-seconds in %v, %.1f at most", sum, d.Settings.OverloadWindow, most)
 		e.arrivals = nil
 	}
 }
@@ -230,7 +230,7 @@
 				e.release(t)
 			} else {
 				t.state = e
-				e.world.reply(j.attempt, routing.StatusRead, found, false)
+				e.world.reply(j.attempt, routing.StatusPrefilled, found, false)
 			}
 		}
 		e.work()
@@ -251,7 +251,7 @@
 	case from.states[t] == 0:
 		t.state = nil
 		e.drop(j.attempt)
-		e.world.reply(j.attempt, routing.StatusFull, 0, true)
+		e.world.reply(j.attempt, routing.StatusRejected, 0, true)
 	default:
 		j.ready = e.world.fetch(from, e, j.context)
 		e.world.at(j.ready, func() { from.release(t) })
@@ -331,22 +331,22 @@
 		v *= math.Max(0, 1+d.Noise*e.world.noise.NormFloat64())
 		return &v
 	}
-	rep := &routing.Report{}
+	rep := &routing.LoadReport{}
 	waiting := 0
 	for _, j := range append(slices.Clone(e.queue), e.running...) {
 		if j.todo > 0 || !j.begun && j.ready == 0 {
 			waiting += j.context
 		}
 	}
-	if d.Report.Memory != nil {
-		rep.Memory = noisy(float64(e.held) / e.kind.Memory)
+	if d.Report.MemoryUsed != nil {
+		rep.MemoryUsed = noisy(float64(e.held) / e.kind.Memory)
 	}
 	if d.Report.WaitingTokens != nil {
 		rep.WaitingTokens = noisy(float64(waiting))
 	}
-	if d.Report.Queue != nil {
-		rep.Queue = noisy(float64(len(e.queue)))
-		rep.Util = noisy(float64(len(e.running)) / float64(e.kind.Slots))
+	if d.Report.QueueLength != nil {
+		rep.QueueLength = noisy(float64(len(e.queue)))
+		rep.Utilization = noisy(float64(len(e.running)) / float64(e.kind.Slots))
 	}
 	if d.Report.Latency != nil {
 		l := e.latency
--- a/experiments/fleetsim/experiment.go
+++ b/experiments/fleetsim/experiment.go
@@ -156,7 +156,7 @@
 		var by []string
 		low, high := 1.0, 0.0
 		for k, c := range d.Classes {
-			by = append(by, fmt.Sprintf("%.1f s, %.1f, %s: %.3f", c.Aim.Seconds(), c.Gain, effectName(c.Effect), m.ByClass[k]))
+			by = append(by, fmt.Sprintf("%.1f s, %.1f, %s: %.3f", c.FirstTokenObjective.Seconds(), c.PriorityWeight, effectName(c.Effect), m.ByClass[k]))
 			low, high = min(low, m.ByClass[k]), max(high, m.ByClass[k])
 		}
 		x := float64(d.Seed)
@@ -179,7 +179,7 @@
 }
 
 func effectName(e routing.Effect) string {
-	if e == routing.EffectSingleShot {
+	if e == routing.EffectAtMostOnce {
 		return "once"
 	}
 	return "free"
@@ -194,7 +194,7 @@
 		}
 	}
 	parts := []string{fmt.Sprintf("%d gateways, %d readers, %d writers, load %.2f", len(d.Gateways), prefillEngines, len(d.Engines)-prefillEngines, d.Load)}
-	if d.Report.Memory != nil {
+	if d.Report.MemoryUsed != nil {
 		parts = append(parts, "reports")
 	}
 	if d.Settings.DecodePrefills {
--- a/experiments/fleetsim/fair_test.go
+++ b/experiments/fleetsim/fair_test.go
@@ -65,7 +65,7 @@
 		if len(all) < 100 {
 			continue
 		}
-		slices.SortFunc(all, func(a, b routing.Request) int { return cmp.Or(b.Prompt-a.Prompt, int(a.ID)-int(b.ID)) })
+		slices.SortFunc(all, func(a, b routing.Request) int { return cmp.Or(b.PromptTokens-a.PromptTokens, int(a.ID)-int(b.ID)) })
 		part := c.answeredPart(all)
 		tenth := len(all) / 10
 		if len(all) < 400 {
@@ -110,7 +110,7 @@
 
 func (p picky) Handle(now routing.Time, ev routing.Event) []routing.Action {
 	if q, is := ev.(routing.Request); is && p.away(q) {
-		return []routing.Action{routing.Refuse{ID: q.ID}}
+		return []routing.Action{routing.Reject{ID: q.ID}}
 	}
 	return p.Decider.Handle(now, ev)
 }
@@ -119,7 +119,7 @@
 // half of the sessions.
 func TestUnfairnessIsDetected(t *testing.T) {
 	for what, away := range map[string]func(routing.Request) bool{
-		"prompts": func(q routing.Request) bool { return q.Prompt > 1500 },
+		"prompts": func(q routing.Request) bool { return q.PromptTokens > 1500 },
 		"session": func(q routing.Request) bool { return crc32.ChecksumIEEE([]byte(q.Session))%2 == 0 },
 	} {
 		found := unfair(Draw(1), func(set routing.Settings, seed uint64) Decider { return picky{Module(set, seed), away} }, true)
--- a/experiments/fleetsim/fleetsim_test.go
+++ b/experiments/fleetsim/fleetsim_test.go
@@ -89,8 +89,8 @@
 		d.Troubles = []Trouble{{What: what, At: 18 * time.Second, For: 6 * time.Second, Part: 0.5, Size: 2}}
 		d.Grace, d.Notice = 500*time.Millisecond, 300*time.Millisecond
 		for i := range d.Classes {
-			d.Classes[i].Effect = routing.EffectSingleShot
-			d.Settings.Classes[i].Effect = routing.EffectSingleShot
+			d.Classes[i].Effect = routing.EffectAtMostOnce
+			d.Settings.Classes[i].Effect = routing.EffectAtMostOnce
 		}
 		return d
 	}
@@ -109,7 +109,7 @@
 			return append(out, out...)
 		}},
 		{"pins", Flush, "stayed pinned", false, func(ev routing.Event, out []routing.Action) []routing.Action {
-			if o, ok := ev.(routing.Outcome); ok && o.Status == routing.StatusRead {
+			if o, ok := ev.(routing.Outcome); ok && o.Status == routing.StatusPrefilled {
 				return nil
 			}
 			return out
@@ -144,7 +144,7 @@
 type deaf struct{ Decider }
 
 func (p deaf) Handle(now routing.Time, ev routing.Event) []routing.Action {
-	if e, ok := ev.(routing.Roster); ok && e.Scope == routing.RosterChanges {
+	if e, ok := ev.(routing.EngineList); ok && e.Scope == routing.EngineListDelta {
 		return nil
 	}
 	return p.Decider.Handle(now, ev)
@@ -197,7 +197,7 @@
 			}
 		}
 		if edge("little time to hold") {
-			d.Settings.PinLimit = 20 * time.Millisecond
+			d.Settings.HeldStateLimit = 20 * time.Millisecond
 		}
 		if r := Play(d, Module, false); len(r.Broken) > 0 {
 			t.Fatalf("broken: %q", r.Broken)
--- a/experiments/fleetsim/floors_test.go
+++ b/experiments/fleetsim/floors_test.go
@@ -95,7 +95,7 @@
 // the others stay within theirs.
 func withTenants(seed uint64) *Deployment {
 	d := Draw(seed)
-	d.Settings.OverShareWorth = 0.2
+	d.Settings.OverQuotaWeight = 0.2
 	for _, t := range []struct {
 		name         string
 		share, quota float64
@@ -119,7 +119,7 @@
 
 func (l late) Handle(now routing.Time, ev routing.Event) []routing.Action {
 	if q, is := ev.(routing.Request); is && now > l.from {
-		return []routing.Action{routing.Refuse{ID: q.ID}}
+		return []routing.Action{routing.Reject{ID: q.ID}}
 	}
 	return l.Decider.Handle(now, ev)
 }
--- a/experiments/fleetsim/gateways.go
+++ b/experiments/fleetsim/gateways.go
@@ -20,12 +20,12 @@
 	info := e.info()
 	for _, g := range w.gateways {
 		w.at(w.now+time.Duration(w.clients.in(0.7, 1)*float64(w.deployment.Notice)), func() {
-			if info.Phase == routing.PhaseOn {
+			if info.Phase == routing.PhaseActive {
 				delete(g.told, e.Name)
 			} else if _, known := g.told[e.Name]; !known {
 				g.told[e.Name] = w.now
 			}
-			w.tell(g, routing.Roster{Engines: []routing.EngineInfo{info}})
+			w.tell(g, routing.EngineList{Engines: []routing.EngineInfo{info}})
 		})
 	}
 }
@@ -51,7 +51,7 @@
 		})
 	case routing.Send:
 		w.send(g, a)
-	case routing.Refuse:
+	case routing.Reject:
 		if t := w.ending(g, a.ID); t != nil {
 			if t.ran && w.single(t) {
 				w.broke("request %d was refused though it may have run", t.id)
@@ -81,7 +81,7 @@
 }
 
 func (w *world) single(t *try) bool {
-	return w.deployment.Classes[t.call.class].Effect == routing.EffectSingleShot
+	return w.deployment.Classes[t.call.class].Effect == routing.EffectAtMostOnce
 }
 
 // ending returns the try that a final answer ends, nil if the answer is out of place.
@@ -125,8 +125,8 @@
 	e.sends++
 	t.attempts++
 	t.out = out
-	if a.Limit > 0 && w.now+a.Limit < t.deadline {
-		w.at(w.now+a.Limit, func() {
+	if a.Timeout > 0 && w.now+a.Timeout < t.deadline {
+		w.at(w.now+a.Timeout, func() {
 			if t.first == 0 {
 				w.finish(out, routing.StatusTimeout)
 				w.withdraw(out)
@@ -154,7 +154,7 @@
 			done()
 			s := routing.StatusServed
 			if !up {
-				s, rep = routing.StatusNoConnect, nil
+				s, rep = routing.StatusConnectFailed, nil
 			}
 			w.tell(g, routing.ProbeResult{Engine: e.Name, Status: s, Latency: 2 * w.way(g, e), Report: rep})
 		})
--- a/experiments/fleetsim/golden_test.go
+++ b/experiments/fleetsim/golden_test.go
@@ -35,8 +35,8 @@
 	switch a := action.(type) {
 	case routing.Send:
 		*r.sends++
-		r.put(now, 1, a.Engine, int64(a.ID), int64(a.Limit))
-	case routing.Refuse:
+		r.put(now, 1, a.Engine, int64(a.ID), int64(a.Timeout))
+	case routing.Reject:
 		quota := int64(0)
 		if a.OverQuota {
 			quota = 1
--- a/experiments/fleetsim/world.go
+++ b/experiments/fleetsim/world.go
@@ -81,7 +81,7 @@
 		if i == d.Busy {
 			w.busy = g
 		}
-		w.tell(g, routing.Roster{Scope: routing.RosterCached, Engines: w.list()})
+		w.tell(g, routing.EngineList{Scope: routing.EngineListStale, Engines: w.list()})
 	}
 	for _, t := range d.Settings.Tenants {
 		w.allowances = append(w.allowances, newAllowance(t.Quota))
@@ -130,10 +130,10 @@
 }
 
 func (e *engine) info() routing.EngineInfo {
-	s := routing.EngineInfo{Name: e.Name, Kind: e.kind.Name, Zone: e.Zone, Cell: e.Cell, Weight: 1, CameUp: e.cameUp}
+	s := routing.EngineInfo{Name: e.Name, Kind: e.kind.Name, Zone: e.Zone, Cell: e.Cell, Weight: 1, StartTime: e.cameUp}
 	switch {
 	case !e.up:
-		s.Phase = routing.PhaseOff
+		s.Phase = routing.PhaseRemoved
 	case e.draining:
 		s.Phase = routing.PhaseDraining
 	}
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -307,10 +307,10 @@
 // a team's budget is worth nothing, so the module refuses it.
 func (o *Operator) Settings() routing.Settings {
 	s := routing.Settings{
-		Zone: o.Zone, Zones: o.Zones, Routers: max(o.Gateways, 1),
+		Zone: o.Zone, Zones: o.Zones, Gateways: max(o.Gateways, 1),
 		CanCancel: true, CanRetryAfter: true, MaxRetryAfter: 30 * time.Second, MaxAttempts: 4,
-		Cold: 14 * time.Second, ColdShare: 0.3, Fall: 3 * time.Second, FallMultiple: 4,
-		PinLimit: 500 * time.Millisecond, Tick: 4 * time.Millisecond,
+		SlowStartPeriod: 14 * time.Second, SlowStartCapacity: 0.3, OverloadWindow: 3 * time.Second, OverloadMultiple: 4,
+		HeldStateLimit: 500 * time.Millisecond, Tick: 4 * time.Millisecond,
 		Kinds: []routing.Kind{
 			{Name: RoleRead, Role: routing.RolePrefill, Memory: o.MemoryTokens},
 			{Name: RoleWrite, Role: routing.RoleDecode, Memory: o.MemoryTokens},
@@ -320,11 +320,11 @@
 	}
 	for _, c := range o.Contracts {
 		class := routing.Class{
-			Name: c.Name, Aim: time.Duration(c.AimMS) * time.Millisecond,
-			AimPerToken: 40 * time.Microsecond, TokenAim: 80 * time.Millisecond, Gain: max(c.Worth, 0.01),
+			Name: c.Name, FirstTokenObjective: time.Duration(c.AimMS) * time.Millisecond,
+			FirstTokenPerPromptToken: 40 * time.Microsecond, TokenIntervalObjective: 80 * time.Millisecond, PriorityWeight: max(c.Worth, 0.01),
 		}
 		if c.Effect == EffectOnce {
-			class.Effect = routing.EffectSingleShot
+			class.Effect = routing.EffectAtMostOnce
 		}
 		s.Classes = append(s.Classes, class)
 	}
--- a/internal/consul/consul_test.go
+++ b/internal/consul/consul_test.go
@@ -336,7 +336,7 @@
 			defer w.mu.Unlock()
 			n := 0
 			for _, p := range w.phases {
-				if p != routing.PhaseOn {
+				if p != routing.PhaseActive {
 					n++
 				}
 			}
--- a/internal/consul/harness_test.go
+++ b/internal/consul/harness_test.go
@@ -78,11 +78,11 @@
 	return w
 }
 
-func (w *world) tell(_ routing.RosterScope, members []core.Member) {
+func (w *world) tell(_ routing.EngineListScope, members []core.Member) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, m := range members {
-		if w.phases[m.Name] = m.Phase; m.Phase == routing.PhaseOff {
+		if w.phases[m.Name] = m.Phase; m.Phase == routing.PhaseRemoved {
 			delete(w.phases, m.Name)
 		}
 	}
@@ -114,7 +114,7 @@
 	defer w.mu.Unlock()
 	var words []string
 	for id, p := range w.phases {
-		if p != routing.PhaseOn {
+		if p != routing.PhaseActive {
 			id += "!"
 		}
 		words = append(words, id)
--- a/internal/core/api.go
+++ b/internal/core/api.go
@@ -47,13 +47,13 @@
 // Answer is the one final answer to a request.
 type Answer struct {
 	Verdict    Verdict
-	RetryAfter time.Duration     // with Refused: when to come back; 0 = no advice
-	OverQuota  bool              // with Refused: the tenant's budget is spent
-	Stream     Stream            // with Serving; the front must call Ticket.Relay or Ticket.Finish
-	Status     routing.Status    // else how the latest attempt ended
-	Cause      error             // and why, as far as its engine said
-	Standing   *routing.Standing // of the tenant with its quota; nil without one
-	MayRun     bool              // an attempt has been out that is not known to have been turned away
+	RetryAfter time.Duration        // with Refused: when to come back; 0 = no advice
+	OverQuota  bool                 // with Refused: the tenant's budget is spent
+	Stream     Stream               // with Serving; the front must call Ticket.Relay or Ticket.Finish
+	Status     routing.Status       // else how the latest attempt ended
+	Cause      error                // and why, as far as its engine said
+	Standing   *routing.QuotaStatus // of the tenant with its quota; nil without one
+	MayRun     bool                 // an attempt has been out that is not known to have been turned away
 }
 
 // Front takes the one final answer to a request. Answer must not block.
@@ -89,7 +89,7 @@
 	Kept    int  // prompt tokens found kept
 	Output  int  // tokens of the answer, if the engine said so
 	NoState bool // with StatusFull: there was no state to fetch
-	Report  *routing.Report
+	Report  *routing.LoadReport
 	Cause   error // for the log
 }
 
@@ -148,7 +148,7 @@
 	// does not show a cut. One that refuses it is.
 	Reach(at Member, done func(reached bool))
 	// Probe asks an engine for its load.
-	Probe(at Member, done func(routing.Status, *routing.Report))
+	Probe(at Member, done func(routing.Status, *routing.LoadReport))
 }
 
 // Directory tells the core which engines there are, through Core.Roster.
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -31,12 +31,12 @@
 	q.attempts = append(q.attempts, at)
 	q.out++
 	limit := q.deadline.Sub(now)
-	if a.Limit > 0 {
-		limit = min(limit, a.Limit)
+	if a.Timeout > 0 {
+		limit = min(limit, a.Timeout)
 	}
 	unsent := limit <= 0 || len(q.attempts) > c.fig.MaxSends || q.left.Load()
-	if unsent || !c.checks.Hold(known && m.Phase == routing.PhaseOn, "a send goes to an engine on the list") {
-		c.end(q, at, Result{Status: routing.StatusUnsent})
+	if unsent || !c.checks.Hold(known && m.Phase == routing.PhaseActive, "a send goes to an engine on the list") {
+		c.end(q, at, Result{Status: routing.StatusNotSent})
 		return
 	}
 	c.counts[countAttempts]++
@@ -108,7 +108,7 @@
 		q.streaming, q.stream = nil, nil
 		if r.Status == routing.StatusServed {
 			q.held.ledger.AnswerDone()
-			c.count(q.Class, func(t *Traffic) { t.Served++; t.ServedPrompt += q.Prompt; t.Output += r.Output })
+			c.count(q.Class, func(t *Traffic) { t.Served++; t.ServedPrompt += q.PromptTokens; t.Output += r.Output })
 		}
 		c.end(q, at, r)
 	}
@@ -116,7 +116,7 @@
 
 // end closes an attempt and tells the module how it went, once.
 func (c *Core) end(q *request, at *attempt, r Result) {
-	if at.ended && r.Status == routing.StatusRead {
+	if at.ended && r.Status == routing.StatusPrefilled {
 		c.readAfterCancel(q, at)
 	}
 	if at.ended || q.streaming == at {
@@ -136,7 +136,7 @@
 	}
 	c.tell(routing.Outcome{
 		ID: q.ID, Attempt: at.number, Engine: at.engine.Name, Status: r.Status, Latency: time.Since(at.sent),
-		Final: q.answered, Kept: r.Kept, NoState: r.NoState, Report: r.Report,
+		Final: q.answered, CachedTokens: r.Kept, StateMissing: r.NoState, Report: r.Report,
 	})
 }
 
@@ -180,7 +180,7 @@
 // it was not turned away, and did more than read.
 func mayHaveRun(s routing.Status) bool {
 	switch s {
-	case routing.StatusUnsent, routing.StatusNoConnect, routing.StatusFull, routing.StatusRead:
+	case routing.StatusNotSent, routing.StatusConnectFailed, routing.StatusRejected, routing.StatusPrefilled:
 		return false
 	}
 	return true
@@ -214,7 +214,7 @@
 func (c *Core) withdraw(q *request) {
 	for _, at := range q.attempts {
 		if !at.ended && !at.out && at.handle.Withdraw() {
-			c.end(q, at, Result{Status: routing.StatusUnsent})
+			c.end(q, at, Result{Status: routing.StatusNotSent})
 		}
 	}
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -124,7 +124,7 @@
 // now on, as the gateway has no time left; with last those too that a decode engine may be about
 // to answer. Streams are the fronts' to end.
 func (c *Core) Abandon(last bool) {
-	c.post(func() { c.tell(routing.Closing{Last: last}) })
+	c.post(func() { c.tell(routing.ShuttingDown{Final: last}) })
 }
 
 // tell gives the module an event, carries out what it asks for, and goes on with
@@ -148,7 +148,7 @@
 	switch a := action.(type) {
 	case routing.Send:
 		c.send(a)
-	case routing.Refuse:
+	case routing.Reject:
 		if q := c.requests[a.ID]; c.checks.Hold(q != nil, "a refusal names a request in hand") {
 			c.answer(q, Answer{Verdict: Refused, RetryAfter: a.RetryAfter, OverQuota: a.OverQuota})
 		}
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -85,10 +85,10 @@
 		answer := make(chan struct{})
 		f := &fake{script: func(a Attempt) (Stream, *Result) {
 			if a.To.Kind == "r" {
-				return ended(routing.StatusRead)
+				return ended(routing.StatusPrefilled)
 			}
 			if <-answer; fails {
-				return ended(routing.StatusFull)
+				return ended(routing.StatusRejected)
 			}
 			return &text{end: io.EOF}, nil
 		}}
@@ -119,7 +119,7 @@
 			if a.To.Kind == kind { // silent
 				return nil, nil
 			}
-			return ended(routing.StatusRead)
+			return ended(routing.StatusPrefilled)
 		}}
 		core := newCore(t, f)
 		w := make(waiter, 1)
@@ -155,11 +155,11 @@
 	f.awaitAttempts(t, 2)
 	for n := range 100 {
 		m := Member{EngineInfo: routing.EngineInfo{Name: fmt.Sprint("e", n), Kind: "r", Weight: 1}}
-		core.Roster(routing.RosterChanges, []Member{m})
-		m.Phase = routing.PhaseOff
-		core.Roster(routing.RosterChanges, []Member{m})
+		core.Roster(routing.EngineListDelta, []Member{m})
+		m.Phase = routing.PhaseRemoved
+		core.Roster(routing.EngineListDelta, []Member{m})
 	}
-	core.Roster(routing.RosterFull, nil)
+	core.Roster(routing.EngineListSnapshot, nil)
 	left := make(chan int)
 	core.post(func() { left <- len(core.members) })
 	if n := <-left; n > 0 || core.Ready() {
@@ -254,7 +254,7 @@
 // have.
 func TestMayRun(t *testing.T) {
 	for status, want := range map[routing.Status]bool{
-		routing.StatusFull: false, routing.StatusNoConnect: false, routing.StatusError: true, routing.StatusReset: true,
+		routing.StatusRejected: false, routing.StatusConnectFailed: false, routing.StatusError: true, routing.StatusReset: true,
 	} {
 		f := &fake{script: script(func() (Stream, *Result) { return ended(status) })}
 		c := newCore(t, f)
@@ -309,7 +309,7 @@
 	enginetest.Eventually(t, "its attempt is out", func() bool { all, _, _ := f.tally(); return all > 0 })
 	next := testSettings()
 	for i := range next.Classes {
-		next.Classes[i].Effect = routing.EffectFree
+		next.Classes[i].Effect = routing.EffectIdempotent
 	}
 	if err := core.Retune(t.Context(), next); err != nil {
 		t.Fatal(err)
--- a/internal/core/counters.go
+++ b/internal/core/counters.go
@@ -20,9 +20,9 @@
 )
 
 var statusNames = [...]Counter{
-	routing.StatusServed: "served", routing.StatusRead: "read", routing.StatusError: "error",
-	routing.StatusFull: "full", routing.StatusTimeout: "timeout", routing.StatusNoConnect: "no connect",
-	routing.StatusReset: "reset", routing.StatusCancelled: "cancelled", routing.StatusUnsent: "unsent",
+	routing.StatusServed: "served", routing.StatusPrefilled: "read", routing.StatusError: "error",
+	routing.StatusRejected: "full", routing.StatusTimeout: "timeout", routing.StatusConnectFailed: "no connect",
+	routing.StatusReset: "reset", routing.StatusCancelled: "cancelled", routing.StatusNotSent: "unsent",
 }
 
 var verdictNames = [...]Counter{Refused: "refused", Failed: "failed", Overdue: "overdue", Duplicate: "duplicate", Serving: "serving"}
--- a/internal/core/ejection.go
+++ b/internal/core/ejection.go
@@ -44,7 +44,7 @@
 
 // showEjections shows the module the engines whose ejection began or ended.
 func (c *Core) showEjections(ch ejection.Change) {
-	ev := routing.Roster{Scope: routing.RosterChanges}
+	ev := routing.EngineList{Scope: routing.EngineListDelta}
 	for _, names := range [][]string{ch.Out, ch.Back} {
 		for _, n := range names {
 			if m, ok := c.members[n]; ok {
@@ -68,7 +68,7 @@
 func (c *Core) setReady() {
 	on := false
 	for _, m := range c.members {
-		on = on || m.Phase == routing.PhaseOn && !c.ejections.Out(m.Name)
+		on = on || m.Phase == routing.PhaseActive && !c.ejections.Out(m.Name)
 	}
 	c.ready.Store(on)
 }
@@ -77,7 +77,7 @@
 // they came with. An error names the setting at fault; nothing changes then.
 func (c *Core) Retune(ctx context.Context, set routing.Settings) error {
 	err := query(ctx, c, func() *error {
-		err := c.router.Retune(set.Classes, set.MaxAttempts)
+		err := c.router.Reconfigure(set.Classes, set.MaxAttempts)
 		if err == nil {
 			c.fig.MaxSends = max(c.fig.MaxSends, set.MaxAttempts) // a backstop: the module holds each request to its own
 		}
--- a/internal/core/fake_test.go
+++ b/internal/core/fake_test.go
@@ -125,7 +125,7 @@
 
 func (f *fake) Reach(m Member, done func(bool)) { go done(!f.unreached) }
 
-func (f *fake) Probe(Member, func(routing.Status, *routing.Report)) {}
+func (f *fake) Probe(Member, func(routing.Status, *routing.LoadReport)) {}
 
 func (f *fake) Subscribe() {}
 
@@ -162,20 +162,20 @@
 
 func testSettings() routing.Settings {
 	return routing.Settings{
-		Zones: []string{""}, Routers: 1, MaxAttempts: 4, CanCancel: true, CanRetryAfter: true, MaxRetryAfter: time.Second,
+		Zones: []string{""}, Gateways: 1, MaxAttempts: 4, CanCancel: true, CanRetryAfter: true, MaxRetryAfter: time.Second,
 		Classes: []routing.Class{
-			{Name: "free", Aim: 10 * time.Second, Gain: 1},
-			{Name: "once", Aim: 10 * time.Second, Gain: 1, Effect: routing.EffectSingleShot},
+			{Name: "free", FirstTokenObjective: 10 * time.Second, PriorityWeight: 1},
+			{Name: "once", FirstTokenObjective: 10 * time.Second, PriorityWeight: 1, Effect: routing.EffectAtMostOnce},
 		},
-		Kinds: []routing.Kind{{Name: "r", Role: routing.RolePrefill, Memory: 2e5}, {Name: "w", Role: routing.RoleDecode, Memory: 2e5}},
-		Cold:  time.Second, ColdShare: 0.3, Fall: time.Second, FallMultiple: 3, PinLimit: 500 * time.Millisecond,
+		Kinds:           []routing.Kind{{Name: "r", Role: routing.RolePrefill, Memory: 2e5}, {Name: "w", Role: routing.RoleDecode, Memory: 2e5}},
+		SlowStartPeriod: time.Second, SlowStartCapacity: 0.3, OverloadWindow: time.Second, OverloadMultiple: 3, HeldStateLimit: 500 * time.Millisecond,
 	}
 }
 
 func newCore(t *testing.T, f *fake) *Core { return coreWith(t, f, func(*routing.Settings) {}) }
 
 func ask(class string, ttl time.Duration) Request {
-	return Request{Wire: "id-" + class, Arrived: time.Now(), Request: routing.Request{Class: class, Prompt: 100, MaxTokens: 10, TTL: ttl}}
+	return Request{Wire: "id-" + class, Arrived: time.Now(), Request: routing.Request{Class: class, PromptTokens: 100, MaxTokens: 10, TTL: ttl}}
 }
 
 func ended(s routing.Status) (Stream, *Result) { return nil, &Result{Status: s} }
@@ -184,7 +184,7 @@
 func script(writer func() (Stream, *Result)) func(Attempt) (Stream, *Result) {
 	return func(a Attempt) (Stream, *Result) {
 		if a.To.Kind == "r" {
-			return ended(routing.StatusRead)
+			return ended(routing.StatusPrefilled)
 		}
 		return writer()
 	}
--- a/internal/core/held.go
+++ b/internal/core/held.go
@@ -51,10 +51,10 @@
 	ledger, engine := q.held.ledger, at.engine.Name
 	q.held.members[engine] = at.engine
 	switch r.Status {
-	case routing.StatusRead:
+	case routing.StatusPrefilled:
 		ledger.ReadDone(engine, c.now())
 	case routing.StatusTimeout, routing.StatusCancelled, routing.StatusReset:
-		ledger.AttemptLost(engine, c.router.Reads(at.engine.Kind))
+		ledger.AttemptLost(engine, c.router.CanPrefill(at.engine.Kind))
 	case routing.StatusError:
 		ledger.AttemptFailed(engine)
 	}
@@ -62,7 +62,7 @@
 		ledger.NoState()
 	}
 	switch r.Status {
-	case routing.StatusRead, routing.StatusFull, routing.StatusError, routing.StatusServed:
+	case routing.StatusPrefilled, routing.StatusRejected, routing.StatusError, routing.StatusServed:
 		c.noteHeard(engine)
 	}
 	if at.out && c.lastHeard[engine].After(at.written) {
@@ -181,7 +181,7 @@
 	q.held.ledger.Expire(c.now())
 	for _, at := range q.attempts {
 		if !at.ended && !at.out && at.handle.Withdraw() {
-			c.end(q, at, Result{Status: routing.StatusNoConnect, NoState: true})
+			c.end(q, at, Result{Status: routing.StatusConnectFailed, NoState: true})
 		}
 	}
 }
@@ -240,7 +240,7 @@
 	c.lingering--
 	if at := q.lingering; at != nil {
 		c.closeLingering(q)
-		q.held.ledger.AttemptLost(at.engine.Name, c.router.Reads(at.engine.Kind))
+		q.held.ledger.AttemptLost(at.engine.Name, c.router.CanPrefill(at.engine.Kind))
 		q.held.ledger.ReleaseAgain()
 	}
 	c.settling = append(c.settling, q)
--- a/internal/core/held_test.go
+++ b/internal/core/held_test.go
@@ -21,10 +21,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := New(router, f, f, Figures{Slack: 50 * time.Millisecond, PinLimit: set.PinLimit, MaxSends: set.MaxAttempts},
+	c := New(router, f, f, Figures{Slack: 50 * time.Millisecond, PinLimit: set.HeldStateLimit, MaxSends: set.MaxAttempts},
 		slog.New(slog.DiscardHandler), invariant.New())
 	go c.Run(t.Context())
-	c.Roster(routing.RosterFull, []Member{
+	c.Roster(routing.EngineListSnapshot, []Member{
 		{EngineInfo: routing.EngineInfo{Name: "r1", Kind: "r", Weight: 1}},
 		{EngineInfo: routing.EngineInfo{Name: "w1", Kind: "w", Weight: 1}},
 	})
@@ -45,11 +45,11 @@
 	f := &fake{away: func(a Attempt) bool { return a.To.Kind == "w" }}
 	f.script = func(a Attempt) (Stream, *Result) {
 		if a.To.Kind == "r" {
-			return ended(routing.StatusRead)
+			return ended(routing.StatusPrefilled)
 		}
 		return nil, nil
 	}
-	c := coreWith(t, f, func(s *routing.Settings) { s.PinLimit = 50 * time.Millisecond })
+	c := coreWith(t, f, func(s *routing.Settings) { s.HeldStateLimit = 50 * time.Millisecond })
 	ticket := c.Submit(ask("once", time.Minute), make(waiter, 1))
 	enginetest.Eventually(t, "the state is let go, and read anew", func() bool {
 		_, closed, _ := f.tally()
@@ -102,7 +102,7 @@
 // request.
 func TestReleaseRepeatedWhileReadMayRun(t *testing.T) {
 	f := &fake{script: func(Attempt) (Stream, *Result) { return nil, nil }}
-	c := coreWith(t, f, func(s *routing.Settings) { s.PinLimit = 20 * time.Millisecond })
+	c := coreWith(t, f, func(s *routing.Settings) { s.HeldStateLimit = 20 * time.Millisecond })
 	const wait = 600 * time.Millisecond
 	if a, _, _ := Await(t.Context(), c, ask("once", wait)); a.Verdict != Refused {
 		t.Fatalf("answer %+v", a)
@@ -116,7 +116,7 @@
 // A decode engine that finds no state says nothing of the prefill engine: it may only have been out of the
 // decode engine's reach. The state is let go there all the same.
 func TestStateNotFoundByDecodeIsReleased(t *testing.T) {
-	f := &fake{script: script(func() (Stream, *Result) { return nil, &Result{Status: routing.StatusFull, NoState: true} })}
+	f := &fake{script: script(func() (Stream, *Result) { return nil, &Result{Status: routing.StatusRejected, NoState: true} })}
 	c := coreWith(t, f, func(s *routing.Settings) { s.MaxAttempts = 2 })
 	if a, _, _ := Await(t.Context(), c, ask("once", time.Minute)); a.Verdict != Refused {
 		t.Fatalf("answer %+v", a)
@@ -132,7 +132,7 @@
 // A pin limit as long as can be written is no limit, and hurts nothing.
 func TestHugePinLimit(t *testing.T) {
 	f := &fake{script: script(func() (Stream, *Result) { return ended(routing.StatusError) })}
-	c := coreWith(t, f, func(s *routing.Settings) { s.PinLimit = 1<<63 - 1 })
+	c := coreWith(t, f, func(s *routing.Settings) { s.HeldStateLimit = 1<<63 - 1 })
 	if a, _, _ := Await(t.Context(), c, ask("once", time.Minute)); a.Verdict != Failed {
 		t.Fatalf("answer %+v", a)
 	}
@@ -169,7 +169,7 @@
 // end stays until its engine has been told for the last time.
 func TestDrainWaitsForReadsThatMayRunOn(t *testing.T) {
 	f := &fake{script: func(Attempt) (Stream, *Result) { return nil, nil }}
-	c := coreWith(t, f, func(s *routing.Settings) { s.PinLimit = 20 * time.Millisecond })
+	c := coreWith(t, f, func(s *routing.Settings) { s.HeldStateLimit = 20 * time.Millisecond })
 	if a, _, _ := Await(t.Context(), c, ask("once", 600*time.Millisecond)); a.Verdict != Refused {
 		t.Fatalf("answer %+v", a)
 	}
@@ -185,7 +185,7 @@
 // told to end does not wait for reads that may run on there.
 func TestEnginesWithoutReleases(t *testing.T) {
 	f := &fake{script: func(Attempt) (Stream, *Result) { return nil, nil }, releaseErr: ErrNoRelease}
-	c := coreWith(t, f, func(s *routing.Settings) { s.PinLimit = 20 * time.Millisecond })
+	c := coreWith(t, f, func(s *routing.Settings) { s.HeldStateLimit = 20 * time.Millisecond })
 	if a, _, _ := Await(t.Context(), c, ask("once", 600*time.Millisecond)); a.Verdict != Refused {
 		t.Fatalf("answer %+v", a)
 	}
--- a/internal/core/linger_test.go
+++ b/internal/core/linger_test.go
@@ -89,12 +89,12 @@
 	f.script = func(a Attempt) (Stream, *Result) {
 		switch {
 		case a.To.Kind == "r":
-			return ended(routing.StatusRead)
+			return ended(routing.StatusPrefilled)
 		case a.Number == 1:
 			return nil, nil
 		}
 		<-second
-		return ended(routing.StatusNoConnect)
+		return ended(routing.StatusConnectFailed)
 	}
 	core := newCore(t, f)
 	answered := awaitLater(t, core, ask("free", time.Minute))
@@ -205,7 +205,7 @@
 	defer close(f.cut)
 	f.script = func(Attempt) (Stream, *Result) {
 		<-read
-		return ended(routing.StatusRead)
+		return ended(routing.StatusPrefilled)
 	}
 	core := newCore(t, f)
 	if a, _, _ := Await(t.Context(), core, ask("free", 300*time.Millisecond)); a.Verdict != Refused {
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -34,7 +34,7 @@
 	for c.lastID++; c.requests[c.lastID] != nil; c.lastID++ {
 	}
 	in.ID = c.lastID
-	q := &request{Request: in, front: f, deadline: in.Arrived.Add(in.TTL), free: c.router.Free(in.Class), left: &t.left}
+	q := &request{Request: in, front: f, deadline: in.Arrived.Add(in.TTL), free: c.router.Idempotent(in.Class), left: &t.left}
 	q.held = newHeldStates(c.heldLimits(in.TTL))
 	t.request = q
 	if c.wires[in.Wire] {
@@ -42,13 +42,13 @@
 		// attempts and states. The first goes on; the second never ran.
 		q.answered = true
 		c.counts[countDuplicates]++
-		f.Answer(Answer{Verdict: Duplicate, Status: routing.StatusUnsent})
+		f.Answer(Answer{Verdict: Duplicate, Status: routing.StatusNotSent})
 		return
 	}
 	c.requests[q.ID], c.wires[in.Wire] = q, true
 	c.lastBusy = time.Now()
 	c.counts[countRequests]++
-	c.count(in.Class, func(t *Traffic) { t.Asked++; t.Prompt += in.Prompt })
+	c.count(in.Class, func(t *Traffic) { t.Asked++; t.Prompt += in.PromptTokens })
 	c.settling = append(c.settling, q)
 	// The backstop guards against a request that neither the module nor an engine
 	// ever ends: it is answered inside the slack whatever else happens.
@@ -68,7 +68,7 @@
 		c.withdraw(q)
 	}
 	a.MayRun = q.mayRun()
-	if s, has := c.router.Standing(q.Tenant); has {
+	if s, has := c.router.QuotaStatus(q.Tenant); has {
 		a.Standing = &s
 	}
 	c.counts[verdictNames[a.Verdict]]++
@@ -103,7 +103,7 @@
 	q.answered = true
 	c.counts[countGone]++
 	c.settling = append(c.settling, q)
-	c.tell(routing.Gone{ID: q.ID})
+	c.tell(routing.ClientGone{ID: q.ID})
 	c.withdraw(q)
 }
 
@@ -113,7 +113,7 @@
 		return
 	}
 	c.answer(q, Answer{Verdict: Overdue})
-	c.tell(routing.Gone{ID: q.ID})
+	c.tell(routing.ClientGone{ID: q.ID})
 	for _, at := range q.attempts {
 		c.end(q, at, Result{Status: routing.StatusTimeout})
 	}
--- a/internal/core/roster.go
+++ b/internal/core/roster.go
@@ -8,21 +8,21 @@
 )
 
 // Roster tells what a directory has learned.
-func (c *Core) Roster(scope routing.RosterScope, members []Member) {
+func (c *Core) Roster(scope routing.EngineListScope, members []Member) {
 	c.post(func() { c.roster(scope, members) })
 }
 
-func (c *Core) roster(scope routing.RosterScope, members []Member) {
-	ev := routing.Roster{Scope: scope}
+func (c *Core) roster(scope routing.EngineListScope, members []Member) {
+	ev := routing.EngineList{Scope: scope}
 	// Who has left is forgotten: engines come under ever new ids. What one still holds
 	// is let go by the entry that its request keeps.
-	if scope == routing.RosterFull || scope == routing.RosterCached {
+	if scope == routing.EngineListSnapshot || scope == routing.EngineListStale {
 		clear(c.members)
 	}
 	clock := starttime.Clock{Now: c.now(), Wall: c.wall()}
 	for _, m := range members {
-		m.CameUp = c.starts.Start(m.Name, m.StartedAt, clock)
-		if c.members[m.Name] = m; m.Phase == routing.PhaseOff {
+		m.StartTime = c.starts.Start(m.Name, m.StartedAt, clock)
+		if c.members[m.Name] = m; m.Phase == routing.PhaseRemoved {
 			delete(c.members, m.Name)
 		}
 		c.ejections.See(m.Name)
@@ -35,7 +35,7 @@
 
 // Gateways tells how many gateways share the engines from now on.
 func (c *Core) Gateways(n int) {
-	c.post(func() { c.tell(routing.Peers{Routers: n}) })
+	c.post(func() { c.tell(routing.GatewaysChanged{Gateways: n}) })
 }
 
 func (c *Core) probe(engine string) {
@@ -44,7 +44,7 @@
 		return
 	}
 	sent := time.Now()
-	c.engine.Probe(m, func(s routing.Status, r *routing.Report) {
+	c.engine.Probe(m, func(s routing.Status, r *routing.LoadReport) {
 		c.post(func() {
 			c.tell(routing.ProbeResult{Engine: engine, Status: s, Latency: time.Since(sent), Report: r})
 		})
--- a/internal/core/trace_test.go
+++ b/internal/core/trace_test.go
@@ -36,7 +36,7 @@
 	attempts []*tracedAttempt
 	releases []func(error)
 	reaches  []func(bool)
-	probes   []func(routing.Status, *routing.Report)
+	probes   []func(routing.Status, *routing.LoadReport)
 }
 
 type tracedAttempt struct {
@@ -103,7 +103,7 @@
 	tr.note("reach %d: %s", add(tr, &tr.reaches, done), m.Name)
 }
 
-func (tr *tracer) Probe(m Member, done func(routing.Status, *routing.Report)) {
+func (tr *tracer) Probe(m Member, done func(routing.Status, *routing.LoadReport)) {
 	tr.note("probe %d: %s", add(tr, &tr.probes, done), m.Name)
 }
 
@@ -189,7 +189,7 @@
 // read has an attempt written and its read end.
 func (tr *tracer) read(n int) {
 	tr.written(n)
-	tr.ended(n, routing.StatusRead)
+	tr.ended(n, routing.StatusPrefilled)
 }
 
 var errTraced = errors.New("traced")
@@ -229,7 +229,7 @@
 		tr.written(0)
 		ticket.Gone()
 		tr.sleep(time.Second)
-		tr.ended(0, routing.StatusRead)
+		tr.ended(0, routing.StatusPrefilled)
 	}},
 	{"gone as it streams", nil, func(tr *tracer) {
 		ticket := tr.submit("once", "a", time.Minute)
@@ -287,7 +287,7 @@
 	}},
 	{"retried", nil, func(tr *tracer) {
 		tr.submit("free", "a", time.Minute)
-		for _, s := range []routing.Status{routing.StatusNoConnect, routing.StatusFull, routing.StatusError, routing.StatusReset} {
+		for _, s := range []routing.Status{routing.StatusConnectFailed, routing.StatusRejected, routing.StatusError, routing.StatusReset} {
 			tr.written(len(tr.begun()) - 1)
 			tr.ended(len(tr.begun())-1, s)
 			tr.sleep(500 * time.Millisecond)
@@ -303,7 +303,7 @@
 		tr.submit("once", "a", time.Minute)
 		tr.read(0)
 		tr.written(1)
-		tr.end(1, Result{Status: routing.StatusFull, NoState: true})
+		tr.end(1, Result{Status: routing.StatusRejected, NoState: true})
 		tr.sleep(time.Second)
 		tr.released(0, ErrNoRelease)
 	}},
@@ -327,7 +327,7 @@
 			tr.sleep(10 * time.Millisecond)
 			tr.written(n)
 		}
-		tr.ended(1, routing.StatusRead)
+		tr.ended(1, routing.StatusPrefilled)
 		tr.sleep(20 * time.Second)
 		for n := range all(tr, &tr.releases) {
 			tr.released(n, nil)
@@ -337,7 +337,7 @@
 		tr.submit("free", "a", 300*time.Millisecond)
 		tr.written(0)
 		tr.sleep(time.Second)
-		tr.ended(0, routing.StatusRead)
+		tr.ended(0, routing.StatusPrefilled)
 		tr.sleep(time.Second)
 	}},
 	{"lingering", nil, func(tr *tracer) {
@@ -386,11 +386,11 @@
 		tr.submit("once", "b", time.Minute)
 		tr.read(len(tr.begun()) - 1)
 		tr.note("ejected %v, ready %v", tr.core.Ejected(), tr.core.Ready())
-		tr.core.Roster(routing.RosterChanges, []Member{{EngineInfo: routing.EngineInfo{Name: "w1", Kind: "w", Phase: routing.PhaseOff}}})
-		tr.core.Roster(routing.RosterFailed, nil)
+		tr.core.Roster(routing.EngineListDelta, []Member{{EngineInfo: routing.EngineInfo{Name: "w1", Kind: "w", Phase: routing.PhaseRemoved}}})
+		tr.core.Roster(routing.EngineListFailed, nil)
 		synctest.Wait()
 		tr.note("ready %v", tr.core.Ready())
-		tr.core.Roster(routing.RosterFull, nil)
+		tr.core.Roster(routing.EngineListSnapshot, nil)
 		synctest.Wait()
 		tr.note("ready %v", tr.core.Ready())
 		tr.submit("free", "c", time.Second)
@@ -425,7 +425,7 @@
 		query(tr.t.Context(), tr.core, func() bool { tr.core.probe("r1"); return true })
 		tr.sleep(20 * time.Millisecond)
 		for _, done := range all(tr, &tr.probes) {
-			done(routing.StatusServed, &routing.Report{})
+			done(routing.StatusServed, &routing.LoadReport{})
 		}
 		tr.sleep(time.Second)
 	}},
@@ -500,11 +500,11 @@
 		t.Fatal(err)
 	}
 	tr := &tracer{t: t, out: out, start: time.Now()}
-	tr.core = New(router, tr, tr, Figures{Slack: 50 * time.Millisecond, PinLimit: set.PinLimit, PinSlack: 100 * time.Millisecond, Reach: 100 * time.Millisecond, MaxSends: set.MaxAttempts},
+	tr.core = New(router, tr, tr, Figures{Slack: 50 * time.Millisecond, PinLimit: set.HeldStateLimit, PinSlack: 100 * time.Millisecond, Reach: 100 * time.Millisecond, MaxSends: set.MaxAttempts},
 		slog.New(slog.NewTextHandler(io.Discard, &slog.HandlerOptions{Level: slog.LevelDebug})), invariant.New())
 	tr.core.Observe(tr)
 	go tr.core.Run(t.Context())
-	tr.core.Roster(routing.RosterFull, []Member{
+	tr.core.Roster(routing.EngineListSnapshot, []Member{
 		{EngineInfo: routing.EngineInfo{Name: "r1", Kind: "r", Weight: 1}},
 		{EngineInfo: routing.EngineInfo{Name: "r2", Kind: "r", Weight: 1}},
 		{EngineInfo: routing.EngineInfo{Name: "w1", Kind: "w", Weight: 1}},
@@ -559,7 +559,7 @@
 	e := &servingEngine{}
 	c := New(router, e, e, Figures{Slack: 50 * time.Millisecond, PinLimit: time.Second, MaxSends: 4}, slog.New(slog.DiscardHandler), invariant.New())
 	go c.Run(b.Context())
-	c.Roster(routing.RosterFull, []Member{
+	c.Roster(routing.EngineListSnapshot, []Member{
 		{EngineInfo: routing.EngineInfo{Name: "r1", Kind: "r", Weight: 1}},
 		{EngineInfo: routing.EngineInfo{Name: "w1", Kind: "w", Weight: 1}},
 	})
@@ -580,7 +580,7 @@
 	go func() {
 		a.Written()
 		if a.To.Kind == "r" {
-			ended(Result{Status: routing.StatusRead})
+			ended(Result{Status: routing.StatusPrefilled})
 			return
 		}
 		first(&text{})
--- a/internal/directory/keeper.go
+++ b/internal/directory/keeper.go
@@ -29,7 +29,7 @@
 type Options struct {
 	Policy roster.Policy
 	// Tell takes what has changed. It may block for a moment.
-	Tell func(routing.RosterScope, []core.Member)
+	Tell func(routing.EngineListScope, []core.Member)
 	// Check looks whether an engine at an address answers.
 	Check func(ctx context.Context, addr string) roster.Pulse
 	// StateFile is where the last good view is kept; "" for nowhere.
@@ -142,7 +142,7 @@
 	}
 	k.mu.Unlock()
 	if len(members) > 0 {
-		k.opt.Tell(routing.RosterChanges, members)
+		k.opt.Tell(routing.EngineListDelta, members)
 	}
 }
 
@@ -155,9 +155,9 @@
 	}
 	switch e.State {
 	case roster.In:
-		m.Phase = routing.PhaseOn
+		m.Phase = routing.PhaseActive
 	case roster.Gone:
-		m.Phase = routing.PhaseOff
+		m.Phase = routing.PhaseRemoved
 	default:
 		m.Phase = routing.PhaseDraining
 	}
--- a/internal/directory/keeper_test.go
+++ b/internal/directory/keeper_test.go
@@ -36,11 +36,11 @@
 	return c.log.Write(p)
 }
 
-func (c *told) tell(_ routing.RosterScope, members []core.Member) {
+func (c *told) tell(_ routing.EngineListScope, members []core.Member) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, m := range members {
-		if c.list[m.Name] = m; m.Phase == routing.PhaseOff {
+		if c.list[m.Name] = m; m.Phase == routing.PhaseRemoved {
 			delete(c.list, m.Name)
 		}
 	}
@@ -178,7 +178,7 @@
 func TestRefusedAttemptsAreNoted(t *testing.T) {
 	for cause, want := range map[error]int{syscall.ECONNREFUSED: 1, errors.New("other"): 0} {
 		broke, ended := 0, 0
-		w := Watched{fake{result: core.Result{Status: routing.StatusNoConnect, Cause: fmt.Errorf("connect: %w", cause)}}, func(string, string) { broke++ }}
+		w := Watched{fake{result: core.Result{Status: routing.StatusConnectFailed, Cause: fmt.Errorf("connect: %w", cause)}}, func(string, string) { broke++ }}
 		w.Start(core.Attempt{}, nil, func(core.Result) { ended++ })
 		if broke != want || ended != 1 {
 			t.Errorf("%v: noted %d times, ended %d times", cause, broke, ended)
--- a/internal/openai/call.go
+++ b/internal/openai/call.go
@@ -80,7 +80,7 @@
 	s := a.shape
 	q.Request = routing.Request{
 		Class: c.contract.Name, Tenant: c.team.Name, Session: s.session, Prefix: s.opening, PrefixLen: s.openingLen,
-		Prompt: s.prompt, MaxTokens: s.maxOut, TTL: c.contract.Deadline(),
+		PromptTokens: s.prompt, MaxTokens: s.maxOut, TTL: c.contract.Deadline(),
 	}
 	return core.Await(c.r.Context(), c.core, q)
 }
--- a/internal/openai/dialect.go
+++ b/internal/openai/dialect.go
@@ -43,7 +43,7 @@
 func (Dialect) Judge(status int, h http.Header, body []byte) core.Result {
 	r := core.Result{Status: routing.StatusError, Cause: &EngineError{Status: status, Body: body}}
 	if status == http.StatusTooManyRequests || h.Get("X-Not-Run") == "1" {
-		r.Status = routing.StatusFull
+		r.Status = routing.StatusRejected
 	}
 	return r
 }
--- a/internal/openai/front.go
+++ b/internal/openai/front.go
@@ -319,11 +319,11 @@
 	if a.Standing == nil {
 		return
 	}
-	full := a.Standing.Full
+	full := a.Standing.ResetIn
 	if a.OverQuota {
 		full = max(full, a.RetryAfter)
 	}
-	h["X-Ratelimit-Limit-Requests"] = []string{strconv.Itoa(int(a.Standing.Most))}
-	h["X-Ratelimit-Remaining-Requests"] = []string{strconv.Itoa(int(a.Standing.Left))}
+	h["X-Ratelimit-Limit-Requests"] = []string{strconv.Itoa(int(a.Standing.Burst))}
+	h["X-Ratelimit-Remaining-Requests"] = []string{strconv.Itoa(int(a.Standing.Remaining))}
 	h["X-Ratelimit-Reset-Requests"] = []string{full.Round(time.Millisecond).String()}
 }
--- a/internal/openai/front_test.go
+++ b/internal/openai/front_test.go
@@ -75,7 +75,7 @@
 	log := slog.New(slog.DiscardHandler)
 	c = core.New(router, engine, nil, core.Figures{Slack: 50 * time.Millisecond, PinLimit: 500 * time.Millisecond, MaxSends: 4}, log, invariant.New())
 	go c.Run(t.Context())
-	c.Roster(routing.RosterFull, members)
+	c.Roster(routing.EngineListSnapshot, members)
 	keys, err := idempotency.Open("", deduplication.DefaultLimits(), log)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/platform/dialect.go
+++ b/internal/platform/dialect.go
@@ -80,9 +80,9 @@
 		}
 		// Without a body that makes sense the prompt is read all the same.
 		_ = jsoniter.Unmarshal(body, &kept)
-		r.Status, r.Kept = routing.StatusRead, max(0, kept.Tokens)
+		r.Status, r.Kept = routing.StatusPrefilled, max(0, kept.Tokens)
 	case turnedAway:
-		r.Status, r.NoState = routing.StatusFull, status == http.StatusGone
+		r.Status, r.NoState = routing.StatusRejected, status == http.StatusGone
 	default:
 		r.Status = routing.StatusError
 	}
@@ -109,7 +109,7 @@
 	return upstream.Call{Method: http.MethodGet, Target: "/load"}, true
 }
 
-func loadReport(raw []byte) *routing.Report {
+func loadReport(raw []byte) *routing.LoadReport {
 	if len(bytes.TrimSpace(raw)) == 0 {
 		return nil
 	}
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -227,21 +227,21 @@
 		if err != nil || !(us >= 0 && us <= float64(maxSpan.Microseconds())) {
 			return q, headerError{"X-Cost-Hint", "malformed"}
 		}
-		q.Hint = time.Duration(us * float64(time.Microsecond))
+		q.DurationHint = time.Duration(us * float64(time.Microsecond))
 	}
 	switch v := h.Get("X-Retry"); v {
 	case "":
 	case "again":
 		q.Reconnect = true
 	default:
-		q.Repeat = true
+		q.Retry = true
 	}
 	return q, extras(h.Get("X-Extras"), &q)
 }
 
 // extras reads the opening's name and the lengths in tokens.
 func extras(text string, q *core.Request) error {
-	lengths := map[string]*int{"prompt_len": &q.Prompt, "prefix_len": &q.PrefixLen, "max_out": &q.MaxTokens}
+	lengths := map[string]*int{"prompt_len": &q.PromptTokens, "prefix_len": &q.PrefixLen, "max_out": &q.MaxTokens}
 	given := map[string]bool{}
 	for part := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -40,25 +40,25 @@
 		lists []config.List
 		want  map[string]routing.Phase
 	}{
-		{"a first list of revision 0", []config.List{list(0, true, "a active 0")}, map[string]routing.Phase{"a": routing.PhaseOn}},
+		{"a first list of revision 0", []config.List{list(0, true, "a active 0")}, map[string]routing.Phase{"a": routing.PhaseActive}},
 		{"a change", []config.List{list(1, true, "a active 0", "b active 0"), list(2, false, "a leaving 0")},
-			map[string]routing.Phase{"a": routing.PhaseDraining, "b": routing.PhaseOn}},
+			map[string]routing.Phase{"a": routing.PhaseDraining, "b": routing.PhaseActive}},
 		{"an older change after it", []config.List{list(1, true, "a active 0"), list(5, false, "a leaving 0"), list(4, false, "a active 0")},
 			map[string]routing.Phase{"a": routing.PhaseDraining}},
 		{"an older whole list after it", []config.List{list(5, false, "a leaving 0", "b active 0"), list(4, true, "a active 0")},
-			map[string]routing.Phase{"a": routing.PhaseDraining, "b": routing.PhaseOn}},
+			map[string]routing.Phase{"a": routing.PhaseDraining, "b": routing.PhaseActive}},
 		{"the same revision again", []config.List{list(5, false, "a left 0"), list(5, false, "a active 0")},
-			map[string]routing.Phase{"a": routing.PhaseOff}},
+			map[string]routing.Phase{"a": routing.PhaseRemoved}},
 		{"a late drain", []config.List{list(5, true, "a active 0"), list(4, false, "a leaving 0")},
 			map[string]routing.Phase{"a": routing.PhaseDraining}},
 		{"a late drain of an earlier start", []config.List{list(5, true, "a active 9"), list(4, false, "a leaving 0")},
-			map[string]routing.Phase{"a": routing.PhaseOn}},
+			map[string]routing.Phase{"a": routing.PhaseActive}},
 		{"a later start", []config.List{list(5, true, "a left 0"), list(6, false, "a active 9")},
-			map[string]routing.Phase{"a": routing.PhaseOn}},
+			map[string]routing.Phase{"a": routing.PhaseActive}},
 		{"absent from changes", []config.List{list(1, true, "a active 0", "b active 0"), list(2, false, "b active 0")},
-			map[string]routing.Phase{"a": routing.PhaseOn, "b": routing.PhaseOn}},
+			map[string]routing.Phase{"a": routing.PhaseActive, "b": routing.PhaseActive}},
 		{"absent from a whole list", []config.List{list(1, true, "a active 0", "b active 0"), list(2, true, "b active 0")},
-			map[string]routing.Phase{"a": routing.PhaseOff, "b": routing.PhaseOn}},
+			map[string]routing.Phase{"a": routing.PhaseRemoved, "b": routing.PhaseActive}},
 		{"an unknown phase", []config.List{list(1, true, "a odd 0")}, map[string]routing.Phase{"a": routing.PhaseDraining}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -150,7 +150,7 @@
 	if diff := cmp.Diff([]string{"watch=1&after=41", "watch=1&after=43", "watch=1&after=43"}, asked[:3]); diff != "" {
 		t.Errorf("asked (-want +got):\n%s", diff)
 	}
-	want := []string{fmt.Sprint(routing.RosterCached, "a", routing.PhaseOn), fmt.Sprint(routing.RosterChanges, "a", routing.PhaseDraining)}
+	want := []string{fmt.Sprint(routing.EngineListStale, "a", routing.PhaseActive), fmt.Sprint(routing.EngineListDelta, "a", routing.PhaseDraining)}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("told (-want +got):\n%s", diff)
 	}
@@ -170,8 +170,8 @@
 		<-r.Context().Done()
 	}).await(t, 2)
 	want := []string{
-		fmt.Sprint(routing.RosterCached, "a", routing.PhaseOn), fmt.Sprint(routing.RosterChanges, "a", routing.PhaseDraining),
-		fmt.Sprint(routing.RosterChanges, "b", routing.PhaseOn),
+		fmt.Sprint(routing.EngineListStale, "a", routing.PhaseActive), fmt.Sprint(routing.EngineListDelta, "a", routing.PhaseDraining),
+		fmt.Sprint(routing.EngineListDelta, "b", routing.PhaseActive),
 	}
 	if diff := cmp.Diff(want, got); diff != "" || asked[1] != "watch=1&after=44" {
 		t.Errorf("asked %v, told (-want +got):\n%s", asked, diff)
@@ -179,8 +179,8 @@
 }
 
 // told returns a roster's receiver that notes each entry in got, as scope, name and phase.
-func told(mu *sync.Mutex, got *[]string) func(routing.RosterScope, []core.Member) {
-	return func(scope routing.RosterScope, members []core.Member) {
+func told(mu *sync.Mutex, got *[]string) func(routing.EngineListScope, []core.Member) {
+	return func(scope routing.EngineListScope, members []core.Member) {
 		mu.Lock()
 		defer mu.Unlock()
 		for _, m := range members {
@@ -198,13 +198,13 @@
 // gatewayFront is gateway, with its front.
 func gatewayFront(t *testing.T, reader, writer func(enginetest.Call) string) (addr string, r, w *enginetest.Engine, c *core.Core, f *Front) {
 	set := routing.Settings{
-		Zones: []string{"a"}, Routers: 1, MaxAttempts: 4, CanCancel: true, CanRetryAfter: true, MaxRetryAfter: time.Second,
+		Zones: []string{"a"}, Gateways: 1, MaxAttempts: 4, CanCancel: true, CanRetryAfter: true, MaxRetryAfter: time.Second,
 		Classes: []routing.Class{
-			{Name: "lookup", Aim: 10 * time.Second, Gain: 1},
-			{Name: "order", Aim: 10 * time.Second, Gain: 1, Effect: routing.EffectSingleShot},
+			{Name: "lookup", FirstTokenObjective: 10 * time.Second, PriorityWeight: 1},
+			{Name: "order", FirstTokenObjective: 10 * time.Second, PriorityWeight: 1, Effect: routing.EffectAtMostOnce},
 		},
-		Kinds: []routing.Kind{{Name: "r", Role: routing.RolePrefill, Memory: 2e5}, {Name: "w", Role: routing.RoleDecode, Memory: 2e5}},
-		Cold:  time.Second, ColdShare: 0.3, Fall: time.Second, FallMultiple: 3, PinLimit: 500 * time.Millisecond,
+		Kinds:           []routing.Kind{{Name: "r", Role: routing.RolePrefill, Memory: 2e5}, {Name: "w", Role: routing.RoleDecode, Memory: 2e5}},
+		SlowStartPeriod: time.Second, SlowStartCapacity: 0.3, OverloadWindow: time.Second, OverloadMultiple: 3, HeldStateLimit: 500 * time.Millisecond,
 	}
 	router, err := routing.New(set, 1)
 	if err != nil {
@@ -222,9 +222,9 @@
 	log := slog.New(slog.DiscardHandler)
 	pool := upstream.NewPool(upstream.Options{ConnectTimeout: time.Second, ConnIdle: time.Minute})
 	engine := upstream.NewEngine(pool, func(string) upstream.Dialect { return Dialect{} })
-	c = core.New(router, engine, nil, core.Figures{Slack: 50 * time.Millisecond, PinLimit: set.PinLimit, MaxSends: 4}, log, invariant.New())
+	c = core.New(router, engine, nil, core.Figures{Slack: 50 * time.Millisecond, PinLimit: set.HeldStateLimit, MaxSends: 4}, log, invariant.New())
 	go c.Run(t.Context())
-	c.Roster(routing.RosterFull, []core.Member{
+	c.Roster(routing.EngineListSnapshot, []core.Member{
 		{EngineInfo: routing.EngineInfo{Name: "r1", Kind: "r", Zone: "a", Weight: 1}, Addr: r.Addr},
 		{EngineInfo: routing.EngineInfo{Name: "w1", Kind: "w", Zone: "a", Weight: 1}, Addr: w.Addr},
 	})
@@ -332,11 +332,11 @@
 	defer discovery.Close()
 	w := NewWatch(discovery.Listener.Addr().String(), false, 0, told(&mu, &got), slog.New(slog.DiscardHandler))
 	go w.Run(t.Context(), list(41, true, "a active 0"))
-	drained := fmt.Sprint(routing.RosterChanges, "a", routing.PhaseDraining)
+	drained := fmt.Sprint(routing.EngineListDelta, "a", routing.PhaseDraining)
 	enginetest.Eventually(t, "the drain told", func() bool { mu.Lock(); defer mu.Unlock(); return slices.Contains(got, drained) })
 	mu.Lock()
 	defer mu.Unlock()
-	if !slices.Contains(got, fmt.Sprint(routing.RosterChanges, "b", routing.PhaseOn)) {
+	if !slices.Contains(got, fmt.Sprint(routing.EngineListDelta, "b", routing.PhaseActive)) {
 		t.Errorf("told %v, want b as new", got)
 	}
 }
@@ -361,7 +361,7 @@
 	defer discovery.Close()
 	w := NewWatch(discovery.Listener.Addr().String(), false, 400*time.Millisecond, told(&mu, &got), slog.New(slog.DiscardHandler))
 	go w.Run(t.Context(), list(41, true, "a active 0"))
-	drained := fmt.Sprint(routing.RosterChanges, "a", routing.PhaseDraining)
+	drained := fmt.Sprint(routing.EngineListDelta, "a", routing.PhaseDraining)
 	// Twelve calls that each wait as long as a watch's silence would take half a minute.
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(10 * time.Millisecond) {
 		mu.Lock()
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -58,7 +58,7 @@
 func (r *Roster) Apply(l config.List) []core.Member {
 	var changed []core.Member
 	take := func(e config.ListEntry) {
-		if phaseOf(e.Phase) == routing.PhaseOff {
+		if phaseOf(e.Phase) == routing.PhaseRemoved {
 			r.left = append(r.left, e.ID)
 		}
 		r.entries[e.ID] = entry{e, l.Revision}
@@ -78,7 +78,7 @@
 	}
 	if l.Complete && l.Revision >= r.revision {
 		for id, e := range r.entries {
-			if !named[id] && phaseOf(e.Phase) != routing.PhaseOff {
+			if !named[id] && phaseOf(e.Phase) != routing.PhaseRemoved {
 				e.Phase = "left"
 				take(e.ListEntry)
 			}
@@ -93,7 +93,7 @@
 // bring it back: see forgotten.
 func (r *Roster) forget() {
 	for len(r.left) > keepLeft {
-		if e, known := r.entries[r.left[0]]; known && phaseOf(e.Phase) == routing.PhaseOff {
+		if e, known := r.entries[r.left[0]]; known && phaseOf(e.Phase) == routing.PhaseRemoved {
 			r.forgotten = max(r.forgotten, e.revision)
 			delete(r.entries, r.left[0])
 		}
@@ -105,9 +105,9 @@
 func phaseOf(s string) routing.Phase {
 	switch s {
 	case "active":
-		return routing.PhaseOn
+		return routing.PhaseActive
 	case "left":
-		return routing.PhaseOff
+		return routing.PhaseRemoved
 	}
 	return routing.PhaseDraining
 }
@@ -127,7 +127,7 @@
 
 // Watch follows discovery and tells the core what it learns.
 type Watch struct {
-	tell   func(routing.RosterScope, []core.Member)
+	tell   func(routing.EngineListScope, []core.Member)
 	log    *slog.Logger
 	roster *Roster
 	wake   chan struct{} // a Subscribe; nil where changes come by themselves
@@ -143,7 +143,7 @@
 // NewWatch returns a watch on discovery's address. If asked is true it begins
 // only with the first Subscribe. Sends must end so long after a drain was announced as grace
 // says, and what a discovery that was away has to announce counts as announced from when it is back.
-func NewWatch(addr string, asked bool, grace time.Duration, tell func(routing.RosterScope, []core.Member), log *slog.Logger) *Watch {
+func NewWatch(addr string, asked bool, grace time.Duration, tell func(routing.EngineListScope, []core.Member), log *slog.Logger) *Watch {
 	w := &Watch{addr: addr, tell: tell, log: log, roster: NewRoster(), moved: make(chan struct{}, 1), pace: watch.PaceFor(grace, watchBeat)}
 	if asked {
 		w.wake = make(chan struct{}, 1)
@@ -193,7 +193,7 @@
 
 // Run starts from the list as last held and follows the watch until ctx ends.
 func (w *Watch) Run(ctx context.Context, known config.List) {
-	w.tell(routing.RosterCached, w.roster.Apply(known))
+	w.tell(routing.EngineListStale, w.roster.Apply(known))
 	wait := pauses(w.pace)
 	for ctx.Err() == nil {
 		if w.wake != nil {
@@ -216,7 +216,7 @@
 			}
 		}
 		if w.wake != nil {
-			w.tell(routing.RosterFailed, nil)
+			w.tell(routing.EngineListFailed, nil)
 		}
 		if lines > 0 {
 			wait.Reset()
@@ -242,7 +242,7 @@
 		return fmt.Errorf("list: %w", err)
 	}
 	if changed := w.roster.Apply(l); len(changed) > 0 {
-		w.tell(routing.RosterChanges, changed)
+		w.tell(routing.EngineListDelta, changed)
 	}
 	return nil
 }
@@ -282,7 +282,7 @@
 		lines++
 		// The roster has worked out who is gone, so changes say all there is.
 		if changed := w.roster.Apply(l); len(changed) > 0 || lines == 1 {
-			w.tell(routing.RosterChanges, changed)
+			w.tell(routing.EngineListDelta, changed)
 		}
 	}
 }
--- a/internal/rolectl/rolectl_test.go
+++ b/internal/rolectl/rolectl_test.go
@@ -96,7 +96,7 @@
 		w.Fatal(err)
 	}
 	g := &gate{client: client, agent: agent, phase: map[string]routing.Phase{}}
-	g.keeper = directory.New(directory.Options{Policy: roster.DefaultPolicy(), Log: log, Check: directory.Checker(""), Tell: func(_ routing.RosterScope, list []core.Member) {
+	g.keeper = directory.New(directory.Options{Policy: roster.DefaultPolicy(), Log: log, Check: directory.Checker(""), Tell: func(_ routing.EngineListScope, list []core.Member) {
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		for _, m := range list {
@@ -163,7 +163,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	p, known := g.phase[id+" "+role]
-	return known && p != routing.PhaseOn
+	return known && p != routing.PhaseActive
 }
 
 // Hard case: the owner is killed at every step. The next one finishes what it finds, or
@@ -203,7 +203,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	p, known := g.phase[id+" "+role]
-	return known && p == routing.PhaseOn
+	return known && p == routing.PhaseActive
 }
 
 // Hard case: a lease ends in the middle. The owner stops; the other goes on with a
--- a/internal/settings/report.go
+++ b/internal/settings/report.go
@@ -8,7 +8,7 @@
 
 // ReadReport turns the values of a load report into the module's form, nil if
 // there are none.
-func ReadReport(usage map[string]float64) *routing.Report {
+func ReadReport(usage map[string]float64) *routing.LoadReport {
 	if len(usage) == 0 {
 		return nil
 	}
@@ -19,8 +19,8 @@
 		}
 		return nil
 	}
-	r := &routing.Report{
-		Memory: value("x0", 1), WaitingTokens: value("x1", 1000), Queue: value("queue", 1), Util: value("util", 1),
+	r := &routing.LoadReport{
+		MemoryUsed: value("x0", 1), WaitingTokens: value("x1", 1000), QueueLength: value("queue", 1), Utilization: value("util", 1),
 	}
 	if ms, given := usage["latency_ms"]; given {
 		d := time.Duration(ms * float64(time.Millisecond))
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -86,21 +86,21 @@
 }
 
 var effects = map[string]routing.Effect{
-	"": routing.EffectFree, "free": routing.EffectFree, "guarded": routing.EffectGuarded,
+	"": routing.EffectIdempotent, "free": routing.EffectIdempotent, "guarded": routing.EffectDeduplicated,
 }
 
-var groups = map[string]routing.Group{"zone": routing.GroupZone, "cell": routing.GroupCell, "bay": routing.GroupCell}
+var groups = map[string]routing.DedupScope{"zone": routing.DedupZone, "cell": routing.DedupCell, "bay": routing.DedupCell}
 
 // Settings returns what the decision module needs of the object.
 func (o *Options) Settings() routing.Settings {
 	s := routing.Settings{
-		Zone: o.Az, Zones: o.Zones, Routers: o.Balancers,
-		DecodePrefills: o.Info.LocalRead,
-		OverShareWorth: o.OverShareWorth, MustSubscribe: o.Membership == "subscribe",
+		Zone: o.Az, Zones: o.Zones, Gateways: o.Balancers,
+		DecodePrefills:  o.Info.LocalRead,
+		OverQuotaWeight: o.OverShareWorth, MustSubscribe: o.Membership == "subscribe",
 		CanCancel: o.Limits.Cancelling, CanRetryAfter: o.Limits.RetryAfter,
 		MaxRetryAfter: Micros(o.Limits.MaxRetryAfter), MaxAttempts: o.Limits.SendCap,
-		Cold: Micros(o.Rules.Cold), ColdShare: o.Rules.ColdShare, Fall: Micros(o.Rules.Fall),
-		FallMultiple: o.Rules.FallMultiple, PinLimit: Micros(o.Info.PinLimit), Tick: Micros(o.Tick),
+		SlowStartPeriod: Micros(o.Rules.Cold), SlowStartCapacity: o.Rules.ColdShare, OverloadWindow: Micros(o.Rules.Fall),
+		OverloadMultiple: o.Rules.FallMultiple, HeldStateLimit: Micros(o.Info.PinLimit), Tick: Micros(o.Tick),
 		// A probe is worth its price only where its answer tells a queue.
 		CanProbe: o.Limits.Probes && o.Report.Source == "pull" &&
 			(slices.Contains(o.Report.Columns, "queue") || slices.Contains(o.Report.Columns, "x1")),
@@ -108,13 +108,13 @@
 	for i, c := range o.Classes {
 		effect, known := effects[c.Effect]
 		if !known {
-			effect = routing.EffectSingleShot
+			effect = routing.EffectAtMostOnce
 		}
 		s.Classes = append(s.Classes, routing.Class{
-			Name: c.Name, Aim: Micros(c.Aim), Gain: c.Gain,
-			AimPerToken: time.Duration(at(o.Info.AimPer1000, i)), // microseconds per 1,000 = nanoseconds per 1
-			TokenAim:    Micros(int64(at(o.Info.TokenAim, i))),
-			Effect:      effect, Group: groups[c.Group], Window: Micros(c.Window),
+			Name: c.Name, FirstTokenObjective: Micros(c.Aim), PriorityWeight: c.Gain,
+			FirstTokenPerPromptToken: time.Duration(at(o.Info.AimPer1000, i)), // microseconds per 1,000 = nanoseconds per 1
+			TokenIntervalObjective:   Micros(int64(at(o.Info.TokenAim, i))),
+			Effect:                   effect, DedupScope: groups[c.Group], DedupWindow: Micros(c.Window),
 		})
 	}
 	for i, k := range o.Kinds {
--- a/internal/simulator/simulator.go
+++ b/internal/simulator/simulator.go
@@ -101,17 +101,17 @@
 }
 
 var phases = map[string]routing.Phase{
-	"on": routing.PhaseOn, "fading": routing.PhaseDraining, "off": routing.PhaseOff,
+	"on": routing.PhaseActive, "fading": routing.PhaseDraining, "off": routing.PhaseRemoved,
 }
 
-var scopes = map[string]routing.RosterScope{
-	"D": routing.RosterChanges, "F": routing.RosterFull, "C": routing.RosterCached, "X": routing.RosterFailed,
+var scopes = map[string]routing.EngineListScope{
+	"D": routing.EngineListDelta, "F": routing.EngineListSnapshot, "C": routing.EngineListStale, "X": routing.EngineListFailed,
 }
 
 var statuses = map[string]routing.Status{
-	"S": routing.StatusServed, "E": routing.StatusError, "F": routing.StatusFull,
-	"T": routing.StatusTimeout, "C": routing.StatusNoConnect, "R": routing.StatusReset,
-	"X": routing.StatusCancelled, "N": routing.StatusUnsent, "ready_to_answer": routing.StatusRead,
+	"S": routing.StatusServed, "E": routing.StatusError, "F": routing.StatusRejected,
+	"T": routing.StatusTimeout, "C": routing.StatusConnectFailed, "R": routing.StatusReset,
+	"X": routing.StatusCancelled, "N": routing.StatusNotSent, "ready_to_answer": routing.StatusPrefilled,
 }
 
 // host holds the instances of one process; they share nothing but the lists.
@@ -273,7 +273,7 @@
 		}
 		list = append(list, routing.EngineInfo{
 			Name: e.Worker, Kind: e.Family, Zone: e.DC, Cell: e.Bay, Weight: e.Scale,
-			CameUp: settings.Micros(e.CameUp), Phase: phase,
+			StartTime: settings.Micros(e.CameUp), Phase: phase,
 		})
 	}
 	return list
@@ -287,8 +287,8 @@
 		if !known {
 			return nil, fmt.Errorf("unknown scope %q", l.Scope)
 		}
-		ev := routing.Roster{Scope: scope}
-		if scope != routing.RosterFailed {
+		ev := routing.EngineList{Scope: scope}
+		if scope != routing.EngineListFailed {
 			list, given := h.lists[l.List]
 			if !given {
 				return nil, fmt.Errorf("list %d was never given", l.List)
@@ -299,13 +299,13 @@
 	case "Call":
 		return routing.Request{
 			ID: id, Class: l.Lane, Tenant: string(l.Team), Session: string(l.Talk), Prefix: string(l.Prefix),
-			PrefixLen: int(l.PrefixLen), Prompt: int(l.Prompt), MaxTokens: int(l.MaxTokens),
-			Hint: settings.Micros(int64(l.Predicted)), TTL: settings.Micros(l.TTL), Repeat: l.Resent, Reconnect: l.Reconnect,
+			PrefixLen: int(l.PrefixLen), PromptTokens: int(l.Prompt), MaxTokens: int(l.MaxTokens),
+			DurationHint: settings.Micros(int64(l.Predicted)), TTL: settings.Micros(l.TTL), Retry: l.Resent, Reconnect: l.Reconnect,
 		}, nil
 	case "UnderWay":
 		return routing.FirstToken{ID: id, Attempt: l.Copy, Engine: l.Worker, Latency: settings.Micros(l.Latency)}, nil
 	case "HeldNote":
-		return routing.PlaceNote{ID: id, Held: l.What == 1}, nil
+		return routing.ReservationResult{ID: id, Granted: l.What == 1}, nil
 	case "Verdict":
 		status, known := statuses[l.Reason]
 		if !known {
@@ -313,7 +313,7 @@
 		}
 		return outcome(l, status), nil
 	case "Gone":
-		return routing.Gone{ID: id}, nil
+		return routing.ClientGone{ID: id}, nil
 	case "DeadlineHit":
 		return routing.TimerFired{Name: l.Mark}, nil
 	case "Health":
@@ -339,10 +339,10 @@
 		ID: routing.RequestID(l.Xid), Attempt: l.Copy, Engine: l.Worker, Status: status,
 		Latency: settings.Micros(l.Latency), Final: l.Last, Report: settings.ReadReport(l.Usage),
 	}
-	if status == routing.StatusFull {
-		o.NoState = l.Info == 1
+	if status == routing.StatusRejected {
+		o.StateMissing = l.Info == 1
 	} else {
-		o.Kept = int(l.Info)
+		o.CachedTokens = int(l.Info)
 	}
 	return o
 }
@@ -352,8 +352,8 @@
 	id := func(v routing.RequestID) *uint32 { n := uint32(v); return &n }
 	switch a := action.(type) {
 	case routing.Send:
-		l.Verb, l.Xid, l.Worker, l.Limit = "Issue", id(a.ID), a.Engine, a.Limit.Microseconds()
-	case routing.Refuse:
+		l.Verb, l.Xid, l.Worker, l.Limit = "Issue", id(a.ID), a.Engine, a.Timeout.Microseconds()
+	case routing.Reject:
 		l.Verb, l.Xid, l.Backoff = "Decline", id(a.ID), a.RetryAfter.Microseconds()
 	case routing.Fail:
 		l.Verb, l.Xid = "Surrender", id(a.ID)
--- a/internal/telemetry/trace.go
+++ b/internal/telemetry/trace.go
@@ -75,7 +75,7 @@
 		}
 	}
 	t.span(within("request "+q.Wire), "request", q.Arrived, time.Now(), failed,
-		attribute.String("class", q.Class), attribute.String("team", q.Tenant), attribute.Int("prompt_tokens", q.Prompt), attribute.String("answer", verdict))
+		attribute.String("class", q.Class), attribute.String("team", q.Tenant), attribute.Int("prompt_tokens", q.PromptTokens), attribute.String("answer", verdict))
 }
 
 // Engines wraps engines so that every attempt and every release is a span.
@@ -98,7 +98,7 @@
 		first(s)
 	}, func(r core.Result) {
 		failed := ""
-		if r.Status != routing.StatusRead {
+		if r.Status != routing.StatusPrefilled {
 			failed = fmt.Sprint("status ", r.Status, ": ", r.Cause)
 		}
 		note("attempt", failed)
--- a/internal/upstream/engine.go
+++ b/internal/upstream/engine.go
@@ -190,7 +190,7 @@
 	begun := time.Now()
 	c, err := e.pool.get(ctx, a.To.Addr)
 	if err != nil {
-		return nil, &core.Result{Status: routing.StatusNoConnect, Cause: err}
+		return nil, &core.Result{Status: routing.StatusConnectFailed, Cause: err}
 	}
 	if !t.hold(c) { // the caller drops it
 		return nil, &core.Result{Status: routing.StatusCancelled, Cause: context.Canceled}
@@ -199,7 +199,7 @@
 		a.Connected()
 	}
 	if a.Left != nil && a.Left() {
-		return nil, &core.Result{Status: routing.StatusUnsent, Cause: errLeft}
+		return nil, &core.Result{Status: routing.StatusNotSent, Cause: errLeft}
 	}
 	if !t.begin() {
 		return nil, &core.Result{Status: routing.StatusCancelled, Cause: context.Canceled}
@@ -207,7 +207,7 @@
 	c.SetDeadline(until)
 	a.Limit -= time.Since(begun) // what is left is what its engine is told
 	if err := write(c, dialect.Attempt(a)); err != nil {
-		return nil, &core.Result{Status: routing.StatusNoConnect, Cause: err}
+		return nil, &core.Result{Status: routing.StatusConnectFailed, Cause: err}
 	}
 	if a.Written != nil {
 		a.Written()
@@ -220,7 +220,7 @@
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
 	t.done(err == nil && len(body) < maxAnswer && !resp.Close)
 	r := dialect.Judge(resp.StatusCode, resp.Header, body)
-	if r.Cause == nil && r.Status != routing.StatusRead {
+	if r.Cause == nil && r.Status != routing.StatusPrefilled {
 		r.Cause = fmt.Errorf("status %d", resp.StatusCode)
 	}
 	return r
@@ -295,16 +295,16 @@
 }
 
 // Probe asks for a load report; see core.Engine.
-func (e *Engine) Probe(at core.Member, done func(routing.Status, *routing.Report)) {
+func (e *Engine) Probe(at core.Member, done func(routing.Status, *routing.LoadReport)) {
 	call, given := e.dialect(at.Kind).Probe()
 	go func() {
 		if !given {
-			done(routing.StatusUnsent, nil)
+			done(routing.StatusNotSent, nil)
 			return
 		}
 		resp, body, err := e.exchange(at.Addr, call, probeWait, e.pool.get, e.pool.putBrief)
 		if err != nil {
-			done(routing.StatusNoConnect, nil)
+			done(routing.StatusConnectFailed, nil)
 			return
 		}
 		r := e.dialect(at.Kind).Judge(resp.StatusCode, resp.Header, body)
--- a/internal/upstream/errno_test.go
+++ b/internal/upstream/errno_test.go
@@ -85,19 +85,19 @@
 		if status != routing.StatusReset || !written || dials != 3 {
 			t.Errorf("connect fails twice with %v: %v, written %v, %d dials", e, status, written, dials)
 		}
-		if status, written, dials = tryOnce(t, func(int) (net.Conn, error) { return nil, dialError(e) }); status != routing.StatusNoConnect || written || dials < 2 {
+		if status, written, dials = tryOnce(t, func(int) (net.Conn, error) { return nil, dialError(e) }); status != routing.StatusConnectFailed || written || dials < 2 {
 			t.Errorf("connect fails with %v: %v, written %v, %d dials", e, status, written, dials)
 		}
 	}
 	for _, e := range []syscall.Errno{syscall.ECONNREFUSED, syscall.EHOSTUNREACH, syscall.ETIMEDOUT, syscall.ECONNRESET, syscall.EPERM} {
-		if status, written, dials := tryOnce(t, func(int) (net.Conn, error) { return nil, dialError(e) }); status != routing.StatusNoConnect || written || dials != 1 {
+		if status, written, dials := tryOnce(t, func(int) (net.Conn, error) { return nil, dialError(e) }); status != routing.StatusConnectFailed || written || dials != 1 {
 			t.Errorf("connect fails with %v: %v, written %v, %d dials", e, status, written, dials)
 		}
 	}
 	for _, e := range []syscall.Errno{syscall.EPIPE, syscall.ECONNRESET, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.ENOBUFS} {
 		for _, takes := range []int{0, 1, 40} {
 			status, written, dials := tryOnce(t, func(int) (net.Conn, error) { return &spoilt{takes: takes, writing: e}, nil })
-			if status != routing.StatusNoConnect || written || dials != 1 {
+			if status != routing.StatusConnectFailed || written || dials != 1 {
 				t.Errorf("write fails with %v after %d bytes: %v, written %v, %d dials", e, takes, status, written, dials)
 			}
 		}
--- a/internal/upstream/held_test.go
+++ b/internal/upstream/held_test.go
@@ -57,12 +57,12 @@
 
 // drawSettings draws another customer's settings.
 func drawSettings(r *rand.Rand) routing.Settings {
-	effects := []routing.Effect{routing.EffectFree, routing.EffectGuarded, routing.EffectSingleShot}
+	effects := []routing.Effect{routing.EffectIdempotent, routing.EffectDeduplicated, routing.EffectAtMostOnce}
 	set := routing.Settings{
-		Zones: []string{"a", "b"}[:1+r.IntN(2)], Routers: 1 + r.IntN(4), MaxAttempts: 1 + r.IntN(5),
+		Zones: []string{"a", "b"}[:1+r.IntN(2)], Gateways: 1 + r.IntN(4), MaxAttempts: 1 + r.IntN(5),
 		CanCancel: r.IntN(4) > 0, CanRetryAfter: true, MaxRetryAfter: time.Second, DecodePrefills: r.IntN(3) == 0,
-		Cold: time.Second, ColdShare: 0.3, Fall: time.Second, FallMultiple: 3,
-		PinLimit: between(r, 100*time.Millisecond, 2*time.Second), Tick: pick(r, time.Millisecond, 4*time.Millisecond, 20*time.Millisecond),
+		SlowStartPeriod: time.Second, SlowStartCapacity: 0.3, OverloadWindow: time.Second, OverloadMultiple: 3,
+		HeldStateLimit: between(r, 100*time.Millisecond, 2*time.Second), Tick: pick(r, time.Millisecond, 4*time.Millisecond, 20*time.Millisecond),
 	}
 	set.Zone = set.Zones[0]
 	for _, role := range []routing.Role{routing.RolePrefill, routing.RoleDecode, routing.RoleMixed} {
@@ -70,8 +70,8 @@
 	}
 	for i := range 3 {
 		set.Classes = append(set.Classes, routing.Class{
-			Name: fmt.Sprint("c", i), Aim: between(r, 500*time.Millisecond, 3*time.Second), Gain: 1,
-			Effect: effects[i], Group: pick(r, routing.GroupAll, routing.GroupZone, routing.GroupCell), Window: between(r, time.Second, 5*time.Second),
+			Name: fmt.Sprint("c", i), FirstTokenObjective: between(r, 500*time.Millisecond, 3*time.Second), PriorityWeight: 1,
+			Effect: effects[i], DedupScope: pick(r, routing.DedupAllEngines, routing.DedupZone, routing.DedupCell), DedupWindow: between(r, time.Second, 5*time.Second),
 		})
 	}
 	return set
@@ -82,7 +82,7 @@
 	r := rand.New(rand.NewPCG(seed, 0))
 	set := drawSettings(r)
 	s := &scenario{random: r, settings: set, fleet: newSimFleet(simRules{
-		pinLimit: set.PinLimit, anywhere: r.IntN(2) == 0, stopsWork: r.IntN(2) == 0, learnsLate: r.IntN(2) == 0,
+		pinLimit: set.HeldStateLimit, anywhere: r.IntN(2) == 0, stopsWork: r.IntN(2) == 0, learnsLate: r.IntN(2) == 0,
 		ownRead: set.DecodePrefills, readersLast: between(r, 20*time.Millisecond, 600*time.Millisecond),
 	}, seed)}
 	for i := range 2 + r.IntN(5) {
@@ -110,11 +110,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	figures := core.Figures{Slack: 16 * time.Millisecond, PinLimit: set.PinLimit, MaxSends: set.MaxAttempts, Reach: connect}
+	figures := core.Figures{Slack: 16 * time.Millisecond, PinLimit: set.HeldStateLimit, MaxSends: set.MaxAttempts, Reach: connect}
 	engine := upstream.NewEngine(pool, func(string) upstream.Dialect { return platform.Dialect{} })
 	s.core = core.New(router, engine, still{}, figures, slog.New(slog.DiscardHandler), invariant.New())
 	go s.core.Run(process)
-	s.core.Roster(routing.RosterFull, s.members)
+	s.core.Roster(routing.EngineListSnapshot, s.members)
 	s.fleet.step("settings %+v, rules %+v, clients resume: %v", set, s.fleet.rules, s.resumes)
 	return s
 }
@@ -165,7 +165,7 @@
 		next.MaxAttempts = 1 + s.random.IntN(5)
 		next.Classes = slices.Clone(next.Classes)
 		for i := range next.Classes {
-			next.Classes[i].Effect = pick(s.random, routing.EffectFree, routing.EffectGuarded, routing.EffectSingleShot)
+			next.Classes[i].Effect = pick(s.random, routing.EffectIdempotent, routing.EffectDeduplicated, routing.EffectAtMostOnce)
 		}
 		s.fleet.on(trigger{stage: pick(s.random, stages...), skip: s.random.IntN(asks), run: func() {
 			s.fleet.step("settings are replaced")
@@ -230,7 +230,7 @@
 		v.leaveAt = pick(s.random, stages...)
 	}
 	v.request = core.Request{Wire: fmt.Sprint("q", n), Payload: core.Payload{Method: "POST", Target: "/v1/chat/completions", Body: []byte("{}")}}
-	v.request.Request = routing.Request{Class: fmt.Sprint("c", s.random.IntN(3)), Session: fmt.Sprint(s.random.IntN(5)), Prompt: 100, MaxTokens: 10, TTL: wait}
+	v.request.Request = routing.Request{Class: fmt.Sprint("c", s.random.IntN(3)), Session: fmt.Sprint(s.random.IntN(5)), PromptTokens: 100, MaxTokens: 10, TTL: wait}
 	if s.resumes {
 		for range s.random.IntN(resumeMost + 1) {
 			v.pauses = append(v.pauses, between(s.random, 0, resumeWithin))
--- a/internal/upstream/memory_test.go
+++ b/internal/upstream/memory_test.go
@@ -98,9 +98,9 @@
 		t.Fatal(err)
 	}
 	engine := upstream.NewEngine(pool, func(string) upstream.Dialect { return platform.Dialect{} })
-	c.core = core.New(router, engine, still{}, core.Figures{PinLimit: set.PinLimit, MaxSends: 4}, slog.New(slog.DiscardHandler), invariant.New())
+	c.core = core.New(router, engine, still{}, core.Figures{PinLimit: set.HeldStateLimit, MaxSends: 4}, slog.New(slog.DiscardHandler), invariant.New())
 	go c.core.Run(t.Context())
-	c.core.Roster(routing.RosterFull, members)
+	c.core.Roster(routing.EngineListSnapshot, members)
 	return c
 }
 
@@ -110,7 +110,7 @@
 	for range n {
 		c.next++
 		q := core.Request{Wire: fmt.Sprint("q", c.next), Arrived: time.Now(), Payload: core.Payload{Method: "POST", Target: "/v1/chat/completions", Body: make([]byte, 1<<10)}}
-		q.Request = routing.Request{Class: fmt.Sprint("c", c.next%3), Session: fmt.Sprint(c.next % 50), Prompt: 100, MaxTokens: 10, TTL: 2 * time.Second}
+		q.Request = routing.Request{Class: fmt.Sprint("c", c.next%3), Session: fmt.Sprint(c.next % 50), PromptTokens: 100, MaxTokens: 10, TTL: 2 * time.Second}
 		stay := q.TTL
 		if c.next%5 == 0 {
 			stay = time.Duration(c.next%40) * time.Millisecond
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -46,13 +46,13 @@
 		name, script, text string
 		want               core.Result
 	}{
-		{"read", enginetest.Status(202, "", `{"cached_tokens":4096}`), "", core.Result{Status: routing.StatusRead, Kept: 4096}},
-		{"read, odd body", enginetest.Status(202, "", `{`), "", core.Result{Status: routing.StatusRead}},
+		{"read", enginetest.Status(202, "", `{"cached_tokens":4096}`), "", core.Result{Status: routing.StatusPrefilled, Kept: 4096}},
+		{"read, odd body", enginetest.Status(202, "", `{`), "", core.Result{Status: routing.StatusPrefilled}},
 		{"error", enginetest.Status(500, "", ""), "", core.Result{Status: routing.StatusError}},
-		{"full", enginetest.Status(503, notRun, ""), "", core.Result{Status: routing.StatusFull}},
-		{"over already", enginetest.Status(504, notRun, ""), "", core.Result{Status: routing.StatusFull}},
+		{"full", enginetest.Status(503, notRun, ""), "", core.Result{Status: routing.StatusRejected}},
+		{"over already", enginetest.Status(504, notRun, ""), "", core.Result{Status: routing.StatusRejected}},
 		{"503 that proves nothing", enginetest.Status(503, "", ""), "", core.Result{Status: routing.StatusError}},
-		{"no state", enginetest.Status(410, notRun, ""), "", core.Result{Status: routing.StatusFull, NoState: true}},
+		{"no state", enginetest.Status(410, notRun, ""), "", core.Result{Status: routing.StatusRejected, NoState: true}},
 		{"410 that proves nothing", enginetest.Status(410, "", ""), "", core.Result{Status: routing.StatusError}},
 		{"break before the head", enginetest.Cut, "", core.Result{Status: routing.StatusReset}},
 		{"break in the head", "HTTP/1.1 20" + enginetest.Cut, "", core.Result{Status: routing.StatusError}},
@@ -97,7 +97,7 @@
 		t.Fatal(err)
 	}
 	l.Close() // nobody listens there now
-	if _, r := attempt(engine(t), l.Addr().String()); r.Status != routing.StatusNoConnect {
+	if _, r := attempt(engine(t), l.Addr().String()); r.Status != routing.StatusConnectFailed {
 		t.Errorf("status %v", r.Status)
 	}
 }
@@ -117,7 +117,7 @@
 		_, r := attempt(e, server.Addr)
 		got = append(got, r.Status)
 	}
-	want := []routing.Status{routing.StatusRead, routing.StatusReset, routing.StatusRead}
+	want := []routing.Status{routing.StatusPrefilled, routing.StatusReset, routing.StatusPrefilled}
 	if diff := cmp.Diff(want, got); diff != "" || len(server.Calls("POST")) != 3 {
 		t.Errorf("%d calls; statuses (-want +got):\n%s", len(server.Calls("POST")), diff)
 	}
@@ -130,7 +130,7 @@
 	})
 	e := engine(t)
 	for n := 1; n <= 3; n++ {
-		if _, r := attempt(e, server.Addr); r.Status != routing.StatusRead || r.Kept != n {
+		if _, r := attempt(e, server.Addr); r.Status != routing.StatusPrefilled || r.Kept != n {
 			t.Errorf("attempt %d: %+v", n, r)
 		}
 	}
@@ -173,7 +173,7 @@
 		return engine(t).Start(a, nil, func(r core.Result) { end <- r }), end
 	}
 	_, end := start(core.Attempt{Left: func() bool { return true }})
-	if r := <-end; r.Status != routing.StatusUnsent {
+	if r := <-end; r.Status != routing.StatusNotSent {
 		t.Errorf("its client has left: %+v", r)
 	}
 	reached, back := make(chan struct{}), make(chan struct{})
--- a/routing/api.go
+++ b/routing/api.go
@@ -29,31 +29,31 @@
 
 // The effects a class may have.
 const (
-	EffectFree       Effect = iota // may be repeated at will
-	EffectGuarded                  // repeats are dropped within a group and a window
-	EffectSingleShot               // must not run twice
+	EffectIdempotent   Effect = iota // may be repeated at will
+	EffectDeduplicated               // repeats are dropped within a group and a window
+	EffectAtMostOnce                 // must not run twice
 )
 
-// Group is the set of engines that drop each other's repeats of a guarded request.
-type Group uint8
+// DedupScope is the set of engines that drop each other's repeats of a guarded request.
+type DedupScope uint8
 
 // The groups of a guarded class.
 const (
-	GroupAll Group = iota
-	GroupZone
-	GroupCell
+	DedupAllEngines DedupScope = iota
+	DedupZone
+	DedupCell
 )
 
 // Class describes one class of requests.
 type Class struct {
-	Name        string
-	Aim         time.Duration // first token within this earns the full worth
-	AimPerToken time.Duration // added to Aim for each prompt token
-	TokenAim    time.Duration // wanted interval between tokens
-	Gain        float64       // worth of one request
-	Effect      Effect
-	Group       Group
-	Window      time.Duration // how long a guarded repeat is remembered
+	Name                     string
+	FirstTokenObjective      time.Duration // first token within this earns the full worth
+	FirstTokenPerPromptToken time.Duration // added to Aim for each prompt token
+	TokenIntervalObjective   time.Duration // wanted interval between tokens
+	PriorityWeight           float64       // worth of one request
+	Effect                   Effect
+	DedupScope               DedupScope
+	DedupWindow              time.Duration // how long a guarded repeat is remembered
 }
 
 // Kind describes one kind of engine.
@@ -69,38 +69,38 @@
 	Quota float64 // requests per second within its share, over all routers
 }
 
-// Standing is how a tenant stands with its quota, in requests.
-type Standing struct {
-	Most float64       // that may come at once
-	Left float64       // of these
-	Full time.Duration // until all of them are there again
+// QuotaStatus is how a tenant stands with its quota, in requests.
+type QuotaStatus struct {
+	Burst     float64       // that may come at once
+	Remaining float64       // of these
+	ResetIn   time.Duration // until all of them are there again
 }
 
 // Settings are the figures a router is given at its start.
 type Settings struct {
-	Zone    string
-	Zones   []string
-	Routers int // how many routers share the pools
-	Classes []Class
-	Kinds   []Kind
-	Tenants []Tenant
-
-	OverShareWorth float64       // worth of traffic above a quota, as a fraction
-	MustSubscribe  bool          // the roster is delivered only on request
-	CanCancel      bool          // CancelAttempt is allowed
-	CanRetryAfter  bool          // Refuse may advise a wait
-	MaxRetryAfter  time.Duration // longest advice that clients honour
-	MaxAttempts    int           // attempts per request
-	CanProbe       bool          // Probe is allowed, and its report tells an engine's queue
-	DecodePrefills bool          // a decode engine that gets a request with no state reads its prompt itself
-
-	Cold         time.Duration // a started engine is warm after this
-	ColdShare    float64       // least share of its capacity at the start
-	Fall         time.Duration // span over which a cold engine's load is counted
-	FallMultiple float64       // times its capacity that makes it fall over
-	PinLimit     time.Duration // longest a state may wait with no attempt out
-	SendDelay    time.Duration // longest from a Send to its arrival: what may not come late is not sent
-	Tick         time.Duration // least interval between events
+	Zone     string
+	Zones    []string
+	Gateways int // how many routers share the pools
+	Classes  []Class
+	Kinds    []Kind
+	Tenants  []Tenant
+
+	OverQuotaWeight float64       // worth of traffic above a quota, as a fraction
+	MustSubscribe   bool          // the roster is delivered only on request
+	CanCancel       bool          // CancelAttempt is allowed
+	CanRetryAfter   bool          // Refuse may advise a wait
+	MaxRetryAfter   time.Duration // longest advice that clients honour
+	MaxAttempts     int           // attempts per request
+	CanProbe        bool          // Probe is allowed, and its report tells an engine's queue
+	DecodePrefills  bool          // a decode engine that gets a request with no state reads its prompt itself
+
+	SlowStartPeriod   time.Duration // a started engine is warm after this
+	SlowStartCapacity float64       // least share of its capacity at the start
+	OverloadWindow    time.Duration // span over which a cold engine's load is counted
+	OverloadMultiple  float64       // times its capacity that makes it fall over
+	HeldStateLimit    time.Duration // longest a state may wait with no attempt out
+	SendDelay         time.Duration // longest from a Send to its arrival: what may not come late is not sent
+	Tick              time.Duration // least interval between events
 }
 
 // Event is something a router is told.
@@ -114,9 +114,9 @@
 
 // The phases of an engine.
 const (
-	PhaseOn Phase = iota
+	PhaseActive Phase = iota
 	PhaseDraining
-	PhaseOff
+	PhaseRemoved
 )
 
 // EngineInfo is an engine's entry on the roster.
@@ -124,50 +124,50 @@
 	Name, Kind, Zone string
 	Cell             int
 	Weight           float64 // size against others of its role
-	CameUp           Time    // last start; 0 means long ago
+	StartTime        Time    // last start; 0 means long ago
 	Phase            Phase
 }
 
-// RosterScope says what a Roster event holds.
-type RosterScope uint8
+// EngineListScope says what a Roster event holds.
+type EngineListScope uint8
 
 // The scopes of a Roster event.
 const (
-	RosterChanges RosterScope = iota
-	RosterFull
-	RosterCached // the full list as last held, possibly stale
-	RosterFailed // a call failed; no entries
+	EngineListDelta EngineListScope = iota
+	EngineListSnapshot
+	EngineListStale  // the full list as last held, possibly stale
+	EngineListFailed // a call failed; no entries
 )
 
-// Roster reports the engines that discovery knows.
-type Roster struct {
-	Scope   RosterScope
+// EngineList reports the engines that discovery knows.
+type EngineList struct {
+	Scope   EngineListScope
 	Engines []EngineInfo
 }
 
 // Request is a client's try that now needs one final answer.
 type Request struct {
-	ID        RequestID
-	Class     string
-	Tenant    string
-	Session   string // "" = none
-	Prefix    string // beginning shared with other sessions; "" = none
-	PrefixLen int
-	Prompt    int           // tokens
-	MaxTokens int           // most the answer may hold
-	Hint      time.Duration // rough length of the answer at the class's pace; 0 = none
-	TTL       time.Duration // until the client gives up this try
-	Repeat    bool          // the client marks it as a repeat
-	Reconnect bool          // the client continues a broken or moved stream
+	ID           RequestID
+	Class        string
+	Tenant       string
+	Session      string // "" = none
+	Prefix       string // beginning shared with other sessions; "" = none
+	PrefixLen    int
+	PromptTokens int           // tokens
+	MaxTokens    int           // most the answer may hold
+	DurationHint time.Duration // rough length of the answer at the class's pace; 0 = none
+	TTL          time.Duration // until the client gives up this try
+	Retry        bool          // the client marks it as a repeat
+	Reconnect    bool          // the client continues a broken or moved stream
 }
 
-// Report is an engine's word on its load; nil fields were not reported.
-type Report struct {
+// LoadReport is an engine's word on its load; nil fields were not reported.
+type LoadReport struct {
 	Latency       *time.Duration // recent service time
-	Memory        *float64       // share of memory held
+	MemoryUsed    *float64       // share of memory held
 	WaitingTokens *float64       // prompt tokens that wait to be read or fetched
-	Queue         *float64       // requests that wait
-	Util          *float64       // share of slots in use
+	QueueLength   *float64       // requests that wait
+	Utilization   *float64       // share of slots in use
 }
 
 // Status is how an attempt or probe ended.
@@ -175,28 +175,28 @@
 
 // The statuses of an Outcome.
 const (
-	StatusServed    Status = iota
-	StatusRead             // the prompt is read and its state waits at the prefill engine
-	StatusError            // the engine failed it; it may have run
-	StatusFull             // turned away; it never ran
-	StatusTimeout          // no answer in time; it may have run
-	StatusNoConnect        // no connection; it never ran
-	StatusReset            // the connection broke; it may have run
-	StatusCancelled        // withdrawn; it may have run
-	StatusUnsent           // never sent
+	StatusServed        Status = iota
+	StatusPrefilled            // the prompt is read and its state waits at the prefill engine
+	StatusError                // the engine failed it; it may have run
+	StatusRejected             // turned away; it never ran
+	StatusTimeout              // no answer in time; it may have run
+	StatusConnectFailed        // no connection; it never ran
+	StatusReset                // the connection broke; it may have run
+	StatusCancelled            // withdrawn; it may have run
+	StatusNotSent              // never sent
 )
 
 // Outcome reports how an attempt ended.
 type Outcome struct {
-	ID      RequestID
-	Attempt int
-	Engine  string
-	Status  Status
-	Latency time.Duration
-	Final   bool // the request has its final answer
-	Kept    int  // prompt tokens found kept, with StatusRead and StatusServed
-	NoState bool // with StatusFull: there was no state to fetch
-	Report  *Report
+	ID           RequestID
+	Attempt      int
+	Engine       string
+	Status       Status
+	Latency      time.Duration
+	Final        bool // the request has its final answer
+	CachedTokens int  // prompt tokens found kept, with StatusRead and StatusServed
+	StateMissing bool // with StatusFull: there was no state to fetch
+	Report       *LoadReport
 }
 
 // FirstToken reports that an attempt's answer has begun to stream.
@@ -207,15 +207,15 @@
 	Latency time.Duration
 }
 
-// Gone reports that the client has left or its time is over.
-type Gone struct{ ID RequestID }
+// ClientGone reports that the client has left or its time is over.
+type ClientGone struct{ ID RequestID }
 
-// Peers reports how many routers share the pools from now on.
-type Peers struct{ Routers int }
+// GatewaysChanged reports how many routers share the pools from now on.
+type GatewaysChanged struct{ Gateways int }
 
-// Closing reports that the gateway is about to end: nothing more is sent, and what comes
+// ShuttingDown reports that the gateway is about to end: nothing more is sent, and what comes
 // from now on is refused. What a decode engine may be about to answer is waited for until Last.
-type Closing struct{ Last bool }
+type ShuttingDown struct{ Final bool }
 
 // TimerFired reports that a timer is due.
 type TimerFired struct{ Name string }
@@ -225,13 +225,13 @@
 	Engine  string
 	Status  Status
 	Latency time.Duration
-	Report  *Report
+	Report  *LoadReport
 }
 
-// PlaceNote answers a place asked for ahead of a read.
-type PlaceNote struct {
-	ID   RequestID
-	Held bool
+// ReservationResult answers a place asked for ahead of a read.
+type ReservationResult struct {
+	ID      RequestID
+	Granted bool
 }
 
 // PeerMessage is a payload from another router.
@@ -240,27 +240,27 @@
 	Payload []byte
 }
 
-func (Roster) isEvent()      {}
-func (Request) isEvent()     {}
-func (Outcome) isEvent()     {}
-func (FirstToken) isEvent()  {}
-func (Gone) isEvent()        {}
-func (Peers) isEvent()       {}
-func (Closing) isEvent()     {}
-func (TimerFired) isEvent()  {}
-func (ProbeResult) isEvent() {}
-func (PlaceNote) isEvent()   {}
-func (PeerMessage) isEvent() {}
+func (EngineList) isEvent()        {}
+func (Request) isEvent()           {}
+func (Outcome) isEvent()           {}
+func (FirstToken) isEvent()        {}
+func (ClientGone) isEvent()        {}
+func (GatewaysChanged) isEvent()   {}
+func (ShuttingDown) isEvent()      {}
+func (TimerFired) isEvent()        {}
+func (ProbeResult) isEvent()       {}
+func (ReservationResult) isEvent() {}
+func (PeerMessage) isEvent()       {}
 
 // Send makes an attempt at an engine. A Limit of 0 lasts until the client gives up.
 type Send struct {
-	ID     RequestID
-	Engine string
-	Limit  time.Duration
+	ID      RequestID
+	Engine  string
+	Timeout time.Duration
 }
 
-// Refuse is a final answer: not done, and trying again is harmless.
-type Refuse struct {
+// Reject is a final answer: not done, and trying again is harmless.
+type Reject struct {
 	ID         RequestID
 	RetryAfter time.Duration // 0 = no advice
 	OverQuota  bool          // because the tenant's quota is spent
@@ -291,7 +291,7 @@
 type Subscribe struct{}
 
 func (Send) isAction()          {}
-func (Refuse) isAction()        {}
+func (Reject) isAction()        {}
 func (Fail) isAction()          {}
 func (CancelAttempt) isAction() {}
 func (Release) isAction()       {}
--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -18,12 +18,12 @@
 
 func benchmarkHandle(b *testing.B, engines int) {
 	set := goldenSettings()
-	set.Routers = 30
+	set.Gateways = 30
 	router, err := routing.New(set, 1)
 	if err != nil {
 		b.Fatal(err)
 	}
-	roster := routing.Roster{Scope: routing.RosterFull}
+	roster := routing.EngineList{Scope: routing.EngineListSnapshot}
 	for i := range engines {
 		roster.Engines = append(roster.Engines, routing.EngineInfo{
 			Name: fmt.Sprint("e", i), Kind: []string{"r", "w"}[i%2], Zone: "z", Cell: i / 10, Weight: 1,
@@ -33,7 +33,7 @@
 	const overlap = 8 // requests that are in hand at once
 	var at [overlap]string
 	memory, waiting := 0.3, 200.0
-	report := &routing.Report{Memory: &memory, WaitingTokens: &waiting}
+	report := &routing.LoadReport{MemoryUsed: &memory, WaitingTokens: &waiting}
 	sent := func(slot int, actions []routing.Action) {
 		for _, a := range actions {
 			if s, ok := a.(routing.Send); ok {
@@ -61,12 +61,12 @@
 		if half := i - overlap/2; half >= 0 {
 			slot := half % overlap
 			sent(slot, router.Handle(now, routing.Outcome{
-				ID: routing.RequestID(half), Engine: at[slot], Status: routing.StatusRead, Latency: 80 * ms, Report: report,
+				ID: routing.RequestID(half), Engine: at[slot], Status: routing.StatusPrefilled, Latency: 80 * ms, Report: report,
 			}))
 		}
 		sent(i%overlap, router.Handle(now, routing.Request{
 			ID: routing.RequestID(i), Class: "chat", Session: sessions[i*7%len(sessions)], Prefix: prefixes[i%len(prefixes)],
-			PrefixLen: 1000, Prompt: 3000, MaxTokens: 300, TTL: 5 * time.Second,
+			PrefixLen: 1000, PromptTokens: 3000, MaxTokens: 300, TTL: 5 * time.Second,
 		}))
 		if i%3 == 0 {
 			router.Handle(now, routing.TimerFired{Name: "tick"})
--- a/routing/cold_test.go
+++ b/routing/cold_test.go
@@ -114,9 +114,9 @@
 	}
 	w.full = true
 	cold := server("cold", "r", 0)
-	cold.CameUp = w.now
+	cold.StartTime = w.now
 	w.tell(cold)
-	w.run(4*w.set.Fall, 1.2)
+	w.run(4*w.set.OverloadWindow, 1.2)
 }
 
 // run has requests come for a time, so many times what the warm engines bear.
@@ -128,7 +128,7 @@
 
 func (w *coldWorld) tell(e EngineInfo) {
 	for _, r := range w.routers {
-		r.Handle(w.now, Roster{Engines: []EngineInfo{e}})
+		r.Handle(w.now, EngineList{Engines: []EngineInfo{e}})
 	}
 }
 
@@ -160,14 +160,14 @@
 
 // check checks what the cold engine got in any span of the settings' length.
 func (w *coldWorld) check(starved bool) {
-	most := bears(w.set.FallMultiple * w.set.ColdShare * w.capacity * w.set.Fall.Seconds())
+	most := bears(w.set.OverloadMultiple * w.set.SlowStartCapacity * w.capacity * w.set.OverloadWindow.Seconds())
 	for i, from := range w.toCold {
-		got := slices.IndexFunc(w.toCold[i:], func(at Time) bool { return at > from+w.set.Fall })
+		got := slices.IndexFunc(w.toCold[i:], func(at Time) bool { return at > from+w.set.OverloadWindow })
 		if got < 0 {
 			got = len(w.toCold) - i
 		}
 		if float64(got) > most {
-			w.t.Fatalf("over %.0f sends in %v from %v on", most, w.set.Fall, from)
+			w.t.Fatalf("over %.0f sends in %v from %v on", most, w.set.OverloadWindow, from)
 		}
 	}
 	if len(w.toCold) == 0 && !starved {
--- a/routing/fleet_test.go
+++ b/routing/fleet_test.go
@@ -10,14 +10,14 @@
 // fleet makes routers that differ in seed alone.
 func fleet(t *testing.T, n int, set Settings, servers ...EngineInfo) []*Router {
 	t.Helper()
-	set.Routers = n
+	set.Gateways = n
 	var all []*Router
 	for seed := range n {
 		r, err := New(set, uint64(seed))
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.Handle(0, Roster{Scope: RosterCached, Engines: servers})
+		r.Handle(0, EngineList{Scope: EngineListStale, Engines: servers})
 		all = append(all, r)
 	}
 	return all
@@ -27,7 +27,7 @@
 func TestManyRoutersSpareColdEngine(t *testing.T) {
 	set, now := testSettings(), 20*time.Second
 	cold := server("cold", "r", 0)
-	cold.CameUp = now
+	cold.StartTime = now
 	all := fleet(t, 200, set, server("a", "r", 0), server("b", "r", 0), server("w", "w", 0), cold)
 	toCold, sends := 0, 0
 	for i, r := range all {
@@ -135,7 +135,7 @@
 // report. A lost probe delays it by a tick at most; a prefill engine awaited is not asked again.
 func TestManyRoutersProbePrefillEngines(t *testing.T) {
 	set := testSettings()
-	set.Routers, set.CanProbe = 80, true
+	set.Gateways, set.CanProbe = 80, true
 	servers := []EngineInfo{server("r1", "r", 0), server("r2", "r", 0), server("w1", "w", 0)}
 	probes := func(actions []Action) (to []string) {
 		for _, a := range actions {
@@ -155,7 +155,7 @@
 		t.Errorf("%s was probed again while its answer was awaited", asked[0])
 	}
 	long := 40.0
-	if to := sent(t, r.Handle(time.Second+ms, ProbeResult{Engine: asked[0], Report: &Report{Queue: &long}})); to == asked[0] {
+	if to := sent(t, r.Handle(time.Second+ms, ProbeResult{Engine: asked[0], Report: &LoadReport{QueueLength: &long}})); to == asked[0] {
 		t.Errorf("sent to %s, whose report shows a long queue", to)
 	}
 	r = router(t, set, servers...)
@@ -168,7 +168,7 @@
 		routers    int
 		can, quiet bool
 	}{{2, true, false}, {80, false, false}, {80, true, true}} {
-		set.Routers, set.CanProbe = c.routers, c.can
+		set.Gateways, set.CanProbe = c.routers, c.can
 		q := ask(1, 1000)
 		if c.quiet {
 			q.Session = ""
@@ -183,9 +183,9 @@
 // answered or lost.
 func TestNoSendAfterClientLeftDuringProbe(t *testing.T) {
 	set := testSettings()
-	set.Routers, set.CanProbe = 80, true
+	set.Gateways, set.CanProbe = 80, true
 	for name, after := range map[string]func(engine string) Event{
-		"answered": func(engine string) Event { return ProbeResult{Engine: engine, Report: &Report{}} },
+		"answered": func(engine string) Event { return ProbeResult{Engine: engine, Report: &LoadReport{}} },
 		"lost":     func(string) Event { return TimerFired{Name: "tick"} },
 	} {
 		r := router(t, set, server("r1", "r", 0), server("r2", "r", 0), server("w1", "w", 0))
@@ -194,7 +194,7 @@
 		if at < 0 || has[Send](first) {
 			t.Fatalf("%s: %v, want a probe and no send", name, first)
 		}
-		gone := slices.Clone(r.Handle(time.Second+ms, Gone{ID: 1}))
+		gone := slices.Clone(r.Handle(time.Second+ms, ClientGone{ID: 1}))
 		then := r.Handle(time.Second+r.tick(), after(first[at].(Probe).Engine))
 		if has[Send](gone) || has[Send](then) || len(r.reqs) > 0 {
 			t.Errorf("%s: %v, then %v, %d requests left", name, gone, then, len(r.reqs))
--- a/routing/golden_test.go
+++ b/routing/golden_test.go
@@ -42,19 +42,19 @@
 		[3]string{"140889576f62a14b", "da7d88da3ad09154", "0501c93ed8a95b43"}},
 	{"decode engines read", 1.4, "wm", func(s *routing.Settings) { s.DecodePrefills, s.MaxAttempts = true, 3 },
 		[3]string{"d285a9a1bfb30876", "66b4a00f6f065c34", "920da7bb21a2379d"}},
-	{"must subscribe", 0.9, "w", func(s *routing.Settings) { s.MustSubscribe, s.Routers = true, 1 },
+	{"must subscribe", 0.9, "w", func(s *routing.Settings) { s.MustSubscribe, s.Gateways = true, 1 },
 		[3]string{"ccb7e5a057dcc2c8", "ba0f905dab1eba37", "b00dbd602985378d"}},
-	{"many routers, probes", 0.9, "qm", func(s *routing.Settings) { s.CanProbe, s.Routers = true, 80 },
+	{"many routers, probes", 0.9, "qm", func(s *routing.Settings) { s.CanProbe, s.Gateways = true, 80 },
 		[3]string{"eb420aa11de35861", "ce6eda06f2508b5e", "8ba04ba61c0cd4aa"}},
-	{"many routers, no probes", 0.9, "", func(s *routing.Settings) { s.Routers = 30 },
+	{"many routers, no probes", 0.9, "", func(s *routing.Settings) { s.Gateways = 30 },
 		[3]string{"f902d5abf5b0c142", "07a457f7976b1b2e", "eedb42e075f3c113"}},
-	{"ten routers, probes", 1.3, "wqm", func(s *routing.Settings) { s.CanProbe, s.Routers, s.DecodePrefills = true, 10, true },
+	{"ten routers, probes", 1.3, "wqm", func(s *routing.Settings) { s.CanProbe, s.Gateways, s.DecodePrefills = true, 10, true },
 		[3]string{"5443f41b255dd6d2", "b79a7b1c7ed35782", "119f7565a1a7174f"}},
 	{"late arrivals", 1, "m", func(s *routing.Settings) { s.SendDelay, s.MaxAttempts = 250*time.Millisecond, 4 },
 		[3]string{"7cc54d95aa9d56df", "00d9a58a4b5187ea", "19a977eb8d48c654"}},
 	{"tenants", 1.2, "m", func(s *routing.Settings) {
 		s.Tenants = []routing.Tenant{{Name: "a", Quota: 20}, {Name: "b", Quota: 0.4}, {Name: "c"}}
-		s.OverShareWorth = 0.3
+		s.OverQuotaWeight = 0.3
 	}, [3]string{"95842abc6e491056", "e02dae6614db60a9", "967b19b617931ce1"}},
 	{"tenants, nothing above a quota", 0.7, "wm", func(s *routing.Settings) {
 		s.Tenants = []routing.Tenant{{Name: "a", Quota: 10}, {Name: "b", Quota: 0.4}}
@@ -86,22 +86,22 @@
 func goldenSettings() routing.Settings {
 	const ms = time.Millisecond
 	return routing.Settings{
-		Zone: "z", Zones: []string{"z", "y"}, Routers: 2, MaxAttempts: 6, CanCancel: true, CanRetryAfter: true,
+		Zone: "z", Zones: []string{"z", "y"}, Gateways: 2, MaxAttempts: 6, CanCancel: true, CanRetryAfter: true,
 		MaxRetryAfter: time.Second,
 		Classes: []routing.Class{
-			{Name: "chat", Aim: time.Second, AimPerToken: 40 * time.Microsecond, TokenAim: 50 * ms, Gain: 1},
-			{Name: "batch", Aim: 4 * time.Second, TokenAim: 90 * ms, Gain: 0.4},
-			{Name: "cell", Aim: time.Second, Gain: 2, Effect: routing.EffectGuarded, Group: routing.GroupCell, Window: 2 * time.Second},
-			{Name: "zone", Aim: time.Second, Gain: 2, Effect: routing.EffectGuarded, Group: routing.GroupZone, Window: time.Second},
-			{Name: "all", Aim: time.Second, Gain: 2, Effect: routing.EffectGuarded, Group: routing.GroupAll, Window: time.Second},
-			{Name: "once", Aim: time.Second, Gain: 3, Effect: routing.EffectSingleShot},
+			{Name: "chat", FirstTokenObjective: time.Second, FirstTokenPerPromptToken: 40 * time.Microsecond, TokenIntervalObjective: 50 * ms, PriorityWeight: 1},
+			{Name: "batch", FirstTokenObjective: 4 * time.Second, TokenIntervalObjective: 90 * ms, PriorityWeight: 0.4},
+			{Name: "cell", FirstTokenObjective: time.Second, PriorityWeight: 2, Effect: routing.EffectDeduplicated, DedupScope: routing.DedupCell, DedupWindow: 2 * time.Second},
+			{Name: "zone", FirstTokenObjective: time.Second, PriorityWeight: 2, Effect: routing.EffectDeduplicated, DedupScope: routing.DedupZone, DedupWindow: time.Second},
+			{Name: "all", FirstTokenObjective: time.Second, PriorityWeight: 2, Effect: routing.EffectDeduplicated, DedupScope: routing.DedupAllEngines, DedupWindow: time.Second},
+			{Name: "once", FirstTokenObjective: time.Second, PriorityWeight: 3, Effect: routing.EffectAtMostOnce},
 		},
 		Kinds: []routing.Kind{
 			{Name: "r", Role: routing.RolePrefill, Memory: 2e5}, {Name: "w", Role: routing.RoleDecode, Memory: 6e4},
 			{Name: "m", Role: routing.RoleMixed, Memory: 5e4}, {Name: "x"},
 		},
-		Cold: 5 * time.Second, ColdShare: 0.3, Fall: 2 * time.Second, FallMultiple: 3,
-		PinLimit: 500 * ms, Tick: ms,
+		SlowStartPeriod: 5 * time.Second, SlowStartCapacity: 0.3, OverloadWindow: 2 * time.Second, OverloadMultiple: 3,
+		HeldStateLimit: 500 * ms, Tick: ms,
 	}
 }
 
@@ -201,16 +201,16 @@
 
 // play plays one run and returns the hash of all actions.
 func (w *goldenWorld) play() string {
-	w.tellAll(routing.RosterCached)
+	w.tellAll(routing.EngineListStale)
 	w.at(0, w.arrive)
 	w.at(time.Second, w.trouble)
 	w.at(goldenLength/3, w.retune)
-	w.at(goldenLength/2, func() { w.tell(routing.Peers{Routers: w.set.Routers + 3}) })
-	w.at(goldenLength/2+time.Second, func() { w.tell(routing.Peers{}) })
+	w.at(goldenLength/2, func() { w.tell(routing.GatewaysChanged{Gateways: w.set.Gateways + 3}) })
+	w.at(goldenLength/2+time.Second, func() { w.tell(routing.GatewaysChanged{}) })
 	w.at(goldenLength/2+time.Second, func() { w.tell(routing.ProbeResult{Engine: "unknown"}) })
-	w.at(goldenLength*3/4, func() { w.tell(routing.Peers{Routers: w.set.Routers}) })
-	w.at(goldenLength, func() { w.tell(routing.Closing{}) })
-	w.at(goldenLength+300*time.Millisecond, func() { w.tell(routing.Closing{Last: true}) })
+	w.at(goldenLength*3/4, func() { w.tell(routing.GatewaysChanged{Gateways: w.set.Gateways}) })
+	w.at(goldenLength, func() { w.tell(routing.ShuttingDown{}) })
+	w.at(goldenLength+300*time.Millisecond, func() { w.tell(routing.ShuttingDown{Final: true}) })
 	for len(w.agenda) > 0 {
 		e := heap.Pop(&w.agenda).(goldenEvent)
 		w.now = e.at
@@ -225,11 +225,11 @@
 func (w *goldenWorld) retune() {
 	classes := slices.Clone(w.set.Classes)
 	classes = slices.Delete(classes, 3, 4)
-	classes[0].Aim, classes[1].Gain = 700*time.Millisecond, 0.8
-	if err := w.router.Retune(classes, w.set.MaxAttempts+1); err != nil {
+	classes[0].FirstTokenObjective, classes[1].PriorityWeight = 700*time.Millisecond, 0.8
+	if err := w.router.Reconfigure(classes, w.set.MaxAttempts+1); err != nil {
 		w.t.Fatal(err)
 	}
-	if err := w.router.Retune(nil, 0); err == nil {
+	if err := w.router.Reconfigure(nil, 0); err == nil {
 		w.t.Fatal("settings with no class were taken")
 	}
 }
@@ -243,14 +243,14 @@
 		return 0
 	}
 	for _, name := range []string{"a", "b", "c", ""} {
-		s, has := w.router.Standing(name)
-		w.put(0, flag(has), int64(s.Most*1e6), int64(s.Left*1e6), int64(s.Full))
+		s, has := w.router.QuotaStatus(name)
+		w.put(0, flag(has), int64(s.Burst*1e6), int64(s.Remaining*1e6), int64(s.ResetIn))
 	}
 	for _, c := range append(w.set.Classes, routing.Class{Name: "unknown"}) {
-		w.put(0, flag(w.router.Free(c.Name)))
+		w.put(0, flag(w.router.Idempotent(c.Name)))
 	}
 	for _, k := range append(w.set.Kinds, routing.Kind{Name: "unknown"}) {
-		w.put(0, flag(w.router.Reads(k.Name)))
+		w.put(0, flag(w.router.CanPrefill(k.Name)))
 	}
 }
 
@@ -289,9 +289,9 @@
 func (w *goldenWorld) record(action routing.Action) {
 	switch a := action.(type) {
 	case routing.Send:
-		w.put(goldenSend, int64(a.ID), int64(a.Limit))
+		w.put(goldenSend, int64(a.ID), int64(a.Timeout))
 		w.putName(a.Engine)
-	case routing.Refuse:
+	case routing.Reject:
 		quota := int64(0)
 		if a.OverQuota {
 			quota = 1
@@ -337,7 +337,7 @@
 		}
 	case routing.Send:
 		w.send(a)
-	case routing.Refuse:
+	case routing.Reject:
 		w.answered(a.ID)
 	case routing.Fail:
 		w.answered(a.ID)
@@ -351,9 +351,9 @@
 	case routing.Probe:
 		w.probe(a.Engine)
 	case routing.Subscribe:
-		scope := routing.RosterFull
+		scope := routing.EngineListSnapshot
 		if w.chance(0.4) {
-			scope = routing.RosterFailed
+			scope = routing.EngineListFailed
 		}
 		w.at(w.now+20*time.Millisecond, func() { w.tellAll(scope) })
 	}
@@ -384,18 +384,18 @@
 	w.lastID++
 	q := routing.Request{
 		ID: w.lastID, Class: w.set.Classes[min(w.random.IntN(9), len(w.set.Classes)-1)].Name,
-		Prompt: 50 + w.random.IntN(5000), MaxTokens: 100 + w.random.IntN(400),
-		TTL: 200*time.Millisecond + w.upTo(6*time.Second), Repeat: w.chance(0.1), Reconnect: w.chance(0.05),
+		PromptTokens: 50 + w.random.IntN(5000), MaxTokens: 100 + w.random.IntN(400),
+		TTL: 200*time.Millisecond + w.upTo(6*time.Second), Retry: w.chance(0.1), Reconnect: w.chance(0.05),
 	}
 	if w.chance(0.8) {
 		q.Session = fmt.Sprint("s", w.random.IntN(120))
 	}
 	if w.chance(0.6) { // the lower ones are the hot ones
 		q.Prefix, q.PrefixLen = fmt.Sprint("p", int(40*w.random.Float64()*w.random.Float64()*w.random.Float64())), 20+w.random.IntN(3000)
-		q.Prompt += q.PrefixLen
+		q.PromptTokens += q.PrefixLen
 	}
 	if w.chance(0.3) {
-		q.Hint = w.upTo(20 * time.Second)
+		q.DurationHint = w.upTo(20 * time.Second)
 	}
 	if len(w.set.Tenants) > 0 {
 		q.Tenant = []string{"a", "a", "a", "b", "c", ""}[w.random.IntN(6)]
@@ -427,7 +427,7 @@
 	if try.out == nil {
 		delete(w.tries, try.request.ID)
 	}
-	w.tell(routing.Gone{ID: try.request.ID})
+	w.tell(routing.ClientGone{ID: try.request.ID})
 }
 
 func (w *goldenWorld) engine(name string) *goldenEngine {
@@ -448,8 +448,8 @@
 	try.attempts++
 	try.out = out
 	w.sent++
-	if a.Limit > 0 {
-		w.at(w.now+a.Limit, func() { w.end(try, out, routing.StatusTimeout) })
+	if a.Timeout > 0 {
+		w.at(w.now+a.Timeout, func() { w.end(try, out, routing.StatusTimeout) })
 	}
 	if status, late, fails := w.failure(try, e); fails {
 		if late >= 0 {
@@ -463,9 +463,9 @@
 			return
 		}
 		e.waiting--
-		e.tokens = max(0, e.tokens-float64(try.request.Prompt))
+		e.tokens = max(0, e.tokens-float64(try.request.PromptTokens))
 		if e.info.Kind == "r" {
-			w.end(try, out, routing.StatusRead)
+			w.end(try, out, routing.StatusPrefilled)
 			return
 		}
 		w.begin(try, out)
@@ -476,7 +476,7 @@
 func (w *goldenWorld) work(try *goldenTry, e *goldenEngine) time.Duration {
 	span := 15 * time.Millisecond
 	if e.info.Kind != "w" || !try.prefill {
-		span += time.Duration(try.request.Prompt) * 15 * time.Microsecond
+		span += time.Duration(try.request.PromptTokens) * 15 * time.Microsecond
 	}
 	switch e.trouble {
 	case "slow":
@@ -485,7 +485,7 @@
 		span += w.upTo(200 * time.Millisecond)
 	}
 	e.waiting++
-	e.tokens += float64(try.request.Prompt)
+	e.tokens += float64(try.request.PromptTokens)
 	e.free = max(e.free, w.now) + span
 	return e.free - w.now + w.upTo(4*time.Millisecond)
 }
@@ -494,16 +494,16 @@
 func (w *goldenWorld) failure(try *goldenTry, e *goldenEngine) (routing.Status, time.Duration, bool) {
 	soon := w.upTo(40 * time.Millisecond)
 	switch {
-	case e.info.Phase == routing.PhaseOff:
-		return routing.StatusNoConnect, soon, true
+	case e.info.Phase == routing.PhaseRemoved:
+		return routing.StatusConnectFailed, soon, true
 	case e.trouble == "silent" || w.chance(0.003):
 		return 0, -1, true
 	case e.trouble == "failing" && w.chance(0.8):
-		return []routing.Status{routing.StatusError, routing.StatusReset, routing.StatusNoConnect}[w.random.IntN(3)], soon, true
+		return []routing.Status{routing.StatusError, routing.StatusReset, routing.StatusConnectFailed}[w.random.IntN(3)], soon, true
 	case e.trouble == "limits" && (try.request.Class == "batch" || try.request.Tenant == "b"):
-		return routing.StatusFull, soon, true
+		return routing.StatusRejected, soon, true
 	case e.waiting > 25:
-		return routing.StatusFull, soon, true
+		return routing.StatusRejected, soon, true
 	case w.chance(0.02):
 		return routing.Status(2 + w.random.IntN(7)), soon, true
 	}
@@ -533,7 +533,7 @@
 	}
 	out.over, try.out = true, nil
 	id := try.request.ID
-	try.prefill = status == routing.StatusRead || try.prefill && out.engine.info.Kind == "w"
+	try.prefill = status == routing.StatusPrefilled || try.prefill && out.engine.info.Kind == "w"
 	final := try.ended || out.begun || status == routing.StatusServed
 	if final {
 		try.ended = true
@@ -543,11 +543,11 @@
 		ID: id, Attempt: out.number, Engine: out.engine.info.Name, Status: status, Latency: w.now - out.sent, Final: final,
 		Report: w.report(out.engine),
 	}
-	if status == routing.StatusRead || status == routing.StatusServed {
-		event.Kept = w.random.IntN(try.request.Prompt)
+	if status == routing.StatusPrefilled || status == routing.StatusServed {
+		event.CachedTokens = w.random.IntN(try.request.PromptTokens)
 	}
-	if status == routing.StatusFull && out.engine.info.Kind == "w" && w.chance(0.2) {
-		event.NoState, try.prefill = true, false
+	if status == routing.StatusRejected && out.engine.info.Kind == "w" && w.chance(0.2) {
+		event.StateMissing, try.prefill = true, false
 	}
 	w.tell(event)
 	if w.chance(0.002) { // a report that comes twice
@@ -556,11 +556,11 @@
 }
 
 // report is an engine's word on its load, as far as the case has it tell.
-func (w *goldenWorld) report(e *goldenEngine) *routing.Report {
+func (w *goldenWorld) report(e *goldenEngine) *routing.LoadReport {
 	if w.c.tell == "" || w.chance(0.2) {
 		return nil
 	}
-	rep := &routing.Report{}
+	rep := &routing.LoadReport{}
 	for _, what := range w.c.tell {
 		switch what {
 		case 'w':
@@ -568,10 +568,10 @@
 			rep.WaitingTokens = &v
 		case 'm':
 			v := e.memory
-			rep.Memory = &v
+			rep.MemoryUsed = &v
 		case 'q':
 			v := float64(e.waiting) + float64(w.random.IntN(3))
-			rep.Queue = &v
+			rep.QueueLength = &v
 		}
 	}
 	return rep
@@ -584,18 +584,18 @@
 		return
 	}
 	w.at(w.now+w.upTo(60*time.Millisecond), func() {
-		if e.info.Phase == routing.PhaseOff {
-			w.tell(routing.ProbeResult{Engine: name, Status: routing.StatusNoConnect})
+		if e.info.Phase == routing.PhaseRemoved {
+			w.tell(routing.ProbeResult{Engine: name, Status: routing.StatusConnectFailed})
 			return
 		}
 		w.tell(routing.ProbeResult{Engine: name, Status: routing.StatusServed, Latency: time.Millisecond, Report: w.report(e)})
 	})
 }
 
-func (w *goldenWorld) tellAll(scope routing.RosterScope) {
-	event := routing.Roster{Scope: scope}
+func (w *goldenWorld) tellAll(scope routing.EngineListScope) {
+	event := routing.EngineList{Scope: scope}
 	for _, e := range w.engines {
-		if scope != routing.RosterFailed && (e.info.Phase != routing.PhaseOff || w.chance(0.5)) {
+		if scope != routing.EngineListFailed && (e.info.Phase != routing.PhaseRemoved || w.chance(0.5)) {
 			event.Engines = append(event.Engines, e.info)
 		}
 	}
@@ -610,23 +610,23 @@
 	w.at(w.now+200*time.Millisecond+w.upTo(1500*time.Millisecond), w.trouble)
 	e := w.engines[w.random.IntN(14)]
 	change := func(phase routing.Phase, cameUp time.Duration) {
-		e.info.Phase, e.info.CameUp = phase, cameUp
+		e.info.Phase, e.info.StartTime = phase, cameUp
 		if w.chance(0.3) {
-			w.tellAll(routing.RosterFull)
+			w.tellAll(routing.EngineListSnapshot)
 			return
 		}
-		w.tell(routing.Roster{Engines: []routing.EngineInfo{e.info}})
+		w.tell(routing.EngineList{Engines: []routing.EngineInfo{e.info}})
 	}
 	back := w.now + 500*time.Millisecond + w.upTo(4*time.Second)
 	switch what := []string{"slow", "busy", "silent", "failing", "limits", "restart", "drain", "leave"}[w.random.IntN(8)]; what {
 	case "restart":
-		change(routing.PhaseOn, w.now)
+		change(routing.PhaseActive, w.now)
 	case "drain":
-		change(routing.PhaseDraining, e.info.CameUp)
-		w.at(back, func() { change(routing.PhaseOn, e.info.CameUp) })
+		change(routing.PhaseDraining, e.info.StartTime)
+		w.at(back, func() { change(routing.PhaseActive, e.info.StartTime) })
 	case "leave":
-		change(routing.PhaseOff, e.info.CameUp)
-		w.at(back, func() { change(routing.PhaseOn, w.now) })
+		change(routing.PhaseRemoved, e.info.StartTime)
+		w.at(back, func() { change(routing.PhaseActive, w.now) })
 	default:
 		e.trouble = what
 		w.at(back, func() { e.trouble = "" })
--- a/routing/harness_test.go
+++ b/routing/harness_test.go
@@ -10,19 +10,19 @@
 
 func testSettings() Settings {
 	return Settings{
-		Zone: "z", Zones: []string{"z", "y"}, Routers: 2, MaxAttempts: 6, CanCancel: true, CanRetryAfter: true,
+		Zone: "z", Zones: []string{"z", "y"}, Gateways: 2, MaxAttempts: 6, CanCancel: true, CanRetryAfter: true,
 		MaxRetryAfter: time.Second,
 		Classes: []Class{
-			{Name: "c", Aim: time.Second, TokenAim: 50 * ms, Gain: 1},
-			{Name: "keyed", Aim: time.Second, Gain: 1, Effect: EffectGuarded, Group: GroupCell, Window: 2 * time.Second},
-			{Name: "once", Aim: time.Second, Gain: 1, Effect: EffectSingleShot},
+			{Name: "c", FirstTokenObjective: time.Second, TokenIntervalObjective: 50 * ms, PriorityWeight: 1},
+			{Name: "keyed", FirstTokenObjective: time.Second, PriorityWeight: 1, Effect: EffectDeduplicated, DedupScope: DedupCell, DedupWindow: 2 * time.Second},
+			{Name: "once", FirstTokenObjective: time.Second, PriorityWeight: 1, Effect: EffectAtMostOnce},
 		},
 		Kinds: []Kind{
 			{Name: "r", Role: RolePrefill, Memory: 2e5}, {Name: "w", Role: RoleDecode, Memory: 2e5},
 			{Name: "m", Role: RoleMixed, Memory: 2e5},
 		},
-		Cold: 10 * time.Second, ColdShare: 0.3, Fall: 2 * time.Second, FallMultiple: 3,
-		PinLimit: 500 * ms, Tick: ms,
+		SlowStartPeriod: 10 * time.Second, SlowStartCapacity: 0.3, OverloadWindow: 2 * time.Second, OverloadMultiple: 3,
+		HeldStateLimit: 500 * ms, Tick: ms,
 	}
 }
 
@@ -36,12 +36,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Handle(0, Roster{Scope: RosterCached, Engines: servers})
+	r.Handle(0, EngineList{Scope: EngineListStale, Engines: servers})
 	return r
 }
 
 func ask(id RequestID, prompt int) Request {
-	return Request{ID: id, Class: "c", Session: fmt.Sprint("s", id), Prompt: prompt, MaxTokens: 100, TTL: 5 * time.Second}
+	return Request{ID: id, Class: "c", Session: fmt.Sprint("s", id), PromptTokens: prompt, MaxTokens: 100, TTL: 5 * time.Second}
 }
 
 // sent returns the only engine that the actions send a request to.
@@ -72,7 +72,7 @@
 }
 
 func read(id RequestID, attempt int, at string, kept int) Outcome {
-	return Outcome{ID: id, Attempt: attempt, Engine: at, Status: StatusRead, Latency: 20 * ms, Kept: kept}
+	return Outcome{ID: id, Attempt: attempt, Engine: at, Status: StatusPrefilled, Latency: 20 * ms, CachedTokens: kept}
 }
 
 // keep makes a prefill engine known to hold tokens of a session.
--- a/routing/hostile_test.go
+++ b/routing/hostile_test.go
@@ -70,7 +70,7 @@
 		t.Fatal(err)
 	}
 	w.router = router
-	w.roster(RosterCached)
+	w.roster(EngineListStale)
 	return w
 }
 
@@ -111,7 +111,7 @@
 			w.timer = w.now + a.In
 		case Send:
 			w.sent(a)
-		case Refuse:
+		case Reject:
 			w.refused(a.ID)
 		case Fail:
 			if _, open := w.live[a.ID]; !open {
@@ -133,7 +133,7 @@
 		w.fail("send for %d, which has ended", a.ID)
 	case w.outOf(a.ID) >= 0:
 		w.fail("two attempts of %d out", a.ID)
-	case s.Phase != PhaseOn:
+	case s.Phase != PhaseActive:
 		w.fail("send to %s, which is leaving", a.Engine)
 	case w.counts[a.ID] >= w.set.MaxAttempts:
 		w.fail("too many attempts")
@@ -160,8 +160,8 @@
 }
 
 // roster tells the router of all engines.
-func (w *hostileWorld) roster(scope RosterScope) {
-	ev := Roster{Scope: scope}
+func (w *hostileWorld) roster(scope EngineListScope) {
+	ev := EngineList{Scope: scope}
 	for _, n := range w.names {
 		ev.Engines = append(ev.Engines, w.servers[n])
 	}
@@ -180,7 +180,7 @@
 	if a.server.Kind != "r" && (st == StatusError || st == StatusTimeout || st == StatusReset || st == StatusCancelled) {
 		w.maybe[a.id] = append(w.maybe[a.id], a)
 	}
-	if st == StatusRead {
+	if st == StatusPrefilled {
 		w.holding[a.id] = w.now
 	} else if _, kept := w.holding[a.id]; kept || a.server.Kind == "w" && !a.begun && st != StatusServed {
 		w.holding[a.id] = w.now
@@ -190,7 +190,7 @@
 	}
 	w.handle(Outcome{
 		ID: a.id, Attempt: a.number, Engine: a.server.Name, Status: st, Latency: 5 * ms, Final: final,
-		Kept: w.random.IntN(500),
+		CachedTokens: w.random.IntN(500),
 	})
 }
 
@@ -215,7 +215,7 @@
 	case k < 4 && len(w.out) > 0 && w.random.IntN(10) == 0:
 		if a := w.out[w.random.IntN(len(w.out))]; !a.begun {
 			delete(w.live, a.id)
-			w.handle(Gone{ID: a.id})
+			w.handle(ClientGone{ID: a.id})
 		}
 	case len(w.out) > 0:
 		w.advance(w.random.IntN(len(w.out)))
@@ -236,18 +236,18 @@
 func (w *hostileWorld) changeList() {
 	name := w.names[w.random.IntN(len(w.names))]
 	s := w.servers[name]
-	s.Phase, s.CameUp = Phase(w.random.IntN(3)), w.now
+	s.Phase, s.StartTime = Phase(w.random.IntN(3)), w.now
 	if w.random.IntN(2) == 0 {
-		s.Phase = PhaseOn
+		s.Phase = PhaseActive
 	}
 	w.servers[name] = s
-	w.roster([]RosterScope{RosterChanges, RosterFull}[w.random.IntN(2)])
+	w.roster([]EngineListScope{EngineListDelta, EngineListSnapshot}[w.random.IntN(2)])
 }
 
 // advance has the i-th attempt that is out begin its answer, or end.
 func (w *hostileWorld) advance(i int) {
 	a := w.out[i]
-	fail := []Status{StatusError, StatusFull, StatusTimeout, StatusNoConnect, StatusReset}[w.random.IntN(5)]
+	fail := []Status{StatusError, StatusRejected, StatusTimeout, StatusConnectFailed, StatusReset}[w.random.IntN(5)]
 	switch {
 	case a.begun && w.random.IntN(4) > 0:
 		w.end(i, StatusServed)
@@ -256,7 +256,7 @@
 	case w.random.IntN(4) == 0:
 		w.end(i, fail)
 	case a.server.Kind == "r":
-		w.end(i, StatusRead)
+		w.end(i, StatusPrefilled)
 	default:
 		w.out[i].begun = true
 		delete(w.holding, a.id)
@@ -266,7 +266,7 @@
 
 func (w *hostileWorld) checkHeld() {
 	for id, since := range w.holding {
-		if w.outOf(id) < 0 && w.now-since > w.set.PinLimit {
+		if w.outOf(id) < 0 && w.now-since > w.set.HeldStateLimit {
 			w.fail("the state of %d stayed pinned", id)
 		}
 	}
--- a/routing/peers_test.go
+++ b/routing/peers_test.go
@@ -9,13 +9,13 @@
 // it had saved up does not outgrow its part.
 func TestQuotasFollowTheNumberOfRouters(t *testing.T) {
 	set := testSettings()
-	set.Routers, set.Tenants = 2, []Tenant{{Name: "team", Quota: 10}}
+	set.Gateways, set.Tenants = 2, []Tenant{{Name: "team", Quota: 10}}
 	r, err := New(set, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	at := func(routers int) (rate, saved float64) {
-		r.Handle(time.Second, Peers{Routers: routers})
+		r.Handle(time.Second, GatewaysChanged{Gateways: routers})
 		q := r.quotas["team"]
 		return q.rate, q.saved
 	}
@@ -24,8 +24,8 @@
 	if four != two/2 || saved > quotaSpan*four {
 		t.Errorf("rate %v of %v, %v saved", four, two, saved)
 	}
-	if none, _ := at(0); none != four || r.set.Routers != 4 {
-		t.Errorf("none: %v, %d routers", none, r.set.Routers)
+	if none, _ := at(0); none != four || r.set.Gateways != 4 {
+		t.Errorf("none: %v, %d routers", none, r.set.Gateways)
 	}
 	if one, _ := at(1); one != 2*two {
 		t.Errorf("alone: %v, two: %v", one, two)
--- a/routing/policy.go
+++ b/routing/policy.go
@@ -98,7 +98,7 @@
 	r.retries = 1 // not the full budget: all routers may have restarted
 	for _, t := range set.Tenants {
 		if t.Quota > 0 {
-			rate := quotaSlack * t.Quota / float64(set.Routers)
+			rate := quotaSlack * t.Quota / float64(set.Gateways)
 			r.quotas[t.Name] = &quota{rate: rate, saved: max(rate*quotaSpan, 1)}
 		}
 	}
@@ -107,19 +107,19 @@
 
 // ---- the roster
 
-func (r *Router) tick() time.Duration { return max(min(tickSpan, r.set.PinLimit/8), r.set.Tick) }
+func (r *Router) tick() time.Duration { return max(min(tickSpan, r.set.HeldStateLimit/8), r.set.Tick) }
 
 // learn takes a roster entry. A new start empties what the engine kept, and old
 // grudges with it; a drain or removal stops new sends from this moment on.
 func (r *Router) learn(s EngineInfo) {
 	w := r.engine(s.Name)
-	if w.CameUp != s.CameUp {
+	if w.StartTime != s.StartTime {
 		w.forget()
 		w.fail, w.pace, w.ejectedFor, w.ejectedUntil = 0, 1, 0, 0
 	}
 	s.Weight = cmp.Or(max(s.Weight, 0), 1)
 	w.EngineInfo, w.kind = s, r.kinds[s.Kind]
-	w.usable = s.Phase == PhaseOn && w.role() != RoleNone && slices.Contains(r.set.Zones, s.Zone)
+	w.usable = s.Phase == PhaseActive && w.role() != RoleNone && slices.Contains(r.set.Zones, s.Zone)
 }
 
 // ---- life of a request
@@ -135,17 +135,17 @@
 		r.giveUp(q, 0)
 		return
 	}
-	q.aim = min(r.now+class.aim(e.Prompt), q.deadline)
+	q.aim = min(r.now+class.aim(e.PromptTokens), q.deadline)
 	share := r.overShare(e.Tenant)
 	if share == 0 { // worth nothing: come back when the quota allows one more
 		t := r.quotas[e.Tenant]
 		r.refuse(q, seconds((1-t.saved)/t.rate), true)
 		return
 	}
-	q.density = class.Gain * share
-	r.retries = min(1+retryMost/float64(r.set.Routers), r.retries+retryRate)
+	q.density = class.PriorityWeight * share
+	r.retries = min(1+retryMost/float64(r.set.Gateways), r.retries+retryRate)
 	r.count(e.Prefix)
-	r.weights[e.Class] += (float64(e.Prompt) - r.weights[e.Class]) * usualStep
+	r.weights[e.Class] += (float64(e.PromptTokens) - r.weights[e.Class]) * usualStep
 	r.toPrefill(q)
 }
 
@@ -159,7 +159,7 @@
 	t.saved = min(most, t.saved+t.rate*(r.now-t.at).Seconds())
 	t.at = r.now
 	if t.saved < 1 {
-		return r.set.OverShareWorth
+		return r.set.OverQuotaWeight
 	}
 	t.saved--
 	return 1
@@ -170,8 +170,8 @@
 	part := admitLeast + (admitMost-admitLeast)*min(1, q.density/r.topGain)
 	left := q.aim - r.now
 	for i := range r.set.Classes {
-		if c := &r.set.Classes[i]; c.Gain > q.density {
-			left = min(left, c.aim(q.Prompt))
+		if c := &r.set.Classes[i]; c.PriorityWeight > q.density {
+			left = min(left, c.aim(q.PromptTokens))
 		}
 	}
 	return wait > part*left.Seconds()
@@ -193,7 +193,7 @@
 			free += max(0, 1-r.fill(w)) * w.kind.Memory
 		case w.role() == RolePrefill:
 			for _, q := range w.out {
-				free -= r.size(q) * float64(r.set.Routers)
+				free -= r.size(q) * float64(r.set.Gateways)
 			}
 		}
 	}
@@ -213,7 +213,7 @@
 		return
 	}
 	q.match = r.match(q, w)
-	q.todo = max(q.Prompt-q.match, 1)
+	q.todo = max(q.PromptTokens-q.match, 1)
 	q.shown = r.reported(w)
 	q.ahead = r.queue(w) + r.queued(w) // not given up early where the report shows a queue
 	q.expect = max(leastExpect, seconds((q.ahead+float64(q.todo)+leastRead)*r.perToken(w.role())))
@@ -236,9 +236,9 @@
 	if q.phase != p {
 		r.shift(q, p, nil)
 	}
-	end := q.outAt + time.Duration(pinPart*float64(r.set.PinLimit)) // however many are not reached
+	end := q.outAt + time.Duration(pinPart*float64(r.set.HeldStateLimit)) // however many are not reached
 	if p == waitPrefill {
-		end = q.since + time.Duration(holdPart*float64(q.class.Aim))
+		end = q.since + time.Duration(holdPart*float64(q.class.FirstTokenObjective))
 	}
 	if r.now+r.tick() >= min(end, q.deadline-leastRemain) { // the next look would be too late
 		r.giveUp(q, seconds(r.survey(RolePrefill).age+r.decodeWait()))
@@ -252,7 +252,7 @@
 	n := float64(sign)
 	if q.holder != nil && (q.phase == waitDecode || q.phase == writing) {
 		q.holder.states += sign
-		q.holder.stateTokens += n * float64(q.Prompt)
+		q.holder.stateTokens += n * float64(q.PromptTokens)
 	}
 	if q.at == nil {
 		return
@@ -278,7 +278,7 @@
 	q.sentAt, q.cancelled = r.now, false
 	limit := r.patience(q)
 	if r.set.CanCancel { // silence is seen by watch, so that a crowd is not mistaken for it
-		limit = max(2*limit, 2*q.class.Aim)
+		limit = max(2*limit, 2*q.class.FirstTokenObjective)
 	}
 	if q.attempts >= q.most-1 || r.now+limit+leastRemain >= q.deadline {
 		limit = q.deadline - r.now
@@ -287,7 +287,7 @@
 	if w.role() != RolePrefill {
 		q.risks = append(q.risks, risk{w.Zone, w.Cell, r.now})
 	}
-	r.do(Send{ID: q.ID, Engine: w.Name, Limit: limit})
+	r.do(Send{ID: q.ID, Engine: w.Name, Timeout: limit})
 }
 
 // patience is how long an attempt may take before it counts as overdue.
@@ -297,16 +297,16 @@
 		usual = r.stages[q.at.role()].first
 	}
 	tail := patienceTail * float64(seconds(usual))
-	return time.Duration(max(patience*float64(q.expect), patienceAim*float64(q.class.Aim), tail))
+	return time.Duration(max(patience*float64(q.expect), patienceAim*float64(q.class.FirstTokenObjective), tail))
 }
 
 // size guesses the memory that a request takes while it is answered.
 func (r *Router) size(q *request) float64 {
 	out := outGuess * float64(q.MaxTokens)
-	if q.Hint > 0 && q.class != nil && q.class.TokenAim > 0 {
-		out = float64(q.Hint) / float64(q.class.TokenAim)
+	if q.DurationHint > 0 && q.class != nil && q.class.TokenIntervalObjective > 0 {
+		out = float64(q.DurationHint) / float64(q.class.TokenIntervalObjective)
 	}
-	return float64(q.Prompt) + out
+	return float64(q.PromptTokens) + out
 }
 
 func (r *Router) onFirstToken(e FirstToken) {
@@ -342,23 +342,23 @@
 	}
 	w = q.at
 	r.judge(w, q, e)
-	if e.Status == StatusRead || e.Status == StatusServed && q.whole {
+	if e.Status == StatusPrefilled || e.Status == StatusServed && q.whole {
 		r.noteKept(q, w)
 	}
 	if n := len(q.risks); n > 0 && w.role() != RolePrefill && neverRan(e.Status) {
 		q.risks = q.risks[:n-1]
 	}
 	r.attemptOver(q, e.Status)
-	if e.Status == StatusRead {
+	if e.Status == StatusPrefilled {
 		q.holder = w
 	}
 	switch {
 	case e.Final || q.ended:
 		r.close(q)
-	case e.Status == StatusRead && q.attempts < q.most:
+	case e.Status == StatusPrefilled && q.attempts < q.most:
 		r.toDecode(q)
 	default:
-		if e.NoState {
+		if e.StateMissing {
 			q.holder = nil
 		}
 		q.avoid = w
@@ -370,12 +370,12 @@
 // decode engine, anything else is read anew, within the retry budget.
 func (r *Router) again(q *request, s Status) {
 	left := q.most - q.attempts
-	spent := left < 1 || left < 2 && q.holder == nil || q.deadline-r.now < leastRemain || s == StatusUnsent
-	if spent || r.closing || len(q.risks) > 0 && q.class.Effect == EffectSingleShot {
+	spent := left < 1 || left < 2 && q.holder == nil || q.deadline-r.now < leastRemain || s == StatusNotSent
+	if spent || r.closing || len(q.risks) > 0 && q.class.Effect == EffectAtMostOnce {
 		r.giveUp(q, 0)
 		return
 	}
-	if s != StatusFull || !r.singledOut(q) {
+	if s != StatusRejected || !r.singledOut(q) {
 		if r.retries < 1 {
 			r.giveUp(q, seconds(r.survey(RolePrefill).age+r.decodeWait()))
 			return
@@ -404,13 +404,13 @@
 
 // mayRun tells whether an effect's group and window allow an attempt at w.
 func (r *Router) mayRun(q *request, w *engine) bool {
-	if q.class.Effect == EffectFree {
+	if q.class.Effect == EffectIdempotent {
 		return true
 	}
 	for _, k := range q.risks {
 		switch {
-		case q.class.Effect == EffectSingleShot, r.now+r.set.SendDelay-k.sent >= q.class.Window,
-			q.class.Group == GroupZone && k.zone != w.Zone, q.class.Group == GroupCell && k.cell != w.Cell:
+		case q.class.Effect == EffectAtMostOnce, r.now+r.set.SendDelay-k.sent >= q.class.DedupWindow,
+			q.class.DedupScope == DedupZone && k.zone != w.Zone, q.class.DedupScope == DedupCell && k.cell != w.Cell:
 			return false
 		}
 	}
@@ -419,8 +419,8 @@
 
 // giveUp gives the final answer at once. A refusal tells when to come back.
 func (r *Router) giveUp(q *request, wait time.Duration) {
-	refusable := len(q.risks) == 0 || q.class == nil || q.class.Effect == EffectFree ||
-		q.class.Effect == EffectGuarded && q.class.Group == GroupAll
+	refusable := len(q.risks) == 0 || q.class == nil || q.class.Effect == EffectIdempotent ||
+		q.class.Effect == EffectDeduplicated && q.class.DedupScope == DedupAllEngines
 	if refusable {
 		r.refuse(q, wait, false)
 		return
@@ -452,7 +452,7 @@
 		part += 0.5
 	}
 	wait = min(time.Duration(float64(wait)*part), r.set.MaxRetryAfter)
-	r.do(Refuse{ID: q.ID, RetryAfter: wait, OverQuota: overQuota})
+	r.do(Reject{ID: q.ID, RetryAfter: wait, OverQuota: overQuota})
 	r.close(q)
 }
 
@@ -488,7 +488,7 @@
 		best = max(best, r.match(q, w))
 		active += w.reads + w.states
 	}
-	gate := int(gateThreshold * float64(q.Prompt))
+	gate := int(gateThreshold * float64(q.PromptTokens))
 	if best <= max(gate, q.PrefixLen) { // nothing is known here of the session itself
 		q.home, q.spare = r.home(q, pool)
 		if q.home != nil {
@@ -510,7 +510,7 @@
 		if !gated {
 			m = r.match(q, w)
 		}
-		tokens := r.queue(w) + readWeight*float64(q.Prompt-m) + leastRead
+		tokens := r.queue(w) + readWeight*float64(q.PromptTokens-m) + leastRead
 		cost := tokens * r.perToken(w.role()) * r.slow(w) / w.Weight
 		switch w.role() {
 		case RolePrefill: // its state waits for a decode engine
@@ -519,7 +519,7 @@
 			return cost * spareWeight
 		}
 		// At a mixed engine each running answer waits out the read.
-		return cost * (1 + answerWeight*float64(w.answers*r.set.Routers))
+		return cost * (1 + answerWeight*float64(w.answers*r.set.Gateways))
 	}
 	if !gated && r.ask(q, capped, cost) { // kept text draws every router's choice alike
 		return nil, 0
@@ -539,7 +539,7 @@
 	case w.role() == RolePrefill && r.room() < r.size(q): // by a guess: the wait seen tells how much it matters
 		wait += shortWeight * later
 	case w.role() == RoleMixed && r.fill(w)+r.size(q)/max(w.kind.Memory, 1) > 1:
-		wait = max(wait, q.class.Aim.Seconds())
+		wait = max(wait, q.class.FirstTokenObjective.Seconds())
 	}
 	return w, wait
 }
@@ -568,7 +568,7 @@
 // ask probes the likeliest prefill engine, once a request, where its report is old: among many routers
 // each sees it too seldom to know its queue. The request is held until it answers, or askWait.
 func (r *Router) ask(q *request, pool []*engine, cost func(*engine) float64) bool {
-	if !r.set.CanProbe || r.set.Routers < ownEnough || q.asked != nil || len(pool) < 2 {
+	if !r.set.CanProbe || r.set.Gateways < ownEnough || q.asked != nil || len(pool) < 2 {
 		return false
 	}
 	w := slices.MinFunc(pool, func(a, b *engine) int { return cmp.Compare(cost(a), cost(b)) })
@@ -586,10 +586,10 @@
 // queued is how many tokens a reported queue holds beyond this router's own. It ranks prefill engines
 // and sets how long a read is waited for, but turns nothing away: perToken holds it already.
 func (r *Router) queued(w *engine) float64 {
-	if w.report.Queue == nil {
+	if w.report.QueueLength == nil {
 		return 0
 	}
-	return max(0, *w.report.Queue*max(r.stages[w.role()].read, leastRead)*r.fresh(w)-w.readTokens)
+	return max(0, *w.report.QueueLength*max(r.stages[w.role()].read, leastRead)*r.fresh(w)-w.readTokens)
 }
 
 func (r *Router) asking(w *engine) bool { return w.askedAt > w.answeredAt && r.now-w.askedAt < askWait }
@@ -620,7 +620,7 @@
 	if w.report.WaitingTokens != nil {
 		return max(own, r.stages[w.role()].reads.worth()*r.reported(w)+w.readSince)
 	}
-	if r.set.Routers < ownEnough { // own load is a good part of all, and newer
+	if r.set.Gateways < ownEnough { // own load is a good part of all, and newer
 		return own
 	}
 	return own + max(0, r.behind(w))
@@ -689,11 +689,11 @@
 // fill guesses how much of an engine's memory is taken, by its report and own work.
 func (r *Router) fill(w *engine) float64 {
 	room := max(w.kind.Memory, 1)
-	own := w.memory * float64(r.set.Routers) / room
-	if w.report.Memory == nil {
+	own := w.memory * float64(r.set.Gateways) / room
+	if w.report.MemoryUsed == nil {
 		return own
 	}
-	return own + (*w.report.Memory+w.sentSince/room-own)*r.fresh(w)
+	return own + (*w.report.MemoryUsed+w.sentSince/room-own)*r.fresh(w)
 }
 
 // eligible lists the engines that the guards admit for a read or an answer.
@@ -734,19 +734,19 @@
 // judge is fed by every outcome. It guards against engines that fail, reset, refuse or stay
 // silent, also towards this router alone. A common cause fails all alike: see blame and eligible.
 func (r *Router) judge(w *engine, q *request, e Outcome) {
-	if e.Status != StatusTimeout && e.Status != StatusCancelled && e.Status != StatusUnsent {
+	if e.Status != StatusTimeout && e.Status != StatusCancelled && e.Status != StatusNotSent {
 		w.heard = r.now
 	}
 	full := 0.0
-	if e.Status == StatusFull {
+	if e.Status == StatusRejected {
 		full = 1
 	}
 	r.turned[rateKey(q)] += (full - r.turned[rateKey(q)]) * usualStep
 	switch e.Status {
-	case StatusRead:
+	case StatusPrefilled:
 		w.passed = max(w.passed, q.sentAt)
 		r.blame(w, 0, 1)
-		r.noteRead(w, q, float64(q.Prompt-e.Kept), e.Latency)
+		r.noteRead(w, q, float64(q.PromptTokens-e.CachedTokens), e.Latency)
 		r.carry(w, r.weights[q.Class])
 	case StatusServed:
 		r.blame(w, 0, 1)
@@ -756,10 +756,10 @@
 		if w.heard <= q.sentAt { // silent since; a busy engine is not to blame
 			r.blame(w, 1, 1)
 		}
-	case StatusReset, StatusNoConnect:
+	case StatusReset, StatusConnectFailed:
 		r.blame(w, 1, 2) // the process is down: two outcomes' worth
-	case StatusFull:
-		if !e.NoState {
+	case StatusRejected:
+		if !e.StateMissing {
 			w.fullTo[rateKey(q)] = r.now + fullPause
 			if r.singledOut(q) {
 				w.fullTo[rateKey(q)] = r.now + limitPause
@@ -868,7 +868,7 @@
 		late := r.lag(w) >= lagBand*usual
 		for _, q := range slices.Clone(w.out) {
 			age := r.now - q.sentAt
-			busy := !late || w.heard > q.sentAt && (r.slow(w) == 1 || age < q.class.Aim)
+			busy := !late || w.heard > q.sentAt && (r.slow(w) == 1 || age < q.class.FirstTokenObjective)
 			spent := q.cancelled || r.retries < 1 || q.attempts >= q.most
 			if busy && q.sentAt >= w.passed || spent || age < r.patience(q) {
 				continue
@@ -888,15 +888,15 @@
 // Where that is less than one request, chance decides once a window whether to send one:
 // first ones from many would push it over. It could starve a pool that is cold as a whole.
 func (r *Router) coldRoom(w *engine, weight float64) bool {
-	for len(w.sends) > 0 && r.now-w.sends[0].at > r.set.Fall { // they are in order of time
+	for len(w.sends) > 0 && r.now-w.sends[0].at > r.set.OverloadWindow { // they are in order of time
 		w.sends = w.sends[1:]
 	}
 	if !r.cold(w) {
 		return true
 	}
-	limit := coldMargin * r.stages[w.role()].peak * r.set.Fall.Seconds() * r.set.FallMultiple * r.set.ColdShare
+	limit := coldMargin * r.stages[w.role()].peak * r.set.OverloadWindow.Seconds() * r.set.OverloadMultiple * r.set.SlowStartCapacity
 	if len(w.sends) == 0 && limit < weight {
-		window := float64(r.now)/float64(r.set.Fall) + r.chance(0, w.Name) // no window common to all routers
+		window := float64(r.now)/float64(r.set.OverloadWindow) + r.chance(0, w.Name) // no window common to all routers
 		return r.chance(RequestID(window), w.Name) < limit/weight
 	}
 	for _, s := range w.sends {
@@ -918,7 +918,9 @@
 	st.peak = max(st.peak*math.Exp(-dt/peakFade.Seconds()), rate)
 }
 
-func (r *Router) cold(w *engine) bool { return w.CameUp != 0 && r.now-w.CameUp < r.set.Cold }
+func (r *Router) cold(w *engine) bool {
+	return w.StartTime != 0 && r.now-w.StartTime < r.set.SlowStartPeriod
+}
 
 // ---- the table
 
@@ -934,11 +936,11 @@
 	}
 	switch w {
 	case q.home: // perhaps the session's earlier turns too
-		best = max(best, (q.PrefixLen+q.Prompt)/2)
+		best = max(best, (q.PrefixLen+q.PromptTokens)/2)
 	case q.spare:
 		best = max(best, q.PrefixLen)
 	}
-	return max(min(best, q.Prompt-1), 0)
+	return max(min(best, q.PromptTokens-1), 0)
 }
 
 // home names two prefill engines at which to expect the text of a session that this router has not
@@ -1006,7 +1008,7 @@
 // the read found: an entry that was wrong is right now.
 func (r *Router) noteKept(q *request, w *engine) {
 	if q.Session != "" {
-		w.sessions[q.Session] = held{q.Prompt, r.now}
+		w.sessions[q.Session] = held{q.PromptTokens, r.now}
 	}
 	if q.Prefix != "" {
 		w.prefixes[q.Prefix] = held{q.PrefixLen, r.now}
@@ -1017,7 +1019,7 @@
 	}
 }
 
-func (r *Router) noteReport(w *engine, rep *Report) {
+func (r *Router) noteReport(w *engine, rep *LoadReport) {
 	if w != nil && rep != nil {
 		w.report, w.reportAt, w.sentSince, w.readSince = *rep, r.now, 0, 0
 	}
--- a/routing/policy_test.go
+++ b/routing/policy_test.go
@@ -19,12 +19,12 @@
 	r.Handle(time.Second, ask(1, 100))
 	for n := range 50 {
 		s := server(fmt.Sprint("x", n), "r", 0)
-		r.Handle(time.Second, Roster{Engines: []EngineInfo{s}})
-		s.Phase = PhaseOff
-		r.Handle(time.Second, Roster{Engines: []EngineInfo{s}})
+		r.Handle(time.Second, EngineList{Engines: []EngineInfo{s}})
+		s.Phase = PhaseRemoved
+		r.Handle(time.Second, EngineList{Engines: []EngineInfo{s}})
 	}
-	full := Roster{Scope: RosterFull, Engines: []EngineInfo{server("w1", "w", 0)}}
-	later := time.Second + set.Fall + ms
+	full := EngineList{Scope: EngineListSnapshot, Engines: []EngineInfo{server("w1", "w", 0)}}
+	later := time.Second + set.OverloadWindow + ms
 	for _, c := range []struct {
 		at   Time
 		ev   Event
@@ -124,7 +124,7 @@
 func TestTableAgesAndIsCorrected(t *testing.T) {
 	r := router(t, testSettings(), server("a", "r", 0), server("w", "w", 0))
 	w := r.engines["a"]
-	q := &request{Request: Request{Session: "s", Prefix: "p", PrefixLen: 300, Prompt: 1000}}
+	q := &request{Request: Request{Session: "s", Prefix: "p", PrefixLen: 300, PromptTokens: 1000}}
 	r.noteKept(q, w)
 	if m := r.match(q, w); m != 999 {
 		t.Errorf("after a read: match %d, want all but one token", m)
@@ -133,11 +133,11 @@
 	if m := r.match(q, w); m != 0 {
 		t.Errorf("aged entry still matches %d", m)
 	}
-	other := &request{Request: Request{Session: "t", Prompt: 1000}}
+	other := &request{Request: Request{Session: "t", PromptTokens: 1000}}
 	keep(r, "a", "t", 900)
 	fresh := server("a", "r", 0)
-	fresh.CameUp = r.now
-	r.Handle(r.now, Roster{Scope: RosterChanges, Engines: []EngineInfo{fresh}})
+	fresh.StartTime = r.now
+	r.Handle(r.now, EngineList{Scope: EngineListDelta, Engines: []EngineInfo{fresh}})
 	if m := r.match(other, w); m != 0 {
 		t.Error("entries outlived a restart")
 	}
@@ -148,14 +148,14 @@
 		server("far", "w", 2), server("b", "r", 2))
 	r.engines["b"].fullTo["\x00c"] = time.Minute // the plan is even; only a reads
 	used := 0.5
-	r.noteReport(r.engines["near"], &Report{Memory: &used})
+	r.noteReport(r.engines["near"], &LoadReport{MemoryUsed: &used})
 	sent(t, r.Handle(ms, ask(1, 500)))
 	if to := sent(t, r.Handle(20*ms, read(1, 0, "a", 0))); to != "near2" {
 		t.Fatalf("went to %s, want the one with most free memory in the cell", to)
 	}
-	r.Handle(20*ms, Roster{Scope: RosterChanges, Engines: []EngineInfo{
+	r.Handle(20*ms, EngineList{Scope: EngineListDelta, Engines: []EngineInfo{
 		{Name: "near", Kind: "w", Zone: "z", Cell: 1, Phase: PhaseDraining},
-		{Name: "near2", Kind: "w", Zone: "z", Cell: 1, Phase: PhaseOff}}})
+		{Name: "near2", Kind: "w", Zone: "z", Cell: 1, Phase: PhaseRemoved}}})
 	sent(t, r.Handle(21*ms, ask(2, 500)))
 	if to := sent(t, r.Handle(40*ms, read(2, 0, "a", 0))); to != "far" {
 		t.Fatalf("went to %s, want the other cell once the reader's has none", to)
@@ -175,13 +175,13 @@
 func TestStateReleasedWithoutDecode(t *testing.T) {
 	r := router(t, testSettings(), server("a", "r", 0), server("w", "w", 0))
 	sent(t, r.Handle(ms, ask(1, 500)))
-	r.Handle(2*ms, Roster{Scope: RosterFull, Engines: []EngineInfo{server("a", "r", 0)}})
+	r.Handle(2*ms, EngineList{Scope: EngineListSnapshot, Engines: []EngineInfo{server("a", "r", 0)}})
 	now := 20 * ms
 	r.Handle(now, read(1, 0, "a", 0))
 	released := false
-	for ; now < 20*ms+testSettings().PinLimit; now += 40 * ms {
+	for ; now < 20*ms+testSettings().HeldStateLimit; now += 40 * ms {
 		a := r.Handle(now, TimerFired{Name: "tick"})
-		released = released || has[Release](a) && has[Refuse](a)
+		released = released || has[Release](a) && has[Reject](a)
 	}
 	if !released || len(r.reqs) != 0 {
 		t.Error("the state was neither sent on nor let go within the pin limit")
@@ -191,7 +191,7 @@
 func TestStateReleasedAfterGone(t *testing.T) {
 	r := router(t, testSettings(), server("a", "r", 0), server("w", "w", 0))
 	sent(t, r.Handle(ms, ask(1, 500)))
-	if a := r.Handle(2*ms, Gone{ID: 1}); !has[CancelAttempt](a) {
+	if a := r.Handle(2*ms, ClientGone{ID: 1}); !has[CancelAttempt](a) {
 		t.Error("the attempt of a client that left was not withdrawn")
 	}
 	if a := r.Handle(20*ms, read(1, 0, "a", 0)); !has[Release](a) || has[Send](a) {
@@ -203,7 +203,7 @@
 	r := router(t, testSettings())
 	q := ask(1, 500)
 	q.TTL = 20 * ms
-	if a := r.Handle(ms, q); !has[Refuse](a) {
+	if a := r.Handle(ms, q); !has[Reject](a) {
 		t.Error("a request that no tick can save in time was held")
 	}
 }
@@ -224,8 +224,8 @@
 		serve() // 5 a second at each of the two prefill engines
 	}
 	cold := server("c", "r", 0)
-	cold.CameUp = now
-	r.Handle(now, Roster{Scope: RosterChanges, Engines: []EngineInfo{cold}})
+	cold.StartTime = now
+	r.Handle(now, EngineList{Scope: EngineListDelta, Engines: []EngineInfo{cold}})
 	got := 0
 	for end := now + 2*time.Second; now < end; now += 20 * ms { // a burst
 		if serve() == "c" {
@@ -239,12 +239,12 @@
 
 func TestSettingsThatCannotBeUsed(t *testing.T) {
 	for field, spoil := range map[string]func(*Settings){
-		"Routers":     func(s *Settings) { s.Routers = 0 },
+		"Routers":     func(s *Settings) { s.Gateways = 0 },
 		"Classes":     func(s *Settings) { s.Classes = nil },
 		"Kinds":       func(s *Settings) { s.Kinds = nil },
 		"MaxAttempts": func(s *Settings) { s.MaxAttempts = 0 },
-		"PinLimit":    func(s *Settings) { s.PinLimit = 0 },
-		"Fall":        func(s *Settings) { s.Fall = 0 },
+		"PinLimit":    func(s *Settings) { s.HeldStateLimit = 0 },
+		"Fall":        func(s *Settings) { s.OverloadWindow = 0 },
 	} {
 		s := testSettings()
 		spoil(&s)
@@ -258,8 +258,8 @@
 func TestUnknownThingsAreIgnored(t *testing.T) {
 	r := router(t, testSettings(), server("x", "nonesuch", 0), EngineInfo{Name: "v", Kind: "r", Zone: "nowhere"})
 	for _, ev := range []Event{
-		Outcome{ID: 9, Engine: "q"}, FirstToken{ID: 9}, Gone{ID: 9}, ProbeResult{Engine: "q"},
-		PlaceNote{ID: 9}, PeerMessage{}, TimerFired{Name: "other"}, Roster{Scope: RosterFailed},
+		Outcome{ID: 9, Engine: "q"}, FirstToken{ID: 9}, ClientGone{ID: 9}, ProbeResult{Engine: "q"},
+		ReservationResult{ID: 9}, PeerMessage{}, TimerFired{Name: "other"}, EngineList{Scope: EngineListFailed},
 	} {
 		if a := r.Handle(ms, ev); has[Send](a) {
 			t.Errorf("%T led to a send", ev)
@@ -270,7 +270,7 @@
 	}
 	bad := ask(2, 100)
 	bad.Class = "nonesuch"
-	if a := r.Handle(ms, bad); !has[Refuse](a) {
+	if a := r.Handle(ms, bad); !has[Reject](a) {
 		t.Error("a request of unknown class got no answer")
 	}
 }
@@ -279,10 +279,10 @@
 	set := testSettings()
 	set.MustSubscribe = true
 	r, _ := New(set, 1)
-	if a := r.Handle(0, Roster{Scope: RosterCached}); !has[Subscribe](a) {
+	if a := r.Handle(0, EngineList{Scope: EngineListStale}); !has[Subscribe](a) {
 		t.Fatal("no subscription at the start")
 	}
-	r.Handle(ms, Roster{Scope: RosterFailed})
+	r.Handle(ms, EngineList{Scope: EngineListFailed})
 	if a := r.Handle(2*time.Second, TimerFired{Name: "tick"}); !has[Subscribe](a) {
 		t.Error("no further call after a failed one")
 	}
@@ -312,7 +312,7 @@
 func TestFullMixedEngineRefuses(t *testing.T) {
 	r := router(t, testSettings(), server("m", "m", 0))
 	r.engines["m"].memory = 1e5 // of two routers each: all of it
-	if a := r.Handle(ms, ask(1, 500)); !has[Refuse](a) {
+	if a := r.Handle(ms, ask(1, 500)); !has[Reject](a) {
 		t.Errorf("a mixed server without memory took a request: %v", a)
 	}
 }
@@ -334,7 +334,7 @@
 	r := router(t, set, server("a", "r", 0), server("w", "w", 0))
 	sent(t, r.Handle(ms, ask(1, 500)))
 	a := r.Handle(20*ms, read(1, 0, "a", 0))
-	if has[Send](a) || !has[Refuse](a) || !has[Release](a) {
+	if has[Send](a) || !has[Reject](a) || !has[Release](a) {
 		t.Errorf("past the attempt cap: %v", a)
 	}
 }
@@ -348,7 +348,7 @@
 		r := router(t, testSettings(), server("a", "r", 0), server("w", "w", 0))
 		r.engines["w"].memory = 1e5
 		r.stages[RoleDecode].first = c.first
-		if a := r.Handle(ms, ask(1, 500)); has[Send](a) == c.refused || has[Refuse](a) != c.refused {
+		if a := r.Handle(ms, ask(1, 500)); has[Send](a) == c.refused || has[Reject](a) != c.refused {
 			t.Errorf("first tokens within %.2f s: %v", c.first, a)
 		}
 	}
@@ -369,7 +369,7 @@
 	} {
 		set := testSettings()
 		set.SendDelay = c.delay
-		class := &Class{Name: "g", Aim: time.Second, Effect: EffectGuarded, Group: GroupAll, Window: time.Second}
+		class := &Class{Name: "g", FirstTokenObjective: time.Second, Effect: EffectDeduplicated, DedupScope: DedupAllEngines, DedupWindow: time.Second}
 		r := &Router{set: set, now: c.at}
 		q := &request{class: class, risks: []risk{{sent: 0}}}
 		if got := r.mayRun(q, &engine{}); got != c.repeated {
@@ -382,7 +382,7 @@
 	for _, n := range []int{40, 110} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			set := testSettings()
-			set.Routers = 100
+			set.Gateways = 100
 			r, err := New(set, 1)
 			if err != nil {
 				b.Fatal(err)
@@ -391,7 +391,7 @@
 			for i := range n {
 				servers = append(servers, server(fmt.Sprint("s", i), []string{"r", "w"}[i%2], i/6))
 			}
-			r.Handle(0, Roster{Scope: RosterFull, Engines: servers})
+			r.Handle(0, EngineList{Scope: EngineListSnapshot, Engines: servers})
 			for i := range b.N {
 				id, now, to := RequestID(i), time.Duration(i)*time.Second, ""
 				for _, e := range []func() Event{
@@ -420,11 +420,11 @@
 		refused bool
 	}{{"worthier", 3, true}, {"worth less", 1, false}} {
 		set := testSettings()
-		set.Classes = []Class{{Name: "near", Aim: time.Second, Gain: c.gain}, {Name: "c", Aim: 4 * time.Second, Gain: 2}}
+		set.Classes = []Class{{Name: "near", FirstTokenObjective: time.Second, PriorityWeight: c.gain}, {Name: "c", FirstTokenObjective: 4 * time.Second, PriorityWeight: 2}}
 		r := router(t, set, server("a", "r", 0), server("w", "w", 0))
 		r.stages[RoleDecode].first = 1.5 // every state waits so long for its decode engine
 		r.stages[RoleDecode].firstAt = 0
-		if a := r.Handle(ms, ask(1, 500)); has[Refuse](a) != c.refused {
+		if a := r.Handle(ms, ask(1, 500)); has[Reject](a) != c.refused {
 			t.Errorf("%s: %v", c.name, a)
 		}
 	}
--- a/routing/quota_test.go
+++ b/routing/quota_test.go
@@ -23,9 +23,9 @@
 				continue
 			}
 			r.retries = 0
-			if has[Send](r.Handle(now+ms, Outcome{ID: id, Engine: to, Status: StatusFull})) {
+			if has[Send](r.Handle(now+ms, Outcome{ID: id, Engine: to, Status: StatusRejected})) {
 				second++
-				r.Handle(now+2*ms, Gone{ID: id})
+				r.Handle(now+2*ms, ClientGone{ID: id})
 				r.Handle(now+3*ms, Outcome{ID: id, Attempt: 1, Status: StatusCancelled, Final: true})
 			}
 		}
@@ -45,7 +45,7 @@
 // A spent budget was only valued less, so that an idle pool served any excess.
 func TestExhaustedQuotaIsRefusedWithAdvice(t *testing.T) {
 	set := testSettings()
-	set.Routers, set.Tenants = 1, []Tenant{{Name: "team", Quota: 0.4}}
+	set.Gateways, set.Tenants = 1, []Tenant{{Name: "team", Quota: 0.4}}
 	r := router(t, set, server("m1", "m", 0))
 	for id := RequestID(1); id <= 2; id++ {
 		q := ask(id, 400)
@@ -55,7 +55,7 @@
 			sent(t, actions)
 			continue
 		}
-		refused, ok := actions[0].(Refuse)
+		refused, ok := actions[0].(Reject)
 		if !ok || !refused.OverQuota || refused.RetryAfter < set.MaxRetryAfter/2 {
 			t.Errorf("request past the budget: %v", actions)
 		}
--- a/routing/reports_test.go
+++ b/routing/reports_test.go
@@ -55,9 +55,9 @@
 		set := testSettings()
 		set.DecodePrefills = c.allowed
 		r := router(t, set, server("a", "r", 0), server("w", "w", 0))
-		r.noteReport(r.engines["a"], &Report{WaitingTokens: &queued})
+		r.noteReport(r.engines["a"], &LoadReport{WaitingTokens: &queued})
 		if c.memory != nil {
-			r.noteReport(r.engines["w"], &Report{Memory: c.memory})
+			r.noteReport(r.engines["w"], &LoadReport{MemoryUsed: c.memory})
 		}
 		if c.first {
 			r.Handle(ms, ask(1, 1000))
@@ -81,8 +81,8 @@
 	long, short := 40_000.0, 0.0
 	r := router(t, testSettings(), server("a", "r", 0), server("b", "r", 0), server("w", "w", 0))
 	a, b := r.engines["a"], r.engines["b"]
-	r.noteReport(a, &Report{WaitingTokens: &long})
-	r.noteReport(b, &Report{WaitingTokens: &short})
+	r.noteReport(a, &LoadReport{WaitingTokens: &long})
+	r.noteReport(b, &LoadReport{WaitingTokens: &short})
 	last := r.queue(a)
 	if last != long || r.queue(b) != 0 {
 		t.Fatalf("fresh reports of 40000 and 0 tell queues of %.0f and %.0f", last, r.queue(b))
@@ -118,7 +118,7 @@
 			at := sent(t, r.Handle(1200*ms, ask(id, 100)))
 			r.retries = 0
 			for _, a := range r.Handle(2200*ms, Outcome{ID: id, Engine: at, Status: StatusError}) {
-				if f, ok := a.(Refuse); ok {
+				if f, ok := a.(Reject); ok {
 					all = append(all, f.RetryAfter)
 				}
 			}
@@ -147,16 +147,16 @@
 		refused bool
 	}{{0, 0, false}, {8, 0, true}, {8, 30 * time.Second, false}} {
 		set := testSettings()
-		set.Routers, set.CanProbe = 80, true
+		set.Gateways, set.CanProbe = 80, true
 		r := router(t, set, server("r1", "r", 0), server("r2", "r", 0), server("w1", "w", 0))
 		for _, name := range []string{"r1", "r2"} {
-			r.Handle(time.Second, ProbeResult{Engine: name, Report: &Report{Queue: &c.queue}})
+			r.Handle(time.Second, ProbeResult{Engine: name, Report: &LoadReport{QueueLength: &c.queue}})
 		}
 		actions := slices.Clone(r.Handle(time.Second+c.at, ask(1, 8000)))
 		if c.at > 0 { // the report is old: the likeliest prefill engine is asked, and does not answer
 			actions = append(actions, r.Handle(time.Second+c.at+60*ms, TimerFired{Name: "tick"})...)
 		}
-		if has[Refuse](actions) != c.refused || has[Send](actions) == c.refused {
+		if has[Reject](actions) != c.refused || has[Send](actions) == c.refused {
 			t.Errorf("a queue of %v, %v ago: %v", c.queue, c.at, actions)
 		}
 	}
--- a/routing/roster.go
+++ b/routing/roster.go
@@ -45,14 +45,14 @@
 // onPeers takes the number of routers that share the pools: this router's part of
 // every quota follows, and so does all that is reckoned with that number.
 func (r *Router) onPeers(routers int) {
-	if routers < 1 || routers == r.set.Routers {
+	if routers < 1 || routers == r.set.Gateways {
 		return
 	}
 	for _, q := range r.quotas {
-		q.rate *= float64(r.set.Routers) / float64(routers)
+		q.rate *= float64(r.set.Gateways) / float64(routers)
 		q.saved = min(q.saved, max(q.rate*quotaSpan, 1))
 	}
-	r.set.Routers = routers
+	r.set.Gateways = routers
 }
 
 func (r *Router) subscribe() {
@@ -60,9 +60,9 @@
 	r.do(Subscribe{})
 }
 
-func (r *Router) onRoster(e Roster) {
-	r.calling = e.Scope != RosterFailed && r.calling
-	if e.Scope == RosterCached && r.set.MustSubscribe {
+func (r *Router) onRoster(e EngineList) {
+	r.calling = e.Scope != EngineListFailed && r.calling
+	if e.Scope == EngineListStale && r.set.MustSubscribe {
 		r.subscribe()
 	}
 	named := make(map[string]bool, len(e.Engines))
@@ -71,10 +71,10 @@
 		r.learn(s)
 	}
 	r.cells = nil
-	if e.Scope == RosterFull || e.Scope == RosterCached {
+	if e.Scope == EngineListSnapshot || e.Scope == EngineListStale {
 		for _, w := range r.order {
 			if !named[w.Name] {
-				w.usable, w.Phase = false, PhaseOff
+				w.usable, w.Phase = false, PhaseRemoved
 			}
 		}
 	}
@@ -91,9 +91,9 @@
 // engines come under ever new names. One that has just been sent work is kept, as it
 // may come up again under its name, cold, and what was sent then counts.
 func (r *Router) over(w *engine) bool {
-	if w.Phase != PhaseOff || len(w.out) > 0 || w.reads+w.states+w.answers > 0 {
+	if w.Phase != PhaseRemoved || len(w.out) > 0 || w.reads+w.states+w.answers > 0 {
 		return false
 	}
 	n := len(w.sends)
-	return n == 0 || r.now-w.sends[n-1].at > r.set.Fall
+	return n == 0 || r.now-w.sends[n-1].at > r.set.OverloadWindow
 }
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -7,11 +7,11 @@
 	"wellgw/decide/setting"
 )
 
-// Retune takes new classes and a new number of attempts while the router runs.
+// Reconfigure takes new classes and a new number of attempts while the router runs.
 // Requests in hand keep the class and the attempts they came with; a class no
 // longer named stays known under its last rules, for requests that still name it.
 // An error names the setting at fault, and then nothing changes.
-func (r *Router) Retune(classes []Class, attempts int) error {
+func (r *Router) Reconfigure(classes []Class, attempts int) error {
 	next := r.set
 	next.Classes, next.MaxAttempts = slices.Clone(classes), attempts
 	if err := validate(&next); err != nil {
@@ -26,14 +26,14 @@
 	r.classes, r.topGain = map[string]*Class{}, 0
 	for i := range r.set.Classes {
 		r.classes[r.set.Classes[i].Name] = &r.set.Classes[i]
-		r.topGain = max(r.topGain, r.set.Classes[i].Gain, 1e-9)
+		r.topGain = max(r.topGain, r.set.Classes[i].PriorityWeight, 1e-9)
 	}
 	return nil
 }
 
 func validate(s *Settings) error {
 	switch {
-	case s.Routers < 1:
+	case s.Gateways < 1:
 		return setting.New("Routers", "must be at least 1")
 	case len(s.Classes) == 0:
 		return setting.New("Classes", "none given")
@@ -41,13 +41,13 @@
 		return setting.New("Kinds", "none given")
 	case s.MaxAttempts < 1:
 		return setting.New("MaxAttempts", "must be at least 1")
-	case s.PinLimit <= 0:
+	case s.HeldStateLimit <= 0:
 		return setting.New("PinLimit", "must be above 0")
-	case s.Fall <= 0 || s.FallMultiple <= 0 || s.ColdShare <= 0:
+	case s.OverloadWindow <= 0 || s.OverloadMultiple <= 0 || s.SlowStartCapacity <= 0:
 		return setting.New("Fall, FallMultiple, ColdShare", "must be above 0")
 	}
 	for _, c := range s.Classes {
-		if c.Aim <= 0 {
+		if c.FirstTokenObjective <= 0 {
 			return setting.New("Classes", fmt.Sprintf("%q has no Aim", c.Name))
 		}
 	}
--- a/routing/state.go
+++ b/routing/state.go
@@ -112,7 +112,7 @@
 	r.now, r.out = now, r.out[:0]
 	clear(r.surveys[:])
 	switch e := ev.(type) {
-	case Roster:
+	case EngineList:
 		r.onRoster(e)
 	case Request:
 		r.onRequest(e)
@@ -120,15 +120,15 @@
 		r.onFirstToken(e)
 	case Outcome:
 		r.onOutcome(e)
-	case Gone:
+	case ClientGone:
 		if q := r.reqs[e.ID]; q != nil {
 			r.leave(q)
 		}
-	case Peers:
-		r.onPeers(e.Routers)
-	case Closing:
+	case GatewaysChanged:
+		r.onPeers(e.Gateways)
+	case ShuttingDown:
 		r.closing = true
-		r.onClosing(e.Last)
+		r.onClosing(e.Final)
 	case ProbeResult:
 		r.onProbed(e)
 	case TimerFired:
@@ -145,7 +145,7 @@
 
 // neverRan tells whether an outcome proves that the attempt had no effect.
 func neverRan(s Status) bool {
-	return s == StatusFull || s == StatusNoConnect || s == StatusUnsent || s == StatusRead
+	return s == StatusRejected || s == StatusConnectFailed || s == StatusNotSent || s == StatusPrefilled
 }
 
 // leave ends a request whose client has gone.
@@ -178,7 +178,9 @@
 }
 
 // aim is when the first token is wanted after a prompt of so many tokens.
-func (c *Class) aim(prompt int) time.Duration { return c.Aim + time.Duration(prompt)*c.AimPerToken }
+func (c *Class) aim(prompt int) time.Duration {
+	return c.FirstTokenObjective + time.Duration(prompt)*c.FirstTokenPerPromptToken
+}
 
 func newRouter(set Settings, seed uint64) (*Router, error) {
 	r := &Router{
@@ -191,7 +193,7 @@
 	}
 	for i := range set.Classes {
 		r.classes[set.Classes[i].Name] = &r.set.Classes[i]
-		r.topGain = max(r.topGain, set.Classes[i].Gain, 1e-9)
+		r.topGain = max(r.topGain, set.Classes[i].PriorityWeight, 1e-9)
 	}
 	for i := range set.Kinds {
 		r.kinds[set.Kinds[i].Name] = &r.set.Kinds[i]
@@ -199,25 +201,25 @@
 	return r, nil
 }
 
-// Standing returns how a tenant stands with its quota at this router, as of its latest
+// QuotaStatus returns how a tenant stands with its quota at this router, as of its latest
 // request; false if it has none.
-func (r *Router) Standing(tenant string) (Standing, bool) {
+func (r *Router) QuotaStatus(tenant string) (QuotaStatus, bool) {
 	t := r.quotas[tenant]
 	if t == nil {
-		return Standing{}, false
+		return QuotaStatus{}, false
 	}
 	most := max(t.rate*quotaSpan, 1)
-	return Standing{Most: most, Left: t.saved, Full: seconds((most - t.saved) / t.rate)}, true
+	return QuotaStatus{Burst: most, Remaining: t.saved, ResetIn: seconds((most - t.saved) / t.rate)}, true
 }
 
-// Free tells whether requests of a class may be repeated at will.
-func (r *Router) Free(class string) bool {
+// Idempotent tells whether requests of a class may be repeated at will.
+func (r *Router) Idempotent(class string) bool {
 	c := r.classes[class]
-	return c != nil && c.Effect == EffectFree
+	return c != nil && c.Effect == EffectIdempotent
 }
 
-// Reads tells whether engines of a kind may read a prompt.
-func (r *Router) Reads(kind string) bool {
+// CanPrefill tells whether engines of a kind may read a prompt.
+func (r *Router) CanPrefill(kind string) bool {
 	k := r.kinds[kind]
 	return k != nil && (k.Role == RolePrefill || k.Role == RoleMixed || k.Role == RoleDecode && r.set.DecodePrefills)
 }
@@ -258,7 +260,7 @@
 // never out.
 func (r *Router) attemptOver(q *request, s Status) {
 	r.shift(q, waitPrefill, nil)
-	if s != StatusNoConnect {
+	if s != StatusConnectFailed {
 		q.outAt = r.now
 	}
 }
--- a/routing/worker.go
+++ b/routing/worker.go
@@ -18,7 +18,7 @@
 	memory                  float64
 	out                     []*request // without a first token, oldest first
 	sessions, prefixes      map[string]held
-	report                  Report
+	report                  LoadReport
 	reportAt                Time
 	askedAt, answeredAt     Time    // of the latest probe
 	sentSince, readSince    float64 // memory, and tokens to read, sent since the report
