--- a/cmd/wellgw/chatgateway.go
+++ b/cmd/wellgw/chatgateway.go
@@ -42,9 +42,9 @@
 		return f
 	}
 	g.pool.ReadBuffer, g.garbage = chatBuffer, chatGarbage
-	g.figures.Alone = func(kind string) bool { return kind == config.RoleOpenAI }
+	g.figures.ServesAlone = func(kind string) bool { return kind == config.RoleOpenAI }
 	g.pool.StreamSilence = chatSilence
-	g.pool.ConnectTimeout, g.pool.ConnIdle, g.figures.Slack = o.Network()
+	g.pool.ConnectTimeout, g.pool.ConnIdle, g.figures.DeadlineSlack = o.Network()
 	g.dialect = func(kind string) upstream.Dialect {
 		if kind == config.RoleOpenAI {
 			return openai.Dialect{Key: now.Load().EngineKey}
--- a/cmd/wellgw/directory.go
+++ b/cmd/wellgw/directory.go
@@ -56,7 +56,7 @@
 		policy, check = consul.Policy(*o.Consul), o.Consul.CheckPath
 	}
 	s.keeper = directory.New(directory.Options{
-		Policy: policy, Tell: s.core.Roster, Check: directory.Checker(check), StateFile: o.StateFile, Log: s.log,
+		Policy: policy, Tell: s.core.UpdateEndpoints, Check: directory.Checker(check), StateFile: o.StateFile, Log: s.log,
 	})
 	if err := s.tell(o.Admin, o.Listen); err != nil {
 		return err
@@ -99,8 +99,8 @@
 		}
 	}
 	directory.File(s.keeper, o)
-	s.watched = func(e core.Engine) core.Engine {
-		e = directory.Watched{Engine: e, Broke: s.keeper.Broke}
+	s.watched = func(e core.Transport) core.Transport {
+		e = directory.Watched{Transport: e, Broke: s.keeper.Broke}
 		if s.tracer != nil {
 			e = s.tracer.Engines(e)
 		}
@@ -112,7 +112,7 @@
 // share tells how many gateways share the engines from now on.
 func (s *sources) share(n int) {
 	s.shared.Store(int64(n))
-	s.core.Gateways(n)
+	s.core.SetGateways(n)
 }
 
 // tell opens what tells operators of it.
--- a/cmd/wellgw/gateway.go
+++ b/cmd/wellgw/gateway.go
@@ -35,14 +35,14 @@
 	limits  config.Limits
 	set     routing.Settings
 	seed    uint64
-	figures core.Figures
+	figures core.Limits
 	pool    upstream.Options
 	dialect func(kind string) upstream.Dialect
 	front   func(*core.Core, *clientconn.Budget) front
 	// directory returns what the module may ask for changes, and its work.
 	directory func(c *core.Core) (core.Directory, func(context.Context), error)
 	// watched wraps the engines, so that the directory learns from attempts; nil leaves them.
-	watched func(core.Engine) core.Engine
+	watched func(core.Transport) core.Transport
 	reload  func() error          // reads the configuration anew; set by directory
 	depart  func()                // tells the other gateways that this one is about to end; set by directory, nil for none
 	longest time.Duration         // wait of any client for its first token, by the settings
@@ -112,10 +112,10 @@
 		return nil, nil, fmt.Errorf("settings: %w", err)
 	}
 	g.pool.MaxConns = connections
-	g.figures.PinLimit, g.figures.MaxSends, g.figures.Reach = g.set.HeldStateLimit, g.set.MaxAttempts, g.pool.ConnectTimeout
+	g.figures.HeldStateLimit, g.figures.MaxAttempts, g.figures.ReachTimeout = g.set.HeldStateLimit, g.set.MaxAttempts, g.pool.ConnectTimeout
 	pool := upstream.NewPool(g.pool)
 	directory := &laterDirectory{}
-	engine := &laterEngine{Engine: upstream.NewEngine(pool, g.dialect)}
+	engine := &laterEngine{Transport: upstream.NewEngine(pool, g.dialect)}
 	c = core.New(router, engine, directory, g.figures, g.log, checks)
 	from, work, err := g.directory(c)
 	if err != nil {
@@ -123,7 +123,7 @@
 	}
 	directory.Directory = from
 	if g.watched != nil {
-		engine.Engine = g.watched(engine.Engine)
+		engine.Transport = g.watched(engine.Transport)
 	}
 	go c.Run(ctx)
 	go pool.Sweep(ctx)
@@ -137,7 +137,7 @@
 type laterDirectory struct{ core.Directory }
 
 // laterEngine does the same for engines.
-type laterEngine struct{ core.Engine }
+type laterEngine struct{ core.Transport }
 
 func logCounts(ctx context.Context, c *core.Core, clients *clientconn.Listener, checks *invariant.Checks, log *slog.Logger) {
 	t := time.NewTicker(logEvery)
--- a/cmd/wellgw/operate.go
+++ b/cmd/wellgw/operate.go
@@ -73,7 +73,7 @@
 	}
 	g.retune = func(next *config.Platform) {
 		set := next.Settings()
-		if err := c.Retune(ctx, set); err != nil {
+		if err := c.Reconfigure(ctx, set); err != nil {
 			g.log.Error("settings not taken, the old ones stay", "cause", err)
 			return
 		}
--- a/cmd/wellgw/platformgateway.go
+++ b/cmd/wellgw/platformgateway.go
@@ -29,11 +29,11 @@
 		longest: p.LongestWait(), resume: p.Options.Info.Resume, killed: true,
 		name: p.Name, control: p.Control,
 	}
-	g.figures.Slack = settings.Micros(p.Options.Rules.AnswerSlack)
-	g.figures.PinSlack = platformPinSlack
+	g.figures.DeadlineSlack = settings.Micros(p.Options.Rules.AnswerSlack)
+	g.figures.HeldStateSlack = platformPinSlack
 	g.front = func(c *core.Core, b *clientconn.Budget) front { return platform.NewFront(c, g.set.Classes, b) }
 	g.directory = func(c *core.Core) (core.Directory, func(context.Context), error) {
-		w := platform.NewWatch(p.Discovery, g.set.MustSubscribe, settings.Micros(p.Options.Rules.DrainGrace), c.Roster, g.log)
+		w := platform.NewWatch(p.Discovery, g.set.MustSubscribe, settings.Micros(p.Options.Rules.DrainGrace), c.UpdateEndpoints, g.log)
 		current := p // as last read; reloads come one at a time
 		g.reload = func() error {
 			next, err := current.Anew(os.Getenv)
--- a/cmd/wellgw/supervisor.go
+++ b/cmd/wellgw/supervisor.go
@@ -147,7 +147,7 @@
 // awaitQuiet tells once no request has come, and none has been in hand, for quietFor.
 func (s *supervisor) awaitQuiet(ctx context.Context) {
 	for {
-		quiet := s.core.Quiet(ctx)
+		quiet := s.core.IdleFor(ctx)
 		if quiet >= quietFor {
 			s.post(ctx, lifecycle.Quieted{}, "clients have noticed")
 			return
--- a/cmd/wellgw/tier.go
+++ b/cmd/wellgw/tier.go
@@ -63,7 +63,7 @@
 	opt := peers.Options{
 		Listen: p.PeerListen, Advertise: numbered + strconv.Itoa(p.Options.Me), Name: p.Name, Tier: "platform", Keys: ring,
 		Interval: platformProbes, Timeout: platformAnswer, DeadAfter: platformDead, Expect: len(p.Peers), Log: log.With("part", "peers"),
-		Changed: func(v membership.View) { c.Gateways(min(v.Sharing, max(p.Options.Balancers, 1))) },
+		Changed: func(v membership.View) { c.SetGateways(min(v.Sharing, max(p.Options.Balancers, 1))) },
 		Route: func(addr string) string {
 			if n, err := strconv.Atoi(strings.TrimPrefix(addr, numbered)); err == nil && n >= 0 && n < len(p.Peers) {
 				return p.Peers[n]
--- a/internal/consul/harness_test.go
+++ b/internal/consul/harness_test.go
@@ -78,7 +78,7 @@
 	return w
 }
 
-func (w *world) tell(_ routing.EngineListScope, members []core.Member) {
+func (w *world) tell(_ routing.EngineListScope, members []core.Endpoint) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, m := range members {
--- a/internal/core/api.go
+++ b/internal/core/api.go
@@ -18,18 +18,18 @@
 // Request is what a front has taken from a client.
 type Request struct {
 	routing.Request        // the core fills in ID; TTL counts from Arrived
-	Wire            string // the id by which client and engines know it
+	ClientRequestID string // the id by which client and engines know it
 	Arrived         time.Time
 	Payload         Payload
 }
 
 // Payload is what the engines get to see of a request. The core only passes it on.
 type Payload struct {
-	Method, Target string
-	Body           []byte
-	Header         [][2]string // of the client's own, for its engine
-	Plain          bool        // the answer is one body, not a stream of events
-	HoldLead       bool        // events before the first token may be held back until it comes
+	Method, Target        string
+	Body                  []byte
+	Header                [][2]string // of the client's own, for its engine
+	Unary                 bool        // the answer is one body, not a stream of events
+	BufferUntilFirstToken bool        // events before the first token may be held back until it comes
 }
 
 // Verdict says which final answer a request gets.
@@ -37,11 +37,11 @@
 
 // The final answers.
 const (
-	Refused   Verdict = iota // not done, and trying again is harmless
-	Failed                   // nothing is promised
-	Overdue                  // failed by the core itself: the deadline has passed, or the gateway ends
-	Duplicate                // never begun: a request of that id is in hand
-	Serving                  // the events of one attempt follow
+	Rejected         Verdict = iota // not done, and trying again is harmless
+	Failed                          // nothing is promised
+	DeadlineExceeded                // failed by the core itself: the deadline has passed, or the gateway ends
+	Duplicate                       // never begun: a request of that id is in hand
+	Streaming                       // the events of one attempt follow
 )
 
 // Answer is the one final answer to a request.
@@ -52,8 +52,8 @@
 	Stream     Stream               // with Serving; the front must call Ticket.Relay or Ticket.Finish
 	Status     routing.Status       // else how the latest attempt ended
 	Cause      error                // and why, as far as its engine said
-	Standing   *routing.QuotaStatus // of the tenant with its quota; nil without one
-	MayRun     bool                 // an attempt has been out that is not known to have been turned away
+	Quota      *routing.QuotaStatus // of the tenant with its quota; nil without one
+	MayHaveRun bool                 // an attempt has been out that is not known to have been turned away
 }
 
 // Front takes the one final answer to a request. Answer must not block.
@@ -85,29 +85,29 @@
 
 // Result is how an attempt ended at its engine.
 type Result struct {
-	Status  routing.Status
-	Kept    int  // prompt tokens found kept
-	Output  int  // tokens of the answer, if the engine said so
-	NoState bool // with StatusFull: there was no state to fetch
-	Report  *routing.LoadReport
-	Cause   error // for the log
+	Status       routing.Status
+	CachedTokens int  // prompt tokens found kept
+	OutputTokens int  // tokens of the answer, if the engine said so
+	StateMissing bool // with StatusFull: there was no state to fetch
+	Report       *routing.LoadReport
+	Cause        error // for the log
 }
 
 // Attempt is one try at one engine.
 type Attempt struct {
-	Wire    string
-	Number  int
-	To      Member
-	Limit   time.Duration // how long the gateway will wait
-	Payload Payload
+	ClientRequestID string
+	Number          int
+	Endpoint        Endpoint
+	Timeout         time.Duration // how long the gateway will wait
+	Payload         Payload
 	// Connected is called once there is a connection and before anything is written to
 	// it, which waits for its return; nil for nothing to wait for.
 	Connected func()
 	// Written is called once the last byte has been written.
 	Written func()
-	// Left tells whether the client has gone. It is asked right before the first byte is
+	// ClientGone tells whether the client has gone. It is asked right before the first byte is
 	// written; then nothing is, and the attempt ends as unsent.
-	Left func() bool
+	ClientGone func() bool
 }
 
 // Handle is an attempt under way.
@@ -121,22 +121,22 @@
 
 // Release is what an engine is to be told: to let go of all that it holds for a request.
 type Release struct {
-	At   Member
-	Wire string
-	// Elsewhere are engines to be told as long as At is not: by the platform's protocol any
+	Endpoint        Endpoint
+	ClientRequestID string
+	// Alternates are engines to be told as long as At is not: by the platform's protocol any
 	// engine takes a release and lets go at whatever engine the state is held.
-	Elsewhere      []Member
-	ElsewhereAfter time.Duration // from now on
-	ElsewhereEvery time.Duration // from one that was told to the next
-	Until          time.Time     // when it is to be given up
+	Alternates         []Endpoint
+	AlternatesAfter    time.Duration // from now on
+	AlternatesInterval time.Duration // from one that was told to the next
+	Deadline           time.Time     // when it is to be given up
 }
 
 // ErrNoRelease is how a release ends at an engine whose kind takes none: it holds nothing.
 var ErrNoRelease = errors.New("engines of this kind take no releases")
 
-// Engine makes attempts. No method blocks; what comes of a call is told later,
+// Transport makes attempts. No method blocks; what comes of a call is told later,
 // from another goroutine.
-type Engine interface {
+type Transport interface {
 	// Start sends the request. One of first and ended is called once: first when
 	// events begin to come, ended when the attempt is over without any.
 	Start(a Attempt, first func(Stream), ended func(Result)) Handle
@@ -146,9 +146,9 @@
 	Release(r Release, done func(error)) (stop func())
 	// Reach finds out whether an engine is reached: by a connection of its own, as an idle one
 	// does not show a cut. One that refuses it is.
-	Reach(at Member, done func(reached bool))
+	Reach(at Endpoint, done func(reached bool))
 	// Probe asks an engine for its load.
-	Probe(at Member, done func(routing.Status, *routing.LoadReport))
+	Probe(at Endpoint, done func(routing.Status, *routing.LoadReport))
 }
 
 // Directory tells the core which engines there are, through Core.Roster.
@@ -157,21 +157,21 @@
 	Subscribe()
 }
 
-// Member is an engine as a directory knows it.
-type Member struct {
+// Endpoint is an engine as a directory knows it.
+type Endpoint struct {
 	routing.EngineInfo
 	Addr      string
 	StartedAt time.Time // last start; zero means long ago
 }
 
-// Figures are what the core itself needs of the settings.
-type Figures struct {
-	Slack    time.Duration          // past the deadline an answer still counts for this long
-	PinLimit time.Duration          // longest a state may be held with no attempt out
-	PinSlack time.Duration          // and by how much it may be passed while a release arrives
-	Reach    time.Duration          // how long Engine.Reach takes at most
-	MaxSends int                    // attempts for one request
-	Alone    func(kind string) bool // engines of a kind serve whole requests and fetch no state; nil: all fetch
+// Limits are what the core itself needs of the settings.
+type Limits struct {
+	DeadlineSlack  time.Duration          // past the deadline an answer still counts for this long
+	HeldStateLimit time.Duration          // longest a state may be held with no attempt out
+	HeldStateSlack time.Duration          // and by how much it may be passed while a release arrives
+	ReachTimeout   time.Duration          // how long Engine.Reach takes at most
+	MaxAttempts    int                    // attempts for one request
+	ServesAlone    func(kind string) bool // engines of a kind serve whole requests and fetch no state; nil: all fetch
 }
 
 // Submit hands a request to the core, which will call f.Answer exactly once
@@ -189,9 +189,9 @@
 	left    atomic.Bool // the client has gone
 }
 
-// Gone tells that the client has left before its answer. No attempt is begun from then on,
+// ClientGone tells that the client has left before its answer. No attempt is begun from then on,
 // however long the core's queue is.
-func (t *Ticket) Gone() {
+func (t *Ticket) ClientGone() {
 	t.left.Store(true)
 	t.core.post(func() { t.core.gone(t.request) })
 }
@@ -200,9 +200,9 @@
 // reads the stream otherwise must call it once, after Stream.Close or the stream's end.
 func (t *Ticket) Finish(r Result) { t.core.post(func() { t.core.streamEnded(t.request, r) }) }
 
-// MayRun tells whether an attempt has been out that is not known to have been turned away;
+// MayHaveRun tells whether an attempt has been out that is not known to have been turned away;
 // true if the core has ended.
-func (t *Ticket) MayRun(ctx context.Context) bool {
+func (t *Ticket) MayHaveRun(ctx context.Context) bool {
 	never := query(ctx, t.core, func() bool { return t.request != nil && !t.request.mayRun() })
 	return !never
 }
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -9,7 +9,7 @@
 // attempt is one try at one engine.
 type attempt struct {
 	number  int
-	engine  Member
+	engine  Endpoint
 	sent    time.Time
 	ended   bool
 	begun   bool // its answer has
@@ -34,18 +34,18 @@
 	if a.Timeout > 0 {
 		limit = min(limit, a.Timeout)
 	}
-	unsent := limit <= 0 || len(q.attempts) > c.fig.MaxSends || q.left.Load()
+	unsent := limit <= 0 || len(q.attempts) > c.fig.MaxAttempts || q.left.Load()
 	if unsent || !c.checks.Hold(known && m.Phase == routing.PhaseActive, "a send goes to an engine on the list") {
 		c.end(q, at, Result{Status: routing.StatusNotSent})
 		return
 	}
 	c.counts[countAttempts]++
-	if q.held.ledger.Holder() != "" && c.fig.Alone != nil && c.fig.Alone(m.Kind) {
+	if q.held.ledger.Holder() != "" && c.fig.ServesAlone != nil && c.fig.ServesAlone(m.Kind) {
 		q.held.ledger.Detach() // it will not fetch what was read for it elsewhere
 		c.settling = append(c.settling, q)
 	}
 	c.after(limit, func() { c.end(q, at, Result{Status: routing.StatusTimeout}) })
-	out := Attempt{Wire: q.Wire, Number: at.number, To: m, Limit: limit, Payload: q.Payload, Left: q.left.Load}
+	out := Attempt{ClientRequestID: q.ClientRequestID, Number: at.number, Endpoint: m, Timeout: limit, Payload: q.Payload, ClientGone: q.left.Load}
 	if q.lingering != nil || q.cancelPause(now) > 0 {
 		out.Connected = func() { c.connected(q, at) }
 	}
@@ -99,7 +99,7 @@
 			c.end(q, other, Result{Status: routing.StatusCancelled})
 		}
 	}
-	c.answer(q, Answer{Verdict: Serving, Stream: s})
+	c.answer(q, Answer{Verdict: Streaming, Stream: s})
 	c.tell(routing.FirstToken{ID: q.ID, Attempt: at.number, Engine: at.engine.Name, Latency: time.Since(at.sent)})
 }
 
@@ -108,7 +108,7 @@
 		q.streaming, q.stream = nil, nil
 		if r.Status == routing.StatusServed {
 			q.held.ledger.AnswerDone()
-			c.count(q.Class, func(t *Traffic) { t.Served++; t.ServedPrompt += q.PromptTokens; t.Output += r.Output })
+			c.count(q.Class, func(t *Traffic) { t.Served++; t.ServedPrompt += q.PromptTokens; t.Output += r.OutputTokens })
 		}
 		c.end(q, at, r)
 	}
@@ -136,7 +136,7 @@
 	}
 	c.tell(routing.Outcome{
 		ID: q.ID, Attempt: at.number, Engine: at.engine.Name, Status: r.Status, Latency: time.Since(at.sent),
-		Final: q.answered, CachedTokens: r.Kept, StateMissing: r.NoState, Report: r.Report,
+		Final: q.answered, CachedTokens: r.CachedTokens, StateMissing: r.StateMissing, Report: r.Report,
 	})
 }
 
@@ -152,7 +152,7 @@
 	if r.Cause != nil {
 		message = messageFailed
 	}
-	c.log.Debug(message, "id", q.Wire, "attempt", at.number, "engine", at.engine.Name, "status", string(statusNames[r.Status]),
+	c.log.Debug(message, "id", q.ClientRequestID, "attempt", at.number, "engine", at.engine.Name, "status", string(statusNames[r.Status]),
 		"age", time.Since(at.sent).Round(time.Millisecond), "out", at.out, "withdrawn", withdrawn, "cause", r.Cause)
 }
 
--- a/internal/core/await.go
+++ b/internal/core/await.go
@@ -8,18 +8,18 @@
 // Answer never blocks: there is room for the one answer.
 func (w waiter) Answer(a Answer) { w <- a }
 
-// Await submits a request and waits for its answer. If ctx ends first the client
+// SubmitAndWait submits a request and waits for its answer. If ctx ends first the client
 // has gone; the core is told, and the last result is false.
-func Await(ctx context.Context, c *Core, q Request) (Answer, *Ticket, bool) {
+func SubmitAndWait(ctx context.Context, c *Core, q Request) (Answer, *Ticket, bool) {
 	w := make(waiter, 1)
 	t := c.Submit(q, w)
 	select {
 	case a := <-w:
 		return a, t, true
 	case <-c.done:
-		return Answer{Verdict: Failed, MayRun: true}, t, true
+		return Answer{Verdict: Failed, MayHaveRun: true}, t, true
 	case <-ctx.Done():
-		t.Gone()
+		t.ClientGone()
 		return Answer{}, t, false
 	}
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -23,9 +23,9 @@
 // Core owns one Router and all requests in hand.
 type Core struct {
 	router    *routing.Router
-	engine    Engine
+	engine    Transport
 	directory Directory
-	fig       Figures
+	fig       Limits
 	log       *slog.Logger
 	loud      bool // the log takes level debug
 	checks    *invariant.Checks
@@ -38,7 +38,7 @@
 	ready atomic.Bool
 
 	// Owned by the goroutine of Run.
-	members    map[string]Member
+	members    map[string]Endpoint
 	ejections  *ejection.Set // engines out by hand
 	starts     *starttime.Table
 	requests   map[routing.RequestID]*request
@@ -57,7 +57,7 @@
 }
 
 // New returns a core round a router. Run must be called for it to work.
-func New(r *routing.Router, e Engine, d Directory, fig Figures, log *slog.Logger, checks *invariant.Checks) *Core {
+func New(r *routing.Router, e Transport, d Directory, fig Limits, log *slog.Logger, checks *invariant.Checks) *Core {
 	origin := time.Now().Add(-clockOrigin)
 	return &Core{
 		router: r, engine: e, directory: d, fig: fig, log: log, checks: checks,
@@ -65,7 +65,7 @@
 		origin: origin, wall: wallclock.Now,
 		starts: starttime.New(starttime.Clock{Now: clockOrigin, Wall: wallclock.Now()}),
 		queue:  make(chan func(), queueSize), done: make(chan struct{}),
-		members: map[string]Member{}, ejections: ejection.New(), requests: map[routing.RequestID]*request{}, unreleased: map[*request]bool{}, lastHeard: map[string]time.Time{},
+		members: map[string]Endpoint{}, ejections: ejection.New(), requests: map[routing.RequestID]*request{}, unreleased: map[*request]bool{}, lastHeard: map[string]time.Time{},
 		wires: map[string]bool{}, counts: map[Counter]int{}, traffic: map[string]*Traffic{},
 	}
 }
@@ -150,7 +150,7 @@
 		c.send(a)
 	case routing.Reject:
 		if q := c.requests[a.ID]; c.checks.Hold(q != nil, "a refusal names a request in hand") {
-			c.answer(q, Answer{Verdict: Refused, RetryAfter: a.RetryAfter, OverQuota: a.OverQuota})
+			c.answer(q, Answer{Verdict: Rejected, RetryAfter: a.RetryAfter, OverQuota: a.OverQuota})
 		}
 	case routing.Fail:
 		if q := c.requests[a.ID]; c.checks.Hold(q != nil, "a failure names a request in hand") {
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -22,13 +22,13 @@
 	}{
 		{"a broken order is not sent again", "once", func() (Stream, *Result) { return ended(routing.StatusReset) }, Failed, []string{"r1", "w1"}},
 		{"an order that failed may have run", "once", func() (Stream, *Result) { return ended(routing.StatusError) }, Failed, []string{"r1", "w1"}},
-		{"a lookup that breaks is tried again", "free", func() (Stream, *Result) { return ended(routing.StatusReset) }, Refused, []string{"r1", "w1", "w1"}},
+		{"a lookup that breaks is tried again", "free", func() (Stream, *Result) { return ended(routing.StatusReset) }, Rejected, []string{"r1", "w1", "w1"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := &fake{script: script(c.writer)}
 			core := newCore(t, f)
-			a, _, _ := Await(t.Context(), core, ask(c.class, time.Minute))
-			if a.Verdict != c.want || a.Verdict == Refused && a.RetryAfter <= 0 {
+			a, _, _ := SubmitAndWait(t.Context(), core, ask(c.class, time.Minute))
+			if a.Verdict != c.want || a.Verdict == Rejected && a.RetryAfter <= 0 {
 				t.Errorf("answer %+v", a)
 			}
 			if err := core.Drain(t.Context()); err != nil {
@@ -50,8 +50,8 @@
 	f := &fake{script: func(Attempt) (Stream, *Result) { return nil, nil }}
 	core := newCore(t, f)
 	start := time.Now()
-	a, _, _ := Await(t.Context(), core, ask("once", 200*time.Millisecond))
-	if took := time.Since(start); took < 100*time.Millisecond || a.Verdict == Serving {
+	a, _, _ := SubmitAndWait(t.Context(), core, ask("once", 200*time.Millisecond))
+	if took := time.Since(start); took < 100*time.Millisecond || a.Verdict == Streaming {
 		t.Errorf("%+v after %v", a, took)
 	}
 	enginetest.Eventually(t, "the attempt is closed and its state let go", func() bool {
@@ -70,7 +70,7 @@
 		q := &request{Request: ask("free", 0), front: w, held: newHeldStates(core.heldLimits(time.Second))}
 		core.after(0, func() { core.overdue(q); core.overdue(q) })
 	})
-	if a := <-w; a.Verdict != Overdue {
+	if a := <-w; a.Verdict != DeadlineExceeded {
 		t.Errorf("%+v", a)
 	}
 	if err := core.Drain(t.Context()); err != nil || len(w) > 0 {
@@ -84,7 +84,7 @@
 	for _, fails := range []bool{false, true} {
 		answer := make(chan struct{})
 		f := &fake{script: func(a Attempt) (Stream, *Result) {
-			if a.To.Kind == "r" {
+			if a.Endpoint.Kind == "r" {
 				return ended(routing.StatusPrefilled)
 			}
 			if <-answer; fails {
@@ -101,7 +101,7 @@
 			t.Errorf("fails %v: %d open, %d answers", fails, n, len(w))
 		}
 		close(answer)
-		want := map[bool]Verdict{false: Serving, true: Refused}[fails]
+		want := map[bool]Verdict{false: Streaming, true: Rejected}[fails]
 		if a := <-w; a.Verdict != want {
 			t.Errorf("fails %v: %+v, want %v", fails, a, want)
 		}
@@ -114,9 +114,9 @@
 // A gateway that ends refuses what can't have run, so that its client may try
 // elsewhere, and promises nothing of what may have.
 func TestAbandonRefusesUnstarted(t *testing.T) {
-	for kind, want := range map[string]Verdict{"r": Refused, "w": Failed} {
+	for kind, want := range map[string]Verdict{"r": Rejected, "w": Failed} {
 		f := &fake{script: func(a Attempt) (Stream, *Result) {
-			if a.To.Kind == kind { // silent
+			if a.Endpoint.Kind == kind { // silent
 				return nil, nil
 			}
 			return ended(routing.StatusPrefilled)
@@ -134,7 +134,7 @@
 		if a := <-w; a.Verdict != want {
 			t.Errorf("at %s: %+v, want %v", kind, a, want)
 		}
-		if a, _, _ := Await(t.Context(), core, Request{Wire: "late", Arrived: time.Now(), Request: ask("once", 2*time.Second).Request}); a.Verdict != Refused {
+		if a, _, _ := SubmitAndWait(t.Context(), core, Request{ClientRequestID: "late", Arrived: time.Now(), Request: ask("once", 2*time.Second).Request}); a.Verdict != Rejected {
 			t.Errorf("a late one: %+v", a)
 		}
 		if after, _, _ := f.tally(); after != before {
@@ -154,18 +154,18 @@
 	ticket := core.Submit(ask("free", time.Minute), make(waiter, 1))
 	f.awaitAttempts(t, 2)
 	for n := range 100 {
-		m := Member{EngineInfo: routing.EngineInfo{Name: fmt.Sprint("e", n), Kind: "r", Weight: 1}}
-		core.Roster(routing.EngineListDelta, []Member{m})
+		m := Endpoint{EngineInfo: routing.EngineInfo{Name: fmt.Sprint("e", n), Kind: "r", Weight: 1}}
+		core.UpdateEndpoints(routing.EngineListDelta, []Endpoint{m})
 		m.Phase = routing.PhaseRemoved
-		core.Roster(routing.EngineListDelta, []Member{m})
+		core.UpdateEndpoints(routing.EngineListDelta, []Endpoint{m})
 	}
-	core.Roster(routing.EngineListSnapshot, nil)
+	core.UpdateEndpoints(routing.EngineListSnapshot, nil)
 	left := make(chan int)
 	core.post(func() { left <- len(core.members) })
 	if n := <-left; n > 0 || core.Ready() {
 		t.Errorf("%d members, ready %v", n, core.Ready())
 	}
-	ticket.Gone()
+	ticket.ClientGone()
 	if err := core.Drain(t.Context()); err != nil || !f.has("r1") || !f.has("w1") {
 		t.Errorf("%v; released at %v", err, f.released)
 	}
@@ -176,7 +176,7 @@
 	core := newCore(t, f)
 	ticket := core.Submit(ask("free", time.Minute), make(waiter, 1))
 	f.awaitAttempts(t, 2)
-	ticket.Gone()
+	ticket.ClientGone()
 	if err := core.Drain(t.Context()); err != nil {
 		t.Fatal(err)
 	}
@@ -189,7 +189,7 @@
 	f := &fake{script: func(Attempt) (Stream, *Result) { return nil, nil }}
 	core := newCore(t, f)
 	core.Submit(ask("free", time.Minute), make(waiter, 1))
-	if a, _, _ := Await(t.Context(), core, ask("free", time.Minute)); a.Verdict != Duplicate || len(f.attempts) > 1 {
+	if a, _, _ := SubmitAndWait(t.Context(), core, ask("free", time.Minute)); a.Verdict != Duplicate || len(f.attempts) > 1 {
 		t.Errorf("%+v; attempts %v", a, f.attempts)
 	}
 }
@@ -234,7 +234,7 @@
 			s := &text{rest: "data: x\n\n", end: c.end}
 			f := &fake{script: script(func() (Stream, *Result) { return s, nil })}
 			core := newCore(t, f)
-			a, ticket, _ := Await(t.Context(), core, ask("once", time.Minute))
+			a, ticket, _ := SubmitAndWait(t.Context(), core, ask("once", time.Minute))
 			got := ""
 			err := ticket.Relay(t.Context(), a.Stream, func(p []byte) error { got += string(p); return c.write })
 			if (err != nil) != c.releases || got != "data: x\n\n" {
@@ -258,9 +258,9 @@
 	} {
 		f := &fake{script: script(func() (Stream, *Result) { return ended(status) })}
 		c := newCore(t, f)
-		a, _, _ := Await(t.Context(), c, ask("once", 300*time.Millisecond))
-		if a.Verdict == Serving || a.MayRun != want {
-			t.Errorf("%s: verdict %s, may have run %v, want %v", statusNames[status], verdictNames[a.Verdict], a.MayRun, want)
+		a, _, _ := SubmitAndWait(t.Context(), c, ask("once", 300*time.Millisecond))
+		if a.Verdict == Streaming || a.MayHaveRun != want {
+			t.Errorf("%s: verdict %s, may have run %v, want %v", statusNames[status], verdictNames[a.Verdict], a.MayHaveRun, want)
 		}
 	}
 }
@@ -277,7 +277,7 @@
 	got := awaitLater(t, c, ask("once", time.Minute))
 	<-reached
 	for _, n := range []int{300, 1, 2, 80, 1} {
-		c.Gateways(n)
+		c.SetGateways(n)
 	}
 	if n := c.Counts(t.Context())["open"]; n != 1 {
 		t.Errorf("%d requests in hand after the views", n)
@@ -311,11 +311,11 @@
 	for i := range next.Classes {
 		next.Classes[i].Effect = routing.EffectIdempotent
 	}
-	if err := core.Retune(t.Context(), next); err != nil {
+	if err := core.Reconfigure(t.Context(), next); err != nil {
 		t.Fatal(err)
 	}
 	a := <-w
-	if all, closed, _ := f.tally(); a.Verdict != Refused || closed != all {
+	if all, closed, _ := f.tally(); a.Verdict != Rejected || closed != all {
 		t.Errorf("verdict %v with %d of %d attempts closed, want refused with none out", a.Verdict, closed, all)
 	}
 }
--- a/internal/core/counters.go
+++ b/internal/core/counters.go
@@ -25,4 +25,4 @@
 	routing.StatusReset: "reset", routing.StatusCancelled: "cancelled", routing.StatusNotSent: "unsent",
 }
 
-var verdictNames = [...]Counter{Refused: "refused", Failed: "failed", Overdue: "overdue", Duplicate: "duplicate", Serving: "serving"}
+var verdictNames = [...]Counter{Rejected: "refused", Failed: "failed", DeadlineExceeded: "overdue", Duplicate: "duplicate", Streaming: "serving"}
--- a/internal/core/ejection.go
+++ b/internal/core/ejection.go
@@ -73,13 +73,13 @@
 	c.ready.Store(on)
 }
 
-// Retune gives the module new classes and attempts. Requests in hand keep what
+// Reconfigure gives the module new classes and attempts. Requests in hand keep what
 // they came with. An error names the setting at fault; nothing changes then.
-func (c *Core) Retune(ctx context.Context, set routing.Settings) error {
+func (c *Core) Reconfigure(ctx context.Context, set routing.Settings) error {
 	err := query(ctx, c, func() *error {
 		err := c.router.Reconfigure(set.Classes, set.MaxAttempts)
 		if err == nil {
-			c.fig.MaxSends = max(c.fig.MaxSends, set.MaxAttempts) // a backstop: the module holds each request to its own
+			c.fig.MaxAttempts = max(c.fig.MaxAttempts, set.MaxAttempts) // a backstop: the module holds each request to its own
 		}
 		return &err
 	})
--- a/internal/core/ejection_test.go
+++ b/internal/core/ejection_test.go
@@ -13,7 +13,7 @@
 func TestManualEjection(t *testing.T) {
 	f := &fake{script: script(func() (Stream, *Result) { return ended(routing.StatusError) })}
 	c := newCore(t, f)
-	c.Roster(routing.EngineListDelta, []Member{{EngineInfo: routing.EngineInfo{Name: "w2", Kind: "w", Weight: 1}}})
+	c.UpdateEndpoints(routing.EngineListDelta, []Endpoint{{EngineInfo: routing.EngineInfo{Name: "w2", Kind: "w", Weight: 1}}})
 	if _, ok := c.Eject(t.Context(), "nobody", true); ok {
 		t.Fatal("a name never listed was taken out")
 	}
@@ -24,13 +24,13 @@
 		t.Fatalf("a second call out: %v %v", names, ok)
 	}
 	// The list says it is on: the ejection holds.
-	c.Roster(routing.EngineListSnapshot, []Member{
+	c.UpdateEndpoints(routing.EngineListSnapshot, []Endpoint{
 		{EngineInfo: routing.EngineInfo{Name: "r1", Kind: "r", Weight: 1}},
 		{EngineInfo: routing.EngineInfo{Name: "w1", Kind: "w", Weight: 1}},
 		{EngineInfo: routing.EngineInfo{Name: "w2", Kind: "w", Weight: 1}},
 	})
 	for range 20 {
-		Await(t.Context(), c, ask("free", time.Minute))
+		SubmitAndWait(t.Context(), c, ask("free", time.Minute))
 	}
 	if err := c.Drain(t.Context()); err != nil {
 		t.Fatal(err)
@@ -57,18 +57,18 @@
 	f := &fake{script: script(func() (Stream, *Result) { return ended(routing.StatusError) })}
 	c := newCore(t, f)
 	bad := routing.Settings{Classes: []routing.Class{{Name: "new", FirstTokenObjective: time.Second}}, MaxAttempts: 0}
-	if err := c.Retune(t.Context(), bad); err == nil {
+	if err := c.Reconfigure(t.Context(), bad); err == nil {
 		t.Fatal("no attempts were taken")
 	}
 	good := routing.Settings{Classes: []routing.Class{{Name: "new", FirstTokenObjective: 10 * time.Second, PriorityWeight: 1, Effect: routing.EffectAtMostOnce}}, MaxAttempts: 2}
-	if err := c.Retune(t.Context(), good); err != nil {
+	if err := c.Reconfigure(t.Context(), good); err != nil {
 		t.Fatal(err)
 	}
 	for _, class := range []string{"new", "free", "unknown"} {
 		f.mu.Lock()
 		before := len(f.attempts)
 		f.mu.Unlock()
-		Await(t.Context(), c, ask(class, time.Minute))
+		SubmitAndWait(t.Context(), c, ask(class, time.Minute))
 		if err := c.Drain(t.Context()); err != nil {
 			t.Fatal(err)
 		}
@@ -90,8 +90,8 @@
 		query(t.Context(), c, func() bool { c.wall = func() time.Time { return time.Now().Add(d).Round(0) }; return true })
 	}
 	list := func(started time.Time) (cameUp routing.Time) {
-		m := Member{EngineInfo: routing.EngineInfo{Name: "stepped", Kind: "r", Zone: "a", Phase: routing.PhaseActive}, StartedAt: started}
-		c.Roster(routing.EngineListDelta, []Member{m})
+		m := Endpoint{EngineInfo: routing.EngineInfo{Name: "stepped", Kind: "r", Zone: "a", Phase: routing.PhaseActive}, StartedAt: started}
+		c.UpdateEndpoints(routing.EngineListDelta, []Endpoint{m})
 		return query(t.Context(), c, func() routing.Time { return c.members["stepped"].StartTime })
 	}
 	started := time.Now().Add(-time.Minute).Round(0)
--- a/internal/core/fake_test.go
+++ b/internal/core/fake_test.go
@@ -62,7 +62,7 @@
 
 func (f *fake) Start(a Attempt, first func(Stream), ended func(Result)) Handle {
 	f.mu.Lock()
-	f.attempts = append(f.attempts, a.To.Name)
+	f.attempts = append(f.attempts, a.Endpoint.Name)
 	f.mu.Unlock()
 	h := handle{written: &atomic.Bool{}}
 	h.cancel = sync.OnceFunc(func() {
@@ -96,7 +96,7 @@
 
 func (f *fake) Release(r Release, done func(error)) (stop func()) {
 	f.mu.Lock()
-	f.released = append(f.released, r.At.Name)
+	f.released = append(f.released, r.Endpoint.Name)
 	f.mu.Unlock()
 	stopped := make(chan struct{})
 	go func() {
@@ -106,7 +106,7 @@
 			case <-stopped:
 				done(errors.New("stopped"))
 				return
-			case <-time.After(time.Until(r.Until)):
+			case <-time.After(time.Until(r.Deadline)):
 				done(errors.New("not reached"))
 				return
 			}
@@ -123,9 +123,9 @@
 	return len(f.attempts), f.closed, len(f.released)
 }
 
-func (f *fake) Reach(m Member, done func(bool)) { go done(!f.unreached) }
+func (f *fake) Reach(m Endpoint, done func(bool)) { go done(!f.unreached) }
 
-func (f *fake) Probe(Member, func(routing.Status, *routing.LoadReport)) {}
+func (f *fake) Probe(Endpoint, func(routing.Status, *routing.LoadReport)) {}
 
 func (f *fake) Subscribe() {}
 
@@ -144,7 +144,7 @@
 func awaitLater(t *testing.T, c *Core, q Request) <-chan Answer {
 	answer := make(chan Answer, 1)
 	go func() {
-		a, _, _ := Await(t.Context(), c, q)
+		a, _, _ := SubmitAndWait(t.Context(), c, q)
 		answer <- a
 	}()
 	return answer
@@ -175,7 +175,7 @@
 func newCore(t *testing.T, f *fake) *Core { return coreWith(t, f, func(*routing.Settings) {}) }
 
 func ask(class string, ttl time.Duration) Request {
-	return Request{Wire: "id-" + class, Arrived: time.Now(), Request: routing.Request{Class: class, PromptTokens: 100, MaxTokens: 10, TTL: ttl}}
+	return Request{ClientRequestID: "id-" + class, Arrived: time.Now(), Request: routing.Request{Class: class, PromptTokens: 100, MaxTokens: 10, TTL: ttl}}
 }
 
 func ended(s routing.Status) (Stream, *Result) { return nil, &Result{Status: s} }
@@ -183,7 +183,7 @@
 // script reads at prefill engines and does as told at decode engines.
 func script(writer func() (Stream, *Result)) func(Attempt) (Stream, *Result) {
 	return func(a Attempt) (Stream, *Result) {
-		if a.To.Kind == "r" {
+		if a.Endpoint.Kind == "r" {
 			return ended(routing.StatusPrefilled)
 		}
 		return writer()
--- a/internal/core/held.go
+++ b/internal/core/held.go
@@ -26,23 +26,23 @@
 // heldStates is what engines may hold for one request, and the releases in flight.
 type heldStates struct {
 	ledger  *heldstate.Ledger
-	members map[string]Member // the engines that the ledger names
-	holder  string            // whose state waited when the request ended; "" for none
-	cancels map[string]func() // of the releases in flight, by engine
-	update  time.Time         // when the ledger is to be looked at next
-	lingers bool              // an attempt is kept open after the final answer; see keepLingering
+	members map[string]Endpoint // the engines that the ledger names
+	holder  string              // whose state waited when the request ended; "" for none
+	cancels map[string]func()   // of the releases in flight, by engine
+	update  time.Time           // when the ledger is to be looked at next
+	lingers bool                // an attempt is kept open after the final answer; see keepLingering
 }
 
 func newHeldStates(limits heldstate.Limits) heldStates {
-	return heldStates{ledger: heldstate.New(limits), members: map[string]Member{}, cancels: map[string]func(){}}
+	return heldStates{ledger: heldstate.New(limits), members: map[string]Endpoint{}, cancels: map[string]func(){}}
 }
 
 // heldLimits returns the limits of a request's ledger. Engines are told how long the client
 // waits, so a cancelled read does not run on for longer.
 func (c *Core) heldLimits(wait time.Duration) heldstate.Limits {
 	return heldstate.Limits{
-		Pin: min(c.fig.PinLimit, longestPin), Slack: c.fig.PinSlack,
-		GiveUp: releaseFor, Reach: c.fig.Reach, ReadFor: min(wait, longestRead),
+		Pin: min(c.fig.HeldStateLimit, longestPin), Slack: c.fig.HeldStateSlack,
+		GiveUp: releaseFor, Reach: c.fig.ReachTimeout, ReadFor: min(wait, longestRead),
 	}
 }
 
@@ -58,7 +58,7 @@
 	case routing.StatusError:
 		ledger.AttemptFailed(engine)
 	}
-	if r.NoState {
+	if r.StateMissing {
 		ledger.NoState()
 	}
 	switch r.Status {
@@ -100,11 +100,11 @@
 }
 
 // elsewhere returns other engines than one, those first that were heard last.
-func (c *Core) elsewhere(engine string) []Member {
-	latest := func(a, b Member) int {
+func (c *Core) elsewhere(engine string) []Endpoint {
+	latest := func(a, b Endpoint) int {
 		return cmp.Or(c.lastHeard[b.Name].Compare(c.lastHeard[a.Name]), cmp.Compare(a.Name, b.Name))
 	}
-	others := make([]Member, 0, elsewhereMost+1)
+	others := make([]Endpoint, 0, elsewhereMost+1)
 	for name, m := range c.members {
 		full := len(others) == elsewhereMost
 		if name == engine || full && latest(others[elsewhereMost-1], m) < 0 {
@@ -181,7 +181,7 @@
 	q.held.ledger.Expire(c.now())
 	for _, at := range q.attempts {
 		if !at.ended && !at.out && at.handle.Withdraw() {
-			c.end(q, at, Result{Status: routing.StatusConnectFailed, NoState: true})
+			c.end(q, at, Result{Status: routing.StatusConnectFailed, StateMissing: true})
 		}
 	}
 }
@@ -258,9 +258,9 @@
 func (c *Core) release(q *request, engine string) {
 	c.counts[countReleases]++
 	r := Release{
-		At: q.held.members[engine], Wire: q.Wire, Until: c.origin.Add(q.held.ledger.Until(engine)),
-		Elsewhere: c.elsewhere(engine), ElsewhereAfter: min(elsewhereAfter, c.fig.PinLimit/4),
-		ElsewhereEvery: max(c.fig.PinLimit/2, heldstate.RepeatLeast),
+		Endpoint: q.held.members[engine], ClientRequestID: q.ClientRequestID, Deadline: c.origin.Add(q.held.ledger.Until(engine)),
+		Alternates: c.elsewhere(engine), AlternatesAfter: min(elsewhereAfter, c.fig.HeldStateLimit/4),
+		AlternatesInterval: max(c.fig.HeldStateLimit/2, heldstate.RepeatLeast),
 	}
 	q.held.cancels[engine] = c.engine.Release(r, func(err error) {
 		c.post(func() { c.releaseEnded(q, engine, err) })
@@ -278,7 +278,7 @@
 	q.held.ledger.ReleaseEnded(engine, err == nil, c.now())
 	if err != nil {
 		c.counts[countReleasesFailed]++
-		c.log.Debug("release failed", "id", q.Wire, "engine", engine, "cause", err)
+		c.log.Debug("release failed", "id", q.ClientRequestID, "engine", engine, "cause", err)
 		return
 	}
 	c.noteHeard(engine)
--- a/internal/core/held_test.go
+++ b/internal/core/held_test.go
@@ -21,10 +21,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := New(router, f, f, Figures{Slack: 50 * time.Millisecond, PinLimit: set.HeldStateLimit, MaxSends: set.MaxAttempts},
+	c := New(router, f, f, Limits{DeadlineSlack: 50 * time.Millisecond, HeldStateLimit: set.HeldStateLimit, MaxAttempts: set.MaxAttempts},
 		slog.New(slog.DiscardHandler), invariant.New())
 	go c.Run(t.Context())
-	c.Roster(routing.EngineListSnapshot, []Member{
+	c.UpdateEndpoints(routing.EngineListSnapshot, []Endpoint{
 		{EngineInfo: routing.EngineInfo{Name: "r1", Kind: "r", Weight: 1}},
 		{EngineInfo: routing.EngineInfo{Name: "w1", Kind: "w", Weight: 1}},
 	})
@@ -42,9 +42,9 @@
 // waited for as long as it may it is let go, the attempt is taken back, and the prompt is
 // read anew.
 func TestStateExpiresWhileConnecting(t *testing.T) {
-	f := &fake{away: func(a Attempt) bool { return a.To.Kind == "w" }}
+	f := &fake{away: func(a Attempt) bool { return a.Endpoint.Kind == "w" }}
 	f.script = func(a Attempt) (Stream, *Result) {
-		if a.To.Kind == "r" {
+		if a.Endpoint.Kind == "r" {
 			return ended(routing.StatusPrefilled)
 		}
 		return nil, nil
@@ -58,7 +58,7 @@
 	if diff := cmp.Diff([]string{"r1", "w1", "r1"}, f.names()[:3]); diff != "" {
 		t.Errorf("attempts (-want +got):\n%s", diff)
 	}
-	ticket.Gone()
+	ticket.ClientGone()
 }
 
 // An attempt that waits for its connection is taken back when the client leaves, also where
@@ -69,7 +69,7 @@
 		c := coreWith(t, f, func(s *routing.Settings) { s.CanCancel = may })
 		ticket := c.Submit(ask("once", time.Minute), make(waiter, 1))
 		enginetest.Eventually(t, "the attempt waits for its connection", func() bool { all, _, _ := f.tally(); return all == 1 })
-		ticket.Gone()
+		ticket.ClientGone()
 		if err := c.Drain(t.Context()); err != nil {
 			t.Fatal(err)
 		}
@@ -87,7 +87,7 @@
 	busy := make(chan struct{})
 	c.post(func() { <-busy })
 	ticket := c.Submit(ask("once", time.Minute), make(waiter, 1))
-	ticket.Gone()
+	ticket.ClientGone()
 	close(busy)
 	if err := c.Drain(t.Context()); err != nil {
 		t.Fatal(err)
@@ -104,7 +104,7 @@
 	f := &fake{script: func(Attempt) (Stream, *Result) { return nil, nil }}
 	c := coreWith(t, f, func(s *routing.Settings) { s.HeldStateLimit = 20 * time.Millisecond })
 	const wait = 600 * time.Millisecond
-	if a, _, _ := Await(t.Context(), c, ask("once", wait)); a.Verdict != Refused {
+	if a, _, _ := SubmitAndWait(t.Context(), c, ask("once", wait)); a.Verdict != Rejected {
 		t.Fatalf("answer %+v", a)
 	}
 	enginetest.Eventually(t, "the reader is told several times", func() bool { _, _, released := f.tally(); return released >= 4 })
@@ -116,9 +116,9 @@
 // A decode engine that finds no state says nothing of the prefill engine: it may only have been out of the
 // decode engine's reach. The state is let go there all the same.
 func TestStateNotFoundByDecodeIsReleased(t *testing.T) {
-	f := &fake{script: script(func() (Stream, *Result) { return nil, &Result{Status: routing.StatusRejected, NoState: true} })}
+	f := &fake{script: script(func() (Stream, *Result) { return nil, &Result{Status: routing.StatusRejected, StateMissing: true} })}
 	c := coreWith(t, f, func(s *routing.Settings) { s.MaxAttempts = 2 })
-	if a, _, _ := Await(t.Context(), c, ask("once", time.Minute)); a.Verdict != Refused {
+	if a, _, _ := SubmitAndWait(t.Context(), c, ask("once", time.Minute)); a.Verdict != Rejected {
 		t.Fatalf("answer %+v", a)
 	}
 	if err := c.Drain(t.Context()); err != nil {
@@ -133,7 +133,7 @@
 func TestHugePinLimit(t *testing.T) {
 	f := &fake{script: script(func() (Stream, *Result) { return ended(routing.StatusError) })}
 	c := coreWith(t, f, func(s *routing.Settings) { s.HeldStateLimit = 1<<63 - 1 })
-	if a, _, _ := Await(t.Context(), c, ask("once", time.Minute)); a.Verdict != Failed {
+	if a, _, _ := SubmitAndWait(t.Context(), c, ask("once", time.Minute)); a.Verdict != Failed {
 		t.Fatalf("answer %+v", a)
 	}
 	if err := c.Drain(t.Context()); err != nil {
@@ -170,7 +170,7 @@
 func TestDrainWaitsForReadsThatMayRunOn(t *testing.T) {
 	f := &fake{script: func(Attempt) (Stream, *Result) { return nil, nil }}
 	c := coreWith(t, f, func(s *routing.Settings) { s.HeldStateLimit = 20 * time.Millisecond })
-	if a, _, _ := Await(t.Context(), c, ask("once", 600*time.Millisecond)); a.Verdict != Refused {
+	if a, _, _ := SubmitAndWait(t.Context(), c, ask("once", 600*time.Millisecond)); a.Verdict != Rejected {
 		t.Fatalf("answer %+v", a)
 	}
 	if err := c.Drain(t.Context()); err != nil {
@@ -186,7 +186,7 @@
 func TestEnginesWithoutReleases(t *testing.T) {
 	f := &fake{script: func(Attempt) (Stream, *Result) { return nil, nil }, releaseErr: ErrNoRelease}
 	c := coreWith(t, f, func(s *routing.Settings) { s.HeldStateLimit = 20 * time.Millisecond })
-	if a, _, _ := Await(t.Context(), c, ask("once", 600*time.Millisecond)); a.Verdict != Refused {
+	if a, _, _ := SubmitAndWait(t.Context(), c, ask("once", 600*time.Millisecond)); a.Verdict != Rejected {
 		t.Fatalf("answer %+v", a)
 	}
 	if err := c.Drain(t.Context()); err != nil {
--- a/internal/core/linger_test.go
+++ b/internal/core/linger_test.go
@@ -16,7 +16,7 @@
 	for kind, alone := range map[string]bool{"w": false, "alone": true} {
 		f := &fake{script: script(func() (Stream, *Result) { return nil, nil })}
 		c := newCore(t, f)
-		c.fig.Alone = func(k string) bool { return alone && k == "w" }
+		c.fig.ServesAlone = func(k string) bool { return alone && k == "w" }
 		q := ask("once", 10*time.Second)
 		ticket := c.Submit(q, make(waiter, 1))
 		enginetest.Eventually(t, "it is at the writer", func() bool {
@@ -24,13 +24,13 @@
 			defer f.mu.Unlock()
 			return len(f.attempts) == 2
 		})
-		if !ticket.MayRun(t.Context()) { // also waits until the send is through
+		if !ticket.MayHaveRun(t.Context()) { // also waits until the send is through
 			t.Error("an attempt that is out may run")
 		}
 		if got := f.has("r1"); got != alone {
 			t.Errorf("%s: let go at the reader: %v, want %v", kind, got, alone)
 		}
-		ticket.Gone()
+		ticket.ClientGone()
 	}
 }
 
@@ -63,13 +63,13 @@
 		covered     bool
 	}{
 		{"read, and the writer is silent", "once", script(silent), Failed, true},
-		{"a lookup's reader is silent, and may have read", "free", func(Attempt) (Stream, *Result) { return silent() }, Refused, true},
-		{"an order that is refused has nothing out", "once", func(Attempt) (Stream, *Result) { return silent() }, Refused, false},
+		{"a lookup's reader is silent, and may have read", "free", func(Attempt) (Stream, *Result) { return silent() }, Rejected, true},
+		{"an order that is refused has nothing out", "once", func(Attempt) (Stream, *Result) { return silent() }, Rejected, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := &fake{script: c.script, cut: make(chan struct{})}
 			core := newCore(t, f)
-			a, _, _ := Await(t.Context(), core, ask(c.class, 300*time.Millisecond))
+			a, _, _ := SubmitAndWait(t.Context(), core, ask(c.class, 300*time.Millisecond))
 			if a.Verdict != c.verdict {
 				t.Fatalf("answer %+v", a)
 			}
@@ -88,7 +88,7 @@
 	f.away = func(a Attempt) bool { return a.Number >= 2 }
 	f.script = func(a Attempt) (Stream, *Result) {
 		switch {
-		case a.To.Kind == "r":
+		case a.Endpoint.Kind == "r":
 			return ended(routing.StatusPrefilled)
 		case a.Number == 1:
 			return nil, nil
@@ -111,7 +111,7 @@
 		t.Errorf("%d attempts are closed before the next has a connection, want 1", closed)
 	}
 	close(second)
-	if a := <-answered; a.Verdict == Serving {
+	if a := <-answered; a.Verdict == Streaming {
 		t.Fatalf("answer %+v", a)
 	}
 	letGo(t, core, f, true)
@@ -126,8 +126,8 @@
 		var group sync.WaitGroup
 		for i := range lingerMost {
 			q := ask("free", 300*time.Millisecond)
-			q.Wire = fmt.Sprint("id", round, "-", i)
-			group.Go(func() { Await(t.Context(), core, q) })
+			q.ClientRequestID = fmt.Sprint("id", round, "-", i)
+			group.Go(func() { SubmitAndWait(t.Context(), core, q) })
 		}
 		group.Wait()
 		core.Counts(t.Context()) // what has been answered is settled
@@ -150,8 +150,8 @@
 	f := &fake{}
 	f.script = func(Attempt) (Stream, *Result) { return nil, nil }
 	core := newCore(t, f)
-	a, _, _ := Await(t.Context(), core, ask("once", 300*time.Millisecond))
-	if d := f.sinceEnd(); a.Verdict != Refused || d < cancelMargin {
+	a, _, _ := SubmitAndWait(t.Context(), core, ask("once", 300*time.Millisecond))
+	if d := f.sinceEnd(); a.Verdict != Rejected || d < cancelMargin {
 		t.Errorf("verdict %v, %v after the attempt's end", a.Verdict, d)
 	}
 }
@@ -173,7 +173,7 @@
 			f.unnoticed = make(chan struct{})
 		}
 		core := newCore(t, f)
-		go Await(t.Context(), core, ask("free", time.Minute))
+		go SubmitAndWait(t.Context(), core, ask("free", time.Minute))
 		if told {
 			<-written // the core's queue has it, before what is posted now
 		} else {
@@ -208,7 +208,7 @@
 		return ended(routing.StatusPrefilled)
 	}
 	core := newCore(t, f)
-	if a, _, _ := Await(t.Context(), core, ask("free", 300*time.Millisecond)); a.Verdict != Refused {
+	if a, _, _ := SubmitAndWait(t.Context(), core, ask("free", 300*time.Millisecond)); a.Verdict != Rejected {
 		t.Fatalf("answer %+v", a)
 	}
 	calls := func(n int) func() bool { return func() bool { _, _, released := f.tally(); return released == n } }
--- a/internal/core/queries.go
+++ b/internal/core/queries.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Quiet returns for how long no request has come and none has been in hand.
-func (c *Core) Quiet(ctx context.Context) time.Duration {
+// IdleFor returns for how long no request has come and none has been in hand.
+func (c *Core) IdleFor(ctx context.Context) time.Duration {
 	return query(ctx, c, func() time.Duration {
 		if len(c.requests) > 0 {
 			c.lastBusy = time.Now()
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -37,7 +37,7 @@
 	q := &request{Request: in, front: f, deadline: in.Arrived.Add(in.TTL), free: c.router.Idempotent(in.Class), left: &t.left}
 	q.held = newHeldStates(c.heldLimits(in.TTL))
 	t.request = q
-	if c.wires[in.Wire] {
+	if c.wires[in.ClientRequestID] {
 		// Engines know a request by its wire id alone: two at once would share
 		// attempts and states. The first goes on; the second never ran.
 		q.answered = true
@@ -45,14 +45,14 @@
 		f.Answer(Answer{Verdict: Duplicate, Status: routing.StatusNotSent})
 		return
 	}
-	c.requests[q.ID], c.wires[in.Wire] = q, true
+	c.requests[q.ID], c.wires[in.ClientRequestID] = q, true
 	c.lastBusy = time.Now()
 	c.counts[countRequests]++
 	c.count(in.Class, func(t *Traffic) { t.Asked++; t.Prompt += in.PromptTokens })
 	c.settling = append(c.settling, q)
 	// The backstop guards against a request that neither the module nor an engine
 	// ever ends: it is answered inside the slack whatever else happens.
-	c.after(time.Until(q.deadline)+c.fig.Slack, func() { c.overdue(q) })
+	c.after(time.Until(q.deadline)+c.fig.DeadlineSlack, func() { c.overdue(q) })
 	in.TTL = time.Until(q.deadline)
 	c.tell(in.Request)
 }
@@ -64,21 +64,21 @@
 	}
 	q.answered = true
 	a.Status, a.Cause = q.status, q.cause
-	if a.Verdict != Serving {
+	if a.Verdict != Streaming {
 		c.withdraw(q)
 	}
-	a.MayRun = q.mayRun()
+	a.MayHaveRun = q.mayRun()
 	if s, has := c.router.QuotaStatus(q.Tenant); has {
-		a.Standing = &s
+		a.Quota = &s
 	}
 	c.counts[verdictNames[a.Verdict]]++
 	c.settling = append(c.settling, q)
 	if c.loud {
-		c.log.Debug("request answered", "id", q.Wire, "class", q.Class, "verdict", string(verdictNames[a.Verdict]), "attempts", len(q.attempts),
+		c.log.Debug("request answered", "id", q.ClientRequestID, "class", q.Class, "verdict", string(verdictNames[a.Verdict]), "attempts", len(q.attempts),
 			"age", time.Since(q.Arrived).Round(time.Millisecond), "left", time.Until(q.deadline).Round(time.Millisecond),
 			"status", string(statusNames[a.Status]), "cause", a.Cause)
 	}
-	if a.Verdict == Refused && !q.free { // it is said never to have run
+	if a.Verdict == Rejected && !q.free { // it is said never to have run
 		c.afterEnd(q, func() { q.front.Answer(a) })
 	} else {
 		q.front.Answer(a)
@@ -112,7 +112,7 @@
 	if q.answered {
 		return
 	}
-	c.answer(q, Answer{Verdict: Overdue})
+	c.answer(q, Answer{Verdict: DeadlineExceeded})
 	c.tell(routing.ClientGone{ID: q.ID})
 	for _, at := range q.attempts {
 		c.end(q, at, Result{Status: routing.StatusTimeout})
@@ -130,7 +130,7 @@
 		return
 	}
 	delete(c.requests, q.ID)
-	delete(c.wires, q.Wire)
+	delete(c.wires, q.ClientRequestID)
 	q.Payload.Body = nil // timers may keep q itself for a while
 }
 
--- a/internal/core/roster.go
+++ b/internal/core/roster.go
@@ -7,12 +7,12 @@
 	"wellgw/routing"
 )
 
-// Roster tells what a directory has learned.
-func (c *Core) Roster(scope routing.EngineListScope, members []Member) {
+// UpdateEndpoints tells what a directory has learned.
+func (c *Core) UpdateEndpoints(scope routing.EngineListScope, members []Endpoint) {
 	c.post(func() { c.roster(scope, members) })
 }
 
-func (c *Core) roster(scope routing.EngineListScope, members []Member) {
+func (c *Core) roster(scope routing.EngineListScope, members []Endpoint) {
 	ev := routing.EngineList{Scope: scope}
 	// Who has left is forgotten: engines come under ever new ids. What one still holds
 	// is let go by the entry that its request keeps.
@@ -33,8 +33,8 @@
 	c.tell(ev)
 }
 
-// Gateways tells how many gateways share the engines from now on.
-func (c *Core) Gateways(n int) {
+// SetGateways tells how many gateways share the engines from now on.
+func (c *Core) SetGateways(n int) {
 	c.post(func() { c.tell(routing.GatewaysChanged{Gateways: n}) })
 }
 
--- a/internal/core/trace_test.go
+++ b/internal/core/trace_test.go
@@ -84,33 +84,33 @@
 	at := &tracedAttempt{tr: tr, a: a, first: first, ended: ended}
 	at.n = add(tr, &tr.attempts, at)
 	tr.note("start %d: %s number %d at %s, limit %v, target %s, waits %v, client gone %v",
-		at.n, a.Wire, a.Number, a.To.Name, a.Limit, a.Payload.Target, a.Connected != nil, a.Left())
+		at.n, a.ClientRequestID, a.Number, a.Endpoint.Name, a.Timeout, a.Payload.Target, a.Connected != nil, a.ClientGone())
 	return at
 }
 
 func (tr *tracer) Release(r Release, done func(error)) (stop func()) {
 	n := add(tr, &tr.releases, done)
 	var others []string
-	for _, m := range r.Elsewhere {
+	for _, m := range r.Alternates {
 		others = append(others, m.Name)
 	}
-	tr.note("release %d: %s at %s, else %v after %v every %v, until %v", n, r.Wire, r.At.Name, others, r.ElsewhereAfter, r.ElsewhereEvery,
-		time.Until(r.Until).Round(time.Millisecond))
+	tr.note("release %d: %s at %s, else %v after %v every %v, until %v", n, r.ClientRequestID, r.Endpoint.Name, others, r.AlternatesAfter, r.AlternatesInterval,
+		time.Until(r.Deadline).Round(time.Millisecond))
 	return func() { tr.note("stop release %d", n) }
 }
 
-func (tr *tracer) Reach(m Member, done func(bool)) {
+func (tr *tracer) Reach(m Endpoint, done func(bool)) {
 	tr.note("reach %d: %s", add(tr, &tr.reaches, done), m.Name)
 }
 
-func (tr *tracer) Probe(m Member, done func(routing.Status, *routing.LoadReport)) {
+func (tr *tracer) Probe(m Endpoint, done func(routing.Status, *routing.LoadReport)) {
 	tr.note("probe %d: %s", add(tr, &tr.probes, done), m.Name)
 }
 
 func (tr *tracer) Subscribe() { tr.note("subscribe") }
 
 func (tr *tracer) Answered(q Request, a Answer, verdict string) {
-	tr.note("observed %s: %d %q", q.Wire, a.Verdict, verdict)
+	tr.note("observed %s: %d %q", q.ClientRequestID, a.Verdict, verdict)
 }
 
 type tracedFront struct {
@@ -120,7 +120,7 @@
 
 func (f tracedFront) Answer(a Answer) {
 	f.tr.note("answer %s: %d, status %d, cause %v, retry %v, quota %v, stream %v, may run %v, standing %v", f.name, a.Verdict, a.Status, a.Cause,
-		a.RetryAfter, a.OverQuota, a.Stream != nil, a.MayRun, a.Standing != nil)
+		a.RetryAfter, a.OverQuota, a.Stream != nil, a.MayHaveRun, a.Quota != nil)
 }
 
 type tracedStream struct {
@@ -140,7 +140,7 @@
 
 func (tr *tracer) submit(class, id string, ttl time.Duration) *Ticket {
 	q := ask(class, ttl)
-	q.Wire, q.Payload.Target = id, "/"+id
+	q.ClientRequestID, q.Payload.Target = id, "/"+id
 	ticket := tr.core.Submit(q, tracedFront{tr, id})
 	synctest.Wait()
 	return ticket
@@ -207,27 +207,27 @@
 		tr.written(1)
 		tr.first(1)
 		tr.sleep(50 * time.Millisecond)
-		ticket.Finish(Result{Status: routing.StatusServed, Output: 7, Kept: 3})
+		ticket.Finish(Result{Status: routing.StatusServed, OutputTokens: 7, CachedTokens: 3})
 	}},
 	{"duplicate", nil, func(tr *tracer) {
 		tr.submit("free", "a", time.Minute)
-		tr.submit("free", "a", time.Minute).Gone()
+		tr.submit("free", "a", time.Minute).ClientGone()
 		tr.submit("once", "b", time.Minute)
 		tr.read(0)
 		tr.ended(2, routing.StatusError)
 	}},
-	{"gone unwritten", nil, func(tr *tracer) { tr.submit("once", "a", time.Minute).Gone() }},
+	{"gone unwritten", nil, func(tr *tracer) { tr.submit("once", "a", time.Minute).ClientGone() }},
 	{"gone written", nil, func(tr *tracer) {
 		ticket := tr.submit("once", "a", time.Minute)
 		tr.written(0)
-		ticket.Gone()
+		ticket.ClientGone()
 		tr.sleep(time.Second)
 		tr.released(0, nil)
 	}},
 	{"gone written, no cancel", func(s *routing.Settings) { s.CanCancel = false }, func(tr *tracer) {
 		ticket := tr.submit("once", "a", time.Minute)
 		tr.written(0)
-		ticket.Gone()
+		ticket.ClientGone()
 		tr.sleep(time.Second)
 		tr.ended(0, routing.StatusPrefilled)
 	}},
@@ -236,7 +236,7 @@
 		tr.read(0)
 		tr.written(1)
 		tr.first(1)
-		ticket.Gone()
+		ticket.ClientGone()
 		synctest.Wait()
 		ticket.Finish(Result{Status: routing.StatusCancelled})
 	}},
@@ -244,7 +244,7 @@
 		ticket := tr.submit("once", "a", time.Minute)
 		tr.read(0)
 		tr.written(1)
-		ticket.Gone()
+		ticket.ClientGone()
 		synctest.Wait()
 		tr.first(1)
 	}},
@@ -303,15 +303,15 @@
 		tr.submit("once", "a", time.Minute)
 		tr.read(0)
 		tr.written(1)
-		tr.end(1, Result{Status: routing.StatusRejected, NoState: true})
+		tr.end(1, Result{Status: routing.StatusRejected, StateMissing: true})
 		tr.sleep(time.Second)
 		tr.released(0, ErrNoRelease)
 	}},
 	{"over its quota", func(s *routing.Settings) { s.Tenants = []routing.Tenant{{Name: "team", Quota: 0.4}} }, func(tr *tracer) {
 		for n := range 12 {
 			q := ask("free", time.Minute)
-			q.Wire, q.Tenant = fmt.Sprint("a", n), "team"
-			tr.core.Submit(q, tracedFront{tr, q.Wire})
+			q.ClientRequestID, q.Tenant = fmt.Sprint("a", n), "team"
+			tr.core.Submit(q, tracedFront{tr, q.ClientRequestID})
 			synctest.Wait()
 		}
 	}},
@@ -371,11 +371,11 @@
 			done(true)
 		}
 		tr.sleep(2 * time.Second)
-		tr.note("may run: %v", ticket.MayRun(tr.t.Context()))
+		tr.note("may run: %v", ticket.MayHaveRun(tr.t.Context()))
 		tr.first(1)
 	}},
 	{"engines come and go", nil, func(tr *tracer) {
-		tr.core.Gateways(3)
+		tr.core.SetGateways(3)
 		names, ok := tr.core.Eject(tr.t.Context(), "w1", true)
 		tr.note("eject: %v %v", names, ok)
 		names, ok = tr.core.Eject(tr.t.Context(), "nobody", true)
@@ -386,11 +386,11 @@
 		tr.submit("once", "b", time.Minute)
 		tr.read(len(tr.begun()) - 1)
 		tr.note("ejected %v, ready %v", tr.core.Ejected(), tr.core.Ready())
-		tr.core.Roster(routing.EngineListDelta, []Member{{EngineInfo: routing.EngineInfo{Name: "w1", Kind: "w", Phase: routing.PhaseRemoved}}})
-		tr.core.Roster(routing.EngineListFailed, nil)
+		tr.core.UpdateEndpoints(routing.EngineListDelta, []Endpoint{{EngineInfo: routing.EngineInfo{Name: "w1", Kind: "w", Phase: routing.PhaseRemoved}}})
+		tr.core.UpdateEndpoints(routing.EngineListFailed, nil)
 		synctest.Wait()
 		tr.note("ready %v", tr.core.Ready())
-		tr.core.Roster(routing.EngineListSnapshot, nil)
+		tr.core.UpdateEndpoints(routing.EngineListSnapshot, nil)
 		synctest.Wait()
 		tr.note("ready %v", tr.core.Ready())
 		tr.submit("free", "c", time.Second)
@@ -462,7 +462,7 @@
 	{"cancelled as it is written", nil, func(tr *tracer) {
 		ticket := tr.submit("once", "a", time.Minute)
 		tr.begun()[0].written.Store(true)
-		ticket.Gone()
+		ticket.ClientGone()
 		synctest.Wait()
 		tr.written(0)
 		tr.ended(0, routing.StatusReset)
@@ -470,9 +470,9 @@
 	{"settings changed", nil, func(tr *tracer) {
 		set := testSettings()
 		set.MaxAttempts = 0
-		tr.note("refused: %v", tr.core.Retune(tr.t.Context(), set) != nil)
+		tr.note("refused: %v", tr.core.Reconfigure(tr.t.Context(), set) != nil)
 		set.MaxAttempts, set.Classes = 2, set.Classes[:1]
-		tr.note("refused: %v", tr.core.Retune(tr.t.Context(), set) != nil)
+		tr.note("refused: %v", tr.core.Reconfigure(tr.t.Context(), set) != nil)
 		tr.submit("free", "a", time.Minute)
 		tr.read(0)
 		tr.ended(1, routing.StatusError)
@@ -482,10 +482,10 @@
 		tr.sleep(time.Second)
 		ticket := tr.submit("once", "a", time.Minute)
 		tr.sleep(time.Second)
-		ticket.Gone()
+		ticket.ClientGone()
 		synctest.Wait()
 		tr.sleep(time.Second)
-		tr.note("idle for %v", tr.core.Quiet(tr.t.Context()))
+		tr.note("idle for %v", tr.core.IdleFor(tr.t.Context()))
 	}},
 }
 
@@ -500,11 +500,11 @@
 		t.Fatal(err)
 	}
 	tr := &tracer{t: t, out: out, start: time.Now()}
-	tr.core = New(router, tr, tr, Figures{Slack: 50 * time.Millisecond, PinLimit: set.HeldStateLimit, PinSlack: 100 * time.Millisecond, Reach: 100 * time.Millisecond, MaxSends: set.MaxAttempts},
+	tr.core = New(router, tr, tr, Limits{DeadlineSlack: 50 * time.Millisecond, HeldStateLimit: set.HeldStateLimit, HeldStateSlack: 100 * time.Millisecond, ReachTimeout: 100 * time.Millisecond, MaxAttempts: set.MaxAttempts},
 		slog.New(slog.NewTextHandler(io.Discard, &slog.HandlerOptions{Level: slog.LevelDebug})), invariant.New())
 	tr.core.Observe(tr)
 	go tr.core.Run(t.Context())
-	tr.core.Roster(routing.EngineListSnapshot, []Member{
+	tr.core.UpdateEndpoints(routing.EngineListSnapshot, []Endpoint{
 		{EngineInfo: routing.EngineInfo{Name: "r1", Kind: "r", Weight: 1}},
 		{EngineInfo: routing.EngineInfo{Name: "r2", Kind: "r", Weight: 1}},
 		{EngineInfo: routing.EngineInfo{Name: "w1", Kind: "w", Weight: 1}},
@@ -557,19 +557,19 @@
 		b.Fatal(err)
 	}
 	e := &servingEngine{}
-	c := New(router, e, e, Figures{Slack: 50 * time.Millisecond, PinLimit: time.Second, MaxSends: 4}, slog.New(slog.DiscardHandler), invariant.New())
+	c := New(router, e, e, Limits{DeadlineSlack: 50 * time.Millisecond, HeldStateLimit: time.Second, MaxAttempts: 4}, slog.New(slog.DiscardHandler), invariant.New())
 	go c.Run(b.Context())
-	c.Roster(routing.EngineListSnapshot, []Member{
+	c.UpdateEndpoints(routing.EngineListSnapshot, []Endpoint{
 		{EngineInfo: routing.EngineInfo{Name: "r1", Kind: "r", Weight: 1}},
 		{EngineInfo: routing.EngineInfo{Name: "w1", Kind: "w", Weight: 1}},
 	})
 	b.ReportAllocs()
 	for b.Loop() {
-		a, ticket, _ := Await(b.Context(), c, ask("free", time.Minute))
-		if a.Verdict != Serving {
+		a, ticket, _ := SubmitAndWait(b.Context(), c, ask("free", time.Minute))
+		if a.Verdict != Streaming {
 			b.Fatalf("%+v", a)
 		}
-		ticket.Finish(Result{Status: routing.StatusServed, Output: 5})
+		ticket.Finish(Result{Status: routing.StatusServed, OutputTokens: 5})
 	}
 }
 
@@ -579,7 +579,7 @@
 func (*servingEngine) Start(a Attempt, first func(Stream), ended func(Result)) Handle {
 	go func() {
 		a.Written()
-		if a.To.Kind == "r" {
+		if a.Endpoint.Kind == "r" {
 			ended(Result{Status: routing.StatusPrefilled})
 			return
 		}
--- a/internal/directory/keeper.go
+++ b/internal/directory/keeper.go
@@ -29,7 +29,7 @@
 type Options struct {
 	Policy roster.Policy
 	// Tell takes what has changed. It may block for a moment.
-	Tell func(routing.EngineListScope, []core.Member)
+	Tell func(routing.EngineListScope, []core.Endpoint)
 	// Check looks whether an engine at an address answers.
 	Check func(ctx context.Context, addr string) roster.Pulse
 	// StateFile is where the last good view is kept; "" for nowhere.
@@ -130,7 +130,7 @@
 	k.told.Lock()
 	defer k.told.Unlock()
 	k.mu.Lock()
-	members := make([]core.Member, 0, len(k.pending))
+	members := make([]core.Endpoint, 0, len(k.pending))
 	for _, e := range k.pending {
 		members = append(members, member(e))
 	}
@@ -148,8 +148,8 @@
 
 // member is an engine as the core is told of it. One that is critical or suspect
 // gets no new work but keeps its place: what is known of it holds if it comes back.
-func member(e roster.Engine) core.Member {
-	m := core.Member{
+func member(e roster.Engine) core.Endpoint {
+	m := core.Endpoint{
 		EngineInfo: routing.EngineInfo{Name: e.ID, Kind: e.Kind, Zone: e.Zone, Cell: e.Cell, Weight: 1},
 		Addr:       e.Addr, StartedAt: e.Started,
 	}
--- a/internal/directory/keeper_test.go
+++ b/internal/directory/keeper_test.go
@@ -26,7 +26,7 @@
 // told collects what a keeper tells.
 type told struct {
 	mu   sync.Mutex
-	list map[string]core.Member
+	list map[string]core.Endpoint
 	log  bytes.Buffer
 }
 
@@ -36,7 +36,7 @@
 	return c.log.Write(p)
 }
 
-func (c *told) tell(_ routing.EngineListScope, members []core.Member) {
+func (c *told) tell(_ routing.EngineListScope, members []core.Endpoint) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, m := range members {
@@ -59,7 +59,7 @@
 
 func keeper(t *testing.T, file string, check func(context.Context, string) roster.Pulse) (*Keeper, *told, func()) {
 	t.Helper()
-	c := &told{list: map[string]core.Member{}}
+	c := &told{list: map[string]core.Endpoint{}}
 	k := New(Options{Policy: roster.DefaultPolicy(), Tell: c.tell, Check: check, StateFile: file, Log: logging.New(c, true)})
 	ctx, stop := context.WithCancel(t.Context())
 	var group sync.WaitGroup
@@ -165,7 +165,7 @@
 }
 
 type fake struct {
-	core.Engine
+	core.Transport
 	result core.Result
 }
 
--- a/internal/directory/sources.go
+++ b/internal/directory/sources.go
@@ -34,15 +34,15 @@
 // Watched are engines whose refused connections a directory learns of: they tell a
 // restart from a check that flapped.
 type Watched struct {
-	core.Engine
+	core.Transport
 	Broke func(id, addr string)
 }
 
 // Start makes an attempt; see core.Engine.
 func (w Watched) Start(a core.Attempt, first func(core.Stream), ended func(core.Result)) core.Handle {
-	return w.Engine.Start(a, first, func(r core.Result) {
+	return w.Transport.Start(a, first, func(r core.Result) {
 		if errors.Is(r.Cause, syscall.ECONNREFUSED) {
-			w.Broke(a.To.Name, a.To.Addr)
+			w.Broke(a.Endpoint.Name, a.Endpoint.Addr)
 		}
 		ended(r)
 	})
--- a/internal/openai/call.go
+++ b/internal/openai/call.go
@@ -71,8 +71,8 @@
 // submit hands a call to the core under a name and waits for its answer; see core.Await.
 func (c *call) submit(a *apiRequest, wire string) (core.Answer, *core.Ticket, bool) {
 	q := core.Request{
-		Wire: wire, Arrived: time.Now(),
-		Payload: core.Payload{Method: http.MethodPost, Target: a.path, Body: a.body, Plain: a.path == embeddingPath, HoldLead: !c.once},
+		ClientRequestID: wire, Arrived: time.Now(),
+		Payload: core.Payload{Method: http.MethodPost, Target: a.path, Body: a.body, Unary: a.path == embeddingPath, BufferUntilFirstToken: !c.once},
 	}
 	if wire == c.head.id {
 		q.Arrived = c.arrived
@@ -82,7 +82,7 @@
 		Class: c.contract.Name, Tenant: c.team.Name, Session: s.session, Prefix: s.opening, PrefixLen: s.openingLen,
 		PromptTokens: s.prompt, MaxTokens: s.maxOut, TTL: c.contract.Deadline(),
 	}
-	return core.Await(c.r.Context(), c.core, q)
+	return core.SubmitAndWait(c.r.Context(), c.core, q)
 }
 
 // resume says what becomes of an answer that broke, and has it go on at another engine if
@@ -109,7 +109,7 @@
 	}
 	c.resumed++
 	answer, ticket, here := c.submit(a, c.head.id+"-"+strconv.Itoa(c.resumed))
-	if !here || answer.Verdict != core.Serving {
+	if !here || answer.Verdict != core.Streaming {
 		return resume.GiveUp, nil, nil
 	}
 	return step, answer.Stream, ticket
--- a/internal/openai/conformance/conformance_test.go
+++ b/internal/openai/conformance/conformance_test.go
@@ -55,9 +55,9 @@
 				}
 				return openai.TwoStage{}
 			})
-			c := core.New(router, up, nil, core.Figures{Slack: 50 * time.Millisecond, PinLimit: 500 * time.Millisecond, MaxSends: 4}, log, invariant.New())
+			c := core.New(router, up, nil, core.Limits{DeadlineSlack: 50 * time.Millisecond, HeldStateLimit: 500 * time.Millisecond, MaxAttempts: 4}, log, invariant.New())
 			go c.Run(t.Context())
-			c.Roster(routing.EngineListSnapshot, []core.Member{{EngineInfo: routing.EngineInfo{Name: "e1", Kind: role, Zone: "a", Weight: 1}, Addr: e.Addr()}})
+			c.UpdateEndpoints(routing.EngineListSnapshot, []core.Endpoint{{EngineInfo: routing.EngineInfo{Name: "e1", Kind: role, Zone: "a", Weight: 1}, Addr: e.Addr()}})
 			keys, err := idempotency.Open("", deduplication.DefaultLimits(), log)
 			if err != nil {
 				t.Fatal(err)
--- a/internal/openai/dialect.go
+++ b/internal/openai/dialect.go
@@ -30,7 +30,7 @@
 func (d Dialect) Attempt(a core.Attempt) upstream.Call {
 	header := [][2]string{
 		{"Content-Type", "application/json"}, {"Accept", "text/event-stream"},
-		{"X-Request-Id", a.Wire}, {"X-Deadline-Ms", strconv.FormatInt(max(1, a.Limit.Milliseconds()), 10)},
+		{"X-Request-Id", a.ClientRequestID}, {"X-Deadline-Ms", strconv.FormatInt(max(1, a.Timeout.Milliseconds()), 10)},
 	}
 	if d.Key != "" {
 		header = append(header, [2]string{"Authorization", "Bearer " + d.Key})
@@ -49,17 +49,23 @@
 }
 
 // Opens tells whether an event begins an answer; see upstream.Opener.
-func (Dialect) Opens(p core.Payload, data []byte) (bool, error) { return opens(data, p.HoldLead) }
+func (Dialect) Opens(p core.Payload, data []byte) (bool, error) {
+	return opens(data, p.BufferUntilFirstToken)
+}
 
 // TwoStage is how a chat gateway speaks with two-stage engines: by the platform's protocol,
 // and with the same eye for where an answer begins.
 type TwoStage struct{ platform.Dialect }
 
 // Opens tells whether an event begins an answer; see upstream.Opener.
-func (TwoStage) Opens(p core.Payload, data []byte) (bool, error) { return opens(data, p.HoldLead) }
+func (TwoStage) Opens(p core.Payload, data []byte) (bool, error) {
+	return opens(data, p.BufferUntilFirstToken)
+}
 
 // Tail reads the usage.
-func (Dialect) Tail(tail []byte, r *core.Result) { r.Kept, r.Output = upstream.Usage(tail) }
+func (Dialect) Tail(tail []byte, r *core.Result) {
+	r.CachedTokens, r.OutputTokens = upstream.Usage(tail)
+}
 
 // Release has nothing to call: such an engine ends its work with the connection.
 func (Dialect) Release(string) (upstream.Call, bool) { return upstream.Call{}, false }
--- a/internal/openai/errors.go
+++ b/internal/openai/errors.go
@@ -118,13 +118,13 @@
 		return r
 	}
 	switch {
-	case a.Verdict == core.Refused && a.OverQuota:
+	case a.Verdict == core.Rejected && a.OverQuota:
 		return apiError{status: http.StatusTooManyRequests, kind: typeRate, code: codeQuota,
 			text: "the team's budget is spent for now", retryAfter: a.RetryAfter}
-	case a.Verdict == core.Refused:
+	case a.Verdict == core.Rejected:
 		return apiError{status: http.StatusServiceUnavailable, kind: typeServer, code: codeOverloaded,
 			text: "no engine can take this in time; nothing was done", retryAfter: a.RetryAfter}
-	case a.Verdict == core.Overdue || a.Status == routing.StatusTimeout:
+	case a.Verdict == core.DeadlineExceeded || a.Status == routing.StatusTimeout:
 		return apiError{status: http.StatusGatewayTimeout, kind: typeServer, code: codeTimeout, final: once,
 			text: "no engine answered in time; the request may have been carried out"}
 	}
--- a/internal/openai/front.go
+++ b/internal/openai/front.go
@@ -230,10 +230,10 @@
 		clientconn.Reject(w, r)
 		f.announceClose(w, r)
 		f.spareKey(r, team)
-		refusal(core.Answer{Verdict: core.Refused, RetryAfter: busyPause}, false).send(w)
+		refusal(core.Answer{Verdict: core.Rejected, RetryAfter: busyPause}, false).send(w)
 	case errors.Is(err, clientconn.ErrBusy):
 		f.spareKey(r, team)
-		refusal(core.Answer{Verdict: core.Refused, RetryAfter: busyPause}, false).send(w)
+		refusal(core.Answer{Verdict: core.Rejected, RetryAfter: busyPause}, false).send(w)
 	case err != nil:
 		clientconn.Reject(w, r)
 		badRequest(err.Error(), "").send(w)
@@ -283,13 +283,13 @@
 	answer, ticket, here := c.submit(c.ask, c.head.id)
 	c.announceClose(c.w, c.r) // the request may have waited since before the gateway began to leave
 	if !here {
-		c.ending.MayRun = !c.once || ticket.MayRun(context.WithoutCancel(c.r.Context()))
+		c.ending.MayRun = !c.once || ticket.MayHaveRun(context.WithoutCancel(c.r.Context()))
 		panic(http.ErrAbortHandler) // the caller has gone: there is nobody to answer
 	}
 	rates(c.w.Header(), answer)
-	if answer.Verdict != core.Serving {
+	if answer.Verdict != core.Streaming {
 		c.ending = deduplication.Ending{
-			Refused: answer.Verdict == core.Refused || answer.Verdict == core.Duplicate, Rejected: rejected(answer) != nil, MayRun: answer.MayRun,
+			Refused: answer.Verdict == core.Rejected || answer.Verdict == core.Duplicate, Rejected: rejected(answer) != nil, MayRun: answer.MayHaveRun,
 		}
 		refusal(answer, c.once && c.ending.Outcome() == deduplication.Broken).send(c.w)
 		return
@@ -316,14 +316,14 @@
 
 // rates tells a team with a budget how it stands, at this gateway.
 func rates(h http.Header, a core.Answer) {
-	if a.Standing == nil {
+	if a.Quota == nil {
 		return
 	}
-	full := a.Standing.ResetIn
+	full := a.Quota.ResetIn
 	if a.OverQuota {
 		full = max(full, a.RetryAfter)
 	}
-	h["X-Ratelimit-Limit-Requests"] = []string{strconv.Itoa(int(a.Standing.Burst))}
-	h["X-Ratelimit-Remaining-Requests"] = []string{strconv.Itoa(int(a.Standing.Remaining))}
+	h["X-Ratelimit-Limit-Requests"] = []string{strconv.Itoa(int(a.Quota.Burst))}
+	h["X-Ratelimit-Remaining-Requests"] = []string{strconv.Itoa(int(a.Quota.Remaining))}
 	h["X-Ratelimit-Reset-Requests"] = []string{full.Round(time.Millisecond).String()}
 }
--- a/internal/openai/front_test.go
+++ b/internal/openai/front_test.go
@@ -43,20 +43,20 @@
 
 // start starts a front on loopback before engines of the roles given.
 func start(t *testing.T, engines map[string]*enginetest.Engine) (url string, c *core.Core) {
-	var members []core.Member
+	var members []core.Endpoint
 	for role, e := range engines {
-		members = append(members, core.Member{EngineInfo: routing.EngineInfo{Name: role, Kind: role, Zone: "a", Weight: 1}, Addr: e.Addr})
+		members = append(members, core.Endpoint{EngineInfo: routing.EngineInfo{Name: role, Kind: role, Zone: "a", Weight: 1}, Addr: e.Addr})
 	}
 	return serve(t, operator, members)
 }
 
 // serve starts a front by an operator's file.
-func serve(t *testing.T, file string, members []core.Member) (url string, c *core.Core) {
+func serve(t *testing.T, file string, members []core.Endpoint) (url string, c *core.Core) {
 	url, c, _ = serveFront(t, file, members)
 	return url, c
 }
 
-func serveFront(t *testing.T, file string, members []core.Member) (url string, c *core.Core, f *Front) {
+func serveFront(t *testing.T, file string, members []core.Endpoint) (url string, c *core.Core, f *Front) {
 	o, err := config.ParseOperator([]byte(file))
 	if err != nil {
 		t.Fatal(err)
@@ -73,9 +73,9 @@
 		return TwoStage{}
 	})
 	log := slog.New(slog.DiscardHandler)
-	c = core.New(router, engine, nil, core.Figures{Slack: 50 * time.Millisecond, PinLimit: 500 * time.Millisecond, MaxSends: 4}, log, invariant.New())
+	c = core.New(router, engine, nil, core.Limits{DeadlineSlack: 50 * time.Millisecond, HeldStateLimit: 500 * time.Millisecond, MaxAttempts: 4}, log, invariant.New())
 	go c.Run(t.Context())
-	c.Roster(routing.EngineListSnapshot, members)
+	c.UpdateEndpoints(routing.EngineListSnapshot, members)
 	keys, err := idempotency.Open("", deduplication.DefaultLimits(), log)
 	if err != nil {
 		t.Fatal(err)
@@ -92,7 +92,7 @@
 // body is on the way: neither the team nor the contract of the other is seen.
 func TestRequestUsesOneConfiguration(t *testing.T) {
 	e := enginetest.NewEngine(t, func(enginetest.Call) string { return enginetest.Stream(2, 0) })
-	url, _, f := serveFront(t, operator, []core.Member{{EngineInfo: routing.EngineInfo{Name: "e1", Kind: config.RoleOpenAI, Zone: "a", Weight: 1}, Addr: e.Addr}})
+	url, _, f := serveFront(t, operator, []core.Endpoint{{EngineInfo: routing.EngineInfo{Name: "e1", Kind: config.RoleOpenAI, Zone: "a", Weight: 1}, Addr: e.Addr}})
 	other, err := config.ParseOperator([]byte(strings.NewReplacer(`"k1"`, `"k9"`, `"name": "orders"`, `"name": "works"`, `"parts", "orders", "quick"`, `"parts", "works", "quick"`).Replace(operator)))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/openai/resume_test.go
+++ b/internal/openai/resume_test.go
@@ -22,13 +22,13 @@
 		for _, times := range []int{0, 4} {
 			fleet := engine.NewFleet()
 			t.Cleanup(fleet.Close)
-			var members []core.Member
+			var members []core.Endpoint
 			for i := range 4 {
 				e, err := fleet.Start(engine.Options{ID: fmt.Sprint("e", i), Role: role, Tokens: tokens, Burst: true, CutShare: 0.5, Seed: uint64(i)}, true)
 				if err != nil {
 					t.Fatal(err)
 				}
-				members = append(members, core.Member{EngineInfo: routing.EngineInfo{Name: e.ID, Kind: role, Zone: "a", Weight: 1}, Addr: e.Addr()})
+				members = append(members, core.Endpoint{EngineInfo: routing.EngineInfo{Name: e.ID, Kind: role, Zone: "a", Weight: 1}, Addr: e.Addr()})
 			}
 			file := strings.Replace(operator, `"effect": "free",`, fmt.Sprintf(`"effect": "free", "continue": %d,`, times), 1)
 			url, _ := serve(t, file, members)
--- a/internal/platform/dialect.go
+++ b/internal/platform/dialect.go
@@ -22,8 +22,8 @@
 // Attempt passes method, target, body, id and the client's own headers unchanged.
 func (Dialect) Attempt(a core.Attempt) upstream.Call {
 	own := [][2]string{
-		{"X-Request-Id", a.Wire},
-		{"X-Deadline-Ms", strconv.FormatInt(max(1, a.Limit.Milliseconds()), 10)},
+		{"X-Request-Id", a.ClientRequestID},
+		{"X-Deadline-Ms", strconv.FormatInt(max(1, a.Timeout.Milliseconds()), 10)},
 	}
 	return upstream.Call{
 		Method: a.Payload.Method, Target: a.Payload.Target, Body: a.Payload.Body,
@@ -80,9 +80,9 @@
 		}
 		// Without a body that makes sense the prompt is read all the same.
 		_ = jsoniter.Unmarshal(body, &kept)
-		r.Status, r.Kept = routing.StatusPrefilled, max(0, kept.Tokens)
+		r.Status, r.CachedTokens = routing.StatusPrefilled, max(0, kept.Tokens)
 	case turnedAway:
-		r.Status, r.NoState = routing.StatusRejected, status == http.StatusGone
+		r.Status, r.StateMissing = routing.StatusRejected, status == http.StatusGone
 	default:
 		r.Status = routing.StatusError
 	}
@@ -91,7 +91,7 @@
 
 // Tail reads the usage, and a load report if one came as a comment.
 func (Dialect) Tail(tail []byte, r *core.Result) {
-	r.Kept, r.Output = upstream.Usage(tail)
+	r.CachedTokens, r.OutputTokens = upstream.Usage(tail)
 	for line := range bytes.Lines(tail) {
 		if load, is := bytes.CutPrefix(line, []byte(": X-Load:")); is {
 			r.Report = loadReport(load)
--- a/internal/platform/events_test.go
+++ b/internal/platform/events_test.go
@@ -54,7 +54,7 @@
 		io.WriteString(w, "data: [DONE]\n\n")
 	}))
 	t.Cleanup(func() { writer.CloseClientConnections(); writer.Close() })
-	c.Roster(routing.EngineListSnapshot, []core.Member{
+	c.UpdateEndpoints(routing.EngineListSnapshot, []core.Endpoint{
 		{EngineInfo: routing.EngineInfo{Name: "r1", Kind: "r", Zone: "a", Weight: 1}, Addr: r.Addr},
 		{EngineInfo: routing.EngineInfo{Name: "w2", Kind: "w", Zone: "a", Weight: 1}, Addr: writer.Listener.Addr().String()},
 	})
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -110,11 +110,11 @@
 		http.Error(w, err.Error(), http.StatusRequestEntityTooLarge)
 		return
 	case errors.Is(err, clientconn.ErrBusy):
-		refuse(w, core.Answer{Verdict: core.Refused, RetryAfter: busyPause})
+		refuse(w, core.Answer{Verdict: core.Rejected, RetryAfter: busyPause})
 		return
 	case errors.Is(err, clientconn.ErrLate):
 		clientconn.Reject(w, r)
-		refuse(w, core.Answer{Verdict: core.Refused})
+		refuse(w, core.Answer{Verdict: core.Rejected})
 		return
 	case err != nil:
 		clientconn.Reject(w, r)
@@ -124,16 +124,16 @@
 	defer free()
 	if !f.service.Load().TakesRequest(time.Now()) {
 		f.announceClose(w, r)
-		refuse(w, core.Answer{Verdict: core.Refused})
+		refuse(w, core.Answer{Verdict: core.Rejected})
 		return
 	}
 	q.Payload.Body = body
-	answer, ticket, here := core.Await(r.Context(), f.core, q)
+	answer, ticket, here := core.SubmitAndWait(r.Context(), f.core, q)
 	if !here {
 		panic(http.ErrAbortHandler) // the client has gone: there is nobody to answer
 	}
 	f.announceClose(w, r) // the request may have waited since before the gateway began to leave
-	if answer.Verdict == core.Serving {
+	if answer.Verdict == core.Streaming {
 		f.stream(r.Context(), w, answer.Stream, ticket)
 		return
 	}
@@ -144,14 +144,14 @@
 // again is harmless, so that a failure must never be either.
 func refuse(w http.ResponseWriter, a core.Answer) {
 	switch a.Verdict {
-	case core.Refused:
+	case core.Rejected:
 		if a.RetryAfter > 0 {
 			w.Header().Set("Retry-After", retryAfter(a.RetryAfter))
 		}
 		http.Error(w, "no server can take this in time", http.StatusServiceUnavailable)
 	case core.Duplicate:
 		http.Error(w, "a request of this id is in hand", http.StatusConflict)
-	case core.Overdue:
+	case core.DeadlineExceeded:
 		http.Error(w, "no answer in time", http.StatusGatewayTimeout)
 	default:
 		if a.Status == routing.StatusTimeout {
@@ -206,9 +206,9 @@
 // parse reads a request's headers. What is missing or malformed is named.
 func (f *Front) parse(r *http.Request) (core.Request, error) {
 	h := r.Header
-	q := core.Request{Wire: h.Get("X-Request-Id")}
+	q := core.Request{ClientRequestID: h.Get("X-Request-Id")}
 	q.Class, q.Tenant, q.Session = h.Get("X-Class"), h.Get("X-Tenant"), h.Get("X-Key")
-	if !validID(q.Wire) {
+	if !validID(q.ClientRequestID) {
 		return q, headerError{"X-Request-Id", "missing or malformed"}
 	}
 	if !(*f.classes.Load())[q.Class] {
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -179,8 +179,8 @@
 }
 
 // told returns a roster's receiver that notes each entry in got, as scope, name and phase.
-func told(mu *sync.Mutex, got *[]string) func(routing.EngineListScope, []core.Member) {
-	return func(scope routing.EngineListScope, members []core.Member) {
+func told(mu *sync.Mutex, got *[]string) func(routing.EngineListScope, []core.Endpoint) {
+	return func(scope routing.EngineListScope, members []core.Endpoint) {
 		mu.Lock()
 		defer mu.Unlock()
 		for _, m := range members {
@@ -222,9 +222,9 @@
 	log := slog.New(slog.DiscardHandler)
 	pool := upstream.NewPool(upstream.Options{ConnectTimeout: time.Second, ConnIdle: time.Minute})
 	engine := upstream.NewEngine(pool, func(string) upstream.Dialect { return Dialect{} })
-	c = core.New(router, engine, nil, core.Figures{Slack: 50 * time.Millisecond, PinLimit: set.HeldStateLimit, MaxSends: 4}, log, invariant.New())
+	c = core.New(router, engine, nil, core.Limits{DeadlineSlack: 50 * time.Millisecond, HeldStateLimit: set.HeldStateLimit, MaxAttempts: 4}, log, invariant.New())
 	go c.Run(t.Context())
-	c.Roster(routing.EngineListSnapshot, []core.Member{
+	c.UpdateEndpoints(routing.EngineListSnapshot, []core.Endpoint{
 		{EngineInfo: routing.EngineInfo{Name: "r1", Kind: "r", Zone: "a", Weight: 1}, Addr: r.Addr},
 		{EngineInfo: routing.EngineInfo{Name: "w1", Kind: "w", Zone: "a", Weight: 1}, Addr: w.Addr},
 	})
@@ -272,7 +272,7 @@
 		"Connection": {"close, X-Hop"}, "X-Hop": {"1"}, "Transfer-Encoding": {"chunked"}, "Content-Length": {"9"},
 		"X-Deadline-Ms": {"5000"}, "X-Request-Id": {"other"}, "Authorization": {"Bearer x"}, "Cookie": {"a=b"}, "Accept-Encoding": {"br"}, "Range": {"bytes=1-"},
 	}
-	call := Dialect{}.Attempt(core.Attempt{Wire: "id1", Limit: 2 * time.Second, Payload: core.Payload{Header: passed(h)}})
+	call := Dialect{}.Attempt(core.Attempt{ClientRequestID: "id1", Timeout: 2 * time.Second, Payload: core.Payload{Header: passed(h)}})
 	got := http.Header{}
 	for _, line := range call.Header {
 		got.Add(line[0], line[1])
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -55,8 +55,8 @@
 // revision no newer than what is known is taken only if it ends an engine's work
 // or tells of a later start: news may cross, and `known` may be old. Only a
 // complete list that is not older removes the engines it does not name.
-func (r *Roster) Apply(l config.List) []core.Member {
-	var changed []core.Member
+func (r *Roster) Apply(l config.List) []core.Endpoint {
+	var changed []core.Endpoint
 	take := func(e config.ListEntry) {
 		if phaseOf(e.Phase) == routing.PhaseRemoved {
 			r.left = append(r.left, e.ID)
@@ -112,8 +112,8 @@
 	return routing.PhaseDraining
 }
 
-func member(e config.ListEntry) core.Member {
-	m := core.Member{
+func member(e config.ListEntry) core.Endpoint {
+	m := core.Endpoint{
 		EngineInfo: routing.EngineInfo{
 			Name: e.ID, Kind: e.Flavor, Zone: e.Locality, Cell: e.Cell, Weight: e.Size, Phase: phaseOf(e.Phase),
 		},
@@ -127,7 +127,7 @@
 
 // Watch follows discovery and tells the core what it learns.
 type Watch struct {
-	tell   func(routing.EngineListScope, []core.Member)
+	tell   func(routing.EngineListScope, []core.Endpoint)
 	log    *slog.Logger
 	roster *Roster
 	wake   chan struct{} // a Subscribe; nil where changes come by themselves
@@ -143,7 +143,7 @@
 // NewWatch returns a watch on discovery's address. If asked is true it begins
 // only with the first Subscribe. Sends must end so long after a drain was announced as grace
 // says, and what a discovery that was away has to announce counts as announced from when it is back.
-func NewWatch(addr string, asked bool, grace time.Duration, tell func(routing.EngineListScope, []core.Member), log *slog.Logger) *Watch {
+func NewWatch(addr string, asked bool, grace time.Duration, tell func(routing.EngineListScope, []core.Endpoint), log *slog.Logger) *Watch {
 	w := &Watch{addr: addr, tell: tell, log: log, roster: NewRoster(), moved: make(chan struct{}, 1), pace: watch.PaceFor(grace, watchBeat)}
 	if asked {
 		w.wake = make(chan struct{}, 1)
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -66,7 +66,7 @@
 	}
 }
 
-type engines struct{ core.Engine }
+type engines struct{ core.Transport }
 
 func (engines) Start(_ core.Attempt, _ func(core.Stream), ended func(core.Result)) core.Handle {
 	ended(core.Result{Status: routing.StatusReset, Cause: errors.New("broke")})
@@ -90,9 +90,9 @@
 		}
 		if gateway == "g1" {
 			e := tracer.Engines(engines{})
-			e.Start(core.Attempt{Wire: "q1", To: core.Member{}}, nil, func(core.Result) {})
-			e.Release(core.Release{Wire: "q1"}, func(error) {})
-			tracer.Answered(core.Request{Wire: "q1", Arrived: time.Now().Add(-time.Second)}, core.Answer{Verdict: core.Failed}, "failed")
+			e.Start(core.Attempt{ClientRequestID: "q1", Endpoint: core.Endpoint{}}, nil, func(core.Result) {})
+			e.Release(core.Release{ClientRequestID: "q1"}, func(error) {})
+			tracer.Answered(core.Request{ClientRequestID: "q1", Arrived: time.Now().Add(-time.Second)}, core.Answer{Verdict: core.Failed}, "failed")
 		}
 		tracer.Step(r, time.Now(), "seen")
 		tracer.Member(peers.Event{Gateway: "g3", From: "suspect", To: "dead", Incarnation: 4, Since: time.Now()})
--- a/internal/telemetry/trace.go
+++ b/internal/telemetry/trace.go
@@ -68,21 +68,21 @@
 // Answered writes a request from its arrival to its one final answer; see core.Observer.
 func (t *Tracer) Answered(q core.Request, a core.Answer, verdict string) {
 	failed := ""
-	if a.Verdict != core.Serving {
+	if a.Verdict != core.Streaming {
 		failed = verdict
 		if a.Cause != nil {
 			failed += ": " + a.Cause.Error()
 		}
 	}
-	t.span(within("request "+q.Wire), "request", q.Arrived, time.Now(), failed,
+	t.span(within("request "+q.ClientRequestID), "request", q.Arrived, time.Now(), failed,
 		attribute.String("class", q.Class), attribute.String("team", q.Tenant), attribute.Int("prompt_tokens", q.PromptTokens), attribute.String("answer", verdict))
 }
 
 // Engines wraps engines so that every attempt and every release is a span.
-func (t *Tracer) Engines(e core.Engine) core.Engine { return traced{e, t} }
+func (t *Tracer) Engines(e core.Transport) core.Transport { return traced{e, t} }
 
 type traced struct {
-	core.Engine
+	core.Transport
 	tracer *Tracer
 }
 
@@ -90,10 +90,10 @@
 func (e traced) Start(a core.Attempt, first func(core.Stream), ended func(core.Result)) core.Handle {
 	begun := time.Now()
 	note := func(what, failed string) {
-		e.tracer.span(within("request "+a.Wire), what, begun, time.Now(), failed,
-			attribute.String("engine", a.To.Name), attribute.String("role", a.To.Kind), attribute.Int("attempt", a.Number))
+		e.tracer.span(within("request "+a.ClientRequestID), what, begun, time.Now(), failed,
+			attribute.String("engine", a.Endpoint.Name), attribute.String("role", a.Endpoint.Kind), attribute.Int("attempt", a.Number))
 	}
-	return e.Engine.Start(a, func(s core.Stream) {
+	return e.Transport.Start(a, func(s core.Stream) {
 		note("attempt, to its first event", "")
 		first(s)
 	}, func(r core.Result) {
@@ -109,12 +109,12 @@
 // Release lets go of what is held; see core.Engine.
 func (e traced) Release(r core.Release, done func(error)) (stop func()) {
 	begun := time.Now()
-	return e.Engine.Release(r, func(err error) {
+	return e.Transport.Release(r, func(err error) {
 		failed := ""
 		if err != nil {
 			failed = err.Error()
 		}
-		e.tracer.span(within("request "+r.Wire), "release", begun, time.Now(), failed, attribute.String("engine", r.At.Name))
+		e.tracer.span(within("request "+r.ClientRequestID), "release", begun, time.Now(), failed, attribute.String("engine", r.Endpoint.Name))
 		done(err)
 	})
 }
--- a/internal/upstream/bench_test.go
+++ b/internal/upstream/bench_test.go
@@ -41,13 +41,13 @@
 			for b.Loop() {
 				end := make(chan core.Result, 1)
 				e.Start(core.Attempt{
-					Wire: "id1", To: core.Member{Addr: l.Addr().String()}, Limit: 10 * time.Second,
+					ClientRequestID: "id1", Endpoint: core.Endpoint{Addr: l.Addr().String()}, Timeout: 10 * time.Second,
 					Payload: core.Payload{Method: "POST", Target: "/v1/chat/completions", Body: []byte(`{"a":1}`)},
 				}, func(s core.Stream) {
 					_, _ = io.Copy(io.Discard, s)
 					end <- s.Result()
 				}, func(r core.Result) { end <- r })
-				if r := <-end; r.Output != events {
+				if r := <-end; r.OutputTokens != events {
 					b.Fatalf("%+v", r)
 				}
 			}
--- a/internal/upstream/engine.go
+++ b/internal/upstream/engine.go
@@ -146,7 +146,7 @@
 
 // Start begins an attempt; see core.Engine.
 func (e *Engine) Start(a core.Attempt, first func(core.Stream), ended func(core.Result)) core.Handle {
-	ctx, cancel := context.WithTimeout(context.Background(), a.Limit+leakGuard)
+	ctx, cancel := context.WithTimeout(context.Background(), a.Timeout+leakGuard)
 	t := &try{cancel: cancel, pool: e.pool}
 	go func() {
 		s, r := e.attempt(ctx, t, a)
@@ -164,8 +164,8 @@
 
 // attempt makes an attempt and returns its stream once the answer has begun, else how it ended.
 func (e *Engine) attempt(ctx context.Context, t *try, a core.Attempt) (core.Stream, core.Result) {
-	dialect := e.dialect(a.To.Kind)
-	until := time.Now().Add(a.Limit + leakGuard)
+	dialect := e.dialect(a.Endpoint.Kind)
+	until := time.Now().Add(a.Timeout + leakGuard)
 	c, unsent := e.sendAttempt(ctx, t, a, dialect, until)
 	if unsent != nil {
 		t.done(false)
@@ -188,7 +188,7 @@
 // that.
 func (e *Engine) sendAttempt(ctx context.Context, t *try, a core.Attempt, dialect Dialect, until time.Time) (*conn, *core.Result) {
 	begun := time.Now()
-	c, err := e.pool.get(ctx, a.To.Addr)
+	c, err := e.pool.get(ctx, a.Endpoint.Addr)
 	if err != nil {
 		return nil, &core.Result{Status: routing.StatusConnectFailed, Cause: err}
 	}
@@ -198,14 +198,14 @@
 	if a.Connected != nil {
 		a.Connected()
 	}
-	if a.Left != nil && a.Left() {
+	if a.ClientGone != nil && a.ClientGone() {
 		return nil, &core.Result{Status: routing.StatusNotSent, Cause: errLeft}
 	}
 	if !t.begin() {
 		return nil, &core.Result{Status: routing.StatusCancelled, Cause: context.Canceled}
 	}
 	c.SetDeadline(until)
-	a.Limit -= time.Since(begun) // what is left is what its engine is told
+	a.Timeout -= time.Since(begun) // what is left is what its engine is told
 	if err := write(c, dialect.Attempt(a)); err != nil {
 		return nil, &core.Result{Status: routing.StatusConnectFailed, Cause: err}
 	}
@@ -295,7 +295,7 @@
 }
 
 // Probe asks for a load report; see core.Engine.
-func (e *Engine) Probe(at core.Member, done func(routing.Status, *routing.LoadReport)) {
+func (e *Engine) Probe(at core.Endpoint, done func(routing.Status, *routing.LoadReport)) {
 	call, given := e.dialect(at.Kind).Probe()
 	go func() {
 		if !given {
--- a/internal/upstream/held_test.go
+++ b/internal/upstream/held_test.go
@@ -38,7 +38,7 @@
 	fleet    *simFleet
 	core     *core.Core
 	settings routing.Settings
-	members  []core.Member
+	members  []core.Endpoint
 	clients  sync.WaitGroup
 	end      context.CancelFunc // of the process: the core and the pool
 	resumes  bool               // clients ask for the rest of a stream that broke
@@ -110,11 +110,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	figures := core.Figures{Slack: 16 * time.Millisecond, PinLimit: set.HeldStateLimit, MaxSends: set.MaxAttempts, Reach: connect}
+	figures := core.Limits{DeadlineSlack: 16 * time.Millisecond, HeldStateLimit: set.HeldStateLimit, MaxAttempts: set.MaxAttempts, ReachTimeout: connect}
 	engine := upstream.NewEngine(pool, func(string) upstream.Dialect { return platform.Dialect{} })
 	s.core = core.New(router, engine, still{}, figures, slog.New(slog.DiscardHandler), invariant.New())
 	go s.core.Run(process)
-	s.core.Roster(routing.EngineListSnapshot, s.members)
+	s.core.UpdateEndpoints(routing.EngineListSnapshot, s.members)
 	s.fleet.step("settings %+v, rules %+v, clients resume: %v", set, s.fleet.rules, s.resumes)
 	return s
 }
@@ -127,7 +127,7 @@
 	name := fmt.Sprint(kind, n)
 	zone := n % len(s.settings.Zones)
 	s.fleet.add(name, role, 200*time.Microsecond+time.Duration(zone)*between(s.random, time.Millisecond, 3*time.Millisecond))
-	s.members = append(s.members, core.Member{Addr: name, EngineInfo: routing.EngineInfo{
+	s.members = append(s.members, core.Endpoint{Addr: name, EngineInfo: routing.EngineInfo{
 		Name: name, Kind: kind, Zone: s.settings.Zones[zone], Cell: n % 3, Weight: 1,
 	}})
 }
@@ -169,7 +169,7 @@
 		}
 		s.fleet.on(trigger{stage: pick(s.random, stages...), skip: s.random.IntN(asks), run: func() {
 			s.fleet.step("settings are replaced")
-			if err := s.core.Retune(t.Context(), next); err != nil {
+			if err := s.core.Reconfigure(t.Context(), next); err != nil {
 				t.Error(err)
 			}
 		}})
@@ -229,7 +229,7 @@
 	case 1, 2:
 		v.leaveAt = pick(s.random, stages...)
 	}
-	v.request = core.Request{Wire: fmt.Sprint("q", n), Payload: core.Payload{Method: "POST", Target: "/v1/chat/completions", Body: []byte("{}")}}
+	v.request = core.Request{ClientRequestID: fmt.Sprint("q", n), Payload: core.Payload{Method: "POST", Target: "/v1/chat/completions", Body: []byte("{}")}}
 	v.request.Request = routing.Request{Class: fmt.Sprint("c", s.random.IntN(3)), Session: fmt.Sprint(s.random.IntN(5)), PromptTokens: 100, MaxTokens: 10, TTL: wait}
 	if s.resumes {
 		for range s.random.IntN(resumeMost + 1) {
@@ -251,7 +251,7 @@
 			if !broke || s.leaving.Load() {
 				return
 			}
-			q.Wire = fmt.Sprint(v.request.Wire, "-", again+1)
+			q.ClientRequestID = fmt.Sprint(v.request.ClientRequestID, "-", again+1)
 			q.Reconnect = true
 			broke = s.try(ctx, q, q.TTL, "")
 		}
@@ -265,23 +265,23 @@
 	defer leave()
 	stop := context.AfterFunc(s.streams, leave)
 	defer stop()
-	s.fleet.step("%s class %s comes, waits %v of %v", q.Wire, q.Class, stay, q.TTL)
+	s.fleet.step("%s class %s comes, waits %v of %v", q.ClientRequestID, q.Class, stay, q.TTL)
 	if leaveAt != "" {
-		s.fleet.on(trigger{id: q.Wire, stage: leaveAt, run: leave})
+		s.fleet.on(trigger{id: q.ClientRequestID, stage: leaveAt, run: leave})
 	}
 	q.Arrived = time.Now()
-	s.fleet.account(q.Wire, func(r *record) { r.due = q.Arrived.Add(q.TTL) })
-	a, ticket, here := core.Await(mine, s.core, q)
-	s.fleet.step("%s answered: %v, verdict %v", q.Wire, here, a.Verdict)
-	s.fleet.account(q.Wire, func(r *record) { r.left = time.Now() })
+	s.fleet.account(q.ClientRequestID, func(r *record) { r.due = q.Arrived.Add(q.TTL) })
+	a, ticket, here := core.SubmitAndWait(mine, s.core, q)
+	s.fleet.step("%s answered: %v, verdict %v", q.ClientRequestID, here, a.Verdict)
+	s.fleet.account(q.ClientRequestID, func(r *record) { r.left = time.Now() })
 	if late := time.Since(q.Arrived) - q.TTL; late > answerSlack {
-		s.fleet.fail("%s had no answer for %v after its time", q.Wire, late)
+		s.fleet.fail("%s had no answer for %v after its time", q.ClientRequestID, late)
 	}
-	if !here || a.Verdict != core.Serving {
+	if !here || a.Verdict != core.Streaming {
 		return false
 	}
 	stopNote := context.AfterFunc(mine, func() {
-		s.fleet.account(q.Wire, func(r *record) { r.streamLeft = time.Now() })
+		s.fleet.account(q.ClientRequestID, func(r *record) { r.streamLeft = time.Now() })
 	})
 	defer stopNote()
 	return ticket.Relay(mine, a.Stream, func([]byte) error { return nil }) != nil
--- a/internal/upstream/memory_test.go
+++ b/internal/upstream/memory_test.go
@@ -83,10 +83,10 @@
 	random := func(n int) int { mu.Lock(); defer mu.Unlock(); return rng.IntN(n) }
 	set := drawSettings(rand.New(rand.NewPCG(1, 0)))
 	set.MaxAttempts = 4
-	var members []core.Member
+	var members []core.Endpoint
 	for _, name := range []string{"r0", "r1", "w0", "w1"} {
 		c.links[name] = newSimLink(time.Millisecond, careless(random, name[0] == 'r'))
-		members = append(members, core.Member{Addr: name, EngineInfo: routing.EngineInfo{Name: name, Kind: name[:1], Zone: set.Zone, Weight: 1}})
+		members = append(members, core.Endpoint{Addr: name, EngineInfo: routing.EngineInfo{Name: name, Kind: name[:1], Zone: set.Zone, Weight: 1}})
 	}
 	pool := upstream.NewPool(upstream.Options{
 		ConnectTimeout: 250 * time.Millisecond, ConnIdle: 15 * time.Second, MaxConns: 200, StreamSilence: time.Second,
@@ -98,9 +98,9 @@
 		t.Fatal(err)
 	}
 	engine := upstream.NewEngine(pool, func(string) upstream.Dialect { return platform.Dialect{} })
-	c.core = core.New(router, engine, still{}, core.Figures{PinLimit: set.HeldStateLimit, MaxSends: 4}, slog.New(slog.DiscardHandler), invariant.New())
+	c.core = core.New(router, engine, still{}, core.Limits{HeldStateLimit: set.HeldStateLimit, MaxAttempts: 4}, slog.New(slog.DiscardHandler), invariant.New())
 	go c.core.Run(t.Context())
-	c.core.Roster(routing.EngineListSnapshot, members)
+	c.core.UpdateEndpoints(routing.EngineListSnapshot, members)
 	return c
 }
 
@@ -109,7 +109,7 @@
 	var clients sync.WaitGroup
 	for range n {
 		c.next++
-		q := core.Request{Wire: fmt.Sprint("q", c.next), Arrived: time.Now(), Payload: core.Payload{Method: "POST", Target: "/v1/chat/completions", Body: make([]byte, 1<<10)}}
+		q := core.Request{ClientRequestID: fmt.Sprint("q", c.next), Arrived: time.Now(), Payload: core.Payload{Method: "POST", Target: "/v1/chat/completions", Body: make([]byte, 1<<10)}}
 		q.Request = routing.Request{Class: fmt.Sprint("c", c.next%3), Session: fmt.Sprint(c.next % 50), PromptTokens: 100, MaxTokens: 10, TTL: 2 * time.Second}
 		stay := q.TTL
 		if c.next%5 == 0 {
@@ -118,7 +118,7 @@
 		clients.Go(func() {
 			ctx, leave := context.WithTimeout(t.Context(), stay)
 			defer leave()
-			if a, ticket, here := core.Await(ctx, c.core, q); here && a.Verdict == core.Serving {
+			if a, ticket, here := core.SubmitAndWait(ctx, c.core, q); here && a.Verdict == core.Streaming {
 				_ = ticket.Relay(ctx, a.Stream, func([]byte) error { return nil })
 			}
 		})
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -140,7 +140,7 @@
 	}})
 	ended := make(chan core.Result, 1)
 	attempt := NewEngine(p, func(string) Dialect { return nil }).Start(
-		core.Attempt{To: core.Member{Addr: server.Addr}, Limit: time.Minute}, nil, func(r core.Result) { ended <- r })
+		core.Attempt{Endpoint: core.Endpoint{Addr: server.Addr}, Timeout: time.Minute}, nil, func(r core.Result) { ended <- r })
 	<-dialled
 	attempt.Cancel()
 	close(goOn)
--- a/internal/upstream/reach.go
+++ b/internal/upstream/reach.go
@@ -10,7 +10,7 @@
 
 // Reach finds out whether an engine is reached; see core.Engine. A request that comes soon
 // may use the connection.
-func (e *Engine) Reach(at core.Member, done func(reached bool)) {
+func (e *Engine) Reach(at core.Endpoint, done func(reached bool)) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), e.pool.connectTimeout())
 		defer cancel()
--- a/internal/upstream/release.go
+++ b/internal/upstream/release.go
@@ -36,8 +36,8 @@
 // may be sent again, and several tries may be under way: one that waits for a connection
 // must not keep the next from an engine that is back.
 func (e *Engine) Release(r core.Release, done func(error)) (stop func()) {
-	ctx, cancel := context.WithDeadline(context.Background(), r.Until)
-	call, given := e.dialect(r.At.Kind).Release(r.Wire)
+	ctx, cancel := context.WithDeadline(context.Background(), r.Deadline)
+	call, given := e.dialect(r.Endpoint.Kind).Release(r.ClientRequestID)
 	go func() {
 		defer cancel()
 		if !given {
@@ -130,7 +130,7 @@
 	defer again()
 	late := time.AfterFunc(releaseEvery, again)
 	defer late.Stop()
-	if r.tell(r.At.Addr, r.call) == nil {
+	if r.tell(r.Endpoint.Addr, r.call) == nil {
 		r.once.Do(func() { close(r.told) })
 	}
 }
@@ -170,18 +170,18 @@
 // is begun with while the one before is still waited for. It is repeated: an attempt that
 // waited for the state, so that it was not let go, may have been given up since.
 func (r *release) tellElsewhere() {
-	told, underway := make(chan int, len(r.Elsewhere)), make([]atomic.Bool, len(r.Elsewhere))
-	pause := r.ElsewhereAfter
-	for n := 0; len(r.Elsewhere) > 0 && r.pause(pause); n++ {
+	told, underway := make(chan int, len(r.Alternates)), make([]atomic.Bool, len(r.Alternates))
+	pause := r.AlternatesAfter
+	for n := 0; len(r.Alternates) > 0 && r.pause(pause); n++ {
 		pause = elsewhereNext
 		select {
 		case n = <-told: // the one that is reached is told again
-			if !r.pause(r.ElsewhereEvery) {
+			if !r.pause(r.AlternatesInterval) {
 				return
 			}
 		default:
 		}
-		if n %= len(r.Elsewhere); underway[n].CompareAndSwap(false, true) {
+		if n %= len(r.Alternates); underway[n].CompareAndSwap(false, true) {
 			go func() {
 				defer underway[n].Store(false)
 				r.tellOne(n, told)
@@ -192,8 +192,8 @@
 
 // tellOne tells another engine once, and says so if it has been told.
 func (r *release) tellOne(n int, told chan<- int) {
-	m := r.Elsewhere[n]
-	call, given := r.engine.dialect(m.Kind).Release(r.Wire)
+	m := r.Alternates[n]
+	call, given := r.engine.dialect(m.Kind).Release(r.ClientRequestID)
 	if !given || r.tell(m.Addr, call) != nil {
 		return
 	}
--- a/internal/upstream/release_test.go
+++ b/internal/upstream/release_test.go
@@ -14,9 +14,9 @@
 // startRelease begins a release of request id1 and returns where its end is told.
 func startRelease(t *testing.T, r core.Release) (ended chan error, stop func()) {
 	ended = make(chan error, 1)
-	r.Wire = "id1"
-	if r.Until.IsZero() {
-		r.Until = time.Now().Add(time.Minute)
+	r.ClientRequestID = "id1"
+	if r.Deadline.IsZero() {
+		r.Deadline = time.Now().Add(time.Minute)
 	}
 	return ended, engine(t).Release(r, func(err error) { ended <- err })
 }
@@ -41,7 +41,7 @@
 	})
 	other := enginetest.NewEngine(t, func(enginetest.Call) string { return letGo })
 	ended, _ := startRelease(t, core.Release{
-		At: core.Member{Addr: server.Addr}, Elsewhere: []core.Member{{Addr: other.Addr}}, ElsewhereAfter: time.Minute,
+		Endpoint: core.Endpoint{Addr: server.Addr}, Alternates: []core.Endpoint{{Addr: other.Addr}}, AlternatesAfter: time.Minute,
 	})
 	if err := <-ended; err != nil {
 		t.Error(err)
@@ -60,8 +60,8 @@
 	first := enginetest.NewEngine(t, func(enginetest.Call) string { return enginetest.Cut })
 	second := enginetest.NewEngine(t, func(enginetest.Call) string { return letGo })
 	ended, stop := startRelease(t, core.Release{
-		At: core.Member{Addr: nobody(t)}, Elsewhere: []core.Member{{Addr: first.Addr}, {Addr: second.Addr}},
-		ElsewhereAfter: time.Millisecond, ElsewhereEvery: time.Millisecond,
+		Endpoint: core.Endpoint{Addr: nobody(t)}, Alternates: []core.Endpoint{{Addr: first.Addr}, {Addr: second.Addr}},
+		AlternatesAfter: time.Millisecond, AlternatesInterval: time.Millisecond,
 	})
 	enginetest.Eventually(t, "both are told, and one of them again", func() bool {
 		return len(first.Calls("DELETE")) > 0 && len(second.Calls("DELETE")) > 1
@@ -79,7 +79,7 @@
 
 // An engine that nobody runs is given up in time.
 func TestReleaseGivesUp(t *testing.T) {
-	ended, _ := startRelease(t, core.Release{At: core.Member{Addr: nobody(t)}, Until: time.Now()})
+	ended, _ := startRelease(t, core.Release{Endpoint: core.Endpoint{Addr: nobody(t)}, Deadline: time.Now()})
 	if err := <-ended; err == nil {
 		t.Error("let go, though nobody listens")
 	}
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -63,7 +63,7 @@
 func (e *Engine) newStream(t *try, c *conn, resp *http.Response, p core.Payload, dialect Dialect) *stream {
 	s := &stream{
 		try: t, conn: c, resp: resp, body: resp.Body, dialect: dialect,
-		silence: e.pool.opt.StreamSilence, plain: p.Plain, tailBuffer: tails.Get().(*[]byte),
+		silence: e.pool.opt.StreamSilence, plain: p.Unary, tailBuffer: tails.Get().(*[]byte),
 	}
 	s.tail = (*s.tailBuffer)[:0]
 	s.opener, _ = dialect.(Opener)
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -27,7 +27,7 @@
 func attempt(e *upstream.Engine, addr string) (text string, r core.Result) {
 	end := make(chan core.Result, 1)
 	e.Start(core.Attempt{
-		Wire: "id1", To: core.Member{Addr: addr}, Limit: 10 * time.Second,
+		ClientRequestID: "id1", Endpoint: core.Endpoint{Addr: addr}, Timeout: 10 * time.Second,
 		Payload: core.Payload{Method: "POST", Target: "/v1/chat/completions?x=1", Body: []byte(`{"a":1}`)},
 	}, func(s core.Stream) {
 		b, _ := io.ReadAll(s)
@@ -46,13 +46,13 @@
 		name, script, text string
 		want               core.Result
 	}{
-		{"read", enginetest.Status(202, "", `{"cached_tokens":4096}`), "", core.Result{Status: routing.StatusPrefilled, Kept: 4096}},
+		{"read", enginetest.Status(202, "", `{"cached_tokens":4096}`), "", core.Result{Status: routing.StatusPrefilled, CachedTokens: 4096}},
 		{"read, odd body", enginetest.Status(202, "", `{`), "", core.Result{Status: routing.StatusPrefilled}},
 		{"error", enginetest.Status(500, "", ""), "", core.Result{Status: routing.StatusError}},
 		{"full", enginetest.Status(503, notRun, ""), "", core.Result{Status: routing.StatusRejected}},
 		{"over already", enginetest.Status(504, notRun, ""), "", core.Result{Status: routing.StatusRejected}},
 		{"503 that proves nothing", enginetest.Status(503, "", ""), "", core.Result{Status: routing.StatusError}},
-		{"no state", enginetest.Status(410, notRun, ""), "", core.Result{Status: routing.StatusRejected, NoState: true}},
+		{"no state", enginetest.Status(410, notRun, ""), "", core.Result{Status: routing.StatusRejected, StateMissing: true}},
 		{"410 that proves nothing", enginetest.Status(410, "", ""), "", core.Result{Status: routing.StatusError}},
 		{"break before the head", enginetest.Cut, "", core.Result{Status: routing.StatusReset}},
 		{"break in the head", "HTTP/1.1 20" + enginetest.Cut, "", core.Result{Status: routing.StatusError}},
@@ -76,7 +76,7 @@
 		{"break after an event", enginetest.StreamHead + event + enginetest.Cut, "data: x\n\n", core.Result{Status: routing.StatusReset}},
 		{"break in a chunk", enginetest.StreamHead + event + "9\r\nda" + enginetest.Cut, "data: x\n\nda", core.Result{Status: routing.StatusReset}},
 		{"whole", enginetest.StreamHead + event + enginetest.Chunk(`data: {"usage":{"prompt_tokens_details":{"cached_tokens":7}}}`+"\n") + "0\r\n\r\n",
-			"data: x\n\n" + `data: {"usage":{"prompt_tokens_details":{"cached_tokens":7}}}` + "\n", core.Result{Status: routing.StatusServed, Kept: 7}},
+			"data: x\n\n" + `data: {"usage":{"prompt_tokens_details":{"cached_tokens":7}}}` + "\n", core.Result{Status: routing.StatusServed, CachedTokens: 7}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			server := enginetest.NewEngine(t, func(enginetest.Call) string { return c.script })
@@ -130,7 +130,7 @@
 	})
 	e := engine(t)
 	for n := 1; n <= 3; n++ {
-		if _, r := attempt(e, server.Addr); r.Status != routing.StatusPrefilled || r.Kept != n {
+		if _, r := attempt(e, server.Addr); r.Status != routing.StatusPrefilled || r.CachedTokens != n {
 			t.Errorf("attempt %d: %+v", n, r)
 		}
 	}
@@ -143,7 +143,7 @@
 	const limit, taken = 10 * time.Second, 60 * time.Millisecond
 	end := make(chan core.Result, 1)
 	engine(t).Start(core.Attempt{
-		Wire: "id1", To: core.Member{Addr: server.Addr}, Limit: limit, Payload: core.Payload{Method: "POST", Target: "/"},
+		ClientRequestID: "id1", Endpoint: core.Endpoint{Addr: server.Addr}, Timeout: limit, Payload: core.Payload{Method: "POST", Target: "/"},
 		Connected: func() { time.Sleep(taken) },
 	}, nil, func(r core.Result) { end <- r })
 	<-end
@@ -155,7 +155,7 @@
 func TestCancelClosesConnection(t *testing.T) {
 	server := enginetest.NewEngine(t, func(enginetest.Call) string { return enginetest.Hang })
 	attempt := engine(t).Start(core.Attempt{
-		To: core.Member{Addr: server.Addr}, Limit: time.Minute, Payload: core.Payload{Method: "POST", Target: "/"},
+		Endpoint: core.Endpoint{Addr: server.Addr}, Timeout: time.Minute, Payload: core.Payload{Method: "POST", Target: "/"},
 	}, nil, func(core.Result) {})
 	enginetest.Eventually(t, "the request arrives", func() bool { return len(server.Calls("POST")) > 0 })
 	attempt.Cancel()
@@ -168,11 +168,11 @@
 func TestWithdrawBeforeWrite(t *testing.T) {
 	server := enginetest.NewEngine(t, func(enginetest.Call) string { return enginetest.Hang })
 	start := func(a core.Attempt) (core.Handle, chan core.Result) {
-		a.To, a.Limit, a.Payload = core.Member{Addr: server.Addr}, time.Minute, core.Payload{Method: "POST", Target: "/"}
+		a.Endpoint, a.Timeout, a.Payload = core.Endpoint{Addr: server.Addr}, time.Minute, core.Payload{Method: "POST", Target: "/"}
 		end := make(chan core.Result, 1)
 		return engine(t).Start(a, nil, func(r core.Result) { end <- r }), end
 	}
-	_, end := start(core.Attempt{Left: func() bool { return true }})
+	_, end := start(core.Attempt{ClientGone: func() bool { return true }})
 	if r := <-end; r.Status != routing.StatusNotSent {
 		t.Errorf("its client has left: %+v", r)
 	}
