--- a/routing/api.go
+++ b/routing/api.go
@@ -1,13 +1,15 @@
-// Package routing decides, for one router of a two-stage model service, which
-// prefill engine takes a prompt, which decode engine answers it, and what is refused.
+// Package routing decides, for one gateway of a two-stage model service, which prefill engine
+// reads a prompt, which decode engine streams the answer, and which requests are rejected.
 //
-// This file is the whole interface: the settings, the events a router is told,
-// and the actions it answers with. The decisions are in policy.go.
+// A Router takes events and returns actions. It does no I/O, reads no clock and starts nothing:
+// the caller owns it, supplies the time and carries the actions out.
+//
+// This file is the whole interface: settings, events and actions.
 package routing
 
 import "time"
 
-// Time is a point on the router's clock, as the span since an arbitrary origin.
+// Time is a point on the router's monotonic clock, as the duration since an arbitrary origin.
 type Time = time.Duration
 
 // RequestID names a request; the caller chooses it.
@@ -21,23 +23,23 @@
 	RoleNone    Role = iota
 	RolePrefill      // reads prompts and keeps the read state until it is fetched
 	RoleDecode       // fetches read states and streams answers
-	RoleMixed        // does either, or a whole request by itself
+	RoleMixed        // does either, or serves a request on its own
 )
 
-// Effect says what repeating a request of a class may do.
+// Effect says what running a request of a class twice may do.
 type Effect uint8
 
 // The effects a class may have.
 const (
-	EffectIdempotent   Effect = iota // may be repeated at will
-	EffectDeduplicated               // repeats are dropped within a group and a window
+	EffectIdempotent   Effect = iota // may be retried at will
+	EffectDeduplicated               // engines drop duplicates within DedupScope and DedupWindow
 	EffectAtMostOnce                 // must not run twice
 )
 
-// DedupScope is the set of engines that drop each other's repeats of a guarded request.
+// DedupScope is the set of engines among which duplicates of an EffectDeduplicated request are dropped.
 type DedupScope uint8
 
-// The groups of a guarded class.
+// The scopes of deduplication.
 const (
 	DedupAllEngines DedupScope = iota
 	DedupZone
@@ -47,13 +49,13 @@
 // Class describes one class of requests.
 type Class struct {
 	Name                     string
-	FirstTokenObjective      time.Duration // first token within this earns the full worth
-	FirstTokenPerPromptToken time.Duration // added to Aim for each prompt token
-	TokenIntervalObjective   time.Duration // wanted interval between tokens
-	PriorityWeight           float64       // worth of one request
+	FirstTokenObjective      time.Duration // time to first token for full credit
+	FirstTokenPerPromptToken time.Duration // added to FirstTokenObjective for each prompt token
+	TokenIntervalObjective   time.Duration // objective for the interval between tokens
+	PriorityWeight           float64       // of one request against those of other classes
 	Effect                   Effect
 	DedupScope               DedupScope
-	DedupWindow              time.Duration // how long a guarded repeat is remembered
+	DedupWindow              time.Duration // how long engines remember a request to drop its duplicates
 }
 
 // Kind describes one kind of engine.
@@ -63,53 +65,53 @@
 	Memory float64 // tokens; 0 when not told
 }
 
-// Tenant describes a customer's share.
+// Tenant describes a customer's quota.
 type Tenant struct {
 	Name  string
-	Quota float64 // requests per second within its share, over all routers
+	Quota float64 // requests per second, over all gateways
 }
 
 // QuotaStatus is how a tenant stands with its quota, in requests.
 type QuotaStatus struct {
-	Burst     float64       // that may come at once
-	Remaining float64       // of these
-	ResetIn   time.Duration // until all of them are there again
+	Burst     float64       // requests that may come at once
+	Remaining float64       // of Burst
+	ResetIn   time.Duration // until Remaining equals Burst again
 }
 
-// Settings are the figures a router is given at its start.
+// Settings are the parameters of a router.
 type Settings struct {
 	Zone     string
 	Zones    []string
-	Gateways int // how many routers share the pools
+	Gateways int // how many gateways share the engines, each with a router
 	Classes  []Class
 	Kinds    []Kind
 	Tenants  []Tenant
 
-	OverQuotaWeight float64       // worth of traffic above a quota, as a fraction
-	MustSubscribe   bool          // the roster is delivered only on request
+	OverQuotaWeight float64       // priority weight of traffic above a quota, as a fraction
+	MustSubscribe   bool          // the engine list is delivered only on request
 	CanCancel       bool          // CancelAttempt is allowed
-	CanRetryAfter   bool          // Refuse may advise a wait
-	MaxRetryAfter   time.Duration // longest advice that clients honour
+	CanRetryAfter   bool          // Reject may carry a Retry-After
+	MaxRetryAfter   time.Duration // longest Retry-After that clients honour
 	MaxAttempts     int           // attempts per request
 	CanProbe        bool          // Probe is allowed, and its report tells an engine's queue
 	DecodePrefills  bool          // a decode engine that gets a request with no state reads its prompt itself
 
-	SlowStartPeriod   time.Duration // a started engine is warm after this
-	SlowStartCapacity float64       // least share of its capacity at the start
-	OverloadWindow    time.Duration // span over which a cold engine's load is counted
-	OverloadMultiple  float64       // times its capacity that makes it fall over
-	HeldStateLimit    time.Duration // longest a state may wait with no attempt out
-	SendDelay         time.Duration // longest from a Send to its arrival: what may not come late is not sent
-	Tick              time.Duration // least interval between events
+	SlowStartPeriod   time.Duration // an engine is warm this long after its start
+	SlowStartCapacity float64       // of an engine that has just started, as a fraction of its full capacity
+	OverloadWindow    time.Duration // over which the load of an engine in slow start is counted
+	OverloadMultiple  float64       // times its present capacity within OverloadWindow that makes such an engine fail
+	HeldStateLimit    time.Duration // longest that an engine may hold state with no attempt in flight
+	SendDelay         time.Duration // longest from a Send to its arrival at the engine: bounds sends near the end of DedupWindow
+	Tick              time.Duration // shortest interval between events
 }
 
-// Event is something a router is told.
+// Event is an input of a Router.
 type Event interface{ isEvent() }
 
-// Action is something a router asks for.
+// Action is an output of a Router, to be carried out by its caller.
 type Action interface{ isAction() }
 
-// Phase is an engine's state on the roster.
+// Phase is an engine's state on the engine list.
 type Phase uint8
 
 // The phases of an engine.
@@ -119,7 +121,7 @@
 	PhaseRemoved
 )
 
-// EngineInfo is an engine's entry on the roster.
+// EngineInfo is an engine's entry on the engine list.
 type EngineInfo struct {
 	Name, Kind, Zone string
 	Cell             int
@@ -128,46 +130,46 @@
 	Phase            Phase
 }
 
-// EngineListScope says what a Roster event holds.
+// EngineListScope says what an EngineList event holds.
 type EngineListScope uint8
 
-// The scopes of a Roster event.
+// The scopes of an EngineList event.
 const (
 	EngineListDelta EngineListScope = iota
 	EngineListSnapshot
-	EngineListStale  // the full list as last held, possibly stale
+	EngineListStale  // the full list as it was last known, possibly stale
 	EngineListFailed // a call failed; no entries
 )
 
-// EngineList reports the engines that discovery knows.
+// EngineList reports engines as service discovery knows them.
 type EngineList struct {
 	Scope   EngineListScope
 	Engines []EngineInfo
 }
 
-// Request is a client's try that now needs one final answer.
+// Request is a client's request, which needs exactly one final answer.
 type Request struct {
 	ID           RequestID
 	Class        string
 	Tenant       string
 	Session      string // "" = none
-	Prefix       string // beginning shared with other sessions; "" = none
-	PrefixLen    int
-	PromptTokens int           // tokens
-	MaxTokens    int           // most the answer may hold
-	DurationHint time.Duration // rough length of the answer at the class's pace; 0 = none
-	TTL          time.Duration // until the client gives up this try
-	Retry        bool          // the client marks it as a repeat
-	Reconnect    bool          // the client continues a broken or moved stream
+	Prefix       string // names the prompt prefix shared with other sessions; "" = none
+	PrefixLen    int    // tokens
+	PromptTokens int
+	MaxTokens    int           // upper bound on the answer
+	DurationHint time.Duration // rough duration of the answer at TokenIntervalObjective; 0 = none
+	TTL          time.Duration // until the client gives up
+	Retry        bool          // the client marks it as a retry
+	Reconnect    bool          // the client resumes a broken or migrated stream
 }
 
-// LoadReport is an engine's word on its load; nil fields were not reported.
+// LoadReport is what an engine reports of its load; nil fields were not reported.
 type LoadReport struct {
 	Latency       *time.Duration // recent service time
-	MemoryUsed    *float64       // share of memory held
-	WaitingTokens *float64       // prompt tokens that wait to be read or fetched
+	MemoryUsed    *float64       // fraction of memory in use
+	WaitingTokens *float64       // prompt tokens that wait for their prefill or for their state to be fetched
 	QueueLength   *float64       // requests that wait
-	Utilization   *float64       // share of slots in use
+	Utilization   *float64       // fraction of slots in use
 }
 
 // Status is how an attempt or probe ended.
@@ -178,11 +180,11 @@
 	StatusServed        Status = iota
 	StatusPrefilled            // the prompt is read and its state waits at the prefill engine
 	StatusError                // the engine failed it; it may have run
-	StatusRejected             // turned away; it never ran
+	StatusRejected             // rejected by the engine; it never ran
 	StatusTimeout              // no answer in time; it may have run
 	StatusConnectFailed        // no connection; it never ran
 	StatusReset                // the connection broke; it may have run
-	StatusCancelled            // withdrawn; it may have run
+	StatusCancelled            // cancelled by the gateway; it may have run
 	StatusNotSent              // never sent
 )
 
@@ -194,8 +196,8 @@
 	Status       Status
 	Latency      time.Duration
 	Final        bool // the request has its final answer
-	CachedTokens int  // prompt tokens found kept, with StatusRead and StatusServed
-	StateMissing bool // with StatusFull: there was no state to fetch
+	CachedTokens int  // prompt tokens found in the prefix cache, with StatusPrefilled and StatusServed
+	StateMissing bool // with StatusRejected: there was no state to fetch
 	Report       *LoadReport
 }
 
@@ -207,14 +209,15 @@
 	Latency time.Duration
 }
 
-// ClientGone reports that the client has left or its time is over.
+// ClientGone reports that the client has disconnected or its deadline has passed.
 type ClientGone struct{ ID RequestID }
 
-// GatewaysChanged reports how many routers share the pools from now on.
+// GatewaysChanged reports how many gateways share the engines from now on.
 type GatewaysChanged struct{ Gateways int }
 
-// ShuttingDown reports that the gateway is about to end: nothing more is sent, and what comes
-// from now on is refused. What a decode engine may be about to answer is waited for until Last.
+// ShuttingDown reports that the gateway is about to exit: no attempt begins and new requests are
+// rejected. Requests in flight at a decode engine may be about to be answered: they are given up
+// with Final only.
 type ShuttingDown struct{ Final bool }
 
 // TimerFired reports that a timer is due.
@@ -228,7 +231,7 @@
 	Report  *LoadReport
 }
 
-// ReservationResult answers a place asked for ahead of a read.
+// ReservationResult reports whether a decode slot was reserved ahead of a prefill.
 type ReservationResult struct {
 	ID      RequestID
 	Granted bool
@@ -252,21 +255,21 @@
 func (ReservationResult) isEvent() {}
 func (PeerMessage) isEvent()       {}
 
-// Send makes an attempt at an engine. A Limit of 0 lasts until the client gives up.
+// Send makes an attempt at an engine. A Timeout of 0 lasts until the client gives up.
 type Send struct {
 	ID      RequestID
 	Engine  string
 	Timeout time.Duration
 }
 
-// Reject is a final answer: not done, and trying again is harmless.
+// Reject is a final answer: the request had no effect or may be retried harmlessly.
 type Reject struct {
 	ID         RequestID
-	RetryAfter time.Duration // 0 = no advice
-	OverQuota  bool          // because the tenant's quota is spent
+	RetryAfter time.Duration // 0 = none
+	OverQuota  bool          // the tenant's quota is spent
 }
 
-// Fail is a final answer that promises nothing.
+// Fail is a final answer that says nothing about effects: the request may have run.
 type Fail struct{ ID RequestID }
 
 // CancelAttempt stops waiting for an attempt.
@@ -275,7 +278,7 @@
 	Attempt int
 }
 
-// Release lets go of all that is held for a request and no attempt waits for.
+// Release releases all state that engines hold for a request and that no attempt waits for.
 type Release struct{ ID RequestID }
 
 // SetTimer asks for a TimerFired event.
@@ -284,10 +287,10 @@
 	Name string
 }
 
-// Probe asks an engine for its load.
+// Probe requests a LoadReport from an engine.
 type Probe struct{ Engine string }
 
-// Subscribe asks discovery for changes from now on.
+// Subscribe asks service discovery for changes from now on.
 type Subscribe struct{}
 
 func (Send) isAction()          {}
