--- a/internal/openai/call.go
+++ b/internal/openai/call.go
@@ -68,7 +68,7 @@
 	replayedHeader = "Idempotent-Replayed"
 )
 
-// submit hands a call to the core under a name and waits for its answer; see core.Await.
+// submit hands a call to the core under a name and waits for its answer; see core.SubmitAndWait.
 func (c *call) submit(a *apiRequest, wire string) (core.Answer, *core.Ticket, bool) {
 	q := core.Request{
 		ClientRequestID: wire, Arrived: time.Now(),
--- a/internal/telemetry/trace.go
+++ b/internal/telemetry/trace.go
@@ -86,7 +86,7 @@
 	tracer *Tracer
 }
 
-// Start makes an attempt; see core.Engine.
+// Start makes an attempt; see core.Transport.
 func (e traced) Start(a core.Attempt, first func(core.Stream), ended func(core.Result)) core.Handle {
 	begun := time.Now()
 	note := func(what, failed string) {
@@ -106,7 +106,7 @@
 	})
 }
 
-// Release lets go of what is held; see core.Engine.
+// Release lets go of what is held; see core.Transport.
 func (e traced) Release(r core.Release, done func(error)) (stop func()) {
 	begun := time.Now()
 	return e.Transport.Release(r, func(err error) {
--- a/internal/upstream/engine.go
+++ b/internal/upstream/engine.go
@@ -58,7 +58,7 @@
 	silencePart = 64 // of the time that a stream may be silent: how exactly that is kept
 )
 
-// Engine makes attempts over a pool. It is a core.Engine.
+// Engine makes attempts over a pool. It is a core.Transport.
 type Engine struct {
 	pool    *Pool
 	dialect func(kind string) Dialect
@@ -144,7 +144,7 @@
 	}
 }
 
-// Start begins an attempt; see core.Engine.
+// Start begins an attempt; see core.Transport.
 func (e *Engine) Start(a core.Attempt, first func(core.Stream), ended func(core.Result)) core.Handle {
 	ctx, cancel := context.WithTimeout(context.Background(), a.Timeout+leakGuard)
 	t := &try{cancel: cancel, pool: e.pool}
@@ -294,7 +294,7 @@
 	}
 }
 
-// Probe asks for a load report; see core.Engine.
+// Probe asks for a load report; see core.Transport.
 func (e *Engine) Probe(at core.Endpoint, done func(routing.Status, *routing.LoadReport)) {
 	call, given := e.dialect(at.Kind).Probe()
 	go func() {
--- a/internal/upstream/reach.go
+++ b/internal/upstream/reach.go
@@ -8,7 +8,7 @@
 	"wellgw/internal/core"
 )
 
-// Reach finds out whether an engine is reached; see core.Engine. A request that comes soon
+// Reach finds out whether an engine is reached; see core.Transport. A request that comes soon
 // may use the connection.
 func (e *Engine) Reach(at core.Endpoint, done func(reached bool)) {
 	go func() {
--- a/internal/upstream/release.go
+++ b/internal/upstream/release.go
@@ -32,7 +32,7 @@
 	once sync.Once
 }
 
-// Release tells an engine to let go; see core.Engine. The call has no effect but that, so it
+// Release tells an engine to let go; see core.Transport. The call has no effect but that, so it
 // may be sent again, and several tries may be under way: one that waits for a connection
 // must not keep the next from an engine that is back.
 func (e *Engine) Release(r core.Release, done func(error)) (stop func()) {
