--- a/internal/upstream/chunked.go
+++ b/internal/upstream/chunked.go
@@ -9,56 +9,56 @@
 	"strings"
 )
 
-// chunked reads a chunked body and returns what has come at once. The library's
-// reader waits for the whole of a chunk that has begun, and so would hold back an
-// event that has arrived while the next one stalls.
+// chunked reads a chunked body and returns what has arrived at once. The library's reader waits for
+// the rest of a chunk that has begun, and so would hold back an event that has arrived while the
+// next one stalls.
 type chunked struct {
-	from  *bufio.Reader
-	left  int64 // of the chunk under way
-	begun bool  // a chunk has been read, and the line end after it has not
-	err   error
+	from       *bufio.Reader
+	remaining  int64 // bytes of the current chunk
+	lineEndDue bool  // a chunk has been read, and the line end after it has not
+	err        error
 }
 
-// Bounds of a chunk. An engine that declares gigabytes is broken, and would have
-// its junk passed on for as long as it comes.
+// Limits of a chunk. An engine that declares gigabytes is broken, and its bytes would be forwarded
+// for as long as they come.
 const (
 	maxChunk    = 1 << 20
 	maxChunkHex = 8
 )
 
-var errChunk = errors.New("malformed chunk")
+var errMalformedChunk = errors.New("malformed chunk")
 
 func (c *chunked) Read(p []byte) (int, error) {
 	all := 0
 	for {
-		if c.err == nil && c.left == 0 {
-			c.err = c.next()
+		if c.err == nil && c.remaining == 0 {
+			c.err = c.nextChunk()
 		}
 		if c.err != nil || len(p) == 0 {
 			if all > 0 {
-				return all, nil // the error is told by the next call
+				return all, nil // the next call returns the error
 			}
 			return 0, c.err
 		}
-		n, err := c.from.Read(p[:min(int64(len(p)), c.left)])
-		if c.left -= int64(n); errors.Is(err, io.EOF) {
+		n, err := c.from.Read(p[:min(int64(len(p)), c.remaining)])
+		if c.remaining -= int64(n); errors.Is(err, io.EOF) {
 			err = io.ErrUnexpectedEOF
 		}
 		c.err = err
 		if all += n; err != nil {
 			return all, err
 		}
-		if p = p[n:]; len(p) == 0 || !c.here() {
+		if p = p[n:]; len(p) == 0 || !c.moreBuffered() {
 			return all, nil
 		}
 	}
 }
 
-// here tells whether more of the body has come and can be read without waiting: the rest
-// of a chunk, or the next one's size and a part of it.
-func (c *chunked) here() bool {
+// moreBuffered reports whether more of the body can be read without blocking: the rest of a chunk,
+// or the next one's size and a part of it.
+func (c *chunked) moreBuffered() bool {
 	have := c.from.Buffered()
-	if c.left > 0 || have == 0 {
+	if c.remaining > 0 || have == 0 {
 		return have > 0
 	}
 	const size = len("\r\n") + maxChunkHex + len("\r\n")
@@ -71,20 +71,20 @@
 		return false
 	}
 	number, _, whole := bytes.Cut(ahead, lineFeed)
-	// The last chunk has a trailer, which may not have come.
+	// The last chunk has a trailer, which may not have arrived.
 	return whole && len(number) > 0 && number[0] != '0'
 }
 
 var lineFeed = []byte("\n")
 
-// next reads up to the next chunk; io.EOF comes after the last one alone.
-func (c *chunked) next() error {
-	if c.begun {
-		if line, err := c.line(); err != nil || line != "" {
-			return errors.Join(err, errChunk)
+// nextChunk reads up to the next chunk's bytes; it returns io.EOF after the last chunk only.
+func (c *chunked) nextChunk() error {
+	if c.lineEndDue {
+		if line, err := c.readLine(); err != nil || line != "" {
+			return errors.Join(err, errMalformedChunk)
 		}
 	}
-	line, err := c.line()
+	line, err := c.readLine()
 	if err != nil {
 		return err
 	}
@@ -92,14 +92,14 @@
 	size = strings.TrimRight(size, " \t")
 	n, err := strconv.ParseUint(size, 16, 32)
 	if err != nil || len(size) > maxChunkHex || n > maxChunk {
-		return errChunk
+		return errMalformedChunk
 	}
-	c.left = int64(n)
-	if c.begun = true; c.left > 0 {
+	c.remaining = int64(n)
+	if c.lineEndDue = true; c.remaining > 0 {
 		return nil
 	}
 	for { // the trailer
-		if line, err := c.line(); err != nil {
+		if line, err := c.readLine(); err != nil {
 			return err
 		} else if line == "" {
 			return io.EOF
@@ -107,7 +107,7 @@
 	}
 }
 
-func (c *chunked) line() (string, error) {
+func (c *chunked) readLine() (string, error) {
 	raw, err := c.from.ReadSlice('\n')
 	if errors.Is(err, io.EOF) {
 		err = io.ErrUnexpectedEOF
--- a/internal/upstream/engine.go
+++ b/internal/upstream/engine.go
@@ -25,114 +25,114 @@
 	Body           []byte
 }
 
-// Dialect says what a kind of engine is told and what its answers mean.
+// Dialect translates between the core and the API of one kind of engine.
 type Dialect interface {
-	// Attempt is the call that an attempt makes.
+	// Attempt returns the call that makes an attempt.
 	Attempt(core.Attempt) Call
-	// Judge reads an answer other than a stream.
+	// Judge interprets a response that is not a stream.
 	Judge(status int, h http.Header, body []byte) core.Result
-	// Tail reads the last part of a whole stream into the result.
+	// Tail reads usage figures from the last part of a complete stream into the result.
 	Tail(tail []byte, r *core.Result)
-	// Release is the call that lets go of what is held, false if there is none.
-	Release(wire string) (Call, bool)
-	// Probe is the call that asks for a load report, false if there is none.
+	// Release returns the call that releases held state, false if the kind has none.
+	Release(clientRequestID string) (Call, bool)
+	// Probe returns the call that requests a load report, false if the kind has none.
 	Probe() (Call, bool)
 }
 
-// Opener is a Dialect that tells where an answer begins. The events before that are held
-// back: should the attempt fail meanwhile, its client has been given nothing.
+// Opener is a Dialect that recognises the event with which an answer begins. Earlier events are
+// held back, so that nothing has reached the client should the attempt fail before that.
 type Opener interface {
-	// Opens looks at an event's data. An error says that the attempt has failed.
+	// Opens reports whether an event with this data begins the answer. An error fails the attempt.
 	Opens(p core.Payload, data []byte) (bool, error)
 }
 
-// Bounds of what is read and waited for.
+// Limits on what is read and waited for.
 const (
-	maxHead     = 64 << 10 // of an answer, with what comes of its body meanwhile
-	maxAnswer   = 64 << 10 // of an answer that is no stream
-	tailSize    = 4 << 10
-	headSpan    = time.Second      // a head that has begun has come by then, and a short answer's body
-	doneSpan    = time.Second      // and so has the last chunk once the last event has
-	leakGuard   = 20 * time.Second // past an attempt's limit: it may cover what is held, or nobody gives it up
-	probeWait   = time.Second
-	silencePart = 64 // of the time that a stream may be silent: how exactly that is kept
+	maxHead           = 64 << 10 // bytes of a response head, with the part of the body that arrives with it
+	maxResponse       = 64 << 10 // bytes of a response that is not a stream
+	tailSize          = 4 << 10
+	headTimeout       = time.Second      // for the rest of a response head that has begun, and for a short body
+	lastChunkTimeout  = time.Second      // from the last event to the last chunk
+	leakGuard         = 20 * time.Second // beyond an attempt's timeout: a lingering attempt stays open, and one that nobody cancels ends
+	probeTimeout      = time.Second
+	silenceResolution = 64 // fraction of the silence timeout by which the read deadline may lag behind
 )
 
-// Engine makes attempts over a pool. It is a core.Transport.
+// Engine makes attempts over a pool of connections. It is a core.Transport.
 type Engine struct {
 	pool    *Pool
 	dialect func(kind string) Dialect
 
 	mu        sync.Mutex
-	releasing map[string]*turns // by address
+	releasing map[string]*releaseSlots // by address
 }
 
-// NewEngine returns an engine that speaks over p, with each kind of server in
-// the dialect that dialect names.
+// NewEngine returns an Engine over p that uses the dialect which the function returns for each kind
+// of engine.
 func NewEngine(p *Pool, dialect func(kind string) Dialect) *Engine {
-	return &Engine{pool: p, dialect: dialect, releasing: map[string]*turns{}}
+	return &Engine{pool: p, dialect: dialect, releasing: map[string]*releaseSlots{}}
 }
 
-// try is one attempt under way. Whoever takes its connection out answers for it.
-type try struct {
+// attemptHandle is an attempt in flight. Whoever takes its connection out has to close or pool it.
+type attemptHandle struct {
 	mu      sync.Mutex
 	conn    *conn
-	over    bool
+	closed  bool
 	writing bool // the first byte may have been written
 	cancel  context.CancelFunc
 	pool    *Pool
 }
 
-// hold notes the connection in use; false if the attempt has been given up.
-func (t *try) hold(c *conn) bool {
+// setConn records the connection in use; false if the attempt has been cancelled.
+func (t *attemptHandle) setConn(c *conn) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.conn = c
-	return !t.over
+	return !t.closed
 }
 
-// begin notes that the first byte is about to be written; false if the attempt has been
-// given up.
-func (t *try) begin() bool {
+// beginWrite records that the first byte is about to be written; false if the attempt has been
+// cancelled.
+func (t *attemptHandle) beginWrite() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.writing = !t.over
+	t.writing = !t.closed
 	return t.writing
 }
 
-// Cancel is core.Handle's.
-func (t *try) Cancel() { t.stop() }
+// Cancel implements core.Handle.
+func (t *attemptHandle) Cancel() { t.abort() }
 
-// Withdraw is core.Handle's.
-func (t *try) Withdraw() bool {
+// Withdraw implements core.Handle.
+func (t *attemptHandle) Withdraw() bool {
 	t.mu.Lock()
 	writing := t.writing
-	t.over = t.over || !writing
+	t.closed = t.closed || !writing
 	t.mu.Unlock()
 	if !writing {
-		t.stop()
+		t.abort()
 	}
 	return !writing
 }
 
-// stop gives the attempt up: to close its connection is how an engine is told.
-func (t *try) stop() {
+// abort cancels the attempt. Closing its connection is what notifies the engine.
+func (t *attemptHandle) abort() {
 	t.mu.Lock()
 	c := t.conn
-	t.conn, t.over = nil, true
+	t.conn, t.closed = nil, true
 	t.mu.Unlock()
 	t.cancel()
 	if c != nil {
-		t.pool.drop(c)
+		t.pool.discard(c)
 	}
 }
 
-// done ends the attempt; its connection is kept for others if the answer was
-// read to its end. After stop there is none.
-func (t *try) done(reuse bool) {
+// endAttempt ends the attempt; its connection is pooled if the response was read to its end. After
+// abort there is none.
+func (t *attemptHandle) endAttempt(reuse bool) {
 	t.mu.Lock()
 	c := t.conn
-	t.conn, t.over = nil, true
+	t.conn, t.closed = nil, true
 	t.mu.Unlock()
 	t.cancel()
 	switch {
@@ -140,14 +140,14 @@
 	case reuse:
 		t.pool.put(c)
 	default:
-		t.pool.drop(c)
+		t.pool.discard(c)
 	}
 }
 
 // Start begins an attempt; see core.Transport.
 func (e *Engine) Start(a core.Attempt, first func(core.Stream), ended func(core.Result)) core.Handle {
 	ctx, cancel := context.WithTimeout(context.Background(), a.Timeout+leakGuard)
-	t := &try{cancel: cancel, pool: e.pool}
+	t := &attemptHandle{cancel: cancel, pool: e.pool}
 	go func() {
 		s, r := e.attempt(ctx, t, a)
 		if s != nil {
@@ -159,54 +159,54 @@
 	return t
 }
 
-// errLeft is the cause of an attempt that was not made.
-var errLeft = errors.New("the client has left")
+// errClientGone is the cause of an attempt that was not made.
+var errClientGone = errors.New("the client has left")
 
-// attempt makes an attempt and returns its stream once the answer has begun, else how it ended.
-func (e *Engine) attempt(ctx context.Context, t *try, a core.Attempt) (core.Stream, core.Result) {
+// attempt makes an attempt and returns its stream once the answer has begun, otherwise its result.
+func (e *Engine) attempt(ctx context.Context, t *attemptHandle, a core.Attempt) (core.Stream, core.Result) {
 	dialect := e.dialect(a.Endpoint.Kind)
 	until := time.Now().Add(a.Timeout + leakGuard)
 	c, unsent := e.sendAttempt(ctx, t, a, dialect, until)
 	if unsent != nil {
-		t.done(false)
+		t.endAttempt(false)
 		return nil, *unsent
 	}
-	resp, err := readHead(c, until)
+	resp, err := readResponseHead(c, until)
 	if err != nil {
-		t.done(false)
-		return nil, core.Result{Status: broken(err), Cause: err}
+		t.endAttempt(false)
+		return nil, core.Result{Status: failureStatus(err), Cause: err}
 	}
 	if resp.StatusCode != http.StatusOK {
-		return nil, judgeWhole(t, dialect, resp)
+		return nil, readUnary(t, dialect, resp)
 	}
 	return e.openStream(t, c, resp, a.Payload, dialect, until)
 }
 
-// sendAttempt gets a connection and writes the request to it. A result says that it was not
-// written whole. An attempt counts once its last byte is out. It is never sent again from here,
-// not even after a reset on a kept connection: only the module knows whether the class allows
-// that.
-func (e *Engine) sendAttempt(ctx context.Context, t *try, a core.Attempt, dialect Dialect, until time.Time) (*conn, *core.Result) {
+// sendAttempt gets a connection and writes the request to it. A result means that it was not
+// written completely. An attempt counts once its last byte is written. It is never retried from
+// here, not even after a reset on a pooled connection: only the routing policy knows whether the
+// class allows that.
+func (e *Engine) sendAttempt(ctx context.Context, t *attemptHandle, a core.Attempt, dialect Dialect, until time.Time) (*conn, *core.Result) {
 	begun := time.Now()
 	c, err := e.pool.get(ctx, a.Endpoint.Addr)
 	if err != nil {
 		return nil, &core.Result{Status: routing.StatusConnectFailed, Cause: err}
 	}
-	if !t.hold(c) { // the caller drops it
+	if !t.setConn(c) { // the caller closes it
 		return nil, &core.Result{Status: routing.StatusCancelled, Cause: context.Canceled}
 	}
 	if a.Connected != nil {
 		a.Connected()
 	}
 	if a.ClientGone != nil && a.ClientGone() {
-		return nil, &core.Result{Status: routing.StatusNotSent, Cause: errLeft}
+		return nil, &core.Result{Status: routing.StatusNotSent, Cause: errClientGone}
 	}
-	if !t.begin() {
+	if !t.beginWrite() {
 		return nil, &core.Result{Status: routing.StatusCancelled, Cause: context.Canceled}
 	}
 	c.SetDeadline(until)
-	a.Timeout -= time.Since(begun) // what is left is what its engine is told
-	if err := write(c, dialect.Attempt(a)); err != nil {
+	a.Timeout -= time.Since(begun) // the engine is sent the remaining time
+	if err := writeCall(c, dialect.Attempt(a)); err != nil {
 		return nil, &core.Result{Status: routing.StatusConnectFailed, Cause: err}
 	}
 	if a.Written != nil {
@@ -215,10 +215,10 @@
 	return c, nil
 }
 
-// judgeWhole reads an answer that is no stream.
-func judgeWhole(t *try, dialect Dialect, resp *http.Response) core.Result {
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
-	t.done(err == nil && len(body) < maxAnswer && !resp.Close)
+// readUnary reads a response that is not a stream.
+func readUnary(t *attemptHandle, dialect Dialect, resp *http.Response) core.Result {
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponse))
+	t.endAttempt(err == nil && len(body) < maxResponse && !resp.Close)
 	r := dialect.Judge(resp.StatusCode, resp.Header, body)
 	if r.Cause == nil && r.Status != routing.StatusPrefilled {
 		r.Cause = fmt.Errorf("status %d", resp.StatusCode)
@@ -226,6 +226,7 @@
 	return r
 }
 
+// leadSize is the buffer in which a stream is read until its answer begins, in bytes.
 const leadSize = 4 << 10
 
 var (
@@ -233,10 +234,9 @@
 	tails = sync.Pool{New: func() any { b := make([]byte, 0, 2*tailSize); return &b }}
 )
 
-// broken tells a connection that broke from an answer that is spoilt: bytes that
-// are none, or that stop in the middle. The engine that sent these is up and has
-// run the request. ETIMEDOUT is a broken connection: only a deadline of ours is none.
-func broken(err error) routing.Status {
+// failureStatus tells a broken connection from a malformed or truncated response, whose engine is
+// up and has run the request. ETIMEDOUT is a broken connection; a deadline of our own is not.
+func failureStatus(err error) routing.Status {
 	ended := errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
 	op := (*net.OpError)(nil)
 	if ended || errors.As(err, &op) && !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -245,9 +245,9 @@
 	return routing.StatusError
 }
 
-// write sends a call in one piece, without a copy of its body. It fails only if
-// the last byte is not out.
-func write(c *conn, call Call) error {
+// writeCall writes a call in one piece, without copying its body. It fails only if the last byte
+// was not written.
+func writeCall(c *conn, call Call) error {
 	var head bytes.Buffer
 	head.WriteString(call.Method + " " + call.Target + " HTTP/1.1\r\nHost: " + c.addr + "\r\n")
 	for _, h := range call.Header {
@@ -258,34 +258,34 @@
 	}
 	head.WriteString("\r\n")
 	all := net.Buffers{head.Bytes(), call.Body}
-	whole := int64(head.Len() + len(call.Body))
-	if n, err := all.WriteTo(c.Conn); n < whole {
+	size := int64(head.Len() + len(call.Body))
+	if n, err := all.WriteTo(c.Conn); n < size {
 		return err
 	}
 	return nil
 }
 
-var errNoAnswer = errors.New("what came is no HTTP answer")
+var errNotHTTP = errors.New("what came is no HTTP answer")
 
-// readHead reads an answer's head, past any interim ones. It waits for each to
-// begin until a time, but not for the rest of one that has begun: a head that does
-// not end would keep the request waiting though nothing more will come.
-func readHead(c *conn, until time.Time) (*http.Response, error) {
-	c.in.left = maxHead
-	defer func() { c.in.left = math.MaxInt64 }()
+// readResponseHead reads a response head, past any interim ones. It waits for each to begin until a
+// deadline, and only headTimeout for the rest of one that has begun: a head that does not end would
+// keep the request waiting although nothing more will come.
+func readResponseHead(c *conn, until time.Time) (*http.Response, error) {
+	c.in.remaining = maxHead
+	defer func() { c.in.remaining = math.MaxInt64 }()
 	for {
 		c.SetReadDeadline(until)
 		if _, err := c.buffered.Peek(1); err != nil {
 			return nil, err
 		}
-		if span := time.Now().Add(headSpan); span.Before(until) {
+		if span := time.Now().Add(headTimeout); span.Before(until) {
 			c.SetReadDeadline(span)
 		}
 		const version = "HTTP/1."
 		if p, err := c.buffered.Peek(len(version)); err != nil {
 			return nil, err
 		} else if string(p) != version {
-			return nil, errNoAnswer
+			return nil, errNotHTTP
 		}
 		resp, err := http.ReadResponse(c.buffered, nil)
 		if err != nil || resp.StatusCode >= 200 {
@@ -294,7 +294,7 @@
 	}
 }
 
-// Probe asks for a load report; see core.Transport.
+// Probe requests a load report; see core.Transport.
 func (e *Engine) Probe(at core.Endpoint, done func(routing.Status, *routing.LoadReport)) {
 	call, given := e.dialect(at.Kind).Probe()
 	go func() {
@@ -302,7 +302,7 @@
 			done(routing.StatusNotSent, nil)
 			return
 		}
-		resp, body, err := e.exchange(at.Addr, call, probeWait, e.pool.get, e.pool.putBrief)
+		resp, body, err := e.exchange(at.Addr, call, probeTimeout, e.pool.get, e.pool.putAfterProbe)
 		if err != nil {
 			done(routing.StatusConnectFailed, nil)
 			return
@@ -312,8 +312,8 @@
 	}()
 }
 
-// exchange makes a short call that has no effect worth counting, on a connection that take
-// gets; put gives it back.
+// exchange makes a short call without side effects on a connection that take gets and put gives
+// back.
 func (e *Engine) exchange(addr string, call Call, wait time.Duration, take func(context.Context, string) (*conn, error), put func(*conn)) (*http.Response, []byte, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
@@ -322,23 +322,23 @@
 		return nil, nil, err
 	}
 	c.SetDeadline(time.Now().Add(wait))
-	if err := write(c, call); err != nil {
-		e.pool.drop(c)
+	if err := writeCall(c, call); err != nil {
+		e.pool.discard(c)
 		return nil, nil, fmt.Errorf("write: %w", err)
 	}
-	return e.answer(c, wait, put)
+	return e.readResponse(c, wait, put)
 }
 
-// answer reads the answer to a short call on its connection, which put gives back.
-func (e *Engine) answer(c *conn, wait time.Duration, put func(*conn)) (*http.Response, []byte, error) {
-	resp, err := readHead(c, time.Now().Add(wait))
+// readResponse reads the response to a short call on its connection, which put gives back.
+func (e *Engine) readResponse(c *conn, wait time.Duration, put func(*conn)) (*http.Response, []byte, error) {
+	resp, err := readResponseHead(c, time.Now().Add(wait))
 	if err != nil {
-		e.pool.drop(c)
+		e.pool.discard(c)
 		return nil, nil, fmt.Errorf("read: %w", err)
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
-	if err != nil || len(body) == maxAnswer || resp.Close {
-		e.pool.drop(c)
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponse))
+	if err != nil || len(body) == maxResponse || resp.Close {
+		e.pool.discard(c)
 		return resp, body, err
 	}
 	put(c)
--- a/internal/upstream/errno_test.go
+++ b/internal/upstream/errno_test.go
@@ -111,13 +111,13 @@
 // Only a deadline of the gateway's own is none of the connection's doing.
 func TestBrokenConnections(t *testing.T) {
 	op := func(err error) error { return &net.OpError{Op: "read", Err: err} }
-	if s := broken(op(os.ErrDeadlineExceeded)); s == routing.StatusReset {
+	if s := failureStatus(op(os.ErrDeadlineExceeded)); s == routing.StatusReset {
 		t.Error("a deadline of ours counts as a reset")
 	}
-	if s := broken(errors.New("spoilt")); s == routing.StatusReset {
+	if s := failureStatus(errors.New("spoilt")); s == routing.StatusReset {
 		t.Error("a spoilt answer counts as a reset")
 	}
-	if s := broken(op(os.NewSyscallError("read", syscall.ETIMEDOUT))); s != routing.StatusReset {
+	if s := failureStatus(op(os.NewSyscallError("read", syscall.ETIMEDOUT))); s != routing.StatusReset {
 		t.Errorf("ETIMEDOUT counts as %v", s)
 	}
 }
--- a/internal/upstream/linefilter.go
+++ b/internal/upstream/linefilter.go
@@ -6,82 +6,80 @@
 	"slices"
 )
 
-// maxEventLine is the most that one line of a stream may hold.
+// maxEventLine is the longest line of a stream, in bytes.
 const maxEventLine = 256 << 10
 
-var errJunk = errors.New("what came is no line of an event stream")
+var errNotEventStream = errors.New("what came is no line of an event stream")
 
-// lineFilter lets pass what an event stream may hold, line by line and unchanged, and
-// stops at anything else. It guards against an engine or a broken framing that
-// puts other bytes in the place of events.
+// lineFilter passes the lines that an event stream may hold, unchanged, and stops at anything else.
+// It guards against an engine, or broken framing, that puts other bytes in the place of events.
 type lineFilter struct {
-	rest  []byte // of a line that has not ended
-	begun bool   // a whole event with data has passed
-	data  bool   // data of the event under way has
-	later bool   // the first line has passed, which alone may begin with a byte order mark
+	partialLine   []byte // of a line that has not ended
+	eventSeen     bool   // a complete event with data has passed
+	dataSeen      bool   // a data line of the current event has passed
+	firstLineDone bool   // only the first line may begin with a byte order mark
 }
 
-var mark = []byte("\xEF\xBB\xBF")
+var byteOrderMark = []byte("\xEF\xBB\xBF")
 
-// take returns what may be passed on now that p has come. It is valid until the
-// next call.
-func (s *lineFilter) take(p []byte) ([]byte, error) {
-	if len(s.rest) > 0 {
-		s.rest = append(s.rest, p...)
-		p = s.rest
+// filter returns what may be forwarded now that p has arrived. The result is valid until the next
+// call.
+func (s *lineFilter) filter(p []byte) ([]byte, error) {
+	if len(s.partialLine) > 0 {
+		s.partialLine = append(s.partialLine, p...)
+		p = s.partialLine
 	}
 	sound := 0
 	for line := range bytes.Lines(p) {
 		size := len(line)
-		if !s.later {
-			if size <= len(mark) && bytes.HasPrefix(mark, line) {
+		if !s.firstLineDone {
+			if size <= len(byteOrderMark) && bytes.HasPrefix(byteOrderMark, line) {
 				break
 			}
-			line = bytes.TrimPrefix(line, mark)
+			line = bytes.TrimPrefix(line, byteOrderMark)
 		}
-		if !s.fits(line) {
-			return p[:sound], errJunk
+		if !s.validPrefix(line) {
+			return p[:sound], errNotEventStream
 		}
 		if line[len(line)-1] != '\n' {
 			break
 		}
-		s.event(line)
-		s.later = true
+		s.trackEvent(line)
+		s.firstLineDone = true
 		sound += size
 	}
 	if sound == len(p) {
-		s.rest = s.rest[:0]
+		s.partialLine = s.partialLine[:0]
 		return p, nil
 	}
 	if len(p)-sound > maxEventLine {
-		return p[:sound], errJunk
+		return p[:sound], errNotEventStream
 	}
-	s.rest = slices.Clone(p[sound:])
+	s.partialLine = slices.Clone(p[sound:])
 	return p[:sound], nil
 }
 
-// event follows where events end: an empty line ends one. Half of one is nothing that a
-// client could make anything of.
-func (s *lineFilter) event(line []byte) {
+// trackEvent records where events end: an empty line ends one. A client cannot use a part of one.
+func (s *lineFilter) trackEvent(line []byte) {
 	if len(bytes.TrimRight(line, "\r\n")) > 0 {
-		s.data = s.data || bytes.HasPrefix(line, []byte("data:"))
+		s.dataSeen = s.dataSeen || bytes.HasPrefix(line, []byte("data:"))
 		return
 	}
-	s.begun = s.begun || s.data
-	s.data = false
+	s.eventSeen = s.eventSeen || s.dataSeen
+	s.dataSeen = false
 }
 
-// left returns a last line that its end has not followed. Where the stream itself is whole,
-// its end stands for the event's.
-func (s *lineFilter) left(whole bool) []byte {
-	rest := s.rest
-	s.rest = nil
-	s.begun = s.begun || whole && (s.data || bytes.HasPrefix(rest, []byte("data:")))
+// flush returns a last line without a line end. If the stream is complete, its end also ends the
+// event.
+func (s *lineFilter) flush(complete bool) []byte {
+	rest := s.partialLine
+	s.partialLine = nil
+	s.eventSeen = s.eventSeen || complete && (s.dataSeen || bytes.HasPrefix(rest, []byte("data:")))
 	return rest
 }
 
-// fits tells whether a line, or the beginning of one, may stand in a stream.
-func (s *lineFilter) fits(line []byte) bool {
+// validPrefix reports whether a line, or the beginning of one, may occur in an event stream.
+func (s *lineFilter) validPrefix(line []byte) bool {
 	if line[0] == ':' || line[0] == '\r' || line[0] == '\n' {
 		return true
 	}
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,6 +1,6 @@
-// Package upstream speaks HTTP/1.1 to engines on plain connections: it keeps a
-// pool of them, makes attempts, lets go of held states and asks for load reports.
-// What is said on them is a Dialect's matter.
+// Package upstream speaks HTTP/1.1 to engines on plain connections: it pools them, makes attempts,
+// releases held state and requests load reports. A Dialect defines the calls and reads the
+// responses.
 package upstream
 
 import (
@@ -21,45 +21,45 @@
 	"wellgw/internal/pause"
 )
 
-// Options are the figures of a pool.
+// Options configure a Pool.
 type Options struct {
 	ConnectTimeout time.Duration
 	ConnIdle       time.Duration // engines close idle connections after this at the latest
 	MaxConns       int           // open at once, over all engines
-	StreamSilence  time.Duration // a stream that says nothing for this long is broken off
-	ReadBuffer     int           // bytes of each connection; 0 = leastBuffer
-	Settle         time.Duration // from an answer to the next request on its connection; 0 = none. See get
-	// Dial opens a connection; nil for the system's own. Tests give a network with faults.
+	StreamSilence  time.Duration // a stream without a byte for this long is aborted
+	ReadBuffer     int           // bytes per connection; 0 = minReadBuffer
+	Settle         time.Duration // delay from a response to the next request on its connection; 0 = none. See get
+	// Dial opens a connection; nil for the system's own. Tests inject a network with faults.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
 // The pool's margins.
 const (
-	idlePart    = 0.5                    // of ConnIdle, after which an idle connection is retired
-	briefIdle   = 300 * time.Millisecond // a connection opened for a probe waits so long for a request
-	sweepEvery  = 200 * time.Millisecond // how often idle connections are looked at
-	leastBuffer = 4 << 10
-	connectPart = 0.95 // of the connect time-out, so that ours comes first
+	idleFraction           = 0.5                    // of ConnIdle, after which an idle connection is closed
+	probeIdleTimeout       = 300 * time.Millisecond // a connection opened for a probe waits this long for a request
+	sweepEvery             = 200 * time.Millisecond // between checks of idle connections
+	minReadBuffer          = 4 << 10
+	connectTimeoutFraction = 0.95 // of the connect timeout, so that ours expires first
 
-	firstReconnect = 5 * time.Millisecond   // after a connection that this machine failed, growing
-	reconnectFor   = 150 * time.Millisecond // tried again for no longer
+	initialReconnectBackoff = 5 * time.Millisecond   // after a connect that failed on this machine; doubles
+	maxReconnectTime        = 150 * time.Millisecond // total time for such retries
 )
 
 var (
-	errTooMany = errors.New("all connections are in use")
-	errHead    = errors.New("an answer's head is too long")
+	errPoolExhausted = errors.New("all connections are in use")
+	errHeadTooLong   = errors.New("an answer's head is too long")
 )
 
 // conn is one connection to an engine.
 type conn struct {
 	net.Conn
-	in       *bounded
-	buffered *bufio.Reader // over in
-	addr     string
-	idle     time.Time // since when it has been idle
-	until    time.Time // if set, it is retired once idle past this
-	used     bool      // it has carried an exchange before
-	calm     bool      // its last answer was a probe's, to which no second one comes
+	in         *limitedReader
+	buffered   *bufio.Reader // over in
+	addr       string
+	idleSince  time.Time // start of its idle time
+	retireAt   time.Time // if set, it is closed when idle after this
+	reused     bool      // it has carried an exchange before
+	afterProbe bool      // its last response was a probe's, which is never sent twice
 }
 
 // Pool keeps idle connections to engines.
@@ -70,10 +70,10 @@
 	open int
 }
 
-// NewPool returns an empty pool. Sweep must run for idle connections to be watched.
+// NewPool returns an empty pool. Sweep must run for idle connections to be closed in time.
 func NewPool(opt Options) *Pool { return &Pool{opt: opt, idle: map[string][]*conn{}} }
 
-// Sweep looks after idle connections until ctx ends, then closes them.
+// Sweep closes stale idle connections until ctx ends, then all idle ones.
 func (p *Pool) Sweep(ctx context.Context) {
 	t := time.NewTicker(sweepEvery)
 	defer t.Stop()
@@ -83,18 +83,18 @@
 			p.retire(func(*conn) bool { return true })
 			return
 		case now := <-t.C:
-			p.retire(func(c *conn) bool { return p.stale(c, now) || !quiet(c.Conn) })
+			p.retire(func(c *conn) bool { return p.stale(c, now) || !openAndQuiet(c.Conn) })
 		}
 	}
 }
 
-// stale tells whether a connection has been idle so long that its engine might
-// close it just as the next request is written, which would end in a reset.
+// stale reports whether a connection has been idle for so long that its engine might close it just
+// as the next request is written, which would end in a reset.
 func (p *Pool) stale(c *conn, now time.Time) bool {
-	if !c.until.IsZero() && now.After(c.until) {
+	if !c.retireAt.IsZero() && now.After(c.retireAt) {
 		return true
 	}
-	return p.opt.ConnIdle > 0 && now.Sub(c.idle) > time.Duration(idlePart*float64(p.opt.ConnIdle))
+	return p.opt.ConnIdle > 0 && now.Sub(c.idleSince) > time.Duration(idleFraction*float64(p.opt.ConnIdle))
 }
 
 func (p *Pool) retire(old func(*conn) bool) {
@@ -117,39 +117,39 @@
 	}
 }
 
-// get returns an idle connection that its engine has not closed, or a new one. One that has
-// had its answer just now is left alone: what comes on it next may be that answer once more,
-// and nothing tells it from the next one's.
+// get returns an idle connection that its engine has not closed, or a new one. One that had its
+// response within Options.Settle is passed over: the engine may send that response a second time,
+// which could not be told from the response to the next request.
 func (p *Pool) get(ctx context.Context, addr string) (*conn, error) {
-	return p.getWithin(ctx, addr, p.connectTimeout())
+	return p.getWithTimeout(ctx, addr, p.connectTimeout())
 }
 
-// connectTimeout is how long a connection for an attempt may take.
+// connectTimeout returns the timeout for opening a connection for an attempt.
 func (p *Pool) connectTimeout() time.Duration {
-	return time.Duration(connectPart * float64(p.opt.ConnectTimeout))
+	return time.Duration(connectTimeoutFraction * float64(p.opt.ConnectTimeout))
 }
 
-// dialNew opens a connection whatever idle ones there are, within ctx's time.
+// dialNew opens a connection without regard to idle ones, until ctx ends.
 func (p *Pool) dialNew(ctx context.Context, addr string) (*conn, error) {
 	p.mu.Lock()
 	return p.dial(ctx, addr, 0)
 }
 
-// getWithin is get with a time-out of its own for a new connection; 0 leaves it to ctx.
-func (p *Pool) getWithin(ctx context.Context, addr string, timeout time.Duration) (*conn, error) {
+// getWithTimeout is get with a timeout of its own for a new connection; 0 leaves it to ctx.
+func (p *Pool) getWithTimeout(ctx context.Context, addr string, timeout time.Duration) (*conn, error) {
 	p.mu.Lock()
 	now := time.Now()
 	for at := len(p.idle[addr]) - 1; at >= 0; at-- {
-		c := p.idle[addr][at] // the newest first: the others may grow old and be retired
-		if !c.calm && p.opt.Settle > 0 && now.Sub(c.idle) < p.opt.Settle {
+		c := p.idle[addr][at] // the newest first, so that the others may grow stale and be closed
+		if !c.afterProbe && p.opt.Settle > 0 && now.Sub(c.idleSince) < p.opt.Settle {
 			continue
 		}
 		if p.idle[addr] = slices.Delete(p.idle[addr], at, at+1); len(p.idle[addr]) == 0 {
 			delete(p.idle, addr)
 		}
-		if !p.stale(c, now) && quiet(c.Conn) {
+		if !p.stale(c, now) && openAndQuiet(c.Conn) {
 			p.mu.Unlock()
-			c.until = time.Time{} // taken: it lives as any other
+			c.retireAt = time.Time{} // in use: pooled as any other from now on
 			return c, nil
 		}
 		c.Close()
@@ -158,11 +158,12 @@
 	return p.dial(ctx, addr, timeout)
 }
 
-// dial opens a connection within a time-out, 0 for ctx's alone. The lock is held and let go.
+// dial opens a connection within a timeout, 0 for ctx's alone. It is called with the lock held and
+// unlocks it.
 func (p *Pool) dial(ctx context.Context, addr string, timeout time.Duration) (*conn, error) {
 	if p.opt.MaxConns > 0 && p.open >= p.opt.MaxConns && !p.evict() {
 		p.mu.Unlock()
-		return nil, errTooMany
+		return nil, errPoolExhausted
 	}
 	p.open++
 	p.mu.Unlock()
@@ -173,12 +174,12 @@
 		p.mu.Unlock()
 		return nil, fmt.Errorf("connect to %s: %w", addr, err)
 	}
-	in := &bounded{from: nc, left: math.MaxInt64}
-	return &conn{Conn: nc, in: in, buffered: bufio.NewReaderSize(in, max(p.opt.ReadBuffer, leastBuffer)), addr: addr}, nil
+	in := &limitedReader{from: nc, remaining: math.MaxInt64}
+	return &conn{Conn: nc, in: in, buffered: bufio.NewReaderSize(in, max(p.opt.ReadBuffer, minReadBuffer)), addr: addr}, nil
 }
 
-// connect opens a connection. What fails on this machine for a moment, such as for want of a free
-// port, says nothing of the engine and is tried again for a moment: nothing has been written.
+// connect opens a connection. A transient failure of this machine, such as a lack of free ports,
+// says nothing about the engine and is retried for up to maxReconnectTime: nothing has been written.
 func (p *Pool) connect(ctx context.Context, addr string, timeout time.Duration) (net.Conn, error) {
 	if timeout > 0 {
 		var done context.CancelFunc
@@ -186,9 +187,9 @@
 		defer done()
 	}
 	begun := time.Now()
-	for wait := firstReconnect; ; wait *= 2 {
+	for wait := initialReconnectBackoff; ; wait *= 2 {
 		nc, err := p.dialOnce(ctx, addr)
-		if err == nil || !momentary(err) || time.Since(begun)+wait > reconnectFor {
+		if err == nil || !isTransient(err) || time.Since(begun)+wait > maxReconnectTime {
 			return nc, err
 		}
 		if pause.Sleep(ctx, wait); ctx.Err() != nil {
@@ -205,9 +206,9 @@
 	return faultinject.Dial(ctx, "tcp", addr, d.DialContext)
 }
 
-// momentary tells whether a connection failed for want of something on this machine, or of a
-// route from it, that may be there again a moment later.
-func momentary(err error) bool {
+// isTransient reports whether a connect failed for lack of a resource of this machine, or of a route
+// from it, that may be available a moment later.
+func isTransient(err error) bool {
 	for _, errno := range []syscall.Errno{
 		syscall.EADDRNOTAVAIL, syscall.EAGAIN, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 		syscall.ENETDOWN, syscall.ENETUNREACH,
@@ -219,22 +220,22 @@
 	return false
 }
 
-// bounded reads no more than is left. The library would read a head of any length.
-type bounded struct {
-	from io.Reader
-	left int64
+// limitedReader fails once remaining bytes have been read. The library would read a head of any length.
+type limitedReader struct {
+	from      io.Reader
+	remaining int64
 }
 
-func (b *bounded) Read(p []byte) (int, error) {
-	if b.left <= 0 {
-		return 0, errHead
+func (b *limitedReader) Read(p []byte) (int, error) {
+	if b.remaining <= 0 {
+		return 0, errHeadTooLong
 	}
-	n, err := b.from.Read(p[:min(int64(len(p)), b.left)])
-	b.left -= int64(n)
+	n, err := b.from.Read(p[:min(int64(len(p)), b.remaining)])
+	b.remaining -= int64(n)
 	return n, err
 }
 
-// evict closes an idle connection of any engine to make room. The lock is held.
+// evict closes an idle connection of any engine to free a slot. The lock is held.
 func (p *Pool) evict() bool {
 	for addr, list := range p.idle {
 		if len(list) > 0 {
@@ -247,51 +248,51 @@
 	return false
 }
 
-// putBrief gives back a connection that was opened for a call of no effect, such
-// as a probe: it is kept only briefIdle for the request that the call came before.
-// Among many gateways, every probe's connection kept for long would fill the few
-// that an engine holds. One that had carried work before is kept as usual.
-func (p *Pool) putBrief(c *conn) {
-	if !c.used {
-		c.until = time.Now().Add(briefIdle)
+// putAfterProbe pools a connection after a call without side effects, such as a probe. If it was
+// opened for that call, it is kept for probeIdleTimeout only, for the request that the probe
+// preceded: with many gateways, the connections of all probes would fill the few that an engine
+// accepts.
+func (p *Pool) putAfterProbe(c *conn) {
+	if !c.reused {
+		c.retireAt = time.Now().Add(probeIdleTimeout)
 	}
-	c.calm = true
-	p.keep(c)
+	c.afterProbe = true
+	p.putIdle(c)
 }
 
-// put gives back a connection whose answer has been read to its end.
+// put pools a connection whose response has been read to its end.
 func (p *Pool) put(c *conn) {
-	c.calm = false
-	p.keep(c)
+	c.afterProbe = false
+	p.putIdle(c)
 }
 
-func (p *Pool) keep(c *conn) {
-	c.used = true
-	// More than the answer, such as a second one, would be taken for the next one's. What
-	// has come and is not read yet is looked for when the connection is taken again.
+func (p *Pool) putIdle(c *conn) {
+	c.reused = true
+	// Bytes beyond the response, such as a second one, would be taken for the next response. Bytes
+	// that have arrived and are not buffered yet are checked for when the connection is reused.
 	if c.buffered.Buffered() > 0 || c.SetDeadline(time.Time{}) != nil {
-		p.drop(c)
+		p.discard(c)
 		return
 	}
-	c.idle = time.Now()
+	c.idleSince = time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.idle[c.addr] = append(p.idle[c.addr], c)
 }
 
-func (p *Pool) drop(c *conn) {
+func (p *Pool) discard(c *conn) {
 	c.Close()
 	p.mu.Lock()
 	p.open--
 	p.mu.Unlock()
 }
 
-// quiet tells whether a connection is open with nothing to read. An engine that
-// has closed its side, or has sent something unasked, gets no further request.
-func quiet(nc net.Conn) bool {
+// openAndQuiet reports whether a connection is open with nothing to read. One that its engine has
+// closed, or has sent unexpected bytes on, is not reused.
+func openAndQuiet(nc net.Conn) bool {
 	var b [1]byte
 	sc, ok := nc.(syscall.Conn)
-	if !ok { // of another make than the system's: read without waiting
+	if !ok { // not a system connection: read without blocking
 		if nc.SetReadDeadline(time.Now()) != nil {
 			return false
 		}
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -22,12 +22,12 @@
 		reused bool
 	}{
 		{"fresh", func(*conn) {}, true},
-		{"idle for a moment", func(c *conn) { c.idle = time.Now().Add(-time.Second) }, true},
+		{"idle for a moment", func(c *conn) { c.idleSince = time.Now().Add(-time.Second) }, true},
 		{"closed by the engine", func(c *conn) {
 			c.Write([]byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"))
-			enginetest.Eventually(t, "the close arrives", func() bool { return !quiet(c.Conn) })
+			enginetest.Eventually(t, "the close arrives", func() bool { return !openAndQuiet(c.Conn) })
 		}, false},
-		{"near the idle limit", func(c *conn) { c.idle = time.Now().Add(-31 * time.Second) }, false},
+		{"near the idle limit", func(c *conn) { c.idleSince = time.Now().Add(-31 * time.Second) }, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := NewPool(Options{ConnectTimeout: time.Second, ConnIdle: time.Minute, MaxConns: 1})
@@ -44,10 +44,10 @@
 			if (second == first) != c.reused {
 				t.Errorf("reused: %v", second == first)
 			}
-			if _, err := p.get(t.Context(), server.Addr); err != errTooMany {
+			if _, err := p.get(t.Context(), server.Addr); err != errPoolExhausted {
 				t.Errorf("a connection past the limit: %v", err)
 			}
-			p.drop(second)
+			p.discard(second)
 		})
 	}
 }
@@ -60,18 +60,18 @@
 	p := NewPool(Options{ConnectTimeout: time.Second, ConnIdle: time.Minute})
 	get := func() *conn { c, _ := p.get(t.Context(), server.Addr); return c }
 	probed := get()
-	if p.putBrief(probed); probed.until.IsZero() || probed.until.Sub(probed.idle) > briefIdle {
-		t.Fatalf("a probe's new connection is kept until %v, idle since %v", probed.until, probed.idle)
+	if p.putAfterProbe(probed); probed.retireAt.IsZero() || probed.retireAt.Sub(probed.idleSince) > probeIdleTimeout {
+		t.Fatalf("a probe's new connection is kept until %v, idle since %v", probed.retireAt, probed.idleSince)
 	}
-	probed.until = time.Now().Add(-time.Millisecond) // its moment has passed
+	probed.retireAt = time.Now().Add(-time.Millisecond) // its moment has passed
 	p.retire(func(c *conn) bool { return p.stale(c, time.Now()) })
 	taken := get()
-	if p.putBrief(taken); taken == probed || get() != taken || !taken.until.IsZero() {
-		t.Errorf("kept past its moment %v, or retired though a request took it (%v)", taken == probed, taken.until)
+	if p.putAfterProbe(taken); taken == probed || get() != taken || !taken.retireAt.IsZero() {
+		t.Errorf("kept past its moment %v, or retired though a request took it (%v)", taken == probed, taken.retireAt)
 	}
 	p.put(taken)
-	if p.putBrief(get()); !taken.until.IsZero() {
-		t.Errorf("a connection that had carried work is retired at %v", taken.until)
+	if p.putAfterProbe(get()); !taken.retireAt.IsZero() {
+		t.Errorf("a connection that had carried work is retired at %v", taken.retireAt)
 	}
 }
 
@@ -99,15 +99,15 @@
 	}
 	ask := Call{Method: "POST", Target: "/"}
 	first := get()
-	if err := write(first, ask); err != nil {
+	if err := writeCall(first, ask); err != nil {
 		t.Fatal(err)
 	}
-	if resp, err := readHead(first, time.Now().Add(time.Minute)); err != nil || resp.StatusCode != 202 {
+	if resp, err := readResponseHead(first, time.Now().Add(time.Minute)); err != nil || resp.StatusCode != 202 {
 		t.Fatal(resp, err)
 	} else if _, err := io.ReadAll(resp.Body); err != nil {
 		t.Fatal(err)
 	}
-	if err := write(first, ask); err != nil { // brings the answer that nobody asked for, once it is let go
+	if err := writeCall(first, ask); err != nil { // brings the answer that nobody asked for, once it is let go
 		t.Fatal(err)
 	}
 	p.put(first)
@@ -117,9 +117,9 @@
 	}
 	p.put(other)
 	let()
-	enginetest.Eventually(t, "the second answer comes", func() bool { return !quiet(first.Conn) })
-	first.idle = first.idle.Add(-time.Minute) // it has settled
-	other.idle = first.idle.Add(-time.Millisecond)
+	enginetest.Eventually(t, "the second answer comes", func() bool { return !openAndQuiet(first.Conn) })
+	first.idleSince = first.idleSince.Add(-time.Minute) // it has settled
+	other.idleSince = first.idleSince.Add(-time.Millisecond)
 	if c := get(); c == first {
 		t.Error("the next request would be written after the second answer")
 	}
--- a/internal/upstream/reach.go
+++ b/internal/upstream/reach.go
@@ -8,15 +8,15 @@
 	"wellgw/internal/core"
 )
 
-// Reach finds out whether an engine is reached; see core.Transport. A request that comes soon
-// may use the connection.
+// Reach checks whether an engine can be reached; see core.Transport. A request that follows soon may
+// use the connection.
 func (e *Engine) Reach(at core.Endpoint, done func(reached bool)) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), e.pool.connectTimeout())
 		defer cancel()
 		c, err := e.pool.dialNew(ctx, at.Addr)
 		if err == nil {
-			e.pool.putBrief(c)
+			e.pool.putAfterProbe(c)
 		}
 		done(err == nil || errors.Is(err, syscall.ECONNREFUSED))
 	}()
--- a/internal/upstream/release.go
+++ b/internal/upstream/release.go
@@ -10,31 +10,31 @@
 	"wellgw/internal/core"
 )
 
-// Bounds of one release.
+// Limits of one release.
 const (
-	releasePause   = 50 * time.Millisecond   // from one try to the next, growing
-	releaseEvery   = 250 * time.Millisecond  // at most
-	releaseConnect = 1200 * time.Millisecond // for a connection: some come up late
-	releaseAnswer  = 300 * time.Millisecond  // for the answer, once there is one
-	releaseTries   = 4                       // under way at once, over all releases at one engine
-	elsewhereNext  = 30 * time.Millisecond   // from one other engine to the next: longer than the way there and back
+	initialReleaseBackoff  = 50 * time.Millisecond   // between attempts; doubles
+	maxReleaseBackoff      = 250 * time.Millisecond  // largest backoff, and longest that an unanswered attempt delays the next
+	releaseConnectTimeout  = 1200 * time.Millisecond // some connections are established late
+	releaseResponseTimeout = 300 * time.Millisecond  // for the response, once connected
+	releaseConcurrency     = 4                       // attempts in flight at one engine, over all releases
+	alternateInterval      = 30 * time.Millisecond   // from one alternate to the next: longer than a round trip
 )
 
 var errStopped = errors.New("stopped")
 
-// release is one call to let go, tried until it has arrived.
+// release is one release of held state, retried until it is delivered.
 type release struct {
 	engine *Engine
 	core.Release
-	call Call
-	ctx  context.Context
-	told chan struct{} // closed once At has been told
-	once sync.Once
+	call      Call
+	ctx       context.Context
+	delivered chan struct{} // closed once Endpoint has answered
+	once      sync.Once
 }
 
-// Release tells an engine to let go; see core.Transport. The call has no effect but that, so it
-// may be sent again, and several tries may be under way: one that waits for a connection
-// must not keep the next from an engine that is back.
+// Release releases held state; see core.Transport. The call is idempotent, so it may be retried, and
+// several attempts may be in flight: one that waits for a connection must not delay the next to an
+// engine that has recovered.
 func (e *Engine) Release(r core.Release, done func(error)) (stop func()) {
 	ctx, cancel := context.WithDeadline(context.Background(), r.Deadline)
 	call, given := e.dialect(r.Endpoint.Kind).Release(r.ClientRequestID)
@@ -44,31 +44,31 @@
 			done(core.ErrNoRelease)
 			return
 		}
-		job := &release{engine: e, Release: r, call: call, ctx: ctx, told: make(chan struct{})}
+		job := &release{engine: e, Release: r, call: call, ctx: ctx, delivered: make(chan struct{})}
 		done(job.run())
 	}()
 	return cancel
 }
 
-// turns bounds the tries under way at one address, over all releases that are to go there.
-type turns struct {
+// releaseSlots bounds the attempts in flight at one address, over all releases to it.
+type releaseSlots struct {
 	free     chan struct{}
 	releases int
 }
 
-func (e *Engine) takeTurns(addr string) chan struct{} {
+func (e *Engine) acquireSlots(addr string) chan struct{} {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	t := e.releasing[addr]
 	if t == nil {
-		t = &turns{free: make(chan struct{}, releaseTries)}
+		t = &releaseSlots{free: make(chan struct{}, releaseConcurrency)}
 		e.releasing[addr] = t
 	}
 	t.releases++
 	return t.free
 }
 
-func (e *Engine) leaveTurns(addr string) {
+func (e *Engine) dropSlots(addr string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	t := e.releasing[addr]
@@ -77,32 +77,32 @@
 	}
 }
 
-// run tries until the engine has been told, or the time is over.
+// run makes attempts until the engine has answered, or the release ends.
 func (r *release) run() error {
-	go r.tellElsewhere()
-	for pause := releasePause; ; pause = min(2*pause, releaseEvery) {
+	go r.notifyAlternates()
+	for pause := initialReleaseBackoff; ; pause = min(2*pause, maxReleaseBackoff) {
 		next := make(chan struct{})
-		go r.try(next)
-		if !r.wait(next) || !r.pause(pause) {
+		go r.attempt(next)
+		if !r.wait(next) || !r.sleep(pause) {
 			return r.outcome()
 		}
 	}
 }
 
-// outcome is how the release has ended.
+// outcome returns how the release has ended.
 func (r *release) outcome() error {
 	select {
-	case <-r.told:
+	case <-r.delivered:
 		return nil
 	default:
 		return errStopped
 	}
 }
 
-// wait waits for a channel to close; false if the release is over before.
+// wait waits for a channel to close; false if the release ends before.
 func (r *release) wait(event <-chan struct{}) bool {
 	select {
-	case <-r.told:
+	case <-r.delivered:
 	case <-r.ctx.Done():
 	case <-event:
 		return true
@@ -110,12 +110,12 @@
 	return false
 }
 
-// pause lets time pass; false if the release is over before.
-func (r *release) pause(d time.Duration) bool {
+// sleep waits for a duration; false if the release ends before.
+func (r *release) sleep(d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
-	case <-r.told:
+	case <-r.delivered:
 	case <-r.ctx.Done():
 	case <-t.C:
 		return true
@@ -123,22 +123,22 @@
 	return false
 }
 
-// try tells the engine once. It closes next when another try may begin: at its own end, or
-// once it has waited for long enough.
-func (r *release) try(next chan<- struct{}) {
+// attempt sends the release once. It closes next when another attempt may begin: at its own end, or
+// after maxReleaseBackoff.
+func (r *release) attempt(next chan<- struct{}) {
 	again := sync.OnceFunc(func() { close(next) })
 	defer again()
-	late := time.AfterFunc(releaseEvery, again)
+	late := time.AfterFunc(maxReleaseBackoff, again)
 	defer late.Stop()
-	if r.tell(r.Endpoint.Addr, r.call) == nil {
-		r.once.Do(func() { close(r.told) })
+	if r.send(r.Endpoint.Addr, r.call) == nil {
+		r.once.Do(func() { close(r.delivered) })
 	}
 }
 
-// tell makes the call once.
-func (r *release) tell(addr string, call Call) error {
-	turn := r.engine.takeTurns(addr)
-	defer r.engine.leaveTurns(addr)
+// send makes the call once, within a slot of the address.
+func (r *release) send(addr string, call Call) error {
+	turn := r.engine.acquireSlots(addr)
+	defer r.engine.dropSlots(addr)
 	select {
 	case turn <- struct{}{}:
 	case <-r.ctx.Done():
@@ -146,9 +146,9 @@
 	}
 	leave := sync.OnceFunc(func() { <-turn })
 	defer leave()
-	ctx, done := context.WithTimeout(r.ctx, releaseConnect)
+	ctx, done := context.WithTimeout(r.ctx, releaseConnectTimeout)
 	defer done()
-	c, err := r.engine.pool.getWithin(ctx, addr, 0)
+	c, err := r.engine.pool.getWithTimeout(ctx, addr, 0)
 	if err != nil {
 		return err
 	}
@@ -156,27 +156,27 @@
 		r.engine.pool.put(c)
 		return errStopped
 	}
-	c.SetDeadline(time.Now().Add(releaseAnswer))
-	if err := write(c, call); err != nil {
-		r.engine.pool.drop(c)
+	c.SetDeadline(time.Now().Add(releaseResponseTimeout))
+	if err := writeCall(c, call); err != nil {
+		r.engine.pool.discard(c)
 		return err
 	}
-	leave() // an engine that does not answer has been told, and must not keep others waiting
-	_, _, err = r.engine.answer(c, releaseAnswer, r.engine.pool.put)
+	leave() // the call is written: an engine that does not answer must not keep others waiting
+	_, _, err = r.engine.readResponse(c, releaseResponseTimeout, r.engine.pool.put)
 	return err
 }
 
-// tellElsewhere tells other engines as long as the engine itself has not been told. The next
-// is begun with while the one before is still waited for. It is repeated: an attempt that
-// waited for the state, so that it was not let go, may have been given up since.
-func (r *release) tellElsewhere() {
+// notifyAlternates sends the release to the alternates while the engine itself has not answered. The
+// next one is sent while the one before is still in flight. They are repeated: the state was not
+// released if an attempt waited for it, and that attempt may have been cancelled since.
+func (r *release) notifyAlternates() {
 	told, underway := make(chan int, len(r.Alternates)), make([]atomic.Bool, len(r.Alternates))
 	pause := r.AlternatesAfter
-	for n := 0; len(r.Alternates) > 0 && r.pause(pause); n++ {
-		pause = elsewhereNext
+	for n := 0; len(r.Alternates) > 0 && r.sleep(pause); n++ {
+		pause = alternateInterval
 		select {
-		case n = <-told: // the one that is reached is told again
-			if !r.pause(r.AlternatesInterval) {
+		case n = <-told: // the alternate that is reachable is notified again
+			if !r.sleep(r.AlternatesInterval) {
 				return
 			}
 		default:
@@ -184,17 +184,17 @@
 		if n %= len(r.Alternates); underway[n].CompareAndSwap(false, true) {
 			go func() {
 				defer underway[n].Store(false)
-				r.tellOne(n, told)
+				r.notifyAlternate(n, told)
 			}()
 		}
 	}
 }
 
-// tellOne tells another engine once, and says so if it has been told.
-func (r *release) tellOne(n int, told chan<- int) {
+// notifyAlternate sends the release to one alternate, and reports its number if it has answered.
+func (r *release) notifyAlternate(n int, told chan<- int) {
 	m := r.Alternates[n]
 	call, given := r.engine.dialect(m.Kind).Release(r.ClientRequestID)
-	if !given || r.tell(m.Addr, call) != nil {
+	if !given || r.send(m.Addr, call) != nil {
 		return
 	}
 	select {
--- a/internal/upstream/unzip.go
+++ b/internal/upstream/unzip.go
@@ -25,7 +25,7 @@
 		// The framing has to end as well, lest the next answer begin with its end.
 		var one [1]byte
 		if more, ferr := u.from.Read(one[:]); more > 0 || ferr != io.EOF {
-			return n, errJunk
+			return n, errNotEventStream
 		}
 	}
 	return n, err
