--- a/internal/accept/accept.go
+++ b/internal/accept/accept.go
@@ -1,8 +1,8 @@
-// Package accept keeps a listener accepting through errors that pass.
+// Package accept keeps a listener accepting through transient errors.
 //
 // Linux reports errors of the network and of single connections by accept, and a process or a
 // machine that is out of descriptors or memory may have some again a moment later. None of these
-// may end a service or hold it up for long.
+// may end a service or delay it for long.
 package accept
 
 import (
@@ -16,38 +16,38 @@
 	"wellgw/internal/faultinject"
 )
 
-// Pauses after errors. They grow from the first to the last.
+// Backoff after errors: it doubles from the initial to the maximal one.
 const (
-	firstPause = 2 * time.Millisecond
-	lastPause  = 50 * time.Millisecond
-	logEvery   = time.Second
+	initialBackoff = 2 * time.Millisecond
+	maxBackoff     = 50 * time.Millisecond
+	logInterval    = time.Second
 )
 
-// Listener accepts through errors that pass. Accept must be called by one goroutine at a time.
+// Listener accepts through transient errors. Accept must be called by one goroutine at a time.
 type Listener struct {
 	net.Listener
-	// MakeRoom is called when descriptors or memory are short, before accept is tried again; nil
-	// for nothing to be done.
+	// MakeRoom is called when descriptors or memory are exhausted, before accept is retried; nil
+	// for none.
 	MakeRoom func()
 
-	log    *slog.Logger
-	logged time.Time
-	failed int // errors since the latest line of the log
+	log        *slog.Logger
+	lastLogged time.Time
+	failures   int // errors since the last log line
 }
 
-// New returns a listener over l that logs the errors it passes over.
+// New returns a listener over l that logs the errors through which it continues.
 func New(l net.Listener, log *slog.Logger) *Listener {
 	return &Listener{Listener: faultinject.Listener(l), log: log}
 }
 
-// Accept returns the next connection, or an error if there will be none any more.
+// Accept returns the next connection, or an error if the listener can't accept any more.
 func (l *Listener) Accept() (net.Conn, error) {
-	for pause := firstPause; ; pause = min(2*pause, lastPause) {
+	for pause := initialBackoff; ; pause = min(2*pause, maxBackoff) {
 		conn, err := l.Listener.Accept()
 		if err == nil || Permanent(err) {
 			return conn, err
 		}
-		l.note(err)
+		l.logFailure(err)
 		if Exhausted(err) && l.MakeRoom != nil {
 			l.MakeRoom()
 		}
@@ -55,22 +55,22 @@
 	}
 }
 
-// note writes an error to the log, but no more than one line a second.
-func (l *Listener) note(err error) {
-	l.failed++
-	if now := time.Now(); now.Sub(l.logged) >= logEvery {
-		l.log.Warn("accept failed; tried again", "listen", l.Addr(), "failures", l.failed, "cause", err)
-		l.logged, l.failed = now, 0
+// logFailure logs an error, at most one line per logInterval.
+func (l *Listener) logFailure(err error) {
+	l.failures++
+	if now := time.Now(); now.Sub(l.lastLogged) >= logInterval {
+		l.log.Warn("accept failed; tried again", "listen", l.Addr(), "failures", l.failures, "cause", err)
+		l.lastLogged, l.failures = now, 0
 	}
 }
 
-// Permanent tells whether a listener that gave this error is of no more use. EOPNOTSUPP is not
-// among these: accept reports it of a connection's network, too.
+// Permanent reports whether a listener with this error can't accept any more. EOPNOTSUPP is not among
+// these: accept also reports it for a connection's network.
 func Permanent(err error) bool {
 	return isAny(err, net.ErrClosed, syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK)
 }
 
-// Exhausted tells whether an error says that descriptors or memory are short.
+// Exhausted reports whether an error means that descriptors or memory are exhausted.
 func Exhausted(err error) bool {
 	return isAny(err, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM)
 }
--- a/internal/accept/listen.go
+++ b/internal/accept/listen.go
@@ -10,24 +10,24 @@
 	"wellgw/internal/pause"
 )
 
-// Pauses between tries to listen, and for how long it is tried.
+// Backoff between attempts to listen, and the time after which they end.
 const (
-	firstListenPause = 10 * time.Millisecond
-	lastListenPause  = 250 * time.Millisecond
-	listenFor        = 5 * time.Second
+	initialListenBackoff = 10 * time.Millisecond
+	maxListenBackoff     = 250 * time.Millisecond
+	maxListenTime        = 5 * time.Second
 )
 
-// Listen opens a listener of a network, as net.Listen does. What may pass is tried again for a while: a former process
-// that still holds the address, or a machine that is short of descriptors.
+// Listen opens a listener like net.Listen. Transient errors are retried for up to maxListenTime: a former
+// process that still holds the address, or a machine that is out of descriptors.
 func Listen(ctx context.Context, network, address string, log *slog.Logger) (net.Listener, error) {
 	return listen(ctx, address, log, func() (net.Listener, error) { return net.Listen(network, address) })
 }
 
 func listen(ctx context.Context, address string, log *slog.Logger, open func() (net.Listener, error)) (net.Listener, error) {
 	begun := time.Now()
-	for wait := firstListenPause; ; wait = min(2*wait, lastListenPause) {
+	for wait := initialListenBackoff; ; wait = min(2*wait, maxListenBackoff) {
 		l, err := open()
-		if err == nil || !mayPass(err) || time.Since(begun)+wait > listenFor {
+		if err == nil || !isTransient(err) || time.Since(begun)+wait > maxListenTime {
 			return l, err
 		}
 		log.Warn("can't listen yet; tried again", "listen", address, "cause", err)
@@ -37,7 +37,7 @@
 	}
 }
 
-// mayPass tells whether an address that could not be listened at may be free a moment later.
-func mayPass(err error) bool {
+// isTransient reports whether an address at which listening failed may become available.
+func isTransient(err error) bool {
 	return Exhausted(err) || isAny(err, syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, syscall.EINTR, syscall.EAGAIN)
 }
--- a/internal/clientconn/clientconn.go
+++ b/internal/clientconn/clientconn.go
@@ -1,5 +1,5 @@
-// Package clientconn keeps what clients send within bounds: the connections they hold,
-// where their requests begin and end, one body, and all bodies in hand at once.
+// Package clientconn limits what clients may use: connections, the time and framing of requests,
+// the size of one body, and the memory of all bodies in flight.
 package clientconn
 
 import (
@@ -9,10 +9,10 @@
 	"sync/atomic"
 )
 
-// MaxBody is the most that a body may hold.
+// MaxBody is the largest body, in bytes.
 const MaxBody = 256 << 10
 
-// What a body may be turned away for.
+// Reasons for which a body is rejected.
 var (
 	ErrTooBig = errors.New("the body is over 256 KiB")
 	ErrCut    = errors.New("the body was cut short")
@@ -20,45 +20,45 @@
 	ErrLate   = errors.New("the request was not whole when none was taken any more")
 )
 
-// Budget is what the bodies in hand may hold together.
-type Budget struct{ left atomic.Int64 }
+// Budget limits the memory of all bodies in flight together.
+type Budget struct{ available atomic.Int64 }
 
-// NewBudget returns a budget of so many bytes.
+// NewBudget returns a budget in bytes.
 func NewBudget(bytes int64) *Budget {
 	b := &Budget{}
-	b.left.Store(bytes)
+	b.available.Store(bytes)
 	return b
 }
 
-// firstRead is what a body is given room for before any of it has come.
-const firstRead = 8 << 10
+// initialBufferSize is allocated for a body before any of it has arrived, in bytes.
+const initialBufferSize = 8 << 10
 
-// Read reads a request's body. On success the caller must call free once it is
-// done with the request; ErrBusy and ErrLate prove that nothing was done. Only what has come
-// counts against the budget, not what a client says will come: one that declares
-// much and sends nothing must not keep others out.
+// Read reads a request's body. On success the caller must call free once it is done with the
+// request; ErrBusy and ErrLate prove that the request had no effect. Only bytes that have arrived
+// count against the budget, not the declared length: a client that declares much and sends nothing
+// must not keep others out.
 func (b *Budget) Read(w http.ResponseWriter, r *http.Request) (body []byte, free func(), err error) {
 	if r.ContentLength > MaxBody {
-		// To read past a limit has net/http wait a moment before it closes, so that a
-		// client which still sends gets to read its error.
+		// Reading past a limit makes net/http delay the close, so that a client which is still
+		// sending can read its error.
 		_, _ = http.MaxBytesReader(w, r.Body, 0).Read(make([]byte, 1))
 		return nil, nil, ErrTooBig
 	}
 	taken := int64(0)
-	free = func() { b.left.Add(taken) }
+	free = func() { b.available.Add(taken) }
 	from := http.MaxBytesReader(w, r.Body, MaxBody)
 	for err == nil {
-		if r.ContentLength >= 0 && int64(len(body)) == r.ContentLength { // only its end is left
+		if r.ContentLength >= 0 && int64(len(body)) == r.ContentLength { // only its end is missing
 			_, err = io.ReadFull(from, make([]byte, 1))
 			break
 		}
 		if len(body) == cap(body) {
-			size := max(firstRead, 2*cap(body))
+			size := max(initialBufferSize, 2*cap(body))
 			if r.ContentLength >= 0 {
 				size = min(size, int(r.ContentLength))
 			}
 			more := int64(size - cap(body))
-			if taken += more; b.left.Add(-more) < 0 {
+			if taken += more; b.available.Add(-more) < 0 {
 				free()
 				return nil, nil, ErrBusy
 			}
@@ -68,7 +68,7 @@
 		n, err = from.Read(body[len(body):cap(body)])
 		body = body[:len(body)+n]
 	}
-	if errors.Is(err, io.EOF) && !left(r.Context()) {
+	if errors.Is(err, io.EOF) && !clientGone(r.Context()) {
 		return body, free, nil
 	}
 	free()
@@ -81,9 +81,9 @@
 	return nil, nil, ErrCut
 }
 
-// Reject makes ready for an error to a request whose body has not been read: the
-// connection ends with it. Else net/http would hold the answer back until it has
-// read the rest, which a client need not send.
+// Reject prepares an error response to a request whose body has not been read: the connection ends
+// with it. Otherwise net/http would hold the response back until it has read the rest, which the
+// client may never send.
 func Reject(w http.ResponseWriter, r *http.Request) {
 	if r.ContentLength != 0 {
 		w.Header().Set("Connection", "close")
--- a/internal/clientconn/clientconn_test.go
+++ b/internal/clientconn/clientconn_test.go
@@ -22,26 +22,26 @@
 	}{
 		{"fits", strings.NewReader("abc"), 3, 3, nil},
 		{"past the budget", strings.NewReader("abc"), 3, 2, ErrBusy},
-		{"unknown length", io.MultiReader(strings.NewReader("abc")), -1, firstRead, nil},
+		{"unknown length", io.MultiReader(strings.NewReader("abc")), -1, initialBufferSize, nil},
 		{"past the budget as it comes", strings.NewReader(strings.Repeat("x", MaxBody)), -1, MaxBody - 1, ErrBusy},
 		{"too big", strings.NewReader(strings.Repeat("x", MaxBody+1)), -1, 2 * MaxBody, ErrTooBig},
 		{"says that it is too big", cut{}, MaxBody + 1, 2 * MaxBody, ErrTooBig},
 		{"cut short", cut{}, MaxBody, 2 * MaxBody, ErrCut},
-		{"says much and sends nothing", cut{}, MaxBody, firstRead, ErrCut},
+		{"says much and sends nothing", cut{}, MaxBody, initialBufferSize, ErrCut},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := NewBudget(c.left)
 			r := httptest.NewRequest(http.MethodPost, "/", c.body)
 			r.ContentLength = c.size
 			body, free, err := b.Read(httptest.NewRecorder(), r)
-			if err != c.want || err == nil && (string(body) != "abc" || b.left.Load() > c.left-3) {
-				t.Errorf("%q, %v, %d left", body, err, b.left.Load())
+			if err != c.want || err == nil && (string(body) != "abc" || b.available.Load() > c.left-3) {
+				t.Errorf("%q, %v, %d left", body, err, b.available.Load())
 			}
 			if err == nil {
 				free()
 			}
-			if b.left.Load() != c.left {
-				t.Errorf("%d left of %d", b.left.Load(), c.left)
+			if b.available.Load() != c.left {
+				t.Errorf("%d left of %d", b.available.Load(), c.left)
 			}
 		})
 	}
--- a/internal/clientconn/conn.go
+++ b/internal/clientconn/conn.go
@@ -12,108 +12,108 @@
 	"wellgw/internal/faultinject"
 )
 
-// What a client is told whose request began to come and is not waited for any longer.
+// Responses to requests that have arrived in part and are not waited for any longer.
 const (
-	requestTimeout = "HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
-	noRoom         = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+	requestTimeout     = "HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+	serviceUnavailable = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 )
 
-// answerPartial answers a request whose head has come in part, before its connection is
-// closed, and tells whether there was one: net/http would close many without a word.
-func (c *Conn) answerPartial(text string, reason CloseReason) bool {
+// respondToPartial responds to a request whose head has arrived in part, before its connection is
+// closed, and reports whether there was one: net/http would close many without a response.
+func (c *Conn) respondToPartial(text string, reason CloseReason) bool {
 	c.mu.Lock()
-	partial := !c.shut && !c.closing && !c.malformed && c.frame.complete == c.answered && c.frame.partialHead()
-	if c.shut = c.shut || partial; partial || reason == ClosedForRoom {
-		c.because(reason)
+	partial := !c.readClosed && !c.closing && !c.malformed && c.frame.complete == c.answered && c.frame.partialHead()
+	if c.readClosed = c.readClosed || partial; partial || reason == ClosedForRoom {
+		c.setReason(reason)
 	}
 	c.mu.Unlock()
 	if !partial {
 		return false
 	}
-	_ = c.SetWriteDeadline(time.Now().Add(answerWithin))
+	_ = c.SetWriteDeadline(time.Now().Add(responseWriteTimeout))
 	_, _ = io.WriteString(c.Conn, text)
 	return true
 }
 
-// answerWithin is how long an answer of a few bytes may take to reach the system's buffer.
-const answerWithin = 10 * time.Millisecond
+// responseWriteTimeout is the timeout for writing a response of a few bytes to the socket's buffer.
+const responseWriteTimeout = 10 * time.Millisecond
 
 // Conn is a client's connection.
 type Conn struct {
 	net.Conn
-	from *Listener
-	raw  syscall.RawConn // nil for a connection of another make than the system's
+	listener *Listener
+	raw      syscall.RawConn // nil for a connection that is not the system's
 
-	mu          sync.Mutex
-	frame       framing
-	answered    int // of the requests in frame
-	opened      time.Time
-	since       time.Time // the connection came, or its last answer left
-	malformed   bool
-	replacement []byte // what net/http reads in place of what must not be read
-	heard       bool   // something has been read
-	leftOver    bool   // bytes have come that the shutdown keeps from being read
-	gone        bool   // the client has ended its sending, or the connection is broken
-	shut        bool   // nothing more is read: what comes is for the client to send again
-	half        bool   // net/http has ended the sending and waited
-	closing     bool   // Close has been called
-	watched     bool   // see watch
-	overdue     bool   // its request did not come to its end in time and is refused
-	stop        func() // ends the context of its requests; nil for none
-	reason      CloseReason
-	recorded    bool // its close is
+	mu               sync.Mutex
+	frame            framing
+	answered         int // requests of frame that have been answered
+	opened           time.Time
+	idleSince        time.Time // the connection was accepted, or its last response was written
+	malformed        bool
+	replacement      []byte // what net/http reads in place of malformed bytes
+	received         bool   // a byte has been read
+	unreadAtShutdown bool   // bytes have arrived that are not read because of the shutdown
+	peerClosed       bool   // the client has closed its side, or the connection is broken
+	readClosed       bool   // nothing more is read: the client has to send it elsewhere
+	writeClosed      bool   // net/http has closed the sending side and waits
+	closing          bool   // Close has been called
+	polling          bool   // pollPeer is scheduled; see pollIfAhead
+	requestExpired   bool   // its request was not complete in time and is rejected
+	cancelRequests   func() // cancels the context of its requests; nil for none
+	reason           CloseReason
+	recorded         bool // the close has been recorded
 
-	// Of the read under way; there is one at a time.
-	step func(fd uintptr) bool
-	into []byte
-	read int
-	err  error
+	// State of the read in progress; there is one at a time.
+	readFunc   func(fd uintptr) bool
+	readBuffer []byte
+	readCount  int
+	readErr    error
 }
 
 func newConn(nc net.Conn, l *Listener) *Conn {
-	c := &Conn{Conn: nc, from: l, opened: time.Now()}
-	c.since = c.opened
+	c := &Conn{Conn: nc, listener: l, opened: time.Now()}
+	c.idleSince = c.opened
 	if sc, ok := nc.(syscall.Conn); ok {
 		c.raw, _ = sc.SyscallConn()
 	}
-	c.step = c.readStep
+	c.readFunc = c.readAvailable
 	return c
 }
 
-// answeredOne notes that a request has had its answer, and tells whether that was the connection's
-// last: it is not reusable, and nothing has been read beyond.
-func (c *Conn) answeredOne(reusable bool) (over bool) {
+// requestAnswered records that a request has had its response, and reports whether that was the
+// connection's last: it is not reusable, and nothing has been read beyond the request.
+func (c *Conn) requestAnswered(reusable bool) (over bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.answered++
-	c.since = time.Now()
-	if over = !reusable && c.frame.between() && c.frame.complete <= c.answered; over {
-		c.shut = true
-		c.because(ClosedAnswered)
+	c.idleSince = time.Now()
+	if over = !reusable && c.frame.betweenRequests() && c.frame.complete <= c.answered; over {
+		c.readClosed = true
+		c.setReason(ClosedAnswered)
 	}
 	return over
 }
 
-// waits tells how long the connection has been without a request in hand, and
-// whether it has none.
-func (c *Conn) waits(now time.Time) (wait, bool) {
+// idleness returns how long the connection has been without a request in flight, and whether it has
+// none.
+func (c *Conn) idleness(now time.Time) (idleness, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.frame.complete > c.answered && !c.closing {
-		return wait{}, false
+		return idleness{}, false
 	}
-	w := wait{rank: 2, age: now.Sub(c.since), between: c.frame.between() && !c.malformed}
+	w := idleness{evictionRank: 2, age: now.Sub(c.idleSince), betweenRequests: c.frame.betweenRequests() && !c.malformed}
 	switch {
-	case c.shut || c.answered == 0 && w.age > silentGrace:
-		w.rank = 0
+	case c.readClosed || c.answered == 0 && w.age > newConnectionGrace:
+		w.evictionRank = 0
 	case w.age > idleGrace:
-		w.rank = 1
+		w.evictionRank = 1
 	}
 	return w, true
 }
 
-// Read reads on. A request that is not framed in one clear way reads as one that
-// cannot be read, and nothing is read after it: net/http answers 400 and closes.
+// Read implements net.Conn. A request with ambiguous framing is replaced by one that net/http can't
+// parse, and nothing is read after it: net/http responds 400 and closes.
 func (c *Conn) Read(p []byte) (int, error) {
 	for {
 		if c.malformed {
@@ -123,127 +123,128 @@
 			}
 			return n, nil
 		}
-		c.into = p
+		c.readBuffer = p
 		if c.raw == nil {
 			n, err := c.Conn.Read(p)
 			c.mu.Lock()
-			if c.take(n, err); c.shut {
-				c.read, c.err = 0, net.ErrClosed
+			if c.trackFrames(n, err); c.readClosed {
+				c.readCount, c.readErr = 0, net.ErrClosed
 			}
 			c.mu.Unlock()
-		} else if err := c.raw.Read(c.step); err != nil {
+		} else if err := c.raw.Read(c.readFunc); err != nil {
 			if errors.Is(err, os.ErrDeadlineExceeded) {
 				c.readTimedOut()
 				err = c.readError(err)
 			}
 			return 0, &net.OpError{Op: "read", Net: "tcp", Addr: c.RemoteAddr(), Err: err}
 		}
-		c.into = nil // it is net/http's, which lends it to others
-		if !c.malformed || c.read > 0 {
-			return c.read, c.err
+		c.readBuffer = nil // net/http owns the buffer and reuses it
+		if !c.malformed || c.readCount > 0 {
+			return c.readCount, c.readErr
 		}
 	}
 }
 
-// readTimedOut answers a request whose head did not come to its end. Of a body its reader learns.
+// readTimedOut responds to a request whose head was not complete in time. For a body, Read returns the
+// error to its reader.
 func (c *Conn) readTimedOut() {
 	c.mu.Lock()
-	overdue := c.overdue
+	overdue := c.requestExpired
 	c.mu.Unlock()
 	text, reason := requestTimeout, ClosedSlowRequest
 	if overdue {
-		text, reason = noRoom, ClosedLate
+		text, reason = serviceUnavailable, ClosedLate
 	}
-	if c.answerPartial(text, reason) {
-		_ = c.Close() // net/http would answer some of these too
+	if c.respondToPartial(text, reason) {
+		_ = c.Close() // net/http would respond to some of these as well
 	}
 }
 
-// readError names a read that was ended because its request is refused.
+// readError returns ErrLate for a read that was ended because its request is rejected.
 func (c *Conn) readError(err error) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.overdue {
+	if c.requestExpired {
 		return ErrLate
 	}
 	return err
 }
 
-// readStep takes what has come. What is read belongs to a request in hand from the same
-// moment on: a connection is shut before its bytes are read, or not at all.
-func (c *Conn) readStep(fd uintptr) bool {
+// readAvailable reads what has arrived. Bytes count as part of a request in flight from the moment
+// they are read: a connection is closed for reading before that, or not at all.
+func (c *Conn) readAvailable(fd uintptr) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.shut {
-		c.read, c.err = 0, &net.OpError{Op: "read", Net: "tcp", Addr: c.RemoteAddr(), Err: net.ErrClosed}
+	if c.readClosed {
+		c.readCount, c.readErr = 0, &net.OpError{Op: "read", Net: "tcp", Addr: c.RemoteAddr(), Err: net.ErrClosed}
 		return true
 	}
-	if c.overdue { // nor is one that has been refused read on: it would be taken after all
-		c.read, c.err = 0, &net.OpError{Op: "read", Net: "tcp", Addr: c.RemoteAddr(), Err: ErrLate}
+	if c.requestExpired { // reading on would accept a request that has been rejected
+		c.readCount, c.readErr = 0, &net.OpError{Op: "read", Net: "tcp", Addr: c.RemoteAddr(), Err: ErrLate}
 		return true
 	}
-	if c.lastInHand() && hasUnread(fd) {
-		c.leftOver = true
-		c.watch()
+	if c.lastRequestInFlight() && socketHasUnread(fd) {
+		c.unreadAtShutdown = true
+		c.pollIfAhead()
 		return false
 	}
-	n, err := faultinject.Read(int(fd), c.into)
+	n, err := faultinject.Read(int(fd), c.readBuffer)
 	for errors.Is(err, syscall.EINTR) {
-		n, err = faultinject.Read(int(fd), c.into)
+		n, err = faultinject.Read(int(fd), c.readBuffer)
 	}
 	switch {
 	case errors.Is(err, syscall.EAGAIN):
 		return false
 	case err != nil:
 		err = &net.OpError{Op: "read", Net: "tcp", Addr: c.RemoteAddr(), Err: os.NewSyscallError("read", err)}
-	case n == 0 && len(c.into) > 0:
+	case n == 0 && len(c.readBuffer) > 0:
 		err = io.EOF
 	}
-	c.take(max(n, 0), err)
+	c.trackFrames(max(n, 0), err)
 	return true
 }
 
-// lastInHand tells whether the connection ends with the answer to the request in hand. net/http
-// reads the first byte of a next request while one is in hand: that byte would count as a request
-// on its way and keep the connection open beyond the shutdown. The lock is held.
-func (c *Conn) lastInHand() bool {
-	return !c.from.service.Load().Reusable && c.frame.complete > c.answered && c.frame.between()
+// lastRequestInFlight reports whether the connection ends with the response to the request in flight.
+// net/http reads the first byte of the next request while one is in flight: that byte would count as
+// the beginning of a request and keep the connection open beyond the shutdown. The lock is held.
+func (c *Conn) lastRequestInFlight() bool {
+	return !c.listener.service.Load().Reusable && c.frame.complete > c.answered && c.frame.betweenRequests()
 }
 
-// take follows the frames of what has been read. The lock is held.
-func (c *Conn) take(n int, err error) {
-	c.heard = c.heard || n > 0
-	good, ferr := c.frame.advance(c.into[:n])
-	if c.read, c.err = n, err; ferr != nil {
+// trackFrames follows the framing of what has been read. The lock is held.
+func (c *Conn) trackFrames(n int, err error) {
+	c.received = c.received || n > 0
+	good, ferr := c.frame.advance(c.readBuffer[:n])
+	if c.readCount, c.readErr = n, err; ferr != nil {
 		c.malformed, c.replacement = true, []byte("\x00\r\n\r\n")
-		c.read, c.err = good, nil
+		c.readCount, c.readErr = good, nil
 	}
-	c.watch()
-	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) { // ETIMEDOUT is no deadline of ours
-		c.gone = true
+	c.pollIfAhead()
+	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) { // ETIMEDOUT is not a deadline of ours
+		c.peerClosed = true
 	}
 }
 
-// shutIfIdle shuts a connection on which no request is in hand or on its way, and tells
+// shutIfIdle closes a connection for reading if no request is in flight or arriving, and reports
 // whether it did.
 func (c *Conn) shutIfIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.shut || c.closing { // a lingering one gives way to others
+	if c.readClosed || c.closing { // a lingering connection may be evicted
 		return true
 	}
-	if c.frame.complete > c.answered || !c.frame.between() || c.malformed || unread(c.Conn) {
+	if c.frame.complete > c.answered || !c.frame.betweenRequests() || c.malformed || hasUnreadBytes(c.Conn) {
 		return false
 	}
-	c.shut = true
+	c.readClosed = true
 	return true
 }
 
-// CloseWrite ends the sending alone, so that a client that still sends gets to
-// read its error; net/http looks for it.
+// CloseWrite closes the sending side alone, so that a client that is still sending can read its
+// error. net/http checks for this method.
 func (c *Conn) CloseWrite() error {
 	c.mu.Lock()
-	c.shut, c.half = true, true
+	c.readClosed, c.writeClosed = true, true
 	c.mu.Unlock()
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
@@ -251,43 +252,43 @@
 	return nil
 }
 
-// Close ends the connection. Where its client may still send, only the sending ends at
-// first: to close over bytes that nobody has read resets a connection, and its client may
-// lose an answer that has come but is not read yet.
+// Close closes the connection. If its client may still be sending, only the sending side is closed at
+// first: closing with unread bytes resets the connection, and its client may lose a response that it
+// has not read yet.
 func (c *Conn) Close() error {
 	c.mu.Lock()
-	linger := !c.half && !c.gone && c.heard
+	linger := !c.writeClosed && !c.peerClosed && c.received
 	again := c.closing
-	c.shut, c.closing = true, true
+	c.readClosed, c.closing = true, true
 	c.mu.Unlock()
 	if again {
 		return nil
 	}
 	half, can := c.Conn.(interface{ CloseWrite() error })
 	if !linger || !can || half.CloseWrite() != nil {
-		return c.end()
+		return c.closeNow()
 	}
-	_ = c.SetReadDeadline(time.Now()) // whoever reads learns of it now
-	time.AfterFunc(lingerFor, func() { _ = c.end() })
+	_ = c.SetReadDeadline(time.Now()) // wakes the reader
+	time.AfterFunc(lingerTime, func() { _ = c.closeNow() })
 	return nil
 }
 
-// end closes the connection and makes room for another.
-func (c *Conn) end() error {
-	c.from.remove(c)
+// closeNow closes the connection and frees its slot.
+func (c *Conn) closeNow() error {
+	c.listener.remove(c)
 	c.mu.Lock()
-	stop := c.stop
+	stop := c.cancelRequests
 	c.mu.Unlock()
 	if stop != nil {
 		stop()
 	}
-	c.record()
+	c.recordClose()
 	return c.Conn.Close()
 }
 
-// unread tells whether bytes have come that nobody has read. It goes by Control,
-// as the server's own read, which waits, holds the lock that Read would want.
-func unread(nc net.Conn) bool {
+// hasUnreadBytes reports whether bytes have arrived that have not been read. It uses Control, as the
+// server's own blocking read holds the lock that Read would need.
+func hasUnreadBytes(nc net.Conn) bool {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
 		return false
@@ -297,14 +298,14 @@
 		return false
 	}
 	some := false
-	err = raw.Control(func(fd uintptr) { some = hasUnread(fd) })
+	err = raw.Control(func(fd uintptr) { some = socketHasUnread(fd) })
 	return err == nil && some
 }
 
-// hasUnread tells whether a socket holds bytes that nobody has read. Where the system can't tell
-// for a moment, such as for want of memory, they are taken to be there: to close over them would
-// reset the connection under a request.
-func hasUnread(fd uintptr) bool {
+// socketHasUnread reports whether a socket holds unread bytes. If the system can't say, for example for
+// lack of memory, they are assumed to exist: closing with unread bytes would reset the connection
+// under a request.
+func socketHasUnread(fd uintptr) bool {
 	var b [1]byte
 	for {
 		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
--- a/internal/clientconn/framing_fuzz_test.go
+++ b/internal/clientconn/framing_fuzz_test.go
@@ -23,7 +23,7 @@
 				t.Fatalf("%d of %d good", n, len(p))
 			}
 		}
-		if (err == nil) != (cutErr == nil) || whole.complete != cut.complete || whole.between() != cut.between() {
+		if (err == nil) != (cutErr == nil) || whole.complete != cut.complete || whole.betweenRequests() != cut.betweenRequests() {
 			t.Errorf("whole: %d complete, %v; by %d: %d, %v", whole.complete, err, int(step)+1, cut.complete, cutErr)
 		}
 	})
--- a/internal/clientconn/left.go
+++ b/internal/clientconn/left.go
@@ -8,15 +8,15 @@
 	"unsafe"
 )
 
-// lookEvery is how often a client that has sent ahead is looked at while its request is in
-// hand: a request that nobody waits for must not be sent on 100 ms later.
-const lookEvery = 40 * time.Millisecond
+// pollInterval is how often the connection of a client that has sent ahead is checked while its request
+// is in flight: no attempt may begin 100 ms after the client has disconnected.
+const pollInterval = 40 * time.Millisecond
 
 type connKey struct{}
 
-// ConnContext is net/http's: the context of a connection's requests ends once its client is
-// known to have gone. net/http itself reads on only to the first byte of a next request, so
-// that it never sees the end of a client that has sent more.
+// ConnContext is an http.Server.ConnContext: the context of a connection's requests ends once its
+// client is known to have disconnected. net/http itself reads no further than the first byte of the
+// next request, so that it never sees the disconnect of a client that has sent more.
 func (l *Listener) ConnContext(ctx context.Context, nc net.Conn) context.Context {
 	c, ok := nc.(*Conn)
 	if !ok {
@@ -24,20 +24,20 @@
 	}
 	ctx, stop := context.WithCancel(ctx)
 	c.mu.Lock()
-	c.stop = stop
+	c.cancelRequests = stop
 	c.mu.Unlock()
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// left tells whether the client of a request has gone, by its connection as it is now: a
-// request may have waited to be read for longer than its client waited for an answer.
-func left(ctx context.Context) bool {
+// clientGone reports whether the client of a request has disconnected: a request may have waited to be
+// read for longer than its client waited for a response.
+func clientGone(ctx context.Context) bool {
 	c, ok := ctx.Value(connKey{}).(*Conn)
-	return ok && c.hungUp()
+	return ok && c.peerHungUp()
 }
 
-// NothingAhead tells whether the request in hand, whole, is all that has been read. Only then may its
-// answer say that the connection ends with it: net/http would close over what it has read.
+// NothingAhead reports whether nothing has been read beyond the complete request in flight. Only then
+// may its response announce the connection's end: net/http would discard what it has read.
 func NothingAhead(ctx context.Context) bool {
 	c, ok := ctx.Value(connKey{}).(*Conn)
 	if !ok {
@@ -45,50 +45,50 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.frame.complete <= c.answered+1 && c.frame.between()
+	return c.frame.complete <= c.answered+1 && c.frame.betweenRequests()
 }
 
-// watch has the client looked at where it has sent more than the request in hand. The lock
-// is held.
-func (c *Conn) watch() {
+// pollIfAhead has the connection polled if the client has sent more than the request in flight. The
+// lock is held.
+func (c *Conn) pollIfAhead() {
 	inHand := c.frame.complete > c.answered
-	ahead := c.frame.complete > c.answered+1 || inHand && (c.leftOver || !c.frame.between())
-	if ahead && !c.watched && !c.closing {
-		c.watched = true
-		time.AfterFunc(lookEvery, c.look)
+	ahead := c.frame.complete > c.answered+1 || inHand && (c.unreadAtShutdown || !c.frame.betweenRequests())
+	if ahead && !c.polling && !c.closing {
+		c.polling = true
+		time.AfterFunc(pollInterval, c.pollPeer)
 	}
 }
 
-func (c *Conn) look() {
-	gone := c.hungUp()
+func (c *Conn) pollPeer() {
+	gone := c.peerHungUp()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.watched = false; gone {
-		c.gone = true
-		if c.stop != nil {
-			c.stop()
+	if c.polling = false; gone {
+		c.peerClosed = true
+		if c.cancelRequests != nil {
+			c.cancelRequests()
 		}
 		return
 	}
-	c.watch()
+	c.pollIfAhead()
 }
 
-// pollFd is the system's: what is asked of a descriptor, and what it said.
+// pollFd is struct pollfd of ppoll(2).
 type pollFd struct {
-	fd             int32
-	events, answer int16
+	fd              int32
+	events, revents int16
 }
 
-// The system's names for what poll tells; syscall has none for them.
+// Event bits of poll(2), which package syscall does not define.
 const (
 	pollErr   = 0x8
 	pollHup   = 0x10
 	pollRdHup = 0x2000
 )
 
-// hungUp tells whether the client has ended its sending or the connection is broken,
-// whatever has come before that and is not read.
-func (c *Conn) hungUp() bool {
+// peerHungUp reports whether the client has closed its side or the connection is broken, regardless of
+// unread bytes before that.
+func (c *Conn) peerHungUp() bool {
 	if c.raw == nil {
 		return false
 	}
@@ -100,7 +100,7 @@
 		for no == syscall.EINTR {
 			n, _, no = syscall.Syscall6(syscall.SYS_PPOLL, uintptr(unsafe.Pointer(&at)), 1, uintptr(unsafe.Pointer(&now)), 0, 0, 0)
 		}
-		is = no == 0 && n > 0 && at.answer&(pollRdHup|pollHup|pollErr) != 0
+		is = no == 0 && n > 0 && at.revents&(pollRdHup|pollHup|pollErr) != 0
 	})
 	return err != nil || is
 }
--- a/internal/clientconn/listener.go
+++ b/internal/clientconn/listener.go
@@ -11,43 +11,42 @@
 	"wellgw/decide/lifecycle"
 )
 
-// Who gives way when all connections are taken.
+// Limits for eviction and rejection when all connections are in use.
 const (
-	silentGrace = 300 * time.Millisecond // a new connection has this long to bring its request
-	idleGrace   = 2 * time.Second        // and one that has had an answer, to bring the next
-	evictTries  = 8                      // connections looked at to make room for one
-	lingerFor   = 250 * time.Millisecond // from the end of the sending to the close: a client's answer has arrived
-	rejectMost  = 16                     // newcomers rejected at once: they are beyond the limit
-	rejectWait  = 50 * time.Millisecond  // for the request of a newcomer that is rejected
+	newConnectionGrace = 300 * time.Millisecond // from accept to the first request before a connection may be evicted first
+	idleGrace          = 2 * time.Second        // from a response to the next request, likewise
+	maxEvictAttempts   = 8                      // connections checked to free one slot
+	lingerTime         = 250 * time.Millisecond // from closing the sending side to the close: by then the client has its response
+	maxRejecting       = 16                     // connections that are being rejected at once, beyond the limit
+	rejectReadTimeout  = 50 * time.Millisecond  // for the request on a connection that is rejected
 )
 
-// Listener accepts clients' connections, so many at once. When all are taken it
-// makes room rather than let newcomers wait: clients that have asked nothing, or
-// ask nothing more, would otherwise shut out those that do. A connection with a
-// whole request in hand is never closed.
+// Listener accepts a limited number of client connections. When all are in use it evicts one rather
+// than let new ones wait: idle clients would otherwise starve active ones. A connection with a
+// complete request in flight is never evicted.
 type Listener struct {
 	net.Listener
-	limit     int
-	service   atomic.Pointer[lifecycle.Service]
-	mu        sync.Mutex
-	open      map[*Conn]bool
-	emptied   []chan struct{} // closed once no connection is open
-	alarm     *time.Timer     // of the next sweep; nil before the first
-	alarmAt   time.Time
-	rejecting chan struct{} // bounds the newcomers that are being rejected
-	records   records
+	limit        int
+	service      atomic.Pointer[lifecycle.Service]
+	mu           sync.Mutex
+	open         map[*Conn]bool
+	emptyWaiters []chan struct{} // closed once no connection is open
+	sweepTimer   *time.Timer     // of the next sweep; nil before the first
+	sweepDue     time.Time
+	rejecting    chan struct{} // semaphore of connections that are being rejected
+	records      closeRecords
 }
 
-// NewListener returns a listener over l that holds limit connections at most.
+// NewListener returns a listener over l with at most limit open connections.
 func NewListener(l net.Listener, limit int) *Listener {
-	out := &Listener{Listener: l, limit: limit, open: map[*Conn]bool{}, rejecting: make(chan struct{}, rejectMost)}
+	out := &Listener{Listener: l, limit: limit, open: map[*Conn]bool{}, rejecting: make(chan struct{}, maxRejecting)}
 	full := lifecycle.FullService()
 	out.service.Store(&full)
 	return out
 }
 
-// Accept returns the next connection there is room for. A newcomer that comes
-// while every other has a request in hand is rejected.
+// Accept returns the next connection for which there is a slot. A connection that arrives while all
+// others have a request in flight is rejected.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		nc, err := l.Listener.Accept()
@@ -71,15 +70,16 @@
 	}
 }
 
-// MakeRoom closes the connection that is missed least, where one may be closed.
+// MakeRoom evicts a connection, if one may be evicted.
 func (l *Listener) MakeRoom() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.evict()
 }
 
-// reject closes a newcomer for whom there is no room. One whose request comes is answered
-// first. Where too many are being answered it is closed unread: its client sends once more.
+// reject closes a connection for which there is no slot. If its request arrives in time, it is answered
+// first. If too many are being answered, it is closed unread, and its client has to retry. The
+// goroutine ends within rejectReadTimeout, responseWriteTimeout and lingerTime.
 func (l *Listener) reject(nc net.Conn) {
 	l.records.add(ClosedNoRoom)
 	select {
@@ -91,71 +91,73 @@
 	go func() {
 		defer func() { <-l.rejecting }()
 		defer nc.Close()
-		_ = nc.SetReadDeadline(time.Now().Add(rejectWait))
+		_ = nc.SetReadDeadline(time.Now().Add(rejectReadTimeout))
 		if n, _ := nc.Read(make([]byte, 1)); n == 0 {
 			return
 		}
-		_ = nc.SetWriteDeadline(time.Now().Add(answerWithin))
-		if _, err := io.WriteString(nc, noRoom); err != nil {
+		_ = nc.SetWriteDeadline(time.Now().Add(responseWriteTimeout))
+		if _, err := io.WriteString(nc, serviceUnavailable); err != nil {
 			return
 		}
 		if half, ok := nc.(interface{ CloseWrite() error }); ok && half.CloseWrite() == nil {
-			time.Sleep(lingerFor)
+			time.Sleep(lingerTime)
 		}
 	}()
 }
 
-// State is net/http's ConnState: it tells when a request has had its answer.
+// State is an http.Server.ConnState: it shows when a request has had its response.
 func (l *Listener) State(nc net.Conn, s http.ConnState) {
 	c, ok := nc.(*Conn)
 	if !ok || s != http.StateIdle {
 		return
 	}
 	reusable := l.service.Load().Reusable
-	switch over := c.answeredOne(reusable); {
-	case over: // what has come meanwhile is not read: its client sends it elsewhere
+	switch over := c.requestAnswered(reusable); {
+	case over: // what has arrived meanwhile is not read: its client sends it elsewhere
 		_ = c.Close()
-	case !reusable: // half a request has been read with the one before it
+	case !reusable: // part of the next request was read with this one
 		l.scheduleSweep(time.Now())
 	}
 }
 
-// evict closes the connection that is missed least. The lock is held. Only the one
-// chosen is looked at on its socket: to look at all takes a call each, which under a
-// flood of newcomers cost over a third of the gateway's time.
+// evict closes the connection with the lowest eviction rank that has been idle longest. The lock is
+// held. Only the chosen one's socket is checked: checking all takes a system call each, which under a
+// flood of connections cost over a third of the gateway's CPU time.
 func (l *Listener) evict() bool {
 	now := time.Now()
 	spared := map[*Conn]bool{}
-	for range evictTries {
+	for range maxEvictAttempts {
 		var last *Conn
-		var worst wait
+		var worst idleness
 		for c := range l.open {
-			if w, may := c.waits(now); may && !spared[c] && (last == nil || w.before(worst)) {
+			if w, may := c.idleness(now); may && !spared[c] && (last == nil || w.before(worst)) {
 				last, worst = c, w
 			}
 		}
 		if last == nil {
 			return false
 		}
-		if worst.between && !last.shutIfIdle() { // its request has come and will be read
+		if worst.betweenRequests && !last.shutIfIdle() { // its request has arrived and will be read
 			spared[last] = true
 			continue
 		}
 		l.forget(last)
-		last.answerPartial(noRoom, ClosedForRoom)
-		last.record()
+		last.respondToPartial(serviceUnavailable, ClosedForRoom)
+		last.recordClose()
 		last.Conn.Close()
 		return true
 	}
 	return false
 }
 
-// wait is how long a connection has brought nothing whole, and how far beyond
-// what it may.
-type wait struct {
-	rank    int
-	age     time.Duration
-	between bool // no byte of a next request has been read
+// idleness is how long a connection has been without a complete request, and how soon it may be
+// evicted.
+type idleness struct {
+	evictionRank    int
+	age             time.Duration
+	betweenRequests bool // no byte of the next request has been read
 }
 
-func (w wait) before(o wait) bool { return w.rank < o.rank || w.rank == o.rank && w.age > o.age }
+func (w idleness) before(o idleness) bool {
+	return w.evictionRank < o.evictionRank || w.evictionRank == o.evictionRank && w.age > o.age
+}
--- a/internal/clientconn/listener_test.go
+++ b/internal/clientconn/listener_test.go
@@ -112,7 +112,7 @@
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		for c := range l.open {
-			if w, waits := c.waits(time.Now()); waits && !w.between {
+			if w, waits := c.idleness(time.Now()); waits && !w.betweenRequests {
 				return true
 			}
 		}
@@ -157,7 +157,7 @@
 		return c.(*Conn)
 	}
 	asks := accept("GET / HTTP/1.1\r\n\r\n") // the oldest
-	enginetest.Eventually(t, "its request is there", func() bool { return unread(asks.Conn) })
+	enginetest.Eventually(t, "its request is there", func() bool { return hasUnreadBytes(asks.Conn) })
 	silent, late := accept(""), accept("")
 	next := accept("")
 	for c, kept := range map[*Conn]bool{asks: true, silent: false, late: true, next: true} {
@@ -191,7 +191,7 @@
 
 	_, c, client := moment(t)
 	io.WriteString(client, ask)
-	enginetest.Eventually(t, "the request is there", func() bool { return unread(c.Conn) })
+	enginetest.Eventually(t, "the request is there", func() bool { return hasUnreadBytes(c.Conn) })
 	if c.shutIfIdle() {
 		t.Error("shut over a request that nobody has read")
 	}
@@ -258,7 +258,7 @@
 		part := false
 		for c := range l.open {
 			c.mu.Lock()
-			part = part || !c.frame.between()
+			part = part || !c.frame.betweenRequests()
 			c.mu.Unlock()
 		}
 		return part && len(l.open) == 4
@@ -338,9 +338,9 @@
 // arrived tells whether bytes of a next request have come, read or not.
 func arrived(c *Conn) bool {
 	c.mu.Lock()
-	begun := !c.frame.between()
+	begun := !c.frame.betweenRequests()
 	c.mu.Unlock()
-	return begun || unread(c.Conn)
+	return begun || hasUnreadBytes(c.Conn)
 }
 
 // A next request that comes during the shutdown, while the connection's last answer is yet to
@@ -391,7 +391,7 @@
 	}
 	io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok")
 	io.WriteString(client, "GET /next HTTP/1.1\r\n")
-	enginetest.Eventually(t, "the next request is there", func() bool { return unread(c.Conn) })
+	enginetest.Eventually(t, "the next request is there", func() bool { return hasUnreadBytes(c.Conn) })
 	c.Close()
 	in := bufio.NewReader(client)
 	if a := next(in); a != "ok" {
@@ -401,9 +401,9 @@
 		t.Errorf("then %v, not the end of the sending", err)
 	}
 	enginetest.Eventually(t, "then it is closed", func() bool {
-		c.from.mu.Lock()
-		defer c.from.mu.Unlock()
-		return len(c.from.open) == 0
+		c.listener.mu.Lock()
+		defer c.listener.mu.Unlock()
+		return len(c.listener.open) == 0
 	})
 }
 
@@ -414,7 +414,7 @@
 	var l *Listener
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		c := r.Context().Value(connKey{}).(*Conn)
-		enginetest.Eventually(t, "the client's end arrives", c.hungUp)
+		enginetest.Eventually(t, "the client's end arrives", c.peerHungUp)
 		_, _, err := NewBudget(1<<20).Read(w, r)
 		read <- err
 	}))
--- a/internal/clientconn/record.go
+++ b/internal/clientconn/record.go
@@ -9,32 +9,32 @@
 	"unsafe"
 )
 
-// CloseReason says why a client's connection was closed. It is a value of the log and of counts.
+// CloseReason is why a client's connection was closed. Its values appear in logs and counts.
 type CloseReason string
 
-// The reasons.
+// The reasons for closing a connection.
 const (
-	ClosedByClient    CloseReason = "client left"     // it ended its sending, or the connection broke
-	ClosedIdle        CloseReason = "idle"            // it rested while connections were to end
-	ClosedUnused      CloseReason = "unused"          // it brought no request while connections were to end
-	ClosedAnswered    CloseReason = "last answer"     // its answer was its last, as connections were to end
-	ClosedLate        CloseReason = "late request"    // its request was not whole when none was taken any more
-	ClosedForRoom     CloseReason = "evicted"         // another connection needed the room
-	ClosedNoRoom      CloseReason = "no room"         // it came when there was none
-	ClosedMalformed   CloseReason = "malformed"       // its request could not be read
-	ClosedSlowRequest CloseReason = "request timeout" // its request did not come to its end
-	ClosedCut         CloseReason = "cut"             // the time of its answer was over
+	ClosedByClient    CloseReason = "client left"     // the client closed its side, or the connection broke
+	ClosedIdle        CloseReason = "idle"            // idle during a drain or shutdown
+	ClosedUnused      CloseReason = "unused"          // no request arrived on it during a drain or shutdown
+	ClosedAnswered    CloseReason = "last answer"     // its response was its last, during a drain or shutdown
+	ClosedLate        CloseReason = "late request"    // its request was not complete when requests were no longer accepted
+	ClosedForRoom     CloseReason = "evicted"         // another connection needed its slot
+	ClosedNoRoom      CloseReason = "no room"         // it arrived when all slots were in use
+	ClosedMalformed   CloseReason = "malformed"       // its request could not be parsed
+	ClosedSlowRequest CloseReason = "request timeout" // its request was not complete in time
+	ClosedCut         CloseReason = "cut"             // its response exceeded its time limit
 	ClosedByServer    CloseReason = "server"          // by net/http: an aborted answer, or "Connection: close"
 )
 
-// records counts the closes by reason and writes each to the log at level debug.
-type records struct {
+// closeRecords counts closes by reason and logs each at level debug.
+type closeRecords struct {
 	mu     sync.Mutex
 	counts map[string]int
 	log    *slog.Logger
 }
 
-// Log has each connection's close written to log, at level debug.
+// Log sets the logger for closes, which are logged at level debug.
 func (l *Listener) Log(log *slog.Logger) {
 	l.records.mu.Lock()
 	defer l.records.mu.Unlock()
@@ -52,7 +52,7 @@
 	return counts
 }
 
-func (r *records) add(reason CloseReason) *slog.Logger {
+func (r *closeRecords) add(reason CloseReason) *slog.Logger {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.counts == nil {
@@ -62,16 +62,16 @@
 	return r.log
 }
 
-// because notes why the connection is about to be closed; the first reason stands. The lock is held.
-func (c *Conn) because(reason CloseReason) {
+// setReason records why the connection is about to be closed; the first reason wins. The lock is held.
+func (c *Conn) setReason(reason CloseReason) {
 	if c.reason == "" {
 		c.reason = reason
 	}
 }
 
-// record counts the close of a connection and writes it to the log. It is called before the
-// descriptor is closed, once.
-func (c *Conn) record() {
+// recordClose counts and logs the close of a connection, once. It is called before the descriptor is
+// closed.
+func (c *Conn) recordClose() {
 	c.mu.Lock()
 	if c.recorded {
 		c.mu.Unlock()
@@ -79,15 +79,15 @@
 	}
 	c.recorded = true
 	if c.malformed {
-		c.because(ClosedMalformed)
+		c.setReason(ClosedMalformed)
 	}
-	if c.gone {
-		c.because(ClosedByClient)
+	if c.peerClosed {
+		c.setReason(ClosedByClient)
 	}
-	c.because(ClosedByServer)
+	c.setReason(ClosedByServer)
 	reason, age, answered, inHand := c.reason, time.Since(c.opened), c.answered, c.frame.complete > c.answered
 	c.mu.Unlock()
-	log := c.from.records.add(reason)
+	log := c.listener.records.add(reason)
 	if log == nil || !log.Enabled(context.Background(), slog.LevelDebug) {
 		return
 	}
@@ -95,7 +95,7 @@
 		"answered", answered, "in hand", inHand, "unread", c.unreadBytes())
 }
 
-// unreadBytes returns how many bytes have come that nobody has read.
+// unreadBytes returns the number of bytes that have arrived and have not been read.
 func (c *Conn) unreadBytes() int {
 	if c.raw == nil {
 		return 0
--- a/internal/clientconn/service.go
+++ b/internal/clientconn/service.go
@@ -14,8 +14,8 @@
 	l.sweep()
 }
 
-// Empty returns a channel that is closed once no connection is open. Connections that are closed
-// linger for a moment, so that the last answers arrive.
+// Empty returns a channel that is closed once no connection is open. Closed connections linger for
+// lingerTime, so that the last responses arrive.
 func (l *Listener) Empty() <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -24,11 +24,11 @@
 		close(ch)
 		return ch
 	}
-	l.emptied = append(l.emptied, ch)
+	l.emptyWaiters = append(l.emptyWaiters, ch)
 	return ch
 }
 
-// Wait waits until no connection is open; an error says that ctx ended before.
+// Wait waits until no connection is open; it returns ctx's error if ctx ends before.
 func (l *Listener) Wait(ctx context.Context) error {
 	select {
 	case <-l.Empty():
@@ -44,20 +44,20 @@
 	l.forget(c)
 }
 
-// forget takes a connection off the table. The lock is held.
+// forget removes a connection from the table. The lock is held.
 func (l *Listener) forget(c *Conn) {
 	delete(l.open, c)
 	if len(l.open) > 0 {
 		return
 	}
-	for _, ch := range l.emptied {
+	for _, ch := range l.emptyWaiters {
 		close(ch)
 	}
-	l.emptied = nil
+	l.emptyWaiters = nil
 }
 
-// sweep applies the service to every open connection, and sees to it that this is done again
-// when one of them is due.
+// sweep applies the service to every open connection, and schedules the next sweep for when one of
+// them is due.
 func (l *Listener) sweep() {
 	service, now := *l.service.Load(), time.Now()
 	l.mu.Lock()
@@ -73,72 +73,72 @@
 	}
 }
 
-// scheduleSweep has the next sweep come at a time or before.
+// scheduleSweep has the next sweep run at the given time or before.
 func (l *Listener) scheduleSweep(at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	if l.alarmAt.After(now) && !at.Before(l.alarmAt) {
+	if l.sweepDue.After(now) && !at.Before(l.sweepDue) {
 		return
 	}
-	if l.alarm != nil {
-		l.alarm.Stop()
+	if l.sweepTimer != nil {
+		l.sweepTimer.Stop()
 	}
-	l.alarmAt = at
-	l.alarm = time.AfterFunc(at.Sub(now), l.sweep)
+	l.sweepDue = at
+	l.sweepTimer = time.AfterFunc(at.Sub(now), l.sweep)
 }
 
 // apply does to the connection what the service says, and returns when it is due again.
 func (c *Conn) apply(s lifecycle.Service, now time.Time) (next time.Time) {
-	verdict, next := c.judge(s, now)
+	verdict, next := c.decide(s, now)
 	switch verdict {
 	case lifecycle.Shut:
 		_ = c.Close()
 	case lifecycle.Refuse:
-		c.refuse()
+		c.rejectRequest()
 	case lifecycle.Cut:
-		_ = c.end()
+		_ = c.closeNow()
 	}
 	return next
 }
 
-// judge asks the service and notes the verdict in one step, so that nothing is read in between.
-func (c *Conn) judge(s lifecycle.Service, now time.Time) (lifecycle.Verdict, time.Time) {
+// decide asks the service and notes the verdict in one step, so that nothing is read in between.
+func (c *Conn) decide(s lifecycle.Service, now time.Time) (lifecycle.Verdict, time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closing || c.half || c.malformed || c.overdue {
-		return lifecycle.Keep, time.Time{} // it ends by itself, soon
+	if c.closing || c.writeClosed || c.malformed || c.requestExpired {
+		return lifecycle.Keep, time.Time{} // it is about to end by itself
 	}
 	state := lifecycle.Connection{
-		Opened: c.opened, Answered: c.answered > 0, InHand: c.frame.complete > c.answered, Begun: !c.frame.between(),
+		Opened: c.opened, Answered: c.answered > 0, InHand: c.frame.complete > c.answered, Begun: !c.frame.betweenRequests(),
 	}
 	verdict, next := s.Connection(now, state)
 	if verdict == lifecycle.Shut {
-		state.Arriving = unread(c.Conn)
+		state.Arriving = hasUnreadBytes(c.Conn)
 		verdict, next = s.Connection(now, state)
 	}
 	switch verdict {
 	case lifecycle.Shut:
-		c.shut = true
+		c.readClosed = true
 		if c.answered == 0 {
-			c.because(ClosedUnused)
+			c.setReason(ClosedUnused)
 		} else {
-			c.because(ClosedIdle)
+			c.setReason(ClosedIdle)
 		}
 	case lifecycle.Refuse:
-		c.because(ClosedLate)
-		c.overdue = true
+		c.setReason(ClosedLate)
+		c.requestExpired = true
 	case lifecycle.Cut:
-		c.because(ClosedCut)
-		c.shut = true
+		c.setReason(ClosedCut)
+		c.readClosed = true
 	}
 	return verdict, next
 }
 
-// refuse answers a request that did not come to its end in time. Of a body its reader learns, and
-// the front answers.
-func (c *Conn) refuse() {
-	if c.answerPartial(noRoom, ClosedLate) {
+// rejectRequest responds to a request that was not complete in time. For a body, Read returns the
+// error to its reader, and the front responds.
+func (c *Conn) rejectRequest() {
+	if c.respondToPartial(serviceUnavailable, ClosedLate) {
 		_ = c.Close()
 		return
 	}
--- a/internal/upstream/release.go
+++ b/internal/upstream/release.go
@@ -170,12 +170,12 @@
 // next one is sent while the one before is still in flight. They are repeated: the state was not
 // released if an attempt waited for it, and that attempt may have been cancelled since.
 func (r *release) notifyAlternates() {
-	told, underway := make(chan int, len(r.Alternates)), make([]atomic.Bool, len(r.Alternates))
+	answered, underway := make(chan int, len(r.Alternates)), make([]atomic.Bool, len(r.Alternates))
 	pause := r.AlternatesAfter
 	for n := 0; len(r.Alternates) > 0 && r.sleep(pause); n++ {
 		pause = alternateInterval
 		select {
-		case n = <-told: // the alternate that is reachable is notified again
+		case n = <-answered: // the alternate that is reachable is notified again
 			if !r.sleep(r.AlternatesInterval) {
 				return
 			}
@@ -184,21 +184,21 @@
 		if n %= len(r.Alternates); underway[n].CompareAndSwap(false, true) {
 			go func() {
 				defer underway[n].Store(false)
-				r.notifyAlternate(n, told)
+				r.notifyAlternate(n, answered)
 			}()
 		}
 	}
 }
 
 // notifyAlternate sends the release to one alternate, and reports its number if it has answered.
-func (r *release) notifyAlternate(n int, told chan<- int) {
+func (r *release) notifyAlternate(n int, answered chan<- int) {
 	m := r.Alternates[n]
 	call, given := r.engine.dialect(m.Kind).Release(r.ClientRequestID)
 	if !given || r.send(m.Addr, call) != nil {
 		return
 	}
 	select {
-	case told <- n:
+	case answered <- n:
 	default:
 	}
 }
