--- a/internal/openai/call.go
+++ b/internal/openai/call.go
@@ -94,7 +94,7 @@
 		terms.Most = c.ask.shape.maxOut
 	}
 	step := resume.Decide(terms, c.form.answer(), resume.Break{
-		Lost:     errors.Is(err, streambuffer.ErrGone) || errors.Is(err, streambuffer.ErrSlow) || c.r.Context().Err() != nil,
+		Lost:     errors.Is(err, streambuffer.ErrClientGone) || errors.Is(err, streambuffer.ErrSlowClient) || c.r.Context().Err() != nil,
 		Reported: errors.As(err, &told), Times: c.resumed, Since: time.Since(c.arrived),
 	})
 	c.counts.breaks[step].Add(1)
@@ -291,7 +291,7 @@
 
 // broke ends a call whose answer broke; it does not return unless by a status.
 func (c *call) broke(err error) {
-	if errors.Is(err, streambuffer.ErrSlow) {
+	if errors.Is(err, streambuffer.ErrSlowClient) {
 		c.counts.slow.Add(1)
 	}
 	if c.r.Context().Err() == nil && c.begun {
--- a/internal/openai/errors.go
+++ b/internal/openai/errors.go
@@ -134,7 +134,7 @@
 
 // broken words the error event that ends a stream.
 func broken(err error) apiError {
-	if errors.Is(err, streambuffer.ErrSlow) {
+	if errors.Is(err, streambuffer.ErrSlowClient) {
 		return apiError{kind: typeServer, code: codeSlow, text: "the client read too slowly; the request may have been carried out"}
 	}
 	var told reportedError
--- a/internal/openai/front.go
+++ b/internal/openai/front.go
@@ -52,7 +52,7 @@
 	bodies  *clientconn.Budget
 	keys    *idempotency.Keeper
 	others  func() bool
-	bounds  *streambuffer.Bounds
+	bounds  *streambuffer.Limits
 	book    atomic.Pointer[book]
 	started time.Time
 	service atomic.Pointer[lifecycle.Service]
@@ -74,7 +74,7 @@
 func NewFront(o Options) *Front {
 	f := &Front{
 		core: o.Core, bodies: o.Bodies, keys: o.Keys, others: o.Others, started: time.Now(),
-		bounds: streambuffer.NewBounds(stallLimit, heldEach, o.Held), keepMost: o.Held,
+		bounds: streambuffer.NewLimits(stallLimit, heldEach, o.Held), keepMost: o.Held,
 	}
 	f.SetService(lifecycle.FullService())
 	f.Reload(o.File)
--- a/internal/platform/dialect.go
+++ b/internal/platform/dialect.go
@@ -16,10 +16,10 @@
 	"wellgw/routing"
 )
 
-// Dialect is how the platform's engines are spoken with.
+// Dialect is the API of the platform's engines.
 type Dialect struct{}
 
-// Attempt passes method, target, body, id and the client's own headers unchanged.
+// Attempt forwards method, target, body, id and the client's headers unchanged.
 func (Dialect) Attempt(a core.Attempt) upstream.Call {
 	own := [][2]string{
 		{"X-Request-Id", a.ClientRequestID},
@@ -31,10 +31,9 @@
 	}
 }
 
-// notPassed are the headers that end at a gateway: those of one connection, by the standard,
-// those that it words anew or that say how it is to be answered itself, and what a client
-// proves itself with.
-var notPassed = map[string]bool{
+// notForwarded are the headers that are not forwarded to engines: hop-by-hop headers, those that the
+// gateway sets itself or that concern its own response, and credentials.
+var notForwarded = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true, "Trailer": true,
 	"Transfer-Encoding": true, "Upgrade": true, "Expect": true, "Content-Length": true, "Host": true,
 	"Accept-Encoding": true, "Range": true,
@@ -42,10 +41,10 @@
 	"Authorization": true, "Proxy-Authorization": true, "Cookie": true,
 }
 
-// passed returns the headers that go on to an engine: engines of a guarded class tell
-// repeats by a key that the client has put there, and others may read more.
-func passed(h http.Header) [][2]string {
-	named := map[string]bool{} // by the client's Connection, as its connection's alone
+// forwardedHeaders returns the headers that are forwarded to an engine: engines of a deduplicated class
+// recognise duplicates by a key in them, and engines may read others.
+func forwardedHeaders(h http.Header) [][2]string {
+	named := map[string]bool{} // hop-by-hop headers, by the client's Connection header
 	for _, line := range h["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
 			named[http.CanonicalHeaderKey(strings.TrimSpace(name))] = true
@@ -53,7 +52,7 @@
 	}
 	all := make([][2]string, 0, len(h))
 	for name, values := range h {
-		if notPassed[name] || named[name] {
+		if notForwarded[name] || named[name] {
 			continue
 		}
 		for _, v := range values {
@@ -66,22 +65,22 @@
 	return all
 }
 
-// Judge maps statuses by the protocol's table. Only X-Not-Run proves that the
-// request was turned away: a bare 503 may have run.
+// Judge maps statuses by the protocol's table. Only X-Not-Run proves that the engine rejected the
+// request: after a bare 503 it may have run.
 func (Dialect) Judge(status int, h http.Header, body []byte) core.Result {
 	r := core.Result{Report: loadReport([]byte(h.Get("X-Load")))}
-	turnedAway := h.Get("X-Not-Run") == "1"
+	notRun := h.Get("X-Not-Run") == "1"
 	switch {
 	case status == http.StatusOK: // of a probe; an attempt's is a stream
 		r.Status, r.Report = routing.StatusServed, loadReport(body)
 	case status == http.StatusAccepted:
-		var kept struct {
+		var usage struct {
 			Tokens int `json:"cached_tokens"`
 		}
-		// Without a body that makes sense the prompt is read all the same.
-		_ = jsoniter.Unmarshal(body, &kept)
-		r.Status, r.CachedTokens = routing.StatusPrefilled, max(0, kept.Tokens)
-	case turnedAway:
+		// The prompt has been read even if the body is malformed.
+		_ = jsoniter.Unmarshal(body, &usage)
+		r.Status, r.CachedTokens = routing.StatusPrefilled, max(0, usage.Tokens)
+	case notRun:
 		r.Status, r.StateMissing = routing.StatusRejected, status == http.StatusGone
 	default:
 		r.Status = routing.StatusError
@@ -89,7 +88,7 @@
 	return r
 }
 
-// Tail reads the usage, and a load report if one came as a comment.
+// Tail reads the usage, and a load report if the engine sent one as a comment.
 func (Dialect) Tail(tail []byte, r *core.Result) {
 	r.CachedTokens, r.OutputTokens = upstream.Usage(tail)
 	for line := range bytes.Lines(tail) {
@@ -99,12 +98,12 @@
 	}
 }
 
-// Release names the room of a request.
+// Release deletes the bootstrap room of a request.
 func (Dialect) Release(id string) (upstream.Call, bool) {
 	return upstream.Call{Method: http.MethodDelete, Target: "/bootstrap/rooms/" + id}, true
 }
 
-// Probe asks for the load report.
+// Probe requests the load report.
 func (Dialect) Probe() (upstream.Call, bool) {
 	return upstream.Call{Method: http.MethodGet, Target: "/load"}, true
 }
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -17,23 +17,23 @@
 	"wellgw/routing"
 )
 
-// Bounds towards clients.
+// Limits towards clients.
 const (
-	maxSpan    = time.Hour       // of a deadline or hint; more is a mistake
-	maxTokens  = 1 << 30         // of any length in tokens
-	busyPause  = time.Second     // after which there may be memory for a body again
-	writeLimit = 5 * time.Second // a client that takes no byte for this long is given up
+	maxDuration    = time.Hour       // longest deadline or hint
+	maxTokens      = 1 << 30         // largest length in tokens
+	busyRetryAfter = time.Second     // after which there may be memory for a body again
+	writeTimeout   = 5 * time.Second // for a client that reads nothing
 )
 
-// Front answers the platform's clients.
+// Front serves the platform's clients.
 type Front struct {
 	core    *core.Core
 	bodies  *clientconn.Budget
-	classes atomic.Pointer[map[string]bool] // known classes; swapped whole on a retune
+	classes atomic.Pointer[map[string]bool] // known classes; replaced when settings change
 	service atomic.Pointer[lifecycle.Service]
 }
 
-// SetService goes by what clients get from now on.
+// SetService sets what clients get from now on.
 func (f *Front) SetService(s lifecycle.Service) { f.service.Store(&s) }
 
 // NewFront returns a front to a core that knows these classes.
@@ -80,13 +80,14 @@
 	}
 }
 
-// announceClose tells the client that its connection ends with this answer, if that is so.
+// announceClose sends Connection: close if the connection ends with this response.
 func (f *Front) announceClose(w http.ResponseWriter, r *http.Request) {
 	if !f.service.Load().Reusable && clientconn.NothingAhead(r.Context()) {
 		w.Header().Set("Connection", "close")
 	}
 }
 
+// chat serves a chat completion.
 func (f *Front) chat(w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
 	if r.Method != http.MethodPost {
@@ -102,47 +103,51 @@
 		return
 	}
 	q.Arrived = arrived
-	q.Payload = core.Payload{Method: r.Method, Target: r.URL.RequestURI(), Header: passed(r.Header)}
+	q.Payload = core.Payload{Method: r.Method, Target: r.URL.RequestURI(), Header: forwardedHeaders(r.Header)}
 	body, free, err := f.bodies.Read(w, r)
-	switch {
-	case errors.Is(err, clientconn.ErrTooBig):
-		clientconn.Reject(w, r)
-		http.Error(w, err.Error(), http.StatusRequestEntityTooLarge)
-		return
-	case errors.Is(err, clientconn.ErrBusy):
-		refuse(w, core.Answer{Verdict: core.Rejected, RetryAfter: busyPause})
-		return
-	case errors.Is(err, clientconn.ErrLate):
-		clientconn.Reject(w, r)
-		refuse(w, core.Answer{Verdict: core.Rejected})
-		return
-	case err != nil:
-		clientconn.Reject(w, r)
-		http.Error(w, err.Error(), http.StatusBadRequest)
+	if err != nil {
+		rejectBody(w, r, err)
 		return
 	}
 	defer free()
 	if !f.service.Load().TakesRequest(time.Now()) {
 		f.announceClose(w, r)
-		refuse(w, core.Answer{Verdict: core.Rejected})
+		writeAnswer(w, core.Answer{Verdict: core.Rejected})
 		return
 	}
 	q.Payload.Body = body
 	answer, ticket, here := core.SubmitAndWait(r.Context(), f.core, q)
 	if !here {
-		panic(http.ErrAbortHandler) // the client has gone: there is nobody to answer
+		panic(http.ErrAbortHandler) // the client has disconnected
 	}
-	f.announceClose(w, r) // the request may have waited since before the gateway began to leave
+	f.announceClose(w, r) // the state of the process may have changed while the request waited
 	if answer.Verdict == core.Streaming {
 		f.stream(r.Context(), w, answer.Stream, ticket)
 		return
 	}
-	refuse(w, answer)
+	writeAnswer(w, answer)
+}
+
+// rejectBody responds to a request whose body was not read, for the reason that err gives.
+func rejectBody(w http.ResponseWriter, r *http.Request, err error) {
+	if errors.Is(err, clientconn.ErrBusy) {
+		writeAnswer(w, core.Answer{Verdict: core.Rejected, RetryAfter: busyRetryAfter})
+		return
+	}
+	clientconn.Reject(w, r)
+	switch {
+	case errors.Is(err, clientconn.ErrTooBig):
+		http.Error(w, err.Error(), http.StatusRequestEntityTooLarge)
+	case errors.Is(err, clientconn.ErrLate):
+		writeAnswer(w, core.Answer{Verdict: core.Rejected})
+	default:
+		http.Error(w, err.Error(), http.StatusBadRequest)
+	}
 }
 
-// refuse words an answer that is no stream. Only 429 and 503 promise that trying
-// again is harmless, so that a failure must never be either.
-func refuse(w http.ResponseWriter, a core.Answer) {
+// writeAnswer writes a response that is not a stream. Only 429 and 503 promise that a retry is
+// harmless, so a failure must never be either.
+func writeAnswer(w http.ResponseWriter, a core.Answer) {
 	switch a.Verdict {
 	case core.Rejected:
 		if a.RetryAfter > 0 {
@@ -162,20 +167,19 @@
 	}
 }
 
-// retryAfter words advice in seconds, with decimals, never as zero.
+// retryAfter formats a Retry-After in seconds, with decimals, never as zero.
 func retryAfter(d time.Duration) string {
 	return strconv.FormatFloat(math.Ceil(d.Seconds()*1000)/1000, 'f', -1, 64)
 }
 
-// stream passes an attempt's events on, unchanged and as they come. If they
-// break, the connection is ended without the last chunk: only so does the client
-// learn that the stream is not whole.
+// stream forwards an attempt's events, unchanged and as they arrive. If the stream breaks, the
+// connection is closed without the last chunk: only this shows the client that it is incomplete.
 func (f *Front) stream(ctx context.Context, w http.ResponseWriter, s core.Stream, t *core.Ticket) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set("Cache-Control", "no-cache")
 	out := http.NewResponseController(w)
 	err := t.Relay(ctx, s, func(p []byte) error {
-		if err := out.SetWriteDeadline(time.Now().Add(writeLimit)); err != nil {
+		if err := out.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 			return err
 		}
 		if _, err := w.Write(p); err != nil {
@@ -186,11 +190,11 @@
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	// The deadline was for the stream; the connection lives on.
+	// The deadline was for the stream; the connection may be reused.
 	_ = out.SetWriteDeadline(time.Time{})
 }
 
-// validID tells whether an id can stand in a header and in a path as it is.
+// validID reports whether an id can be used in a header and in a path as it is.
 func validID(id string) bool {
 	odd := func(r rune) bool {
 		return !(r >= '0' && r <= '9' || r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || strings.ContainsRune("_.:-", r))
@@ -198,12 +202,12 @@
 	return id != "" && len(id) <= 64 && !strings.ContainsFunc(id, odd)
 }
 
-// headerError is a header of a request that can't be used.
+// headerError is an invalid header of a request.
 type headerError struct{ header, problem string }
 
 func (e headerError) Error() string { return e.header + ": " + e.problem }
 
-// parse reads a request's headers. What is missing or malformed is named.
+// parse reads a request's headers. The error names the one that is missing or malformed.
 func (f *Front) parse(r *http.Request) (core.Request, error) {
 	h := r.Header
 	q := core.Request{ClientRequestID: h.Get("X-Request-Id")}
@@ -218,13 +222,13 @@
 		return q, headerError{"X-Key", "too long"}
 	}
 	ms, err := strconv.ParseInt(h.Get("X-Deadline-Ms"), 10, 64)
-	if err != nil || ms <= 0 || ms > maxSpan.Milliseconds() {
+	if err != nil || ms <= 0 || ms > maxDuration.Milliseconds() {
 		return q, headerError{"X-Deadline-Ms", "missing or malformed"}
 	}
 	q.TTL = time.Duration(ms) * time.Millisecond
 	if v := h.Get("X-Cost-Hint"); v != "" {
 		us, err := strconv.ParseFloat(v, 64)
-		if err != nil || !(us >= 0 && us <= float64(maxSpan.Microseconds())) {
+		if err != nil || !(us >= 0 && us <= float64(maxDuration.Microseconds())) {
 			return q, headerError{"X-Cost-Hint", "malformed"}
 		}
 		q.DurationHint = time.Duration(us * float64(time.Microsecond))
@@ -239,7 +243,7 @@
 	return q, extras(h.Get("X-Extras"), &q)
 }
 
-// extras reads the opening's name and the lengths in tokens.
+// extras reads the prefix's name and the lengths in tokens.
 func extras(text string, q *core.Request) error {
 	lengths := map[string]*int{"prompt_len": &q.PromptTokens, "prefix_len": &q.PrefixLen, "max_out": &q.MaxTokens}
 	given := map[string]bool{}
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -272,7 +272,7 @@
 		"Connection": {"close, X-Hop"}, "X-Hop": {"1"}, "Transfer-Encoding": {"chunked"}, "Content-Length": {"9"},
 		"X-Deadline-Ms": {"5000"}, "X-Request-Id": {"other"}, "Authorization": {"Bearer x"}, "Cookie": {"a=b"}, "Accept-Encoding": {"br"}, "Range": {"bytes=1-"},
 	}
-	call := Dialect{}.Attempt(core.Attempt{ClientRequestID: "id1", Timeout: 2 * time.Second, Payload: core.Payload{Header: passed(h)}})
+	call := Dialect{}.Attempt(core.Attempt{ClientRequestID: "id1", Timeout: 2 * time.Second, Payload: core.Payload{Header: forwardedHeaders(h)}})
 	got := http.Header{}
 	for _, line := range call.Header {
 		got.Add(line[0], line[1])
@@ -284,7 +284,7 @@
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("(-want +got):\n%s", diff)
 	}
-	if one := passed(http.Header{}); cmp.Diff([][2]string{{"Content-Type", "application/json"}}, one) != "" {
+	if one := forwardedHeaders(http.Header{}); cmp.Diff([][2]string{{"Content-Type", "application/json"}}, one) != "" {
 		t.Errorf("without any: %v", one)
 	}
 }
--- a/internal/streambuffer/streambuffer.go
+++ b/internal/streambuffer/streambuffer.go
@@ -1,10 +1,10 @@
-// Package streambuffer passes an attempt's stream on to a client, and keeps the two apart: a
-// client that is slow to read must not hold an engine's slot.
+// Package streambuffer forwards an attempt's stream to a client, and decouples the two: a client
+// that is slow to read must not occupy an engine's slot.
 //
-// As long as the client takes what it is given, one goroutine reads and writes in turn,
-// and what has come together goes out together. Once a write has blocked for a moment, a
-// helper reads on into a bounded store, so that the engine can end its work. A stream
-// that outgrows the store is given up at once, its client told in what is left to it.
+// As long as the client keeps up, one goroutine reads and writes in turn, and events that arrive
+// together are written together. Once a write has blocked for StallTimeout, a second goroutine reads
+// ahead into a bounded buffer, so that the engine can finish. A stream that outgrows the buffer is
+// cancelled at once, and the client's stream ends with an error.
 package streambuffer
 
 import (
@@ -21,93 +21,93 @@
 	"wellgw/routing"
 )
 
-// ErrGone is wrapped by errors that tell of the client, not of the stream.
-var ErrGone = errors.New("the client has gone")
+// ErrClientGone is wrapped by errors of the client's connection, as opposed to the stream's.
+var ErrClientGone = errors.New("the client has gone")
 
-// ErrSlow tells that a client has not read what was held for it.
-var ErrSlow = errors.New("the client reads too slowly")
+// ErrSlowClient means that a client has not read what was buffered for it.
+var ErrSlowClient = errors.New("the client reads too slowly")
 
-// Bounds are what slow clients may cost.
-type Bounds struct {
-	Stall time.Duration // a write that blocks for longer is slow
-	Each  int           // bytes that are held for one client
-	left  atomic.Int64  // for all together
+// Limits bound the buffers of slow clients.
+type Limits struct {
+	StallTimeout time.Duration // a write that blocks for longer is slow
+	PerClient    int           // bytes that are buffered for one client
+	available    atomic.Int64  // bytes for all clients together
 }
 
-// NewBounds returns bounds of so many bytes for all clients together.
-func NewBounds(stall time.Duration, each int, all int64) *Bounds {
-	b := &Bounds{Stall: stall, Each: each}
-	b.left.Store(all)
-	return b
+// NewLimits returns limits with a total of all bytes for all clients together.
+func NewLimits(stall time.Duration, each int, all int64) *Limits {
+	l := &Limits{StallTimeout: stall, PerClient: each}
+	l.available.Store(all)
+	return l
 }
 
-// Left returns how many bytes may still be held.
-func (b *Bounds) Left() int64 { return b.left.Load() }
+// Available returns how many bytes may still be buffered.
+func (l *Limits) Available() int64 { return l.available.Load() }
 
-// Pipe is what lies between a stream and its client.
+// Pipe connects a stream with its client.
 type Pipe struct {
-	// Take adds what a client is to get, now that p has come, to dst. It is called by one
-	// goroutine at a time; an error gives the stream up.
+	// Take appends to dst what the client gets for p, which has just arrived. It is called by one
+	// goroutine at a time; an error cancels the stream.
 	Take func(dst, p []byte) ([]byte, error)
-	// End does the same once the stream has ended whole.
+	// End does the same once the stream has ended completely.
 	End func(dst []byte) ([]byte, error)
-	// Write gives the client what it is to get. It may block for as long as the client
-	// is waited for; an error says that it has gone.
+	// Write writes to the client. It may block for as long as the client's write timeout; an error
+	// means that the client has disconnected.
 	Write func(p []byte) error
 }
 
-// Ticket is told how the stream ended; see core.Ticket.
+// Ticket is notified how the stream ended; see core.Ticket.
 type Ticket interface{ Finish(core.Result) }
 
-// The sizes of buffers. One for output that has grown past outMost is not kept.
+// Sizes of buffers, in bytes. An output buffer that has grown past maxPooledOutput is not pooled.
 const (
-	readSize = 16 << 10
-	outSize  = 16 << 10
-	outMost  = 64 << 10
+	readSize        = 16 << 10
+	outputSize      = 16 << 10
+	maxPooledOutput = 64 << 10
 )
 
 var (
 	buffers = sync.Pool{New: func() any { return new([readSize]byte) }}
-	outputs = sync.Pool{New: func() any { b := make([]byte, 0, outSize); return &b }}
+	outputs = sync.Pool{New: func() any { b := make([]byte, 0, outputSize); return &b }}
 )
 
-// run is one stream on its way.
-type run struct {
+// forwarder forwards one stream.
+type forwarder struct {
 	Pipe
-	bounds *Bounds
+	limits *Limits
 	ctx    context.Context
 	stream core.Stream
 	ticket Ticket
 
-	mu      sync.Mutex
-	more    sync.Cond // something is held, or the helper is at its end
-	since   time.Time // of the write under way; zero without
-	helped  bool      // a helper reads
-	held    []byte
-	ended   bool // the helper has read to the end
-	err     error
-	stopped bool
-	alarm   *time.Timer
+	mu           sync.Mutex
+	changed      sync.Cond // buffered or readDone has changed
+	writeStarted time.Time // of the current write; zero without
+	buffering    bool      // readAhead owns the stream
+	buffered     []byte
+	readDone     bool // readAhead has reached the end
+	err          error
+	stopped      bool
+	stallTimer   *time.Timer
 }
 
-// Run passes a stream on until it ends, tells the ticket how, and returns nil only if the
-// whole of it was taken. When ctx ends the client has gone: the attempt is closed at once.
-func Run(ctx context.Context, t Ticket, s core.Stream, p Pipe, b *Bounds) error {
-	r := &run{Pipe: p, bounds: b, ctx: ctx, stream: s, ticket: t}
-	r.more.L = &r.mu
+// Run forwards a stream until it ends, reports the end to the ticket, and returns nil only if it was
+// forwarded completely. When ctx ends, the client has disconnected: the attempt is closed at once.
+func Run(ctx context.Context, t Ticket, s core.Stream, p Pipe, l *Limits) error {
+	f := &forwarder{Pipe: p, limits: l, ctx: ctx, stream: s, ticket: t}
+	f.changed.L = &f.mu
 	stop := context.AfterFunc(ctx, func() { s.Close() })
 	defer stop()
 	defer s.Close()
-	r.mu.Lock()
-	r.alarm = time.AfterFunc(b.Stall, r.look)
-	r.mu.Unlock()
-	defer r.stop()
+	f.mu.Lock()
+	f.stallTimer = time.AfterFunc(l.StallTimeout, f.checkStall)
+	f.mu.Unlock()
+	defer f.stop()
 	buf := buffers.Get().(*[readSize]byte)
 	defer buffers.Put(buf)
 	store := outputs.Get().(*[]byte)
 	out := *store
 	defer func() {
-		if cap(out) > 0 && cap(out) <= outMost {
+		if cap(out) > 0 && cap(out) <= maxPooledOutput {
 			*store = out[:0]
 			outputs.Put(store)
 		}
@@ -115,55 +115,55 @@
 	for {
 		var err error
 		var over bool
-		out, over, err = r.read(out[:0], buf[:])
+		out, over, err = f.read(out[:0], buf[:])
 		if over {
-			r.stop() // there is nothing left to help with
+			f.stop() // there is nothing left to read ahead
 		}
 		if len(out) > 0 {
-			helped, werr := r.write(out)
+			readingAhead, werr := f.write(out)
 			if werr != nil {
-				return r.left(over, helped, werr)
+				return f.clientGone(over, readingAhead, werr)
 			}
-			if helped && !over {
+			if readingAhead && !over {
 				held := out
-				out = nil // follow trades it for what is held
-				return r.follow(held)
+				out = nil // writeBuffered swaps it with the buffer
+				return f.writeBuffered(held)
 			}
 		}
 		if over {
 			return err
 		}
-		// Others that are ready to run go first; what comes meanwhile goes out together. Where
-		// none is, this returns at once.
+		// Other goroutines that are ready run first, and events that arrive meanwhile are written
+		// together. If none is ready, this returns at once.
 		runtime.Gosched()
 	}
 }
 
-// read takes in what comes next. Once the stream is over it has told the ticket how.
-func (r *run) read(out, buf []byte) (_ []byte, over bool, err error) {
-	n, err := r.stream.Read(buf)
+// read reads the next part. Once the stream has ended it has notified the ticket.
+func (f *forwarder) read(out, buf []byte) (_ []byte, over bool, err error) {
+	n, err := f.stream.Read(buf)
 	if n > 0 {
-		var wrong error
-		if out, wrong = r.Take(out, buf[:n]); wrong != nil {
-			r.stream.Close()
-			r.ticket.Finish(core.Result{Status: routing.StatusError, Cause: wrong})
-			return out, true, wrong
+		var takeErr error
+		if out, takeErr = f.Take(out, buf[:n]); takeErr != nil {
+			f.stream.Close()
+			f.ticket.Finish(core.Result{Status: routing.StatusError, Cause: takeErr})
+			return out, true, takeErr
 		}
 	}
 	if err == nil {
 		return out, false, nil
 	}
-	res := r.stream.Result()
+	res := f.stream.Result()
 	if res.Status == routing.StatusServed {
-		var wrong error
-		if out, wrong = r.End(out); wrong != nil {
-			res.Status, res.Cause, err = routing.StatusError, wrong, wrong
+		var takeErr error
+		if out, takeErr = f.End(out); takeErr != nil {
+			res.Status, res.Cause, err = routing.StatusError, takeErr, takeErr
 		}
 	}
-	if r.ctx.Err() != nil && res.Status != routing.StatusServed {
+	if f.ctx.Err() != nil && res.Status != routing.StatusServed {
 		res.Status = routing.StatusCancelled
 	}
-	r.ticket.Finish(res)
+	f.ticket.Finish(res)
 	if res.Status == routing.StatusServed {
 		err = nil
 	} else if err == nil || errors.Is(err, io.EOF) {
@@ -172,109 +172,110 @@
 	return out, true, err
 }
 
-// write gives the client what it is to get, and tells whether a helper has begun to read.
-func (r *run) write(out []byte) (helped bool, err error) {
-	r.mu.Lock()
-	r.since = time.Now()
-	r.mu.Unlock()
-	err = r.Write(out)
-	r.mu.Lock()
-	r.since = time.Time{}
-	helped = r.helped
-	r.mu.Unlock()
-	return helped, err
+// write writes to the client, and reports whether readAhead has taken over the stream.
+func (f *forwarder) write(out []byte) (readingAhead bool, err error) {
+	f.mu.Lock()
+	f.writeStarted = time.Now()
+	f.mu.Unlock()
+	err = f.Write(out)
+	f.mu.Lock()
+	f.writeStarted = time.Time{}
+	readingAhead = f.buffering
+	f.mu.Unlock()
+	return readingAhead, err
 }
 
-// left ends a run whose client has gone; over tells that the stream had ended before.
-func (r *run) left(over, helped bool, err error) error {
-	r.stream.Close()
+// clientGone ends the forwarding after a failed write; over means that the stream had ended before.
+func (f *forwarder) clientGone(over, readingAhead bool, err error) error {
+	f.stream.Close()
 	switch {
-	case helped: // the helper tells the ticket, and is on its way out
-		r.mu.Lock()
-		for !r.ended {
-			r.more.Wait()
+	case readingAhead: // readAhead notifies the ticket, and is about to return
+		f.mu.Lock()
+		for !f.readDone {
+			f.changed.Wait()
 		}
-		r.bounds.left.Add(int64(len(r.held)))
-		r.held = nil
-		r.mu.Unlock()
+		f.limits.available.Add(int64(len(f.buffered)))
+		f.buffered = nil
+		f.mu.Unlock()
 	case !over:
-		r.ticket.Finish(core.Result{Status: routing.StatusCancelled, Cause: err})
+		f.ticket.Finish(core.Result{Status: routing.StatusCancelled, Cause: err})
 	}
-	return fmt.Errorf("%w: %w", ErrGone, err)
+	return fmt.Errorf("%w: %w", ErrClientGone, err)
 }
 
-// look begins to help if a write has blocked for too long.
-func (r *run) look() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.stopped || r.helped {
+// checkStall begins to read ahead if a write has blocked for too long.
+func (f *forwarder) checkStall() {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.stopped || f.buffering {
 		return
 	}
-	if r.since.IsZero() || time.Since(r.since) < r.bounds.Stall {
-		r.alarm.Reset(r.bounds.Stall)
+	if f.writeStarted.IsZero() || time.Since(f.writeStarted) < f.limits.StallTimeout {
+		f.stallTimer.Reset(f.limits.StallTimeout)
 		return
 	}
-	r.helped = true
-	go r.help()
+	f.buffering = true
+	go f.readAhead()
 }
 
-func (r *run) stop() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.stopped = true
-	r.alarm.Stop()
+func (f *forwarder) stop() {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.stopped = true
+	f.stallTimer.Stop()
 }
 
-// help reads on into what is held. It owns the stream from then on.
-func (r *run) help() {
+// readAhead reads the rest of the stream into the buffer. It owns the stream from then on, and ends
+// with it: Run closes the stream when it returns.
+func (f *forwarder) readAhead() {
 	buf := buffers.Get().(*[readSize]byte)
 	defer buffers.Put(buf)
 	var out []byte
 	for {
 		var err error
 		var over bool
-		out, over, err = r.read(out[:0], buf[:])
-		r.mu.Lock()
-		fits := len(r.held)+len(out) <= r.bounds.Each
-		if fits && r.bounds.left.Add(-int64(len(out))) < 0 {
-			r.bounds.left.Add(int64(len(out)))
+		out, over, err = f.read(out[:0], buf[:])
+		f.mu.Lock()
+		fits := len(f.buffered)+len(out) <= f.limits.PerClient
+		if fits && f.limits.available.Add(-int64(len(out))) < 0 {
+			f.limits.available.Add(int64(len(out)))
 			fits = false
 		}
 		if fits {
-			r.held = append(r.held, out...)
+			f.buffered = append(f.buffered, out...)
 		}
 		if !fits && !over {
-			r.mu.Unlock()
-			r.stream.Close()
-			r.ticket.Finish(core.Result{Status: routing.StatusCancelled, Cause: ErrSlow})
-			r.mu.Lock()
+			f.mu.Unlock()
+			f.stream.Close()
+			f.ticket.Finish(core.Result{Status: routing.StatusCancelled, Cause: ErrSlowClient})
+			f.mu.Lock()
 		}
 		if !fits {
-			over, err = true, ErrSlow
+			over, err = true, ErrSlowClient
 		}
-		r.ended, r.err = over, err
-		r.more.Signal()
-		r.mu.Unlock()
+		f.readDone, f.err = over, err
+		f.changed.Signal()
+		f.mu.Unlock()
 		if over {
 			return
 		}
 	}
 }
 
-// follow writes what the helper has read until there is no more.
-func (r *run) follow(out []byte) error {
+// writeBuffered writes what readAhead has read until the end.
+func (f *forwarder) writeBuffered(out []byte) error {
 	for {
-		r.mu.Lock()
-		for len(r.held) == 0 && !r.ended {
-			r.more.Wait()
+		f.mu.Lock()
+		for len(f.buffered) == 0 && !f.readDone {
+			f.changed.Wait()
 		}
-		out, r.held = r.held, out[:0]
-		r.bounds.left.Add(int64(len(out)))
-		ended, err := r.ended, r.err
-		r.mu.Unlock()
+		out, f.buffered = f.buffered, out[:0]
+		f.limits.available.Add(int64(len(out)))
+		ended, err := f.readDone, f.err
+		f.mu.Unlock()
 		if len(out) > 0 {
-			if werr := r.Write(out); werr != nil {
-				return r.left(ended, true, werr)
+			if werr := f.Write(out); werr != nil {
+				return f.clientGone(ended, true, werr)
 			}
 			continue
 		}
--- a/internal/streambuffer/streambuffer_test.go
+++ b/internal/streambuffer/streambuffer_test.go
@@ -91,7 +91,7 @@
 	}
 	close(s.parts)
 	var got bytes.Buffer
-	err := Run(t.Context(), tk, s, pass(func(p []byte) error { got.Write(p); return nil }), NewBounds(time.Minute, 100, 100))
+	err := Run(t.Context(), tk, s, pass(func(p []byte) error { got.Write(p); return nil }), NewLimits(time.Minute, 100, 100))
 	if err != nil || got.String() != "abc|end" {
 		t.Errorf("%v, %q", err, got.String())
 	}
@@ -103,7 +103,7 @@
 	s.parts <- "a"
 	close(s.parts)
 	var got bytes.Buffer
-	err := Run(t.Context(), tk, s, pass(func(p []byte) error { got.Write(p); return nil }), NewBounds(time.Minute, 100, 100))
+	err := Run(t.Context(), tk, s, pass(func(p []byte) error { got.Write(p); return nil }), NewLimits(time.Minute, 100, 100))
 	if err == nil || got.String() != "a" {
 		t.Errorf("%v, %q", err, got.String())
 	}
@@ -121,7 +121,7 @@
 		close(s.parts)
 		var got bytes.Buffer
 		p.Write = func(b []byte) error { got.Write(b); return nil }
-		if err := Run(t.Context(), tk, s, p, NewBounds(time.Minute, 100, 100)); !errors.Is(err, wrong) || got.String() != "before" {
+		if err := Run(t.Context(), tk, s, p, NewLimits(time.Minute, 100, 100)); !errors.Is(err, wrong) || got.String() != "before" {
 			t.Errorf("%s: %v, %q", name, err, got.String())
 		}
 		tk.once(t, routing.StatusError)
@@ -137,7 +137,7 @@
 	var got bytes.Buffer
 	ended := make(chan error, 1)
 	first := true
-	bounds := NewBounds(5*time.Millisecond, 1000, 1000)
+	bounds := NewLimits(5*time.Millisecond, 1000, 1000)
 	go func() {
 		ended <- Run(t.Context(), tk, s, pass(func(p []byte) error {
 			if first {
@@ -160,16 +160,16 @@
 	if err := <-ended; err != nil || got.String() != "first"+strings.Repeat("more", 10)+"|end" {
 		t.Errorf("%v, %q", err, got.String())
 	}
-	if bounds.Left() != 1000 {
-		t.Errorf("%d bytes left", bounds.Left())
+	if bounds.Available() != 1000 {
+		t.Errorf("%d bytes left", bounds.Available())
 	}
 }
 
 // What is held for a slow client is bounded, by itself and over all.
 func TestTooSlowClientIsDisconnected(t *testing.T) {
-	for name, b := range map[string]*Bounds{"its own bound": NewBounds(5*time.Millisecond, 20, 1000), "that of all": NewBounds(5*time.Millisecond, 1000, 20)} {
+	for name, b := range map[string]*Limits{"its own bound": NewLimits(5*time.Millisecond, 20, 1000), "that of all": NewLimits(5*time.Millisecond, 1000, 20)} {
 		t.Run(name, func(t *testing.T) {
-			all := b.Left()
+			all := b.Available()
 			s, tk := newSource(false), &ticket{}
 			s.parts <- "first"
 			read := make(chan struct{})
@@ -191,11 +191,11 @@
 			eventually(t, func() bool { tk.mu.Lock(); defer tk.mu.Unlock(); return len(tk.got) == 1 })
 			tk.once(t, routing.StatusCancelled)
 			close(read)
-			if err := <-ended; !errors.Is(err, ErrSlow) {
+			if err := <-ended; !errors.Is(err, ErrSlowClient) {
 				t.Error(err)
 			}
-			if b.Left() != all {
-				t.Errorf("%d of %d bytes left", b.Left(), all)
+			if b.Available() != all {
+				t.Errorf("%d of %d bytes left", b.Available(), all)
 			}
 		})
 	}
@@ -206,7 +206,7 @@
 	t.Run("at a write", func(t *testing.T) {
 		s, tk := newSource(false), &ticket{}
 		s.parts <- "a"
-		if err := Run(t.Context(), tk, s, pass(func([]byte) error { return gone }), NewBounds(time.Minute, 100, 100)); !errors.Is(err, gone) {
+		if err := Run(t.Context(), tk, s, pass(func([]byte) error { return gone }), NewLimits(time.Minute, 100, 100)); !errors.Is(err, gone) {
 			t.Error(err)
 		}
 		<-s.closed
@@ -217,7 +217,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
 		go func() {
-			ended <- Run(ctx, tk, s, pass(func([]byte) error { return nil }), NewBounds(time.Minute, 100, 100))
+			ended <- Run(ctx, tk, s, pass(func([]byte) error { return nil }), NewLimits(time.Minute, 100, 100))
 		}()
 		cancel()
 		if err := <-ended; err == nil {
@@ -227,7 +227,7 @@
 	})
 	t.Run("while it is slow", func(t *testing.T) {
 		s, tk := newSource(false), &ticket{}
-		b := NewBounds(5*time.Millisecond, 1000, 1000)
+		b := NewLimits(5*time.Millisecond, 1000, 1000)
 		s.parts <- "a"
 		leave := make(chan struct{})
 		ended := make(chan error, 1)
@@ -235,14 +235,14 @@
 			ended <- Run(t.Context(), tk, s, pass(func([]byte) error { <-leave; return gone }), b)
 		}()
 		s.parts <- "held"
-		eventually(t, func() bool { return b.Left() < 1000 })
+		eventually(t, func() bool { return b.Available() < 1000 })
 		close(leave)
 		if err := <-ended; !errors.Is(err, gone) {
 			t.Error(err)
 		}
 		tk.once(t, routing.StatusCancelled)
-		if b.Left() != 1000 {
-			t.Errorf("%d bytes left", b.Left())
+		if b.Available() != 1000 {
+			t.Errorf("%d bytes left", b.Available())
 		}
 	})
 }
