--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -1,9 +1,9 @@
-// Package telemetry tells outside of the program what it does: metrics for Prometheus,
-// read when they are asked for, and traces by OpenTelemetry. Both are off unless an
-// operator's file sets them up.
+// Package telemetry exports metrics for Prometheus, which are read at each scrape, and traces by
+// OpenTelemetry. Both are off unless an operator's file configures them.
 package telemetry
 
 import (
+	"cmp"
 	"net/http"
 	"strings"
 
@@ -15,27 +15,27 @@
 	"wellgw/internal/rolectl"
 )
 
-// Path is where metrics are.
+// Path is the URL path of the metrics.
 const Path = "/metrics"
 
-// collector reads the views that people are given at each scrape: between scrapes it
-// costs nothing, and what it says is what wellgw engines and wellgw roles say.
+// collector reads the views of the admin pages at each scrape: it costs nothing between scrapes, and
+// agrees with wellgw engines and wellgw roles.
 type collector struct {
 	Views
 
-	engines, sources, doubt, gateways, events, checks, told, queries, failed, bytes *prometheus.Desc
-	owner, demand, capacity, service, under, ends                                   *prometheus.Desc
-	members, tier, member, datagrams, dropped                                       *prometheus.Desc
+	engines, sources, doubt, gateways, events, checks, changes, queries, failed, bytes *prometheus.Desc
+	owner, demand, capacity, service, active, ended                                    *prometheus.Desc
+	members, tier, member, datagrams, dropped                                          *prometheus.Desc
 }
 
-// Views are what metrics are read from.
+// Views are the sources of the metrics.
 type Views struct {
 	Engines func() admin.View
 	Roles   func() rolectl.Status // nil where engines keep their roles
-	Peers   func() peers.Status   // nil where gateways tell each other nothing
+	Peers   func() peers.Status   // nil where gateways do not exchange messages
 }
 
-// Handler returns the page of metrics.
+// Handler returns the handler of the metrics page.
 func Handler(of Views) http.Handler {
 	desc := func(name, help string, labels ...string) *prometheus.Desc {
 		return prometheus.NewDesc("wellgw_"+name, help, labels, nil)
@@ -48,7 +48,7 @@
 		gateways:  desc("gateways", "Gateways that are held to share the engines."),
 		events:    desc("events_total", "Requests, attempts, outcomes and answers.", "event"),
 		checks:    desc("direct_checks_total", "Direct checks of engines."),
-		told:      desc("engine_changes_total", "Engines told anew to the core."),
+		changes:   desc("engine_changes_total", "Engines told anew to the core."),
 		queries:   desc("consul_queries_total", "Queries to Consul since the configuration was read."),
 		failed:    desc("consul_queries_failed_total", "Queries to Consul that failed."),
 		bytes:     desc("consul_bytes_total", "Bytes of bodies from Consul."),
@@ -56,8 +56,8 @@
 		demand:    desc("roles_demand_engines", "Smoothed demand in engines, as the owner sees it.", "role"),
 		capacity:  desc("roles_capacity_engines", "Engines in service, by power, as the owner sees them.", "role"),
 		service:   desc("roles_service_foreseen", "Share of what is asked that is foreseen to be served in time."),
-		under:     desc("roles_changes_under_way", "Changes of role by step.", "step"),
-		ends:      desc("roles_changes_remembered", "Changes of role that are remembered, by outcome; begun counts all.", "outcome"),
+		active:    desc("roles_changes_under_way", "Changes of role by step.", "step"),
+		ended:     desc("roles_changes_remembered", "Changes of role that are remembered, by outcome; begun counts all.", "outcome"),
 		members:   desc("tier_gateways", "Other gateways of the tier by standing; reach is one_way where only others reach them.", "standing", "reach"),
 		tier:      desc("tier", "The tier as this gateway sees it: epoch, sharing, minority, silenced, distrust.", "of"),
 		member:    desc("tier_events_total", "What the gateway has seen of the tier: probes, unanswered, helped, suspected, refuted, died, pauses, namesakes, walks.", "event"),
@@ -69,9 +69,12 @@
 	return promhttp.HandlerFor(r, promhttp.HandlerOpts{})
 }
 
-// Describe names no metric: which there are depends on the engines.
+// Describe describes no metric, as their labels depend on the engines.
 func (c *collector) Describe(chan<- *prometheus.Desc) {}
 
+// emit writes one value of a metric.
+type emit func(d *prometheus.Desc, value float64, labels ...string)
+
 // Collect reads the views.
 func (c *collector) Collect(ch chan<- prometheus.Metric) {
 	gauge := func(d *prometheus.Desc, v float64, labels ...string) {
@@ -80,69 +83,75 @@
 	count := func(d *prometheus.Desc, v float64, labels ...string) {
 		ch <- prometheus.MustNewConstMetric(d, prometheus.CounterValue, v, labels...)
 	}
-	v := c.Engines()
-	engines := map[[3]string]int{}
-	for _, e := range v.Engines {
-		engines[[3]string{e.Role, e.State, e.Confidence}]++
+	c.collectEngines(c.Engines(), gauge, count)
+	if c.Peers != nil {
+		c.collectTier(c.Peers(), gauge, count)
+	}
+	if c.Roles != nil {
+		c.collectRoles(c.Roles(), gauge)
+	}
+}
+
+// engineGroup is the labels by which engines are counted.
+type engineGroup struct{ role, state, confidence string }
+
+// collectEngines writes what is known of engines and of the sources that list them.
+func (c *collector) collectEngines(view admin.View, gauge, count emit) {
+	engines := map[engineGroup]int{}
+	for _, e := range view.Engines {
+		engines[engineGroup{e.Role, e.State, e.Confidence}]++
 	}
-	for k, n := range engines {
-		gauge(c.engines, float64(n), k[0], k[1], k[2])
+	for group, n := range engines {
+		gauge(c.engines, float64(n), group.role, group.state, group.confidence)
 	}
-	for _, s := range v.Sources {
+	for _, s := range view.Sources {
 		gauge(c.sources, float64(s.AgeMS)/1000, s.Source)
 		if s.Doubt != "" {
 			gauge(c.doubt, 1, s.Source, s.Doubt)
 		}
 	}
-	gauge(c.gateways, float64(v.Gateways))
-	for event, n := range v.Counts {
+	gauge(c.gateways, float64(view.Gateways))
+	for event, n := range view.Counts {
 		count(c.events, float64(n), strings.ReplaceAll(event, " ", "_"))
 	}
-	count(c.checks, float64(v.Stats.Checks))
-	count(c.told, float64(v.Stats.Changes))
-	count(c.queries, float64(v.Consul.Queries))
-	count(c.failed, float64(v.Consul.Failed))
-	count(c.bytes, float64(v.Consul.Bytes))
-	if c.Peers != nil {
-		c.tierOf(c.Peers(), gauge, count)
-	}
-	if c.Roles == nil {
-		return
-	}
-	s := c.Roles()
-	mine := 0.0
+	count(c.checks, float64(view.Stats.Checks))
+	count(c.changes, float64(view.Stats.Changes))
+	count(c.queries, float64(view.Consul.Queries))
+	count(c.failed, float64(view.Consul.Failed))
+	count(c.bytes, float64(view.Consul.Bytes))
+}
+
+// collectRoles writes the plan, which its leader alone has, and the changes of role.
+func (c *collector) collectRoles(s rolectl.Status, gauge emit) {
+	leads := 0.0
 	if s.Mine {
-		mine = 1
+		leads = 1
 		for i, role := range []string{"read", "write"} {
 			gauge(c.demand, s.Plan.Demand[i], role)
 			gauge(c.capacity, s.Plan.Capacity[i], role)
 		}
 		gauge(c.service, s.Plan.Before.Mean)
 	}
-	gauge(c.owner, mine)
-	steps, ends := map[string]int{}, map[string]int{}
+	gauge(c.owner, leads)
+	steps, outcomes := map[string]int{}, map[string]int{}
 	for _, r := range s.Changes {
 		steps[string(r.Step)]++
 	}
 	for step, n := range steps {
-		gauge(c.under, float64(n), step)
+		gauge(c.active, float64(n), step)
 	}
 	for _, e := range s.Ends {
-		outcome := string(e.Outcome)
-		if outcome == "" {
-			outcome = "begun"
-		}
-		ends[outcome]++
+		outcomes[cmp.Or(string(e.Outcome), "begun")]++
 	}
-	for outcome, n := range ends {
-		gauge(c.ends, float64(n), outcome)
+	for outcome, n := range outcomes {
+		gauge(c.ended, float64(n), outcome)
 	}
 }
 
-// tierOf writes what a gateway knows of its tier. With the counts of all gateways beside each
-// other a false death tells its cause: pauses at the dead one, unanswered probes at one
-// accuser alone, or drops.
-func (c *collector) tierOf(s peers.Status, gauge, count func(*prometheus.Desc, float64, ...string)) {
+// collectTier writes what the gateway knows of its tier. With the counts of all gateways side by
+// side, the cause of a false death shows: pauses at the dead one, unanswered probes at a single
+// accuser, or drops.
+func (c *collector) collectTier(s peers.Status, gauge, count emit) {
 	members := map[[2]string]int{}
 	for _, g := range s.View.Others {
 		reach := "direct"
