--- a/internal/control/answers_test.go
+++ b/internal/control/answers_test.go
@@ -35,7 +35,7 @@
 // TestAnswerBytes pins the operators' protocol: the bytes of a line in, the bytes of the answer out.
 func TestAnswerBytes(t *testing.T) {
 	var handled atomic.Value
-	addr := serve(t, func(_ context.Context, c Call) bool {
+	addr := serve(t, func(_ context.Context, c Command) bool {
 		handled.Store(string(c.Verb) + "|" + c.ID)
 		return c.ID != "refused"
 	})
@@ -61,7 +61,7 @@
 		{"no id", "maint-on\n", false, "NO\n", ""},
 		{"two ids", "maint-on a b\n", false, "NO\n", ""},
 		{"a word too many", "status now\n", false, "NO\n", ""},
-		{"longest line", "maint-on " + strings.Repeat("x", MaxLine-len("maint-on ")) + "\n", false, "YES\n", "maint-on|" + strings.Repeat("x", MaxLine-len("maint-on "))},
+		{"longest line", "maint-on " + strings.Repeat("x", MaxLineBytes-len("maint-on ")) + "\n", false, "YES\n", "maint-on|" + strings.Repeat("x", MaxLineBytes-len("maint-on "))},
 		{"nothing at all", "", true, "NO\n", ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -76,17 +76,17 @@
 	}
 }
 
-// TestBusyAnswer pins what one caller beyond MaxOpen is told.
+// TestBusyAnswer pins what a connection beyond MaxConnections is answered.
 func TestBusyAnswer(t *testing.T) {
 	release := make(chan struct{})
 	var open atomic.Int32
-	addr := serve(t, func(context.Context, Call) bool {
+	addr := serve(t, func(context.Context, Command) bool {
 		open.Add(1)
 		<-release
 		return true
 	})
 	defer close(release)
-	for range MaxOpen {
+	for range MaxConnections {
 		conn, err := net.Dial("tcp4", addr)
 		if err != nil {
 			t.Fatal(err)
@@ -96,7 +96,7 @@
 			t.Fatal(err)
 		}
 	}
-	for deadline := time.Now().Add(10 * time.Second); open.Load() < MaxOpen; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(10 * time.Second); open.Load() < MaxConnections; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatalf("%d commands open", open.Load())
 		}
@@ -108,7 +108,7 @@
 
 // TestProtocolNumbers pins the bounds that operators are told of in docs/operations.md.
 func TestProtocolNumbers(t *testing.T) {
-	if Wait != 750*time.Millisecond || MaxOpen != 128 || MaxLine != 256 {
-		t.Error(Wait, MaxOpen, MaxLine)
+	if AnswerTimeout != 750*time.Millisecond || MaxConnections != 128 || MaxLineBytes != 256 {
+		t.Error(AnswerTimeout, MaxConnections, MaxLineBytes)
 	}
 }
--- a/internal/operate/operate.go
+++ b/internal/operate/operate.go
@@ -149,7 +149,7 @@
 }
 
 // Answer is a control.Handler.
-func (d *Desk) Answer(ctx context.Context, c control.Call) bool {
+func (d *Desk) Answer(ctx context.Context, c control.Command) bool {
 	switch c.Verb {
 	case control.Status:
 		return d.Ready()
--- a/internal/operate/operate_test.go
+++ b/internal/operate/operate_test.go
@@ -86,21 +86,21 @@
 func TestCommandsAreAnswered(t *testing.T) {
 	for _, c := range []struct {
 		name         string
-		command      control.Call
+		command      control.Command
 		ready, drain bool
 		want         bool
 		drained      []bool
 	}{
-		{"status, ready", control.Call{Verb: control.Status}, true, true, true, nil},
-		{"status, not ready", control.Call{Verb: control.Status}, false, true, false, nil},
-		{"standby", control.Call{Verb: control.Standby}, true, true, true, []bool{true}},
-		{"standby refused", control.Call{Verb: control.Standby}, true, false, false, []bool{true}},
-		{"active", control.Call{Verb: control.Active}, true, true, true, []bool{false}},
-		{"active refused", control.Call{Verb: control.Active}, true, false, false, []bool{false}},
-		{"maint-on", control.Call{Verb: control.MaintOn, ID: "e1"}, true, true, true, nil},
-		{"maint-on, never listed", control.Call{Verb: control.MaintOn, ID: "x"}, true, true, false, nil},
-		{"maint-off", control.Call{Verb: control.MaintOff, ID: "e1"}, true, true, true, nil},
-		{"unknown", control.Call{Verb: "reboot"}, true, true, false, nil},
+		{"status, ready", control.Command{Verb: control.Status}, true, true, true, nil},
+		{"status, not ready", control.Command{Verb: control.Status}, false, true, false, nil},
+		{"standby", control.Command{Verb: control.Standby}, true, true, true, []bool{true}},
+		{"standby refused", control.Command{Verb: control.Standby}, true, false, false, []bool{true}},
+		{"active", control.Command{Verb: control.Active}, true, true, true, []bool{false}},
+		{"active refused", control.Command{Verb: control.Active}, true, false, false, []bool{false}},
+		{"maint-on", control.Command{Verb: control.MaintOn, ID: "e1"}, true, true, true, nil},
+		{"maint-on, never listed", control.Command{Verb: control.MaintOn, ID: "x"}, true, true, false, nil},
+		{"maint-off", control.Command{Verb: control.MaintOff, ID: "e1"}, true, true, true, nil},
+		{"unknown", control.Command{Verb: "reboot"}, true, true, false, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			d, _ := newDesk(t, "")
@@ -124,13 +124,13 @@
 	dir := t.TempDir()
 	d, engines := newDesk(t, dir)
 	for _, c := range []struct {
-		command control.Call
+		command control.Command
 		want    string
 	}{
-		{control.Call{Verb: control.MaintOn, ID: "e2"}, "e2\n"},
-		{control.Call{Verb: control.MaintOn, ID: "e1"}, "e1\ne2\n"},
-		{control.Call{Verb: control.MaintOff, ID: "e2"}, "e1\n"},
-		{control.Call{Verb: control.MaintOff, ID: "e1"}, "\n"},
+		{control.Command{Verb: control.MaintOn, ID: "e2"}, "e2\n"},
+		{control.Command{Verb: control.MaintOn, ID: "e1"}, "e1\ne2\n"},
+		{control.Command{Verb: control.MaintOff, ID: "e2"}, "e1\n"},
+		{control.Command{Verb: control.MaintOff, ID: "e1"}, "\n"},
 	} {
 		if !d.Answer(t.Context(), c.command) {
 			t.Errorf("%+v refused", c.command)
@@ -159,7 +159,7 @@
 func TestUnwrittenEjectionIsRefused(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "missing")
 	d, engines := newDesk(t, dir)
-	if d.Answer(t.Context(), control.Call{Verb: control.MaintOn, ID: "e1"}) {
+	if d.Answer(t.Context(), control.Command{Verb: control.MaintOn, ID: "e1"}) {
 		t.Error("accepted, though not written")
 	}
 	if got := engines.Ejected(); !slices.Equal(got, []string{"e1"}) {
