--- a/cmd/wellgw/faults_test.go
+++ b/cmd/wellgw/faults_test.go
@@ -117,7 +117,7 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		enginetest.Eventually(t, "the log names the file", func() bool { return len(d.lines.with("ejections not read; those in force stay")) > n })
+		enginetest.Eventually(t, "the log names the file", func() bool { return len(d.lines.with("ejections file unreadable, keeping ejections in force")) > n })
 		if status := d.ask(); status != http.StatusOK {
 			t.Errorf("status %d", status)
 		}
--- a/cmd/wellgw/harness_test.go
+++ b/cmd/wellgw/harness_test.go
@@ -155,7 +155,7 @@
 	return resp.StatusCode
 }
 
-var handing = regexp.MustCompile(`"message":"a newer version serves`)
+var handing = regexp.MustCompile(`"message":"successor ready, handing over`)
 
 // onSocket starts the program on the clients' socket, as descriptor 3, and
 // returns where it takes calls and a channel closed once it has handed over.
--- a/cmd/wellgw/operate.go
+++ b/cmd/wellgw/operate.go
@@ -44,7 +44,7 @@
 // configuration names one, and the settings taken on SIGHUP. Where the clients' socket is
 // shared, a newer version takes over once it is ready.
 func (g *gateway) operate(ctx context.Context, c *core.Core, f front, life *supervisor, shared bool) {
-	desk := &operate.Desk{
+	desk := &operate.Handler{
 		Core:  c,
 		Ready: func() bool { return g.serving.Load() != nil && c.Ready() },
 		Drain: func(ctx context.Context, on bool) bool {
@@ -64,10 +64,10 @@
 	if g.name != "" && (g.control != "" || handOver != nil) {
 		desk.Store = ejectionfile.Open(os.TempDir(), g.name)
 		var err error
-		if desk.Self, err = desk.Store.Claim(wallclock.Now(), os.Getpid()); err != nil {
+		if desk.Process, err = desk.Store.Claim(wallclock.Now(), os.Getpid()); err != nil {
 			g.log.Warn("the start is not written down; a process started later may not be seen to be newer", "cause", err)
 		}
-		desk.Newer = handOver
+		desk.OnSuccessorReady = handOver
 		desk.Load()
 		go desk.Watch(ctx)
 	}
@@ -100,13 +100,13 @@
 
 // takeCalls answers operators' calls until ctx ends. A call line that can't be opened, or is lost,
 // is opened again: without it nobody could tell the process to drain.
-func (g *gateway) takeCalls(ctx context.Context, desk *operate.Desk) {
+func (g *gateway) takeCalls(ctx context.Context, desk *operate.Handler) {
 	for wait := firstCallPause; ctx.Err() == nil; wait = min(2*wait, lastCallPause) {
 		l, err := accept.Listen(ctx, "tcp4", g.control, g.log)
 		if err == nil {
 			g.log.Info("calls taken", "control", l.Addr().String())
 			wait = firstCallPause
-			err = control.Serve(ctx, accept.New(l, g.log), desk.Answer, g.log)
+			err = control.Serve(ctx, accept.New(l, g.log), desk.HandleCommand, g.log)
 		}
 		if err != nil {
 			g.log.Error("no call line; opened again", "control", g.control, "cause", err)
--- /dev/null
+++ b/internal/ejectionfile/store.go
@@ -0,0 +1,105 @@
+// Package ejectionfile stores what the two processes of one gateway share during an upgrade, in files
+// in a directory that both see ($TMPDIR on the platform): the engines that operators have ejected
+// manually, the process that is ready to serve, and the one that started last.
+package ejectionfile
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"io/fs"
+	"path/filepath"
+	"slices"
+	"strings"
+	"sync"
+
+	"wellgw/internal/files"
+)
+
+// Bounds of what is read, far above what a gateway writes.
+const (
+	maxFileBytes = 1 << 20
+	maxNameBytes = 1 << 10
+)
+
+// Store gives access to the files of one gateway. It is safe for concurrent use.
+type Store struct {
+	ejectionsPath string // names of ejected engines
+	readyPath     string // the process that is ready to serve
+	claimPath     string // the process that started last
+
+	mu          sync.Mutex
+	lastContent []byte // of the ejections file, as last written or read here
+}
+
+// Open returns the store in dir for the gateway of this name. It reads nothing.
+func Open(dir, gateway string) *Store {
+	fileName := strings.Map(func(r rune) rune {
+		if r == '/' || r == 0 {
+			return '_'
+		}
+		return r
+	}, gateway)
+	path := func(kind string) string { return filepath.Join(dir, "wellgw-"+kind+"-"+fileName) }
+	return &Store{ejectionsPath: path("bans"), readyPath: path("ready"), claimPath: path("start")}
+}
+
+// Path returns the path of the ejections file.
+func (s *Store) Path() string { return s.ejectionsPath }
+
+// Write replaces the content of the ejections file by names, atomically.
+func (s *Store) Write(names []string) error {
+	names = slices.Sorted(slices.Values(names))
+	text := []byte(strings.Join(names, "\n") + "\n")
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if err := files.WriteAtomic(s.ejectionsPath, text); err != nil {
+		return fmt.Errorf("ejections: %w", err)
+	}
+	s.lastContent = text
+	return nil
+}
+
+// Read returns the names in the ejections file, and whether the file differs from what this store
+// last wrote or read. A missing file is an empty set. A file that Write can't have written, such as a
+// truncated one, is reported as unchanged with an error that wraps files.ErrDamaged.
+func (s *Store) Read() (names []string, changed bool, err error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	text, err := files.Read(s.ejectionsPath, maxFileBytes)
+	if errors.Is(err, fs.ErrNotExist) {
+		text, err = []byte("\n"), nil
+	}
+	if err == nil {
+		names, err = parseNames(text)
+	}
+	if err != nil {
+		return nil, false, fmt.Errorf("ejections: %s: %w", s.ejectionsPath, err)
+	}
+	stillEmpty := len(names) == 0 && s.lastContent == nil // before the first read the set is empty
+	changed = !bytes.Equal(text, s.lastContent) && !stillEmpty
+	s.lastContent = text
+	return names, changed, nil
+}
+
+// parseNames parses one name per line. The last line must have its end, too: without it the file is
+// truncated.
+func parseNames(text []byte) (names []string, err error) {
+	if !bytes.HasSuffix(text, []byte("\n")) {
+		return nil, fmt.Errorf("%w: the last line has no end", files.ErrDamaged)
+	}
+	for line := range strings.Lines(string(text)) {
+		name := strings.TrimSpace(line)
+		if name == "" {
+			continue
+		}
+		if len(name) > maxNameBytes || strings.ContainsFunc(name, isControl) {
+			return nil, fmt.Errorf("%w: a line is no engine's name", files.ErrDamaged)
+		}
+		names = append(names, name)
+	}
+	return names, nil
+}
+
+// isControl reports whether r is an ASCII control character.
+func isControl(r rune) bool { return r < ' ' || r == 0x7f }
--- a/internal/ejectionfile/ejectionfile_test.go
+++ b/internal/ejectionfile/store_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Two stores on one directory, as the two processes of an upgrade: what one
-// writes the other reads as a change, once; its own writes are no change to it.
-// The older hears of the newer once that says it is ready.
+// Two stores in one directory, as the two processes of an upgrade have them: what one writes, the other
+// reads as a change once; its own writes are no change to it. The predecessor learns of the successor
+// once that has marked itself ready.
 func TestTwoProcesses(t *testing.T) {
 	dir := t.TempDir()
 	a, b := Open(dir, "n/0"), Open(dir, "n/0")
@@ -41,17 +41,17 @@
 		t.Error("two gateways share a file")
 	}
 
-	old, young := Self{Started: time.Unix(1000, 0), PID: 10}, Self{Started: time.Unix(1001, 0), PID: 9}
-	if !old.Newer(young) || young.Newer(old) || old.Newer(old) || !old.Newer(Self{Started: old.Started, PID: 11}) {
-		t.Fatal("Newer is wrong")
+	predecessor, successor := Process{Started: time.Unix(1000, 0), PID: 10}, Process{Started: time.Unix(1001, 0), PID: 9}
+	if !predecessor.SupersededBy(successor) || successor.SupersededBy(predecessor) || predecessor.SupersededBy(predecessor) || !predecessor.SupersededBy(Process{Started: predecessor.Started, PID: 11}) {
+		t.Fatal("SupersededBy is wrong")
 	}
-	if _, ok := b.Ready(); ok {
-		t.Fatal("nobody said it was ready")
+	if _, ok := b.ReadyProcess(); ok {
+		t.Fatal("a ready mark that nobody wrote")
 	}
-	if err := a.MarkReady(young); err != nil {
+	if err := a.MarkReady(successor); err != nil {
 		t.Fatal(err)
 	}
-	if s, ok := b.Ready(); !ok || !s.Started.Equal(young.Started) || s.PID != young.PID {
+	if s, ok := b.ReadyProcess(); !ok || !s.Started.Equal(successor.Started) || s.PID != successor.PID {
 		t.Errorf("ready: %+v %v", s, ok)
 	}
 }
--- a/internal/ejectionfile/stored_test.go
+++ b/internal/ejectionfile/stored_test.go
@@ -13,8 +13,8 @@
 // processes of the gateway "n/0".
 var (
 	storedEjections = []string{"engine-a", "engine-b", "engine/ü c"}
-	storedReady     = Self{Started: time.Unix(1760000000, 123456789), PID: 4242}
-	storedClaim     = Self{Started: time.Unix(1760000000, 123456790), PID: 4343}
+	storedReady     = Process{Started: time.Unix(1760000000, 123456789), PID: 4242}
+	storedClaim     = Process{Started: time.Unix(1760000000, 123456790), PID: 4343}
 )
 
 const storedGateway = "n/0"
@@ -35,7 +35,7 @@
 	if err != nil || !changed || !slices.Equal(names, storedEjections) {
 		t.Errorf("ejections: %q %v %v", names, changed, err)
 	}
-	if ready, ok := s.Ready(); !ok || !ready.Started.Equal(storedReady.Started) || ready.PID != storedReady.PID {
+	if ready, ok := s.ReadyProcess(); !ok || !ready.Started.Equal(storedReady.Started) || ready.PID != storedReady.PID {
 		t.Errorf("ready: %+v %v", ready, ok)
 	}
 	// A process that starts, with a clock that is behind, is newer than the one that claimed last.
@@ -76,7 +76,7 @@
 	if err := s.Write([]string{"b", "a"}); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.MarkReady(Self{Started: time.Unix(7, 9), PID: 11}); err != nil {
+	if err := s.MarkReady(Process{Started: time.Unix(7, 9), PID: 11}); err != nil {
 		t.Fatal(err)
 	}
 	got := folder(t, dir)
--- a/internal/operate/operate_test.go
+++ b/internal/operate/handler_test.go
@@ -59,10 +59,10 @@
 	return names
 }
 
-func newDesk(t *testing.T, dir string) (*Desk, *fakeCore) {
+func newHandler(t *testing.T, dir string) (*Handler, *fakeCore) {
 	t.Helper()
 	engines := &fakeCore{}
-	d := &Desk{
+	d := &Handler{
 		Core:  engines,
 		Ready: func() bool { return true },
 		Drain: func(context.Context, bool) bool { return true },
@@ -103,14 +103,14 @@
 		{"unknown", control.Command{Verb: "reboot"}, true, true, false, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			d, _ := newDesk(t, "")
+			d, _ := newHandler(t, "")
 			var drained []bool
 			d.Ready = func() bool { return c.ready }
 			d.Drain = func(_ context.Context, on bool) bool {
 				drained = append(drained, on)
 				return c.drain
 			}
-			if got := d.Answer(t.Context(), c.command); got != c.want {
+			if got := d.HandleCommand(t.Context(), c.command); got != c.want {
 				t.Errorf("%v, want %v", got, c.want)
 			}
 			if !slices.Equal(drained, c.drained) {
@@ -122,7 +122,7 @@
 
 func TestEjectionsAreWritten(t *testing.T) {
 	dir := t.TempDir()
-	d, engines := newDesk(t, dir)
+	d, engines := newHandler(t, dir)
 	for _, c := range []struct {
 		command control.Command
 		want    string
@@ -132,7 +132,7 @@
 		{control.Command{Verb: control.MaintOff, ID: "e2"}, "e1\n"},
 		{control.Command{Verb: control.MaintOff, ID: "e1"}, "\n"},
 	} {
-		if !d.Answer(t.Context(), c.command) {
+		if !d.HandleCommand(t.Context(), c.command) {
 			t.Errorf("%+v refused", c.command)
 		}
 		if got := fileText(t, dir); got != c.want {
@@ -158,8 +158,8 @@
 // An ejection whose file can't be written is in force and refused; it is written once that can be done.
 func TestUnwrittenEjectionIsRefused(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "missing")
-	d, engines := newDesk(t, dir)
-	if d.Answer(t.Context(), control.Command{Verb: control.MaintOn, ID: "e1"}) {
+	d, engines := newHandler(t, dir)
+	if d.HandleCommand(t.Context(), control.Command{Verb: control.MaintOn, ID: "e1"}) {
 		t.Error("accepted, though not written")
 	}
 	if got := engines.Ejected(); !slices.Equal(got, []string{"e1"}) {
@@ -185,28 +185,28 @@
 // A process hands over once, to a newer one that is ready, and says that it is ready itself.
 func TestNewerProcessTakesOver(t *testing.T) {
 	dir := t.TempDir()
-	d, _ := newDesk(t, dir)
-	d.Self = ejectionfile.Self{Started: time.Unix(1000, 0), PID: 10}
+	d, _ := newHandler(t, dir)
+	d.Process = ejectionfile.Process{Started: time.Unix(1000, 0), PID: 10}
 	taken := make(chan struct{}, 8)
-	d.Newer = func() { taken <- struct{}{} }
+	d.OnSuccessorReady = func() { taken <- struct{}{} }
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { defer close(done); d.Watch(ctx) }()
 	defer func() { cancel(); <-done }()
 	other := ejectionfile.Open(dir, "n")
 	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
-		if marked, ok := other.Ready(); ok && marked.Started.Equal(d.Self.Started) && marked.PID == d.Self.PID {
+		if marked, ok := other.ReadyProcess(); ok && marked.Started.Equal(d.Process.Started) && marked.PID == d.Process.PID {
 			break
 		}
 		if time.Now().After(deadline) {
 			t.Fatal("not marked ready")
 		}
 	}
-	if err := other.MarkReady(ejectionfile.Self{Started: time.Unix(1001, 0), PID: 9}); err != nil {
+	if err := other.MarkReady(ejectionfile.Process{Started: time.Unix(1001, 0), PID: 9}); err != nil {
 		t.Fatal(err)
 	}
 	<-taken
-	time.Sleep(3 * Look)
+	time.Sleep(3 * PollInterval)
 	if len(taken) != 0 {
 		t.Error("handed over twice")
 	}
