--- a/decide/ejection/ejection.go
+++ b/decide/ejection/ejection.go
@@ -1,143 +1,145 @@
-// Package ejection decides what the module is shown of engines that operators
-// have taken out by hand: a banned engine is draining whatever the list says, and
-// one that comes back is cold from that moment.
+// Package ejection keeps the set of engines that operators have ejected manually, and decides what the
+// routing policy is shown of them: an ejected engine is draining whatever the engine list says, and a
+// restored one has a cold cache from that moment on.
 //
-// It does no I/O and reads no clock: times come in as arguments, on the module's
-// clock.
+// It does no I/O and reads no clock: times are arguments, on the policy's clock.
 package ejection
 
 import (
+	"maps"
 	"slices"
 
 	"wellgw/routing"
 )
 
-// MaxListed bounds the names remembered as once listed; the oldest are forgotten
-// first. Engines come under ever new names, so the set would otherwise grow.
-const MaxListed = 1 << 16
+// MaxRegistered bounds the engine names that are remembered as listed; the oldest are forgotten first.
+// Engines come under ever new names, so that the set would otherwise grow without bound.
+const MaxRegistered = 1 << 16
 
-// Set holds the names ever listed, those out by hand, and when each of those
-// that came back did so. The zero value is not ready; use New.
+// Set holds the registered names, the ejected engines, and the ejections that ended. Use New.
 type Set struct {
-	listed map[string]bool
-	order  []string // of listed, oldest first
-	out    map[string]bool
-	outAt  map[string]routing.Time // when each ejection in force began
-	back   map[string]ret          // ejections that ended, while they may still count
+	registered        map[string]bool
+	registrationOrder []string // the keys of registered, oldest first
+	ejected           map[string]bool
+	ejectedAt         map[string]routing.Time // when each ejection in force began
+	restored          map[string]restoration  // ended ejections whose engine has not been seen to restart
 }
 
-// ret is the end of an ejection.
-type ret struct{ out, at routing.Time } // when it began and ended
+// restoration is an ejection that ended.
+type restoration struct{ ejectedAt, restoredAt routing.Time }
 
-// New returns an empty set of ejections.
+// New returns an empty set.
 func New() *Set {
-	return &Set{listed: map[string]bool{}, out: map[string]bool{}, outAt: map[string]routing.Time{}, back: map[string]ret{}}
+	return &Set{
+		registered: map[string]bool{},
+		ejected:    map[string]bool{},
+		ejectedAt:  map[string]routing.Time{},
+		restored:   map[string]restoration{},
+	}
 }
 
-// See records that a name is on a list.
-func (b *Set) See(name string) {
-	if b.listed[name] {
+// Register records that an engine list has had this name.
+func (s *Set) Register(name string) {
+	if s.registered[name] {
 		return
 	}
-	if len(b.order) >= MaxListed {
-		delete(b.listed, b.order[0])
-		b.order = b.order[1:]
+	if len(s.registrationOrder) >= MaxRegistered {
+		delete(s.registered, s.registrationOrder[0])
+		s.registrationOrder = s.registrationOrder[1:]
 	}
-	b.listed[name] = true
-	b.order = append(b.order, name)
+	s.registered[name] = true
+	s.registrationOrder = append(s.registrationOrder, name)
 }
 
-// Listed tells whether a name has been on a list.
-func (b *Set) Listed(name string) bool { return b.listed[name] }
+// Registered reports whether an engine list has had this name.
+func (s *Set) Registered(name string) bool { return s.registered[name] }
 
-// Out tells whether an engine is out by hand.
-func (b *Set) Out(name string) bool { return b.out[name] }
+// Ejected reports whether an engine is ejected.
+func (s *Set) Ejected(name string) bool { return s.ejected[name] }
 
-// Names returns the names out by hand, in order.
-func (b *Set) Names() []string {
-	names := make([]string, 0, len(b.out))
-	for n := range b.out {
-		names = append(names, n)
+// Names returns the names of the ejected engines, sorted.
+func (s *Set) Names() []string {
+	names := make([]string, 0, len(s.ejected))
+	for name := range s.ejected {
+		names = append(names, name)
 	}
 	slices.Sort(names)
 	return names
 }
 
-// Change is what a call or a new set of ejections did.
+// Change lists the engines whose ejection began or ended, sorted.
 type Change struct {
-	Out  []string // now out, and not before
-	Back []string // back, and out before
+	Ejected  []string
+	Restored []string
 }
 
-// Call takes one operator's call: out for maint-on, else maint-off. It refuses a
-// name that was never listed, nor out. A call that changes nothing is accepted.
-func (b *Set) Call(name string, out bool, now routing.Time) (Change, bool) {
-	if !b.listed[name] && !b.out[name] {
+// SetEjected ejects an engine, or restores it if eject is false. It returns false, and changes nothing,
+// for a name that is neither registered nor ejected. To repeat a command is no error.
+func (s *Set) SetEjected(name string, eject bool, now routing.Time) (Change, bool) {
+	if !s.registered[name] && !s.ejected[name] {
 		return Change{}, false
 	}
-	next := map[string]bool{}
-	for n := range b.out {
-		next[n] = true
-	}
-	if out {
+	next := maps.Clone(s.ejected)
+	if eject {
 		next[name] = true
 	} else {
 		delete(next, name)
 	}
-	return b.take(next, now), true
+	return s.apply(next, now), true
 }
 
-// Take makes names the whole set of ejections, as another process of the same
-// gateway has written it.
-func (b *Set) Take(names []string, now routing.Time) Change {
+// Replace makes names the whole set of ejected engines, as another process of the same gateway has
+// written it. The names need not be registered.
+func (s *Set) Replace(names []string, now routing.Time) Change {
 	next := map[string]bool{}
-	for _, n := range names {
-		next[n] = true
+	for _, name := range names {
+		next[name] = true
 	}
-	return b.take(next, now)
+	return s.apply(next, now)
 }
 
-func (b *Set) take(next map[string]bool, now routing.Time) Change {
-	var ch Change
-	for n := range next {
-		if !b.out[n] {
-			ch.Out = append(ch.Out, n)
-			b.outAt[n] = now
+// apply makes next the set of ejected engines.
+func (s *Set) apply(next map[string]bool, now routing.Time) Change {
+	var change Change
+	for name := range next {
+		if !s.ejected[name] {
+			change.Ejected = append(change.Ejected, name)
+			s.ejectedAt[name] = now
 		}
+		delete(s.restored, name)
 	}
-	for n := range b.out {
-		if !next[n] {
-			ch.Back = append(ch.Back, n)
-			b.back[n] = ret{out: b.outAt[n], at: now}
-			delete(b.outAt, n)
+	for name := range s.ejected {
+		if !next[name] {
+			change.Restored = append(change.Restored, name)
+			s.restored[name] = restoration{ejectedAt: s.ejectedAt[name], restoredAt: now}
+			delete(s.ejectedAt, name)
 		}
 	}
-	for n := range next {
-		delete(b.back, n)
-	}
-	b.out = next
-	slices.Sort(ch.Out)
-	slices.Sort(ch.Back)
-	return ch
+	s.ejected = next
+	slices.Sort(change.Ejected)
+	slices.Sort(change.Restored)
+	return change
 }
 
-// Show returns the entry that the module is to see for s: draining while it is
-// out. An engine out by hand is restarted meanwhile and comes back cold: a start
-// that the list shows after the ejection began stands; without one, the engine is shown
-// as started at its return, until the list tells of a later start.
-func (b *Set) Show(s routing.EngineInfo) routing.EngineInfo {
-	if b.out[s.Name] {
-		if s.Phase == routing.PhaseActive {
-			s.Phase = routing.PhaseDraining
+// Effective returns the entry that the policy is to see for a listed engine: draining while it is
+// ejected. An ejected engine is taken to be restarted before it is restored, so it comes back with a
+// cold cache: a start that the list shows after the ejection began is kept; until there is one, the
+// engine counts as started when it was restored.
+func (s *Set) Effective(engine routing.EngineInfo) routing.EngineInfo {
+	if s.ejected[engine.Name] {
+		if engine.Phase == routing.PhaseActive {
+			engine.Phase = routing.PhaseDraining
 		}
-		return s
+		return engine
 	}
-	if r, ok := b.back[s.Name]; ok {
-		if s.StartTime >= r.out {
-			delete(b.back, s.Name)
-		} else {
-			s.StartTime = r.at
-		}
+	ended, ok := s.restored[engine.Name]
+	if !ok {
+		return engine
+	}
+	if engine.StartTime >= ended.ejectedAt {
+		delete(s.restored, engine.Name)
+	} else {
+		engine.StartTime = ended.restoredAt
 	}
-	return s
+	return engine
 }
--- a/decide/ejection/golden_test.go
+++ b/decide/ejection/golden_test.go
@@ -67,11 +67,11 @@
 		rec.number(int64(kind), int64(now))
 		switch kind {
 		case 0:
-			set.See(drawName())
+			set.Register(drawName())
 		case 1, 2, 3:
-			change, ok := set.Call(drawName(), rng.IntN(2) == 0, now)
-			rec.names(change.Out)
-			rec.names(change.Back)
+			change, ok := set.SetEjected(drawName(), rng.IntN(2) == 0, now)
+			rec.names(change.Ejected)
+			rec.names(change.Restored)
 			rec.flag(ok)
 		case 4:
 			if rng.IntN(4) > 0 {
@@ -81,32 +81,32 @@
 			for range rng.IntN(4) {
 				names = append(names, drawName())
 			}
-			change := set.Take(names, now)
-			rec.names(change.Out)
-			rec.names(change.Back)
+			change := set.Replace(names, now)
+			rec.names(change.Ejected)
+			rec.names(change.Restored)
 		case 5, 6:
 			phases := []routing.Phase{routing.PhaseActive, routing.PhaseDraining}
-			shown := set.Show(routing.EngineInfo{
+			shown := set.Effective(routing.EngineInfo{
 				Name: drawName(), Phase: phases[rng.IntN(len(phases))], StartTime: max(0, now-routing.Time(rng.IntN(5000))),
 			})
 			rec.names([]string{shown.Name})
 			rec.number(int64(shown.Phase), int64(shown.StartTime))
 		case 7:
 			name := drawName()
-			rec.flag(set.Listed(name))
-			rec.flag(set.Out(name))
+			rec.flag(set.Registered(name))
+			rec.flag(set.Ejected(name))
 			rec.names(set.Names())
 		}
 	}
 	// More names than are remembered: the oldest are forgotten first.
-	for i := range MaxListed + 100 {
-		set.See(fmt.Sprint("n", i))
+	for i := range MaxRegistered + 100 {
+		set.Register(fmt.Sprint("n", i))
 	}
 	for i := range engines {
-		rec.flag(set.Listed(fmt.Sprint("e", i)))
+		rec.flag(set.Registered(fmt.Sprint("e", i)))
 	}
 	for i := range 200 {
-		rec.flag(set.Listed(fmt.Sprint("n", i)))
+		rec.flag(set.Registered(fmt.Sprint("n", i)))
 	}
 	return hex.EncodeToString(rec.sum.Sum(nil))
 }
--- a/internal/core/ejection.go
+++ b/internal/core/ejection.go
@@ -19,7 +19,7 @@
 // never listed (nothing changes then) or if ctx ends first.
 func (c *Core) Eject(ctx context.Context, name string, out bool) (names []string, ok bool) {
 	a := query(ctx, c, func() ejectionAnswer {
-		ch, ok := c.ejections.Call(name, out, c.now())
+		ch, ok := c.ejections.SetEjected(name, out, c.now())
 		if ok {
 			c.showEjections(ch)
 		}
@@ -31,7 +31,7 @@
 // SetEjected makes names the whole set of engines out by hand, as another process of
 // this gateway has written it.
 func (c *Core) SetEjected(names []string) {
-	c.post(func() { c.showEjections(c.ejections.Take(names, c.now())) })
+	c.post(func() { c.showEjections(c.ejections.Replace(names, c.now())) })
 }
 
 // Ejected returns the names of the engines out by hand.
@@ -45,19 +45,19 @@
 // showEjections shows the module the engines whose ejection began or ended.
 func (c *Core) showEjections(ch ejection.Change) {
 	ev := routing.EngineList{Scope: routing.EngineListDelta}
-	for _, names := range [][]string{ch.Out, ch.Back} {
+	for _, names := range [][]string{ch.Ejected, ch.Restored} {
 		for _, n := range names {
 			if m, ok := c.members[n]; ok {
-				ev.Engines = append(ev.Engines, c.ejections.Show(m.EngineInfo))
+				ev.Engines = append(ev.Engines, c.ejections.Effective(m.EngineInfo))
 			}
 		}
 	}
 	c.setReady()
 	if len(ev.Engines) > 0 {
-		for _, n := range ch.Out {
+		for _, n := range ch.Ejected {
 			c.log.Info("engine out by hand", "engine", n)
 		}
-		for _, n := range ch.Back {
+		for _, n := range ch.Restored {
 			c.log.Info("engine back by hand", "engine", n)
 		}
 		c.tell(ev)
@@ -68,7 +68,7 @@
 func (c *Core) setReady() {
 	on := false
 	for _, m := range c.members {
-		on = on || m.Phase == routing.PhaseActive && !c.ejections.Out(m.Name)
+		on = on || m.Phase == routing.PhaseActive && !c.ejections.Ejected(m.Name)
 	}
 	c.ready.Store(on)
 }
--- a/internal/core/roster.go
+++ b/internal/core/roster.go
@@ -25,8 +25,8 @@
 		if c.members[m.Name] = m; m.Phase == routing.PhaseRemoved {
 			delete(c.members, m.Name)
 		}
-		c.ejections.See(m.Name)
-		ev.Engines = append(ev.Engines, c.ejections.Show(m.EngineInfo))
+		c.ejections.Register(m.Name)
+		ev.Engines = append(ev.Engines, c.ejections.Effective(m.EngineInfo))
 	}
 	c.forgetUnlisted()
 	c.setReady()
