--- a/internal/idempotency/keeper.go
+++ b/internal/idempotency/store.go
@@ -10,7 +10,6 @@
 
 import (
 	"context"
-	"encoding/binary"
 	"errors"
 	"fmt"
 	"log/slog"
@@ -20,8 +19,6 @@
 	"sync"
 	"time"
 
-	"github.com/cespare/xxhash/v2"
-	jsoniter "github.com/json-iterator/go"
 	"go.etcd.io/bbolt"
 	bolterrors "go.etcd.io/bbolt/errors"
 
@@ -138,7 +135,7 @@
 			return err
 		}
 		if err := keys.ForEach(func(name, raw []byte) error {
-			e, err := read(raw, moment)
+			e, err := decodeRecord(raw, moment)
 			if err != nil {
 				return fmt.Errorf("%w: key %q: %w", errDamaged, name, err)
 			}
@@ -159,41 +156,6 @@
 	return entries, clean, nil
 }
 
-const sumSize = 8
-
-// stored is an entry as the file has it. The entry's times are by the wall clock, which may be
-// stepped; its age goes by the moment that is stored with it.
-type stored struct {
-	deduplication.Entry
-	At bootclock.Moment
-}
-
-// read returns an entry with its age at now. One whose age can't be told, as the machine has been
-// started anew or an earlier version wrote it, counts as new: it is remembered for too long, never
-// forgotten too soon.
-func read(raw []byte, now bootclock.Moment) (deduplication.Entry, error) {
-	if len(raw) < sumSize || binary.BigEndian.Uint64(raw) != xxhash.Sum64(raw[sumSize:]) {
-		return deduplication.Entry{}, errors.New("its checksum is wrong")
-	}
-	var s stored
-	if err := jsoniter.Unmarshal(raw[sumSize:], &s); err != nil {
-		return deduplication.Entry{}, err
-	}
-	age, _ := now.Since(s.At)
-	s.Entry.Since = time.Now().Add(-age)
-	return s.Entry, nil
-}
-
-func written(e deduplication.Entry, now bootclock.Moment) ([]byte, error) {
-	body, err := jsoniter.Marshal(stored{Entry: e, At: now.Ago(time.Since(e.Since))})
-	if err != nil {
-		return nil, err
-	}
-	return append(binary.BigEndian.AppendUint64(nil, xxhash.Sum64(body)), body...), nil
-}
-
-func name(k deduplication.Key) []byte { return []byte(k.Team + "\x00" + k.Name) }
-
 // Begin decides on a request; see deduplication.Table. With deduplication.Run, End must follow.
 // While the file can't be written nothing is run: a process killed then would not know of it.
 func (k *Keeper) Begin(a deduplication.Ask) (deduplication.Verdict, deduplication.Entry) {
@@ -295,16 +257,16 @@
 		keys := tx.Bucket(bucketKeys)
 		for key, e := range todo {
 			if e == nil {
-				if err := keys.Delete(name(key)); err != nil {
+				if err := keys.Delete(databaseKey(key)); err != nil {
 					return err
 				}
 				continue
 			}
-			raw, err := written(*e, moment)
+			raw, err := encodeRecord(*e, moment)
 			if err != nil {
 				return err
 			}
-			if err := keys.Put(name(key), raw); err != nil {
+			if err := keys.Put(databaseKey(key), raw); err != nil {
 				return err
 			}
 		}
--- a/internal/idempotency/keeper_test.go
+++ b/internal/idempotency/store_test.go
@@ -157,11 +157,11 @@
 		{"written by an earlier version", 100 * hour, bootclock.Moment{}, 0},
 	} {
 		e := deduplication.Entry{Key: ask("a").Key, Digest: "d", State: deduplication.Complete, Since: time.Now().Add(-c.since)}
-		body, err := jsoniter.Marshal(stored{Entry: e, At: c.at})
+		body, err := jsoniter.Marshal(record{Key: recordKey(e.Key), Digest: e.Digest, State: e.State, Since: e.Since, At: c.at})
 		if err != nil {
 			t.Fatal(err)
 		}
-		got, err := read(append(binary.BigEndian.AppendUint64(nil, xxhash.Sum64(body)), body...), now)
+		got, err := decodeRecord(append(binary.BigEndian.AppendUint64(nil, xxhash.Sum64(body)), body...), now)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/idempotency/stored_test.go
+++ b/internal/idempotency/stored_test.go
@@ -116,9 +116,9 @@
 	}
 }
 
-// record is what the file holds under a key, by its description in the
+// storedRecord is what the file holds under a key, by its description in the
 // package comment: eight bytes of checksum, then JSON.
-type record struct {
+type storedRecord struct {
 	Key    struct{ Team, Name string }
 	Digest string
 	State  uint8
@@ -133,14 +133,14 @@
 }
 
 // readStored reads a file with no code of this package's: its meta data, and its records by key.
-func readStored(t *testing.T, path string) (meta map[string]string, records map[string]record) {
+func readStored(t *testing.T, path string) (meta map[string]string, records map[string]storedRecord) {
 	t.Helper()
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true, Timeout: time.Second})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer db.Close()
-	meta, records = map[string]string{}, map[string]record{}
+	meta, records = map[string]string{}, map[string]storedRecord{}
 	err = db.View(func(tx *bbolt.Tx) error {
 		if err := tx.Bucket([]byte("meta")).ForEach(func(name, value []byte) error {
 			meta[string(name)] = string(value)
@@ -154,7 +154,7 @@
 			}
 			decoder := json.NewDecoder(strings.NewReader(string(raw[8:])))
 			decoder.DisallowUnknownFields()
-			var r record
+			var r storedRecord
 			if err := decoder.Decode(&r); err != nil {
 				return err
 			}
@@ -169,7 +169,7 @@
 }
 
 // checkRecords compares records with entries, without their times.
-func checkRecords(t *testing.T, records map[string]record, want []deduplication.Entry) {
+func checkRecords(t *testing.T, records map[string]storedRecord, want []deduplication.Entry) {
 	t.Helper()
 	var got []deduplication.Entry
 	for name, r := range records {
@@ -257,7 +257,7 @@
 		{"after a reboot", bootclock.Moment{Boot: "c", Up: time.Hour}, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			e, err := read(raw, c.now)
+			e, err := decodeRecord(raw, c.now)
 			if err != nil {
 				t.Fatal(err)
 			}
