--- a/cmd/wellgw/chatgateway.go
+++ b/cmd/wellgw/chatgateway.go
@@ -33,9 +33,9 @@
 		f = openai.NewFront(openai.Options{
 			Core: c, File: o, Bodies: b, Keys: keys, Held: int64(heldPart * float64(o.Limits.MemoryMB) * (1 << 20)),
 			Others: func() bool {
-				return deduplication.Others{
-					Sticky: o.Idempotency != nil && o.Idempotency.Sticky, Said: o.Gateways, Talk: o.Peers != nil, Shown: int(g.shared.Load()),
-				}.May()
+				return deduplication.Topology{
+					StickyKeys: o.Idempotency != nil && o.Idempotency.Sticky, ConfiguredGateways: o.Gateways, PeersEnabled: o.Peers != nil, ObservedGateways: int(g.shared.Load()),
+				}.AttemptsMayGoElsewhere()
 			},
 		})
 		here.Store(f)
--- a/decide/deduplication/golden_test.go
+++ b/decide/deduplication/golden_test.go
@@ -40,7 +40,7 @@
 }
 
 func (r recorder) entry(e Entry) {
-	r.text(e.Key.Team, e.Key.Name, e.Digest, e.ID, e.Type, string(e.Answer))
+	r.text(e.Key.Team, e.Key.Name, e.Digest, e.RequestID, e.ContentType, string(e.Answer))
 	r.flag(e.Answer == nil)
 	r.number(int64(e.State), e.Since.UnixNano())
 }
@@ -81,9 +81,9 @@
 	rng := rand.New(rand.NewPCG(seed, 45))
 	rec := recorder{sha256.New()}
 	limits := DefaultLimits()
-	limits.Entries, limits.PerTeam = 10+rng.IntN(40), rng.IntN(30)
-	limits.Bytes, limits.Answer = int64(200+rng.IntN(400)), 40
-	limits.Age, limits.Least, limits.Distrust = 20*time.Minute, time.Minute, 2*time.Minute
+	limits.MaxEntries, limits.MaxEntriesPerTeam = 10+rng.IntN(40), rng.IntN(30)
+	limits.MaxTotalAnswerBytes, limits.MaxAnswerBytes = int64(200+rng.IntN(400)), 40
+	limits.Retention, limits.MinRetention, limits.UncertaintyPeriod = 20*time.Minute, time.Minute, 2*time.Minute
 	newTable := func() *Table {
 		table, err := NewTable(limits)
 		if err != nil {
@@ -95,7 +95,7 @@
 	stored := map[Key]Entry{} // what a file would hold
 	running := map[Key]string{}
 	forget := func() {
-		dropped := table.Dropped()
+		dropped := table.TakeRemoved()
 		rec.keys(dropped)
 		for _, k := range dropped {
 			delete(stored, k)
@@ -112,18 +112,18 @@
 		rec.number(int64(kind))
 		switch {
 		case kind < 20:
-			request := Ask{Key: drawKey(), Digest: "d", ID: fmt.Sprint("id", step), Others: rng.IntN(2) == 0}
+			request := Request{Key: drawKey(), Digest: "d", RequestID: fmt.Sprint("id", step), MayHaveRunElsewhere: rng.IntN(2) == 0}
 			if rng.IntN(10) == 0 {
 				request.Digest = "other"
 			}
 			if rng.IntN(2) == 0 {
-				request.Retry = rng.IntN(4)
+				request.RetryCount = rng.IntN(4)
 			}
 			decision, e := table.Begin(now, request)
 			rec.number(int64(decision))
 			rec.entry(e)
 			if forget(); decision == Run {
-				running[request.Key], stored[request.Key] = request.ID, e
+				running[request.Key], stored[request.Key] = request.RequestID, e
 			}
 		case kind < 35:
 			if len(running) == 0 {
@@ -136,7 +136,7 @@
 			} else {
 				delete(running, k)
 			}
-			outcome := []Outcome{NotRun, Whole, Whole, Whole, Broken}[rng.IntN(5)]
+			outcome := []Outcome{OutcomeNotRun, OutcomeCompleted, OutcomeCompleted, OutcomeCompleted, OutcomeIndeterminate}[rng.IntN(5)]
 			e, kept := table.End(now, k, id, outcome, "text/plain", make([]byte, rng.IntN(60)))
 			rec.entry(e)
 			rec.flag(kept)
@@ -144,7 +144,7 @@
 				stored[k] = e
 			}
 		case kind < 37:
-			table.Spare(now, drawKey())
+			table.RecordRefusal(now, drawKey())
 		case kind < 39:
 			table.Expire(now)
 			forget()
@@ -157,8 +157,8 @@
 			table.Restore(now, entries, rng.IntN(2) == 0)
 			clear(running)
 			for i := range entries { // what ran has been cut off
-				if e := &entries[i]; e.State == Running {
-					e.State, e.Since, e.Answer = Unknown, now, nil
+				if e := &entries[i]; e.State == StateRunning {
+					e.State, e.Since, e.Answer = StateUnknown, now, nil
 					stored[e.Key] = *e
 				}
 			}
@@ -175,14 +175,14 @@
 	const want = "285231c93e1967c538fb3308137b34b5c85d970d013c7776ecb966c736b84f8a"
 	rec := recorder{sha256.New()}
 	for bits := range 16 {
-		e := Ending{Whole: bits&1 > 0, Refused: bits&2 > 0, Rejected: bits&4 > 0, MayRun: bits&8 > 0}
+		e := Result{Complete: bits&1 > 0, Refused: bits&2 > 0, RejectedByEngine: bits&4 > 0, MayHaveRun: bits&8 > 0}
 		rec.number(int64(e.Outcome()))
 	}
 	for said := range 4 {
 		for shown := range 4 {
 			for bits := range 4 {
-				o := Others{Sticky: bits&1 > 0, Talk: bits&2 > 0, Said: said, Shown: shown}
-				rec.flag(o.May())
+				o := Topology{StickyKeys: bits&1 > 0, PeersEnabled: bits&2 > 0, ConfiguredGateways: said, ObservedGateways: shown}
+				rec.flag(o.AttemptsMayGoElsewhere())
 			}
 		}
 	}
@@ -194,7 +194,7 @@
 // TestTextsOfStatesAndDecisions pins texts that metrics and counts show.
 func TestTextsOfStatesAndDecisions(t *testing.T) {
 	for v, want := range []string{"run", "under way", "replay", "not kept", "reused", "lost", "full"} {
-		if got := Verdict(v).String(); got != want {
+		if got := Decision(v).String(); got != want {
 			t.Errorf("decision %d: %q, want %q", v, got, want)
 		}
 	}
@@ -211,11 +211,11 @@
 		change func(*Limits)
 		want   string
 	}{
-		{func(l *Limits) { l.Entries = 0 }, "keys: below 1"},
-		{func(l *Limits) { l.Bytes = -1 }, "answer_bytes, largest_answer: below 0"},
-		{func(l *Limits) { l.Answer = -1 }, "answer_bytes, largest_answer: below 0"},
-		{func(l *Limits) { l.Least = 0 }, "least_ms, age_ms: the age must be no less than the least, and both above 0"},
-		{func(l *Limits) { l.Age = l.Least - 1 }, "least_ms, age_ms: the age must be no less than the least, and both above 0"},
+		{func(l *Limits) { l.MaxEntries = 0 }, "keys: below 1"},
+		{func(l *Limits) { l.MaxTotalAnswerBytes = -1 }, "answer_bytes, largest_answer: below 0"},
+		{func(l *Limits) { l.MaxAnswerBytes = -1 }, "answer_bytes, largest_answer: below 0"},
+		{func(l *Limits) { l.MinRetention = 0 }, "least_ms, age_ms: the age must be no less than the least, and both above 0"},
+		{func(l *Limits) { l.Retention = l.MinRetention - 1 }, "least_ms, age_ms: the age must be no less than the least, and both above 0"},
 	} {
 		l := DefaultLimits()
 		c.change(&l)
--- a/decide/deduplication/table_test.go
+++ b/decide/deduplication/table_test.go
@@ -26,8 +26,8 @@
 	return tb
 }
 
-func ask(team, key, digest string) Ask {
-	return Ask{Key: Key{team, key}, Digest: digest, ID: "id-" + key + "-" + digest}
+func ask(team, key, digest string) Request {
+	return Request{Key: Key{team, key}, Digest: digest, RequestID: "id-" + key + "-" + digest}
 }
 
 func TestRepeatOutcomes(t *testing.T) {
@@ -35,37 +35,37 @@
 	for name, c := range map[string]struct {
 		end    *Outcome
 		answer string
-		again  Ask
+		again  Request
 		after  time.Duration
-		want   Verdict
+		want   Decision
 	}{
-		"under way":                {nil, "", first, time.Second, UnderWay},
-		"complete":                 {ptr(Whole), "yes", first, time.Second, Replay},
-		"complete, nothing kept":   {ptr(Whole), "", first, time.Second, NotKept},
-		"complete, too large":      {ptr(Whole), strings.Repeat("x", 300<<10), first, time.Second, NotKept},
-		"broken":                   {ptr(Broken), "", first, time.Second, Lost},
-		"turned away":              {ptr(NotRun), "", first, time.Second, Run},
-		"another body":             {ptr(Whole), "yes", ask("a", "k", "other"), time.Second, Reused},
-		"another body, under way":  {nil, "", ask("a", "k", "other"), time.Second, Reused},
-		"another body, broken":     {ptr(Broken), "", ask("a", "k", "other"), time.Second, Reused},
-		"the same text, other key": {ptr(Whole), "yes", ask("a", "k2", "d"), time.Second, Run},
-		"another team's key":       {ptr(Whole), "yes", ask("b", "k", "d"), time.Second, Run},
-		"past its age":             {ptr(Whole), "yes", first, 25 * time.Hour, Run},
-		"broken, past its age":     {ptr(Broken), "", first, 25 * time.Hour, Run},
-		"under way for a day":      {nil, "", first, 25 * time.Hour, UnderWay},
+		"under way":                {nil, "", first, time.Second, InProgress},
+		"complete":                 {ptr(OutcomeCompleted), "yes", first, time.Second, Replay},
+		"complete, nothing kept":   {ptr(OutcomeCompleted), "", first, time.Second, AnswerUnavailable},
+		"complete, too large":      {ptr(OutcomeCompleted), strings.Repeat("x", 300<<10), first, time.Second, AnswerUnavailable},
+		"broken":                   {ptr(OutcomeIndeterminate), "", first, time.Second, PriorOutcomeUnknown},
+		"turned away":              {ptr(OutcomeNotRun), "", first, time.Second, Run},
+		"another body":             {ptr(OutcomeCompleted), "yes", ask("a", "k", "other"), time.Second, KeyReused},
+		"another body, under way":  {nil, "", ask("a", "k", "other"), time.Second, KeyReused},
+		"another body, broken":     {ptr(OutcomeIndeterminate), "", ask("a", "k", "other"), time.Second, KeyReused},
+		"the same text, other key": {ptr(OutcomeCompleted), "yes", ask("a", "k2", "d"), time.Second, Run},
+		"another team's key":       {ptr(OutcomeCompleted), "yes", ask("b", "k", "d"), time.Second, Run},
+		"past its age":             {ptr(OutcomeCompleted), "yes", first, 25 * time.Hour, Run},
+		"broken, past its age":     {ptr(OutcomeIndeterminate), "", first, 25 * time.Hour, Run},
+		"under way for a day":      {nil, "", first, 25 * time.Hour, InProgress},
 	} {
 		tb := table(t, nil)
 		if v, _ := tb.Begin(t0, first); v != Run {
 			t.Fatalf("%s: %v at first", name, v)
 		}
 		if c.end != nil {
-			tb.End(t0, first.Key, first.ID, *c.end, "text/plain", []byte(c.answer))
+			tb.End(t0, first.Key, first.RequestID, *c.end, "text/plain", []byte(c.answer))
 		}
 		v, e := tb.Begin(t0.Add(c.after), c.again)
 		if v != c.want {
 			t.Errorf("%s: %v, want %v", name, v, c.want)
 		}
-		if v == Replay && (string(e.Answer) != c.answer || e.Type != "text/plain") {
+		if v == Replay && (string(e.Answer) != c.answer || e.ContentType != "text/plain") {
 			t.Errorf("%s: %+v", name, e)
 		}
 	}
@@ -74,9 +74,9 @@
 func ptr(o Outcome) *Outcome { return &o }
 
 func TestEndings(t *testing.T) {
-	for e, want := range map[Ending]Outcome{
-		{}: NotRun, {MayRun: true}: Broken, {MayRun: true, Refused: true}: NotRun, {MayRun: true, Rejected: true}: NotRun,
-		{Whole: true}: Whole, {Whole: true, MayRun: true}: Whole,
+	for e, want := range map[Result]Outcome{
+		{}: OutcomeNotRun, {MayHaveRun: true}: OutcomeIndeterminate, {MayHaveRun: true, Refused: true}: OutcomeNotRun, {MayHaveRun: true, RejectedByEngine: true}: OutcomeNotRun,
+		{Complete: true}: OutcomeCompleted, {Complete: true, MayHaveRun: true}: OutcomeCompleted,
 	} {
 		if got := e.Outcome(); got != want {
 			t.Errorf("%+v: %v, want %v", e, got, want)
@@ -90,24 +90,24 @@
 		others bool
 		clean  bool
 		after  time.Duration
-		want   Verdict
+		want   Decision
 	}{
 		"a first try":                     {0, false, true, 0, Run},
 		"a first try, other gateways":     {0, true, false, 0, Run},
 		"a retry, nothing is lost":        {1, false, true, 0, Run},
-		"a retry, other gateways":         {1, true, true, 0, Lost},
-		"a retry after a crash":           {2, false, false, time.Minute, Lost},
+		"a retry, other gateways":         {1, true, true, 0, PriorOutcomeUnknown},
+		"a retry after a crash":           {2, false, false, time.Minute, PriorOutcomeUnknown},
 		"a retry long after a crash":      {2, false, false, time.Hour, Run},
 		"a first try just after a crash":  {0, false, false, 0, Run},
-		"a retry, others, after long":     {1, true, false, time.Hour, Lost},
+		"a retry, others, after long":     {1, true, false, time.Hour, PriorOutcomeUnknown},
 		"a retry just as the doubts end":  {1, false, false, 10 * time.Minute, Run},
-		"a retry just before they end":    {1, false, false, 10*time.Minute - 1, Lost},
+		"a retry just before they end":    {1, false, false, 10*time.Minute - 1, PriorOutcomeUnknown},
 		"a retry many times, all is well": {9, false, true, time.Hour, Run},
 	} {
 		tb := table(t, nil)
 		tb.Restore(t0, nil, c.clean)
 		a := ask("a", "k", "d")
-		a.Retry, a.Others = c.retry, c.others
+		a.RetryCount, a.MayHaveRunElsewhere = c.retry, c.others
 		if v, _ := tb.Begin(t0.Add(c.after), a); v != c.want {
 			t.Errorf("%s: %v, want %v", name, v, c.want)
 		}
@@ -119,9 +119,9 @@
 func TestRetryAfterRefusal(t *testing.T) {
 	tb := table(t, nil)
 	tb.Restore(t0, nil, false)
-	try := func(at time.Duration, retry int) Verdict {
+	try := func(at time.Duration, retry int) Decision {
 		a := ask("a", "k", "d")
-		a.Retry, a.Others = retry, true
+		a.RetryCount, a.MayHaveRunElsewhere = retry, true
 		v, _ := tb.Begin(t0.Add(at), a)
 		return v
 	}
@@ -129,40 +129,40 @@
 		if v := try(time.Duration(n)*time.Second, n); v != Run {
 			t.Fatalf("after %d tries turned away here: %v", n, v)
 		}
-		tb.End(t0, Key{"a", "k"}, ask("a", "k", "d").ID, NotRun, "", nil)
+		tb.End(t0, Key{"a", "k"}, ask("a", "k", "d").RequestID, OutcomeNotRun, "", nil)
 	}
-	if v := try(time.Minute, 4); v != Lost {
+	if v := try(time.Minute, 4); v != PriorOutcomeUnknown {
 		t.Errorf("one of four tries was made elsewhere: %v", v)
 	}
-	if v := try(time.Hour, 3); v != Lost {
+	if v := try(time.Hour, 3); v != PriorOutcomeUnknown {
 		t.Errorf("an hour later: %v", v)
 	}
-	for i := range 10 * sparedMost { // a flood of another team's costs this one nothing
-		tb.Spare(t0.Add(time.Hour), Key{"b", fmt.Sprint(i)})
+	for i := range 10 * maxRefusalsPerGeneration { // a flood of another team's costs this one nothing
+		tb.RecordRefusal(t0.Add(time.Hour), Key{"b", fmt.Sprint(i)})
 	}
-	tb.Spare(t0.Add(time.Hour), Key{"a", "k2"})
-	if n := tb.spared["a"].tries(t0.Add(time.Hour), "k2"); n != 1 {
+	tb.RecordRefusal(t0.Add(time.Hour), Key{"a", "k2"})
+	if n := tb.refusals["a"].count(t0.Add(time.Hour), "k2"); n != 1 {
 		t.Errorf("%d tries remembered", n)
 	}
-	if b := tb.spared["b"]; len(b.young)+len(b.old) > 2*sparedMost {
-		t.Errorf("%d keys remembered", len(b.young)+len(b.old))
+	if b := tb.refusals["b"]; len(b.current)+len(b.previous) > 2*maxRefusalsPerGeneration {
+		t.Errorf("%d keys remembered", len(b.current)+len(b.previous))
 	}
 }
 
 func TestEarlierTryAtOtherGateway(t *testing.T) {
 	for name, c := range map[string]struct {
-		know Others
+		know Topology
 		may  bool
 	}{
-		"nothing is said":                        {Others{Shown: 1}, true},
-		"one gateway, by the file":               {Others{Said: 1, Shown: 1}, false},
-		"one by the file, others listed":         {Others{Said: 1, Shown: 2}, true},
-		"three by the file":                      {Others{Said: 3, Shown: 3}, true},
-		"gateways talk, and none is there yet":   {Others{Said: 1, Talk: true, Shown: 1}, true},
-		"keys stick":                             {Others{Sticky: true, Said: 3, Talk: true, Shown: 3}, false},
-		"one found by a catalogue, nothing said": {Others{Shown: 0}, true},
+		"nothing is said":                        {Topology{ObservedGateways: 1}, true},
+		"one gateway, by the file":               {Topology{ConfiguredGateways: 1, ObservedGateways: 1}, false},
+		"one by the file, others listed":         {Topology{ConfiguredGateways: 1, ObservedGateways: 2}, true},
+		"three by the file":                      {Topology{ConfiguredGateways: 3, ObservedGateways: 3}, true},
+		"gateways talk, and none is there yet":   {Topology{ConfiguredGateways: 1, PeersEnabled: true, ObservedGateways: 1}, true},
+		"keys stick":                             {Topology{StickyKeys: true, ConfiguredGateways: 3, PeersEnabled: true, ObservedGateways: 3}, false},
+		"one found by a catalogue, nothing said": {Topology{ObservedGateways: 0}, true},
 	} {
-		if c.know.May() != c.may {
+		if c.know.AttemptsMayGoElsewhere() != c.may {
 			t.Errorf("%s: %v", name, !c.may)
 		}
 	}
@@ -174,10 +174,10 @@
 		return Entry{Key: Key{"a", k}, Digest: "d", State: s, Since: t0.Add(-age), Answer: []byte(answer)}
 	}
 	tb.Restore(t0, []Entry{
-		entry("ran", Running, time.Second, ""), entry("done", Complete, time.Hour, "yes"), entry("old", Complete, 25*time.Hour, "yes"),
-		entry("ahead", Complete, -time.Hour, "yes"), entry("done", Unknown, time.Hour, ""),
+		entry("ran", StateRunning, time.Second, ""), entry("done", StateComplete, time.Hour, "yes"), entry("old", StateComplete, 25*time.Hour, "yes"),
+		entry("ahead", StateComplete, -time.Hour, "yes"), entry("done", StateUnknown, time.Hour, ""),
 	}, true)
-	for k, want := range map[string]Verdict{"ran": Lost, "done": Replay, "old": Run, "ahead": Replay} {
+	for k, want := range map[string]Decision{"ran": PriorOutcomeUnknown, "done": Replay, "old": Run, "ahead": Replay} {
 		if v, _ := tb.Begin(t0, ask("a", k, "d")); v != want {
 			t.Errorf("%s: %v, want %v", k, v, want)
 		}
@@ -187,11 +187,11 @@
 // A team that floods the table with keys costs another team neither its keys nor its
 // answers, as long as that one has less than its part.
 func TestFloodOfKeysIsBounded(t *testing.T) {
-	tb := table(t, func(l *Limits) { l.Entries, l.Bytes, l.PerTeam = 100, 1000, 80 })
-	done := func(now time.Time, a Ask) Verdict {
+	tb := table(t, func(l *Limits) { l.MaxEntries, l.MaxTotalAnswerBytes, l.MaxEntriesPerTeam = 100, 1000, 80 })
+	done := func(now time.Time, a Request) Decision {
 		v, _ := tb.Begin(now, a)
 		if v == Run {
-			tb.End(now, a.Key, a.ID, Whole, "", []byte("0123456789"))
+			tb.End(now, a.Key, a.RequestID, OutcomeCompleted, "", []byte("0123456789"))
 		}
 		return v
 	}
@@ -200,7 +200,7 @@
 	}
 	full := 0
 	for i := range 1000 {
-		if done(t0.Add(time.Duration(i)*time.Second), ask("loud", fmt.Sprint(i), "d")) == Full {
+		if done(t0.Add(time.Duration(i)*time.Second), ask("loud", fmt.Sprint(i), "d")) == CapacityExceeded {
 			full++
 		}
 	}
@@ -221,8 +221,8 @@
 
 func TestLimitsAreNamed(t *testing.T) {
 	for field, change := range map[string]func(*Limits){
-		"keys": func(l *Limits) { l.Entries = 0 }, "answer_bytes": func(l *Limits) { l.Bytes = -1 },
-		"age_ms": func(l *Limits) { l.Age = l.Least - 1 }, "least_ms": func(l *Limits) { l.Least = 0 },
+		"keys": func(l *Limits) { l.MaxEntries = 0 }, "answer_bytes": func(l *Limits) { l.MaxTotalAnswerBytes = -1 },
+		"age_ms": func(l *Limits) { l.Retention = l.MinRetention - 1 }, "least_ms": func(l *Limits) { l.MinRetention = 0 },
 	} {
 		l := DefaultLimits()
 		change(&l)
@@ -239,8 +239,8 @@
 func TestNoKeyRunsTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tb := table(t, func(l *Limits) {
-			l.Entries, l.Bytes, l.Answer = rapid.IntRange(1, 8).Draw(t, "entries"), int64(rapid.IntRange(0, 60).Draw(t, "bytes")), 20
-			l.Age, l.Least, l.PerTeam = time.Hour, 10*time.Minute, rapid.IntRange(0, 8).Draw(t, "of a team")
+			l.MaxEntries, l.MaxTotalAnswerBytes, l.MaxAnswerBytes = rapid.IntRange(1, 8).Draw(t, "entries"), int64(rapid.IntRange(0, 60).Draw(t, "bytes")), 20
+			l.Retention, l.MinRetention, l.MaxEntriesPerTeam = time.Hour, 10*time.Minute, rapid.IntRange(0, 8).Draw(t, "of a team")
 		})
 		type ran struct {
 			running bool
@@ -255,7 +255,7 @@
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0, 1, 2, 3:
 				n++
-				a := Ask{Key: k, Digest: "d", ID: fmt.Sprint(n), Retry: rapid.IntRange(0, 1).Draw(t, "retry")}
+				a := Request{Key: k, Digest: "d", RequestID: fmt.Sprint(n), RetryCount: rapid.IntRange(0, 1).Draw(t, "retry")}
 				v, _ := tb.Begin(now, a)
 				w := world[k]
 				if v != Run {
@@ -267,26 +267,26 @@
 				if w != nil && !w.at.IsZero() && now.Sub(w.at) < 10*time.Minute {
 					t.Fatalf("%v runs again %v after it may have run", k, now.Sub(w.at))
 				}
-				world[k], under[k] = &ran{running: true}, a.ID
+				world[k], under[k] = &ran{running: true}, a.RequestID
 			case 4, 5, 6, 7:
 				id, on := under[k]
 				if !on {
 					continue
 				}
-				how := rapid.SampledFrom([]Outcome{NotRun, Whole, Broken}).Draw(t, "how")
+				how := rapid.SampledFrom([]Outcome{OutcomeNotRun, OutcomeCompleted, OutcomeIndeterminate}).Draw(t, "how")
 				tb.End(now, k, id, how, "", make([]byte, rapid.IntRange(0, 25).Draw(t, "size")))
 				delete(under, k)
-				if world[k].running = false; how != NotRun {
+				if world[k].running = false; how != OutcomeNotRun {
 					world[k].at = now
 				}
 			case 8:
 				tb.Expire(now)
 			default: // the process ends and begins anew
 				var kept []Entry
-				for _, e := range tb.all {
+				for _, e := range tb.entries {
 					kept = append(kept, *e)
 				}
-				next := table(t, func(l *Limits) { *l = tb.lim })
+				next := table(t, func(l *Limits) { *l = tb.limits })
 				next.Restore(now, kept, true)
 				tb = next
 				for k := range under {
@@ -296,10 +296,10 @@
 			}
 			keys, bytes := tb.Counts()
 			sum := int64(0)
-			for _, e := range tb.all {
+			for _, e := range tb.entries {
 				sum += int64(len(e.Answer))
 			}
-			if keys > tb.lim.Entries || bytes > tb.lim.Bytes || bytes != sum {
+			if keys > tb.limits.MaxEntries || bytes > tb.limits.MaxTotalAnswerBytes || bytes != sum {
 				t.Fatalf("%d keys, %d bytes, by count %d", keys, bytes, sum)
 			}
 		}
--- a/internal/config/idempotency.go
+++ b/internal/config/idempotency.go
@@ -23,24 +23,24 @@
 // KeyLimits are what decide/deduplication is given.
 func (o *Operator) KeyLimits() deduplication.Limits {
 	l := deduplication.DefaultLimits()
-	l.Bytes = min(l.Bytes, int64(o.Limits.MemoryMB)<<20/answerPart)
+	l.MaxTotalAnswerBytes = min(l.MaxTotalAnswerBytes, int64(o.Limits.MemoryMB)<<20/answerPart)
 	i := o.Idempotency
 	if i == nil {
 		i = &Idempotency{}
 	}
 	if i.Keys > 0 {
-		l.Entries = i.Keys
+		l.MaxEntries = i.Keys
 	}
-	if l.PerTeam = i.KeysOfTeam; l.PerTeam == 0 && len(o.Teams) > 1 {
-		l.PerTeam = max(1, l.Entries/2)
+	if l.MaxEntriesPerTeam = i.KeysOfTeam; l.MaxEntriesPerTeam == 0 && len(o.Teams) > 1 {
+		l.MaxEntriesPerTeam = max(1, l.MaxEntries/2)
 	}
 	if i.AnswerBytes > 0 {
-		l.Bytes = i.AnswerBytes
+		l.MaxTotalAnswerBytes = i.AnswerBytes
 	}
 	if i.LargestAnswer > 0 {
-		l.Answer = i.LargestAnswer
+		l.MaxAnswerBytes = i.LargestAnswer
 	}
-	l.Age, l.Least = millis(i.AgeMS, l.Age), millis(i.LeastMS, l.Least)
+	l.Retention, l.MinRetention = millis(i.AgeMS, l.Retention), millis(i.LeastMS, l.MinRetention)
 	return l
 }
 
--- a/internal/idempotency/record.go
+++ b/internal/idempotency/record.go
@@ -44,7 +44,7 @@
 // encodeRecord returns an entry in the file's form. now is the present moment.
 func encodeRecord(e deduplication.Entry, now bootclock.Moment) ([]byte, error) {
 	body, err := jsoniter.Marshal(record{
-		Key: recordKey(e.Key), Digest: e.Digest, State: e.State, Since: e.Since, ID: e.ID, Type: e.Type,
+		Key: recordKey(e.Key), Digest: e.Digest, State: e.State, Since: e.Since, ID: e.RequestID, Type: e.ContentType,
 		Answer: e.Answer, At: now.Ago(time.Since(e.Since)),
 	})
 	if err != nil {
@@ -66,7 +66,7 @@
 	}
 	age, _ := now.Since(r.At)
 	return deduplication.Entry{
-		Key: deduplication.Key(r.Key), Digest: r.Digest, State: r.State, Since: time.Now().Add(-age), ID: r.ID,
-		Type: r.Type, Answer: r.Answer,
+		Key: deduplication.Key(r.Key), Digest: r.Digest, State: r.State, Since: time.Now().Add(-age), RequestID: r.ID,
+		ContentType: r.Type, Answer: r.Answer,
 	}, nil
 }
--- a/internal/idempotency/store.go
+++ b/internal/idempotency/store.go
@@ -158,14 +158,14 @@
 
 // Begin decides on a request; see deduplication.Table. With deduplication.Run, End must follow.
 // While the file can't be written nothing is run: a process killed then would not know of it.
-func (k *Keeper) Begin(a deduplication.Ask) (deduplication.Verdict, deduplication.Entry) {
+func (k *Keeper) Begin(a deduplication.Request) (deduplication.Decision, deduplication.Entry) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	v, e := k.table.Begin(time.Now(), a)
 	if v == deduplication.Run && k.failing {
-		k.table.End(time.Now(), a.Key, a.ID, deduplication.NotRun, "", nil)
+		k.table.End(time.Now(), a.Key, a.RequestID, deduplication.OutcomeNotRun, "", nil)
 		k.note(deduplication.Entry{}, false)
-		return deduplication.Full, deduplication.Entry{Key: a.Key}
+		return deduplication.CapacityExceeded, deduplication.Entry{Key: a.Key}
 	}
 	k.note(e, v == deduplication.Run)
 	return v, e
@@ -183,12 +183,12 @@
 func (k *Keeper) Spare(key deduplication.Key) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.table.Spare(time.Now(), key)
+	k.table.RecordRefusal(time.Now(), key)
 }
 
 // note has what has changed written. The lock is held.
 func (k *Keeper) note(e deduplication.Entry, changed bool) {
-	dropped := k.table.Dropped()
+	dropped := k.table.TakeRemoved()
 	if k.db == nil {
 		return
 	}
@@ -201,7 +201,7 @@
 }
 
 // Answer returns the most bytes of an answer that is kept.
-func (k *Keeper) Answer() int { return k.limits.Answer }
+func (k *Keeper) Answer() int { return k.limits.MaxAnswerBytes }
 
 // Counts returns how many keys are remembered, and the bytes of their answers.
 func (k *Keeper) Counts() (keys int, bytes int64) {
--- a/internal/idempotency/store_test.go
+++ b/internal/idempotency/store_test.go
@@ -25,11 +25,11 @@
 	return k
 }
 
-func ask(name string) deduplication.Ask {
-	return deduplication.Ask{Key: deduplication.Key{Team: "a", Name: name}, Digest: "d", ID: "id" + name}
+func ask(name string) deduplication.Request {
+	return deduplication.Request{Key: deduplication.Key{Team: "a", Name: name}, Digest: "d", RequestID: "id" + name}
 }
 
-func begin(t *testing.T, k *Keeper, name string, want deduplication.Verdict) deduplication.Entry {
+func begin(t *testing.T, k *Keeper, name string, want deduplication.Decision) deduplication.Entry {
 	t.Helper()
 	v, e := k.Begin(ask(name))
 	if v != want {
@@ -44,22 +44,22 @@
 	for _, name := range []string{"whole", "broken", "refused", "running"} {
 		begin(t, k, name, deduplication.Run)
 	}
-	k.End(ask("whole").Key, "idwhole", deduplication.Whole, "text/event-stream", []byte("data: x\n\n"))
-	k.End(ask("broken").Key, "idbroken", deduplication.Broken, "", nil)
-	k.End(ask("refused").Key, "idrefused", deduplication.NotRun, "", nil)
+	k.End(ask("whole").Key, "idwhole", deduplication.OutcomeCompleted, "text/event-stream", []byte("data: x\n\n"))
+	k.End(ask("broken").Key, "idbroken", deduplication.OutcomeIndeterminate, "", nil)
+	k.End(ask("refused").Key, "idrefused", deduplication.OutcomeNotRun, "", nil)
 	if err := k.Close(); err != nil {
 		t.Fatal(err)
 	}
 	k = open(t, path)
 	defer k.Close()
-	if e := begin(t, k, "whole", deduplication.Replay); string(e.Answer) != "data: x\n\n" || e.Type != "text/event-stream" || e.ID != "idwhole" {
+	if e := begin(t, k, "whole", deduplication.Replay); string(e.Answer) != "data: x\n\n" || e.ContentType != "text/event-stream" || e.RequestID != "idwhole" {
 		t.Errorf("%+v", e)
 	}
-	begin(t, k, "broken", deduplication.Lost)
-	begin(t, k, "running", deduplication.Lost)
+	begin(t, k, "broken", deduplication.PriorOutcomeUnknown)
+	begin(t, k, "running", deduplication.PriorOutcomeUnknown)
 	begin(t, k, "refused", deduplication.Run)
 	retry := ask("unseen")
-	retry.Retry = 1
+	retry.RetryCount = 1
 	if v, _ := k.Begin(retry); v != deduplication.Run {
 		t.Errorf("a retry after a restart in good order: %v", v)
 	}
@@ -80,10 +80,10 @@
 	}
 	k = open(t, path)
 	defer k.Close()
-	begin(t, k, "written", deduplication.Lost)
+	begin(t, k, "written", deduplication.PriorOutcomeUnknown)
 	lost := ask("lost")
-	lost.Retry = 1
-	if v, _ := k.Begin(lost); v != deduplication.Lost {
+	lost.RetryCount = 1
+	if v, _ := k.Begin(lost); v != deduplication.PriorOutcomeUnknown {
 		t.Errorf("%v", v)
 	}
 	begin(t, k, "new", deduplication.Run)
@@ -100,7 +100,7 @@
 			path := filepath.Join(t.TempDir(), "keys")
 			k := open(t, path)
 			begin(t, k, "one", deduplication.Run)
-			k.End(ask("one").Key, "idone", deduplication.Whole, "text/plain", []byte("an answer that is easily found"))
+			k.End(ask("one").Key, "idone", deduplication.OutcomeCompleted, "text/plain", []byte("an answer that is easily found"))
 			if err := k.Close(); err != nil {
 				t.Fatal(err)
 			}
@@ -114,8 +114,8 @@
 			k = open(t, path)
 			defer k.Close()
 			retry := ask("one")
-			retry.Retry = 1
-			if v, _ := k.Begin(retry); v != deduplication.Lost {
+			retry.RetryCount = 1
+			if v, _ := k.Begin(retry); v != deduplication.PriorOutcomeUnknown {
 				t.Errorf("a retry after the file was lost: %v", v)
 			}
 			if aside, _ := filepath.Glob(path + ".damaged-*"); len(aside) != 1 {
@@ -156,7 +156,7 @@
 		{"the machine was started anew", 100 * hour, bootclock.Moment{Boot: "another", Up: 1}, 0},
 		{"written by an earlier version", 100 * hour, bootclock.Moment{}, 0},
 	} {
-		e := deduplication.Entry{Key: ask("a").Key, Digest: "d", State: deduplication.Complete, Since: time.Now().Add(-c.since)}
+		e := deduplication.Entry{Key: ask("a").Key, Digest: "d", State: deduplication.StateComplete, Since: time.Now().Add(-c.since)}
 		body, err := jsoniter.Marshal(record{Key: recordKey(e.Key), Digest: e.Digest, State: e.State, Since: e.Since, At: c.at})
 		if err != nil {
 			t.Fatal(err)
@@ -183,9 +183,9 @@
 	if err := k.flush(false); err == nil {
 		t.Fatal("written to a closed file")
 	}
-	begin(t, k, "new", deduplication.Full)
-	begin(t, k, "new", deduplication.Full)
-	begin(t, k, "before", deduplication.UnderWay)
+	begin(t, k, "new", deduplication.CapacityExceeded)
+	begin(t, k, "new", deduplication.CapacityExceeded)
+	begin(t, k, "before", deduplication.InProgress)
 	if _, _, err := k.load(path); err != nil { // it can be written again
 		t.Fatal(err)
 	}
@@ -198,7 +198,7 @@
 	}
 	next := open(t, path)
 	defer next.Close()
-	begin(t, next, "before", deduplication.Lost)
+	begin(t, next, "before", deduplication.PriorOutcomeUnknown)
 }
 
 // Whatever byte of the file is damaged, the process starts or names the file, and an order that is
@@ -207,7 +207,7 @@
 	path := filepath.Join(t.TempDir(), "keys")
 	k := open(t, path)
 	begin(t, k, "one", deduplication.Run)
-	k.End(ask("one").Key, "idone", deduplication.Whole, "text/plain", []byte("an answer"))
+	k.End(ask("one").Key, "idone", deduplication.OutcomeCompleted, "text/plain", []byte("an answer"))
 	if err := k.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -232,7 +232,7 @@
 				continue
 			}
 			retry := ask("one")
-			retry.Retry = 1
+			retry.RetryCount = 1
 			if v, _ := k.Begin(retry); v == deduplication.Run {
 				t.Errorf("byte %d: an order sent again is run", at)
 			}
--- a/internal/idempotency/stored_test.go
+++ b/internal/idempotency/stored_test.go
@@ -24,11 +24,11 @@
 // before the code's names were changed: keys-closed.db by a process that ended in good order,
 // keys-killed.db by one that did not. Each was asked for orders that ended in all ways.
 var storedEntries = []deduplication.Entry{
-	{Key: deduplication.Key{Team: "b", Name: "whole"}, Digest: "d", State: 1, ID: "2-whole", Type: "application/json", Answer: []byte(`{"a":1}`)},
-	{Key: deduplication.Key{Team: "team a", Name: "broken"}, Digest: "digest of broken", State: 2, ID: "1-broken"},
-	{Key: deduplication.Key{Team: "team a", Name: "kept not"}, Digest: "digest of kept not", State: 1, ID: "1-kept not", Type: "application/json"},
-	{Key: deduplication.Key{Team: "team a", Name: "running"}, Digest: "digest of running", State: 0, ID: "1-running"},
-	{Key: deduplication.Key{Team: "team a", Name: "whole"}, Digest: "digest of whole", State: 1, ID: "1-whole", Type: "text/event-stream", Answer: []byte("data: x\n\n\x00\xff")},
+	{Key: deduplication.Key{Team: "b", Name: "whole"}, Digest: "d", State: 1, RequestID: "2-whole", ContentType: "application/json", Answer: []byte(`{"a":1}`)},
+	{Key: deduplication.Key{Team: "team a", Name: "broken"}, Digest: "digest of broken", State: 2, RequestID: "1-broken"},
+	{Key: deduplication.Key{Team: "team a", Name: "kept not"}, Digest: "digest of kept not", State: 1, RequestID: "1-kept not", ContentType: "application/json"},
+	{Key: deduplication.Key{Team: "team a", Name: "running"}, Digest: "digest of running", State: 0, RequestID: "1-running"},
+	{Key: deduplication.Key{Team: "team a", Name: "whole"}, Digest: "digest of whole", State: 1, RequestID: "1-whole", ContentType: "text/event-stream", Answer: []byte("data: x\n\n\x00\xff")},
 }
 
 // storedCopy copies a file of testdata: to open it marks it as in use.
@@ -48,7 +48,7 @@
 // unlimitedAge are limits under which no key of testdata is too old, on whatever machine it is read.
 func unlimitedAge() deduplication.Limits {
 	l := deduplication.DefaultLimits()
-	l.Age = 1 << 62
+	l.Retention = 1 << 62
 	return l
 }
 
@@ -78,7 +78,7 @@
 }
 
 func TestStoredKeysAreInForce(t *testing.T) {
-	for file, unseenRetry := range map[string]deduplication.Verdict{"keys-closed.db": deduplication.Run, "keys-killed.db": deduplication.Lost} {
+	for file, unseenRetry := range map[string]deduplication.Decision{"keys-closed.db": deduplication.Run, "keys-killed.db": deduplication.PriorOutcomeUnknown} {
 		t.Run(file, func(t *testing.T) {
 			k, err := Open(storedCopy(t, file), unlimitedAge(), slog.New(slog.DiscardHandler))
 			if err != nil {
@@ -91,24 +91,24 @@
 			for _, c := range []struct {
 				team, name, digest string
 				retry              int
-				want               deduplication.Verdict
+				want               deduplication.Decision
 				kind, answer, id   string
 			}{
 				{"b", "whole", "d", 0, deduplication.Replay, "application/json", `{"a":1}`, "2-whole"},
 				{"team a", "whole", "digest of whole", 0, deduplication.Replay, "text/event-stream", "data: x\n\n\x00\xff", "1-whole"},
-				{"team a", "whole", "d", 0, deduplication.Reused, "text/event-stream", "data: x\n\n\x00\xff", "1-whole"},
-				{"team a", "kept not", "digest of kept not", 0, deduplication.NotKept, "application/json", "", "1-kept not"},
-				{"team a", "broken", "digest of broken", 0, deduplication.Lost, "", "", "1-broken"},
-				{"team a", "running", "digest of running", 0, deduplication.Lost, "", "", "1-running"},
+				{"team a", "whole", "d", 0, deduplication.KeyReused, "text/event-stream", "data: x\n\n\x00\xff", "1-whole"},
+				{"team a", "kept not", "digest of kept not", 0, deduplication.AnswerUnavailable, "application/json", "", "1-kept not"},
+				{"team a", "broken", "digest of broken", 0, deduplication.PriorOutcomeUnknown, "", "", "1-broken"},
+				{"team a", "running", "digest of running", 0, deduplication.PriorOutcomeUnknown, "", "", "1-running"},
 				{"team a", "unseen", "d", 1, unseenRetry, "", "", ""},
 				{"team a", "refused", "d", 0, deduplication.Run, "", "", "3-refused"},
 			} {
-				a := deduplication.Ask{Key: deduplication.Key{Team: c.team, Name: c.name}, Digest: c.digest, ID: "3-" + c.name, Retry: c.retry}
+				a := deduplication.Request{Key: deduplication.Key{Team: c.team, Name: c.name}, Digest: c.digest, RequestID: "3-" + c.name, RetryCount: c.retry}
 				v, e := k.Begin(a)
 				if v != c.want {
 					t.Errorf("%s %s: %v, want %v", c.team, c.name, v, c.want)
 				}
-				if c.name != "unseen" && (e.Type != c.kind || string(e.Answer) != c.answer || e.ID != c.id) {
+				if c.name != "unseen" && (e.ContentType != c.kind || string(e.Answer) != c.answer || e.RequestID != c.id) {
 					t.Errorf("%s %s: %+v", c.team, c.name, e)
 				}
 			}
@@ -181,7 +181,7 @@
 		}
 		got = append(got, deduplication.Entry{
 			Key: deduplication.Key{Team: r.Key.Team, Name: r.Key.Name}, Digest: r.Digest, State: deduplication.State(r.State),
-			ID: r.ID, Type: r.Type, Answer: r.Answer,
+			RequestID: r.ID, ContentType: r.Type, Answer: r.Answer,
 		})
 	}
 	slices.SortFunc(got, func(a, b deduplication.Entry) int {
@@ -196,26 +196,26 @@
 func TestNewKeysAreReadByTheirDescription(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "keys")
 	l := deduplication.DefaultLimits()
-	l.Answer = 64
+	l.MaxAnswerBytes = 64
 	k, err := Open(path, l, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, e := range storedEntries {
-		k.Begin(deduplication.Ask{Key: e.Key, Digest: e.Digest, ID: e.ID})
+		k.Begin(deduplication.Request{Key: e.Key, Digest: e.Digest, RequestID: e.RequestID})
 		switch answer := e.Answer; e.State {
-		case deduplication.Complete:
+		case deduplication.StateComplete:
 			if answer == nil {
-				answer = make([]byte, l.Answer+1)
+				answer = make([]byte, l.MaxAnswerBytes+1)
 			}
-			k.End(e.Key, e.ID, deduplication.Whole, e.Type, answer)
-		case deduplication.Unknown:
-			k.End(e.Key, e.ID, deduplication.Broken, "", nil)
+			k.End(e.Key, e.RequestID, deduplication.OutcomeCompleted, e.ContentType, answer)
+		case deduplication.StateUnknown:
+			k.End(e.Key, e.RequestID, deduplication.OutcomeIndeterminate, "", nil)
 		}
 	}
 	refused := deduplication.Key{Team: "team a", Name: "refused"}
-	k.Begin(deduplication.Ask{Key: refused, Digest: "d", ID: "r"})
-	k.End(refused, "r", deduplication.NotRun, "", nil)
+	k.Begin(deduplication.Request{Key: refused, Digest: "d", RequestID: "r"})
+	k.End(refused, "r", deduplication.OutcomeNotRun, "", nil)
 	if err := k.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -265,7 +265,7 @@
 				t.Errorf("%v old, want %v", age, c.want)
 			}
 			e.Since = time.Time{}
-			want := deduplication.Entry{Key: deduplication.Key{Team: "a", Name: "k"}, Digest: "d", State: 1, ID: "i", Type: "t", Answer: []byte("x")}
+			want := deduplication.Entry{Key: deduplication.Key{Team: "a", Name: "k"}, Digest: "d", State: 1, RequestID: "i", ContentType: "t", Answer: []byte("x")}
 			if diff := gocmp.Diff(want, e); diff != "" {
 				t.Errorf("(-want +got):\n%s", diff)
 			}
--- a/internal/openai/call.go
+++ b/internal/openai/call.go
@@ -56,7 +56,7 @@
 
 	key     deduplication.Key
 	claimed bool
-	ending  deduplication.Ending
+	ending  deduplication.Result
 	kept    []byte // of the answer as it went out
 	tooMuch bool   // more than is kept
 }
@@ -130,9 +130,9 @@
 	sum := sha256.New()
 	sum.Write([]byte(c.r.URL.Path + "\x00"))
 	sum.Write(body)
-	a := deduplication.Ask{Key: deduplication.Key{Team: c.team.Name, Name: name}, Digest: hex.EncodeToString(sum.Sum(nil)), ID: c.head.id}
-	a.Retry, _ = strconv.Atoi(c.r.Header.Get(retryHeader))
-	a.Others = c.others != nil && c.others()
+	a := deduplication.Request{Key: deduplication.Key{Team: c.team.Name, Name: name}, Digest: hex.EncodeToString(sum.Sum(nil)), RequestID: c.head.id}
+	a.RetryCount, _ = strconv.Atoi(c.r.Header.Get(retryHeader))
+	a.MayHaveRunElsewhere = c.others != nil && c.others()
 	verdict, e := c.keys.Begin(a)
 	c.counts.keys[verdict].Add(1)
 	conflict := apiError{status: http.StatusConflict, kind: typeRequest, param: keyHeader}
@@ -142,21 +142,21 @@
 		return false
 	case deduplication.Replay:
 		h := c.w.Header()
-		h.Set("Content-Type", e.Type)
+		h.Set("Content-Type", e.ContentType)
 		h.Set(replayedHeader, "true")
-		h.Set("X-Request-Id", requestID(e.ID))
+		h.Set("X-Request-Id", requestID(e.RequestID))
 		c.w.Write(e.Answer)
 		return true
-	case deduplication.UnderWay:
+	case deduplication.InProgress:
 		conflict.code, conflict.retryAfter = codeUnderWay, keyPause
 		conflict.text = "a request under this key is under way"
-	case deduplication.NotKept:
+	case deduplication.AnswerUnavailable:
 		conflict.code, conflict.final = codeNotKept, true
 		conflict.text = "a request under this key has been carried out; its answer was too large, or is too old, to be kept"
-	case deduplication.Reused:
+	case deduplication.KeyReused:
 		conflict.status, conflict.code, conflict.final = http.StatusUnprocessableEntity, codeReused, true
 		conflict.text = "this key was used for another request"
-	case deduplication.Lost:
+	case deduplication.PriorOutcomeUnknown:
 		conflict.code, conflict.final = codeUnknown, true
 		conflict.text = "an earlier request under this key may have been carried out, or may not; it is not carried out again. Look before asking under another key"
 	default:
@@ -179,7 +179,7 @@
 // A client may ask again as soon as it has the last of it, so the key is settled before that
 // goes out.
 func (c *call) whole() {
-	c.ending.Whole = true
+	c.ending.Complete = true
 	c.settle()
 }
 
@@ -190,7 +190,7 @@
 	}
 	c.claimed = false
 	c.keeping.Add(-int64(len(c.kept)))
-	if c.tooMuch && c.ending.Whole {
+	if c.tooMuch && c.ending.Complete {
 		c.counts.notKept.Add(1)
 	}
 	c.keys.End(c.key, c.head.id, c.ending.Outcome(), c.form.kind(), c.kept)
--- a/internal/openai/front.go
+++ b/internal/openai/front.go
@@ -205,7 +205,7 @@
 	}
 	c := &call{
 		Front: f, w: w, r: r, out: http.NewResponseController(w), ask: a, head: h, once: once, contract: contract, team: team, arrived: arrived,
-		ending: deduplication.Ending{MayRun: true}, form: formOf(a, typed, h, contract),
+		ending: deduplication.Result{MayHaveRun: true}, form: formOf(a, typed, h, contract),
 	}
 	if once {
 		if answered := c.claim(raw); answered {
@@ -283,15 +283,15 @@
 	answer, ticket, here := c.submit(c.ask, c.head.id)
 	c.announceClose(c.w, c.r) // the request may have waited since before the gateway began to leave
 	if !here {
-		c.ending.MayRun = !c.once || ticket.MayHaveRun(context.WithoutCancel(c.r.Context()))
+		c.ending.MayHaveRun = !c.once || ticket.MayHaveRun(context.WithoutCancel(c.r.Context()))
 		panic(http.ErrAbortHandler) // the caller has gone: there is nobody to answer
 	}
 	rates(c.w.Header(), answer)
 	if answer.Verdict != core.Streaming {
-		c.ending = deduplication.Ending{
-			Refused: answer.Verdict == core.Rejected || answer.Verdict == core.Duplicate, Rejected: rejected(answer) != nil, MayRun: answer.MayHaveRun,
+		c.ending = deduplication.Result{
+			Refused: answer.Verdict == core.Rejected || answer.Verdict == core.Duplicate, RejectedByEngine: rejected(answer) != nil, MayHaveRun: answer.MayHaveRun,
 		}
-		refusal(answer, c.once && c.ending.Outcome() == deduplication.Broken).send(c.w)
+		refusal(answer, c.once && c.ending.Outcome() == deduplication.OutcomeIndeterminate).send(c.w)
 		return
 	}
 	c.serve(answer.Stream, ticket)
