--- /dev/null
+++ b/decide/deduplication/eviction.go
@@ -0,0 +1,136 @@
+package deduplication
+
+import (
+	"cmp"
+	"slices"
+	"time"
+)
+
+// A search for room visits every entry. A team that floods a full table must not cause one with each
+// of its requests.
+const (
+	searchInterval    = time.Second // between failed searches of one team
+	maxFailedSearches = 256         // teams remembered; beyond it all are forgotten
+)
+
+// Parts of the table that one eviction frees, so that the next requests find room without a search.
+const (
+	evictedAnswersPart = 8  // of the answers of the largest team
+	answerBytesPart    = 16 // of the bytes of all answers
+	evictedEntriesPart = 64 // of all entries
+)
+
+// evictAnswers drops answers, oldest first, of the team that has the most bytes of them, until the rest
+// fits. Their entries stay, so that their requests are not run again.
+func (t *Table) evictAnswers() {
+	for t.answerBytes > t.limits.MaxTotalAnswerBytes {
+		answered := t.answeredBy(t.teamWithMostAnswerBytes())
+		for _, e := range answered[:max(1, len(answered)/evictedAnswersPart)] {
+			t.dropAnswer(e)
+			if t.answerBytes <= t.limits.MaxTotalAnswerBytes-t.limits.MaxTotalAnswerBytes/answerBytesPart {
+				return
+			}
+		}
+	}
+}
+
+// teamWithMostAnswerBytes breaks ties by name.
+func (t *Table) teamWithMostAnswerBytes() string {
+	largest := ""
+	for name, usage := range t.teams {
+		if usage.answerBytes == 0 {
+			continue
+		}
+		if largest == "" || usage.answerBytes > t.teams[largest].answerBytes ||
+			usage.answerBytes == t.teams[largest].answerBytes && name < largest {
+			largest = name
+		}
+	}
+	return largest
+}
+
+// answeredBy returns a team's entries that have an answer, oldest first.
+func (t *Table) answeredBy(team string) []*Entry {
+	var answered []*Entry
+	for k, e := range t.entries {
+		if k.Team == team && e.Answer != nil {
+			answered = append(answered, e)
+		}
+	}
+	slices.SortFunc(answered, compareAge)
+	return answered
+}
+
+// compareAge orders entries oldest first, by name where they are of one age.
+func compareAge(a, b *Entry) int {
+	return cmp.Or(a.Since.Compare(b.Since), cmp.Compare(a.Key.Name, b.Key.Name))
+}
+
+// reserveEntry makes room for one more entry of a team, and reports whether there is any. If need be it
+// removes complete entries that are past MinRetention; see removableFor.
+func (t *Table) reserveEntry(now time.Time, team string) bool {
+	if t.hasRoom(team) {
+		return true
+	}
+	if failed, ok := t.failedSearches[team]; ok && now.Sub(failed) < searchInterval && !now.Before(failed) {
+		return false
+	}
+	if t.Expire(now); t.hasRoom(team) {
+		return true
+	}
+	removable := t.removableFor(team, now)
+	if len(removable) == 0 {
+		if len(t.failedSearches) >= maxFailedSearches {
+			clear(t.failedSearches)
+		}
+		t.failedSearches[team] = now
+		return false
+	}
+	for _, e := range removable[:max(1, min(len(removable), t.limits.MaxEntries/evictedEntriesPart))] {
+		t.remove(e)
+	}
+	return true
+}
+
+func (t *Table) hasRoom(team string) bool {
+	return !t.atTeamLimit(team) && len(t.entries) < t.limits.MaxEntries
+}
+
+func (t *Table) atTeamLimit(team string) bool {
+	usage := t.teams[team]
+	return t.limits.MaxEntriesPerTeam > 0 && usage != nil && usage.entries >= t.limits.MaxEntriesPerTeam
+}
+
+// removableFor returns the complete entries past MinRetention that may be removed for an entry of a
+// team, oldest first: its own and, unless it is at its own limit, those of teams over their fair share
+// of the table. A team that floods the table so costs no other its keys.
+func (t *Table) removableFor(team string, now time.Time) []*Entry {
+	teams := len(t.teams)
+	if t.teams[team] == nil {
+		teams++
+	}
+	fairShare := t.limits.MaxEntries / teams
+	atTeamLimit := t.atTeamLimit(team)
+	var removable []*Entry
+	for k, e := range t.entries {
+		eligible := k.Team == team || !atTeamLimit && t.teams[k.Team].entries > fairShare
+		if eligible && e.State == StateComplete && now.Sub(e.Since) >= t.limits.MinRetention {
+			removable = append(removable, e)
+		}
+	}
+	slices.SortFunc(removable, compareAge)
+	return removable
+}
+
+// Expire removes entries past their retention. One in progress has none.
+func (t *Table) Expire(now time.Time) {
+	for _, e := range t.entries {
+		if t.expired(e, now) {
+			t.remove(e)
+		}
+	}
+}
+
+func (t *Table) expired(e *Entry, now time.Time) bool {
+	return e.State != StateRunning && now.Sub(e.Since) >= t.limits.Retention
+}
--- a/decide/deduplication/table_test.go
+++ b/decide/deduplication/table_test.go
@@ -26,12 +26,12 @@
 	return tb
 }
 
-func ask(team, key, digest string) Request {
+func newRequest(team, key, digest string) Request {
 	return Request{Key: Key{team, key}, Digest: digest, RequestID: "id-" + key + "-" + digest}
 }
 
 func TestRepeatOutcomes(t *testing.T) {
-	first := ask("a", "k", "d")
+	first := newRequest("a", "k", "d")
 	for name, c := range map[string]struct {
 		end    *Outcome
 		answer string
@@ -39,20 +39,20 @@
 		after  time.Duration
 		want   Decision
 	}{
-		"under way":                {nil, "", first, time.Second, InProgress},
-		"complete":                 {ptr(OutcomeCompleted), "yes", first, time.Second, Replay},
-		"complete, nothing kept":   {ptr(OutcomeCompleted), "", first, time.Second, AnswerUnavailable},
-		"complete, too large":      {ptr(OutcomeCompleted), strings.Repeat("x", 300<<10), first, time.Second, AnswerUnavailable},
-		"broken":                   {ptr(OutcomeIndeterminate), "", first, time.Second, PriorOutcomeUnknown},
-		"turned away":              {ptr(OutcomeNotRun), "", first, time.Second, Run},
-		"another body":             {ptr(OutcomeCompleted), "yes", ask("a", "k", "other"), time.Second, KeyReused},
-		"another body, under way":  {nil, "", ask("a", "k", "other"), time.Second, KeyReused},
-		"another body, broken":     {ptr(OutcomeIndeterminate), "", ask("a", "k", "other"), time.Second, KeyReused},
-		"the same text, other key": {ptr(OutcomeCompleted), "yes", ask("a", "k2", "d"), time.Second, Run},
-		"another team's key":       {ptr(OutcomeCompleted), "yes", ask("b", "k", "d"), time.Second, Run},
-		"past its age":             {ptr(OutcomeCompleted), "yes", first, 25 * time.Hour, Run},
-		"broken, past its age":     {ptr(OutcomeIndeterminate), "", first, 25 * time.Hour, Run},
-		"under way for a day":      {nil, "", first, 25 * time.Hour, InProgress},
+		"in progress":               {nil, "", first, time.Second, InProgress},
+		"complete":                  {ptr(OutcomeCompleted), "yes", first, time.Second, Replay},
+		"complete, nothing kept":    {ptr(OutcomeCompleted), "", first, time.Second, AnswerUnavailable},
+		"complete, too large":       {ptr(OutcomeCompleted), strings.Repeat("x", 300<<10), first, time.Second, AnswerUnavailable},
+		"broken":                    {ptr(OutcomeIndeterminate), "", first, time.Second, PriorOutcomeUnknown},
+		"refused":                   {ptr(OutcomeNotRun), "", first, time.Second, Run},
+		"another body":              {ptr(OutcomeCompleted), "yes", newRequest("a", "k", "other"), time.Second, KeyReused},
+		"another body, in progress": {nil, "", newRequest("a", "k", "other"), time.Second, KeyReused},
+		"another body, broken":      {ptr(OutcomeIndeterminate), "", newRequest("a", "k", "other"), time.Second, KeyReused},
+		"the same text, other key":  {ptr(OutcomeCompleted), "yes", newRequest("a", "k2", "d"), time.Second, Run},
+		"another team's key":        {ptr(OutcomeCompleted), "yes", newRequest("b", "k", "d"), time.Second, Run},
+		"past its age":              {ptr(OutcomeCompleted), "yes", first, 25 * time.Hour, Run},
+		"broken, past its age":      {ptr(OutcomeIndeterminate), "", first, 25 * time.Hour, Run},
+		"in progress for a day":     {nil, "", first, 25 * time.Hour, InProgress},
 	} {
 		tb := table(t, nil)
 		if v, _ := tb.Begin(t0, first); v != Run {
@@ -106,7 +106,7 @@
 	} {
 		tb := table(t, nil)
 		tb.Restore(t0, nil, c.clean)
-		a := ask("a", "k", "d")
+		a := newRequest("a", "k", "d")
 		a.RetryCount, a.MayHaveRunElsewhere = c.retry, c.others
 		if v, _ := tb.Begin(t0.Add(c.after), a); v != c.want {
 			t.Errorf("%s: %v, want %v", name, v, c.want)
@@ -114,25 +114,25 @@
 	}
 }
 
-// Tries that were turned away here did not run: so many retries are safe here, whatever
-// other gateways there may be, and not one more.
+// Attempts that were refused here did not run: so many retries are safe here, whatever other gateways
+// there may be, and not one more.
 func TestRetryAfterRefusal(t *testing.T) {
 	tb := table(t, nil)
 	tb.Restore(t0, nil, false)
 	try := func(at time.Duration, retry int) Decision {
-		a := ask("a", "k", "d")
+		a := newRequest("a", "k", "d")
 		a.RetryCount, a.MayHaveRunElsewhere = retry, true
 		v, _ := tb.Begin(t0.Add(at), a)
 		return v
 	}
 	for n := range 3 {
 		if v := try(time.Duration(n)*time.Second, n); v != Run {
-			t.Fatalf("after %d tries turned away here: %v", n, v)
+			t.Fatalf("after %d attempts refused here: %v", n, v)
 		}
-		tb.End(t0, Key{"a", "k"}, ask("a", "k", "d").RequestID, OutcomeNotRun, "", nil)
+		tb.End(t0, Key{"a", "k"}, newRequest("a", "k", "d").RequestID, OutcomeNotRun, "", nil)
 	}
 	if v := try(time.Minute, 4); v != PriorOutcomeUnknown {
-		t.Errorf("one of four tries was made elsewhere: %v", v)
+		t.Errorf("one of four attempts was made elsewhere: %v", v)
 	}
 	if v := try(time.Hour, 3); v != PriorOutcomeUnknown {
 		t.Errorf("an hour later: %v", v)
@@ -142,10 +142,10 @@
 	}
 	tb.RecordRefusal(t0.Add(time.Hour), Key{"a", "k2"})
 	if n := tb.refusals["a"].count(t0.Add(time.Hour), "k2"); n != 1 {
-		t.Errorf("%d tries remembered", n)
+		t.Errorf("%d refusals remembered", n)
 	}
 	if b := tb.refusals["b"]; len(b.current)+len(b.previous) > 2*maxRefusalsPerGeneration {
-		t.Errorf("%d keys remembered", len(b.current)+len(b.previous))
+		t.Errorf("%d refused keys remembered", len(b.current)+len(b.previous))
 	}
 }
 
@@ -178,7 +178,7 @@
 		entry("ahead", StateComplete, -time.Hour, "yes"), entry("done", StateUnknown, time.Hour, ""),
 	}, true)
 	for k, want := range map[string]Decision{"ran": PriorOutcomeUnknown, "done": Replay, "old": Run, "ahead": Replay} {
-		if v, _ := tb.Begin(t0, ask("a", k, "d")); v != want {
+		if v, _ := tb.Begin(t0, newRequest("a", k, "d")); v != want {
 			t.Errorf("%s: %v, want %v", k, v, want)
 		}
 	}
@@ -196,26 +196,26 @@
 		return v
 	}
 	for i := range 10 {
-		done(t0, ask("quiet", fmt.Sprint(i), "d"))
+		done(t0, newRequest("quiet", fmt.Sprint(i), "d"))
 	}
 	full := 0
 	for i := range 1000 {
-		if done(t0.Add(time.Duration(i)*time.Second), ask("loud", fmt.Sprint(i), "d")) == CapacityExceeded {
+		if done(t0.Add(time.Duration(i)*time.Second), newRequest("loud", fmt.Sprint(i), "d")) == CapacityExceeded {
 			full++
 		}
 	}
 	for i := range 10 {
-		if v, _ := tb.Begin(t0.Add(time.Hour), ask("quiet", fmt.Sprint(i), "d")); v != Replay {
+		if v, _ := tb.Begin(t0.Add(time.Hour), newRequest("quiet", fmt.Sprint(i), "d")); v != Replay {
 			t.Errorf("the quiet team's %d: %v", i, v)
 		}
 	}
 	for i := range 10 { // and there is still room for more
-		if v := done(t0.Add(time.Hour), ask("quiet", fmt.Sprint("more", i), "d")); v != Run {
+		if v := done(t0.Add(time.Hour), newRequest("quiet", fmt.Sprint("more", i), "d")); v != Run {
 			t.Errorf("the quiet team's new key %d: %v", i, v)
 		}
 	}
 	if full == 0 {
-		t.Error("keys younger than the least were forgotten")
+		t.Error("keys younger than the minimum retention were removed")
 	}
 }
 
@@ -234,7 +234,7 @@
 }
 
 // Whatever comes in whatever order: what may have run under a key does not run again
-// while it is younger than the least age, two never run at once, bounds are kept, and
+// before its minimum retention, two never run at once, bounds are kept, and
 // the accounts are right.
 func TestNoKeyRunsTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
