--- a/cmd/wellgw/chatgateway.go
+++ b/cmd/wellgw/chatgateway.go
@@ -21,7 +21,7 @@
 	now.Store(o)
 	var f *openai.Front
 	g := &gateway{listen: o.Listen, limits: o.Limits, set: o.Settings(), seed: uint64(time.Now().UnixNano()), log: log}
-	var keys *idempotency.Keeper
+	var keys *idempotency.Store
 	var here atomic.Pointer[openai.Front] // for those who may ask before there is one
 	g.counts = func() map[string]int {
 		if f := here.Load(); f != nil {
@@ -65,7 +65,7 @@
 		return nil
 	}
 	g.takeEngines(o, anew)
-	g.directory = withKeys(g.directory, func() (*idempotency.Keeper, error) {
+	g.directory = withKeys(g.directory, func() (*idempotency.Store, error) {
 		file := ""
 		if o.Idempotency != nil {
 			file = o.Idempotency.File
@@ -96,7 +96,7 @@
 type directoryFunc = func(c *core.Core) (core.Directory, func(context.Context), error)
 
 // withKeys opens the keys of orders before a directory, and runs them beside it.
-func withKeys(directory directoryFunc, open func() (*idempotency.Keeper, error)) directoryFunc {
+func withKeys(directory directoryFunc, open func() (*idempotency.Store, error)) directoryFunc {
 	return func(c *core.Core) (core.Directory, func(context.Context), error) {
 		keys, err := open()
 		if err != nil {
--- a/internal/idempotency/store_test.go
+++ b/internal/idempotency/store_test.go
@@ -16,7 +16,7 @@
 	"wellgw/internal/bootclock"
 )
 
-func open(t *testing.T, path string) *Keeper {
+func open(t *testing.T, path string) *Store {
 	t.Helper()
 	k, err := Open(path, deduplication.DefaultLimits(), slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -25,13 +25,13 @@
 	return k
 }
 
-func ask(name string) deduplication.Request {
+func newRequest(name string) deduplication.Request {
 	return deduplication.Request{Key: deduplication.Key{Team: "a", Name: name}, Digest: "d", RequestID: "id" + name}
 }
 
-func begin(t *testing.T, k *Keeper, name string, want deduplication.Decision) deduplication.Entry {
+func begin(t *testing.T, k *Store, name string, want deduplication.Decision) deduplication.Entry {
 	t.Helper()
-	v, e := k.Begin(ask(name))
+	v, e := k.Begin(newRequest(name))
 	if v != want {
 		t.Errorf("%s: %v, want %v", name, v, want)
 	}
@@ -44,9 +44,9 @@
 	for _, name := range []string{"whole", "broken", "refused", "running"} {
 		begin(t, k, name, deduplication.Run)
 	}
-	k.End(ask("whole").Key, "idwhole", deduplication.OutcomeCompleted, "text/event-stream", []byte("data: x\n\n"))
-	k.End(ask("broken").Key, "idbroken", deduplication.OutcomeIndeterminate, "", nil)
-	k.End(ask("refused").Key, "idrefused", deduplication.OutcomeNotRun, "", nil)
+	k.End(newRequest("whole").Key, "idwhole", deduplication.OutcomeCompleted, "text/event-stream", []byte("data: x\n\n"))
+	k.End(newRequest("broken").Key, "idbroken", deduplication.OutcomeIndeterminate, "", nil)
+	k.End(newRequest("refused").Key, "idrefused", deduplication.OutcomeNotRun, "", nil)
 	if err := k.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -58,7 +58,7 @@
 	begin(t, k, "broken", deduplication.PriorOutcomeUnknown)
 	begin(t, k, "running", deduplication.PriorOutcomeUnknown)
 	begin(t, k, "refused", deduplication.Run)
-	retry := ask("unseen")
+	retry := newRequest("unseen")
 	retry.RetryCount = 1
 	if v, _ := k.Begin(retry); v != deduplication.Run {
 		t.Errorf("a retry after a restart in good order: %v", v)
@@ -75,13 +75,13 @@
 		t.Fatal(err)
 	}
 	begin(t, k, "lost", deduplication.Run)
-	if err := k.db.Close(); err != nil { // what a crash does to the lock on the file
+	if err := k.file.close(); err != nil { // what a crash does to the lock on the file
 		t.Fatal(err)
 	}
 	k = open(t, path)
 	defer k.Close()
 	begin(t, k, "written", deduplication.PriorOutcomeUnknown)
-	lost := ask("lost")
+	lost := newRequest("lost")
 	lost.RetryCount = 1
 	if v, _ := k.Begin(lost); v != deduplication.PriorOutcomeUnknown {
 		t.Errorf("%v", v)
@@ -100,7 +100,7 @@
 			path := filepath.Join(t.TempDir(), "keys")
 			k := open(t, path)
 			begin(t, k, "one", deduplication.Run)
-			k.End(ask("one").Key, "idone", deduplication.OutcomeCompleted, "text/plain", []byte("an answer that is easily found"))
+			k.End(newRequest("one").Key, "idone", deduplication.OutcomeCompleted, "text/plain", []byte("an answer that is easily found"))
 			if err := k.Close(); err != nil {
 				t.Fatal(err)
 			}
@@ -113,7 +113,7 @@
 			}
 			k = open(t, path)
 			defer k.Close()
-			retry := ask("one")
+			retry := newRequest("one")
 			retry.RetryCount = 1
 			if v, _ := k.Begin(retry); v != deduplication.PriorOutcomeUnknown {
 				t.Errorf("a retry after the file was lost: %v", v)
@@ -156,7 +156,7 @@
 		{"the machine was started anew", 100 * hour, bootclock.Moment{Boot: "another", Up: 1}, 0},
 		{"written by an earlier version", 100 * hour, bootclock.Moment{}, 0},
 	} {
-		e := deduplication.Entry{Key: ask("a").Key, Digest: "d", State: deduplication.StateComplete, Since: time.Now().Add(-c.since)}
+		e := deduplication.Entry{Key: newRequest("a").Key, Digest: "d", State: deduplication.StateComplete, Since: time.Now().Add(-c.since)}
 		body, err := jsoniter.Marshal(record{Key: recordKey(e.Key), Digest: e.Digest, State: e.State, Since: e.Since, At: c.at})
 		if err != nil {
 			t.Fatal(err)
@@ -171,13 +171,13 @@
 	}
 }
 
-// While the file can't be written no order is run that a process started after a kill would not know
-// of; what was taken on before is written as soon as it can be.
+// While the file can't be written no request is run that a process started after a kill would not know
+// of; what was begun before is written as soon as it can be.
 func TestNoOrdersWhileFileCannotBeWritten(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "keys")
 	k := open(t, path)
 	begin(t, k, "before", deduplication.Run)
-	if err := k.db.Close(); err != nil { // every write fails from now on
+	if err := k.file.close(); err != nil { // every write fails from now on
 		t.Fatal(err)
 	}
 	if err := k.flush(false); err == nil {
@@ -186,14 +186,16 @@
 	begin(t, k, "new", deduplication.CapacityExceeded)
 	begin(t, k, "new", deduplication.CapacityExceeded)
 	begin(t, k, "before", deduplication.InProgress)
-	if _, _, err := k.load(path); err != nil { // it can be written again
+	reopened, _, err := openFile(path, k.bootMoment)
+	if err != nil {
 		t.Fatal(err)
 	}
+	k.file = reopened // it can be written again
 	if err := k.flush(false); err != nil {
 		t.Fatal(err)
 	}
 	begin(t, k, "new", deduplication.Run)
-	if err := k.db.Close(); err != nil { // a kill
+	if err := k.file.close(); err != nil { // a kill
 		t.Fatal(err)
 	}
 	next := open(t, path)
@@ -207,7 +209,7 @@
 	path := filepath.Join(t.TempDir(), "keys")
 	k := open(t, path)
 	begin(t, k, "one", deduplication.Run)
-	k.End(ask("one").Key, "idone", deduplication.OutcomeCompleted, "text/plain", []byte("an answer"))
+	k.End(newRequest("one").Key, "idone", deduplication.OutcomeCompleted, "text/plain", []byte("an answer"))
 	if err := k.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -231,7 +233,7 @@
 				}
 				continue
 			}
-			retry := ask("one")
+			retry := newRequest("one")
 			retry.RetryCount = 1
 			if v, _ := k.Begin(retry); v == deduplication.Run {
 				t.Errorf("byte %d: an order sent again is run", at)
--- a/internal/idempotency/stored_test.go
+++ b/internal/idempotency/stored_test.go
@@ -55,15 +55,15 @@
 func TestStoredKeysAreRead(t *testing.T) {
 	for file, wantClean := range map[string]bool{"keys-closed.db": true, "keys-killed.db": false} {
 		t.Run(file, func(t *testing.T) {
-			k := open(t, "")
-			entries, clean, err := k.load(storedCopy(t, file))
+			f, stored, err := openFile(storedCopy(t, file), open(t, "").bootMoment)
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer k.Close()
-			if clean != wantClean {
-				t.Errorf("closed in good order: %v", clean)
+			defer f.close()
+			if stored.clean != wantClean {
+				t.Errorf("closed in good order: %v", stored.clean)
 			}
+			entries := stored.entries
 			for i := range entries {
 				if entries[i].Since.IsZero() || entries[i].Since.After(time.Now()) {
 					t.Errorf("%v since %v", entries[i].Key, entries[i].Since)
--- a/internal/openai/call.go
+++ b/internal/openai/call.go
@@ -203,7 +203,7 @@
 	}
 	c.keeping.Add(int64(len(p)))
 	c.kept = append(c.kept, p...)
-	if len(c.kept) > c.keys.Answer() || c.keeping.Load() > c.keepMost {
+	if len(c.kept) > c.keys.MaxAnswerBytes() || c.keeping.Load() > c.keepMost {
 		c.keeping.Add(-int64(len(c.kept)))
 		c.kept, c.tooMuch = nil, true
 	}
--- a/internal/openai/front.go
+++ b/internal/openai/front.go
@@ -40,8 +40,8 @@
 	Core   *core.Core
 	File   *config.Operator
 	Bodies *clientconn.Budget
-	Keys   *idempotency.Keeper // of requests that must not run twice
-	Held   int64               // bytes that are held for all slow callers together, and of answers under way that are to be kept
+	Keys   *idempotency.Store // of requests that must not run twice
+	Held   int64              // bytes that are held for all slow callers together, and of answers under way that are to be kept
 	// Others tells whether other gateways serve the same clients; nil for none.
 	Others func() bool
 }
@@ -50,7 +50,7 @@
 type Front struct {
 	core    *core.Core
 	bodies  *clientconn.Budget
-	keys    *idempotency.Keeper
+	keys    *idempotency.Store
 	others  func() bool
 	bounds  *streambuffer.Limits
 	book    atomic.Pointer[book]
@@ -246,7 +246,7 @@
 // spareKey notes that a request was turned away before it was read: its key has not run.
 func (f *Front) spareKey(r *http.Request, team *config.Team) {
 	if name := r.Header.Get(keyHeader); name != "" && len(name) <= maxKey && f.keys != nil {
-		f.keys.Spare(deduplication.Key{Team: team.Name, Name: name})
+		f.keys.RecordRefusal(deduplication.Key{Team: team.Name, Name: name})
 	}
 }
 
