--- a/decide/resume/answer.go
+++ b/decide/resume/answer.go
@@ -1,73 +1,73 @@
 package resume
 
-// Answer is how far an answer has come, by the events of its stream that were taken. The
-// zero value is one that has not begun.
+// Answer is how far an answer has come, by the events of its stream. The zero value is one that has not
+// begun.
 type Answer struct {
-	choices map[int]bool // that have begun; true = has ended
-	open    int          // that have begun and not ended
-	ended   bool         // one has ended
-	last    bool         // the stream's own end has come
-	seen    int          // events that its client has been given
-	said    []byte       // the text of the first choice
-	tokens  int          // events with a part of it
-	other   bool         // its client has been given something else as well
+	choices      map[int]bool // choices that have begun; true: ended
+	openChoices  int          // choices that have begun and not ended
+	choiceEnded  bool         // some choice has ended
+	streamEnded  bool         // the stream's end marker has come
+	sentEvents   int          // events sent to the client
+	text         []byte       // of the first choice
+	textEvents   int          // events with a part of text: about its tokens
+	otherContent bool         // the client was sent something besides text of the first choice
 }
 
-// Choice notes that a choice has come, and whether this was its end.
+// Choice records an event of a choice, and whether that ended the choice.
 func (a *Answer) Choice(index int, end bool) {
-	was, begun := a.choices[index]
+	ended, begun := a.choices[index]
 	switch {
 	case !begun:
 		if a.choices == nil {
 			a.choices = map[int]bool{}
 		}
 		if a.choices[index] = end; !end {
-			a.open++
+			a.openChoices++
 		}
-	case end && !was:
+	case end && !ended:
 		a.choices[index] = true
-		a.open--
+		a.openChoices--
 	}
-	a.ended = a.ended || end
+	a.choiceEnded = a.choiceEnded || end
 }
 
-// Last notes the stream's own end.
-func (a *Answer) Last() { a.last = true }
+// Last records the stream's end marker.
+func (a *Answer) Last() { a.streamEnded = true }
 
-// Over tells whether the stream's own end has come.
-func (a *Answer) Over() bool { return a.last }
+// Over reports whether the stream's end marker has come.
+func (a *Answer) Over() bool { return a.streamEnded }
 
-// Passed notes that the client has been given an event; it returns how many there were
-// before, which numbers this one.
+// Passed records that the client has been sent an event. It returns how many were sent before, which is
+// the event's number.
 func (a *Answer) Passed() int {
-	a.seen++
-	return a.seen - 1
+	a.sentEvents++
+	return a.sentEvents - 1
 }
 
-// Seen is how many events the client has been given.
-func (a *Answer) Seen() int { return a.seen }
+// Seen returns how many events the client has been sent.
+func (a *Answer) Seen() int { return a.sentEvents }
 
-// Say notes a part of the first choice's text.
+// Say records a part of the first choice's text.
 func (a *Answer) Say(text []byte) {
-	a.said = append(a.said, text...)
-	a.tokens++
+	a.text = append(a.text, text...)
+	a.textEvents++
 }
 
-// Said returns the text so far, and in how many parts it came: about its tokens.
-func (a *Answer) Said() (text []byte, tokens int) { return a.said, a.tokens }
+// Said returns the text so far, and in how many events it came: about its tokens.
+func (a *Answer) Said() (text []byte, tokens int) { return a.text, a.textEvents }
 
-// Other notes that the client has been given what no engine can be asked to go on from: a
-// call, another choice, anything but text.
-func (a *Answer) Other() { a.other = true }
+// Other records that the client has been sent what no engine can continue: a tool call, another choice,
+// anything but text.
+func (a *Answer) Other() { a.otherContent = true }
 
-// Whole tells whether the answer is all there. Engines are known to leave the stream's own
-// end out, and to break before it: what counts then is that each choice has ended.
-func (a *Answer) Whole() bool { return a.last || a.ended && a.open == 0 }
+// Whole reports whether the answer is complete. Engines may omit the stream's end marker, or break before
+// it: without it, the answer is complete once each choice has ended.
+func (a *Answer) Whole() bool { return a.streamEnded || a.choiceEnded && a.openChoices == 0 }
 
-// Next makes ready for another engine's stream, which goes on with the answer or, if its
-// client has been given nothing, begins it anew.
+// Next prepares for another engine's stream, which continues the answer or, if the client has been sent
+// nothing, begins it anew.
 func (a *Answer) Next() {
-	if a.seen == 0 {
+	if a.sentEvents == 0 {
 		*a = Answer{}
 	}
 }
--- a/decide/resume/resume.go
+++ b/decide/resume/resume.go
@@ -1,7 +1,7 @@
-// Package resume decides what becomes of an answer whose stream broke after its first
-// token: whether it is whole all the same, and else whether its contract has it go on at
-// another engine, and how. It does no I/O and reads no clock. Where the request is sent, and
-// whether it is taken at all, is the decision module's as ever.
+// Package resume decides what becomes of an answer whose stream broke after its first token: whether it
+// is complete all the same and, if not, whether its contract allows it to be continued on another engine,
+// and how. It does no I/O and reads no clock. Which engine is asked, and whether the request is admitted,
+// is decided by package routing as for any request.
 package resume
 
 import "time"
@@ -12,33 +12,34 @@
 // The steps.
 const (
 	GiveUp Step = iota
-	Again       // from the beginning: its client has seen nothing
-	GoOn        // from where it broke, by prompt and answer so far
-	Finish      // it was whole but for the stream's own end: nothing is sent
+	Again       // restart from the beginning: the client has been sent nothing
+	GoOn        // continue after the last event, with the prompt and the answer so far
+	Finish      // the answer is complete but for the end of its stream: send that, ask no engine
 )
 
+// String returns the step as counts and metrics show it.
 func (s Step) String() string { return [...]string{"give up", "again", "go on", "finish"}[s] }
 
-// Terms are what an answer's contract and its request say.
+// Terms are what an answer's contract and its request allow.
 type Terms struct {
 	Free    bool // the contract lets it run any number of times
-	Allowed int  // times that the contract has it go on
-	Most    int  // tokens that the answer may have; 0 = not said
-	Plain   bool // the request is one that can be given an answer so far
+	Allowed int  // times that the contract lets it continue
+	Most    int  // maximum tokens of the answer; 0: not stated
+	Plain   bool // engines can continue an answer to this request
 }
 
-// Break is how an answer broke.
+// Break is how an answer's stream broke.
 type Break struct {
-	Lost     bool          // its client has gone, or is cut off
-	Reported bool          // the engine itself said that it failed
-	Times    int           // that the answer has gone on before
-	Since    time.Duration // since the request came
+	Lost     bool          // the client has disconnected, or is cut off
+	Reported bool          // the engine itself reported an error
+	Times    int           // how often the answer has been restarted or continued before
+	Since    time.Duration // since the request arrived
 }
 
-// Limit is how long after a request came nothing is begun for it any more.
+// Limit is how long after a request's arrival its answer may still be restarted or continued.
 const Limit = 10 * time.Minute
 
-// Decide says what is to be done.
+// Decide returns what is to be done.
 func Decide(t Terms, a *Answer, b Break) Step {
 	switch {
 	case b.Lost:
@@ -47,11 +48,13 @@
 		return Finish
 	case !t.Free || b.Times >= t.Allowed || b.Since >= Limit:
 		return GiveUp
-	case a.seen == 0:
+	case a.sentEvents == 0:
 		return Again
-	case b.Reported: // what an engine says of a request may well hold of the next one
+	case b.Reported: // the next engine may well report the same error about this request
 		return GiveUp
-	case !t.Plain || a.other || a.tokens == 0, t.Most > 0 && a.tokens >= t.Most:
+	case !t.Plain || a.otherContent || a.textEvents == 0:
+		return GiveUp
+	case t.Most > 0 && a.textEvents >= t.Most: // no tokens are left
 		return GiveUp
 	}
 	return GoOn
--- a/decide/starttime/starttime.go
+++ b/decide/starttime/starttime.go
@@ -1,11 +1,12 @@
-// Package starttime decides when engines started, on the gateway's own clock.
+// Package starttime converts the start times of engines to the gateway's monotonic clock.
 //
-// Lists state starts by the wall clock of whoever wrote them. A gateway's wall clock may be stepped
-// while it runs, so a stamp is not to be subtracted from it each time that it is read: an engine
-// would seem long warm, or cold once more. A Table turns each stamp into a time of the caller's
-// monotonic clock once, when it is first seen. Where the wall clock was stepped since the table
-// was made, the later of the starts that it allows is taken: an engine is then taken to be colder
-// than it is, for one warm-up at most. It does no I/O and reads no clock.
+// Engine lists state starts by the wall clock of whoever wrote them. A gateway's wall clock may be
+// stepped while it runs, so that to subtract a stamp from it at each read could make an engine seem warm
+// long ago, or cold once more. A Table converts each stamp once, when it is first seen. Where the wall
+// clock was stepped since the table was made, the later of the possible starts is taken: at worst an
+// engine is taken to be cold for one warm-up more than it is.
+//
+// It does no I/O and reads no clock.
 package starttime
 
 import "time"
@@ -16,7 +17,8 @@
 // Unknown stands for a start long ago.
 const Unknown Time = 0
 
-// MaxEngines bounds the engines remembered; the oldest are forgotten first.
+// MaxEngines bounds the engines that are remembered; the oldest are forgotten first. Engines come under
+// ever new names, so that the table would otherwise grow without bound.
 const MaxEngines = 1 << 14
 
 // Clock is one moment on both clocks.
@@ -25,54 +27,55 @@
 	Wall time.Time
 }
 
+// start is an engine's start.
 type start struct {
-	stamp time.Time // as stated
-	at    Time      // what was made of it
-	seen  Time      // when the stamp was stated last
+	stamp      time.Time // as stated
+	startedAt  Time      // the stamp on the monotonic clock
+	lastStated Time      // when the stamp was stated last
 }
 
 // Table remembers the starts of engines by name. Use New.
 type Table struct {
-	origin Clock
-	starts map[string]*start
-	order  []string // of starts, oldest first
+	origin         Clock // when the table was made
+	starts         map[string]*start
+	insertionOrder []string // the keys of starts, oldest first
 }
 
-// New returns a table that was made at a moment.
+// New returns a table that is made at origin.
 func New(origin Clock) *Table { return &Table{origin: origin, starts: map[string]*start{}} }
 
-// Start returns when an engine started that a list states to have started at stamp; Unknown for the
-// zero time.
+// Start returns when an engine started for which a list states stamp; Unknown for the zero time.
 func (t *Table) Start(name string, stamp time.Time, clock Clock) Time {
 	if stamp.IsZero() {
 		return Unknown
 	}
 	known := t.starts[name]
 	if known != nil && known.stamp.Equal(stamp) {
-		known.seen = clock.Now
-		return known.at
+		known.lastStated = clock.Now
+		return known.startedAt
 	}
-	at := clock.Now - t.age(stamp, clock)
-	if known != nil { // it has started anew since its former stamp was stated
-		at = max(at, known.seen)
+	startedAt := clock.Now - t.minAge(stamp, clock)
+	if known != nil { // it has restarted since its former stamp was last stated
+		startedAt = max(startedAt, known.lastStated)
 	} else {
-		t.remember(name)
+		t.reserve(name)
 	}
-	t.starts[name] = &start{stamp: stamp, at: at, seen: clock.Now}
-	return at
+	t.starts[name] = &start{stamp: stamp, startedAt: startedAt, lastStated: clock.Now}
+	return startedAt
 }
 
-// age is the least age that the wall clock allows: as it is now, and as it would be had it not been
-// stepped since the table was made. A stamp in the future is one of this moment.
-func (t *Table) age(stamp time.Time, clock Clock) time.Duration {
+// minAge returns the least age that the wall clock allows: as it is now, and as it would be had it not
+// been stepped since the table was made. A stamp in the future counts as the present moment.
+func (t *Table) minAge(stamp time.Time, clock Clock) time.Duration {
 	unstepped := t.origin.Wall.Add(clock.Now - t.origin.Now)
 	return max(0, min(clock.Wall.Sub(stamp), unstepped.Sub(stamp)))
 }
 
-func (t *Table) remember(name string) {
-	if len(t.order) >= MaxEngines {
-		delete(t.starts, t.order[0])
-		t.order = t.order[1:]
+// reserve makes room for a new name.
+func (t *Table) reserve(name string) {
+	if len(t.insertionOrder) >= MaxEngines {
+		delete(t.starts, t.insertionOrder[0])
+		t.insertionOrder = t.insertionOrder[1:]
 	}
-	t.order = append(t.order, name)
+	t.insertionOrder = append(t.insertionOrder, name)
 }
--- a/decide/starttime/starttime_test.go
+++ b/decide/starttime/starttime_test.go
@@ -81,7 +81,7 @@
 	for n := range MaxEngines + 100 {
 		table.Start(strconv.Itoa(n), wall(0), Clock{Now: time.Second, Wall: wall(time.Second)})
 	}
-	if len(table.starts) != MaxEngines || len(table.order) != MaxEngines {
-		t.Errorf("%d engines, %d in order", len(table.starts), len(table.order))
+	if len(table.starts) != MaxEngines || len(table.insertionOrder) != MaxEngines {
+		t.Errorf("%d engines, %d in order", len(table.starts), len(table.insertionOrder))
 	}
 }
