--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,6 +1,6 @@
-// Package admin tells operators, on a listener of its own, what the program makes of
-// its engines. It is off unless an operator's file names an address, and is to be
-// kept on loopback or a network of the operators' own: it asks nobody who they are.
+// Package admin serves the state of the gateway to operators, on a listener of its own: the engines, the
+// changes of roles, and the tier. It is off unless the operator's file names an address. It does not
+// authenticate, so the address must be on loopback or a network of the operators' own.
 package admin
 
 import (
@@ -19,32 +19,33 @@
 	"wellgw/internal/fetch"
 )
 
-// Where the present view of the engines is, the state of changes of roles, and the tier.
+// Paths of the pages.
 const (
-	EnginesPath = "/engines"
-	RolesPath   = "/roles"
-	PeersPath   = "/peers"
+	EnginesPath = "/engines" // the engines: a View
+	RolesPath   = "/roles"   // the changes of roles
+	PeersPath   = "/peers"   // the gateways of the tier
 )
 
 const (
-	headWait  = 2 * time.Second
-	writeWait = 5 * time.Second
-	askWait   = 5 * time.Second
-	maxView   = 64 << 20
+	readTimeout    = 2 * time.Second // for a request, which is one line and few headers
+	writeTimeout   = 5 * time.Second // for a page
+	requestTimeout = 5 * time.Second // of Ask and AskPage
+	maxPageBytes   = 64 << 20        // that Ask and AskPage read
 )
 
-// View is the body at EnginesPath.
+// View is the page at EnginesPath.
 type View struct {
 	directory.View
 	Consul   consul.Stats   `json:"consul"`
 	Counts   map[string]int `json:"counts"`
-	Gateways int            `json:"gateways"` // that share the engines, as far as is known
+	Gateways int            `json:"gateways"` // known to share the engines
 }
 
-// Pages are what is told, by path. Each is called for each request.
+// Pages has functions that return the content of JSON pages, by path. One is called for each request.
 type Pages map[string]func() any
 
-// Serve answers on l until ctx ends. others are pages that are not JSON, by path.
+// Serve serves pages on l until ctx ends; others are handlers of pages that are not JSON, by path. It
+// closes l.
 func Serve(ctx context.Context, l net.Listener, pages Pages, others map[string]http.Handler, log *slog.Logger) {
 	mux := http.NewServeMux()
 	for path, page := range others {
@@ -54,21 +55,21 @@
 		mux.HandleFunc("GET "+path, func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Type", "application/json")
 			if err := jsoniter.NewEncoder(w).Encode(page()); err != nil {
-				log.Debug("admin", "cause", err)
+				log.Debug("admin page not sent", "cause", err)
 			}
 		})
 	}
 	srv := &http.Server{
-		Handler: mux, ReadHeaderTimeout: headWait, ReadTimeout: headWait, WriteTimeout: writeWait,
+		Handler: mux, ReadHeaderTimeout: readTimeout, ReadTimeout: readTimeout, WriteTimeout: writeTimeout,
 		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 	}
 	defer context.AfterFunc(ctx, func() { srv.Close() })()
 	if err := srv.Serve(l); err != nil && !errors.Is(err, http.ErrServerClosed) {
-		log.Error("admin listener ended", "cause", err)
+		log.Error("admin listener failed", "cause", err)
 	}
 }
 
-// Ask returns the present view of the gateway whose admin listener is at addr.
+// Ask returns the engines of the gateway whose admin listener is at addr.
 func Ask(ctx context.Context, addr string) (View, error) {
 	var v View
 	err := AskPage(ctx, addr, EnginesPath, &v)
@@ -77,9 +78,9 @@
 
 // AskPage reads one page into v.
 func AskPage(ctx context.Context, addr, path string, v any) error {
-	ctx, cancel := context.WithTimeout(ctx, askWait)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	if err := fetch.JSON(ctx, http.DefaultClient, "http://"+addr+path, maxView, v); err != nil {
+	if err := fetch.JSON(ctx, http.DefaultClient, "http://"+addr+path, maxPageBytes, v); err != nil {
 		return fmt.Errorf("admin listener: %w", err)
 	}
 	return nil
--- a/internal/files/files.go
+++ b/internal/files/files.go
@@ -1,4 +1,4 @@
-// Package files reads and replaces small files whole.
+// Package files reads and replaces small files as a whole.
 package files
 
 import (
@@ -16,15 +16,16 @@
 	"wellgw/internal/faultinject"
 )
 
-// ErrDamaged is wrapped by errors about what a file holds.
+// ErrDamaged is wrapped by errors about a file's content.
 var ErrDamaged = errors.New("the file is damaged")
 
 const (
-	mode     = 0o600
-	staleAge = time.Minute // a temporary file that old was left by a process that was killed
+	fileMode = 0o600
+	staleAge = time.Minute // a temporary file of this age was left by a process that was killed
 )
 
-// Read returns what the file at path holds. One that is larger than limit bytes wraps ErrDamaged.
+// Read returns the content of the file at path. A file larger than limit bytes is an error that wraps
+// ErrDamaged.
 func Read(path string, limit int64) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -41,17 +42,16 @@
 	return text, nil
 }
 
-// WriteAtomic replaces the file at path: written beside it under a name of its own, synced, then
-// renamed. A reader sees the former content or the new one, and so does the next process if this
-// one is killed meanwhile.
+// WriteAtomic replaces the file at path: text is written to a temporary file beside it, synced, then
+// renamed. Readers see either the former content or the new one, also if the process is killed meanwhile.
 func WriteAtomic(path string, text []byte) error {
 	if err := faultinject.BeforeWrite(path, text); err != nil {
 		return err
 	}
-	return renameio.WriteFile(path, text, mode, renameio.WithTempDir(filepath.Dir(path)))
+	return renameio.WriteFile(path, text, fileMode, renameio.WithTempDir(filepath.Dir(path)))
 }
 
-// RemoveStale removes what processes that were killed have left beside path of WriteAtomic.
+// RemoveStale removes the temporary files of WriteAtomic that killed processes have left beside path.
 func RemoveStale(path string) error {
 	dir, base := filepath.Split(path)
 	entries, err := os.ReadDir(filepath.Clean(dir))
@@ -60,18 +60,27 @@
 	}
 	var errs []error
 	for _, entry := range entries {
-		number, temporary := strings.CutPrefix(entry.Name(), "."+base)
-		if !temporary || strings.Trim(number, "0123456789") != "" || number == "" {
-			continue
+		if isTemporary(entry.Name(), base) {
+			errs = append(errs, removeIfStale(dir, entry))
 		}
-		info, err := entry.Info()
-		if errors.Is(err, fs.ErrNotExist) {
-			continue
-		}
-		if err == nil && time.Since(info.ModTime()) > staleAge {
-			err = os.Remove(filepath.Join(dir, entry.Name()))
-		}
-		errs = append(errs, err)
 	}
 	return errors.Join(errs...)
 }
+
+// isTemporary reports whether name is one that renameio gives to a temporary file for base: a dot, base,
+// and a number.
+func isTemporary(name, base string) bool {
+	number, ok := strings.CutPrefix(name, "."+base)
+	return ok && number != "" && strings.Trim(number, "0123456789") == ""
+}
+
+func removeIfStale(dir string, entry fs.DirEntry) error {
+	info, err := entry.Info()
+	if errors.Is(err, fs.ErrNotExist) { // the process that wrote it has renamed it
+		return nil
+	}
+	if err == nil && time.Since(info.ModTime()) > staleAge {
+		err = os.Remove(filepath.Join(dir, entry.Name()))
+	}
+	return err
+}
--- a/internal/lastview/lastview.go
+++ b/internal/lastview/lastview.go
@@ -1,10 +1,9 @@
-// Package lastview keeps the last good view of the engines on disk, so that a
-// gateway that starts while its sources are away serves at once.
+// Package lastview keeps the last good view of the engines on disk, so that a gateway that starts while
+// its sources are unavailable can serve at once.
 //
-// The file is one line of header and one of JSON. It is replaced whole: written
-// beside, synced and renamed. A database was weighed and left (docs/design/consul.md):
-// the view is small, is always written whole, and a damaged file that is mapped into
-// memory can end the process.
+// The file has a header line and a line of JSON, and is replaced atomically. It is no database
+// (docs/design/consul.md): the view is small and always written as a whole, and a damaged file that is
+// mapped into memory can crash the process.
 package lastview
 
 import (
@@ -22,24 +21,26 @@
 	"wellgw/internal/files"
 )
 
-// The header is magic, version, and the sum of the body in hex.
+// The header has the magic word, the version, and the checksum of the body in hex.
 const (
 	magic   = "wellgw-view"
 	version = 1
-	maxFile = 64 << 20
 )
 
-// ErrDamaged is wrapped by every error of Load that tells of the file's content.
+const maxFileBytes = 64 << 20 // far above what is written
+
+// ErrDamaged is wrapped by every error of Load about the file's content.
 var ErrDamaged = errors.New("the file is damaged")
 
-// View is what is kept.
+// View is the content of the file. Its JSON keys are Go field names, also those of package roster:
+// renaming one of these fields changes the file.
 type View struct {
 	SavedAt time.Time
 	Entries []roster.Kept
 	Indexes []Index
 }
 
-// Index is how far a source had come.
+// Index is the index that a source had reached.
 type Index struct {
 	Source roster.Source
 	Index  uint64
@@ -62,33 +63,26 @@
 	if err != nil {
 		return fmt.Errorf("last view: %w", err)
 	}
-	text := fmt.Appendf(nil, "%s %d %016x\n", magic, version, xxhash.Sum64(body))
+	text := fmt.Appendf(nil, "%s %d %s\n", magic, version, checksum(body))
 	if err := files.WriteAtomic(path, append(text, body...)); err != nil {
 		return fmt.Errorf("last view: %w", err)
 	}
 	return nil
 }
 
-// Load reads the file at path. It returns an error that wraps fs.ErrNotExist if
-// there is none, and one that wraps ErrDamaged if it can't be what Save wrote.
+// Load reads the file at path. Its error wraps fs.ErrNotExist if there is no file, and ErrDamaged if the
+// file can't be what Save wrote.
 func Load(path string) (View, error) {
-	raw, err := files.Read(path, maxFile)
+	raw, err := files.Read(path, maxFileBytes)
 	if errors.Is(err, files.ErrDamaged) {
 		return View{}, fmt.Errorf("last view: %w: %w", ErrDamaged, err)
 	}
 	if err != nil {
 		return View{}, fmt.Errorf("last view: %w", err)
 	}
-	head, body, _ := bytes.Cut(raw, []byte("\n"))
-	field := bytes.Fields(head)
-	if len(field) != 3 || string(field[0]) != magic {
-		return View{}, fmt.Errorf("last view: %w: no header", ErrDamaged)
-	}
-	if string(field[1]) != strconv.Itoa(version) {
-		return View{}, fmt.Errorf("last view: %w: version %s is not %d", ErrDamaged, field[1], version)
-	}
-	if string(field[2]) != fmt.Sprintf("%016x", xxhash.Sum64(body)) {
-		return View{}, fmt.Errorf("last view: %w: the sum is wrong", ErrDamaged)
+	header, body, _ := bytes.Cut(raw, []byte("\n"))
+	if err := checkHeader(header, body); err != nil {
+		return View{}, err
 	}
 	var v View
 	if err := codec.Unmarshal(body, &v); err != nil {
@@ -97,8 +91,25 @@
 	return v, nil
 }
 
-// SetAside renames a damaged file, so that the next Save does not destroy what a
-// person may want to look at, and returns its new name.
+// checkHeader compares a header with the body that it precedes.
+func checkHeader(header, body []byte) error {
+	fields := bytes.Fields(header)
+	if len(fields) != 3 || string(fields[0]) != magic {
+		return fmt.Errorf("last view: %w: no header", ErrDamaged)
+	}
+	if string(fields[1]) != strconv.Itoa(version) {
+		return fmt.Errorf("last view: %w: version %s is not %d", ErrDamaged, fields[1], version)
+	}
+	if string(fields[2]) != checksum(body) {
+		return fmt.Errorf("last view: %w: the sum is wrong", ErrDamaged)
+	}
+	return nil
+}
+
+func checksum(body []byte) string { return fmt.Sprintf("%016x", xxhash.Sum64(body)) }
+
+// SetAside renames a damaged file, so that the next Save does not overwrite what may have to be analysed,
+// and returns its new name.
 func SetAside(path string, now time.Time) (string, error) {
 	to := path + ".damaged-" + now.UTC().Format("20060102T150405.000")
 	if err := os.Rename(path, to); err != nil {
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -19,7 +19,7 @@
 	if err := jsoniter.Unmarshal([]byte(b.String()), &line); err != nil || strings.Count(b.String(), "\n") != 1 {
 		t.Fatalf("%q: %v", b.String(), err)
 	}
-	if _, err := time.Parse(timeForm, line["time"].(string)); err != nil {
+	if _, err := time.Parse(timeFormat, line["time"].(string)); err != nil {
 		t.Error(err)
 	}
 	delete(line, "time")
--- a/internal/logging/queue.go
+++ b/internal/logging/queue.go
@@ -8,27 +8,27 @@
 	"time"
 )
 
-// queueLines is how many lines wait for a reader of the log that is slow.
-const queueLines = 4096
+// maxQueuedLines is how many lines may wait for a slow reader of the log. It bounds the queue's memory.
+const maxQueuedLines = 4096
 
-// Queue writes lines in the background, so that a reader of the log that stalls or goes holds up
-// nobody who logs. Lines beyond queueLines are dropped, and the log says how many.
+// Queue writes lines in the background, so that a reader of the log that stalls or disconnects blocks no
+// goroutine that logs. Lines beyond maxQueuedLines are dropped, and the log says how many.
 type Queue struct {
-	out     io.Writer
-	lines   chan []byte
-	dropped atomic.Int64
-	once    sync.Once
-	ended   chan struct{}
+	out       io.Writer
+	lines     chan []byte // a nil line ends run
+	dropped   atomic.Int64
+	closeOnce sync.Once
+	done      chan struct{} // closed when run has ended
 }
 
-// NewQueue returns a queue to out. Close ends it.
+// NewQueue returns a queue that writes to out, from a goroutine that Close ends.
 func NewQueue(out io.Writer) *Queue {
-	q := &Queue{out: out, lines: make(chan []byte, queueLines), ended: make(chan struct{})}
+	q := &Queue{out: out, lines: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
 	go q.run()
 	return q
 }
 
-// Write takes one line. It never blocks and never fails.
+// Write queues one line. It never blocks and never fails.
 func (q *Queue) Write(line []byte) (int, error) {
 	select {
 	case q.lines <- append([]byte(nil), line...):
@@ -39,23 +39,25 @@
 }
 
 func (q *Queue) run() {
-	defer close(q.ended)
+	defer close(q.done)
 	for line := range q.lines {
 		if line == nil {
 			return
 		}
 		_, _ = q.out.Write(line) // an error means that nobody reads the log
 		if n := q.dropped.Swap(0); n > 0 {
-			fmt.Fprintf(q.out, `{"level":"warn","time":%q,"lines":%d,"message":"log lines dropped"}`+"\n", time.Now().UTC().Format(timeForm), n)
+			fmt.Fprintf(q.out, `{"level":"warn","time":%q,"lines":%d,"message":"log lines dropped"}`+"\n", time.Now().UTC().Format(timeFormat), n)
 		}
 	}
 }
 
-// Close has the lines that wait written, for as long as wait at most.
+// Close waits until the queued lines are written, for at most wait.
 func (q *Queue) Close(wait time.Duration) {
-	q.once.Do(func() { go func() { q.lines <- nil }() })
+	// The queue may be full. Nobody waits for the goroutine that ends it: it blocks until run takes the
+	// next line, and if run is blocked by a stalled reader, both last until the process exits.
+	q.closeOnce.Do(func() { go func() { q.lines <- nil }() })
 	select {
-	case <-q.ended:
+	case <-q.done:
 	case <-time.After(wait):
 	}
 }
--- a/internal/logging/queue_test.go
+++ b/internal/logging/queue_test.go
@@ -27,7 +27,7 @@
 func TestStalledReaderHoldsNobodyUp(t *testing.T) {
 	s := &stalled{release: make(chan struct{})}
 	q := NewQueue(s)
-	const lines = 2*queueLines + 7
+	const lines = 2*maxQueuedLines + 7
 	for range lines {
 		if n, err := q.Write([]byte("line\n")); n != 5 || err != nil {
 			t.Fatal(n, err)
@@ -39,7 +39,7 @@
 		t.Errorf("closing took %v", took)
 	}
 	close(s.release)
-	<-q.ended
+	<-q.done
 	if text := s.text.String(); !strings.Contains(text, "log lines dropped") {
 		t.Errorf("%d bytes say nothing of dropped lines", len(text))
 	}
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits, for as long as there is reason to.
+// Package pause waits for a time that a context may cut short.
 package pause
 
 import (
