--- a/decide/deduplication/table_test.go
+++ b/decide/deduplication/table_test.go
@@ -14,7 +14,11 @@
 
 var t0 = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
-func table(t interface{ Fatal(...any) }, change func(*Limits)) *Table {
+func table(t interface {
+	Helper()
+	Fatal(...any)
+}, change func(*Limits)) *Table {
+	t.Helper()
 	l := DefaultLimits()
 	if change != nil {
 		change(&l)
@@ -54,20 +58,22 @@
 		"broken, past its age":      {ptr(OutcomeIndeterminate), "", first, 25 * time.Hour, Run},
 		"in progress for a day":     {nil, "", first, 25 * time.Hour, InProgress},
 	} {
-		tb := table(t, nil)
-		if v, _ := tb.Begin(t0, first); v != Run {
-			t.Fatalf("%s: %v at first", name, v)
-		}
-		if c.end != nil {
-			tb.End(t0, first.Key, first.RequestID, *c.end, "text/plain", []byte(c.answer))
-		}
-		v, e := tb.Begin(t0.Add(c.after), c.again)
-		if v != c.want {
-			t.Errorf("%s: %v, want %v", name, v, c.want)
-		}
-		if v == Replay && (string(e.Answer) != c.answer || e.ContentType != "text/plain") {
-			t.Errorf("%s: %+v", name, e)
-		}
+		t.Run(name, func(t *testing.T) {
+			tb := table(t, nil)
+			if v, _ := tb.Begin(t0, first); v != Run {
+				t.Fatalf("%v at first", v)
+			}
+			if c.end != nil {
+				tb.End(t0, first.Key, first.RequestID, *c.end, "text/plain", []byte(c.answer))
+			}
+			v, e := tb.Begin(t0.Add(c.after), c.again)
+			if v != c.want {
+				t.Errorf("%v, want %v", v, c.want)
+			}
+			if v == Replay && (string(e.Answer) != c.answer || e.ContentType != "text/plain") {
+				t.Errorf("%+v", e)
+			}
+		})
 	}
 }
 
@@ -104,13 +110,15 @@
 		"a retry just before they end":    {1, false, false, 10*time.Minute - 1, PriorOutcomeUnknown},
 		"a retry many times, all is well": {9, false, true, time.Hour, Run},
 	} {
-		tb := table(t, nil)
-		tb.Restore(t0, nil, c.clean)
-		a := newRequest("a", "k", "d")
-		a.RetryCount, a.MayHaveRunElsewhere = c.retry, c.others
-		if v, _ := tb.Begin(t0.Add(c.after), a); v != c.want {
-			t.Errorf("%s: %v, want %v", name, v, c.want)
-		}
+		t.Run(name, func(t *testing.T) {
+			tb := table(t, nil)
+			tb.Restore(t0, nil, c.clean)
+			a := newRequest("a", "k", "d")
+			a.RetryCount, a.MayHaveRunElsewhere = c.retry, c.others
+			if v, _ := tb.Begin(t0.Add(c.after), a); v != c.want {
+				t.Errorf("%v, want %v", v, c.want)
+			}
+		})
 	}
 }
 
@@ -149,10 +157,10 @@
 	}
 }
 
-func TestEarlierTryAtOtherGateway(t *testing.T) {
+func TestEarlierAttemptAtOtherGateway(t *testing.T) {
 	for name, c := range map[string]struct {
-		know Topology
-		may  bool
+		topology Topology
+		may      bool
 	}{
 		"nothing is said":                        {Topology{ObservedGateways: 1}, true},
 		"one gateway, by the file":               {Topology{ConfiguredGateways: 1, ObservedGateways: 1}, false},
@@ -162,9 +170,11 @@
 		"keys stick":                             {Topology{StickyKeys: true, ConfiguredGateways: 3, PeersEnabled: true, ObservedGateways: 3}, false},
 		"one found by a catalogue, nothing said": {Topology{ObservedGateways: 0}, true},
 	} {
-		if c.know.AttemptsMayGoElsewhere() != c.may {
-			t.Errorf("%s: %v", name, !c.may)
-		}
+		t.Run(name, func(t *testing.T) {
+			if c.topology.AttemptsMayGoElsewhere() != c.may {
+				t.Errorf("%v", !c.may)
+			}
+		})
 	}
 }
 
@@ -224,12 +234,14 @@
 		"keys": func(l *Limits) { l.MaxEntries = 0 }, "answer_bytes": func(l *Limits) { l.MaxTotalAnswerBytes = -1 },
 		"age_ms": func(l *Limits) { l.Retention = l.MinRetention - 1 }, "least_ms": func(l *Limits) { l.MinRetention = 0 },
 	} {
-		l := DefaultLimits()
-		change(&l)
-		var wrong setting.Error
-		if _, err := NewTable(l); !errors.As(err, &wrong) || !strings.Contains(wrong.Field, field) {
-			t.Errorf("%s: %v", field, err)
-		}
+		t.Run(field, func(t *testing.T) {
+			l := DefaultLimits()
+			change(&l)
+			var wrong setting.Error
+			if _, err := NewTable(l); !errors.As(err, &wrong) || !strings.Contains(wrong.Field, field) {
+				t.Errorf("%v", err)
+			}
+		})
 	}
 }
 
--- a/internal/control/server_test.go
+++ b/internal/control/server_test.go
@@ -3,6 +3,8 @@
 import (
 	"bufio"
 	"context"
+	"errors"
+	"fmt"
 	"io"
 	"log/slog"
 	"net"
@@ -30,10 +32,12 @@
 		{"reboot", Command{}, false},
 		{"STATUS", Command{}, false},
 	} {
-		got, err := Parse(c.line)
-		if (err == nil) != c.ok || got != c.want {
-			t.Errorf("%q: %+v, %v", c.line, got, err)
-		}
+		t.Run(c.line, func(t *testing.T) {
+			got, err := Parse(c.line)
+			if errors.Is(err, ErrMalformedCommand) == c.ok || (err == nil) != c.ok || got != c.want {
+				t.Errorf("%+v, %v", got, err)
+			}
+		})
 	}
 }
 
@@ -87,9 +91,11 @@
 		{"stat", false, "NO"}, // half a command, and the connection stays open
 		{"", false, "NO"},     // nothing at all
 	} {
-		if got := send(t, addr, c.what, c.closeWrite); got != c.want {
-			t.Errorf("%.20q: %q, want %q", c.what, got, c.want)
-		}
+		t.Run(fmt.Sprintf("%.20q", c.what), func(t *testing.T) {
+			if got := send(t, addr, c.what, c.closeWrite); got != c.want {
+				t.Errorf("%q, want %q", got, c.want)
+			}
+		})
 	}
 }
 
