--- a/routing/golden_test.go
+++ b/routing/golden_test.go
@@ -28,37 +28,40 @@
 	load  float64 // of what the engines bear
 	tell  string  // what reports carry: w waiting tokens, m memory, q queue; "" for no reports
 	apply func(*routing.Settings)
-	want  [3]string // hashes for the seeds 1 to 3
+	want  [3]string     // hashes for the seeds 1 to 3
+	lull  time.Duration // in which no request comes, halfway
 }
 
 var goldenCases = []goldenCase{
 	{"few routers", 0.8, "", func(*routing.Settings) {},
-		[3]string{"706f5dc647e84896", "ab5550b298a03ee4", "7d60cf3c2c8c4717"}},
+		[3]string{"706f5dc647e84896", "ab5550b298a03ee4", "7d60cf3c2c8c4717"}, 0},
 	{"overload", 2.5, "", func(*routing.Settings) {},
-		[3]string{"bf6643c4968aaeb1", "4db7bed2888d12a7", "45831d4fa95055aa"}},
+		[3]string{"bf6643c4968aaeb1", "4db7bed2888d12a7", "45831d4fa95055aa"}, 0},
 	{"reports", 1.1, "wm", func(*routing.Settings) {},
-		[3]string{"9b04cbd72b83e4f4", "5da3ed1e5efe5184", "c7d2577839e616af"}},
+		[3]string{"9b04cbd72b83e4f4", "5da3ed1e5efe5184", "c7d2577839e616af"}, 0},
 	{"no cancel", 1, "m", func(s *routing.Settings) { s.CanCancel, s.CanRetryAfter = false, false },
-		[3]string{"140889576f62a14b", "da7d88da3ad09154", "0501c93ed8a95b43"}},
+		[3]string{"140889576f62a14b", "da7d88da3ad09154", "0501c93ed8a95b43"}, 0},
 	{"decode engines read", 1.4, "wm", func(s *routing.Settings) { s.DecodePrefills, s.MaxAttempts = true, 3 },
-		[3]string{"d285a9a1bfb30876", "66b4a00f6f065c34", "920da7bb21a2379d"}},
+		[3]string{"d285a9a1bfb30876", "66b4a00f6f065c34", "920da7bb21a2379d"}, 0},
 	{"must subscribe", 0.9, "w", func(s *routing.Settings) { s.MustSubscribe, s.Gateways = true, 1 },
-		[3]string{"ccb7e5a057dcc2c8", "ba0f905dab1eba37", "b00dbd602985378d"}},
+		[3]string{"ccb7e5a057dcc2c8", "ba0f905dab1eba37", "b00dbd602985378d"}, 0},
 	{"many routers, probes", 0.9, "qm", func(s *routing.Settings) { s.CanProbe, s.Gateways = true, 80 },
-		[3]string{"eb420aa11de35861", "ce6eda06f2508b5e", "8ba04ba61c0cd4aa"}},
+		[3]string{"eb420aa11de35861", "ce6eda06f2508b5e", "8ba04ba61c0cd4aa"}, 0},
 	{"many routers, no probes", 0.9, "", func(s *routing.Settings) { s.Gateways = 30 },
-		[3]string{"f902d5abf5b0c142", "07a457f7976b1b2e", "eedb42e075f3c113"}},
+		[3]string{"f902d5abf5b0c142", "07a457f7976b1b2e", "eedb42e075f3c113"}, 0},
 	{"ten routers, probes", 1.3, "wqm", func(s *routing.Settings) { s.CanProbe, s.Gateways, s.DecodePrefills = true, 10, true },
-		[3]string{"5443f41b255dd6d2", "b79a7b1c7ed35782", "119f7565a1a7174f"}},
+		[3]string{"5443f41b255dd6d2", "b79a7b1c7ed35782", "119f7565a1a7174f"}, 0},
 	{"late arrivals", 1, "m", func(s *routing.Settings) { s.SendDelay, s.MaxAttempts = 250*time.Millisecond, 4 },
-		[3]string{"7cc54d95aa9d56df", "00d9a58a4b5187ea", "19a977eb8d48c654"}},
+		[3]string{"7cc54d95aa9d56df", "00d9a58a4b5187ea", "19a977eb8d48c654"}, 0},
 	{"tenants", 1.2, "m", func(s *routing.Settings) {
 		s.Tenants = []routing.Tenant{{Name: "a", Quota: 20}, {Name: "b", Quota: 0.4}, {Name: "c"}}
 		s.OverQuotaWeight = 0.3
-	}, [3]string{"95842abc6e491056", "e02dae6614db60a9", "967b19b617931ce1"}},
+	}, [3]string{"95842abc6e491056", "e02dae6614db60a9", "967b19b617931ce1"}, 0},
 	{"tenants, nothing above a quota", 0.7, "wm", func(s *routing.Settings) {
 		s.Tenants = []routing.Tenant{{Name: "a", Quota: 10}, {Name: "b", Quota: 0.4}}
-	}, [3]string{"3b48419255bfeab3", "bda4252f3a47a737", "12ac9a3d2b745559"}},
+	}, [3]string{"3b48419255bfeab3", "bda4252f3a47a737", "12ac9a3d2b745559"}, 0},
+	{"a lull", 1, "", func(*routing.Settings) {},
+		[3]string{"6acc5bb7f6577547", "141b7946c79fa3a2", "8d1b2e1b87e48e47"}, 50 * time.Second},
 }
 
 func TestActionsAreAsRecorded(t *testing.T) {
@@ -209,8 +212,9 @@
 	w.at(goldenLength/2+time.Second, func() { w.tell(routing.GatewaysChanged{}) })
 	w.at(goldenLength/2+time.Second, func() { w.tell(routing.ProbeResult{Engine: "unknown"}) })
 	w.at(goldenLength*3/4, func() { w.tell(routing.GatewaysChanged{Gateways: w.set.Gateways}) })
-	w.at(goldenLength, func() { w.tell(routing.ShuttingDown{}) })
-	w.at(goldenLength+300*time.Millisecond, func() { w.tell(routing.ShuttingDown{Final: true}) })
+	end := goldenLength + w.c.lull
+	w.at(end, func() { w.tell(routing.ShuttingDown{}) })
+	w.at(end+300*time.Millisecond, func() { w.tell(routing.ShuttingDown{Final: true}) })
 	for len(w.agenda) > 0 {
 		e := heap.Pop(&w.agenda).(goldenEvent)
 		w.now = e.at
@@ -332,7 +336,7 @@
 func (w *goldenWorld) act(action routing.Action) {
 	switch a := action.(type) {
 	case routing.SetTimer:
-		if w.now < goldenLength+20*time.Second {
+		if w.now < goldenLength+w.c.lull+20*time.Second {
 			w.at(w.now+a.In, func() { w.tell(routing.TimerFired{Name: a.Name}) })
 		}
 	case routing.Send:
@@ -373,14 +377,18 @@
 
 // arrive has a request come, and the next one later.
 func (w *goldenWorld) arrive() {
-	if w.now >= goldenLength+time.Second {
+	if w.now >= goldenLength+w.c.lull+time.Second {
 		return
 	}
 	rate := 60 * w.c.load
 	if second := int(w.now.Seconds()); second%11 > 8 { // a burst
 		rate *= 3
 	}
-	w.at(w.now+time.Duration(w.random.ExpFloat64()/rate*float64(time.Second)), w.arrive)
+	next := w.now + time.Duration(w.random.ExpFloat64()/rate*float64(time.Second))
+	if half := goldenLength / 2; w.now < half && next >= half {
+		next += w.c.lull
+	}
+	w.at(next, w.arrive)
 	w.lastID++
 	q := routing.Request{
 		ID: w.lastID, Class: w.set.Classes[min(w.random.IntN(9), len(w.set.Classes)-1)].Name,
@@ -604,7 +612,7 @@
 
 // trouble has one engine fall into trouble, start, drain or leave, and recover later.
 func (w *goldenWorld) trouble() {
-	if w.now > goldenLength {
+	if w.now > goldenLength+w.c.lull {
 		return
 	}
 	w.at(w.now+200*time.Millisecond+w.upTo(1500*time.Millisecond), w.trouble)
