--- a/routing/api.go
+++ b/routing/api.go
@@ -99,10 +99,14 @@
 	SlowStartPeriod   time.Duration // an engine is warm this long after its start
 	SlowStartCapacity float64       // of an engine that has just started, as a fraction of its full capacity
 	OverloadWindow    time.Duration // over which the load of an engine in slow start is counted
-	OverloadMultiple  float64       // times its present capacity within OverloadWindow that makes such an engine fail
-	HeldStateLimit    time.Duration // longest that an engine may hold state with no attempt in flight
-	SendDelay         time.Duration // longest from a Send to its arrival at the engine: bounds sends near the end of DedupWindow
-	Tick              time.Duration // shortest interval between events
+	// OverloadMultiple is how many times its present capacity, within OverloadWindow, makes such an
+	// engine fail.
+	OverloadMultiple float64
+	HeldStateLimit   time.Duration // longest that an engine may hold state with no attempt in flight
+	// SendDelay is the longest from a Send to its arrival at the engine. It bounds sends near the
+	// end of DedupWindow.
+	SendDelay time.Duration
+	Tick      time.Duration // shortest interval between events
 }
 
 // Event is an input of a Router.
--- a/routing/policy.go
+++ b/routing/policy.go
@@ -894,9 +894,11 @@
 	if !r.cold(w) {
 		return true
 	}
-	limit := coldMargin * r.stages[w.role()].peak * r.set.OverloadWindow.Seconds() * r.set.OverloadMultiple * r.set.SlowStartCapacity
+	limit := coldMargin * r.stages[w.role()].peak * r.set.OverloadWindow.Seconds() *
+		r.set.OverloadMultiple * r.set.SlowStartCapacity
 	if len(w.sends) == 0 && limit < weight {
-		window := float64(r.now)/float64(r.set.OverloadWindow) + r.chance(0, w.Name) // no window common to all routers
+		// no window common to all routers
+		window := float64(r.now)/float64(r.set.OverloadWindow) + r.chance(0, w.Name)
 		return r.chance(RequestID(window), w.Name) < limit/weight
 	}
 	for _, s := range w.sends {
--- /dev/null
+++ b/routing/shape_test.go
@@ -0,0 +1,78 @@
+package routing
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+)
+
+// The limits on the shape of a file, so that a rule is found and read in one go.
+const (
+	maxFileLines     = 400
+	maxFunctionLines = 50
+	maxColumns       = 110
+)
+
+// tooLong lists what is over a limit and has yet to be split.
+var tooLong = map[string]bool{"policy.go": true, "pickPrefill": true}
+
+func TestFilesAndFunctionsAreShort(t *testing.T) {
+	names, err := filepath.Glob("*.go")
+	if err != nil {
+		t.Fatal(err)
+	}
+	checked := 0
+	for _, name := range names {
+		if strings.HasSuffix(name, "_test.go") {
+			continue
+		}
+		checked++
+		checkLines(t, name)
+		checkFunctions(t, name)
+	}
+	if checked < 5 {
+		t.Errorf("only %d files were found", checked)
+	}
+}
+
+// checkFunctions checks how long the functions of one file are.
+func checkFunctions(t *testing.T, name string) {
+	t.Helper()
+	set := token.NewFileSet()
+	file, err := parser.ParseFile(set, name, nil, parser.SkipObjectResolution)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, decl := range file.Decls {
+		f, is := decl.(*ast.FuncDecl)
+		if !is {
+			continue
+		}
+		lines := set.Position(f.End()).Line - set.Position(f.Pos()).Line + 1
+		if lines > maxFunctionLines && !tooLong[f.Name.Name] {
+			t.Errorf("%s: %s has %d lines, %d at most", name, f.Name.Name, lines, maxFunctionLines)
+		}
+	}
+}
+
+// checkLines checks how many lines one file has, and how long they are.
+func checkLines(t *testing.T, name string) {
+	t.Helper()
+	b, err := os.ReadFile(name)
+	if err != nil {
+		t.Fatal(err)
+	}
+	lines := strings.Split(strings.TrimSuffix(string(b), "\n"), "\n")
+	if len(lines) > maxFileLines && !tooLong[name] {
+		t.Errorf("%s has %d lines, %d at most", name, len(lines), maxFileLines)
+	}
+	for i, line := range lines {
+		if len([]rune(line)) > maxColumns {
+			t.Errorf("%s:%d has more than %d columns", name, i+1, maxColumns)
+		}
+	}
+}
--- a/routing/state.go
+++ b/routing/state.go
@@ -221,7 +221,10 @@
 // CanPrefill tells whether engines of a kind may read a prompt.
 func (r *Router) CanPrefill(kind string) bool {
 	k := r.kinds[kind]
-	return k != nil && (k.Role == RolePrefill || k.Role == RoleMixed || k.Role == RoleDecode && r.set.DecodePrefills)
+	if k == nil {
+		return false
+	}
+	return k.Role == RolePrefill || k.Role == RoleMixed || k.Role == RoleDecode && r.set.DecodePrefills
 }
 
 // rateKey names what an engine may limit the rate of. No name holds the byte between the two:
