--- a/routing/worker.go
+++ b/routing/engine.go
@@ -1,9 +1,6 @@
 package routing
 
 import (
-	"cmp"
-	"iter"
-	"slices"
 	"time"
 )
 
@@ -33,40 +30,15 @@
 	sends                   []sendMark
 }
 
-type sendMark struct {
-	at     Time
-	weight float64
-}
-
-// shown holds reads by the tokens that the report had shown and those that were to be
-// read, as sums of products with the time that the read took; old ones fade.
-type shown struct{ count, aa, ab, bb, at, bt float64 }
-
-func (f *shown) add(reported, toRead, took float64) {
-	const keep = 0.99
-	if reported <= 0 {
-		return
-	}
-	for _, x := range []struct {
-		sum   *float64
-		value float64
-	}{
-		{&f.count, 1}, {&f.aa, reported * reported}, {&f.ab, reported * toRead}, {&f.bb, toRead * toRead},
-		{&f.at, reported * took}, {&f.bt, toRead * took},
-	} {
-		*x.sum = *x.sum*keep + x.value
+func (w *engine) role() Role {
+	if w.kind == nil {
+		return RoleNone
 	}
+	return w.kind.Role
 }
 
-// worth is the time that a reported token stands for against one to be read, by least
-// squares: what deployments count as waiting differs, as do the reports' ages.
-func (f *shown) worth() float64 {
-	const enough, least = 20, 0.1
-	token := f.aa*f.bt - f.ab*f.at
-	if f.count < enough || token <= 0 {
-		return 1
-	}
-	return min(1, max(least, (f.bb*f.at-f.ab*f.bt)/token))
+func (w *engine) forget() {
+	w.sessions, w.prefixes = map[string]held{}, map[string]held{}
 }
 
 // oldest is an engine's oldest attempt out that no later one has passed. One that
@@ -95,39 +67,3 @@
 	}
 	return 0
 }
-
-func (w *engine) forget() {
-	w.sessions, w.prefixes = map[string]held{}, map[string]held{}
-}
-
-func (w *engine) role() Role {
-	if w.kind == nil {
-		return RoleNone
-	}
-	return w.kind.Role
-}
-
-// engine returns the record of a named engine, new if need be, in order of name.
-func (r *Router) engine(name string) *engine {
-	w := r.engines[name]
-	if w == nil {
-		w = &engine{EngineInfo: EngineInfo{Name: name}, pace: 1, fullTo: map[string]Time{}}
-		w.forget()
-		r.engines[name] = w
-		byName := func(w *engine, n string) int { return cmp.Compare(w.Name, n) }
-		at, _ := slices.BinarySearchFunc(r.order, name, byName)
-		r.order = slices.Insert(r.order, at, w)
-	}
-	return w
-}
-
-// all calls yield for each usable engine of a role, in order of name.
-func (r *Router) all(role Role) iter.Seq[*engine] {
-	return func(yield func(*engine) bool) {
-		for _, w := range r.order {
-			if w.usable && w.role() == role && !yield(w) {
-				return
-			}
-		}
-	}
-}
--- a/routing/shape_test.go
+++ b/routing/shape_test.go
@@ -18,7 +18,7 @@
 )
 
 // tooLong lists what is over a limit and has yet to be split.
-var tooLong = map[string]bool{"policy.go": true, "pickPrefill": true}
+var tooLong = map[string]bool{"pickPrefill": true}
 
 func TestFilesAndFunctionsAreShort(t *testing.T) {
 	names, err := filepath.Glob("*.go")
