--- a/routing/admission.go
+++ b/routing/admission.go
@@ -1,32 +1,34 @@
 package routing
 
 const (
-	admitLeast = 0.4 // part of the aim that the wait may take for work of no worth
-	admitMost  = 0.7 // and for work of the highest; estimates are off by about a third
+	minAdmissionPart = 0.4 // part of the objective that the wait may take at priority 0
+	maxAdmissionPart = 0.7 // and at the highest priority: estimates are off by about a third
 )
 
-// overloaded tells what to refuse early: it would come too late, or make worthier work late.
-func (r *Router) overloaded(q *request, wait float64) bool {
-	part := admitLeast + (admitMost-admitLeast)*min(1, q.density/r.topGain)
-	left := q.aim - r.now
+// overloaded reports whether a request is to be rejected at once: after the wait expected for it,
+// seconds, it would come too late, or make requests of higher priority late.
+func (r *Router) overloaded(req *request, wait float64) bool {
+	part := minAdmissionPart + (maxAdmissionPart-minAdmissionPart)*min(1, req.priority/r.maxPriority)
+	left := req.objective - r.now
 	for i := range r.set.Classes {
-		if c := &r.set.Classes[i]; c.PriorityWeight > q.density {
-			left = min(left, c.aim(q.PromptTokens))
+		if c := &r.set.Classes[i]; c.PriorityWeight > req.priority {
+			left = min(left, c.firstTokenObjective(req.PromptTokens))
 		}
 	}
 	return wait > part*left.Seconds()
 }
 
-// room is how many tokens the decode engines are believed to have free for what is not yet being read.
-func (r *Router) room() float64 {
+// freeDecodeTokens estimates the free memory of the decode engines, in tokens, less what the
+// prefills in flight will need there.
+func (r *Router) freeDecodeTokens() float64 {
 	free := 0.0
-	for _, w := range r.order {
+	for _, e := range r.order {
 		switch {
-		case w.role() == RoleDecode && w.usable && r.trusted(w):
-			free += max(0, 1-r.fill(w)) * w.kind.Memory
-		case w.role() == RolePrefill:
-			for _, q := range w.out {
-				free -= r.size(q) * float64(r.set.Gateways)
+		case e.role() == RoleDecode && e.usable && r.trusted(e):
+			free += max(0, 1-r.memoryFill(e)) * e.kind.Memory
+		case e.role() == RolePrefill:
+			for _, req := range e.inFlight {
+				free -= r.memoryEstimate(req) * float64(r.set.Gateways)
 			}
 		}
 	}
--- a/routing/cellplan.go
+++ b/routing/cellplan.go
@@ -6,65 +6,66 @@
 )
 
 const (
-	planExcess = 1.5 // times its even share that the plan gives a prefill engine at most
+	maxEvenShare = 1.5 // at most so many times an even share for a prefill engine
 )
 
-// cell is a cell's part in the plan, in decode engines' weight.
-type cell struct {
-	id                                   int
-	prefillEngines, decodeEngines, reads float64
+// cellCapacity is a cell's part in the plan. All are sums of engines' weights.
+type cellCapacity struct {
+	id                                           int
+	prefillEngines, decodeEngines, prefillTarget float64
 }
 
-// tally adds up the usable engines' weights by cell, in order of cell.
-func (r *Router) tally() []*cell {
-	cells := []*cell{}
-	for _, w := range r.order {
-		if !w.usable {
+// tallyCells adds up the usable engines' weights by cell, in order of cell.
+func (r *Router) tallyCells() []*cellCapacity {
+	cells := []*cellCapacity{}
+	for _, e := range r.order {
+		if !e.usable {
 			continue
 		}
-		c := cellOf(cells, w.Cell)
+		c := findCell(cells, e.Cell)
 		if c == nil {
-			c = &cell{id: w.Cell}
+			c = &cellCapacity{id: e.Cell}
 			cells = append(cells, c)
 		}
-		switch w.role() {
+		switch e.role() {
 		case RolePrefill:
-			c.prefillEngines += w.Weight
+			c.prefillEngines += e.Weight
 		case RoleDecode:
-			c.decodeEngines += w.Weight
+			c.decodeEngines += e.Weight
 		}
 	}
-	slices.SortFunc(cells, func(a, b *cell) int { return cmp.Compare(a.id, b.id) })
+	slices.SortFunc(cells, func(a, b *cellCapacity) int { return cmp.Compare(a.id, b.id) })
 	return cells
 }
 
-// cellOf returns the cell with an id, nil if there is none.
-func cellOf(cells []*cell, id int) *cell {
-	if i := slices.IndexFunc(cells, func(c *cell) bool { return c.id == id }); i >= 0 {
+// findCell returns the cell with an id, nil if there is none.
+func findCell(cells []*cellCapacity, id int) *cellCapacity {
+	if i := slices.IndexFunc(cells, func(c *cellCapacity) bool { return c.id == id }); i >= 0 {
 		return cells[i]
 	}
 	return nil
 }
 
-// plan spreads reads over the cells as their decode engines can take them, but gives no prefill engine more
-// than planExcess of an even share. What a cell reads beyond that is answered elsewhere.
-func (r *Router) plan() []*cell {
+// cellPlan spreads prefills over the cells by the capacity of their decode engines, but gives no
+// prefill engine more than maxEvenShare times an even share. What a cell prefills beyond the
+// capacity of its decode engines is decoded in other cells.
+func (r *Router) cellPlan() []*cellCapacity {
 	if r.cells != nil {
 		return r.cells
 	}
-	r.cells = r.tally()
+	r.cells = r.tallyCells()
 	prefillEngines, decodeEngines, given := 0.0, 0.0, 0.0
 	for _, c := range r.cells {
 		prefillEngines, decodeEngines = prefillEngines+c.prefillEngines, decodeEngines+c.decodeEngines
 	}
-	most := planExcess * decodeEngines / max(prefillEngines, 1e-9) // what a prefill engine may get
+	most := maxEvenShare * decodeEngines / max(prefillEngines, 1e-9) // what a prefill engine may get
 	for _, c := range r.cells {
-		c.reads = min(c.decodeEngines, most*c.prefillEngines)
-		given += c.reads
+		c.prefillTarget = min(c.decodeEngines, most*c.prefillEngines)
+		given += c.prefillTarget
 	}
 	rest := max(0, decodeEngines-given) / max(most*prefillEngines-given, 1e-9)
 	for _, c := range r.cells {
-		c.reads += (most*c.prefillEngines - c.reads) * rest
+		c.prefillTarget += (most*c.prefillEngines - c.prefillTarget) * rest
 	}
 	return r.cells
 }
--- a/routing/decodeplacement.go
+++ b/routing/decodeplacement.go
@@ -1,61 +1,64 @@
 package routing
 
+// Shares of an engine's memory in use. The gap between the two keeps answers from moving to and fro.
 const (
-	memoryFull, memoryRoomy = 0.95, 0.75
+	memoryFull  = 0.95 // above this, an engine in another cell is considered
+	memoryRoomy = 0.75 // below this, an engine has room for work from elsewhere
 )
 
-// pickDecode takes the decode engine with most free memory in the prefill engine's cell. It leaves the cell
-// only when nobody there may be sent to, or all are full while another cell has room.
-func (r *Router) pickDecode(q *request) *engine {
+// placeDecode chooses the decode engine with most free memory in the prefill engine's cell. It leaves
+// the cell only when no engine there is eligible, or all are full while another cell has room.
+func (r *Router) placeDecode(req *request) *engine {
 	var near, far, mixed []*engine
-	cell := r.answerCell(q)
-	for _, w := range r.eligible(q, false) {
+	cell := r.decodeCell(req)
+	for _, e := range r.eligible(req, false) {
 		switch {
-		case w.role() == RoleMixed:
-			mixed = append(mixed, w)
-		case w.Cell == cell:
-			near = append(near, w)
+		case e.role() == RoleMixed:
+			mixed = append(mixed, e)
+		case e.Cell == cell:
+			near = append(near, e)
 		default:
-			far = append(far, w)
+			far = append(far, e)
 		}
 	}
-	fill := func(w *engine) float64 { return r.fill(w) * r.slow(w) }
-	n, f := r.least(q, near, fill), r.least(q, far, fill)
+	fill := func(e *engine) float64 { return r.memoryFill(e) * r.slowdown(e) }
+	n, f := r.leastCost(req, near, fill), r.leastCost(req, far, fill)
 	switch {
 	case n == nil && f == nil:
-		return r.least(q, mixed, fill)
+		return r.leastCost(req, mixed, fill)
 	case n == nil || f != nil && fill(n) > memoryFull && fill(f) < memoryRoomy:
 		return f
 	}
 	return n
 }
 
-// answerCell is the prefill engine's cell but for what is too much for its decode engines by the plan.
-func (r *Router) answerCell(q *request) int {
-	plan := r.plan()
-	c := cellOf(plan, q.holder.Cell)
-	if c == nil || c.reads <= c.decodeEngines {
-		return q.holder.Cell
+// decodeCell is the prefill engine's cell, or for the part of its prefills that exceeds the capacity
+// of its decode engines a cell with capacity to spare, drawn by how much it has.
+func (r *Router) decodeCell(req *request) int {
+	plan := r.cellPlan()
+	c := findCell(plan, req.stateHolder.Cell)
+	if c == nil || c.prefillTarget <= c.decodeEngines {
+		return req.stateHolder.Cell
 	}
 	lacking := 0.0
 	for _, c := range plan {
-		lacking += max(0, c.decodeEngines-c.reads)
+		lacking += max(0, c.decodeEngines-c.prefillTarget)
 	}
-	at := r.chance(q.ID, "cell") * c.reads / (c.reads - c.decodeEngines) * lacking
+	at := r.uniformDraw(req.ID, "cell") * c.prefillTarget / (c.prefillTarget - c.decodeEngines) * lacking
 	for _, to := range plan {
-		if at -= max(0, to.decodeEngines-to.reads); at < 0 {
+		if at -= max(0, to.decodeEngines-to.prefillTarget); at < 0 {
 			return to.id
 		}
 	}
-	return q.holder.Cell
+	return req.stateHolder.Cell
 }
 
-// fill guesses how much of an engine's memory is taken, by its report and own work.
-func (r *Router) fill(w *engine) float64 {
-	room := max(w.kind.Memory, 1)
-	own := w.memory * float64(r.set.Gateways) / room
-	if w.report.MemoryUsed == nil {
+// memoryFill estimates what share of an engine's memory is in use, by its report and this router's own work.
+func (r *Router) memoryFill(e *engine) float64 {
+	room := max(e.kind.Memory, 1)
+	own := e.memory * float64(r.set.Gateways) / room
+	if e.report.MemoryUsed == nil {
 		return own
 	}
-	return own + (*w.report.MemoryUsed+w.sentSince/room-own)*r.fresh(w)
+	return own + (*e.report.MemoryUsed+e.memorySinceReport/room-own)*r.reportTrust(e)
 }
--- a/routing/draw.go
+++ b/routing/draw.go
@@ -1,7 +1,7 @@
 package routing
 
-// chance returns a number in [0,1) that depends on seed, request and salt alone.
-func (r *Router) chance(id RequestID, salt string) float64 {
+// uniformDraw returns a number in [0,1) that depends on seed, request and salt alone.
+func (r *Router) uniformDraw(id RequestID, salt string) float64 {
 	x := r.seed ^ uint64(id)*0x9e3779b97f4a7c15
 	for i := 0; i < len(salt); i++ {
 		x = (x ^ uint64(salt[i])) * 0x100000001b3
@@ -11,8 +11,8 @@
 	return float64((x^x>>31)>>11) / (1 << 53)
 }
 
-// blend returns a number in (0,1) that is the same at every router.
-func blend(text, name string) float64 {
+// hashUnit returns a number in (0,1) that is the same at every router: an FNV-1a hash with a finaliser.
+func hashUnit(text, name string) float64 {
 	x := uint64(14695981039346656037)
 	for _, s := range [2]string{text, name} {
 		for i := 0; i < len(s); i++ {
--- a/routing/effects.go
+++ b/routing/effects.go
@@ -1,26 +1,29 @@
 package routing
 
-// risk is an attempt that may have had an effect.
-type risk struct {
+// possibleRun is an attempt that may have had an effect.
+type possibleRun struct {
 	zone string
 	cell int
 	sent Time
 }
 
-// neverRan tells whether an outcome proves that the attempt had no effect.
-func neverRan(s Status) bool {
+// provesNoEffect reports whether an outcome proves that the attempt had no effect.
+func provesNoEffect(s Status) bool {
 	return s == StatusRejected || s == StatusConnectFailed || s == StatusNotSent || s == StatusPrefilled
 }
 
-// mayRun tells whether an effect's group and window allow an attempt at w.
-func (r *Router) mayRun(q *request, w *engine) bool {
-	if q.class.Effect == EffectIdempotent {
+// effectAllows reports whether another attempt, at e, keeps to the class's effect: none where it
+// must not run twice, and only where engines drop the duplicate otherwise.
+func (r *Router) effectAllows(req *request, e *engine) bool {
+	if req.class.Effect == EffectIdempotent {
 		return true
 	}
-	for _, k := range q.risks {
+	for _, run := range req.possibleRuns {
 		switch {
-		case q.class.Effect == EffectAtMostOnce, r.now+r.set.SendDelay-k.sent >= q.class.DedupWindow,
-			q.class.DedupScope == DedupZone && k.zone != w.Zone, q.class.DedupScope == DedupCell && k.cell != w.Cell:
+		case req.class.Effect == EffectAtMostOnce,
+			r.now+r.set.SendDelay-run.sent >= req.class.DedupWindow, // it might arrive after the window
+			req.class.DedupScope == DedupZone && run.zone != e.Zone,
+			req.class.DedupScope == DedupCell && run.cell != e.Cell:
 			return false
 		}
 	}
--- a/routing/eligibility.go
+++ b/routing/eligibility.go
@@ -5,26 +5,32 @@
 	"slices"
 )
 
-// eligible lists the engines that the guards admit for a read or an answer.
-func (r *Router) eligible(q *request, read bool) []*engine {
-	var fit, well []*engine
-	for _, w := range r.order {
-		role := w.role()
-		wanted := role == RoleMixed || read && role == RolePrefill || !read && role == RoleDecode
-		full := w.fullTo[rateKey(q)] > r.now
-		if !wanted || !w.usable || full || !r.mayRun(q, w) || !r.coldRoom(w, r.weights[q.Class]) {
+// eligible lists the engines that the guards admit for a prefill, or else for a decode: those on the
+// list that do not reject the like of it, whose effect and slow-start budget allow it, and that are
+// not ejected.
+func (r *Router) eligible(req *request, prefill bool) []*engine {
+	var allowed, healthy []*engine
+	for _, e := range r.order {
+		role := e.role()
+		wanted := role == RoleMixed || prefill && role == RolePrefill || !prefill && role == RoleDecode
+		rejecting := e.rejectingUntil[rateLimitKey(req)] > r.now
+		if !wanted || !e.usable || rejecting || !r.effectAllows(req, e) {
 			continue
 		}
-		fit = append(fit, w)
-		if w != q.avoid && r.trusted(w) {
-			well = append(well, w)
+		if !r.slowStartAdmits(e, r.meanPrompt[req.Class]) {
+			continue
+		}
+		allowed = append(allowed, e)
+		if e != req.lastFailed && r.trusted(e) {
+			healthy = append(healthy, e)
 		}
 	}
-	// The floor: at least half of those fit are kept, the least failing first.
-	if short := (len(fit)+1)/2 - len(well); short > 0 {
-		rest := slices.DeleteFunc(slices.Clone(fit), func(w *engine) bool { return slices.Contains(well, w) })
-		slices.SortStableFunc(rest, func(a, b *engine) int { return cmp.Compare(a.fail, b.fail) })
-		well = append(well, rest[:short]...)
+	// At least half of those allowed stay in use, the least failing first: a common cause fails all.
+	if short := (len(allowed)+1)/2 - len(healthy); short > 0 {
+		isHealthy := func(e *engine) bool { return slices.Contains(healthy, e) }
+		rest := slices.DeleteFunc(slices.Clone(allowed), isHealthy)
+		slices.SortStableFunc(rest, func(a, b *engine) int { return cmp.Compare(a.failureRate, b.failureRate) })
+		healthy = append(healthy, rest[:short]...)
 	}
-	return well
+	return healthy
 }
--- a/routing/engine.go
+++ b/routing/engine.go
@@ -8,62 +8,62 @@
 type engine struct {
 	EngineInfo
 	kind   *Kind
-	usable bool // on the roster, with a known kind and zone
-	// own work there
-	reads, states, answers  int
-	readTokens, stateTokens float64
-	memory                  float64
-	out                     []*request // without a first token, oldest first
-	sessions, prefixes      map[string]held
-	report                  LoadReport
-	reportAt                Time
-	askedAt, answeredAt     Time    // of the latest probe
-	sentSince, readSince    float64 // memory, and tokens to read, sent since the report
-	fail, pace              float64 // failing part; time per token against peers
-	heard                   Time    // the last sign of life
-	paceAt, ejectedUntil    Time
-	fullTo                  map[string]Time // by tenant and class, as rateKey joins them
-	behind                  float64         // tokens that others have queued there, as reads tell
-	behindAt                Time
-	passed                  Time // when the latest attempt was sent that has come through
-	ejectedFor              time.Duration
-	sends                   []sendMark
+	usable bool // active on the engine list, with a known kind and zone
+	// This router's own work there.
+	prefills, heldStates, answers        int
+	prefillTokens, heldTokens            float64
+	memory                               float64
+	inFlight                             []*request // without a first token, oldest first
+	sessions, prefixes                   map[string]cacheEntry
+	report                               LoadReport
+	reportAt                             Time
+	probedAt, probeAnsweredAt            Time    // of the latest probe
+	memorySinceReport, tokensSinceReport float64 // memory, and tokens to read, sent since the report
+	failureRate, pace                    float64 // share of attempts that fail; time per token against peers
+	lastHeard                            Time    // the last sign of life
+	paceAt, ejectedUntil                 Time
+	rejectingUntil                       map[string]Time // by tenant and class, as rateLimitKey joins them
+	backlog                              float64         // tokens that others have queued there, by latencies
+	backlogAt                            Time
+	lastCompletedSentAt                  Time // when the latest attempt was sent that has succeeded
+	ejectionPeriod                       time.Duration
+	slowStartSends                       []slowStartSend
 }
 
-func (w *engine) role() Role {
-	if w.kind == nil {
+func (e *engine) role() Role {
+	if e.kind == nil {
 		return RoleNone
 	}
-	return w.kind.Role
+	return e.kind.Role
 }
 
-func (w *engine) forget() {
-	w.sessions, w.prefixes = map[string]held{}, map[string]held{}
+func (e *engine) clearCache() {
+	e.sessions, e.prefixes = map[string]cacheEntry{}, map[string]cacheEntry{}
 }
 
-// oldest is an engine's oldest attempt out that no later one has passed. One that
+// oldestInFlight is an engine's oldest attempt out that no later one has passed. One that
 // was passed hangs for a reason of its own and tells nothing of the queue.
-func (w *engine) oldest() *request {
-	for _, q := range w.out {
-		if q.sentAt >= w.passed {
-			return q
+func (e *engine) oldestInFlight() *request {
+	for _, req := range e.inFlight {
+		if req.sentAt >= e.lastCompletedSentAt {
+			return req
 		}
 	}
 	return nil
 }
 
-// lag is how many times its expected time an engine's oldest attempt has been out.
-func (r *Router) lag(w *engine) float64 {
-	if q := w.oldest(); q != nil {
-		return float64(r.now-q.sentAt) / float64(q.expect)
+// overdue is how many times its expected time an engine's oldest attempt has been out.
+func (r *Router) overdue(e *engine) float64 {
+	if req := e.oldestInFlight(); req != nil {
+		return float64(r.now-req.sentAt) / float64(req.expectedTime)
 	}
 	return 0
 }
 
-// age is how many seconds an engine's oldest attempt has been out.
-func (r *Router) age(w *engine) float64 {
-	if q := w.oldest(); q != nil {
-		return (r.now - q.sentAt).Seconds()
+// oldestAge is how many seconds an engine's oldest attempt has been out.
+func (r *Router) oldestAge(e *engine) float64 {
+	if req := e.oldestInFlight(); req != nil {
+		return (r.now - req.sentAt).Seconds()
 	}
 	return 0
 }
--- a/routing/enginetable.go
+++ b/routing/enginetable.go
@@ -7,87 +7,86 @@
 	"time"
 )
 
-const (
-	subscribeGap = time.Second // between calls to a discovery that fails
-)
+// subscribeRetryInterval is the time between calls to a service discovery that fails.
+const subscribeRetryInterval = time.Second
 
-// engine returns the record of a named engine, new if need be, in order of name.
-func (r *Router) engine(name string) *engine {
-	w := r.engines[name]
-	if w == nil {
-		w = &engine{EngineInfo: EngineInfo{Name: name}, pace: 1, fullTo: map[string]Time{}}
-		w.forget()
-		r.engines[name] = w
-		byName := func(w *engine, n string) int { return cmp.Compare(w.Name, n) }
+// engineNamed returns the record of a named engine, new if need be, in order of name.
+func (r *Router) engineNamed(name string) *engine {
+	e := r.engines[name]
+	if e == nil {
+		e = &engine{EngineInfo: EngineInfo{Name: name}, pace: 1, rejectingUntil: map[string]Time{}}
+		e.clearCache()
+		r.engines[name] = e
+		byName := func(e *engine, n string) int { return cmp.Compare(e.Name, n) }
 		at, _ := slices.BinarySearchFunc(r.order, name, byName)
-		r.order = slices.Insert(r.order, at, w)
+		r.order = slices.Insert(r.order, at, e)
 	}
-	return w
+	return e
 }
 
-// all calls yield for each usable engine of a role, in order of name.
-func (r *Router) all(role Role) iter.Seq[*engine] {
+// usableOf calls yield for each usable engine of a role, in order of name.
+func (r *Router) usableOf(role Role) iter.Seq[*engine] {
 	return func(yield func(*engine) bool) {
-		for _, w := range r.order {
-			if w.usable && w.role() == role && !yield(w) {
+		for _, e := range r.order {
+			if e.usable && e.role() == role && !yield(e) {
 				return
 			}
 		}
 	}
 }
 
-// learn takes a roster entry. A new start empties what the engine kept, and old
-// grudges with it; a drain or removal stops new sends from this moment on.
-func (r *Router) learn(s EngineInfo) {
-	w := r.engine(s.Name)
-	if w.StartTime != s.StartTime {
-		w.forget()
-		w.fail, w.pace, w.ejectedFor, w.ejectedUntil = 0, 1, 0, 0
+// applyEngineInfo takes an entry of the engine list. A new start empties the cache, and the record of
+// failures with it; a drain or removal stops new sends from this moment on.
+func (r *Router) applyEngineInfo(s EngineInfo) {
+	e := r.engineNamed(s.Name)
+	if e.StartTime != s.StartTime {
+		e.clearCache()
+		e.failureRate, e.pace, e.ejectionPeriod, e.ejectedUntil = 0, 1, 0, 0
 	}
 	s.Weight = cmp.Or(max(s.Weight, 0), 1)
-	w.EngineInfo, w.kind = s, r.kinds[s.Kind]
-	w.usable = s.Phase == PhaseActive && w.role() != RoleNone && slices.Contains(r.set.Zones, s.Zone)
+	e.EngineInfo, e.kind = s, r.kinds[s.Kind]
+	e.usable = s.Phase == PhaseActive && e.role() != RoleNone && slices.Contains(r.set.Zones, s.Zone)
 }
 
-func (r *Router) onRoster(e EngineList) {
-	r.calling = e.Scope != EngineListFailed && r.calling
-	if e.Scope == EngineListStale && r.set.MustSubscribe {
+func (r *Router) onEngineList(event EngineList) {
+	r.subscribing = event.Scope != EngineListFailed && r.subscribing
+	if event.Scope == EngineListStale && r.set.MustSubscribe {
 		r.subscribe()
 	}
-	named := make(map[string]bool, len(e.Engines))
-	for _, s := range e.Engines {
+	named := make(map[string]bool, len(event.Engines))
+	for _, s := range event.Engines {
 		named[s.Name] = true
-		r.learn(s)
+		r.applyEngineInfo(s)
 	}
 	r.cells = nil
-	if e.Scope == EngineListSnapshot || e.Scope == EngineListStale {
-		for _, w := range r.order {
-			if !named[w.Name] {
-				w.usable, w.Phase = false, PhaseRemoved
+	if event.Scope == EngineListSnapshot || event.Scope == EngineListStale {
+		for _, e := range r.order {
+			if !named[e.Name] {
+				e.usable, e.Phase = false, PhaseRemoved
 			}
 		}
 	}
-	r.order = slices.DeleteFunc(r.order, func(w *engine) bool {
-		if !r.over(w) {
+	r.order = slices.DeleteFunc(r.order, func(e *engine) bool {
+		if !r.forgettable(e) {
 			return false
 		}
-		delete(r.engines, w.Name)
+		delete(r.engines, e.Name)
 		return true
 	})
 }
 
-// over tells whether an engine has left and nothing of it is left to account for:
+// forgettable reports whether an engine has left and nothing of it is left to account for:
 // engines come under ever new names. One that has just been sent work is kept, as it
-// may come up again under its name, cold, and what was sent then counts.
-func (r *Router) over(w *engine) bool {
-	if w.Phase != PhaseRemoved || len(w.out) > 0 || w.reads+w.states+w.answers > 0 {
+// may start again under its name, in slow start, and what was sent then counts.
+func (r *Router) forgettable(e *engine) bool {
+	if e.Phase != PhaseRemoved || len(e.inFlight) > 0 || e.prefills+e.heldStates+e.answers > 0 {
 		return false
 	}
-	n := len(w.sends)
-	return n == 0 || r.now-w.sends[n-1].at > r.set.OverloadWindow
+	n := len(e.slowStartSends)
+	return n == 0 || r.now-e.slowStartSends[n-1].at > r.set.OverloadWindow
 }
 
 func (r *Router) subscribe() {
-	r.calling, r.callAt = true, r.now
-	r.do(Subscribe{})
+	r.subscribing, r.subscribedAt = true, r.now
+	r.emit(Subscribe{})
 }
--- a/routing/failure_test.go
+++ b/routing/failure_test.go
@@ -9,17 +9,17 @@
 func TestSilentEngineEjectedAndRetried(t *testing.T) {
 	r := router(t, testSettings(), server("a", "r", 0), server("b", "r", 0), server("c", "r", 0), server("w", "w", 0))
 	for range 2 {
-		r.blame(r.engines["a"], 1, 1)
+		r.recordResult(r.engines["a"], 1, 1)
 	}
 	w := r.engines["a"]
 	if r.trusted(w) {
 		t.Fatal("two failures in a row and still trusted")
 	}
-	r.now += ejectFirst
+	r.now += initialEjection
 	if !r.trusted(w) {
 		t.Error("no trial after the ejection")
 	}
-	w.out = append(w.out, &request{})
+	w.inFlight = append(w.inFlight, &request{})
 	if r.trusted(w) {
 		t.Error("a trial is one request at a time")
 	}
@@ -43,10 +43,10 @@
 	}
 	r := router(t, testSettings(), list...)
 	for i := 1; i < 5; i++ { // half of the peers look bad as well
-		r.engines[fmt.Sprint("r", i)].fail = 0.6
+		r.engines[fmt.Sprint("r", i)].failureRate = 0.6
 	}
 	for range 3 {
-		r.blame(r.engines["r0"], 1, 1)
+		r.recordResult(r.engines["r0"], 1, 1)
 	}
 	if r.trusted(r.engines["r0"]) {
 		t.Error("a server that fails everything stays in use because other servers are sick too")
@@ -57,7 +57,7 @@
 	r := router(t, testSettings(), server("a", "r", 0), server("b", "r", 0), server("c", "r", 0))
 	for range 6 {
 		for _, w := range r.order {
-			r.blame(w, 1, 1)
+			r.recordResult(w, 1, 1)
 		}
 	}
 	ejected := 0
@@ -77,8 +77,8 @@
 	sent(t, r.Handle(2*ms, ask(2, 500)))
 	r.Handle(30*ms, read(2, 0, "a", 0))
 	r.Handle(900*ms, Outcome{ID: 1, Engine: "a", Status: StatusTimeout, Latency: 899 * ms})
-	if w := r.engines["a"]; w.fail > 0 {
-		t.Errorf("a server that answered others meanwhile is blamed %.2f", w.fail)
+	if w := r.engines["a"]; w.failureRate > 0 {
+		t.Errorf("a server that answered others meanwhile is blamed %.2f", w.failureRate)
 	}
 }
 
@@ -105,7 +105,7 @@
 	r := router(t, testSettings(), server("w1", "w", 0), server("w2", "w", 0), server("w3", "w", 0))
 	r.now = 5 * time.Second
 	for range 3 {
-		r.engines["w1"].out = append(r.engines["w1"].out, &request{sentAt: 0, phase: writing, expect: ms})
+		r.engines["w1"].inFlight = append(r.engines["w1"].inFlight, &request{sentAt: 0, phase: decoding, expectedTime: ms})
 	}
 	if w := r.decodeWait(); w != 0 {
 		t.Errorf("states stuck at one of three writers make the wait %.1f s", w)
--- a/routing/fleet_test.go
+++ b/routing/fleet_test.go
@@ -31,8 +31,8 @@
 	all := fleet(t, 200, set, server("a", "r", 0), server("b", "r", 0), server("w", "w", 0), cold)
 	toCold, sends := 0, 0
 	for i, r := range all {
-		r.stages[RolePrefill] = stage{peak: 500 / 2.0, at: now} // half a request of 500 tokens a second
-		r.weights["c"] = 500
+		r.roles[RolePrefill] = roleStats{peakThroughput: 500 / 2.0, throughputAt: now} // half a request of 500 tokens a second
+		r.meanPrompt["c"] = 500
 		if sent(t, r.Handle(now, ask(RequestID(i), 500))) == "cold" {
 			toCold++
 		}
@@ -43,12 +43,12 @@
 		t.Errorf("%d of %d first sends went to a cold server, want some but at most %d", toCold, sends, most)
 	}
 	for _, r := range all {
-		r.stages[RolePrefill].peak = 0.01 * 500
-		r.engines["cold"].sends = nil
+		r.roles[RolePrefill].peakThroughput = 0.01 * 500
+		r.engines["cold"].slowStartSends = nil
 	}
 	toCold = 0
 	for i, r := range all {
-		r.engines["a"].fullTo["\x00c"], r.engines["b"].fullTo["\x00c"] = time.Hour, time.Hour
+		r.engines["a"].rejectingUntil["\x00c"], r.engines["b"].rejectingUntil["\x00c"] = time.Hour, time.Hour
 		if has[Send](r.Handle(now+time.Millisecond, ask(RequestID(1000+i), 500))) {
 			toCold++
 		}
@@ -95,7 +95,7 @@
 		q.Prefix, q.PrefixLen, q.Session = "rare", 3500, fmt.Sprint("s", i)
 		at[sent(t, r.Handle(ms, q))] = true
 		for range 20 { // often enough to be hot
-			r.count("hot")
+			r.countPrefix("hot")
 		}
 		q.ID, q.Prefix = RequestID(1000+i), "hot"
 		again[sent(t, r.Handle(2*ms, q))] = true
@@ -196,8 +196,8 @@
 		}
 		gone := slices.Clone(r.Handle(time.Second+ms, ClientGone{ID: 1}))
 		then := r.Handle(time.Second+r.tick(), after(first[at].(Probe).Engine))
-		if has[Send](gone) || has[Send](then) || len(r.reqs) > 0 {
-			t.Errorf("%s: %v, then %v, %d requests left", name, gone, then, len(r.reqs))
+		if has[Send](gone) || has[Send](then) || len(r.requests) > 0 {
+			t.Errorf("%s: %v, then %v, %d requests left", name, gone, then, len(r.requests))
 		}
 	}
 }
--- a/routing/holdqueue.go
+++ b/routing/holdqueue.go
@@ -5,23 +5,25 @@
 )
 
 const (
-	tickSpan = 50 * time.Millisecond // how often held requests and silent attempts are looked at
-	pinPart  = 0.5                   // part of the pin limit for which a state may wait for a decode engine
-	holdPart = 0.4                   // part of the aim for which a request may wait for a prefill engine
+	tickInterval        = 50 * time.Millisecond // between looks at held requests and silent attempts
+	maxHoldOfStateLimit = 0.5                   // of HeldStateLimit, for a wait for a decode engine
+	maxHoldOfObjective  = 0.4                   // of the objective, for a wait for a prefill engine
 )
 
-// hold keeps a request for a look at every tick, a read state well inside the pin limit.
-func (r *Router) hold(q *request, p phase) {
-	if q.phase != p {
-		r.shift(q, p, nil)
+// hold keeps a request for another try at every tick, one whose state is held well within
+// HeldStateLimit, and gives it up when the next tick would be too late.
+func (r *Router) hold(req *request, p phase) {
+	if req.phase != p {
+		r.setPhase(req, p, nil)
 	}
-	end := q.outAt + time.Duration(pinPart*float64(r.set.HeldStateLimit)) // however many are not reached
-	if p == waitPrefill {
-		end = q.since + time.Duration(holdPart*float64(q.class.FirstTokenObjective))
+	// From the latest attempt in flight, however many then had no connection.
+	end := req.lastInFlight + time.Duration(maxHoldOfStateLimit*float64(r.set.HeldStateLimit))
+	if p == awaitingPrefill {
+		end = req.phaseSince + time.Duration(maxHoldOfObjective*float64(req.class.FirstTokenObjective))
 	}
-	if r.now+r.tick() >= min(end, q.deadline-leastRemain) { // the next look would be too late
-		r.giveUp(q, seconds(r.survey(RolePrefill).age+r.decodeWait()))
+	if r.now+r.tick() >= min(end, req.deadline-minRemainingTime) { // the next look would be too late
+		r.giveUp(req, seconds(r.pool(RolePrefill).oldestAge+r.decodeWait()))
 		return
 	}
-	r.held = append(r.held, q)
+	r.holdQueue = append(r.holdQueue, req)
 }
--- a/routing/hostile_test.go
+++ b/routing/hostile_test.go
@@ -285,11 +285,11 @@
 
 // checkClosed checks that the router keeps nothing of requests that have ended.
 func (w *hostileWorld) checkClosed() {
-	if len(w.router.reqs) != 0 || len(w.router.held) != 0 {
-		w.fail("%d requests left behind", len(w.router.reqs))
+	if len(w.router.requests) != 0 || len(w.router.holdQueue) != 0 {
+		w.fail("%d requests left behind", len(w.router.requests))
 	}
 	for _, e := range w.router.order {
-		if e.reads != 0 || e.states != 0 || e.answers != 0 || len(e.out) != 0 {
+		if e.prefills != 0 || e.heldStates != 0 || e.answers != 0 || len(e.inFlight) != 0 {
 			w.fail("the account of %s does not close: %+v", e.Name, e)
 		}
 	}
--- a/routing/latency.go
+++ b/routing/latency.go
@@ -7,80 +7,82 @@
 )
 
 const (
-	readGuess  = 1e-4        // seconds a token, before the first read has ended
-	leastRead  = 300.0       // tokens that a step costs, however little it reads
-	usualStep  = 0.1         // weight of one sample in the usual figures
-	sampleMost = 3.0         // a sample counts as at most this many times the usual
-	firstFade  = time.Second // half-life of the usual wait for a decode engine when no answer begins
-	slowBand   = 1.8         // paces within this of the peers' median are chance, not slowness
-	slowMost   = 20.0
-	paceStep   = 0.25            // weight of one pace sample
-	paceFade   = 5 * time.Second // a pace with no fresh sample halves its excess in this time
+	defaultSecondsPerToken = 1e-4            // before the first prefill has ended
+	stepOverheadTokens     = 300.0           // what a prefill costs in tokens, however short it is
+	typicalEWMAWeight      = 0.1             // weight of one sample in the typical figures
+	maxSampleRatio         = 3.0             // a sample counts as at most this many times the typical
+	decodeWaitHalfLife     = time.Second     // of the typical decode wait, while no answer begins
+	slowThreshold          = 1.8             // a pace within this of the peers' median is chance, not slowness
+	maxSlowdown            = 20.0            // bounds what one sample can do
+	paceEWMAWeight         = 0.25            // weight of one pace sample
+	paceHalfLife           = 5 * time.Second // a pace with no fresh sample halves its excess in this time
 )
 
-// stage holds what is usual at the engines of a role.
-type stage struct {
-	took, read  float64 // seconds and tokens of a read
-	first       float64 // seconds to the first token, decode engines
-	carried     float64 // weight done by warm engines, fading
-	at, firstAt Time
-	peak        float64 // best rate per warm engine
-	reads       shown
+// roleStats is what is typical of the engines of a role.
+type roleStats struct {
+	prefillSeconds, prefillTokens float64 // of a prefill
+	firstTokenSeconds             float64 // of a decode engine
+	throughputSum                 float64 // tokens done by warm engines, fading
+	throughputAt, firstTokenAt    Time
+	peakThroughput                float64 // best tokens a second for each warm engine
+	reportWeight                  reportRegression
 }
 
-func (r *Router) sample(usual *float64, v float64) {
+// updateTypical takes a sample into a typical figure.
+func (r *Router) updateTypical(usual *float64, v float64) {
 	*usual = cmp.Or(*usual, v)
-	*usual += (min(v, sampleMost**usual) - *usual) * usualStep // one slow engine is not the pool
+	*usual += (min(v, maxSampleRatio**usual) - *usual) * typicalEWMAWeight // one slow engine is not the pool
 }
 
-// noteRead takes one sample of the time that an engine needs for a read.
-func (r *Router) noteRead(w *engine, q *request, toRead float64, took time.Duration) {
-	st := &r.stages[w.role()]
-	tokens := q.ahead + toRead + leastRead
-	st.reads.add(q.shown, toRead+leastRead, took.Seconds())
-	behind := took.Seconds()/r.perToken(w.role()) - tokens
-	w.behind, w.behindAt = r.behind(w)+(behind-r.behind(w))*behindStep, r.now
-	r.notePace(w, took.Seconds()/tokens/r.perToken(w.role()))
-	r.sample(&st.took, took.Seconds())
-	r.sample(&st.read, tokens)
+// recordPrefill takes one sample of the time that an engine needs for a prefill.
+func (r *Router) recordPrefill(e *engine, req *request, toRead float64, took time.Duration) {
+	st := &r.roles[e.role()]
+	tokens := req.queuedAhead + toRead + stepOverheadTokens
+	st.reportWeight.observe(req.reportedAhead, toRead+stepOverheadTokens, took.Seconds())
+	behind := took.Seconds()/r.secondsPerToken(e.role()) - tokens
+	e.backlog, e.backlogAt = r.othersBacklog(e)+(behind-r.othersBacklog(e))*backlogEWMAWeight, r.now
+	r.recordPace(e, took.Seconds()/tokens/r.secondsPerToken(e.role()))
+	r.updateTypical(&st.prefillSeconds, took.Seconds())
+	r.updateTypical(&st.prefillTokens, tokens)
 }
 
-// perToken is the usual time for a token; an untried role counts as quick as the other.
-func (r *Router) perToken(role Role) float64 {
-	for _, st := range []*stage{&r.stages[role], &r.stages[RolePrefill], &r.stages[RoleMixed]} {
-		if st.read > 0 {
-			return st.took / st.read
+// secondsPerToken is the usual time for a token; an untried role counts as quick as the other.
+func (r *Router) secondsPerToken(role Role) float64 {
+	for _, st := range []*roleStats{&r.roles[role], &r.roles[RolePrefill], &r.roles[RoleMixed]} {
+		if st.prefillTokens > 0 {
+			return st.prefillSeconds / st.prefillTokens
 		}
 	}
-	return readGuess
+	return defaultSecondsPerToken
 }
 
-// decodeWait is the usual wait for a first token while fresh, or that at half of the decode engines now.
+// decodeWait is the typical wait for a first token while fresh, in seconds, or the wait at half of the
+// decode engines now.
 func (r *Router) decodeWait() float64 {
-	st := &r.stages[RoleDecode]
-	usual := st.first * math.Exp2(-(r.now-st.firstAt).Seconds()/firstFade.Seconds())
-	return max(usual, r.survey(RoleDecode).age)
+	st := &r.roles[RoleDecode]
+	usual := st.firstTokenSeconds * math.Exp2(-(r.now-st.firstTokenAt).Seconds()/decodeWaitHalfLife.Seconds())
+	return max(usual, r.pool(RoleDecode).oldestAge)
 }
 
-// notePace takes one sample of an engine's time against the usual of its role.
-func (r *Router) notePace(w *engine, ratio float64) {
-	w.pace = r.faded(w)
-	w.pace += (min(ratio, slowMost) - w.pace) * paceStep
-	w.paceAt = r.now
+// recordPace takes one sample of an engine's time against the usual of its role.
+func (r *Router) recordPace(e *engine, ratio float64) {
+	e.pace = r.currentPace(e)
+	e.pace += (min(ratio, maxSlowdown) - e.pace) * paceEWMAWeight
+	e.paceAt = r.now
 }
 
-func (r *Router) faded(w *engine) float64 {
-	return 1 + (w.pace-1)*math.Exp2(-(r.now-w.paceAt).Seconds()/paceFade.Seconds())
+func (r *Router) currentPace(e *engine) float64 {
+	return 1 + (e.pace-1)*math.Exp2(-(r.now-e.paceAt).Seconds()/paceHalfLife.Seconds())
 }
 
-// slow is how many times slower than its peers an engine is, 1 if it is not clear.
-func (r *Router) slow(w *engine) float64 {
+// slowdown is how many times slower than its peers an engine is, 1 if it is not clear.
+func (r *Router) slowdown(e *engine) float64 {
 	s := 1.0
-	if p := r.faded(w) / max(r.survey(w.role()).pace, 0.1); p > slowBand {
+	if p := r.currentPace(e) / max(r.pool(e.role()).pace, 0.1); p > slowThreshold {
 		s = p
 	}
-	if lag := r.lag(w); lag > lagBand && w.heard <= w.oldest().sentAt {
+	if lag := r.overdue(e); lag > overdueRatio && e.lastHeard <= e.oldestInFlight().sentAt {
 		s = max(s, lag)
 	}
-	return min(s, slowMost)
+	return min(s, maxSlowdown)
 }
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -5,69 +5,73 @@
 )
 
 const (
-	failStep    = 0.3                    // weight of one outcome; two failures in a row pass failBound
-	failBound   = 0.35                   // above this, and twice the peers' mean, an engine is ejected
-	failCleared = 0.15                   // below this an engine that was ejected is trusted again
-	ejectFirst  = 800 * time.Millisecond // first ejection; doubles, as most troubles outlast it
-	ejectMost   = 6400 * time.Millisecond
+	failureEWMAWeight = 0.3                    // of one outcome; two failures in a row pass the threshold
+	ejectionThreshold = 0.35                   // above this, and twice the peers' mean, an engine is ejected
+	recoveryThreshold = 0.15                   // below this an engine that was ejected is trusted again
+	initialEjection   = 800 * time.Millisecond // first ejection; doubles, as most troubles outlast it
+	maxEjection       = 6400 * time.Millisecond
 )
 
-// judge is fed by every outcome. It guards against engines that fail, reset, refuse or stay
-// silent, also towards this router alone. A common cause fails all alike: see blame and eligible.
-func (r *Router) judge(w *engine, q *request, e Outcome) {
-	if e.Status != StatusTimeout && e.Status != StatusCancelled && e.Status != StatusNotSent {
-		w.heard = r.now
+// recordOutcome takes every outcome of an attempt into the engine's statistics, so that engines that
+// fail, reset, reject or stay silent are avoided, be it towards this router alone. Where a common
+// cause fails all alike, recordResult ejects none and eligible keeps half.
+func (r *Router) recordOutcome(e *engine, req *request, event Outcome) {
+	if event.Status != StatusTimeout && event.Status != StatusCancelled && event.Status != StatusNotSent {
+		e.lastHeard = r.now
 	}
 	full := 0.0
-	if e.Status == StatusRejected {
+	if event.Status == StatusRejected {
 		full = 1
 	}
-	r.turned[rateKey(q)] += (full - r.turned[rateKey(q)]) * usualStep
-	switch e.Status {
+	r.rejectedShare[rateLimitKey(req)] += (full - r.rejectedShare[rateLimitKey(req)]) * typicalEWMAWeight
+	switch event.Status {
 	case StatusPrefilled:
-		w.passed = max(w.passed, q.sentAt)
-		r.blame(w, 0, 1)
-		r.noteRead(w, q, float64(q.PromptTokens-e.CachedTokens), e.Latency)
-		r.carry(w, r.weights[q.Class])
+		e.lastCompletedSentAt = max(e.lastCompletedSentAt, req.sentAt)
+		r.recordResult(e, 0, 1)
+		r.recordPrefill(e, req, float64(req.PromptTokens-event.CachedTokens), event.Latency)
+		r.recordThroughput(e, r.meanPrompt[req.Class])
 	case StatusServed:
-		r.blame(w, 0, 1)
+		r.recordResult(e, 0, 1)
 	case StatusError:
-		r.blame(w, 1, 1)
+		r.recordResult(e, 1, 1)
 	case StatusTimeout:
-		if w.heard <= q.sentAt { // silent since; a busy engine is not to blame
-			r.blame(w, 1, 1)
+		if e.lastHeard <= req.sentAt { // silent since; a busy engine is not to blame
+			r.recordResult(e, 1, 1)
 		}
 	case StatusReset, StatusConnectFailed:
-		r.blame(w, 1, 2) // the process is down: two outcomes' worth
+		r.recordResult(e, 1, 2) // the process is down: two outcomes' worth
 	case StatusRejected:
-		if !e.StateMissing {
-			w.fullTo[rateKey(q)] = r.now + fullPause
-			if r.singledOut(q) {
-				w.fullTo[rateKey(q)] = r.now + limitPause
+		if !event.StateMissing {
+			e.rejectingUntil[rateLimitKey(req)] = r.now + rejectionBackoff
+			if r.rateLimited(req) {
+				e.rejectingUntil[rateLimitKey(req)] = r.now + rateLimitBackoff
 			}
 		}
 	}
 }
 
-func (r *Router) blame(w *engine, v float64, times int) {
+// recordResult takes a failure, 1, or a success, 0, into an engine's failure rate, as often as it
+// counts, and ejects the engine if it fails far more than its peers.
+func (r *Router) recordResult(e *engine, v float64, times int) {
 	for range times {
-		w.fail += (v - w.fail) * failStep
+		e.failureRate += (v - e.failureRate) * failureEWMAWeight
 	}
-	r.surveys[w.role()] = survey{}
-	if v == 0 && w.fail < failCleared {
-		w.ejectedFor = 0
+	r.pools[e.role()] = poolStats{}
+	if v == 0 && e.failureRate < recoveryThreshold {
+		e.ejectionPeriod = 0
 	}
-	if v > 0 && w.usable && w.fail > failBound && w.fail > 2*r.survey(w.role()).fail && r.now >= w.ejectedUntil {
-		w.ejectedFor = min(max(2*w.ejectedFor, ejectFirst), ejectMost)
-		w.ejectedUntil = r.now + w.ejectedFor
+	outlier := e.failureRate > ejectionThreshold && e.failureRate > 2*r.pool(e.role()).failureRate
+	if v > 0 && e.usable && outlier && r.now >= e.ejectedUntil {
+		e.ejectionPeriod = min(max(2*e.ejectionPeriod, initialEjection), maxEjection)
+		e.ejectedUntil = r.now + e.ejectionPeriod
 	}
 }
 
-// trusted tells whether an engine may take ordinary work. One ejected comes
-// back by trial: one request at a time until its outcomes clear it.
-func (r *Router) trusted(w *engine) bool {
-	if r.now < w.ejectedUntil {
+// trusted reports whether an engine may take ordinary work. An ejected one comes back on trial, with
+// one request at a time until its failure rate is below recoveryThreshold.
+func (r *Router) trusted(e *engine) bool {
+	if r.now < e.ejectedUntil {
 		return false
 	}
-	return w.ejectedFor == 0 || len(w.out) == 0
+	return e.ejectionPeriod == 0 || len(e.inFlight) == 0
 }
--- a/routing/peers_test.go
+++ b/routing/peers_test.go
@@ -17,11 +17,11 @@
 	at := func(routers int) (rate, saved float64) {
 		r.Handle(time.Second, GatewaysChanged{Gateways: routers})
 		q := r.quotas["team"]
-		return q.rate, q.saved
+		return q.rate, q.tokens
 	}
 	two, _ := at(2)
 	four, saved := at(4)
-	if four != two/2 || saved > quotaSpan*four {
+	if four != two/2 || saved > quotaBurstSeconds*four {
 		t.Errorf("rate %v of %v, %v saved", four, two, saved)
 	}
 	if none, _ := at(0); none != four || r.set.Gateways != 4 {
--- a/routing/placement.go
+++ b/routing/placement.go
@@ -6,96 +6,123 @@
 )
 
 const (
-	gateThreshold = 0.1 // a best match of no more than this part of the prompt counts as none
-	capMultiple   = 2.0 // a prefill engine may hold this many times its fair share of active requests
-	answerWeight  = 0.3 // part of a read at a mixed engine that each answer there is held to lose
-	spareWeight   = 0.7 // of a read at a decode engine against one at a prefill engine, nobody behind it
-	readWeight    = 4.0 // of a token to read against one queued: it delays all later ones and drives out text
-	shortWeight   = 4.0 // times that the wait for a decode engine counts anew where memory seems short
+	hitRateGate          = 0.1 // of the prompt: if no engine has more of it cached, caches do not count
+	fairShareMultiple    = 2.0 // times its fair share of active requests that a prefill engine may have
+	runningAnswerWeight  = 0.3 // of a prefill, by which it delays each answer at a mixed engine
+	decodePrefillWeight  = 0.7 // of a prefill at a decode engine, where no other waits
+	prefillTokenWeight   = 4.0 // of a token to prefill against one queued: it delays later ones and evicts
+	memoryShortageWeight = 4.0 // times that the decode wait counts again where memory seems short
 )
 
-// pickPrefill is the design's choice: held prefix against queued load behind gate and cap.
-func (r *Router) pickPrefill(q *request) (*engine, float64) {
-	later := r.decodeWait()
-	pool := r.eligible(q, true)
-	q.home, q.spare = nil, nil
-	best, active := 0, 1
-	for _, w := range pool {
-		best = max(best, r.match(q, w))
-		active += w.reads + w.states
+// placePrefill chooses the engine for a prefill as the design says: cached prefix against queued load,
+// behind the hit-rate gate and the fair-share cap. It returns the wait to expect there, in seconds, or
+// no engine if none is eligible or a probe comes first.
+func (r *Router) placePrefill(req *request) (*engine, float64) {
+	decodeWait := r.decodeWait()
+	pool := r.eligible(req, true)
+	useCache := r.passesHitRateGate(req, pool)
+	candidates := withinFairShare(pool)
+	if r.set.DecodePrefills {
+		candidates = append(candidates, r.idleDecodeEngines(req)...)
 	}
-	gate := int(gateThreshold * float64(q.PromptTokens))
-	if best <= max(gate, q.PrefixLen) { // nothing is known here of the session itself
-		q.home, q.spare = r.home(q, pool)
-		if q.home != nil {
-			best = max(best, r.match(q, q.home))
-		}
+	cost := func(e *engine) float64 { return r.prefillCost(req, e, useCache, decodeWait) }
+	if useCache && r.probeFirst(req, candidates, cost) { // cached text draws every router's choice alike
+		return nil, 0
 	}
-	gated := best <= gate
-	most := capMultiple * math.Ceil(float64(active)/float64(max(len(pool), 1)))
-	over := func(w *engine) bool { return float64(w.reads+w.states+1) > most }
-	capped := slices.DeleteFunc(slices.Clone(pool), over)
-	if len(capped) == 0 {
-		capped = pool
+	e := r.leastCost(req, candidates, func(e *engine) float64 {
+		return cost(e) + r.reportedQueueTokens(e)*r.secondsPerToken(e.role())*r.slowdown(e)/e.Weight
+	})
+	if e == nil {
+		return nil, 0
 	}
-	if r.set.DecodePrefills {
-		capped = append(capped, r.spareDecodeEngines(q)...)
+	return e, r.prefillWait(req, e, cost(e), decodeWait)
+}
+
+// passesHitRateGate reports whether caches count for a request: whether any engine of the pool, or the
+// prefix's home, has more of the prompt cached than the gate asks. It sets the request's homes.
+func (r *Router) passesHitRateGate(req *request, pool []*engine) bool {
+	req.home, req.secondHome = nil, nil
+	best := 0
+	for _, e := range pool {
+		best = max(best, r.cachedTokens(req, e))
 	}
-	cost := func(w *engine) float64 {
-		m := 0
-		if !gated {
-			m = r.match(q, w)
-		}
-		tokens := r.queue(w) + readWeight*float64(q.PromptTokens-m) + leastRead
-		cost := tokens * r.perToken(w.role()) * r.slow(w) / w.Weight
-		switch w.role() {
-		case RolePrefill: // its state waits for a decode engine
-			return cost + later
-		case RoleDecode:
-			return cost * spareWeight
+	gate := int(hitRateGate * float64(req.PromptTokens))
+	if best <= max(gate, req.PrefixLen) { // nothing is known here of the session itself
+		req.home, req.secondHome = r.rankHomes(req, pool)
+		if req.home != nil {
+			best = max(best, r.cachedTokens(req, req.home))
 		}
-		// At a mixed engine each running answer waits out the read.
-		return cost * (1 + answerWeight*float64(w.answers*r.set.Gateways))
 	}
-	if !gated && r.ask(q, capped, cost) { // kept text draws every router's choice alike
-		return nil, 0
+	return best > gate
+}
+
+// withinFairShare returns the engines of a pool with less than fairShareMultiple times their share of
+// the active requests, or all if none has.
+func withinFairShare(pool []*engine) []*engine {
+	active := 1 // with the new one
+	for _, e := range pool {
+		active += e.prefills + e.heldStates
 	}
-	w := r.least(q, capped, func(w *engine) float64 {
-		return cost(w) + r.queued(w)*r.perToken(w.role())*r.slow(w)/w.Weight
-	})
-	if w == nil {
-		return nil, 0
+	limit := fairShareMultiple * math.Ceil(float64(active)/float64(max(len(pool), 1)))
+	over := func(e *engine) bool { return float64(e.prefills+e.heldStates+1) > limit }
+	capped := slices.DeleteFunc(slices.Clone(pool), over)
+	if len(capped) == 0 {
+		return pool
 	}
-	wait := cost(w)
-	if w.reads == 0 && w.role() == RolePrefill && r.queued(w) < leastRead { // an idle one is tried
-		wait = later
+	return capped
+}
+
+// prefillCost is the time that a prefill at an engine is expected to cost, in seconds.
+func (r *Router) prefillCost(req *request, e *engine, useCache bool, decodeWait float64) float64 {
+	hit := 0
+	if useCache {
+		hit = r.cachedTokens(req, e)
+	}
+	tokens := r.queuedTokens(e) + prefillTokenWeight*float64(req.PromptTokens-hit) + stepOverheadTokens
+	cost := tokens * r.secondsPerToken(e.role()) * r.slowdown(e) / e.Weight
+	switch e.role() {
+	case RolePrefill: // its state waits for a decode engine
+		return cost + decodeWait
+	case RoleDecode:
+		return cost * decodePrefillWeight
+	}
+	// At a mixed engine each running answer waits until the prefill is done.
+	return cost * (1 + runningAnswerWeight*float64(e.answers*r.set.Gateways))
+}
+
+// prefillWait is the wait for which a request may be rejected before it is sent to an engine, in seconds.
+func (r *Router) prefillWait(req *request, e *engine, cost, decodeWait float64) float64 {
+	wait := cost
+	if e.prefills == 0 && e.role() == RolePrefill && r.reportedQueueTokens(e) < stepOverheadTokens {
+		wait = decodeWait // an idle one is tried
 	}
-	wait = max(wait, r.age(w)) // first come, first read: the oldest tells what the wait is at least
+	wait = max(wait, r.oldestAge(e)) // first come, first served: the oldest shows the least wait
 	switch {
-	case w.role() == RolePrefill && r.room() < r.size(q): // by a guess: the wait seen tells how much it matters
-		wait += shortWeight * later
-	case w.role() == RoleMixed && r.fill(w)+r.size(q)/max(w.kind.Memory, 1) > 1:
-		wait = max(wait, q.class.FirstTokenObjective.Seconds())
+	case e.role() == RolePrefill && r.freeDecodeTokens() < r.memoryEstimate(req):
+		wait += memoryShortageWeight * decodeWait // an estimate: the wait seen tells how much it matters
+	case e.role() == RoleMixed && r.memoryFill(e)+r.memoryEstimate(req)/max(e.kind.Memory, 1) > 1:
+		wait = max(wait, req.class.FirstTokenObjective.Seconds())
 	}
-	return w, wait
+	return wait
 }
 
-// spareDecodeEngines are those that may read a prompt themselves and have memory to spare. They
-// relieve prefill engines that have a queue. Their running answers wait meanwhile: one read at a time.
-func (r *Router) spareDecodeEngines(q *request) []*engine {
-	return slices.DeleteFunc(r.eligible(q, false), func(w *engine) bool {
-		return w.role() != RoleDecode || w.reads > 0 || r.fill(w)+r.size(q)/max(w.kind.Memory, 1) > memoryRoomy
+// idleDecodeEngines are those that may prefill a prompt themselves, have memory to spare and prefill
+// nothing yet. They relieve prefill engines that have a queue; their running answers wait meanwhile.
+func (r *Router) idleDecodeEngines(req *request) []*engine {
+	return slices.DeleteFunc(r.eligible(req, false), func(e *engine) bool {
+		fill := r.memoryFill(e) + r.memoryEstimate(req)/max(e.kind.Memory, 1)
+		return e.role() != RoleDecode || e.prefills > 0 || fill > memoryRoomy
 	})
 }
 
-// least returns the engine of least cost; ties go by chance of request and seed.
-func (r *Router) least(q *request, pool []*engine, cost func(*engine) float64) *engine {
+// leastCost returns the engine of least cost; ties go by a draw from request and seed.
+func (r *Router) leastCost(req *request, pool []*engine, cost func(*engine) float64) *engine {
 	var best *engine
 	var low, tie float64
-	for _, w := range pool {
-		c, t := cost(w), r.chance(q.ID, w.Name)
+	for _, e := range pool {
+		c, t := cost(e), r.uniformDraw(req.ID, e.Name)
 		if best == nil || c < low-1e-12 || c <= low+1e-12 && t < tie {
-			best, low, tie = w, c, t
+			best, low, tie = e, c, t
 		}
 	}
 	return best
--- a/routing/policy_test.go
+++ b/routing/policy_test.go
@@ -81,10 +81,10 @@
 	}
 	q := &request{Request: ask(9, 100), class: r.classes["c"]}
 	for _, w := range r.order {
-		w.states = 1000 * (1 + len(w.out)) // beyond any cap
+		w.heldStates = 1000 * (1 + len(w.inFlight)) // beyond any cap
 	}
-	r.engines["a"].reads = -999 // the total stays small, so that every prefill engine is past its share
-	if w, _ := r.pickPrefill(q); w == nil {
+	r.engines["a"].prefills = -999 // the total stays small, so that every prefill engine is past its share
+	if w, _ := r.placePrefill(q); w == nil {
 		t.Error("with every reader capped the cap must be set aside")
 	}
 }
@@ -124,12 +124,12 @@
 	r := router(t, testSettings(), server("a", "r", 0), server("w", "w", 0))
 	w := r.engines["a"]
 	q := &request{Request: Request{Session: "s", Prefix: "p", PrefixLen: 300, PromptTokens: 1000}}
-	r.noteKept(q, w)
-	if m := r.match(q, w); m != 999 {
+	r.recordCached(q, w)
+	if m := r.cachedTokens(q, w); m != 999 {
 		t.Errorf("after a read: match %d, want all but one token", m)
 	}
-	r.now += horizon
-	if m := r.match(q, w); m != 0 {
+	r.now += cacheEntryTTL
+	if m := r.cachedTokens(q, w); m != 0 {
 		t.Errorf("aged entry still matches %d", m)
 	}
 	other := &request{Request: Request{Session: "t", PromptTokens: 1000}}
@@ -137,7 +137,7 @@
 	fresh := server("a", "r", 0)
 	fresh.StartTime = r.now
 	r.Handle(r.now, EngineList{Scope: EngineListDelta, Engines: []EngineInfo{fresh}})
-	if m := r.match(other, w); m != 0 {
+	if m := r.cachedTokens(other, w); m != 0 {
 		t.Error("entries outlived a restart")
 	}
 }
@@ -145,9 +145,9 @@
 func TestDecodeInCellThenOutside(t *testing.T) {
 	r := router(t, testSettings(), server("a", "r", 1), server("near", "w", 1), server("near2", "w", 1),
 		server("far", "w", 2), server("b", "r", 2))
-	r.engines["b"].fullTo["\x00c"] = time.Minute // the plan is even; only a reads
+	r.engines["b"].rejectingUntil["\x00c"] = time.Minute // the plan is even; only a reads
 	used := 0.5
-	r.noteReport(r.engines["near"], &LoadReport{MemoryUsed: &used})
+	r.recordReport(r.engines["near"], &LoadReport{MemoryUsed: &used})
 	sent(t, r.Handle(ms, ask(1, 500)))
 	if to := sent(t, r.Handle(20*ms, read(1, 0, "a", 0))); to != "near2" {
 		t.Fatalf("went to %s, want the one with most free memory in the cell", to)
@@ -182,7 +182,7 @@
 		a := r.Handle(now, TimerFired{Name: "tick"})
 		released = released || has[Release](a) && has[Reject](a)
 	}
-	if !released || len(r.reqs) != 0 {
+	if !released || len(r.requests) != 0 {
 		t.Error("the state was neither sent on nor let go within the pin limit")
 	}
 }
@@ -301,8 +301,8 @@
 	r := router(t, testSettings(), server("m", "m", 0), server("a", "r", 0), server("w", "w", 0))
 	r.engines["m"].answers = 20
 	for id := RequestID(1); id < 20; id++ {
-		q := &request{Request: ask(id, 500), class: r.classes["c"], aim: time.Second}
-		if w, _ := r.pickPrefill(q); w.Name != "a" {
+		q := &request{Request: ask(id, 500), class: r.classes["c"], objective: time.Second}
+		if w, _ := r.placePrefill(q); w.Name != "a" {
 			t.Fatal("a read went to a mixed server with many answers though a reader was idle")
 		}
 	}
@@ -327,7 +327,7 @@
 	}{{0.02, false}, {0.3, true}} {
 		r := router(t, testSettings(), server("a", "r", 0), server("w", "w", 0))
 		r.engines["w"].memory = 1e5
-		r.stages[RoleDecode].first = c.first
+		r.roles[RoleDecode].firstTokenSeconds = c.first
 		if a := r.Handle(ms, ask(1, 500)); has[Send](a) == c.refused || has[Reject](a) != c.refused {
 			t.Errorf("first tokens within %.2f s: %v", c.first, a)
 		}
@@ -351,8 +351,8 @@
 		set.SendDelay = c.delay
 		class := &Class{Name: "g", FirstTokenObjective: time.Second, Effect: EffectDeduplicated, DedupScope: DedupAllEngines, DedupWindow: time.Second}
 		r := &Router{set: set, now: c.at}
-		q := &request{class: class, risks: []risk{{sent: 0}}}
-		if got := r.mayRun(q, &engine{}); got != c.repeated {
+		q := &request{class: class, possibleRuns: []possibleRun{{sent: 0}}}
+		if got := r.effectAllows(q, &engine{}); got != c.repeated {
 			t.Errorf("delay %v, %v after the first attempt: %v", c.delay, c.at, got)
 		}
 	}
@@ -402,8 +402,8 @@
 		set := testSettings()
 		set.Classes = []Class{{Name: "near", FirstTokenObjective: time.Second, PriorityWeight: c.gain}, {Name: "c", FirstTokenObjective: 4 * time.Second, PriorityWeight: 2}}
 		r := router(t, set, server("a", "r", 0), server("w", "w", 0))
-		r.stages[RoleDecode].first = 1.5 // every state waits so long for its decode engine
-		r.stages[RoleDecode].firstAt = 0
+		r.roles[RoleDecode].firstTokenSeconds = 1.5 // every state waits so long for its decode engine
+		r.roles[RoleDecode].firstTokenAt = 0
 		if a := r.Handle(ms, ask(1, 500)); has[Reject](a) != c.refused {
 			t.Errorf("%s: %v", c.name, a)
 		}
--- a/routing/poolstats.go
+++ b/routing/poolstats.go
@@ -4,36 +4,36 @@
 	"slices"
 )
 
-// survey is one look at the engines of a role, good for one event.
-type survey struct {
-	engines, warm        int
-	pace, fail, age, lag float64 // fail of the better quarter, else the median
-	waiting              float64 // tokens that reports show, the mean
+// poolStats summarises the engines of a role. It holds for one event.
+type poolStats struct {
+	size, warm                            int
+	pace, failureRate, oldestAge, overdue float64 // the failure rate of the better quarter, else medians
+	waitingTokens                         float64 // mean of the reports
 }
 
-// survey looks at a role's engines, once an event at most. Failing is that of the
-// better quarter: a common cause shows there too, a few sick engines do not.
-func (r *Router) survey(role Role) *survey {
-	v := &r.surveys[role]
-	if v.engines > 0 {
+// pool summarises a role's engines, once an event at most. The failure rate is that of the better
+// quarter: a common cause shows there too, a few failing engines do not.
+func (r *Router) pool(role Role) *poolStats {
+	v := &r.pools[role]
+	if v.size > 0 {
 		return v
 	}
 	var pace, fail, age, lag []float64
-	for w := range r.all(role) {
-		v.engines++
-		if !r.cold(w) {
+	for e := range r.usableOf(role) {
+		v.size++
+		if !r.inSlowStart(e) {
 			v.warm++
 		}
-		fail, age, lag = append(fail, w.fail), append(age, r.age(w)), append(lag, r.lag(w))
-		pace = append(pace, r.faded(w))
-		if w.report.WaitingTokens != nil {
-			v.waiting += *w.report.WaitingTokens * r.fresh(w)
+		fail, age, lag = append(fail, e.failureRate), append(age, r.oldestAge(e)), append(lag, r.overdue(e))
+		pace = append(pace, r.currentPace(e))
+		if e.report.WaitingTokens != nil {
+			v.waitingTokens += *e.report.WaitingTokens * r.reportTrust(e)
 		}
 	}
-	v.waiting /= float64(max(v.engines, 1))
-	v.pace, v.age, v.lag = median(pace, 1), median(age, 0), median(lag, 1)
+	v.waitingTokens /= float64(max(v.size, 1))
+	v.pace, v.oldestAge, v.overdue = median(pace, 1), median(age, 0), median(lag, 1)
 	if slices.Sort(fail); len(fail) > 0 {
-		v.fail = fail[len(fail)/4]
+		v.failureRate = fail[len(fail)/4]
 	}
 	return v
 }
--- a/routing/prefixcache.go
+++ b/routing/prefixcache.go
@@ -6,45 +6,46 @@
 )
 
 const (
-	horizon   = time.Minute // most sessions' turns lie closer; older entries are as likely gone as kept
-	tableMost = 4096        // entries a prefill engine; a sweep drops the aged ones beyond it
+	cacheEntryTTL   = time.Minute // most sessions' turns lie closer; older text is as likely evicted as cached
+	maxCacheEntries = 4096        // sessions for each engine; beyond it the aged entries are dropped
 )
 
-type held struct {
-	tokens int
-	seen   Time
+type cacheEntry struct {
+	tokens   int
+	cachedAt Time
 }
 
-// match is how many of a prompt's tokens an engine is believed to keep: what its
-// table says or, at the prompt's home, the shared beginning.
-func (r *Router) match(q *request, w *engine) int {
+// cachedTokens is how many of a prompt's tokens an engine is believed to have cached: what the index
+// says or, at the prefix's homes, the shared prefix.
+func (r *Router) cachedTokens(req *request, e *engine) int {
 	best := 0
-	if h, ok := w.sessions[q.Session]; ok && q.Session != "" && r.now-h.seen < horizon {
+	if h, ok := e.sessions[req.Session]; ok && req.Session != "" && r.now-h.cachedAt < cacheEntryTTL {
 		best = h.tokens
 	}
-	if h, ok := w.prefixes[q.Prefix]; ok && q.Prefix != "" && r.now-h.seen < horizon {
-		best = max(best, min(h.tokens, q.PrefixLen))
+	if h, ok := e.prefixes[req.Prefix]; ok && req.Prefix != "" && r.now-h.cachedAt < cacheEntryTTL {
+		best = max(best, min(h.tokens, req.PrefixLen))
 	}
-	switch w {
-	case q.home: // perhaps the session's earlier turns too
-		best = max(best, (q.PrefixLen+q.PromptTokens)/2)
-	case q.spare:
-		best = max(best, q.PrefixLen)
+	switch e {
+	case req.home: // perhaps the session's earlier turns too
+		best = max(best, (req.PrefixLen+req.PromptTokens)/2)
+	case req.secondHome:
+		best = max(best, req.PrefixLen)
 	}
-	return max(min(best, q.PromptTokens-1), 0)
+	return max(min(best, req.PromptTokens-1), 0)
 }
 
-// noteKept enters what an engine keeps after a read. It needs no correction by what
-// the read found: an entry that was wrong is right now.
-func (r *Router) noteKept(q *request, w *engine) {
-	if q.Session != "" {
-		w.sessions[q.Session] = held{q.PromptTokens, r.now}
+// recordCached enters what an engine has cached after a prefill. What the prefill itself found needs no
+// entry: one that was wrong is right now.
+func (r *Router) recordCached(req *request, e *engine) {
+	if req.Session != "" {
+		e.sessions[req.Session] = cacheEntry{req.PromptTokens, r.now}
 	}
-	if q.Prefix != "" {
-		w.prefixes[q.Prefix] = held{q.PrefixLen, r.now}
+	if req.Prefix != "" {
+		e.prefixes[req.Prefix] = cacheEntry{req.PrefixLen, r.now}
 	}
-	if aged := func(_ string, h held) bool { return r.now-h.seen > horizon }; len(w.sessions) > tableMost {
-		maps.DeleteFunc(w.sessions, aged)
-		maps.DeleteFunc(w.prefixes, aged)
+	aged := func(_ string, entry cacheEntry) bool { return r.now-entry.cachedAt > cacheEntryTTL }
+	if len(e.sessions) > maxCacheEntries {
+		maps.DeleteFunc(e.sessions, aged)
+		maps.DeleteFunc(e.prefixes, aged)
 	}
 }
--- a/routing/probe.go
+++ b/routing/probe.go
@@ -7,45 +7,48 @@
 )
 
 const (
-	askFresh = 300 * time.Millisecond // a report younger than this is not asked anew
-	askWait  = 40 * time.Millisecond  // a probe not answered by then is not waited for
+	freshReportAge = 300 * time.Millisecond // a younger report needs no probe
+	probeTimeout   = 40 * time.Millisecond  // after which a probe is not waited for
 )
 
-// ask probes the likeliest prefill engine, once a request, where its report is old: among many routers
-// each sees it too seldom to know its queue. The request is held until it answers, or askWait.
-func (r *Router) ask(q *request, pool []*engine, cost func(*engine) float64) bool {
-	if !r.set.CanProbe || r.set.Gateways < ownEnough || q.asked != nil || len(pool) < 2 {
+// probeFirst probes the likeliest prefill engine, once a request, where its report is old: among many
+// gateways each uses it too seldom to know its queue. The request is held until the engine answers, or
+// for probeTimeout.
+func (r *Router) probeFirst(req *request, pool []*engine, cost func(*engine) float64) bool {
+	if !r.set.CanProbe || r.set.Gateways < manyGateways || req.probed != nil || len(pool) < 2 {
 		return false
 	}
-	w := slices.MinFunc(pool, func(a, b *engine) int { return cmp.Compare(cost(a), cost(b)) })
-	q.asked = []*engine{w}
-	if r.now-w.reportAt < askFresh {
+	e := slices.MinFunc(pool, func(a, b *engine) int { return cmp.Compare(cost(a), cost(b)) })
+	req.probed = []*engine{e}
+	if r.now-e.reportAt < freshReportAge {
 		return false
 	}
-	if !r.asking(w) {
-		w.askedAt = r.now
-		r.do(Probe{Engine: w.Name})
+	if !r.probePending(e) {
+		e.probedAt = r.now
+		r.emit(Probe{Engine: e.Name})
 	}
 	return true
 }
 
-func (r *Router) asking(w *engine) bool { return w.askedAt > w.answeredAt && r.now-w.askedAt < askWait }
+func (r *Router) probePending(e *engine) bool {
+	return e.probedAt > e.probeAnsweredAt && r.now-e.probedAt < probeTimeout
+}
 
-// onProbed takes a report and sends on what waited for it alone.
-func (r *Router) onProbed(e ProbeResult) {
-	w := r.engines[e.Engine]
-	if w == nil {
+// onProbeResult takes a report and places the requests that waited for it alone.
+func (r *Router) onProbeResult(event ProbeResult) {
+	e := r.engines[event.Engine]
+	if e == nil {
 		return
 	}
-	r.noteReport(w, e.Report)
-	w.answeredAt = r.now
-	held := r.held
-	r.held = nil
-	for _, q := range held {
-		if q.phase == waitPrefill && len(q.asked) > 0 && !slices.ContainsFunc(q.asked, r.asking) {
-			r.toPrefill(q)
+	r.recordReport(e, event.Report)
+	e.probeAnsweredAt = r.now
+	held := r.holdQueue
+	r.holdQueue = nil
+	for _, req := range held {
+		if req.phase == awaitingPrefill && len(req.probed) > 0 && !slices.ContainsFunc(req.probed, r.probePending) {
+			r.toPrefill(req)
 		} else {
-			r.held = append(r.held, q)
+			r.holdQueue = append(r.holdQueue, req)
 		}
 	}
 }
--- a/routing/quota.go
+++ b/routing/quota.go
@@ -1,51 +1,54 @@
 package routing
 
 const (
-	quotaSlack = 1.2 // a router's share of a quota is uneven
-	quotaSpan  = 2.0 // seconds of quota that may be saved up
+	quotaShareSlack   = 1.2 // times an even part, as tenants' requests are spread unevenly over gateways
+	quotaBurstSeconds = 2.0 // seconds of quota that may be saved up
 )
 
-type quota struct {
-	rate, saved float64
-	at          Time
+// tokenBucket is this router's part of a tenant's quota, in requests and requests a second.
+type tokenBucket struct {
+	rate, tokens float64
+	at           Time
 }
 
-// overShare returns what a tenant's next request is worth against others.
-func (r *Router) overShare(tenant string) float64 {
-	t := r.quotas[tenant]
-	if t == nil {
+// takeQuota takes a request from its tenant's quota and returns its priority weight: 1 within the
+// quota, OverQuotaWeight above it.
+func (r *Router) takeQuota(tenant string) float64 {
+	bucket := r.quotas[tenant]
+	if bucket == nil {
 		return 1
 	}
-	most := max(t.rate*quotaSpan, 1) // a small quota may save up for one request
-	t.saved = min(most, t.saved+t.rate*(r.now-t.at).Seconds())
-	t.at = r.now
-	if t.saved < 1 {
+	most := max(bucket.rate*quotaBurstSeconds, 1) // a small quota may save up for one request
+	bucket.tokens = min(most, bucket.tokens+bucket.rate*(r.now-bucket.at).Seconds())
+	bucket.at = r.now
+	if bucket.tokens < 1 {
 		return r.set.OverQuotaWeight
 	}
-	t.saved--
+	bucket.tokens--
 	return 1
 }
 
 // QuotaStatus returns how a tenant stands with its quota at this router, as of its latest
 // request; false if it has none.
 func (r *Router) QuotaStatus(tenant string) (QuotaStatus, bool) {
-	t := r.quotas[tenant]
-	if t == nil {
+	bucket := r.quotas[tenant]
+	if bucket == nil {
 		return QuotaStatus{}, false
 	}
-	most := max(t.rate*quotaSpan, 1)
-	return QuotaStatus{Burst: most, Remaining: t.saved, ResetIn: seconds((most - t.saved) / t.rate)}, true
+	most := max(bucket.rate*quotaBurstSeconds, 1)
+	missing := seconds((most - bucket.tokens) / bucket.rate)
+	return QuotaStatus{Burst: most, Remaining: bucket.tokens, ResetIn: missing}, true
 }
 
-// onPeers takes the number of routers that share the pools: this router's part of
-// every quota follows, and so does all that is reckoned with that number.
-func (r *Router) onPeers(routers int) {
-	if routers < 1 || routers == r.set.Gateways {
+// onGatewaysChanged takes the number of gateways that share the engines: this router's part of
+// every quota follows, and so does all that is estimated with that number.
+func (r *Router) onGatewaysChanged(gateways int) {
+	if gateways < 1 || gateways == r.set.Gateways {
 		return
 	}
-	for _, q := range r.quotas {
-		q.rate *= float64(r.set.Gateways) / float64(routers)
-		q.saved = min(q.saved, max(q.rate*quotaSpan, 1))
+	for _, bucket := range r.quotas {
+		bucket.rate *= float64(r.set.Gateways) / float64(gateways)
+		bucket.tokens = min(bucket.tokens, max(bucket.rate*quotaBurstSeconds, 1))
 	}
-	r.set.Gateways = routers
+	r.set.Gateways = gateways
 }
--- a/routing/quota_test.go
+++ b/routing/quota_test.go
@@ -22,7 +22,7 @@
 				r.Handle(now+3*ms, Outcome{ID: id, Attempt: 1, Engine: "w", Status: StatusServed, Final: true})
 				continue
 			}
-			r.retries = 0
+			r.retryBudget = 0
 			if has[Send](r.Handle(now+ms, Outcome{ID: id, Engine: to, Status: StatusRejected})) {
 				second++
 				r.Handle(now+2*ms, ClientGone{ID: id})
@@ -34,7 +34,7 @@
 		}
 		q := ask(99, 500)
 		q.Tenant = "y"
-		if at := r.engines["a"]; limited && at.fullTo["y\x00c"] > r.now {
+		if at := r.engines["a"]; limited && at.rejectingUntil["y\x00c"] > r.now {
 			t.Error("a server that limits one tenant is avoided for another")
 		}
 		sent(t, r.Handle(now+time.Second, q))
@@ -70,7 +70,7 @@
 func TestTenantNamesAreNotConfused(t *testing.T) {
 	one := &request{Request: Request{Tenant: "a|b", Class: "c"}}
 	other := &request{Request: Request{Tenant: "a", Class: "b|c"}}
-	if rateKey(one) == rateKey(other) {
-		t.Errorf("both are %q", rateKey(one))
+	if rateLimitKey(one) == rateLimitKey(other) {
+		t.Errorf("both are %q", rateLimitKey(one))
 	}
 }
--- a/routing/ratelimit.go
+++ b/routing/ratelimit.go
@@ -5,23 +5,23 @@
 )
 
 const (
-	fullPause   = 150 * time.Millisecond // an engine that was full is passed over this long by the like
-	limitShare  = 0.25                   // part turned away, above what full engines bring by chance
-	limitOthers = 0.2                    // of it for others: in an overload all are turned away alike
-	limitPause  = 10 * time.Second       // an engine that limits a tenant's or class's rate does so for long
+	rejectionBackoff  = 150 * time.Millisecond // an engine that rejected a request gets no like one
+	rateLimitedShare  = 0.25                   // of attempts rejected, above what full engines bring by chance
+	rateLimitedOthers = 0.2                    // of it for others: in an overload all are rejected alike
+	rateLimitBackoff  = 10 * time.Second       // the same where the engine limits a rate, which lasts
 )
 
-// rateKey names what an engine may limit the rate of. No name holds the byte between the two:
-// tenants and classes of other names never meet in one key.
-func rateKey(q *request) string { return q.Tenant + "\x00" + q.Request.Class }
+// rateLimitKey names what an engine may limit the rate of. No name holds the byte between the
+// two, so that other names never give the same key.
+func rateLimitKey(req *request) string { return req.Tenant + "\x00" + req.Request.Class }
 
-// singledOut tells whether engines turn away the like of a request, one tenant's or
-// class's, far more than of others: then they have room, and another try is cheap.
-// In an overload all are turned away alike. It could do harm where one asks far more.
-func (r *Router) singledOut(q *request) bool {
-	mine := r.turned[rateKey(q)]
-	for _, others := range r.turned {
-		if mine > limitShare && others < limitOthers*mine {
+// rateLimited reports whether engines reject the like of a request, one tenant's and class's, far more
+// often than others: then they have room, and another attempt is cheap. In an overload all are rejected
+// alike. It could do harm where one tenant sends far more than the others.
+func (r *Router) rateLimited(req *request) bool {
+	mine := r.rejectedShare[rateLimitKey(req)]
+	for _, others := range r.rejectedShare {
+		if mine > rateLimitedShare && others < rateLimitedOthers*mine {
 			return true
 		}
 	}
--- a/routing/reports_test.go
+++ b/routing/reports_test.go
@@ -24,15 +24,15 @@
 func TestReportedTokensAreWeighed(t *testing.T) {
 	for _, c := range []struct{ worth, noise, want float64 }{{1, 0, 1}, {0.25, 0, 0.25}, {0.25, 0.3, 0.25}, {0, 0, 0.1}, {5, 0, 1}} {
 		rng := rand.New(rand.NewPCG(4, 4))
-		var f shown
-		if f.worth() != 1 {
+		var f reportRegression
+		if f.tokenWeight() != 1 {
 			t.Error("with nothing known a reported token must count in full")
 		}
 		for range 400 {
 			reported, toRead := 30_000*rng.Float64(), 300+6000*rng.Float64()
-			f.add(reported, toRead, 5e-5*(toRead+c.worth*reported)*(1+c.noise*rng.NormFloat64()))
+			f.observe(reported, toRead, 5e-5*(toRead+c.worth*reported)*(1+c.noise*rng.NormFloat64()))
 		}
-		if got := f.worth(); got < c.want-0.06 || got > c.want+0.06 {
+		if got := f.tokenWeight(); got < c.want-0.06 || got > c.want+0.06 {
 			t.Errorf("tokens worth %.2f with noise %.1f are held to be worth %.2f", c.worth, c.noise, got)
 		}
 	}
@@ -55,9 +55,9 @@
 		set := testSettings()
 		set.DecodePrefills = c.allowed
 		r := router(t, set, server("a", "r", 0), server("w", "w", 0))
-		r.noteReport(r.engines["a"], &LoadReport{WaitingTokens: &queued})
+		r.recordReport(r.engines["a"], &LoadReport{WaitingTokens: &queued})
 		if c.memory != nil {
-			r.noteReport(r.engines["w"], &LoadReport{MemoryUsed: c.memory})
+			r.recordReport(r.engines["w"], &LoadReport{MemoryUsed: c.memory})
 		}
 		if c.first {
 			r.Handle(ms, ask(1, 1000))
@@ -81,19 +81,19 @@
 	long, short := 40_000.0, 0.0
 	r := router(t, testSettings(), server("a", "r", 0), server("b", "r", 0), server("w", "w", 0))
 	a, b := r.engines["a"], r.engines["b"]
-	r.noteReport(a, &LoadReport{WaitingTokens: &long})
-	r.noteReport(b, &LoadReport{WaitingTokens: &short})
-	last := r.queue(a)
-	if last != long || r.queue(b) != 0 {
-		t.Fatalf("fresh reports of 40000 and 0 tell queues of %.0f and %.0f", last, r.queue(b))
+	r.recordReport(a, &LoadReport{WaitingTokens: &long})
+	r.recordReport(b, &LoadReport{WaitingTokens: &short})
+	last := r.queuedTokens(a)
+	if last != long || r.queuedTokens(b) != 0 {
+		t.Fatalf("fresh reports of 40000 and 0 tell queues of %.0f and %.0f", last, r.queuedTokens(b))
 	}
 	sent(t, r.Handle(0, ask(1, 5000))) // to b
-	if got, todo := r.queue(b), float64(r.reqs[1].todo); got != todo || todo == 0 {
+	if got, todo := r.queuedTokens(b), float64(r.requests[1].prefillTokens); got != todo || todo == 0 {
 		t.Errorf("%.0f tokens sent since a report of none: a queue of %.0f", todo, got)
 	}
 	for at := Time(100 * ms); at <= 10*time.Second; at += 100 * ms {
 		r.Handle(at, TimerFired{Name: "tick"})
-		now := r.queue(a)
+		now := r.queuedTokens(a)
 		if now >= last || last-now > long/5 {
 			t.Fatalf("at %v the queue told by one report went from %.0f to %.0f", at, last, now)
 		}
@@ -116,7 +116,7 @@
 				r.Handle(time.Second, ask(RequestID(n+1), 100))
 			}
 			at := sent(t, r.Handle(1200*ms, ask(id, 100)))
-			r.retries = 0
+			r.retryBudget = 0
 			for _, a := range r.Handle(2200*ms, Outcome{ID: id, Engine: at, Status: StatusError}) {
 				if f, ok := a.(Reject); ok {
 					all = append(all, f.RetryAfter)
@@ -130,7 +130,7 @@
 	if len(idle) != 10 || len(busy) != 10 {
 		t.Fatalf("%d and %d refusals of 10", len(idle), len(busy))
 	}
-	if idle[9] > leastAdvice {
+	if idle[9] > minRetryAfter {
 		t.Errorf("nobody waits, and clients are told to stay away for %v", idle[9])
 	}
 	if busy[0] < 500*ms || busy[9] > 1200*ms || busy[9]-busy[0] < 100*ms {
--- a/routing/request.go
+++ b/routing/request.go
@@ -6,217 +6,222 @@
 )
 
 const (
-	leastExpect = 30 * time.Millisecond  // expectations below this are noise
-	leastRemain = 30 * time.Millisecond  // with less time left an attempt cannot be answered
-	leastAdvice = 200 * time.Millisecond // a refused client is told to stay away for this long at least
-	outGuess    = 0.3                    // part of the longest answer that one takes, without a hint
+	minExpectedTime   = 30 * time.Millisecond  // expectations below this are noise
+	minRemainingTime  = 30 * time.Millisecond  // with less time left an attempt is not answered in time
+	minRetryAfter     = 200 * time.Millisecond // the shortest Retry-After
+	assumedAnswerPart = 0.3                    // part of MaxTokens that an answer takes, without a hint
 )
 
+// phase is where a request is on its way.
 type phase uint8
 
 const (
-	waitPrefill phase = iota // no attempt out, nothing held
-	reading                  // an attempt is out at a prefill engine, or whole at a mixed engine
-	waitDecode               // no attempt out, the state waits at a prefill engine
-	writing                  // an attempt is out at a decode engine
-	streaming                // the answer has begun
+	awaitingPrefill phase = iota // no attempt in flight, no state held
+	prefilling                   // in flight at a prefill engine, or as a whole at another
+	awaitingDecode               // no attempt in flight, a prefill engine holds the state
+	decoding                     // in flight at a decode engine
+	streaming                    // the answer has begun
 )
 
-// request is one client's try. It is kept until its attempts have ended.
+// request is a client's request. It is kept until its attempts have ended.
 type request struct {
 	Request
-	class         *Class
-	most          int     // attempts allowed, as the settings said at its arrival
-	density       float64 // worth per unit of work, lower beyond the tenant's quota
-	deadline, aim Time
-	phase         phase
-	home, spare   *engine // where its text is expected
-	at, holder    *engine // where the attempt is out; which prefill engine holds the state
-	avoid         *engine // the last engine that failed it
-	attempts      int
-	sentAt, since Time    // when the attempt left; when the phase began
-	outAt         Time    // when an attempt was last out, from which a waiting state's time counts
-	todo          int     // tokens the prefill engine is expected to read
-	ahead         float64 // tokens queued there before it
-	shown         float64 // tokens that its report showed waiting
-	match         int     // tokens expected kept there
-	expect        time.Duration
-	ended         bool // answered, or nobody waits any more
-	cancelled     bool
-	whole         bool      // the attempt reads and answers
-	asked         []*engine // prefill engines probed for it before its first choice
-	risks         []risk
+	class               *Class
+	maxAttempts         int     // attempts allowed, as the settings said at its arrival
+	priority            float64 // of the class, lower beyond the tenant's quota
+	deadline, objective Time
+	phase               phase
+	home, secondHome    *engine // where its prefix is expected to be cached
+	engine, stateHolder *engine // with the attempt in flight; which holds the state
+	lastFailed          *engine // the last engine that failed it
+	attempts            int
+	sentAt, phaseSince  Time    // when the attempt left; when the phase began
+	lastInFlight        Time    // when an attempt was last in flight: the wait of held state counts from it
+	prefillTokens       int     // expected to be read
+	queuedAhead         float64 // tokens queued at the engine before it
+	reportedAhead       float64 // tokens that the engine's report showed waiting
+	hitTokens           int     // expected to be cached
+	expectedTime        time.Duration
+	ended               bool // answered, or the client has gone
+	cancelled           bool
+	servesWhole         bool      // the attempt prefills and decodes
+	probed              []*engine // prefill engines probed for it before its first choice
+	possibleRuns        []possibleRun
 }
 
-// aim is when the first token is wanted after a prompt of so many tokens.
-func (c *Class) aim(prompt int) time.Duration {
+// firstTokenObjective is the time to the first token after a prompt of so many tokens.
+func (c *Class) firstTokenObjective(prompt int) time.Duration {
 	return c.FirstTokenObjective + time.Duration(prompt)*c.FirstTokenPerPromptToken
 }
 
-// toPrefill sends a request to the design's choice of prefill engine, or holds it for a
-// short part of its aim when no engine may be sent to.
-func (r *Router) toPrefill(q *request) {
-	w, wait := r.pickPrefill(q)
-	if w == nil {
-		r.hold(q, waitPrefill)
+// toPrefill sends a request to the prefill engine that placement chooses, or holds it for a short
+// part of its objective when none is eligible.
+func (r *Router) toPrefill(req *request) {
+	e, wait := r.placePrefill(req)
+	if e == nil {
+		r.hold(req, awaitingPrefill)
 		return
 	}
-	if r.overloaded(q, wait) {
-		r.giveUp(q, seconds(wait/2))
+	if r.overloaded(req, wait) {
+		r.giveUp(req, seconds(wait/2))
 		return
 	}
-	q.match = r.match(q, w)
-	q.todo = max(q.PromptTokens-q.match, 1)
-	q.shown = r.reported(w)
-	q.ahead = r.queue(w) + r.queued(w) // not given up early where the report shows a queue
-	q.expect = max(leastExpect, seconds((q.ahead+float64(q.todo)+leastRead)*r.perToken(w.role())))
-	r.send(q, w, reading)
+	req.hitTokens = r.cachedTokens(req, e)
+	req.prefillTokens = max(req.PromptTokens-req.hitTokens, 1)
+	req.reportedAhead = r.reportedTokens(e)
+	// With the reported queue, so that it is not given up early where there is one.
+	req.queuedAhead = r.queuedTokens(e) + r.reportedQueueTokens(e)
+	tokens := req.queuedAhead + float64(req.prefillTokens) + stepOverheadTokens
+	req.expectedTime = max(minExpectedTime, seconds(tokens*r.secondsPerToken(e.role())))
+	r.send(req, e, prefilling)
 }
 
-// toDecode sends a read request on, or holds it well inside the pin limit.
-func (r *Router) toDecode(q *request) {
-	w := r.pickDecode(q)
-	if w == nil {
-		r.hold(q, waitDecode)
+// toDecode sends a request whose prompt is read to a decode engine, or holds it well within
+// HeldStateLimit.
+func (r *Router) toDecode(req *request) {
+	e := r.placeDecode(req)
+	if e == nil {
+		r.hold(req, awaitingDecode)
 		return
 	}
-	q.expect = max(leastExpect, seconds(r.stages[w.role()].first))
-	r.send(q, w, writing)
+	req.expectedTime = max(minExpectedTime, seconds(r.roles[e.role()].firstTokenSeconds))
+	r.send(req, e, decoding)
 }
 
-func (r *Router) send(q *request, w *engine, p phase) {
-	r.shift(q, p, w)
-	q.attempts++
-	q.whole = p == reading && w.role() != RolePrefill
-	q.sentAt, q.cancelled = r.now, false
-	limit := r.patience(q)
-	if r.set.CanCancel { // silence is seen by watch, so that a crowd is not mistaken for it
-		limit = max(2*limit, 2*q.class.FirstTokenObjective)
+func (r *Router) send(req *request, e *engine, p phase) {
+	r.setPhase(req, p, e)
+	req.attempts++
+	req.servesWhole = p == prefilling && e.role() != RolePrefill
+	req.sentAt, req.cancelled = r.now, false
+	limit := r.attemptTimeout(req)
+	if r.set.CanCancel { // cancelOverdue tells a silent engine from a busy one
+		limit = max(2*limit, 2*req.class.FirstTokenObjective)
 	}
-	if q.attempts >= q.most-1 || r.now+limit+leastRemain >= q.deadline {
-		limit = q.deadline - r.now
+	if req.attempts >= req.maxAttempts-1 || r.now+limit+minRemainingTime >= req.deadline {
+		limit = req.deadline - r.now
 	}
-	w.sends = append(w.sends, sendMark{r.now, r.weights[q.Class]})
-	if w.role() != RolePrefill {
-		q.risks = append(q.risks, risk{w.Zone, w.Cell, r.now})
+	e.slowStartSends = append(e.slowStartSends, slowStartSend{r.now, r.meanPrompt[req.Class]})
+	if e.role() != RolePrefill {
+		req.possibleRuns = append(req.possibleRuns, possibleRun{e.Zone, e.Cell, r.now})
 	}
-	r.do(Send{ID: q.ID, Engine: w.Name, Timeout: limit})
+	r.emit(Send{ID: req.ID, Engine: e.Name, Timeout: limit})
 }
 
-// giveUp gives the final answer at once. A refusal tells when to come back.
-func (r *Router) giveUp(q *request, wait time.Duration) {
-	refusable := len(q.risks) == 0 || q.class == nil || q.class.Effect == EffectIdempotent ||
-		q.class.Effect == EffectDeduplicated && q.class.DedupScope == DedupAllEngines
-	if refusable {
-		r.refuse(q, wait, false)
+// giveUp gives the final answer at once: Reject if the request may be retried, with a wait.
+func (r *Router) giveUp(req *request, wait time.Duration) {
+	rejectable := len(req.possibleRuns) == 0 || req.class == nil || req.class.Effect == EffectIdempotent ||
+		req.class.Effect == EffectDeduplicated && req.class.DedupScope == DedupAllEngines
+	if rejectable {
+		r.reject(req, wait, false)
 		return
 	}
-	r.do(Fail{q.ID})
-	r.close(q)
+	r.emit(Fail{req.ID})
+	r.finish(req)
 }
 
-// refuse turns a request away that has had no effect or may be repeated.
-func (r *Router) refuse(q *request, wait time.Duration, overQuota bool) {
-	if wait = min(max(wait, leastAdvice), r.set.MaxRetryAfter); !r.set.CanRetryAfter {
+// reject rejects a request that has had no effect or may be retried. The advised wait is spread over
+// requests, so that clients do not come back all at once.
+func (r *Router) reject(req *request, wait time.Duration, overQuota bool) {
+	if wait = min(max(wait, minRetryAfter), r.set.MaxRetryAfter); !r.set.CanRetryAfter {
 		wait = 0
 	}
-	part := 0.5 + 0.5*r.chance(q.ID, "wait")
-	if overQuota { // sooner would only be refused again
+	part := 0.5 + 0.5*r.uniformDraw(req.ID, "wait")
+	if overQuota { // sooner would only be rejected again
 		part += 0.5
 	}
 	wait = min(time.Duration(float64(wait)*part), r.set.MaxRetryAfter)
-	r.do(Reject{ID: q.ID, RetryAfter: wait, OverQuota: overQuota})
-	r.close(q)
+	r.emit(Reject{ID: req.ID, RetryAfter: wait, OverQuota: overQuota})
+	r.finish(req)
 }
 
-// size guesses the memory that a request takes while it is answered.
-func (r *Router) size(q *request) float64 {
-	out := outGuess * float64(q.MaxTokens)
-	if q.DurationHint > 0 && q.class != nil && q.class.TokenIntervalObjective > 0 {
-		out = float64(q.DurationHint) / float64(q.class.TokenIntervalObjective)
+// memoryEstimate estimates the memory that a request takes while it is answered, in tokens.
+func (r *Router) memoryEstimate(req *request) float64 {
+	out := assumedAnswerPart * float64(req.MaxTokens)
+	if req.DurationHint > 0 && req.class != nil && req.class.TokenIntervalObjective > 0 {
+		out = float64(req.DurationHint) / float64(req.class.TokenIntervalObjective)
 	}
-	return float64(q.PromptTokens) + out
+	return float64(req.PromptTokens) + out
 }
 
-// shift is the one place where a request changes phase: it keeps the account of
-// what is out, queued and held at each engine.
-func (r *Router) shift(q *request, p phase, at *engine) {
-	r.account(q, -1)
-	if q.at != nil {
-		q.at.out = without(q.at.out, q)
+// setPhase is the one place where a request changes phase: it keeps the account of
+// what is in flight, queued and held at each engine.
+func (r *Router) setPhase(req *request, p phase, at *engine) {
+	r.account(req, -1)
+	if req.engine != nil {
+		req.engine.inFlight = without(req.engine.inFlight, req)
 	}
-	q.phase, q.at, q.since = p, at, r.now
-	if p == reading || p == writing {
-		at.out = append(at.out, q)
+	req.phase, req.engine, req.phaseSince = p, at, r.now
+	if p == prefilling || p == decoding {
+		at.inFlight = append(at.inFlight, req)
 	}
-	r.account(q, 1)
+	r.account(req, 1)
 }
 
 // account says what counts as load and as memory taken at an engine.
-func (r *Router) account(q *request, sign int) {
+func (r *Router) account(req *request, sign int) {
 	n := float64(sign)
-	if q.holder != nil && (q.phase == waitDecode || q.phase == writing) {
-		q.holder.states += sign
-		q.holder.stateTokens += n * float64(q.PromptTokens)
+	if req.stateHolder != nil && (req.phase == awaitingDecode || req.phase == decoding) {
+		req.stateHolder.heldStates += sign
+		req.stateHolder.heldTokens += n * float64(req.PromptTokens)
 	}
-	if q.at == nil {
+	if req.engine == nil {
 		return
 	}
-	if q.phase == reading {
-		q.at.reads += sign
-		q.at.readTokens += n * float64(q.todo)
-		q.at.readSince += max(n, 0) * float64(q.todo)
+	if req.phase == prefilling {
+		req.engine.prefills += sign
+		req.engine.prefillTokens += n * float64(req.prefillTokens)
+		req.engine.tokensSinceReport += max(n, 0) * float64(req.prefillTokens)
 	}
-	if q.at.role() != RolePrefill {
-		q.at.answers += sign
-		q.at.memory += n * r.size(q)
+	if req.engine.role() != RolePrefill {
+		req.engine.answers += sign
+		req.engine.memory += n * r.memoryEstimate(req)
 		if sign > 0 {
-			q.at.sentSince += r.size(q)
+			req.engine.memorySinceReport += r.memoryEstimate(req)
 		}
 	}
 }
 
-// attemptOver accounts for the end of a request's attempt. One that had no connection was
-// never out.
-func (r *Router) attemptOver(q *request, s Status) {
-	r.shift(q, waitPrefill, nil)
+// attemptEnded accounts for the end of a request's attempt. One that had no connection was never in
+// flight.
+func (r *Router) attemptEnded(req *request, s Status) {
+	r.setPhase(req, awaitingPrefill, nil)
 	if s != StatusConnectFailed {
-		q.outAt = r.now
+		req.lastInFlight = r.now
 	}
 }
 
-// leave ends a request whose client has gone.
-func (r *Router) leave(q *request) {
-	if q.at == nil {
-		r.close(q)
+// clientGone ends a request whose client has gone: at once, or when the attempt in flight has ended.
+func (r *Router) clientGone(req *request) {
+	if req.engine == nil {
+		r.finish(req)
 		return
 	}
-	q.ended = true
-	if q.phase != streaming {
-		r.cancel(q)
+	req.ended = true
+	if req.phase != streaming {
+		r.cancel(req)
 	}
 }
 
-func (r *Router) cancel(q *request) {
-	if r.set.CanCancel && !q.cancelled {
-		q.cancelled = true
-		r.do(CancelAttempt{ID: q.ID, Attempt: q.attempts - 1})
+func (r *Router) cancel(req *request) {
+	if r.set.CanCancel && !req.cancelled {
+		req.cancelled = true
+		r.emit(CancelAttempt{ID: req.ID, Attempt: req.attempts - 1})
 	}
 }
 
-// close forgets a request with no attempt out and lets go of all it holds.
-func (r *Router) close(q *request) {
-	if q.holder != nil {
-		r.do(Release{q.ID})
+// finish forgets a request with no attempt in flight and releases the state held for it.
+func (r *Router) finish(req *request) {
+	if req.stateHolder != nil {
+		r.emit(Release{req.ID})
 	}
-	r.shift(q, waitPrefill, nil)
-	r.held = without(r.held, q)
-	delete(r.reqs, q.ID)
+	r.setPhase(req, awaitingPrefill, nil)
+	r.holdQueue = without(r.holdQueue, req)
+	delete(r.requests, req.ID)
 }
 
 // without returns the list less one request.
-func without(list []*request, q *request) []*request {
-	if i := slices.Index(list, q); i >= 0 {
+func without(list []*request, req *request) []*request {
+	if i := slices.Index(list, req); i >= 0 {
 		return slices.Delete(list, i, i+1)
 	}
 	return list
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -1,29 +1,31 @@
 package routing
 
 const (
-	retryRate = 0.25 // further attempts that each request adds to the budget
-	retryMost = 40.0 // and how many all routers may save up: those out at a few engines
+	retriesPerRequest = 0.25 // attempts that each request adds to the budget
+	maxRetryBudget    = 40.0 // attempts that all routers together may save up: those in flight at a few engines
 )
 
-// again decides what follows a failed attempt: a waiting state goes to another
-// decode engine, anything else is read anew, within the retry budget.
-func (r *Router) again(q *request, s Status) {
-	left := q.most - q.attempts
-	spent := left < 1 || left < 2 && q.holder == nil || q.deadline-r.now < leastRemain || s == StatusNotSent
-	if spent || r.closing || len(q.risks) > 0 && q.class.Effect == EffectAtMostOnce {
-		r.giveUp(q, 0)
+// retryOrGiveUp decides what follows a failed attempt, within the retry budget: held state goes to
+// another decode engine, anything else is prefilled again.
+func (r *Router) retryOrGiveUp(req *request, s Status) {
+	left := req.maxAttempts - req.attempts
+	spent := left < 1 || left < 2 && req.stateHolder == nil // a prefill and a decode are two
+	late := req.deadline-r.now < minRemainingTime
+	mayNotRepeat := len(req.possibleRuns) > 0 && req.class.Effect == EffectAtMostOnce
+	if spent || late || mayNotRepeat || s == StatusNotSent || r.shuttingDown {
+		r.giveUp(req, 0)
 		return
 	}
-	if s != StatusRejected || !r.singledOut(q) {
-		if r.retries < 1 {
-			r.giveUp(q, seconds(r.survey(RolePrefill).age+r.decodeWait()))
+	if s != StatusRejected || !r.rateLimited(req) {
+		if r.retryBudget < 1 {
+			r.giveUp(req, seconds(r.pool(RolePrefill).oldestAge+r.decodeWait()))
 			return
 		}
-		r.retries--
+		r.retryBudget--
 	}
-	if q.holder != nil {
-		r.toDecode(q)
+	if req.stateHolder != nil {
+		r.toDecode(req)
 		return
 	}
-	r.toPrefill(q)
+	r.toPrefill(req)
 }
--- a/routing/router.go
+++ b/routing/router.go
@@ -6,45 +6,45 @@
 	"time"
 )
 
-// Router decides for one router. It is not safe for concurrent use.
+// Router decides for one gateway. It is not safe for concurrent use.
 type Router struct {
-	set     Settings
-	seed    uint64
-	now     Time
-	out     []Action
-	classes map[string]*Class
-	kinds   map[string]*Kind
-	weights map[string]float64 // mean prompt of a class: what a send to a cold engine weighs
-	quotas  map[string]*quota
-	engines map[string]*engine
-	order   []*engine // by name
-	reqs    map[RequestID]*request
-	held    []*request // waitPrefill and waitDecode, in order of arrival
-	stages  [RoleMixed + 1]stage
-	surveys [RoleMixed + 1]survey
-	seen    map[string]float64 // requests by shared beginning, "" for all, fading
-	cells   []*cell            // the plan; nil when the roster has changed
-	retries float64
-	turned  map[string]float64 // share of attempts turned away as full, by rateKey
-	topGain float64
-	calling bool
-	closing bool // see Closing
-	callAt  Time
-	ticking bool
+	set           Settings
+	seed          uint64
+	now           Time
+	actions       []Action
+	classes       map[string]*Class
+	kinds         map[string]*Kind
+	meanPrompt    map[string]float64 // tokens by class: what a send to an engine in slow start weighs
+	quotas        map[string]*tokenBucket
+	engines       map[string]*engine
+	order         []*engine // by name
+	requests      map[RequestID]*request
+	holdQueue     []*request // awaitingPrefill and awaitingDecode, in order of arrival
+	roles         [RoleMixed + 1]roleStats
+	pools         [RoleMixed + 1]poolStats
+	prefixCounts  map[string]float64 // requests by shared prefix, "" for all, fading
+	cells         []*cellCapacity    // the cell plan; nil when the engine list has changed
+	retryBudget   float64
+	rejectedShare map[string]float64 // of attempts, by rateLimitKey
+	maxPriority   float64
+	subscribing   bool
+	shuttingDown  bool // see ShuttingDown
+	subscribedAt  Time
+	timerSet      bool
 }
 
-// New returns a router for the settings; all its chance comes from seed. An
+// New returns a router for the settings; all its randomness comes from seed. An
 // error names the setting that cannot be used.
 func New(set Settings, seed uint64) (*Router, error) {
 	r, err := newRouter(set, seed)
 	if err != nil {
 		return nil, err
 	}
-	r.retries = 1 // not the full budget: all routers may have restarted
+	r.retryBudget = 1 // not the full budget: all gateways may have restarted
 	for _, t := range set.Tenants {
 		if t.Quota > 0 {
-			rate := quotaSlack * t.Quota / float64(set.Gateways)
-			r.quotas[t.Name] = &quota{rate: rate, saved: max(rate*quotaSpan, 1)}
+			rate := quotaShareSlack * t.Quota / float64(set.Gateways)
+			r.quotas[t.Name] = &tokenBucket{rate: rate, tokens: max(rate*quotaBurstSeconds, 1)}
 		}
 	}
 	return r, nil
@@ -53,15 +53,15 @@
 func newRouter(set Settings, seed uint64) (*Router, error) {
 	r := &Router{
 		set: set, seed: seed, classes: map[string]*Class{}, kinds: map[string]*Kind{},
-		weights: map[string]float64{}, quotas: map[string]*quota{}, engines: map[string]*engine{},
-		reqs: map[RequestID]*request{}, seen: map[string]float64{}, turned: map[string]float64{},
+		meanPrompt: map[string]float64{}, quotas: map[string]*tokenBucket{}, engines: map[string]*engine{},
+		requests: map[RequestID]*request{}, prefixCounts: map[string]float64{}, rejectedShare: map[string]float64{},
 	}
 	if err := validate(&set); err != nil {
 		return nil, err
 	}
 	for i := range set.Classes {
 		r.classes[set.Classes[i].Name] = &r.set.Classes[i]
-		r.topGain = max(r.topGain, set.Classes[i].PriorityWeight, 1e-9)
+		r.maxPriority = max(r.maxPriority, set.Classes[i].PriorityWeight, 1e-9)
 	}
 	for i := range set.Kinds {
 		r.kinds[set.Kinds[i].Name] = &r.set.Kinds[i]
@@ -72,159 +72,164 @@
 // Handle takes one event and returns what to do about it, in order. The result
 // is valid until the next call.
 func (r *Router) Handle(now Time, ev Event) []Action {
-	r.now, r.out = now, r.out[:0]
-	clear(r.surveys[:])
-	switch e := ev.(type) {
+	r.now, r.actions = now, r.actions[:0]
+	clear(r.pools[:])
+	switch event := ev.(type) {
 	case EngineList:
-		r.onRoster(e)
+		r.onEngineList(event)
 	case Request:
-		r.onRequest(e)
+		r.onRequest(event)
 	case FirstToken:
-		r.onFirstToken(e)
+		r.onFirstToken(event)
 	case Outcome:
-		r.onOutcome(e)
+		r.onOutcome(event)
 	case ClientGone:
-		if q := r.reqs[e.ID]; q != nil {
-			r.leave(q)
+		if req := r.requests[event.ID]; req != nil {
+			r.clientGone(req)
 		}
 	case GatewaysChanged:
-		r.onPeers(e.Gateways)
+		r.onGatewaysChanged(event.Gateways)
 	case ShuttingDown:
-		r.closing = true
-		r.onClosing(e.Final)
+		r.shuttingDown = true
+		r.onShuttingDown(event.Final)
 	case ProbeResult:
-		r.onProbed(e)
+		r.onProbeResult(event)
 	case TimerFired:
 		r.onTick()
 	}
-	if !r.ticking {
-		r.ticking = true
-		r.do(SetTimer{In: r.tick(), Name: "tick"})
+	if !r.timerSet {
+		r.timerSet = true
+		r.emit(SetTimer{In: r.tick(), Name: "tick"})
 	}
-	return r.out
+	return r.actions
 }
 
-func (r *Router) do(a Action) { r.out = append(r.out, a) }
+func (r *Router) emit(a Action) { r.actions = append(r.actions, a) }
 
-func (r *Router) tick() time.Duration { return max(min(tickSpan, r.set.HeldStateLimit/8), r.set.Tick) }
+func (r *Router) tick() time.Duration {
+	return max(min(tickInterval, r.set.HeldStateLimit/8), r.set.Tick)
+}
 
-// onTick looks after what no outcome will: held requests and silent attempts.
+// onTick retries held requests and cancels overdue attempts, for which no event comes.
 func (r *Router) onTick() {
-	r.ticking = false
-	if r.set.MustSubscribe && !r.calling && r.now-r.callAt >= subscribeGap {
+	r.timerSet = false
+	if r.set.MustSubscribe && !r.subscribing && r.now-r.subscribedAt >= subscribeRetryInterval {
 		r.subscribe()
 	}
-	held := r.held
-	r.held = nil
-	for _, q := range held {
-		if q.phase == waitDecode {
-			r.toDecode(q)
+	held := r.holdQueue
+	r.holdQueue = nil
+	for _, req := range held {
+		if req.phase == awaitingDecode {
+			r.toDecode(req)
 		} else {
-			r.toPrefill(q)
+			r.toPrefill(req)
 		}
 	}
 	for role := RolePrefill; role <= RoleMixed && r.set.CanCancel; role++ {
-		r.watch(role)
+		r.cancelOverdue(role)
 	}
 }
 
-func (r *Router) onRequest(e Request) {
-	class := r.classes[e.Class]
-	if r.reqs[e.ID] != nil {
+func (r *Router) onRequest(event Request) {
+	class := r.classes[event.Class]
+	if r.requests[event.ID] != nil {
 		return
 	}
-	q := &request{Request: e, class: class, deadline: r.now + e.TTL, since: r.now, most: r.set.MaxAttempts}
-	r.reqs[e.ID] = q
-	if class == nil || r.closing { // what is sent now would only be withdrawn
-		r.giveUp(q, 0)
+	req := &request{
+		Request: event, class: class, maxAttempts: r.set.MaxAttempts,
+		deadline: r.now + event.TTL, phaseSince: r.now,
+	}
+	r.requests[event.ID] = req
+	if class == nil || r.shuttingDown { // what is sent now would only be cancelled
+		r.giveUp(req, 0)
 		return
 	}
-	q.aim = min(r.now+class.aim(e.PromptTokens), q.deadline)
-	share := r.overShare(e.Tenant)
-	if share == 0 { // worth nothing: come back when the quota allows one more
-		t := r.quotas[e.Tenant]
-		r.refuse(q, seconds((1-t.saved)/t.rate), true)
+	req.objective = min(r.now+class.firstTokenObjective(event.PromptTokens), req.deadline)
+	share := r.takeQuota(event.Tenant)
+	if share == 0 { // no priority: come back when the quota allows one more
+		t := r.quotas[event.Tenant]
+		r.reject(req, seconds((1-t.tokens)/t.rate), true)
 		return
 	}
-	q.density = class.PriorityWeight * share
-	r.retries = min(1+retryMost/float64(r.set.Gateways), r.retries+retryRate)
-	r.count(e.Prefix)
-	r.weights[e.Class] += (float64(e.PromptTokens) - r.weights[e.Class]) * usualStep
-	r.toPrefill(q)
+	req.priority = class.PriorityWeight * share
+	r.retryBudget = min(1+maxRetryBudget/float64(r.set.Gateways), r.retryBudget+retriesPerRequest)
+	r.countPrefix(event.Prefix)
+	r.meanPrompt[event.Class] += (float64(event.PromptTokens) - r.meanPrompt[event.Class]) * typicalEWMAWeight
+	r.toPrefill(req)
 }
 
-func (r *Router) onFirstToken(e FirstToken) {
-	q := r.reqs[e.ID]
-	if q == nil || q.at == nil || e.Attempt != q.attempts-1 {
+func (r *Router) onFirstToken(event FirstToken) {
+	req := r.requests[event.ID]
+	if req == nil || req.engine == nil || event.Attempt != req.attempts-1 {
 		return
 	}
-	w := q.at
-	w.heard, w.passed = r.now, max(w.passed, q.sentAt)
-	q.cancelled = false
-	if q.phase == reading {
-		r.noteRead(w, q, float64(q.todo), e.Latency)
+	e := req.engine
+	e.lastHeard, e.lastCompletedSentAt = r.now, max(e.lastCompletedSentAt, req.sentAt)
+	req.cancelled = false
+	if req.phase == prefilling {
+		r.recordPrefill(e, req, float64(req.prefillTokens), event.Latency)
 	} else {
-		r.sample(&r.stages[w.role()].first, e.Latency.Seconds())
-		r.stages[w.role()].firstAt = r.now
-		r.notePace(w, e.Latency.Seconds()/q.expect.Seconds())
+		r.updateTypical(&r.roles[e.role()].firstTokenSeconds, event.Latency.Seconds())
+		r.roles[e.role()].firstTokenAt = r.now
+		r.recordPace(e, event.Latency.Seconds()/req.expectedTime.Seconds())
 	}
-	r.carry(w, r.weights[q.Class])
-	r.shift(q, streaming, w)
-	q.holder = nil
+	r.recordThroughput(e, r.meanPrompt[req.Class])
+	r.setPhase(req, streaming, e)
+	req.stateHolder = nil
 }
 
-func (r *Router) onOutcome(e Outcome) {
-	q, w := r.reqs[e.ID], r.engines[e.Engine]
-	r.noteReport(w, e.Report)
-	if q == nil || q.at == nil || e.Attempt != q.attempts-1 {
+func (r *Router) onOutcome(event Outcome) {
+	req, e := r.requests[event.ID], r.engines[event.Engine]
+	r.recordReport(e, event.Report)
+	if req == nil || req.engine == nil || event.Attempt != req.attempts-1 {
 		return
 	}
-	w = q.at
-	r.judge(w, q, e)
-	if e.Status == StatusPrefilled || e.Status == StatusServed && q.whole {
-		r.noteKept(q, w)
+	e = req.engine
+	r.recordOutcome(e, req, event)
+	if event.Status == StatusPrefilled || event.Status == StatusServed && req.servesWhole {
+		r.recordCached(req, e)
 	}
-	if n := len(q.risks); n > 0 && w.role() != RolePrefill && neverRan(e.Status) {
-		q.risks = q.risks[:n-1]
+	if n := len(req.possibleRuns); n > 0 && e.role() != RolePrefill && provesNoEffect(event.Status) {
+		req.possibleRuns = req.possibleRuns[:n-1]
 	}
-	r.attemptOver(q, e.Status)
-	if e.Status == StatusPrefilled {
-		q.holder = w
+	r.attemptEnded(req, event.Status)
+	if event.Status == StatusPrefilled {
+		req.stateHolder = e
 	}
 	switch {
-	case e.Final || q.ended:
-		r.close(q)
-	case e.Status == StatusPrefilled && q.attempts < q.most:
-		r.toDecode(q)
+	case event.Final || req.ended:
+		r.finish(req)
+	case event.Status == StatusPrefilled && req.attempts < req.maxAttempts:
+		r.toDecode(req)
 	default:
-		if e.StateMissing {
-			q.holder = nil
+		if event.StateMissing {
+			req.stateHolder = nil
 		}
-		q.avoid = w
-		r.again(q, e.Status)
+		req.lastFailed = e
+		r.retryOrGiveUp(req, event.Status)
 	}
 }
 
-// onClosing gives up what has not begun to be answered, so that clients may try elsewhere.
-// What is out at a decode engine may have run, and is soon answered: it is waited for to the last.
-func (r *Router) onClosing(last bool) {
-	for _, id := range slices.Sorted(maps.Keys(r.reqs)) {
-		if q := r.reqs[id]; !q.ended && q.phase != streaming && (last || q.phase != writing) {
-			if q.at != nil {
-				r.cancel(q)
+// onShuttingDown gives up what has not begun to be answered, so that clients may try elsewhere. What
+// is in flight at a decode engine may have run, and is answered soon: it is given up with final only.
+func (r *Router) onShuttingDown(final bool) {
+	for _, id := range slices.Sorted(maps.Keys(r.requests)) {
+		if req := r.requests[id]; !req.ended && req.phase != streaming && (final || req.phase != decoding) {
+			if req.engine != nil {
+				r.cancel(req)
 			}
-			r.giveUp(q, 0)
+			r.giveUp(req, 0)
 		}
 	}
 }
 
-// Idempotent tells whether requests of a class may be repeated at will.
+// Idempotent reports whether requests of a class may be retried at will.
 func (r *Router) Idempotent(class string) bool {
 	c := r.classes[class]
 	return c != nil && c.Effect == EffectIdempotent
 }
 
-// CanPrefill tells whether engines of a kind may read a prompt.
+// CanPrefill reports whether engines of a kind may read a prompt.
 func (r *Router) CanPrefill(kind string) bool {
 	k := r.kinds[kind]
 	if k == nil {
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -23,10 +23,10 @@
 		}
 	}
 	r.set.Classes, r.set.MaxAttempts = next.Classes, attempts
-	r.classes, r.topGain = map[string]*Class{}, 0
+	r.classes, r.maxPriority = map[string]*Class{}, 0
 	for i := range r.set.Classes {
 		r.classes[r.set.Classes[i].Name] = &r.set.Classes[i]
-		r.topGain = max(r.topGain, r.set.Classes[i].PriorityWeight, 1e-9)
+		r.maxPriority = max(r.maxPriority, r.set.Classes[i].PriorityWeight, 1e-9)
 	}
 	return nil
 }
--- a/routing/shape_test.go
+++ b/routing/shape_test.go
@@ -17,9 +17,6 @@
 	maxColumns       = 110
 )
 
-// tooLong lists what is over a limit and has yet to be split.
-var tooLong = map[string]bool{"pickPrefill": true}
-
 func TestFilesAndFunctionsAreShort(t *testing.T) {
 	names, err := filepath.Glob("*.go")
 	if err != nil {
@@ -53,7 +50,7 @@
 			continue
 		}
 		lines := set.Position(f.End()).Line - set.Position(f.Pos()).Line + 1
-		if lines > maxFunctionLines && !tooLong[f.Name.Name] {
+		if lines > maxFunctionLines {
 			t.Errorf("%s: %s has %d lines, %d at most", name, f.Name.Name, lines, maxFunctionLines)
 		}
 	}
@@ -67,7 +64,7 @@
 		t.Fatal(err)
 	}
 	lines := strings.Split(strings.TrimSuffix(string(b), "\n"), "\n")
-	if len(lines) > maxFileLines && !tooLong[name] {
+	if len(lines) > maxFileLines {
 		t.Errorf("%s has %d lines, %d at most", name, len(lines), maxFileLines)
 	}
 	for i, line := range lines {
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -6,53 +6,55 @@
 )
 
 const (
-	coldMargin = 0.7             // part of the budget used: others' estimates differ from ours
-	carryFade  = 8 * time.Second // memory of what warm engines carry
-	peakFade   = 90 * time.Second
+	slowStartMargin        = 0.7              // part of the budget used, as routers' estimates differ
+	throughputTimeConstant = 8 * time.Second  // over which the throughput of warm engines is averaged
+	peakTimeConstant       = 90 * time.Second // in which the peak fades where no such rate is seen again
 )
 
-type sendMark struct {
+type slowStartSend struct {
 	at     Time
 	weight float64
 }
 
-// coldRoom bounds this router's sends to a cold engine within any fall window by what warm
-// peers carried for it, so that the routers' shares add up to less than the rule's multiple.
-// Where that is less than one request, chance decides once a window whether to send one:
-// first ones from many would push it over. It could starve a pool that is cold as a whole.
-func (r *Router) coldRoom(w *engine, weight float64) bool {
-	for len(w.sends) > 0 && r.now-w.sends[0].at > r.set.OverloadWindow { // they are in order of time
-		w.sends = w.sends[1:]
+// slowStartAdmits bounds this router's sends to an engine in slow start, within any OverloadWindow, by
+// the throughput that it has seen at warm peers, so that all routers' sends add up to less than what
+// overloads the engine. Where that is less than one request, a draw decides once a window whether to
+// send one: the first ones of many routers would overload it. It could starve a pool in which all
+// engines are in slow start.
+func (r *Router) slowStartAdmits(e *engine, weight float64) bool {
+	// They are in order of time.
+	for len(e.slowStartSends) > 0 && r.now-e.slowStartSends[0].at > r.set.OverloadWindow {
+		e.slowStartSends = e.slowStartSends[1:]
 	}
-	if !r.cold(w) {
+	if !r.inSlowStart(e) {
 		return true
 	}
-	limit := coldMargin * r.stages[w.role()].peak * r.set.OverloadWindow.Seconds() *
+	limit := slowStartMargin * r.roles[e.role()].peakThroughput * r.set.OverloadWindow.Seconds() *
 		r.set.OverloadMultiple * r.set.SlowStartCapacity
-	if len(w.sends) == 0 && limit < weight {
+	if len(e.slowStartSends) == 0 && limit < weight {
 		// no window common to all routers
-		window := float64(r.now)/float64(r.set.OverloadWindow) + r.chance(0, w.Name)
-		return r.chance(RequestID(window), w.Name) < limit/weight
+		window := float64(r.now)/float64(r.set.OverloadWindow) + r.uniformDraw(0, e.Name)
+		return r.uniformDraw(RequestID(window), e.Name) < limit/weight
 	}
-	for _, s := range w.sends {
+	for _, s := range e.slowStartSends {
 		weight += s.weight
 	}
 	return weight <= limit
 }
 
-// carry notes work done by a warm engine and keeps the best rate seen at one.
-func (r *Router) carry(w *engine, weight float64) {
-	if r.cold(w) {
+// recordThroughput takes work done by a warm engine into the throughput of its role and keeps the peak.
+func (r *Router) recordThroughput(e *engine, weight float64) {
+	if r.inSlowStart(e) {
 		return
 	}
-	st := &r.stages[w.role()]
-	dt := (r.now - st.at).Seconds()
-	st.at = r.now
-	st.carried = st.carried*math.Exp(-dt/carryFade.Seconds()) + weight
-	rate := st.carried / carryFade.Seconds() / float64(max(r.survey(w.role()).warm, 1))
-	st.peak = max(st.peak*math.Exp(-dt/peakFade.Seconds()), rate)
+	st := &r.roles[e.role()]
+	dt := (r.now - st.throughputAt).Seconds()
+	st.throughputAt = r.now
+	st.throughputSum = st.throughputSum*math.Exp(-dt/throughputTimeConstant.Seconds()) + weight
+	rate := st.throughputSum / throughputTimeConstant.Seconds() / float64(max(r.pool(e.role()).warm, 1))
+	st.peakThroughput = max(st.peakThroughput*math.Exp(-dt/peakTimeConstant.Seconds()), rate)
 }
 
-func (r *Router) cold(w *engine) bool {
-	return w.StartTime != 0 && r.now-w.StartTime < r.set.SlowStartPeriod
+func (r *Router) inSlowStart(e *engine) bool {
+	return e.StartTime != 0 && r.now-e.StartTime < r.set.SlowStartPeriod
 }
--- a/routing/timeout.go
+++ b/routing/timeout.go
@@ -6,39 +6,42 @@
 )
 
 const (
-	patience     = 5.0 // an attempt may take this many times the expected time
-	patienceTail = 4.0 // and this many times what any takes, as queues are not seen
-	patienceAim  = 0.4 // and at least this part of the aim, so chance never trips it
-	lagBand      = 3.0 // an attempt out this many times as long as expected tells of silence
+	timeoutOverExpected  = 5.0 // an attempt may take this many times the expected time
+	timeoutOverTypical   = 4.0 // and this many times what any takes, as queues are not seen
+	timeoutOverObjective = 0.4 // and at least this part of the objective, so that chance does not exceed it
+	overdueRatio         = 3.0 // an attempt in flight for so many times the expected time may hang
 )
 
-// patience is how long an attempt may take before it counts as overdue.
-func (r *Router) patience(q *request) time.Duration {
-	usual := r.stages[q.at.role()].took
-	if q.phase == writing {
-		usual = r.stages[q.at.role()].first
+// attemptTimeout is how long an attempt may take before it counts as overdue.
+func (r *Router) attemptTimeout(req *request) time.Duration {
+	usual := r.roles[req.engine.role()].prefillSeconds
+	if req.phase == decoding {
+		usual = r.roles[req.engine.role()].firstTokenSeconds
 	}
-	tail := patienceTail * float64(seconds(usual))
-	return time.Duration(max(patience*float64(q.expect), patienceAim*float64(q.class.FirstTokenObjective), tail))
+	tail := timeoutOverTypical * float64(seconds(usual))
+	expected := timeoutOverExpected * float64(req.expectedTime)
+	least := timeoutOverObjective * float64(req.class.FirstTokenObjective)
+	return time.Duration(max(expected, least, tail))
 }
 
-// watch withdraws attempts that are overdue while the peers' are not, or that later ones have
-// passed: they hang. An engine not heard of since is blamed for silence; else it is only busy.
-func (r *Router) watch(role Role) {
-	usual := max(r.survey(role).lag, 1)
-	for w := range r.all(role) {
-		late := r.lag(w) >= lagBand*usual
-		for _, q := range slices.Clone(w.out) {
-			age := r.now - q.sentAt
-			busy := !late || w.heard > q.sentAt && (r.slow(w) == 1 || age < q.class.FirstTokenObjective)
-			spent := q.cancelled || r.retries < 1 || q.attempts >= q.most
-			if busy && q.sentAt >= w.passed || spent || age < r.patience(q) {
+// cancelOverdue cancels attempts that are overdue while the peers' are not, or that later ones have
+// overtaken: they hang. For an engine not heard from since, that counts as a failure; else it is
+// only busy.
+func (r *Router) cancelOverdue(role Role) {
+	usual := max(r.pool(role).overdue, 1)
+	for e := range r.usableOf(role) {
+		late := r.overdue(e) >= overdueRatio*usual
+		for _, req := range slices.Clone(e.inFlight) {
+			age := r.now - req.sentAt
+			busy := !late || e.lastHeard > req.sentAt && (r.slowdown(e) == 1 || age < req.class.FirstTokenObjective)
+			spent := req.cancelled || r.retryBudget < 1 || req.attempts >= req.maxAttempts
+			if busy && req.sentAt >= e.lastCompletedSentAt || spent || age < r.attemptTimeout(req) {
 				continue
 			}
-			if w.heard <= q.sentAt {
-				r.blame(w, 1, 1)
+			if e.lastHeard <= req.sentAt {
+				r.recordResult(e, 1, 1)
 			}
-			r.cancel(q)
+			r.cancel(req)
 		}
 	}
 }
