--- a/routing/cellplan.go
+++ b/routing/cellplan.go
@@ -16,9 +16,9 @@
 }
 
 // tallyCells adds up the usable engines' weights by cell, in order of cell.
-func (r *Router) tallyCells() []*cellCapacity {
+func tallyCells(engines []*engine) []*cellCapacity {
 	cells := []*cellCapacity{}
-	for _, e := range r.order {
+	for _, e := range engines {
 		if !e.usable {
 			continue
 		}
@@ -48,24 +48,32 @@
 
 // cellPlan spreads prefills over the cells by the capacity of their decode engines, but gives no
 // prefill engine more than maxEvenShare times an even share. What a cell prefills beyond the
-// capacity of its decode engines is decoded in other cells.
-func (r *Router) cellPlan() []*cellCapacity {
-	if r.cells != nil {
-		return r.cells
+// capacity of its decode engines is decoded in other cells. It reads the engines' weights and changes
+// nothing else. Prefix homes and decode placement ask; a change of the engine list invalidates it.
+type cellPlan struct {
+	cells []*cellCapacity // in order of cell; nil when the engine list has changed
+}
+
+func (p *cellPlan) invalidate() { p.cells = nil }
+
+// plan returns the plan over the engines, made anew if need be.
+func (p *cellPlan) plan(engines []*engine) []*cellCapacity {
+	if p.cells != nil {
+		return p.cells
 	}
-	r.cells = r.tallyCells()
+	p.cells = tallyCells(engines)
 	prefillEngines, decodeEngines, given := 0.0, 0.0, 0.0
-	for _, c := range r.cells {
+	for _, c := range p.cells {
 		prefillEngines, decodeEngines = prefillEngines+c.prefillEngines, decodeEngines+c.decodeEngines
 	}
 	most := maxEvenShare * decodeEngines / max(prefillEngines, 1e-9) // what a prefill engine may get
-	for _, c := range r.cells {
+	for _, c := range p.cells {
 		c.prefillTarget = min(c.decodeEngines, most*c.prefillEngines)
 		given += c.prefillTarget
 	}
 	rest := max(0, decodeEngines-given) / max(most*prefillEngines-given, 1e-9)
-	for _, c := range r.cells {
+	for _, c := range p.cells {
 		c.prefillTarget += (most*c.prefillEngines - c.prefillTarget) * rest
 	}
-	return r.cells
+	return p.cells
 }
--- a/routing/decodeplacement.go
+++ b/routing/decodeplacement.go
@@ -35,7 +35,7 @@
 // decodeCell is the prefill engine's cell, or for the part of its prefills that exceeds the capacity
 // of its decode engines a cell with capacity to spare, drawn by how much it has.
 func (r *Router) decodeCell(req *request) int {
-	plan := r.cellPlan()
+	plan := r.cells.plan(r.order)
 	c := findCell(plan, req.stateHolder.Cell)
 	if c == nil || c.prefillTarget <= c.decodeEngines {
 		return req.stateHolder.Cell
--- a/routing/engine.go
+++ b/routing/engine.go
@@ -14,7 +14,7 @@
 	prefillTokens, heldTokens            float64
 	memory                               float64
 	inFlight                             []*request // without a first token, oldest first
-	sessions, prefixes                   map[string]cacheEntry
+	cache                                prefixCache
 	report                               LoadReport
 	reportAt                             Time
 	probedAt, probeAnsweredAt            Time    // of the latest probe
@@ -37,10 +37,6 @@
 	return e.kind.Role
 }
 
-func (e *engine) clearCache() {
-	e.sessions, e.prefixes = map[string]cacheEntry{}, map[string]cacheEntry{}
-}
-
 // oldestInFlight is an engine's oldest attempt out that no later one has passed. One that
 // was passed hangs for a reason of its own and tells nothing of the queue.
 func (e *engine) oldestInFlight() *request {
--- a/routing/enginetable.go
+++ b/routing/enginetable.go
@@ -14,8 +14,9 @@
 func (r *Router) engineNamed(name string) *engine {
 	e := r.engines[name]
 	if e == nil {
-		e = &engine{EngineInfo: EngineInfo{Name: name}, pace: 1, rejectingUntil: map[string]Time{}}
-		e.clearCache()
+		e = &engine{
+			EngineInfo: EngineInfo{Name: name}, pace: 1, rejectingUntil: map[string]Time{}, cache: newPrefixCache(),
+		}
 		r.engines[name] = e
 		byName := func(e *engine, n string) int { return cmp.Compare(e.Name, n) }
 		at, _ := slices.BinarySearchFunc(r.order, name, byName)
@@ -40,7 +41,7 @@
 func (r *Router) applyEngineInfo(s EngineInfo) {
 	e := r.engineNamed(s.Name)
 	if e.StartTime != s.StartTime {
-		e.clearCache()
+		e.cache = newPrefixCache()
 		e.failureRate, e.pace, e.ejectionPeriod, e.ejectedUntil = 0, 1, 0, 0
 	}
 	s.Weight = cmp.Or(max(s.Weight, 0), 1)
@@ -58,7 +59,7 @@
 		named[s.Name] = true
 		r.applyEngineInfo(s)
 	}
-	r.cells = nil
+	r.cells.invalidate()
 	if event.Scope == EngineListSnapshot || event.Scope == EngineListStale {
 		for _, e := range r.order {
 			if !named[e.Name] {
--- a/routing/fleet_test.go
+++ b/routing/fleet_test.go
@@ -95,7 +95,7 @@
 		q.Prefix, q.PrefixLen, q.Session = "rare", 3500, fmt.Sprint("s", i)
 		at[sent(t, r.Handle(ms, q))] = true
 		for range 20 { // often enough to be hot
-			r.countPrefix("hot")
+			r.popularity.count("hot")
 		}
 		q.ID, q.Prefix = RequestID(1000+i), "hot"
 		again[sent(t, r.Handle(2*ms, q))] = true
--- a/routing/holdqueue.go
+++ b/routing/holdqueue.go
@@ -10,6 +10,23 @@
 	maxHoldOfObjective  = 0.4                   // of the objective, for a wait for a prefill engine
 )
 
+// holdQueue holds the requests that wait for an engine or a probe, in order of arrival. It reads and
+// changes nothing else. The router takes all out, places what it can and adds the rest again.
+type holdQueue struct {
+	requests []*request
+}
+
+func (h *holdQueue) add(req *request) { h.requests = append(h.requests, req) }
+
+func (h *holdQueue) remove(req *request) { h.requests = without(h.requests, req) }
+
+// takeAll empties the queue and returns what it held.
+func (h *holdQueue) takeAll() []*request {
+	all := h.requests
+	h.requests = nil
+	return all
+}
+
 // hold keeps a request for another try at every tick, one whose state is held well within
 // HeldStateLimit, and gives it up when the next tick would be too late.
 func (r *Router) hold(req *request, p phase) {
@@ -22,8 +39,8 @@
 		end = req.phaseSince + time.Duration(maxHoldOfObjective*float64(req.class.FirstTokenObjective))
 	}
 	if r.now+r.tick() >= min(end, req.deadline-minRemainingTime) { // the next look would be too late
-		r.giveUp(req, seconds(r.pool(RolePrefill).oldestAge+r.decodeWait()))
+		r.giveUp(req, r.observedWait())
 		return
 	}
-	r.holdQueue = append(r.holdQueue, req)
+	r.held.add(req)
 }
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -19,11 +19,7 @@
 	if event.Status != StatusTimeout && event.Status != StatusCancelled && event.Status != StatusNotSent {
 		e.lastHeard = r.now
 	}
-	full := 0.0
-	if event.Status == StatusRejected {
-		full = 1
-	}
-	r.rejectedShare[rateLimitKey(req)] += (full - r.rejectedShare[rateLimitKey(req)]) * typicalEWMAWeight
+	r.rateLimits.observe(rateLimitKey(req), event.Status == StatusRejected)
 	switch event.Status {
 	case StatusPrefilled:
 		e.lastCompletedSentAt = max(e.lastCompletedSentAt, req.sentAt)
@@ -42,10 +38,7 @@
 		r.recordResult(e, 1, 2) // the process is down: two outcomes' worth
 	case StatusRejected:
 		if !event.StateMissing {
-			e.rejectingUntil[rateLimitKey(req)] = r.now + rejectionBackoff
-			if r.rateLimited(req) {
-				e.rejectingUntil[rateLimitKey(req)] = r.now + rateLimitBackoff
-			}
+			e.rejectingUntil[rateLimitKey(req)] = r.now + r.rateLimits.backoff(rateLimitKey(req))
 		}
 	}
 }
@@ -60,13 +53,17 @@
 	if v == 0 && e.failureRate < recoveryThreshold {
 		e.ejectionPeriod = 0
 	}
-	outlier := e.failureRate > ejectionThreshold && e.failureRate > 2*r.pool(e.role()).failureRate
-	if v > 0 && e.usable && outlier && r.now >= e.ejectedUntil {
+	if v > 0 && e.usable && r.isOutlier(e) && r.now >= e.ejectedUntil {
 		e.ejectionPeriod = min(max(2*e.ejectionPeriod, initialEjection), maxEjection)
 		e.ejectedUntil = r.now + e.ejectionPeriod
 	}
 }
 
+// isOutlier reports whether an engine fails far more than its peers.
+func (r *Router) isOutlier(e *engine) bool {
+	return e.failureRate > ejectionThreshold && e.failureRate > 2*r.pool(e.role()).failureRate
+}
+
 // trusted reports whether an engine may take ordinary work. An ejected one comes back on trial, with
 // one request at a time until its failure rate is below recoveryThreshold.
 func (r *Router) trusted(e *engine) bool {
--- a/routing/peers_test.go
+++ b/routing/peers_test.go
@@ -16,7 +16,7 @@
 	}
 	at := func(routers int) (rate, saved float64) {
 		r.Handle(time.Second, GatewaysChanged{Gateways: routers})
-		q := r.quotas["team"]
+		q := r.quotas.buckets["team"]
 		return q.rate, q.tokens
 	}
 	two, _ := at(2)
--- a/routing/policy_test.go
+++ b/routing/policy_test.go
@@ -124,7 +124,7 @@
 	r := router(t, testSettings(), server("a", "r", 0), server("w", "w", 0))
 	w := r.engines["a"]
 	q := &request{Request: Request{Session: "s", Prefix: "p", PrefixLen: 300, PromptTokens: 1000}}
-	r.recordCached(q, w)
+	w.cache.record(&q.Request, r.now)
 	if m := r.cachedTokens(q, w); m != 999 {
 		t.Errorf("after a read: match %d, want all but one token", m)
 	}
--- a/routing/prefixhomes.go
+++ b/routing/prefixhomes.go
@@ -14,20 +14,33 @@
 	mixedEngineWeight = 0.6   // prefills at a mixed engine, which decodes as well, against a prefill engine's
 )
 
-// countPrefix counts requests by shared prefix, and all of them under ""; old counts fade.
-func (r *Router) countPrefix(prefix string) {
-	r.prefixCounts[""]++
+// prefixPopularity counts how often shared prefixes come. It reads and changes nothing else. Requests
+// are counted on arrival; the ranking of homes asks.
+type prefixPopularity struct {
+	counts map[string]float64 // requests by prefix, "" for all, fading
+}
+
+// count counts requests by shared prefix, and all of them under ""; old counts fade.
+func (p *prefixPopularity) count(prefix string) {
+	p.counts[""]++
 	if prefix != "" {
-		r.prefixCounts[prefix]++
+		p.counts[prefix]++
 	}
-	if r.prefixCounts[""] > maxPrefixSamples {
-		maps.DeleteFunc(r.prefixCounts, func(_ string, n float64) bool { return n < 2 })
-		for k := range r.prefixCounts {
-			r.prefixCounts[k] /= 2
+	if p.counts[""] > maxPrefixSamples {
+		maps.DeleteFunc(p.counts, func(_ string, n float64) bool { return n < 2 })
+		for k := range p.counts {
+			p.counts[k] /= 2
 		}
 	}
 }
 
+// share is the part of the requests that begin with a prefix, less what chance may have brought.
+func (p *prefixPopularity) share(prefix string) float64 {
+	count := p.counts[prefix]
+	sure := count - max(1, 0.7*math.Sqrt(count))
+	return max(0, sure) / max(p.counts[""], minPrefixSamples)
+}
+
 // rankHomes names two engines at which to expect the cached prefix of a session that this router has
 // not seen: the same at every router, by rendezvous hashing. A shared prefix has more homes the more
 // requests begin with it; the session picks among them by the weights of the cell plan. It does harm
@@ -37,10 +50,8 @@
 	if text == "" || len(pool) == 0 {
 		return nil, nil
 	}
-	count := r.prefixCounts[req.Prefix]
-	sure := count - max(1, 0.7*math.Sqrt(count)) // what chance would not bring
-	share := max(0, sure) / max(r.prefixCounts[""], minPrefixSamples)
-	homes := 2 + int(share*homesPerEngine*float64(len(pool))) // one, a second and more for a hot one
+	// One, a second and more for a hot one.
+	homes := 2 + int(r.popularity.share(req.Prefix)*homesPerEngine*float64(len(pool)))
 	ranked := slices.Clone(pool)
 	if homes < len(pool) {
 		of := make(map[*engine]float64, len(pool))
@@ -51,7 +62,7 @@
 		ranked = ranked[:homes]
 	}
 	low, next := math.Inf(1), math.Inf(1)
-	plan := r.cellPlan()
+	plan := r.cells.plan(r.order)
 	for _, e := range ranked {
 		weight := e.Weight * mixedEngineWeight
 		if e.role() == RolePrefill {
--- a/routing/probe.go
+++ b/routing/probe.go
@@ -42,13 +42,11 @@
 	}
 	r.recordReport(e, event.Report)
 	e.probeAnsweredAt = r.now
-	held := r.holdQueue
-	r.holdQueue = nil
-	for _, req := range held {
+	for _, req := range r.held.takeAll() {
 		if req.phase == awaitingPrefill && len(req.probed) > 0 && !slices.ContainsFunc(req.probed, r.probePending) {
 			r.toPrefill(req)
 		} else {
-			r.holdQueue = append(r.holdQueue, req)
+			r.held.add(req)
 		}
 	}
 }
--- a/routing/quota.go
+++ b/routing/quota.go
@@ -1,54 +1,75 @@
 package routing
 
+import "time"
+
 const (
 	quotaShareSlack   = 1.2 // times an even part, as tenants' requests are spread unevenly over gateways
 	quotaBurstSeconds = 2.0 // seconds of quota that may be saved up
 )
 
+// quotas holds this router's part of every tenant's quota. It reads and changes nothing else. Requests
+// take from it on arrival; the number of gateways rescales it.
+type quotas struct {
+	buckets         map[string]*tokenBucket // by tenant; none for a tenant without a quota
+	overQuotaWeight float64                 // priority weight of a request above its quota
+}
+
 // tokenBucket is this router's part of a tenant's quota, in requests and requests a second.
 type tokenBucket struct {
 	rate, tokens float64
-	at           Time
+	at           Time // when tokens was brought up to date
+}
+
+func newQuotas(set *Settings) quotas {
+	q := quotas{buckets: map[string]*tokenBucket{}, overQuotaWeight: set.OverQuotaWeight}
+	for _, t := range set.Tenants {
+		if t.Quota > 0 {
+			rate := quotaShareSlack * t.Quota / float64(set.Gateways)
+			q.buckets[t.Name] = &tokenBucket{rate: rate, tokens: max(rate*quotaBurstSeconds, 1)}
+		}
+	}
+	return q
 }
 
-// takeQuota takes a request from its tenant's quota and returns its priority weight: 1 within the
-// quota, OverQuotaWeight above it.
-func (r *Router) takeQuota(tenant string) float64 {
-	bucket := r.quotas[tenant]
-	if bucket == nil {
+// burst is how many requests may come at once: at least one, however small the quota.
+func (b *tokenBucket) burst() float64 { return max(b.rate*quotaBurstSeconds, 1) }
+
+// take takes a request from its tenant's quota and returns its priority weight: 1 within the quota,
+// overQuotaWeight above it.
+func (q *quotas) take(tenant string, now Time) float64 {
+	b := q.buckets[tenant]
+	if b == nil {
 		return 1
 	}
-	most := max(bucket.rate*quotaBurstSeconds, 1) // a small quota may save up for one request
-	bucket.tokens = min(most, bucket.tokens+bucket.rate*(r.now-bucket.at).Seconds())
-	bucket.at = r.now
-	if bucket.tokens < 1 {
-		return r.set.OverQuotaWeight
+	b.tokens = min(b.burst(), b.tokens+b.rate*(now-b.at).Seconds())
+	b.at = now
+	if b.tokens < 1 {
+		return q.overQuotaWeight
 	}
-	bucket.tokens--
+	b.tokens--
 	return 1
 }
 
-// QuotaStatus returns how a tenant stands with its quota at this router, as of its latest
-// request; false if it has none.
-func (r *Router) QuotaStatus(tenant string) (QuotaStatus, bool) {
-	bucket := r.quotas[tenant]
-	if bucket == nil {
-		return QuotaStatus{}, false
-	}
-	most := max(bucket.rate*quotaBurstSeconds, 1)
-	missing := seconds((most - bucket.tokens) / bucket.rate)
-	return QuotaStatus{Burst: most, Remaining: bucket.tokens, ResetIn: missing}, true
+// refillTime is how long it takes until a tenant's quota, which is spent, allows one more request.
+func (q *quotas) refillTime(tenant string) time.Duration {
+	b := q.buckets[tenant]
+	return seconds((1 - b.tokens) / b.rate)
 }
 
-// onGatewaysChanged takes the number of gateways that share the engines: this router's part of
-// every quota follows, and so does all that is estimated with that number.
-func (r *Router) onGatewaysChanged(gateways int) {
-	if gateways < 1 || gateways == r.set.Gateways {
-		return
+// rescale adapts this router's part to a new number of gateways. What is saved up does not outgrow it.
+func (q *quotas) rescale(from, to int) {
+	for _, b := range q.buckets {
+		b.rate *= float64(from) / float64(to)
+		b.tokens = min(b.tokens, b.burst())
 	}
-	for _, bucket := range r.quotas {
-		bucket.rate *= float64(r.set.Gateways) / float64(gateways)
-		bucket.tokens = min(bucket.tokens, max(bucket.rate*quotaBurstSeconds, 1))
+}
+
+// status returns how a tenant stands with its quota; false if it has none.
+func (q *quotas) status(tenant string) (QuotaStatus, bool) {
+	b := q.buckets[tenant]
+	if b == nil {
+		return QuotaStatus{}, false
 	}
-	r.set.Gateways = gateways
+	missing := seconds((b.burst() - b.tokens) / b.rate)
+	return QuotaStatus{Burst: b.burst(), Remaining: b.tokens, ResetIn: missing}, true
 }
--- a/routing/ratelimit.go
+++ b/routing/ratelimit.go
@@ -1,8 +1,6 @@
 package routing
 
-import (
-	"time"
-)
+import "time"
 
 const (
 	rejectionBackoff  = 150 * time.Millisecond // an engine that rejected a request gets no like one
@@ -11,19 +9,42 @@
 	rateLimitBackoff  = 10 * time.Second       // the same where the engine limits a rate, which lasts
 )
 
+// rateLimits detects engines that limit the rate of a tenant's class, from the outcomes of attempts. It
+// reads and changes nothing else. The retry decision and the backoff after a rejection ask it.
+type rateLimits struct {
+	rejectedShare map[string]float64 // of attempts, by rateLimitKey
+}
+
 // rateLimitKey names what an engine may limit the rate of. No name holds the byte between the
 // two, so that other names never give the same key.
 func rateLimitKey(req *request) string { return req.Tenant + "\x00" + req.Request.Class }
 
-// rateLimited reports whether engines reject the like of a request, one tenant's and class's, far more
-// often than others: then they have room, and another attempt is cheap. In an overload all are rejected
-// alike. It could do harm where one tenant sends far more than the others.
-func (r *Router) rateLimited(req *request) bool {
-	mine := r.rejectedShare[rateLimitKey(req)]
-	for _, others := range r.rejectedShare {
+// observe takes the outcome of an attempt.
+func (l *rateLimits) observe(key string, rejected bool) {
+	sample := 0.0
+	if rejected {
+		sample = 1
+	}
+	l.rejectedShare[key] += (sample - l.rejectedShare[key]) * typicalEWMAWeight
+}
+
+// limited reports whether engines reject requests of a key far more often than others: then they have
+// room, and another attempt is cheap. In an overload all are rejected alike. It could do harm where one
+// tenant sends far more than the others.
+func (l *rateLimits) limited(key string) bool {
+	mine := l.rejectedShare[key]
+	for _, others := range l.rejectedShare {
 		if mine > rateLimitedShare && others < rateLimitedOthers*mine {
 			return true
 		}
 	}
 	return false
 }
+
+// backoff is how long an engine that rejected a request of a key gets no like one.
+func (l *rateLimits) backoff(key string) time.Duration {
+	if l.limited(key) {
+		return rateLimitBackoff
+	}
+	return rejectionBackoff
+}
--- a/routing/reports_test.go
+++ b/routing/reports_test.go
@@ -116,7 +116,7 @@
 				r.Handle(time.Second, ask(RequestID(n+1), 100))
 			}
 			at := sent(t, r.Handle(1200*ms, ask(id, 100)))
-			r.retryBudget = 0
+			r.retries.attempts = 0
 			for _, a := range r.Handle(2200*ms, Outcome{ID: id, Engine: at, Status: StatusError}) {
 				if f, ok := a.(Reject); ok {
 					all = append(all, f.RetryAfter)
--- a/routing/request.go
+++ b/routing/request.go
@@ -215,7 +215,7 @@
 		r.emit(Release{req.ID})
 	}
 	r.setPhase(req, awaitingPrefill, nil)
-	r.holdQueue = without(r.holdQueue, req)
+	r.held.remove(req)
 	delete(r.requests, req.ID)
 }
 
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -1,10 +1,27 @@
 package routing
 
+import "time"
+
 const (
 	retriesPerRequest = 0.25 // attempts that each request adds to the budget
 	maxRetryBudget    = 40.0 // attempts that all routers together may save up: those in flight at a few engines
 )
 
+// retryBudget bounds the further attempts of this router, so that failures do not multiply the load. It
+// reads and changes nothing else. Requests add to it on arrival; retries after failures take from it.
+type retryBudget struct {
+	attempts float64
+}
+
+// earn adds a request's part.
+func (b *retryBudget) earn(gateways int) {
+	b.attempts = min(1+maxRetryBudget/float64(gateways), b.attempts+retriesPerRequest)
+}
+
+func (b *retryBudget) empty() bool { return b.attempts < 1 }
+
+func (b *retryBudget) spend() { b.attempts-- }
+
 // retryOrGiveUp decides what follows a failed attempt, within the retry budget: held state goes to
 // another decode engine, anything else is prefilled again.
 func (r *Router) retryOrGiveUp(req *request, s Status) {
@@ -16,12 +33,12 @@
 		r.giveUp(req, 0)
 		return
 	}
-	if s != StatusRejected || !r.rateLimited(req) {
-		if r.retryBudget < 1 {
-			r.giveUp(req, seconds(r.pool(RolePrefill).oldestAge+r.decodeWait()))
+	if s != StatusRejected || !r.rateLimits.limited(rateLimitKey(req)) {
+		if r.retries.empty() {
+			r.giveUp(req, r.observedWait())
 			return
 		}
-		r.retryBudget--
+		r.retries.spend()
 	}
 	if req.stateHolder != nil {
 		r.toDecode(req)
@@ -29,3 +46,9 @@
 	}
 	r.toPrefill(req)
 }
+
+// observedWait is the wait seen at half of the prefill and decode engines: what a client that is to
+// retry is advised to wait.
+func (r *Router) observedWait() time.Duration {
+	return seconds(r.pool(RolePrefill).oldestAge + r.decodeWait())
+}
--- a/routing/router.go
+++ b/routing/router.go
@@ -8,29 +8,29 @@
 
 // Router decides for one gateway. It is not safe for concurrent use.
 type Router struct {
-	set           Settings
-	seed          uint64
-	now           Time
-	actions       []Action
-	classes       map[string]*Class
-	kinds         map[string]*Kind
-	meanPrompt    map[string]float64 // tokens by class: what a send to an engine in slow start weighs
-	quotas        map[string]*tokenBucket
-	engines       map[string]*engine
-	order         []*engine // by name
-	requests      map[RequestID]*request
-	holdQueue     []*request // awaitingPrefill and awaitingDecode, in order of arrival
-	roles         [RoleMixed + 1]roleStats
-	pools         [RoleMixed + 1]poolStats
-	prefixCounts  map[string]float64 // requests by shared prefix, "" for all, fading
-	cells         []*cellCapacity    // the cell plan; nil when the engine list has changed
-	retryBudget   float64
-	rejectedShare map[string]float64 // of attempts, by rateLimitKey
-	maxPriority   float64
-	subscribing   bool
-	shuttingDown  bool // see ShuttingDown
-	subscribedAt  Time
-	timerSet      bool
+	set          Settings
+	seed         uint64
+	now          Time
+	actions      []Action
+	classes      map[string]*Class
+	kinds        map[string]*Kind
+	meanPrompt   map[string]float64 // tokens by class: what a send to an engine in slow start weighs
+	quotas       quotas
+	engines      map[string]*engine
+	order        []*engine // by name
+	requests     map[RequestID]*request
+	held         holdQueue
+	roles        [RoleMixed + 1]roleStats
+	pools        [RoleMixed + 1]poolStats
+	popularity   prefixPopularity
+	cells        cellPlan
+	retries      retryBudget
+	rateLimits   rateLimits
+	maxPriority  float64
+	subscribing  bool
+	shuttingDown bool // see ShuttingDown
+	subscribedAt Time
+	timerSet     bool
 }
 
 // New returns a router for the settings; all its randomness comes from seed. An
@@ -40,21 +40,17 @@
 	if err != nil {
 		return nil, err
 	}
-	r.retryBudget = 1 // not the full budget: all gateways may have restarted
-	for _, t := range set.Tenants {
-		if t.Quota > 0 {
-			rate := quotaShareSlack * t.Quota / float64(set.Gateways)
-			r.quotas[t.Name] = &tokenBucket{rate: rate, tokens: max(rate*quotaBurstSeconds, 1)}
-		}
-	}
+	r.retries.attempts = 1 // not the full budget: all gateways may have restarted
+	r.quotas = newQuotas(&set)
 	return r, nil
 }
 
 func newRouter(set Settings, seed uint64) (*Router, error) {
 	r := &Router{
 		set: set, seed: seed, classes: map[string]*Class{}, kinds: map[string]*Kind{},
-		meanPrompt: map[string]float64{}, quotas: map[string]*tokenBucket{}, engines: map[string]*engine{},
-		requests: map[RequestID]*request{}, prefixCounts: map[string]float64{}, rejectedShare: map[string]float64{},
+		meanPrompt: map[string]float64{}, engines: map[string]*engine{},
+		requests: map[RequestID]*request{}, popularity: prefixPopularity{map[string]float64{}},
+		rateLimits: rateLimits{map[string]float64{}},
 	}
 	if err := validate(&set); err != nil {
 		return nil, err
@@ -116,9 +112,7 @@
 	if r.set.MustSubscribe && !r.subscribing && r.now-r.subscribedAt >= subscribeRetryInterval {
 		r.subscribe()
 	}
-	held := r.holdQueue
-	r.holdQueue = nil
-	for _, req := range held {
+	for _, req := range r.held.takeAll() {
 		if req.phase == awaitingDecode {
 			r.toDecode(req)
 		} else {
@@ -145,15 +139,14 @@
 		return
 	}
 	req.objective = min(r.now+class.firstTokenObjective(event.PromptTokens), req.deadline)
-	share := r.takeQuota(event.Tenant)
+	share := r.quotas.take(event.Tenant, r.now)
 	if share == 0 { // no priority: come back when the quota allows one more
-		t := r.quotas[event.Tenant]
-		r.reject(req, seconds((1-t.tokens)/t.rate), true)
+		r.reject(req, r.quotas.refillTime(event.Tenant), true)
 		return
 	}
 	req.priority = class.PriorityWeight * share
-	r.retryBudget = min(1+maxRetryBudget/float64(r.set.Gateways), r.retryBudget+retriesPerRequest)
-	r.countPrefix(event.Prefix)
+	r.retries.earn(r.set.Gateways)
+	r.popularity.count(event.Prefix)
 	r.meanPrompt[event.Class] += (float64(event.PromptTokens) - r.meanPrompt[event.Class]) * typicalEWMAWeight
 	r.toPrefill(req)
 }
@@ -187,7 +180,7 @@
 	e = req.engine
 	r.recordOutcome(e, req, event)
 	if event.Status == StatusPrefilled || event.Status == StatusServed && req.servesWhole {
-		r.recordCached(req, e)
+		e.cache.record(&req.Request, r.now)
 	}
 	if n := len(req.possibleRuns); n > 0 && e.role() != RolePrefill && provesNoEffect(event.Status) {
 		req.possibleRuns = req.possibleRuns[:n-1]
@@ -223,6 +216,20 @@
 	}
 }
 
+// onGatewaysChanged takes the number of gateways that share the engines: this router's part of every
+// quota follows, and so does all that is estimated with that number.
+func (r *Router) onGatewaysChanged(gateways int) {
+	if gateways < 1 || gateways == r.set.Gateways {
+		return
+	}
+	r.quotas.rescale(r.set.Gateways, gateways)
+	r.set.Gateways = gateways
+}
+
+// QuotaStatus returns how a tenant stands with its quota at this router, as of its latest
+// request; false if it has none.
+func (r *Router) QuotaStatus(tenant string) (QuotaStatus, bool) { return r.quotas.status(tenant) }
+
 // Idempotent reports whether requests of a class may be retried at will.
 func (r *Router) Idempotent(class string) bool {
 	c := r.classes[class]
--- a/routing/timeout.go
+++ b/routing/timeout.go
@@ -34,7 +34,7 @@
 		for _, req := range slices.Clone(e.inFlight) {
 			age := r.now - req.sentAt
 			busy := !late || e.lastHeard > req.sentAt && (r.slowdown(e) == 1 || age < req.class.FirstTokenObjective)
-			spent := req.cancelled || r.retryBudget < 1 || req.attempts >= req.maxAttempts
+			spent := req.cancelled || r.retries.empty() || req.attempts >= req.maxAttempts
 			if busy && req.sentAt >= e.lastCompletedSentAt || spent || age < r.attemptTimeout(req) {
 				continue
 			}
