--- a/routing/admission.go
+++ b/routing/admission.go
@@ -22,7 +22,7 @@
 // prefills in flight will need there.
 func (r *Router) freeDecodeTokens() float64 {
 	free := 0.0
-	for _, e := range r.order {
+	for _, e := range r.engines.ordered {
 		switch {
 		case e.role() == RoleDecode && e.usable && r.trusted(e):
 			free += max(0, 1-r.memoryFill(e)) * e.kind.Memory
--- a/routing/cold_test.go
+++ b/routing/cold_test.go
@@ -140,7 +140,7 @@
 	w.lastID++
 	if w.full {
 		for i := range coldWarm {
-			r.engines[warmName(i)].rejectingUntil["\x00c"] = w.now + time.Minute
+			r.engines.byName[warmName(i)].backoffs.until["\x00c"] = w.now + time.Minute
 		}
 	}
 	actions := slices.Clone(r.Handle(w.now, ask(w.lastID, coldPrompt)))
--- a/routing/decodeplacement.go
+++ b/routing/decodeplacement.go
@@ -35,7 +35,7 @@
 // decodeCell is the prefill engine's cell, or for the part of its prefills that exceeds the capacity
 // of its decode engines a cell with capacity to spare, drawn by how much it has.
 func (r *Router) decodeCell(req *request) int {
-	plan := r.cells.plan(r.order)
+	plan := r.cells.plan(r.engines.ordered)
 	c := findCell(plan, req.stateHolder.Cell)
 	if c == nil || c.prefillTarget <= c.decodeEngines {
 		return req.stateHolder.Cell
@@ -44,7 +44,7 @@
 	for _, c := range plan {
 		lacking += max(0, c.decodeEngines-c.prefillTarget)
 	}
-	at := r.uniformDraw(req.ID, "cell") * c.prefillTarget / (c.prefillTarget - c.decodeEngines) * lacking
+	at := r.draws.uniform(req.ID, "cell") * c.prefillTarget / (c.prefillTarget - c.decodeEngines) * lacking
 	for _, to := range plan {
 		if at -= max(0, to.decodeEngines-to.prefillTarget); at < 0 {
 			return to.id
@@ -52,13 +52,3 @@
 	}
 	return req.stateHolder.Cell
 }
-
-// memoryFill estimates what share of an engine's memory is in use, by its report and this router's own work.
-func (r *Router) memoryFill(e *engine) float64 {
-	room := max(e.kind.Memory, 1)
-	own := e.memory * float64(r.set.Gateways) / room
-	if e.report.MemoryUsed == nil {
-		return own
-	}
-	return own + (*e.report.MemoryUsed+e.memorySinceReport/room-own)*r.reportTrust(e)
-}
--- a/routing/draw.go
+++ b/routing/draw.go
@@ -1,8 +1,11 @@
 package routing
 
-// uniformDraw returns a number in [0,1) that depends on seed, request and salt alone.
-func (r *Router) uniformDraw(id RequestID, salt string) float64 {
-	x := r.seed ^ uint64(id)*0x9e3779b97f4a7c15
+// draws is this router's randomness: draws that repeat from the seed. It changes nothing.
+type draws struct{ seed uint64 }
+
+// uniform returns a number in [0,1) that depends on seed, request and salt alone.
+func (d draws) uniform(id RequestID, salt string) float64 {
+	x := d.seed ^ uint64(id)*0x9e3779b97f4a7c15
 	for i := 0; i < len(salt); i++ {
 		x = (x ^ uint64(salt[i])) * 0x100000001b3
 	}
--- a/routing/eligibility.go
+++ b/routing/eligibility.go
@@ -10,10 +10,10 @@
 // not ejected.
 func (r *Router) eligible(req *request, prefill bool) []*engine {
 	var allowed, healthy []*engine
-	for _, e := range r.order {
+	for _, e := range r.engines.ordered {
 		role := e.role()
 		wanted := role == RoleMixed || prefill && role == RolePrefill || !prefill && role == RoleDecode
-		rejecting := e.rejectingUntil[rateLimitKey(req)] > r.now
+		rejecting := e.backoffs.active(rateLimitKey(req), r.now)
 		if !wanted || !e.usable || rejecting || !r.effectAllows(req, e) {
 			continue
 		}
@@ -29,7 +29,7 @@
 	if short := (len(allowed)+1)/2 - len(healthy); short > 0 {
 		isHealthy := func(e *engine) bool { return slices.Contains(healthy, e) }
 		rest := slices.DeleteFunc(slices.Clone(allowed), isHealthy)
-		slices.SortStableFunc(rest, func(a, b *engine) int { return cmp.Compare(a.failureRate, b.failureRate) })
+		slices.SortStableFunc(rest, func(a, b *engine) int { return cmp.Compare(a.failures.rate, b.failures.rate) })
 		healthy = append(healthy, rest[:short]...)
 	}
 	return healthy
--- a/routing/enginetable.go
+++ b/routing/enginetable.go
@@ -4,31 +4,32 @@
 	"cmp"
 	"iter"
 	"slices"
-	"time"
 )
 
-// subscribeRetryInterval is the time between calls to a service discovery that fails.
-const subscribeRetryInterval = time.Second
+// engineTable holds the engines that this router knows, in order of name. It reads and changes the
+// engines. The engine list fills it; whatever ranks engines goes through it.
+type engineTable struct {
+	byName  map[string]*engine
+	ordered []*engine // by name
+}
 
-// engineNamed returns the record of a named engine, new if need be, in order of name.
-func (r *Router) engineNamed(name string) *engine {
-	e := r.engines[name]
+// named returns the record of an engine, new if need be.
+func (t *engineTable) named(name string) *engine {
+	e := t.byName[name]
 	if e == nil {
-		e = &engine{
-			EngineInfo: EngineInfo{Name: name}, pace: 1, rejectingUntil: map[string]Time{}, cache: newPrefixCache(),
-		}
-		r.engines[name] = e
+		e = newEngine(name)
+		t.byName[name] = e
 		byName := func(e *engine, n string) int { return cmp.Compare(e.Name, n) }
-		at, _ := slices.BinarySearchFunc(r.order, name, byName)
-		r.order = slices.Insert(r.order, at, e)
+		at, _ := slices.BinarySearchFunc(t.ordered, name, byName)
+		t.ordered = slices.Insert(t.ordered, at, e)
 	}
 	return e
 }
 
-// usableOf calls yield for each usable engine of a role, in order of name.
-func (r *Router) usableOf(role Role) iter.Seq[*engine] {
+// usable calls yield for each usable engine of a role, in order of name.
+func (t *engineTable) usable(role Role) iter.Seq[*engine] {
 	return func(yield func(*engine) bool) {
-		for _, e := range r.order {
+		for _, e := range t.ordered {
 			if e.usable && e.role() == role && !yield(e) {
 				return
 			}
@@ -36,58 +37,53 @@
 	}
 }
 
-// applyEngineInfo takes an entry of the engine list. A new start empties the cache, and the record of
-// failures with it; a drain or removal stops new sends from this moment on.
-func (r *Router) applyEngineInfo(s EngineInfo) {
-	e := r.engineNamed(s.Name)
-	if e.StartTime != s.StartTime {
-		e.cache = newPrefixCache()
-		e.failureRate, e.pace, e.ejectionPeriod, e.ejectedUntil = 0, 1, 0, 0
+// removeMissing marks the engines as removed that a full list does not name.
+func (t *engineTable) removeMissing(listed map[string]bool) {
+	for _, e := range t.ordered {
+		if !listed[e.Name] {
+			e.usable, e.Phase = false, PhaseRemoved
+		}
 	}
-	s.Weight = cmp.Or(max(s.Weight, 0), 1)
-	e.EngineInfo, e.kind = s, r.kinds[s.Kind]
-	e.usable = s.Phase == PhaseActive && e.role() != RoleNone && slices.Contains(r.set.Zones, s.Zone)
+}
+
+// forget drops the engines that have left and of which nothing is left to account for: engines come
+// under ever new names. One that has just been sent work is kept, as it may start again under its name,
+// in slow start, and what was sent then counts.
+func (t *engineTable) forget(now, window Time) {
+	t.ordered = slices.DeleteFunc(t.ordered, func(e *engine) bool {
+		if e.Phase != PhaseRemoved || !e.idle() || e.slowStart.recent(now, window) {
+			return false
+		}
+		delete(t.byName, e.Name)
+		return true
+	})
 }
 
 func (r *Router) onEngineList(event EngineList) {
-	r.subscribing = event.Scope != EngineListFailed && r.subscribing
+	r.subscription.answered(event.Scope)
 	if event.Scope == EngineListStale && r.set.MustSubscribe {
 		r.subscribe()
 	}
-	named := make(map[string]bool, len(event.Engines))
-	for _, s := range event.Engines {
-		named[s.Name] = true
-		r.applyEngineInfo(s)
+	listed := make(map[string]bool, len(event.Engines))
+	for _, info := range event.Engines {
+		listed[info.Name] = true
+		r.applyEngineInfo(info)
 	}
 	r.cells.invalidate()
 	if event.Scope == EngineListSnapshot || event.Scope == EngineListStale {
-		for _, e := range r.order {
-			if !named[e.Name] {
-				e.usable, e.Phase = false, PhaseRemoved
-			}
-		}
+		r.engines.removeMissing(listed)
 	}
-	r.order = slices.DeleteFunc(r.order, func(e *engine) bool {
-		if !r.forgettable(e) {
-			return false
-		}
-		delete(r.engines, e.Name)
-		return true
-	})
+	r.engines.forget(r.now, r.set.OverloadWindow)
 }
 
-// forgettable reports whether an engine has left and nothing of it is left to account for:
-// engines come under ever new names. One that has just been sent work is kept, as it
-// may start again under its name, in slow start, and what was sent then counts.
-func (r *Router) forgettable(e *engine) bool {
-	if e.Phase != PhaseRemoved || len(e.inFlight) > 0 || e.prefills+e.heldStates+e.answers > 0 {
-		return false
+// applyEngineInfo takes an entry of the engine list. A new start empties the cache, and the record of
+// failures with it; a drain or removal stops new sends from this moment on.
+func (r *Router) applyEngineInfo(info EngineInfo) {
+	e := r.engines.named(info.Name)
+	if e.StartTime != info.StartTime {
+		e.restarted()
 	}
-	n := len(e.slowStartSends)
-	return n == 0 || r.now-e.slowStartSends[n-1].at > r.set.OverloadWindow
-}
-
-func (r *Router) subscribe() {
-	r.subscribing, r.subscribedAt = true, r.now
-	r.emit(Subscribe{})
+	info.Weight = cmp.Or(max(info.Weight, 0), 1)
+	e.EngineInfo, e.kind = info, r.kinds[info.Kind]
+	e.usable = info.Phase == PhaseActive && e.role() != RoleNone && slices.Contains(r.set.Zones, info.Zone)
 }
--- a/routing/failure_test.go
+++ b/routing/failure_test.go
@@ -9,9 +9,9 @@
 func TestSilentEngineEjectedAndRetried(t *testing.T) {
 	r := router(t, testSettings(), server("a", "r", 0), server("b", "r", 0), server("c", "r", 0), server("w", "w", 0))
 	for range 2 {
-		r.recordResult(r.engines["a"], 1, 1)
+		r.recordResult(r.engines.byName["a"], 1, 1)
 	}
-	w := r.engines["a"]
+	w := r.engines.byName["a"]
 	if r.trusted(w) {
 		t.Fatal("two failures in a row and still trusted")
 	}
@@ -28,7 +28,7 @@
 func TestFloorKeepsHalfThePool(t *testing.T) {
 	r := router(t, testSettings(), server("a", "r", 0), server("b", "r", 0), server("w", "w", 0))
 	for _, n := range []string{"a", "b"} {
-		r.engines[n].ejectedUntil = time.Hour
+		r.engines.byName[n].failures.ejectedUntil = time.Hour
 	}
 	q := &request{Request: ask(1, 500), class: r.classes["c"]}
 	if n := len(r.eligible(q, true)); n != 1 {
@@ -43,12 +43,12 @@
 	}
 	r := router(t, testSettings(), list...)
 	for i := 1; i < 5; i++ { // half of the peers look bad as well
-		r.engines[fmt.Sprint("r", i)].failureRate = 0.6
+		r.engines.byName[fmt.Sprint("r", i)].failures.rate = 0.6
 	}
 	for range 3 {
-		r.recordResult(r.engines["r0"], 1, 1)
+		r.recordResult(r.engines.byName["r0"], 1, 1)
 	}
-	if r.trusted(r.engines["r0"]) {
+	if r.trusted(r.engines.byName["r0"]) {
 		t.Error("a server that fails everything stays in use because other servers are sick too")
 	}
 }
@@ -56,12 +56,12 @@
 func TestCommonFailureEjectsNone(t *testing.T) {
 	r := router(t, testSettings(), server("a", "r", 0), server("b", "r", 0), server("c", "r", 0))
 	for range 6 {
-		for _, w := range r.order {
+		for _, w := range r.engines.ordered {
 			r.recordResult(w, 1, 1)
 		}
 	}
 	ejected := 0
-	for _, w := range r.order {
+	for _, w := range r.engines.ordered {
 		if !r.trusted(w) {
 			ejected++
 		}
@@ -77,8 +77,8 @@
 	sent(t, r.Handle(2*ms, ask(2, 500)))
 	r.Handle(30*ms, read(2, 0, "a", 0))
 	r.Handle(900*ms, Outcome{ID: 1, Engine: "a", Status: StatusTimeout, Latency: 899 * ms})
-	if w := r.engines["a"]; w.failureRate > 0 {
-		t.Errorf("a server that answered others meanwhile is blamed %.2f", w.failureRate)
+	if w := r.engines.byName["a"]; w.failures.rate > 0 {
+		t.Errorf("a server that answered others meanwhile is blamed %.2f", w.failures.rate)
 	}
 }
 
@@ -105,7 +105,7 @@
 	r := router(t, testSettings(), server("w1", "w", 0), server("w2", "w", 0), server("w3", "w", 0))
 	r.now = 5 * time.Second
 	for range 3 {
-		r.engines["w1"].inFlight = append(r.engines["w1"].inFlight, &request{sentAt: 0, phase: decoding, expectedTime: ms})
+		r.engines.byName["w1"].inFlight = append(r.engines.byName["w1"].inFlight, &request{sentAt: 0, phase: decoding, expectedTime: ms})
 	}
 	if w := r.decodeWait(); w != 0 {
 		t.Errorf("states stuck at one of three writers make the wait %.1f s", w)
--- a/routing/fleet_test.go
+++ b/routing/fleet_test.go
@@ -31,7 +31,7 @@
 	all := fleet(t, 200, set, server("a", "r", 0), server("b", "r", 0), server("w", "w", 0), cold)
 	toCold, sends := 0, 0
 	for i, r := range all {
-		r.roles[RolePrefill] = roleStats{peakThroughput: 500 / 2.0, throughputAt: now} // half a request of 500 tokens a second
+		r.throughputs[RolePrefill] = throughput{peak: 500 / 2.0, at: now} // half a request of 500 tokens a second
 		r.meanPrompt["c"] = 500
 		if sent(t, r.Handle(now, ask(RequestID(i), 500))) == "cold" {
 			toCold++
@@ -43,12 +43,12 @@
 		t.Errorf("%d of %d first sends went to a cold server, want some but at most %d", toCold, sends, most)
 	}
 	for _, r := range all {
-		r.roles[RolePrefill].peakThroughput = 0.01 * 500
-		r.engines["cold"].slowStartSends = nil
+		r.throughputs[RolePrefill].peak = 0.01 * 500
+		r.engines.byName["cold"].slowStart.sends = nil
 	}
 	toCold = 0
 	for i, r := range all {
-		r.engines["a"].rejectingUntil["\x00c"], r.engines["b"].rejectingUntil["\x00c"] = time.Hour, time.Hour
+		r.engines.byName["a"].backoffs.until["\x00c"], r.engines.byName["b"].backoffs.until["\x00c"] = time.Hour, time.Hour
 		if has[Send](r.Handle(now+time.Millisecond, ask(RequestID(1000+i), 500))) {
 			toCold++
 		}
--- a/routing/harness_test.go
+++ b/routing/harness_test.go
@@ -77,5 +77,5 @@
 
 // keep makes a prefill engine known to hold tokens of a session.
 func keep(r *Router, at, session string, tokens int) {
-	r.engines[at].cache.sessions[session] = cacheEntry{tokens, r.now}
+	r.engines.byName[at].cache.sessions[session] = cacheEntry{tokens, r.now}
 }
--- a/routing/hostile_test.go
+++ b/routing/hostile_test.go
@@ -288,7 +288,7 @@
 	if len(w.router.requests) != 0 || len(w.router.held.requests) != 0 {
 		w.fail("%d requests left behind", len(w.router.requests))
 	}
-	for _, e := range w.router.order {
+	for _, e := range w.router.engines.ordered {
 		if e.prefills != 0 || e.heldStates != 0 || e.answers != 0 || len(e.inFlight) != 0 {
 			w.fail("the account of %s does not close: %+v", e.Name, e)
 		}
--- a/routing/latency.go
+++ b/routing/latency.go
@@ -18,71 +18,112 @@
 	paceHalfLife           = 5 * time.Second // a pace with no fresh sample halves its excess in this time
 )
 
-// roleStats is what is typical of the engines of a role.
-type roleStats struct {
-	prefillSeconds, prefillTokens float64 // of a prefill
+// latencyModel is what is typical of the engines of each role. It reads and changes nothing else.
+// Finished prefills and first tokens feed it; placement, timeouts and load estimation ask.
+type latencyModel struct {
+	roles [RoleMixed + 1]roleLatency
+}
+
+// roleLatency is what is typical of the engines of one role.
+type roleLatency struct {
+	prefillSeconds, prefillTokens float64 // of a prefill, with what was queued ahead of it
 	firstTokenSeconds             float64 // of a decode engine
-	throughputSum                 float64 // tokens done by warm engines, fading
-	throughputAt, firstTokenAt    Time
-	peakThroughput                float64 // best tokens a second for each warm engine
+	firstTokenAt                  Time    // of the latest sample of it
 	reportWeight                  reportRegression
 }
 
-// updateTypical takes a sample into a typical figure.
-func (r *Router) updateTypical(usual *float64, v float64) {
-	*usual = cmp.Or(*usual, v)
-	*usual += (min(v, maxSampleRatio**usual) - *usual) * typicalEWMAWeight // one slow engine is not the pool
+// observePrefill takes one prefill of so many tokens, with the queue ahead of it.
+func (m *latencyModel) observePrefill(role Role, tokens, seconds float64) {
+	updateTypical(&m.roles[role].prefillSeconds, seconds)
+	updateTypical(&m.roles[role].prefillTokens, tokens)
 }
 
-// recordPrefill takes one sample of the time that an engine needs for a prefill.
-func (r *Router) recordPrefill(e *engine, req *request, toRead float64, took time.Duration) {
-	st := &r.roles[e.role()]
-	tokens := req.queuedAhead + toRead + stepOverheadTokens
-	st.reportWeight.observe(req.reportedAhead, toRead+stepOverheadTokens, took.Seconds())
-	behind := took.Seconds()/r.secondsPerToken(e.role()) - tokens
-	e.backlog, e.backlogAt = r.othersBacklog(e)+(behind-r.othersBacklog(e))*backlogEWMAWeight, r.now
-	r.recordPace(e, took.Seconds()/tokens/r.secondsPerToken(e.role()))
-	r.updateTypical(&st.prefillSeconds, took.Seconds())
-	r.updateTypical(&st.prefillTokens, tokens)
+// observeFirstToken takes the time of one first token at an engine that decodes.
+func (m *latencyModel) observeFirstToken(role Role, seconds float64, now Time) {
+	updateTypical(&m.roles[role].firstTokenSeconds, seconds)
+	m.roles[role].firstTokenAt = now
 }
 
-// secondsPerToken is the usual time for a token; an untried role counts as quick as the other.
-func (r *Router) secondsPerToken(role Role) float64 {
-	for _, st := range []*roleStats{&r.roles[role], &r.roles[RolePrefill], &r.roles[RoleMixed]} {
-		if st.prefillTokens > 0 {
-			return st.prefillSeconds / st.prefillTokens
+// secondsPerToken is the typical time for a token; an untried role counts as quick as another.
+func (m *latencyModel) secondsPerToken(role Role) float64 {
+	for _, l := range []*roleLatency{&m.roles[role], &m.roles[RolePrefill], &m.roles[RoleMixed]} {
+		if l.prefillTokens > 0 {
+			return l.prefillSeconds / l.prefillTokens
 		}
 	}
 	return defaultSecondsPerToken
 }
 
-// decodeWait is the typical wait for a first token while fresh, in seconds, or the wait at half of the
-// decode engines now.
-func (r *Router) decodeWait() float64 {
-	st := &r.roles[RoleDecode]
-	usual := st.firstTokenSeconds * math.Exp2(-(r.now-st.firstTokenAt).Seconds()/decodeWaitHalfLife.Seconds())
-	return max(usual, r.pool(RoleDecode).oldestAge)
+// typicalPrefillTokens is how many tokens a typical prefill has, with the queue ahead of it.
+func (m *latencyModel) typicalPrefillTokens(role Role) float64 { return m.roles[role].prefillTokens }
+
+// typicalSeconds is the typical time of an attempt in a phase.
+func (m *latencyModel) typicalSeconds(role Role, p phase) float64 {
+	if p == decoding {
+		return m.roles[role].firstTokenSeconds
+	}
+	return m.roles[role].prefillSeconds
+}
+
+// decodeWait is the typical time to a first token at the decode engines, in seconds. It fades while no
+// answer begins.
+func (m *latencyModel) decodeWait(now Time) float64 {
+	l := &m.roles[RoleDecode]
+	return l.firstTokenSeconds * math.Exp2(-(now-l.firstTokenAt).Seconds()/decodeWaitHalfLife.Seconds())
 }
 
-// recordPace takes one sample of an engine's time against the usual of its role.
-func (r *Router) recordPace(e *engine, ratio float64) {
-	e.pace = r.currentPace(e)
-	e.pace += (min(ratio, maxSlowdown) - e.pace) * paceEWMAWeight
-	e.paceAt = r.now
+// updateTypical takes a sample into a typical figure.
+func updateTypical(typical *float64, sample float64) {
+	*typical = cmp.Or(*typical, sample)
+	// Bounded: one slow engine is not the pool.
+	*typical += (min(sample, maxSampleRatio**typical) - *typical) * typicalEWMAWeight
 }
 
-func (r *Router) currentPace(e *engine) float64 {
-	return 1 + (e.pace-1)*math.Exp2(-(r.now-e.paceAt).Seconds()/paceHalfLife.Seconds())
+// paceEstimate is an engine's time per token against the typical of its role. It reads and changes
+// nothing else. Finished prefills and first tokens feed it; the slowdown of an engine asks.
+type paceEstimate struct {
+	ratio float64 // at the latest sample
+	at    Time
+}
+
+func newPaceEstimate() paceEstimate { return paceEstimate{ratio: 1} }
+
+func (p *paceEstimate) observe(ratio float64, now Time) {
+	p.ratio = p.current(now)
+	p.ratio += (min(ratio, maxSlowdown) - p.ratio) * paceEWMAWeight
+	p.at = now
+}
+
+// current is the pace as of now, back towards 1 with time.
+func (p *paceEstimate) current(now Time) float64 {
+	return 1 + (p.ratio-1)*math.Exp2(-(now-p.at).Seconds()/paceHalfLife.Seconds())
+}
+
+// recordPrefill takes one sample of the time that an engine needs for a prefill into all estimates.
+func (r *Router) recordPrefill(e *engine, req *request, ownTokens float64, took time.Duration) {
+	role, seconds := e.role(), took.Seconds()
+	tokens := req.queuedAhead + ownTokens + stepOverheadTokens
+	r.latency.roles[role].reportWeight.observe(req.reportedAhead, ownTokens+stepOverheadTokens, seconds)
+	perToken := r.latency.secondsPerToken(role)
+	e.backlog.observe(seconds/perToken-tokens, r.now)
+	e.pace.observe(seconds/tokens/perToken, r.now)
+	r.latency.observePrefill(role, tokens, seconds)
+}
+
+// decodeWait is the typical wait for a first token while fresh, in seconds, or the wait at half of the
+// decode engines now.
+func (r *Router) decodeWait() float64 {
+	return max(r.latency.decodeWait(r.now), r.pool(RoleDecode).oldestAge)
 }
 
 // slowdown is how many times slower than its peers an engine is, 1 if it is not clear.
 func (r *Router) slowdown(e *engine) float64 {
 	s := 1.0
-	if p := r.currentPace(e) / max(r.pool(e.role()).pace, 0.1); p > slowThreshold {
+	if p := e.pace.current(r.now) / max(r.pool(e.role()).pace, 0.1); p > slowThreshold {
 		s = p
 	}
-	if lag := r.overdue(e); lag > overdueRatio && e.lastHeard <= e.oldestInFlight().sentAt {
-		s = max(s, lag)
+	if overdue := e.overdue(r.now); overdue > overdueRatio && e.silentSince(e.oldestInFlight().sentAt) {
+		s = max(s, overdue)
 	}
 	return min(s, maxSlowdown)
 }
--- a/routing/placement.go
+++ b/routing/placement.go
@@ -30,7 +30,7 @@
 		return nil, 0
 	}
 	e := r.leastCost(req, candidates, func(e *engine) float64 {
-		return cost(e) + r.reportedQueueTokens(e)*r.secondsPerToken(e.role())*r.slowdown(e)/e.Weight
+		return cost(e) + r.reportedQueueTokens(e)*r.latency.secondsPerToken(e.role())*r.slowdown(e)/e.Weight
 	})
 	if e == nil {
 		return nil, 0
@@ -61,10 +61,10 @@
 func withinFairShare(pool []*engine) []*engine {
 	active := 1 // with the new one
 	for _, e := range pool {
-		active += e.prefills + e.heldStates
+		active += e.activeRequests()
 	}
 	limit := fairShareMultiple * math.Ceil(float64(active)/float64(max(len(pool), 1)))
-	over := func(e *engine) bool { return float64(e.prefills+e.heldStates+1) > limit }
+	over := func(e *engine) bool { return float64(e.activeRequests()+1) > limit }
 	capped := slices.DeleteFunc(slices.Clone(pool), over)
 	if len(capped) == 0 {
 		return pool
@@ -79,7 +79,7 @@
 		hit = r.cachedTokens(req, e)
 	}
 	tokens := r.queuedTokens(e) + prefillTokenWeight*float64(req.PromptTokens-hit) + stepOverheadTokens
-	cost := tokens * r.secondsPerToken(e.role()) * r.slowdown(e) / e.Weight
+	cost := tokens * r.latency.secondsPerToken(e.role()) * r.slowdown(e) / e.Weight
 	switch e.role() {
 	case RolePrefill: // its state waits for a decode engine
 		return cost + decodeWait
@@ -96,7 +96,7 @@
 	if e.prefills == 0 && e.role() == RolePrefill && r.reportedQueueTokens(e) < stepOverheadTokens {
 		wait = decodeWait // an idle one is tried
 	}
-	wait = max(wait, r.oldestAge(e)) // first come, first served: the oldest shows the least wait
+	wait = max(wait, e.oldestAge(r.now)) // first come, first served: the oldest shows the least wait
 	switch {
 	case e.role() == RolePrefill && r.freeDecodeTokens() < r.memoryEstimate(req):
 		wait += memoryShortageWeight * decodeWait // an estimate: the wait seen tells how much it matters
@@ -120,7 +120,7 @@
 	var best *engine
 	var low, tie float64
 	for _, e := range pool {
-		c, t := cost(e), r.uniformDraw(req.ID, e.Name)
+		c, t := cost(e), r.draws.uniform(req.ID, e.Name)
 		if best == nil || c < low-1e-12 || c <= low+1e-12 && t < tie {
 			best, low, tie = e, c, t
 		}
--- a/routing/policy_test.go
+++ b/routing/policy_test.go
@@ -32,8 +32,8 @@
 		{time.Second, full, 2}, {later, full, 2},
 		{later, Outcome{ID: 1, Engine: "r1", Status: StatusReset}, 2}, {later, full, 1},
 	} {
-		if r.Handle(c.at, c.ev); len(r.engines) != c.kept || len(r.order) != c.kept {
-			t.Errorf("after %+v at %v: %d and %d servers, want %d", c.ev, c.at, len(r.engines), len(r.order), c.kept)
+		if r.Handle(c.at, c.ev); len(r.engines.byName) != c.kept || len(r.engines.ordered) != c.kept {
+			t.Errorf("after %+v at %v: %d and %d servers, want %d", c.ev, c.at, len(r.engines.byName), len(r.engines.ordered), c.kept)
 		}
 	}
 }
@@ -80,10 +80,10 @@
 		}
 	}
 	q := &request{Request: ask(9, 100), class: r.classes["c"]}
-	for _, w := range r.order {
+	for _, w := range r.engines.ordered {
 		w.heldStates = 1000 * (1 + len(w.inFlight)) // beyond any cap
 	}
-	r.engines["a"].prefills = -999 // the total stays small, so that every prefill engine is past its share
+	r.engines.byName["a"].prefills = -999 // the total stays small, so that every prefill engine is past its share
 	if w, _ := r.placePrefill(q); w == nil {
 		t.Error("with every reader capped the cap must be set aside")
 	}
@@ -122,7 +122,7 @@
 
 func TestTableAgesAndIsCorrected(t *testing.T) {
 	r := router(t, testSettings(), server("a", "r", 0), server("w", "w", 0))
-	w := r.engines["a"]
+	w := r.engines.byName["a"]
 	q := &request{Request: Request{Session: "s", Prefix: "p", PrefixLen: 300, PromptTokens: 1000}}
 	w.cache.record(&q.Request, r.now)
 	if m := r.cachedTokens(q, w); m != 999 {
@@ -145,9 +145,9 @@
 func TestDecodeInCellThenOutside(t *testing.T) {
 	r := router(t, testSettings(), server("a", "r", 1), server("near", "w", 1), server("near2", "w", 1),
 		server("far", "w", 2), server("b", "r", 2))
-	r.engines["b"].rejectingUntil["\x00c"] = time.Minute // the plan is even; only a reads
+	r.engines.byName["b"].backoffs.until["\x00c"] = time.Minute // the plan is even; only a reads
 	used := 0.5
-	r.recordReport(r.engines["near"], &LoadReport{MemoryUsed: &used})
+	r.engines.byName["near"].report.take(&LoadReport{MemoryUsed: &used}, r.now)
 	sent(t, r.Handle(ms, ask(1, 500)))
 	if to := sent(t, r.Handle(20*ms, read(1, 0, "a", 0))); to != "near2" {
 		t.Fatalf("went to %s, want the one with most free memory in the cell", to)
@@ -291,7 +291,7 @@
 
 func TestFullMixedEngineRefuses(t *testing.T) {
 	r := router(t, testSettings(), server("m", "m", 0))
-	r.engines["m"].memory = 1e5 // of two routers each: all of it
+	r.engines.byName["m"].memory = 1e5 // of two routers each: all of it
 	if a := r.Handle(ms, ask(1, 500)); !has[Reject](a) {
 		t.Errorf("a mixed server without memory took a request: %v", a)
 	}
@@ -299,7 +299,7 @@
 
 func TestAnswersCountAtMixedEngine(t *testing.T) {
 	r := router(t, testSettings(), server("m", "m", 0), server("a", "r", 0), server("w", "w", 0))
-	r.engines["m"].answers = 20
+	r.engines.byName["m"].answers = 20
 	for id := RequestID(1); id < 20; id++ {
 		q := &request{Request: ask(id, 500), class: r.classes["c"], objective: time.Second}
 		if w, _ := r.placePrefill(q); w.Name != "a" {
@@ -326,8 +326,8 @@
 		refused bool
 	}{{0.02, false}, {0.3, true}} {
 		r := router(t, testSettings(), server("a", "r", 0), server("w", "w", 0))
-		r.engines["w"].memory = 1e5
-		r.roles[RoleDecode].firstTokenSeconds = c.first
+		r.engines.byName["w"].memory = 1e5
+		r.latency.roles[RoleDecode].firstTokenSeconds = c.first
 		if a := r.Handle(ms, ask(1, 500)); has[Send](a) == c.refused || has[Reject](a) != c.refused {
 			t.Errorf("first tokens within %.2f s: %v", c.first, a)
 		}
@@ -402,8 +402,8 @@
 		set := testSettings()
 		set.Classes = []Class{{Name: "near", FirstTokenObjective: time.Second, PriorityWeight: c.gain}, {Name: "c", FirstTokenObjective: 4 * time.Second, PriorityWeight: 2}}
 		r := router(t, set, server("a", "r", 0), server("w", "w", 0))
-		r.roles[RoleDecode].firstTokenSeconds = 1.5 // every state waits so long for its decode engine
-		r.roles[RoleDecode].firstTokenAt = 0
+		r.latency.roles[RoleDecode].firstTokenSeconds = 1.5 // every state waits so long for its decode engine
+		r.latency.roles[RoleDecode].firstTokenAt = 0
 		if a := r.Handle(ms, ask(1, 500)); has[Reject](a) != c.refused {
 			t.Errorf("%s: %v", c.name, a)
 		}
--- a/routing/poolstats.go
+++ b/routing/poolstats.go
@@ -18,20 +18,22 @@
 	if v.size > 0 {
 		return v
 	}
-	var pace, fail, age, lag []float64
-	for e := range r.usableOf(role) {
+	var pace, fail, age, overdue []float64
+	for e := range r.engines.usable(role) {
 		v.size++
 		if !r.inSlowStart(e) {
 			v.warm++
 		}
-		fail, age, lag = append(fail, e.failureRate), append(age, r.oldestAge(e)), append(lag, r.overdue(e))
-		pace = append(pace, r.currentPace(e))
-		if e.report.WaitingTokens != nil {
-			v.waitingTokens += *e.report.WaitingTokens * r.reportTrust(e)
+		fail = append(fail, e.failures.rate)
+		age = append(age, e.oldestAge(r.now))
+		overdue = append(overdue, e.overdue(r.now))
+		pace = append(pace, e.pace.current(r.now))
+		if e.report.latest.WaitingTokens != nil {
+			v.waitingTokens += *e.report.latest.WaitingTokens * e.report.trust(r.now)
 		}
 	}
 	v.waitingTokens /= float64(max(v.size, 1))
-	v.pace, v.oldestAge, v.overdue = median(pace, 1), median(age, 0), median(lag, 1)
+	v.pace, v.oldestAge, v.overdue = median(pace, 1), median(age, 0), median(overdue, 1)
 	if slices.Sort(fail); len(fail) > 0 {
 		v.failureRate = fail[len(fail)/4]
 	}
--- a/routing/prefixhomes.go
+++ b/routing/prefixhomes.go
@@ -62,7 +62,7 @@
 		ranked = ranked[:homes]
 	}
 	low, next := math.Inf(1), math.Inf(1)
-	plan := r.cells.plan(r.order)
+	plan := r.cells.plan(r.engines.ordered)
 	for _, e := range ranked {
 		weight := e.Weight * mixedEngineWeight
 		if e.role() == RolePrefill {
--- a/routing/probe.go
+++ b/routing/probe.go
@@ -11,6 +11,20 @@
 	probeTimeout   = 40 * time.Millisecond  // after which a probe is not waited for
 )
 
+// probeState is the latest probe of one engine. It reads and changes nothing else. Placement sends
+// probes; their results end them.
+type probeState struct {
+	sentAt, answeredAt Time
+}
+
+func (p *probeState) sent(now Time)     { p.sentAt = now }
+func (p *probeState) answered(now Time) { p.answeredAt = now }
+
+// pending reports whether a result is still waited for.
+func (p *probeState) pending(now Time) bool {
+	return p.sentAt > p.answeredAt && now-p.sentAt < probeTimeout
+}
+
 // probeFirst probes the likeliest prefill engine, once a request, where its report is old: among many
 // gateways each uses it too seldom to know its queue. The request is held until the engine answers, or
 // for probeTimeout.
@@ -20,30 +34,27 @@
 	}
 	e := slices.MinFunc(pool, func(a, b *engine) int { return cmp.Compare(cost(a), cost(b)) })
 	req.probed = []*engine{e}
-	if r.now-e.reportAt < freshReportAge {
+	if r.now-e.report.at < freshReportAge {
 		return false
 	}
-	if !r.probePending(e) {
-		e.probedAt = r.now
+	if !e.probe.pending(r.now) {
+		e.probe.sent(r.now)
 		r.emit(Probe{Engine: e.Name})
 	}
 	return true
 }
 
-func (r *Router) probePending(e *engine) bool {
-	return e.probedAt > e.probeAnsweredAt && r.now-e.probedAt < probeTimeout
-}
-
 // onProbeResult takes a report and places the requests that waited for it alone.
 func (r *Router) onProbeResult(event ProbeResult) {
-	e := r.engines[event.Engine]
+	e := r.engines.byName[event.Engine]
 	if e == nil {
 		return
 	}
-	r.recordReport(e, event.Report)
-	e.probeAnsweredAt = r.now
+	e.report.take(event.Report, r.now)
+	e.probe.answered(r.now)
+	pending := func(e *engine) bool { return e.probe.pending(r.now) }
 	for _, req := range r.held.takeAll() {
-		if req.phase == awaitingPrefill && len(req.probed) > 0 && !slices.ContainsFunc(req.probed, r.probePending) {
+		if req.phase == awaitingPrefill && len(req.probed) > 0 && !slices.ContainsFunc(req.probed, pending) {
 			r.toPrefill(req)
 		} else {
 			r.held.add(req)
--- a/routing/quota_test.go
+++ b/routing/quota_test.go
@@ -34,7 +34,7 @@
 		}
 		q := ask(99, 500)
 		q.Tenant = "y"
-		if at := r.engines["a"]; limited && at.rejectingUntil["y\x00c"] > r.now {
+		if at := r.engines.byName["a"]; limited && at.backoffs.until["y\x00c"] > r.now {
 			t.Error("a server that limits one tenant is avoided for another")
 		}
 		sent(t, r.Handle(now+time.Second, q))
--- a/routing/ratelimit.go
+++ b/routing/ratelimit.go
@@ -15,6 +15,16 @@
 	rejectedShare map[string]float64 // of attempts, by rateLimitKey
 }
 
+// rejectionBackoffs tells which requests one engine has lately rejected. It reads and changes nothing
+// else. Rejections start a backoff; the choice of eligible engines asks.
+type rejectionBackoffs struct {
+	until map[string]Time // by rateLimitKey
+}
+
+func (b *rejectionBackoffs) start(key string, until Time) { b.until[key] = until }
+
+func (b *rejectionBackoffs) active(key string, now Time) bool { return b.until[key] > now }
+
 // rateLimitKey names what an engine may limit the rate of. No name holds the byte between the
 // two, so that other names never give the same key.
 func rateLimitKey(req *request) string { return req.Tenant + "\x00" + req.Request.Class }
--- a/routing/reports_test.go
+++ b/routing/reports_test.go
@@ -55,9 +55,9 @@
 		set := testSettings()
 		set.DecodePrefills = c.allowed
 		r := router(t, set, server("a", "r", 0), server("w", "w", 0))
-		r.recordReport(r.engines["a"], &LoadReport{WaitingTokens: &queued})
+		r.engines.byName["a"].report.take(&LoadReport{WaitingTokens: &queued}, r.now)
 		if c.memory != nil {
-			r.recordReport(r.engines["w"], &LoadReport{MemoryUsed: c.memory})
+			r.engines.byName["w"].report.take(&LoadReport{MemoryUsed: c.memory}, r.now)
 		}
 		if c.first {
 			r.Handle(ms, ask(1, 1000))
@@ -80,9 +80,9 @@
 func TestReportsDecayWithAge(t *testing.T) {
 	long, short := 40_000.0, 0.0
 	r := router(t, testSettings(), server("a", "r", 0), server("b", "r", 0), server("w", "w", 0))
-	a, b := r.engines["a"], r.engines["b"]
-	r.recordReport(a, &LoadReport{WaitingTokens: &long})
-	r.recordReport(b, &LoadReport{WaitingTokens: &short})
+	a, b := r.engines.byName["a"], r.engines.byName["b"]
+	a.report.take(&LoadReport{WaitingTokens: &long}, r.now)
+	b.report.take(&LoadReport{WaitingTokens: &short}, r.now)
 	last := r.queuedTokens(a)
 	if last != long || r.queuedTokens(b) != 0 {
 		t.Fatalf("fresh reports of 40000 and 0 tell queues of %.0f and %.0f", last, r.queuedTokens(b))
--- a/routing/request.go
+++ b/routing/request.go
@@ -72,7 +72,7 @@
 	// With the reported queue, so that it is not given up early where there is one.
 	req.queuedAhead = r.queuedTokens(e) + r.reportedQueueTokens(e)
 	tokens := req.queuedAhead + float64(req.prefillTokens) + stepOverheadTokens
-	req.expectedTime = max(minExpectedTime, seconds(tokens*r.secondsPerToken(e.role())))
+	req.expectedTime = max(minExpectedTime, seconds(tokens*r.latency.secondsPerToken(e.role())))
 	r.send(req, e, prefilling)
 }
 
@@ -84,7 +84,7 @@
 		r.hold(req, awaitingDecode)
 		return
 	}
-	req.expectedTime = max(minExpectedTime, seconds(r.roles[e.role()].firstTokenSeconds))
+	req.expectedTime = max(minExpectedTime, seconds(r.latency.typicalSeconds(e.role(), decoding)))
 	r.send(req, e, decoding)
 }
 
@@ -100,7 +100,7 @@
 	if req.attempts >= req.maxAttempts-1 || r.now+limit+minRemainingTime >= req.deadline {
 		limit = req.deadline - r.now
 	}
-	e.slowStartSends = append(e.slowStartSends, slowStartSend{r.now, r.meanPrompt[req.Class]})
+	e.slowStart.add(r.now, r.meanPrompt[req.Class])
 	if e.role() != RolePrefill {
 		req.possibleRuns = append(req.possibleRuns, possibleRun{e.Zone, e.Cell, r.now})
 	}
@@ -125,7 +125,7 @@
 	if wait = min(max(wait, minRetryAfter), r.set.MaxRetryAfter); !r.set.CanRetryAfter {
 		wait = 0
 	}
-	part := 0.5 + 0.5*r.uniformDraw(req.ID, "wait")
+	part := 0.5 + 0.5*r.draws.uniform(req.ID, "wait")
 	if overQuota { // sooner would only be rejected again
 		part += 0.5
 	}
@@ -157,26 +157,26 @@
 	r.account(req, 1)
 }
 
-// account says what counts as load and as memory taken at an engine.
+// account adds a request to the work of its engines, or takes it off, with sign -1: what counts as load
+// and as memory in use.
 func (r *Router) account(req *request, sign int) {
-	n := float64(sign)
 	if req.stateHolder != nil && (req.phase == awaitingDecode || req.phase == decoding) {
-		req.stateHolder.heldStates += sign
-		req.stateHolder.heldTokens += n * float64(req.PromptTokens)
+		req.stateHolder.addHeldState(sign, float64(req.PromptTokens))
 	}
-	if req.engine == nil {
+	e := req.engine
+	if e == nil {
 		return
 	}
 	if req.phase == prefilling {
-		req.engine.prefills += sign
-		req.engine.prefillTokens += n * float64(req.prefillTokens)
-		req.engine.tokensSinceReport += max(n, 0) * float64(req.prefillTokens)
+		e.addPrefill(sign, float64(req.prefillTokens))
+		if sign > 0 {
+			e.report.addSent(float64(req.prefillTokens), 0)
+		}
 	}
-	if req.engine.role() != RolePrefill {
-		req.engine.answers += sign
-		req.engine.memory += n * r.memoryEstimate(req)
+	if e.role() != RolePrefill {
+		e.addAnswer(sign, r.memoryEstimate(req))
 		if sign > 0 {
-			req.engine.memorySinceReport += r.memoryEstimate(req)
+			e.report.addSent(0, r.memoryEstimate(req))
 		}
 	}
 }
--- a/routing/router.go
+++ b/routing/router.go
@@ -8,28 +8,31 @@
 
 // Router decides for one gateway. It is not safe for concurrent use.
 type Router struct {
-	set          Settings
-	seed         uint64
-	now          Time
-	actions      []Action
-	classes      map[string]*Class
-	kinds        map[string]*Kind
-	meanPrompt   map[string]float64 // tokens by class: what a send to an engine in slow start weighs
-	quotas       quotas
-	engines      map[string]*engine
-	order        []*engine // by name
-	requests     map[RequestID]*request
-	held         holdQueue
-	roles        [RoleMixed + 1]roleStats
-	pools        [RoleMixed + 1]poolStats
+	set         Settings
+	classes     map[string]*Class
+	kinds       map[string]*Kind
+	maxPriority float64 // highest PriorityWeight of a class
+
+	now     Time
+	actions []Action // of this event
+	draws   draws
+
+	requests map[RequestID]*request
+	held     holdQueue
+	engines  engineTable
+	pools    [RoleMixed + 1]poolStats // for one event; see pool
+	cells    cellPlan
+
 	popularity   prefixPopularity
-	cells        cellPlan
+	latency      latencyModel
+	throughputs  [RoleMixed + 1]throughput
+	quotas       quotas
 	retries      retryBudget
 	rateLimits   rateLimits
-	maxPriority  float64
-	subscribing  bool
+	subscription subscription
+	meanPrompt   map[string]float64 // tokens by class: what a send to an engine in slow start weighs
+
 	shuttingDown bool // see ShuttingDown
-	subscribedAt Time
 	timerSet     bool
 }
 
@@ -47,8 +50,8 @@
 
 func newRouter(set Settings, seed uint64) (*Router, error) {
 	r := &Router{
-		set: set, seed: seed, classes: map[string]*Class{}, kinds: map[string]*Kind{},
-		meanPrompt: map[string]float64{}, engines: map[string]*engine{},
+		set: set, draws: draws{seed}, classes: map[string]*Class{}, kinds: map[string]*Kind{},
+		meanPrompt: map[string]float64{}, engines: engineTable{byName: map[string]*engine{}},
 		requests: map[RequestID]*request{}, popularity: prefixPopularity{map[string]float64{}},
 		rateLimits: rateLimits{map[string]float64{}},
 	}
@@ -109,7 +112,7 @@
 // onTick retries held requests and cancels overdue attempts, for which no event comes.
 func (r *Router) onTick() {
 	r.timerSet = false
-	if r.set.MustSubscribe && !r.subscribing && r.now-r.subscribedAt >= subscribeRetryInterval {
+	if r.set.MustSubscribe && r.subscription.due(r.now) {
 		r.subscribe()
 	}
 	for _, req := range r.held.takeAll() {
@@ -157,14 +160,14 @@
 		return
 	}
 	e := req.engine
-	e.lastHeard, e.lastCompletedSentAt = r.now, max(e.lastCompletedSentAt, req.sentAt)
+	e.heard(r.now)
+	e.succeeded(req.sentAt)
 	req.cancelled = false
 	if req.phase == prefilling {
 		r.recordPrefill(e, req, float64(req.prefillTokens), event.Latency)
 	} else {
-		r.updateTypical(&r.roles[e.role()].firstTokenSeconds, event.Latency.Seconds())
-		r.roles[e.role()].firstTokenAt = r.now
-		r.recordPace(e, event.Latency.Seconds()/req.expectedTime.Seconds())
+		r.latency.observeFirstToken(e.role(), event.Latency.Seconds(), r.now)
+		e.pace.observe(event.Latency.Seconds()/req.expectedTime.Seconds(), r.now)
 	}
 	r.recordThroughput(e, r.meanPrompt[req.Class])
 	r.setPhase(req, streaming, e)
@@ -172,12 +175,14 @@
 }
 
 func (r *Router) onOutcome(event Outcome) {
-	req, e := r.requests[event.ID], r.engines[event.Engine]
-	r.recordReport(e, event.Report)
+	req := r.requests[event.ID]
+	if e := r.engines.byName[event.Engine]; e != nil {
+		e.report.take(event.Report, r.now)
+	}
 	if req == nil || req.engine == nil || event.Attempt != req.attempts-1 {
 		return
 	}
-	e = req.engine
+	e := req.engine
 	r.recordOutcome(e, req, event)
 	if event.Status == StatusPrefilled || event.Status == StatusServed && req.servesWhole {
 		e.cache.record(&req.Request, r.now)
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -11,9 +11,57 @@
 	peakTimeConstant       = 90 * time.Second // in which the peak fades where no such rate is seen again
 )
 
+// throughput is what the warm engines of one role do for this router, in tokens a second. It reads and
+// changes nothing else. Finished prefills and first tokens feed it; the slow-start budget asks.
+type throughput struct {
+	sum  float64 // tokens done by warm engines, fading
+	peak float64 // best rate of one engine
+	at   Time    // of the latest sample
+}
+
+// observe takes work done by one of so many warm engines.
+func (t *throughput) observe(tokens float64, warm int, now Time) {
+	elapsed := (now - t.at).Seconds()
+	t.at = now
+	t.sum = t.sum*math.Exp(-elapsed/throughputTimeConstant.Seconds()) + tokens
+	rate := t.sum / throughputTimeConstant.Seconds() / float64(max(warm, 1))
+	t.peak = max(t.peak*math.Exp(-elapsed/peakTimeConstant.Seconds()), rate)
+}
+
+// slowStartSends are this router's sends to one engine within an OverloadWindow. It reads and changes
+// nothing else. Every send feeds it; the slow-start budget and the engine table ask.
+type slowStartSends struct {
+	sends []slowStartSend // in order of time
+}
+
 type slowStartSend struct {
 	at     Time
-	weight float64
+	tokens float64
+}
+
+func (s *slowStartSends) add(now Time, tokens float64) {
+	s.sends = append(s.sends, slowStartSend{now, tokens})
+}
+
+// expire drops what was sent before the window.
+func (s *slowStartSends) expire(now, window Time) {
+	for len(s.sends) > 0 && now-s.sends[0].at > window {
+		s.sends = s.sends[1:]
+	}
+}
+
+// totalWith adds up what was sent, with so many tokens more.
+func (s *slowStartSends) totalWith(tokens float64) float64 {
+	for _, send := range s.sends {
+		tokens += send.tokens
+	}
+	return tokens
+}
+
+// recent reports whether anything was sent within the window.
+func (s *slowStartSends) recent(now, window Time) bool {
+	n := len(s.sends)
+	return n > 0 && now-s.sends[n-1].at <= window
 }
 
 // slowStartAdmits bounds this router's sends to an engine in slow start, within any OverloadWindow, by
@@ -21,38 +69,27 @@
 // overloads the engine. Where that is less than one request, a draw decides once a window whether to
 // send one: the first ones of many routers would overload it. It could starve a pool in which all
 // engines are in slow start.
-func (r *Router) slowStartAdmits(e *engine, weight float64) bool {
-	// They are in order of time.
-	for len(e.slowStartSends) > 0 && r.now-e.slowStartSends[0].at > r.set.OverloadWindow {
-		e.slowStartSends = e.slowStartSends[1:]
-	}
+func (r *Router) slowStartAdmits(e *engine, tokens float64) bool {
+	e.slowStart.expire(r.now, r.set.OverloadWindow)
 	if !r.inSlowStart(e) {
 		return true
 	}
-	limit := slowStartMargin * r.roles[e.role()].peakThroughput * r.set.OverloadWindow.Seconds() *
+	limit := slowStartMargin * r.throughputs[e.role()].peak * r.set.OverloadWindow.Seconds() *
 		r.set.OverloadMultiple * r.set.SlowStartCapacity
-	if len(e.slowStartSends) == 0 && limit < weight {
-		// no window common to all routers
-		window := float64(r.now)/float64(r.set.OverloadWindow) + r.uniformDraw(0, e.Name)
-		return r.uniformDraw(RequestID(window), e.Name) < limit/weight
-	}
-	for _, s := range e.slowStartSends {
-		weight += s.weight
+	if len(e.slowStart.sends) == 0 && limit < tokens {
+		// Each router's windows begin at a time of its own.
+		window := float64(r.now)/float64(r.set.OverloadWindow) + r.draws.uniform(0, e.Name)
+		return r.draws.uniform(RequestID(window), e.Name) < limit/tokens
 	}
-	return weight <= limit
+	return e.slowStart.totalWith(tokens) <= limit
 }
 
-// recordThroughput takes work done by a warm engine into the throughput of its role and keeps the peak.
-func (r *Router) recordThroughput(e *engine, weight float64) {
+// recordThroughput takes work done by a warm engine into the throughput of its role.
+func (r *Router) recordThroughput(e *engine, tokens float64) {
 	if r.inSlowStart(e) {
 		return
 	}
-	st := &r.roles[e.role()]
-	dt := (r.now - st.throughputAt).Seconds()
-	st.throughputAt = r.now
-	st.throughputSum = st.throughputSum*math.Exp(-dt/throughputTimeConstant.Seconds()) + weight
-	rate := st.throughputSum / throughputTimeConstant.Seconds() / float64(max(r.pool(e.role()).warm, 1))
-	st.peakThroughput = max(st.peakThroughput*math.Exp(-dt/peakTimeConstant.Seconds()), rate)
+	r.throughputs[e.role()].observe(tokens, r.pool(e.role()).warm, r.now)
 }
 
 func (r *Router) inSlowStart(e *engine) bool {
--- a/routing/timeout.go
+++ b/routing/timeout.go
@@ -14,11 +14,8 @@
 
 // attemptTimeout is how long an attempt may take before it counts as overdue.
 func (r *Router) attemptTimeout(req *request) time.Duration {
-	usual := r.roles[req.engine.role()].prefillSeconds
-	if req.phase == decoding {
-		usual = r.roles[req.engine.role()].firstTokenSeconds
-	}
-	tail := timeoutOverTypical * float64(seconds(usual))
+	typical := r.latency.typicalSeconds(req.engine.role(), req.phase)
+	tail := timeoutOverTypical * float64(seconds(typical))
 	expected := timeoutOverExpected * float64(req.expectedTime)
 	least := timeoutOverObjective * float64(req.class.FirstTokenObjective)
 	return time.Duration(max(expected, least, tail))
@@ -29,16 +26,16 @@
 // only busy.
 func (r *Router) cancelOverdue(role Role) {
 	usual := max(r.pool(role).overdue, 1)
-	for e := range r.usableOf(role) {
-		late := r.overdue(e) >= overdueRatio*usual
+	for e := range r.engines.usable(role) {
+		late := e.overdue(r.now) >= overdueRatio*usual
 		for _, req := range slices.Clone(e.inFlight) {
 			age := r.now - req.sentAt
-			busy := !late || e.lastHeard > req.sentAt && (r.slowdown(e) == 1 || age < req.class.FirstTokenObjective)
+			busy := !late || !e.silentSince(req.sentAt) && (r.slowdown(e) == 1 || age < req.class.FirstTokenObjective)
 			spent := req.cancelled || r.retries.empty() || req.attempts >= req.maxAttempts
-			if busy && req.sentAt >= e.lastCompletedSentAt || spent || age < r.attemptTimeout(req) {
+			if busy && !e.overtaken(req) || spent || age < r.attemptTimeout(req) {
 				continue
 			}
-			if e.lastHeard <= req.sentAt {
+			if e.silentSince(req.sentAt) {
 				r.recordResult(e, 1, 1)
 			}
 			r.cancel(req)
--- /dev/null
+++ b/routing/workload.go
@@ -0,0 +1,74 @@
+package routing
+
+// workload is this router's own work at one engine. It reads the requests in flight and changes nothing
+// else. Router.setPhase is the only caller that changes it; placement, timeouts and the statistics of
+// the pool ask.
+type workload struct {
+	prefills, heldStates, answers int
+	prefillTokens                 float64    // of the prompts that are being read
+	heldTokens                    float64    // of the prompts whose state is held
+	memory                        float64    // tokens that the answers are estimated to take
+	inFlight                      []*request // without a first token, oldest first
+	lastHeard                     Time       // the last sign of life
+	lastCompletedSentAt           Time       // when the latest attempt was sent that has succeeded
+}
+
+func (l *workload) addPrefill(sign int, tokens float64) {
+	l.prefills += sign
+	l.prefillTokens += float64(sign) * tokens
+}
+
+func (l *workload) addHeldState(sign int, tokens float64) {
+	l.heldStates += sign
+	l.heldTokens += float64(sign) * tokens
+}
+
+func (l *workload) addAnswer(sign int, memory float64) {
+	l.answers += sign
+	l.memory += float64(sign) * memory
+}
+
+// idle reports whether there is nothing left to account for.
+func (l *workload) idle() bool { return len(l.inFlight) == 0 && l.prefills+l.heldStates+l.answers <= 0 }
+
+// activeRequests is what counts for the fair share.
+func (l *workload) activeRequests() int { return l.prefills + l.heldStates }
+
+// heard takes a sign of life.
+func (l *workload) heard(now Time) { l.lastHeard = now }
+
+// succeeded takes the success of an attempt that was sent at a time.
+func (l *workload) succeeded(sentAt Time) { l.lastCompletedSentAt = max(l.lastCompletedSentAt, sentAt) }
+
+// silentSince reports whether nothing was heard after a time.
+func (l *workload) silentSince(t Time) bool { return l.lastHeard <= t }
+
+// overtaken reports whether an attempt sent later than one has succeeded.
+func (l *workload) overtaken(req *request) bool { return req.sentAt < l.lastCompletedSentAt }
+
+// oldestInFlight is the oldest attempt in flight that no later one has overtaken. One that was
+// overtaken hangs for a reason of its own and tells nothing of the queue.
+func (l *workload) oldestInFlight() *request {
+	for _, req := range l.inFlight {
+		if !l.overtaken(req) {
+			return req
+		}
+	}
+	return nil
+}
+
+// overdue is how many times its expected time the oldest attempt has been in flight.
+func (l *workload) overdue(now Time) float64 {
+	if req := l.oldestInFlight(); req != nil {
+		return float64(now-req.sentAt) / float64(req.expectedTime)
+	}
+	return 0
+}
+
+// oldestAge is how many seconds the oldest attempt has been in flight.
+func (l *workload) oldestAge(now Time) float64 {
+	if req := l.oldestInFlight(); req != nil {
+		return (now - req.sentAt).Seconds()
+	}
+	return 0
+}
