--- a/routing/eligibility.go
+++ b/routing/eligibility.go
@@ -29,7 +29,9 @@
 	if short := (len(allowed)+1)/2 - len(healthy); short > 0 {
 		isHealthy := func(e *engine) bool { return slices.Contains(healthy, e) }
 		rest := slices.DeleteFunc(slices.Clone(allowed), isHealthy)
-		slices.SortStableFunc(rest, func(a, b *engine) int { return cmp.Compare(a.failures.rate, b.failures.rate) })
+		slices.SortStableFunc(rest, func(a, b *engine) int {
+			return cmp.Compare(a.failures.failureRate(), b.failures.failureRate())
+		})
 		healthy = append(healthy, rest[:short]...)
 	}
 	return healthy
--- a/routing/latency.go
+++ b/routing/latency.go
@@ -32,8 +32,10 @@
 	reportWeight                  reportRegression
 }
 
-// observePrefill takes one prefill of so many tokens, with the queue ahead of it.
-func (m *latencyModel) observePrefill(role Role, tokens, seconds float64) {
+// observePrefill takes one prefill: its own tokens, those with the queue ahead of it, those of the queue
+// that a report had shown, and its time.
+func (m *latencyModel) observePrefill(role Role, own, tokens, reported, seconds float64) {
+	m.roles[role].reportWeight.observe(reported, own, seconds)
 	updateTypical(&m.roles[role].prefillSeconds, seconds)
 	updateTypical(&m.roles[role].prefillTokens, tokens)
 }
@@ -57,6 +59,11 @@
 // typicalPrefillTokens is how many tokens a typical prefill has, with the queue ahead of it.
 func (m *latencyModel) typicalPrefillTokens(role Role) float64 { return m.roles[role].prefillTokens }
 
+// reportedTokenWeight is what a token that a report shows waiting counts against one to prefill.
+func (m *latencyModel) reportedTokenWeight(role Role) float64 {
+	return m.roles[role].reportWeight.tokenWeight()
+}
+
 // typicalSeconds is the typical time of an attempt in a phase.
 func (m *latencyModel) typicalSeconds(role Role, p phase) float64 {
 	if p == decoding {
@@ -103,11 +110,10 @@
 func (r *Router) recordPrefill(e *engine, req *request, ownTokens float64, took time.Duration) {
 	role, seconds := e.role(), took.Seconds()
 	tokens := req.queuedAhead + ownTokens + stepOverheadTokens
-	r.latency.roles[role].reportWeight.observe(req.reportedAhead, ownTokens+stepOverheadTokens, seconds)
 	perToken := r.latency.secondsPerToken(role)
 	e.backlog.observe(seconds/perToken-tokens, r.now)
 	e.pace.observe(seconds/tokens/perToken, r.now)
-	r.latency.observePrefill(role, tokens, seconds)
+	r.latency.observePrefill(role, ownTokens+stepOverheadTokens, tokens, req.reportedAhead, seconds)
 }
 
 // decodeWait is the typical wait for a first token while fresh, in seconds, or the wait at half of the
--- a/routing/load.go
+++ b/routing/load.go
@@ -34,6 +34,17 @@
 	return math.Exp2(-(now - p.at).Seconds() / reportHalfLife.Seconds())
 }
 
+// age is how long ago it came.
+func (p *engineReport) age(now Time) time.Duration { return now - p.at }
+
+// trustedWaiting is the reported number of waiting tokens as far as it is still believed, 0 for none.
+func (p *engineReport) trustedWaiting(now Time) float64 {
+	if p.latest.WaitingTokens == nil {
+		return 0
+	}
+	return *p.latest.WaitingTokens * p.trust(now)
+}
+
 // addSent takes what was sent: tokens to prefill, and memory.
 func (p *engineReport) addSent(tokens, memory float64) {
 	p.tokensSince += tokens
@@ -63,7 +74,7 @@
 func (r *Router) queuedTokens(e *engine) float64 {
 	own := e.prefillTokens + heldStateWeight*e.heldTokens
 	if e.report.latest.WaitingTokens != nil {
-		weight := r.latency.roles[e.role()].reportWeight.tokenWeight()
+		weight := r.latency.reportedTokenWeight(e.role())
 		return max(own, weight*r.reportedTokens(e)+e.report.tokensSince)
 	}
 	if r.set.Gateways < manyGateways { // own load is a good part of all, and newer
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -18,6 +18,8 @@
 	ejectedUntil   Time
 }
 
+func (f *failureRecord) failureRate() float64 { return f.rate }
+
 // observe takes a failure, 1, or a success, 0, as often as it counts.
 func (f *failureRecord) observe(failure float64, times int) {
 	for range times {
@@ -82,7 +84,8 @@
 
 // isOutlier reports whether an engine fails far more than its peers.
 func (r *Router) isOutlier(e *engine) bool {
-	return e.failures.rate > ejectionThreshold && e.failures.rate > 2*r.pool(e.role()).failureRate
+	rate := e.failures.failureRate()
+	return rate > ejectionThreshold && rate > 2*r.pool(e.role()).failureRate
 }
 
 // trusted reports whether an engine may take ordinary work. An ejected one comes back on trial, with
--- a/routing/poolstats.go
+++ b/routing/poolstats.go
@@ -24,13 +24,11 @@
 		if !r.inSlowStart(e) {
 			v.warm++
 		}
-		fail = append(fail, e.failures.rate)
+		fail = append(fail, e.failures.failureRate())
 		age = append(age, e.oldestAge(r.now))
 		overdue = append(overdue, e.overdue(r.now))
 		pace = append(pace, e.pace.current(r.now))
-		if e.report.latest.WaitingTokens != nil {
-			v.waitingTokens += *e.report.latest.WaitingTokens * e.report.trust(r.now)
-		}
+		v.waitingTokens += e.report.trustedWaiting(r.now)
 	}
 	v.waitingTokens /= float64(max(v.size, 1))
 	v.pace, v.oldestAge, v.overdue = median(pace, 1), median(age, 0), median(overdue, 1)
--- a/routing/probe.go
+++ b/routing/probe.go
@@ -34,7 +34,7 @@
 	}
 	e := slices.MinFunc(pool, func(a, b *engine) int { return cmp.Compare(cost(a), cost(b)) })
 	req.probed = []*engine{e}
-	if r.now-e.report.at < freshReportAge {
+	if e.report.age(r.now) < freshReportAge {
 		return false
 	}
 	if !e.probe.pending(r.now) {
--- a/routing/request.go
+++ b/routing/request.go
@@ -5,12 +5,8 @@
 	"time"
 )
 
-const (
-	minExpectedTime   = 30 * time.Millisecond  // expectations below this are noise
-	minRemainingTime  = 30 * time.Millisecond  // with less time left an attempt is not answered in time
-	minRetryAfter     = 200 * time.Millisecond // the shortest Retry-After
-	assumedAnswerPart = 0.3                    // part of MaxTokens that an answer takes, without a hint
-)
+// assumedAnswerPart is the part of MaxTokens that an answer takes, when no hint is given.
+const assumedAnswerPart = 0.3
 
 // phase is where a request is on its way.
 type phase uint8
@@ -54,86 +50,6 @@
 	return c.FirstTokenObjective + time.Duration(prompt)*c.FirstTokenPerPromptToken
 }
 
-// toPrefill sends a request to the prefill engine that placement chooses, or holds it for a short
-// part of its objective when none is eligible.
-func (r *Router) toPrefill(req *request) {
-	e, wait := r.placePrefill(req)
-	if e == nil {
-		r.hold(req, awaitingPrefill)
-		return
-	}
-	if r.overloaded(req, wait) {
-		r.giveUp(req, seconds(wait/2))
-		return
-	}
-	req.hitTokens = r.cachedTokens(req, e)
-	req.prefillTokens = max(req.PromptTokens-req.hitTokens, 1)
-	req.reportedAhead = r.reportedTokens(e)
-	// With the reported queue, so that it is not given up early where there is one.
-	req.queuedAhead = r.queuedTokens(e) + r.reportedQueueTokens(e)
-	tokens := req.queuedAhead + float64(req.prefillTokens) + stepOverheadTokens
-	req.expectedTime = max(minExpectedTime, seconds(tokens*r.latency.secondsPerToken(e.role())))
-	r.send(req, e, prefilling)
-}
-
-// toDecode sends a request whose prompt is read to a decode engine, or holds it well within
-// HeldStateLimit.
-func (r *Router) toDecode(req *request) {
-	e := r.placeDecode(req)
-	if e == nil {
-		r.hold(req, awaitingDecode)
-		return
-	}
-	req.expectedTime = max(minExpectedTime, seconds(r.latency.typicalSeconds(e.role(), decoding)))
-	r.send(req, e, decoding)
-}
-
-func (r *Router) send(req *request, e *engine, p phase) {
-	r.setPhase(req, p, e)
-	req.attempts++
-	req.servesWhole = p == prefilling && e.role() != RolePrefill
-	req.sentAt, req.cancelled = r.now, false
-	limit := r.attemptTimeout(req)
-	if r.set.CanCancel { // cancelOverdue tells a silent engine from a busy one
-		limit = max(2*limit, 2*req.class.FirstTokenObjective)
-	}
-	if req.attempts >= req.maxAttempts-1 || r.now+limit+minRemainingTime >= req.deadline {
-		limit = req.deadline - r.now
-	}
-	e.slowStart.add(r.now, r.meanPrompt[req.Class])
-	if e.role() != RolePrefill {
-		req.possibleRuns = append(req.possibleRuns, possibleRun{e.Zone, e.Cell, r.now})
-	}
-	r.emit(Send{ID: req.ID, Engine: e.Name, Timeout: limit})
-}
-
-// giveUp gives the final answer at once: Reject if the request may be retried, with a wait.
-func (r *Router) giveUp(req *request, wait time.Duration) {
-	rejectable := len(req.possibleRuns) == 0 || req.class == nil || req.class.Effect == EffectIdempotent ||
-		req.class.Effect == EffectDeduplicated && req.class.DedupScope == DedupAllEngines
-	if rejectable {
-		r.reject(req, wait, false)
-		return
-	}
-	r.emit(Fail{req.ID})
-	r.finish(req)
-}
-
-// reject rejects a request that has had no effect or may be retried. The advised wait is spread over
-// requests, so that clients do not come back all at once.
-func (r *Router) reject(req *request, wait time.Duration, overQuota bool) {
-	if wait = min(max(wait, minRetryAfter), r.set.MaxRetryAfter); !r.set.CanRetryAfter {
-		wait = 0
-	}
-	part := 0.5 + 0.5*r.draws.uniform(req.ID, "wait")
-	if overQuota { // sooner would only be rejected again
-		part += 0.5
-	}
-	wait = min(time.Duration(float64(wait)*part), r.set.MaxRetryAfter)
-	r.emit(Reject{ID: req.ID, RetryAfter: wait, OverQuota: overQuota})
-	r.finish(req)
-}
-
 // memoryEstimate estimates the memory that a request takes while it is answered, in tokens.
 func (r *Router) memoryEstimate(req *request) float64 {
 	out := assumedAnswerPart * float64(req.MaxTokens)
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -1,7 +1,5 @@
 package routing
 
-import "time"
-
 const (
 	retriesPerRequest = 0.25 // attempts that each request adds to the budget
 	maxRetryBudget    = 40.0 // attempts that all routers together may save up: those in flight at a few engines
@@ -13,6 +11,9 @@
 	attempts float64
 }
 
+// newRetryBudget returns one with little in it: all gateways may have restarted.
+func newRetryBudget() retryBudget { return retryBudget{attempts: 1} }
+
 // earn adds a request's part.
 func (b *retryBudget) earn(gateways int) {
 	b.attempts = min(1+maxRetryBudget/float64(gateways), b.attempts+retriesPerRequest)
@@ -46,9 +47,3 @@
 	}
 	r.toPrefill(req)
 }
-
-// observedWait is the wait seen at half of the prefill and decode engines: what a client that is to
-// retry is advised to wait.
-func (r *Router) observedWait() time.Duration {
-	return seconds(r.pool(RolePrefill).oldestAge + r.decodeWait())
-}
--- a/routing/router.go
+++ b/routing/router.go
@@ -39,35 +39,31 @@
 // New returns a router for the settings; all its randomness comes from seed. An
 // error names the setting that cannot be used.
 func New(set Settings, seed uint64) (*Router, error) {
-	r, err := newRouter(set, seed)
-	if err != nil {
-		return nil, err
-	}
-	r.retries.attempts = 1 // not the full budget: all gateways may have restarted
-	r.quotas = newQuotas(&set)
-	return r, nil
-}
-
-func newRouter(set Settings, seed uint64) (*Router, error) {
-	r := &Router{
-		set: set, draws: draws{seed}, classes: map[string]*Class{}, kinds: map[string]*Kind{},
-		meanPrompt: map[string]float64{}, engines: engineTable{byName: map[string]*engine{}},
-		requests: map[RequestID]*request{}, popularity: prefixPopularity{map[string]float64{}},
-		rateLimits: rateLimits{map[string]float64{}},
-	}
 	if err := validate(&set); err != nil {
 		return nil, err
 	}
-	for i := range set.Classes {
-		r.classes[set.Classes[i].Name] = &r.set.Classes[i]
-		r.maxPriority = max(r.maxPriority, set.Classes[i].PriorityWeight, 1e-9)
+	r := &Router{
+		set: set, kinds: map[string]*Kind{}, draws: draws{seed},
+		requests: map[RequestID]*request{}, engines: engineTable{byName: map[string]*engine{}},
+		popularity: prefixPopularity{map[string]float64{}}, quotas: newQuotas(&set), retries: newRetryBudget(),
+		rateLimits: rateLimits{map[string]float64{}}, meanPrompt: map[string]float64{},
 	}
+	r.indexClasses()
 	for i := range set.Kinds {
 		r.kinds[set.Kinds[i].Name] = &r.set.Kinds[i]
 	}
 	return r, nil
 }
 
+// indexClasses takes the classes of the settings.
+func (r *Router) indexClasses() {
+	r.classes, r.maxPriority = map[string]*Class{}, 0
+	for i := range r.set.Classes {
+		r.classes[r.set.Classes[i].Name] = &r.set.Classes[i]
+		r.maxPriority = max(r.maxPriority, r.set.Classes[i].PriorityWeight, 1e-9)
+	}
+}
+
 // Handle takes one event and returns what to do about it, in order. The result
 // is valid until the next call.
 func (r *Router) Handle(now Time, ev Event) []Action {
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -23,11 +23,7 @@
 		}
 	}
 	r.set.Classes, r.set.MaxAttempts = next.Classes, attempts
-	r.classes, r.maxPriority = map[string]*Class{}, 0
-	for i := range r.set.Classes {
-		r.classes[r.set.Classes[i].Name] = &r.set.Classes[i]
-		r.maxPriority = max(r.maxPriority, r.set.Classes[i].PriorityWeight, 1e-9)
-	}
+	r.indexClasses()
 	return nil
 }
 
