--- a/routing/harness_test.go
+++ b/routing/harness_test.go
@@ -26,26 +26,26 @@
 	}
 }
 
-func server(name, kind string, cell int) EngineInfo {
+func testEngine(name, kind string, cell int) EngineInfo {
 	return EngineInfo{Name: name, Kind: kind, Zone: "z", Cell: cell, Weight: 1}
 }
 
-func router(t *testing.T, set Settings, servers ...EngineInfo) *Router {
+func newTestRouter(t *testing.T, set Settings, engines ...EngineInfo) *Router {
 	t.Helper()
 	r, err := New(set, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Handle(0, EngineList{Scope: EngineListStale, Engines: servers})
+	r.Handle(0, EngineList{Scope: EngineListStale, Engines: engines})
 	return r
 }
 
-func ask(id RequestID, prompt int) Request {
+func testRequest(id RequestID, prompt int) Request {
 	return Request{ID: id, Class: "c", Session: fmt.Sprint("s", id), PromptTokens: prompt, MaxTokens: 100, TTL: 5 * time.Second}
 }
 
-// sent returns the only engine that the actions send a request to.
-func sent(t *testing.T, actions []Action) string {
+// sentTo returns the only engine that the actions send a request to.
+func sentTo(t *testing.T, actions []Action) string {
 	t.Helper()
 	to := ""
 	for _, a := range actions {
@@ -71,11 +71,27 @@
 	return false
 }
 
-func read(id RequestID, attempt int, at string, kept int) Outcome {
+func prefilledAt(id RequestID, attempt int, at string, kept int) Outcome {
 	return Outcome{ID: id, Attempt: attempt, Engine: at, Status: StatusPrefilled, Latency: 20 * ms, CachedTokens: kept}
 }
 
-// keep makes a prefill engine known to hold tokens of a session.
-func keep(r *Router, at, session string, tokens int) {
+// cacheSession makes a prefill engine known to hold tokens of a session.
+func cacheSession(r *Router, at, session string, tokens int) {
 	r.engines.byName[at].cache.sessions[session] = cacheEntry{tokens, r.now}
 }
+
+// fleet makes routers that differ in seed alone.
+func fleet(t *testing.T, n int, set Settings, engines ...EngineInfo) []*Router {
+	t.Helper()
+	set.Gateways = n
+	var all []*Router
+	for seed := range n {
+		r, err := New(set, uint64(seed))
+		if err != nil {
+			t.Fatal(err)
+		}
+		r.Handle(0, EngineList{Scope: EngineListStale, Engines: engines})
+		all = append(all, r)
+	}
+	return all
+}
--- a/routing/hostile_test.go
+++ b/routing/hostile_test.go
@@ -13,7 +13,7 @@
 type attempt struct {
 	id     RequestID
 	number int
-	server EngineInfo
+	engine EngineInfo
 	begun  bool
 }
 
@@ -38,7 +38,7 @@
 	router  *Router
 	set     Settings
 	names   []string // of the engines
-	servers map[string]EngineInfo
+	engines map[string]EngineInfo
 
 	now     time.Duration
 	timer   time.Duration // -1 for none
@@ -56,13 +56,13 @@
 func newHostileWorld(t *testing.T, seed uint64) *hostileWorld {
 	w := &hostileWorld{
 		t: t, seed: seed, random: rand.New(rand.NewPCG(seed, 1)), set: testSettings(), timer: -1, nextID: 1,
-		servers: map[string]EngineInfo{}, live: map[RequestID]Request{}, due: map[RequestID]time.Duration{},
+		engines: map[string]EngineInfo{}, live: map[RequestID]Request{}, due: map[RequestID]time.Duration{},
 		counts: map[RequestID]int{}, maybe: map[RequestID][]attempt{}, sentAt: map[RequestID]time.Duration{},
 		holding: map[RequestID]time.Duration{},
 	}
 	for i := range 9 {
-		s := server(fmt.Sprint("n", i), []string{"r", "w", "m"}[i%3], i%2)
-		w.servers[s.Name] = s
+		s := testEngine(fmt.Sprint("n", i), []string{"r", "w", "m"}[i%3], i%2)
+		w.engines[s.Name] = s
 		w.names = append(w.names, s.Name)
 	}
 	router, err := New(w.set, seed)
@@ -127,7 +127,7 @@
 // sent checks an attempt that the router makes, and takes it into the account.
 func (w *hostileWorld) sent(a Send) {
 	q, open := w.live[a.ID]
-	s := w.servers[a.Engine]
+	s := w.engines[a.Engine]
 	switch {
 	case !open:
 		w.fail("send for %d, which has ended", a.ID)
@@ -139,7 +139,7 @@
 		w.fail("too many attempts")
 	}
 	for _, m := range w.maybe[a.ID] {
-		if q.Class == "once" || q.Class == "keyed" && (m.server.Cell != s.Cell || w.now-w.sentAt[a.ID] > 2*time.Second) {
+		if q.Class == "once" || q.Class == "keyed" && (m.engine.Cell != s.Cell || w.now-w.sentAt[a.ID] > 2*time.Second) {
 			w.fail("%s request %d may run twice", q.Class, a.ID)
 		}
 	}
@@ -147,7 +147,7 @@
 		w.sentAt[a.ID] = w.now
 	}
 	delete(w.holding, a.ID)
-	w.out = append(w.out, attempt{id: a.ID, number: w.counts[a.ID], server: s})
+	w.out = append(w.out, attempt{id: a.ID, number: w.counts[a.ID], engine: s})
 	w.counts[a.ID]++
 }
 
@@ -163,7 +163,7 @@
 func (w *hostileWorld) roster(scope EngineListScope) {
 	ev := EngineList{Scope: scope}
 	for _, n := range w.names {
-		ev.Engines = append(ev.Engines, w.servers[n])
+		ev.Engines = append(ev.Engines, w.engines[n])
 	}
 	w.handle(ev)
 }
@@ -177,19 +177,19 @@
 	if final {
 		delete(w.live, a.id)
 	}
-	if a.server.Kind != "r" && (st == StatusError || st == StatusTimeout || st == StatusReset || st == StatusCancelled) {
+	if a.engine.Kind != "r" && (st == StatusError || st == StatusTimeout || st == StatusReset || st == StatusCancelled) {
 		w.maybe[a.id] = append(w.maybe[a.id], a)
 	}
 	if st == StatusPrefilled {
 		w.holding[a.id] = w.now
-	} else if _, kept := w.holding[a.id]; kept || a.server.Kind == "w" && !a.begun && st != StatusServed {
+	} else if _, kept := w.holding[a.id]; kept || a.engine.Kind == "w" && !a.begun && st != StatusServed {
 		w.holding[a.id] = w.now
 	}
 	if a.begun {
 		delete(w.holding, a.id)
 	}
 	w.handle(Outcome{
-		ID: a.id, Attempt: a.number, Engine: a.server.Name, Status: st, Latency: 5 * ms, Final: final,
+		ID: a.id, Attempt: a.number, Engine: a.engine.Name, Status: st, Latency: 5 * ms, Final: final,
 		CachedTokens: w.random.IntN(500),
 	})
 }
@@ -225,7 +225,7 @@
 func (w *hostileWorld) request() {
 	id := w.nextID
 	w.nextID++
-	q := ask(id, 100+w.random.IntN(6000))
+	q := testRequest(id, 100+w.random.IntN(6000))
 	q.Class = []string{"c", "keyed", "once"}[w.random.IntN(3)]
 	q.TTL = time.Duration(10+w.random.IntN(3000)) * ms
 	w.live[id], w.due[id] = q, w.now+q.TTL
@@ -235,12 +235,12 @@
 // changeList has one engine start, drain or leave.
 func (w *hostileWorld) changeList() {
 	name := w.names[w.random.IntN(len(w.names))]
-	s := w.servers[name]
+	s := w.engines[name]
 	s.Phase, s.StartTime = Phase(w.random.IntN(3)), w.now
 	if w.random.IntN(2) == 0 {
 		s.Phase = PhaseActive
 	}
-	w.servers[name] = s
+	w.engines[name] = s
 	w.roster([]EngineListScope{EngineListDelta, EngineListSnapshot}[w.random.IntN(2)])
 }
 
@@ -255,12 +255,12 @@
 		w.end(i, StatusReset)
 	case w.random.IntN(4) == 0:
 		w.end(i, fail)
-	case a.server.Kind == "r":
+	case a.engine.Kind == "r":
 		w.end(i, StatusPrefilled)
 	default:
 		w.out[i].begun = true
 		delete(w.holding, a.id)
-		w.handle(FirstToken{ID: a.id, Attempt: a.number, Engine: a.server.Name, Latency: 5 * ms})
+		w.handle(FirstToken{ID: a.id, Attempt: a.number, Engine: a.engine.Name, Latency: 5 * ms})
 	}
 }
 
--- a/routing/failure_test.go
+++ b/routing/outlier_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestSilentEngineEjectedAndRetried(t *testing.T) {
-	r := router(t, testSettings(), server("a", "r", 0), server("b", "r", 0), server("c", "r", 0), server("w", "w", 0))
+	r := newTestRouter(t, testSettings(), testEngine("a", "r", 0), testEngine("b", "r", 0), testEngine("c", "r", 0), testEngine("w", "w", 0))
 	for range 2 {
 		r.recordResult(r.engines.byName["a"], 1, 1)
 	}
@@ -26,22 +26,22 @@
 }
 
 func TestFloorKeepsHalfThePool(t *testing.T) {
-	r := router(t, testSettings(), server("a", "r", 0), server("b", "r", 0), server("w", "w", 0))
+	r := newTestRouter(t, testSettings(), testEngine("a", "r", 0), testEngine("b", "r", 0), testEngine("w", "w", 0))
 	for _, n := range []string{"a", "b"} {
 		r.engines.byName[n].failures.ejectedUntil = time.Hour
 	}
-	q := &request{Request: ask(1, 500), class: r.classes["c"]}
+	q := &request{Request: testRequest(1, 500), class: r.classes["c"]}
 	if n := len(r.eligible(q, true)); n != 1 {
-		t.Errorf("%d of 2 readers left, want 1", n)
+		t.Errorf("%d of 2 prefill engines left, want 1", n)
 	}
 }
 
 func TestFailingEngineAmongBusyPeers(t *testing.T) {
 	var list []EngineInfo
 	for i := range 8 {
-		list = append(list, server(fmt.Sprint("r", i), "r", 0))
+		list = append(list, testEngine(fmt.Sprint("r", i), "r", 0))
 	}
-	r := router(t, testSettings(), list...)
+	r := newTestRouter(t, testSettings(), list...)
 	for i := 1; i < 5; i++ { // half of the peers look bad as well
 		r.engines.byName[fmt.Sprint("r", i)].failures.rate = 0.6
 	}
@@ -49,12 +49,12 @@
 		r.recordResult(r.engines.byName["r0"], 1, 1)
 	}
 	if r.trusted(r.engines.byName["r0"]) {
-		t.Error("a server that fails everything stays in use because other servers are sick too")
+		t.Error("an engine that fails everything stays in use because other engines are sick too")
 	}
 }
 
 func TestCommonFailureEjectsNone(t *testing.T) {
-	r := router(t, testSettings(), server("a", "r", 0), server("b", "r", 0), server("c", "r", 0))
+	r := newTestRouter(t, testSettings(), testEngine("a", "r", 0), testEngine("b", "r", 0), testEngine("c", "r", 0))
 	for range 6 {
 		for _, w := range r.engines.ordered {
 			r.recordResult(w, 1, 1)
@@ -72,25 +72,25 @@
 }
 
 func TestTimeoutAtBusyEngineIsNoFailure(t *testing.T) {
-	r := router(t, testSettings(), server("a", "r", 0), server("w", "w", 0))
-	sent(t, r.Handle(ms, ask(1, 500)))
-	sent(t, r.Handle(2*ms, ask(2, 500)))
-	r.Handle(30*ms, read(2, 0, "a", 0))
+	r := newTestRouter(t, testSettings(), testEngine("a", "r", 0), testEngine("w", "w", 0))
+	sentTo(t, r.Handle(ms, testRequest(1, 500)))
+	sentTo(t, r.Handle(2*ms, testRequest(2, 500)))
+	r.Handle(30*ms, prefilledAt(2, 0, "a", 0))
 	r.Handle(900*ms, Outcome{ID: 1, Engine: "a", Status: StatusTimeout, Latency: 899 * ms})
 	if w := r.engines.byName["a"]; w.failures.rate > 0 {
-		t.Errorf("a server that answered others meanwhile is blamed %.2f", w.failures.rate)
+		t.Errorf("an engine that answered others meanwhile is blamed %.2f", w.failures.rate)
 	}
 }
 
 func TestHungAttemptIsWithdrawn(t *testing.T) {
-	r := router(t, testSettings(), server("a", "r", 0), server("w", "w", 0))
-	sent(t, r.Handle(ms, ask(1, 500))) // its answer is lost on the way
+	r := newTestRouter(t, testSettings(), testEngine("a", "r", 0), testEngine("w", "w", 0))
+	sentTo(t, r.Handle(ms, testRequest(1, 500))) // its answer is lost on the way
 	now := 2 * ms
 	for id := RequestID(2); id < 40; id++ { // later ones come through
-		if a := r.Handle(now, ask(id, 500)); !has[Send](a) {
+		if a := r.Handle(now, testRequest(id, 500)); !has[Send](a) {
 			t.Fatalf("%v: the hung attempt held the others back: %v", now, a)
 		}
-		r.Handle(now+15*ms, read(id, 0, "a", 0))
+		r.Handle(now+15*ms, prefilledAt(id, 0, "a", 0))
 		r.Handle(now+25*ms, FirstToken{ID: id, Attempt: 1, Engine: "w", Latency: 10 * ms})
 		r.Handle(now+26*ms, Outcome{ID: id, Attempt: 1, Engine: "w", Status: StatusServed, Final: true})
 		now += 30 * ms
@@ -102,12 +102,12 @@
 }
 
 func TestStuckDecodeEnginesDoNotSkewEstimate(t *testing.T) {
-	r := router(t, testSettings(), server("w1", "w", 0), server("w2", "w", 0), server("w3", "w", 0))
+	r := newTestRouter(t, testSettings(), testEngine("w1", "w", 0), testEngine("w2", "w", 0), testEngine("w3", "w", 0))
 	r.now = 5 * time.Second
 	for range 3 {
 		r.engines.byName["w1"].inFlight = append(r.engines.byName["w1"].inFlight, &request{sentAt: 0, phase: decoding, expectedTime: ms})
 	}
 	if w := r.decodeWait(); w != 0 {
-		t.Errorf("states stuck at one of three writers make the wait %.1f s", w)
+		t.Errorf("states stuck at one of three decode engines make the wait %.1f s", w)
 	}
 }
--- a/routing/cold_test.go
+++ b/routing/slowstart_fleet_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// bears is how many calls an engine that has just started bears in any span of the settings'
+// slowStartLimit is how many calls an engine that has just started bears in any span of the settings'
 // length, n being what the settings allow it: a little more for chance.
-func bears(n float64) float64 {
+func slowStartLimit(n float64) float64 {
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
 	}
@@ -33,10 +33,10 @@
 		leave    int // of the four warm engines, a second before the cold one comes
 		starved  bool
 	}{
-		{"servers of 12 requests a second", 12, []int{1, 2, 3, 5, 10, 30, 80, 300}, 40 * time.Second, 0, false},
+		{"engines of 12 requests a second", 12, []int{1, 2, 3, 5, 10, 30, 80, 300}, 40 * time.Second, 0, false},
 		{"of one", 1, []int{1, 3, 10, 80, 300}, 200 * time.Second, 0, true},
 		{"of 60", 60, []int{1, 3, 30, 300}, 20 * time.Second, 0, false},
-		{"half of the servers leave before", 60, []int{1, 3, 30, 300}, 20 * time.Second, 2, false},
+		{"half of the engines leave before", 60, []int{1, 3, 30, 300}, 20 * time.Second, 2, false},
 		{"nothing learned", 12, []int{1, 3, 300}, 10 * ms, 0, true},
 	} {
 		t.Run(c.name, func(t *testing.T) { playCold(t, c.capacity, c.routers, c.learn, c.leave, c.starved) })
@@ -86,11 +86,11 @@
 
 func newColdWorld(t *testing.T, capacity float64, routers int, share func(i, n int) float64) *coldWorld {
 	w := &coldWorld{t: t, set: testSettings(), capacity: capacity, random: rand.New(rand.NewPCG(uint64(routers), 5))}
-	servers := []EngineInfo{server("w", "w", 0)}
+	engines := []EngineInfo{testEngine("w", "w", 0)}
 	for i := range coldWarm {
-		servers = append(servers, server(warmName(i), "r", 0))
+		engines = append(engines, testEngine(warmName(i), "r", 0))
 	}
-	w.routers = fleet(t, routers, w.set, servers...)
+	w.routers = fleet(t, routers, w.set, engines...)
 	total := 0.0
 	for i := range routers {
 		total += share(i, routers)
@@ -106,14 +106,14 @@
 	w.run(learn, 0.8)
 	if leave > 0 {
 		for i := range leave {
-			gone := server(warmName(i), "r", 0)
+			gone := testEngine(warmName(i), "r", 0)
 			gone.Phase = PhaseDraining
 			w.tell(gone)
 		}
 		w.run(time.Second, 0.8)
 	}
 	w.full = true
-	cold := server("cold", "r", 0)
+	cold := testEngine("cold", "r", 0)
 	cold.StartTime = w.now
 	w.tell(cold)
 	w.run(4*w.set.OverloadWindow, 1.2)
@@ -143,9 +143,9 @@
 			r.engines.byName[warmName(i)].backoffs.until["\x00c"] = w.now + time.Minute
 		}
 	}
-	actions := slices.Clone(r.Handle(w.now, ask(w.lastID, coldPrompt)))
+	actions := slices.Clone(r.Handle(w.now, testRequest(w.lastID, coldPrompt)))
 	for attempt := 0; has[Send](actions) && attempt < 2; attempt++ {
-		to := sent(w.t, actions)
+		to := sentTo(w.t, actions)
 		if to == "cold" {
 			w.toCold = append(w.toCold, w.now)
 		}
@@ -154,13 +154,13 @@
 			r.Handle(w.now, Outcome{ID: w.lastID, Attempt: attempt, Engine: to, Status: StatusServed, Final: true})
 			return
 		}
-		actions = slices.Clone(r.Handle(w.now, read(w.lastID, attempt, to, 0)))
+		actions = slices.Clone(r.Handle(w.now, prefilledAt(w.lastID, attempt, to, 0)))
 	}
 }
 
 // check checks what the cold engine got in any span of the settings' length.
 func (w *coldWorld) check(starved bool) {
-	most := bears(w.set.OverloadMultiple * w.set.SlowStartCapacity * w.capacity * w.set.OverloadWindow.Seconds())
+	most := slowStartLimit(w.set.OverloadMultiple * w.set.SlowStartCapacity * w.capacity * w.set.OverloadWindow.Seconds())
 	for i, from := range w.toCold {
 		got := slices.IndexFunc(w.toCold[i:], func(at Time) bool { return at > from+w.set.OverloadWindow })
 		if got < 0 {
