--- a/routing/answer.go
+++ b/routing/answer.go
@@ -7,9 +7,7 @@
 
 // giveUp gives the final answer at once: Reject if the request may be retried, with a wait.
 func (r *Router) giveUp(req *request, wait time.Duration) {
-	rejectable := len(req.possibleRuns) == 0 || req.class == nil || req.class.Effect == EffectIdempotent ||
-		req.class.Effect == EffectDeduplicated && req.class.DedupScope == DedupAllEngines
-	if rejectable {
+	if req.effects.clientMayRetry(req.class) {
 		r.reject(req, wait, false)
 		return
 	}
--- a/routing/dispatch.go
+++ b/routing/dispatch.go
@@ -53,9 +53,9 @@
 	if req.attempts >= req.maxAttempts-1 || r.now+limit+minRemainingTime >= req.deadline {
 		limit = req.deadline - r.now
 	}
-	e.slowStart.add(r.now, r.meanPrompt[req.Class])
+	e.slowStart.add(r.now, r.meanPrompt.of(req.Class))
 	if e.role() != RolePrefill {
-		req.possibleRuns = append(req.possibleRuns, possibleRun{e.Zone, e.Cell, r.now})
+		req.effects.add(e, r.now)
 	}
 	r.emit(Send{ID: req.ID, Engine: e.Name, Timeout: limit})
 }
--- a/routing/eligibility.go
+++ b/routing/eligibility.go
@@ -14,10 +14,10 @@
 		role := e.role()
 		wanted := role == RoleMixed || prefill && role == RolePrefill || !prefill && role == RoleDecode
 		rejecting := e.backoffs.active(rateLimitKey(req), r.now)
-		if !wanted || !e.usable || rejecting || !r.effectAllows(req, e) {
+		if !wanted || !e.usable || rejecting || !req.effects.allows(req.class, e, r.now, r.set.SendDelay) {
 			continue
 		}
-		if !r.slowStartAdmits(e, r.meanPrompt[req.Class]) {
+		if !r.slowStartAdmits(e, r.meanPrompt.of(req.Class)) {
 			continue
 		}
 		allowed = append(allowed, e)
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -54,7 +54,7 @@
 		e.succeeded(req.sentAt)
 		r.recordResult(e, 0, 1)
 		r.recordPrefill(e, req, float64(req.PromptTokens-event.CachedTokens), event.Latency)
-		r.recordThroughput(e, r.meanPrompt[req.Class])
+		r.recordThroughput(e, r.meanPrompt.of(req.Class))
 	case StatusServed:
 		r.recordResult(e, 0, 1)
 	case StatusError:
--- a/routing/request.go
+++ b/routing/request.go
@@ -42,7 +42,7 @@
 	cancelled           bool
 	servesWhole         bool      // the attempt prefills and decodes
 	probed              []*engine // prefill engines probed for it before its first choice
-	possibleRuns        []possibleRun
+	effects             effectRecord
 }
 
 // firstTokenObjective is the time to the first token after a prompt of so many tokens.
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -29,8 +29,7 @@
 	left := req.maxAttempts - req.attempts
 	spent := left < 1 || left < 2 && req.stateHolder == nil // a prefill and a decode are two
 	late := req.deadline-r.now < minRemainingTime
-	mayNotRepeat := len(req.possibleRuns) > 0 && req.class.Effect == EffectAtMostOnce
-	if spent || late || mayNotRepeat || s == StatusNotSent || r.shuttingDown {
+	if spent || late || req.effects.forbidsRetry(req.class) || s == StatusNotSent || r.shuttingDown {
 		r.giveUp(req, 0)
 		return
 	}
--- a/routing/retry_test.go
+++ b/routing/retry_test.go
@@ -30,12 +30,9 @@
 		{250 * ms, 750 * ms, false},
 		{250 * ms, 900 * ms, false},
 	} {
-		set := testSettings()
-		set.SendDelay = c.delay
 		class := &Class{Name: "g", FirstTokenObjective: time.Second, Effect: EffectDeduplicated, DedupScope: DedupAllEngines, DedupWindow: time.Second}
-		r := &Router{set: set, now: c.at}
-		q := &request{class: class, possibleRuns: []possibleRun{{sent: 0}}}
-		if got := r.effectAllows(q, &engine{}); got != c.repeated {
+		effects := effectRecord{[]possibleRun{{sent: 0}}}
+		if got := effects.allows(class, &engine{}, c.at, c.delay); got != c.repeated {
 			t.Errorf("delay %v, %v after the first attempt: %v", c.delay, c.at, got)
 		}
 	}
--- a/routing/router.go
+++ b/routing/router.go
@@ -30,7 +30,7 @@
 	retries      retryBudget
 	rateLimits   rateLimits
 	subscription subscription
-	meanPrompt   map[string]float64 // tokens by class: what a send to an engine in slow start weighs
+	meanPrompt   promptMeans
 
 	shuttingDown bool // see ShuttingDown
 	timerSet     bool
@@ -46,7 +46,7 @@
 		set: set, kinds: map[string]*Kind{}, draws: draws{seed},
 		requests: map[RequestID]*request{}, engines: engineTable{byName: map[string]*engine{}},
 		popularity: prefixPopularity{map[string]float64{}}, quotas: newQuotas(&set), retries: newRetryBudget(),
-		rateLimits: rateLimits{map[string]float64{}}, meanPrompt: map[string]float64{},
+		rateLimits: rateLimits{map[string]float64{}}, meanPrompt: promptMeans{map[string]float64{}},
 	}
 	r.indexClasses()
 	for i := range set.Kinds {
@@ -146,7 +146,7 @@
 	req.priority = class.PriorityWeight * share
 	r.retries.earn(r.set.Gateways)
 	r.popularity.count(event.Prefix)
-	r.meanPrompt[event.Class] += (float64(event.PromptTokens) - r.meanPrompt[event.Class]) * typicalEWMAWeight
+	r.meanPrompt.observe(event.Class, event.PromptTokens)
 	r.toPrefill(req)
 }
 
@@ -165,7 +165,7 @@
 		r.latency.observeFirstToken(e.role(), event.Latency.Seconds(), r.now)
 		e.pace.observe(event.Latency.Seconds()/req.expectedTime.Seconds(), r.now)
 	}
-	r.recordThroughput(e, r.meanPrompt[req.Class])
+	r.recordThroughput(e, r.meanPrompt.of(req.Class))
 	r.setPhase(req, streaming, e)
 	req.stateHolder = nil
 }
@@ -183,8 +183,8 @@
 	if event.Status == StatusPrefilled || event.Status == StatusServed && req.servesWhole {
 		e.cache.record(&req.Request, r.now)
 	}
-	if n := len(req.possibleRuns); n > 0 && e.role() != RolePrefill && provesNoEffect(event.Status) {
-		req.possibleRuns = req.possibleRuns[:n-1]
+	if e.role() != RolePrefill && provesNoEffect(event.Status) {
+		req.effects.undoLatest()
 	}
 	r.attemptEnded(req, event.Status)
 	if event.Status == StatusPrefilled {
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -28,6 +28,18 @@
 	t.peak = max(t.peak*math.Exp(-elapsed/peakTimeConstant.Seconds()), rate)
 }
 
+// promptMeans is the mean prompt length of each class, in tokens: what a request of it counts in slow
+// start. It reads and changes nothing else. Requests feed it on arrival.
+type promptMeans struct {
+	tokens map[string]float64 // by class
+}
+
+func (m *promptMeans) observe(class string, tokens int) {
+	m.tokens[class] += (float64(tokens) - m.tokens[class]) * typicalEWMAWeight
+}
+
+func (m *promptMeans) of(class string) float64 { return m.tokens[class] }
+
 // slowStartSends are this router's sends to one engine within an OverloadWindow. It reads and changes
 // nothing else. Every send feeds it; the slow-start budget and the engine table ask.
 type slowStartSends struct {
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -43,7 +43,7 @@
 	toCold, sends := 0, 0
 	for i, r := range all {
 		r.throughputs[RolePrefill] = throughput{peak: 500 / 2.0, at: now} // half a request of 500 tokens a second
-		r.meanPrompt["c"] = 500
+		r.meanPrompt.tokens["c"] = 500
 		if sentTo(t, r.Handle(now, testRequest(RequestID(i), 500))) == "cold" {
 			toCold++
 		}
