--- a/routing/poolstats.go
+++ b/routing/poolstats.go
@@ -1,8 +1,6 @@
 package routing
 
-import (
-	"slices"
-)
+import "slices"
 
 // poolStats summarises the engines of a role. It holds for one event.
 type poolStats struct {
@@ -14,28 +12,28 @@
 // pool summarises a role's engines, once an event at most. The failure rate is that of the better
 // quarter: a common cause shows there too, a few failing engines do not.
 func (r *Router) pool(role Role) *poolStats {
-	v := &r.pools[role]
-	if v.size > 0 {
-		return v
+	stats := &r.pools[role]
+	if stats.size > 0 {
+		return stats
 	}
 	var pace, fail, age, overdue []float64
 	for e := range r.engines.usable(role) {
-		v.size++
+		stats.size++
 		if !r.inSlowStart(e) {
-			v.warm++
+			stats.warm++
 		}
 		fail = append(fail, e.failures.failureRate())
 		age = append(age, e.oldestAge(r.now))
 		overdue = append(overdue, e.overdue(r.now))
 		pace = append(pace, e.pace.current(r.now))
-		v.waitingTokens += e.report.trustedWaiting(r.now)
+		stats.waitingTokens += e.report.trustedWaiting(r.now)
 	}
-	v.waitingTokens /= float64(max(v.size, 1))
-	v.pace, v.oldestAge, v.overdue = median(pace, 1), median(age, 0), median(overdue, 1)
+	stats.waitingTokens /= float64(max(stats.size, 1))
+	stats.pace, stats.oldestAge, stats.overdue = median(pace, 1), median(age, 0), median(overdue, 1)
 	if slices.Sort(fail); len(fail) > 0 {
-		v.failureRate = fail[len(fail)/4]
+		stats.failureRate = fail[len(fail)/4]
 	}
-	return v
+	return stats
 }
 
 // median returns the middle of the values, or none if there are none.
--- a/routing/probe.go
+++ b/routing/probe.go
@@ -33,7 +33,7 @@
 		return false
 	}
 	e := slices.MinFunc(pool, func(a, b *engine) int { return cmp.Compare(cost(a), cost(b)) })
-	req.probed = []*engine{e}
+	req.probed = e
 	if e.report.age(r.now) < freshReportAge {
 		return false
 	}
@@ -52,9 +52,8 @@
 	}
 	e.report.take(event.Report, r.now)
 	e.probe.answered(r.now)
-	pending := func(e *engine) bool { return e.probe.pending(r.now) }
 	for _, req := range r.held.takeAll() {
-		if req.phase == awaitingPrefill && len(req.probed) > 0 && !slices.ContainsFunc(req.probed, pending) {
+		if req.phase == awaitingPrefill && req.probed != nil && !req.probed.probe.pending(r.now) {
 			r.toPrefill(req)
 		} else {
 			r.held.add(req)
--- a/routing/request.go
+++ b/routing/request.go
@@ -1,9 +1,6 @@
 package routing
 
-import (
-	"slices"
-	"time"
-)
+import "time"
 
 // assumedAnswerPart is the part of MaxTokens that an answer takes, when no hint is given.
 const assumedAnswerPart = 0.3
@@ -40,8 +37,8 @@
 	expectedTime        time.Duration
 	ended               bool // answered, or the client has gone
 	cancelled           bool
-	servesWhole         bool      // the attempt prefills and decodes
-	probed              []*engine // prefill engines probed for it before its first choice
+	servesWhole         bool    // the attempt prefills and decodes
+	probed              *engine // asked for its load before the first placement
 	effects             effectRecord
 }
 
@@ -64,11 +61,11 @@
 func (r *Router) setPhase(req *request, p phase, at *engine) {
 	r.account(req, -1)
 	if req.engine != nil {
-		req.engine.inFlight = without(req.engine.inFlight, req)
+		req.engine.removeInFlight(req)
 	}
 	req.phase, req.engine, req.phaseSince = p, at, r.now
 	if p == prefilling || p == decoding {
-		at.inFlight = append(at.inFlight, req)
+		at.addInFlight(req)
 	}
 	r.account(req, 1)
 }
@@ -134,11 +131,3 @@
 	r.held.remove(req)
 	delete(r.requests, req.ID)
 }
-
-// without returns the list less one request.
-func without(list []*request, req *request) []*request {
-	if i := slices.Index(list, req); i >= 0 {
-		return slices.Delete(list, i, i+1)
-	}
-	return list
-}
--- a/routing/workload.go
+++ b/routing/workload.go
@@ -1,5 +1,7 @@
 package routing
 
+import "slices"
+
 // workload is this router's own work at one engine. It reads the requests in flight and changes nothing
 // else. Router.setPhase is the only caller that changes it; placement, timeouts and the statistics of
 // the pool ask.
@@ -13,6 +15,10 @@
 	lastCompletedSentAt           Time       // when the latest attempt was sent that has succeeded
 }
 
+func (l *workload) addInFlight(req *request) { l.inFlight = append(l.inFlight, req) }
+
+func (l *workload) removeInFlight(req *request) { l.inFlight = without(l.inFlight, req) }
+
 func (l *workload) addPrefill(sign int, tokens float64) {
 	l.prefills += sign
 	l.prefillTokens += float64(sign) * tokens
@@ -72,3 +78,11 @@
 	}
 	return 0
 }
+
+// without returns the list less one request.
+func without(list []*request, req *request) []*request {
+	if i := slices.Index(list, req); i >= 0 {
+		return slices.Delete(list, i, i+1)
+	}
+	return list
+}
