--- a/internal/core/api.go
+++ b/internal/core/api.go
@@ -184,25 +184,25 @@
 // Ticket identifies a submitted request.
 type Ticket struct {
 	core    *Core
-	request *request    // owned by the core's goroutine
-	left    atomic.Bool // the client has disconnected
+	request *requestState // owned by the core's goroutine
+	gone    atomic.Bool   // the client has disconnected
 }
 
 // ClientGone reports that the client has disconnected before its answer. No attempt begins from
 // then on, however long the core's queue is.
 func (t *Ticket) ClientGone() {
-	t.left.Store(true)
-	t.core.post(func() { t.core.gone(t.request) })
+	t.gone.Store(true)
+	t.core.post(func() { t.core.clientGone(t.request) })
 }
 
 // Finish reports how the stream of a Streaming answer ended. Relay calls it; a front that reads the
 // stream by itself must call it once, after Stream.Close or the stream's end.
-func (t *Ticket) Finish(r Result) { t.core.post(func() { t.core.streamEnded(t.request, r) }) }
+func (t *Ticket) Finish(r Result) { t.core.post(func() { t.core.finishStream(t.request, r) }) }
 
 // MayHaveRun reports whether an attempt was sent that is not known to have been rejected; true if
 // the core has ended.
 func (t *Ticket) MayHaveRun(ctx context.Context) bool {
-	never := query(ctx, t.core, func() bool { return t.request != nil && !t.request.mayRun() })
+	never := query(ctx, t.core, func() bool { return t.request != nil && !t.request.mayHaveRun() })
 	return !never
 }
 
--- a/internal/core/await.go
+++ b/internal/core/await.go
@@ -2,16 +2,16 @@
 
 import "context"
 
-// waiter is a Front for a caller that waits for the answer itself.
-type waiter chan Answer
+// answerChannel is a Front for a caller that waits for the answer itself.
+type answerChannel chan Answer
 
 // Answer never blocks: there is room for the one answer.
-func (w waiter) Answer(a Answer) { w <- a }
+func (w answerChannel) Answer(a Answer) { w <- a }
 
 // SubmitAndWait submits a request and waits for its answer. If ctx ends first the client
 // has gone; the core is told, and the last result is false.
 func SubmitAndWait(ctx context.Context, c *Core, q Request) (Answer, *Ticket, bool) {
-	w := make(waiter, 1)
+	w := make(answerChannel, 1)
 	t := c.Submit(q, w)
 	select {
 	case a := <-w:
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -15,58 +15,58 @@
 
 // The core's own margins; all else is the module's to decide.
 const (
-	queueSize    = 4096
-	cancelMargin = 3 * time.Millisecond // from the end of an attempt to what must not meet it, such as the next
-	clockOrigin  = 24 * time.Hour       // the module's clock at the start, so that no time of it is 0
+	queueSize     = 4096
+	cancelTransit = 3 * time.Millisecond // from the end of an attempt to what must not meet it, such as the next
+	clockOffset   = 24 * time.Hour       // the module's clock at the start, so that no time of it is 0
 )
 
 // Core owns one Router and all requests in hand.
 type Core struct {
-	router    *routing.Router
-	engine    Transport
-	directory Directory
-	fig       Limits
-	log       *slog.Logger
-	loud      bool // the log takes level debug
-	checks    *invariant.Checks
-	observer  Observer // nil for none
-	origin    time.Time
-	wall      func() time.Time // the wall clock, which may be stepped: for stamps of others alone
+	router       *routing.Router
+	transport    Transport
+	directory    Directory
+	limits       Limits
+	log          *slog.Logger
+	debugLogging bool // the log takes level debug
+	checks       *invariant.Checks
+	observer     Observer // nil for none
+	origin       time.Time
+	wall         func() time.Time // the wall clock, which may be stepped: for stamps of others alone
 
 	queue chan func()
 	done  chan struct{}
 	ready atomic.Bool
 
 	// Owned by the goroutine of Run.
-	members    map[string]Endpoint
-	ejections  *ejection.Set // engines out by hand
-	starts     *starttime.Table
-	requests   map[routing.RequestID]*request
-	wires      map[string]bool
-	lastID     routing.RequestID
-	timers     timers
-	pending    []routing.Event
-	settling   []*request
-	unreleased map[*request]bool    // over, and something may still be held for them
-	lastHeard  map[string]time.Time // when each engine has last answered
-	lingering  int                  // attempts that are over for the module and whose connections are kept; see keepLingering
-	drained    []chan struct{}
-	counts     map[Counter]int
-	traffic    map[string]*Traffic // by class
-	lastBusy   time.Time           // a request came, or was seen in hand
+	members          map[string]Endpoint
+	ejections        *ejection.Set // engines out by hand
+	starts           *starttime.Table
+	requests         map[routing.RequestID]*requestState
+	clientRequestIDs map[string]bool
+	lastID           routing.RequestID
+	timers           timers
+	pendingEvents    []routing.Event
+	unreconciled     []*requestState
+	unreleased       map[*requestState]bool // over, and something may still be held for them
+	lastHeard        map[string]time.Time   // when each engine has last answered
+	lingering        int                    // attempts that are over for the module and whose connections are kept; see keepLingering
+	drainWaiters     []chan struct{}
+	counts           map[Counter]int
+	traffic          map[string]*Traffic // by class
+	lastBusy         time.Time           // a request came, or was seen in hand
 }
 
 // New returns a core round a router. Run must be called for it to work.
 func New(r *routing.Router, e Transport, d Directory, fig Limits, log *slog.Logger, checks *invariant.Checks) *Core {
-	origin := time.Now().Add(-clockOrigin)
+	origin := time.Now().Add(-clockOffset)
 	return &Core{
-		router: r, engine: e, directory: d, fig: fig, log: log, checks: checks,
-		loud:   log.Enabled(context.Background(), slog.LevelDebug),
-		origin: origin, wall: wallclock.Now,
-		starts: starttime.New(starttime.Clock{Now: clockOrigin, Wall: wallclock.Now()}),
+		router: r, transport: e, directory: d, limits: fig, log: log, checks: checks,
+		debugLogging: log.Enabled(context.Background(), slog.LevelDebug),
+		origin:       origin, wall: wallclock.Now,
+		starts: starttime.New(starttime.Clock{Now: clockOffset, Wall: wallclock.Now()}),
 		queue:  make(chan func(), queueSize), done: make(chan struct{}),
-		members: map[string]Endpoint{}, ejections: ejection.New(), requests: map[routing.RequestID]*request{}, unreleased: map[*request]bool{}, lastHeard: map[string]time.Time{},
-		wires: map[string]bool{}, counts: map[Counter]int{}, traffic: map[string]*Traffic{},
+		members: map[string]Endpoint{}, ejections: ejection.New(), requests: map[routing.RequestID]*requestState{}, unreleased: map[*requestState]bool{}, lastHeard: map[string]time.Time{},
+		clientRequestIDs: map[string]bool{}, counts: map[Counter]int{}, traffic: map[string]*Traffic{},
 	}
 }
 
@@ -79,18 +79,18 @@
 	alarm := time.NewTimer(time.Hour)
 	defer alarm.Stop()
 	for {
-		alarm.Reset(c.timers.wait(time.Now()))
+		alarm.Reset(c.timers.untilNext(time.Now()))
 		select {
 		case <-ctx.Done():
 			return
 		case job := <-c.queue:
 			job()
-			c.settle()
+			c.reconcile()
 		case <-alarm.C:
 		}
-		for job := c.timers.due(time.Now()); job != nil; job = c.timers.due(time.Now()) {
+		for job := c.timers.popDue(time.Now()); job != nil; job = c.timers.popDue(time.Now()) {
 			job()
-			c.settle()
+			c.reconcile()
 		}
 	}
 }
@@ -109,7 +109,7 @@
 // Drain waits until no request is in hand and no release is under way.
 func (c *Core) Drain(ctx context.Context) error {
 	ch := make(chan struct{})
-	c.post(func() { c.drained = append(c.drained, ch); c.watchDrain() })
+	c.post(func() { c.drainWaiters = append(c.drainWaiters, ch); c.pollDrain() })
 	select {
 	case <-ch:
 		return nil
@@ -124,47 +124,47 @@
 // now on, as the gateway has no time left; with last those too that a decode engine may be about
 // to answer. Streams are the fronts' to end.
 func (c *Core) Abandon(last bool) {
-	c.post(func() { c.tell(routing.ShuttingDown{Final: last}) })
+	c.post(func() { c.dispatch(routing.ShuttingDown{Final: last}) })
 }
 
-// tell gives the module an event, carries out what it asks for, and goes on with
+// dispatch gives the module an event, carries out what it asks for, and goes on with
 // what that brings at once. Handle's result ends with the next call, so events
 // that an action brings wait in pending.
-func (c *Core) tell(ev routing.Event) {
-	c.pending = append(c.pending, ev)
-	if len(c.pending) > 1 {
+func (c *Core) dispatch(ev routing.Event) {
+	c.pendingEvents = append(c.pendingEvents, ev)
+	if len(c.pendingEvents) > 1 {
 		return
 	}
-	for len(c.pending) > 0 {
-		for _, a := range c.router.Handle(time.Since(c.origin), c.pending[0]) {
-			c.act(a)
+	for len(c.pendingEvents) > 0 {
+		for _, a := range c.router.Handle(time.Since(c.origin), c.pendingEvents[0]) {
+			c.execute(a)
 		}
-		c.pending = c.pending[1:]
+		c.pendingEvents = c.pendingEvents[1:]
 	}
-	c.pending = nil
+	c.pendingEvents = nil
 }
 
-func (c *Core) act(action routing.Action) {
+func (c *Core) execute(action routing.Action) {
 	switch a := action.(type) {
 	case routing.Send:
-		c.send(a)
+		c.startAttempt(a)
 	case routing.Reject:
-		if q := c.requests[a.ID]; c.checks.Hold(q != nil, "a refusal names a request in hand") {
-			c.answer(q, Answer{Verdict: Rejected, RetryAfter: a.RetryAfter, OverQuota: a.OverQuota})
+		if request := c.requests[a.ID]; c.checks.Hold(request != nil, "a refusal names a request in hand") {
+			c.answer(request, Answer{Verdict: Rejected, RetryAfter: a.RetryAfter, OverQuota: a.OverQuota})
 		}
 	case routing.Fail:
-		if q := c.requests[a.ID]; c.checks.Hold(q != nil, "a failure names a request in hand") {
-			c.answer(q, Answer{Verdict: Failed})
+		if request := c.requests[a.ID]; c.checks.Hold(request != nil, "a failure names a request in hand") {
+			c.answer(request, Answer{Verdict: Failed})
 		}
 	case routing.CancelAttempt:
-		if q := c.requests[a.ID]; q != nil && a.Attempt < len(q.attempts) && q.streaming != q.attempts[a.Attempt] {
-			c.end(q, q.attempts[a.Attempt], Result{Status: routing.StatusCancelled})
+		if request := c.requests[a.ID]; request != nil && a.Attempt < len(request.attempts) && request.serving != request.attempts[a.Attempt] {
+			c.endAttempt(request, request.attempts[a.Attempt], Result{Status: routing.StatusCancelled})
 		}
 	case routing.Release: // the ledger of held states sees to it; see settle
 	case routing.SetTimer:
-		c.after(a.In, func() { c.tell(routing.TimerFired{Name: a.Name}) })
+		c.schedule(a.In, func() { c.dispatch(routing.TimerFired{Name: a.Name}) })
 	case routing.Probe:
-		c.probe(a.Engine)
+		c.startProbe(a.Engine)
 	case routing.Subscribe:
 		c.directory.Subscribe()
 	default:
@@ -172,24 +172,24 @@
 	}
 }
 
-// settle updates the requests that something has happened to: held states are released, and
+// reconcile updates the requests that something has happened to: held states are released, and
 // what is over is forgotten.
-func (c *Core) settle() {
-	for len(c.settling) > 0 {
-		q := c.settling[0]
-		c.settling = c.settling[1:]
-		if q.answered && q.out == 0 {
-			c.forget(q)
+func (c *Core) reconcile() {
+	for len(c.unreconciled) > 0 {
+		request := c.unreconciled[0]
+		c.unreconciled = c.unreconciled[1:]
+		if request.answered && request.activeAttempts == 0 {
+			c.removeRequest(request)
 		}
-		c.updateHeld(q)
+		c.updateHeld(request)
 	}
-	c.settling = nil
-	if len(c.drained) > 0 && len(c.requests) == 0 && !c.releasesUrgent() {
-		for _, ch := range c.drained {
+	c.unreconciled = nil
+	if len(c.drainWaiters) > 0 && len(c.requests) == 0 && !c.releasesBlockDrain() {
+		for _, ch := range c.drainWaiters {
 			close(ch)
 		}
-		c.drained = nil
+		c.drainWaiters = nil
 	}
 }
 
-func (c *Core) after(d time.Duration, job func()) { c.timers.add(time.Now().Add(d), job) }
+func (c *Core) schedule(d time.Duration, job func()) { c.timers.add(time.Now().Add(d), job) }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -65,10 +65,10 @@
 func TestOverdueRequestIsAnswered(t *testing.T) {
 	f := &fake{script: func(Attempt) (Stream, *Result) { return nil, nil }}
 	core := newCore(t, f)
-	w := make(waiter, 2)
+	w := make(answerChannel, 2)
 	core.post(func() {
-		q := &request{Request: ask("free", 0), front: w, held: newHeldStates(core.heldLimits(time.Second))}
-		core.after(0, func() { core.overdue(q); core.overdue(q) })
+		q := &requestState{Request: ask("free", 0), front: w, held: newHeldState(core.heldLimits(time.Second))}
+		core.schedule(0, func() { core.answerOverdue(q); core.answerOverdue(q) })
 	})
 	if a := <-w; a.Verdict != DeadlineExceeded {
 		t.Errorf("%+v", a)
@@ -93,7 +93,7 @@
 			return &text{end: io.EOF}, nil
 		}}
 		core := newCore(t, f)
-		w := make(waiter, 1)
+		w := make(answerChannel, 1)
 		core.Submit(ask("once", time.Minute), w)
 		enginetest.Eventually(t, "it is out at the writer", func() bool { all, _, _ := f.tally(); return all == 2 })
 		core.Abandon(false)
@@ -122,7 +122,7 @@
 			return ended(routing.StatusPrefilled)
 		}}
 		core := newCore(t, f)
-		w := make(waiter, 1)
+		w := make(answerChannel, 1)
 		core.Submit(ask("once", 2*time.Second), w)
 		enginetest.Eventually(t, "the attempt is out", func() bool {
 			f.mu.Lock()
@@ -151,7 +151,7 @@
 func TestRemovedEnginesAreForgotten(t *testing.T) {
 	f := &fake{script: script(func() (Stream, *Result) { return nil, nil })}
 	core := newCore(t, f)
-	ticket := core.Submit(ask("free", time.Minute), make(waiter, 1))
+	ticket := core.Submit(ask("free", time.Minute), make(answerChannel, 1))
 	f.awaitAttempts(t, 2)
 	for n := range 100 {
 		m := Endpoint{EngineInfo: routing.EngineInfo{Name: fmt.Sprint("e", n), Kind: "r", Weight: 1}}
@@ -174,7 +174,7 @@
 func TestClientGoneBeforeTheAnswer(t *testing.T) {
 	f := &fake{script: script(func() (Stream, *Result) { return nil, nil })}
 	core := newCore(t, f)
-	ticket := core.Submit(ask("free", time.Minute), make(waiter, 1))
+	ticket := core.Submit(ask("free", time.Minute), make(answerChannel, 1))
 	f.awaitAttempts(t, 2)
 	ticket.ClientGone()
 	if err := core.Drain(t.Context()); err != nil {
@@ -188,7 +188,7 @@
 func TestDuplicateWireIDIsRefused(t *testing.T) {
 	f := &fake{script: func(Attempt) (Stream, *Result) { return nil, nil }}
 	core := newCore(t, f)
-	core.Submit(ask("free", time.Minute), make(waiter, 1))
+	core.Submit(ask("free", time.Minute), make(answerChannel, 1))
 	if a, _, _ := SubmitAndWait(t.Context(), core, ask("free", time.Minute)); a.Verdict != Duplicate || len(f.attempts) > 1 {
 		t.Errorf("%+v; attempts %v", a, f.attempts)
 	}
@@ -304,7 +304,7 @@
 	f := &fake{script: func(Attempt) (Stream, *Result) { return nil, nil }, cut: make(chan struct{})}
 	defer close(f.cut)
 	core := newCore(t, f)
-	w := make(waiter, 1)
+	w := make(answerChannel, 1)
 	core.Submit(ask("once", 300*time.Millisecond), w)
 	enginetest.Eventually(t, "its attempt is out", func() bool { all, _, _ := f.tally(); return all > 0 })
 	next := testSettings()
--- a/internal/core/ejection.go
+++ b/internal/core/ejection.go
@@ -60,7 +60,7 @@
 		for _, n := range ch.Back {
 			c.log.Info("engine back by hand", "engine", n)
 		}
-		c.tell(ev)
+		c.dispatch(ev)
 	}
 }
 
@@ -79,7 +79,7 @@
 	err := query(ctx, c, func() *error {
 		err := c.router.Reconfigure(set.Classes, set.MaxAttempts)
 		if err == nil {
-			c.fig.MaxAttempts = max(c.fig.MaxAttempts, set.MaxAttempts) // a backstop: the module holds each request to its own
+			c.limits.MaxAttempts = max(c.limits.MaxAttempts, set.MaxAttempts) // a backstop: the module holds each request to its own
 		}
 		return &err
 	})
--- a/internal/core/held_test.go
+++ b/internal/core/held_test.go
@@ -50,7 +50,7 @@
 		return nil, nil
 	}
 	c := coreWith(t, f, func(s *routing.Settings) { s.HeldStateLimit = 50 * time.Millisecond })
-	ticket := c.Submit(ask("once", time.Minute), make(waiter, 1))
+	ticket := c.Submit(ask("once", time.Minute), make(answerChannel, 1))
 	enginetest.Eventually(t, "the state is let go, and read anew", func() bool {
 		_, closed, _ := f.tally()
 		return f.has("r1") && closed >= 2 && len(f.names()) >= 3
@@ -67,7 +67,7 @@
 	for _, may := range []bool{false, true} {
 		f := &fake{away: func(Attempt) bool { return true }, script: func(Attempt) (Stream, *Result) { return nil, nil }}
 		c := coreWith(t, f, func(s *routing.Settings) { s.CanCancel = may })
-		ticket := c.Submit(ask("once", time.Minute), make(waiter, 1))
+		ticket := c.Submit(ask("once", time.Minute), make(answerChannel, 1))
 		enginetest.Eventually(t, "the attempt waits for its connection", func() bool { all, _, _ := f.tally(); return all == 1 })
 		ticket.ClientGone()
 		if err := c.Drain(t.Context()); err != nil {
@@ -86,7 +86,7 @@
 	c := newCore(t, f)
 	busy := make(chan struct{})
 	c.post(func() { <-busy })
-	ticket := c.Submit(ask("once", time.Minute), make(waiter, 1))
+	ticket := c.Submit(ask("once", time.Minute), make(answerChannel, 1))
 	ticket.ClientGone()
 	close(busy)
 	if err := c.Drain(t.Context()); err != nil {
@@ -156,7 +156,7 @@
 		return nil, &Result{Status: routing.StatusError, Cause: failed}
 	}
 	c := coreWith(t, f, func(s *routing.Settings) { s.CanCancel = false })
-	w := make(waiter, 1)
+	w := make(answerChannel, 1)
 	c.Submit(ask("free", time.Minute), w)
 	enginetest.Eventually(t, "a second attempt waits for its connection", func() bool { all, _, _ := f.tally(); return all == 2 })
 	c.Abandon(true)
--- a/internal/core/linger_test.go
+++ b/internal/core/linger_test.go
@@ -16,9 +16,9 @@
 	for kind, alone := range map[string]bool{"w": false, "alone": true} {
 		f := &fake{script: script(func() (Stream, *Result) { return nil, nil })}
 		c := newCore(t, f)
-		c.fig.ServesAlone = func(k string) bool { return alone && k == "w" }
+		c.limits.ServesAlone = func(k string) bool { return alone && k == "w" }
 		q := ask("once", 10*time.Second)
-		ticket := c.Submit(q, make(waiter, 1))
+		ticket := c.Submit(q, make(answerChannel, 1))
 		enginetest.Eventually(t, "it is at the writer", func() bool {
 			f.mu.Lock()
 			defer f.mu.Unlock()
@@ -102,7 +102,7 @@
 	enginetest.Eventually(t, "the writer's attempt is out", out(2))
 	core.post(func() {
 		for _, q := range core.requests {
-			core.end(q, q.attempts[1], Result{Status: routing.StatusTimeout})
+			core.endAttempt(q, q.attempts[1], Result{Status: routing.StatusTimeout})
 		}
 	})
 	enginetest.Eventually(t, "the next one is begun", out(3))
@@ -122,9 +122,9 @@
 	defer close(f.cut)
 	core := newCore(t, f)
 	all, closed := 0, 0
-	for round := 0; all <= lingerMost; round++ { // some are refused as they would wait too long
+	for round := 0; all <= maxLingering; round++ { // some are refused as they would wait too long
 		var group sync.WaitGroup
-		for i := range lingerMost {
+		for i := range maxLingering {
 			q := ask("free", 300*time.Millisecond)
 			q.ClientRequestID = fmt.Sprint("id", round, "-", i)
 			group.Go(func() { SubmitAndWait(t.Context(), core, q) })
@@ -133,13 +133,13 @@
 		core.Counts(t.Context()) // what has been answered is settled
 		all, closed, _ = f.tally()
 	}
-	if all-closed != lingerMost {
-		t.Errorf("%d of %d attempts are still open, want %d", all-closed, all, lingerMost)
+	if all-closed != maxLingering {
+		t.Errorf("%d of %d attempts are still open, want %d", all-closed, all, maxLingering)
 	}
 	if err := core.Drain(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	if _, closed, _ = f.tally(); all-closed != lingerMost {
+	if _, closed, _ = f.tally(); all-closed != maxLingering {
 		t.Errorf("the core has waited until only %d attempts cover what is held", all-closed)
 	}
 }
@@ -151,7 +151,7 @@
 	f.script = func(Attempt) (Stream, *Result) { return nil, nil }
 	core := newCore(t, f)
 	a, _, _ := SubmitAndWait(t.Context(), core, ask("once", 300*time.Millisecond))
-	if d := f.sinceEnd(); a.Verdict != Rejected || d < cancelMargin {
+	if d := f.sinceEnd(); a.Verdict != Rejected || d < cancelTransit {
 		t.Errorf("verdict %v, %v after the attempt's end", a.Verdict, d)
 	}
 }
@@ -184,14 +184,14 @@
 		}
 		core.post(func() {
 			for _, q := range core.requests {
-				core.end(q, q.attempts[0], Result{Status: routing.StatusCancelled})
+				core.endAttempt(q, q.attempts[0], Result{Status: routing.StatusCancelled})
 			}
 		})
 		if !told {
 			enginetest.Eventually(t, "the first attempt is closed", func() bool { _, closed, _ := f.tally(); return closed == 1 })
 			close(f.unnoticed)
 		}
-		if d := <-after; d < cancelMargin {
+		if d := <-after; d < cancelTransit {
 			t.Errorf("told before %v: the next attempt goes out %v after the end of the one before", told, d)
 		}
 	}
--- a/internal/core/queries.go
+++ b/internal/core/queries.go
@@ -15,13 +15,13 @@
 	})
 }
 
-// classesMost bounds the classes that are counted: clients may name any.
-const classesMost = 64
+// maxTrafficClasses bounds the classes that are counted: clients may name any.
+const maxTrafficClasses = 64
 
-func (c *Core) count(class string, add func(*Traffic)) {
+func (c *Core) addTraffic(class string, add func(*Traffic)) {
 	t := c.traffic[class]
 	if t == nil {
-		if len(c.traffic) >= classesMost {
+		if len(c.traffic) >= maxTrafficClasses {
 			return
 		}
 		t = &Traffic{}
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -7,24 +7,24 @@
 	"wellgw/routing"
 )
 
-// request is one client's try, kept until it is answered and no attempt is out.
-type request struct {
+// requestState is one client's try, kept until it is answered and no attempt is out.
+type requestState struct {
 	Request
-	front     Front
-	deadline  time.Time
-	free      bool // may be repeated at will, by the settings with which it was taken
-	answered  bool // has had its final answer, or its client has gone
-	streaming *attempt
-	stream    Stream
-	attempts  []*attempt
-	out       int            // attempts that have not ended
-	lingering *attempt       // cancelled or timed out, its connection kept open for now
-	cancelled time.Time      // when the connection of an attempt that may be out was closed last
-	held      heldStates     // at engines
-	status    routing.Status // how the latest attempt ended, and why
-	cause     error
-	ran       bool         // an attempt has ended that may have run
-	left      *atomic.Bool // its client has gone, whether or not the core has been told
+	front          Front
+	deadline       time.Time
+	repeatable     bool // may be repeated at will, by the settings with which it was taken
+	answered       bool // has had its final answer, or its client has gone
+	serving        *attemptState
+	stream         Stream
+	attempts       []*attemptState
+	activeAttempts int            // attempts that have not ended
+	lingering      *attemptState  // cancelled or timed out, its connection kept open for now
+	cancelledAt    time.Time      // when the connection of an attempt that may be out was closed last
+	held           heldState      // at engines
+	lastStatus     routing.Status // how the latest attempt ended, and why
+	lastCause      error
+	possiblyRun    bool         // an attempt has ended that may have run
+	clientGone     *atomic.Bool // its client has gone, whether or not the core has been told
 }
 
 // submit takes a request into the table and gives it to the module.
@@ -34,105 +34,107 @@
 	for c.lastID++; c.requests[c.lastID] != nil; c.lastID++ {
 	}
 	in.ID = c.lastID
-	q := &request{Request: in, front: f, deadline: in.Arrived.Add(in.TTL), free: c.router.Idempotent(in.Class), left: &t.left}
-	q.held = newHeldStates(c.heldLimits(in.TTL))
-	t.request = q
-	if c.wires[in.ClientRequestID] {
+	request := &requestState{Request: in, front: f, deadline: in.Arrived.Add(in.TTL), repeatable: c.router.Idempotent(in.Class), clientGone: &t.gone}
+	request.held = newHeldState(c.heldLimits(in.TTL))
+	t.request = request
+	if c.clientRequestIDs[in.ClientRequestID] {
 		// Engines know a request by its wire id alone: two at once would share
 		// attempts and states. The first goes on; the second never ran.
-		q.answered = true
+		request.answered = true
 		c.counts[countDuplicates]++
 		f.Answer(Answer{Verdict: Duplicate, Status: routing.StatusNotSent})
 		return
 	}
-	c.requests[q.ID], c.wires[in.ClientRequestID] = q, true
+	c.requests[request.ID], c.clientRequestIDs[in.ClientRequestID] = request, true
 	c.lastBusy = time.Now()
 	c.counts[countRequests]++
-	c.count(in.Class, func(t *Traffic) { t.Asked++; t.Prompt += in.PromptTokens })
-	c.settling = append(c.settling, q)
+	c.addTraffic(in.Class, func(t *Traffic) { t.Asked++; t.Prompt += in.PromptTokens })
+	c.unreconciled = append(c.unreconciled, request)
 	// The backstop guards against a request that neither the module nor an engine
 	// ever ends: it is answered inside the slack whatever else happens.
-	c.after(time.Until(q.deadline)+c.fig.DeadlineSlack, func() { c.overdue(q) })
-	in.TTL = time.Until(q.deadline)
-	c.tell(in.Request)
+	c.schedule(time.Until(request.deadline)+c.limits.DeadlineSlack, func() { c.answerOverdue(request) })
+	in.TTL = time.Until(request.deadline)
+	c.dispatch(in.Request)
 }
 
 // answer gives the final answer; a second one is a fault of the module's.
-func (c *Core) answer(q *request, a Answer) {
-	if !c.checks.Hold(!q.answered, "a request gets one final answer") {
+func (c *Core) answer(request *requestState, a Answer) {
+	if !c.checks.Hold(!request.answered, "a request gets one final answer") {
 		return
 	}
-	q.answered = true
-	a.Status, a.Cause = q.status, q.cause
+	request.answered = true
+	a.Status, a.Cause = request.lastStatus, request.lastCause
 	if a.Verdict != Streaming {
-		c.withdraw(q)
+		c.withdrawUnwritten(request)
 	}
-	a.MayHaveRun = q.mayRun()
-	if s, has := c.router.QuotaStatus(q.Tenant); has {
+	a.MayHaveRun = request.mayHaveRun()
+	if s, has := c.router.QuotaStatus(request.Tenant); has {
 		a.Quota = &s
 	}
 	c.counts[verdictNames[a.Verdict]]++
-	c.settling = append(c.settling, q)
-	if c.loud {
-		c.log.Debug("request answered", "id", q.ClientRequestID, "class", q.Class, "verdict", string(verdictNames[a.Verdict]), "attempts", len(q.attempts),
-			"age", time.Since(q.Arrived).Round(time.Millisecond), "left", time.Until(q.deadline).Round(time.Millisecond),
+	c.unreconciled = append(c.unreconciled, request)
+	if c.debugLogging {
+		c.log.Debug("request answered", "id", request.ClientRequestID, "class", request.Class, "verdict", string(verdictNames[a.Verdict]), "attempts", len(request.attempts),
+			"age", time.Since(request.Arrived).Round(time.Millisecond), "left", time.Until(request.deadline).Round(time.Millisecond),
 			"status", string(statusNames[a.Status]), "cause", a.Cause)
 	}
-	if a.Verdict == Rejected && !q.free { // it is said never to have run
-		c.afterEnd(q, func() { q.front.Answer(a) })
+	if a.Verdict == Rejected && !request.repeatable { // it is said never to have run
+		c.afterAttemptClosed(request, func() { request.front.Answer(a) })
 	} else {
-		q.front.Answer(a)
+		request.front.Answer(a)
 	}
 	if c.observer != nil {
-		c.observer.Answered(q.Request, a, string(verdictNames[a.Verdict]))
+		c.observer.Answered(request.Request, a, string(verdictNames[a.Verdict]))
 	}
 }
 
-// gone forgets a request whose client has left.
-func (c *Core) gone(q *request) {
-	if q == nil {
+// clientGone forgets a request whose client has left.
+func (c *Core) clientGone(request *requestState) {
+	if request == nil {
 		return
 	}
-	if q.streaming != nil { // the answer and the client's leaving have crossed
-		q.stream.Close()
-		c.streamEnded(q, Result{Status: routing.StatusCancelled})
+	if request.serving != nil { // the answer and the client's leaving have crossed
+		request.stream.Close()
+		c.finishStream(request, Result{Status: routing.StatusCancelled})
 	}
-	if q.answered {
+	if request.answered {
 		return
 	}
-	q.answered = true
+	request.answered = true
 	c.counts[countGone]++
-	c.settling = append(c.settling, q)
-	c.tell(routing.ClientGone{ID: q.ID})
-	c.withdraw(q)
+	c.unreconciled = append(c.unreconciled, request)
+	c.dispatch(routing.ClientGone{ID: request.ID})
+	c.withdrawUnwritten(request)
 }
 
-// overdue gives a request that neither the module nor an engine has ended its final answer.
-func (c *Core) overdue(q *request) {
-	if q.answered {
+// answerOverdue gives a request that neither the module nor an engine has ended its final answer.
+func (c *Core) answerOverdue(request *requestState) {
+	if request.answered {
 		return
 	}
-	c.answer(q, Answer{Verdict: DeadlineExceeded})
-	c.tell(routing.ClientGone{ID: q.ID})
-	for _, at := range q.attempts {
-		c.end(q, at, Result{Status: routing.StatusTimeout})
+	c.answer(request, Answer{Verdict: DeadlineExceeded})
+	c.dispatch(routing.ClientGone{ID: request.ID})
+	for _, attempt := range request.attempts {
+		c.endAttempt(request, attempt, Result{Status: routing.StatusTimeout})
 	}
 }
 
-// forget takes a request that is over off the table. Its held states are released on their own
+// removeRequest takes a request that is over off the table. Its held states are released on their own
 // account; see updateHeld.
-func (c *Core) forget(q *request) {
-	if holder := q.held.ledger.Holder(); holder != "" {
-		q.held.holder = holder
+func (c *Core) removeRequest(request *requestState) {
+	if holder := request.held.ledger.Holder(); holder != "" {
+		request.held.holder = holder
 	}
-	q.held.ledger.Finish()
-	if c.requests[q.ID] != q {
+	request.held.ledger.Finish()
+	if c.requests[request.ID] != request {
 		return
 	}
-	delete(c.requests, q.ID)
-	delete(c.wires, q.ClientRequestID)
-	q.Payload.Body = nil // timers may keep q itself for a while
+	delete(c.requests, request.ID)
+	delete(c.clientRequestIDs, request.ClientRequestID)
+	request.Payload.Body = nil // timers may keep request itself for a while
 }
 
-// mayRun tells whether an attempt has been out that is not known to have been turned away.
-func (q *request) mayRun() bool { return q.ran || q.out > 0 }
+// mayHaveRun tells whether an attempt has been out that is not known to have been turned away.
+func (r *requestState) mayHaveRun() bool {
+	return r.possiblyRun || r.activeAttempts > 0
+}
--- a/internal/core/roster.go
+++ b/internal/core/roster.go
@@ -9,10 +9,10 @@
 
 // UpdateEndpoints tells what a directory has learned.
 func (c *Core) UpdateEndpoints(scope routing.EngineListScope, members []Endpoint) {
-	c.post(func() { c.roster(scope, members) })
+	c.post(func() { c.updateEngines(scope, members) })
 }
 
-func (c *Core) roster(scope routing.EngineListScope, members []Endpoint) {
+func (c *Core) updateEngines(scope routing.EngineListScope, members []Endpoint) {
 	ev := routing.EngineList{Scope: scope}
 	// Who has left is forgotten: engines come under ever new ids. What one still holds
 	// is let go by the entry that its request keeps.
@@ -30,23 +30,23 @@
 	}
 	c.forgetUnlisted()
 	c.setReady()
-	c.tell(ev)
+	c.dispatch(ev)
 }
 
 // SetGateways tells how many gateways share the engines from now on.
 func (c *Core) SetGateways(n int) {
-	c.post(func() { c.tell(routing.GatewaysChanged{Gateways: n}) })
+	c.post(func() { c.dispatch(routing.GatewaysChanged{Gateways: n}) })
 }
 
-func (c *Core) probe(engine string) {
+func (c *Core) startProbe(engine string) {
 	m, known := c.members[engine]
 	if !c.checks.Hold(known, "a probe goes to a known engine") {
 		return
 	}
 	sent := time.Now()
-	c.engine.Probe(m, func(s routing.Status, r *routing.LoadReport) {
+	c.transport.Probe(m, func(s routing.Status, r *routing.LoadReport) {
 		c.post(func() {
-			c.tell(routing.ProbeResult{Engine: engine, Status: s, Latency: time.Since(sent), Report: r})
+			c.dispatch(routing.ProbeResult{Engine: engine, Status: s, Latency: time.Since(sent), Report: r})
 		})
 	})
 }
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -18,16 +18,16 @@
 	heap.Push(&t.list, timer{at: at, job: job})
 }
 
-// wait is how long it is until the next job is due.
-func (t *timers) wait(now time.Time) time.Duration {
+// untilNext is how long it is until the next job is due.
+func (t *timers) untilNext(now time.Time) time.Duration {
 	if len(t.list) == 0 {
 		return time.Hour
 	}
 	return max(0, t.list[0].at.Sub(now))
 }
 
-// due takes out the next job that is due, nil if there is none.
-func (t *timers) due(now time.Time) func() {
+// popDue takes out the next job that is due, nil if there is none.
+func (t *timers) popDue(now time.Time) func() {
 	if len(t.list) == 0 || t.list[0].at.After(now) {
 		return nil
 	}
--- a/internal/core/trace_test.go
+++ b/internal/core/trace_test.go
@@ -422,7 +422,7 @@
 	}},
 	{"probed", nil, func(tr *tracer) {
 		tr.submit("free", "a", 5*time.Second)
-		query(tr.t.Context(), tr.core, func() bool { tr.core.probe("r1"); return true })
+		query(tr.t.Context(), tr.core, func() bool { tr.core.startProbe("r1"); return true })
 		tr.sleep(20 * time.Millisecond)
 		for _, done := range all(tr, &tr.probes) {
 			done(routing.StatusServed, &routing.LoadReport{})
@@ -438,7 +438,7 @@
 		tr.written(0)
 		query(tr.t.Context(), tr.core, func() bool {
 			for _, q := range tr.core.requests {
-				tr.core.overdue(q)
+				tr.core.answerOverdue(q)
 			}
 			return true
 		})
