--- a/internal/core/api.go
+++ b/internal/core/api.go
@@ -177,7 +177,7 @@
 // called first. The ticket identifies the request from then on.
 func (c *Core) Submit(q Request, f Front) *Ticket {
 	t := &Ticket{core: c}
-	c.post(func() { c.submit(t, q, f) })
+	c.post(requestSubmitted{t, q, f})
 	return t
 }
 
@@ -192,17 +192,17 @@
 // then on, however long the core's queue is.
 func (t *Ticket) ClientGone() {
 	t.gone.Store(true)
-	t.core.post(func() { t.core.clientGone(t.request) })
+	t.core.post(clientLeft{t})
 }
 
 // Finish reports how the stream of a Streaming answer ended. Relay calls it; a front that reads the
 // stream by itself must call it once, after Stream.Close or the stream's end.
-func (t *Ticket) Finish(r Result) { t.core.post(func() { t.core.finishStream(t.request, r) }) }
+func (t *Ticket) Finish(r Result) { t.core.post(streamEnded{t, r}) }
 
 // MayHaveRun reports whether an attempt was sent that is not known to have been rejected; true if
 // the core has ended.
 func (t *Ticket) MayHaveRun(ctx context.Context) bool {
-	never := query(ctx, t.core, func() bool { return t.request != nil && !t.request.mayHaveRun() })
+	never := runQuery(ctx, t.core, func() bool { return t.request != nil && !t.request.mayHaveRun() })
 	return !never
 }
 
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -42,18 +42,18 @@
 	c.counts[countAttempts]++
 	if request.held.ledger.Holder() != "" && c.limits.ServesAlone != nil && c.limits.ServesAlone(m.Kind) {
 		request.held.ledger.Detach() // it will not fetch what was read for it elsewhere
-		c.unreconciled = append(c.unreconciled, request)
+		c.markChanged(request)
 	}
-	c.schedule(limit, func() { c.endAttempt(request, attempt, Result{Status: routing.StatusTimeout}) })
+	c.schedule(limit, attemptTimedOut{request, attempt})
 	out := Attempt{ClientRequestID: request.ClientRequestID, Number: attempt.number, Endpoint: m, Timeout: limit, Payload: request.Payload, ClientGone: request.clientGone.Load}
 	if request.lingering != nil || request.cancelPause(now) > 0 {
 		out.Connected = func() { c.awaitPredecessorClosed(request, attempt) }
 	}
-	out.Written = func() { c.post(func() { c.attemptWritten(request, attempt) }) }
+	out.Written = func() { c.post(attemptWritten{request, attempt}) }
 	attempt.handle = c.transport.Start(
 		out,
-		func(s Stream) { c.post(func() { c.openStream(request, attempt, s) }) },
-		func(r Result) { c.post(func() { c.endAttempt(request, attempt, r) }) },
+		func(s Stream) { c.post(streamOpened{request, attempt, s}) },
+		func(r Result) { c.post(attemptEnded{request, attempt, r}) },
 	)
 }
 
@@ -62,26 +62,29 @@
 // next may never come up.
 func (c *Core) awaitPredecessorClosed(request *requestState, attempt *attemptState) {
 	clear := make(chan struct{})
-	c.post(func() {
-		if attempt.ended {
-			close(clear)
-			return
-		}
-		c.afterAttemptClosed(request, func() { close(clear) })
-	})
+	c.post(attemptConnected{request, attempt, clear})
 	select {
 	case <-clear:
 	case <-c.done:
 	}
 }
 
-// attemptWritten records that an attempt is out.
-func (c *Core) attemptWritten(request *requestState, attempt *attemptState) {
+// clearAttempt closes clear once an attempt can be written.
+func (c *Core) clearAttempt(request *requestState, attempt *attemptState, clear chan<- struct{}) {
+	if attempt.ended {
+		close(clear)
+		return
+	}
+	c.afterAttemptClosed(request, attemptCleared{clear})
+}
+
+// recordWritten records that an attempt is out.
+func (c *Core) recordWritten(request *requestState, attempt *attemptState) {
 	if attempt.ended {
 		return
 	}
 	attempt.written, attempt.writtenAt = true, time.Now()
-	c.unreconciled = append(c.unreconciled, request)
+	c.markChanged(request)
 }
 
 // openStream gives an attempt's stream to the client, if the client still waits for it.
@@ -126,7 +129,7 @@
 	withdrawn := c.closeAttempt(request, attempt, r.Status)
 	request.possiblyRun = request.possiblyRun || !withdrawn && mayHaveRun(r.Status)
 	request.activeAttempts--
-	c.unreconciled = append(c.unreconciled, request)
+	c.markChanged(request)
 	c.counts[statusNames[r.Status]]++
 	if !withdrawn {
 		c.recordHeldState(request, attempt, r)
@@ -189,13 +192,13 @@
 // afterAttemptClosed closes the connection of an attempt that has been given up, and does what must
 // not meet that attempt once its engine can have learned of the end: both take their own ways.
 // Without such an attempt it is done at once.
-func (c *Core) afterAttemptClosed(request *requestState, job func()) {
+func (c *Core) afterAttemptClosed(request *requestState, next message) {
 	c.closeLingering(request)
 	if pause := request.cancelPause(time.Now()); pause > 0 {
-		c.schedule(pause, job)
+		c.schedule(pause, next)
 		return
 	}
-	job()
+	next.handle(c)
 }
 
 // cancelAttempt closes the connection of an attempt that its engine may have, or be about to get.
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -33,7 +33,7 @@
 	origin       time.Time
 	wall         func() time.Time // the wall clock, which may be stepped: for stamps of others alone
 
-	queue chan func()
+	queue chan message
 	done  chan struct{}
 	ready atomic.Bool
 
@@ -50,7 +50,7 @@
 	unreleased       map[*requestState]bool // over, and something may still be held for them
 	lastHeard        map[string]time.Time   // when each engine has last answered
 	lingering        int                    // attempts that are over for the module and whose connections are kept; see keepLingering
-	drainWaiters     []chan struct{}
+	drainWaiters     []chan<- struct{}
 	counts           map[Counter]int
 	traffic          map[string]*Traffic // by class
 	lastBusy         time.Time           // a request came, or was seen in hand
@@ -64,7 +64,7 @@
 		debugLogging: log.Enabled(context.Background(), slog.LevelDebug),
 		origin:       origin, wall: wallclock.Now,
 		starts: starttime.New(starttime.Clock{Now: clockOffset, Wall: wallclock.Now()}),
-		queue:  make(chan func(), queueSize), done: make(chan struct{}),
+		queue:  make(chan message, queueSize), done: make(chan struct{}),
 		members: map[string]Endpoint{}, ejections: ejection.New(), requests: map[routing.RequestID]*requestState{}, unreleased: map[*requestState]bool{}, lastHeard: map[string]time.Time{},
 		clientRequestIDs: map[string]bool{}, counts: map[Counter]int{}, traffic: map[string]*Traffic{},
 	}
@@ -83,22 +83,22 @@
 		select {
 		case <-ctx.Done():
 			return
-		case job := <-c.queue:
-			job()
+		case m := <-c.queue:
+			m.handle(c)
 			c.reconcile()
 		case <-alarm.C:
 		}
-		for job := c.timers.popDue(time.Now()); job != nil; job = c.timers.popDue(time.Now()) {
-			job()
+		for m := c.timers.popDue(time.Now()); m != nil; m = c.timers.popDue(time.Now()) {
+			m.handle(c)
 			c.reconcile()
 		}
 	}
 }
 
-// post puts a job into the queue; after Run has ended it is dropped.
-func (c *Core) post(job func()) {
+// post puts a message into the queue; after Run has ended it is dropped.
+func (c *Core) post(m message) {
 	select {
-	case c.queue <- job:
+	case c.queue <- m:
 	case <-c.done:
 	}
 }
@@ -109,7 +109,7 @@
 // Drain waits until no request is in hand and no release is under way.
 func (c *Core) Drain(ctx context.Context) error {
 	ch := make(chan struct{})
-	c.post(func() { c.drainWaiters = append(c.drainWaiters, ch); c.pollDrain() })
+	c.post(drainRequested{ch})
 	select {
 	case <-ch:
 		return nil
@@ -124,7 +124,7 @@
 // now on, as the gateway has no time left; with last those too that a decode engine may be about
 // to answer. Streams are the fronts' to end.
 func (c *Core) Abandon(last bool) {
-	c.post(func() { c.dispatch(routing.ShuttingDown{Final: last}) })
+	c.post(shutdownBegun{last})
 }
 
 // dispatch gives the module an event, carries out what it asks for, and goes on with
@@ -162,7 +162,7 @@
 		}
 	case routing.Release: // the ledger of held states sees to it; see settle
 	case routing.SetTimer:
-		c.schedule(a.In, func() { c.dispatch(routing.TimerFired{Name: a.Name}) })
+		c.schedule(a.In, routingTimerFired{a.Name})
 	case routing.Probe:
 		c.startProbe(a.Engine)
 	case routing.Subscribe:
@@ -192,4 +192,10 @@
 	}
 }
 
-func (c *Core) schedule(d time.Duration, job func()) { c.timers.add(time.Now().Add(d), job) }
+// schedule has a message handled after a time.
+func (c *Core) schedule(d time.Duration, m message) { c.timers.add(time.Now().Add(d), m) }
+
+// markChanged has a request reconciled once the message in hand has been handled.
+func (c *Core) markChanged(request *requestState) {
+	c.unreconciled = append(c.unreconciled, request)
+}
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -66,10 +66,10 @@
 	f := &fake{script: func(Attempt) (Stream, *Result) { return nil, nil }}
 	core := newCore(t, f)
 	w := make(answerChannel, 2)
-	core.post(func() {
+	core.post(testMessage(func() {
 		q := &requestState{Request: ask("free", 0), front: w, held: newHeldState(core.heldLimits(time.Second))}
-		core.schedule(0, func() { core.answerOverdue(q); core.answerOverdue(q) })
-	})
+		core.schedule(0, testMessage(func() { core.answerOverdue(q); core.answerOverdue(q) }))
+	}))
 	if a := <-w; a.Verdict != DeadlineExceeded {
 		t.Errorf("%+v", a)
 	}
@@ -161,7 +161,7 @@
 	}
 	core.UpdateEndpoints(routing.EngineListSnapshot, nil)
 	left := make(chan int)
-	core.post(func() { left <- len(core.members) })
+	core.post(testMessage(func() { left <- len(core.members) }))
 	if n := <-left; n > 0 || core.Ready() {
 		t.Errorf("%d members, ready %v", n, core.Ready())
 	}
--- a/internal/core/ejection.go
+++ b/internal/core/ejection.go
@@ -8,35 +8,42 @@
 	"wellgw/routing"
 )
 
-// ejectionAnswer is what the core's goroutine says of a call on an engine.
-type ejectionAnswer struct {
+// ejectionReply is the answer to a command on an engine.
+type ejectionReply struct {
 	names []string
-	ok    bool
+	ok    bool // the engine has been listed
 }
 
 // Eject takes an operator's call on an engine: out for maint-on, else maint-off.
 // It returns the names out by hand afterwards, and false for a name that was
 // never listed (nothing changes then) or if ctx ends first.
 func (c *Core) Eject(ctx context.Context, name string, out bool) (names []string, ok bool) {
-	a := query(ctx, c, func() ejectionAnswer {
-		ch, ok := c.ejections.Call(name, out, c.now())
-		if ok {
-			c.showEjections(ch)
-		}
-		return ejectionAnswer{c.ejections.Names(), ok}
-	})
+	reply := make(chan ejectionReply, 1)
+	a := await(ctx, c, ejectionCommanded{name, out, reply}, reply)
 	return a.names, a.ok
 }
 
+func (c *Core) eject(name string, out bool) ejectionReply {
+	ch, ok := c.ejections.Call(name, out, c.now())
+	if ok {
+		c.showEjections(ch)
+	}
+	return ejectionReply{c.ejections.Names(), ok}
+}
+
 // SetEjected makes names the whole set of engines out by hand, as another process of
 // this gateway has written it.
 func (c *Core) SetEjected(names []string) {
-	c.post(func() { c.showEjections(c.ejections.Take(names, c.now())) })
+	c.post(ejectionsReplaced{names})
+}
+
+func (c *Core) replaceEjections(names []string) {
+	c.showEjections(c.ejections.Take(names, c.now()))
 }
 
 // Ejected returns the names of the engines out by hand.
 func (c *Core) Ejected() []string {
-	return query(context.Background(), c, func() []string { return c.ejections.Names() })
+	return runQuery(context.Background(), c, func() []string { return c.ejections.Names() })
 }
 
 // now is the module's clock.
@@ -76,15 +83,21 @@
 // Reconfigure gives the module new classes and attempts. Requests in hand keep what
 // they came with. An error names the setting at fault; nothing changes then.
 func (c *Core) Reconfigure(ctx context.Context, set routing.Settings) error {
-	err := query(ctx, c, func() *error {
-		err := c.router.Reconfigure(set.Classes, set.MaxAttempts)
-		if err == nil {
-			c.limits.MaxAttempts = max(c.limits.MaxAttempts, set.MaxAttempts) // a backstop: the module holds each request to its own
-		}
-		return &err
-	})
+	reply := make(chan error, 1)
+	c.post(settingsChanged{set, reply})
+	select {
+	case err := <-reply:
+		return err
+	case <-c.done:
+	case <-ctx.Done():
+	}
+	return ctx.Err()
+}
+
+func (c *Core) reconfigure(set routing.Settings) error {
+	err := c.router.Reconfigure(set.Classes, set.MaxAttempts)
 	if err == nil {
-		return ctx.Err()
+		c.limits.MaxAttempts = max(c.limits.MaxAttempts, set.MaxAttempts) // a backstop: the module holds each request to its own
 	}
-	return *err
+	return err
 }
--- a/internal/core/fake_test.go
+++ b/internal/core/fake_test.go
@@ -140,6 +140,11 @@
 	return false
 }
 
+// testMessage has a test do something in the core's goroutine.
+type testMessage func()
+
+func (m testMessage) handle(*Core) { m() }
+
 // awaitLater makes a request and returns where its answer will come.
 func awaitLater(t *testing.T, c *Core, q Request) <-chan Answer {
 	answer := make(chan Answer, 1)
--- a/internal/core/held.go
+++ b/internal/core/held.go
@@ -84,7 +84,7 @@
 	if cancel := request.held.stopRelease[engine]; cancel != nil {
 		cancel() // a release on the connection that brought the answer arrives sooner
 	}
-	c.unreconciled = append(c.unreconciled, request)
+	c.markChanged(request)
 }
 
 // recordHeard records that an engine has answered just now.
@@ -167,15 +167,18 @@
 		c.counts[countEnginesChecked]++
 		c.transport.Reach(attempt.engine, func(reached bool) {
 			if reached {
-				c.post(func() {
-					c.recordHeard(attempt.engine.Name)
-					c.unreconciled = append(c.unreconciled, request)
-				})
+				c.post(engineReached{request, attempt.engine.Name})
 			}
 		})
 	}
 }
 
+// recordReached records that the engine of an attempt that is out is in reach.
+func (c *Core) recordReached(request *requestState, engine string) {
+	c.recordHeard(engine)
+	c.markChanged(request)
+}
+
 // expireState gives up a state that has waited too long for a decode engine: a connection that does
 // not come up must not hold it. The module has the prompt read again if there is time.
 func (c *Core) expireState(request *requestState) {
@@ -208,7 +211,7 @@
 		return
 	}
 	request.held.nextUpdate = at
-	c.timers.add(at, func() { c.unreconciled = append(c.unreconciled, request) })
+	c.timers.add(at, heldStateDue{request})
 }
 
 // keepLingering keeps the connection of a cancelled attempt open once its request is over. A
@@ -225,7 +228,7 @@
 	}
 	request.held.lingering = true
 	c.lingering++
-	c.schedule(lingerLimit, func() { c.endLingering(request) })
+	c.schedule(lingerLimit, lingerLimitReached{request})
 }
 
 // lingerTarget is the engine whose release ends the lingering: the one that certainly holds a
@@ -247,7 +250,7 @@
 		request.held.ledger.AttemptLost(attempt.engine.Name, c.router.CanPrefill(attempt.engine.Kind))
 		request.held.ledger.ReleaseAgain()
 	}
-	c.unreconciled = append(c.unreconciled, request)
+	c.markChanged(request)
 }
 
 // closeLingering closes the connection of a cancelled attempt that was kept open.
@@ -267,14 +270,14 @@
 		AlternatesInterval: max(c.limits.HeldStateLimit/2, heldstate.RepeatLeast),
 	}
 	request.held.stopRelease[engine] = c.transport.Release(r, func(err error) {
-		c.post(func() { c.releaseEnded(request, engine, err) })
+		c.post(releaseEnded{request, engine, err})
 	})
 }
 
-// releaseEnded records how a release ended.
-func (c *Core) releaseEnded(request *requestState, engine string, err error) {
+// recordRelease records how a release ended.
+func (c *Core) recordRelease(request *requestState, engine string, err error) {
 	delete(request.held.stopRelease, engine)
-	c.unreconciled = append(c.unreconciled, request)
+	c.markChanged(request)
 	if errors.Is(err, ErrNoRelease) {
 		request.held.ledger.Forget(engine)
 		return
@@ -302,10 +305,16 @@
 	return false
 }
 
-// pollDrain settles from time to time until nobody waits for a drain any longer.
+// awaitDrained has drained closed once nothing is in hand.
+func (c *Core) awaitDrained(drained chan<- struct{}) {
+	c.drainWaiters = append(c.drainWaiters, drained)
+	c.pollDrain()
+}
+
+// pollDrain reconciles from time to time until nobody waits for a drain any longer.
 func (c *Core) pollDrain() {
 	if len(c.drainWaiters) > 0 {
-		c.schedule(drainPollInterval, c.pollDrain)
+		c.schedule(drainPollInterval, drainPolled{})
 	}
 }
 
--- a/internal/core/held_test.go
+++ b/internal/core/held_test.go
@@ -85,7 +85,7 @@
 	f := &fake{script: func(Attempt) (Stream, *Result) { return nil, nil }}
 	c := newCore(t, f)
 	busy := make(chan struct{})
-	c.post(func() { <-busy })
+	c.post(testMessage(func() { <-busy }))
 	ticket := c.Submit(ask("once", time.Minute), make(answerChannel, 1))
 	ticket.ClientGone()
 	close(busy)
@@ -109,7 +109,7 @@
 	}
 	enginetest.Eventually(t, "the reader is told several times", func() bool { _, _, released := f.tally(); return released >= 4 })
 	enginetest.Eventually(t, "nothing more is owed", func() bool {
-		return query(t.Context(), c, func() bool { return len(c.unreleased) == 0 })
+		return runQuery(t.Context(), c, func() bool { return len(c.unreleased) == 0 })
 	})
 }
 
@@ -176,7 +176,7 @@
 	if err := c.Drain(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	if left := query(t.Context(), c, func() int { return len(c.unreleased) }); left > 0 {
+	if left := runQuery(t.Context(), c, func() int { return len(c.unreleased) }); left > 0 {
 		t.Errorf("the gateway has ended, and its read may run on")
 	}
 }
--- a/internal/core/linger_test.go
+++ b/internal/core/linger_test.go
@@ -100,11 +100,11 @@
 	answered := awaitLater(t, core, ask("free", time.Minute))
 	out := func(n int) func() bool { return func() bool { all, _, _ := f.tally(); return all == n } }
 	enginetest.Eventually(t, "the writer's attempt is out", out(2))
-	core.post(func() {
+	core.post(testMessage(func() {
 		for _, q := range core.requests {
 			core.endAttempt(q, q.attempts[1], Result{Status: routing.StatusTimeout})
 		}
-	})
+	}))
 	enginetest.Eventually(t, "the next one is begun", out(3))
 	core.Counts(t.Context())
 	if _, closed, _ := f.tally(); closed != 1 { // the read, which ended by itself
@@ -182,11 +182,11 @@
 				return len(handles) == 1 && handles[0].written.Load()
 			})
 		}
-		core.post(func() {
+		core.post(testMessage(func() {
 			for _, q := range core.requests {
 				core.endAttempt(q, q.attempts[0], Result{Status: routing.StatusCancelled})
 			}
-		})
+		}))
 		if !told {
 			enginetest.Eventually(t, "the first attempt is closed", func() bool { _, closed, _ := f.tally(); return closed == 1 })
 			close(f.unnoticed)
--- /dev/null
+++ b/internal/core/messages.go
@@ -0,0 +1,210 @@
+package core
+
+import (
+	"time"
+
+	"wellgw/routing"
+)
+
+// message is an event for the goroutine that owns the core: from the queue, where fronts, engines,
+// directories and operators put it, or from a timer. Every kind of event is a type of its own here;
+// its handle method is the only place where it takes effect.
+type message interface{ handle(c *Core) }
+
+// Of fronts.
+
+// requestSubmitted brings a request that a front has taken from a client.
+type requestSubmitted struct {
+	ticket  *Ticket
+	request Request
+	front   Front
+}
+
+func (m requestSubmitted) handle(c *Core) { c.submit(m.ticket, m.request, m.front) }
+
+// clientLeft tells that the client of a request is gone.
+type clientLeft struct{ ticket *Ticket }
+
+func (m clientLeft) handle(c *Core) { c.clientGone(m.ticket.request) }
+
+// streamEnded tells how the stream of a Streaming answer ended.
+type streamEnded struct {
+	ticket *Ticket
+	result Result
+}
+
+func (m streamEnded) handle(c *Core) { c.finishStream(m.ticket.request, m.result) }
+
+// Of attempts. Messages on one that has ended meanwhile are as good as void.
+
+// attemptConnected asks when an attempt whose connection is up may be written: clear is closed then.
+type attemptConnected struct {
+	request *requestState
+	attempt *attemptState
+	clear   chan<- struct{}
+}
+
+func (m attemptConnected) handle(c *Core) { c.clearAttempt(m.request, m.attempt, m.clear) }
+
+// attemptWritten tells that the last byte of an attempt has been written.
+type attemptWritten struct {
+	request *requestState
+	attempt *attemptState
+}
+
+func (m attemptWritten) handle(c *Core) { c.recordWritten(m.request, m.attempt) }
+
+// streamOpened brings the answer of an attempt, from its first event on.
+type streamOpened struct {
+	request *requestState
+	attempt *attemptState
+	stream  Stream
+}
+
+func (m streamOpened) handle(c *Core) { c.openStream(m.request, m.attempt, m.stream) }
+
+// attemptEnded tells how an attempt without a stream ended.
+type attemptEnded struct {
+	request *requestState
+	attempt *attemptState
+	result  Result
+}
+
+func (m attemptEnded) handle(c *Core) { c.endAttempt(m.request, m.attempt, m.result) }
+
+// Of engines and directories.
+
+// releaseEnded tells how a release at an engine ended.
+type releaseEnded struct {
+	request *requestState
+	engine  string
+	err     error
+}
+
+func (m releaseEnded) handle(c *Core) { c.recordRelease(m.request, m.engine, m.err) }
+
+// engineReached tells that the engine of an unconfirmed attempt of a request is in reach.
+type engineReached struct {
+	request *requestState
+	engine  string
+}
+
+func (m engineReached) handle(c *Core) { c.recordReached(m.request, m.engine) }
+
+// probeAnswered brings what an engine says of its load.
+type probeAnswered struct {
+	engine string
+	sentAt time.Time
+	status routing.Status
+	report *routing.LoadReport
+}
+
+func (m probeAnswered) handle(c *Core) {
+	c.dispatch(routing.ProbeResult{Engine: m.engine, Status: m.status, Latency: time.Since(m.sentAt), Report: m.report})
+}
+
+// engineListUpdated brings what a directory has learned.
+type engineListUpdated struct {
+	scope   routing.EngineListScope
+	members []Endpoint
+}
+
+func (m engineListUpdated) handle(c *Core) { c.updateEngines(m.scope, m.members) }
+
+// gatewaysCounted tells how many gateways share the engines.
+type gatewaysCounted struct{ gateways int }
+
+func (m gatewaysCounted) handle(c *Core) { c.dispatch(routing.GatewaysChanged{Gateways: m.gateways}) }
+
+// Of operators and of the process.
+
+// ejectionCommanded is an operator's command on one engine.
+type ejectionCommanded struct {
+	engine string
+	out    bool
+	reply  chan<- ejectionReply
+}
+
+func (m ejectionCommanded) handle(c *Core) { m.reply <- c.eject(m.engine, m.out) }
+
+// ejectionsReplaced brings the whole set of engines that are ejected manually.
+type ejectionsReplaced struct{ engines []string }
+
+func (m ejectionsReplaced) handle(c *Core) { c.replaceEjections(m.engines) }
+
+// settingsChanged brings settings of the routing module.
+type settingsChanged struct {
+	settings routing.Settings
+	reply    chan<- error
+}
+
+func (m settingsChanged) handle(c *Core) { m.reply <- c.reconfigure(m.settings) }
+
+// shutdownBegun tells that the gateway is about to end; see Core.Abandon.
+type shutdownBegun struct{ last bool }
+
+func (m shutdownBegun) handle(c *Core) { c.dispatch(routing.ShuttingDown{Final: m.last}) }
+
+// drainRequested asks for drained to be closed once nothing is in hand.
+type drainRequested struct{ drained chan<- struct{} }
+
+func (m drainRequested) handle(c *Core) { c.awaitDrained(m.drained) }
+
+// query is a question on the core's state. The answer is a closure, as each question is asked in
+// one place only, next to which its answer is read best, and none changes what the core does.
+type query[T any] struct {
+	answer func() T
+	reply  chan<- T
+}
+
+func (m query[T]) handle(*Core) { m.reply <- m.answer() }
+
+// Of timers. They can't be taken back, so each may find that it has come to nothing.
+
+// routingTimerFired tells that a timer of the routing module is due.
+type routingTimerFired struct{ name string }
+
+func (m routingTimerFired) handle(c *Core) { c.dispatch(routing.TimerFired{Name: m.name}) }
+
+// deadlinePassed tells that a request should have had its answer.
+type deadlinePassed struct{ request *requestState }
+
+func (m deadlinePassed) handle(c *Core) { c.answerOverdue(m.request) }
+
+// attemptTimedOut tells that an attempt has had the time that it may take.
+type attemptTimedOut struct {
+	request *requestState
+	attempt *attemptState
+}
+
+func (m attemptTimedOut) handle(c *Core) {
+	c.endAttempt(m.request, m.attempt, Result{Status: routing.StatusTimeout})
+}
+
+// attemptCleared lets an attempt be written; see attemptConnected.
+type attemptCleared struct{ clear chan<- struct{} }
+
+func (m attemptCleared) handle(*Core) { close(m.clear) }
+
+// answerDue gives a front an answer that had to wait; see Core.afterAttemptClosed.
+type answerDue struct {
+	front  Front
+	answer Answer
+}
+
+func (m answerDue) handle(*Core) { m.front.Answer(m.answer) }
+
+// heldStateDue tells that the ledger of a request is to be looked at.
+type heldStateDue struct{ request *requestState }
+
+func (m heldStateDue) handle(c *Core) { c.markChanged(m.request) }
+
+// lingerLimitReached tells that an attempt has been kept open as long as it may.
+type lingerLimitReached struct{ request *requestState }
+
+func (m lingerLimitReached) handle(c *Core) { c.endLingering(m.request) }
+
+// drainPolled has the core look whether a drain has ended.
+type drainPolled struct{}
+
+func (drainPolled) handle(c *Core) { c.pollDrain() }
--- a/internal/core/queries.go
+++ b/internal/core/queries.go
@@ -7,7 +7,7 @@
 
 // IdleFor returns for how long no request has come and none has been in hand.
 func (c *Core) IdleFor(ctx context.Context) time.Duration {
-	return query(ctx, c, func() time.Duration {
+	return runQuery(ctx, c, func() time.Duration {
 		if len(c.requests) > 0 {
 			c.lastBusy = time.Now()
 		}
@@ -32,7 +32,7 @@
 
 // Traffic returns what has been asked and served, by class.
 func (c *Core) Traffic(ctx context.Context) map[string]Traffic {
-	return query(ctx, c, func() map[string]Traffic {
+	return runQuery(ctx, c, func() map[string]Traffic {
 		m := make(map[string]Traffic, len(c.traffic))
 		for class, t := range c.traffic {
 			m[class] = *t
@@ -41,22 +41,28 @@
 	})
 }
 
-// query has the core's goroutine answer a question; it returns the zero value if the core
+// runQuery has the core's goroutine answer a question; it returns the zero value if the core
 // or ctx ends first.
-func query[T any](ctx context.Context, c *Core, answer func() T) (out T) {
-	ch := make(chan T, 1)
-	c.post(func() { ch <- answer() })
+func runQuery[T any](ctx context.Context, c *Core, answer func() T) T {
+	reply := make(chan T, 1)
+	return await(ctx, c, query[T]{answer, reply}, reply)
+}
+
+// await posts a message and waits for the reply to it; it returns the zero value if the core
+// or ctx ends first.
+func await[T any](ctx context.Context, c *Core, m message, reply <-chan T) (answer T) {
+	c.post(m)
 	select {
-	case out = <-ch:
+	case answer = <-reply:
 	case <-c.done:
 	case <-ctx.Done():
 	}
-	return out
+	return answer
 }
 
 // Counts returns how often each outcome and answer came, for the log.
 func (c *Core) Counts(ctx context.Context) map[string]int {
-	return query(ctx, c, func() map[string]int {
+	return runQuery(ctx, c, func() map[string]int {
 		counts := map[string]int{string(countOpen): len(c.requests)}
 		for counter, n := range c.counts {
 			counts[string(counter)] = n
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -52,7 +52,7 @@
 	c.unreconciled = append(c.unreconciled, request)
 	// The backstop guards against a request that neither the module nor an engine
 	// ever ends: it is answered inside the slack whatever else happens.
-	c.schedule(time.Until(request.deadline)+c.limits.DeadlineSlack, func() { c.answerOverdue(request) })
+	c.schedule(time.Until(request.deadline)+c.limits.DeadlineSlack, deadlinePassed{request})
 	in.TTL = time.Until(request.deadline)
 	c.dispatch(in.Request)
 }
@@ -72,14 +72,14 @@
 		a.Quota = &s
 	}
 	c.counts[verdictNames[a.Verdict]]++
-	c.unreconciled = append(c.unreconciled, request)
+	c.markChanged(request)
 	if c.debugLogging {
 		c.log.Debug("request answered", "id", request.ClientRequestID, "class", request.Class, "verdict", string(verdictNames[a.Verdict]), "attempts", len(request.attempts),
 			"age", time.Since(request.Arrived).Round(time.Millisecond), "left", time.Until(request.deadline).Round(time.Millisecond),
 			"status", string(statusNames[a.Status]), "cause", a.Cause)
 	}
 	if a.Verdict == Rejected && !request.repeatable { // it is said never to have run
-		c.afterAttemptClosed(request, func() { request.front.Answer(a) })
+		c.afterAttemptClosed(request, answerDue{request.front, a})
 	} else {
 		request.front.Answer(a)
 	}
--- a/internal/core/roster.go
+++ b/internal/core/roster.go
@@ -9,7 +9,7 @@
 
 // UpdateEndpoints tells what a directory has learned.
 func (c *Core) UpdateEndpoints(scope routing.EngineListScope, members []Endpoint) {
-	c.post(func() { c.updateEngines(scope, members) })
+	c.post(engineListUpdated{scope, members})
 }
 
 func (c *Core) updateEngines(scope routing.EngineListScope, members []Endpoint) {
@@ -35,7 +35,7 @@
 
 // SetGateways tells how many gateways share the engines from now on.
 func (c *Core) SetGateways(n int) {
-	c.post(func() { c.dispatch(routing.GatewaysChanged{Gateways: n}) })
+	c.post(gatewaysCounted{n})
 }
 
 func (c *Core) startProbe(engine string) {
@@ -45,8 +45,6 @@
 	}
 	sent := time.Now()
 	c.transport.Probe(m, func(s routing.Status, r *routing.LoadReport) {
-		c.post(func() {
-			c.dispatch(routing.ProbeResult{Engine: engine, Status: s, Latency: time.Since(sent), Report: r})
-		})
+		c.post(probeAnswered{engine, sent, s, r})
 	})
 }
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// timers holds jobs by the time they are due. They can't be taken back: a job
+// timers holds messages by the time they are due. They can't be taken back: the handler of one
 // that is no longer wanted finds that out itself.
 type timers struct{ list timerHeap }
 
 type timer struct {
-	at  time.Time
-	job func()
+	at      time.Time
+	message message
 }
 
-func (t *timers) add(at time.Time, job func()) {
-	heap.Push(&t.list, timer{at: at, job: job})
+func (t *timers) add(at time.Time, m message) {
+	heap.Push(&t.list, timer{at: at, message: m})
 }
 
-// untilNext is how long it is until the next job is due.
+// untilNext is how long it is until the next message is due.
 func (t *timers) untilNext(now time.Time) time.Duration {
 	if len(t.list) == 0 {
 		return time.Hour
@@ -26,12 +26,12 @@
 	return max(0, t.list[0].at.Sub(now))
 }
 
-// popDue takes out the next job that is due, nil if there is none.
-func (t *timers) popDue(now time.Time) func() {
+// popDue takes out the next message that is due, nil if there is none.
+func (t *timers) popDue(now time.Time) message {
 	if len(t.list) == 0 || t.list[0].at.After(now) {
 		return nil
 	}
-	return heap.Pop(&t.list).(timer).job
+	return heap.Pop(&t.list).(timer).message
 }
 
 type timerHeap []timer
@@ -43,7 +43,7 @@
 func (h *timerHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
-	old[len(old)-1] = timer{} // lets the job be collected
+	old[len(old)-1] = timer{} // lets the message be collected
 	*h = old[:len(old)-1]
 	return last
 }
--- a/internal/core/trace_test.go
+++ b/internal/core/trace_test.go
@@ -422,7 +422,7 @@
 	}},
 	{"probed", nil, func(tr *tracer) {
 		tr.submit("free", "a", 5*time.Second)
-		query(tr.t.Context(), tr.core, func() bool { tr.core.startProbe("r1"); return true })
+		runQuery(tr.t.Context(), tr.core, func() bool { tr.core.startProbe("r1"); return true })
 		tr.sleep(20 * time.Millisecond)
 		for _, done := range all(tr, &tr.probes) {
 			done(routing.StatusServed, &routing.LoadReport{})
@@ -436,7 +436,7 @@
 	{"overdue", nil, func(tr *tracer) {
 		tr.submit("free", "a", 5*time.Second)
 		tr.written(0)
-		query(tr.t.Context(), tr.core, func() bool {
+		runQuery(tr.t.Context(), tr.core, func() bool {
 			for _, q := range tr.core.requests {
 				tr.core.answerOverdue(q)
 			}
