--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -221,3 +221,10 @@
 		}
 	}
 }
+
+// noHandle is the handle of an attempt that was never begun.
+type noHandle struct{}
+
+func (noHandle) Cancel() {}
+
+func (noHandle) Withdraw() bool { return true }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -103,75 +103,6 @@
 	}
 }
 
-// Ready tells whether there is an engine to send to.
-func (c *Core) Ready() bool { return c.ready.Load() }
-
-// Drain waits until no request is in hand and no release is under way.
-func (c *Core) Drain(ctx context.Context) error {
-	ch := make(chan struct{})
-	c.post(drainRequested{ch})
-	select {
-	case <-ch:
-		return nil
-	case <-c.done:
-		return nil
-	case <-ctx.Done():
-		return ctx.Err()
-	}
-}
-
-// Abandon has the module give up every request that still waits, and all that come from
-// now on, as the gateway has no time left; with last those too that a decode engine may be about
-// to answer. Streams are the fronts' to end.
-func (c *Core) Abandon(last bool) {
-	c.post(shutdownBegun{last})
-}
-
-// dispatch gives the module an event, carries out what it asks for, and goes on with
-// what that brings at once. Handle's result ends with the next call, so events
-// that an action brings wait in pending.
-func (c *Core) dispatch(ev routing.Event) {
-	c.pendingEvents = append(c.pendingEvents, ev)
-	if len(c.pendingEvents) > 1 {
-		return
-	}
-	for len(c.pendingEvents) > 0 {
-		for _, a := range c.router.Handle(time.Since(c.origin), c.pendingEvents[0]) {
-			c.execute(a)
-		}
-		c.pendingEvents = c.pendingEvents[1:]
-	}
-	c.pendingEvents = nil
-}
-
-func (c *Core) execute(action routing.Action) {
-	switch a := action.(type) {
-	case routing.Send:
-		c.startAttempt(a)
-	case routing.Reject:
-		if request := c.requests[a.ID]; c.checks.Hold(request != nil, "a refusal names a request in hand") {
-			c.answer(request, Answer{Verdict: Rejected, RetryAfter: a.RetryAfter, OverQuota: a.OverQuota})
-		}
-	case routing.Fail:
-		if request := c.requests[a.ID]; c.checks.Hold(request != nil, "a failure names a request in hand") {
-			c.answer(request, Answer{Verdict: Failed})
-		}
-	case routing.CancelAttempt:
-		if request := c.requests[a.ID]; request != nil && a.Attempt < len(request.attempts) && request.serving != request.attempts[a.Attempt] {
-			c.endAttempt(request, request.attempts[a.Attempt], Result{Status: routing.StatusCancelled})
-		}
-	case routing.Release: // the ledger of held states sees to it; see settle
-	case routing.SetTimer:
-		c.schedule(a.In, routingTimerFired{a.Name})
-	case routing.Probe:
-		c.startProbe(a.Engine)
-	case routing.Subscribe:
-		c.directory.Subscribe()
-	default:
-		c.checks.Hold(false, "every action of the module is known")
-	}
-}
-
 // reconcile updates the requests that something has happened to: held states are released, and
 // what is over is forgotten.
 func (c *Core) reconcile() {
@@ -192,9 +123,6 @@
 	}
 }
 
-// schedule has a message handled after a time.
-func (c *Core) schedule(d time.Duration, m message) { c.timers.add(time.Now().Add(d), m) }
-
 // markChanged has a request reconciled once the message in hand has been handled.
 func (c *Core) markChanged(request *requestState) {
 	c.unreconciled = append(c.unreconciled, request)
--- a/internal/core/ejection.go
+++ b/internal/core/ejection.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"time"
 
 	"wellgw/decide/ejection"
 	"wellgw/routing"
@@ -46,9 +45,6 @@
 	return runQuery(context.Background(), c, func() []string { return c.ejections.Names() })
 }
 
-// now is the module's clock.
-func (c *Core) now() routing.Time { return time.Since(c.origin) }
-
 // showEjections shows the module the engines whose ejection began or ended.
 func (c *Core) showEjections(ch ejection.Change) {
 	ev := routing.EngineList{Scope: routing.EngineListDelta}
@@ -70,34 +66,3 @@
 		c.dispatch(ev)
 	}
 }
-
-// setReady tells whether some engine may be sent to.
-func (c *Core) setReady() {
-	on := false
-	for _, m := range c.members {
-		on = on || m.Phase == routing.PhaseActive && !c.ejections.Out(m.Name)
-	}
-	c.ready.Store(on)
-}
-
-// Reconfigure gives the module new classes and attempts. Requests in hand keep what
-// they came with. An error names the setting at fault; nothing changes then.
-func (c *Core) Reconfigure(ctx context.Context, set routing.Settings) error {
-	reply := make(chan error, 1)
-	c.post(settingsChanged{set, reply})
-	select {
-	case err := <-reply:
-		return err
-	case <-c.done:
-	case <-ctx.Done():
-	}
-	return ctx.Err()
-}
-
-func (c *Core) reconfigure(set routing.Settings) error {
-	err := c.router.Reconfigure(set.Classes, set.MaxAttempts)
-	if err == nil {
-		c.limits.MaxAttempts = max(c.limits.MaxAttempts, set.MaxAttempts) // a backstop: the module holds each request to its own
-	}
-	return err
-}
--- a/internal/core/roster.go
+++ b/internal/core/endpoints.go
@@ -1,6 +1,9 @@
 package core
 
 import (
+	"cmp"
+	"maps"
+	"slices"
 	"time"
 
 	"wellgw/decide/starttime"
@@ -48,3 +51,45 @@
 		c.post(probeAnswered{engine, sent, s, r})
 	})
 }
+
+// recordHeard records that an engine has answered just now.
+func (c *Core) recordHeard(engine string) { c.lastHeard[engine] = time.Now() }
+
+// forgetUnlisted forgets when engines that are no longer listed were heard. Engines come under
+// ever new names.
+func (c *Core) forgetUnlisted() {
+	maps.DeleteFunc(c.lastHeard, func(name string, _ time.Time) bool {
+		_, listed := c.members[name]
+		return !listed
+	})
+}
+
+// othersByLastHeard returns other engines than one, those first that were heard last.
+func (c *Core) othersByLastHeard(engine string) []Endpoint {
+	latest := func(a, b Endpoint) int {
+		return cmp.Or(c.lastHeard[b.Name].Compare(c.lastHeard[a.Name]), cmp.Compare(a.Name, b.Name))
+	}
+	others := make([]Endpoint, 0, maxElsewhere+1)
+	for name, m := range c.members {
+		full := len(others) == maxElsewhere
+		if name == engine || full && latest(others[maxElsewhere-1], m) < 0 {
+			continue
+		}
+		at, _ := slices.BinarySearchFunc(others, m, latest)
+		others = slices.Insert(others, at, m)
+		others = others[:min(len(others), maxElsewhere)]
+	}
+	return others
+}
+
+// setReady tells whether some engine may be sent to.
+func (c *Core) setReady() {
+	on := false
+	for _, m := range c.members {
+		on = on || m.Phase == routing.PhaseActive && !c.ejections.Out(m.Name)
+	}
+	c.ready.Store(on)
+}
+
+// Ready tells whether there is an engine to send to.
+func (c *Core) Ready() bool { return c.ready.Load() }
--- a/internal/core/held.go
+++ b/internal/core/held.go
@@ -1,10 +1,6 @@
 package core
 
 import (
-	"cmp"
-	"errors"
-	"maps"
-	"slices"
 	"time"
 
 	"wellgw/decide/heldstate"
@@ -87,36 +83,6 @@
 	c.markChanged(request)
 }
 
-// recordHeard records that an engine has answered just now.
-func (c *Core) recordHeard(engine string) { c.lastHeard[engine] = time.Now() }
-
-// forgetUnlisted forgets when engines that are no longer listed were heard. Engines come under
-// ever new names.
-func (c *Core) forgetUnlisted() {
-	maps.DeleteFunc(c.lastHeard, func(name string, _ time.Time) bool {
-		_, listed := c.members[name]
-		return !listed
-	})
-}
-
-// othersByLastHeard returns other engines than one, those first that were heard last.
-func (c *Core) othersByLastHeard(engine string) []Endpoint {
-	latest := func(a, b Endpoint) int {
-		return cmp.Or(c.lastHeard[b.Name].Compare(c.lastHeard[a.Name]), cmp.Compare(a.Name, b.Name))
-	}
-	others := make([]Endpoint, 0, maxElsewhere+1)
-	for name, m := range c.members {
-		full := len(others) == maxElsewhere
-		if name == engine || full && latest(others[maxElsewhere-1], m) < 0 {
-			continue
-		}
-		at, _ := slices.BinarySearchFunc(others, m, latest)
-		others = slices.Insert(others, at, m)
-		others = others[:min(len(others), maxElsewhere)]
-	}
-	return others
-}
-
 // updateHeld does what is due for a request's held states and schedules the next update.
 func (c *Core) updateHeld(request *requestState) {
 	now, ledger := c.now(), request.held.ledger
@@ -191,15 +157,6 @@
 	}
 }
 
-// trackUnreleased keeps a request that is over in a table while something may be held for it.
-func (c *Core) trackUnreleased(request *requestState) {
-	if request.held.ledger.Done() {
-		delete(c.unreleased, request)
-	} else if request.answered {
-		c.unreleased[request] = true
-	}
-}
-
 // scheduleUpdate sets a timer for the next update, unless one is due before that.
 func (c *Core) scheduleUpdate(request *requestState) {
 	next, ok := request.held.ledger.Next()
@@ -213,113 +170,3 @@
 	request.held.nextUpdate = at
 	c.timers.add(at, heldStateDue{request})
 }
-
-// keepLingering keeps the connection of a cancelled attempt open once its request is over. A
-// state must not be held for long while no attempt is out, and an engine behind a network
-// partition cannot be told to release it; until it has been told, the attempt stays out. Time
-// and number are bounded.
-func (c *Core) keepLingering(request *requestState) {
-	if request.lingering == nil || request.held.lingering || !request.answered || request.activeAttempts > 0 {
-		return
-	}
-	if c.lingering >= maxLingering {
-		c.closeLingering(request)
-		return
-	}
-	request.held.lingering = true
-	c.lingering++
-	c.schedule(lingerLimit, lingerLimitReached{request})
-}
-
-// lingerTarget is the engine whose release ends the lingering: the one that certainly holds a
-// state or, without one, the attempt's own.
-func (r *requestState) lingerTarget() string {
-	return cmp.Or(r.held.holder, r.lingering.engine.Name)
-}
-
-// endLingering closes the connection of the attempt that was kept open. Releases that arrived
-// before may have had no effect, as the attempt was still waiting for the state.
-func (c *Core) endLingering(request *requestState) {
-	if !request.held.lingering {
-		return
-	}
-	request.held.lingering = false
-	c.lingering--
-	if attempt := request.lingering; attempt != nil {
-		c.closeLingering(request)
-		request.held.ledger.AttemptLost(attempt.engine.Name, c.router.CanPrefill(attempt.engine.Kind))
-		request.held.ledger.ReleaseAgain()
-	}
-	c.markChanged(request)
-}
-
-// closeLingering closes the connection of a cancelled attempt that was kept open.
-func (c *Core) closeLingering(request *requestState) {
-	if request.lingering != nil {
-		request.cancelAttempt(request.lingering)
-		request.lingering = nil
-	}
-}
-
-// startRelease tells one engine to release what it holds for a request.
-func (c *Core) startRelease(request *requestState, engine string) {
-	c.counts[countReleases]++
-	r := Release{
-		Endpoint: request.held.members[engine], ClientRequestID: request.ClientRequestID, Deadline: c.origin.Add(request.held.ledger.Until(engine)),
-		Alternates: c.othersByLastHeard(engine), AlternatesAfter: min(elsewhereAfter, c.limits.HeldStateLimit/4),
-		AlternatesInterval: max(c.limits.HeldStateLimit/2, heldstate.RepeatLeast),
-	}
-	request.held.stopRelease[engine] = c.transport.Release(r, func(err error) {
-		c.post(releaseEnded{request, engine, err})
-	})
-}
-
-// recordRelease records how a release ended.
-func (c *Core) recordRelease(request *requestState, engine string, err error) {
-	delete(request.held.stopRelease, engine)
-	c.markChanged(request)
-	if errors.Is(err, ErrNoRelease) {
-		request.held.ledger.Forget(engine)
-		return
-	}
-	request.held.ledger.ReleaseEnded(engine, err == nil, c.now())
-	if err != nil {
-		c.counts[countReleasesFailed]++
-		c.log.Debug("release failed", "id", request.ClientRequestID, "engine", engine, "cause", err)
-		return
-	}
-	c.recordHeard(engine)
-	if request.held.lingering && request.lingering != nil && engine == request.lingerTarget() {
-		c.endLingering(request)
-	}
-}
-
-// releasesBlockDrain tells whether a draining gateway has to wait for a release.
-func (c *Core) releasesBlockDrain() bool {
-	now := c.now()
-	for request := range c.unreleased {
-		if request.held.ledger.Urgent(now) {
-			return true
-		}
-	}
-	return false
-}
-
-// awaitDrained has drained closed once nothing is in hand.
-func (c *Core) awaitDrained(drained chan<- struct{}) {
-	c.drainWaiters = append(c.drainWaiters, drained)
-	c.pollDrain()
-}
-
-// pollDrain reconciles from time to time until nobody waits for a drain any longer.
-func (c *Core) pollDrain() {
-	if len(c.drainWaiters) > 0 {
-		c.schedule(drainPollInterval, drainPolled{})
-	}
-}
-
-// noHandle is the handle of an attempt that was never begun.
-type noHandle struct{}
-
-func (noHandle) Cancel()        {}
-func (noHandle) Withdraw() bool { return true }
--- a/internal/core/queries.go
+++ b/internal/core/queries.go
@@ -15,32 +15,6 @@
 	})
 }
 
-// maxTrafficClasses bounds the classes that are counted: clients may name any.
-const maxTrafficClasses = 64
-
-func (c *Core) addTraffic(class string, add func(*Traffic)) {
-	t := c.traffic[class]
-	if t == nil {
-		if len(c.traffic) >= maxTrafficClasses {
-			return
-		}
-		t = &Traffic{}
-		c.traffic[class] = t
-	}
-	add(t)
-}
-
-// Traffic returns what has been asked and served, by class.
-func (c *Core) Traffic(ctx context.Context) map[string]Traffic {
-	return runQuery(ctx, c, func() map[string]Traffic {
-		m := make(map[string]Traffic, len(c.traffic))
-		for class, t := range c.traffic {
-			m[class] = *t
-		}
-		return m
-	})
-}
-
 // runQuery has the core's goroutine answer a question; it returns the zero value if the core
 // or ctx ends first.
 func runQuery[T any](ctx context.Context, c *Core, answer func() T) T {
@@ -59,14 +33,3 @@
 	}
 	return answer
 }
-
-// Counts returns how often each outcome and answer came, for the log.
-func (c *Core) Counts(ctx context.Context) map[string]int {
-	return runQuery(ctx, c, func() map[string]int {
-		counts := map[string]int{string(countOpen): len(c.requests)}
-		for counter, n := range c.counts {
-			counts[string(counter)] = n
-		}
-		return counts
-	})
-}
--- /dev/null
+++ b/internal/core/ticket.go
@@ -0,0 +1,73 @@
+package core
+
+import (
+	"context"
+	"sync/atomic"
+
+	"wellgw/routing"
+)
+
+// Submit hands a request to the core, which calls f.Answer exactly once unless Ticket.ClientGone is
+// called first. The ticket identifies the request from then on.
+func (c *Core) Submit(q Request, f Front) *Ticket {
+	t := &Ticket{core: c}
+	c.post(requestSubmitted{t, q, f})
+	return t
+}
+
+// Ticket identifies a submitted request.
+type Ticket struct {
+	core    *Core
+	request *requestState // owned by the core's goroutine
+	gone    atomic.Bool   // the client has disconnected
+}
+
+// ClientGone reports that the client has disconnected before its answer. No attempt begins from
+// then on, however long the core's queue is.
+func (t *Ticket) ClientGone() {
+	t.gone.Store(true)
+	t.core.post(clientLeft{t})
+}
+
+// Finish reports how the stream of a Streaming answer ended. Relay calls it; a front that reads the
+// stream by itself must call it once, after Stream.Close or the stream's end.
+func (t *Ticket) Finish(r Result) { t.core.post(streamEnded{t, r}) }
+
+// MayHaveRun reports whether an attempt was sent that is not known to have been rejected; true if
+// the core has ended.
+func (t *Ticket) MayHaveRun(ctx context.Context) bool {
+	never := runQuery(ctx, t.core, func() bool { return t.request != nil && !t.request.mayHaveRun() })
+	return !never
+}
+
+// Relay forwards a stream's events to write until it ends, and reports the end to the core. It
+// returns nil only if the stream was forwarded completely. When ctx ends, the client has
+// disconnected: the attempt is closed at once, even while no event comes.
+func (t *Ticket) Relay(ctx context.Context, s Stream, write func([]byte) error) error {
+	stop := context.AfterFunc(ctx, func() { s.Close() })
+	defer stop()
+	defer s.Close()
+	buf := make([]byte, 16<<10)
+	for {
+		n, err := s.Read(buf)
+		if n > 0 {
+			if werr := write(buf[:n]); werr != nil {
+				s.Close()
+				t.Finish(Result{Status: routing.StatusCancelled, Cause: werr})
+				return werr
+			}
+		}
+		if err == nil {
+			continue
+		}
+		r := s.Result()
+		if ctx.Err() != nil && r.Status != routing.StatusServed {
+			r.Status = routing.StatusCancelled
+		}
+		t.Finish(r)
+		if r.Status == routing.StatusServed {
+			return nil
+		}
+		return err
+	}
+}
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -3,6 +3,8 @@
 import (
 	"container/heap"
 	"time"
+
+	"wellgw/routing"
 )
 
 // timers holds messages by the time they are due. They can't be taken back: the handler of one
@@ -47,3 +49,9 @@
 	*h = old[:len(old)-1]
 	return last
 }
+
+// now is the module's clock.
+func (c *Core) now() routing.Time { return time.Since(c.origin) }
+
+// schedule has a message handled after a time.
+func (c *Core) schedule(d time.Duration, m message) { c.timers.add(time.Now().Add(d), m) }
