--- a/internal/core/api.go
+++ b/internal/core/api.go
@@ -1,9 +1,3 @@
-// Package core carries requests from a front to the engines that the routing policy names, and
-// their outcomes back. It knows no protocol: fronts submit requests and take answers, a Transport
-// makes attempts at engines and reports their results.
-//
-// One goroutine owns the router, the clock, the timers and the request table. All others reach it
-// through one queue, and it never waits for I/O.
 package core
 
 import (
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -18,13 +18,17 @@
 	handle    Handle
 }
 
+// cancelTransit is how long an engine may need to learn that an attempt was cancelled. What must not
+// meet that attempt, such as the next one, waits for it.
+const cancelTransit = 3 * time.Millisecond
+
 // startAttempt makes an attempt, or says at once that it was not made.
 func (c *Core) startAttempt(a routing.Send) {
-	request := c.requests[a.ID]
+	request := c.requests.byID[a.ID]
 	if !c.checks.Hold(request != nil && !request.answered, "a send is for a request that awaits its answer") {
 		return
 	}
-	m, known := c.members[a.Engine]
+	m, known := c.endpoints.listed[a.Engine]
 	now := time.Now()
 	attempt := &attemptState{number: len(request.attempts), engine: m, startedAt: now, handle: noHandle{}}
 	attempt.engine.Name = a.Engine
@@ -39,7 +43,7 @@
 		c.endAttempt(request, attempt, Result{Status: routing.StatusNotSent})
 		return
 	}
-	c.counts[countAttempts]++
+	c.counters.increment(countAttempts)
 	if request.held.ledger.Holder() != "" && c.limits.ServesAlone != nil && c.limits.ServesAlone(m.Kind) {
 		request.held.ledger.Detach() // it will not fetch what was read for it elsewhere
 		c.markChanged(request)
@@ -95,7 +99,7 @@
 		return
 	}
 	request.serving, request.stream, attempt.answering = attempt, s, true
-	c.recordHeard(attempt.engine.Name)
+	c.endpoints.recordHeard(attempt.engine.Name)
 	request.held.ledger.AnswerBegan()
 	for _, other := range request.attempts {
 		if other != attempt {
@@ -111,7 +115,7 @@
 		request.serving, request.stream = nil, nil
 		if r.Status == routing.StatusServed {
 			request.held.ledger.AnswerDone()
-			c.addTraffic(request.Class, func(t *Traffic) { t.Served++; t.ServedPrompt += request.PromptTokens; t.Output += r.OutputTokens })
+			c.counters.addTraffic(request.Class, func(t *Traffic) { t.Served++; t.ServedPrompt += request.PromptTokens; t.Output += r.OutputTokens })
 		}
 		c.endAttempt(request, attempt, r)
 	}
@@ -130,7 +134,7 @@
 	request.possiblyRun = request.possiblyRun || !withdrawn && mayHaveRun(r.Status)
 	request.activeAttempts--
 	c.markChanged(request)
-	c.counts[statusNames[r.Status]]++
+	c.counters.increment(statusNames[r.Status])
 	if !withdrawn {
 		c.recordHeldState(request, attempt, r)
 	}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,72 +1,61 @@
+// Package core carries requests from a front to the engines that the routing policy names, and
+// their outcomes back. It knows no protocol: fronts submit requests and take answers, a Transport
+// makes attempts at engines and reports their results.
+//
+// One goroutine, that of Core.Run, owns the router and all state of requests. All others reach it
+// through one queue of messages, and it never waits for I/O.
 package core
 
 import (
 	"context"
 	"log/slog"
-	"sync/atomic"
 	"time"
 
-	"wellgw/decide/ejection"
 	"wellgw/decide/starttime"
 	"wellgw/internal/invariant"
-	"wellgw/internal/wallclock"
 	"wellgw/routing"
 )
 
-// The core's own margins; all else is the module's to decide.
-const (
-	queueSize     = 4096
-	cancelTransit = 3 * time.Millisecond // from the end of an attempt to what must not meet it, such as the next
-	clockOffset   = 24 * time.Hour       // the module's clock at the start, so that no time of it is 0
-)
+// queueSize is how many messages may wait for the core. Beyond that senders block until it has
+// caught up; the core itself waits for none of them.
+const queueSize = 4096
 
 // Core owns one Router and all requests in hand.
 type Core struct {
 	router       *routing.Router
 	transport    Transport
 	directory    Directory
+	observer     Observer // nil for none
 	limits       Limits
 	log          *slog.Logger
 	debugLogging bool // the log takes level debug
 	checks       *invariant.Checks
-	observer     Observer // nil for none
-	origin       time.Time
-	wall         func() time.Time // the wall clock, which may be stepped: for stamps of others alone
+	clock        clock
 
-	queue chan message
-	done  chan struct{}
-	ready atomic.Bool
+	queue     chan message
+	done      chan struct{} // closed when Run has ended
+	endpoints *endpointTable
 
 	// Owned by the goroutine of Run.
-	members          map[string]Endpoint
-	ejections        *ejection.Set // engines out by hand
-	starts           *starttime.Table
-	requests         map[routing.RequestID]*requestState
-	clientRequestIDs map[string]bool
-	lastID           routing.RequestID
-	timers           timers
-	pendingEvents    []routing.Event
-	unreconciled     []*requestState
-	unreleased       map[*requestState]bool // over, and something may still be held for them
-	lastHeard        map[string]time.Time   // when each engine has last answered
-	lingering        int                    // attempts that are over for the module and whose connections are kept; see keepLingering
-	drainWaiters     []chan<- struct{}
-	counts           map[Counter]int
-	traffic          map[string]*Traffic // by class
-	lastBusy         time.Time           // a request came, or was seen in hand
+	requests      requestTable
+	unreconciled  []*requestState // in which the message in hand has changed something
+	unreleased    unreleasedRequests
+	lingering     int             // lingering attempts of requests that are over; see keepLingering
+	pendingEvents []routing.Event // for the router, from the actions that it asked for last
+	timers        timers
+	counters      counters
+	drainWaiters  []chan<- struct{} // closed once nothing is in hand
 }
 
 // New returns a core round a router. Run must be called for it to work.
-func New(r *routing.Router, e Transport, d Directory, fig Limits, log *slog.Logger, checks *invariant.Checks) *Core {
-	origin := time.Now().Add(-clockOffset)
+func New(router *routing.Router, transport Transport, directory Directory, limits Limits, log *slog.Logger, checks *invariant.Checks) *Core {
+	clock := newClock()
 	return &Core{
-		router: r, transport: e, directory: d, limits: fig, log: log, checks: checks,
-		debugLogging: log.Enabled(context.Background(), slog.LevelDebug),
-		origin:       origin, wall: wallclock.Now,
-		starts: starttime.New(starttime.Clock{Now: clockOffset, Wall: wallclock.Now()}),
-		queue:  make(chan message, queueSize), done: make(chan struct{}),
-		members: map[string]Endpoint{}, ejections: ejection.New(), requests: map[routing.RequestID]*requestState{}, unreleased: map[*requestState]bool{}, lastHeard: map[string]time.Time{},
-		clientRequestIDs: map[string]bool{}, counts: map[Counter]int{}, traffic: map[string]*Traffic{},
+		router: router, transport: transport, directory: directory, limits: limits, checks: checks, clock: clock,
+		log: log, debugLogging: log.Enabled(context.Background(), slog.LevelDebug),
+		queue: make(chan message, queueSize), done: make(chan struct{}),
+		endpoints: newEndpointTable(starttime.Clock{Now: clockOffset, Wall: clock.wall()}),
+		requests:  newRequestTable(), unreleased: unreleasedRequests{}, counters: newCounters(),
 	}
 }
 
@@ -115,12 +104,7 @@
 		c.updateHeld(request)
 	}
 	c.unreconciled = nil
-	if len(c.drainWaiters) > 0 && len(c.requests) == 0 && !c.releasesBlockDrain() {
-		for _, ch := range c.drainWaiters {
-			close(ch)
-		}
-		c.drainWaiters = nil
-	}
+	c.endDrain()
 }
 
 // markChanged has a request reconciled once the message in hand has been handled.
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -161,7 +161,7 @@
 	}
 	core.UpdateEndpoints(routing.EngineListSnapshot, nil)
 	left := make(chan int)
-	core.post(testMessage(func() { left <- len(core.members) }))
+	core.post(testMessage(func() { left <- len(core.endpoints.listed) }))
 	if n := <-left; n > 0 || core.Ready() {
 		t.Errorf("%d members, ready %v", n, core.Ready())
 	}
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -1,10 +1,6 @@
 package core
 
-import (
-	"time"
-
-	"wellgw/routing"
-)
+import "wellgw/routing"
 
 // dispatch gives the module an event, carries out what it asks for, and goes on with
 // what that brings at once. Handle's result ends with the next call, so events
@@ -15,7 +11,7 @@
 		return
 	}
 	for len(c.pendingEvents) > 0 {
-		for _, a := range c.router.Handle(time.Since(c.origin), c.pendingEvents[0]) {
+		for _, a := range c.router.Handle(c.clock.now(), c.pendingEvents[0]) {
 			c.execute(a)
 		}
 		c.pendingEvents = c.pendingEvents[1:]
@@ -28,15 +24,15 @@
 	case routing.Send:
 		c.startAttempt(a)
 	case routing.Reject:
-		if request := c.requests[a.ID]; c.checks.Hold(request != nil, "a refusal names a request in hand") {
+		if request := c.requests.byID[a.ID]; c.checks.Hold(request != nil, "a refusal names a request in hand") {
 			c.answer(request, Answer{Verdict: Rejected, RetryAfter: a.RetryAfter, OverQuota: a.OverQuota})
 		}
 	case routing.Fail:
-		if request := c.requests[a.ID]; c.checks.Hold(request != nil, "a failure names a request in hand") {
+		if request := c.requests.byID[a.ID]; c.checks.Hold(request != nil, "a failure names a request in hand") {
 			c.answer(request, Answer{Verdict: Failed})
 		}
 	case routing.CancelAttempt:
-		if request := c.requests[a.ID]; request != nil && a.Attempt < len(request.attempts) && request.serving != request.attempts[a.Attempt] {
+		if request := c.requests.byID[a.ID]; request != nil && a.Attempt < len(request.attempts) && request.serving != request.attempts[a.Attempt] {
 			c.endAttempt(request, request.attempts[a.Attempt], Result{Status: routing.StatusCancelled})
 		}
 	case routing.Release: // the ledger of held states sees to it; see settle
--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -1,6 +1,13 @@
 package core
 
-import "context"
+import (
+	"context"
+	"time"
+)
+
+// drainPollInterval is the time between two checks whether a draining gateway may end: releases stop
+// to block it as time passes, which no message tells.
+const drainPollInterval = 20 * time.Millisecond
 
 // Drain waits until no request is in hand and no release is under way.
 func (c *Core) Drain(ctx context.Context) error {
@@ -36,13 +43,13 @@
 	}
 }
 
-// releasesBlockDrain tells whether a draining gateway has to wait for a release.
-func (c *Core) releasesBlockDrain() bool {
-	now := c.now()
-	for request := range c.unreleased {
-		if request.held.ledger.Urgent(now) {
-			return true
-		}
+// endDrain lets the waiters go if nothing is in hand.
+func (c *Core) endDrain() {
+	if len(c.drainWaiters) == 0 || c.requests.len() > 0 || c.unreleased.blockDrain(c.clock.now()) {
+		return
+	}
+	for _, drained := range c.drainWaiters {
+		close(drained)
 	}
-	return false
+	c.drainWaiters = nil
 }
--- a/internal/core/ejection.go
+++ b/internal/core/ejection.go
@@ -4,7 +4,6 @@
 	"context"
 
 	"wellgw/decide/ejection"
-	"wellgw/routing"
 )
 
 // ejectionReply is the answer to a command on an engine.
@@ -23,11 +22,11 @@
 }
 
 func (c *Core) eject(name string, out bool) ejectionReply {
-	ch, ok := c.ejections.Call(name, out, c.now())
+	ch, ok := c.endpoints.ejections.Call(name, out, c.clock.now())
 	if ok {
-		c.showEjections(ch)
+		c.applyEjections(ch)
 	}
-	return ejectionReply{c.ejections.Names(), ok}
+	return ejectionReply{c.endpoints.ejections.Names(), ok}
 }
 
 // SetEjected makes names the whole set of engines out by hand, as another process of
@@ -37,32 +36,25 @@
 }
 
 func (c *Core) replaceEjections(names []string) {
-	c.showEjections(c.ejections.Take(names, c.now()))
+	c.applyEjections(c.endpoints.ejections.Take(names, c.clock.now()))
 }
 
 // Ejected returns the names of the engines out by hand.
 func (c *Core) Ejected() []string {
-	return runQuery(context.Background(), c, func() []string { return c.ejections.Names() })
+	return runQuery(context.Background(), c, func() []string { return c.endpoints.ejections.Names() })
 }
 
-// showEjections shows the module the engines whose ejection began or ended.
-func (c *Core) showEjections(ch ejection.Change) {
-	ev := routing.EngineList{Scope: routing.EngineListDelta}
-	for _, names := range [][]string{ch.Out, ch.Back} {
-		for _, n := range names {
-			if m, ok := c.members[n]; ok {
-				ev.Engines = append(ev.Engines, c.ejections.Show(m.EngineInfo))
-			}
-		}
+// applyEjections tells the router of engines whose ejection began or ended, and logs them.
+func (c *Core) applyEjections(change ejection.Change) {
+	list := c.endpoints.ejectionsChanged(change)
+	if len(list.Engines) == 0 {
+		return
 	}
-	c.setReady()
-	if len(ev.Engines) > 0 {
-		for _, n := range ch.Out {
-			c.log.Info("engine out by hand", "engine", n)
-		}
-		for _, n := range ch.Back {
-			c.log.Info("engine back by hand", "engine", n)
-		}
-		c.dispatch(ev)
+	for _, name := range change.Out {
+		c.log.Info("engine out by hand", "engine", name)
 	}
+	for _, name := range change.Back {
+		c.log.Info("engine back by hand", "engine", name)
+	}
+	c.dispatch(list)
 }
--- a/internal/core/ejection_test.go
+++ b/internal/core/ejection_test.go
@@ -87,12 +87,12 @@
 	f := &fake{script: func(Attempt) (Stream, *Result) { return nil, nil }}
 	c := newCore(t, f)
 	step := func(d time.Duration) {
-		runQuery(t.Context(), c, func() bool { c.wall = func() time.Time { return time.Now().Add(d).Round(0) }; return true })
+		runQuery(t.Context(), c, func() bool { c.clock.wall = func() time.Time { return time.Now().Add(d).Round(0) }; return true })
 	}
 	list := func(started time.Time) (cameUp routing.Time) {
 		m := Endpoint{EngineInfo: routing.EngineInfo{Name: "stepped", Kind: "r", Zone: "a", Phase: routing.PhaseActive}, StartedAt: started}
 		c.UpdateEndpoints(routing.EngineListDelta, []Endpoint{m})
-		return runQuery(t.Context(), c, func() routing.Time { return c.members["stepped"].StartTime })
+		return runQuery(t.Context(), c, func() routing.Time { return c.endpoints.listed["stepped"].StartTime })
 	}
 	started := time.Now().Add(-time.Minute).Round(0)
 	first := list(started)
@@ -103,7 +103,7 @@
 	}
 	for _, d := range []time.Duration{time.Hour, -time.Hour} {
 		step(d)
-		now := runQuery(t.Context(), c, func() routing.Time { return c.now() })
+		now := runQuery(t.Context(), c, func() routing.Time { return c.clock.now() })
 		if at := list(time.Now().Round(0)); at < now-time.Second || at > now+time.Minute {
 			t.Errorf("a restart just now, after a step of %v, is %v old", d, now-at)
 		}
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -4,92 +4,132 @@
 	"cmp"
 	"maps"
 	"slices"
+	"sync/atomic"
 	"time"
 
+	"wellgw/decide/ejection"
 	"wellgw/decide/starttime"
 	"wellgw/routing"
 )
 
-// UpdateEndpoints tells what a directory has learned.
-func (c *Core) UpdateEndpoints(scope routing.EngineListScope, members []Endpoint) {
-	c.post(engineListUpdated{scope, members})
+// endpointTable is what the core knows of engines: which are listed, which are ejected manually, when
+// they started and when each has last answered. All but ready is owned by the core's goroutine.
+type endpointTable struct {
+	listed    map[string]Endpoint
+	ejections *ejection.Set
+	starts    *starttime.Table
+	lastHeard map[string]time.Time
+	ready     atomic.Bool // some engine may be sent to
 }
 
-func (c *Core) updateEngines(scope routing.EngineListScope, members []Endpoint) {
-	ev := routing.EngineList{Scope: scope}
-	// Who has left is forgotten: engines come under ever new ids. What one still holds
-	// is let go by the entry that its request keeps.
+func newEndpointTable(clock starttime.Clock) *endpointTable {
+	return &endpointTable{
+		listed: map[string]Endpoint{}, ejections: ejection.New(),
+		starts: starttime.New(clock), lastHeard: map[string]time.Time{},
+	}
+}
+
+// UpdateEndpoints takes over what a directory has learned.
+func (c *Core) UpdateEndpoints(scope routing.EngineListScope, endpoints []Endpoint) {
+	c.post(engineListUpdated{scope, endpoints})
+}
+
+func (c *Core) updateEndpoints(scope routing.EngineListScope, endpoints []Endpoint) {
+	c.dispatch(c.endpoints.update(scope, endpoints, starttime.Clock{Now: c.clock.now(), Wall: c.clock.wall()}))
+}
+
+// update takes over a list and returns what the router is to be told of it. Engines that are not
+// listed any more are forgotten, as new ones come under ever new names; a release at one of them
+// goes by the copy of its entry that the request keeps.
+func (t *endpointTable) update(scope routing.EngineListScope, endpoints []Endpoint, clock starttime.Clock) routing.EngineList {
+	list := routing.EngineList{Scope: scope}
 	if scope == routing.EngineListSnapshot || scope == routing.EngineListStale {
-		clear(c.members)
+		clear(t.listed)
 	}
-	clock := starttime.Clock{Now: c.now(), Wall: c.wall()}
-	for _, m := range members {
-		m.StartTime = c.starts.Start(m.Name, m.StartedAt, clock)
-		if c.members[m.Name] = m; m.Phase == routing.PhaseRemoved {
-			delete(c.members, m.Name)
+	for _, e := range endpoints {
+		e.StartTime = t.starts.Start(e.Name, e.StartedAt, clock)
+		if t.listed[e.Name] = e; e.Phase == routing.PhaseRemoved {
+			delete(t.listed, e.Name)
 		}
-		c.ejections.See(m.Name)
-		ev.Engines = append(ev.Engines, c.ejections.Show(m.EngineInfo))
+		t.ejections.See(e.Name)
+		list.Engines = append(list.Engines, t.ejections.Show(e.EngineInfo))
 	}
-	c.forgetUnlisted()
-	c.setReady()
-	c.dispatch(ev)
+	t.forgetUnlisted()
+	t.updateReady()
+	return list
 }
 
-// SetGateways tells how many gateways share the engines from now on.
-func (c *Core) SetGateways(n int) {
-	c.post(gatewaysCounted{n})
+// ejectionsChanged returns what the router is to be told of a change of ejections.
+func (t *endpointTable) ejectionsChanged(change ejection.Change) routing.EngineList {
+	list := routing.EngineList{Scope: routing.EngineListDelta}
+	for _, names := range [][]string{change.Out, change.Back} {
+		for _, name := range names {
+			if e, ok := t.listed[name]; ok {
+				list.Engines = append(list.Engines, t.ejections.Show(e.EngineInfo))
+			}
+		}
+	}
+	t.updateReady()
+	return list
 }
 
-func (c *Core) startProbe(engine string) {
-	m, known := c.members[engine]
-	if !c.checks.Hold(known, "a probe goes to a known engine") {
-		return
+// updateReady finds out whether some engine may be sent to.
+func (t *endpointTable) updateReady() {
+	ready := false
+	for _, e := range t.listed {
+		ready = ready || e.Phase == routing.PhaseActive && !t.ejections.Out(e.Name)
 	}
-	sent := time.Now()
-	c.transport.Probe(m, func(s routing.Status, r *routing.LoadReport) {
-		c.post(probeAnswered{engine, sent, s, r})
-	})
+	t.ready.Store(ready)
 }
 
 // recordHeard records that an engine has answered just now.
-func (c *Core) recordHeard(engine string) { c.lastHeard[engine] = time.Now() }
+func (t *endpointTable) recordHeard(engine string) { t.lastHeard[engine] = time.Now() }
+
+// heardSince reports whether an engine has answered after a time.
+func (t *endpointTable) heardSince(engine string, since time.Time) bool {
+	return t.lastHeard[engine].After(since)
+}
 
-// forgetUnlisted forgets when engines that are no longer listed were heard. Engines come under
-// ever new names.
-func (c *Core) forgetUnlisted() {
-	maps.DeleteFunc(c.lastHeard, func(name string, _ time.Time) bool {
-		_, listed := c.members[name]
+func (t *endpointTable) forgetUnlisted() {
+	maps.DeleteFunc(t.lastHeard, func(name string, _ time.Time) bool {
+		_, listed := t.listed[name]
 		return !listed
 	})
 }
 
-// othersByLastHeard returns other engines than one, those first that were heard last.
-func (c *Core) othersByLastHeard(engine string) []Endpoint {
+// othersByLastHeard returns at most so many other engines than one, those first that were heard
+// last. It keeps no more than it returns while it goes through the list.
+func (t *endpointTable) othersByLastHeard(engine string, most int) []Endpoint {
 	latest := func(a, b Endpoint) int {
-		return cmp.Or(c.lastHeard[b.Name].Compare(c.lastHeard[a.Name]), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(t.lastHeard[b.Name].Compare(t.lastHeard[a.Name]), cmp.Compare(a.Name, b.Name))
 	}
-	others := make([]Endpoint, 0, maxElsewhere+1)
-	for name, m := range c.members {
-		full := len(others) == maxElsewhere
-		if name == engine || full && latest(others[maxElsewhere-1], m) < 0 {
+	others := make([]Endpoint, 0, most+1)
+	for name, e := range t.listed {
+		full := len(others) == most
+		if name == engine || full && latest(others[most-1], e) < 0 {
 			continue
 		}
-		at, _ := slices.BinarySearchFunc(others, m, latest)
-		others = slices.Insert(others, at, m)
-		others = others[:min(len(others), maxElsewhere)]
+		index, _ := slices.BinarySearchFunc(others, e, latest)
+		others = slices.Insert(others, index, e)
+		others = others[:min(len(others), most)]
 	}
 	return others
 }
 
-// setReady tells whether some engine may be sent to.
-func (c *Core) setReady() {
-	on := false
-	for _, m := range c.members {
-		on = on || m.Phase == routing.PhaseActive && !c.ejections.Out(m.Name)
+// Ready reports whether there is an engine to send to.
+func (c *Core) Ready() bool { return c.endpoints.ready.Load() }
+
+// SetGateways tells how many gateways share the engines from now on.
+func (c *Core) SetGateways(n int) { c.post(gatewaysCounted{n}) }
+
+// startProbe requests a load report from an engine.
+func (c *Core) startProbe(engine string) {
+	endpoint, listed := c.endpoints.listed[engine]
+	if !c.checks.Hold(listed, "a probe goes to a known engine") {
+		return
 	}
-	c.ready.Store(on)
+	sentAt := time.Now()
+	c.transport.Probe(endpoint, func(s routing.Status, r *routing.LoadReport) {
+		c.post(probeAnswered{engine, sentAt, s, r})
+	})
 }
-
-// Ready tells whether there is an engine to send to.
-func (c *Core) Ready() bool { return c.ready.Load() }
--- a/internal/core/held.go
+++ b/internal/core/held.go
@@ -9,14 +9,13 @@
 
 // Bounds of what is done about held states.
 const (
-	releaseTimeout    = 30 * time.Second       // a release is retried this long at an engine out of reach
-	maxPinLimit       = time.Hour              // a longer pin limit is treated as this
-	maxCancelledRead  = 15 * time.Second       // a cancelled read has ended by then
-	maxElsewhere      = 8                      // other engines that are told while the holder is out of reach
-	elsewhereAfter    = 100 * time.Millisecond // for which only the holder is tried
-	lingerLimit       = 15 * time.Second       // for which a cancelled attempt is kept open; partitions seldom last longer
-	maxLingering      = 32                     // attempts kept open at once: each keeps a connection and a body
-	drainPollInterval = 20 * time.Millisecond  // between looks at whether a draining gateway may end
+	releaseTimeout   = 30 * time.Second       // a release is retried this long at an engine out of reach
+	maxPinLimit      = time.Hour              // a longer pin limit is treated as this
+	maxCancelledRead = 15 * time.Second       // a cancelled read has ended by then
+	maxElsewhere     = 8                      // other engines that are told while the holder is out of reach
+	elsewhereAfter   = 100 * time.Millisecond // for which only the holder is tried
+	lingerLimit      = 15 * time.Second       // for which a cancelled attempt is kept open; partitions seldom last longer
+	maxLingering     = 32                     // attempts kept open at once: each keeps a connection and a body
 )
 
 // heldState is what engines may hold for one request, and the releases in flight.
@@ -48,7 +47,7 @@
 	request.held.members[engine] = attempt.engine
 	switch r.Status {
 	case routing.StatusPrefilled:
-		ledger.ReadDone(engine, c.now())
+		ledger.ReadDone(engine, c.clock.now())
 	case routing.StatusTimeout, routing.StatusCancelled, routing.StatusReset:
 		ledger.AttemptLost(engine, c.router.CanPrefill(attempt.engine.Kind))
 	case routing.StatusError:
@@ -59,10 +58,10 @@
 	}
 	switch r.Status {
 	case routing.StatusPrefilled, routing.StatusRejected, routing.StatusError, routing.StatusServed:
-		c.recordHeard(engine)
+		c.endpoints.recordHeard(engine)
 	}
-	if attempt.written && c.lastHeard[engine].After(attempt.writtenAt) {
-		ledger.WasOut(c.now())
+	if attempt.written && c.endpoints.heardSince(engine, attempt.writtenAt) {
+		ledger.WasOut(c.clock.now())
 	}
 }
 
@@ -70,7 +69,7 @@
 // attempt's connection was still open.
 func (c *Core) readAfterCancel(request *requestState, attempt *attemptState) {
 	engine := attempt.engine.Name
-	c.recordHeard(engine)
+	c.endpoints.recordHeard(engine)
 	if request.lingering == attempt {
 		request.lingering = nil
 		c.endLingering(request)
@@ -85,7 +84,7 @@
 
 // updateHeld does what is due for a request's held states and schedules the next update.
 func (c *Core) updateHeld(request *requestState) {
-	now, ledger := c.now(), request.held.ledger
+	now, ledger := c.clock.now(), request.held.ledger
 	ledger.SetOut(c.attemptInFlight(request), now)
 	for _, engine := range ledger.Superseded(now) {
 		request.held.stopRelease[engine]()
@@ -100,7 +99,7 @@
 	for _, engine := range ledger.Due(now) {
 		c.startRelease(request, engine)
 	}
-	c.trackUnreleased(request)
+	c.unreleased.track(request)
 	c.scheduleUpdate(request)
 }
 
@@ -111,7 +110,7 @@
 	for _, attempt := range request.attempts {
 		switch {
 		case !request.inFlight(attempt):
-		case attempt.answering || c.lastHeard[attempt.engine.Name].After(attempt.writtenAt):
+		case attempt.answering || c.endpoints.heardSince(attempt.engine.Name, attempt.writtenAt):
 			return heldstate.Confirmed
 		default:
 			out = heldstate.Unconfirmed
@@ -130,7 +129,7 @@
 		if !request.inFlight(attempt) {
 			continue
 		}
-		c.counts[countEnginesChecked]++
+		c.counters.increment(countEnginesChecked)
 		c.transport.Reach(attempt.engine, func(reached bool) {
 			if reached {
 				c.post(engineReached{request, attempt.engine.Name})
@@ -141,15 +140,15 @@
 
 // recordReached records that the engine of an attempt that is out is in reach.
 func (c *Core) recordReached(request *requestState, engine string) {
-	c.recordHeard(engine)
+	c.endpoints.recordHeard(engine)
 	c.markChanged(request)
 }
 
 // expireState gives up a state that has waited too long for a decode engine: a connection that does
 // not come up must not hold it. The module has the prompt read again if there is time.
 func (c *Core) expireState(request *requestState) {
-	c.counts[countStatesExpired]++
-	request.held.ledger.Expire(c.now())
+	c.counters.increment(countStatesExpired)
+	request.held.ledger.Expire(c.clock.now())
 	for _, attempt := range request.attempts {
 		if !attempt.ended && !attempt.written && attempt.handle.Withdraw() {
 			c.endAttempt(request, attempt, Result{Status: routing.StatusConnectFailed, StateMissing: true})
@@ -160,10 +159,10 @@
 // scheduleUpdate sets a timer for the next update, unless one is due before that.
 func (c *Core) scheduleUpdate(request *requestState) {
 	next, ok := request.held.ledger.Next()
-	if !ok || next <= c.now() { // what was due has just been done
+	if !ok || next <= c.clock.now() { // what was due has just been done
 		return
 	}
-	at := c.origin.Add(next)
+	at := c.clock.at(next)
 	if request.held.nextUpdate.After(time.Now()) && !at.Before(request.held.nextUpdate) {
 		return
 	}
--- a/internal/core/linger_test.go
+++ b/internal/core/linger_test.go
@@ -101,7 +101,7 @@
 	out := func(n int) func() bool { return func() bool { all, _, _ := f.tally(); return all == n } }
 	enginetest.Eventually(t, "the writer's attempt is out", out(2))
 	core.post(testMessage(func() {
-		for _, q := range core.requests {
+		for _, q := range core.requests.byID {
 			core.endAttempt(q, q.attempts[1], Result{Status: routing.StatusTimeout})
 		}
 	}))
@@ -183,7 +183,7 @@
 			})
 		}
 		core.post(testMessage(func() {
-			for _, q := range core.requests {
+			for _, q := range core.requests.byID {
 				core.endAttempt(q, q.attempts[0], Result{Status: routing.StatusCancelled})
 			}
 		}))
--- a/internal/core/messages.go
+++ b/internal/core/messages.go
@@ -105,11 +105,11 @@
 
 // engineListUpdated brings what a directory has learned.
 type engineListUpdated struct {
-	scope   routing.EngineListScope
-	members []Endpoint
+	scope     routing.EngineListScope
+	endpoints []Endpoint
 }
 
-func (m engineListUpdated) handle(c *Core) { c.updateEngines(m.scope, m.members) }
+func (m engineListUpdated) handle(c *Core) { c.updateEndpoints(m.scope, m.endpoints) }
 
 // gatewaysCounted tells how many gateways share the engines.
 type gatewaysCounted struct{ gateways int }
--- a/internal/core/queries.go
+++ b/internal/core/queries.go
@@ -7,12 +7,7 @@
 
 // IdleFor returns for how long no request has come and none has been in hand.
 func (c *Core) IdleFor(ctx context.Context) time.Duration {
-	return runQuery(ctx, c, func() time.Duration {
-		if len(c.requests) > 0 {
-			c.lastBusy = time.Now()
-		}
-		return time.Since(c.lastBusy)
-	})
+	return runQuery(ctx, c, c.requests.idleFor)
 }
 
 // runQuery has the core's goroutine answer a question; it returns the zero value if the core
--- a/internal/core/release.go
+++ b/internal/core/release.go
@@ -4,14 +4,15 @@
 	"errors"
 
 	"wellgw/decide/heldstate"
+	"wellgw/routing"
 )
 
 // startRelease tells one engine to release what it holds for a request.
 func (c *Core) startRelease(request *requestState, engine string) {
-	c.counts[countReleases]++
+	c.counters.increment(countReleases)
 	r := Release{
-		Endpoint: request.held.members[engine], ClientRequestID: request.ClientRequestID, Deadline: c.origin.Add(request.held.ledger.Until(engine)),
-		Alternates: c.othersByLastHeard(engine), AlternatesAfter: min(elsewhereAfter, c.limits.HeldStateLimit/4),
+		Endpoint: request.held.members[engine], ClientRequestID: request.ClientRequestID, Deadline: c.clock.at(request.held.ledger.Until(engine)),
+		Alternates: c.endpoints.othersByLastHeard(engine, maxElsewhere), AlternatesAfter: min(elsewhereAfter, c.limits.HeldStateLimit/4),
 		AlternatesInterval: max(c.limits.HeldStateLimit/2, heldstate.RepeatLeast),
 	}
 	request.held.stopRelease[engine] = c.transport.Release(r, func(err error) {
@@ -27,23 +28,36 @@
 		request.held.ledger.Forget(engine)
 		return
 	}
-	request.held.ledger.ReleaseEnded(engine, err == nil, c.now())
+	request.held.ledger.ReleaseEnded(engine, err == nil, c.clock.now())
 	if err != nil {
-		c.counts[countReleasesFailed]++
+		c.counters.increment(countReleasesFailed)
 		c.log.Debug("release failed", "id", request.ClientRequestID, "engine", engine, "cause", err)
 		return
 	}
-	c.recordHeard(engine)
+	c.endpoints.recordHeard(engine)
 	if request.held.lingering && request.lingering != nil && engine == request.lingerTarget() {
 		c.endLingering(request)
 	}
 }
 
-// trackUnreleased keeps a request that is over in a table while something may be held for it.
-func (c *Core) trackUnreleased(request *requestState) {
+// unreleasedRequests are the requests that are over and for which engines may still hold something.
+type unreleasedRequests map[*requestState]bool
+
+// track takes a request in or out, as its ledger says.
+func (u unreleasedRequests) track(request *requestState) {
 	if request.held.ledger.Done() {
-		delete(c.unreleased, request)
+		delete(u, request)
 	} else if request.answered {
-		c.unreleased[request] = true
+		u[request] = true
+	}
+}
+
+// blockDrain reports whether a draining gateway has to wait for a release.
+func (u unreleasedRequests) blockDrain(now routing.Time) bool {
+	for request := range u {
+		if request.held.ledger.Urgent(now) {
+			return true
+		}
 	}
+	return false
 }
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -27,36 +27,37 @@
 	clientGone     *atomic.Bool // its client has gone, whether or not the core has been told
 }
 
-// submit takes a request into the table and gives it to the module.
-func (c *Core) submit(t *Ticket, in Request, f Front) {
-	// Ids count up and wrap; one that is still in hand is passed over, as a stream
-	// may outlast any number of others.
-	for c.lastID++; c.requests[c.lastID] != nil; c.lastID++ {
-	}
-	in.ID = c.lastID
-	request := &requestState{Request: in, front: f, deadline: in.Arrived.Add(in.TTL), repeatable: c.router.Idempotent(in.Class), clientGone: &t.gone}
-	request.held = newHeldState(c.heldLimits(in.TTL))
-	t.request = request
-	if c.clientRequestIDs[in.ClientRequestID] {
-		// Engines know a request by its wire id alone: two at once would share
+// submit takes a request into the table and gives it to the router.
+func (c *Core) submit(ticket *Ticket, in Request, front Front) {
+	in.ID = c.requests.newID()
+	request := c.newRequest(in, front, &ticket.gone)
+	ticket.request = request
+	if c.requests.clientRequestIDs[in.ClientRequestID] {
+		// Engines know a request by its client's id alone: two at once would share
 		// attempts and states. The first goes on; the second never ran.
 		request.answered = true
-		c.counts[countDuplicates]++
-		f.Answer(Answer{Verdict: Duplicate, Status: routing.StatusNotSent})
+		c.counters.increment(countDuplicates)
+		front.Answer(Answer{Verdict: Duplicate, Status: routing.StatusNotSent})
 		return
 	}
-	c.requests[request.ID], c.clientRequestIDs[in.ClientRequestID] = request, true
-	c.lastBusy = time.Now()
-	c.counts[countRequests]++
-	c.addTraffic(in.Class, func(t *Traffic) { t.Asked++; t.Prompt += in.PromptTokens })
-	c.unreconciled = append(c.unreconciled, request)
-	// The backstop guards against a request that neither the module nor an engine
+	c.requests.add(request)
+	c.counters.increment(countRequests)
+	c.counters.addTraffic(in.Class, func(t *Traffic) { t.Asked++; t.Prompt += in.PromptTokens })
+	c.markChanged(request)
+	// The backstop guards against a request that neither the router nor an engine
 	// ever ends: it is answered inside the slack whatever else happens.
 	c.schedule(time.Until(request.deadline)+c.limits.DeadlineSlack, deadlinePassed{request})
 	in.TTL = time.Until(request.deadline)
 	c.dispatch(in.Request)
 }
 
+func (c *Core) newRequest(in Request, front Front, clientGone *atomic.Bool) *requestState {
+	return &requestState{
+		Request: in, front: front, deadline: in.Arrived.Add(in.TTL), repeatable: c.router.Idempotent(in.Class),
+		clientGone: clientGone, held: newHeldState(c.heldLimits(in.TTL)),
+	}
+}
+
 // answer gives the final answer; a second one is a fault of the module's.
 func (c *Core) answer(request *requestState, a Answer) {
 	if !c.checks.Hold(!request.answered, "a request gets one final answer") {
@@ -71,7 +72,7 @@
 	if s, has := c.router.QuotaStatus(request.Tenant); has {
 		a.Quota = &s
 	}
-	c.counts[verdictNames[a.Verdict]]++
+	c.counters.increment(verdictNames[a.Verdict])
 	c.markChanged(request)
 	if c.debugLogging {
 		c.log.Debug("request answered", "id", request.ClientRequestID, "class", request.Class, "verdict", string(verdictNames[a.Verdict]), "attempts", len(request.attempts),
@@ -101,8 +102,8 @@
 		return
 	}
 	request.answered = true
-	c.counts[countGone]++
-	c.unreconciled = append(c.unreconciled, request)
+	c.counters.increment(countGone)
+	c.markChanged(request)
 	c.dispatch(routing.ClientGone{ID: request.ID})
 	c.withdrawUnwritten(request)
 }
@@ -119,19 +120,16 @@
 	}
 }
 
-// removeRequest takes a request that is over off the table. Its held states are released on their own
-// account; see updateHeld.
+// removeRequest takes a request that is over off the table. Its held states are released all the
+// same; see updateHeld.
 func (c *Core) removeRequest(request *requestState) {
 	if holder := request.held.ledger.Holder(); holder != "" {
 		request.held.holder = holder
 	}
 	request.held.ledger.Finish()
-	if c.requests[request.ID] != request {
-		return
+	if c.requests.remove(request) {
+		request.Payload.Body = nil // timers may keep the request itself for a while
 	}
-	delete(c.requests, request.ID)
-	delete(c.clientRequestIDs, request.ClientRequestID)
-	request.Payload.Body = nil // timers may keep request itself for a while
 }
 
 // mayHaveRun tells whether an attempt has been out that is not known to have been turned away.
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -3,8 +3,6 @@
 import (
 	"container/heap"
 	"time"
-
-	"wellgw/routing"
 )
 
 // timers holds messages by the time they are due. They can't be taken back: the handler of one
@@ -50,8 +48,5 @@
 	return last
 }
 
-// now is the module's clock.
-func (c *Core) now() routing.Time { return time.Since(c.origin) }
-
 // schedule has a message handled after a time.
 func (c *Core) schedule(d time.Duration, m message) { c.timers.add(time.Now().Add(d), m) }
--- a/internal/core/trace_test.go
+++ b/internal/core/trace_test.go
@@ -437,7 +437,7 @@
 		tr.submit("free", "a", 5*time.Second)
 		tr.written(0)
 		runQuery(tr.t.Context(), tr.core, func() bool {
-			for _, q := range tr.core.requests {
+			for _, q := range tr.core.requests.byID {
 				tr.core.answerOverdue(q)
 			}
 			return true
