--- a/decide/heldstate/golden_test.go
+++ b/decide/heldstate/golden_test.go
@@ -18,7 +18,7 @@
 func goldenRun(h hash.Hash, seed uint64) {
 	draw := rand.New(rand.NewPCG(seed, 45))
 	span := func(most time.Duration) time.Duration { return time.Duration(draw.Int64N(int64(most))) }
-	lim := Limits{Pin: 20*ms + span(time.Second), Slack: span(400 * ms), GiveUp: 5 * time.Second, Reach: span(300 * ms), ReadFor: span(4 * time.Second)}
+	lim := Limits{HeldStateLimit: 20*ms + span(time.Second), HeldStateSlack: span(400 * ms), ReleaseTimeout: 5 * time.Second, ReachTimeout: span(300 * ms), MaxCancelledPrefill: span(4 * time.Second)}
 	l := New(lim)
 	names := []string{"a", "b", "c", "d"}
 	now := Time(ms)
@@ -35,18 +35,18 @@
 		fmt.Fprint(h, seed, now, step, e, ";")
 		switch step {
 		case 0:
-			l.ReadDone(e, now)
+			l.PrefillCompleted(e, now)
 		case 1:
 			l.AttemptLost(e, draw.IntN(2) == 0)
 		case 2:
 			l.AttemptFailed(e)
 		case 3:
 			if draw.IntN(3) == 0 {
-				l.AnswerBegan()
+				l.AnswerStarted()
 			}
 		case 4:
 			if draw.IntN(3) == 0 {
-				l.AnswerDone()
+				l.AnswerCompleted()
 			}
 		case 5:
 			if draw.IntN(3) == 0 {
@@ -54,40 +54,40 @@
 			}
 		case 6:
 			if draw.IntN(3) == 0 {
-				l.NoState()
+				l.StateMissing()
 			}
 		case 7:
 			if draw.IntN(4) == 0 {
 				l.Finish()
 			}
 		case 8:
-			l.ReleaseAgain()
+			l.RepeatReleases()
 		case 9:
-			l.WasOut(now)
+			l.AttemptConfirmedUntil(now)
 		case 10, 11:
-			l.SetOut([]Out{None, Unconfirmed, Confirmed}[draw.IntN(3)], now)
+			l.SetAttemptState([]AttemptState{NoAttempt, Unconfirmed, Confirmed}[draw.IntN(3)], now)
 		case 12:
 			if draw.IntN(4) == 0 {
 				delete(flight, e)
-				l.Forget(e)
+				l.DropEngine(e)
 			}
 		case 13: // engines answer late, or never
 		}
-		for _, over := range l.Superseded(now) {
+		for _, over := range l.ReleasesToCancel(now) {
 			fmt.Fprint(h, "s", over, ",")
 			if flight[over] && draw.IntN(2) == 0 {
 				delete(flight, over)
 				l.ReleaseEnded(over, false, now)
 			}
 		}
-		check, expired := l.CheckDue(now), l.Expired(now)
+		check, expired := l.ReachCheckDue(now), l.Expired(now)
 		fmt.Fprint(h, number(check), number(expired), ",")
 		if expired {
 			l.Expire(now)
 		}
-		for _, due := range l.Due(now) {
+		for _, due := range l.ReleasesDue(now) {
 			flight[due] = true
-			fmt.Fprint(h, "d", due, int64(l.Until(due)), ",")
+			fmt.Fprint(h, "d", due, int64(l.ReleaseDeadline(due)), ",")
 		}
 		for _, name := range names {
 			if flight[name] && draw.IntN(3) == 0 {
@@ -95,8 +95,8 @@
 				l.ReleaseEnded(name, draw.IntN(3) > 0, now)
 			}
 		}
-		next, some := l.Next()
-		fmt.Fprintln(h, l.Holder(), int64(next), number(some), number(l.Done()), number(l.Urgent(now)))
+		next, some := l.NextUpdate()
+		fmt.Fprintln(h, l.StateHolder(), int64(next), number(some), number(l.Completed()), number(l.BlocksDrain(now)))
 		switch {
 		case some && next > now && draw.IntN(2) == 0:
 			now = next
--- a/decide/heldstate/heldstate.go
+++ b/decide/heldstate/heldstate.go
@@ -21,53 +21,53 @@
 	// CancelTransit is how long an engine may take to learn that an attempt was cancelled. A
 	// release that overtakes the cancel has no effect, so it is sent again after this.
 	CancelTransit = 150 * time.Millisecond
-	// RepeatLeast is the least time between two releases at one engine.
-	RepeatLeast = 100 * time.Millisecond
+	// MinReleaseInterval is the least time between two releases at one engine.
+	MinReleaseInterval = 100 * time.Millisecond
 
-	checkPart    = 4 // an engine is checked after this part of the pin limit at the earliest
-	urgentLimits = 4 // pin limits for which a draining gateway waits for an engine out of reach
+	reachCheckDivisor = 4 // an engine is checked after this part of the pin limit at the earliest
+	maxDrainWait      = 4 // pin limits for which a draining gateway waits for an engine out of reach
 )
 
 // Limits are the durations a ledger works with. They follow from the settings.
 type Limits struct {
-	Pin     time.Duration // a state may be held this long while no attempt is out
-	Slack   time.Duration // and this much longer, which is left for the release to arrive
-	GiveUp  time.Duration // a release is retried this long at an engine out of reach
-	Reach   time.Duration // the longest that a check of whether an engine is in reach takes
-	ReadFor time.Duration // a cancelled read may run on this long once its engine knows
+	HeldStateLimit      time.Duration // a state may be held this long while no attempt is out
+	HeldStateSlack      time.Duration // and this much longer, which is left for the release to arrive
+	ReleaseTimeout      time.Duration // a release is retried this long at an engine out of reach
+	ReachTimeout        time.Duration // the longest that a check of whether an engine is in reach takes
+	MaxCancelledPrefill time.Duration // a cancelled read may run on this long once its engine knows
 }
 
-// entry is one engine that may hold something.
-type entry struct {
-	uncertain bool // the attempt ended without an answer: there may be no state, or not yet
-	detached  bool // no attempt will fetch it, and an answer does not release it
-	forced    bool // one release is due although an attempt may be out
-	reads     bool // a read may run on there: its state may appear after a release
-	due       Time // since when it is to be released; 0 while it is not
-	inFlight  bool // a release is under way
-	delivered int  // releases delivered with no attempt out
-	first     Time // delivery of the first of them
-	last      Time // delivery of the latest release of any kind
-	abandoned bool // the release was not delivered in time
+// engineEntry is one engine that may hold something.
+type engineEntry struct {
+	attemptLost   bool // the attempt ended without an answer: there may be no state, or not yet
+	detached      bool // no attempt will fetch it, and an answer does not release it
+	releaseForced bool // one release is due although an attempt may be out
+	prefillMayRun bool // a read may run on there: its state may appear after a release
+	dueSince      Time // since when it is to be released; 0 while it is not
+	releasing     bool // a release is under way
+	delivered     int  // releases delivered with no attempt out
+	firstDelivery Time // delivery of the first of them
+	lastRelease   Time // delivery of the latest release of any kind
+	givenUp       bool // the release was not delivered in time
 }
 
 // Ledger records what engines may hold for one request. Use New.
 type Ledger struct {
-	limits  Limits
-	entries map[string]*entry
-	holder  string // the engine whose state the request continues with; "" for none
-	over    bool   // the request has its final answer
-	out     Out
-	exposed Time // since when no attempt has certainly been out
-	checked bool // the engine of an unconfirmed attempt has been checked
+	limits         Limits
+	entries        map[string]*engineEntry
+	stateHolder    string // the engine whose state the request continues with; "" for none
+	finished       bool   // the request has its final answer
+	attemptState   AttemptState
+	noAttemptSince Time // since when no attempt has certainly been out
+	reachChecked   bool // the engine of an unconfirmed attempt has been checked
 }
 
-// Out says whether an attempt of the request is out.
-type Out uint8
+// AttemptState says whether an attempt of the request is out.
+type AttemptState uint8
 
 // The values of Out.
 const (
-	None Out = iota
+	NoAttempt AttemptState = iota
 	// Unconfirmed means that an attempt was written but its engine has not been heard since: a
 	// connection that was idle does not show a network partition, so it may never have arrived.
 	Unconfirmed
@@ -76,22 +76,22 @@
 
 // New returns an empty ledger.
 func New(limits Limits) *Ledger {
-	return &Ledger{limits: limits, entries: map[string]*entry{}}
+	return &Ledger{limits: limits, entries: map[string]*engineEntry{}}
 }
 
-// Holder returns the engine whose state waits for a decode engine, "" if there is none.
-func (l *Ledger) Holder() string { return l.holder }
+// StateHolder returns the engine whose state waits for a decode engine, "" if there is none.
+func (l *Ledger) StateHolder() string { return l.stateHolder }
 
-// ReadDone records that a prompt has been read and its state waits at an engine.
-func (l *Ledger) ReadDone(engine string, now Time) {
-	l.exposed = now
-	e := &entry{}
+// PrefillCompleted records that a prompt has been read and its state waits at an engine.
+func (l *Ledger) PrefillCompleted(engine string, now Time) {
+	l.noAttemptSince = now
+	e := &engineEntry{}
 	if old := l.entries[engine]; old != nil { // an earlier read there may still run on
-		e.uncertain, e.reads = old.uncertain, old.reads
+		e.attemptLost, e.prefillMayRun = old.attemptLost, old.prefillMayRun
 	}
 	l.entries[engine] = e
-	if !l.over {
-		l.holder = engine
+	if !l.finished {
+		l.stateHolder = engine
 	}
 }
 
@@ -100,171 +100,175 @@
 func (l *Ledger) AttemptLost(engine string, reads bool) {
 	e := l.entries[engine]
 	if e == nil {
-		e = &entry{}
+		e = &engineEntry{}
 		l.entries[engine] = e
 	}
-	e.uncertain, e.delivered, e.last = true, 0, 0
-	e.reads = e.reads || reads
+	e.attemptLost, e.delivered, e.lastRelease = true, 0, 0
+	e.prefillMayRun = e.prefillMayRun || reads
 }
 
 // AttemptFailed records that an engine answered an attempt with an error.
 func (l *Ledger) AttemptFailed(engine string) {
 	if l.entries[engine] == nil {
-		l.entries[engine] = &entry{}
+		l.entries[engine] = &engineEntry{}
 	}
 }
 
-// AnswerBegan records that an answer has begun, so the state was fetched. Should the answer
+// AnswerStarted records that an answer has begun, so the state was fetched. Should the answer
 // break, the engines are told all the same.
-func (l *Ledger) AnswerBegan() { l.holder = "" }
+func (l *Ledger) AnswerStarted() { l.stateHolder = "" }
 
-// AnswerDone records that an answer is complete, with which engines release everything else.
+// AnswerCompleted records that an answer is complete, with which engines release everything else.
 // A cancelled read that may run on stays recorded, and so does a detached state.
-func (l *Ledger) AnswerDone() {
-	l.holder = ""
-	maps.DeleteFunc(l.entries, func(_ string, e *entry) bool { return !e.detached && !e.reads })
+func (l *Ledger) AnswerCompleted() {
+	l.stateHolder = ""
+	maps.DeleteFunc(l.entries, func(_ string, e *engineEntry) bool { return !e.detached && !e.prefillMayRun })
 }
 
 // Detach has the waiting state released while the request goes on at an engine that fetches
 // none.
 func (l *Ledger) Detach() {
-	if e := l.entries[l.holder]; e != nil {
-		e.detached, e.forced = true, true
+	if e := l.entries[l.stateHolder]; e != nil {
+		e.detached, e.releaseForced = true, true
 	}
-	l.holder = ""
+	l.stateHolder = ""
 }
 
-// NoState records that a decode engine found no state. The prefill engine may only have been out of the
+// StateMissing records that a decode engine found no state. The prefill engine may only have been out of the
 // decode engine's reach, so it is told to release all the same.
-func (l *Ledger) NoState() { l.holder = "" }
+func (l *Ledger) StateMissing() { l.stateHolder = "" }
 
 // Finish records that the request has its final answer.
 func (l *Ledger) Finish() {
-	if l.over {
+	if l.finished {
 		return
 	}
-	l.over, l.holder = true, ""
-	l.resetPacing()
+	l.finished, l.stateHolder = true, ""
+	l.resetUndelivered()
 }
 
-// resetPacing makes releases due at once that were delivered only while an attempt may have
+// resetUndelivered makes releases due at once that were delivered only while an attempt may have
 // been waiting for the state.
-func (l *Ledger) resetPacing() {
+func (l *Ledger) resetUndelivered() {
 	for _, e := range l.entries {
 		if e.delivered == 0 {
-			e.last = 0
+			e.lastRelease = 0
 		}
 	}
 }
 
-// ReleaseAgain makes a release due at every engine: an attempt that may have been waiting for
+// RepeatReleases makes a release due at every engine: an attempt that may have been waiting for
 // the state until now, so that no release had an effect, has ended.
-func (l *Ledger) ReleaseAgain() {
+func (l *Ledger) RepeatReleases() {
 	for _, e := range l.entries {
-		e.delivered, e.last = 0, 0
+		e.delivered, e.lastRelease = 0, 0
 	}
 }
 
-// WasOut records that an attempt was certainly out until now.
-func (l *Ledger) WasOut(now Time) { l.exposed = now }
+// AttemptConfirmedUntil records that an attempt was certainly out until now.
+func (l *Ledger) AttemptConfirmedUntil(now Time) { l.noAttemptSince = now }
 
-// SetOut says whether an attempt of the request is out.
-func (l *Ledger) SetOut(out Out, now Time) {
-	if l.out == Confirmed && out != Confirmed || l.exposed == 0 {
-		l.exposed = now
+// SetAttemptState says whether an attempt of the request is out.
+func (l *Ledger) SetAttemptState(out AttemptState, now Time) {
+	if l.attemptState == Confirmed && out != Confirmed || l.noAttemptSince == 0 {
+		l.noAttemptSince = now
 	}
-	if l.out != None && out == None {
-		l.resetPacing()
+	if l.attemptState != NoAttempt && out == NoAttempt {
+		l.resetUndelivered()
 	}
-	if l.out != out {
-		l.checked = false
+	if l.attemptState != out {
+		l.reachChecked = false
 	}
-	l.out = out
+	l.attemptState = out
 }
 
 // expiresAt is when the waiting state has to be released unless an attempt is certainly out by
 // then. Half of the slack is left for the release.
-func (l *Ledger) expiresAt() Time { return l.exposed + l.limits.Pin + l.limits.Slack/2 }
+func (l *Ledger) expiresAt() Time {
+	return l.noAttemptSince + l.limits.HeldStateLimit + l.limits.HeldStateSlack/2
+}
 
-// mayExpire tells whether the time of a waiting state is running.
-func (l *Ledger) mayExpire() bool { return l.holder != "" && l.out != Confirmed }
+// expiryRuns tells whether the time of a waiting state is running.
+func (l *Ledger) expiryRuns() bool { return l.stateHolder != "" && l.attemptState != Confirmed }
 
 // Expired tells whether the state has waited for a decode engine as long as it may.
-func (l *Ledger) Expired(now Time) bool { return l.mayExpire() && now >= l.expiresAt() }
+func (l *Ledger) Expired(now Time) bool { return l.expiryRuns() && now >= l.expiresAt() }
 
 // Expire has the waiting state released. Where an attempt may be out, one release is sent
 // without giving the state up: it has no effect if the attempt has arrived.
 func (l *Ledger) Expire(now Time) {
-	if l.out == None {
-		l.holder = ""
+	if l.attemptState == NoAttempt {
+		l.stateHolder = ""
 		return
 	}
-	l.exposed = now
+	l.noAttemptSince = now
 	for _, e := range l.entries {
-		e.forced = true
+		e.releaseForced = true
 	}
 }
 
-// checkAt is when an unconfirmed attempt's engine has to be checked: early enough for a result
+// reachCheckAt is when an unconfirmed attempt's engine has to be checked: early enough for a result
 // before the state expires.
-func (l *Ledger) checkAt() Time {
-	return max(l.exposed+l.limits.Pin/checkPart, l.expiresAt()-l.limits.Reach)
+func (l *Ledger) reachCheckAt() Time {
+	return max(l.noAttemptSince+l.limits.HeldStateLimit/reachCheckDivisor, l.expiresAt()-l.limits.ReachTimeout)
 }
 
-// needsCheck tells whether a check can avoid a release under an attempt. Such a release may
+// needsReachCheck tells whether a check can avoid a release under an attempt. Such a release may
 // take the state from an attempt that waits in its engine's queue.
-func (l *Ledger) needsCheck() bool {
-	return l.out == Unconfirmed && !l.checked && !l.over && len(l.entries) > 0
+func (l *Ledger) needsReachCheck() bool {
+	return l.attemptState == Unconfirmed && !l.reachChecked && !l.finished && len(l.entries) > 0
 }
 
-// CheckDue tells, once for each unconfirmed attempt, that its engine has to be checked now. If
+// ReachCheckDue tells, once for each unconfirmed attempt, that its engine has to be checked now. If
 // the engine is in reach, the caller reports it with SetOut.
-func (l *Ledger) CheckDue(now Time) bool {
-	due := l.needsCheck() && now >= l.checkAt()
-	l.checked = l.checked || due
+func (l *Ledger) ReachCheckDue(now Time) bool {
+	due := l.needsReachCheck() && now >= l.reachCheckAt()
+	l.reachChecked = l.reachChecked || due
 	return due
 }
 
-// period is the time between two releases at an engine where a read may run on.
-func (l *Ledger) period() time.Duration { return max(l.limits.Pin, RepeatLeast) }
+// repeatInterval is the time between two releases at an engine where a read may run on.
+func (l *Ledger) repeatInterval() time.Duration {
+	return max(l.limits.HeldStateLimit, MinReleaseInterval)
+}
 
 // releasableAt returns from when on an engine may be told to release; false if it may not.
 // One release frees everything that no attempt waits for, at whatever engine it is held. So
 // none is sent for what an earlier attempt may have left while a state waits for a decode engine, and
 // none before it has to be while an attempt may be reading.
-func (l *Ledger) releasableAt(e *entry) (at Time, ok bool) {
+func (l *Ledger) releasableAt(e *engineEntry) (at Time, ok bool) {
 	switch {
-	case l.over || e.forced:
+	case l.finished || e.releaseForced:
 		return 0, true
-	case l.holder != "" || l.out == Confirmed:
+	case l.stateHolder != "" || l.attemptState == Confirmed:
 		return 0, false
-	case l.out == Unconfirmed:
+	case l.attemptState == Unconfirmed:
 		return l.expiresAt(), true
 	}
 	return 0, true
 }
 
 // nextRelease returns when a release at an engine is due; false if none is.
-func (l *Ledger) nextRelease(e *entry) (at Time, ok bool) {
+func (l *Ledger) nextRelease(e *engineEntry) (at Time, ok bool) {
 	from, ok := l.releasableAt(e)
-	if !ok || e.inFlight || e.abandoned {
+	if !ok || e.releasing || e.givenUp {
 		return 0, false
 	}
 	switch {
-	case e.forced || e.delivered == 0 && e.last == 0:
+	case e.releaseForced || e.delivered == 0 && e.lastRelease == 0:
 		return from, true
 	case e.delivered == 0:
-		return max(from, e.last+l.period()), true
+		return max(from, e.lastRelease+l.repeatInterval()), true
 	}
 	at, ok = l.nextRepeat(e)
 	return max(from, at), ok
 }
 
 // nextRepeat returns when a delivered release is due once more; false if it is not.
-func (l *Ledger) nextRepeat(e *entry) (at Time, ok bool) {
+func (l *Ledger) nextRepeat(e *engineEntry) (at Time, ok bool) {
 	at, ok = l.afterCancels(e)
-	readMayRun := e.reads && e.last < e.first+l.limits.ReadFor
-	if repeat := e.last + l.period(); readMayRun && (!ok || repeat < at) {
+	readMayRun := e.prefillMayRun && e.lastRelease < e.firstDelivery+l.limits.MaxCancelledPrefill
+	if repeat := e.lastRelease + l.repeatInterval(); readMayRun && (!ok || repeat < at) {
 		return repeat, true
 	}
 	return at, ok
@@ -273,40 +277,40 @@
 // afterCancels returns when a release is due again because the latest may have overtaken the
 // cancel of an attempt at another engine: until that engine knows, the attempt waits for the
 // state, and a release does not free it.
-func (l *Ledger) afterCancels(e *entry) (at Time, ok bool) {
+func (l *Ledger) afterCancels(e *engineEntry) (at Time, ok bool) {
 	for _, other := range l.entries {
-		if !other.uncertain || other.delivered == 0 {
+		if !other.attemptLost || other.delivered == 0 {
 			continue
 		}
-		if known := other.first + CancelTransit; e.last < known && (!ok || known < at) {
+		if known := other.firstDelivery + CancelTransit; e.lastRelease < known && (!ok || known < at) {
 			at, ok = known, true
 		}
 	}
 	return at, ok
 }
 
-// Due returns the engines that are to be told to release now, in order of name. The caller
+// ReleasesDue returns the engines that are to be told to release now, in order of name. The caller
 // reports the end of each release with ReleaseEnded.
-func (l *Ledger) Due(now Time) []string {
+func (l *Ledger) ReleasesDue(now Time) []string {
 	var due []string
 	for _, name := range slices.Sorted(maps.Keys(l.entries)) {
 		e := l.entries[name]
 		if at, ok := l.nextRelease(e); !ok || at > now {
 			continue
 		}
-		if e.due == 0 {
-			e.due = now
+		if e.dueSince == 0 {
+			e.dueSince = now
 		}
-		e.inFlight = true
+		e.releasing = true
 		due = append(due, name)
 	}
 	return due
 }
 
-// Until returns when a release that is under way at an engine is to be given up.
-func (l *Ledger) Until(engine string) Time {
+// ReleaseDeadline returns when a release that is under way at an engine is to be given up.
+func (l *Ledger) ReleaseDeadline(engine string) Time {
 	if e := l.entries[engine]; e != nil {
-		return e.due + l.limits.GiveUp
+		return e.dueSince + l.limits.ReleaseTimeout
 	}
 	return 0
 }
@@ -314,29 +318,29 @@
 // ReleaseEnded records how a release ended: delivered, cancelled, or given up in time.
 func (l *Ledger) ReleaseEnded(engine string, delivered bool, now Time) {
 	e := l.entries[engine]
-	if e == nil || !e.inFlight {
+	if e == nil || !e.releasing {
 		return
 	}
-	e.inFlight, e.forced = false, false
+	e.releasing, e.releaseForced = false, false
 	switch {
-	case delivered && !l.over && l.out != None:
-		e.last = now // an attempt may have been waiting for the state: it counts for nothing
+	case delivered && !l.finished && l.attemptState != NoAttempt:
+		e.lastRelease = now // an attempt may have been waiting for the state: it counts for nothing
 	case delivered:
 		if e.delivered++; e.delivered == 1 {
-			e.first = now
+			e.firstDelivery = now
 		}
-		e.last = now
-	case now >= e.due+l.limits.GiveUp:
-		e.abandoned = true
+		e.lastRelease = now
+	case now >= e.dueSince+l.limits.ReleaseTimeout:
+		e.givenUp = true
 	}
 }
 
-// Superseded returns the engines whose release under way must not meet an attempt that has
+// ReleasesToCancel returns the engines whose release under way must not meet an attempt that has
 // just gone out.
-func (l *Ledger) Superseded(now Time) []string {
+func (l *Ledger) ReleasesToCancel(now Time) []string {
 	var engines []string
 	for name, e := range l.entries {
-		if at, ok := l.releasableAt(e); e.inFlight && (!ok || at > now) {
+		if at, ok := l.releasableAt(e); e.releasing && (!ok || at > now) {
 			engines = append(engines, name)
 		}
 	}
@@ -344,9 +348,9 @@
 	return engines
 }
 
-// Next returns when Due, Expired or CheckDue may have something new to say; false if only an
+// NextUpdate returns when Due, Expired or CheckDue may have something new to say; false if only an
 // event can bring that.
-func (l *Ledger) Next() (at Time, ok bool) {
+func (l *Ledger) NextUpdate() (at Time, ok bool) {
 	earliest := func(t Time) {
 		if !ok || t < at {
 			at, ok = t, true
@@ -357,46 +361,46 @@
 			earliest(t)
 		}
 	}
-	if l.mayExpire() {
+	if l.expiryRuns() {
 		earliest(l.expiresAt())
 	}
-	if l.needsCheck() {
-		earliest(l.checkAt())
+	if l.needsReachCheck() {
+		earliest(l.reachCheckAt())
 	}
 	return at, ok
 }
 
-// Done tells whether the request is over and nothing is left to release.
-func (l *Ledger) Done() bool {
-	if !l.over {
+// Completed tells whether the request is over and nothing is left to release.
+func (l *Ledger) Completed() bool {
+	if !l.finished {
 		return false
 	}
 	for _, e := range l.entries {
-		if _, due := l.nextRelease(e); due || e.inFlight {
+		if _, due := l.nextRelease(e); due || e.releasing {
 			return false
 		}
 	}
 	return true
 }
 
-// Forget records that an engine holds nothing and never will, as engines of its kind take no
+// DropEngine records that an engine holds nothing and never will, as engines of its kind take no
 // releases.
-func (l *Ledger) Forget(engine string) {
+func (l *Ledger) DropEngine(engine string) {
 	delete(l.entries, engine)
-	if l.holder == engine {
-		l.holder = ""
+	if l.stateHolder == engine {
+		l.stateHolder = ""
 	}
 }
 
-// Urgent tells whether a draining gateway has to wait for a release: one that has not been
+// BlocksDrain tells whether a draining gateway has to wait for a release: one that has not been
 // delivered yet, or that has to be repeated, as it may have overtaken a cancel or as a read may
 // run on and leave a state when the gateway has ended. Engines out of reach for several pin
 // limits are not waited for.
-func (l *Ledger) Urgent(now Time) bool {
+func (l *Ledger) BlocksDrain(now Time) bool {
 	for _, e := range l.entries {
-		undelivered := e.delivered == 0 && (e.due == 0 || now < e.due+urgentLimits*l.limits.Pin)
+		undelivered := e.delivered == 0 && (e.dueSince == 0 || now < e.dueSince+maxDrainWait*l.limits.HeldStateLimit)
 		_, repeated := l.nextRepeat(e)
-		if !e.abandoned && (undelivered || e.delivered > 0 && repeated) {
+		if !e.givenUp && (undelivered || e.delivered > 0 && repeated) {
 			return true
 		}
 	}
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -9,7 +9,7 @@
 // attemptState is one try at one engine.
 type attemptState struct {
 	number    int
-	engine    Endpoint
+	endpoint  Endpoint
 	startedAt time.Time
 	ended     bool
 	answering bool // its answer has
@@ -30,8 +30,8 @@
 	}
 	m, known := c.endpoints.listed[a.Engine]
 	now := time.Now()
-	attempt := &attemptState{number: len(request.attempts), engine: m, startedAt: now, handle: noHandle{}}
-	attempt.engine.Name = a.Engine
+	attempt := &attemptState{number: len(request.attempts), endpoint: m, startedAt: now, handle: noHandle{}}
+	attempt.endpoint.Name = a.Engine
 	request.attempts = append(request.attempts, attempt)
 	request.activeAttempts++
 	limit := request.deadline.Sub(now)
@@ -44,7 +44,7 @@
 		return
 	}
 	c.counters.increment(countAttempts)
-	if request.held.ledger.Holder() != "" && c.limits.ServesAlone != nil && c.limits.ServesAlone(m.Kind) {
+	if request.held.ledger.StateHolder() != "" && c.limits.ServesAlone != nil && c.limits.ServesAlone(m.Kind) {
 		request.held.ledger.Detach() // it will not fetch what was read for it elsewhere
 		c.markChanged(request)
 	}
@@ -98,23 +98,23 @@
 		c.endAttempt(request, attempt, Result{Status: routing.StatusCancelled})
 		return
 	}
-	request.serving, request.stream, attempt.answering = attempt, s, true
-	c.endpoints.recordHeard(attempt.engine.Name)
-	request.held.ledger.AnswerBegan()
+	request.streaming, request.stream, attempt.answering = attempt, s, true
+	c.endpoints.recordHeard(attempt.endpoint.Name)
+	request.held.ledger.AnswerStarted()
 	for _, other := range request.attempts {
 		if other != attempt {
 			c.endAttempt(request, other, Result{Status: routing.StatusCancelled})
 		}
 	}
 	c.answer(request, Answer{Verdict: Streaming, Stream: s})
-	c.dispatch(routing.FirstToken{ID: request.ID, Attempt: attempt.number, Engine: attempt.engine.Name, Latency: time.Since(attempt.startedAt)})
+	c.dispatch(routing.FirstToken{ID: request.ID, Attempt: attempt.number, Engine: attempt.endpoint.Name, Latency: time.Since(attempt.startedAt)})
 }
 
 func (c *Core) finishStream(request *requestState, r Result) {
-	if attempt := request.serving; attempt != nil {
-		request.serving, request.stream = nil, nil
+	if attempt := request.streaming; attempt != nil {
+		request.streaming, request.stream = nil, nil
 		if r.Status == routing.StatusServed {
-			request.held.ledger.AnswerDone()
+			request.held.ledger.AnswerCompleted()
 			c.counters.addTraffic(request.Class, func(t *Traffic) { t.Served++; t.ServedPrompt += request.PromptTokens; t.Output += r.OutputTokens })
 		}
 		c.endAttempt(request, attempt, r)
@@ -124,9 +124,9 @@
 // endAttempt closes an attempt and tells the module how it went, once.
 func (c *Core) endAttempt(request *requestState, attempt *attemptState, r Result) {
 	if attempt.ended && r.Status == routing.StatusPrefilled {
-		c.readAfterCancel(request, attempt)
+		c.recordLatePrefill(request, attempt)
 	}
-	if attempt.ended || request.serving == attempt {
+	if attempt.ended || request.streaming == attempt {
 		return
 	}
 	attempt.ended, request.lastStatus, request.lastCause = true, r.Status, r.Cause
@@ -142,7 +142,7 @@
 		c.logAttempt(request, attempt, r, withdrawn)
 	}
 	c.dispatch(routing.Outcome{
-		ID: request.ID, Attempt: attempt.number, Engine: attempt.engine.Name, Status: r.Status, Latency: time.Since(attempt.startedAt),
+		ID: request.ID, Attempt: attempt.number, Engine: attempt.endpoint.Name, Status: r.Status, Latency: time.Since(attempt.startedAt),
 		Final: request.answered, CachedTokens: r.CachedTokens, StateMissing: r.StateMissing, Report: r.Report,
 	})
 }
@@ -159,7 +159,7 @@
 	if r.Cause != nil {
 		message = messageFailed
 	}
-	c.log.Debug(message, "id", request.ClientRequestID, "attempt", attempt.number, "engine", attempt.engine.Name, "status", string(statusNames[r.Status]),
+	c.log.Debug(message, "id", request.ClientRequestID, "attempt", attempt.number, "engine", attempt.endpoint.Name, "status", string(statusNames[r.Status]),
 		"age", time.Since(attempt.startedAt).Round(time.Millisecond), "out", attempt.written, "withdrawn", withdrawn, "cause", r.Cause)
 }
 
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -101,7 +101,7 @@
 		if request.answered && request.activeAttempts == 0 {
 			c.removeRequest(request)
 		}
-		c.updateHeld(request)
+		c.updateHeldState(request)
 	}
 	c.unreconciled = nil
 	c.endDrain()
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -32,7 +32,7 @@
 			c.answer(request, Answer{Verdict: Failed})
 		}
 	case routing.CancelAttempt:
-		if request := c.requests.byID[a.ID]; request != nil && a.Attempt < len(request.attempts) && request.serving != request.attempts[a.Attempt] {
+		if request := c.requests.byID[a.ID]; request != nil && a.Attempt < len(request.attempts) && request.streaming != request.attempts[a.Attempt] {
 			c.endAttempt(request, request.attempts[a.Attempt], Result{Status: routing.StatusCancelled})
 		}
 	case routing.Release: // the ledger of held states sees to it; see settle
--- a/internal/core/held.go
+++ b/internal/core/held.go
@@ -9,72 +9,72 @@
 
 // Bounds of what is done about held states.
 const (
-	releaseTimeout   = 30 * time.Second       // a release is retried this long at an engine out of reach
-	maxPinLimit      = time.Hour              // a longer pin limit is treated as this
-	maxCancelledRead = 15 * time.Second       // a cancelled read has ended by then
-	maxElsewhere     = 8                      // other engines that are told while the holder is out of reach
-	elsewhereAfter   = 100 * time.Millisecond // for which only the holder is tried
-	lingerLimit      = 15 * time.Second       // for which a cancelled attempt is kept open; partitions seldom last longer
-	maxLingering     = 32                     // attempts kept open at once: each keeps a connection and a body
+	releaseTimeout      = 30 * time.Second       // a release is retried this long at an engine out of reach
+	maxHeldStateLimit   = time.Hour              // a longer pin limit is treated as this
+	maxCancelledPrefill = 15 * time.Second       // a cancelled read has ended by then
+	maxAlternates       = 8                      // other engines that are told while the holder is out of reach
+	alternatesAfter     = 100 * time.Millisecond // for which only the holder is tried
+	lingerLimit         = 15 * time.Second       // for which a cancelled attempt is kept open; partitions seldom last longer
+	maxLingering        = 32                     // attempts kept open at once: each keeps a connection and a body
 )
 
 // heldState is what engines may hold for one request, and the releases in flight.
 type heldState struct {
 	ledger      *heldstate.Ledger
-	members     map[string]Endpoint // the engines that the ledger names
-	holder      string              // whose state waited when the request ended; "" for none
+	endpoints   map[string]Endpoint // the engines that the ledger names
+	lastHolder  string              // whose state waited when the request ended; "" for none
 	stopRelease map[string]func()   // of the releases in flight, by engine
 	nextUpdate  time.Time           // when the ledger is to be looked at next
 	lingering   bool                // an attempt is kept open after the final answer; see keepLingering
 }
 
 func newHeldState(limits heldstate.Limits) heldState {
-	return heldState{ledger: heldstate.New(limits), members: map[string]Endpoint{}, stopRelease: map[string]func(){}}
+	return heldState{ledger: heldstate.New(limits), endpoints: map[string]Endpoint{}, stopRelease: map[string]func(){}}
 }
 
 // heldLimits returns the limits of a request's ledger. Engines are told how long the client
 // waits, so a cancelled read does not run on for longer.
 func (c *Core) heldLimits(wait time.Duration) heldstate.Limits {
 	return heldstate.Limits{
-		Pin: min(c.limits.HeldStateLimit, maxPinLimit), Slack: c.limits.HeldStateSlack,
-		GiveUp: releaseTimeout, Reach: c.limits.ReachTimeout, ReadFor: min(wait, maxCancelledRead),
+		HeldStateLimit: min(c.limits.HeldStateLimit, maxHeldStateLimit), HeldStateSlack: c.limits.HeldStateSlack,
+		ReleaseTimeout: releaseTimeout, ReachTimeout: c.limits.ReachTimeout, MaxCancelledPrefill: min(wait, maxCancelledPrefill),
 	}
 }
 
 // recordHeldState records what an attempt that has ended may have left at its engine.
 func (c *Core) recordHeldState(request *requestState, attempt *attemptState, r Result) {
-	ledger, engine := request.held.ledger, attempt.engine.Name
-	request.held.members[engine] = attempt.engine
+	ledger, engine := request.held.ledger, attempt.endpoint.Name
+	request.held.endpoints[engine] = attempt.endpoint
 	switch r.Status {
 	case routing.StatusPrefilled:
-		ledger.ReadDone(engine, c.clock.now())
+		ledger.PrefillCompleted(engine, c.clock.now())
 	case routing.StatusTimeout, routing.StatusCancelled, routing.StatusReset:
-		ledger.AttemptLost(engine, c.router.CanPrefill(attempt.engine.Kind))
+		ledger.AttemptLost(engine, c.router.CanPrefill(attempt.endpoint.Kind))
 	case routing.StatusError:
 		ledger.AttemptFailed(engine)
 	}
 	if r.StateMissing {
-		ledger.NoState()
+		ledger.StateMissing()
 	}
 	switch r.Status {
 	case routing.StatusPrefilled, routing.StatusRejected, routing.StatusError, routing.StatusServed:
 		c.endpoints.recordHeard(engine)
 	}
 	if attempt.written && c.endpoints.heardSince(engine, attempt.writtenAt) {
-		ledger.WasOut(c.clock.now())
+		ledger.AttemptConfirmedUntil(c.clock.now())
 	}
 }
 
-// readAfterCancel records a read that ended after its attempt was cancelled, while the
+// recordLatePrefill records a read that ended after its attempt was cancelled, while the
 // attempt's connection was still open.
-func (c *Core) readAfterCancel(request *requestState, attempt *attemptState) {
-	engine := attempt.engine.Name
+func (c *Core) recordLatePrefill(request *requestState, attempt *attemptState) {
+	engine := attempt.endpoint.Name
 	c.endpoints.recordHeard(engine)
 	if request.lingering == attempt {
 		request.lingering = nil
 		c.endLingering(request)
 	}
-	request.held.members[engine] = attempt.engine
+	request.held.endpoints[engine] = attempt.endpoint
 	request.held.ledger.AttemptLost(engine, false)
 	if cancel := request.held.stopRelease[engine]; cancel != nil {
 		cancel() // a release on the connection that brought the answer arrives sooner
@@ -82,21 +82,21 @@
 	c.markChanged(request)
 }
 
-// updateHeld does what is due for a request's held states and schedules the next update.
-func (c *Core) updateHeld(request *requestState) {
+// updateHeldState does what is due for a request's held states and schedules the next update.
+func (c *Core) updateHeldState(request *requestState) {
 	now, ledger := c.clock.now(), request.held.ledger
-	ledger.SetOut(c.attemptInFlight(request), now)
-	for _, engine := range ledger.Superseded(now) {
+	ledger.SetAttemptState(c.attemptInFlight(request), now)
+	for _, engine := range ledger.ReleasesToCancel(now) {
 		request.held.stopRelease[engine]()
 	}
-	if ledger.CheckDue(now) {
+	if ledger.ReachCheckDue(now) {
 		c.checkReach(request)
 	}
 	if ledger.Expired(now) {
 		c.expireState(request)
 	}
 	c.keepLingering(request)
-	for _, engine := range ledger.Due(now) {
+	for _, engine := range ledger.ReleasesDue(now) {
 		c.startRelease(request, engine)
 	}
 	c.unreleased.track(request)
@@ -105,12 +105,12 @@
 
 // attemptInFlight tells whether an attempt of the request is out: one that was written and has not ended,
 // or one that was cancelled and is kept open.
-func (c *Core) attemptInFlight(request *requestState) heldstate.Out {
-	out := heldstate.None
+func (c *Core) attemptInFlight(request *requestState) heldstate.AttemptState {
+	out := heldstate.NoAttempt
 	for _, attempt := range request.attempts {
 		switch {
 		case !request.inFlight(attempt):
-		case attempt.answering || c.endpoints.heardSince(attempt.engine.Name, attempt.writtenAt):
+		case attempt.answering || c.endpoints.heardSince(attempt.endpoint.Name, attempt.writtenAt):
 			return heldstate.Confirmed
 		default:
 			out = heldstate.Unconfirmed
@@ -130,9 +130,9 @@
 			continue
 		}
 		c.counters.increment(countEnginesChecked)
-		c.transport.Reach(attempt.engine, func(reached bool) {
+		c.transport.Reach(attempt.endpoint, func(reached bool) {
 			if reached {
-				c.post(engineReached{request, attempt.engine.Name})
+				c.post(engineReached{request, attempt.endpoint.Name})
 			}
 		})
 	}
@@ -158,7 +158,7 @@
 
 // scheduleUpdate sets a timer for the next update, unless one is due before that.
 func (c *Core) scheduleUpdate(request *requestState) {
-	next, ok := request.held.ledger.Next()
+	next, ok := request.held.ledger.NextUpdate()
 	if !ok || next <= c.clock.now() { // what was due has just been done
 		return
 	}
--- a/internal/core/linger.go
+++ b/internal/core/linger.go
@@ -22,7 +22,7 @@
 // lingerTarget is the engine whose release ends the lingering: the one that certainly holds a
 // state or, without one, the attempt's own.
 func (r *requestState) lingerTarget() string {
-	return cmp.Or(r.held.holder, r.lingering.engine.Name)
+	return cmp.Or(r.held.lastHolder, r.lingering.endpoint.Name)
 }
 
 // endLingering closes the connection of the attempt that was kept open. Releases that arrived
@@ -35,8 +35,8 @@
 	c.lingering--
 	if attempt := request.lingering; attempt != nil {
 		c.closeLingering(request)
-		request.held.ledger.AttemptLost(attempt.engine.Name, c.router.CanPrefill(attempt.engine.Kind))
-		request.held.ledger.ReleaseAgain()
+		request.held.ledger.AttemptLost(attempt.endpoint.Name, c.router.CanPrefill(attempt.endpoint.Kind))
+		request.held.ledger.RepeatReleases()
 	}
 	c.markChanged(request)
 }
--- a/internal/core/release.go
+++ b/internal/core/release.go
@@ -11,9 +11,9 @@
 func (c *Core) startRelease(request *requestState, engine string) {
 	c.counters.increment(countReleases)
 	r := Release{
-		Endpoint: request.held.members[engine], ClientRequestID: request.ClientRequestID, Deadline: c.clock.at(request.held.ledger.Until(engine)),
-		Alternates: c.endpoints.othersByLastHeard(engine, maxElsewhere), AlternatesAfter: min(elsewhereAfter, c.limits.HeldStateLimit/4),
-		AlternatesInterval: max(c.limits.HeldStateLimit/2, heldstate.RepeatLeast),
+		Endpoint: request.held.endpoints[engine], ClientRequestID: request.ClientRequestID, Deadline: c.clock.at(request.held.ledger.ReleaseDeadline(engine)),
+		Alternates: c.endpoints.othersByLastHeard(engine, maxAlternates), AlternatesAfter: min(alternatesAfter, c.limits.HeldStateLimit/4),
+		AlternatesInterval: max(c.limits.HeldStateLimit/2, heldstate.MinReleaseInterval),
 	}
 	request.held.stopRelease[engine] = c.transport.Release(r, func(err error) {
 		c.post(releaseEnded{request, engine, err})
@@ -25,7 +25,7 @@
 	delete(request.held.stopRelease, engine)
 	c.markChanged(request)
 	if errors.Is(err, ErrNoRelease) {
-		request.held.ledger.Forget(engine)
+		request.held.ledger.DropEngine(engine)
 		return
 	}
 	request.held.ledger.ReleaseEnded(engine, err == nil, c.clock.now())
@@ -45,7 +45,7 @@
 
 // track takes a request in or out, as its ledger says.
 func (u unreleasedRequests) track(request *requestState) {
-	if request.held.ledger.Done() {
+	if request.held.ledger.Completed() {
 		delete(u, request)
 	} else if request.answered {
 		u[request] = true
@@ -55,7 +55,7 @@
 // blockDrain reports whether a draining gateway has to wait for a release.
 func (u unreleasedRequests) blockDrain(now routing.Time) bool {
 	for request := range u {
-		if request.held.ledger.Urgent(now) {
+		if request.held.ledger.BlocksDrain(now) {
 			return true
 		}
 	}
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -14,7 +14,7 @@
 	deadline       time.Time
 	repeatable     bool // may be repeated at will, by the settings with which it was taken
 	answered       bool // has had its final answer, or its client has gone
-	serving        *attemptState
+	streaming      *attemptState
 	stream         Stream
 	attempts       []*attemptState
 	activeAttempts int            // attempts that have not ended
@@ -94,7 +94,7 @@
 	if request == nil {
 		return
 	}
-	if request.serving != nil { // the answer and the client's leaving have crossed
+	if request.streaming != nil { // the answer and the client's leaving have crossed
 		request.stream.Close()
 		c.finishStream(request, Result{Status: routing.StatusCancelled})
 	}
@@ -123,8 +123,8 @@
 // removeRequest takes a request that is over off the table. Its held states are released all the
 // same; see updateHeld.
 func (c *Core) removeRequest(request *requestState) {
-	if holder := request.held.ledger.Holder(); holder != "" {
-		request.held.holder = holder
+	if holder := request.held.ledger.StateHolder(); holder != "" {
+		request.held.lastHolder = holder
 	}
 	request.held.ledger.Finish()
 	if c.requests.remove(request) {
