--- /dev/null
+++ b/decide/heldstate/releases.go
@@ -0,0 +1,110 @@
+package heldstate
+
+import (
+	"maps"
+	"slices"
+)
+
+// ReleasesDue returns the engines that are to be told to release now, in order of name. The caller
+// reports the end of each release with ReleaseEnded.
+func (l *Ledger) ReleasesDue(now Time) []string {
+	var due []string
+	for _, name := range slices.Sorted(maps.Keys(l.entries)) {
+		e := l.entries[name]
+		if at, ok := l.nextRelease(e); !ok || at > now {
+			continue
+		}
+		if e.dueSince == 0 {
+			e.dueSince = now
+		}
+		e.releasing = true
+		due = append(due, name)
+	}
+	return due
+}
+
+// ReleaseDeadline returns when a release that is under way at an engine is to be given up.
+func (l *Ledger) ReleaseDeadline(engine string) Time {
+	if e := l.entries[engine]; e != nil {
+		return e.dueSince + l.limits.ReleaseTimeout
+	}
+	return 0
+}
+
+// ReleaseEnded records how a release ended: delivered, cancelled, or given up in time.
+func (l *Ledger) ReleaseEnded(engine string, delivered bool, now Time) {
+	e := l.entries[engine]
+	if e == nil || !e.releasing {
+		return
+	}
+	e.releasing, e.releaseForced = false, false
+	switch {
+	case delivered && !l.finished && l.attemptState != NoAttempt:
+		e.lastRelease = now // an attempt may have been waiting for the state: it counts for nothing
+	case delivered:
+		if e.delivered++; e.delivered == 1 {
+			e.firstDelivery = now
+		}
+		e.lastRelease = now
+	case now >= e.dueSince+l.limits.ReleaseTimeout:
+		e.givenUp = true
+	}
+}
+
+// ReleasesToCancel returns the engines whose release under way must not meet an attempt that has
+// just gone out.
+func (l *Ledger) ReleasesToCancel(now Time) []string {
+	var engines []string
+	for name, e := range l.entries {
+		if at, ok := l.releasableAt(e); e.releasing && (!ok || at > now) {
+			engines = append(engines, name)
+		}
+	}
+	slices.Sort(engines)
+	return engines
+}
+
+// RepeatReleases makes a release due at every engine: an attempt that may have been waiting for
+// the state until now, so that no release had an effect, has ended.
+func (l *Ledger) RepeatReleases() {
+	for _, e := range l.entries {
+		e.delivered, e.lastRelease = 0, 0
+	}
+}
+
+// DropEngine records that an engine holds nothing and never will, as engines of its kind take no
+// releases.
+func (l *Ledger) DropEngine(engine string) {
+	delete(l.entries, engine)
+	if l.stateHolder == engine {
+		l.stateHolder = ""
+	}
+}
+
+// Completed tells whether the request is over and nothing is left to release.
+func (l *Ledger) Completed() bool {
+	if !l.finished {
+		return false
+	}
+	for _, e := range l.entries {
+		if _, due := l.nextRelease(e); due || e.releasing {
+			return false
+		}
+	}
+	return true
+}
+
+// BlocksDrain tells whether a draining gateway has to wait for a release: one that has not been
+// delivered yet, or that has to be repeated, as it may have overtaken a cancel or as a read may
+// run on and leave a state when the gateway has ended. Engines out of reach for several pin
+// limits are not waited for.
+func (l *Ledger) BlocksDrain(now Time) bool {
+	for _, e := range l.entries {
+		undelivered := e.delivered == 0 && (e.dueSince == 0 || now < e.dueSince+maxDrainWait*l.limits.HeldStateLimit)
+		_, repeated := l.nextRepeat(e)
+		if !e.givenUp && (undelivered || e.delivered > 0 && repeated) {
+			return true
+		}
+	}
+	return false
+}
