--- a/decide/heldstate/attempts.go
+++ b/decide/heldstate/attempts.go
@@ -2,14 +2,15 @@
 
 import "maps"
 
-// StateHolder returns the engine whose state waits for a decode engine, "" if there is none.
+// StateHolder returns the engine whose state waits for an attempt at a decode engine, "" if there is
+// none.
 func (l *Ledger) StateHolder() string { return l.stateHolder }
 
-// PrefillCompleted records that a prompt has been read and its state waits at an engine.
+// PrefillCompleted records that an engine has prefilled the prompt, and that its state waits there.
 func (l *Ledger) PrefillCompleted(engine string, now Time) {
 	l.noAttemptSince = now
 	e := &engineEntry{}
-	if old := l.entries[engine]; old != nil { // an earlier read there may still run on
+	if old := l.entries[engine]; old != nil { // an earlier prefill there may still run on
 		e.attemptLost, e.prefillMayRun = old.attemptLost, old.prefillMayRun
 	}
 	l.entries[engine] = e
@@ -18,16 +19,16 @@
 	}
 }
 
-// AttemptLost records that an attempt ended without an answer: it may have left a state or,
-// where it is a read that runs on, may leave one later.
-func (l *Ledger) AttemptLost(engine string, reads bool) {
+// AttemptLost records that an attempt ended without an answer: it may have left state or, where the
+// engine prefills and runs on, may leave it later.
+func (l *Ledger) AttemptLost(engine string, prefills bool) {
 	e := l.entries[engine]
 	if e == nil {
 		e = &engineEntry{}
 		l.entries[engine] = e
 	}
 	e.attemptLost, e.delivered, e.lastRelease = true, 0, 0
-	e.prefillMayRun = e.prefillMayRun || reads
+	e.prefillMayRun = e.prefillMayRun || prefills
 }
 
 // AttemptFailed records that an engine answered an attempt with an error.
@@ -37,19 +38,18 @@
 	}
 }
 
-// AnswerStarted records that an answer has begun, so the state was fetched. Should the answer
-// break, the engines are told all the same.
+// AnswerStarted records that an answer has begun, so the state was fetched. Should the answer break
+// off, the engines are sent releases all the same.
 func (l *Ledger) AnswerStarted() { l.stateHolder = "" }
 
-// AnswerCompleted records that an answer is complete, with which engines release everything else.
-// A cancelled read that may run on stays recorded, and so does a detached state.
+// AnswerCompleted records that an answer is complete, upon which engines release all state by
+// themselves. A cancelled prefill that may run on stays recorded, and so does detached state.
 func (l *Ledger) AnswerCompleted() {
 	l.stateHolder = ""
 	maps.DeleteFunc(l.entries, func(_ string, e *engineEntry) bool { return !e.detached && !e.prefillMayRun })
 }
 
-// Detach has the waiting state released while the request goes on at an engine that fetches
-// none.
+// Detach has the waiting state released while the request continues at an engine that fetches none.
 func (l *Ledger) Detach() {
 	if e := l.entries[l.stateHolder]; e != nil {
 		e.detached, e.releaseForced = true, true
@@ -57,11 +57,11 @@
 	l.stateHolder = ""
 }
 
-// StateMissing records that a decode engine found no state. The prefill engine may only have been out of the
-// decode engine's reach, so it is told to release all the same.
+// StateMissing records that a decode engine found no state. The prefill engine may only have been out
+// of the decode engine's reach, so it is sent a release all the same.
 func (l *Ledger) StateMissing() { l.stateHolder = "" }
 
-// Finish records that the request has its final answer.
+// Finish records that the request has its final answer: no attempt follows.
 func (l *Ledger) Finish() {
 	if l.finished {
 		return
@@ -70,25 +70,25 @@
 	l.resetUndelivered()
 }
 
-// AttemptConfirmedUntil records that an attempt was certainly out until now.
+// AttemptConfirmedUntil records that an attempt was certainly in flight until now.
 func (l *Ledger) AttemptConfirmedUntil(now Time) { l.noAttemptSince = now }
 
-// SetAttemptState says whether an attempt of the request is out.
-func (l *Ledger) SetAttemptState(out AttemptState, now Time) {
-	if l.attemptState == Confirmed && out != Confirmed || l.noAttemptSince == 0 {
+// SetAttemptState records whether an attempt of the request is in flight.
+func (l *Ledger) SetAttemptState(state AttemptState, now Time) {
+	if l.attemptState == Confirmed && state != Confirmed || l.noAttemptSince == 0 {
 		l.noAttemptSince = now
 	}
-	if l.attemptState != NoAttempt && out == NoAttempt {
+	if l.attemptState != NoAttempt && state == NoAttempt {
 		l.resetUndelivered()
 	}
-	if l.attemptState != out {
+	if l.attemptState != state {
 		l.reachChecked = false
 	}
-	l.attemptState = out
+	l.attemptState = state
 }
 
-// resetUndelivered makes releases due at once that were delivered only while an attempt may have
-// been waiting for the state.
+// resetUndelivered makes releases due at once at engines that were sent one only while an attempt may
+// have been waiting for the state.
 func (l *Ledger) resetUndelivered() {
 	for _, e := range l.entries {
 		if e.delivered == 0 {
--- a/decide/heldstate/heldstate.go
+++ b/decide/heldstate/heldstate.go
@@ -1,10 +1,14 @@
-// Package heldstate decides when engines are told to release the read states that they may
-// hold for one request.
+// Package heldstate decides when engines are sent a release for the state that they may hold for one
+// request.
 //
-// A read leaves a state at its engine. An attempt at a decode engine fetches it; otherwise it must be
-// released within the pin limit, counted while no attempt is out. A Ledger is the single owner
-// of that duty for one request: it records which engines may hold something, since when and how
-// certainly, until each release has been delivered. It does no I/O and reads no clock.
+// A prefill leaves state at its engine. An attempt at a decode engine fetches it; otherwise it must be
+// released within the held-state limit, which counts while no attempt is in flight. A Ledger is the
+// single owner of that duty for one request: it records which engines may hold state, since when and
+// how certainly, until each release has been delivered. It does no I/O and reads no clock.
+//
+// An attempt is in flight from the time when its last byte was written until it ends or, if it was
+// cancelled and its connection is kept open, until that is closed. While one is, an engine's release
+// has no effect on the state that the attempt waits for.
 package heldstate
 
 import "time"
@@ -12,7 +16,7 @@
 // Time is a point on the caller's clock, as the duration since an arbitrary origin.
 type Time = time.Duration
 
-// Margins of the ledger.
+// Margins of the ledger, which no setting changes.
 const (
 	// CancelTransit is how long an engine may take to learn that an attempt was cancelled. A
 	// release that overtakes the cancel has no effect, so it is sent again after this.
@@ -20,54 +24,58 @@
 	// MinReleaseInterval is the least time between two releases at one engine.
 	MinReleaseInterval = 100 * time.Millisecond
 
-	reachCheckDivisor = 4 // an engine is checked after this part of the pin limit at the earliest
-	maxDrainWait      = 4 // pin limits for which a draining gateway waits for an engine out of reach
+	// reachCheckDivisor divides the held-state limit: after that part of it an engine is checked at the
+	// earliest, so that anything which it answers before spares the check.
+	reachCheckDivisor = 4
+	// maxDrainWait is for how many held-state limits a draining gateway waits for an engine that is
+	// out of reach.
+	maxDrainWait = 4
 )
 
 // Limits are the durations a ledger works with. They follow from the settings.
 type Limits struct {
-	HeldStateLimit      time.Duration // a state may be held this long while no attempt is out
-	HeldStateSlack      time.Duration // and this much longer, which is left for the release to arrive
-	ReleaseTimeout      time.Duration // a release is retried this long at an engine out of reach
-	ReachTimeout        time.Duration // the longest that a check of whether an engine is in reach takes
-	MaxCancelledPrefill time.Duration // a cancelled read may run on this long once its engine knows
+	HeldStateLimit      time.Duration // longest that state may be held with no attempt in flight
+	HeldStateSlack      time.Duration // by which it may be exceeded while a release is in transit
+	ReleaseTimeout      time.Duration // for which a release is retried at an engine out of reach
+	ReachTimeout        time.Duration // of a check whether an engine can be reached
+	MaxCancelledPrefill time.Duration // for which a prefill may run on once its engine knows of the cancel
 }
 
-// engineEntry is one engine that may hold something.
+// engineEntry is what the ledger knows of one engine that may hold state.
 type engineEntry struct {
-	attemptLost   bool // the attempt ended without an answer: there may be no state, or not yet
-	detached      bool // no attempt will fetch it, and an answer does not release it
-	releaseForced bool // one release is due although an attempt may be out
-	prefillMayRun bool // a read may run on there: its state may appear after a release
-	dueSince      Time // since when it is to be released; 0 while it is not
-	releasing     bool // a release is under way
-	delivered     int  // releases delivered with no attempt out
-	firstDelivery Time // delivery of the first of them
-	lastRelease   Time // delivery of the latest release of any kind
-	givenUp       bool // the release was not delivered in time
+	attemptLost   bool // an attempt ended without an answer: there may be no state, or not yet
+	detached      bool // no attempt will fetch the state, and an answer does not release it
+	releaseForced bool // one release is due although an attempt may be in flight
+	prefillMayRun bool // a cancelled prefill may run on: its state may appear after a release
+	dueSince      Time // since when the release is due; 0 while it is not
+	releasing     bool // a release is in flight
+	delivered     int  // releases delivered with no attempt in flight
+	firstDelivery Time // when the first of them was
+	lastRelease   Time // when the latest release of any kind was delivered
+	givenUp       bool // the release was not delivered within ReleaseTimeout
 }
 
-// Ledger records what engines may hold for one request. Use New.
+// Ledger records what engines may hold for one request. Use New. It is not safe for concurrent use.
 type Ledger struct {
 	limits         Limits
 	entries        map[string]*engineEntry
 	stateHolder    string // the engine whose state the request continues with; "" for none
 	finished       bool   // the request has its final answer
 	attemptState   AttemptState
-	noAttemptSince Time // since when no attempt has certainly been out
+	noAttemptSince Time // since when no attempt has certainly been in flight
 	reachChecked   bool // the engine of an unconfirmed attempt has been checked
 }
 
-// AttemptState says whether an attempt of the request is out.
+// AttemptState says whether an attempt of the request is in flight.
 type AttemptState uint8
 
-// The values of Out.
+// The states of a request's attempts together: that of the one which is known best.
 const (
 	NoAttempt AttemptState = iota
-	// Unconfirmed means that an attempt was written but its engine has not been heard since: a
-	// connection that was idle does not show a network partition, so it may never have arrived.
+	// Unconfirmed means that an attempt was written but its engine has not answered anything since:
+	// an idle connection does not show a network partition, so the attempt may never have arrived.
 	Unconfirmed
-	Confirmed // the engine has been heard since the attempt was written
+	Confirmed // the engine has answered something since the attempt was written
 )
 
 // New returns an empty ledger.
--- a/decide/heldstate/releases.go
+++ b/decide/heldstate/releases.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// ReleasesDue returns the engines that are to be told to release now, in order of name. The caller
+// ReleasesDue returns the engines that are to be sent a release now, in order of name. The caller
 // reports the end of each release with ReleaseEnded.
 func (l *Ledger) ReleasesDue(now Time) []string {
 	var due []string
@@ -23,7 +23,7 @@
 	return due
 }
 
-// ReleaseDeadline returns when a release that is under way at an engine is to be given up.
+// ReleaseDeadline returns when the release in flight at an engine is to be given up.
 func (l *Ledger) ReleaseDeadline(engine string) Time {
 	if e := l.entries[engine]; e != nil {
 		return e.dueSince + l.limits.ReleaseTimeout
@@ -40,7 +40,7 @@
 	e.releasing, e.releaseForced = false, false
 	switch {
 	case delivered && !l.finished && l.attemptState != NoAttempt:
-		e.lastRelease = now // an attempt may have been waiting for the state: it counts for nothing
+		e.lastRelease = now // an attempt may have been waiting for the state: it may have had no effect
 	case delivered:
 		if e.delivered++; e.delivered == 1 {
 			e.firstDelivery = now
@@ -51,8 +51,8 @@
 	}
 }
 
-// ReleasesToCancel returns the engines whose release under way must not meet an attempt that has
-// just gone out.
+// ReleasesToCancel returns the engines, in order of name, whose release in flight must not meet an
+// attempt that has just been written: it could free the state of the next prefill.
 func (l *Ledger) ReleasesToCancel(now Time) []string {
 	var engines []string
 	for name, e := range l.entries {
@@ -64,15 +64,15 @@
 	return engines
 }
 
-// RepeatReleases makes a release due at every engine: an attempt that may have been waiting for
-// the state until now, so that no release had an effect, has ended.
+// RepeatReleases makes a release due at every engine: an attempt has ended that may have been waiting
+// for the state until now, so that no release had an effect.
 func (l *Ledger) RepeatReleases() {
 	for _, e := range l.entries {
 		e.delivered, e.lastRelease = 0, 0
 	}
 }
 
-// DropEngine records that an engine holds nothing and never will, as engines of its kind take no
+// DropEngine records that an engine holds no state and never will, as engines of its kind take no
 // releases.
 func (l *Ledger) DropEngine(engine string) {
 	delete(l.entries, engine)
@@ -81,7 +81,7 @@
 	}
 }
 
-// Completed tells whether the request is over and nothing is left to release.
+// Completed reports whether the request has its final answer and nothing is left to release.
 func (l *Ledger) Completed() bool {
 	if !l.finished {
 		return false
@@ -94,10 +94,10 @@
 	return true
 }
 
-// BlocksDrain tells whether a draining gateway has to wait for a release: one that has not been
-// delivered yet, or that has to be repeated, as it may have overtaken a cancel or as a read may
-// run on and leave a state when the gateway has ended. Engines out of reach for several pin
-// limits are not waited for.
+// BlocksDrain reports whether a draining gateway has to wait for a release: one that has not been
+// delivered yet, or that has to be repeated, as it may have overtaken a cancel or as a prefill may
+// run on and leave state when the gateway has ended. Engines that have been out of reach for
+// maxDrainWait are not waited for.
 func (l *Ledger) BlocksDrain(now Time) bool {
 	for _, e := range l.entries {
 		undelivered := e.delivered == 0 && (e.dueSince == 0 || now < e.dueSince+maxDrainWait*l.limits.HeldStateLimit)
--- a/decide/heldstate/schedule.go
+++ b/decide/heldstate/schedule.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// repeatInterval is the time between two releases at an engine where a read may run on.
+// repeatInterval returns the time between two releases at an engine where a prefill may run on.
 func (l *Ledger) repeatInterval() time.Duration {
 	return max(l.limits.HeldStateLimit, MinReleaseInterval)
 }
 
-// releasableAt returns from when on an engine may be told to release; false if it may not.
-// One release frees everything that no attempt waits for, at whatever engine it is held. So
-// none is sent for what an earlier attempt may have left while a state waits for a decode engine, and
-// none before it has to be while an attempt may be reading.
+// releasableAt returns from when on an engine may be sent a release; false if it may not. One release
+// frees all state that no attempt waits for, at whatever engine it is held. So none is sent for what
+// an earlier attempt may have left while state waits for a decode engine, and while an attempt may be
+// in flight none before it has to be.
 func (l *Ledger) releasableAt(e *engineEntry) (at Time, ok bool) {
 	switch {
 	case l.finished || e.releaseForced:
@@ -23,7 +23,7 @@
 	return 0, true
 }
 
-// nextRelease returns when a release at an engine is due; false if none is.
+// nextRelease returns when the next release at an engine is due; false if none is.
 func (l *Ledger) nextRelease(e *engineEntry) (at Time, ok bool) {
 	from, ok := l.releasableAt(e)
 	if !ok || e.releasing || e.givenUp {
@@ -39,19 +39,19 @@
 	return max(from, at), ok
 }
 
-// nextRepeat returns when a delivered release is due once more; false if it is not.
+// nextRepeat returns when a release that was delivered is due once more; false if it is not.
 func (l *Ledger) nextRepeat(e *engineEntry) (at Time, ok bool) {
 	at, ok = l.afterCancels(e)
-	readMayRun := e.prefillMayRun && e.lastRelease < e.firstDelivery+l.limits.MaxCancelledPrefill
-	if repeat := e.lastRelease + l.repeatInterval(); readMayRun && (!ok || repeat < at) {
+	prefillMayRun := e.prefillMayRun && e.lastRelease < e.firstDelivery+l.limits.MaxCancelledPrefill
+	if repeat := e.lastRelease + l.repeatInterval(); prefillMayRun && (!ok || repeat < at) {
 		return repeat, true
 	}
 	return at, ok
 }
 
-// afterCancels returns when a release is due again because the latest may have overtaken the
-// cancel of an attempt at another engine: until that engine knows, the attempt waits for the
-// state, and a release does not free it.
+// afterCancels returns when a release is due again because the latest may have overtaken the cancel
+// of an attempt at another engine: until that engine knows of it, the attempt waits for the state,
+// and a release does not free it.
 func (l *Ledger) afterCancels(e *engineEntry) (at Time, ok bool) {
 	for _, other := range l.entries {
 		if !other.attemptLost || other.delivered == 0 {
@@ -64,24 +64,24 @@
 	return at, ok
 }
 
-// NextUpdate returns when Due, Expired or CheckDue may have something new to say; false if only an
-// event can bring that.
+// NextUpdate returns when ReleasesDue, Expired or ReachCheckDue may change by time alone; false if
+// only an event changes them.
 func (l *Ledger) NextUpdate() (at Time, ok bool) {
-	earliest := func(t Time) {
+	consider := func(t Time) {
 		if !ok || t < at {
 			at, ok = t, true
 		}
 	}
 	for _, e := range l.entries {
 		if t, due := l.nextRelease(e); due {
-			earliest(t)
+			consider(t)
 		}
 	}
 	if l.expiryRuns() {
-		earliest(l.expiresAt())
+		consider(l.expiresAt())
 	}
 	if l.needsReachCheck() {
-		earliest(l.reachCheckAt())
+		consider(l.reachCheckAt())
 	}
 	return at, ok
 }
