--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -8,14 +8,14 @@
 
 // attemptState is one try at one engine.
 type attemptState struct {
-	number    int
-	endpoint  Endpoint
-	startedAt time.Time
-	ended     bool
-	answering bool // its answer has
-	written   bool // its last byte has been written
-	writtenAt time.Time
-	handle    Handle
+	number        int
+	endpoint      Endpoint
+	startedAt     time.Time
+	ended         bool
+	answerStarted bool // its answer has
+	written       bool // its last byte has been written
+	writtenAt     time.Time
+	handle        Handle
 }
 
 // cancelTransit is how long an engine may need to learn that an attempt was cancelled. What must not
@@ -50,7 +50,7 @@
 	}
 	c.schedule(limit, attemptTimedOut{request, attempt})
 	out := Attempt{ClientRequestID: request.ClientRequestID, Number: attempt.number, Endpoint: m, Timeout: limit, Payload: request.Payload, ClientGone: request.clientGone.Load}
-	if request.lingering != nil || request.cancelPause(now) > 0 {
+	if request.lingeringAttempt != nil || request.cancelPause(now) > 0 {
 		out.Connected = func() { c.awaitPredecessorClosed(request, attempt) }
 	}
 	out.Written = func() { c.post(attemptWritten{request, attempt}) }
@@ -98,7 +98,7 @@
 		c.endAttempt(request, attempt, Result{Status: routing.StatusCancelled})
 		return
 	}
-	request.streaming, request.stream, attempt.answering = attempt, s, true
+	request.streaming, request.stream, attempt.answerStarted = attempt, s, true
 	c.endpoints.recordHeard(attempt.endpoint.Name)
 	request.held.ledger.AnswerStarted()
 	for _, other := range request.attempts {
@@ -131,7 +131,7 @@
 	}
 	attempt.ended, request.lastStatus, request.lastCause = true, r.Status, r.Cause
 	withdrawn := c.closeAttempt(request, attempt, r.Status)
-	request.possiblyRun = request.possiblyRun || !withdrawn && mayHaveRun(r.Status)
+	request.endedMayHaveRun = request.endedMayHaveRun || !withdrawn && statusMayHaveRun(r.Status)
 	request.activeAttempts--
 	c.markChanged(request)
 	c.counters.increment(statusNames[r.Status])
@@ -168,24 +168,24 @@
 func (c *Core) closeAttempt(request *requestState, attempt *attemptState, s routing.Status) (withdrawn bool) {
 	givenUp := s == routing.StatusCancelled || s == routing.StatusTimeout
 	switch {
-	case !givenUp || attempt.answering:
+	case !givenUp || attempt.answerStarted:
 		attempt.handle.Cancel()
 		return false
 	case attempt.written:
-		c.closeLingering(request)
-		request.lingering = attempt
+		c.closeLingeringAttempt(request)
+		request.lingeringAttempt = attempt
 		return false
 	case attempt.handle.Withdraw():
 		return true
 	}
 	// It is being written, or has been and the core is yet to hear of it.
-	request.cancelAttempt(attempt)
+	request.closeCancelled(attempt)
 	return false
 }
 
-// mayHaveRun tells whether an attempt that was written and ended so may have been carried out:
+// statusMayHaveRun tells whether an attempt that was written and ended so may have been carried out:
 // it was not turned away, and did more than read.
-func mayHaveRun(s routing.Status) bool {
+func statusMayHaveRun(s routing.Status) bool {
 	switch s {
 	case routing.StatusNotSent, routing.StatusConnectFailed, routing.StatusRejected, routing.StatusPrefilled:
 		return false
@@ -197,7 +197,7 @@
 // not meet that attempt once its engine can have learned of the end: both take their own ways.
 // Without such an attempt it is done at once.
 func (c *Core) afterAttemptClosed(request *requestState, next message) {
-	c.closeLingering(request)
+	c.closeLingeringAttempt(request)
 	if pause := request.cancelPause(time.Now()); pause > 0 {
 		c.schedule(pause, next)
 		return
@@ -205,8 +205,8 @@
 	next.handle(c)
 }
 
-// cancelAttempt closes the connection of an attempt that its engine may have, or be about to get.
-func (r *requestState) cancelAttempt(attempt *attemptState) {
+// closeCancelled closes the connection of an attempt that its engine may have, or be about to get.
+func (r *requestState) closeCancelled(attempt *attemptState) {
 	attempt.handle.Cancel()
 	r.cancelledAt = time.Now()
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -37,14 +37,14 @@
 	endpoints *endpointTable
 
 	// Owned by the goroutine of Run.
-	requests      requestTable
-	unreconciled  []*requestState // in which the message in hand has changed something
-	unreleased    unreleasedRequests
-	lingering     int             // lingering attempts of requests that are over; see keepLingering
-	pendingEvents []routing.Event // for the router, from the actions that it asked for last
-	timers        timers
-	counters      counters
-	drainWaiters  []chan<- struct{} // closed once nothing is in hand
+	requests       requestTable
+	unreconciled   []*requestState // in which the message in hand has changed something
+	unreleased     unreleasedRequests
+	lingeringCount int             // lingering attempts of requests that are over; see keepLingering
+	pendingEvents  []routing.Event // for the router, from the actions that it asked for last
+	timers         timers
+	counters       counters
+	drainWaiters   []chan<- struct{} // closed once nothing is in hand
 }
 
 // New returns a core round a router. Run must be called for it to work.
@@ -101,7 +101,7 @@
 		if request.answered && request.activeAttempts == 0 {
 			c.removeRequest(request)
 		}
-		c.updateHeldState(request)
+		c.reconcileHeldState(request)
 	}
 	c.unreconciled = nil
 	c.endDrain()
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -68,7 +68,7 @@
 	w := make(answerChannel, 2)
 	core.post(testMessage(func() {
 		q := &requestState{Request: ask("free", 0), front: w, held: newHeldState(core.heldLimits(time.Second))}
-		core.schedule(0, testMessage(func() { core.answerOverdue(q); core.answerOverdue(q) }))
+		core.schedule(0, testMessage(func() { core.answerDeadlineExceeded(q); core.answerDeadlineExceeded(q) }))
 	}))
 	if a := <-w; a.Verdict != DeadlineExceeded {
 		t.Errorf("%+v", a)
--- a/internal/core/held.go
+++ b/internal/core/held.go
@@ -20,12 +20,12 @@
 
 // heldState is what engines may hold for one request, and the releases in flight.
 type heldState struct {
-	ledger      *heldstate.Ledger
-	endpoints   map[string]Endpoint // the engines that the ledger names
-	lastHolder  string              // whose state waited when the request ended; "" for none
-	stopRelease map[string]func()   // of the releases in flight, by engine
-	nextUpdate  time.Time           // when the ledger is to be looked at next
-	lingering   bool                // an attempt is kept open after the final answer; see keepLingering
+	ledger             *heldstate.Ledger
+	endpoints          map[string]Endpoint // the engines that the ledger names
+	lastHolder         string              // whose state waited when the request ended; "" for none
+	stopRelease        map[string]func()   // of the releases in flight, by engine
+	nextUpdate         time.Time           // when the ledger is to be looked at next
+	lingersAfterAnswer bool                // an attempt is kept open after the final answer; see keepLingering
 }
 
 func newHeldState(limits heldstate.Limits) heldState {
@@ -70,8 +70,8 @@
 func (c *Core) recordLatePrefill(request *requestState, attempt *attemptState) {
 	engine := attempt.endpoint.Name
 	c.endpoints.recordHeard(engine)
-	if request.lingering == attempt {
-		request.lingering = nil
+	if request.lingeringAttempt == attempt {
+		request.lingeringAttempt = nil
 		c.endLingering(request)
 	}
 	request.held.endpoints[engine] = attempt.endpoint
@@ -82,10 +82,10 @@
 	c.markChanged(request)
 }
 
-// updateHeldState does what is due for a request's held states and schedules the next update.
-func (c *Core) updateHeldState(request *requestState) {
+// reconcileHeldState does what is due for a request's held states and schedules the next update.
+func (c *Core) reconcileHeldState(request *requestState) {
 	now, ledger := c.clock.now(), request.held.ledger
-	ledger.SetAttemptState(c.attemptInFlight(request), now)
+	ledger.SetAttemptState(c.currentAttemptState(request), now)
 	for _, engine := range ledger.ReleasesToCancel(now) {
 		request.held.stopRelease[engine]()
 	}
@@ -95,22 +95,22 @@
 	if ledger.Expired(now) {
 		c.expireState(request)
 	}
-	c.keepLingering(request)
+	c.lingerAfterAnswer(request)
 	for _, engine := range ledger.ReleasesDue(now) {
 		c.startRelease(request, engine)
 	}
 	c.unreleased.track(request)
-	c.scheduleUpdate(request)
+	c.scheduleHeldState(request)
 }
 
-// attemptInFlight tells whether an attempt of the request is out: one that was written and has not ended,
+// currentAttemptState tells whether an attempt of the request is out: one that was written and has not ended,
 // or one that was cancelled and is kept open.
-func (c *Core) attemptInFlight(request *requestState) heldstate.AttemptState {
+func (c *Core) currentAttemptState(request *requestState) heldstate.AttemptState {
 	out := heldstate.NoAttempt
 	for _, attempt := range request.attempts {
 		switch {
 		case !request.inFlight(attempt):
-		case attempt.answering || c.endpoints.heardSince(attempt.endpoint.Name, attempt.writtenAt):
+		case attempt.answerStarted || c.endpoints.heardSince(attempt.endpoint.Name, attempt.writtenAt):
 			return heldstate.Confirmed
 		default:
 			out = heldstate.Unconfirmed
@@ -120,7 +120,7 @@
 }
 
 func (r *requestState) inFlight(attempt *attemptState) bool {
-	return attempt.written && (!attempt.ended || attempt == r.lingering)
+	return attempt.written && (!attempt.ended || attempt == r.lingeringAttempt)
 }
 
 // checkReach finds out whether the engines of the attempts that are out are in reach.
@@ -156,8 +156,8 @@
 	}
 }
 
-// scheduleUpdate sets a timer for the next update, unless one is due before that.
-func (c *Core) scheduleUpdate(request *requestState) {
+// scheduleHeldState sets a timer for the next update, unless one is due before that.
+func (c *Core) scheduleHeldState(request *requestState) {
 	next, ok := request.held.ledger.NextUpdate()
 	if !ok || next <= c.clock.now() { // what was due has just been done
 		return
--- a/internal/core/messages.go
+++ b/internal/core/messages.go
@@ -22,10 +22,10 @@
 
 func (m requestSubmitted) handle(c *Core) { c.submit(m.ticket, m.request, m.front) }
 
-// clientLeft tells that the client of a request is gone.
-type clientLeft struct{ ticket *Ticket }
+// clientGone tells that the client of a request is gone.
+type clientGone struct{ ticket *Ticket }
 
-func (m clientLeft) handle(c *Core) { c.clientGone(m.ticket.request) }
+func (m clientGone) handle(c *Core) { c.clientGone(m.ticket.request) }
 
 // streamEnded tells how the stream of a Streaming answer ended.
 type streamEnded struct {
@@ -169,7 +169,7 @@
 // deadlinePassed tells that a request should have had its answer.
 type deadlinePassed struct{ request *requestState }
 
-func (m deadlinePassed) handle(c *Core) { c.answerOverdue(m.request) }
+func (m deadlinePassed) handle(c *Core) { c.answerDeadlineExceeded(m.request) }
 
 // attemptTimedOut tells that an attempt has had the time that it may take.
 type attemptTimedOut struct {
--- a/internal/core/release.go
+++ b/internal/core/release.go
@@ -35,7 +35,7 @@
 		return
 	}
 	c.endpoints.recordHeard(engine)
-	if request.held.lingering && request.lingering != nil && engine == request.lingerTarget() {
+	if request.held.lingersAfterAnswer && request.lingeringAttempt != nil && engine == request.lingerTarget() {
 		c.endLingering(request)
 	}
 }
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -10,21 +10,21 @@
 // requestState is one client's try, kept until it is answered and no attempt is out.
 type requestState struct {
 	Request
-	front          Front
-	deadline       time.Time
-	repeatable     bool // may be repeated at will, by the settings with which it was taken
-	answered       bool // has had its final answer, or its client has gone
-	streaming      *attemptState
-	stream         Stream
-	attempts       []*attemptState
-	activeAttempts int            // attempts that have not ended
-	lingering      *attemptState  // cancelled or timed out, its connection kept open for now
-	cancelledAt    time.Time      // when the connection of an attempt that may be out was closed last
-	held           heldState      // at engines
-	lastStatus     routing.Status // how the latest attempt ended, and why
-	lastCause      error
-	possiblyRun    bool         // an attempt has ended that may have run
-	clientGone     *atomic.Bool // its client has gone, whether or not the core has been told
+	front            Front
+	deadline         time.Time
+	idempotent       bool // may be repeated at will, by the settings with which it was taken
+	answered         bool // has had its final answer, or its client has gone
+	streaming        *attemptState
+	stream           Stream
+	attempts         []*attemptState
+	activeAttempts   int            // attempts that have not ended
+	lingeringAttempt *attemptState  // cancelled or timed out, its connection kept open for now
+	cancelledAt      time.Time      // when the connection of an attempt that may be out was closed last
+	held             heldState      // at engines
+	lastStatus       routing.Status // how the latest attempt ended, and why
+	lastCause        error
+	endedMayHaveRun  bool         // an attempt has ended that may have run
+	clientGone       *atomic.Bool // its client has gone, whether or not the core has been told
 }
 
 // submit takes a request into the table and gives it to the router.
@@ -53,7 +53,7 @@
 
 func (c *Core) newRequest(in Request, front Front, clientGone *atomic.Bool) *requestState {
 	return &requestState{
-		Request: in, front: front, deadline: in.Arrived.Add(in.TTL), repeatable: c.router.Idempotent(in.Class),
+		Request: in, front: front, deadline: in.Arrived.Add(in.TTL), idempotent: c.router.Idempotent(in.Class),
 		clientGone: clientGone, held: newHeldState(c.heldLimits(in.TTL)),
 	}
 }
@@ -79,7 +79,7 @@
 			"age", time.Since(request.Arrived).Round(time.Millisecond), "left", time.Until(request.deadline).Round(time.Millisecond),
 			"status", string(statusNames[a.Status]), "cause", a.Cause)
 	}
-	if a.Verdict == Rejected && !request.repeatable { // it is said never to have run
+	if a.Verdict == Rejected && !request.idempotent { // it is said never to have run
 		c.afterAttemptClosed(request, answerDue{request.front, a})
 	} else {
 		request.front.Answer(a)
@@ -108,8 +108,8 @@
 	c.withdrawUnwritten(request)
 }
 
-// answerOverdue gives a request that neither the module nor an engine has ended its final answer.
-func (c *Core) answerOverdue(request *requestState) {
+// answerDeadlineExceeded gives a request that neither the module nor an engine has ended its final answer.
+func (c *Core) answerDeadlineExceeded(request *requestState) {
 	if request.answered {
 		return
 	}
@@ -134,5 +134,5 @@
 
 // mayHaveRun tells whether an attempt has been out that is not known to have been turned away.
 func (r *requestState) mayHaveRun() bool {
-	return r.possiblyRun || r.activeAttempts > 0
+	return r.endedMayHaveRun || r.activeAttempts > 0
 }
--- a/internal/core/ticket.go
+++ b/internal/core/ticket.go
@@ -26,7 +26,7 @@
 // then on, however long the core's queue is.
 func (t *Ticket) ClientGone() {
 	t.gone.Store(true)
-	t.core.post(clientLeft{t})
+	t.core.post(clientGone{t})
 }
 
 // Finish reports how the stream of a Streaming answer ended. Relay calls it; a front that reads the
--- a/internal/core/trace_test.go
+++ b/internal/core/trace_test.go
@@ -438,7 +438,7 @@
 		tr.written(0)
 		runQuery(tr.t.Context(), tr.core, func() bool {
 			for _, q := range tr.core.requests.byID {
-				tr.core.answerOverdue(q)
+				tr.core.answerDeadlineExceeded(q)
 			}
 			return true
 		})
