--- a/internal/core/api.go
+++ b/internal/core/api.go
@@ -54,7 +54,7 @@
 
 // Observer is notified of each request's final answer. It must not block.
 type Observer interface {
-	Answered(q Request, a Answer, verdict string)
+	Answered(request Request, answer Answer, verdict string)
 }
 
 // Limits are the limits that the core itself enforces.
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -6,13 +6,13 @@
 	"wellgw/routing"
 )
 
-// attemptState is one try at one engine.
+// attemptState is one attempt of a request at one engine.
 type attemptState struct {
 	number        int
 	endpoint      Endpoint
 	startedAt     time.Time
 	ended         bool
-	answerStarted bool // its answer has
+	answerStarted bool
 	written       bool // its last byte has been written
 	writtenAt     time.Time
 	handle        Handle
@@ -22,48 +22,62 @@
 // meet that attempt, such as the next one, waits for it.
 const cancelTransit = 3 * time.Millisecond
 
-// startAttempt makes an attempt, or says at once that it was not made.
-func (c *Core) startAttempt(a routing.Send) {
-	request := c.requests.byID[a.ID]
+// startAttempt sends a request to an engine. An attempt that is not to be sent ends at once.
+func (c *Core) startAttempt(send routing.Send) {
+	request := c.requests.byID[send.ID]
 	if !c.checks.Hold(request != nil && !request.answered, "a send is for a request that awaits its answer") {
 		return
 	}
-	m, known := c.endpoints.listed[a.Engine]
-	now := time.Now()
-	attempt := &attemptState{number: len(request.attempts), endpoint: m, startedAt: now, handle: noHandle{}}
-	attempt.endpoint.Name = a.Engine
-	request.attempts = append(request.attempts, attempt)
-	request.activeAttempts++
-	limit := request.deadline.Sub(now)
-	if a.Timeout > 0 {
-		limit = min(limit, a.Timeout)
-	}
-	unsent := limit <= 0 || len(request.attempts) > c.limits.MaxAttempts || request.clientGone.Load()
-	if unsent || !c.checks.Hold(known && m.Phase == routing.PhaseActive, "a send goes to an engine on the list") {
+	endpoint, listed := c.endpoints.listed[send.Engine]
+	attempt := request.addAttempt(endpoint, send.Engine)
+	timeout := request.deadline.Sub(attempt.startedAt)
+	if send.Timeout > 0 {
+		timeout = min(timeout, send.Timeout)
+	}
+	notSent := timeout <= 0 || len(request.attempts) > c.limits.MaxAttempts || request.clientGone.Load()
+	if notSent || !c.checks.Hold(listed && endpoint.Phase == routing.PhaseActive, "a send goes to an engine on the list") {
 		c.endAttempt(request, attempt, Result{Status: routing.StatusNotSent})
 		return
 	}
 	c.counters.increment(countAttempts)
-	if request.held.ledger.StateHolder() != "" && c.limits.ServesAlone != nil && c.limits.ServesAlone(m.Kind) {
-		request.held.ledger.Detach() // it will not fetch what was read for it elsewhere
+	if request.held.ledger.StateHolder() != "" && c.limits.ServesAlone != nil && c.limits.ServesAlone(endpoint.Kind) {
+		request.held.ledger.Detach() // this engine fetches no state that another has prefilled
 		c.markChanged(request)
 	}
-	c.schedule(limit, attemptTimedOut{request, attempt})
-	out := Attempt{ClientRequestID: request.ClientRequestID, Number: attempt.number, Endpoint: m, Timeout: limit, Payload: request.Payload, ClientGone: request.clientGone.Load}
-	if request.lingeringAttempt != nil || request.cancelPause(now) > 0 {
-		out.Connected = func() { c.awaitPredecessorClosed(request, attempt) }
-	}
-	out.Written = func() { c.post(attemptWritten{request, attempt}) }
+	c.schedule(timeout, attemptTimedOut{request, attempt})
 	attempt.handle = c.transport.Start(
-		out,
+		c.describeAttempt(request, attempt, timeout),
 		func(s Stream) { c.post(streamOpened{request, attempt, s}) },
 		func(r Result) { c.post(attemptEnded{request, attempt, r}) },
 	)
 }
 
-// awaitPredecessorClosed has the attempt before closed now that the next one can go out, and returns
-// when the two can't meet any more. Until then the one before stays out: the connection of the
-// next may never come up.
+// addAttempt adds an attempt to a request. The engine's name is set also where it is not listed.
+func (r *requestState) addAttempt(endpoint Endpoint, engine string) *attemptState {
+	attempt := &attemptState{number: len(r.attempts), endpoint: endpoint, startedAt: time.Now(), handle: noHandle{}}
+	attempt.endpoint.Name = engine
+	r.attempts = append(r.attempts, attempt)
+	r.activeAttempts++
+	return attempt
+}
+
+// describeAttempt returns what the transport needs for an attempt.
+func (c *Core) describeAttempt(request *requestState, attempt *attemptState, timeout time.Duration) Attempt {
+	a := Attempt{
+		ClientRequestID: request.ClientRequestID, Number: attempt.number, Endpoint: attempt.endpoint,
+		Timeout: timeout, Payload: request.Payload, ClientGone: request.clientGone.Load,
+		Written: func() { c.post(attemptWritten{request, attempt}) },
+	}
+	if request.lingeringAttempt != nil || request.cancelPause(attempt.startedAt) > 0 {
+		a.Connected = func() { c.awaitPredecessorClosed(request, attempt) }
+	}
+	return a
+}
+
+// awaitPredecessorClosed has the previous attempt's connection closed, as the next attempt can be
+// written now, and returns when the two can't meet at the engine any more. Until now the previous one
+// stayed in flight: the connection of the next might have never come up. It is called by the
+// transport's goroutine of the attempt.
 func (c *Core) awaitPredecessorClosed(request *requestState, attempt *attemptState) {
 	clear := make(chan struct{})
 	c.post(attemptConnected{request, attempt, clear})
@@ -73,7 +87,7 @@
 	}
 }
 
-// clearAttempt closes clear once an attempt can be written.
+// clearAttempt closes clear once an attempt may be written.
 func (c *Core) clearAttempt(request *requestState, attempt *attemptState, clear chan<- struct{}) {
 	if attempt.ended {
 		close(clear)
@@ -82,7 +96,7 @@
 	c.afterAttemptClosed(request, attemptCleared{clear})
 }
 
-// recordWritten records that an attempt is out.
+// recordWritten records that an attempt has been written, so that it is in flight.
 func (c *Core) recordWritten(request *requestState, attempt *attemptState) {
 	if attempt.ended {
 		return
@@ -91,14 +105,15 @@
 	c.markChanged(request)
 }
 
-// openStream gives an attempt's stream to the client, if the client still waits for it.
-func (c *Core) openStream(request *requestState, attempt *attemptState, s Stream) {
+// openStream answers a request with an attempt's stream, if its client still waits for one, and
+// cancels the other attempts.
+func (c *Core) openStream(request *requestState, attempt *attemptState, stream Stream) {
 	if attempt.ended || request.answered {
-		s.Close()
+		stream.Close()
 		c.endAttempt(request, attempt, Result{Status: routing.StatusCancelled})
 		return
 	}
-	request.streaming, request.stream, attempt.answerStarted = attempt, s, true
+	request.streaming, request.stream, attempt.answerStarted = attempt, stream, true
 	c.endpoints.recordHeard(attempt.endpoint.Name)
 	request.held.ledger.AnswerStarted()
 	for _, other := range request.attempts {
@@ -106,22 +121,32 @@
 			c.endAttempt(request, other, Result{Status: routing.StatusCancelled})
 		}
 	}
-	c.answer(request, Answer{Verdict: Streaming, Stream: s})
-	c.dispatch(routing.FirstToken{ID: request.ID, Attempt: attempt.number, Engine: attempt.endpoint.Name, Latency: time.Since(attempt.startedAt)})
+	c.answer(request, Answer{Verdict: Streaming, Stream: stream})
+	c.dispatch(routing.FirstToken{
+		ID: request.ID, Attempt: attempt.number, Engine: attempt.endpoint.Name, Latency: time.Since(attempt.startedAt),
+	})
 }
 
+// finishStream ends the attempt whose stream was the answer, once.
 func (c *Core) finishStream(request *requestState, r Result) {
-	if attempt := request.streaming; attempt != nil {
-		request.streaming, request.stream = nil, nil
-		if r.Status == routing.StatusServed {
-			request.held.ledger.AnswerCompleted()
-			c.counters.addTraffic(request.Class, func(t *Traffic) { t.Served++; t.ServedPrompt += request.PromptTokens; t.Output += r.OutputTokens })
-		}
-		c.endAttempt(request, attempt, r)
+	attempt := request.streaming
+	if attempt == nil {
+		return
 	}
+	request.streaming, request.stream = nil, nil
+	if r.Status == routing.StatusServed {
+		request.held.ledger.AnswerCompleted()
+		c.counters.addTraffic(request.Class, func(t *Traffic) {
+			t.Served++
+			t.ServedPrompt += request.PromptTokens
+			t.Output += r.OutputTokens
+		})
+	}
+	c.endAttempt(request, attempt, r)
 }
 
-// endAttempt closes an attempt and tells the module how it went, once.
+// endAttempt closes an attempt and reports its result to the router, once. One that is streaming ends
+// by finishStream alone.
 func (c *Core) endAttempt(request *requestState, attempt *attemptState, r Result) {
 	if attempt.ended && r.Status == routing.StatusPrefilled {
 		c.recordLatePrefill(request, attempt)
@@ -147,28 +172,23 @@
 	})
 }
 
-// Messages of the log on attempts.
-const (
-	messageEnded  = "attempt ended"
-	messageFailed = "attempt failed"
-)
-
-// logAttempt writes how an attempt ended.
+// logAttempt logs how an attempt ended.
 func (c *Core) logAttempt(request *requestState, attempt *attemptState, r Result, withdrawn bool) {
-	message := messageEnded
+	message := "attempt ended"
 	if r.Cause != nil {
-		message = messageFailed
+		message = "attempt failed"
 	}
 	c.log.Debug(message, "id", request.ClientRequestID, "attempt", attempt.number, "engine", attempt.endpoint.Name, "status", string(statusNames[r.Status]),
 		"age", time.Since(attempt.startedAt).Round(time.Millisecond), "out", attempt.written, "withdrawn", withdrawn, "cause", r.Cause)
 }
 
-// closeAttempt closes an attempt that has ended, or keeps it open for a while if it was given up. It
-// tells whether the attempt was given up before anything of it was written.
-func (c *Core) closeAttempt(request *requestState, attempt *attemptState, s routing.Status) (withdrawn bool) {
-	givenUp := s == routing.StatusCancelled || s == routing.StatusTimeout
+// closeAttempt closes an attempt that has ended. One that was abandoned after it had been written
+// lingers instead: its connection stays open for a while, so that it counts as in flight. It reports
+// whether the attempt was abandoned before anything of it was written.
+func (c *Core) closeAttempt(request *requestState, attempt *attemptState, status routing.Status) (withdrawn bool) {
+	abandoned := status == routing.StatusCancelled || status == routing.StatusTimeout
 	switch {
-	case !givenUp || attempt.answerStarted:
+	case !abandoned || attempt.answerStarted:
 		attempt.handle.Cancel()
 		return false
 	case attempt.written:
@@ -178,24 +198,24 @@
 	case attempt.handle.Withdraw():
 		return true
 	}
-	// It is being written, or has been and the core is yet to hear of it.
+	// It is being written, or it has been and attemptWritten is still in the queue.
 	request.closeCancelled(attempt)
 	return false
 }
 
-// statusMayHaveRun tells whether an attempt that was written and ended so may have been carried out:
-// it was not turned away, and did more than read.
-func statusMayHaveRun(s routing.Status) bool {
-	switch s {
+// statusMayHaveRun reports whether an attempt that was written and ended so may have run: it was not
+// rejected, and did more than prefill.
+func statusMayHaveRun(status routing.Status) bool {
+	switch status {
 	case routing.StatusNotSent, routing.StatusConnectFailed, routing.StatusRejected, routing.StatusPrefilled:
 		return false
 	}
 	return true
 }
 
-// afterAttemptClosed closes the connection of an attempt that has been given up, and does what must
-// not meet that attempt once its engine can have learned of the end: both take their own ways.
-// Without such an attempt it is done at once.
+// afterAttemptClosed closes the connection of an attempt that lingers, and has a message handled that
+// must not take effect before its engine can have learned of the cancel, since the two travel on
+// different connections. Without such an attempt it is handled at once.
 func (c *Core) afterAttemptClosed(request *requestState, next message) {
 	c.closeLingeringAttempt(request)
 	if pause := request.cancelPause(time.Now()); pause > 0 {
@@ -205,19 +225,21 @@
 	next.handle(c)
 }
 
-// closeCancelled closes the connection of an attempt that its engine may have, or be about to get.
+// closeCancelled closes the connection of an attempt that its engine may have received, or be about
+// to receive.
 func (r *requestState) closeCancelled(attempt *attemptState) {
 	attempt.handle.Cancel()
 	r.cancelledAt = time.Now()
 }
 
-// cancelPause returns how long the engine of the attempt cancelled last may need to learn of it.
+// cancelPause returns how much longer the engine of the latest cancelled attempt may need to learn of
+// the cancel.
 func (r *requestState) cancelPause(now time.Time) time.Duration {
 	return cancelTransit - now.Sub(r.cancelledAt)
 }
 
-// withdrawUnwritten ends the attempts of a request that is over that are not out yet, also where the
-// settings allow no cancel: nothing has been sent that could be cancelled.
+// withdrawUnwritten ends those attempts of an answered request that are not written yet, also where
+// the settings allow no cancel: nothing has been sent that could be cancelled.
 func (c *Core) withdrawUnwritten(request *requestState) {
 	for _, attempt := range request.attempts {
 		if !attempt.ended && !attempt.written && attempt.handle.Withdraw() {
@@ -226,7 +248,7 @@
 	}
 }
 
-// noHandle is the handle of an attempt that was never begun.
+// noHandle is the handle of an attempt that was never started.
 type noHandle struct{}
 
 func (noHandle) Cancel() {}
--- a/internal/core/await.go
+++ b/internal/core/await.go
@@ -2,24 +2,24 @@
 
 import "context"
 
-// answerChannel is a Front for a caller that waits for the answer itself.
+// answerChannel is a Front for a caller that waits for the answer. It needs room for one.
 type answerChannel chan Answer
 
 // Answer never blocks: there is room for the one answer.
-func (w answerChannel) Answer(a Answer) { w <- a }
+func (c answerChannel) Answer(a Answer) { c <- a }
 
-// SubmitAndWait submits a request and waits for its answer. If ctx ends first the client
-// has gone; the core is told, and the last result is false.
-func SubmitAndWait(ctx context.Context, c *Core, q Request) (Answer, *Ticket, bool) {
-	w := make(answerChannel, 1)
-	t := c.Submit(q, w)
+// SubmitAndWait submits a request and waits for its answer. If ctx ends first, the client has
+// disconnected; the core is told, and the last result is false.
+func SubmitAndWait(ctx context.Context, c *Core, request Request) (Answer, *Ticket, bool) {
+	answers := make(answerChannel, 1)
+	ticket := c.Submit(request, answers)
 	select {
-	case a := <-w:
-		return a, t, true
+	case answer := <-answers:
+		return answer, ticket, true
 	case <-c.done:
-		return Answer{Verdict: Failed, MayHaveRun: true}, t, true
+		return Answer{Verdict: Failed, MayHaveRun: true}, ticket, true
 	case <-ctx.Done():
-		t.ClientGone()
-		return Answer{}, t, false
+		ticket.ClientGone()
+		return Answer{}, ticket, false
 	}
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -20,7 +20,8 @@
 // caught up; the core itself waits for none of them.
 const queueSize = 4096
 
-// Core owns one Router and all requests in hand.
+// Core owns one Router and all requests in hand: those that are not answered or have an attempt that
+// has not ended.
 type Core struct {
 	router       *routing.Router
 	transport    Transport
@@ -47,7 +48,7 @@
 	drainWaiters   []chan<- struct{} // closed once nothing is in hand
 }
 
-// New returns a core round a router. Run must be called for it to work.
+// New returns a core with a router of its own. It works while Run does.
 func New(router *routing.Router, transport Transport, directory Directory, limits Limits, log *slog.Logger, checks *invariant.Checks) *Core {
 	clock := newClock()
 	return &Core{
@@ -59,13 +60,14 @@
 	}
 }
 
-// Observe has an observer told of answers. It is to be called before Run.
+// Observe sets the observer of answers. It is to be called before Run.
 func (c *Core) Observe(o Observer) { c.observer = o }
 
-// Run works until ctx ends.
+// Run handles messages and timers until ctx ends. After each message it reconciles the requests which
+// that has changed.
 func (c *Core) Run(ctx context.Context) {
 	defer close(c.done)
-	alarm := time.NewTimer(time.Hour)
+	alarm := time.NewTimer(idleWait)
 	defer alarm.Stop()
 	for {
 		alarm.Reset(c.timers.untilNext(time.Now()))
@@ -92,8 +94,8 @@
 	}
 }
 
-// reconcile updates the requests that something has happened to: held states are released, and
-// what is over is forgotten.
+// reconcile brings the requests that have changed up to date: state that engines hold is released, and
+// requests that are over leave the table.
 func (c *Core) reconcile() {
 	for len(c.unreconciled) > 0 {
 		request := c.unreconciled[0]
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -2,23 +2,24 @@
 
 import "wellgw/routing"
 
-// dispatch gives the module an event, carries out what it asks for, and goes on with
-// what that brings at once. Handle's result ends with the next call, so events
-// that an action brings wait in pending.
-func (c *Core) dispatch(ev routing.Event) {
-	c.pendingEvents = append(c.pendingEvents, ev)
+// dispatch gives the router an event and executes the actions that it returns. An action may bring
+// further events at once; these wait in pendingEvents until all actions are executed, as the result
+// of Handle is valid until its next call only.
+func (c *Core) dispatch(event routing.Event) {
+	c.pendingEvents = append(c.pendingEvents, event)
 	if len(c.pendingEvents) > 1 {
-		return
+		return // the call further up the stack goes on with it
 	}
 	for len(c.pendingEvents) > 0 {
-		for _, a := range c.router.Handle(c.clock.now(), c.pendingEvents[0]) {
-			c.execute(a)
+		for _, action := range c.router.Handle(c.clock.now(), c.pendingEvents[0]) {
+			c.execute(action)
 		}
 		c.pendingEvents = c.pendingEvents[1:]
 	}
 	c.pendingEvents = nil
 }
 
+// execute carries out an action of the router.
 func (c *Core) execute(action routing.Action) {
 	switch a := action.(type) {
 	case routing.Send:
@@ -32,10 +33,8 @@
 			c.answer(request, Answer{Verdict: Failed})
 		}
 	case routing.CancelAttempt:
-		if request := c.requests.byID[a.ID]; request != nil && a.Attempt < len(request.attempts) && request.streaming != request.attempts[a.Attempt] {
-			c.endAttempt(request, request.attempts[a.Attempt], Result{Status: routing.StatusCancelled})
-		}
-	case routing.Release: // the ledger of held states sees to it; see settle
+		c.cancelAttempt(a)
+	case routing.Release: // follows from the request's ledger; see reconcileHeldState
 	case routing.SetTimer:
 		c.schedule(a.In, routingTimerFired{a.Name})
 	case routing.Probe:
@@ -46,3 +45,14 @@
 		c.checks.Hold(false, "every action of the module is known")
 	}
 }
+
+// cancelAttempt ends an attempt, unless its stream has become the answer meanwhile.
+func (c *Core) cancelAttempt(cancel routing.CancelAttempt) {
+	request := c.requests.byID[cancel.ID]
+	if request == nil || cancel.Attempt >= len(request.attempts) {
+		return
+	}
+	if attempt := request.attempts[cancel.Attempt]; request.streaming != attempt {
+		c.endAttempt(request, attempt, Result{Status: routing.StatusCancelled})
+	}
+}
--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// drainPollInterval is the time between two checks whether a draining gateway may end: releases stop
-// to block it as time passes, which no message tells.
+// drainPollInterval is the time between two checks whether a drain has ended: releases cease to block
+// it by time alone.
 const drainPollInterval = 20 * time.Millisecond
 
-// Drain waits until no request is in hand and no release is under way.
+// Drain waits until no request is in hand and no release blocks the end of the gateway, or until the
+// core has ended.
 func (c *Core) Drain(ctx context.Context) error {
-	ch := make(chan struct{})
-	c.post(drainRequested{ch})
+	drained := make(chan struct{})
+	c.post(drainRequested{drained})
 	select {
-	case <-ch:
+	case <-drained:
 		return nil
 	case <-c.done:
 		return nil
@@ -23,12 +24,10 @@
 	}
 }
 
-// Abandon has the module give up every request that still waits, and all that come from
-// now on, as the gateway has no time left; with last those too that a decode engine may be about
-// to answer. Streams are the fronts' to end.
-func (c *Core) Abandon(last bool) {
-	c.post(shutdownBegun{last})
-}
+// Abandon has the router give up every request that still waits, and all that come from now on, as
+// the gateway has no time left; if final, also those that a decode engine may be about to answer. The
+// fronts end the streams.
+func (c *Core) Abandon(final bool) { c.post(shutdownBegun{final}) }
 
 // awaitDrained has drained closed once nothing is in hand.
 func (c *Core) awaitDrained(drained chan<- struct{}) {
@@ -36,7 +35,7 @@
 	c.pollDrain()
 }
 
-// pollDrain reconciles from time to time until nobody waits for a drain any longer.
+// pollDrain has the core reconcile, and so check for the end of a drain, until none waits for one.
 func (c *Core) pollDrain() {
 	if len(c.drainWaiters) > 0 {
 		c.schedule(drainPollInterval, drainPolled{})
--- a/internal/core/ejection.go
+++ b/internal/core/ejection.go
@@ -8,38 +8,36 @@
 
 // ejectionReply is the answer to a command on an engine.
 type ejectionReply struct {
-	names []string
-	ok    bool // the engine has been listed
+	ejected []string
+	ok      bool // the engine has been listed at some time
 }
 
-// Eject takes an operator's call on an engine: out for maint-on, else maint-off.
-// It returns the names out by hand afterwards, and false for a name that was
-// never listed (nothing changes then) or if ctx ends first.
-func (c *Core) Eject(ctx context.Context, name string, out bool) (names []string, ok bool) {
+// Eject carries out an operator's command on an engine: maint-on ejects it, maint-off restores it. It
+// returns the engines that are ejected manually afterwards, and false for an engine that was never
+// listed, in which case nothing changes, or if ctx ends first.
+func (c *Core) Eject(ctx context.Context, engine string, eject bool) (ejected []string, ok bool) {
 	reply := make(chan ejectionReply, 1)
-	a := await(ctx, c, ejectionCommanded{name, out, reply}, reply)
-	return a.names, a.ok
+	answer := await(ctx, c, ejectionCommanded{engine, eject, reply}, reply)
+	return answer.ejected, answer.ok
 }
 
-func (c *Core) eject(name string, out bool) ejectionReply {
-	ch, ok := c.endpoints.ejections.Call(name, out, c.clock.now())
+func (c *Core) eject(engine string, eject bool) ejectionReply {
+	change, ok := c.endpoints.ejections.Call(engine, eject, c.clock.now())
 	if ok {
-		c.applyEjections(ch)
+		c.applyEjections(change)
 	}
 	return ejectionReply{c.endpoints.ejections.Names(), ok}
 }
 
-// SetEjected makes names the whole set of engines out by hand, as another process of
-// this gateway has written it.
-func (c *Core) SetEjected(names []string) {
-	c.post(ejectionsReplaced{names})
-}
+// SetEjected replaces the set of engines that are ejected manually by one that another process of this
+// gateway has written.
+func (c *Core) SetEjected(engines []string) { c.post(ejectionsReplaced{engines}) }
 
-func (c *Core) replaceEjections(names []string) {
-	c.applyEjections(c.endpoints.ejections.Take(names, c.clock.now()))
+func (c *Core) replaceEjections(engines []string) {
+	c.applyEjections(c.endpoints.ejections.Take(engines, c.clock.now()))
 }
 
-// Ejected returns the names of the engines out by hand.
+// Ejected returns the engines that are ejected manually.
 func (c *Core) Ejected() []string {
 	return runQuery(context.Background(), c, func() []string { return c.endpoints.ejections.Names() })
 }
--- a/internal/core/held.go
+++ b/internal/core/held.go
@@ -7,33 +7,29 @@
 	"wellgw/routing"
 )
 
-// Bounds of what is done about held states.
+// Bounds of the ledgers, beside the core's limits.
 const (
-	releaseTimeout      = 30 * time.Second       // a release is retried this long at an engine out of reach
-	maxHeldStateLimit   = time.Hour              // a longer pin limit is treated as this
-	maxCancelledPrefill = 15 * time.Second       // a cancelled read has ended by then
-	maxAlternates       = 8                      // other engines that are told while the holder is out of reach
-	alternatesAfter     = 100 * time.Millisecond // for which only the holder is tried
-	lingerLimit         = 15 * time.Second       // for which a cancelled attempt is kept open; partitions seldom last longer
-	maxLingering        = 32                     // attempts kept open at once: each keeps a connection and a body
+	releaseTimeout      = 30 * time.Second // for which a release is retried at an engine out of reach
+	maxHeldStateLimit   = time.Hour        // a longer limit is treated as this
+	maxCancelledPrefill = 15 * time.Second // within which a cancelled prefill has ended
 )
 
 // heldState is what engines may hold for one request, and the releases in flight.
 type heldState struct {
 	ledger             *heldstate.Ledger
-	endpoints          map[string]Endpoint // the engines that the ledger names
-	lastHolder         string              // whose state waited when the request ended; "" for none
+	endpoints          map[string]Endpoint // the engines that the ledger names, as they were listed
+	lastHolder         string              // the engine whose state waited when the request ended; "" for none
 	stopRelease        map[string]func()   // of the releases in flight, by engine
-	nextUpdate         time.Time           // when the ledger is to be looked at next
-	lingersAfterAnswer bool                // an attempt is kept open after the final answer; see keepLingering
+	nextUpdate         time.Time           // when a timer is set for the ledger
+	lingersAfterAnswer bool                // an attempt is kept open after the request has ended; see lingerAfterAnswer
 }
 
 func newHeldState(limits heldstate.Limits) heldState {
 	return heldState{ledger: heldstate.New(limits), endpoints: map[string]Endpoint{}, stopRelease: map[string]func(){}}
 }
 
-// heldLimits returns the limits of a request's ledger. Engines are told how long the client
-// waits, so a cancelled read does not run on for longer.
+// heldLimits returns the limits of a request's ledger. Engines are told for how long the client waits,
+// so that a cancelled prefill does not run on for longer.
 func (c *Core) heldLimits(wait time.Duration) heldstate.Limits {
 	return heldstate.Limits{
 		HeldStateLimit: min(c.limits.HeldStateLimit, maxHeldStateLimit), HeldStateSlack: c.limits.HeldStateSlack,
@@ -41,7 +37,7 @@
 	}
 }
 
-// recordHeldState records what an attempt that has ended may have left at its engine.
+// recordHeldState records what state an attempt that has ended may have left at its engine.
 func (c *Core) recordHeldState(request *requestState, attempt *attemptState, r Result) {
 	ledger, engine := request.held.ledger, attempt.endpoint.Name
 	request.held.endpoints[engine] = attempt.endpoint
@@ -65,7 +61,7 @@
 	}
 }
 
-// recordLatePrefill records a read that ended after its attempt was cancelled, while the
+// recordLatePrefill records a prefill that completed after its attempt was cancelled, while the
 // attempt's connection was still open.
 func (c *Core) recordLatePrefill(request *requestState, attempt *attemptState) {
 	engine := attempt.endpoint.Name
@@ -76,13 +72,14 @@
 	}
 	request.held.endpoints[engine] = attempt.endpoint
 	request.held.ledger.AttemptLost(engine, false)
-	if cancel := request.held.stopRelease[engine]; cancel != nil {
-		cancel() // a release on the connection that brought the answer arrives sooner
+	if stop := request.held.stopRelease[engine]; stop != nil {
+		stop() // the next release goes by the connection that brought the answer, and arrives sooner
 	}
 	c.markChanged(request)
 }
 
-// reconcileHeldState does what is due for a request's held states and schedules the next update.
+// reconcileHeldState does what is due for the state that engines hold for a request, and sets a timer
+// for what is due next.
 func (c *Core) reconcileHeldState(request *requestState) {
 	now, ledger := c.clock.now(), request.held.ledger
 	ledger.SetAttemptState(c.currentAttemptState(request), now)
@@ -103,27 +100,28 @@
 	c.scheduleHeldState(request)
 }
 
-// currentAttemptState tells whether an attempt of the request is out: one that was written and has not ended,
-// or one that was cancelled and is kept open.
+// currentAttemptState returns whether an attempt of the request is in flight, and whether its engine
+// has answered anything since that was written.
 func (c *Core) currentAttemptState(request *requestState) heldstate.AttemptState {
-	out := heldstate.NoAttempt
+	state := heldstate.NoAttempt
 	for _, attempt := range request.attempts {
 		switch {
 		case !request.inFlight(attempt):
 		case attempt.answerStarted || c.endpoints.heardSince(attempt.endpoint.Name, attempt.writtenAt):
 			return heldstate.Confirmed
 		default:
-			out = heldstate.Unconfirmed
+			state = heldstate.Unconfirmed
 		}
 	}
-	return out
+	return state
 }
 
+// inFlight reports whether an attempt was written and has not ended, or lingers.
 func (r *requestState) inFlight(attempt *attemptState) bool {
 	return attempt.written && (!attempt.ended || attempt == r.lingeringAttempt)
 }
 
-// checkReach finds out whether the engines of the attempts that are out are in reach.
+// checkReach checks whether the engines of the attempts in flight can be reached.
 func (c *Core) checkReach(request *requestState) {
 	for _, attempt := range request.attempts {
 		if !request.inFlight(attempt) {
@@ -138,14 +136,14 @@
 	}
 }
 
-// recordReached records that the engine of an attempt that is out is in reach.
+// recordReached records that the engine of an attempt in flight can be reached.
 func (c *Core) recordReached(request *requestState, engine string) {
 	c.endpoints.recordHeard(engine)
 	c.markChanged(request)
 }
 
-// expireState gives up a state that has waited too long for a decode engine: a connection that does
-// not come up must not hold it. The module has the prompt read again if there is time.
+// expireState gives up state that has waited too long for a decode engine: an attempt whose connection
+// does not come up must not keep it. The router has the prompt prefilled again if there is time.
 func (c *Core) expireState(request *requestState) {
 	c.counters.increment(countStatesExpired)
 	request.held.ledger.Expire(c.clock.now())
@@ -156,7 +154,7 @@
 	}
 }
 
-// scheduleHeldState sets a timer for the next update, unless one is due before that.
+// scheduleHeldState sets a timer for when the ledger changes by time alone, unless one is due before.
 func (c *Core) scheduleHeldState(request *requestState) {
 	next, ok := request.held.ledger.NextUpdate()
 	if !ok || next <= c.clock.now() { // what was due has just been done
--- a/internal/core/linger.go
+++ b/internal/core/linger.go
@@ -1,11 +1,19 @@
 package core
 
-import "cmp"
+import (
+	"cmp"
+	"time"
+)
 
-// lingerAfterAnswer keeps the connection of a cancelled attempt open once its request is over. A
-// state must not be held for long while no attempt is out, and an engine behind a network
-// partition cannot be told to release it; until it has been told, the attempt stays out. Time
-// and number are bounded.
+// Bounds of lingering attempts of requests that are over.
+const (
+	lingerLimit  = 15 * time.Second // network partitions seldom last longer
+	maxLingering = 32               // each keeps a connection and a body
+)
+
+// lingerAfterAnswer keeps the connection of a cancelled attempt open once its request is over. State
+// must not be held for long with no attempt in flight, and an engine behind a network partition can't
+// be sent a release; until that is delivered, the attempt stays in flight. Time and number are bounded.
 func (c *Core) lingerAfterAnswer(request *requestState) {
 	if request.lingeringAttempt == nil || request.held.lingersAfterAnswer || !request.answered || request.activeAttempts > 0 {
 		return
@@ -19,8 +27,8 @@
 	c.schedule(lingerLimit, lingerLimitReached{request})
 }
 
-// lingerTarget is the engine whose release ends the lingering: the one that certainly holds a
-// state or, without one, the attempt's own.
+// lingerTarget returns the engine whose release ends the lingering: the one that certainly holds state
+// or, without one, the attempt's own.
 func (r *requestState) lingerTarget() string {
 	return cmp.Or(r.held.lastHolder, r.lingeringAttempt.endpoint.Name)
 }
@@ -41,7 +49,7 @@
 	c.markChanged(request)
 }
 
-// closeLingeringAttempt closes the connection of a cancelled attempt that was kept open.
+// closeLingeringAttempt closes the connection of an attempt that lingers, if there is one.
 func (c *Core) closeLingeringAttempt(request *requestState) {
 	if request.lingeringAttempt != nil {
 		request.closeCancelled(request.lingeringAttempt)
--- a/internal/core/messages.go
+++ b/internal/core/messages.go
@@ -22,7 +22,7 @@
 
 func (m requestSubmitted) handle(c *Core) { c.submit(m.ticket, m.request, m.front) }
 
-// clientGone tells that the client of a request is gone.
+// clientGone tells that the client of a request has disconnected.
 type clientGone struct{ ticket *Ticket }
 
 func (m clientGone) handle(c *Core) { c.clientGone(m.ticket.request) }
@@ -35,7 +35,7 @@
 
 func (m streamEnded) handle(c *Core) { c.finishStream(m.ticket.request, m.result) }
 
-// Of attempts. Messages on one that has ended meanwhile are as good as void.
+// Of attempts. Handlers ignore most messages on one that has ended meanwhile.
 
 // attemptConnected asks when an attempt whose connection is up may be written: clear is closed then.
 type attemptConnected struct {
@@ -83,7 +83,7 @@
 
 func (m releaseEnded) handle(c *Core) { c.recordRelease(m.request, m.engine, m.err) }
 
-// engineReached tells that the engine of an unconfirmed attempt of a request is in reach.
+// engineReached tells that the engine of an attempt in flight can be reached.
 type engineReached struct {
 	request *requestState
 	engine  string
@@ -91,7 +91,7 @@
 
 func (m engineReached) handle(c *Core) { c.recordReached(m.request, m.engine) }
 
-// probeAnswered brings what an engine says of its load.
+// probeAnswered brings the result of a probe.
 type probeAnswered struct {
 	engine string
 	sentAt time.Time
@@ -111,7 +111,7 @@
 
 func (m engineListUpdated) handle(c *Core) { c.updateEndpoints(m.scope, m.endpoints) }
 
-// gatewaysCounted tells how many gateways share the engines.
+// gatewaysCounted brings the number of gateways that share the engines.
 type gatewaysCounted struct{ gateways int }
 
 func (m gatewaysCounted) handle(c *Core) { c.dispatch(routing.GatewaysChanged{Gateways: m.gateways}) }
@@ -121,18 +121,18 @@
 // ejectionCommanded is an operator's command on one engine.
 type ejectionCommanded struct {
 	engine string
-	out    bool
+	eject  bool
 	reply  chan<- ejectionReply
 }
 
-func (m ejectionCommanded) handle(c *Core) { m.reply <- c.eject(m.engine, m.out) }
+func (m ejectionCommanded) handle(c *Core) { m.reply <- c.eject(m.engine, m.eject) }
 
 // ejectionsReplaced brings the whole set of engines that are ejected manually.
 type ejectionsReplaced struct{ engines []string }
 
 func (m ejectionsReplaced) handle(c *Core) { c.replaceEjections(m.engines) }
 
-// settingsChanged brings settings of the routing module.
+// settingsChanged brings new settings for the router.
 type settingsChanged struct {
 	settings routing.Settings
 	reply    chan<- error
@@ -141,17 +141,18 @@
 func (m settingsChanged) handle(c *Core) { m.reply <- c.reconfigure(m.settings) }
 
 // shutdownBegun tells that the gateway is about to end; see Core.Abandon.
-type shutdownBegun struct{ last bool }
+type shutdownBegun struct{ final bool }
 
-func (m shutdownBegun) handle(c *Core) { c.dispatch(routing.ShuttingDown{Final: m.last}) }
+func (m shutdownBegun) handle(c *Core) { c.dispatch(routing.ShuttingDown{Final: m.final}) }
 
-// drainRequested asks for drained to be closed once nothing is in hand.
+// drainRequested asks for drained to be closed once the core is drained.
 type drainRequested struct{ drained chan<- struct{} }
 
 func (m drainRequested) handle(c *Core) { c.awaitDrained(m.drained) }
 
-// query is a question on the core's state. The answer is a closure, as each question is asked in
-// one place only, next to which its answer is read best, and none changes what the core does.
+// query reads the core's state in its goroutine. It is one generic type with a closure, where others
+// are a type each: a question is asked in one place only, its answer is read best next to it, and none
+// changes what the core does.
 type query[T any] struct {
 	answer func() T
 	reply  chan<- T
@@ -159,19 +160,19 @@
 
 func (m query[T]) handle(*Core) { m.reply <- m.answer() }
 
-// Of timers. They can't be taken back, so each may find that it has come to nothing.
+// Of timers. These are never stopped, so each handler checks whether its message still matters.
 
-// routingTimerFired tells that a timer of the routing module is due.
+// routingTimerFired tells that a timer of the router is due.
 type routingTimerFired struct{ name string }
 
 func (m routingTimerFired) handle(c *Core) { c.dispatch(routing.TimerFired{Name: m.name}) }
 
-// deadlinePassed tells that a request should have had its answer.
+// deadlinePassed tells that a request should have been answered by now, the slack included.
 type deadlinePassed struct{ request *requestState }
 
 func (m deadlinePassed) handle(c *Core) { c.answerDeadlineExceeded(m.request) }
 
-// attemptTimedOut tells that an attempt has had the time that it may take.
+// attemptTimedOut tells that the timeout of an attempt is over.
 type attemptTimedOut struct {
 	request *requestState
 	attempt *attemptState
@@ -186,7 +187,7 @@
 
 func (m attemptCleared) handle(*Core) { close(m.clear) }
 
-// answerDue gives a front an answer that had to wait; see Core.afterAttemptClosed.
+// answerDue delivers an answer that had to wait; see Core.afterAttemptClosed.
 type answerDue struct {
 	front  Front
 	answer Answer
@@ -194,7 +195,7 @@
 
 func (m answerDue) handle(*Core) { m.front.Answer(m.answer) }
 
-// heldStateDue tells that the ledger of a request is to be looked at.
+// heldStateDue tells that the ledger of a request has something due.
 type heldStateDue struct{ request *requestState }
 
 func (m heldStateDue) handle(c *Core) { c.markChanged(m.request) }
@@ -204,7 +205,7 @@
 
 func (m lingerLimitReached) handle(c *Core) { c.endLingering(m.request) }
 
-// drainPolled has the core look whether a drain has ended.
+// drainPolled has the core check whether a drain has ended.
 type drainPolled struct{}
 
 func (drainPolled) handle(c *Core) { c.pollDrain() }
--- a/internal/core/queries.go
+++ b/internal/core/queries.go
@@ -10,15 +10,15 @@
 	return runQuery(ctx, c, c.requests.idleFor)
 }
 
-// runQuery has the core's goroutine answer a question; it returns the zero value if the core
-// or ctx ends first.
+// runQuery has the core's goroutine answer a question. It returns the zero value if the core or ctx
+// ends first.
 func runQuery[T any](ctx context.Context, c *Core, answer func() T) T {
 	reply := make(chan T, 1)
 	return await(ctx, c, query[T]{answer, reply}, reply)
 }
 
-// await posts a message and waits for the reply to it; it returns the zero value if the core
-// or ctx ends first.
+// await posts a message and waits for its reply. It returns the zero value if the core or ctx ends
+// first.
 func await[T any](ctx context.Context, c *Core, m message, reply <-chan T) (answer T) {
 	c.post(m)
 	select {
--- a/internal/core/reconfigure.go
+++ b/internal/core/reconfigure.go
@@ -6,11 +6,11 @@
 	"wellgw/routing"
 )
 
-// Reconfigure gives the module new classes and attempts. Requests in hand keep what
-// they came with. An error names the setting at fault; nothing changes then.
-func (c *Core) Reconfigure(ctx context.Context, set routing.Settings) error {
+// Reconfigure gives the router new classes and a new number of attempts. Requests in hand keep theirs.
+// An error names the setting at fault; nothing changes then.
+func (c *Core) Reconfigure(ctx context.Context, settings routing.Settings) error {
 	reply := make(chan error, 1)
-	c.post(settingsChanged{set, reply})
+	c.post(settingsChanged{settings, reply})
 	select {
 	case err := <-reply:
 		return err
@@ -20,10 +20,12 @@
 	return ctx.Err()
 }
 
-func (c *Core) reconfigure(set routing.Settings) error {
-	err := c.router.Reconfigure(set.Classes, set.MaxAttempts)
-	if err == nil {
-		c.limits.MaxAttempts = max(c.limits.MaxAttempts, set.MaxAttempts) // a backstop: the module holds each request to its own
+// reconfigure only ever raises the core's own limit on attempts: that is a backstop, as the router
+// holds each request to the number that it came with.
+func (c *Core) reconfigure(settings routing.Settings) error {
+	if err := c.router.Reconfigure(settings.Classes, settings.MaxAttempts); err != nil {
+		return err
 	}
-	return err
+	c.limits.MaxAttempts = max(c.limits.MaxAttempts, settings.MaxAttempts)
+	return nil
 }
--- a/internal/core/release.go
+++ b/internal/core/release.go
@@ -2,20 +2,30 @@
 
 import (
 	"errors"
+	"time"
 
 	"wellgw/decide/heldstate"
 	"wellgw/routing"
 )
 
-// startRelease tells one engine to release what it holds for a request.
+// Bounds of the engines that a release is sent to while the holder of the state is out of reach.
+const (
+	maxAlternates   = 8                      // for one release
+	alternatesAfter = 100 * time.Millisecond // for which only the holder is tried, or a quarter of the limit
+)
+
+// startRelease sends an engine a release for what it holds for a request.
 func (c *Core) startRelease(request *requestState, engine string) {
 	c.counters.increment(countReleases)
-	r := Release{
-		Endpoint: request.held.endpoints[engine], ClientRequestID: request.ClientRequestID, Deadline: c.clock.at(request.held.ledger.ReleaseDeadline(engine)),
-		Alternates: c.endpoints.othersByLastHeard(engine, maxAlternates), AlternatesAfter: min(alternatesAfter, c.limits.HeldStateLimit/4),
+	release := Release{
+		Endpoint:           request.held.endpoints[engine],
+		ClientRequestID:    request.ClientRequestID,
+		Alternates:         c.endpoints.othersByLastHeard(engine, maxAlternates),
+		AlternatesAfter:    min(alternatesAfter, c.limits.HeldStateLimit/4),
 		AlternatesInterval: max(c.limits.HeldStateLimit/2, heldstate.MinReleaseInterval),
+		Deadline:           c.clock.at(request.held.ledger.ReleaseDeadline(engine)),
 	}
-	request.held.stopRelease[engine] = c.transport.Release(r, func(err error) {
+	request.held.stopRelease[engine] = c.transport.Release(release, func(err error) {
 		c.post(releaseEnded{request, engine, err})
 	})
 }
@@ -40,10 +50,10 @@
 	}
 }
 
-// unreleasedRequests are the requests that are over and for which engines may still hold something.
+// unreleasedRequests are the requests that are answered and for which engines may still hold state.
 type unreleasedRequests map[*requestState]bool
 
-// track takes a request in or out, as its ledger says.
+// track adds a request, or takes it out once its ledger has nothing left to release.
 func (u unreleasedRequests) track(request *requestState) {
 	if request.held.ledger.Completed() {
 		delete(u, request)
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -7,24 +7,24 @@
 	"wellgw/routing"
 )
 
-// requestState is one client's try, kept until it is answered and no attempt is out.
+// requestState is a request in hand: until it is answered and all of its attempts have ended.
 type requestState struct {
 	Request
 	front            Front
 	deadline         time.Time
-	idempotent       bool // may be repeated at will, by the settings with which it was taken
-	answered         bool // has had its final answer, or its client has gone
-	streaming        *attemptState
-	stream           Stream
+	idempotent       bool          // may be repeated at will, by the settings with which it was taken
+	answered         bool          // it has had its final answer, or its client has disconnected
+	streaming        *attemptState // whose stream is the answer, until that ends
+	stream           Stream        // of streaming
 	attempts         []*attemptState
-	activeAttempts   int            // attempts that have not ended
-	lingeringAttempt *attemptState  // cancelled or timed out, its connection kept open for now
-	cancelledAt      time.Time      // when the connection of an attempt that may be out was closed last
-	held             heldState      // at engines
+	activeAttempts   int           // attempts that have not ended
+	lingeringAttempt *attemptState // cancelled or timed out, its connection still open
+	cancelledAt      time.Time     // when an attempt that its engine may have received was closed last
+	held             heldState
 	lastStatus       routing.Status // how the latest attempt ended, and why
 	lastCause        error
 	endedMayHaveRun  bool         // an attempt has ended that may have run
-	clientGone       *atomic.Bool // its client has gone, whether or not the core has been told
+	clientGone       *atomic.Bool // its client has disconnected; set before the message on that is handled
 }
 
 // submit takes a request into the table and gives it to the router.
@@ -58,7 +58,7 @@
 	}
 }
 
-// answer gives the final answer; a second one is a fault of the module's.
+// answer gives a request its final answer; a second one is a fault of the router's.
 func (c *Core) answer(request *requestState, a Answer) {
 	if !c.checks.Hold(!request.answered, "a request gets one final answer") {
 		return
@@ -69,17 +69,15 @@
 		c.withdrawUnwritten(request)
 	}
 	a.MayHaveRun = request.mayHaveRun()
-	if s, has := c.router.QuotaStatus(request.Tenant); has {
-		a.Quota = &s
+	if quota, limited := c.router.QuotaStatus(request.Tenant); limited {
+		a.Quota = &quota
 	}
 	c.counters.increment(verdictNames[a.Verdict])
 	c.markChanged(request)
 	if c.debugLogging {
-		c.log.Debug("request answered", "id", request.ClientRequestID, "class", request.Class, "verdict", string(verdictNames[a.Verdict]), "attempts", len(request.attempts),
-			"age", time.Since(request.Arrived).Round(time.Millisecond), "left", time.Until(request.deadline).Round(time.Millisecond),
-			"status", string(statusNames[a.Status]), "cause", a.Cause)
+		c.logAnswer(request, a)
 	}
-	if a.Verdict == Rejected && !request.idempotent { // it is said never to have run
+	if a.Verdict == Rejected && !request.idempotent { // its client may take it that the request never ran
 		c.afterAttemptClosed(request, answerDue{request.front, a})
 	} else {
 		request.front.Answer(a)
@@ -89,12 +87,19 @@
 	}
 }
 
-// clientGone forgets a request whose client has left.
+// logAnswer logs the final answer to a request.
+func (c *Core) logAnswer(request *requestState, a Answer) {
+	c.log.Debug("request answered", "id", request.ClientRequestID, "class", request.Class, "verdict", string(verdictNames[a.Verdict]), "attempts", len(request.attempts),
+		"age", time.Since(request.Arrived).Round(time.Millisecond), "left", time.Until(request.deadline).Round(time.Millisecond),
+		"status", string(statusNames[a.Status]), "cause", a.Cause)
+}
+
+// clientGone ends a request whose client has disconnected.
 func (c *Core) clientGone(request *requestState) {
 	if request == nil {
 		return
 	}
-	if request.streaming != nil { // the answer and the client's leaving have crossed
+	if request.streaming != nil { // the answer has crossed with the client's leaving
 		request.stream.Close()
 		c.finishStream(request, Result{Status: routing.StatusCancelled})
 	}
@@ -108,7 +113,7 @@
 	c.withdrawUnwritten(request)
 }
 
-// answerDeadlineExceeded gives a request that neither the module nor an engine has ended its final answer.
+// answerDeadlineExceeded answers a request that neither the router nor an engine has ended in time.
 func (c *Core) answerDeadlineExceeded(request *requestState) {
 	if request.answered {
 		return
@@ -120,8 +125,8 @@
 	}
 }
 
-// removeRequest takes a request that is over off the table. Its held states are released all the
-// same; see updateHeld.
+// removeRequest takes a request that is over off the table. What engines hold for it is released all
+// the same; see reconcileHeldState.
 func (c *Core) removeRequest(request *requestState) {
 	if holder := request.held.ledger.StateHolder(); holder != "" {
 		request.held.lastHolder = holder
@@ -132,7 +137,5 @@
 	}
 }
 
-// mayHaveRun tells whether an attempt has been out that is not known to have been turned away.
-func (r *requestState) mayHaveRun() bool {
-	return r.endedMayHaveRun || r.activeAttempts > 0
-}
+// mayHaveRun reports whether an attempt was sent that is not known to have been rejected.
+func (r *requestState) mayHaveRun() bool { return r.endedMayHaveRun || r.activeAttempts > 0 }
--- a/internal/core/ticket.go
+++ b/internal/core/ticket.go
@@ -7,11 +7,11 @@
 	"wellgw/routing"
 )
 
-// Submit hands a request to the core, which calls f.Answer exactly once unless Ticket.ClientGone is
+// Submit hands a request to the core, which calls front.Answer exactly once unless Ticket.ClientGone is
 // called first. The ticket identifies the request from then on.
-func (c *Core) Submit(q Request, f Front) *Ticket {
+func (c *Core) Submit(request Request, front Front) *Ticket {
 	t := &Ticket{core: c}
-	c.post(requestSubmitted{t, q, f})
+	c.post(requestSubmitted{t, request, front})
 	return t
 }
 
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// timers holds messages by the time they are due. They can't be taken back: the handler of one
-// that is no longer wanted finds that out itself.
+// timers is a heap of messages by the time when they are due. None is ever stopped. It is owned by the
+// core's goroutine.
 type timers struct{ list timerHeap }
 
 type timer struct {
@@ -18,14 +18,17 @@
 	heap.Push(&t.list, timer{at: at, message: m})
 }
 
-// untilNext is how long it is until the next message is due.
+// untilNext returns the time until the next message is due.
 func (t *timers) untilNext(now time.Time) time.Duration {
 	if len(t.list) == 0 {
-		return time.Hour
+		return idleWait
 	}
 	return max(0, t.list[0].at.Sub(now))
 }
 
+// idleWait is the wait with nothing to wait for.
+const idleWait = time.Hour
+
 // popDue takes out the next message that is due, nil if there is none.
 func (t *timers) popDue(now time.Time) message {
 	if len(t.list) == 0 || t.list[0].at.After(now) {
