--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -1,6 +1,8 @@
 package core
 
 import (
+	"context"
+	"log/slog"
 	"time"
 
 	"wellgw/routing"
@@ -79,21 +81,21 @@
 // stayed in flight: the connection of the next might have never come up. It is called by the
 // transport's goroutine of the attempt.
 func (c *Core) awaitPredecessorClosed(request *requestState, attempt *attemptState) {
-	clear := make(chan struct{})
-	c.post(attemptConnected{request, attempt, clear})
+	mayWrite := make(chan struct{})
+	c.post(attemptConnected{request, attempt, mayWrite})
 	select {
-	case <-clear:
+	case <-mayWrite:
 	case <-c.done:
 	}
 }
 
-// clearAttempt closes clear once an attempt may be written.
-func (c *Core) clearAttempt(request *requestState, attempt *attemptState, clear chan<- struct{}) {
+// clearAttempt closes mayWrite once an attempt may be written.
+func (c *Core) clearAttempt(request *requestState, attempt *attemptState, mayWrite chan<- struct{}) {
 	if attempt.ended {
-		close(clear)
+		close(mayWrite)
 		return
 	}
-	c.afterAttemptClosed(request, attemptCleared{clear})
+	c.afterAttemptClosed(request, attemptCleared{mayWrite})
 }
 
 // recordWritten records that an attempt has been written, so that it is in flight.
@@ -178,8 +180,15 @@
 	if r.Cause != nil {
 		message = "attempt failed"
 	}
-	c.log.Debug(message, "id", request.ClientRequestID, "attempt", attempt.number, "engine", attempt.endpoint.Name, "status", string(statusNames[r.Status]),
-		"age", time.Since(attempt.startedAt).Round(time.Millisecond), "out", attempt.written, "withdrawn", withdrawn, "cause", r.Cause)
+	c.log.LogAttrs(context.Background(), slog.LevelDebug, message,
+		slog.String("id", request.ClientRequestID),
+		slog.Int("attempt", attempt.number),
+		slog.String("engine", attempt.endpoint.Name),
+		slog.String("status", string(statusNames[r.Status])),
+		slog.Duration("age", time.Since(attempt.startedAt).Round(time.Millisecond)),
+		slog.Bool("written", attempt.written),
+		slog.Bool("withdrawn", withdrawn),
+		slog.Any("cause", r.Cause))
 }
 
 // closeAttempt closes an attempt that has ended. One that was abandoned after it had been written
--- a/internal/core/await.go
+++ b/internal/core/await.go
@@ -9,7 +9,7 @@
 func (c answerChannel) Answer(a Answer) { c <- a }
 
 // SubmitAndWait submits a request and waits for its answer. If ctx ends first, the client has
-// disconnected; the core is told, and the last result is false.
+// disconnected: the core learns of it, and the last result is false.
 func SubmitAndWait(ctx context.Context, c *Core, request Request) (Answer, *Ticket, bool) {
 	answers := make(answerChannel, 1)
 	ticket := c.Submit(request, answers)
--- a/internal/core/ejection.go
+++ b/internal/core/ejection.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"log/slog"
 
 	"wellgw/decide/ejection"
 )
@@ -49,10 +50,10 @@
 		return
 	}
 	for _, name := range change.Out {
-		c.log.Info("engine out by hand", "engine", name)
+		c.log.Info("engine ejected manually", slog.String("engine", name))
 	}
 	for _, name := range change.Back {
-		c.log.Info("engine back by hand", "engine", name)
+		c.log.Info("manual ejection ended", slog.String("engine", name))
 	}
 	c.dispatch(list)
 }
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -38,9 +38,9 @@
 	c.dispatch(c.endpoints.update(scope, endpoints, starttime.Clock{Now: c.clock.now(), Wall: c.clock.wall()}))
 }
 
-// update takes over a list and returns what the router is to be told of it. Engines that are not
-// listed any more are forgotten, as new ones come under ever new names; a release at one of them
-// goes by the copy of its entry that the request keeps.
+// update takes over a list and returns the router's event on it. Engines that are not listed any more
+// are forgotten, as new ones come under ever new names; a release at one of them goes by the copy of
+// its entry that the request keeps.
 func (t *endpointTable) update(scope routing.EngineListScope, endpoints []Endpoint, clock starttime.Clock) routing.EngineList {
 	list := routing.EngineList{Scope: scope}
 	if scope == routing.EngineListSnapshot || scope == routing.EngineListStale {
@@ -59,7 +59,7 @@
 	return list
 }
 
-// ejectionsChanged returns what the router is to be told of a change of ejections.
+// ejectionsChanged returns the router's event on a change of ejections.
 func (t *endpointTable) ejectionsChanged(change ejection.Change) routing.EngineList {
 	list := routing.EngineList{Scope: routing.EngineListDelta}
 	for _, names := range [][]string{change.Out, change.Back} {
@@ -73,7 +73,7 @@
 	return list
 }
 
-// updateReady finds out whether some engine may be sent to.
+// updateReady sets whether some engine may be sent to.
 func (t *endpointTable) updateReady() {
 	ready := false
 	for _, e := range t.listed {
--- a/internal/core/fake_test.go
+++ b/internal/core/fake_test.go
@@ -123,7 +123,7 @@
 	return len(f.attempts), f.closed, len(f.released)
 }
 
-func (f *fake) Reach(m Endpoint, done func(bool)) { go done(!f.unreached) }
+func (f *fake) Reach(_ Endpoint, done func(bool)) { go done(!f.unreached) }
 
 func (f *fake) Probe(Endpoint, func(routing.Status, *routing.LoadReport)) {}
 
--- a/internal/core/messages.go
+++ b/internal/core/messages.go
@@ -37,14 +37,14 @@
 
 // Of attempts. Handlers ignore most messages on one that has ended meanwhile.
 
-// attemptConnected asks when an attempt whose connection is up may be written: clear is closed then.
+// attemptConnected asks when an attempt whose connection is up may be written: mayWrite is closed then.
 type attemptConnected struct {
-	request *requestState
-	attempt *attemptState
-	clear   chan<- struct{}
+	request  *requestState
+	attempt  *attemptState
+	mayWrite chan<- struct{}
 }
 
-func (m attemptConnected) handle(c *Core) { c.clearAttempt(m.request, m.attempt, m.clear) }
+func (m attemptConnected) handle(c *Core) { c.clearAttempt(m.request, m.attempt, m.mayWrite) }
 
 // attemptWritten tells that the last byte of an attempt has been written.
 type attemptWritten struct {
@@ -183,9 +183,9 @@
 }
 
 // attemptCleared lets an attempt be written; see attemptConnected.
-type attemptCleared struct{ clear chan<- struct{} }
+type attemptCleared struct{ mayWrite chan<- struct{} }
 
-func (m attemptCleared) handle(*Core) { close(m.clear) }
+func (m attemptCleared) handle(*Core) { close(m.mayWrite) }
 
 // answerDue delivers an answer that had to wait; see Core.afterAttemptClosed.
 type answerDue struct {
--- a/internal/core/release.go
+++ b/internal/core/release.go
@@ -1,7 +1,9 @@
 package core
 
 import (
+	"context"
 	"errors"
+	"log/slog"
 	"time"
 
 	"wellgw/decide/heldstate"
@@ -41,7 +43,8 @@
 	request.held.ledger.ReleaseEnded(engine, err == nil, c.clock.now())
 	if err != nil {
 		c.counters.increment(countReleasesFailed)
-		c.log.Debug("release failed", "id", request.ClientRequestID, "engine", engine, "cause", err)
+		c.log.LogAttrs(context.Background(), slog.LevelDebug, "release failed",
+			slog.String("id", request.ClientRequestID), slog.String("engine", engine), slog.Any("cause", err))
 		return
 	}
 	c.endpoints.recordHeard(engine)
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -1,6 +1,8 @@
 package core
 
 import (
+	"context"
+	"log/slog"
 	"sync/atomic"
 	"time"
 
@@ -89,9 +91,15 @@
 
 // logAnswer logs the final answer to a request.
 func (c *Core) logAnswer(request *requestState, a Answer) {
-	c.log.Debug("request answered", "id", request.ClientRequestID, "class", request.Class, "verdict", string(verdictNames[a.Verdict]), "attempts", len(request.attempts),
-		"age", time.Since(request.Arrived).Round(time.Millisecond), "left", time.Until(request.deadline).Round(time.Millisecond),
-		"status", string(statusNames[a.Status]), "cause", a.Cause)
+	c.log.LogAttrs(context.Background(), slog.LevelDebug, "request answered",
+		slog.String("id", request.ClientRequestID),
+		slog.String("class", request.Class),
+		slog.String("verdict", string(verdictNames[a.Verdict])),
+		slog.Int("attempts", len(request.attempts)),
+		slog.Duration("age", time.Since(request.Arrived).Round(time.Millisecond)),
+		slog.Duration("remaining", time.Until(request.deadline).Round(time.Millisecond)),
+		slog.String("status", string(statusNames[a.Status])),
+		slog.Any("cause", a.Cause))
 }
 
 // clientGone ends a request whose client has disconnected.
