--- a/internal/core/ejection_test.go
+++ b/internal/core/ejection_test.go
@@ -8,20 +8,20 @@
 	"wellgw/routing"
 )
 
-// An engine out by hand gets nothing new, whatever the list says, until it is
+// An engine that is ejected manually gets nothing new, whatever the list says, until it is
 // called back; a name never listed is refused.
 func TestManualEjection(t *testing.T) {
-	f := &fake{script: script(func() (Stream, *Result) { return ended(routing.StatusError) })}
+	f := &fakeTransport{script: prefillThen(func() (Stream, *Result) { return ended(routing.StatusError) })}
 	c := newCore(t, f)
 	c.UpdateEndpoints(routing.EngineListDelta, []Endpoint{{EngineInfo: routing.EngineInfo{Name: "w2", Kind: "w", Weight: 1}}})
 	if _, ok := c.Eject(t.Context(), "nobody", true); ok {
-		t.Fatal("a name never listed was taken out")
+		t.Fatal("an engine that was never listed was ejected")
 	}
 	if names, ok := c.Eject(t.Context(), "w1", true); !ok || !slices.Equal(names, []string{"w1"}) {
-		t.Fatalf("out: %v %v", names, ok)
+		t.Fatalf("ejected: %v %v", names, ok)
 	}
 	if names, ok := c.Eject(t.Context(), "w1", true); !ok || len(names) != 1 {
-		t.Fatalf("a second call out: %v %v", names, ok)
+		t.Fatalf("ejected again: %v %v", names, ok)
 	}
 	// The list says it is on: the ejection holds.
 	c.UpdateEndpoints(routing.EngineListSnapshot, []Endpoint{
@@ -54,7 +54,7 @@
 // New settings bind new requests; a dropped class is still served; a bad set
 // changes nothing.
 func TestRetune(t *testing.T) {
-	f := &fake{script: script(func() (Stream, *Result) { return ended(routing.StatusError) })}
+	f := &fakeTransport{script: prefillThen(func() (Stream, *Result) { return ended(routing.StatusError) })}
 	c := newCore(t, f)
 	bad := routing.Settings{Classes: []routing.Class{{Name: "new", FirstTokenObjective: time.Second}}, MaxAttempts: 0}
 	if err := c.Reconfigure(t.Context(), bad); err == nil {
@@ -84,7 +84,7 @@
 // A step of the wall clock changes nothing for an engine whose start is known, and makes no engine
 // that has just restarted count as long warm.
 func TestStartsUnderWallClockSteps(t *testing.T) {
-	f := &fake{script: func(Attempt) (Stream, *Result) { return nil, nil }}
+	f := &fakeTransport{script: func(Attempt) (Stream, *Result) { return nil, nil }}
 	c := newCore(t, f)
 	step := func(d time.Duration) {
 		runQuery(t.Context(), c, func() bool { c.clock.wall = func() time.Time { return time.Now().Add(d).Round(0) }; return true })
--- a/internal/core/fake_test.go
+++ b/internal/core/fake_test.go
@@ -12,47 +12,47 @@
 	"wellgw/routing"
 )
 
-// fake is an engine pool whose attempts end as the test says.
-type fake struct {
-	mu       sync.Mutex
-	script   func(a Attempt) (Stream, *Result) // neither: silence
-	attempts []string                          // engines
-	closed   int
-	lastEnd  time.Time // when an attempt was closed last
-	released []string
-	away     func(a Attempt) bool // if set, tells whose engine no connection comes up to
-	// unreached engines take no connection by which they could be checked
-	unreached bool
-	cut       chan struct{} // if set, no engine is reached by a release before it is closed
-	// releaseErr is how releases end that are not cut off
-	releaseErr error
-	unnoticed  chan struct{} // if set, the core hears that a first attempt is written once it is closed
-	begun      []handle
+// fakeTransport is an engine pool whose attempts end as the test says.
+type fakeTransport struct {
+	mu            sync.Mutex
+	script        func(a Attempt) (Stream, *Result) // neither: silence
+	attempts      []string                          // engines
+	closed        int
+	lastClose     time.Time // when an attempt was closed last
+	released      []string
+	neverConnects func(a Attempt) bool // if set, tells whose engine no connection comes up to
+	// unreachable engines take no connection by which they could be checked
+	unreachable bool
+	partition   chan struct{} // if set, no engine is reached by a release before it is closed
+	// releaseErr is how releases end that no partition stops
+	releaseErr  error
+	writtenLate chan struct{} // if set, the core hears that a first attempt is written once it is closed
+	started     []fakeHandle
 }
 
 // handles returns the attempts begun so far.
-func (f *fake) handles() []handle {
+func (f *fakeTransport) handles() []fakeHandle {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append([]handle(nil), f.begun...)
+	return append([]fakeHandle(nil), f.started...)
 }
 
-// sinceEnd returns the time since an attempt was closed last.
-func (f *fake) sinceEnd() time.Duration {
+// sinceClose returns the time since an attempt was closed last.
+func (f *fakeTransport) sinceClose() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return time.Since(f.lastEnd)
+	return time.Since(f.lastClose)
 }
 
-// handle is an attempt of a fake.
-type handle struct {
+// fakeHandle is an attempt of a fake.
+type fakeHandle struct {
 	cancel  func()
 	written *atomic.Bool
 }
 
-func (h handle) Cancel() { h.cancel() }
+func (h fakeHandle) Cancel() { h.cancel() }
 
-func (h handle) Withdraw() bool {
+func (h fakeHandle) Withdraw() bool {
 	if h.written.Load() {
 		return false
 	}
@@ -60,28 +60,28 @@
 	return true
 }
 
-func (f *fake) Start(a Attempt, first func(Stream), ended func(Result)) Handle {
+func (f *fakeTransport) Start(a Attempt, first func(Stream), ended func(Result)) Handle {
 	f.mu.Lock()
 	f.attempts = append(f.attempts, a.Endpoint.Name)
 	f.mu.Unlock()
-	h := handle{written: &atomic.Bool{}}
+	h := fakeHandle{written: &atomic.Bool{}}
 	h.cancel = sync.OnceFunc(func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		f.closed++
-		f.lastEnd = time.Now()
+		f.lastClose = time.Now()
 	})
 	f.mu.Lock()
-	f.begun = append(f.begun, h)
+	f.started = append(f.started, h)
 	f.mu.Unlock()
 	go func() {
-		if f.away == nil || !f.away(a) {
+		if f.neverConnects == nil || !f.neverConnects(a) {
 			if a.Connected != nil {
 				a.Connected()
 			}
 			h.written.Store(true)
-			if f.unnoticed != nil && a.Number == 0 {
-				<-f.unnoticed
+			if f.writtenLate != nil && a.Number == 0 {
+				<-f.writtenLate
 			}
 			a.Written()
 		}
@@ -94,15 +94,15 @@
 	return h
 }
 
-func (f *fake) Release(r Release, done func(error)) (stop func()) {
+func (f *fakeTransport) Release(r Release, done func(error)) (stop func()) {
 	f.mu.Lock()
 	f.released = append(f.released, r.Endpoint.Name)
 	f.mu.Unlock()
 	stopped := make(chan struct{})
 	go func() {
-		if f.cut != nil {
+		if f.partition != nil {
 			select {
-			case <-f.cut:
+			case <-f.partition:
 			case <-stopped:
 				done(errors.New("stopped"))
 				return
@@ -116,20 +116,20 @@
 	return sync.OnceFunc(func() { close(stopped) })
 }
 
-// tally returns how many attempts were made and closed, and how many releases.
-func (f *fake) tally() (attempts, closed, released int) {
+// counts returns how many attempts were made and closed, and how many releases.
+func (f *fakeTransport) counts() (attempts, closed, released int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.attempts), f.closed, len(f.released)
 }
 
-func (f *fake) Reach(_ Endpoint, done func(bool)) { go done(!f.unreached) }
+func (f *fakeTransport) Reach(_ Endpoint, done func(bool)) { go done(!f.unreachable) }
 
-func (f *fake) Probe(Endpoint, func(routing.Status, *routing.LoadReport)) {}
+func (f *fakeTransport) Probe(Endpoint, func(routing.Status, *routing.LoadReport)) {}
 
-func (f *fake) Subscribe() {}
+func (f *fakeTransport) Subscribe() {}
 
-func (f *fake) has(engine string) bool {
+func (f *fakeTransport) hasReleased(engine string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, s := range f.released {
@@ -145,8 +145,8 @@
 
 func (m testMessage) handle(*Core) { m() }
 
-// awaitLater makes a request and returns where its answer will come.
-func awaitLater(t *testing.T, c *Core, q Request) <-chan Answer {
+// submitAsync makes a request and returns where its answer will come.
+func submitAsync(t *testing.T, c *Core, q Request) <-chan Answer {
 	answer := make(chan Answer, 1)
 	go func() {
 		a, _, _ := SubmitAndWait(t.Context(), c, q)
@@ -156,7 +156,7 @@
 }
 
 // awaitAttempts waits until so many attempts have been made.
-func (f *fake) awaitAttempts(t *testing.T, n int) {
+func (f *fakeTransport) awaitAttempts(t *testing.T, n int) {
 	t.Helper()
 	enginetest.Eventually(t, fmt.Sprint(n, " attempts are made"), func() bool {
 		f.mu.Lock()
@@ -177,7 +177,7 @@
 	}
 }
 
-func newCore(t *testing.T, f *fake) *Core { return coreWith(t, f, func(*routing.Settings) {}) }
+func newCore(t *testing.T, f *fakeTransport) *Core { return coreWith(t, f, func(*routing.Settings) {}) }
 
 func ask(class string, ttl time.Duration) Request {
 	return Request{ClientRequestID: "id-" + class, Arrived: time.Now(), Request: routing.Request{Class: class, PromptTokens: 100, MaxTokens: 10, TTL: ttl}}
@@ -185,12 +185,12 @@
 
 func ended(s routing.Status) (Stream, *Result) { return nil, &Result{Status: s} }
 
-// script reads at prefill engines and does as told at decode engines.
-func script(writer func() (Stream, *Result)) func(Attempt) (Stream, *Result) {
+// prefillThen is a script that completes prefills, and decodes as given.
+func prefillThen(decode func() (Stream, *Result)) func(Attempt) (Stream, *Result) {
 	return func(a Attempt) (Stream, *Result) {
 		if a.Endpoint.Kind == "r" {
 			return ended(routing.StatusPrefilled)
 		}
-		return writer()
+		return decode()
 	}
 }
--- a/internal/core/held_test.go
+++ b/internal/core/held_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 	"log/slog"
 	"testing"
 	"time"
@@ -14,7 +15,7 @@
 )
 
 // coreWith returns a core like newCore's under other settings.
-func coreWith(t *testing.T, f *fake, change func(*routing.Settings)) *Core {
+func coreWith(t *testing.T, f *fakeTransport, change func(*routing.Settings)) *Core {
 	set := testSettings()
 	change(&set)
 	router, err := routing.New(set, 1)
@@ -32,17 +33,17 @@
 }
 
 // names returns the engines that attempts were begun at.
-func (f *fake) names() []string {
+func (f *fakeTransport) names() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]string(nil), f.attempts...)
 }
 
-// A state is read, and the connection to its decode engine does not come up. Once the state has
-// waited for as long as it may it is let go, the attempt is taken back, and the prompt is
-// read anew.
+// A prompt is prefilled, and the connection to its decode engine does not come up. Once the state has
+// waited for as long as it may it is released, the attempt is withdrawn, and the prompt is prefilled
+// again.
 func TestStateExpiresWhileConnecting(t *testing.T) {
-	f := &fake{away: func(a Attempt) bool { return a.Endpoint.Kind == "w" }}
+	f := &fakeTransport{neverConnects: func(a Attempt) bool { return a.Endpoint.Kind == "w" }}
 	f.script = func(a Attempt) (Stream, *Result) {
 		if a.Endpoint.Kind == "r" {
 			return ended(routing.StatusPrefilled)
@@ -51,9 +52,9 @@
 	}
 	c := coreWith(t, f, func(s *routing.Settings) { s.HeldStateLimit = 50 * time.Millisecond })
 	ticket := c.Submit(ask("once", time.Minute), make(answerChannel, 1))
-	enginetest.Eventually(t, "the state is let go, and read anew", func() bool {
-		_, closed, _ := f.tally()
-		return f.has("r1") && closed >= 2 && len(f.names()) >= 3
+	enginetest.Eventually(t, "the state is released, and prefilled again", func() bool {
+		_, closed, _ := f.counts()
+		return f.hasReleased("r1") && closed >= 2 && len(f.names()) >= 3
 	})
 	if diff := cmp.Diff([]string{"r1", "w1", "r1"}, f.names()[:3]); diff != "" {
 		t.Errorf("attempts (-want +got):\n%s", diff)
@@ -61,28 +62,30 @@
 	ticket.ClientGone()
 }
 
-// An attempt that waits for its connection is taken back when the client leaves, also where
+// An attempt that waits for its connection is withdrawn when the client disconnects, also where
 // the settings allow no cancel: nothing has been sent that could be cancelled.
 func TestUnwrittenAttemptWithdrawnWhenClientLeaves(t *testing.T) {
 	for _, may := range []bool{false, true} {
-		f := &fake{away: func(Attempt) bool { return true }, script: func(Attempt) (Stream, *Result) { return nil, nil }}
-		c := coreWith(t, f, func(s *routing.Settings) { s.CanCancel = may })
-		ticket := c.Submit(ask("once", time.Minute), make(answerChannel, 1))
-		enginetest.Eventually(t, "the attempt waits for its connection", func() bool { all, _, _ := f.tally(); return all == 1 })
-		ticket.ClientGone()
-		if err := c.Drain(t.Context()); err != nil {
-			t.Fatal(err)
-		}
-		if all, closed, released := f.tally(); closed != all || released > 0 {
-			t.Errorf("cancels allowed %v: %d of %d attempts are taken back, %d releases for what was never written", may, closed, all, released)
-		}
+		t.Run(fmt.Sprint("cancels allowed ", may), func(t *testing.T) {
+			f := &fakeTransport{neverConnects: func(Attempt) bool { return true }, script: func(Attempt) (Stream, *Result) { return nil, nil }}
+			c := coreWith(t, f, func(s *routing.Settings) { s.CanCancel = may })
+			ticket := c.Submit(ask("once", time.Minute), make(answerChannel, 1))
+			enginetest.Eventually(t, "the attempt waits for its connection", func() bool { all, _, _ := f.counts(); return all == 1 })
+			ticket.ClientGone()
+			if err := c.Drain(t.Context()); err != nil {
+				t.Fatal(err)
+			}
+			if all, closed, released := f.counts(); closed != all || released > 0 {
+				t.Errorf("cancels allowed %v: %d of %d attempts are withdrawn, %d releases for what was never written", may, closed, all, released)
+			}
+		})
 	}
 }
 
 // Nothing is sent for a request whose client has left while it was waiting in the core's own
-// queue, though the core has yet to be told.
+// queue, though the message on that is not handled yet.
 func TestNoAttemptAfterClientLeftInQueue(t *testing.T) {
-	f := &fake{script: func(Attempt) (Stream, *Result) { return nil, nil }}
+	f := &fakeTransport{script: func(Attempt) (Stream, *Result) { return nil, nil }}
 	c := newCore(t, f)
 	busy := make(chan struct{})
 	c.post(testMessage(func() { <-busy }))
@@ -92,31 +95,31 @@
 	if err := c.Drain(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	if all, _, _ := f.tally(); all > 0 {
+	if all, _, _ := f.counts(); all > 0 {
 		t.Errorf("%d attempts for a client that has left", all)
 	}
 }
 
-// A read that was given up may end after its release, where a cancel does not stop what
-// runs. Its engine is told again until the read must have ended, whatever has become of the
+// A cancelled prefill may complete after its release, where a cancel does not stop what runs. Its
+// engine is sent further releases until the prefill must have ended, whatever has become of the
 // request.
 func TestReleaseRepeatedWhileReadMayRun(t *testing.T) {
-	f := &fake{script: func(Attempt) (Stream, *Result) { return nil, nil }}
+	f := &fakeTransport{script: func(Attempt) (Stream, *Result) { return nil, nil }}
 	c := coreWith(t, f, func(s *routing.Settings) { s.HeldStateLimit = 20 * time.Millisecond })
 	const wait = 600 * time.Millisecond
 	if a, _, _ := SubmitAndWait(t.Context(), c, ask("once", wait)); a.Verdict != Rejected {
 		t.Fatalf("answer %+v", a)
 	}
-	enginetest.Eventually(t, "the reader is told several times", func() bool { _, _, released := f.tally(); return released >= 4 })
-	enginetest.Eventually(t, "nothing more is owed", func() bool {
+	enginetest.Eventually(t, "the prefill engine is sent several releases", func() bool { _, _, released := f.counts(); return released >= 4 })
+	enginetest.Eventually(t, "nothing is left to release", func() bool {
 		return runQuery(t.Context(), c, func() bool { return len(c.unreleased) == 0 })
 	})
 }
 
 // A decode engine that finds no state says nothing of the prefill engine: it may only have been out of the
-// decode engine's reach. The state is let go there all the same.
+// decode engine's reach. The state is released there all the same.
 func TestStateNotFoundByDecodeIsReleased(t *testing.T) {
-	f := &fake{script: script(func() (Stream, *Result) { return nil, &Result{Status: routing.StatusRejected, StateMissing: true} })}
+	f := &fakeTransport{script: prefillThen(func() (Stream, *Result) { return nil, &Result{Status: routing.StatusRejected, StateMissing: true} })}
 	c := coreWith(t, f, func(s *routing.Settings) { s.MaxAttempts = 2 })
 	if a, _, _ := SubmitAndWait(t.Context(), c, ask("once", time.Minute)); a.Verdict != Rejected {
 		t.Fatalf("answer %+v", a)
@@ -124,14 +127,14 @@
 	if err := c.Drain(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	if !f.has("r1") {
+	if !f.hasReleased("r1") {
 		t.Errorf("released at %v", f.released)
 	}
 }
 
 // A pin limit as long as can be written is no limit, and hurts nothing.
 func TestHugePinLimit(t *testing.T) {
-	f := &fake{script: script(func() (Stream, *Result) { return ended(routing.StatusError) })}
+	f := &fakeTransport{script: prefillThen(func() (Stream, *Result) { return ended(routing.StatusError) })}
 	c := coreWith(t, f, func(s *routing.Settings) { s.HeldStateLimit = 1<<63 - 1 })
 	if a, _, _ := SubmitAndWait(t.Context(), c, ask("once", time.Minute)); a.Verdict != Failed {
 		t.Fatalf("answer %+v", a)
@@ -139,7 +142,7 @@
 	if err := c.Drain(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	if !f.has("r1") || !f.has("w1") {
+	if !f.hasReleased("r1") || !f.hasReleased("w1") {
 		t.Errorf("released at %v", f.released)
 	}
 }
@@ -147,8 +150,8 @@
 // The answer tells how the latest attempt ended at an engine, not that another, whose
 // connection was not up yet, was withdrawn for it.
 func TestAnswerReportsLastWrittenAttempt(t *testing.T) {
-	f := &fake{away: func(a Attempt) bool { return a.Number > 0 }}
-	failed := errors.New("the engine's own word")
+	f := &fakeTransport{neverConnects: func(a Attempt) bool { return a.Number > 0 }}
+	failed := errors.New("the engine's own error")
 	f.script = func(a Attempt) (Stream, *Result) {
 		if a.Number > 0 {
 			return nil, nil
@@ -158,17 +161,17 @@
 	c := coreWith(t, f, func(s *routing.Settings) { s.CanCancel = false })
 	w := make(answerChannel, 1)
 	c.Submit(ask("free", time.Minute), w)
-	enginetest.Eventually(t, "a second attempt waits for its connection", func() bool { all, _, _ := f.tally(); return all == 2 })
+	enginetest.Eventually(t, "a second attempt waits for its connection", func() bool { all, _, _ := f.counts(); return all == 2 })
 	c.Abandon(true)
 	if a := <-w; a.Status != routing.StatusError || !errors.Is(a.Cause, failed) {
 		t.Errorf("answer %+v, want the first attempt's end", a)
 	}
 }
 
-// A read that was cancelled may run on and leave a state at its end. A gateway that is told to
-// end stays until its engine has been told for the last time.
+// A cancelled prefill may run on and leave state at its end. A gateway that drains stays until its
+// engine has been sent the last release.
 func TestDrainWaitsForReadsThatMayRunOn(t *testing.T) {
-	f := &fake{script: func(Attempt) (Stream, *Result) { return nil, nil }}
+	f := &fakeTransport{script: func(Attempt) (Stream, *Result) { return nil, nil }}
 	c := coreWith(t, f, func(s *routing.Settings) { s.HeldStateLimit = 20 * time.Millisecond })
 	if a, _, _ := SubmitAndWait(t.Context(), c, ask("once", 600*time.Millisecond)); a.Verdict != Rejected {
 		t.Fatalf("answer %+v", a)
@@ -177,14 +180,14 @@
 		t.Fatal(err)
 	}
 	if left := runQuery(t.Context(), c, func() int { return len(c.unreleased) }); left > 0 {
-		t.Errorf("the gateway has ended, and its read may run on")
+		t.Errorf("the gateway has ended, and its prefill may run on")
 	}
 }
 
 // Engines whose kind takes no releases hold nothing: they are asked once, and a gateway that is
-// told to end does not wait for reads that may run on there.
+// drained does not wait for prefills that may run on there.
 func TestEnginesWithoutReleases(t *testing.T) {
-	f := &fake{script: func(Attempt) (Stream, *Result) { return nil, nil }, releaseErr: ErrNoRelease}
+	f := &fakeTransport{script: func(Attempt) (Stream, *Result) { return nil, nil }, releaseErr: ErrNoRelease}
 	c := coreWith(t, f, func(s *routing.Settings) { s.HeldStateLimit = 20 * time.Millisecond })
 	if a, _, _ := SubmitAndWait(t.Context(), c, ask("once", 600*time.Millisecond)); a.Verdict != Rejected {
 		t.Fatalf("answer %+v", a)
@@ -192,7 +195,7 @@
 	if err := c.Drain(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	if attempts, _, released := f.tally(); released != attempts {
+	if attempts, _, released := f.counts(); released != attempts {
 		t.Errorf("%d releases after %d attempts", released, attempts)
 	}
 }
--- a/internal/core/trace_test.go
+++ b/internal/core/trace_test.go
@@ -126,7 +126,7 @@
 type tracedStream struct {
 	tr   *tracer
 	name string
-	text
+	textStream
 	relayed bool // closed by a front at a time of its own, beside the core
 	closes  atomic.Int32
 }
@@ -267,7 +267,7 @@
 			ticket := tr.submit("free", c.id, time.Minute)
 			tr.read(n)
 			tr.written(n + 1)
-			s := &tracedStream{tr: tr, name: c.id, text: text{rest: "data: x\n\n", end: c.end}, relayed: true}
+			s := &tracedStream{tr: tr, name: c.id, textStream: textStream{rest: "data: x\n\n", end: c.end}, relayed: true}
 			tr.begun()[n+1].first(s)
 			synctest.Wait()
 			err := ticket.Relay(tr.t.Context(), s, func(p []byte) error { tr.note("write %q", p); return c.write })
@@ -574,7 +574,7 @@
 }
 
 // servingEngine serves all, at once.
-type servingEngine struct{ fake }
+type servingEngine struct{ fakeTransport }
 
 func (*servingEngine) Start(a Attempt, first func(Stream), ended func(Result)) Handle {
 	go func() {
@@ -583,7 +583,7 @@
 			ended(Result{Status: routing.StatusPrefilled})
 			return
 		}
-		first(&text{})
+		first(&textStream{})
 	}()
 	return noHandle{}
 }
