--- a/internal/core/ejection.go
+++ b/internal/core/ejection.go
@@ -23,7 +23,7 @@
 }
 
 func (c *Core) eject(engine string, eject bool) ejectionReply {
-	change, ok := c.endpoints.ejections.Call(engine, eject, c.clock.now())
+	change, ok := c.endpoints.ejections.SetEjected(engine, eject, c.clock.now())
 	if ok {
 		c.applyEjections(change)
 	}
@@ -35,7 +35,7 @@
 func (c *Core) SetEjected(engines []string) { c.post(ejectionsReplaced{engines}) }
 
 func (c *Core) replaceEjections(engines []string) {
-	c.applyEjections(c.endpoints.ejections.Take(engines, c.clock.now()))
+	c.applyEjections(c.endpoints.ejections.Replace(engines, c.clock.now()))
 }
 
 // Ejected returns the engines that are ejected manually.
@@ -49,10 +49,10 @@
 	if len(list.Engines) == 0 {
 		return
 	}
-	for _, name := range change.Out {
+	for _, name := range change.Ejected {
 		c.log.Info("engine ejected manually", slog.String("engine", name))
 	}
-	for _, name := range change.Back {
+	for _, name := range change.Restored {
 		c.log.Info("manual ejection ended", slog.String("engine", name))
 	}
 	c.dispatch(list)
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -51,8 +51,8 @@
 		if t.listed[e.Name] = e; e.Phase == routing.PhaseRemoved {
 			delete(t.listed, e.Name)
 		}
-		t.ejections.See(e.Name)
-		list.Engines = append(list.Engines, t.ejections.Show(e.EngineInfo))
+		t.ejections.Register(e.Name)
+		list.Engines = append(list.Engines, t.ejections.Effective(e.EngineInfo))
 	}
 	t.forgetUnlisted()
 	t.updateReady()
@@ -62,10 +62,10 @@
 // ejectionsChanged returns the router's event on a change of ejections.
 func (t *endpointTable) ejectionsChanged(change ejection.Change) routing.EngineList {
 	list := routing.EngineList{Scope: routing.EngineListDelta}
-	for _, names := range [][]string{change.Out, change.Back} {
+	for _, names := range [][]string{change.Ejected, change.Restored} {
 		for _, name := range names {
 			if e, ok := t.listed[name]; ok {
-				list.Engines = append(list.Engines, t.ejections.Show(e.EngineInfo))
+				list.Engines = append(list.Engines, t.ejections.Effective(e.EngineInfo))
 			}
 		}
 	}
@@ -77,7 +77,7 @@
 func (t *endpointTable) updateReady() {
 	ready := false
 	for _, e := range t.listed {
-		ready = ready || e.Phase == routing.PhaseActive && !t.ejections.Out(e.Name)
+		ready = ready || e.Phase == routing.PhaseActive && !t.ejections.Ejected(e.Name)
 	}
 	t.ready.Store(ready)
 }
--- a/internal/openai/front.go
+++ b/internal/openai/front.go
@@ -40,8 +40,8 @@
 	Core   *core.Core
 	File   *config.Operator
 	Bodies *clientconn.Budget
-	Keys   *idempotency.Keeper // of requests that must not run twice
-	Held   int64               // bytes that are held for all slow callers together, and of answers under way that are to be kept
+	Keys   *idempotency.Store // of requests that must not run twice
+	Held   int64              // bytes that are held for all slow callers together, and of answers under way that are to be kept
 	// Others tells whether other gateways serve the same clients; nil for none.
 	Others func() bool
 }
@@ -50,9 +50,9 @@
 type Front struct {
 	core    *core.Core
 	bodies  *clientconn.Budget
-	keys    *idempotency.Keeper
+	keys    *idempotency.Store
 	others  func() bool
-	bounds  *streambuffer.Bounds
+	bounds  *streambuffer.Limits
 	book    atomic.Pointer[book]
 	started time.Time
 	service atomic.Pointer[lifecycle.Service]
@@ -74,7 +74,7 @@
 func NewFront(o Options) *Front {
 	f := &Front{
 		core: o.Core, bodies: o.Bodies, keys: o.Keys, others: o.Others, started: time.Now(),
-		bounds: streambuffer.NewBounds(stallLimit, heldEach, o.Held), keepMost: o.Held,
+		bounds: streambuffer.NewLimits(stallLimit, heldEach, o.Held), keepMost: o.Held,
 	}
 	f.SetService(lifecycle.FullService())
 	f.Reload(o.File)
@@ -205,7 +205,7 @@
 	}
 	c := &call{
 		Front: f, w: w, r: r, out: http.NewResponseController(w), ask: a, head: h, once: once, contract: contract, team: team, arrived: arrived,
-		ending: deduplication.Ending{MayRun: true}, form: formOf(a, typed, h, contract),
+		ending: deduplication.Result{MayHaveRun: true}, form: formOf(a, typed, h, contract),
 	}
 	if once {
 		if answered := c.claim(raw); answered {
@@ -246,7 +246,7 @@
 // spareKey notes that a request was turned away before it was read: its key has not run.
 func (f *Front) spareKey(r *http.Request, team *config.Team) {
 	if name := r.Header.Get(keyHeader); name != "" && len(name) <= maxKey && f.keys != nil {
-		f.keys.Spare(deduplication.Key{Team: team.Name, Name: name})
+		f.keys.RecordRefusal(deduplication.Key{Team: team.Name, Name: name})
 	}
 }
 
@@ -283,15 +283,15 @@
 	answer, ticket, here := c.submit(c.ask, c.head.id)
 	c.announceClose(c.w, c.r) // the request may have waited since before the gateway began to leave
 	if !here {
-		c.ending.MayRun = !c.once || ticket.MayHaveRun(context.WithoutCancel(c.r.Context()))
+		c.ending.MayHaveRun = !c.once || ticket.MayHaveRun(context.WithoutCancel(c.r.Context()))
 		panic(http.ErrAbortHandler) // the caller has gone: there is nobody to answer
 	}
 	rates(c.w.Header(), answer)
 	if answer.Verdict != core.Streaming {
-		c.ending = deduplication.Ending{
-			Refused: answer.Verdict == core.Rejected || answer.Verdict == core.Duplicate, Rejected: rejected(answer) != nil, MayRun: answer.MayHaveRun,
+		c.ending = deduplication.Result{
+			Refused: answer.Verdict == core.Rejected || answer.Verdict == core.Duplicate, RejectedByEngine: rejected(answer) != nil, MayHaveRun: answer.MayHaveRun,
 		}
-		refusal(answer, c.once && c.ending.Outcome() == deduplication.Broken).send(c.w)
+		refusal(answer, c.once && c.ending.Outcome() == deduplication.OutcomeIndeterminate).send(c.w)
 		return
 	}
 	c.serve(answer.Stream, ticket)
