--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -1,220 +1,265 @@
 package core
 
 import (
+	"context"
+	"log/slog"
 	"time"
 
 	"wellgw/routing"
 )
 
-// attempt is one try at one engine.
-type attempt struct {
-	number  int
-	engine  Endpoint
-	sent    time.Time
-	ended   bool
-	begun   bool // its answer has
-	out     bool // its last byte has been written
-	written time.Time
-	handle  Handle
-}
-
-// send makes an attempt, or says at once that it was not made.
-func (c *Core) send(a routing.Send) {
-	q := c.requests[a.ID]
-	if !c.checks.Hold(q != nil && !q.answered, "a send is for a request that awaits its answer") {
+// attemptState is one attempt of a request at one engine.
+type attemptState struct {
+	number        int
+	endpoint      Endpoint
+	startedAt     time.Time
+	ended         bool
+	answerStarted bool
+	written       bool // its last byte has been written
+	writtenAt     time.Time
+	handle        Handle
+}
+
+// cancelTransit is how long an engine may need to learn that an attempt was cancelled. What must not
+// meet that attempt, such as the next one, waits for it.
+const cancelTransit = 3 * time.Millisecond
+
+// startAttempt sends a request to an engine. An attempt that is not to be sent ends at once.
+func (c *Core) startAttempt(send routing.Send) {
+	request := c.requests.byID[send.ID]
+	if !c.checks.Hold(request != nil && !request.answered, "a send is for a request that awaits its answer") {
 		return
 	}
-	m, known := c.members[a.Engine]
-	now := time.Now()
-	at := &attempt{number: len(q.attempts), engine: m, sent: now, handle: noHandle{}}
-	at.engine.Name = a.Engine
-	q.attempts = append(q.attempts, at)
-	q.out++
-	limit := q.deadline.Sub(now)
-	if a.Timeout > 0 {
-		limit = min(limit, a.Timeout)
-	}
-	unsent := limit <= 0 || len(q.attempts) > c.fig.MaxAttempts || q.left.Load()
-	if unsent || !c.checks.Hold(known && m.Phase == routing.PhaseActive, "a send goes to an engine on the list") {
-		c.end(q, at, Result{Status: routing.StatusNotSent})
+	endpoint, listed := c.endpoints.listed[send.Engine]
+	attempt := request.addAttempt(endpoint, send.Engine)
+	timeout := request.deadline.Sub(attempt.startedAt)
+	if send.Timeout > 0 {
+		timeout = min(timeout, send.Timeout)
+	}
+	notSent := timeout <= 0 || len(request.attempts) > c.limits.MaxAttempts || request.clientGone.Load()
+	if notSent || !c.checks.Hold(listed && endpoint.Phase == routing.PhaseActive, "a send goes to an engine on the list") {
+		c.endAttempt(request, attempt, Result{Status: routing.StatusNotSent})
 		return
 	}
-	c.counts[countAttempts]++
-	if q.held.ledger.Holder() != "" && c.fig.ServesAlone != nil && c.fig.ServesAlone(m.Kind) {
-		q.held.ledger.Detach() // it will not fetch what was read for it elsewhere
-		c.settling = append(c.settling, q)
-	}
-	c.after(limit, func() { c.end(q, at, Result{Status: routing.StatusTimeout}) })
-	out := Attempt{ClientRequestID: q.ClientRequestID, Number: at.number, Endpoint: m, Timeout: limit, Payload: q.Payload, ClientGone: q.left.Load}
-	if q.lingering != nil || q.cancelPause(now) > 0 {
-		out.Connected = func() { c.connected(q, at) }
-	}
-	out.Written = func() { c.post(func() { c.written(q, at) }) }
-	at.handle = c.engine.Start(
-		out,
-		func(s Stream) { c.post(func() { c.first(q, at, s) }) },
-		func(r Result) { c.post(func() { c.end(q, at, r) }) },
+	c.counters.increment(countAttempts)
+	if request.held.ledger.StateHolder() != "" && c.limits.ServesAlone != nil && c.limits.ServesAlone(endpoint.Kind) {
+		request.held.ledger.Detach() // this engine fetches no state that another has prefilled
+		c.markChanged(request)
+	}
+	c.schedule(timeout, attemptTimedOut{request, attempt})
+	attempt.handle = c.transport.Start(
+		c.describeAttempt(request, attempt, timeout),
+		func(s Stream) { c.post(streamOpened{request, attempt, s}) },
+		func(r Result) { c.post(attemptEnded{request, attempt, r}) },
 	)
 }
 
-// connected has the attempt before closed now that the next one can go out, and returns
-// when the two can't meet any more. Until then the one before stays out: the connection of the
-// next may never come up.
-func (c *Core) connected(q *request, at *attempt) {
-	clear := make(chan struct{})
-	c.post(func() {
-		if at.ended {
-			close(clear)
-			return
-		}
-		c.afterEnd(q, func() { close(clear) })
-	})
+// addAttempt adds an attempt to a request. The engine's name is set also where it is not listed.
+func (r *requestState) addAttempt(endpoint Endpoint, engine string) *attemptState {
+	attempt := &attemptState{number: len(r.attempts), endpoint: endpoint, startedAt: time.Now(), handle: noHandle{}}
+	attempt.endpoint.Name = engine
+	r.attempts = append(r.attempts, attempt)
+	r.activeAttempts++
+	return attempt
+}
+
+// describeAttempt returns what the transport needs for an attempt.
+func (c *Core) describeAttempt(request *requestState, attempt *attemptState, timeout time.Duration) Attempt {
+	a := Attempt{
+		ClientRequestID: request.ClientRequestID, Number: attempt.number, Endpoint: attempt.endpoint,
+		Timeout: timeout, Payload: request.Payload, ClientGone: request.clientGone.Load,
+		Written: func() { c.post(attemptWritten{request, attempt}) },
+	}
+	if request.lingeringAttempt != nil || request.cancelPause(attempt.startedAt) > 0 {
+		a.Connected = func() { c.awaitPredecessorClosed(request, attempt) }
+	}
+	return a
+}
+
+// awaitPredecessorClosed has the previous attempt's connection closed, as the next attempt can be
+// written now, and returns when the two can't meet at the engine any more. Until now the previous one
+// stayed in flight: the connection of the next might have never come up. It is called by the
+// transport's goroutine of the attempt.
+func (c *Core) awaitPredecessorClosed(request *requestState, attempt *attemptState) {
+	mayWrite := make(chan struct{})
+	c.post(attemptConnected{request, attempt, mayWrite})
 	select {
-	case <-clear:
+	case <-mayWrite:
 	case <-c.done:
 	}
 }
 
-// written records that an attempt is out.
-func (c *Core) written(q *request, at *attempt) {
-	if at.ended {
+// clearAttempt closes mayWrite once an attempt may be written.
+func (c *Core) clearAttempt(request *requestState, attempt *attemptState, mayWrite chan<- struct{}) {
+	if attempt.ended {
+		close(mayWrite)
 		return
 	}
-	at.out, at.written = true, time.Now()
-	c.settling = append(c.settling, q)
+	c.afterAttemptClosed(request, attemptCleared{mayWrite})
 }
 
-// first gives an attempt's stream to the client, if the client still waits for it.
-func (c *Core) first(q *request, at *attempt, s Stream) {
-	if at.ended || q.answered {
-		s.Close()
-		c.end(q, at, Result{Status: routing.StatusCancelled})
+// recordWritten records that an attempt has been written, so that it is in flight.
+func (c *Core) recordWritten(request *requestState, attempt *attemptState) {
+	if attempt.ended {
 		return
 	}
-	q.streaming, q.stream, at.begun = at, s, true
-	c.noteHeard(at.engine.Name)
-	q.held.ledger.AnswerBegan()
-	for _, other := range q.attempts {
-		if other != at {
-			c.end(q, other, Result{Status: routing.StatusCancelled})
+	attempt.written, attempt.writtenAt = true, time.Now()
+	c.markChanged(request)
+}
+
+// openStream answers a request with an attempt's stream, if its client still waits for one, and
+// cancels the other attempts.
+func (c *Core) openStream(request *requestState, attempt *attemptState, stream Stream) {
+	if attempt.ended || request.answered {
+		stream.Close()
+		c.endAttempt(request, attempt, Result{Status: routing.StatusCancelled})
+		return
+	}
+	request.streaming, request.stream, attempt.answerStarted = attempt, stream, true
+	c.endpoints.recordHeard(attempt.endpoint.Name)
+	request.held.ledger.AnswerStarted()
+	for _, other := range request.attempts {
+		if other != attempt {
+			c.endAttempt(request, other, Result{Status: routing.StatusCancelled})
 		}
 	}
-	c.answer(q, Answer{Verdict: Streaming, Stream: s})
-	c.tell(routing.FirstToken{ID: q.ID, Attempt: at.number, Engine: at.engine.Name, Latency: time.Since(at.sent)})
+	c.answer(request, Answer{Verdict: Streaming, Stream: stream})
+	c.dispatch(routing.FirstToken{
+		ID: request.ID, Attempt: attempt.number, Engine: attempt.endpoint.Name, Latency: time.Since(attempt.startedAt),
+	})
 }
 
-func (c *Core) streamEnded(q *request, r Result) {
-	if at := q.streaming; at != nil {
-		q.streaming, q.stream = nil, nil
-		if r.Status == routing.StatusServed {
-			q.held.ledger.AnswerDone()
-			c.count(q.Class, func(t *Traffic) { t.Served++; t.ServedPrompt += q.PromptTokens; t.Output += r.OutputTokens })
-		}
-		c.end(q, at, r)
+// finishStream ends the attempt whose stream was the answer, once.
+func (c *Core) finishStream(request *requestState, r Result) {
+	attempt := request.streaming
+	if attempt == nil {
+		return
 	}
+	request.streaming, request.stream = nil, nil
+	if r.Status == routing.StatusServed {
+		request.held.ledger.AnswerCompleted()
+		c.counters.addTraffic(request.Class, func(t *Traffic) {
+			t.Served++
+			t.ServedPrompt += request.PromptTokens
+			t.Output += r.OutputTokens
+		})
+	}
+	c.endAttempt(request, attempt, r)
 }
 
-// end closes an attempt and tells the module how it went, once.
-func (c *Core) end(q *request, at *attempt, r Result) {
-	if at.ended && r.Status == routing.StatusPrefilled {
-		c.readAfterCancel(q, at)
+// endAttempt closes an attempt and reports its result to the router, once. One that is streaming ends
+// by finishStream alone.
+func (c *Core) endAttempt(request *requestState, attempt *attemptState, r Result) {
+	if attempt.ended && r.Status == routing.StatusPrefilled {
+		c.recordLatePrefill(request, attempt)
 	}
-	if at.ended || q.streaming == at {
+	if attempt.ended || request.streaming == attempt {
 		return
 	}
-	at.ended, q.status, q.cause = true, r.Status, r.Cause
-	withdrawn := c.close(q, at, r.Status)
-	q.ran = q.ran || !withdrawn && mayHaveRun(r.Status)
-	q.out--
-	c.settling = append(c.settling, q)
-	c.counts[statusNames[r.Status]]++
+	attempt.ended, request.lastStatus, request.lastCause = true, r.Status, r.Cause
+	withdrawn := c.closeAttempt(request, attempt, r.Status)
+	request.endedMayHaveRun = request.endedMayHaveRun || !withdrawn && statusMayHaveRun(r.Status)
+	request.activeAttempts--
+	c.markChanged(request)
+	c.counters.increment(statusNames[r.Status])
 	if !withdrawn {
-		c.noteOutcome(q, at, r)
+		c.recordHeldState(request, attempt, r)
 	}
-	if c.loud {
-		c.logAttempt(q, at, r, withdrawn)
+	if c.debugLogging {
+		c.logAttempt(request, attempt, r, withdrawn)
 	}
-	c.tell(routing.Outcome{
-		ID: q.ID, Attempt: at.number, Engine: at.engine.Name, Status: r.Status, Latency: time.Since(at.sent),
-		Final: q.answered, CachedTokens: r.CachedTokens, StateMissing: r.StateMissing, Report: r.Report,
+	c.dispatch(routing.Outcome{
+		ID: request.ID, Attempt: attempt.number, Engine: attempt.endpoint.Name, Status: r.Status, Latency: time.Since(attempt.startedAt),
+		Final: request.answered, CachedTokens: r.CachedTokens, StateMissing: r.StateMissing, Report: r.Report,
 	})
 }
 
-// Messages of the log on attempts.
-const (
-	messageEnded  = "attempt ended"
-	messageFailed = "attempt failed"
-)
-
-// logAttempt writes how an attempt ended.
-func (c *Core) logAttempt(q *request, at *attempt, r Result, withdrawn bool) {
-	message := messageEnded
+// logAttempt logs how an attempt ended.
+func (c *Core) logAttempt(request *requestState, attempt *attemptState, r Result, withdrawn bool) {
+	message := "attempt ended"
 	if r.Cause != nil {
-		message = messageFailed
+		message = "attempt failed"
 	}
-	c.log.Debug(message, "id", q.ClientRequestID, "attempt", at.number, "engine", at.engine.Name, "status", string(statusNames[r.Status]),
-		"age", time.Since(at.sent).Round(time.Millisecond), "out", at.out, "withdrawn", withdrawn, "cause", r.Cause)
+	c.log.LogAttrs(context.Background(), slog.LevelDebug, message,
+		slog.String("id", request.ClientRequestID),
+		slog.Int("attempt", attempt.number),
+		slog.String("engine", attempt.endpoint.Name),
+		slog.String("status", string(statusNames[r.Status])),
+		slog.Duration("age", time.Since(attempt.startedAt).Round(time.Millisecond)),
+		slog.Bool("written", attempt.written),
+		slog.Bool("withdrawn", withdrawn),
+		slog.Any("cause", r.Cause))
 }
 
-// close closes an attempt that has ended, or keeps it open for a while if it was given up. It
-// tells whether the attempt was given up before anything of it was written.
-func (c *Core) close(q *request, at *attempt, s routing.Status) (withdrawn bool) {
-	givenUp := s == routing.StatusCancelled || s == routing.StatusTimeout
+// closeAttempt closes an attempt that has ended. One that was abandoned after it had been written
+// lingers instead: its connection stays open for a while, so that it counts as in flight. It reports
+// whether the attempt was abandoned before anything of it was written.
+func (c *Core) closeAttempt(request *requestState, attempt *attemptState, status routing.Status) (withdrawn bool) {
+	abandoned := status == routing.StatusCancelled || status == routing.StatusTimeout
 	switch {
-	case !givenUp || at.begun:
-		at.handle.Cancel()
+	case !abandoned || attempt.answerStarted:
+		attempt.handle.Cancel()
 		return false
-	case at.out:
-		c.closeLingering(q)
-		q.lingering = at
+	case attempt.written:
+		c.closeLingeringAttempt(request)
+		request.lingeringAttempt = attempt
 		return false
-	case at.handle.Withdraw():
+	case attempt.handle.Withdraw():
 		return true
 	}
-	// It is being written, or has been and the core is yet to hear of it.
-	q.cancel(at)
+	// It is being written, or it has been and attemptWritten is still in the queue.
+	request.closeCancelled(attempt)
 	return false
 }
 
-// mayHaveRun tells whether an attempt that was written and ended so may have been carried out:
-// it was not turned away, and did more than read.
-func mayHaveRun(s routing.Status) bool {
-	switch s {
+// statusMayHaveRun reports whether an attempt that was written and ended so may have run: it was not
+// rejected, and did more than prefill.
+func statusMayHaveRun(status routing.Status) bool {
+	switch status {
 	case routing.StatusNotSent, routing.StatusConnectFailed, routing.StatusRejected, routing.StatusPrefilled:
 		return false
 	}
 	return true
 }
 
-// afterEnd closes the connection of an attempt that has been given up, and does what must
-// not meet that attempt once its engine can have learned of the end: both take their own ways.
-// Without such an attempt it is done at once.
-func (c *Core) afterEnd(q *request, job func()) {
-	c.closeLingering(q)
-	if pause := q.cancelPause(time.Now()); pause > 0 {
-		c.after(pause, job)
+// afterAttemptClosed closes the connection of an attempt that lingers, and has a message handled that
+// must not take effect before its engine can have learned of the cancel, since the two travel on
+// different connections. Without such an attempt it is handled at once.
+func (c *Core) afterAttemptClosed(request *requestState, next message) {
+	c.closeLingeringAttempt(request)
+	if pause := request.cancelPause(time.Now()); pause > 0 {
+		c.schedule(pause, next)
 		return
 	}
-	job()
+	next.handle(c)
 }
 
-// cancel closes the connection of an attempt that its engine may have, or be about to get.
-func (q *request) cancel(at *attempt) {
-	at.handle.Cancel()
-	q.cancelled = time.Now()
+// closeCancelled closes the connection of an attempt that its engine may have received, or be about
+// to receive.
+func (r *requestState) closeCancelled(attempt *attemptState) {
+	attempt.handle.Cancel()
+	r.cancelledAt = time.Now()
 }
 
-// cancelPause returns how long the engine of the attempt cancelled last may need to learn of it.
-func (q *request) cancelPause(now time.Time) time.Duration {
-	return cancelMargin - now.Sub(q.cancelled)
+// cancelPause returns how much longer the engine of the latest cancelled attempt may need to learn of
+// the cancel.
+func (r *requestState) cancelPause(now time.Time) time.Duration {
+	return cancelTransit - now.Sub(r.cancelledAt)
 }
 
-// withdraw ends the attempts of a request that is over that are not out yet, also where the
-// settings allow no cancel: nothing has been sent that could be cancelled.
-func (c *Core) withdraw(q *request) {
-	for _, at := range q.attempts {
-		if !at.ended && !at.out && at.handle.Withdraw() {
-			c.end(q, at, Result{Status: routing.StatusNotSent})
+// withdrawUnwritten ends those attempts of an answered request that are not written yet, also where
+// the settings allow no cancel: nothing has been sent that could be cancelled.
+func (c *Core) withdrawUnwritten(request *requestState) {
+	for _, attempt := range request.attempts {
+		if !attempt.ended && !attempt.written && attempt.handle.Withdraw() {
+			c.endAttempt(request, attempt, Result{Status: routing.StatusNotSent})
 		}
 	}
 }
+
+// noHandle is the handle of an attempt that was never started.
+type noHandle struct{}
+
+func (noHandle) Cancel() {}
+
+func (noHandle) Withdraw() bool { return true }
