--- a/cmd/wellgw/peers.go
+++ b/cmd/wellgw/peers.go
@@ -31,7 +31,7 @@
 	for _, g := range v.Others {
 		remarks := ""
 		if g.Status == membership.Suspect {
-			remarks = fmt.Sprintf("%d accuse it; dead in %v ", g.Accusers, g.Due.Round(100*time.Millisecond))
+			remarks = fmt.Sprintf("%d accuse it; dead in %v ", g.Accusers, g.DeadIn.Round(100*time.Millisecond))
 		}
 		if g.OneWay {
 			remarks += "does not answer us, only others "
@@ -39,7 +39,7 @@
 		if !g.Steady {
 			remarks += "comes and goes "
 		}
-		t.AppendRow(table.Row{g.ID, g.Addr, g.Status, ago(s.Clock, g.Since), g.Incarnation, ago(s.Clock, g.Heard), g.RTT.Round(10 * time.Microsecond), remarks})
+		t.AppendRow(table.Row{g.ID, g.Addr, g.Status, ago(s.Clock, g.Since), g.Incarnation, ago(s.Clock, g.LastHeard), g.RTT.Round(10 * time.Microsecond), remarks})
 	}
 	t.Render()
 	fmt.Fprintf(w, "tier %s, view %d/%016x, key %s; %d gateways share the engines\n", s.Tier, v.Epoch, v.Digest, s.Key, v.Sharing)
@@ -49,14 +49,14 @@
 	if v.Silenced {
 		fmt.Fprintln(w, "silent: another process goes by this name")
 	}
-	if v.Health > 0 {
-		fmt.Fprintf(w, "distrusts itself by %d: it was paused, or its own probes went unanswered\n", v.Health)
+	if v.LocalHealth > 0 {
+		fmt.Fprintf(w, "distrusts itself by %d: it was paused, or its own probes went unanswered\n", v.LocalHealth)
 	}
 	c := s.Counts
 	fmt.Fprintf(w, "datagrams: %d sent, %d received; dropped %d short, %d of another version, %d by unknown keys, %d by bad seals, %d replayed, %d unreadable, %d of earlier lives, %d for want of time\n",
 		c.Sent, c.Received, c.Short, c.Version, c.Key, c.Seal, c.Replay, c.Payload, c.Former, c.Full)
 	fmt.Fprintf(w, "probes: %d, %d unanswered, %d answered by way of others; suspected %d, own refutations %d, deaths %d, own pauses %d\n",
-		v.Stats.Probes, v.Stats.Unanswered, v.Stats.Helped, v.Stats.Suspected, v.Stats.Refuted, v.Stats.Died, v.Stats.Pauses)
+		v.Stats.Probes, v.Stats.Unanswered, v.Stats.IndirectAcks, v.Stats.Suspected, v.Stats.Refuted, v.Stats.Died, v.Stats.Pauses)
 }
 
 func ago(clock, at time.Duration) string {
--- a/cmd/wellgw/tier_test.go
+++ b/cmd/wellgw/tier_test.go
@@ -192,7 +192,7 @@
 	w.cut([]string{"a", "b"}, []string{"c", "d"}, faultnet.Rule{Cut: true})
 	time.Sleep(4 * time.Second) // nearly twice what makes a death
 	w.agree("with a hub between the halves")
-	w.eventually("others vouch", []string{"a", "b", "c", "d"}, func(s peers.Status) bool { return s.View.Stats.Helped > 0 && !s.View.Minority })
+	w.eventually("others vouch", []string{"a", "b", "c", "d"}, func(s peers.Status) bool { return s.View.Stats.IndirectAcks > 0 && !s.View.Minority })
 }
 
 // A gateway is killed and back before anybody has missed it, and what its former life sent
--- a/decide/membership/config.go
+++ b/decide/membership/config.go
@@ -7,32 +7,32 @@
 
 // Config is what a machine is given at its start.
 type Config struct {
-	ID          string
-	Addr        string
-	Instance    uint64
-	Incarnation uint64   // above that of any earlier life, as far as is known
-	Join        []string // addresses to ask until somebody answers
-	Expect      int      // gateways that the operator says there are; 0: not said
-	Seed        uint64
-	Updates     int // most updates in one message
+	ID           string
+	Addr         string
+	Instance     uint64
+	Incarnation  uint64   // above that of any earlier process of this ID, as far as is known
+	Join         []string // addresses to ping until some gateway answers
+	ExpectedSize int      // gateways in the tier according to the operator; 0: unknown
+	Seed         uint64
+	MaxUpdates   int // in one message; 0 = 6
 
-	// Fits tells how many of a message's updates its carrier has room for; nil: all. The
-	// rest is left out on the way, the last ones first.
+	// Fits returns how many of a message's updates fit into a datagram; nil: all. The
+	// transport drops the rest, the last ones first.
 	Fits func(Message) int
 
-	Interval  time.Duration // between probes; 0 = 100 ms
-	Timeout   time.Duration // for a direct answer; 0 = 80 ms
-	DeadAfter time.Duration // of silence, proven by a probe; 0 = 2.3 s
-	Hold      time.Duration // for which one that died still counts as sharing; 0 = 15 s
-	Forget    time.Duration // after which a majority forgets the dead; 0 = 10 min
-	Plain     bool          // send only the kinds that the first version knew: no Want, and no answer to one
+	ProbeInterval    time.Duration // between probes; 0 = 100 ms
+	ProbeTimeout     time.Duration // for a direct answer; 0 = 80 ms
+	SuspicionTimeout time.Duration // from the unanswered probe until a suspect is dead; 0 = 2.3 s
+	DeadGrace        time.Duration // for which a dead gateway still counts as sharing the engines; 0 = 15 s
+	ReapAfter        time.Duration // after which a majority removes the dead; 0 = 10 min
+	FirstVersion     bool          // use only the message kinds of the first protocol version: no sync, and no answer to one
 }
 
-func (c *Config) fill() {
-	c.Interval = cmp.Or(c.Interval, 100*time.Millisecond)
-	c.Timeout = cmp.Or(c.Timeout, 80*time.Millisecond)
-	c.DeadAfter = cmp.Or(c.DeadAfter, 2300*time.Millisecond)
-	c.Hold = cmp.Or(c.Hold, 15*time.Second)
-	c.Forget = cmp.Or(c.Forget, 10*time.Minute)
-	c.Updates = cmp.Or(c.Updates, 6)
+func (c *Config) setDefaults() {
+	c.ProbeInterval = cmp.Or(c.ProbeInterval, 100*time.Millisecond)
+	c.ProbeTimeout = cmp.Or(c.ProbeTimeout, 80*time.Millisecond)
+	c.SuspicionTimeout = cmp.Or(c.SuspicionTimeout, 2300*time.Millisecond)
+	c.DeadGrace = cmp.Or(c.DeadGrace, 15*time.Second)
+	c.ReapAfter = cmp.Or(c.ReapAfter, 10*time.Minute)
+	c.MaxUpdates = cmp.Or(c.MaxUpdates, 6)
 }
--- a/decide/membership/golden_test.go
+++ b/decide/membership/golden_test.go
@@ -33,15 +33,15 @@
 func (r recorder) update(u Update) {
 	r.text(u.ID)
 	r.text(u.Addr)
-	r.numbers(u.Incarnation, uint64(u.Status), uint64(u.Age), uint64(u.Beat))
+	r.numbers(u.Incarnation, uint64(u.Status), uint64(u.SuspicionAge), uint64(u.Heartbeat))
 }
 
-func (r recorder) send(s Send) {
+func (r recorder) send(s Outgoing) {
 	r.text(s.To)
 	r.text(s.From)
 	r.text(s.Addr)
-	r.text(s.About)
-	r.numbers(uint64(s.Kind), s.Instance, uint64(s.Seq), s.Epoch, s.Digest, uint64(s.Beat), uint64(len(s.Updates)))
+	r.text(s.Subject)
+	r.numbers(uint64(s.Kind), s.Instance, uint64(s.Seq), s.Epoch, s.Digest, uint64(s.Heartbeat), uint64(len(s.Updates)))
 	for _, u := range s.Updates {
 		r.update(u)
 	}
@@ -58,18 +58,18 @@
 }
 
 func (r recorder) view(v View) {
-	r.numbers(v.Epoch, v.Digest, uint64(v.Sharing), uint64(v.Health), uint64(len(v.Others)))
+	r.numbers(v.Epoch, v.Digest, uint64(v.Sharing), uint64(v.LocalHealth), uint64(len(v.Others)))
 	r.update(v.Self)
 	r.flags(v.Minority, v.Silenced)
 	for _, g := range v.Others {
 		r.text(g.ID)
 		r.text(g.Addr)
 		r.text(g.Status.String())
-		r.numbers(g.Incarnation, uint64(g.Status), uint64(g.Since), uint64(g.Heard), uint64(g.RTT), uint64(g.Accusers), uint64(g.Due))
+		r.numbers(g.Incarnation, uint64(g.Status), uint64(g.Since), uint64(g.LastHeard), uint64(g.RTT), uint64(g.Accusers), uint64(g.DeadIn))
 		r.flags(g.OneWay, g.Steady)
 	}
 	s := v.Stats
-	r.numbers(s.Walks, s.Probes, s.Unanswered, s.Helped, s.Suspected, s.Refuted, s.Died, s.Pauses, s.Namesakes)
+	r.numbers(s.Syncs, s.Probes, s.Unanswered, s.IndirectAcks, s.Suspected, s.Refuted, s.Died, s.Pauses, s.Namesakes)
 }
 
 // parcel is a message under way in the drawn tier.
@@ -94,7 +94,7 @@
 func (d *drawnTier) start(addr, id string, life uint64) {
 	cfg := Config{
 		ID: id, Addr: addr, Instance: life<<32 | uint64(len(d.addrs)), Incarnation: life, Seed: d.rng.Uint64(),
-		Join: []string{"g0:1", "g1:1"}, Expect: d.rng.IntN(2) * 5, Plain: d.rng.IntN(5) == 0, Forget: 20 * time.Second,
+		Join: []string{"g0:1", "g1:1"}, ExpectedSize: d.rng.IntN(2) * 5, FirstVersion: d.rng.IntN(5) == 0, ReapAfter: 20 * time.Second,
 	}
 	if d.rng.IntN(2) == 0 {
 		cfg.Fits = func(m Message) int { return min(len(m.Updates), 3) }
@@ -107,7 +107,7 @@
 }
 
 // carry records what a machine sends and sets it under way, with loss, delay and repetition.
-func (d *drawnTier) carry(from string, out []Send) {
+func (d *drawnTier) carry(from string, out []Outgoing) {
 	for _, s := range out {
 		d.send(s)
 		if d.machines[s.To] == nil || d.rng.IntN(8) == 0 || d.cut == [2]string{from, s.To} {
@@ -136,7 +136,7 @@
 			case p.to != addr || p.at > d.now:
 				d.under = append(d.under, p)
 			case d.rng.IntN(200) == 0:
-				d.carry(addr, m.Former(d.now, p.msg))
+				d.carry(addr, m.ReceiveStale(d.now, p.msg))
 			default:
 				d.carry(addr, m.Receive(d.now, p.msg))
 			}
@@ -160,11 +160,11 @@
 		d.cut = [2]string{}
 	case 4:
 		if m != nil {
-			d.carry(addr, m.Leave(d.now))
+			d.carry(addr, m.AnnounceLeaving(d.now))
 		}
 	case 5:
 		if m != nil {
-			d.carry(addr, m.End(d.now))
+			d.carry(addr, m.AnnounceLeft(d.now))
 			d.machines[addr] = nil
 		} else {
 			d.start(addr, addr[:2], 2+d.rng.Uint64N(4))
@@ -197,7 +197,7 @@
 					if m := d.machines[addr]; m != nil {
 						s := m.View().Stats
 						d.view(m.View())
-						all.Walks, all.Helped, all.Refuted = max(all.Walks, s.Walks), max(all.Helped, s.Helped), max(all.Refuted, s.Refuted)
+						all.Syncs, all.IndirectAcks, all.Refuted = max(all.Syncs, s.Syncs), max(all.IndirectAcks, s.IndirectAcks), max(all.Refuted, s.Refuted)
 						all.Died, all.Pauses, all.Namesakes = max(all.Died, s.Died), max(all.Pauses, s.Pauses), max(all.Namesakes, s.Namesakes)
 					}
 				}
@@ -208,7 +208,7 @@
 			t.Errorf("seed %d: %#x, want %#x", seed, got, want)
 		}
 	}
-	if all.Walks == 0 || all.Helped == 0 || all.Refuted == 0 || all.Died == 0 || all.Pauses == 0 || all.Namesakes == 0 {
+	if all.Syncs == 0 || all.IndirectAcks == 0 || all.Refuted == 0 || all.Died == 0 || all.Pauses == 0 || all.Namesakes == 0 {
 		t.Errorf("something never happened in the drawn tiers: %+v", all)
 	}
 }
--- a/decide/membership/membership_test.go
+++ b/decide/membership/machine_test.go
@@ -84,7 +84,7 @@
 	heap.Push(&t.queue, letter{at, t.lastOrder, to, life, msg})
 }
 
-func (t *tier) carry(from *node, out []Send) {
+func (t *tier) carry(from *node, out []Outgoing) {
 	for _, s := range out {
 		t.sent++
 		if t.nodes[s.To] == nil || t.fails(from.id, s.To) {
@@ -126,7 +126,7 @@
 			x.inbox = nil
 			t.post(t.now+tick, l.to, l.life, nil)
 		}
-		for _, g := range x.order {
+		for _, g := range x.byName {
 			if _, known := x.dead[g.ID]; g.Status >= Dead && !known {
 				x.dead[g.ID] = t.now
 			} else if g.Status < Dead && known {
@@ -241,7 +241,7 @@
 	}
 	before := x.self.Incarnation
 	tier.run(x.paused + 50*ms)
-	for _, y := range x.order { // it has been away itself, and must not judge others by that
+	for _, y := range x.byName { // it has been away itself, and must not judge others by that
 		if y.Status != Alive {
 			t.Errorf("back from a pause it holds %s for %v", y.ID, y.Status)
 		}
@@ -321,7 +321,7 @@
 	tier.run(tier.now + 300*ms)
 	tier.start("g003", 2)
 	tier.run(tier.now + 200*ms)
-	tier.carry(old, []Send{{To: "g000", Message: Message{Kind: Ack, From: "g003", Instance: old.cfg.Instance, Addr: "g003", Updates: []Update{old.self}}}})
+	tier.carry(old, []Outgoing{{To: "g000", Message: Message{Kind: Ack, From: "g003", Instance: old.cfg.Instance, Addr: "g003", Updates: []Update{old.self}}}})
 	tier.mustAgree(t, 5*time.Second, "after the restart")
 	if got := tier.nodes["g000"].members["g003"].Incarnation; got < 2 {
 		t.Errorf("after a restart it is held at incarnation %d", got)
@@ -362,7 +362,7 @@
 		tier.mustAgree(t, 10*time.Second, "join")
 		x := tier.nodes["g001"]
 		x.Tick(tier.now + jump)
-		for _, y := range x.order {
+		for _, y := range x.byName {
 			if y.Status != Alive {
 				t.Errorf("a jump of %v: %s is held for %v", jump, y.ID, y.Status)
 			}
@@ -373,8 +373,8 @@
 // A suspicion does not run on while we are paused: the suspect could not be heard.
 func TestOwnPauseExtendsDeadlines(t *testing.T) {
 	m := New(Config{ID: "a", Addr: "a"}, 0)
-	m.take(Update{ID: "b", Addr: "b"})
-	m.take(Update{ID: "b", Addr: "b", Status: Suspect})
+	m.apply(Update{ID: "b", Addr: "b"})
+	m.apply(Update{ID: "b", Addr: "b", Status: Suspect})
 	for _, c := range []struct {
 		at   Time
 		want Status
@@ -404,12 +404,12 @@
 	tier := newTier(7, 4)
 	tier.mustAgree(t, 10*time.Second, "join")
 	x := tier.nodes["g003"]
-	tier.carry(x, x.Leave(tier.now))
+	tier.carry(x, x.AnnounceLeaving(tier.now))
 	tier.run(tier.now + time.Second)
 	if v := tier.nodes["g000"].View(); v.Others[2].Status != Leaving || v.Sharing != 4 {
 		t.Errorf("one leaves: %+v, %d share", v.Others[2], v.Sharing)
 	}
-	tier.carry(x, x.End(tier.now))
+	tier.carry(x, x.AnnounceLeft(tier.now))
 	x.down = true
 	tier.run(tier.now + 5*time.Second)
 	if v := tier.nodes["g000"].View(); v.Sharing != 3 || v.Stats.Died != 0 {
@@ -430,9 +430,9 @@
 		all := rapid.SliceOfN(update, 1, 8).Draw(t, "updates")
 		play := func(list []Update) Update {
 			m := New(Config{ID: "a", Addr: "a"}, 0)
-			m.take(Update{ID: "b", Addr: "b"})
+			m.apply(Update{ID: "b", Addr: "b"})
 			for _, u := range list {
-				m.learn("c", u)
+				m.receiveUpdate("c", u)
 			}
 			return m.members["b"].Update
 		}
@@ -461,7 +461,7 @@
 		{"accused again earlier", 100 * ms, 200 * ms, 800 * ms, 1000*ms + 2100*ms},
 	} {
 		m := New(Config{ID: "a", Addr: "a"}, 0)
-		m.take(Update{ID: "b", Addr: "b"})
+		m.apply(Update{ID: "b", Addr: "b"})
 		var died Time
 		for at := Time(0); at < 5*time.Second && died == 0; at += tick {
 			if m.Tick(at); at == c.heard {
@@ -470,7 +470,7 @@
 			if at == 1000*ms {
 				for _, age := range []time.Duration{c.first, c.then} {
 					if age > 0 {
-						m.learn("c", Update{ID: "b", Addr: "b", Status: Suspect, Age: age})
+						m.receiveUpdate("c", Update{ID: "b", Addr: "b", Status: Suspect, SuspicionAge: age})
 					}
 				}
 			}
--- a/decide/membership/model_test.go
+++ b/decide/membership/model_test.go
@@ -44,7 +44,7 @@
 					}
 					states++
 					for _, id := range w.names {
-						for _, x := range w.nodes[id].order {
+						for _, x := range w.nodes[id].byName {
 							key := fmt.Sprint(id, w.nodes[id].life, x.ID)
 							if x.Incarnation < seen[key] {
 								t.Fatalf("message %d %s, restart %d: %s takes %s back to incarnation %d", at, fault, restart, id, x.ID, x.Incarnation)
--- a/decide/membership/probe.go
+++ b/decide/membership/probe.go
@@ -7,107 +7,109 @@
 
 // probe is a ping that waits for its answer.
 type probe struct {
-	seq      uint32
-	to       *member
-	sentAt   Time
-	helpAt   Time // when others are asked
-	endAt    Time
-	helped   bool
-	answered bool
+	seq        uint32
+	target     *member
+	sentAt     Time
+	indirectAt Time // when others are asked
+	deadline   Time
+	indirect   bool
+	acked      bool
 }
 
-// relay is a ping made for somebody else.
-type relay struct {
-	seq   uint32 // ours
-	asked uint32 // theirs
-	to    string // their address
-	about string
-	until Time
+// forwardedPing is a ping made for somebody else.
+type forwardedPing struct {
+	seq        uint32 // ours
+	requestSeq uint32 // theirs
+	requester  string // their address
+	target     string
+	deadline   Time
 }
 
-// patience is how long an answer may take, longer the more we distrust ourselves.
-func (m *Machine) patience() time.Duration { return m.cfg.Timeout * time.Duration(1+m.health) }
+// ackTimeout is how long an answer may take, longer the more we distrust ourselves.
+func (m *Machine) ackTimeout() time.Duration {
+	return m.cfg.ProbeTimeout * time.Duration(1+m.localHealth)
+}
 
-func (m *Machine) unanswered(p *probe) {
+func (m *Machine) probeFailed(p *probe) {
 	m.stats.Unanswered++
-	m.health = min(healthMost, m.health+1)
-	if p.to.Status != Alive {
+	m.localHealth = min(maxLocalHealth, m.localHealth+1)
+	if p.target.Status != Alive {
 		return
 	}
 	m.stats.Suspected++
-	m.take(Update{ID: p.to.ID, Addr: p.to.Addr, Incarnation: p.to.Incarnation, Status: Suspect, Age: m.now - p.sentAt})
-	p.to.accusers = map[string]bool{m.cfg.ID: true}
+	m.apply(Update{ID: p.target.ID, Addr: p.target.Addr, Incarnation: p.target.Incarnation, Status: Suspect, SuspicionAge: m.now - p.sentAt})
+	p.target.accusers = map[string]bool{m.cfg.ID: true}
 }
 
-// helpers are a few others that are alive, by chance.
-func (m *Machine) helpers(but *member) []*member {
+// randomAlive are a few others that are alive, by chance.
+func (m *Machine) randomAlive(but *member) []*member {
 	var pool []*member
-	for range 4 * helpers { // some may be met that are not alive, or twice
-		if len(m.order) == 0 || len(pool) == helpers {
+	for range 4 * indirectProbers { // some may be met that are not alive, or twice
+		if len(m.byName) == 0 || len(pool) == indirectProbers {
 			break
 		}
-		if x := m.order[m.rng.IntN(len(m.order))]; x != but && x.Status == Alive && !slices.Contains(pool, x) {
+		if x := m.byName[m.rng.IntN(len(m.byName))]; x != but && x.Status == Alive && !slices.Contains(pool, x) {
 			pool = append(pool, x)
 		}
 	}
 	return pool
 }
 
-// next probes the next in turn: every suspect, since each answer may save it, and one other.
-func (m *Machine) next() {
-	m.count++
-	known := m.counts[Alive]+m.counts[Suspect]+m.counts[Leaving] > 0
-	for _, x := range m.restless {
+// probeNext probes the next in turn: every suspect, since each answer may save it, and one other.
+func (m *Machine) probeNext() {
+	m.probeRounds++
+	known := m.statusCounts[Alive]+m.statusCounts[Suspect]+m.statusCounts[Leaving] > 0
+	for _, x := range m.notAlive {
 		if x.Status == Suspect {
-			m.probe(x)
+			m.sendProbe(x)
 		}
 	}
-	if !known || m.count%(joinEvery*len(m.order)+1) == 0 {
+	if !known || m.probeRounds%(rejoinEvery*len(m.byName)+1) == 0 {
 		for _, addr := range m.cfg.Join {
 			if addr != m.cfg.Addr {
-				m.send(addr, Message{Kind: Ping, Seq: m.number()})
+				m.send(addr, Message{Kind: Ping, Seq: m.nextSeq()})
 			}
 		}
 	}
-	if m.count%deadEvery == 0 {
-		if n := m.counts[Dead]; n > 0 {
+	if m.probeRounds%deadProbeEvery == 0 {
+		if n := m.statusCounts[Dead]; n > 0 {
 			n = m.rng.IntN(n)
-			for _, x := range m.restless {
+			for _, x := range m.notAlive {
 				if x.Status != Dead {
 					continue
 				}
 				if n == 0 {
-					m.probe(x)
+					m.sendProbe(x)
 				}
 				n--
 			}
 		}
 	}
-	for range len(m.order) + 1 {
-		if len(m.ring) == 0 {
-			m.ring = slices.Clone(m.order)
-			m.rng.Shuffle(len(m.ring), func(i, j int) { m.ring[i], m.ring[j] = m.ring[j], m.ring[i] })
+	for range len(m.byName) + 1 {
+		if len(m.probeRing) == 0 {
+			m.probeRing = slices.Clone(m.byName)
+			m.rng.Shuffle(len(m.probeRing), func(i, j int) { m.probeRing[i], m.probeRing[j] = m.probeRing[j], m.probeRing[i] })
 		}
-		if len(m.ring) == 0 {
+		if len(m.probeRing) == 0 {
 			return
 		}
-		x := m.ring[0]
-		m.ring = m.ring[1:]
+		x := m.probeRing[0]
+		m.probeRing = m.probeRing[1:]
 		if m.members[x.ID] == x && (x.Status == Alive || x.Status == Leaving) {
-			m.probe(x)
+			m.sendProbe(x)
 			return
 		}
 	}
 }
 
-func (m *Machine) number() uint32 {
+func (m *Machine) nextSeq() uint32 {
 	m.seq++
 	return m.seq
 }
 
-func (m *Machine) probe(x *member) {
+func (m *Machine) sendProbe(x *member) {
 	m.stats.Probes++
-	p := &probe{seq: m.number(), to: x, sentAt: m.now, helpAt: m.now + m.patience(), endAt: m.now + 3*m.patience()}
+	p := &probe{seq: m.nextSeq(), target: x, sentAt: m.now, indirectAt: m.now + m.ackTimeout(), deadline: m.now + 3*m.ackTimeout()}
 	m.probes = append(m.probes, p)
 	m.send(x.Addr, Message{Kind: Ping, Seq: p.seq}, x)
 }
--- a/decide/membership/view.go
+++ b/decide/membership/view.go
@@ -8,41 +8,41 @@
 	Incarnation uint64
 	Status      Status
 	Since       Time          // of its status
-	Heard       Time          // the last message from itself
+	LastHeard   Time          `json:"Heard"` // the last message from itself
 	RTT         time.Duration // of the latest ping that it answered directly
 	OneWay      bool          // it is heard, and others reach it, but our own pings are not answered
 	Steady      bool          // it has not died and come back again and again of late
 	Accusers    int           // of a suspect: how many say so
-	Due         time.Duration // of a suspect: until it counts as dead
+	DeadIn      time.Duration `json:"Due"` // of a suspect: until it counts as dead
 }
 
 // View is who is there, by one gateway's lights.
 type View struct {
-	Epoch    uint64 // grows with every change; with Digest it tells views apart
-	Digest   uint64 // the same for the same gateways with the same standing
-	Self     Update
-	Others   []Gateway // by name
-	Sharing  int       // gateways that may use the engines now, this one among them
-	Minority bool      // those in reach are not more than half of all that may be there
-	Silenced bool      // another process goes by this name and stays
-	Health   int       // how far this gateway distrusts itself, 0 for not at all
-	Stats    Stats
+	Epoch       uint64 // grows with every change; with Digest it tells views apart
+	Digest      uint64 // the same for the same gateways with the same standing
+	Self        Update
+	Others      []Gateway // by name
+	Sharing     int       // gateways that may use the engines now, this one among them
+	Minority    bool      // those in reach are not more than half of all that may be there
+	Silenced    bool      // another process goes by this name and stays
+	LocalHealth int       `json:"Health"` // how far this gateway distrusts itself, 0 for not at all
+	Stats       Stats
 }
 
 // View returns the present view.
 func (m *Machine) View() View {
 	v := View{
 		Epoch: m.epoch, Digest: m.digest, Self: m.self, Sharing: m.Sharing(), Minority: m.Minority(),
-		Silenced: m.foreign, Health: m.health, Stats: m.stats,
+		Silenced: m.silenced, LocalHealth: m.localHealth, Stats: m.stats,
 	}
-	for _, x := range m.order {
+	for _, x := range m.byName {
 		g := Gateway{
-			ID: x.ID, Addr: x.Addr, Incarnation: x.Incarnation, Status: x.Status, Since: x.since, Heard: x.heard,
-			RTT: x.rtt, Steady: m.flaps(x) < flapBound, Accusers: len(x.accusers),
-			OneWay: x.Status < Dead && x.seen && !x.direct && m.now-x.reached > m.cfg.DeadAfter,
+			ID: x.ID, Addr: x.Addr, Incarnation: x.Incarnation, Status: x.Status, Since: x.statusSince, LastHeard: x.lastHeard,
+			RTT: x.rtt, Steady: m.decayedFlaps(x) < maxSteadyFlaps, Accusers: len(x.accusers),
+			OneWay: x.Status < Dead && x.everHeard && !x.ackedDirectly && m.now-x.lastDirectAck > m.cfg.SuspicionTimeout,
 		}
 		if x.Status == Suspect {
-			g.Due = max(0, x.dueAt-m.now)
+			g.DeadIn = max(0, x.deadAt-m.now)
 		}
 		v.Others = append(v.Others, g)
 	}
@@ -51,8 +51,8 @@
 
 // Changed tells whether anything but times has changed since the last call.
 func (m *Machine) Changed() bool {
-	was := m.news
-	m.news = false
+	was := m.viewChanged
+	m.viewChanged = false
 	return was
 }
 
@@ -60,14 +60,14 @@
 // one that died counts for a while, since its engines' work may go on and so may it, and to
 // a minority every one that did not say it left counts, as the rest may be well together.
 func (m *Machine) Sharing() int {
-	n, minority := 1+m.counts[Alive]+m.counts[Suspect]+m.counts[Leaving], m.Minority()
-	for _, x := range m.restless {
-		if x.Status == Dead && (minority || m.now-x.since < m.cfg.Hold) {
+	n, minority := 1+m.statusCounts[Alive]+m.statusCounts[Suspect]+m.statusCounts[Leaving], m.Minority()
+	for _, x := range m.notAlive {
+		if x.Status == Dead && (minority || m.now-x.statusSince < m.cfg.DeadGrace) {
 			n++
 		}
 	}
 	if minority {
-		n = max(n, m.cfg.Expect)
+		n = max(n, m.cfg.ExpectedSize)
 	}
 	return n
 }
@@ -76,13 +76,13 @@
 // halves are a minority each. Before a gateway has found as many as the operator expects
 // it does not know better.
 func (m *Machine) Minority() bool {
-	alive := 1 + m.counts[Alive] + m.counts[Leaving]
-	return 2*alive <= max(alive+m.counts[Suspect]+m.counts[Dead], m.cfg.Expect)
+	alive := 1 + m.statusCounts[Alive] + m.statusCounts[Leaving]
+	return 2*alive <= max(alive+m.statusCounts[Suspect]+m.statusCounts[Dead], m.cfg.ExpectedSize)
 }
 
-// mark is a gateway's part of the digest of who stands how. It leaves out suspicions, which
+// digestPart is a gateway's part of the digest of who stands how. It leaves out suspicions, which
 // come and go, and those who have left, whom some forget before others.
-func (u Update) mark() uint64 {
+func (u Update) digestPart() uint64 {
 	s := u.Status
 	switch s {
 	case Left:
@@ -99,22 +99,22 @@
 	return x ^ x>>29
 }
 
-// changed gives the view a new number if it is another one.
-func (m *Machine) changed() {
-	m.digest ^= m.selfMark
-	m.selfMark = m.self.mark()
-	m.digest ^= m.selfMark
-	if m.digest != m.numbered {
-		m.numbered, m.news = m.digest, true
+// updateDigest gives the view a new number if it is another one.
+func (m *Machine) updateDigest() {
+	m.digest ^= m.selfDigestPart
+	m.selfDigestPart = m.self.digestPart()
+	m.digest ^= m.selfDigestPart
+	if m.digest != m.epochDigest {
+		m.epochDigest, m.viewChanged = m.digest, true
 		m.epoch++
 	}
 }
 
-// agree takes over a higher number. Equal views end with equal numbers; views that two
+// adoptEpoch takes over a higher number. Equal views end with equal numbers; views that two
 // halves formed apart may bear one number but have other digests, and once merged bear a
 // number above both.
-func (m *Machine) agree(msg Message) {
+func (m *Machine) adoptEpoch(msg Message) {
 	if msg.Epoch > m.epoch {
-		m.epoch, m.news = msg.Epoch, true
+		m.epoch, m.viewChanged = msg.Epoch, true
 	}
 }
--- a/experiments/membersim/membersim.go
+++ b/experiments/membersim/membersim.go
@@ -87,7 +87,7 @@
 	heap.Push(&t.agenda, i)
 }
 
-func (t *Tier) carry(from *node, out []membership.Send) {
+func (t *Tier) carry(from *node, out []membership.Outgoing) {
 	for _, s := range out {
 		t.Messages++
 		if t.Size != nil {
@@ -116,9 +116,9 @@
 		case x.down || i.msg == nil && i.life != x.life:
 			continue
 		case i.msg != nil:
-			t.carry(x, t.timed(func() []membership.Send { return x.Receive(t.Now, *i.msg) }))
+			t.carry(x, t.timed(func() []membership.Outgoing { return x.Receive(t.Now, *i.msg) }))
 		default:
-			t.carry(x, t.timed(func() []membership.Send { return x.Tick(t.Now) }))
+			t.carry(x, t.timed(func() []membership.Outgoing { return x.Tick(t.Now) }))
 			t.put(item{at: t.Now + tickEvery, to: i.to, life: i.life})
 		}
 		if x.Changed() {
@@ -134,7 +134,7 @@
 	t.Now = until
 }
 
-func (t *Tier) timed(work func() []membership.Send) []membership.Send {
+func (t *Tier) timed(work func() []membership.Outgoing) []membership.Outgoing {
 	begun := time.Now()
 	out := work()
 	t.Spent += time.Since(begun)
--- a/internal/peers/packets.go
+++ b/internal/peers/packets.go
@@ -78,7 +78,7 @@
 	return m, dropped
 }
 
-func (p *Peers) send(out []membership.Send) {
+func (p *Peers) send(out []membership.Outgoing) {
 	if len(out) == 0 {
 		return
 	}
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -129,7 +129,7 @@
 	p.me = process{instance: uint64(time.Now().UnixMilli())<<16 | uint64(random[6])<<8 | uint64(random[7]), random: binary.BigEndian.Uint64(random[:])}
 	p.machine = membership.New(membership.Config{
 		ID: opt.Name, Addr: public, Instance: p.me.instance, Incarnation: incarnation, Join: join,
-		Expect: opt.Expect, Seed: p.me.random, Fits: Fits, Plain: opt.Plain, Interval: opt.Interval, Timeout: opt.Timeout, DeadAfter: opt.DeadAfter,
+		ExpectedSize: opt.Expect, Seed: p.me.random, Fits: Fits, FirstVersion: opt.Plain, ProbeInterval: opt.Interval, ProbeTimeout: opt.Timeout, SuspicionTimeout: opt.DeadAfter,
 	}, 0)
 	if unkept != nil {
 		p.inc <- incarnation // to be written as soon as it can be
@@ -167,13 +167,13 @@
 	tick := time.NewTicker(tickEvery)
 	defer tick.Stop()
 	for {
-		var out []membership.Send
+		var out []membership.Outgoing
 		select {
 		case <-ctx.Done():
-			p.send(p.machine.End(time.Since(p.origin)))
+			p.send(p.machine.AnnounceLeft(time.Since(p.origin)))
 			return
 		case <-p.leave:
-			out = p.machine.Leave(time.Since(p.origin))
+			out = p.machine.AnnounceLeaving(time.Since(p.origin))
 		case answer := <-p.asked:
 			answer <- p.now()
 		case <-tick.C:
@@ -183,7 +183,7 @@
 			case taken:
 				out = p.machine.Receive(time.Since(p.origin), m)
 			case former:
-				out = p.machine.Former(time.Since(p.origin), m)
+				out = p.machine.ReceiveStale(time.Since(p.origin), m)
 			}
 		}
 		p.send(out)
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -206,19 +206,19 @@
 		update := rapid.Custom(func(t *rapid.T) membership.Update {
 			return membership.Update{
 				ID: name.Draw(t, "id"), Addr: addr.Draw(t, "addr"), Incarnation: rapid.Uint64().Draw(t, "incarnation"),
-				Status: membership.Status(rapid.IntRange(0, 4).Draw(t, "status")), Age: ageUnit * time.Duration(rapid.IntRange(0, 1000).Draw(t, "age")), Beat: rapid.Uint32().Draw(t, "beat"),
+				Status: membership.Status(rapid.IntRange(0, 4).Draw(t, "status")), SuspicionAge: ageUnit * time.Duration(rapid.IntRange(0, 1000).Draw(t, "age")), Heartbeat: rapid.Uint32().Draw(t, "beat"),
 			}
 		})
 		m := membership.Message{
-			Kind: membership.Kind(rapid.IntRange(0, int(membership.Have)).Draw(t, "kind")), From: name.Draw(t, "from"), Addr: addr.Draw(t, "addr"),
-			Seq: rapid.Uint32().Draw(t, "seq"), About: rapid.OneOf(rapid.Just(""), name).Draw(t, "about"),
-			Epoch: rapid.Uint64().Draw(t, "epoch"), Digest: rapid.Uint64().Draw(t, "digest"), Beat: rapid.Uint32().Draw(t, "beat"), Updates: rapid.SliceOfN(update, 0, 9).Draw(t, "updates"),
+			Kind: membership.Kind(rapid.IntRange(0, int(membership.SyncReply)).Draw(t, "kind")), From: name.Draw(t, "from"), Addr: addr.Draw(t, "addr"),
+			Seq: rapid.Uint32().Draw(t, "seq"), Subject: rapid.OneOf(rapid.Just(""), name).Draw(t, "about"),
+			Epoch: rapid.Uint64().Draw(t, "epoch"), Digest: rapid.Uint64().Draw(t, "digest"), Heartbeat: rapid.Uint32().Draw(t, "beat"), Updates: rapid.SliceOfN(update, 0, 9).Draw(t, "updates"),
 		}
 		as := byte(rapid.IntRange(oldest, version).Draw(t, "version"))
 		if as == oldest {
-			m.Kind, m.Beat = min(m.Kind, membership.PingFor), 0
+			m.Kind, m.Heartbeat = min(m.Kind, membership.PingReq), 0
 			for i := range m.Updates {
-				m.Updates[i].Beat = 0
+				m.Updates[i].Heartbeat = 0
 			}
 		}
 		b, err := encode(as, m)
--- a/internal/peers/status.go
+++ b/internal/peers/status.go
@@ -105,8 +105,8 @@
 			continue
 		}
 		e := Event{
-			Gateway: g.ID, To: g.Status.String(), Incarnation: g.Incarnation, Since: p.origin.Add(old.Since), Silent: clock - g.Heard,
-			OneWay: old.OneWay, Accusers: old.Accusers, Distrust: now.Health, Pauses: now.Stats.Pauses,
+			Gateway: g.ID, To: g.Status.String(), Incarnation: g.Incarnation, Since: p.origin.Add(old.Since), Silent: clock - g.LastHeard,
+			OneWay: old.OneWay, Accusers: old.Accusers, Distrust: now.LocalHealth, Pauses: now.Stats.Pauses,
 		}
 		if known {
 			e.From = old.Status.String()
--- a/internal/peers/stored_test.go
+++ b/internal/peers/stored_test.go
@@ -51,7 +51,7 @@
 func storedMessages() (list []membership.Message, forms []byte) {
 	updates := []membership.Update{
 		{ID: "edge-b", Addr: "10.0.0.2:7946", Incarnation: 1_800_000_007, Status: membership.Status(0)},
-		{ID: "edge-c", Addr: "10.0.0.3:7946", Incarnation: 3, Status: membership.Status(1), Age: 1270 * time.Millisecond, Beat: 70_000},
+		{ID: "edge-c", Addr: "10.0.0.3:7946", Incarnation: 3, Status: membership.Status(1), SuspicionAge: 1270 * time.Millisecond, Heartbeat: 70_000},
 		{ID: "edge-d", Incarnation: 1 << 40, Status: membership.Status(3)},
 	}
 	for form := byte(1); form <= 2; form++ {
@@ -61,15 +61,15 @@
 			}
 			m := membership.Message{
 				Kind: kind, From: "edge-a", Instance: 0x0102030405060708, Addr: "10.0.0.1:7946", Seq: 300 + uint32(kind), Epoch: 4711,
-				Digest: 0xfedcba9876543210, Beat: 123_456, Updates: append([]membership.Update(nil), updates...),
+				Digest: 0xfedcba9876543210, Heartbeat: 123_456, Updates: append([]membership.Update(nil), updates...),
 			}
 			if kind >= 2 {
-				m.About = "edge-x"
+				m.Subject = "edge-x"
 			}
 			if form == 1 { // knows no beats
-				m.Beat = 0
+				m.Heartbeat = 0
 				for i := range m.Updates {
-					m.Updates[i].Beat = 0
+					m.Updates[i].Heartbeat = 0
 				}
 			}
 			list, forms = append(list, m), append(forms, form)
--- a/internal/peers/wire.go
+++ b/internal/peers/wire.go
@@ -109,7 +109,7 @@
 	}
 	x.sent++
 	switch {
-	case k > membership.PingFor || x.as >= version:
+	case k > membership.PingReq || x.as >= version:
 		return []byte{version}
 	case x.sent%bothEvery == 1:
 		return []byte{oldest, version}
@@ -148,7 +148,7 @@
 
 // word also tells how many of the updates there was room for.
 func word(as byte, m membership.Message) (b []byte, room int, err error) {
-	if len(m.From) > MaxName || len(m.About) > MaxName {
+	if len(m.From) > MaxName || len(m.Subject) > MaxName {
 		return nil, 0, fmt.Errorf("a name over %d bytes", MaxName)
 	}
 	b = []byte{byte(m.Kind)}
@@ -156,19 +156,19 @@
 	b = binary.AppendUvarint(b, m.Epoch)
 	b = binary.BigEndian.AppendUint64(b, m.Digest)
 	if as > oldest {
-		b = binary.AppendUvarint(b, uint64(m.Beat))
+		b = binary.AppendUvarint(b, uint64(m.Heartbeat))
 	}
 	b = appendText(b, m.From)
-	b = appendText(b, m.About)
+	b = appendText(b, m.Subject)
 	b = appendAddr(b, m.Addr)
 	for _, u := range m.Updates {
 		one := appendText(nil, u.ID)
 		one = appendAddr(one, u.Addr)
 		one = binary.AppendUvarint(one, u.Incarnation)
 		one = append(one, byte(u.Status))
-		one = binary.AppendUvarint(one, uint64((max(0, u.Age)+ageUnit-1)/ageUnit))
+		one = binary.AppendUvarint(one, uint64((max(0, u.SuspicionAge)+ageUnit-1)/ageUnit))
 		if as > oldest {
-			one = binary.AppendUvarint(one, uint64(u.Beat))
+			one = binary.AppendUvarint(one, uint64(u.Heartbeat))
 		}
 		if len(b)+len(one) > maxPayload {
 			break
@@ -193,21 +193,21 @@
 	m.Epoch = r.uvarint()
 	m.Digest = r.uint64()
 	if as > oldest {
-		m.Beat = uint32(r.uvarint())
+		m.Heartbeat = uint32(r.uvarint())
 	}
-	m.From, m.About, m.Addr = r.text(), r.text(), r.addr()
+	m.From, m.Subject, m.Addr = r.text(), r.text(), r.addr()
 	for r.err == nil && len(r.rest) > 0 {
 		u := membership.Update{ID: r.text(), Addr: r.addr(), Incarnation: r.uvarint(), Status: membership.Status(r.byte())}
-		u.Age = time.Duration(min(r.uvarint(), maxAge)) * ageUnit
+		u.SuspicionAge = time.Duration(min(r.uvarint(), maxAge)) * ageUnit
 		if as > oldest {
-			u.Beat = uint32(r.uvarint())
+			u.Heartbeat = uint32(r.uvarint())
 		}
 		if u.ID == "" || u.Status > membership.Left {
 			r.err = errPayload
 		}
 		m.Updates = append(m.Updates, u)
 	}
-	if m.Kind > membership.Have || as == oldest && m.Kind > membership.PingFor || m.From == "" || m.Addr == "" {
+	if m.Kind > membership.SyncReply || as == oldest && m.Kind > membership.PingReq || m.From == "" || m.Addr == "" {
 		r.err = errPayload
 	}
 	return m, r.err
