--- a/decide/membership/model_test.go
+++ b/decide/membership/model_test.go
@@ -72,7 +72,7 @@
 // tamper has the n-th message sent lost, doubled or held back.
 func (t *tier) tamper(n int, how string) {
 	done := false
-	t.fails = func(from, to string) bool {
+	t.fails = func(string, string) bool {
 		if t.sent != n || done {
 			return false
 		}
--- a/decide/membership/view.go
+++ b/decide/membership/view.go
@@ -10,22 +10,22 @@
 	Since       Time          // of its status
 	LastHeard   Time          `json:"Heard"` // the last message from itself
 	RTT         time.Duration // of the latest ping that it answered directly
-	OneWay      bool          // it is heard, and others reach it, but our own pings are not answered
+	OneWay      bool          // it is heard and others reach it, but this gateway's pings are not answered
 	Steady      bool          // it has not died and come back again and again of late
-	Accusers    int           // of a suspect: how many say so
-	DeadIn      time.Duration `json:"Due"` // of a suspect: until it counts as dead
+	Accusers    int           // of a suspect: gateways that suspect it
+	DeadIn      time.Duration `json:"Due"` // of a suspect: until its suspicion times out
 }
 
-// View is who is there, by one gateway's lights.
+// View is the tier as one gateway sees it.
 type View struct {
 	Epoch       uint64 // grows with every change; with Digest it tells views apart
-	Digest      uint64 // the same for the same gateways with the same standing
+	Digest      uint64 // equal for the same gateways with the same statuses
 	Self        Update
 	Others      []Gateway // by name
 	Sharing     int       // gateways that may use the engines now, this one among them
-	Minority    bool      // those in reach are not more than half of all that may be there
-	Silenced    bool      // another process goes by this name and stays
-	LocalHealth int       `json:"Health"` // how far this gateway distrusts itself, 0 for not at all
+	Minority    bool      // the gateways in reach are no quorum: not more than half of all that may run
+	Silenced    bool      // another process has this gateway's name, and stays
+	LocalHealth int       `json:"Health"` // Lifeguard's local health multiplier less one; 0 is healthy
 	Stats       Stats
 }
 
@@ -35,14 +35,14 @@
 		Epoch: m.epoch, Digest: m.digest, Self: m.self, Sharing: m.Sharing(), Minority: m.Minority(),
 		Silenced: m.silenced, LocalHealth: m.localHealth, Stats: m.stats,
 	}
-	for _, x := range m.byName {
+	for _, peer := range m.byName {
 		g := Gateway{
-			ID: x.ID, Addr: x.Addr, Incarnation: x.Incarnation, Status: x.Status, Since: x.statusSince, LastHeard: x.lastHeard,
-			RTT: x.rtt, Steady: m.decayedFlaps(x) < maxSteadyFlaps, Accusers: len(x.accusers),
-			OneWay: x.Status < Dead && x.everHeard && !x.ackedDirectly && m.now-x.lastDirectAck > m.cfg.SuspicionTimeout,
+			ID: peer.ID, Addr: peer.Addr, Incarnation: peer.Incarnation, Status: peer.Status, Since: peer.statusSince, LastHeard: peer.lastHeard,
+			RTT: peer.rtt, Steady: m.decayedFlaps(peer) < maxSteadyFlaps, Accusers: len(peer.accusers),
+			OneWay: peer.Status < Dead && peer.everHeard && !peer.ackedDirectly && m.now-peer.lastDirectAck > m.cfg.SuspicionTimeout,
 		}
-		if x.Status == Suspect {
-			g.DeadIn = max(0, x.deadAt-m.now)
+		if peer.Status == Suspect {
+			g.DeadIn = max(0, peer.deadAt-m.now)
 		}
 		v.Others = append(v.Others, g)
 	}
@@ -51,18 +51,18 @@
 
 // Changed tells whether anything but times has changed since the last call.
 func (m *Machine) Changed() bool {
-	was := m.viewChanged
+	changed := m.viewChanged
 	m.viewChanged = false
-	return was
+	return changed
 }
 
-// Sharing is how many gateways may use the engines now. It errs to more: a suspect counts,
-// one that died counts for a while, since its engines' work may go on and so may it, and to
-// a minority every one that did not say it left counts, as the rest may be well together.
+// Sharing returns how many gateways may use the engines now. It errs to more: a suspect counts;
+// a dead one counts for a while, since it may run on and its requests may still be at the
+// engines; and in a minority all count that have not left, as the others may well be a majority.
 func (m *Machine) Sharing() int {
 	n, minority := 1+m.statusCounts[Alive]+m.statusCounts[Suspect]+m.statusCounts[Leaving], m.Minority()
-	for _, x := range m.notAlive {
-		if x.Status == Dead && (minority || m.now-x.statusSince < m.cfg.DeadGrace) {
+	for _, peer := range m.notAlive {
+		if peer.Status == Dead && (minority || m.now-peer.statusSince < m.cfg.DeadGrace) {
 			n++
 		}
 	}
@@ -72,34 +72,43 @@
 	return n
 }
 
-// Minority tells whether those alive are not more than half of all that may be there: two
-// halves are a minority each. Before a gateway has found as many as the operator expects
-// it does not know better.
+// Minority tells whether the gateways alive are no quorum, that is not more than half of all
+// that may run: each half of a tier is a minority. Until a gateway has found as many as the
+// operator expects it takes itself for one of a minority, too.
 func (m *Machine) Minority() bool {
 	alive := 1 + m.statusCounts[Alive] + m.statusCounts[Leaving]
 	return 2*alive <= max(alive+m.statusCounts[Suspect]+m.statusCounts[Dead], m.cfg.ExpectedSize)
 }
 
-// digestPart is a gateway's part of the digest of who stands how. It leaves out suspicions, which
-// come and go, and those who have left, whom some forget before others.
+// The constants of FNV-1a, and two odd factors that spread an incarnation and a status over all
+// bits. Digests are compared between gateways of all versions: none of these may change.
+const (
+	fnvOffset         = 14695981039346656037
+	fnvPrime          = 0x100000001b3
+	incarnationFactor = 0x9e3779b97f4a7c15
+	statusFactor      = 0xbf58476d1ce4e5b9
+)
+
+// digestPart returns a gateway's part of the digest. It leaves out suspicions, which come and
+// go, and gateways that have left, which some remove before others.
 func (u Update) digestPart() uint64 {
-	s := u.Status
-	switch s {
+	status := u.Status
+	switch status {
 	case Left:
 		return 0
 	case Suspect:
-		s = Alive
+		status = Alive
 	}
-	x := uint64(14695981039346656037)
-	for i := 0; i < len(u.ID); i++ {
-		x = (x ^ uint64(u.ID[i])) * 0x100000001b3
+	h := uint64(fnvOffset)
+	for i := range len(u.ID) {
+		h = (h ^ uint64(u.ID[i])) * fnvPrime
 	}
-	x = (x ^ u.Incarnation) * 0x9e3779b97f4a7c15
-	x = (x ^ uint64(s) ^ x>>31) * 0xbf58476d1ce4e5b9
-	return x ^ x>>29
+	h = (h ^ u.Incarnation) * incarnationFactor
+	h = (h ^ uint64(status) ^ h>>31) * statusFactor
+	return h ^ h>>29
 }
 
-// updateDigest gives the view a new number if it is another one.
+// updateDigest takes this gateway's own part anew and raises the epoch if the digest has changed.
 func (m *Machine) updateDigest() {
 	m.digest ^= m.selfDigestPart
 	m.selfDigestPart = m.self.digestPart()
@@ -110,9 +119,9 @@
 	}
 }
 
-// adoptEpoch takes over a higher number. Equal views end with equal numbers; views that two
-// halves formed apart may bear one number but have other digests, and once merged bear a
-// number above both.
+// adoptEpoch takes over a higher epoch. Equal views end with equal epochs; views that the sides
+// of a partition have formed may have one epoch but differ in their digests, and once merged
+// have an epoch above both.
 func (m *Machine) adoptEpoch(msg Message) {
 	if msg.Epoch > m.epoch {
 		m.epoch, m.viewChanged = msg.Epoch, true
