--- a/cmd/wellgw/peers.go
+++ b/cmd/wellgw/peers.go
@@ -54,7 +54,7 @@
 	}
 	c := s.Counts
 	fmt.Fprintf(w, "datagrams: %d sent, %d received; dropped %d short, %d of another version, %d by unknown keys, %d by bad seals, %d replayed, %d unreadable, %d of earlier lives, %d for want of time\n",
-		c.Sent, c.Received, c.Short, c.Version, c.Key, c.Seal, c.Replay, c.Payload, c.Former, c.Full)
+		c.Sent, c.Received, c.NotADatagram, c.UnknownVersion, c.UnknownKey, c.BadSeal, c.Replayed, c.BadPayload, c.StaleInstance, c.QueueFull)
 	fmt.Fprintf(w, "probes: %d, %d unanswered, %d answered by way of others; suspected %d, own refutations %d, deaths %d, own pauses %d\n",
 		v.Stats.Probes, v.Stats.Unanswered, v.Stats.IndirectAcks, v.Stats.Suspected, v.Stats.Refuted, v.Stats.Died, v.Stats.Pauses)
 }
--- a/cmd/wellgw/tier.go
+++ b/cmd/wellgw/tier.go
@@ -28,10 +28,10 @@
 		event = s.tracer.Member
 	}
 	s.peers, err = peers.New(peers.Options{
-		Plain: o.Peers.Protocol == 1, Interval: interval, Timeout: timeout, DeadAfter: dead, Event: event,
+		FirstVersion: o.Peers.Protocol == 1, ProbeInterval: interval, ProbeTimeout: timeout, SuspicionTimeout: dead, OnEvent: event,
 		Listen: o.Peers.Listen, Advertise: o.Peers.Advertise, Name: o.Peers.Name, Tier: o.Peers.Tier, Join: o.Peers.Join, Keys: ring,
-		IncarnationFile: o.Peers.IncarnationFile, Expect: o.Gateways, Log: s.log.With("part", "peers"),
-		Changed: func(v membership.View) { s.share(v.Sharing) },
+		IncarnationFile: o.Peers.IncarnationFile, ExpectedGateways: o.Gateways, Log: s.log.With("part", "peers"),
+		OnViewChange: func(v membership.View) { s.share(v.Sharing) },
 	})
 	if err != nil {
 		return err
@@ -62,9 +62,9 @@
 	const numbered = "0.0.0.0:"
 	opt := peers.Options{
 		Listen: p.PeerListen, Advertise: numbered + strconv.Itoa(p.Options.Me), Name: p.Name, Tier: "platform", Keys: ring,
-		Interval: platformProbes, Timeout: platformAnswer, DeadAfter: platformDead, Expect: len(p.Peers), Log: log.With("part", "peers"),
-		Changed: func(v membership.View) { c.SetGateways(min(v.Sharing, max(p.Options.Balancers, 1))) },
-		Route: func(addr string) string {
+		ProbeInterval: platformProbes, ProbeTimeout: platformAnswer, SuspicionTimeout: platformDead, ExpectedGateways: len(p.Peers), Log: log.With("part", "peers"),
+		OnViewChange: func(v membership.View) { c.SetGateways(min(v.Sharing, max(p.Options.Balancers, 1))) },
+		TranslateAddr: func(addr string) string {
 			if n, err := strconv.Atoi(strings.TrimPrefix(addr, numbered)); err == nil && n >= 0 && n < len(p.Peers) {
 				return p.Peers[n]
 			}
--- a/cmd/wellgw/tier_test.go
+++ b/cmd/wellgw/tier_test.go
@@ -205,7 +205,7 @@
 	w.gates["b"].kill()
 	w.net.Set("b", "a", faultnet.Rule{})
 	w.start("b", "b", nil)
-	w.eventually("what the former life sent is dropped", []string{"a"}, func(s peers.Status) bool { return s.Counts.Former > 0 })
+	w.eventually("what the former life sent is dropped", []string{"a"}, func(s peers.Status) bool { return s.Counts.StaleInstance > 0 })
 	w.agree("after the restart")
 	want := w.gates["b"].status(t).View.Self.Incarnation
 	if g, _ := w.gates["a"].of(t, "b"); g.Incarnation != want {
@@ -299,7 +299,7 @@
 	}
 	w.eventually("the new key seals", []string{"a", "b"}, func(s peers.Status) bool { return s.Key != inUse && alive(s.View) == 1 })
 	w.gates["c"].stop(syscall.SIGCONT)
-	w.eventually("it can't read the new key", []string{"c"}, func(s peers.Status) bool { return s.Counts.Key > 0 })
+	w.eventually("it can't read the new key", []string{"c"}, func(s peers.Status) bool { return s.Counts.UnknownKey > 0 })
 	w.gates["c"].setKeys(t, tierKey(8), tierKey(7))
 	w.agree("once it has the new key")
 	for _, name := range w.names {
@@ -332,7 +332,7 @@
 	}
 	w.gates["c"].kill()
 	w.start("c", "c", old)
-	w.eventually("drops what it can't read", []string{"a"}, func(s peers.Status) bool { return s.Counts.Version > 0 })
+	w.eventually("drops what it can't read", []string{"a"}, func(s peers.Status) bool { return s.Counts.UnknownVersion > 0 })
 	w.agree("at the end")
 }
 
@@ -368,7 +368,7 @@
 			t.Fatal(err)
 		}
 	}
-	w.eventually("drops what is forged and what has come before", []string{"a"}, func(s peers.Status) bool { return s.Counts.Seal > 100 && s.Counts.Replay > 100 })
+	w.eventually("drops what is forged and what has come before", []string{"a"}, func(s peers.Status) bool { return s.Counts.BadSeal > 100 && s.Counts.Replayed > 100 })
 	healthy(t, w.gates["a"].url)
 	w.agree("after the flood")
 }
--- a/experiments/membersrun/membersrun.go
+++ b/experiments/membersrun/membersrun.go
@@ -90,7 +90,7 @@
 	bytesLine, kills, cost := experiments.Line{Name: "bytes a second of a gateway"}, experiments.Line{Name: "kill known, p99 ms"}, experiments.Line{Name: "CPU of its machine, us a second"}
 	for _, n := range all {
 		tier := membersim.New(opt.Seed, n)
-		tier.Size = peers.Size
+		tier.Size = peers.DatagramSize
 		join, _ := tier.Until(2 * time.Minute)
 		const still = 10 * time.Second
 		tier.Run(settle) // what a join is followed by is over
--- a/internal/peers/incarnation.go
+++ b/internal/peers/incarnation.go
@@ -12,8 +12,8 @@
 	"wellgw/internal/files"
 )
 
-// incarnationSize bounds the file, in bytes.
-const incarnationSize = 64
+// maxIncarnationFile bounds the file, in bytes.
+const maxIncarnationFile = 64
 
 // startIncarnation is above that of an earlier life, by what was written down or, without
 // it, by the clock. The tier corrects it if both are lost. An error tells of a file that can't be
@@ -24,7 +24,7 @@
 		return clock, nil
 	}
 	next := clock
-	text, err := files.Read(path, incarnationSize)
+	text, err := files.Read(path, maxIncarnationFile)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
 		err = nil
@@ -45,20 +45,20 @@
 	return nil
 }
 
-// incarnationRetry is how soon an incarnation that could not be written is tried again.
-const incarnationRetry = time.Second
+// incarnationRetryInterval is how soon an incarnation that could not be written is tried again.
+const incarnationRetryInterval = time.Second
 
-// keepIncarnation writes down what the tier has made us raise, and tries again what could not be
+// persistIncarnations writes down what the tier has made us raise, and tries again what could not be
 // written.
-func (p *Peers) keepIncarnation(ctx context.Context) {
+func (p *Peers) persistIncarnations(ctx context.Context) {
 	unwritten := uint64(0)
-	retry := time.NewTicker(incarnationRetry)
+	retry := time.NewTicker(incarnationRetryInterval)
 	defer retry.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case unwritten = <-p.inc:
+		case unwritten = <-p.incarnations:
 		case <-retry.C:
 		}
 		if p.opt.IncarnationFile == "" || unwritten == 0 {
--- a/internal/peers/keyring.go
+++ b/internal/peers/keyring.go
@@ -30,9 +30,9 @@
 // Keyring holds the keys of a tier. The first seals; each opens. To rotate without a gap, a
 // new key is put second at every gateway, then first, and the old one is taken out last.
 type Keyring struct {
-	path string
-	keys atomic.Pointer[[]key]
-	text []byte // as last read
+	path     string
+	keys     atomic.Pointer[[]key]
+	lastText []byte // as last read
 }
 
 // ReadKeyring reads a file with one key in base64 to a line; lines that begin with # and
@@ -52,7 +52,7 @@
 	if err != nil {
 		return false, fmt.Errorf("key file: %w", err)
 	}
-	if bytes.Equal(text, k.text) {
+	if bytes.Equal(text, k.lastText) {
 		return false, nil
 	}
 	var keys []key
@@ -75,13 +75,13 @@
 	if len(keys) == 0 {
 		return false, errors.New("key file: holds no key")
 	}
-	k.text = text
+	k.lastText = text
 	k.keys.Store(&keys)
 	return true, nil
 }
 
-// InUse names the key that seals now.
-func (k *Keyring) InUse() string { return (*k.keys.Load())[0].id.String() }
+// SealingKeyID names the key that seals now.
+func (k *Keyring) SealingKeyID() string { return (*k.keys.Load())[0].id.String() }
 
 func (k *Keyring) find(id keyID) *key {
 	for i, x := range *k.keys.Load() {
@@ -92,51 +92,51 @@
 	return nil
 }
 
-// opened are the processes heard of, each with its sealer and the counters that have come.
+// datagramOpener are the processes heard of, each with its sealer and the counters that have come.
 // A process whose seal has not held once is not entered, so forgeries fill nothing.
-type opened struct {
-	tier string
-	ring *Keyring
-	from map[opener]*window
-	last uint64 // use of any, to find the least lately used
+type datagramOpener struct {
+	tier    string
+	keyring *Keyring
+	senders map[senderID]*replayWindow
+	uses    uint64 // use of any, to find the least lately used
 }
 
-type opener struct {
-	id keyID
+type senderID struct {
+	key keyID
 	process
 }
 
-// window remembers which of the latest counters of a process have come.
-type window struct {
-	aead cipher.AEAD
-	top  uint64
-	seen [windowWords]uint64
-	used uint64
+// replayWindow remembers which of the latest counters of a process have come.
+type replayWindow struct {
+	aead    cipher.AEAD
+	highest uint64
+	seen    [replayWindowWords]uint64
+	lastUse uint64
 }
 
 const (
-	windowWords = 16 // of 64 counters each: reordering beyond that is a replay
-	windowSpan  = 64 * windowWords
-	mostHeard   = 1024 // processes remembered
+	replayWindowWords = 16 // of 64 counters each: reordering beyond that is a replay
+	replayWindowSize  = 64 * replayWindowWords
+	maxSenders        = 1024 // processes remembered
 )
 
 // open returns what a datagram holds. It is for one goroutine.
-func (o *opened) open(b []byte) ([]byte, process, error) {
-	id, p, counter, err := header(b)
+func (o *datagramOpener) open(b []byte) ([]byte, process, error) {
+	id, p, counter, err := parseHeader(b)
 	if err != nil {
 		return nil, p, err
 	}
-	who := opener{id, p}
-	w := o.from[who]
-	k := o.ring.find(id)
+	who := senderID{id, p}
+	w := o.senders[who]
+	k := o.keyring.find(id)
 	if k == nil {
-		delete(o.from, who)
+		delete(o.senders, who)
 		return nil, p, errKey
 	}
 	fresh := w == nil
 	if fresh {
-		w = &window{}
-		if w.aead, err = sealer(k.value, o.tier, p); err != nil {
+		w = &replayWindow{}
+		if w.aead, err = newAEAD(k.value, o.tier, p); err != nil {
 			return nil, p, err
 		}
 	}
@@ -144,44 +144,44 @@
 	if err != nil {
 		return nil, p, errSeal
 	}
-	if !w.first(counter) {
+	if !w.accept(counter) {
 		return nil, p, errReplay
 	}
 	if fresh {
 		o.evict()
-		o.from[who] = w
+		o.senders[who] = w
 	}
-	o.last++
-	w.used = o.last
+	o.uses++
+	w.lastUse = o.uses
 	return payload, p, nil
 }
 
 // evict makes room for one more.
-func (o *opened) evict() {
-	if len(o.from) < mostHeard {
+func (o *datagramOpener) evict() {
+	if len(o.senders) < maxSenders {
 		return
 	}
-	var oldest opener
+	var oldest senderID
 	low := ^uint64(0)
-	for who, w := range o.from {
-		if w.used < low {
-			oldest, low = who, w.used
+	for who, w := range o.senders {
+		if w.lastUse < low {
+			oldest, low = who, w.lastUse
 		}
 	}
-	delete(o.from, oldest)
+	delete(o.senders, oldest)
 }
 
-// first tells whether a counter comes for the first time, and enters it.
-func (w *window) first(counter uint64) bool {
-	if counter > w.top {
-		for n := w.top + 1; n <= counter && n <= w.top+windowSpan; n++ {
-			w.seen[n/64%windowWords] &^= 1 << (n % 64)
+// accept tells whether a counter comes for the first time, and enters it.
+func (w *replayWindow) accept(counter uint64) bool {
+	if counter > w.highest {
+		for n := w.highest + 1; n <= counter && n <= w.highest+replayWindowSize; n++ {
+			w.seen[n/64%replayWindowWords] &^= 1 << (n % 64)
 		}
-		w.top = counter
-	} else if w.top-counter >= windowSpan {
+		w.highest = counter
+	} else if w.highest-counter >= replayWindowSize {
 		return false
 	}
-	at, bit := counter/64%windowWords, uint64(1)<<(counter%64)
+	at, bit := counter/64%replayWindowWords, uint64(1)<<(counter%64)
 	if w.seen[at]&bit != 0 {
 		return false
 	}
--- a/internal/peers/packets.go
+++ b/internal/peers/packets.go
@@ -9,12 +9,12 @@
 	"wellgw/decide/membership"
 )
 
-// readPause keeps an error that stays from taking the processor.
-const readPause = time.Millisecond
+// readErrorPause keeps an error that stays from taking the processor.
+const readErrorPause = time.Millisecond
 
-// read takes datagrams off the socket, as fast as they come: what nobody has time for is
+// readSocket takes datagrams off the socket, as fast as they come: what nobody has time for is
 // dropped here and not in the system's buffer, where it would crowd out what is good.
-func (p *Peers) read(packets chan<- []byte) {
+func (p *Peers) readSocket(packets chan<- []byte) {
 	buf := make([]byte, 2*MaxMessage)
 	for {
 		n, _, err := p.conn.ReadFromUDPAddrPort(buf)
@@ -22,7 +22,7 @@
 			return
 		}
 		if err != nil { // mostly an answer to what was sent to nobody
-			time.Sleep(readPause)
+			time.Sleep(readErrorPause)
 			continue
 		}
 		p.counts.received.Add(1)
@@ -39,19 +39,19 @@
 	}
 }
 
-// decode opens and reads a datagram, and counts why one is not taken.
-func (p *Peers) decode(b []byte) (membership.Message, int) {
+// receive opens and reads a datagram, and counts why one is not taken.
+func (p *Peers) receive(b []byte) (membership.Message, int) {
 	var m membership.Message
 	payload, from, err := p.opened.open(b)
-	if err == nil && p.opt.Plain && b[0] > oldest {
+	if err == nil && p.opt.FirstVersion && b[0] > oldestVersion {
 		err = errVersion
 	}
 	if err == nil {
 		m, err = decode(b[0], payload)
 	}
-	if was := p.latest[m.From]; err == nil && from.instance < was.instance && time.Since(was.heard) < formerFor {
+	if was := p.lastProcesses[m.From]; err == nil && from.instance < was.instance && time.Since(was.lastHeard) < staleInstanceWindow {
 		p.counts.former.Add(1) // of an earlier life: late, or sent again by somebody
-		return m, former
+		return m, staleMessage
 	}
 	switch {
 	case errors.Is(err, errShort):
@@ -67,40 +67,40 @@
 	case err != nil:
 		p.counts.payload.Add(1)
 	default:
-		if len(p.latest) >= mostNames {
-			clear(p.latest)
+		if len(p.lastProcesses) >= maxNames {
+			clear(p.lastProcesses)
 		}
-		p.latest[m.From] = life{from.instance, time.Now()}
-		p.speaks.heard(m.Addr, b[0])
+		p.lastProcesses[m.From] = lastProcess{from.instance, time.Now()}
+		p.versions.noteHeard(m.Addr, b[0])
 		m.Instance = from.instance
-		return m, taken
+		return m, currentMessage
 	}
-	return m, dropped
+	return m, droppedDatagram
 }
 
-func (p *Peers) send(out []membership.Outgoing) {
+func (p *Peers) sendAll(out []membership.Outgoing) {
 	if len(out) == 0 {
 		return
 	}
 	first := (*p.opt.Keys.keys.Load())[0]
-	aead := p.sealers[first.id]
+	aead := p.aeads[first.id]
 	if aead == nil {
 		var err error
-		if aead, err = sealer(first.value, p.opt.Tier, p.me); err != nil {
+		if aead, err = newAEAD(first.value, p.opt.Tier, p.self); err != nil {
 			p.opt.Log.Error("peers", "cause", err)
 			return
 		}
-		clear(p.sealers)
-		p.sealers[first.id] = aead
+		clear(p.aeads)
+		p.aeads[first.id] = aead
 	}
 	for _, s := range out {
-		say := p.speaks.of(s.To, s.Kind)
-		if p.opt.Plain {
+		say := p.versions.forMessage(s.To, s.Kind)
+		if p.opt.FirstVersion {
 			say = say[:1]
 		}
 		to := s.To
-		if p.opt.Route != nil {
-			to = p.opt.Route(to)
+		if p.opt.TranslateAddr != nil {
+			to = p.opt.TranslateAddr(to)
 		}
 		at, bad := netip.ParseAddrPort(to)
 		for _, as := range say {
@@ -109,8 +109,8 @@
 				p.counts.unsent.Add(1)
 				continue
 			}
-			p.counter++
-			b := seal(aead, as, first.id, p.me, p.counter, payload)
+			p.nonceCounter++
+			b := seal(aead, as, first.id, p.self, p.nonceCounter, payload)
 			if _, err := p.conn.WriteToUDPAddrPort(b, at); err != nil {
 				p.counts.unsent.Add(1)
 				continue
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -52,7 +52,7 @@
 // begin runs one gateway's part; the returned function ends it.
 func begin(t *testing.T, opt Options) (*Peers, func()) {
 	t.Helper()
-	opt.KeysEvery = 20 * time.Millisecond
+	opt.KeyCheckInterval = 20 * time.Millisecond
 	opt.Listen, opt.Log = "127.0.0.1:0", slog.New(slog.NewTextHandler(io.Discard, nil))
 	if opt.Tier == "" {
 		opt.Tier = "tier"
@@ -93,7 +93,7 @@
 	keys := keyFile(t, dir, "keys", newKey(t))
 	var mu sync.Mutex
 	told := map[int]bool{}
-	a, _ := begin(t, Options{Name: "a", Keys: ring(t, keys), Changed: func(v membership.View) {
+	a, _ := begin(t, Options{Name: "a", Keys: ring(t, keys), OnViewChange: func(v membership.View) {
 		mu.Lock()
 		told[v.Sharing] = true
 		mu.Unlock()
@@ -137,7 +137,7 @@
 			until(t, "it hears on", func() bool { return p.Counts().Received > got+3 && both() })
 		}
 	}
-	if n := a.Counts(); n.Key+n.Seal > 0 || a.Status().View.Stats.Died+b.Status().View.Stats.Died > 0 {
+	if n := a.Counts(); n.UnknownKey+n.BadSeal > 0 || a.Status().View.Stats.Died+b.Status().View.Stats.Died > 0 {
 		t.Errorf("while keys were rotated: %+v", n)
 	}
 	keyFile(t, dir, "b", "no key")
@@ -164,20 +164,20 @@
 
 	k := (*a.opt.Keys.keys.Load())[0]
 	me := process{instance: 1 << 60, random: 5}
-	aead, err := sealer(k.value, "tier", me)
+	aead, err := newAEAD(k.value, "tier", me)
 	if err != nil {
 		t.Fatal(err)
 	}
-	payload, err := encode(oldest, membership.Message{Kind: membership.Ping, From: "stranger", Addr: "127.0.0.1:9"})
+	payload, err := encode(oldestVersion, membership.Message{Kind: membership.Ping, From: "stranger", Addr: "127.0.0.1:9"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	whole := seal(aead, oldest, k.id, me, 1, payload)
+	whole := seal(aead, oldestVersion, k.id, me, 1, payload)
 	forged := append([]byte(nil), whole...)
 	forged[len(forged)-1] ^= 1
 	later := append([]byte(nil), whole...)
-	later[0] = version + 1 // to come
-	junk := seal(aead, oldest, k.id, me, 2, []byte{9, 9, 9})
+	later[0] = latestVersion + 1 // to come
+	junk := seal(aead, oldestVersion, k.id, me, 2, []byte{9, 9, 9})
 	conn, err := net.Dial("udp4", a.Addr())
 	if err != nil {
 		t.Fatal(err)
@@ -192,7 +192,7 @@
 			}
 		}
 		n := a.Counts()
-		return n.Replay > 0 && n.Seal > 0 && n.Version > 0 && n.Payload > 0 && n.Short > 0 && n.Key > 0
+		return n.Replayed > 0 && n.BadSeal > 0 && n.UnknownVersion > 0 && n.BadPayload > 0 && n.NotADatagram > 0 && n.UnknownKey > 0
 	})
 	if alive(a) != 1 || a.Status().View.Stats.Died > 0 || b.Status().View.Stats.Died > 0 {
 		t.Errorf("under a flood: %d alive, stats %+v", alive(a), a.Status().View.Stats)
@@ -214,8 +214,8 @@
 			Seq: rapid.Uint32().Draw(t, "seq"), Subject: rapid.OneOf(rapid.Just(""), name).Draw(t, "about"),
 			Epoch: rapid.Uint64().Draw(t, "epoch"), Digest: rapid.Uint64().Draw(t, "digest"), Heartbeat: rapid.Uint32().Draw(t, "beat"), Updates: rapid.SliceOfN(update, 0, 9).Draw(t, "updates"),
 		}
-		as := byte(rapid.IntRange(oldest, version).Draw(t, "version"))
-		if as == oldest {
+		as := byte(rapid.IntRange(oldestVersion, latestVersion).Draw(t, "version"))
+		if as == oldestVersion {
 			m.Kind, m.Heartbeat = min(m.Kind, membership.PingReq), 0
 			for i := range m.Updates {
 				m.Updates[i].Heartbeat = 0
@@ -245,11 +245,11 @@
 // A counter passes once, however the datagrams are ordered.
 func TestReplayedMessagesAreDropped(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w, seen, top := &window{}, map[uint64]bool{}, uint64(0)
+		w, seen, top := &replayWindow{}, map[uint64]bool{}, uint64(0)
 		for _, jump := range rapid.SliceOfN(rapid.IntRange(-1200, 1200), 1, 400).Draw(t, "jumps") {
 			n := uint64(max(1, int(top)+jump))
-			want := !seen[n] && (n > top || top-n < windowSpan)
-			if got := w.first(n); got != want {
+			want := !seen[n] && (n > top || top-n < replayWindowSize)
+			if got := w.accept(n); got != want {
 				t.Fatalf("counter %d with %d the highest: passes %v, want %v", n, top, got, want)
 			}
 			seen[n] = seen[n] || want
@@ -264,23 +264,23 @@
 	a, end := begin(t, Options{Name: "a", Keys: ring(t, keyFile(t, t.TempDir(), "keys", newKey(t)))})
 	end() // from here on the test is the goroutine that owns it
 	k := (*a.opt.Keys.keys.Load())[0]
-	payload, err := encode(oldest, membership.Message{Kind: membership.Ping, From: "b", Addr: "127.0.0.1:9"})
+	payload, err := encode(oldestVersion, membership.Message{Kind: membership.Ping, From: "b", Addr: "127.0.0.1:9"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	hears := func(instance, counter uint64) bool {
 		who := process{instance: instance, random: instance}
-		aead, err := sealer(k.value, "tier", who)
+		aead, err := newAEAD(k.value, "tier", who)
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, how := a.decode(seal(aead, oldest, k.id, who, counter, payload))
-		return how == taken
+		_, how := a.receive(seal(aead, oldestVersion, k.id, who, counter, payload))
+		return how == currentMessage
 	}
-	if !hears(9, 1) || hears(5, 1) || a.Counts().Former != 1 {
+	if !hears(9, 1) || hears(5, 1) || a.Counts().StaleInstance != 1 {
 		t.Errorf("of an earlier life: %+v", a.Counts())
 	}
-	a.latest["b"] = life{9, time.Now().Add(-2 * formerFor)}
+	a.lastProcesses["b"] = lastProcess{9, time.Now().Add(-2 * staleInstanceWindow)}
 	if !hears(5, 2) {
 		t.Error("a lower instance is still not heard after a long silence")
 	}
--- a/internal/peers/status.go
+++ b/internal/peers/status.go
@@ -7,11 +7,21 @@
 	"wellgw/decide/membership"
 )
 
-// Counts are datagrams since the start.
+// Counts are datagrams since the start; all from NotADatagram to QueueFull were dropped.
 type Counts struct {
-	Sent, SentBytes, Received, ReceivedBytes                 uint64
-	Short, Version, Key, Seal, Replay, Payload, Former, Full uint64 // dropped, by reason
-	Unsent                                                   uint64 // the system would not take them
+	Sent           uint64
+	SentBytes      uint64
+	Received       uint64
+	ReceivedBytes  uint64
+	NotADatagram   uint64 `json:"Short"`   // too short or too long to be one of a gateway
+	UnknownVersion uint64 `json:"Version"` // of the protocol
+	UnknownKey     uint64 `json:"Key"`     // not in the keyring
+	BadSeal        uint64 `json:"Seal"`    // not authentic
+	Replayed       uint64 `json:"Replay"`
+	BadPayload     uint64 `json:"Payload"`
+	StaleInstance  uint64 `json:"Former"` // of an earlier process of its sender's name
+	QueueFull      uint64 `json:"Full"`
+	SendFailed     uint64 `json:"Unsent"` // not encoded, or refused by the system
 }
 
 // Status is what operators are shown.
@@ -28,14 +38,14 @@
 func (p *Peers) Status() Status {
 	s := *p.status.Load()
 	answer := make(chan Status, 1)
-	late := time.NewTimer(statusWait)
+	late := time.NewTimer(statusTimeout)
 	defer late.Stop()
 	select {
-	case p.asked <- answer:
+	case p.statusRequests <- answer:
 		s = <-answer
 	case <-late.C:
 	}
-	s.Clock, s.Key, s.Counts = time.Since(p.origin), p.opt.Keys.InUse(), p.Counts()
+	s.Clock, s.Key, s.Counts = time.Since(p.startedAt), p.opt.Keys.SealingKeyID(), p.Counts()
 	return s
 }
 
@@ -44,38 +54,38 @@
 	c := &p.counts
 	return Counts{
 		Sent: c.sent.Load(), SentBytes: c.sentBytes.Load(), Received: c.received.Load(), ReceivedBytes: c.receivedBytes.Load(),
-		Short: c.short.Load(), Version: c.version.Load(), Key: c.key.Load(), Seal: c.seal.Load(), Replay: c.replay.Load(),
-		Payload: c.payload.Load(), Former: c.former.Load(), Full: c.full.Load(), Unsent: c.unsent.Load(),
+		NotADatagram: c.short.Load(), UnknownVersion: c.version.Load(), UnknownKey: c.key.Load(), BadSeal: c.seal.Load(), Replayed: c.replay.Load(),
+		BadPayload: c.payload.Load(), StaleInstance: c.former.Load(), QueueFull: c.full.Load(), SendFailed: c.unsent.Load(),
 	}
 }
 
-func (p *Peers) now() Status {
+func (p *Peers) snapshot() Status {
 	return Status{Name: p.opt.Name, Tier: p.opt.Tier, Listen: p.Addr(), View: p.machine.View()}
 }
 
 // publish shows the view, and tells of it if it is another one.
 func (p *Peers) publish() {
-	s := p.now()
+	s := p.snapshot()
 	v, before := s.View, p.status.Load()
 	p.status.Store(&s)
-	p.sharing, p.aging = v.Sharing, slices.ContainsFunc(v.Others, func(g membership.Gateway) bool { return g.Status == membership.Dead })
+	p.sharing, p.hasDead = v.Sharing, slices.ContainsFunc(v.Others, func(g membership.Gateway) bool { return g.Status == membership.Dead })
 	if before == nil {
 		return
 	}
-	p.tell(before.View, v)
+	p.reportTransitions(before.View, v)
 	if was := before.View; was.Epoch == v.Epoch && was.Digest == v.Digest && was.Sharing == v.Sharing && was.Minority == v.Minority && was.Silenced == v.Silenced {
 		return
 	}
 	if v.Self.Incarnation != before.View.Self.Incarnation {
 		select {
-		case <-p.inc: // an older one that has not been written
+		case <-p.incarnations: // an older one that has not been written
 		default:
 		}
-		p.inc <- v.Self.Incarnation
+		p.incarnations <- v.Self.Incarnation
 	}
 	p.opt.Log.Info("tier", "epoch", v.Epoch, "others", len(v.Others), "sharing", v.Sharing, "minority", v.Minority, "silenced", v.Silenced)
-	if p.opt.Changed != nil {
-		p.opt.Changed(v)
+	if p.opt.OnViewChange != nil {
+		p.opt.OnViewChange(v)
 	}
 }
 
@@ -84,42 +94,42 @@
 	Gateway, From, To string        // From is "" for one that was not known
 	Incarnation       uint64        // of the gateway
 	Since             time.Time     // it stood as From
-	Silent            time.Duration // since it was last heard
+	SilentFor         time.Duration // since it was last heard
 	OneWay            bool          // others reach it, but our own pings are not answered
 	Accusers          int           // that held it for suspect
-	Distrust          int           // steps by which this gateway distrusts itself
+	LocalHealth       int           // steps by which this gateway distrusts itself
 	Pauses            uint64        // of this gateway's own since its start
 }
 
-// tell logs and hands on who stands otherwise than before. Suspicions come and go, and are
+// reportTransitions logs and hands on who stands otherwise than before. Suspicions come and go, and are
 // told of only to whoever traces.
-func (p *Peers) tell(before, now membership.View) {
+func (p *Peers) reportTransitions(before, now membership.View) {
 	was := make(map[string]membership.Gateway, len(before.Others))
 	for _, g := range before.Others {
 		was[g.ID] = g
 	}
-	clock := time.Since(p.origin)
+	clock := time.Since(p.startedAt)
 	for _, g := range now.Others {
 		old, known := was[g.ID]
 		if known && old.Status == g.Status {
 			continue
 		}
 		e := Event{
-			Gateway: g.ID, To: g.Status.String(), Incarnation: g.Incarnation, Since: p.origin.Add(old.Since), Silent: clock - g.LastHeard,
-			OneWay: old.OneWay, Accusers: old.Accusers, Distrust: now.LocalHealth, Pauses: now.Stats.Pauses,
+			Gateway: g.ID, To: g.Status.String(), Incarnation: g.Incarnation, Since: p.startedAt.Add(old.Since), SilentFor: clock - g.LastHeard,
+			OneWay: old.OneWay, Accusers: old.Accusers, LocalHealth: now.LocalHealth, Pauses: now.Stats.Pauses,
 		}
 		if known {
 			e.From = old.Status.String()
 		} else {
 			e.Since = time.Now()
 		}
-		if p.opt.Event != nil {
-			p.opt.Event(e)
+		if p.opt.OnEvent != nil {
+			p.opt.OnEvent(e)
 		}
 		if g.Status == membership.Suspect || known && old.Status == membership.Suspect && g.Status == membership.Alive {
 			continue
 		}
 		p.opt.Log.Info("member", "gateway", g.ID, "standing", e.To, "incarnation", g.Incarnation, "accusers", e.Accusers,
-			"heard_ms", e.Silent.Milliseconds(), "distrust", e.Distrust, "pauses", e.Pauses)
+			"heard_ms", e.SilentFor.Milliseconds(), "distrust", e.LocalHealth, "pauses", e.Pauses)
 	}
 }
--- a/internal/peers/stored_test.go
+++ b/internal/peers/stored_test.go
@@ -88,11 +88,11 @@
 func TestDatagramBytes(t *testing.T) {
 	keys := storedRing(t)
 	first := (*keys.keys.Load())[0]
-	if got := keys.InUse(); got != "7d068f95" {
+	if got := keys.SealingKeyID(); got != "7d068f95" {
 		t.Errorf("the key in use is called %s", got)
 	}
 	from := process{instance: 0x0102030405060708, random: 0x1112131415161718}
-	aead, err := sealer(first.value, "lagos", from)
+	aead, err := newAEAD(first.value, "lagos", from)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -101,7 +101,7 @@
 	if len(lines) != len(messages) {
 		t.Fatalf("%d datagrams for %d messages", len(lines), len(messages))
 	}
-	o := opened{tier: "lagos", ring: keys, from: map[opener]*window{}}
+	o := datagramOpener{tier: "lagos", keyring: keys, senders: map[senderID]*replayWindow{}}
 	for i, m := range messages {
 		payload, err := encode(forms[i], m)
 		if err != nil {
--- a/internal/peers/wire.go
+++ b/internal/peers/wire.go
@@ -28,15 +28,15 @@
 // process seals by a key of its own, derived from the ring's key and its instance and random
 // part, so that the counter, which never comes twice in a process, is a nonce fit for GCM.
 const (
-	version    = 2 // knows beats, and kinds beyond PingFor
-	oldest     = 1
-	headSize   = 1 + 4 + 8 + 8 + 8
-	nonceSize  = 12
-	tagSize    = 16
-	MaxMessage = 256 // bytes of a datagram, as the platform allows between gateways
-	maxPayload = MaxMessage - headSize - tagSize
-	MaxName    = 24 // bytes of a gateway's name
-	ageUnit    = 10 * time.Millisecond
+	latestVersion = 2 // knows beats, and kinds beyond PingFor
+	oldestVersion = 1
+	headSize      = 1 + 4 + 8 + 8 + 8
+	nonceSize     = 12
+	tagSize       = 16
+	MaxMessage    = 256 // bytes of a datagram, as the platform allows between gateways
+	maxPayload    = MaxMessage - headSize - tagSize
+	MaxName       = 24 // bytes of a gateway's name
+	ageUnit       = 10 * time.Millisecond
 )
 
 // What is wrong with a datagram; each kind is counted apart.
@@ -52,8 +52,8 @@
 // process is what tells one process of a gateway from the next.
 type process struct{ instance, random uint64 }
 
-// sealer seals and opens by one key of the ring for one process.
-func sealer(key []byte, tier string, p process) (cipher.AEAD, error) {
+// newAEAD seals and opens by one key of the ring for one process.
+func newAEAD(key []byte, tier string, p process) (cipher.AEAD, error) {
 	var salt [16]byte
 	binary.BigEndian.PutUint64(salt[:], p.instance)
 	binary.BigEndian.PutUint64(salt[8:], p.random)
@@ -85,50 +85,50 @@
 	return aead.Seal(b, nonce(counter), payload, b[:headSize])
 }
 
-// versions are those that others have been heard to speak, by address. To one not known to
+// peerVersions are those that others have been heard to speak, by address. To one not known to
 // speak the latest every eighth message goes in both: it answers in what it knows, so after
 // a roll forward or back each pair soon speaks the latest that both have.
-type versions map[string]*spoken
+type peerVersions map[string]*spokenVersion
 
-type spoken struct {
-	as   byte
-	sent int
+type spokenVersion struct {
+	version byte
+	sent    int
 }
 
-const bothEvery = 8
+const dualVersionEvery = 8
 
-// of tells in which versions a message is to be sent.
-func (v versions) of(to string, k membership.Kind) []byte {
+// forMessage tells in which versions a message is to be sent.
+func (v peerVersions) forMessage(to string, k membership.Kind) []byte {
 	x := v[to]
 	if x == nil {
-		if len(v) >= mostNames {
+		if len(v) >= maxNames {
 			clear(v)
 		}
-		x = &spoken{as: oldest}
+		x = &spokenVersion{version: oldestVersion}
 		v[to] = x
 	}
 	x.sent++
 	switch {
-	case k > membership.PingReq || x.as >= version:
-		return []byte{version}
-	case x.sent%bothEvery == 1:
-		return []byte{oldest, version}
+	case k > membership.PingReq || x.version >= latestVersion:
+		return []byte{latestVersion}
+	case x.sent%dualVersionEvery == 1:
+		return []byte{oldestVersion, latestVersion}
 	}
-	return []byte{oldest}
+	return []byte{oldestVersion}
 }
 
-func (v versions) heard(from string, as byte) {
+func (v peerVersions) noteHeard(from string, as byte) {
 	if x := v[from]; x != nil {
-		x.as = as
+		x.version = as
 	}
 }
 
-// header reads the part before the seal.
-func header(b []byte) (id keyID, p process, counter uint64, err error) {
+// parseHeader reads the part before the seal.
+func parseHeader(b []byte) (id keyID, p process, counter uint64, err error) {
 	if len(b) < 1 || len(b) > MaxMessage {
 		return id, p, 0, errShort
 	}
-	if b[0] < oldest || b[0] > version {
+	if b[0] < oldestVersion || b[0] > latestVersion {
 		return id, p, 0, errVersion
 	}
 	if len(b) < headSize+tagSize {
@@ -142,12 +142,12 @@
 // encode words a message in a version, in at most maxPayload bytes. Updates that do not fit are left out,
 // the last ones first: the machine tells of everything more than once.
 func encode(as byte, m membership.Message) ([]byte, error) {
-	b, _, err := word(as, m)
+	b, _, err := encodeFitting(as, m)
 	return b, err
 }
 
-// word also tells how many of the updates there was room for.
-func word(as byte, m membership.Message) (b []byte, room int, err error) {
+// encodeFitting also tells how many of the updates there was room for.
+func encodeFitting(as byte, m membership.Message) (b []byte, room int, err error) {
 	if len(m.From) > MaxName || len(m.Subject) > MaxName {
 		return nil, 0, fmt.Errorf("a name over %d bytes", MaxName)
 	}
@@ -155,19 +155,19 @@
 	b = binary.AppendUvarint(b, uint64(m.Seq))
 	b = binary.AppendUvarint(b, m.Epoch)
 	b = binary.BigEndian.AppendUint64(b, m.Digest)
-	if as > oldest {
+	if as > oldestVersion {
 		b = binary.AppendUvarint(b, uint64(m.Heartbeat))
 	}
-	b = appendText(b, m.From)
-	b = appendText(b, m.Subject)
+	b = appendString(b, m.From)
+	b = appendString(b, m.Subject)
 	b = appendAddr(b, m.Addr)
 	for _, u := range m.Updates {
-		one := appendText(nil, u.ID)
+		one := appendString(nil, u.ID)
 		one = appendAddr(one, u.Addr)
 		one = binary.AppendUvarint(one, u.Incarnation)
 		one = append(one, byte(u.Status))
 		one = binary.AppendUvarint(one, uint64((max(0, u.SuspicionAge)+ageUnit-1)/ageUnit))
-		if as > oldest {
+		if as > oldestVersion {
 			one = binary.AppendUvarint(one, uint64(u.Heartbeat))
 		}
 		if len(b)+len(one) > maxPayload {
@@ -179,27 +179,27 @@
 	return b, room, nil
 }
 
-// Fits tells how many of a message's updates a datagram has room for.
-func Fits(m membership.Message) int {
-	_, room, _ := word(version, m)
+// FittingUpdates tells how many of a message's updates a datagram has room for.
+func FittingUpdates(m membership.Message) int {
+	_, room, _ := encodeFitting(latestVersion, m)
 	return room
 }
 
 // decode reads a payload. All of it must make sense: half a message is none.
 func decode(as byte, b []byte) (m membership.Message, err error) {
-	r := reader{rest: b}
+	r := payloadReader{rest: b}
 	m.Kind = membership.Kind(r.byte())
 	m.Seq = uint32(r.uvarint())
 	m.Epoch = r.uvarint()
 	m.Digest = r.uint64()
-	if as > oldest {
+	if as > oldestVersion {
 		m.Heartbeat = uint32(r.uvarint())
 	}
-	m.From, m.Subject, m.Addr = r.text(), r.text(), r.addr()
+	m.From, m.Subject, m.Addr = r.name(), r.name(), r.addr()
 	for r.err == nil && len(r.rest) > 0 {
-		u := membership.Update{ID: r.text(), Addr: r.addr(), Incarnation: r.uvarint(), Status: membership.Status(r.byte())}
+		u := membership.Update{ID: r.name(), Addr: r.addr(), Incarnation: r.uvarint(), Status: membership.Status(r.byte())}
 		u.SuspicionAge = time.Duration(min(r.uvarint(), maxAge)) * ageUnit
-		if as > oldest {
+		if as > oldestVersion {
 			u.Heartbeat = uint32(r.uvarint())
 		}
 		if u.ID == "" || u.Status > membership.Left {
@@ -207,7 +207,7 @@
 		}
 		m.Updates = append(m.Updates, u)
 	}
-	if m.Kind > membership.SyncReply || as == oldest && m.Kind > membership.PingReq || m.From == "" || m.Addr == "" {
+	if m.Kind > membership.SyncReply || as == oldestVersion && m.Kind > membership.PingReq || m.From == "" || m.Addr == "" {
 		r.err = errPayload
 	}
 	return m, r.err
@@ -215,7 +215,7 @@
 
 const maxAge = uint64(time.Hour / ageUnit)
 
-func appendText(b []byte, s string) []byte { return append(append(b, byte(len(s))), s...) }
+func appendString(b []byte, s string) []byte { return append(append(b, byte(len(s))), s...) }
 
 // appendAddr words an address of IPv4 in seven bytes; none is a zero.
 func appendAddr(b []byte, addr string) []byte {
@@ -227,12 +227,12 @@
 	return binary.BigEndian.AppendUint16(append(append(b, 4), ip[:]...), at.Port())
 }
 
-type reader struct {
+type payloadReader struct {
 	rest []byte
 	err  error
 }
 
-func (r *reader) take(n int) []byte {
+func (r *payloadReader) next(n int) []byte {
 	if r.err != nil || len(r.rest) < n {
 		r.err = errPayload
 		return make([]byte, n)
@@ -242,10 +242,10 @@
 	return p
 }
 
-func (r *reader) byte() byte     { return r.take(1)[0] }
-func (r *reader) uint64() uint64 { return binary.BigEndian.Uint64(r.take(8)) }
+func (r *payloadReader) byte() byte     { return r.next(1)[0] }
+func (r *payloadReader) uint64() uint64 { return binary.BigEndian.Uint64(r.next(8)) }
 
-func (r *reader) uvarint() uint64 {
+func (r *payloadReader) uvarint() uint64 {
 	v, n := binary.Uvarint(r.rest)
 	if n <= 0 {
 		r.err = errPayload
@@ -255,30 +255,30 @@
 	return v
 }
 
-func (r *reader) text() string {
+func (r *payloadReader) name() string {
 	n := int(r.byte())
 	if n > MaxName {
 		r.err = errPayload
 		return ""
 	}
-	return string(r.take(n))
+	return string(r.next(n))
 }
 
-func (r *reader) addr() string {
+func (r *payloadReader) addr() string {
 	switch r.byte() {
 	case 0:
 		return ""
 	case 4:
-		p := r.take(6)
+		p := r.next(6)
 		return netip.AddrPortFrom(netip.AddrFrom4([4]byte(p)), binary.BigEndian.Uint16(p[4:])).String()
 	}
 	r.err = errPayload
 	return ""
 }
 
-// Size is how many bytes a message takes as a datagram; 0 for one that can't be worded.
-func Size(m membership.Message) int {
-	b, err := encode(version, m)
+// DatagramSize is how many bytes a message takes as a datagram; 0 for one that can't be worded.
+func DatagramSize(m membership.Message) int {
+	b, err := encode(latestVersion, m)
 	if err != nil {
 		return 0
 	}
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -176,11 +176,11 @@
 	} {
 		count(c.member, float64(x), event)
 	}
-	for way, x := range map[string]uint64{"sent": n.Sent, "received": n.Received, "unsent": n.Unsent} {
+	for way, x := range map[string]uint64{"sent": n.Sent, "received": n.Received, "unsent": n.SendFailed} {
 		count(c.datagrams, float64(x), way)
 	}
 	for reason, x := range map[string]uint64{
-		"short": n.Short, "version": n.Version, "key": n.Key, "seal": n.Seal, "replay": n.Replay, "payload": n.Payload, "former": n.Former, "full": n.Full,
+		"short": n.NotADatagram, "version": n.UnknownVersion, "key": n.UnknownKey, "seal": n.BadSeal, "replay": n.Replayed, "payload": n.BadPayload, "former": n.StaleInstance, "full": n.QueueFull,
 	} {
 		count(c.dropped, float64(x), reason)
 	}
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -42,7 +42,7 @@
 				Epoch: 7, Sharing: 3, Minority: true, Stats: membership.Stats{Died: 2, Pauses: 1},
 				Others: []membership.Gateway{{Status: membership.Dead}, {OneWay: true}},
 			},
-			Counts: peers.Counts{Sent: 5, Replay: 4},
+			Counts: peers.Counts{Sent: 5, Replayed: 4},
 		}
 	}
 	w := httptest.NewRecorder()
--- a/internal/telemetry/trace.go
+++ b/internal/telemetry/trace.go
@@ -134,6 +134,6 @@
 		failed = "held for dead"
 	}
 	t.span(within(fmt.Sprint("member ", e.Gateway, " ", e.Incarnation)), "member: "+cmp.Or(e.From, "not known")+" to "+e.To, e.Since, time.Now(), failed,
-		attribute.String("gateway", e.Gateway), attribute.Int64("incarnation", int64(e.Incarnation)), attribute.Int64("silent_ms", e.Silent.Milliseconds()),
-		attribute.Bool("one_way", e.OneWay), attribute.Int("accusers", e.Accusers), attribute.Int("distrust", e.Distrust), attribute.Int64("own_pauses", int64(e.Pauses)))
+		attribute.String("gateway", e.Gateway), attribute.Int64("incarnation", int64(e.Incarnation)), attribute.Int64("silent_ms", e.SilentFor.Milliseconds()),
+		attribute.Bool("one_way", e.OneWay), attribute.Int("accusers", e.Accusers), attribute.Int("distrust", e.LocalHealth), attribute.Int64("own_pauses", int64(e.Pauses)))
 }
