--- a/cmd/wellgw/tier_test.go
+++ b/cmd/wellgw/tier_test.go
@@ -412,8 +412,8 @@
 		kill = sync.OnceFunc(func() { _ = cmd.Process.Kill(); _ = cmd.Wait(); log.Close() })
 		t.Cleanup(kill)
 		enginetest.Eventually(t, name+" serves", func() bool { return said(`"message":"serving"`) })
-		if text, _ := os.ReadFile(log.Name()); said(`"message":"peers"`) {
-			listen := regexp.MustCompile(`"listen":"([^"]+)"[^\n]*"message":"peers"`).FindSubmatch(text)
+		if text, _ := os.ReadFile(log.Name()); said(`"message":"tier transport listening"`) {
+			listen := regexp.MustCompile(`"listen":"([^"]+)"[^\n]*"message":"tier transport listening"`).FindSubmatch(text)
 			if err := net.Behind(name, string(listen[1])); err != nil {
 				t.Fatal(err)
 			}
@@ -436,6 +436,6 @@
 	}
 	kills[2]()
 	for i := range names[:2] {
-		enginetest.Eventually(t, names[i]+" sees one die", func() bool { return said[i](`"gateway":"n2"[^\n]*"standing":"dead"`) })
+		enginetest.Eventually(t, names[i]+" sees one die", func() bool { return said[i](`"gateway":"n2"[^\n]*"status":"dead"`) })
 	}
 }
--- a/internal/peers/datagram.go
+++ b/internal/peers/datagram.go
@@ -1,9 +1,9 @@
-// Package peers carries what gateways of a tier tell each other about who is there: small
-// sealed datagrams, a keyring that rotates in service, and one goroutine that owns the view.
-// Everything that is decided is decided by decide/membership.
+// Package peers is the transport of the membership protocol between the gateways of a tier:
+// small sealed datagrams, a keyring that rotates in service, and one goroutine that owns the
+// protocol's state. What to send, and what to conclude, is decided in decide/membership.
 //
-// No call from the path of a request waits on anything here: a view is read from memory,
-// and a peer that is slow or silent costs a datagram that nobody waits for.
+// No call on a request's path waits on anything here: a view is read from memory, and a peer
+// that is slow or silent costs a datagram whose answer is not waited for.
 package peers
 
 import (
@@ -13,47 +13,46 @@
 	"crypto/sha256"
 	"encoding/binary"
 	"errors"
-	"time"
 )
 
 // A datagram is
 //
 //	version (1) key id (4) instance (8) random (8) counter (8) sealed (payload + 16)
 //
-// The part before the seal is authenticated with it, and so is the tier's name. Each
-// process seals by a key of its own, derived from the ring's key and its instance and random
-// part, so that the counter, which never comes twice in a process, is a nonce fit for GCM.
+// The header, before the seal, is authenticated with it, and so is the tier's name. Each
+// process seals with a key of its own, derived from the ring's key and the process's instance
+// and random number, so that the counter, which a process never uses twice, can be GCM's nonce.
 const (
-	latestVersion = 2 // knows beats, and kinds beyond PingFor
+	latestVersion = 2 // has heartbeats, and kinds beyond PingReq
 	oldestVersion = 1
 	headSize      = 1 + 4 + 8 + 8 + 8
-	nonceSize     = 12
-	tagSize       = 16
+	nonceSize     = 12  // of GCM, in bytes
+	tagSize       = 16  // of GCM, in bytes
 	MaxMessage    = 256 // bytes of a datagram, as the platform allows between gateways
 	maxPayload    = MaxMessage - headSize - tagSize
 	MaxName       = 24 // bytes of a gateway's name
-	ageUnit       = 10 * time.Millisecond
 )
 
-// What is wrong with a datagram; each kind is counted apart.
+// Why a datagram is dropped; each reason is counted.
 var (
-	errShort   = errors.New("no datagram of ours")
-	errVersion = errors.New("another version")
-	errKey     = errors.New("a key that is not in the ring")
-	errSeal    = errors.New("a seal that does not hold")
-	errReplay  = errors.New("a datagram that has come before")
-	errPayload = errors.New("a payload that can't be read")
+	errNotADatagram   = errors.New("no datagram of ours")
+	errUnknownVersion = errors.New("another version")
+	errUnknownKey     = errors.New("a key that is not in the ring")
+	errBadSeal        = errors.New("a seal that does not hold")
+	errReplayed       = errors.New("a datagram that has come before")
+	errBadPayload     = errors.New("a payload that can't be read")
 )
 
-// process is what tells one process of a gateway from the next.
+// process identifies one process of a gateway. Of two processes of one name the later has the
+// higher instance.
 type process struct{ instance, random uint64 }
 
-// newAEAD seals and opens by one key of the ring for one process.
+// newAEAD returns what seals and opens the datagrams of one process with one key of the ring.
 func newAEAD(key []byte, tier string, p process) (cipher.AEAD, error) {
 	var salt [16]byte
 	binary.BigEndian.PutUint64(salt[:], p.instance)
 	binary.BigEndian.PutUint64(salt[8:], p.random)
-	derived, err := hkdf.Key(sha256.New, key, salt[:], "wellgw peers "+tier, 32)
+	derived, err := hkdf.Key(sha256.New, key, salt[:], "wellgw peers "+tier, keySize)
 	if err != nil {
 		return nil, err
 	}
@@ -70,10 +69,10 @@
 	return n
 }
 
-// seal makes a datagram.
-func seal(aead cipher.AEAD, as byte, id keyID, p process, counter uint64, payload []byte) []byte {
+// seal returns a datagram.
+func seal(aead cipher.AEAD, version byte, id keyID, p process, counter uint64, payload []byte) []byte {
 	b := make([]byte, 0, MaxMessage)
-	b = append(b, as)
+	b = append(b, version)
 	b = append(b, id[:]...)
 	b = binary.BigEndian.AppendUint64(b, p.instance)
 	b = binary.BigEndian.AppendUint64(b, p.random)
@@ -81,16 +80,16 @@
 	return aead.Seal(b, nonce(counter), payload, b[:headSize])
 }
 
-// parseHeader reads the part before the seal.
+// parseHeader reads the part before the seal, which is not yet proven authentic.
 func parseHeader(b []byte) (id keyID, p process, counter uint64, err error) {
 	if len(b) < 1 || len(b) > MaxMessage {
-		return id, p, 0, errShort
+		return id, p, 0, errNotADatagram
 	}
 	if b[0] < oldestVersion || b[0] > latestVersion {
-		return id, p, 0, errVersion
+		return id, p, 0, errUnknownVersion
 	}
 	if len(b) < headSize+tagSize {
-		return id, p, 0, errShort
+		return id, p, 0, errNotADatagram
 	}
 	copy(id[:], b[1:])
 	p.instance, p.random = binary.BigEndian.Uint64(b[5:]), binary.BigEndian.Uint64(b[13:])
--- a/internal/peers/incarnation.go
+++ b/internal/peers/incarnation.go
@@ -12,12 +12,12 @@
 	"wellgw/internal/files"
 )
 
-// maxIncarnationFile bounds the file, in bytes.
+// maxIncarnationFile bounds what is read of the file, in bytes.
 const maxIncarnationFile = 64
 
-// startIncarnation is above that of an earlier life, by what was written down or, without
-// it, by the clock. The tier corrects it if both are lost. An error tells of a file that can't be
-// read or written: it is no reason not to start.
+// startIncarnation returns an incarnation above that of any earlier process, by the file or,
+// without one, by the wall clock. If both are lost the tier corrects it. An error is that of a file
+// that can't be read or written, and no reason not to start.
 func startIncarnation(path string, wall time.Time) (uint64, error) {
 	clock := uint64(wall.Unix())
 	if path == "" {
@@ -37,7 +37,7 @@
 	return next, errors.Join(err, writeIncarnation(path, next))
 }
 
-// writeIncarnation replaces the file whole.
+// writeIncarnation replaces the file atomically.
 func writeIncarnation(path string, n uint64) error {
 	if err := files.WriteAtomic(path, []byte(strconv.FormatUint(n, 10)+"\n")); err != nil {
 		return fmt.Errorf("peers.incarnation_file: %w", err)
@@ -45,11 +45,11 @@
 	return nil
 }
 
-// incarnationRetryInterval is how soon an incarnation that could not be written is tried again.
+// incarnationRetryInterval is how soon a write that failed is tried again.
 const incarnationRetryInterval = time.Second
 
-// persistIncarnations writes down what the tier has made us raise, and tries again what could not be
-// written.
+// persistIncarnations writes the incarnations that this gateway has raised to refute, and
+// retries a write that failed, until ctx ends.
 func (p *Peers) persistIncarnations(ctx context.Context) {
 	unwritten := uint64(0)
 	retry := time.NewTicker(incarnationRetryInterval)
@@ -65,7 +65,7 @@
 			continue
 		}
 		if err := writeIncarnation(p.opt.IncarnationFile, unwritten); err != nil {
-			p.opt.Log.Warn("incarnation not written", "cause", err)
+			p.opt.Log.Warn("incarnation write failed, retrying", "cause", err)
 			continue
 		}
 		unwritten = 0
--- a/internal/peers/opener.go
+++ b/internal/peers/opener.go
@@ -1,14 +1,18 @@
 package peers
 
-import "crypto/cipher"
+import (
+	"crypto/cipher"
+	"math"
+)
 
-// datagramOpener are the processes heard of, each with its sealer and the counters that have come.
-// A process whose seal has not held once is not entered, so forgeries fill nothing.
+// datagramOpener authenticates datagrams and drops replays. It keeps state for each process
+// heard; one from which no authentic datagram has come is not entered, so that forgeries can't
+// displace others. It is for one goroutine.
 type datagramOpener struct {
 	tier    string
 	keyring *Keyring
 	senders map[senderID]*replayWindow
-	uses    uint64 // use of any, to find the least lately used
+	uses    uint64 // a clock for lastUse
 }
 
 type senderID struct {
@@ -16,35 +20,35 @@
 	process
 }
 
-// replayWindow remembers which of the latest counters of a process have come.
+// replayWindow is which of the latest counters of a process have been received.
 type replayWindow struct {
 	aead    cipher.AEAD
 	highest uint64
-	seen    [replayWindowWords]uint64
-	lastUse uint64
+	seen    [replayWindowWords]uint64 // a bit a counter
+	lastUse uint64                    // the least of all is evicted first
 }
 
 const (
-	replayWindowWords = 16 // of 64 counters each: reordering beyond that is a replay
+	replayWindowWords = 16 // of 64 counters each; a datagram that is older counts as a replay
 	replayWindowSize  = 64 * replayWindowWords
-	maxSenders        = 1024 // processes remembered
+	maxSenders        = 1024 // processes kept
 )
 
-// open returns what a datagram holds. It is for one goroutine.
+// open returns the payload of a datagram and the process that sealed it.
 func (o *datagramOpener) open(b []byte) ([]byte, process, error) {
 	id, p, counter, err := parseHeader(b)
 	if err != nil {
 		return nil, p, err
 	}
-	who := senderID{id, p}
-	w := o.senders[who]
+	sender := senderID{id, p}
+	w := o.senders[sender]
 	k := o.keyring.find(id)
 	if k == nil {
-		delete(o.senders, who)
-		return nil, p, errKey
+		delete(o.senders, sender)
+		return nil, p, errUnknownKey
 	}
-	fresh := w == nil
-	if fresh {
+	newSender := w == nil
+	if newSender {
 		w = &replayWindow{}
 		if w.aead, err = newAEAD(k.value, o.tier, p); err != nil {
 			return nil, p, err
@@ -52,36 +56,36 @@
 	}
 	payload, err := w.aead.Open(nil, nonce(counter), b[headSize:], b[:headSize])
 	if err != nil {
-		return nil, p, errSeal
+		return nil, p, errBadSeal
 	}
 	if !w.accept(counter) {
-		return nil, p, errReplay
+		return nil, p, errReplayed
 	}
-	if fresh {
+	if newSender {
 		o.evict()
-		o.senders[who] = w
+		o.senders[sender] = w
 	}
 	o.uses++
 	w.lastUse = o.uses
 	return payload, p, nil
 }
 
-// evict makes room for one more.
+// evict makes room for one more sender.
 func (o *datagramOpener) evict() {
 	if len(o.senders) < maxSenders {
 		return
 	}
 	var oldest senderID
-	low := ^uint64(0)
-	for who, w := range o.senders {
-		if w.lastUse < low {
-			oldest, low = who, w.lastUse
+	oldestUse := uint64(math.MaxUint64)
+	for sender, w := range o.senders {
+		if w.lastUse < oldestUse {
+			oldest, oldestUse = sender, w.lastUse
 		}
 	}
 	delete(o.senders, oldest)
 }
 
-// accept tells whether a counter comes for the first time, and enters it.
+// accept tells whether a counter is received for the first time, and enters it.
 func (w *replayWindow) accept(counter uint64) bool {
 	if counter > w.highest {
 		for n := w.highest + 1; n <= counter && n <= w.highest+replayWindowSize; n++ {
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -19,36 +19,39 @@
 
 // Options set a gateway's part in its tier up.
 type Options struct {
-	Listen           string                   // host and port, UDP over IPv4
-	Advertise        string                   // where the others reach it, if that is another address; "" for where it listens
-	Name             string                   // of this gateway, the same after a restart
-	Tier             string                   // datagrams of another one are not opened
-	Join             []string                 // addresses of some of the others
-	TranslateAddr    func(addr string) string // where datagrams to an address go, if not there; for gateways that each know the others by addresses of their own
+	Listen    string   // host and port, UDP over IPv4
+	Advertise string   // the address at which the others reach it, if another; "" for Listen
+	Name      string   // of this gateway, the same after a restart
+	Tier      string   // datagrams of another tier are not opened
+	Join      []string // addresses of some other gateways
+	// TranslateAddr returns the address that datagrams to an address go to; nil for the same.
+	// It is for gateways that each know the others by addresses of their own.
+	TranslateAddr    func(addr string) string
 	Keys             *Keyring
-	KeyCheckInterval time.Duration // between looks at the key file; 0 = 2 s
-	FirstVersion     bool          // speak as the first version did; for a roll back
-	ProbeInterval    time.Duration // between probes; 0 = membership's default, and so the next two
+	KeyCheckInterval time.Duration // between readings of the key file; 0 = 2 s
+	FirstVersion     bool          // use the first version of the protocol, for a roll back
+	ProbeInterval    time.Duration // 0 = membership's default, and so the next two
 	ProbeTimeout     time.Duration // for a direct answer
-	SuspicionTimeout time.Duration // of silence
+	SuspicionTimeout time.Duration // from the unanswered probe until a gateway is dead
 	IncarnationFile  string        // where the incarnation outlives a restart; "" for the clock alone
-	ExpectedGateways int           // gateways that the operator says there are; 0: not said
-	// OnViewChange is told of every view in which something has changed. It is called by the
-	// goroutine that owns the view and must not block.
+	ExpectedGateways int           // in the tier according to the operator; 0: unknown
+	// OnViewChange is called with every view that differs from the one before, by the goroutine
+	// that owns the protocol's state. It must not block.
 	OnViewChange func(membership.View)
-	// OnEvent is told of what happened to whom, for traces; nil for nobody. It must not block.
+	// OnEvent is called with every change of a gateway's status, for traces; nil for none. It
+	// must not block.
 	OnEvent func(Event)
 	Log     *slog.Logger
 }
 
-// The margins of the transport.
+// The parameters of the transport.
 const (
-	tickInterval        = 20 * time.Millisecond
-	receiveQueueSize    = 1024 // datagrams read and not yet taken; more are dropped
+	tickInterval        = 20 * time.Millisecond // a fifth of the default probe interval
+	receiveQueueSize    = 1024                  // datagrams read and not yet opened; more are dropped
 	defaultKeyInterval  = 2 * time.Second
-	maxNames            = 4096 // names whose latest process is remembered
-	statusTimeout       = 200 * time.Millisecond
-	staleInstanceWindow = 10 * time.Second // of silence, after which a lower instance is a clock set back, not an earlier life
+	maxNames            = 4096                   // names whose latest process is kept
+	statusTimeout       = 200 * time.Millisecond // for the owning goroutine to answer Status
+	staleInstanceWindow = 10 * time.Second       // of silence, after which a lower instance is a clock set back, not an earlier process
 )
 
 // lastProcess is the latest process heard of a name.
@@ -57,27 +60,36 @@
 	lastHeard time.Time
 }
 
+// counters count datagrams, as Counts shows them.
+type counters struct {
+	sent, sentBytes, received, receivedBytes atomic.Uint64
+	notADatagram, unknownVersion, unknownKey atomic.Uint64
+	badSeal, replayed, badPayload            atomic.Uint64
+	staleInstance, queueFull, sendFailed     atomic.Uint64
+}
+
 // Peers is a gateway's part in its tier.
 type Peers struct {
-	opt            Options
-	conn           *net.UDPConn
-	machine        *membership.Machine
-	self           process
-	startedAt      time.Time
-	aeads          map[keyID]cipher.AEAD
-	versions       peerVersions
-	nonceCounter   uint64
-	opened         datagramOpener
-	sharing        int                    // as last told
-	hasDead        bool                   // of the dead that still count some will not: no message tells
-	lastProcesses  map[string]lastProcess // by name
+	opt       Options
+	conn      *net.UDPConn
+	self      process
+	startedAt time.Time // the origin of the machine's times
+	counts    counters
+	status    atomic.Pointer[Status] // as of the last change
+
 	leaveRequests  chan struct{}
 	statusRequests chan chan Status
-	status         atomic.Pointer[Status] // as of the last change
-	counts         struct {
-		sent, sentBytes, received, receivedBytes, short, version, key, seal, replay, payload, former, full, unsent atomic.Uint64
-	}
-	incarnations chan uint64
+	incarnations   chan uint64 // to be written, the latest alone
+
+	// Of the goroutine in loop alone, after New.
+	machine       *membership.Machine
+	aeads         map[keyID]cipher.AEAD
+	versions      peerVersions
+	nonceCounter  uint64
+	opened        datagramOpener
+	lastProcesses map[string]lastProcess // by name
+	sharing       int                    // as last published
+	hasDead       bool                   // as last published: the dead stop counting as sharing without any message
 }
 
 // New opens the socket and reads the incarnation; nothing is sent before Run. An error
@@ -91,58 +103,79 @@
 		return nil, fmt.Errorf("peers.listen: %w", err)
 	}
 	join := make([]string, 0, len(opt.Join))
-	for _, j := range opt.Join {
-		a, err := net.ResolveUDPAddr("udp4", j)
+	for _, addr := range opt.Join {
+		resolved, err := net.ResolveUDPAddr("udp4", addr)
 		if err != nil {
 			return nil, fmt.Errorf("peers.join: %w", err)
 		}
-		join = append(join, a.String())
+		join = append(join, resolved.String())
 	}
 	conn, err := net.ListenUDP("udp4", at)
 	if err != nil {
 		return nil, fmt.Errorf("peers.listen: %w", err)
 	}
-	public := conn.LocalAddr().String()
+	p, err := newOn(conn, opt, join)
+	if err != nil {
+		conn.Close()
+		return nil, err
+	}
+	return p, nil
+}
+
+// newOn returns a gateway's part on an open socket.
+func newOn(conn *net.UDPConn, opt Options, join []string) (*Peers, error) {
+	advertised := conn.LocalAddr().String()
 	if opt.Advertise != "" {
-		a, err := net.ResolveUDPAddr("udp4", opt.Advertise)
+		resolved, err := net.ResolveUDPAddr("udp4", opt.Advertise)
 		if err != nil {
-			conn.Close()
 			return nil, fmt.Errorf("peers.advertise: %w", err)
 		}
-		public = a.String()
+		advertised = resolved.String()
 	}
-	incarnation, err := startIncarnation(opt.IncarnationFile, wallclock.Now())
-	unkept := err
-	if unkept != nil {
-		opt.Log.Warn("incarnation not kept; the tier corrects it", "cause", unkept)
+	incarnation, unsaved := startIncarnation(opt.IncarnationFile, wallclock.Now())
+	if unsaved != nil {
+		opt.Log.Warn("incarnation file unusable, the tier corrects the incarnation", "cause", unsaved)
 	}
-	var random [8]byte
-	if _, err := rand.Read(random[:]); err != nil {
-		conn.Close()
+	self, err := newProcess()
+	if err != nil {
 		return nil, err
 	}
 	p := &Peers{
-		opt: opt, conn: conn, startedAt: time.Now(), aeads: map[keyID]cipher.AEAD{}, lastProcesses: map[string]lastProcess{}, versions: peerVersions{},
+		opt: opt, conn: conn, self: self, startedAt: time.Now(),
+		aeads: map[keyID]cipher.AEAD{}, lastProcesses: map[string]lastProcess{}, versions: peerVersions{},
 		opened:        datagramOpener{tier: opt.Tier, keyring: opt.Keys, senders: map[senderID]*replayWindow{}},
 		leaveRequests: make(chan struct{}, 1), incarnations: make(chan uint64, 1), statusRequests: make(chan chan Status),
 	}
-	p.self = process{instance: uint64(time.Now().UnixMilli())<<16 | uint64(random[6])<<8 | uint64(random[7]), random: binary.BigEndian.Uint64(random[:])}
 	p.machine = membership.New(membership.Config{
-		ID: opt.Name, Addr: public, Instance: p.self.instance, Incarnation: incarnation, Join: join,
-		ExpectedSize: opt.ExpectedGateways, Seed: p.self.random, Fits: FittingUpdates, FirstVersion: opt.FirstVersion, ProbeInterval: opt.ProbeInterval, ProbeTimeout: opt.ProbeTimeout, SuspicionTimeout: opt.SuspicionTimeout,
+		ID: opt.Name, Addr: advertised, Instance: self.instance, Incarnation: incarnation, Join: join,
+		ExpectedSize: opt.ExpectedGateways, Seed: self.random, Fits: FittingUpdates, FirstVersion: opt.FirstVersion,
+		ProbeInterval: opt.ProbeInterval, ProbeTimeout: opt.ProbeTimeout, SuspicionTimeout: opt.SuspicionTimeout,
 	}, 0)
-	if unkept != nil {
+	if unsaved != nil {
 		p.incarnations <- incarnation // to be written as soon as it can be
 	}
 	p.publish()
-	opt.Log.Info("peers", "listen", p.Addr(), "reached", public)
+	opt.Log.Info("tier transport listening", "listen", p.Addr(), "advertised", advertised)
 	return p, nil
 }
 
-// Addr is where the gateway is reached by the others.
+// newProcess returns what identifies this process: its start, with two random bytes for
+// processes started in one millisecond, and a random number.
+func newProcess() (process, error) {
+	var random [8]byte
+	if _, err := rand.Read(random[:]); err != nil {
+		return process{}, err
+	}
+	return process{
+		instance: uint64(time.Now().UnixMilli())<<16 | uint64(random[6])<<8 | uint64(random[7]),
+		random:   binary.BigEndian.Uint64(random[:]),
+	}, nil
+}
+
+// Addr is the address of the socket.
 func (p *Peers) Addr() string { return p.conn.LocalAddr().String() }
 
-// Leave tells the tier that this gateway is about to end. It does not wait.
+// Leave has this gateway announce that it is about to end. It does not wait for that.
 func (p *Peers) Leave() {
 	select {
 	case p.leaveRequests <- struct{}{}:
@@ -150,7 +183,8 @@
 	}
 }
 
-// Run takes part until ctx ends, then says that it has left.
+// Run takes part until ctx ends, then announces that this gateway has left, and returns when
+// all its goroutines have ended.
 func (p *Peers) Run(ctx context.Context) {
 	packets := make(chan []byte, receiveQueueSize)
 	var group sync.WaitGroup
@@ -162,7 +196,7 @@
 	group.Wait()
 }
 
-// loop is the goroutine that owns the machine, the seals and what is known of processes.
+// loop owns the machine, the keys derived and what is known of other processes.
 func (p *Peers) loop(ctx context.Context, packets <-chan []byte) {
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
@@ -179,7 +213,7 @@
 		case <-tick.C:
 			out = p.machine.Tick(time.Since(p.startedAt))
 		case b := <-packets:
-			switch m, how := p.receive(b); how {
+			switch m, verdict := p.receive(b); verdict {
 			case currentMessage:
 				out = p.machine.Receive(time.Since(p.startedAt), m)
 			case staleMessage:
@@ -193,18 +227,11 @@
 	}
 }
 
-// What becomes of a datagram.
-const (
-	droppedDatagram = iota
-	staleMessage    // whole, but of an earlier process of its name
-	currentMessage
-)
-
-// watchKeys reads the key file anew every now and then.
+// watchKeys reads the key file anew at an interval. An error is logged once until it changes.
 func (p *Peers) watchKeys(ctx context.Context) {
 	tick := time.NewTicker(cmp.Or(p.opt.KeyCheckInterval, defaultKeyInterval))
 	defer tick.Stop()
-	bad := ""
+	lastError := ""
 	for {
 		select {
 		case <-ctx.Done():
@@ -212,13 +239,13 @@
 		case <-tick.C:
 		}
 		changed, err := p.opt.Keys.Reload()
-		if err != nil && err.Error() != bad {
-			bad = err.Error()
-			p.opt.Log.Error("the keys stay as they are", "cause", err)
+		if err != nil && err.Error() != lastError {
+			lastError = err.Error()
+			p.opt.Log.Error("key file reload failed, keeping previous keys", "cause", err)
 		}
 		if changed {
-			bad = ""
-			p.opt.Log.Info("keys read", "seals", p.opt.Keys.SealingKeyID())
+			lastError = ""
+			p.opt.Log.Info("keyring reloaded", "sealing_key", p.opt.Keys.SealingKeyID())
 		}
 	}
 }
--- a/internal/peers/status.go
+++ b/internal/peers/status.go
@@ -28,13 +28,13 @@
 type Status struct {
 	Name, Tier, Listen, Key string
 	View                    membership.View
-	Clock                   time.Duration // the view's times count from the same origin
+	Clock                   time.Duration // now, as the view's times count
 	Counts                  Counts
 }
 
-// Status returns the present view and counts, for people. Nothing that serves waits for it:
-// it asks the goroutine that owns the view and, if that is not to be had at once, takes the
-// view of the last change.
+// Status returns the present view and counts, for operators; no request waits for it. It asks
+// the goroutine that owns the protocol's state and, if that does not answer within
+// statusTimeout, returns the view of the last change.
 func (p *Peers) Status() Status {
 	s := *p.status.Load()
 	answer := make(chan Status, 1)
@@ -54,8 +54,8 @@
 	c := &p.counts
 	return Counts{
 		Sent: c.sent.Load(), SentBytes: c.sentBytes.Load(), Received: c.received.Load(), ReceivedBytes: c.receivedBytes.Load(),
-		NotADatagram: c.short.Load(), UnknownVersion: c.version.Load(), UnknownKey: c.key.Load(), BadSeal: c.seal.Load(), Replayed: c.replay.Load(),
-		BadPayload: c.payload.Load(), StaleInstance: c.former.Load(), QueueFull: c.full.Load(), SendFailed: c.unsent.Load(),
+		NotADatagram: c.notADatagram.Load(), UnknownVersion: c.unknownVersion.Load(), UnknownKey: c.unknownKey.Load(), BadSeal: c.badSeal.Load(), Replayed: c.replayed.Load(),
+		BadPayload: c.badPayload.Load(), StaleInstance: c.staleInstance.Load(), QueueFull: c.queueFull.Load(), SendFailed: c.sendFailed.Load(),
 	}
 }
 
@@ -63,54 +63,66 @@
 	return Status{Name: p.opt.Name, Tier: p.opt.Tier, Listen: p.Addr(), View: p.machine.View()}
 }
 
-// publish shows the view, and tells of it if it is another one.
+// publish stores the view for Status and reports what differs from the one before.
 func (p *Peers) publish() {
 	s := p.snapshot()
 	v, before := s.View, p.status.Load()
 	p.status.Store(&s)
-	p.sharing, p.hasDead = v.Sharing, slices.ContainsFunc(v.Others, func(g membership.Gateway) bool { return g.Status == membership.Dead })
+	p.sharing = v.Sharing
+	p.hasDead = slices.ContainsFunc(v.Others, func(g membership.Gateway) bool { return g.Status == membership.Dead })
 	if before == nil {
 		return
 	}
 	p.reportTransitions(before.View, v)
-	if was := before.View; was.Epoch == v.Epoch && was.Digest == v.Digest && was.Sharing == v.Sharing && was.Minority == v.Minority && was.Silenced == v.Silenced {
+	if sameView(before.View, v) {
 		return
 	}
 	if v.Self.Incarnation != before.View.Self.Incarnation {
-		select {
-		case <-p.incarnations: // an older one that has not been written
-		default:
-		}
-		p.incarnations <- v.Self.Incarnation
+		p.queueIncarnation(v.Self.Incarnation)
 	}
-	p.opt.Log.Info("tier", "epoch", v.Epoch, "others", len(v.Others), "sharing", v.Sharing, "minority", v.Minority, "silenced", v.Silenced)
+	p.opt.Log.Info("tier view changed", "epoch", v.Epoch, "others", len(v.Others), "sharing", v.Sharing, "minority", v.Minority, "silenced", v.Silenced)
 	if p.opt.OnViewChange != nil {
 		p.opt.OnViewChange(v)
 	}
 }
 
-// Event is a change of how a gateway stands, with what is needed to find out why.
+// sameView tells whether views differ in times and statistics alone.
+func sameView(a, b membership.View) bool {
+	return a.Epoch == b.Epoch && a.Digest == b.Digest && a.Sharing == b.Sharing && a.Minority == b.Minority && a.Silenced == b.Silenced
+}
+
+// queueIncarnation has an incarnation written in place of an older one that still waits. It
+// never blocks: this goroutine alone sends, and the channel holds one.
+func (p *Peers) queueIncarnation(n uint64) {
+	select {
+	case <-p.incarnations:
+	default:
+	}
+	p.incarnations <- n
+}
+
+// Event is a change of a gateway's status, with what is needed to find out why.
 type Event struct {
 	Gateway, From, To string        // From is "" for one that was not known
 	Incarnation       uint64        // of the gateway
-	Since             time.Time     // it stood as From
+	Since             time.Time     // when it got the status From
 	SilentFor         time.Duration // since it was last heard
-	OneWay            bool          // others reach it, but our own pings are not answered
-	Accusers          int           // that held it for suspect
-	LocalHealth       int           // steps by which this gateway distrusts itself
-	Pauses            uint64        // of this gateway's own since its start
+	OneWay            bool          // others reach it, but this gateway's pings are not answered
+	Accusers          int           // gateways that suspected it
+	LocalHealth       int           // of this gateway: Lifeguard's multiplier less one
+	Pauses            uint64        // of this process since its start
 }
 
-// reportTransitions logs and hands on who stands otherwise than before. Suspicions come and go, and are
-// told of only to whoever traces.
+// reportTransitions passes every change of status to OnEvent, and logs those that are more than
+// a suspicion or its refutation.
 func (p *Peers) reportTransitions(before, now membership.View) {
-	was := make(map[string]membership.Gateway, len(before.Others))
+	previous := make(map[string]membership.Gateway, len(before.Others))
 	for _, g := range before.Others {
-		was[g.ID] = g
+		previous[g.ID] = g
 	}
 	clock := time.Since(p.startedAt)
 	for _, g := range now.Others {
-		old, known := was[g.ID]
+		old, known := previous[g.ID]
 		if known && old.Status == g.Status {
 			continue
 		}
@@ -126,10 +138,11 @@
 		if p.opt.OnEvent != nil {
 			p.opt.OnEvent(e)
 		}
-		if g.Status == membership.Suspect || known && old.Status == membership.Suspect && g.Status == membership.Alive {
+		refuted := known && old.Status == membership.Suspect && g.Status == membership.Alive
+		if g.Status == membership.Suspect || refuted {
 			continue
 		}
-		p.opt.Log.Info("member", "gateway", g.ID, "standing", e.To, "incarnation", g.Incarnation, "accusers", e.Accusers,
-			"heard_ms", e.SilentFor.Milliseconds(), "distrust", e.LocalHealth, "pauses", e.Pauses)
+		p.opt.Log.Info("tier member changed", "gateway", g.ID, "status", e.To, "incarnation", g.Incarnation, "accusers", e.Accusers,
+			"silent_ms", e.SilentFor.Milliseconds(), "local_health", e.LocalHealth, "pauses", e.Pauses)
 	}
 }
--- a/internal/peers/versions.go
+++ b/internal/peers/versions.go
@@ -2,40 +2,43 @@
 
 import "wellgw/decide/membership"
 
-// peerVersions are those that others have been heard to speak, by address. To one not known to
-// speak the latest every eighth message goes in both: it answers in what it knows, so after
-// a roll forward or back each pair soon speaks the latest that both have.
+// peerVersions are the protocol versions that other gateways have used, by address. To one that
+// has not used the latest, one message in dualVersionEvery goes in both versions: a gateway
+// answers in the version it knows, so after a roll forward or back each pair soon uses the
+// latest that both know.
 type peerVersions map[string]*spokenVersion
 
 type spokenVersion struct {
 	version byte
-	sent    int
+	sent    int // messages
 }
 
+// dualVersionEvery keeps the cost of a mixed tier to an eighth more datagrams.
 const dualVersionEvery = 8
 
-// forMessage tells in which versions a message is to be sent.
-func (v peerVersions) forMessage(to string, k membership.Kind) []byte {
-	x := v[to]
-	if x == nil {
+// forMessage returns the versions in which a message is to be sent.
+func (v peerVersions) forMessage(to string, kind membership.Kind) []byte {
+	peer := v[to]
+	if peer == nil {
 		if len(v) >= maxNames {
 			clear(v)
 		}
-		x = &spokenVersion{version: oldestVersion}
-		v[to] = x
+		peer = &spokenVersion{version: oldestVersion}
+		v[to] = peer
 	}
-	x.sent++
+	peer.sent++
 	switch {
-	case k > membership.PingReq || x.version >= latestVersion:
+	case kind > membership.PingReq || peer.version >= latestVersion:
 		return []byte{latestVersion}
-	case x.sent%dualVersionEvery == 1:
+	case peer.sent%dualVersionEvery == 1:
 		return []byte{oldestVersion, latestVersion}
 	}
 	return []byte{oldestVersion}
 }
 
-func (v peerVersions) noteHeard(from string, as byte) {
-	if x := v[from]; x != nil {
-		x.version = as
+// noteHeard records the version of a message that has been received.
+func (v peerVersions) noteHeard(from string, version byte) {
+	if peer := v[from]; peer != nil {
+		peer.version = version
 	}
 }
