--- a/cmd/wellgw/directory.go
+++ b/cmd/wellgw/directory.go
@@ -68,9 +68,9 @@
 		}
 		var err error
 		s.roles, err = rolectl.New(rolectl.Options{
-			Keeper: s.keeper, Settings: r.Settings(), Limits: r.Limits(), Lease: r.Lease(), Prefix: r.Keys(), DryRun: r.DryRun,
-			Gateway: s.address, Gateways: s.gateways, Traffic: func() map[string]core.Traffic { return s.core.Traffic(context.Background()) },
-			Engines: setOf(r.PinEngines), Racks: setOf(r.PinRacks), Step: step, Log: s.log,
+			Keeper: s.keeper, Settings: r.Settings(), Limits: r.Limits(), LeaseTTL: r.Lease(), KeyPrefix: r.Keys(), DryRun: r.DryRun,
+			GatewayName: s.address, GatewayCount: s.gateways, Traffic: func() map[string]core.Traffic { return s.core.Traffic(context.Background()) },
+			PinnedEngines: setOf(r.PinEngines), PinnedRacks: setOf(r.PinRacks), OnStep: step, Log: s.log,
 		})
 		if err != nil {
 			return err
--- a/cmd/wellgw/roles.go
+++ b/cmd/wellgw/roles.go
@@ -25,17 +25,17 @@
 }
 
 func printRoles(w io.Writer, s rolectl.Status, now time.Time) {
-	owner := s.Owner
-	if s.Mine {
+	owner := s.Leader
+	if s.IsLeader {
 		owner += " (this gateway)"
 	}
-	fmt.Fprintf(w, "owner %s, fence %d\n", owner, s.Fence)
+	fmt.Fprintf(w, "owner %s, fence %d\n", owner, s.FencingToken)
 	if s.DryRun {
 		fmt.Fprintln(w, "dry run: nothing is changed")
 	}
 	ago := func(t time.Time) string { return now.Sub(t).Round(time.Second).String() + " ago" }
-	if s.Mine {
-		fmt.Fprintf(w, "plan (%s): %s\n", ago(s.Plan.At), s.Plan.Why)
+	if s.IsLeader {
+		fmt.Fprintf(w, "plan (%s): %s\n", ago(s.Plan.At), s.Plan.Reason)
 		fmt.Fprintf(w, "demand in engines: read %.1f of %.1f, write %.1f of %.1f; service foreseen %.3f\n",
 			s.Plan.Demand[0], s.Plan.Capacity[0], s.Plan.Demand[1], s.Plan.Capacity[1], s.Plan.Before.Mean)
 	} else {
@@ -47,12 +47,12 @@
 	}
 	t.Render()
 	e := newTable(w, "when", "engine", "to", "what", "why")
-	for _, x := range s.Ends {
+	for _, x := range s.History {
 		what := string(x.Outcome)
 		if what == "" {
 			what = "begun"
 		}
-		e.AppendRow(table.Row{ago(x.At), x.Engine, x.To, what, x.Why})
+		e.AppendRow(table.Row{ago(x.At), x.Engine, x.To, what, x.Reason})
 	}
 	e.Render()
 }
--- a/internal/rolectl/owner.go
+++ b/internal/rolectl/owner.go
@@ -22,43 +22,43 @@
 
 // The owner's margins.
 const (
-	askWait  = 800 * time.Millisecond
-	askMost  = 32 // engines asked at once
-	maxReply = 4 << 10
+	engineTimeout      = 800 * time.Millisecond
+	maxConcurrentPolls = 32 // engines asked at once
+	maxReplyBytes      = 4 << 10
 )
 
 // lease is one holding of the owner's lock.
 type lease struct {
 	*rolechange.Lease
 	session string
-	value   ownerValue
+	value   lockValue
 }
 
-// ownerValue is what stands at the lock: it tells the next owner what there was.
-type ownerValue struct {
-	Gateway string `json:"gateway"`
-	Ends    []End  `json:"ends"`
+// lockValue is what stands at the lock: it tells the next owner what there was.
+type lockValue struct {
+	Gateway string         `json:"gateway"`
+	History []HistoryEntry `json:"ends"`
 }
 
-func (c *Controller) lockKey() string { return c.opt.Prefix + "/owner" }
+func (c *Controller) lockKey() string { return c.opt.KeyPrefix + "/owner" }
 
-var errLost = errors.New("the lease is lost")
+var errLeaseLost = errors.New("the lease is lost")
 
-// contend tries to become the owner, and owns while the lease lasts.
-func (c *Controller) contend(ctx context.Context, client *consul.Client) {
+// campaign tries to become the owner, and owns while the lease lasts.
+func (c *Controller) campaign(ctx context.Context, client *consul.Client) {
 	for ctx.Err() == nil {
 		l, err := c.acquire(ctx, client)
 		if err != nil || l == nil {
-			client.Pause(ctx, retryIn)
+			client.Pause(ctx, retryInterval)
 			continue
 		}
 		c.opt.Log.Info("owner of changes of role", "gateway", l.value.Gateway, "fence", l.Fence)
-		err = c.own(ctx, client, l)
+		err = c.lead(ctx, client, l)
 		c.mu.Lock()
-		c.status.Mine = false
+		c.status.IsLeader = false
 		c.mu.Unlock()
 		c.opt.Log.Info("no longer owner of changes of role", "fence", l.Fence, "cause", err)
-		bye, done := context.WithTimeout(context.WithoutCancel(ctx), askWait)
+		bye, done := context.WithTimeout(context.WithoutCancel(ctx), engineTimeout)
 		_ = client.EndSession(bye, l.session) // or it ends by itself
 		done()
 	}
@@ -70,22 +70,22 @@
 	if err != nil {
 		return nil, err
 	}
-	var value ownerValue
+	var value lockValue
 	_ = jsoniter.Unmarshal(before.Value, &value)
 	c.mu.Lock()
-	c.status.Owner, c.status.Fence = value.Gateway, before.LockIndex
-	c.status.Ends = value.Ends
+	c.status.Leader, c.status.FencingToken = value.Gateway, before.LockIndex
+	c.status.History = value.History
 	c.mu.Unlock()
-	gateway := c.opt.Gateway()
-	switch rolechange.BidFor(before.Session, c.held, gateway) {
+	gateway := c.opt.GatewayName()
+	switch rolechange.BidFor(before.Session, c.lastSession, gateway) {
 	case rolechange.Wait:
 		return nil, nil
 	case rolechange.Clear:
 		return nil, client.EndSession(ctx, before.Session)
 	}
 	asked := time.Now()
-	l := &lease{value: ownerValue{Gateway: gateway, Ends: value.Ends}}
-	if l.session, err = client.NewSession(ctx, "wellgw roles "+gateway, c.opt.Lease, lockDelay); err != nil {
+	l := &lease{value: lockValue{Gateway: gateway, History: value.History}}
+	if l.session, err = client.NewSession(ctx, "wellgw roles "+gateway, c.opt.LeaseTTL, lockDelay); err != nil {
 		return nil, err
 	}
 	raw, err := jsoniter.Marshal(l.value)
@@ -96,7 +96,7 @@
 	if err == nil && got {
 		var now consul.Pair
 		if now, _, err = client.Read(ctx, c.lockKey()); err == nil && now.Session == l.session {
-			l.Lease, c.held = rolechange.NewLease(now.LockIndex, c.opt.Lease, asked), l.session
+			l.Lease, c.lastSession = rolechange.NewLease(now.LockIndex, c.opt.LeaseTTL, asked), l.session
 			return l, nil
 		}
 	}
@@ -104,21 +104,21 @@
 	return nil, err
 }
 
-// owner is the owner's work while it holds one lease.
-type owner struct {
+// leader is the owner's work while it holds one lease.
+type leader struct {
 	*Controller
-	client  *consul.Client
-	lease   *lease
-	planner *roles.Planner
-	http    *http.Client
-	silent  map[string]time.Time // since when an engine has not answered
-	replies map[string]rolechange.Reply
-	reports map[string]*report
-	lastWhy string
+	client           *consul.Client
+	lease            *lease
+	planner          *roles.Planner
+	http             *http.Client
+	silentSince      map[string]time.Time // since when an engine has not answered
+	replies          map[string]rolechange.Reply
+	reports          map[string]*engineReport
+	lastDryRunEngine string
 }
 
-// report is the body of GET /role; see docs/engine-roles.md.
-type report struct {
+// engineReport is the body of GET /role; see docs/engine-roles.md.
+type engineReport struct {
 	rolechange.Report
 	Slots  int     `json:"slots"`
 	Queue  int     `json:"queue"`
@@ -127,36 +127,36 @@
 	Busy   float64 `json:"busy_s"`
 }
 
-// own carries out changes until the lease is lost or ctx ends.
-func (c *Controller) own(ctx context.Context, client *consul.Client, l *lease) error {
+// lead carries out changes until the lease is lost or ctx ends.
+func (c *Controller) lead(ctx context.Context, client *consul.Client, l *lease) error {
 	planner, err := roles.NewPlanner(c.opt.Settings)
 	if err != nil {
 		return err
 	}
-	h := &owner{
+	h := &leader{
 		Controller: c, client: client, lease: l, planner: planner,
-		http:   &http.Client{Timeout: askWait, Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: 10 * time.Second}},
-		silent: map[string]time.Time{}, replies: map[string]rolechange.Reply{}, reports: map[string]*report{},
+		http:        &http.Client{Timeout: engineTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: 10 * time.Second}},
+		silentSince: map[string]time.Time{}, replies: map[string]rolechange.Reply{}, reports: map[string]*engineReport{},
 	}
 	defer h.http.CloseIdleConnections()
-	for _, e := range l.value.Ends { // what the last owner did counts
-		h.recall(e)
+	for _, e := range l.value.History { // what the last owner did counts
+		h.replay(e)
 	}
 	c.mu.Lock()
-	c.status.Mine, c.status.Owner, c.status.Fence = true, l.value.Gateway, l.Fence
+	c.status.IsLeader, c.status.Leader, c.status.FencingToken = true, l.value.Gateway, l.Fence
 	c.mu.Unlock()
 	for ctx.Err() == nil {
 		begun := time.Now()
 		if err := h.tick(ctx); err != nil {
 			return err
 		}
-		pause.Sleep(ctx, tickEvery-time.Since(begun))
+		pause.Sleep(ctx, tickInterval-time.Since(begun))
 	}
 	return ctx.Err()
 }
 
-// recall tells the planner what was done.
-func (h *owner) recall(e End) {
+// replay tells the planner what was done.
+func (h *leader) replay(e HistoryEntry) {
 	if e.Outcome != rolechange.Going {
 		h.planner.Ended(e.At, e.Engine, e.Outcome == rolechange.Done)
 		return
@@ -165,24 +165,24 @@
 	h.planner.Begun(e.At, roles.Change{Engine: e.Engine, To: to})
 }
 
-func (h *owner) sure() bool { return h.lease.Sure(time.Now()) }
+func (h *leader) leaseValid() bool { return h.lease.Sure(time.Now()) }
 
-func (h *owner) tick(ctx context.Context) error {
+func (h *leader) tick(ctx context.Context) error {
 	// Renewed before the work, and counted from before the call.
 	asked := time.Now()
 	if kept, err := h.client.RenewSession(ctx, h.lease.session); err == nil && !kept {
-		return errLost
+		return errLeaseLost
 	} else if err == nil {
 		h.lease.Renewed(asked)
 	}
-	if !h.sure() {
-		return errLost
+	if !h.leaseValid() {
+		return errLeaseLost
 	}
 	view := h.opt.Keeper.View()
 	h.poll(ctx, view.Engines)
 	h.mu.Lock()
-	known := h.known
-	records := make([]kept, 0, len(h.records))
+	known := h.recordsRead
+	records := make([]storedRecord, 0, len(h.records))
 	for _, r := range h.records {
 		records = append(records, r)
 	}
@@ -190,11 +190,11 @@
 	if !known {
 		return nil
 	}
-	slices.SortFunc(records, func(a, b kept) int { return a.Begun.Compare(b.Begun) })
+	slices.SortFunc(records, func(a, b storedRecord) int { return a.Begun.Compare(b.Begun) })
 	h.observe(view.Engines, records)
 	for _, r := range records {
-		if !h.sure() {
-			return errLost
+		if !h.leaseValid() {
+			return errLeaseLost
 		}
 		if err := h.advance(ctx, r, view.Engines); err != nil {
 			return err
@@ -204,12 +204,12 @@
 }
 
 // poll asks all engines of either role how they are.
-func (h *owner) poll(ctx context.Context, engines []directory.Engine) {
+func (h *leader) poll(ctx context.Context, engines []directory.Engine) {
 	var mu sync.Mutex
 	var group sync.WaitGroup
-	slots := make(chan struct{}, askMost)
-	now, silent := time.Now(), h.silent
-	h.silent, h.reports = map[string]time.Time{}, map[string]*report{} // who is gone is forgotten
+	slots := make(chan struct{}, maxConcurrentPolls)
+	now, silent := time.Now(), h.silentSince
+	h.silentSince, h.reports = map[string]time.Time{}, map[string]*engineReport{} // who is gone is forgotten
 	for _, e := range engines {
 		if _, planned := roles.RoleOf(e.Role); !planned || e.State == "gone" {
 			continue
@@ -217,20 +217,20 @@
 		slots <- struct{}{}
 		group.Go(func() {
 			defer func() { <-slots }()
-			r, _, err := h.call(ctx, http.MethodGet, e.Address, nil)
+			r, _, err := h.callEngine(ctx, http.MethodGet, e.Address, nil)
 			mu.Lock()
 			defer mu.Unlock()
 			if err == nil {
 				h.reports[e.ID] = r
-			} else if h.silent[e.ID] = silent[e.ID]; h.silent[e.ID].IsZero() {
-				h.silent[e.ID] = now
+			} else if h.silentSince[e.ID] = silent[e.ID]; h.silentSince[e.ID].IsZero() {
+				h.silentSince[e.ID] = now
 			}
 		})
 	}
 	group.Wait()
 }
 
-func (h *owner) call(ctx context.Context, method, addr string, body []byte) (*report, int, error) {
+func (h *leader) callEngine(ctx context.Context, method, addr string, body []byte) (*engineReport, int, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+"/role", bytes.NewReader(body))
 	if err != nil {
 		return nil, 0, err
@@ -240,11 +240,11 @@
 		return nil, 0, err
 	}
 	defer resp.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxReply))
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes))
 	if err != nil {
 		return nil, 0, err
 	}
-	var r report
+	var r engineReport
 	if resp.StatusCode == http.StatusNotFound {
 		return nil, resp.StatusCode, fmt.Errorf("engine at %s never changes its role", addr)
 	}
@@ -255,7 +255,7 @@
 }
 
 // observe tells the planner how the engines are and what is asked.
-func (h *owner) observe(engines []directory.Engine, records []kept) {
+func (h *leader) observe(engines []directory.Engine, records []storedRecord) {
 	now := time.Now()
 	changes := make(map[string]*roles.InChange, len(records))
 	for _, r := range records {
@@ -271,7 +271,7 @@
 		engine, part := h.opt.Settings.See(roles.Sight{
 			ID: e.ID, Rack: e.Cell, In: e.State == "in", Up: time.Duration(e.UpMS) * time.Millisecond, Role: r.Role, Slots: r.Slots,
 			Running: r.Running, Queue: r.Queue, Memory: r.Memory, Tokens: r.Tokens, Busy: r.Busy,
-			Pinned: h.opt.Engines[e.ID] || h.opt.Racks[e.Cell], Change: changes[e.ID],
+			Pinned: h.opt.PinnedEngines[e.ID] || h.opt.PinnedRacks[e.Cell], Change: changes[e.ID],
 		})
 		if part {
 			seen = append(seen, engine)
@@ -287,9 +287,9 @@
 }
 
 // advance takes one change a step on.
-func (h *owner) advance(ctx context.Context, r kept, engines []directory.Engine) error {
+func (h *leader) advance(ctx context.Context, r storedRecord, engines []directory.Engine) error {
 	now := time.Now()
-	f := rolechange.Facts{Now: now, Owner: h.lease.value.Gateway, Fence: h.lease.Fence, Gateways: h.opt.Gateways(), Reply: h.replies[r.Engine]}
+	f := rolechange.Facts{Now: now, Owner: h.lease.value.Gateway, Fence: h.lease.Fence, Gateways: h.opt.GatewayCount(), Reply: h.replies[r.Engine]}
 	for _, e := range engines {
 		if e.ID == r.Engine && e.State != "gone" {
 			f.Listed, f.ListedAs = true, e.Role
@@ -300,46 +300,46 @@
 	}
 	if report := h.reports[r.Engine]; report != nil {
 		f.Report = &report.Report
-	} else if since := h.silent[r.Engine]; !since.IsZero() {
+	} else if since := h.silentSince[r.Engine]; !since.IsZero() {
 		f.Silent = now.Sub(since)
 	}
 	if r.Step == rolechange.Announced {
-		f.Seen = h.seen(ctx, r.Record)
+		f.Seen = h.countConfirmations(ctx, r.Record)
 	}
 	a := rolechange.Next(r.Record, f, h.opt.Limits)
 	if a.Stop {
-		return fmt.Errorf("%w: %s", errLost, a.Why)
+		return fmt.Errorf("%w: %s", errLeaseLost, a.Why)
 	}
 	delete(h.replies, r.Engine)
 	if a.Outcome != rolechange.Going {
-		return h.end(ctx, r, a)
+		return h.finish(ctx, r, a)
 	}
 	if a.Write {
 		// What is not written down is not done: the next owner would not know of it.
-		if written, err := h.write(ctx, a.Record, r.modify); err != nil || !written {
+		if written, err := h.putRecord(ctx, a.Record, r.modifyIndex); err != nil || !written {
 			return err
 		}
 		if a.Record.Step != r.Step {
-			h.step(r.Record, now, a.Why)
+			h.notifyStep(r.Record, now, a.Why)
 		}
 		h.opt.Log.Info("change of role: "+string(a.Record.Step), "engine", r.Engine, "from", r.From, "to", r.To, "reason", a.Why, "fence", a.Record.Fence)
 	}
 	if a.Tell != rolechange.Say {
-		h.tell(ctx, a)
+		h.sendCommand(ctx, a)
 	}
 	return nil
 }
 
-// step tells of a step that is over.
-func (h *owner) step(r rolechange.Record, to time.Time, why string) {
-	if h.opt.Step != nil {
-		h.opt.Step(r, to, why)
+// notifyStep tells of a step that is over.
+func (h *leader) notifyStep(r rolechange.Record, to time.Time, why string) {
+	if h.opt.OnStep != nil {
+		h.opt.OnStep(r, to, why)
 	}
 }
 
-// seen counts the gateways that have said that they hold to a change.
-func (h *owner) seen(ctx context.Context, r rolechange.Record) int {
-	pairs, _, err := h.client.List(ctx, h.seenKey(r.Engine), 0, 0)
+// countConfirmations counts the gateways that have said that they hold to a change.
+func (h *leader) countConfirmations(ctx context.Context, r rolechange.Record) int {
+	pairs, _, err := h.client.List(ctx, h.confirmationPrefix(r.Engine), 0, 0)
 	if err != nil {
 		return 0
 	}
@@ -352,10 +352,10 @@
 	return n
 }
 
-// write writes a record that was read at an index, and tells whether that was done. If
+// putRecord writes a record that was read at an index, and tells whether that was done. If
 // it was not, it is tried again at the next tick from what is then known; an error tells
 // that somebody else owns it.
-func (h *owner) write(ctx context.Context, r rolechange.Record, modify uint64) (bool, error) {
+func (h *leader) putRecord(ctx context.Context, r rolechange.Record, modify uint64) (bool, error) {
 	raw, err := jsoniter.Marshal(r)
 	if err != nil {
 		return false, err
@@ -364,33 +364,33 @@
 	if err != nil || done {
 		return done && err == nil, nil
 	}
-	return false, h.reread(ctx, r.Engine)
+	return false, h.checkFencing(ctx, r.Engine)
 }
 
-// reread finds out why a write was not taken: the view that it was based on may only
+// checkFencing finds out why a write was not taken: the view that it was based on may only
 // have been old, as the watch brings what this owner wrote itself a moment later.
-func (h *owner) reread(ctx context.Context, engine string) error {
+func (h *leader) checkFencing(ctx context.Context, engine string) error {
 	p, there, err := h.client.Read(ctx, h.changeKey(engine))
 	if err != nil || !there {
 		return nil
 	}
 	var r rolechange.Record
 	if jsoniter.Unmarshal(p.Value, &r) == nil && r.Fence > h.lease.Fence {
-		return fmt.Errorf("%w: a change was written by the owner with fence %d", errLost, r.Fence)
+		return fmt.Errorf("%w: a change was written by the owner with fence %d", errLeaseLost, r.Fence)
 	}
 	return nil
 }
 
-// tell gives the engine a command and keeps its reply for the next tick.
-func (h *owner) tell(ctx context.Context, a rolechange.Action) {
-	if !h.sure() {
+// sendCommand gives the engine a command and keeps its reply for the next tick.
+func (h *leader) sendCommand(ctx context.Context, a rolechange.Action) {
+	if !h.leaseValid() {
 		return
 	}
 	body, err := jsoniter.Marshal(map[string]any{"command": string(a.Tell), "role": a.Record.To, "fence": h.lease.Fence})
 	if err != nil {
 		return
 	}
-	_, status, err := h.call(ctx, http.MethodPut, a.Record.Addr, body)
+	_, status, err := h.callEngine(ctx, http.MethodPut, a.Record.Addr, body)
 	switch {
 	case status == http.StatusOK:
 		h.replies[a.Record.Engine] = rolechange.Taken
@@ -403,81 +403,81 @@
 	}
 }
 
-// end deletes a record whose change is over.
-func (h *owner) end(ctx context.Context, r kept, a rolechange.Action) error {
-	done, err := h.client.Delete(ctx, h.changeKey(r.Engine), r.modify)
+// finish deletes a record whose change is over.
+func (h *leader) finish(ctx context.Context, r storedRecord, a rolechange.Action) error {
+	done, err := h.client.Delete(ctx, h.changeKey(r.Engine), r.modifyIndex)
 	if err != nil {
 		return nil
 	}
 	if !done {
-		return h.reread(ctx, r.Engine)
+		return h.checkFencing(ctx, r.Engine)
 	}
-	_ = h.client.DeleteBelow(ctx, h.seenKey(r.Engine))
-	h.step(r.Record, time.Now(), a.Why)
+	_ = h.client.DeleteBelow(ctx, h.confirmationPrefix(r.Engine))
+	h.notifyStep(r.Record, time.Now(), a.Why)
 	h.opt.Log.Info("change of role ended", "engine", r.Engine, "to", r.To, "outcome", string(a.Outcome), "reason", a.Why)
-	return h.remember(ctx, End{At: time.Now(), Engine: r.Engine, To: r.To, Outcome: a.Outcome, Why: a.Why})
+	return h.recordHistory(ctx, HistoryEntry{At: time.Now(), Engine: r.Engine, To: r.To, Outcome: a.Outcome, Reason: a.Why})
 }
 
-// remember keeps what was done where the next owner finds it.
-func (h *owner) remember(ctx context.Context, e End) error {
-	h.recall(e)
-	h.lease.value.Ends = append(h.lease.value.Ends, e)
+// recordHistory keeps what was done where the next owner finds it.
+func (h *leader) recordHistory(ctx context.Context, e HistoryEntry) error {
+	h.replay(e)
+	h.lease.value.History = append(h.lease.value.History, e)
 	// Each change has a beginning and an end: an hour of them has to be known.
-	if n, most := len(h.lease.value.Ends), 2*h.opt.Settings.AnHour+keepEnds; n > most {
-		h.lease.value.Ends = h.lease.value.Ends[n-most:]
+	if n, most := len(h.lease.value.History), 2*h.opt.Settings.AnHour+extraHistory; n > most {
+		h.lease.value.History = h.lease.value.History[n-most:]
 	}
 	h.mu.Lock()
-	h.status.Ends = slices.Clone(h.lease.value.Ends)
+	h.status.History = slices.Clone(h.lease.value.History)
 	h.mu.Unlock()
 	raw, err := jsoniter.Marshal(h.lease.value)
 	if err != nil {
 		return err
 	}
 	if held, err := h.client.Lock(ctx, h.lockKey(), h.lease.session, raw); err == nil && !held {
-		return errLost
+		return errLeaseLost
 	}
 	return nil
 }
 
 // plan begins a change if one is worth it.
-func (h *owner) plan(ctx context.Context, engines []directory.Engine, records []kept) error {
+func (h *leader) plan(ctx context.Context, engines []directory.Engine, records []storedRecord) error {
 	now := time.Now()
 	p := h.planner.Plan(now)
 	h.mu.Lock()
-	h.status.Plan = Plan{At: now, Why: p.Why, Change: p.Change, Demand: p.Demand, Capacity: p.Capacity, Before: p.Before, After: p.After}
+	h.status.Plan = Plan{At: now, Reason: p.Why, Change: p.Change, Demand: p.Demand, Capacity: p.Capacity, Before: p.Before, After: p.After}
 	h.mu.Unlock()
 	if p.Change == nil {
 		return nil
 	}
 	if h.opt.DryRun {
-		if h.lastWhy != p.Change.Engine {
+		if h.lastDryRunEngine != p.Change.Engine {
 			h.opt.Log.Info("dry run: a change of role would begin", "engine", p.Change.Engine, "from", p.Change.From, "to", p.Change.To, "reason", p.Why)
 		}
-		h.lastWhy = p.Change.Engine
+		h.lastDryRunEngine = p.Change.Engine
 		return nil
 	}
 	modify := uint64(0)
 	for _, r := range records {
 		if r.Engine == p.Change.Engine { // settled, and to change again before the catalogue has followed
-			modify = r.modify
+			modify = r.modifyIndex
 		}
 	}
 	for _, e := range engines {
 		if e.ID != p.Change.Engine {
 			continue
 		}
-		if !h.sure() {
-			return errLost
+		if !h.leaseValid() {
+			return errLeaseLost
 		}
 		r := rolechange.Record{
 			Engine: e.ID, Addr: e.Address, Rack: e.Cell, From: p.Change.From.String(), To: p.Change.To.String(), Step: rolechange.Announced,
 			Fence: h.lease.Fence, Owner: h.lease.value.Gateway, Begun: now.UTC(), Since: now.UTC(), Why: p.Why,
 		}
-		if written, err := h.write(ctx, r, modify); err != nil || !written {
+		if written, err := h.putRecord(ctx, r, modify); err != nil || !written {
 			return err
 		}
 		h.opt.Log.Info("change of role: announced", "engine", r.Engine, "from", r.From, "to", r.To, "reason", p.Why, "fence", r.Fence)
-		return h.remember(ctx, End{At: now, Engine: r.Engine, To: r.To, Why: p.Why})
+		return h.recordHistory(ctx, HistoryEntry{At: now, Engine: r.Engine, To: r.To, Reason: p.Why})
 	}
 	return nil
 }
--- a/internal/rolectl/rolectl.go
+++ b/internal/rolectl/rolectl.go
@@ -24,56 +24,56 @@
 
 // The controller's margins.
 const (
-	tickEvery = time.Second
-	watchWait = 10 * time.Second
-	retryIn   = time.Second
-	lockDelay = time.Second // fences guard against an owner that comes back
-	keepEnds  = 20          // that are remembered beyond an hour's
+	tickInterval  = time.Second
+	watchWait     = 10 * time.Second
+	retryInterval = time.Second
+	lockDelay     = time.Second // fences guard against an owner that comes back
+	extraHistory  = 20          // that are remembered beyond an hour's
 )
 
 // Options are what a controller is made of.
 type Options struct {
-	Keeper   *directory.Keeper
-	Settings roles.Settings
-	Limits   rolechange.Limits
-	Lease    time.Duration
-	Prefix   string
-	Gateway  func() string                  // this gateway's name among all; "" while it is not known
-	Gateways func() int                     // how many share the engines
-	Traffic  func() map[string]core.Traffic // at this gateway: it stands for all
-	DryRun   bool
-	Engines  map[string]bool // pinned
-	Racks    map[int]bool    // pinned
-	// Step is told of each step of a change that is over; nil for nothing.
-	Step func(r rolechange.Record, to time.Time, why string)
-	Log  *slog.Logger
+	Keeper        *directory.Keeper
+	Settings      roles.Settings
+	Limits        rolechange.Limits
+	LeaseTTL      time.Duration
+	KeyPrefix     string
+	GatewayName   func() string                  // this gateway's name among all; "" while it is not known
+	GatewayCount  func() int                     // how many share the engines
+	Traffic       func() map[string]core.Traffic // at this gateway: it stands for all
+	DryRun        bool
+	PinnedEngines map[string]bool // pinned
+	PinnedRacks   map[int]bool    // pinned
+	// OnStep is told of each step of a change that is over; nil for nothing.
+	OnStep func(r rolechange.Record, to time.Time, why string)
+	Log    *slog.Logger
 }
 
-// End is a change that has ended, or one that was begun.
-type End struct {
+// HistoryEntry is a change that has ended, or one that was begun.
+type HistoryEntry struct {
 	At      time.Time          `json:"at"`
 	Engine  string             `json:"engine"`
 	To      string             `json:"to"`
 	Outcome rolechange.Outcome `json:"outcome"` // "" = begun
-	Why     string             `json:"why"`
+	Reason  string             `json:"why"`
 }
 
 // Status is the present state, for people.
 type Status struct {
-	Gateway string              `json:"gateway"`
-	Owner   string              `json:"owner"` // who holds the lease, as far as is known
-	Mine    bool                `json:"mine"`
-	Fence   uint64              `json:"fence"`
-	DryRun  bool                `json:"dry_run"`
-	Plan    Plan                `json:"plan"` // the owner's latest
-	Changes []rolechange.Record `json:"changes"`
-	Ends    []End               `json:"ends"`
+	Gateway      string              `json:"gateway"`
+	Leader       string              `json:"owner"` // who holds the lease, as far as is known
+	IsLeader     bool                `json:"mine"`
+	FencingToken uint64              `json:"fence"`
+	DryRun       bool                `json:"dry_run"`
+	Plan         Plan                `json:"plan"` // the owner's latest
+	Changes      []rolechange.Record `json:"changes"`
+	History      []HistoryEntry      `json:"ends"`
 }
 
 // Plan is the owner's latest plan.
 type Plan struct {
 	At       time.Time      `json:"at"`
-	Why      string         `json:"why"`
+	Reason   string         `json:"why"`
 	Change   *roles.Change  `json:"change,omitempty"`
 	Demand   [2]float64     `json:"demand"`
 	Capacity [2]float64     `json:"capacity"`
@@ -81,22 +81,22 @@
 	After    roles.Forecast `json:"after"`
 }
 
-// kept is a record with the index at which it was read.
-type kept struct {
+// storedRecord is a record with the index at which it was read.
+type storedRecord struct {
 	rolechange.Record
-	modify uint64
+	modifyIndex uint64
 }
 
 // Controller follows and, while it holds the lease, carries out changes.
 type Controller struct {
-	opt  Options
-	held string // the session of the latest lease; contend's alone
-
-	mu      sync.Mutex
-	records map[string]kept
-	known   bool // the records have been read
-	said    map[string]time.Time
-	status  Status
+	opt         Options
+	lastSession string // the session of the latest lease; contend's alone
+
+	mu          sync.Mutex
+	records     map[string]storedRecord
+	recordsRead bool // the records have been read
+	confirmed   map[string]time.Time
+	status      Status
 }
 
 // New returns a controller; an error names a setting that can't be used.
@@ -105,7 +105,7 @@
 		return nil, fmt.Errorf("roles.%w", err)
 	}
 	opt.Log = opt.Log.With("part", "roles")
-	return &Controller{opt: opt, records: map[string]kept{}, said: map[string]time.Time{}, status: Status{DryRun: opt.DryRun}}, nil
+	return &Controller{opt: opt, records: map[string]storedRecord{}, confirmed: map[string]time.Time{}, status: Status{DryRun: opt.DryRun}}, nil
 }
 
 // Status returns the present state.
@@ -113,12 +113,12 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.status
-	s.Gateway = c.opt.Gateway()
+	s.Gateway = c.opt.GatewayName()
 	s.Changes = []rolechange.Record{}
 	for _, r := range c.records {
 		s.Changes = append(s.Changes, r.Record)
 	}
-	s.Ends = append([]End{}, c.status.Ends...)
+	s.History = append([]HistoryEntry{}, c.status.History...)
 	return s
 }
 
@@ -128,73 +128,75 @@
 	defer group.Wait()
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	group.Go(func() { c.follow(ctx, client) })
-	c.contend(ctx, client)
+	group.Go(func() { c.watchRecords(ctx, client) })
+	c.campaign(ctx, client)
 }
 
-func (c *Controller) changeKey(engine string) string { return c.opt.Prefix + "/change/" + engine }
-func (c *Controller) seenKey(engine string) string   { return c.opt.Prefix + "/seen/" + engine + "/" }
+func (c *Controller) changeKey(engine string) string { return c.opt.KeyPrefix + "/change/" + engine }
+func (c *Controller) confirmationPrefix(engine string) string {
+	return c.opt.KeyPrefix + "/seen/" + engine + "/"
+}
 
-// follow holds this gateway to the changes that are under way. While they can't be read
+// watchRecords holds this gateway to the changes that are under way. While they can't be read
 // it holds to what it knows.
-func (c *Controller) follow(ctx context.Context, client *consul.Client) {
+func (c *Controller) watchRecords(ctx context.Context, client *consul.Client) {
 	index := uint64(0)
 	for ctx.Err() == nil {
-		pairs, next, err := client.List(ctx, c.opt.Prefix+"/change/", index, watchWait)
+		pairs, next, err := client.List(ctx, c.opt.KeyPrefix+"/change/", index, watchWait)
 		if err != nil {
 			index = 0
-			client.Pause(ctx, retryIn)
+			client.Pause(ctx, retryInterval)
 			continue
 		}
 		if next < index || next == 0 {
 			next = 0
 		}
 		if same := index != 0 && next == index; !same {
-			c.take(ctx, client, pairs)
+			c.applyRecords(ctx, client, pairs)
 		}
 		if index = next; index == 0 {
-			pause.Sleep(ctx, retryIn)
+			pause.Sleep(ctx, retryInterval)
 		}
 	}
 }
 
-// take takes the changes in, has the core told, and says so.
-func (c *Controller) take(ctx context.Context, client *consul.Client, pairs []consul.Pair) {
-	records, over := map[string]kept{}, map[string]roster.Override{}
+// applyRecords takes the changes in, has the core told, and says so.
+func (c *Controller) applyRecords(ctx context.Context, client *consul.Client, pairs []consul.Pair) {
+	records, over := map[string]storedRecord{}, map[string]roster.Override{}
 	for _, p := range pairs {
 		var r rolechange.Record
 		if err := jsoniter.Unmarshal(p.Value, &r); err != nil || c.changeKey(r.Engine) != p.Key {
 			c.opt.Log.Warn("a change that makes no sense is passed over", "key", p.Key, "cause", err)
 			continue
 		}
-		records[r.Engine] = kept{r, p.ModifyIndex}
+		records[r.Engine] = storedRecord{r, p.ModifyIndex}
 		hold, role, cold := r.View()
 		over[r.Engine] = roster.Override{Hold: hold, Kind: role, Started: cold, Why: "changes from " + r.From + " to " + r.To + ": " + string(r.Step)}
 	}
 	c.opt.Keeper.With(func(b *roster.Book, now time.Time) { b.Override(now, over) })
 	c.opt.Keeper.Flush()
 	c.mu.Lock()
-	c.records, c.known = records, true
+	c.records, c.recordsRead = records, true
 	var say []rolechange.Record
-	for id := range c.said {
+	for id := range c.confirmed {
 		if _, on := records[id]; !on {
-			delete(c.said, id)
+			delete(c.confirmed, id)
 		}
 	}
 	for id, r := range records {
-		if !c.said[id].Equal(r.Begun) {
+		if !c.confirmed[id].Equal(r.Begun) {
 			say = append(say, r.Record)
 		}
 	}
 	c.mu.Unlock()
-	gateway := c.opt.Gateway()
+	gateway := c.opt.GatewayName()
 	for _, r := range say {
 		c.opt.Log.Info("a change of role is held to", "engine", r.Engine, "from", r.From, "to", r.To, "step", string(r.Step))
-		if gateway == "" || client.Write(ctx, c.seenKey(r.Engine)+gateway, []byte(r.Begun.Format(time.RFC3339Nano))) != nil {
+		if gateway == "" || client.Write(ctx, c.confirmationPrefix(r.Engine)+gateway, []byte(r.Begun.Format(time.RFC3339Nano))) != nil {
 			continue // the owner waits no longer than it has to
 		}
 		c.mu.Lock()
-		c.said[r.Engine] = r.Begun
+		c.confirmed[r.Engine] = r.Begun
 		c.mu.Unlock()
 	}
 }
--- a/internal/rolectl/rolectl_test.go
+++ b/internal/rolectl/rolectl_test.go
@@ -104,8 +104,8 @@
 		}
 	}})
 	opt := Options{
-		Keeper: g.keeper, Settings: roles.DefaultSettings(), Limits: rolechange.DefaultLimits(), Lease: 10 * time.Second, Prefix: "p",
-		Gateway: func() string { return name }, Gateways: func() int { return len(w.gates) }, Traffic: func() map[string]core.Traffic { return nil }, Log: log,
+		Keeper: g.keeper, Settings: roles.DefaultSettings(), Limits: rolechange.DefaultLimits(), LeaseTTL: 10 * time.Second, KeyPrefix: "p",
+		GatewayName: func() string { return name }, GatewayCount: func() int { return len(w.gates) }, Traffic: func() map[string]core.Traffic { return nil }, Log: log,
 	}
 	opt.Limits.Cold = 50 * time.Millisecond
 	if change != nil {
@@ -148,7 +148,7 @@
 	outcome := rolechange.Going
 	enginetest.Eventually(w.T, "the change of "+id+" ends", func() bool {
 		s := g.Status()
-		for _, e := range s.Ends {
+		for _, e := range s.History {
 			if e.Engine == id && e.Outcome != rolechange.Going {
 				outcome = e.Outcome
 			}
@@ -211,7 +211,7 @@
 func TestLeaseExpiresMidChange(t *testing.T) {
 	w := newWorld(t)
 	one := w.gate("g1", nil)
-	enginetest.Eventually(t, "g1 owns", func() bool { return one.Status().Mine })
+	enginetest.Eventually(t, "g1 owns", func() bool { return one.Status().IsLeader })
 	two := w.gate("g2", nil)
 	lock, _, err := two.client.Read(t.Context(), one.lockKey())
 	if err != nil {
@@ -224,22 +224,22 @@
 	if err := two.client.EndSession(t.Context(), lock.Session); err != nil {
 		t.Fatal(err)
 	}
-	enginetest.Eventually(t, "g2 owns", func() bool { s := two.Status(); return s.Mine && s.Fence > lock.LockIndex })
+	enginetest.Eventually(t, "g2 owns", func() bool { s := two.Status(); return s.IsLeader && s.FencingToken > lock.LockIndex })
 	w.leave(two, "w1", "read", rolechange.Announced)
 	enginetest.Eventually(t, "the engine has been told by g2", func() bool { return w.eng["w1"].RoleNow() == engine.Read })
-	enginetest.Eventually(t, "g1 has stopped", func() bool { return !one.Status().Mine })
+	enginetest.Eventually(t, "g1 has stopped", func() bool { return !one.Status().IsLeader })
 
 	// An owner that was paused for longer than its lease and wakes up does nothing.
-	stale := &owner{Controller: two.Controller, client: two.client, lease: &lease{session: lock.Session, Lease: rolechange.NewLease(lock.LockIndex, time.Second, time.Now().Add(-time.Hour))}}
-	if err := stale.tick(t.Context()); !errors.Is(err, errLost) {
+	stale := &leader{Controller: two.Controller, client: two.client, lease: &lease{session: lock.Session, Lease: rolechange.NewLease(lock.LockIndex, time.Second, time.Now().Add(-time.Hour))}}
+	if err := stale.tick(t.Context()); !errors.Is(err, errLeaseLost) {
 		t.Errorf("woken up: %v", err)
 	}
 	// Even one that is sure of itself is refused by the engine and by the record.
 	planner, _ := roles.NewPlanner(roles.DefaultSettings())
-	stale = &owner{
+	stale = &leader{
 		Controller: two.Controller, client: two.client, planner: planner, http: &http.Client{Timeout: time.Second},
-		lease:  &lease{session: lock.Session, Lease: rolechange.NewLease(lock.LockIndex, time.Hour, time.Now())},
-		silent: map[string]time.Time{}, replies: map[string]rolechange.Reply{}, reports: map[string]*report{},
+		lease:       &lease{session: lock.Session, Lease: rolechange.NewLease(lock.LockIndex, time.Hour, time.Now())},
+		silentSince: map[string]time.Time{}, replies: map[string]rolechange.Reply{}, reports: map[string]*engineReport{},
 	}
 	view := two.keeper.View().Engines
 	stale.poll(t.Context(), view)
@@ -248,14 +248,14 @@
 	if err := jsoniter.Unmarshal(before.Value, &r); err != nil {
 		t.Fatal(err)
 	}
-	if err := stale.advance(t.Context(), kept{r, before.ModifyIndex}, view); !errors.Is(err, errLost) {
+	if err := stale.advance(t.Context(), storedRecord{r, before.ModifyIndex}, view); !errors.Is(err, errLeaseLost) {
 		t.Errorf("by the record: %v", err)
 	}
 	r.Fence = lock.LockIndex // as it last read it
-	if err := stale.advance(t.Context(), kept{r, before.ModifyIndex}, view); !errors.Is(err, errLost) {
+	if err := stale.advance(t.Context(), storedRecord{r, before.ModifyIndex}, view); !errors.Is(err, errLeaseLost) {
 		t.Errorf("by the engine: %v", err)
 	}
-	stale.tell(t.Context(), rolechange.Action{Record: rolechange.Record{Engine: "w1", Addr: w.eng["w1"].Addr(), To: "write"}, Tell: rolechange.Drain})
+	stale.sendCommand(t.Context(), rolechange.Action{Record: rolechange.Record{Engine: "w1", Addr: w.eng["w1"].Addr(), To: "write"}, Tell: rolechange.Drain})
 	if got := stale.replies["w1"]; got != rolechange.Outdated {
 		t.Errorf("the engine took a command of an outdated owner: %v", got)
 	}
@@ -267,14 +267,14 @@
 	w := newWorld(t)
 	g := w.gate("g1", func(o *Options) {
 		o.Limits.See = time.Hour
-		o.Gateways = func() int { return 2 }
+		o.GatewayCount = func() int { return 2 }
 	})
 	w.leave(g, "w1", "read", rolechange.Announced)
 	enginetest.Eventually(t, "it is held", func() bool { return g.holds("w1", "write") })
 	if err := g.agent.Fail(fakeconsul.Faults{Refuse: true}); err != nil {
 		t.Fatal(err)
 	}
-	enginetest.Eventually(t, "nobody owns", func() bool { return !g.Status().Mine })
+	enginetest.Eventually(t, "nobody owns", func() bool { return !g.Status().IsLeader })
 	if !g.holds("w1", "write") {
 		t.Error("the engine has new work while the change can't be read")
 	}
@@ -291,9 +291,9 @@
 	w := newWorld(t)
 	g := w.gate("g1", func(o *Options) {
 		o.Limits.See = 1500 * time.Millisecond
-		o.Gateways = func() int { return 2 }
+		o.GatewayCount = func() int { return 2 }
 	})
-	enginetest.Eventually(t, "g1 owns", func() bool { return g.Status().Mine })
+	enginetest.Eventually(t, "g1 owns", func() bool { return g.Status().IsLeader })
 	begun := time.Now()
 	w.leave(g, "w1", "read", rolechange.Announced)
 	enginetest.Eventually(t, "it has its new role", func() bool { return g.takes("w1", "read") })
@@ -368,7 +368,7 @@
 	w.eng["w1"].Hold(1)
 	enginetest.Eventually(t, "a change is wanted", func() bool { return g.Status().Plan.Change != nil })
 	s := g.Status()
-	if len(s.Changes) > 0 || len(s.Ends) > 0 || s.Plan.Change.To != roles.Prompt {
+	if len(s.Changes) > 0 || len(s.History) > 0 || s.Plan.Change.To != roles.Prompt {
 		t.Errorf("%+v", s)
 	}
 	pairs, _, err := g.client.List(t.Context(), "p/change/", 0, 0)
--- a/internal/rolectl/stored_test.go
+++ b/internal/rolectl/stored_test.go
@@ -45,17 +45,17 @@
 }
 
 // storedLock is the value of the lock in testdata/owner.json.
-func storedLock() ownerValue {
-	return ownerValue{Gateway: "edge-a", Ends: []End{
-		{At: storedAt, Engine: "w1", To: "read", Outcome: rolechange.Outcome(""), Why: "read work needs it"},
-		{At: storedAt.Add(time.Minute), Engine: "w1", To: "read", Outcome: rolechange.Outcome("done"), Why: "the catalogue says the same"},
-		{At: storedAt.Add(time.Hour), Engine: "w2", To: "write", Outcome: rolechange.Outcome("undone"), Why: "its drain hangs"},
+func storedLock() lockValue {
+	return lockValue{Gateway: "edge-a", History: []HistoryEntry{
+		{At: storedAt, Engine: "w1", To: "read", Outcome: rolechange.Outcome(""), Reason: "read work needs it"},
+		{At: storedAt.Add(time.Minute), Engine: "w1", To: "read", Outcome: rolechange.Outcome("done"), Reason: "the catalogue says the same"},
+		{At: storedAt.Add(time.Hour), Engine: "w2", To: "write", Outcome: rolechange.Outcome("undone"), Reason: "its drain hangs"},
 	}}
 }
 
 // storedWorld is a gateway that has no name, so that it follows and never owns, and an owner's
 // work that the test does in its place.
-func storedWorld(t *testing.T) (*world, *gate, *owner) {
+func storedWorld(t *testing.T) (*world, *gate, *leader) {
 	t.Helper()
 	w := newWorld(t)
 	g := w.gate("", nil)
@@ -68,11 +68,11 @@
 		t.Fatal(err)
 	}
 	value := storedLock()
-	value.Ends = value.Ends[:2]
-	return w, g, &owner{
+	value.History = value.History[:2]
+	return w, g, &leader{
 		Controller: g.Controller, client: g.client, planner: planner, http: &http.Client{Timeout: time.Second},
 		lease:   &lease{session: session, value: value, Lease: rolechange.NewLease(41, time.Hour, time.Now())},
-		replies: map[string]rolechange.Reply{}, reports: map[string]*report{}, silent: map[string]time.Time{},
+		replies: map[string]rolechange.Reply{}, reports: map[string]*engineReport{}, silentSince: map[string]time.Time{},
 	}
 }
 
@@ -89,14 +89,14 @@
 func TestStoredBytes(t *testing.T) {
 	_, g, h := storedWorld(t)
 	for file, r := range storedRecords() {
-		if done, err := h.write(t.Context(), r, 0); err != nil || !done {
+		if done, err := h.putRecord(t.Context(), r, 0); err != nil || !done {
 			t.Fatalf("%s: %v, %v", file, done, err)
 		}
 		if got := stored(t, g.client, "p/change/"+r.Engine); !bytes.Equal(got, testdata(t, file)) {
 			t.Errorf("%s: %s, want %s", file, got, testdata(t, file))
 		}
 	}
-	if err := h.remember(t.Context(), storedLock().Ends[2]); err != nil {
+	if err := h.recordHistory(t.Context(), storedLock().History[2]); err != nil {
 		t.Fatal(err)
 	}
 	if got := stored(t, g.client, "p/owner"); !bytes.Equal(got, testdata(t, "owner.json")) {
@@ -120,7 +120,7 @@
 	}
 	enginetest.Eventually(t, "the records and the lock are read", func() bool {
 		s := g.Status()
-		return len(s.Changes) == len(records) && s.Owner == "edge-a"
+		return len(s.Changes) == len(records) && s.Leader == "edge-a"
 	})
 	s := g.Status()
 	for _, got := range s.Changes {
@@ -132,10 +132,10 @@
 			t.Errorf("read as %+v", got)
 		}
 	}
-	if want := storedLock().Ends; !reflect.DeepEqual(s.Ends, want) {
-		t.Errorf("the lock is read as %+v, want %+v", s.Ends, want)
+	if want := storedLock().History; !reflect.DeepEqual(s.History, want) {
+		t.Errorf("the lock is read as %+v, want %+v", s.History, want)
 	}
-	other := w.gate("g2", func(o *Options) { o.Limits.See = time.Hour; o.Gateways = func() int { return 9 } })
+	other := w.gate("g2", func(o *Options) { o.Limits.See = time.Hour; o.GatewayCount = func() int { return 9 } })
 	enginetest.Eventually(t, "a gateway confirms a change", func() bool {
 		p, there, err := other.client.Read(t.Context(), "p/seen/w1/g2")
 		return err == nil && there && string(p.Value) == "2026-11-30T08:15:00.123456789Z"
@@ -165,15 +165,15 @@
 	t.Cleanup(srv.Close)
 	_, _, h := storedWorld(t)
 	addr := strings.TrimPrefix(srv.URL, "http://")
-	got, status, err := h.call(context.Background(), http.MethodGet, addr, nil)
-	want := report{
+	got, status, err := h.callEngine(context.Background(), http.MethodGet, addr, nil)
+	want := engineReport{
 		Report: rolechange.Report{Role: "write", Draining: true, Running: 3, Held: 2, Fence: 41, Started: time.Date(2026, 11, 30, 8, 15, 0, 0, time.UTC)},
 		Slots:  8, Queue: 1, Memory: 0.5, Tokens: 1200.5, Busy: 9.25,
 	}
 	if err != nil || status != http.StatusOK || !reflect.DeepEqual(*got, want) {
 		t.Errorf("%+v, %d, %v", got, status, err)
 	}
-	h.tell(context.Background(), rolechange.Action{Record: rolechange.Record{Engine: "w1", Addr: addr, To: "read"}, Tell: rolechange.Command("drain")})
+	h.sendCommand(context.Background(), rolechange.Action{Record: rolechange.Record{Engine: "w1", Addr: addr, To: "read"}, Tell: rolechange.Command("drain")})
 	if got := h.replies["w1"]; got != rolechange.Reply(1) {
 		t.Errorf("the reply was taken for %d", got)
 	}
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -124,7 +124,7 @@
 // collectRoles writes the plan, which its leader alone has, and the changes of role.
 func (c *collector) collectRoles(s rolectl.Status, gauge emit) {
 	leads := 0.0
-	if s.Mine {
+	if s.IsLeader {
 		leads = 1
 		for i, role := range []string{"read", "write"} {
 			gauge(c.demand, s.Plan.Demand[i], role)
@@ -140,7 +140,7 @@
 	for step, n := range steps {
 		gauge(c.active, float64(n), step)
 	}
-	for _, e := range s.Ends {
+	for _, e := range s.History {
 		outcomes[cmp.Or(string(e.Outcome), "begun")]++
 	}
 	for outcome, n := range outcomes {
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -32,8 +32,8 @@
 	}
 	roles := func() rolectl.Status {
 		return rolectl.Status{
-			Mine: true, Plan: rolectl.Plan{Demand: [2]float64{1.5, 2}}, Changes: []rolechange.Record{{Step: rolechange.Draining}},
-			Ends: []rolectl.End{{Outcome: rolechange.Done}, {}},
+			IsLeader: true, Plan: rolectl.Plan{Demand: [2]float64{1.5, 2}}, Changes: []rolechange.Record{{Step: rolechange.Draining}},
+			History: []rolectl.HistoryEntry{{Outcome: rolechange.Done}, {}},
 		}
 	}
 	tier := func() peers.Status {
