--- a/cmd/wellgw/roles.go
+++ b/cmd/wellgw/roles.go
@@ -43,7 +43,7 @@
 	}
 	t := newTable(w, "engine", "from", "to", "step", "for", "begun", "owner", "fence", "why")
 	for _, r := range s.Changes {
-		t.AppendRow(table.Row{r.Engine, r.From, r.To, r.Step, now.Sub(r.Since).Round(time.Second), ago(r.Begun), r.Owner, r.Fence, r.Why})
+		t.AppendRow(table.Row{r.Engine, r.From, r.To, r.Step, now.Sub(r.StepSince).Round(time.Second), ago(r.BegunAt), r.Leader, r.FencingToken, r.Reason})
 	}
 	t.Render()
 	e := newTable(w, "when", "engine", "to", "what", "why")
--- a/decide/rolechange/golden_test.go
+++ b/decide/rolechange/golden_test.go
@@ -12,16 +12,16 @@
 // are those that stand in stored records.
 func drawnFacts(rng *rand.Rand) Facts {
 	f := Facts{
-		Now: t0.Add(time.Duration(rng.IntN(60_000)) * time.Millisecond), Owner: "g1", Fence: uint64(4 + rng.IntN(8)/7*rng.IntN(3)),
-		Gateways: rng.IntN(4), Seen: rng.IntN(4), Listed: rng.IntN(5) > 0, ListedAs: drawnRole(rng), Reply: Reply(rng.IntN(8) / 7 * rng.IntN(4)),
+		Now: t0.Add(time.Duration(rng.IntN(60_000)) * time.Millisecond), Leader: "g1", FencingToken: uint64(4 + rng.IntN(8)/7*rng.IntN(3)),
+		Gateways: rng.IntN(4), Confirmed: rng.IntN(4), Listed: rng.IntN(5) > 0, ListedRole: drawnRole(rng), Reply: Reply(rng.IntN(8) / 7 * rng.IntN(4)),
 	}
 	if rng.IntN(5) == 0 {
-		f.Silent = time.Duration(rng.IntN(9000)) * time.Millisecond
+		f.SilentFor = time.Duration(rng.IntN(9000)) * time.Millisecond
 		return f
 	}
 	f.Report = &Report{
-		Role: drawnRole(rng), Draining: rng.IntN(2) == 0, Running: rng.IntN(2), Held: rng.IntN(4) / 3,
-		Fence: uint64(3 + rng.IntN(8)/7*rng.IntN(4)), Started: t0,
+		Role: drawnRole(rng), Draining: rng.IntN(2) == 0, Running: rng.IntN(2), HeldStates: rng.IntN(4) / 3,
+		FencingToken: uint64(3 + rng.IntN(8)/7*rng.IntN(4)), StartedAt: t0,
 	}
 	return f
 }
@@ -34,8 +34,8 @@
 	steps := []string{"announced", "draining", "flipping", "warming", "settled", "undoing", "unheard-of"}
 	return Record{
 		Engine: "e", Addr: "a:1", Rack: rng.IntN(3), From: "read", To: "write", Step: Step(steps[rng.IntN(len(steps))]),
-		Fence: uint64(4 + rng.IntN(8)/7*(rng.IntN(3)-1)), Owner: "g0", Begun: t0, Since: t0.Add(time.Duration(rng.IntN(20_000)) * time.Millisecond),
-		Flipped: t0.Add(time.Duration(rng.IntN(20_000)) * time.Millisecond), Why: "drawn",
+		FencingToken: uint64(4 + rng.IntN(8)/7*(rng.IntN(3)-1)), Leader: "g0", BegunAt: t0, StepSince: t0.Add(time.Duration(rng.IntN(20_000)) * time.Millisecond),
+		FlippedAt: t0.Add(time.Duration(rng.IntN(20_000)) * time.Millisecond), Reason: "drawn",
 	}
 }
 
@@ -50,16 +50,16 @@
 			for range 1 + rng.IntN(4) { // a few steps of one change
 				a := Next(r, f, limits)
 				x := a.Record
-				hold, role, cold := x.View()
-				fmt.Fprintln(sum, a.Write, string(a.Tell), string(a.Outcome), a.Stop, a.Why, hold, role, cold.UnixNano(),
-					x.Engine, x.Addr, x.Rack, x.From, x.To, string(x.Step), x.Fence, x.Owner, x.Begun.UnixNano(), x.Since.UnixNano(), x.Flipped.UnixNano(), x.Why)
+				hold, role, cold := x.EngineView()
+				fmt.Fprintln(sum, a.Write, string(a.Command), string(a.Outcome), a.LeaseLost, a.Reason, hold, role, cold.UnixNano(),
+					x.Engine, x.Addr, x.Rack, x.From, x.To, string(x.Step), x.FencingToken, x.Leader, x.BegunAt.UnixNano(), x.StepSince.UnixNano(), x.FlippedAt.UnixNano(), x.Reason)
 				r, f = x, drawnFacts(rng)
 			}
 			l := NewLease(rng.Uint64(), time.Duration(rng.IntN(9000))*time.Millisecond, t0)
 			l.Renewed(t0.Add(time.Duration(rng.IntN(4000)-2000) * time.Millisecond))
 			sessions := []string{"", "s1", "s2"}
-			bid := BidFor(sessions[rng.IntN(3)], sessions[rng.IntN(3)], []string{"", "g1"}[rng.IntN(2)])
-			fmt.Fprintln(sum, l.Fence, l.Sure(t0.Add(time.Duration(rng.IntN(6000))*time.Millisecond)), uint8(bid))
+			bid := DecideLock(sessions[rng.IntN(3)], sessions[rng.IntN(3)], []string{"", "g1"}[rng.IntN(2)])
+			fmt.Fprintln(sum, l.FencingToken, l.Valid(t0.Add(time.Duration(rng.IntN(6000))*time.Millisecond)), uint8(bid))
 		}
 		if got := sum.Sum64(); got != want {
 			t.Errorf("seed %d: %#x, want %#x", seed, got, want)
@@ -70,7 +70,7 @@
 // The limits that an operator who gives none gets, in the order of the settings.
 func TestGoldenDefaults(t *testing.T) {
 	l := DefaultLimits()
-	got := [...]time.Duration{l.See, l.Drain, l.Flip, l.Cold, l.Lost, l.Undo}
+	got := [...]time.Duration{l.Confirmation, l.Draining, l.Flipping, l.WarmUp, l.EngineSilence, l.Undoing}
 	if want := [...]time.Duration{4 * s, 30 * s, 5 * s, 14 * s, 6 * s, 10 * s}; got != want {
 		t.Errorf("%v, want %v", got, want)
 	}
--- a/decide/rolechange/lease.go
+++ b/decide/rolechange/lease.go
@@ -6,17 +6,17 @@
 // TTL after it was last renewed, so that an owner that was paused finds out that it may
 // no longer be one before it does anything.
 type Lease struct {
-	Fence   uint64 // grows with each holder
-	ttl     time.Duration
-	renewed time.Time
+	FencingToken uint64 // grows with each holder
+	ttl          time.Duration
+	renewed      time.Time
 }
 
-// sureOf is the part of its TTL, one in so many, for which a lease is acted on.
-const sureOf = 3
+// validPart is the part of its TTL, one in so many, for which a lease is acted on.
+const validPart = 3
 
 // NewLease returns a lease that was asked for at a time.
 func NewLease(fence uint64, ttl time.Duration, asked time.Time) *Lease {
-	return &Lease{Fence: fence, ttl: ttl, renewed: asked}
+	return &Lease{FencingToken: fence, ttl: ttl, renewed: asked}
 }
 
 // Renewed notes a renewal that was asked for at a time: the answer may have been long
@@ -27,27 +27,27 @@
 	}
 }
 
-// Sure tells whether the lease is held beyond doubt.
-func (l *Lease) Sure(now time.Time) bool { return now.Sub(l.renewed) < l.ttl/sureOf }
+// Valid tells whether the lease is held beyond doubt.
+func (l *Lease) Valid(now time.Time) bool { return now.Sub(l.renewed) < l.ttl/validPart }
 
-// Bid is what to do about the lock of owners.
-type Bid uint8
+// LockAction is what to do about the lock of owners.
+type LockAction uint8
 
 // The bids.
 const (
-	Wait  Bid = iota // another holds it, or this gateway has no name yet
-	Clear            // a session of this gateway's own holds it, of a lease it has lost sight of
-	Take
+	LeaveLock     LockAction = iota // another holds it, or this gateway has no name yet
+	EndOwnSession                   // a session of this gateway's own holds it, of a lease it has lost sight of
+	AcquireLock
 )
 
-// BidFor decides on a lock that a session holds, "" if none does. mine is the session of
+// DecideLock decides on a lock that a session holds, "" if none does. mine is the session of
 // this gateway's latest lease.
-func BidFor(holder, mine, gateway string) Bid {
+func DecideLock(holder, mine, gateway string) LockAction {
 	switch {
 	case holder != "" && holder == mine:
-		return Clear
+		return EndOwnSession
 	case holder != "" || gateway == "":
-		return Wait
+		return LeaveLock
 	}
-	return Take
+	return AcquireLock
 }
--- a/internal/config/roles.go
+++ b/internal/config/roles.go
@@ -57,7 +57,7 @@
 // Limits are how long the steps of a change may take.
 func (r *Roles) Limits() rolechange.Limits {
 	l := rolechange.DefaultLimits()
-	l.Cold = millis(r.ColdMS, l.Cold)
+	l.WarmUp = millis(r.ColdMS, l.WarmUp)
 	return l
 }
 
--- a/internal/rolectl/owner.go
+++ b/internal/rolectl/owner.go
@@ -52,12 +52,12 @@
 			client.Pause(ctx, retryInterval)
 			continue
 		}
-		c.opt.Log.Info("owner of changes of role", "gateway", l.value.Gateway, "fence", l.Fence)
+		c.opt.Log.Info("owner of changes of role", "gateway", l.value.Gateway, "fence", l.FencingToken)
 		err = c.lead(ctx, client, l)
 		c.mu.Lock()
 		c.status.IsLeader = false
 		c.mu.Unlock()
-		c.opt.Log.Info("no longer owner of changes of role", "fence", l.Fence, "cause", err)
+		c.opt.Log.Info("no longer owner of changes of role", "fence", l.FencingToken, "cause", err)
 		bye, done := context.WithTimeout(context.WithoutCancel(ctx), engineTimeout)
 		_ = client.EndSession(bye, l.session) // or it ends by itself
 		done()
@@ -77,10 +77,10 @@
 	c.status.History = value.History
 	c.mu.Unlock()
 	gateway := c.opt.GatewayName()
-	switch rolechange.BidFor(before.Session, c.lastSession, gateway) {
-	case rolechange.Wait:
+	switch rolechange.DecideLock(before.Session, c.lastSession, gateway) {
+	case rolechange.LeaveLock:
 		return nil, nil
-	case rolechange.Clear:
+	case rolechange.EndOwnSession:
 		return nil, client.EndSession(ctx, before.Session)
 	}
 	asked := time.Now()
@@ -143,7 +143,7 @@
 		h.replay(e)
 	}
 	c.mu.Lock()
-	c.status.IsLeader, c.status.Leader, c.status.FencingToken = true, l.value.Gateway, l.Fence
+	c.status.IsLeader, c.status.Leader, c.status.FencingToken = true, l.value.Gateway, l.FencingToken
 	c.mu.Unlock()
 	for ctx.Err() == nil {
 		begun := time.Now()
@@ -157,7 +157,7 @@
 
 // replay tells the planner what was done.
 func (h *leader) replay(e HistoryEntry) {
-	if e.Outcome != rolechange.Going {
+	if e.Outcome != rolechange.InProgress {
 		h.planner.Ended(e.At, e.Engine, e.Outcome == rolechange.Done)
 		return
 	}
@@ -165,7 +165,7 @@
 	h.planner.Begun(e.At, roles.Change{Engine: e.Engine, To: to})
 }
 
-func (h *leader) leaseValid() bool { return h.lease.Sure(time.Now()) }
+func (h *leader) leaseValid() bool { return h.lease.Valid(time.Now()) }
 
 func (h *leader) tick(ctx context.Context) error {
 	// Renewed before the work, and counted from before the call.
@@ -190,7 +190,7 @@
 	if !known {
 		return nil
 	}
-	slices.SortFunc(records, func(a, b storedRecord) int { return a.Begun.Compare(b.Begun) })
+	slices.SortFunc(records, func(a, b storedRecord) int { return a.BegunAt.Compare(b.BegunAt) })
 	h.observe(view.Engines, records)
 	for _, r := range records {
 		if !h.leaseValid() {
@@ -259,7 +259,7 @@
 	now := time.Now()
 	changes := make(map[string]*roles.InChange, len(records))
 	for _, r := range records {
-		hold, role, since := r.View()
+		hold, role, since := r.EngineView()
 		changes[r.Engine] = &roles.InChange{Hold: hold, Role: role, For: now.Sub(since)}
 	}
 	var seen []roles.Engine
@@ -289,29 +289,29 @@
 // advance takes one change a step on.
 func (h *leader) advance(ctx context.Context, r storedRecord, engines []directory.Engine) error {
 	now := time.Now()
-	f := rolechange.Facts{Now: now, Owner: h.lease.value.Gateway, Fence: h.lease.Fence, Gateways: h.opt.GatewayCount(), Reply: h.replies[r.Engine]}
+	f := rolechange.Facts{Now: now, Leader: h.lease.value.Gateway, FencingToken: h.lease.FencingToken, Gateways: h.opt.GatewayCount(), Reply: h.replies[r.Engine]}
 	for _, e := range engines {
 		if e.ID == r.Engine && e.State != "gone" {
-			f.Listed, f.ListedAs = true, e.Role
+			f.Listed, f.ListedRole = true, e.Role
 			if e.Listed != "" {
-				f.ListedAs = e.Listed
+				f.ListedRole = e.Listed
 			}
 		}
 	}
 	if report := h.reports[r.Engine]; report != nil {
 		f.Report = &report.Report
 	} else if since := h.silentSince[r.Engine]; !since.IsZero() {
-		f.Silent = now.Sub(since)
+		f.SilentFor = now.Sub(since)
 	}
 	if r.Step == rolechange.Announced {
-		f.Seen = h.countConfirmations(ctx, r.Record)
+		f.Confirmed = h.countConfirmations(ctx, r.Record)
 	}
 	a := rolechange.Next(r.Record, f, h.opt.Limits)
-	if a.Stop {
-		return fmt.Errorf("%w: %s", errLeaseLost, a.Why)
+	if a.LeaseLost {
+		return fmt.Errorf("%w: %s", errLeaseLost, a.Reason)
 	}
 	delete(h.replies, r.Engine)
-	if a.Outcome != rolechange.Going {
+	if a.Outcome != rolechange.InProgress {
 		return h.finish(ctx, r, a)
 	}
 	if a.Write {
@@ -320,11 +320,11 @@
 			return err
 		}
 		if a.Record.Step != r.Step {
-			h.notifyStep(r.Record, now, a.Why)
+			h.notifyStep(r.Record, now, a.Reason)
 		}
-		h.opt.Log.Info("change of role: "+string(a.Record.Step), "engine", r.Engine, "from", r.From, "to", r.To, "reason", a.Why, "fence", a.Record.Fence)
+		h.opt.Log.Info("change of role: "+string(a.Record.Step), "engine", r.Engine, "from", r.From, "to", r.To, "reason", a.Reason, "fence", a.Record.FencingToken)
 	}
-	if a.Tell != rolechange.Say {
+	if a.Command != rolechange.NoCommand {
 		h.sendCommand(ctx, a)
 	}
 	return nil
@@ -345,7 +345,7 @@
 	}
 	n := 0
 	for _, p := range pairs {
-		if string(p.Value) == r.Begun.Format(time.RFC3339Nano) {
+		if string(p.Value) == r.BegunAt.Format(time.RFC3339Nano) {
 			n++
 		}
 	}
@@ -375,8 +375,8 @@
 		return nil
 	}
 	var r rolechange.Record
-	if jsoniter.Unmarshal(p.Value, &r) == nil && r.Fence > h.lease.Fence {
-		return fmt.Errorf("%w: a change was written by the owner with fence %d", errLeaseLost, r.Fence)
+	if jsoniter.Unmarshal(p.Value, &r) == nil && r.FencingToken > h.lease.FencingToken {
+		return fmt.Errorf("%w: a change was written by the owner with fence %d", errLeaseLost, r.FencingToken)
 	}
 	return nil
 }
@@ -386,20 +386,20 @@
 	if !h.leaseValid() {
 		return
 	}
-	body, err := jsoniter.Marshal(map[string]any{"command": string(a.Tell), "role": a.Record.To, "fence": h.lease.Fence})
+	body, err := jsoniter.Marshal(map[string]any{"command": string(a.Command), "role": a.Record.To, "fence": h.lease.FencingToken})
 	if err != nil {
 		return
 	}
 	_, status, err := h.callEngine(ctx, http.MethodPut, a.Record.Addr, body)
 	switch {
 	case status == http.StatusOK:
-		h.replies[a.Record.Engine] = rolechange.Taken
+		h.replies[a.Record.Engine] = rolechange.Accepted
 	case status == http.StatusConflict:
-		h.replies[a.Record.Engine] = rolechange.Outdated
+		h.replies[a.Record.Engine] = rolechange.Fenced
 	case status != 0:
 		h.replies[a.Record.Engine] = rolechange.Refused
 	default:
-		h.opt.Log.Info("an engine was not told", "engine", a.Record.Engine, "command", string(a.Tell), "cause", err)
+		h.opt.Log.Info("an engine was not told", "engine", a.Record.Engine, "command", string(a.Command), "cause", err)
 	}
 }
 
@@ -413,9 +413,9 @@
 		return h.checkFencing(ctx, r.Engine)
 	}
 	_ = h.client.DeleteBelow(ctx, h.confirmationPrefix(r.Engine))
-	h.notifyStep(r.Record, time.Now(), a.Why)
-	h.opt.Log.Info("change of role ended", "engine", r.Engine, "to", r.To, "outcome", string(a.Outcome), "reason", a.Why)
-	return h.recordHistory(ctx, HistoryEntry{At: time.Now(), Engine: r.Engine, To: r.To, Outcome: a.Outcome, Reason: a.Why})
+	h.notifyStep(r.Record, time.Now(), a.Reason)
+	h.opt.Log.Info("change of role ended", "engine", r.Engine, "to", r.To, "outcome", string(a.Outcome), "reason", a.Reason)
+	return h.recordHistory(ctx, HistoryEntry{At: time.Now(), Engine: r.Engine, To: r.To, Outcome: a.Outcome, Reason: a.Reason})
 }
 
 // recordHistory keeps what was done where the next owner finds it.
@@ -471,12 +471,12 @@
 		}
 		r := rolechange.Record{
 			Engine: e.ID, Addr: e.Address, Rack: e.Cell, From: p.Change.From.String(), To: p.Change.To.String(), Step: rolechange.Announced,
-			Fence: h.lease.Fence, Owner: h.lease.value.Gateway, Begun: now.UTC(), Since: now.UTC(), Why: p.Why,
+			FencingToken: h.lease.FencingToken, Leader: h.lease.value.Gateway, BegunAt: now.UTC(), StepSince: now.UTC(), Reason: p.Why,
 		}
 		if written, err := h.putRecord(ctx, r, modify); err != nil || !written {
 			return err
 		}
-		h.opt.Log.Info("change of role: announced", "engine", r.Engine, "from", r.From, "to", r.To, "reason", p.Why, "fence", r.Fence)
+		h.opt.Log.Info("change of role: announced", "engine", r.Engine, "from", r.From, "to", r.To, "reason", p.Why, "fence", r.FencingToken)
 		return h.recordHistory(ctx, HistoryEntry{At: now, Engine: r.Engine, To: r.To, Reason: p.Why})
 	}
 	return nil
--- a/internal/rolectl/rolectl.go
+++ b/internal/rolectl/rolectl.go
@@ -170,7 +170,7 @@
 			continue
 		}
 		records[r.Engine] = storedRecord{r, p.ModifyIndex}
-		hold, role, cold := r.View()
+		hold, role, cold := r.EngineView()
 		over[r.Engine] = roster.Override{Hold: hold, Kind: role, Started: cold, Why: "changes from " + r.From + " to " + r.To + ": " + string(r.Step)}
 	}
 	c.opt.Keeper.With(func(b *roster.Book, now time.Time) { b.Override(now, over) })
@@ -184,7 +184,7 @@
 		}
 	}
 	for id, r := range records {
-		if !c.confirmed[id].Equal(r.Begun) {
+		if !c.confirmed[id].Equal(r.BegunAt) {
 			say = append(say, r.Record)
 		}
 	}
@@ -192,11 +192,11 @@
 	gateway := c.opt.GatewayName()
 	for _, r := range say {
 		c.opt.Log.Info("a change of role is held to", "engine", r.Engine, "from", r.From, "to", r.To, "step", string(r.Step))
-		if gateway == "" || client.Write(ctx, c.confirmationPrefix(r.Engine)+gateway, []byte(r.Begun.Format(time.RFC3339Nano))) != nil {
+		if gateway == "" || client.Write(ctx, c.confirmationPrefix(r.Engine)+gateway, []byte(r.BegunAt.Format(time.RFC3339Nano))) != nil {
 			continue // the owner waits no longer than it has to
 		}
 		c.mu.Lock()
-		c.confirmed[r.Engine] = r.Begun
+		c.confirmed[r.Engine] = r.BegunAt
 		c.mu.Unlock()
 	}
 }
--- a/internal/rolectl/rolectl_test.go
+++ b/internal/rolectl/rolectl_test.go
@@ -107,7 +107,7 @@
 		Keeper: g.keeper, Settings: roles.DefaultSettings(), Limits: rolechange.DefaultLimits(), LeaseTTL: 10 * time.Second, KeyPrefix: "p",
 		GatewayName: func() string { return name }, GatewayCount: func() int { return len(w.gates) }, Traffic: func() map[string]core.Traffic { return nil }, Log: log,
 	}
-	opt.Limits.Cold = 50 * time.Millisecond
+	opt.Limits.WarmUp = 50 * time.Millisecond
 	if change != nil {
 		change(&opt)
 	}
@@ -131,8 +131,8 @@
 	w.Helper()
 	e := w.eng[engineID]
 	r := rolechange.Record{
-		Engine: engineID, Addr: e.Addr(), From: w.roles[engineID], To: to, Step: step, Owner: "killed",
-		Begun: time.Now().UTC(), Since: time.Now().UTC(), Flipped: time.Now().UTC(),
+		Engine: engineID, Addr: e.Addr(), From: w.roles[engineID], To: to, Step: step, Leader: "killed",
+		BegunAt: time.Now().UTC(), StepSince: time.Now().UTC(), FlippedAt: time.Now().UTC(),
 	}
 	raw, err := jsoniter.Marshal(r)
 	if err == nil {
@@ -145,15 +145,15 @@
 
 func (w *world) ended(g *gate, id string) rolechange.Outcome {
 	w.Helper()
-	outcome := rolechange.Going
+	outcome := rolechange.InProgress
 	enginetest.Eventually(w.T, "the change of "+id+" ends", func() bool {
 		s := g.Status()
 		for _, e := range s.History {
-			if e.Engine == id && e.Outcome != rolechange.Going {
+			if e.Engine == id && e.Outcome != rolechange.InProgress {
 				outcome = e.Outcome
 			}
 		}
-		return outcome != rolechange.Going && len(s.Changes) == 0
+		return outcome != rolechange.InProgress && len(s.Changes) == 0
 	})
 	return outcome
 }
@@ -251,12 +251,12 @@
 	if err := stale.advance(t.Context(), storedRecord{r, before.ModifyIndex}, view); !errors.Is(err, errLeaseLost) {
 		t.Errorf("by the record: %v", err)
 	}
-	r.Fence = lock.LockIndex // as it last read it
+	r.FencingToken = lock.LockIndex // as it last read it
 	if err := stale.advance(t.Context(), storedRecord{r, before.ModifyIndex}, view); !errors.Is(err, errLeaseLost) {
 		t.Errorf("by the engine: %v", err)
 	}
-	stale.sendCommand(t.Context(), rolechange.Action{Record: rolechange.Record{Engine: "w1", Addr: w.eng["w1"].Addr(), To: "write"}, Tell: rolechange.Drain})
-	if got := stale.replies["w1"]; got != rolechange.Outdated {
+	stale.sendCommand(t.Context(), rolechange.Action{Record: rolechange.Record{Engine: "w1", Addr: w.eng["w1"].Addr(), To: "write"}, Command: rolechange.Drain})
+	if got := stale.replies["w1"]; got != rolechange.Fenced {
 		t.Errorf("the engine took a command of an outdated owner: %v", got)
 	}
 }
@@ -266,7 +266,7 @@
 func TestConsulUnavailableMidChange(t *testing.T) {
 	w := newWorld(t)
 	g := w.gate("g1", func(o *Options) {
-		o.Limits.See = time.Hour
+		o.Limits.Confirmation = time.Hour
 		o.GatewayCount = func() int { return 2 }
 	})
 	w.leave(g, "w1", "read", rolechange.Announced)
@@ -290,7 +290,7 @@
 func TestLateDrainMark(t *testing.T) {
 	w := newWorld(t)
 	g := w.gate("g1", func(o *Options) {
-		o.Limits.See = 1500 * time.Millisecond
+		o.Limits.Confirmation = 1500 * time.Millisecond
 		o.GatewayCount = func() int { return 2 }
 	})
 	enginetest.Eventually(t, "g1 owns", func() bool { return g.Status().IsLeader })
@@ -318,7 +318,7 @@
 			t.Parallel()
 			w := newWorld(t)
 			g := w.gate("g1", func(o *Options) {
-				o.Limits.Drain, o.Limits.Lost, o.Limits.Cold = 1500*time.Millisecond, 1500*time.Millisecond, time.Minute
+				o.Limits.Draining, o.Limits.EngineSilence, o.Limits.WarmUp = 1500*time.Millisecond, 1500*time.Millisecond, time.Minute
 			})
 			c.spoil(w.eng["w1"])
 			w.leave(g, "w1", "read", rolechange.Announced)
@@ -335,7 +335,7 @@
 // An engine that comes back in its old role is what it says, at once.
 func TestEngineRestartsInOldRole(t *testing.T) {
 	w := newWorld(t)
-	g := w.gate("g1", func(o *Options) { o.Limits.Cold = time.Minute })
+	g := w.gate("g1", func(o *Options) { o.Limits.WarmUp = time.Minute })
 	w.leave(g, "w1", "read", rolechange.Announced)
 	enginetest.Eventually(t, "it has its new role", func() bool { return g.takes("w1", "read") })
 	if err := w.eng["w1"].Restart(false); err != nil {
--- a/internal/rolectl/stored_test.go
+++ b/internal/rolectl/stored_test.go
@@ -36,11 +36,11 @@
 // storedRecords are the records that testdata holds, by file.
 func storedRecords() map[string]rolechange.Record {
 	begun := rolechange.Record{
-		Engine: "w1", Addr: "10.0.0.7:9000", Rack: 3, From: "write", To: "read", Step: rolechange.Step("announced"), Fence: 41, Owner: "edge-a",
-		Begun: storedAt, Since: storedAt, Why: "read work needs 3.2 of 2.0 engines, \"busy\" & more",
+		Engine: "w1", Addr: "10.0.0.7:9000", Rack: 3, From: "write", To: "read", Step: rolechange.Step("announced"), FencingToken: 41, Leader: "edge-a",
+		BegunAt: storedAt, StepSince: storedAt, Reason: "read work needs 3.2 of 2.0 engines, \"busy\" & more",
 	}
 	warming := begun
-	warming.Engine, warming.Step, warming.Since, warming.Flipped = "w2", rolechange.Step("warming"), storedAt.Add(9*time.Second), storedAt.Add(9*time.Second)
+	warming.Engine, warming.Step, warming.StepSince, warming.FlippedAt = "w2", rolechange.Step("warming"), storedAt.Add(9*time.Second), storedAt.Add(9*time.Second)
 	return map[string]rolechange.Record{"change-announced.json": begun, "change-warming.json": warming}
 }
 
@@ -135,7 +135,7 @@
 	if want := storedLock().History; !reflect.DeepEqual(s.History, want) {
 		t.Errorf("the lock is read as %+v, want %+v", s.History, want)
 	}
-	other := w.gate("g2", func(o *Options) { o.Limits.See = time.Hour; o.GatewayCount = func() int { return 9 } })
+	other := w.gate("g2", func(o *Options) { o.Limits.Confirmation = time.Hour; o.GatewayCount = func() int { return 9 } })
 	enginetest.Eventually(t, "a gateway confirms a change", func() bool {
 		p, there, err := other.client.Read(t.Context(), "p/seen/w1/g2")
 		return err == nil && there && string(p.Value) == "2026-11-30T08:15:00.123456789Z"
@@ -167,13 +167,13 @@
 	addr := strings.TrimPrefix(srv.URL, "http://")
 	got, status, err := h.callEngine(context.Background(), http.MethodGet, addr, nil)
 	want := engineReport{
-		Report: rolechange.Report{Role: "write", Draining: true, Running: 3, Held: 2, Fence: 41, Started: time.Date(2026, 11, 30, 8, 15, 0, 0, time.UTC)},
+		Report: rolechange.Report{Role: "write", Draining: true, Running: 3, HeldStates: 2, FencingToken: 41, StartedAt: time.Date(2026, 11, 30, 8, 15, 0, 0, time.UTC)},
 		Slots:  8, Queue: 1, Memory: 0.5, Tokens: 1200.5, Busy: 9.25,
 	}
 	if err != nil || status != http.StatusOK || !reflect.DeepEqual(*got, want) {
 		t.Errorf("%+v, %d, %v", got, status, err)
 	}
-	h.sendCommand(context.Background(), rolechange.Action{Record: rolechange.Record{Engine: "w1", Addr: addr, To: "read"}, Tell: rolechange.Command("drain")})
+	h.sendCommand(context.Background(), rolechange.Action{Record: rolechange.Record{Engine: "w1", Addr: addr, To: "read"}, Command: rolechange.Command("drain")})
 	if got := h.replies["w1"]; got != rolechange.Reply(1) {
 		t.Errorf("the reply was taken for %d", got)
 	}
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -82,7 +82,7 @@
 // wrote them.
 func TestTraces(t *testing.T) {
 	var out bytes.Buffer
-	r := rolechange.Record{Engine: "e1", From: "read", To: "write", Step: rolechange.Announced, Begun: time.Now(), Since: time.Now()}
+	r := rolechange.Record{Engine: "e1", From: "read", To: "write", Step: rolechange.Announced, BegunAt: time.Now(), StepSince: time.Now()}
 	for _, gateway := range []string{"g1", "g2"} { // two owners, one after the other
 		tracer, err := NewTracer(&out, gateway, 1)
 		if err != nil {
--- a/internal/telemetry/trace.go
+++ b/internal/telemetry/trace.go
@@ -121,9 +121,9 @@
 
 // Step writes one step of a change of role that is over.
 func (t *Tracer) Step(r rolechange.Record, to time.Time, why string) {
-	t.span(within("change "+r.Engine+" "+r.Begun.UTC().Format(time.RFC3339Nano)), "change of role: "+string(r.Step), r.Since, to, "",
+	t.span(within("change "+r.Engine+" "+r.BegunAt.UTC().Format(time.RFC3339Nano)), "change of role: "+string(r.Step), r.StepSince, to, "",
 		attribute.String("engine", r.Engine), attribute.String("from", r.From), attribute.String("to", r.To),
-		attribute.String("owner", r.Owner), attribute.Int64("fence", int64(r.Fence)), attribute.String("why", why))
+		attribute.String("owner", r.Leader), attribute.Int64("fence", int64(r.FencingToken)), attribute.String("why", why))
 }
 
 // Member writes how a gateway of the tier has stood until now, as this one sees it. All that
