--- a/decide/roles/demand.go
+++ b/decide/roles/demand.go
@@ -8,30 +8,30 @@
 // Traffic is what has been asked and served of one class since some beginning, at the
 // gateways that are looked at: they stand for all.
 type Traffic struct {
-	Class        string
-	Asked        float64 // requests, those turned away included
-	Prompt       float64 // prompt tokens of these
-	Served       float64 // requests that were served whole
-	ServedPrompt float64 // prompt tokens of these
-	Output       float64 // tokens that they were answered with
+	Class              string
+	Requested          float64 // requests, those turned away included
+	PromptTokens       float64 // prompt tokens of these
+	Served             float64 // requests that were served whole
+	ServedPromptTokens float64 // prompt tokens of these
+	OutputTokens       float64 // tokens that they were answered with
 }
 
-// demand works out what is asked of both stages from what clients ask, whatever becomes
+// demandEstimator works out what is asked of both stages from what clients ask, whatever becomes
 // of it. What engines show tells only what they were let do: after a swing it is too
 // high for the stage that rises, by its backlog, and too low for the one behind it.
 //
 // How much work a token is, is learned from what engines were busy with while so many
 // tokens were served. The share of each class is followed fast, the sum of all requests
 // slowly: the one is what swings, the other mostly noise.
-type demand struct {
-	smooth  time.Duration
-	classes map[string]*classDemand
-	rate    float64       // requests a second
-	busy    [2]float64    // engines that worked at each stage
-	tokens  [2]float64    // tokens a second served at each
-	begun   time.Duration // since the first answer
-	before  map[string]Traffic
-	learned time.Duration
+type demandEstimator struct {
+	timeConstant time.Duration
+	classes      map[string]*classDemand
+	rate         float64       // requests a second
+	busy         [2]float64    // engines that worked at each stage
+	tokens       [2]float64    // tokens a second served at each
+	observedFor  time.Duration // since the first answer
+	previous     map[string]Traffic
+	learnedFor   time.Duration
 }
 
 type classDemand struct {
@@ -42,29 +42,29 @@
 
 // The spans of what is followed, in the demand's time constant.
 const (
-	rateSpan   = 3
-	learnSpan  = 8
-	learnLeast = 2 // before what was learned is used
+	rateTimeConstants     = 3
+	learnTimeConstants    = 8
+	minLearnTimeConstants = 2 // before what was learned is used
 )
 
-func fadeOver(span time.Duration, over time.Duration) float64 {
+func ewmaWeight(span time.Duration, over time.Duration) float64 {
 	return 1 - math.Exp(-span.Seconds()/over.Seconds())
 }
 
-// since returns what has come on top of what was there at the last call; nothing at the
+// deltas returns what has come on top of what was there at the last call; nothing at the
 // first one, and for a class whose account has begun anew.
-func (d *demand) since(totals []Traffic) []Traffic {
-	before := d.before
-	d.before = make(map[string]Traffic, len(totals))
+func (d *demandEstimator) deltas(totals []Traffic) []Traffic {
+	before := d.previous
+	d.previous = make(map[string]Traffic, len(totals))
 	var out []Traffic
 	for _, t := range totals {
-		d.before[t.Class] = t
+		d.previous[t.Class] = t
 		was := before[t.Class]
-		if before == nil || t.Asked < was.Asked || t.Served < was.Served {
+		if before == nil || t.Requested < was.Requested || t.Served < was.Served {
 			continue
 		}
-		t.Asked, t.Prompt = t.Asked-was.Asked, t.Prompt-was.Prompt
-		t.Served, t.ServedPrompt, t.Output = t.Served-was.Served, t.ServedPrompt-was.ServedPrompt, t.Output-was.Output
+		t.Requested, t.PromptTokens = t.Requested-was.Requested, t.PromptTokens-was.PromptTokens
+		t.Served, t.ServedPromptTokens, t.OutputTokens = t.Served-was.Served, t.ServedPromptTokens-was.ServedPromptTokens, t.OutputTokens-was.OutputTokens
 		out = append(out, t)
 	}
 	return out
@@ -73,17 +73,17 @@
 // observe takes in what has been asked and served by the end of a span, and how many
 // engines worked at each stage. It returns what is asked of both stages, in engines,
 // false while too little is known.
-func (d *demand) observe(span time.Duration, totals []Traffic, busy [2]float64) ([2]float64, bool) {
-	traffic := d.since(totals)
+func (d *demandEstimator) observe(span time.Duration, totals []Traffic, busy [2]float64) ([2]float64, bool) {
+	traffic := d.deltas(totals)
 	if span <= 0 || len(traffic) == 0 {
 		return [2]float64{}, false
 	}
 	if d.classes == nil {
 		d.classes = map[string]*classDemand{}
 	}
-	fast, slow, learn := fadeOver(span, d.smooth), fadeOver(span, rateSpan*d.smooth), fadeOver(span, learnSpan*d.smooth)
-	if d.begun < d.smooth {
-		slow = fadeOver(span, d.begun+span) // a mean of all there was so far
+	fast, slow, learn := ewmaWeight(span, d.timeConstant), ewmaWeight(span, rateTimeConstants*d.timeConstant), ewmaWeight(span, learnTimeConstants*d.timeConstant)
+	if d.observedFor < d.timeConstant {
+		slow = ewmaWeight(span, d.observedFor+span) // a mean of all there was so far
 	}
 	asked := 0.0
 	var served [2]float64
@@ -93,43 +93,43 @@
 			c = &classDemand{}
 			d.classes[t.Class] = c
 		}
-		c.rate += (t.Asked/span.Seconds() - c.rate) * fast
-		if t.Asked > 0 {
-			follow(&c.prompt, t.Prompt/t.Asked, fast, c.known)
+		c.rate += (t.Requested/span.Seconds() - c.rate) * fast
+		if t.Requested > 0 {
+			updateEWMA(&c.prompt, t.PromptTokens/t.Requested, fast, c.known)
 		}
 		if t.Served > 0 {
-			follow(&c.output, t.Output/t.Served, slow, c.known)
+			updateEWMA(&c.output, t.OutputTokens/t.Served, slow, c.known)
 			c.known = true
 		}
-		asked += t.Asked
-		served[Prompt] += t.ServedPrompt / span.Seconds()
-		served[Answer] += t.Output / span.Seconds()
+		asked += t.Requested
+		served[Prefill] += t.ServedPromptTokens / span.Seconds()
+		served[Decode] += t.OutputTokens / span.Seconds()
 	}
 	d.rate += (asked/span.Seconds() - d.rate) * slow
-	if served[Answer] > 0 || d.begun > 0 {
-		d.begun += span
+	if served[Decode] > 0 || d.observedFor > 0 {
+		d.observedFor += span
 	}
-	if d.begun >= d.smooth {
+	if d.observedFor >= d.timeConstant {
 		// Engines are busy with a request from its beginning, it counts as served at its
 		// end: what they do while the first ones are under way would count for nothing.
 		for s := range served {
 			d.busy[s] += (busy[s] - d.busy[s]) * learn
 			d.tokens[s] += (served[s] - d.tokens[s]) * learn
 		}
-		d.learned += span
+		d.learnedFor += span
 	}
 	sum := 0.0
 	for _, c := range d.classes {
 		sum += c.rate
 	}
-	if d.learned < learnLeast*d.smooth || sum <= 0 || d.tokens[Prompt] <= 0 || d.tokens[Answer] <= 0 {
+	if d.learnedFor < minLearnTimeConstants*d.timeConstant || sum <= 0 || d.tokens[Prefill] <= 0 || d.tokens[Decode] <= 0 {
 		return [2]float64{}, false
 	}
 	var out [2]float64
 	for _, c := range d.classes {
 		share := c.rate / sum
-		out[Prompt] += share * c.prompt
-		out[Answer] += share * c.output
+		out[Prefill] += share * c.prompt
+		out[Decode] += share * c.output
 	}
 	for s := range out {
 		out[s] *= d.rate * d.busy[s] / d.tokens[s]
@@ -137,8 +137,8 @@
 	return out, true
 }
 
-// follow moves a mean towards what was seen; the first is taken as it is.
-func follow(mean *float64, seen, fade float64, known bool) {
+// updateEWMA moves a mean towards what was seen; the first is taken as it is.
+func updateEWMA(mean *float64, seen, fade float64, known bool) {
 	if !known && *mean == 0 {
 		fade = 1
 	}
--- a/decide/roles/golden_test.go
+++ b/decide/roles/golden_test.go
@@ -13,12 +13,12 @@
 func drawnSettings(rng *rand.Rand) Settings {
 	set := DefaultSettings()
 	set.Strategy = Strategy([]string{"threshold", "queue-balance", "predictive", "predictive"}[rng.IntN(4)])
-	set.AnHour = 1 + rng.IntN(30)
-	set.Dwell = time.Duration(rng.IntN(90)) * time.Second
-	set.Settle = time.Duration(rng.IntN(30)) * time.Second
-	set.FleetPart = 0.2 + rng.Float64()*0.5
-	set.RackPart = 0.2 + rng.Float64()*0.5
-	set.Gain = rng.Float64() * 0.03
+	set.MaxPerHour = 1 + rng.IntN(30)
+	set.MinDwell = time.Duration(rng.IntN(90)) * time.Second
+	set.ReversalDelay = time.Duration(rng.IntN(30)) * time.Second
+	set.MaxFleetShare = 0.2 + rng.Float64()*0.5
+	set.MaxRackShare = 0.2 + rng.Float64()*0.5
+	set.MinGain = rng.Float64() * 0.03
 	return set
 }
 
@@ -48,28 +48,28 @@
 		e := &f.engines[i]
 		if end, on := f.ends[e.ID]; on && now.After(end) {
 			delete(f.ends, e.ID)
-			e.Changing, e.Role, e.Tokens, e.Busy, e.Pace = false, e.Role.Other(), 0, 0, 0.3
+			e.Changing, e.Role, e.Tokens, e.BusySeconds, e.Warmth = false, e.Role.Other(), 0, 0, 0.3
 		}
-		if e.Pace > 0 {
-			if e.Pace += 0.05; e.Pace >= 1 {
-				e.Pace = 0
+		if e.Warmth > 0 {
+			if e.Warmth += 0.05; e.Warmth >= 1 {
+				e.Warmth = 0
 			}
 		}
-		e.Util, e.Queue, e.Memory = f.rng.Float64(), f.rng.Float64()*3, f.rng.Float64()
+		e.Utilization, e.QueueSeconds, e.MemoryUsed = f.rng.Float64(), f.rng.Float64()*3, f.rng.Float64()
 		if part := [...]float64{1 - answer, answer, 0.5}[e.Role]; part > 0.5 {
-			e.Util = min(1, e.Util+0.6)
+			e.Utilization = min(1, e.Utilization+0.6)
 		}
-		e.Busy += e.Util * 4
-		e.Tokens += e.Util * 4 * (500 + 1000*f.rng.Float64())
+		e.BusySeconds += e.Utilization * 4
+		e.Tokens += e.Utilization * 4 * (500 + 1000*f.rng.Float64())
 		e.Ready = f.rng.IntN(40) > 0
 	}
 	for i := range f.asked {
 		t := &f.asked[i]
 		n := float64(f.rng.IntN(30))
 		served := n * (0.6 + 0.4*f.rng.Float64())
-		t.Asked, t.Served = t.Asked+n, t.Served+served
-		t.Prompt, t.ServedPrompt = t.Prompt+n*900*(1-answer), t.ServedPrompt+served*900*(1-answer)
-		t.Output += served * 200 * answer
+		t.Requested, t.Served = t.Requested+n, t.Served+served
+		t.PromptTokens, t.ServedPromptTokens = t.PromptTokens+n*900*(1-answer), t.ServedPromptTokens+served*900*(1-answer)
+		t.OutputTokens += served * 200 * answer
 	}
 	return f.asked[:]
 }
@@ -78,7 +78,7 @@
 	if c := p.Change; c != nil {
 		fmt.Fprintln(w, c.Engine, c.Rack, uint8(c.From), uint8(c.To), c.From.String(), c.To.String())
 	}
-	fmt.Fprintln(w, p.Why)
+	fmt.Fprintln(w, p.Reason)
 	for _, x := range []float64{
 		p.Demand[0], p.Demand[1], p.Noise[0], p.Noise[1], p.Capacity[0], p.Capacity[1],
 		p.Before.Mean, p.Before.Worst, p.After.Mean, p.After.Worst,
@@ -145,17 +145,17 @@
 	rng, sum := rand.New(rand.NewPCG(1, 45)), fnv.New64a()
 	names := []string{"read", "write", "both", ""}
 	for range 20_000 {
-		x := Sight{
-			ID: "e", Rack: rng.IntN(4), In: rng.IntN(2) == 0, Up: time.Duration(rng.IntN(20)) * time.Second, Role: names[rng.IntN(4)], Slots: rng.IntN(9),
-			Running: rng.IntN(12), Queue: rng.IntN(6), Memory: rng.Float64(), Tokens: rng.Float64() * 1e6, Busy: rng.Float64() * 1e3, Pinned: rng.IntN(2) == 0,
+		x := Observation{
+			ID: "e", Rack: rng.IntN(4), InService: rng.IntN(2) == 0, UpFor: time.Duration(rng.IntN(20)) * time.Second, Role: names[rng.IntN(4)], Slots: rng.IntN(9),
+			Running: rng.IntN(12), Queue: rng.IntN(6), MemoryUsed: rng.Float64(), Tokens: rng.Float64() * 1e6, BusySeconds: rng.Float64() * 1e3, Pinned: rng.IntN(2) == 0,
 		}
 		if rng.IntN(3) == 0 {
-			x.Change = &InChange{Hold: rng.IntN(2) == 0, Role: names[rng.IntN(4)], For: time.Duration(rng.IntN(20)-2) * time.Second}
+			x.Change = &ActiveChange{Hold: rng.IntN(2) == 0, Role: names[rng.IntN(4)], RoleFor: time.Duration(rng.IntN(20)-2) * time.Second}
 		}
-		e, known := drawnSettings(rng).See(x)
+		e, known := drawnSettings(rng).Assess(x)
 		fmt.Fprintln(sum, known, e.ID, e.Rack, uint8(e.Role), e.Changing, e.Ready, e.Pinned)
-		fmt.Fprintf(sum, "%.9g %.9g %.9g %.9g %.9g %.9g\n", e.Util, e.Queue, e.Pace, e.Memory, e.Tokens, e.Busy)
-		fmt.Fprintln(sum, fmt.Sprint(Split(rng.IntN(20), [2]float64{rng.Float64() * 9, rng.Float64() * 9})))
+		fmt.Fprintf(sum, "%.9g %.9g %.9g %.9g %.9g %.9g\n", e.Utilization, e.QueueSeconds, e.Warmth, e.MemoryUsed, e.Tokens, e.BusySeconds)
+		fmt.Fprintln(sum, fmt.Sprint(OptimalSplit(rng.IntN(20), [2]float64{rng.Float64() * 9, rng.Float64() * 9})))
 	}
 	if got := sum.Sum64(); got != want {
 		t.Errorf("%#x, want %#x", got, want)
--- a/decide/roles/roles.go
+++ b/decide/roles/roles.go
@@ -17,8 +17,8 @@
 
 // The roles. Mixed engines do either and never change.
 const (
-	Prompt Role = iota
-	Answer
+	Prefill Role = iota
+	Decode
 	Mixed
 )
 
@@ -29,18 +29,18 @@
 
 // Engine is one engine as it was last seen.
 type Engine struct {
-	ID       string
-	Rack     int
-	Role     Role
-	Util     float64 // share of its slots in use
-	Queue    float64 // work that waits, in seconds that the engine needs for it when warm
-	Pace     float64 // share of its power that it has now, as it may be cold; 0 = all
-	Memory   float64 // share of its memory held
-	Tokens   float64 // that it has read, or written, since it took its role
-	Busy     float64 // slot-seconds that it took for them; 0 if it does not say
-	Changing bool    // a change of it is under way
-	Ready    bool    // it answers, and is in service
-	Pinned   bool    // an operator has it keep its role
+	ID           string
+	Rack         int
+	Role         Role
+	Utilization  float64 // share of its slots in use
+	QueueSeconds float64 // work that waits, in seconds that the engine needs for it when warm
+	Warmth       float64 // share of its power that it has now, as it may be cold; 0 = all
+	MemoryUsed   float64 // share of its memory held
+	Tokens       float64 // that it has read, or written, since it took its role
+	BusySeconds  float64 // slot-seconds that it took for them; 0 if it does not say
+	Changing     bool    // a change of it is under way
+	Ready        bool    // it answers, and is in service
+	Pinned       bool    // an operator has it keep its role
 }
 
 // Strategy is a way to decide.
@@ -55,26 +55,26 @@
 
 // Settings are the figures of the decisions.
 type Settings struct {
-	Strategy  Strategy
-	Dwell     time.Duration // least time between two changes of one engine
-	Settle    time.Duration // least time between the ends of changes to and fro
-	RackPart  float64       // most of a rack in change at once; always at least one engine
-	FleetPart float64       // the same of the fleet
-	AnHour    int           // most changes begun in an hour
-	Drain     time.Duration // what a drain is expected to take
-	Cold      time.Duration // from the change until the engine is warm
-	ColdShare float64       // of its power at the start
-	Horizon   time.Duration // how far the predictive strategy looks
-	Unfit     time.Duration // an engine that refused, or failed to change, is not asked again for so long
-	Gain      float64       // least gain in service that is worth a change
-	Smooth    time.Duration // time constant of the demand
+	Strategy           Strategy
+	MinDwell           time.Duration // least time between two changes of one engine
+	ReversalDelay      time.Duration // least time between the ends of changes to and fro
+	MaxRackShare       float64       // most of a rack in change at once; always at least one engine
+	MaxFleetShare      float64       // the same of the fleet
+	MaxPerHour         int           // most changes begun in an hour
+	DrainTime          time.Duration // what a drain is expected to take
+	WarmUp             time.Duration // from the change until the engine is warm
+	ColdThroughput     float64       // of its power at the start
+	Horizon            time.Duration // how far the predictive strategy looks
+	RefusalBackoff     time.Duration // an engine that refused, or failed to change, is not asked again for so long
+	MinGain            float64       // least gain in service that is worth a change
+	DemandTimeConstant time.Duration // time constant of the demand
 }
 
 // DefaultSettings returns what an operator who says nothing gets.
 func DefaultSettings() Settings {
 	return Settings{
-		Strategy: Predictive, Dwell: 90 * time.Second, Settle: 30 * time.Second, RackPart: 0.34, FleetPart: 0.2, AnHour: 30,
-		Drain: 8 * time.Second, Cold: 14 * time.Second, ColdShare: 0.32, Horizon: 90 * time.Second, Unfit: 10 * time.Minute, Gain: 0.02, Smooth: 8 * time.Second,
+		Strategy: Predictive, MinDwell: 90 * time.Second, ReversalDelay: 30 * time.Second, MaxRackShare: 0.34, MaxFleetShare: 0.2, MaxPerHour: 30,
+		DrainTime: 8 * time.Second, WarmUp: 14 * time.Second, ColdThroughput: 0.32, Horizon: 90 * time.Second, RefusalBackoff: 10 * time.Minute, MinGain: 0.02, DemandTimeConstant: 8 * time.Second,
 	}
 }
 
@@ -83,13 +83,13 @@
 	switch {
 	case s.Strategy != Threshold && s.Strategy != QueueBalance && s.Strategy != Predictive:
 		return setting.New("strategy", fmt.Sprintf("%q is not threshold, queue-balance or predictive", s.Strategy))
-	case s.RackPart <= 0 || s.RackPart > 1 || s.FleetPart <= 0 || s.FleetPart > 1:
+	case s.MaxRackShare <= 0 || s.MaxRackShare > 1 || s.MaxFleetShare <= 0 || s.MaxFleetShare > 1:
 		return setting.New("rack_part, fleet_part", "must lie above 0 and not above 1")
-	case s.AnHour < 1:
+	case s.MaxPerHour < 1:
 		return setting.New("changes_an_hour", "below 1")
-	case s.Horizon <= s.Drain+s.Cold:
+	case s.Horizon <= s.DrainTime+s.WarmUp:
 		return setting.New("horizon_ms", "a change takes longer than that")
-	case s.Smooth <= 0 || s.ColdShare <= 0:
+	case s.DemandTimeConstant <= 0 || s.ColdThroughput <= 0:
 		return setting.New("smooth_ms, cold_share", "must be above 0")
 	}
 	return nil
@@ -109,12 +109,12 @@
 // Plan is what was decided, and why.
 type Plan struct {
 	Change        *Change // nil: none
-	Why           string
+	Reason        string
 	Demand        [2]float64 // smoothed, in engines
 	Noise         [2]float64 // its usual error
 	Capacity      [2]float64 // in engines
 	Before, After Forecast   // without the change, and with it
 }
 
-// busy is the share of a stage that can be used before requests come late.
-const busy = 0.9
+// maxUtilization is the share of a stage that can be used before requests come late.
+const maxUtilization = 0.9
--- a/decide/roles/roles_test.go
+++ b/decide/roles/roles_test.go
@@ -20,7 +20,7 @@
 	for i := range prompt + answer {
 		e := Engine{ID: string(rune('a' + i)), Rack: i % 2, Ready: true}
 		if i >= prompt {
-			e.Role = Answer
+			e.Role = Decode
 		}
 		list = append(list, e)
 	}
@@ -30,7 +30,7 @@
 func load(list []Engine, role Role, util, queue float64) {
 	for i := range list {
 		if list[i].Role == role {
-			list[i].Util, list[i].Queue = util, queue
+			list[i].Utilization, list[i].QueueSeconds = util, queue
 		}
 	}
 }
@@ -54,24 +54,24 @@
 // second adds what is asked and served in a second, of which a share is refused, while
 // engines are as busy as they are.
 func (all *total) second(list []Engine, refused float64) []Traffic {
-	t := Traffic{Asked: 10, Served: 10 * (1 - refused)}
+	t := Traffic{Requested: 10, Served: 10 * (1 - refused)}
 	for _, e := range list {
-		switch busy := 1000 * max(e.Util, e.Memory*memoryCounts); e.Role {
-		case Prompt:
-			t.ServedPrompt += busy
-		case Answer:
-			t.Output += busy
+		switch busy := 1000 * max(e.Utilization, e.MemoryUsed*memoryWeight); e.Role {
+		case Prefill:
+			t.ServedPromptTokens += busy
+		case Decode:
+			t.OutputTokens += busy
 		}
 	}
-	t.Prompt = t.ServedPrompt / (1 - refused)
+	t.PromptTokens = t.ServedPromptTokens / (1 - refused)
 	all.add(t)
 	return []Traffic{all.Traffic}
 }
 
 func (all *total) add(t Traffic) {
 	all.Class = "c"
-	all.Asked, all.Prompt, all.Served = all.Asked+t.Asked, all.Prompt+t.Prompt, all.Served+t.Served
-	all.ServedPrompt, all.Output = all.ServedPrompt+t.ServedPrompt, all.Output+t.Output
+	all.Requested, all.PromptTokens, all.Served = all.Requested+t.Requested, all.PromptTokens+t.PromptTokens, all.Served+t.Served
+	all.ServedPromptTokens, all.OutputTokens = all.ServedPromptTokens+t.ServedPromptTokens, all.OutputTokens+t.OutputTokens
 }
 
 // watch has a planner see a fleet for a while and returns its plan.
@@ -84,7 +84,7 @@
 }
 
 func TestPlans(t *testing.T) {
-	busyPrompt := func(list []Engine) { load(list, Prompt, 1, 0); load(list, Answer, 0.3, 0) }
+	busyPrompt := func(list []Engine) { load(list, Prefill, 1, 0); load(list, Decode, 0.3, 0) }
 	for name, c := range map[string]struct {
 		prompt, answer int
 		refused        float64
@@ -92,28 +92,28 @@
 		change         func([]Engine)
 		want           string // the engine's role to be, and part of the reason
 	}{
-		"all is well":                  {4, 6, 0, nil, func(l []Engine) { load(l, Prompt, 0.6, 0); load(l, Answer, 0.7, 0) }, "can be served as it is"},
+		"all is well":                  {4, 6, 0, nil, func(l []Engine) { load(l, Prefill, 0.6, 0); load(l, Decode, 0.7, 0) }, "can be served as it is"},
 		"prompts are turned away":      {3, 7, 0.3, nil, busyPrompt, "read: read work needs"},
-		"answers are turned away":      {6, 4, 0.3, nil, func(l []Engine) { load(l, Prompt, 0.3, 0); load(l, Answer, 1, 0) }, "write: write work needs"},
-		"both are short of engines":    {5, 5, 0.4, nil, func(l []Engine) { load(l, Prompt, 1, 0); load(l, Answer, 1, 0) }, "not beyond the noise"},
-		"the last of a role stays":     {9, 1, 0.4, nil, func(l []Engine) { load(l, Prompt, 1, 0); load(l, Answer, 0.1, 0) }, "the last engine of write work stays"},
-		"the last of each rack stays":  {8, 2, 0.4, nil, func(l []Engine) { load(l, Prompt, 1, 0); load(l, Answer, 0.1, 0) }, "the last of their rack stays"},
-		"a pin keeps":                  {3, 7, 0.3, nil, func(l []Engine) { busyPrompt(l); pin(l, Answer) }, "pinned"},
+		"answers are turned away":      {6, 4, 0.3, nil, func(l []Engine) { load(l, Prefill, 0.3, 0); load(l, Decode, 1, 0) }, "write: write work needs"},
+		"both are short of engines":    {5, 5, 0.4, nil, func(l []Engine) { load(l, Prefill, 1, 0); load(l, Decode, 1, 0) }, "not beyond the noise"},
+		"the last of a role stays":     {9, 1, 0.4, nil, func(l []Engine) { load(l, Prefill, 1, 0); load(l, Decode, 0.1, 0) }, "the last engine of write work stays"},
+		"the last of each rack stays":  {8, 2, 0.4, nil, func(l []Engine) { load(l, Prefill, 1, 0); load(l, Decode, 0.1, 0) }, "the last of their rack stays"},
+		"a pin keeps":                  {3, 7, 0.3, nil, func(l []Engine) { busyPrompt(l); pin(l, Decode) }, "pinned"},
 		"enough of the fleet changes":  {3, 7, 0.3, nil, func(l []Engine) { busyPrompt(l); l[8].Changing, l[9].Changing = true, true }, "of the fleet are in change"},
-		"enough of the rack changes":   {3, 7, 0.4, func(s *Settings) { s.FleetPart, s.RackPart = 1, 0.01 }, func(l []Engine) { busyPrompt(l); l[8].Changing, l[9].Changing = true, true }, "of their rack is in change"},
+		"enough of the rack changes":   {3, 7, 0.4, func(s *Settings) { s.MaxFleetShare, s.MaxRackShare = 1, 0.01 }, func(l []Engine) { busyPrompt(l); l[8].Changing, l[9].Changing = true, true }, "of their rack is in change"},
 		"those that changed lately":    {3, 7, 0.3, nil, busyPrompt, "too lately"},
 		"those that refused":           {3, 7, 0.3, nil, busyPrompt, "refused or failed"},
 		"mixed engines never change":   {0, 0, 0.3, nil, nil, "no engine is seen"},
-		"a loss that would hurt more":  {3, 4, 0.2, nil, func(l []Engine) { load(l, Prompt, 1, 0); load(l, Answer, 0.85, 0) }, "not beyond the noise"},
+		"a loss that would hurt more":  {3, 4, 0.2, nil, func(l []Engine) { load(l, Prefill, 1, 0); load(l, Decode, 0.85, 0) }, "not beyond the noise"},
 		"threshold, one stage is busy": {3, 7, 0, func(s *Settings) { s.Strategy = Threshold }, busyPrompt, "read: read work needs"},
-		"threshold, neither is":        {3, 7, 0, func(s *Settings) { s.Strategy = Threshold }, func(l []Engine) { load(l, Prompt, 0.8, 0); load(l, Answer, 0.1, 0) }, "no stage is busy"},
-		"queue balance":                {3, 7, 0, func(s *Settings) { s.Strategy = QueueBalance }, func(l []Engine) { busyPrompt(l); load(l, Prompt, 1, 3) }, "read: read work needs"},
-		"queues that are near":         {3, 7, 0, func(s *Settings) { s.Strategy = QueueBalance }, func(l []Engine) { load(l, Prompt, 0.5, 0); load(l, Answer, 0.5, 0) }, "near enough"},
+		"threshold, neither is":        {3, 7, 0, func(s *Settings) { s.Strategy = Threshold }, func(l []Engine) { load(l, Prefill, 0.8, 0); load(l, Decode, 0.1, 0) }, "no stage is busy"},
+		"queue balance":                {3, 7, 0, func(s *Settings) { s.Strategy = QueueBalance }, func(l []Engine) { busyPrompt(l); load(l, Prefill, 1, 3) }, "read: read work needs"},
+		"queues that are near":         {3, 7, 0, func(s *Settings) { s.Strategy = QueueBalance }, func(l []Engine) { load(l, Prefill, 0.5, 0); load(l, Decode, 0.5, 0) }, "near enough"},
 		"a memory that is full counts": {6, 4, 0.2, nil, func(l []Engine) {
-			load(l, Prompt, 0.3, 0)
+			load(l, Prefill, 0.3, 0)
 			each(l, func(e *Engine) {
-				if e.Role == Answer {
-					e.Util, e.Memory = 0.5, 1
+				if e.Role == Decode {
+					e.Utilization, e.MemoryUsed = 0.5, 1
 				}
 			})
 		}, "write: write work needs"},
@@ -133,7 +133,7 @@
 				}
 			}
 			plan, _ := watch(p, list, c.refused, 40*time.Second)
-			got := plan.Why
+			got := plan.Reason
 			if plan.Change != nil {
 				got = plan.Change.To.String() + ": " + got
 			}
@@ -147,7 +147,7 @@
 // A swing is known from what is asked within a few seconds, though the engines of the
 // stage that rises can do no more and those behind it are let do less.
 func TestDemandCountsRequested(t *testing.T) {
-	d := demand{smooth: 8 * time.Second}
+	d := demandEstimator{timeConstant: 8 * time.Second}
 	var lookup, order total
 	ask := func(lookups, orders, readBusy, writeBusy, served float64) [2]float64 {
 		lookup.add(Traffic{"", lookups, lookups * 200, lookups * served, lookups * served * 200, lookups * served * 100})
@@ -161,16 +161,16 @@
 	for range 60 {
 		got = ask(8, 2, 3.6, 8.4, 1)
 	}
-	if math.Abs(got[Prompt]-3.6) > 0.1 || math.Abs(got[Answer]-8.4) > 0.1 {
+	if math.Abs(got[Prefill]-3.6) > 0.1 || math.Abs(got[Decode]-8.4) > 0.1 {
 		t.Errorf("at rest: %v", got)
 	}
 	for range 20 { // half is turned away: 8,400 prompt tokens are asked for, 4,200 are read
 		got = ask(2, 8, 4.2, 1.8, 0.5)
 	}
-	if math.Abs(got[Prompt]-8.4) > 0.9 || math.Abs(got[Answer]-3.6) > 0.9 {
+	if math.Abs(got[Prefill]-8.4) > 0.9 || math.Abs(got[Decode]-3.6) > 0.9 {
 		t.Errorf("20 s after a swing: %v", got)
 	}
-	if _, known := (&demand{smooth: time.Second}).observe(time.Second, nil, [2]float64{}); known {
+	if _, known := (&demandEstimator{timeConstant: time.Second}).observe(time.Second, nil, [2]float64{}); known {
 		t.Error("a demand is known from nothing")
 	}
 }
@@ -178,7 +178,7 @@
 // A mix that has turned every 12 s is expected to turn again; one that has stayed for
 // longer than usual, or has not turned often enough, is expected to stay.
 func TestPhases(t *testing.T) {
-	var p phases
+	var p mixPhases
 	now, most := t0, 90*time.Second
 	lean := func(answer float64, seconds int) {
 		for range seconds {
@@ -188,7 +188,7 @@
 	}
 	check := func(what string, low, high time.Duration) {
 		t.Helper()
-		if got := p.left(now, most); got < low || got > high {
+		if got := p.remaining(now, most); got < low || got > high {
 			t.Errorf("%s: %v, want %v to %v", what, got, low, high)
 		}
 	}
@@ -211,28 +211,28 @@
 	list := fleet(3, 2)
 	for n := range 20 {
 		for i := range list {
-			list[i].Busy += 3
+			list[i].BusySeconds += 3
 			list[i].Tokens += 3000
 		}
 		list[0].Tokens -= 2000 // a third as fast
 		if n == 10 {
-			list[1].Tokens, list[1].Busy = 0, 0
+			list[1].Tokens, list[1].BusySeconds = 0, 0
 		}
-		if list[2].Pace = 0.3; n > 5 { // warm, and as fast, from then on
-			list[2].Pace = 0
+		if list[2].Warmth = 0.3; n > 5 { // warm, and as fast, from then on
+			list[2].Warmth = 0
 		}
 		r.observe(list)
 	}
 	for id, want := range map[string]float64{"a": 1. / 3, "b": 1, "c": 1, "d": 1, "nobody": 1} {
-		if got := r.power(id, Prompt); math.Abs(got-want) > 0.02 {
+		if got := r.relative(id, Prefill); math.Abs(got-want) > 0.02 {
 			t.Errorf("%s: %v, want %v", id, got, want)
 		}
 	}
-	if got := r.power("a", Answer); math.Abs(got-1./3) > 0.02 {
+	if got := r.relative("a", Decode); math.Abs(got-1./3) > 0.02 {
 		t.Errorf("in a role that it has not had: %v", got)
 	}
 	r.observe(list[1:])
-	if len(r.of) != 4 {
+	if len(r.byEngine) != 4 {
 		t.Error("one that has gone is not forgotten")
 	}
 }
@@ -241,11 +241,11 @@
 // last of a role may not go either.
 func TestLastMixedEngineOfRack(t *testing.T) {
 	list := fleet(2, 2) // one of each in both racks
-	list = append(list, Engine{ID: "m", Rack: 0, Role: Mixed, Ready: true, Util: 1})
-	load(list, Prompt, 1, 0)
-	load(list, Answer, 0.1, 0)
+	list = append(list, Engine{ID: "m", Rack: 0, Role: Mixed, Ready: true, Utilization: 1})
+	load(list, Prefill, 1, 0)
+	load(list, Decode, 0.1, 0)
 	plan, _ := watch(planner(t, nil), list, 0.4, 40*time.Second)
-	if plan.Change != nil || !strings.Contains(plan.Why, "the last of their rack stays") {
+	if plan.Change != nil || !strings.Contains(plan.Reason, "the last of their rack stays") {
 		t.Errorf("%+v", plan)
 	}
 }
@@ -253,10 +253,10 @@
 // A burst of one kind comes just as half a rack drains away from it: what is under way
 // is not counted as lost, and no further engine goes.
 func TestBurstDuringRackDrain(t *testing.T) {
-	p := planner(t, func(s *Settings) { s.FleetPart = 0.5 })
+	p := planner(t, func(s *Settings) { s.MaxFleetShare = 0.5 })
 	list := fleet(4, 6)
-	load(list, Prompt, 1, 0)
-	load(list, Answer, 0.4, 0)
+	load(list, Prefill, 1, 0)
+	load(list, Decode, 0.4, 0)
 	now, all := t0, &total{}
 	see := func(seconds int, refused float64) Plan {
 		for range seconds {
@@ -265,16 +265,16 @@
 		}
 		return p.Plan(now)
 	}
-	if plan := see(40, 0.2); plan.Change == nil || plan.Change.To != Prompt {
+	if plan := see(40, 0.2); plan.Change == nil || plan.Change.To != Prefill {
 		t.Fatalf("%+v", plan)
 	}
 	for _, i := range []int{4, 6} { // two of the three answer engines of rack 0
 		list[i].Changing = true
-		p.Begun(now, Change{Engine: list[i].ID, From: Answer, To: Prompt})
+		p.Begun(now, Change{Engine: list[i].ID, From: Decode, To: Prefill})
 	}
-	load(list, Prompt, 0.3, 0)
-	load(list, Answer, 1, 3)
-	if plan := see(20, 0.4); plan.Change != nil && plan.Change.To == Prompt {
+	load(list, Prefill, 0.3, 0)
+	load(list, Decode, 1, 3)
+	if plan := see(20, 0.4); plan.Change != nil && plan.Change.To == Prefill {
 		t.Errorf("one more is taken from the kind that is asked for: %+v", plan)
 	}
 }
@@ -282,25 +282,25 @@
 // What is made of an engine whose roster, own word and record of a change disagree.
 func TestSee(t *testing.T) {
 	set := DefaultSettings()
-	sight := func(change func(*Sight)) Sight {
-		x := Sight{ID: "e", In: true, Role: "read", Slots: 4, Running: 3, Queue: 1}
+	sight := func(change func(*Observation)) Observation {
+		x := Observation{ID: "e", InService: true, Role: "read", Slots: 4, Running: 3, Queue: 1}
 		change(&x)
 		return x
 	}
 	for name, c := range map[string]struct {
-		sight Sight
+		sight Observation
 		want  Engine
 		known bool
 	}{
-		"in service":                         {sight(func(*Sight) {}), Engine{ID: "e", Ready: true, Util: 0.5, Queue: 0.25}, true},
-		"cold":                               {sight(func(x *Sight) { x.Up = 7 * time.Second }), Engine{ID: "e", Ready: true, Util: 0.5, Queue: 0.25, Pace: 0.66}, true},
-		"it drains":                          {sight(func(x *Sight) { x.In, x.Change = false, &InChange{Hold: true, Role: "read"} }), Engine{ID: "e", Changing: true, Util: 0.5, Queue: 0.25}, true},
-		"has flipped, the record has not":    {sight(func(x *Sight) { x.Role, x.Change = "write", &InChange{Hold: true, Role: "read"} }), Engine{ID: "e", Ready: true, Changing: true, Util: 0.5, Queue: 0.25}, true},
-		"the record has, the roster has not": {sight(func(x *Sight) { x.In, x.Change = false, &InChange{Role: "write"} }), Engine{ID: "e", Role: Answer, Ready: true, Util: 0.5, Queue: 0.25, Pace: 0.32}, true},
-		"another role":                       {sight(func(x *Sight) { x.Role = "both" }), Engine{}, false},
+		"in service":                         {sight(func(*Observation) {}), Engine{ID: "e", Ready: true, Utilization: 0.5, QueueSeconds: 0.25}, true},
+		"cold":                               {sight(func(x *Observation) { x.UpFor = 7 * time.Second }), Engine{ID: "e", Ready: true, Utilization: 0.5, QueueSeconds: 0.25, Warmth: 0.66}, true},
+		"it drains":                          {sight(func(x *Observation) { x.InService, x.Change = false, &ActiveChange{Hold: true, Role: "read"} }), Engine{ID: "e", Changing: true, Utilization: 0.5, QueueSeconds: 0.25}, true},
+		"has flipped, the record has not":    {sight(func(x *Observation) { x.Role, x.Change = "write", &ActiveChange{Hold: true, Role: "read"} }), Engine{ID: "e", Ready: true, Changing: true, Utilization: 0.5, QueueSeconds: 0.25}, true},
+		"the record has, the roster has not": {sight(func(x *Observation) { x.InService, x.Change = false, &ActiveChange{Role: "write"} }), Engine{ID: "e", Role: Decode, Ready: true, Utilization: 0.5, QueueSeconds: 0.25, Warmth: 0.32}, true},
+		"another role":                       {sight(func(x *Observation) { x.Role = "both" }), Engine{}, false},
 	} {
-		got, known := set.See(c.sight)
-		if got.Pace = math.Round(got.Pace*100) / 100; got != c.want || known != c.known {
+		got, known := set.Assess(c.sight)
+		if got.Warmth = math.Round(got.Warmth*100) / 100; got != c.want || known != c.known {
 			t.Errorf("%s: %+v, %v, want %+v", name, got, known, c.want)
 		}
 	}
@@ -319,10 +319,10 @@
 func TestSettingsAreNamed(t *testing.T) {
 	for field, change := range map[string]func(*Settings){
 		"strategy":        func(s *Settings) { s.Strategy = "guess" },
-		"rack_part":       func(s *Settings) { s.RackPart = 0 },
-		"changes_an_hour": func(s *Settings) { s.AnHour = 0 },
+		"rack_part":       func(s *Settings) { s.MaxRackShare = 0 },
+		"changes_an_hour": func(s *Settings) { s.MaxPerHour = 0 },
 		"horizon_ms":      func(s *Settings) { s.Horizon = time.Second },
-		"smooth_ms":       func(s *Settings) { s.Smooth = 0 },
+		"smooth_ms":       func(s *Settings) { s.DemandTimeConstant = 0 },
 	} {
 		set := DefaultSettings()
 		change(&set)
@@ -339,7 +339,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		set := DefaultSettings()
 		set.Strategy = rapid.SampledFrom([]Strategy{Threshold, QueueBalance, Predictive}).Draw(t, "strategy")
-		set.AnHour = rapid.IntRange(1, 6).Draw(t, "an hour")
+		set.MaxPerHour = rapid.IntRange(1, 6).Draw(t, "an hour")
 		p, err := NewPlanner(set)
 		if err != nil {
 			t.Fatal(err)
@@ -357,8 +357,8 @@
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(1, 60).Draw(t, "s")) * time.Second)
 			for i := range list {
-				list[i].Util = rapid.Float64Range(0, 1).Draw(t, "util")
-				list[i].Queue = rapid.Float64Range(0, 3).Draw(t, "queue")
+				list[i].Utilization = rapid.Float64Range(0, 1).Draw(t, "util")
+				list[i].QueueSeconds = rapid.Float64Range(0, 3).Draw(t, "queue")
 				if list[i].Changing && rapid.Bool().Draw(t, "ends") {
 					list[i].Changing, list[i].Role, since[list[i].ID] = false, list[i].Role.Other(), now
 				}
@@ -366,7 +366,7 @@
 			p.Observe(now, list, all.second(list, rapid.Float64Range(0, 0.9).Draw(t, "refused")))
 			plan := p.Plan(now)
 			if plan.Change == nil {
-				if plan.Why == "" {
+				if plan.Reason == "" {
 					t.Fatal("nothing is done and nothing said")
 				}
 				continue
@@ -388,18 +388,18 @@
 				if e.ID != plan.Change.Engine {
 					continue
 				}
-				if e.Pinned || e.Changing || e.Role != plan.Change.From || left < 2 || !since[e.ID].IsZero() && now.Sub(since[e.ID]) < set.Dwell {
+				if e.Pinned || e.Changing || e.Role != plan.Change.From || left < 2 || !since[e.ID].IsZero() && now.Sub(since[e.ID]) < set.MinDwell {
 					t.Fatalf("%+v was chosen, %d of its role", *e, left)
 				}
 				e.Changing, since[e.ID] = true, now
 			}
-			if changing+1 > max(1, int(set.FleetPart*float64(movable))) {
+			if changing+1 > max(1, int(set.MaxFleetShare*float64(movable))) {
 				t.Fatalf("%d in change of %d", changing+1, movable)
 			}
 			begun = append(begun, now)
 			p.Begun(now, *plan.Change)
-			if n := len(begun); n > set.AnHour && now.Sub(begun[n-1-set.AnHour]) < time.Hour {
-				t.Fatalf("%d changes in an hour", set.AnHour+1)
+			if n := len(begun); n > set.MaxPerHour && now.Sub(begun[n-1-set.MaxPerHour]) < time.Hour {
+				t.Fatalf("%d changes in an hour", set.MaxPerHour+1)
 			}
 		}
 	})
--- a/experiments/rolesim/rolesim.go
+++ b/experiments/rolesim/rolesim.go
@@ -88,7 +88,7 @@
 		if p.now%decides != 0 {
 			continue
 		}
-		p.result.Answers = append(p.result.Answers, [2]float64{p.now.Seconds(), p.power[roles.Answer]})
+		p.result.Answers = append(p.result.Answers, [2]float64{p.now.Seconds(), p.power[roles.Decode]})
 		if decide != nil {
 			p.change(decide(time.Unix(0, 0).Add(p.now), p.view(used), p.traffic))
 		}
@@ -123,9 +123,9 @@
 	}
 	p.result.Phases = make([]float64, phases)
 	for i := range d.Engines {
-		role := roles.Answer
+		role := roles.Decode
 		if i*prompt/d.Engines != (i+1)*prompt/d.Engines {
-			role = roles.Prompt
+			role = roles.Prefill
 		}
 		e := roles.Engine{ID: string(rune('a' + i)), Rack: i % max(d.Racks, 1), Role: role, Ready: true}
 		p.engines = append(p.engines, &engine{Engine: e, flipped: -time.Hour})
@@ -165,10 +165,10 @@
 		// The owner sees its own gateway's part alone, and takes it for all.
 		seen := max(0, n/sampled+math.Sqrt(n/sampled)*p.random.NormFloat64())
 		p.traffic[c].Class = class.Name
-		p.traffic[c].Asked += seen
-		p.traffic[c].Prompt += seen * class.Prompt * tokens
+		p.traffic[c].Requested += seen
+		p.traffic[c].PromptTokens += seen * class.Prompt * tokens
 		p.book(p.now, n*class.Worth, worthAsked)
-		p.queues[roles.Prompt] = append(p.queues[roles.Prompt], cohort{c, p.now, n, n * class.Prompt})
+		p.queues[roles.Prefill] = append(p.queues[roles.Prefill], cohort{c, p.now, n, n * class.Prompt})
 	}
 }
 
@@ -182,11 +182,11 @@
 		if e.Changing {
 			continue
 		}
-		e.Pace = 1
+		e.Warmth = 1
 		if age := p.now - e.flipped; age < p.Cold {
-			e.Pace = p.ColdShare + (1-p.ColdShare)*float64(age)/float64(p.Cold)
+			e.Warmth = p.ColdShare + (1-p.ColdShare)*float64(age)/float64(p.Cold)
 		}
-		p.power[e.Role] += e.Pace
+		p.power[e.Role] += e.Warmth
 		p.serving[e.Role]++
 	}
 }
@@ -208,8 +208,8 @@
 				keep = append(keep, q)
 				continue
 			}
-			if s == int(roles.Prompt) {
-				p.queues[roles.Answer] = append(p.queues[roles.Answer], cohort{q.class, q.at, q.requests, q.requests * class.Answer})
+			if s == int(roles.Prefill) {
+				p.queues[roles.Decode] = append(p.queues[roles.Decode], cohort{q.class, q.at, q.requests, q.requests * class.Answer})
 				continue
 			}
 			p.answered(q)
@@ -230,8 +230,8 @@
 	p.book(q.at, worth, worthEarned)
 	traffic := &p.traffic[q.class]
 	traffic.Served += q.requests / sampled
-	traffic.ServedPrompt += q.requests / sampled * class.Prompt * tokens
-	traffic.Output += q.requests / sampled * class.Answer * tokens
+	traffic.ServedPromptTokens += q.requests / sampled * class.Prompt * tokens
+	traffic.OutputTokens += q.requests / sampled * class.Answer * tokens
 }
 
 // view returns the engines as the owner sees them.
@@ -246,8 +246,8 @@
 		v := e.Engine
 		noise := 1 + p.Noise*p.random.NormFloat64()
 		if p.power[v.Role] > 0 {
-			v.Util = min(1, used[v.Role]/(p.power[v.Role]*step.Seconds())) * max(noise, 0)
-			v.Queue = backlog[v.Role] / p.serving[v.Role]
+			v.Utilization = min(1, used[v.Role]/(p.power[v.Role]*step.Seconds())) * max(noise, 0)
+			v.QueueSeconds = backlog[v.Role] / p.serving[v.Role]
 		}
 		view = append(view, v)
 	}
@@ -338,19 +338,19 @@
 func Oracle(d Day, classes []Class) Decide {
 	return func(now time.Time, engines []roles.Engine, _ []roles.Traffic) *roles.Change {
 		t := now.Sub(time.Unix(0, 0)) + d.Drain + d.Cold/2
-		want, _ := roles.Split(len(engines), Demand(d, classes, t))
+		want, _ := roles.OptimalSplit(len(engines), Demand(d, classes, t))
 		have := 0
 		for _, e := range engines {
-			if (e.Role == roles.Prompt) != e.Changing { // one in change counts as what it becomes
+			if (e.Role == roles.Prefill) != e.Changing { // one in change counts as what it becomes
 				have++
 			}
 		}
 		if have == want {
 			return nil
 		}
-		from := roles.Prompt
+		from := roles.Prefill
 		if have < want {
-			from = roles.Answer
+			from = roles.Decode
 		}
 		for _, e := range engines {
 			if e.Role == from && !e.Changing {
--- a/experiments/rolesim/rolesim_test.go
+++ b/experiments/rolesim/rolesim_test.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n, _ := roles.Split(d.Engines, Demand(d, Classes(), 0))
+	n, _ := roles.OptimalSplit(d.Engines, Demand(d, Classes(), 0))
 	return Play(d, Classes(), n, decide)
 }
 
@@ -75,7 +75,7 @@
 	if r := planned(t, fast, roles.Predictive, nil); r.Changes > 20 {
 		t.Errorf("%d changes in %v", r.Changes, fast.For)
 	}
-	bounded := planned(t, day(Swing(3*time.Minute)), roles.Threshold, func(s *roles.Settings) { s.AnHour = 5 })
+	bounded := planned(t, day(Swing(3*time.Minute)), roles.Threshold, func(s *roles.Settings) { s.MaxPerHour = 5 })
 	if bounded.Changes > 5 {
 		t.Errorf("%d changes in less than an hour, 5 allowed", bounded.Changes)
 	}
--- a/experiments/rolesrun/rolesrun.go
+++ b/experiments/rolesrun/rolesrun.go
@@ -419,7 +419,7 @@
 			Drain: 8 * time.Second, Cold: 14 * time.Second, ColdShare: coldShare, Seed: opt.Seed + 2,
 		}
 		classes := rolesim.Classes()
-		start, _ := roles.Split(d.Engines, rolesim.Demand(d, classes, 0))
+		start, _ := roles.OptimalSplit(d.Engines, rolesim.Demand(d, classes, 0))
 		add := func(name string, x rolesim.Result) float64 {
 			worst := 1.0
 			for _, p := range x.Phases {
--- a/internal/config/roles.go
+++ b/internal/config/roles.go
@@ -39,17 +39,17 @@
 	if r.Strategy != "" {
 		s.Strategy = roles.Strategy(r.Strategy)
 	}
-	s.Dwell, s.Settle = millis(r.DwellMS, s.Dwell), millis(r.SettleMS, s.Settle)
-	s.Drain, s.Cold = millis(r.DrainMS, s.Drain), millis(r.ColdMS, s.Cold)
-	s.Horizon, s.Smooth = millis(r.HorizonMS, s.Horizon), millis(r.SmoothMS, s.Smooth)
+	s.MinDwell, s.ReversalDelay = millis(r.DwellMS, s.MinDwell), millis(r.SettleMS, s.ReversalDelay)
+	s.DrainTime, s.WarmUp = millis(r.DrainMS, s.DrainTime), millis(r.ColdMS, s.WarmUp)
+	s.Horizon, s.DemandTimeConstant = millis(r.HorizonMS, s.Horizon), millis(r.SmoothMS, s.DemandTimeConstant)
 	if r.ChangesAnHour > 0 {
-		s.AnHour = r.ChangesAnHour
+		s.MaxPerHour = r.ChangesAnHour
 	}
 	if r.RackPart > 0 {
-		s.RackPart = r.RackPart
+		s.MaxRackShare = r.RackPart
 	}
 	if r.FleetPart > 0 {
-		s.FleetPart = r.FleetPart
+		s.MaxFleetShare = r.FleetPart
 	}
 	return s
 }
--- a/internal/rolectl/owner.go
+++ b/internal/rolectl/owner.go
@@ -257,10 +257,10 @@
 // observe tells the planner how the engines are and what is asked.
 func (h *leader) observe(engines []directory.Engine, records []storedRecord) {
 	now := time.Now()
-	changes := make(map[string]*roles.InChange, len(records))
+	changes := make(map[string]*roles.ActiveChange, len(records))
 	for _, r := range records {
 		hold, role, since := r.EngineView()
-		changes[r.Engine] = &roles.InChange{Hold: hold, Role: role, For: now.Sub(since)}
+		changes[r.Engine] = &roles.ActiveChange{Hold: hold, Role: role, RoleFor: now.Sub(since)}
 	}
 	var seen []roles.Engine
 	for _, e := range engines {
@@ -268,9 +268,9 @@
 		if r == nil {
 			continue
 		}
-		engine, part := h.opt.Settings.See(roles.Sight{
-			ID: e.ID, Rack: e.Cell, In: e.State == "in", Up: time.Duration(e.UpMS) * time.Millisecond, Role: r.Role, Slots: r.Slots,
-			Running: r.Running, Queue: r.Queue, Memory: r.Memory, Tokens: r.Tokens, Busy: r.Busy,
+		engine, part := h.opt.Settings.Assess(roles.Observation{
+			ID: e.ID, Rack: e.Cell, InService: e.State == "in", UpFor: time.Duration(e.UpMS) * time.Millisecond, Role: r.Role, Slots: r.Slots,
+			Running: r.Running, Queue: r.Queue, MemoryUsed: r.Memory, Tokens: r.Tokens, BusySeconds: r.Busy,
 			Pinned: h.opt.PinnedEngines[e.ID] || h.opt.PinnedRacks[e.Cell], Change: changes[e.ID],
 		})
 		if part {
@@ -280,7 +280,7 @@
 	var traffic []roles.Traffic
 	for class, t := range h.opt.Traffic() {
 		traffic = append(traffic, roles.Traffic{
-			Class: class, Asked: float64(t.Asked), Prompt: float64(t.Prompt), Served: float64(t.Served), ServedPrompt: float64(t.ServedPrompt), Output: float64(t.Output),
+			Class: class, Requested: float64(t.Asked), PromptTokens: float64(t.Prompt), Served: float64(t.Served), ServedPromptTokens: float64(t.ServedPrompt), OutputTokens: float64(t.Output),
 		})
 	}
 	h.planner.Observe(now, seen, traffic)
@@ -423,7 +423,7 @@
 	h.replay(e)
 	h.lease.value.History = append(h.lease.value.History, e)
 	// Each change has a beginning and an end: an hour of them has to be known.
-	if n, most := len(h.lease.value.History), 2*h.opt.Settings.AnHour+extraHistory; n > most {
+	if n, most := len(h.lease.value.History), 2*h.opt.Settings.MaxPerHour+extraHistory; n > most {
 		h.lease.value.History = h.lease.value.History[n-most:]
 	}
 	h.mu.Lock()
@@ -444,14 +444,14 @@
 	now := time.Now()
 	p := h.planner.Plan(now)
 	h.mu.Lock()
-	h.status.Plan = Plan{At: now, Reason: p.Why, Change: p.Change, Demand: p.Demand, Capacity: p.Capacity, Before: p.Before, After: p.After}
+	h.status.Plan = Plan{At: now, Reason: p.Reason, Change: p.Change, Demand: p.Demand, Capacity: p.Capacity, Before: p.Before, After: p.After}
 	h.mu.Unlock()
 	if p.Change == nil {
 		return nil
 	}
 	if h.opt.DryRun {
 		if h.lastDryRunEngine != p.Change.Engine {
-			h.opt.Log.Info("dry run: a change of role would begin", "engine", p.Change.Engine, "from", p.Change.From, "to", p.Change.To, "reason", p.Why)
+			h.opt.Log.Info("dry run: a change of role would begin", "engine", p.Change.Engine, "from", p.Change.From, "to", p.Change.To, "reason", p.Reason)
 		}
 		h.lastDryRunEngine = p.Change.Engine
 		return nil
@@ -471,13 +471,13 @@
 		}
 		r := rolechange.Record{
 			Engine: e.ID, Addr: e.Address, Rack: e.Cell, From: p.Change.From.String(), To: p.Change.To.String(), Step: rolechange.Announced,
-			FencingToken: h.lease.FencingToken, Leader: h.lease.value.Gateway, BegunAt: now.UTC(), StepSince: now.UTC(), Reason: p.Why,
+			FencingToken: h.lease.FencingToken, Leader: h.lease.value.Gateway, BegunAt: now.UTC(), StepSince: now.UTC(), Reason: p.Reason,
 		}
 		if written, err := h.putRecord(ctx, r, modify); err != nil || !written {
 			return err
 		}
-		h.opt.Log.Info("change of role: announced", "engine", r.Engine, "from", r.From, "to", r.To, "reason", p.Why, "fence", r.FencingToken)
-		return h.recordHistory(ctx, HistoryEntry{At: now, Engine: r.Engine, To: r.To, Reason: p.Why})
+		h.opt.Log.Info("change of role: announced", "engine", r.Engine, "from", r.From, "to", r.To, "reason", p.Reason, "fence", r.FencingToken)
+		return h.recordHistory(ctx, HistoryEntry{At: now, Engine: r.Engine, To: r.To, Reason: p.Reason})
 	}
 	return nil
 }
--- a/internal/rolectl/rolectl_test.go
+++ b/internal/rolectl/rolectl_test.go
@@ -354,7 +354,7 @@
 	var all core.Traffic
 	g := w.gate("g1", func(o *Options) {
 		o.DryRun = true
-		o.Settings.FleetPart, o.Settings.Smooth = 1, time.Second
+		o.Settings.MaxFleetShare, o.Settings.DemandTimeConstant = 1, time.Second
 		o.Traffic = func() map[string]core.Traffic { // half of all requests are refused
 			mu.Lock()
 			defer mu.Unlock()
@@ -368,7 +368,7 @@
 	w.eng["w1"].Hold(1)
 	enginetest.Eventually(t, "a change is wanted", func() bool { return g.Status().Plan.Change != nil })
 	s := g.Status()
-	if len(s.Changes) > 0 || len(s.History) > 0 || s.Plan.Change.To != roles.Prompt {
+	if len(s.Changes) > 0 || len(s.History) > 0 || s.Plan.Change.To != roles.Prefill {
 		t.Errorf("%+v", s)
 	}
 	pairs, _, err := g.client.List(t.Context(), "p/change/", 0, 0)
