--- a/decide/rolechange/golden_test.go
+++ b/decide/rolechange/golden_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// drawnFacts draws what an owner knows, and drawnRecord a record that it may find: the texts
+// drawnFacts draws what a leader knows, and drawnRecord a record that it may find: the texts
 // are those that stand in stored records.
 func drawnFacts(rng *rand.Rand) Facts {
 	f := Facts{
--- a/decide/rolechange/rolechange_test.go
+++ b/decide/rolechange/rolechange_test.go
@@ -82,9 +82,9 @@
 	}
 }
 
-// Whatever step an owner was killed at, the next one takes the record over, goes on
+// Whatever step a leader was killed at, the next one takes the record over, goes on
 // from it, and the change ends.
-func TestOwnerCrashAtEveryStep(t *testing.T) {
+func TestLeaderCrashAtEveryStep(t *testing.T) {
 	for _, at := range []Step{Announced, Draining, Flipping, Warming, Settled, Undoing} {
 		r, now := record(at), t0.Add(20*s)
 		engine := Report{Role: "read", FencingToken: 5, Draining: at == Draining || at == Flipping || at == Undoing}
@@ -121,8 +121,8 @@
 	}
 }
 
-// An owner whose lease has passed to another touches nothing, whichever way it learns.
-func TestFormerOwnerStops(t *testing.T) {
+// A leader whose lease has passed to another touches nothing, whichever way it learns.
+func TestFormerLeaderStops(t *testing.T) {
 	newer := record(Draining)
 	newer.FencingToken = 6
 	for name, a := range map[string]Action{
@@ -164,7 +164,7 @@
 	})
 }
 
-// An owner that was paused, or whose renewals come late, is no longer sure of its lease
+// A leader that was paused, or whose renewals come late, is no longer sure of its lease
 // long before another may have it.
 func TestLease(t *testing.T) {
 	l := NewLease(7, 9*s, t0)
--- a/internal/rolectl/changes.go
+++ b/internal/rolectl/changes.go
@@ -1,6 +1,7 @@
 package rolectl
 
 import (
+	"cmp"
 	"context"
 	"fmt"
 	"slices"
@@ -9,179 +10,195 @@
 	jsoniter "github.com/json-iterator/go"
 
 	"wellgw/decide/rolechange"
+	"wellgw/decide/roles"
 	"wellgw/internal/directory"
 )
 
-// advance takes one change a step on.
-func (h *leader) advance(ctx context.Context, r storedRecord, engines []directory.Engine) error {
-	now := time.Now()
-	f := rolechange.Facts{Now: now, Leader: h.lease.value.Gateway, FencingToken: h.lease.FencingToken, Gateways: h.opt.GatewayCount(), Reply: h.replies[r.Engine]}
-	for _, e := range engines {
-		if e.ID == r.Engine && e.State != "gone" {
-			f.Listed, f.ListedRole = true, e.Role
-			if e.Listed != "" {
-				f.ListedRole = e.Listed
-			}
-		}
-	}
-	if report := h.reports[r.Engine]; report != nil {
-		f.Report = &report.Report
-	} else if since := h.silentSince[r.Engine]; !since.IsZero() {
-		f.SilentFor = now.Sub(since)
-	}
-	if r.Step == rolechange.Announced {
-		f.Confirmed = h.countConfirmations(ctx, r.Record)
-	}
-	a := rolechange.Next(r.Record, f, h.opt.Limits)
+// advance takes one change on by a step at most. An error says that the lease is lost.
+func (l *leader) advance(ctx context.Context, r storedRecord, engines []directory.Engine) error {
+	f := l.facts(ctx, r.Record, engines)
+	a := rolechange.Next(r.Record, f, l.opt.Limits)
 	if a.LeaseLost {
 		return fmt.Errorf("%w: %s", errLeaseLost, a.Reason)
 	}
-	delete(h.replies, r.Engine)
+	delete(l.replies, r.Engine)
 	if a.Outcome != rolechange.InProgress {
-		return h.finish(ctx, r, a)
+		return l.finish(ctx, r, a)
 	}
 	if a.Write {
-		// What is not written down is not done: the next owner would not know of it.
-		if written, err := h.putRecord(ctx, a.Record, r.modifyIndex); err != nil || !written {
+		// The record is written before the engine is told: the next leader must know of all that was done.
+		if written, err := l.putRecord(ctx, a.Record, r.modifyIndex); err != nil || !written {
 			return err
 		}
 		if a.Record.Step != r.Step {
-			h.notifyStep(r.Record, now, a.Reason)
+			l.notifyStep(r.Record, f.Now, a.Reason)
 		}
-		h.opt.Log.Info("change of role: "+string(a.Record.Step), "engine", r.Engine, "from", r.From, "to", r.To, "reason", a.Reason, "fence", a.Record.FencingToken)
+		l.logStep(a.Record, a.Reason)
 	}
 	if a.Command != rolechange.NoCommand {
-		h.sendCommand(ctx, a)
+		l.sendCommand(ctx, a)
 	}
 	return nil
 }
 
-// notifyStep tells of a step that is over.
-func (h *leader) notifyStep(r rolechange.Record, to time.Time, why string) {
-	if h.opt.OnStep != nil {
-		h.opt.OnStep(r, to, why)
+// facts returns what is known for the decision on a change's next step.
+func (l *leader) facts(ctx context.Context, r rolechange.Record, engines []directory.Engine) rolechange.Facts {
+	f := rolechange.Facts{
+		Now: time.Now(), Leader: l.lease.value.Gateway, FencingToken: l.lease.FencingToken,
+		Gateways: l.opt.GatewayCount(), Reply: l.replies[r.Engine],
+	}
+	for _, e := range engines {
+		if e.ID == r.Engine && e.State != stateGone {
+			f.Listed, f.ListedRole = true, cmp.Or(e.Listed, e.Role)
+		}
 	}
+	if report := l.reports[r.Engine]; report != nil {
+		f.Report = &report.Report
+	} else if since := l.silentSince[r.Engine]; !since.IsZero() {
+		f.SilentFor = f.Now.Sub(since)
+	}
+	if r.Step == rolechange.Announced {
+		f.Confirmed = l.countConfirmations(ctx, r)
+	}
+	return f
+}
+
+func (l *leader) logStep(r rolechange.Record, reason string) {
+	l.opt.Log.Info("role change advanced", "step", string(r.Step), "engine", r.Engine, "from", r.From, "to", r.To, "reason", reason, "fencing_token", r.FencingToken)
 }
 
-// countConfirmations counts the gateways that have said that they hold to a change.
-func (h *leader) countConfirmations(ctx context.Context, r rolechange.Record) int {
-	pairs, _, err := h.client.List(ctx, h.confirmationPrefix(r.Engine), 0, 0)
+// notifyStep reports a step that has ended.
+func (l *leader) notifyStep(r rolechange.Record, to time.Time, reason string) {
+	if l.opt.OnStep != nil {
+		l.opt.OnStep(r, to, reason)
+	}
+}
+
+// countConfirmations counts the gateways that have confirmed a change.
+func (l *leader) countConfirmations(ctx context.Context, r rolechange.Record) int {
+	pairs, _, err := l.client.List(ctx, l.confirmationPrefix(r.Engine), 0, 0)
 	if err != nil {
 		return 0
 	}
 	n := 0
 	for _, p := range pairs {
-		if string(p.Value) == r.BegunAt.Format(time.RFC3339Nano) {
+		if string(p.Value) == confirmation(r) {
 			n++
 		}
 	}
 	return n
 }
 
-// putRecord writes a record that was read at an index, and tells whether that was done. If
-// it was not, it is tried again at the next tick from what is then known; an error tells
-// that somebody else owns it.
-func (h *leader) putRecord(ctx context.Context, r rolechange.Record, modify uint64) (bool, error) {
+// putRecord writes a record if its ModifyIndex is still the one given, 0 for a new record, and
+// tells whether it did. If not, the next tick tries again from the records as they are then; an
+// error says that the lease is lost.
+func (l *leader) putRecord(ctx context.Context, r rolechange.Record, modify uint64) (bool, error) {
 	raw, err := jsoniter.Marshal(r)
 	if err != nil {
 		return false, err
 	}
-	done, err := h.client.Swap(ctx, h.changeKey(r.Engine), raw, modify)
+	done, err := l.client.Swap(ctx, l.changeKey(r.Engine), raw, modify)
 	if err != nil || done {
 		return done && err == nil, nil
 	}
-	return false, h.checkFencing(ctx, r.Engine)
+	return false, l.checkFencing(ctx, r.Engine)
 }
 
-// checkFencing finds out why a write was not taken: the view that it was based on may only
-// have been old, as the watch brings what this owner wrote itself a moment later.
-func (h *leader) checkFencing(ctx context.Context, engine string) error {
-	p, there, err := h.client.Read(ctx, h.changeKey(engine))
-	if err != nil || !there {
+// checkFencing returns errLeaseLost if a conditional write failed because another leader has
+// written the record. Otherwise the record that was read was only old: the watch brings this
+// leader's own writes with a delay.
+func (l *leader) checkFencing(ctx context.Context, engine string) error {
+	p, found, err := l.client.Read(ctx, l.changeKey(engine))
+	if err != nil || !found {
 		return nil
 	}
 	var r rolechange.Record
-	if jsoniter.Unmarshal(p.Value, &r) == nil && r.FencingToken > h.lease.FencingToken {
+	if jsoniter.Unmarshal(p.Value, &r) == nil && r.FencingToken > l.lease.FencingToken {
 		return fmt.Errorf("%w: a change was written by the owner with fence %d", errLeaseLost, r.FencingToken)
 	}
 	return nil
 }
 
-// finish deletes a record whose change is over.
-func (h *leader) finish(ctx context.Context, r storedRecord, a rolechange.Action) error {
-	done, err := h.client.Delete(ctx, h.changeKey(r.Engine), r.modifyIndex)
+// finish deletes the record of a change that has ended. One that can't be deleted now is tried
+// again at the next tick.
+func (l *leader) finish(ctx context.Context, r storedRecord, a rolechange.Action) error {
+	done, err := l.client.Delete(ctx, l.changeKey(r.Engine), r.modifyIndex)
 	if err != nil {
 		return nil
 	}
 	if !done {
-		return h.checkFencing(ctx, r.Engine)
+		return l.checkFencing(ctx, r.Engine)
 	}
-	_ = h.client.DeleteBelow(ctx, h.confirmationPrefix(r.Engine))
-	h.notifyStep(r.Record, time.Now(), a.Reason)
-	h.opt.Log.Info("change of role ended", "engine", r.Engine, "to", r.To, "outcome", string(a.Outcome), "reason", a.Reason)
-	return h.recordHistory(ctx, HistoryEntry{At: time.Now(), Engine: r.Engine, To: r.To, Outcome: a.Outcome, Reason: a.Reason})
+	_ = l.client.DeleteBelow(ctx, l.confirmationPrefix(r.Engine))
+	l.notifyStep(r.Record, time.Now(), a.Reason)
+	l.opt.Log.Info("role change ended", "engine", r.Engine, "to", r.To, "outcome", string(a.Outcome), "reason", a.Reason)
+	return l.recordHistory(ctx, HistoryEntry{At: time.Now(), Engine: r.Engine, To: r.To, Outcome: a.Outcome, Reason: a.Reason})
 }
 
-// recordHistory keeps what was done where the next owner finds it.
-func (h *leader) recordHistory(ctx context.Context, e HistoryEntry) error {
-	h.replay(e)
-	h.lease.value.History = append(h.lease.value.History, e)
-	// Each change has a beginning and an end: an hour of them has to be known.
-	if n, most := len(h.lease.value.History), 2*h.opt.Settings.MaxPerHour+extraHistory; n > most {
-		h.lease.value.History = h.lease.value.History[n-most:]
-	}
-	h.mu.Lock()
-	h.status.History = slices.Clone(h.lease.value.History)
-	h.mu.Unlock()
-	raw, err := jsoniter.Marshal(h.lease.value)
+// recordHistory adds an entry to the lock's value, where the next leader finds it.
+func (l *leader) recordHistory(ctx context.Context, e HistoryEntry) error {
+	l.replay(e)
+	l.lease.value.History = append(l.lease.value.History, e)
+	// The planner's limit is by the hour, and each change has two entries.
+	limit := 2*l.opt.Settings.MaxPerHour + extraHistory
+	if n := len(l.lease.value.History); n > limit {
+		l.lease.value.History = l.lease.value.History[n-limit:]
+	}
+	l.mu.Lock()
+	l.status.History = slices.Clone(l.lease.value.History)
+	l.mu.Unlock()
+	raw, err := jsoniter.Marshal(l.lease.value)
 	if err != nil {
 		return err
 	}
-	if held, err := h.client.Lock(ctx, h.lockKey(), h.lease.session, raw); err == nil && !held {
+	if held, err := l.client.Lock(ctx, l.lockKey(), l.lease.session, raw); err == nil && !held {
 		return errLeaseLost
 	}
 	return nil
 }
 
-// plan begins a change if one is worth it.
-func (h *leader) plan(ctx context.Context, engines []directory.Engine, records []storedRecord) error {
+// plan makes a plan and begins the change that it wants, if any.
+func (l *leader) plan(ctx context.Context, engines []directory.Engine, records []storedRecord) error {
 	now := time.Now()
-	p := h.planner.Plan(now)
-	h.mu.Lock()
-	h.status.Plan = Plan{At: now, Reason: p.Reason, Change: p.Change, Demand: p.Demand, Capacity: p.Capacity, Before: p.Before, After: p.After}
-	h.mu.Unlock()
+	p := l.planner.Plan(now)
+	l.mu.Lock()
+	l.status.Plan = Plan{At: now, Reason: p.Reason, Change: p.Change, Demand: p.Demand, Capacity: p.Capacity, Before: p.Before, After: p.After}
+	l.mu.Unlock()
 	if p.Change == nil {
 		return nil
 	}
-	if h.opt.DryRun {
-		if h.lastDryRunEngine != p.Change.Engine {
-			h.opt.Log.Info("dry run: a change of role would begin", "engine", p.Change.Engine, "from", p.Change.From, "to", p.Change.To, "reason", p.Reason)
+	if l.opt.DryRun {
+		if l.lastDryRunEngine != p.Change.Engine {
+			l.opt.Log.Info("dry run: role change planned", "engine", p.Change.Engine, "from", p.Change.From, "to", p.Change.To, "reason", p.Reason)
 		}
-		h.lastDryRunEngine = p.Change.Engine
+		l.lastDryRunEngine = p.Change.Engine
 		return nil
 	}
+	at := slices.IndexFunc(engines, func(e directory.Engine) bool { return e.ID == p.Change.Engine })
+	if at < 0 {
+		return nil
+	}
+	return l.begin(ctx, now, p, engines[at], records)
+}
+
+// begin writes the record of a new change of an engine.
+func (l *leader) begin(ctx context.Context, now time.Time, p roles.Plan, e directory.Engine, records []storedRecord) error {
 	modify := uint64(0)
 	for _, r := range records {
-		if r.Engine == p.Change.Engine { // settled, and to change again before the catalogue has followed
+		if r.Engine == e.ID { // settled, and to change again before the catalogue has followed
 			modify = r.modifyIndex
 		}
 	}
-	for _, e := range engines {
-		if e.ID != p.Change.Engine {
-			continue
-		}
-		if !h.leaseValid() {
-			return errLeaseLost
-		}
-		r := rolechange.Record{
-			Engine: e.ID, Addr: e.Address, Rack: e.Cell, From: p.Change.From.String(), To: p.Change.To.String(), Step: rolechange.Announced,
-			FencingToken: h.lease.FencingToken, Leader: h.lease.value.Gateway, BegunAt: now.UTC(), StepSince: now.UTC(), Reason: p.Reason,
-		}
-		if written, err := h.putRecord(ctx, r, modify); err != nil || !written {
-			return err
-		}
-		h.opt.Log.Info("change of role: announced", "engine", r.Engine, "from", r.From, "to", r.To, "reason", p.Reason, "fence", r.FencingToken)
-		return h.recordHistory(ctx, HistoryEntry{At: now, Engine: r.Engine, To: r.To, Reason: p.Reason})
+	if !l.leaseValid() {
+		return errLeaseLost
 	}
-	return nil
+	r := rolechange.Record{
+		Engine: e.ID, Addr: e.Address, Rack: e.Cell, From: p.Change.From.String(), To: p.Change.To.String(), Step: rolechange.Announced,
+		FencingToken: l.lease.FencingToken, Leader: l.lease.value.Gateway, BegunAt: now.UTC(), StepSince: now.UTC(), Reason: p.Reason,
+	}
+	if written, err := l.putRecord(ctx, r, modify); err != nil || !written {
+		return err
+	}
+	l.logStep(r, p.Reason)
+	return l.recordHistory(ctx, HistoryEntry{At: now, Engine: r.Engine, To: r.To, Reason: p.Reason})
 }
--- a/internal/rolectl/election.go
+++ b/internal/rolectl/election.go
@@ -11,14 +11,15 @@
 	"wellgw/internal/consul"
 )
 
-// lease is one holding of the owner's lock.
+// lease is one term as the leader.
 type lease struct {
 	*rolechange.Lease
 	session string
 	value   lockValue
 }
 
-// lockValue is what stands at the lock: it tells the next owner what there was.
+// lockValue is the value at the lock: who leads, and what the next leader has to know of the
+// changes before.
 type lockValue struct {
 	Gateway string         `json:"gateway"`
 	History []HistoryEntry `json:"ends"`
@@ -28,62 +29,85 @@
 
 var errLeaseLost = errors.New("the lease is lost")
 
-// campaign tries to become the owner, and owns while the lease lasts.
+// endSessionTimeout bounds the end of a session as a term ends.
+const endSessionTimeout = 800 * time.Millisecond
+
+// campaign tries to get the lease, and leads while it lasts, until ctx ends.
 func (c *Controller) campaign(ctx context.Context, client *consul.Client) {
 	for ctx.Err() == nil {
-		l, err := c.acquire(ctx, client)
-		if err != nil || l == nil {
+		held, err := c.acquire(ctx, client)
+		if err != nil || held == nil {
 			client.Pause(ctx, retryInterval)
 			continue
 		}
-		c.opt.Log.Info("owner of changes of role", "gateway", l.value.Gateway, "fence", l.FencingToken)
-		err = c.lead(ctx, client, l)
+		c.opt.Log.Info("role change lease acquired", "gateway", held.value.Gateway, "fencing_token", held.FencingToken)
+		err = c.lead(ctx, client, held)
 		c.mu.Lock()
 		c.status.IsLeader = false
 		c.mu.Unlock()
-		c.opt.Log.Info("no longer owner of changes of role", "fence", l.FencingToken, "cause", err)
-		bye, done := context.WithTimeout(context.WithoutCancel(ctx), engineTimeout)
-		_ = client.EndSession(bye, l.session) // or it ends by itself
-		done()
+		c.opt.Log.Info("role change lease lost", "fencing_token", held.FencingToken, "cause", err)
+		endCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), endSessionTimeout)
+		_ = client.EndSession(endCtx, held.session) // without it the session ends at its TTL
+		cancel()
 	}
 }
 
-// acquire returns the lease if it is to be had, nil if another holds it.
+// acquire returns the lease if it is free, nil if another gateway holds it.
 func (c *Controller) acquire(ctx context.Context, client *consul.Client) (*lease, error) {
-	before, _, err := client.Read(ctx, c.lockKey())
+	lock, value, err := c.readLock(ctx, client)
 	if err != nil {
 		return nil, err
 	}
-	var value lockValue
-	_ = jsoniter.Unmarshal(before.Value, &value)
-	c.mu.Lock()
-	c.status.Leader, c.status.FencingToken = value.Gateway, before.LockIndex
-	c.status.History = value.History
-	c.mu.Unlock()
 	gateway := c.opt.GatewayName()
-	switch rolechange.DecideLock(before.Session, c.lastSession, gateway) {
+	switch rolechange.DecideLock(lock.Session, c.lastSession, gateway) {
 	case rolechange.LeaveLock:
 		return nil, nil
 	case rolechange.EndOwnSession:
-		return nil, client.EndSession(ctx, before.Session)
+		return nil, client.EndSession(ctx, lock.Session)
 	}
-	asked := time.Now()
-	l := &lease{value: lockValue{Gateway: gateway, History: value.History}}
-	if l.session, err = client.NewSession(ctx, "wellgw roles "+gateway, c.opt.LeaseTTL, lockDelay); err != nil {
+	requestedAt := time.Now()
+	session, err := client.NewSession(ctx, "wellgw roles "+gateway, c.opt.LeaseTTL, lockDelay)
+	if err != nil {
 		return nil, err
 	}
-	raw, err := jsoniter.Marshal(l.value)
-	if err != nil {
+	value.Gateway = gateway
+	token, taken, err := c.takeLock(ctx, client, session, value)
+	if err != nil || !taken {
+		_ = client.EndSession(ctx, session)
 		return nil, err
 	}
-	got, err := client.Lock(ctx, c.lockKey(), l.session, raw)
-	if err == nil && got {
-		var now consul.Pair
-		if now, _, err = client.Read(ctx, c.lockKey()); err == nil && now.Session == l.session {
-			l.Lease, c.lastSession = rolechange.NewLease(now.LockIndex, c.opt.LeaseTTL, asked), l.session
-			return l, nil
-		}
+	c.lastSession = session
+	return &lease{Lease: rolechange.NewLease(token, c.opt.LeaseTTL, requestedAt), session: session, value: value}, nil
+}
+
+// readLock reads the lock and shows what it says.
+func (c *Controller) readLock(ctx context.Context, client *consul.Client) (consul.Pair, lockValue, error) {
+	lock, _, err := client.Read(ctx, c.lockKey())
+	if err != nil {
+		return consul.Pair{}, lockValue{}, err
+	}
+	var value lockValue
+	_ = jsoniter.Unmarshal(lock.Value, &value) // a lock never held has no value
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.status.Leader, c.status.FencingToken, c.status.History = value.Gateway, lock.LockIndex, value.History
+	return lock, value, nil
+}
+
+// takeLock takes the lock for a session and returns the fencing token, false if another session
+// was faster.
+func (c *Controller) takeLock(ctx context.Context, client *consul.Client, session string, value lockValue) (uint64, bool, error) {
+	raw, err := jsoniter.Marshal(value)
+	if err != nil {
+		return 0, false, err
+	}
+	taken, err := client.Lock(ctx, c.lockKey(), session, raw)
+	if err != nil || !taken {
+		return 0, false, err
+	}
+	lock, _, err := client.Read(ctx, c.lockKey())
+	if err != nil || lock.Session != session {
+		return 0, false, err
 	}
-	_ = client.EndSession(ctx, l.session)
-	return nil, err
+	return lock.LockIndex, true, nil
 }
--- a/internal/rolectl/engines.go
+++ b/internal/rolectl/engines.go
@@ -16,13 +16,20 @@
 	"wellgw/internal/directory"
 )
 
-// The owner's margins.
+// The parameters of calls to engines.
 const (
-	engineTimeout      = 800 * time.Millisecond
-	maxConcurrentPolls = 32 // engines asked at once
+	engineTimeout      = 800 * time.Millisecond // less than tickInterval, so that a silent engine delays no round
+	idleConnTimeout    = 10 * time.Second
+	maxConcurrentPolls = 32
 	maxReplyBytes      = 4 << 10
 )
 
+// States of engines as the directory shows them.
+const (
+	stateGone      = "gone"
+	stateInService = "in"
+)
+
 // engineReport is the body of GET /role; see docs/engine-roles.md.
 type engineReport struct {
 	rolechange.Report
@@ -33,39 +40,45 @@
 	Busy   float64 `json:"busy_s"`
 }
 
-// poll asks all engines of either role how they are.
-func (h *leader) poll(ctx context.Context, engines []directory.Engine) {
+// poll gets the reports of all engines of either role, and notes which do not answer. It
+// returns when all calls have ended.
+func (l *leader) poll(ctx context.Context, engines []directory.Engine) {
 	var mu sync.Mutex
 	var group sync.WaitGroup
-	slots := make(chan struct{}, maxConcurrentPolls)
-	now, silent := time.Now(), h.silentSince
-	h.silentSince, h.reports = map[string]time.Time{}, map[string]*engineReport{} // who is gone is forgotten
+	running := make(chan struct{}, maxConcurrentPolls)
+	now, silentBefore := time.Now(), l.silentSince
+	l.silentSince, l.reports = map[string]time.Time{}, map[string]*engineReport{} // engines that are gone are dropped
 	for _, e := range engines {
-		if _, planned := roles.RoleOf(e.Role); !planned || e.State == "gone" {
+		if _, planned := roles.RoleOf(e.Role); !planned || e.State == stateGone {
 			continue
 		}
-		slots <- struct{}{}
+		running <- struct{}{}
 		group.Go(func() {
-			defer func() { <-slots }()
-			r, _, err := h.callEngine(ctx, http.MethodGet, e.Address, nil)
+			defer func() { <-running }()
+			r, _, err := l.callEngine(ctx, http.MethodGet, e.Address, nil)
 			mu.Lock()
 			defer mu.Unlock()
 			if err == nil {
-				h.reports[e.ID] = r
-			} else if h.silentSince[e.ID] = silent[e.ID]; h.silentSince[e.ID].IsZero() {
-				h.silentSince[e.ID] = now
+				l.reports[e.ID] = r
+				return
 			}
+			since, silent := silentBefore[e.ID]
+			if !silent {
+				since = now
+			}
+			l.silentSince[e.ID] = since
 		})
 	}
 	group.Wait()
 }
 
-func (h *leader) callEngine(ctx context.Context, method, addr string, body []byte) (*engineReport, int, error) {
+// callEngine calls /role of an engine. The status is 0 if no answer came.
+func (l *leader) callEngine(ctx context.Context, method, addr string, body []byte) (*engineReport, int, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+"/role", bytes.NewReader(body))
 	if err != nil {
 		return nil, 0, err
 	}
-	resp, err := h.http.Do(req)
+	resp, err := l.http.Do(req)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -84,24 +97,31 @@
 	return &r, resp.StatusCode, nil
 }
 
-// sendCommand gives the engine a command and keeps its reply for the next tick.
-func (h *leader) sendCommand(ctx context.Context, a rolechange.Action) {
-	if !h.leaseValid() {
+// engineCommand is the body of PUT /role; see docs/engine-roles.md.
+type engineCommand struct {
+	Command      rolechange.Command `json:"command"`
+	Role         string             `json:"role"`
+	FencingToken uint64             `json:"fence"`
+}
+
+// sendCommand sends the engine a command and keeps its reply for the next tick.
+func (l *leader) sendCommand(ctx context.Context, a rolechange.Action) {
+	if !l.leaseValid() {
 		return
 	}
-	body, err := jsoniter.Marshal(map[string]any{"command": string(a.Command), "role": a.Record.To, "fence": h.lease.FencingToken})
+	body, err := jsoniter.Marshal(engineCommand{Command: a.Command, Role: a.Record.To, FencingToken: l.lease.FencingToken})
 	if err != nil {
 		return
 	}
-	_, status, err := h.callEngine(ctx, http.MethodPut, a.Record.Addr, body)
+	_, status, err := l.callEngine(ctx, http.MethodPut, a.Record.Addr, body)
 	switch {
 	case status == http.StatusOK:
-		h.replies[a.Record.Engine] = rolechange.Accepted
+		l.replies[a.Record.Engine] = rolechange.Accepted
 	case status == http.StatusConflict:
-		h.replies[a.Record.Engine] = rolechange.Fenced
+		l.replies[a.Record.Engine] = rolechange.Fenced
 	case status != 0:
-		h.replies[a.Record.Engine] = rolechange.Refused
+		l.replies[a.Record.Engine] = rolechange.Refused
 	default:
-		h.opt.Log.Info("an engine was not told", "engine", a.Record.Engine, "command", string(a.Command), "cause", err)
+		l.opt.Log.Info("engine command failed", "engine", a.Record.Engine, "command", string(a.Command), "cause", err)
 	}
 }
--- a/internal/rolectl/leader.go
+++ b/internal/rolectl/leader.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"maps"
 	"net/http"
 	"slices"
 	"time"
@@ -13,40 +14,40 @@
 	"wellgw/internal/pause"
 )
 
-// leader is the owner's work while it holds one lease.
+// leader is the state of one term as the leader. It is for one goroutine.
 type leader struct {
 	*Controller
 	client           *consul.Client
 	lease            *lease
 	planner          *roles.Planner
 	http             *http.Client
-	silentSince      map[string]time.Time // since when an engine has not answered
-	replies          map[string]rolechange.Reply
-	reports          map[string]*engineReport
-	lastDryRunEngine string
+	silentSince      map[string]time.Time        // by engine that did not answer the latest poll
+	replies          map[string]rolechange.Reply // to commands since the engine's change was last advanced
+	reports          map[string]*engineReport    // of the latest poll
+	lastDryRunEngine string                      // that was logged
 }
 
 // lead carries out changes until the lease is lost or ctx ends.
-func (c *Controller) lead(ctx context.Context, client *consul.Client, l *lease) error {
+func (c *Controller) lead(ctx context.Context, client *consul.Client, held *lease) error {
 	planner, err := roles.NewPlanner(c.opt.Settings)
 	if err != nil {
 		return err
 	}
-	h := &leader{
-		Controller: c, client: client, lease: l, planner: planner,
-		http:        &http.Client{Timeout: engineTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: 10 * time.Second}},
+	l := &leader{
+		Controller: c, client: client, lease: held, planner: planner,
+		http:        &http.Client{Timeout: engineTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: idleConnTimeout}},
 		silentSince: map[string]time.Time{}, replies: map[string]rolechange.Reply{}, reports: map[string]*engineReport{},
 	}
-	defer h.http.CloseIdleConnections()
-	for _, e := range l.value.History { // what the last owner did counts
-		h.replay(e)
+	defer l.http.CloseIdleConnections()
+	for _, e := range held.value.History {
+		l.replay(e)
 	}
 	c.mu.Lock()
-	c.status.IsLeader, c.status.Leader, c.status.FencingToken = true, l.value.Gateway, l.FencingToken
+	c.status.IsLeader, c.status.Leader, c.status.FencingToken = true, held.value.Gateway, held.FencingToken
 	c.mu.Unlock()
 	for ctx.Err() == nil {
 		begun := time.Now()
-		if err := h.tick(ctx); err != nil {
+		if err := l.tick(ctx); err != nil {
 			return err
 		}
 		pause.Sleep(ctx, tickInterval-time.Since(begun))
@@ -54,56 +55,68 @@
 	return ctx.Err()
 }
 
-// replay tells the planner what was done.
-func (h *leader) replay(e HistoryEntry) {
+// replay has the planner take into account what an earlier leader did, or this one.
+func (l *leader) replay(e HistoryEntry) {
 	if e.Outcome != rolechange.InProgress {
-		h.planner.Ended(e.At, e.Engine, e.Outcome == rolechange.Done)
+		l.planner.Ended(e.At, e.Engine, e.Outcome == rolechange.Done)
 		return
 	}
 	to, _ := roles.RoleOf(e.To)
-	h.planner.Begun(e.At, roles.Change{Engine: e.Engine, To: to})
+	l.planner.Begun(e.At, roles.Change{Engine: e.Engine, To: to})
 }
 
-func (h *leader) leaseValid() bool { return h.lease.Valid(time.Now()) }
+func (l *leader) leaseValid() bool { return l.lease.Valid(time.Now()) }
 
-func (h *leader) tick(ctx context.Context) error {
-	// Renewed before the work, and counted from before the call.
-	asked := time.Now()
-	if kept, err := h.client.RenewSession(ctx, h.lease.session); err == nil && !kept {
-		return errLeaseLost
-	} else if err == nil {
-		h.lease.Renewed(asked)
-	}
-	if !h.leaseValid() {
-		return errLeaseLost
-	}
-	view := h.opt.Keeper.View()
-	h.poll(ctx, view.Engines)
-	h.mu.Lock()
-	known := h.recordsRead
-	records := make([]storedRecord, 0, len(h.records))
-	for _, r := range h.records {
-		records = append(records, r)
+// tick does one round: it renews the lease, polls the engines, advances every change by a step at
+// most, and plans. An error says that the lease is lost.
+func (l *leader) tick(ctx context.Context) error {
+	if err := l.renew(ctx); err != nil {
+		return err
 	}
-	h.mu.Unlock()
+	view := l.opt.Keeper.View()
+	l.poll(ctx, view.Engines)
+	records, known := l.recordsByAge()
 	if !known {
 		return nil
 	}
-	slices.SortFunc(records, func(a, b storedRecord) int { return a.BegunAt.Compare(b.BegunAt) })
-	h.observe(view.Engines, records)
+	l.observe(view.Engines, records)
 	for _, r := range records {
-		if !h.leaseValid() {
+		if !l.leaseValid() {
 			return errLeaseLost
 		}
-		if err := h.advance(ctx, r, view.Engines); err != nil {
+		if err := l.advance(ctx, r, view.Engines); err != nil {
 			return err
 		}
 	}
-	return h.plan(ctx, view.Engines, records)
+	return l.plan(ctx, view.Engines, records)
+}
+
+// renew renews the lease. It counts from before the call, as the answer may be long on its way.
+func (l *leader) renew(ctx context.Context) error {
+	requestedAt := time.Now()
+	renewed, err := l.client.RenewSession(ctx, l.lease.session)
+	if err == nil && !renewed {
+		return errLeaseLost
+	}
+	if err == nil {
+		l.lease.Renewed(requestedAt)
+	}
+	if !l.leaseValid() { // renewals have failed for too long
+		return errLeaseLost
+	}
+	return nil
+}
+
+// recordsByAge returns the records of changes, the oldest first, false before the first read.
+func (l *leader) recordsByAge() ([]storedRecord, bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	records := slices.SortedFunc(maps.Values(l.records), func(a, b storedRecord) int { return a.BegunAt.Compare(b.BegunAt) })
+	return records, l.recordsRead
 }
 
-// observe tells the planner how the engines are and what is asked.
-func (h *leader) observe(engines []directory.Engine, records []storedRecord) {
+// observe has the planner take in the state of the engines and the traffic.
+func (l *leader) observe(engines []directory.Engine, records []storedRecord) {
 	now := time.Now()
 	changes := make(map[string]*roles.ActiveChange, len(records))
 	for _, r := range records {
@@ -112,24 +125,24 @@
 	}
 	var seen []roles.Engine
 	for _, e := range engines {
-		r := h.reports[e.ID]
+		r := l.reports[e.ID]
 		if r == nil {
 			continue
 		}
-		engine, part := h.opt.Settings.Assess(roles.Observation{
-			ID: e.ID, Rack: e.Cell, InService: e.State == "in", UpFor: time.Duration(e.UpMS) * time.Millisecond, Role: r.Role, Slots: r.Slots,
+		engine, planned := l.opt.Settings.Assess(roles.Observation{
+			ID: e.ID, Rack: e.Cell, InService: e.State == stateInService, UpFor: time.Duration(e.UpMS) * time.Millisecond, Role: r.Role, Slots: r.Slots,
 			Running: r.Running, Queue: r.Queue, MemoryUsed: r.Memory, Tokens: r.Tokens, BusySeconds: r.Busy,
-			Pinned: h.opt.PinnedEngines[e.ID] || h.opt.PinnedRacks[e.Cell], Change: changes[e.ID],
+			Pinned: l.opt.PinnedEngines[e.ID] || l.opt.PinnedRacks[e.Cell], Change: changes[e.ID],
 		})
-		if part {
+		if planned {
 			seen = append(seen, engine)
 		}
 	}
 	var traffic []roles.Traffic
-	for class, t := range h.opt.Traffic() {
+	for class, t := range l.opt.Traffic() {
 		traffic = append(traffic, roles.Traffic{
 			Class: class, Requested: float64(t.Asked), PromptTokens: float64(t.Prompt), Served: float64(t.Served), ServedPromptTokens: float64(t.ServedPrompt), OutputTokens: float64(t.Output),
 		})
 	}
-	h.planner.Observe(now, seen, traffic)
+	l.planner.Observe(now, seen, traffic)
 }
--- a/internal/rolectl/records.go
+++ b/internal/rolectl/records.go
@@ -12,71 +12,93 @@
 	"wellgw/internal/pause"
 )
 
-func (c *Controller) changeKey(engine string) string { return c.opt.KeyPrefix + "/change/" + engine }
+// changesPrefix is where the records of changes are kept, by engine.
+func (c *Controller) changesPrefix() string { return c.opt.KeyPrefix + "/change/" }
+
+func (c *Controller) changeKey(engine string) string { return c.changesPrefix() + engine }
+
+// confirmationPrefix is where gateways confirm the change of an engine, each by its name.
 func (c *Controller) confirmationPrefix(engine string) string {
 	return c.opt.KeyPrefix + "/seen/" + engine + "/"
 }
 
-// watchRecords holds this gateway to the changes that are under way. While they can't be read
-// it holds to what it knows.
+// confirmation is the value by which a gateway confirms a change: an engine's next change has
+// another one.
+func confirmation(r rolechange.Record) string { return r.BegunAt.Format(time.RFC3339Nano) }
+
+// watchRecords applies the records of changes by blocking queries. While they can't be read the
+// last ones stay in force.
 func (c *Controller) watchRecords(ctx context.Context, client *consul.Client) {
 	index := uint64(0)
 	for ctx.Err() == nil {
-		pairs, next, err := client.List(ctx, c.opt.KeyPrefix+"/change/", index, watchWait)
+		pairs, next, err := client.List(ctx, c.changesPrefix(), index, watchWait)
 		if err != nil {
 			index = 0
 			client.Pause(ctx, retryInterval)
 			continue
 		}
-		if next < index || next == 0 {
+		if next < index { // Consul asks for a reset where an index has gone back
 			next = 0
 		}
-		if same := index != 0 && next == index; !same {
+		if unchanged := index != 0 && next == index; !unchanged {
 			c.applyRecords(ctx, client, pairs)
 		}
-		if index = next; index == 0 {
+		index = next
+		if index == 0 {
 			pause.Sleep(ctx, retryInterval)
 		}
 	}
 }
 
-// applyRecords takes the changes in, has the core told, and says so.
+// applyRecords has the engines that the records name routed to as the records say, and confirms
+// the changes that are new.
 func (c *Controller) applyRecords(ctx context.Context, client *consul.Client, pairs []consul.Pair) {
-	records, over := map[string]storedRecord{}, map[string]roster.Override{}
+	records, overrides := c.parseRecords(pairs)
+	c.opt.Keeper.With(func(b *roster.Book, now time.Time) { b.Override(now, overrides) })
+	c.opt.Keeper.Flush()
+	gateway := c.opt.GatewayName()
+	for _, r := range c.replaceRecords(records) {
+		c.opt.Log.Info("role change observed", "engine", r.Engine, "from", r.From, "to", r.To, "step", string(r.Step))
+		if gateway == "" || client.Write(ctx, c.confirmationPrefix(r.Engine)+gateway, []byte(confirmation(r))) != nil {
+			continue // the leader waits for a confirmation no longer than a limit
+		}
+		c.mu.Lock()
+		c.confirmed[r.Engine] = r.BegunAt
+		c.mu.Unlock()
+	}
+}
+
+// parseRecords returns the records and what they override in the roster, both by engine.
+func (c *Controller) parseRecords(pairs []consul.Pair) (map[string]storedRecord, map[string]roster.Override) {
+	records, overrides := map[string]storedRecord{}, map[string]roster.Override{}
 	for _, p := range pairs {
 		var r rolechange.Record
 		if err := jsoniter.Unmarshal(p.Value, &r); err != nil || c.changeKey(r.Engine) != p.Key {
-			c.opt.Log.Warn("a change that makes no sense is passed over", "key", p.Key, "cause", err)
+			c.opt.Log.Warn("malformed role change record skipped", "key", p.Key, "cause", err)
 			continue
 		}
 		records[r.Engine] = storedRecord{r, p.ModifyIndex}
 		hold, role, cold := r.EngineView()
-		over[r.Engine] = roster.Override{Hold: hold, Kind: role, Started: cold, Why: "changes from " + r.From + " to " + r.To + ": " + string(r.Step)}
+		overrides[r.Engine] = roster.Override{Hold: hold, Kind: role, Started: cold, Why: "changes from " + r.From + " to " + r.To + ": " + string(r.Step)}
 	}
-	c.opt.Keeper.With(func(b *roster.Book, now time.Time) { b.Override(now, over) })
-	c.opt.Keeper.Flush()
+	return records, overrides
+}
+
+// replaceRecords takes over records and returns those that this gateway has not confirmed.
+func (c *Controller) replaceRecords(records map[string]storedRecord) []rolechange.Record {
 	c.mu.Lock()
+	defer c.mu.Unlock()
 	c.records, c.recordsRead = records, true
-	var say []rolechange.Record
 	for id := range c.confirmed {
-		if _, on := records[id]; !on {
+		if _, underWay := records[id]; !underWay {
 			delete(c.confirmed, id)
 		}
 	}
+	var unconfirmed []rolechange.Record
 	for id, r := range records {
 		if !c.confirmed[id].Equal(r.BegunAt) {
-			say = append(say, r.Record)
-		}
-	}
-	c.mu.Unlock()
-	gateway := c.opt.GatewayName()
-	for _, r := range say {
-		c.opt.Log.Info("a change of role is held to", "engine", r.Engine, "from", r.From, "to", r.To, "step", string(r.Step))
-		if gateway == "" || client.Write(ctx, c.confirmationPrefix(r.Engine)+gateway, []byte(r.BegunAt.Format(time.RFC3339Nano))) != nil {
-			continue // the owner waits no longer than it has to
+			unconfirmed = append(unconfirmed, r.Record)
 		}
-		c.mu.Lock()
-		c.confirmed[r.Engine] = r.BegunAt
-		c.mu.Unlock()
 	}
+	return unconfirmed
 }
--- a/internal/rolectl/rolectl.go
+++ b/internal/rolectl/rolectl.go
@@ -1,7 +1,7 @@
-// Package rolectl carries out changes of engines' roles. Every gateway follows the
-// changes that are under way, holds to them and says so; the one that holds the lease
-// plans them and takes them from step to step. What is decided is decided in
-// decide/roles and decide/rolechange.
+// Package rolectl carries out changes of engines' roles. Every gateway watches the records of
+// the changes under way in Consul, routes by them and confirms that it does. One gateway, the
+// leader, holds a lease on a Consul lock: it plans changes and takes them from step to step. The
+// decisions are those of decide/roles and decide/rolechange.
 package rolectl
 
 import (
@@ -18,13 +18,13 @@
 	"wellgw/internal/directory"
 )
 
-// The controller's margins.
+// The controller's parameters.
 const (
-	tickInterval  = time.Second
-	watchWait     = 10 * time.Second
+	tickInterval  = time.Second      // between a leader's rounds
+	watchWait     = 10 * time.Second // of a blocking query
 	retryInterval = time.Second
-	lockDelay     = time.Second // fences guard against an owner that comes back
-	extraHistory  = 20          // that are remembered beyond an hour's
+	lockDelay     = time.Second // Consul's least; fencing tokens guard against a former leader that runs on
+	extraHistory  = 20          // entries kept beyond an hour's
 )
 
 // Options are what a controller is made of.
@@ -34,39 +34,39 @@
 	Limits        rolechange.Limits
 	LeaseTTL      time.Duration
 	KeyPrefix     string
-	GatewayName   func() string                  // this gateway's name among all; "" while it is not known
-	GatewayCount  func() int                     // how many share the engines
-	Traffic       func() map[string]core.Traffic // at this gateway: it stands for all
+	GatewayName   func() string                  // unique in the tier; "" while it is not known
+	GatewayCount  func() int                     // gateways that share the engines
+	Traffic       func() map[string]core.Traffic // of this gateway, by class: a sample of all gateways' traffic
 	DryRun        bool
-	PinnedEngines map[string]bool // pinned
-	PinnedRacks   map[int]bool    // pinned
-	// OnStep is told of each step of a change that is over; nil for nothing.
+	PinnedEngines map[string]bool // whose roles stay
+	PinnedRacks   map[int]bool
+	// OnStep is called for each step of a change that has ended, for traces; nil for none.
 	OnStep func(r rolechange.Record, to time.Time, why string)
 	Log    *slog.Logger
 }
 
-// HistoryEntry is a change that has ended, or one that was begun.
+// HistoryEntry is the beginning or the end of a change.
 type HistoryEntry struct {
 	At      time.Time          `json:"at"`
 	Engine  string             `json:"engine"`
 	To      string             `json:"to"`
-	Outcome rolechange.Outcome `json:"outcome"` // "" = begun
+	Outcome rolechange.Outcome `json:"outcome"` // "" at its beginning
 	Reason  string             `json:"why"`
 }
 
-// Status is the present state, for people.
+// Status is the present state, for operators.
 type Status struct {
 	Gateway      string              `json:"gateway"`
-	Leader       string              `json:"owner"` // who holds the lease, as far as is known
+	Leader       string              `json:"owner"` // as last read
 	IsLeader     bool                `json:"mine"`
 	FencingToken uint64              `json:"fence"`
 	DryRun       bool                `json:"dry_run"`
-	Plan         Plan                `json:"plan"` // the owner's latest
+	Plan         Plan                `json:"plan"` // empty unless this gateway leads, or has led
 	Changes      []rolechange.Record `json:"changes"`
 	History      []HistoryEntry      `json:"ends"`
 }
 
-// Plan is the owner's latest plan.
+// Plan is a leader's latest plan. Pairs are of the prefill and the decode stage, in engines.
 type Plan struct {
 	At       time.Time      `json:"at"`
 	Reason   string         `json:"why"`
@@ -77,25 +77,25 @@
 	After    roles.Forecast `json:"after"`
 }
 
-// storedRecord is a record with the index at which it was read.
+// storedRecord is a record with its ModifyIndex, by which a write is conditional.
 type storedRecord struct {
 	rolechange.Record
 	modifyIndex uint64
 }
 
-// Controller follows and, while it holds the lease, carries out changes.
+// Controller routes by the changes under way and, while it holds the lease, carries them out.
 type Controller struct {
 	opt         Options
-	lastSession string // the session of the latest lease; contend's alone
+	lastSession string // of the latest lease; of the goroutine in campaign alone
 
 	mu          sync.Mutex
 	records     map[string]storedRecord
-	recordsRead bool // the records have been read
-	confirmed   map[string]time.Time
+	recordsRead bool                 // at least once
+	confirmed   map[string]time.Time // by engine, when the change began that this gateway has confirmed
 	status      Status
 }
 
-// New returns a controller; an error names a setting that can't be used.
+// New returns a controller. An error names the setting that can't be used.
 func New(opt Options) (*Controller, error) {
 	if _, err := roles.NewPlanner(opt.Settings); err != nil {
 		return nil, fmt.Errorf("roles.%w", err)
@@ -118,7 +118,8 @@
 	return s
 }
 
-// Run follows and owns by way of a client until ctx ends.
+// Run watches changes and campaigns for the lease until ctx ends, and returns when all its
+// goroutines have ended.
 func (c *Controller) Run(ctx context.Context, client *consul.Client) {
 	var group sync.WaitGroup
 	defer group.Wait()
--- a/internal/rolectl/rolectl_test.go
+++ b/internal/rolectl/rolectl_test.go
@@ -126,7 +126,7 @@
 	return g
 }
 
-// leave puts a change into the catalogue as an owner that was killed has left it.
+// leave puts a change into the catalogue as a leader that was killed has left it.
 func (w *world) leave(g *gate, engineID, to string, step rolechange.Step) {
 	w.Helper()
 	e := w.eng[engineID]
@@ -166,9 +166,9 @@
 	return known && p != routing.PhaseActive
 }
 
-// Hard case: the owner is killed at every step. The next one finishes what it finds, or
+// Hard case: the leader is killed at every step. The next one finishes what it finds, or
 // takes it back, and every gateway holds meanwhile.
-func TestNewOwnerCompletesChange(t *testing.T) {
+func TestNewLeaderCompletesChange(t *testing.T) {
 	for _, step := range []rolechange.Step{rolechange.Announced, rolechange.Draining, rolechange.Flipping, rolechange.Warming, rolechange.Settled, rolechange.Undoing} {
 		t.Run(string(step), func(t *testing.T) {
 			t.Parallel()
@@ -206,30 +206,30 @@
 	return known && p == routing.PhaseActive
 }
 
-// Hard case: a lease ends in the middle. The owner stops; the other goes on with a
+// Hard case: a lease ends in the middle. The leader stops; the other goes on with a
 // higher fence, and what the first still believes to be its own is refused everywhere.
 func TestLeaseExpiresMidChange(t *testing.T) {
 	w := newWorld(t)
 	one := w.gate("g1", nil)
-	enginetest.Eventually(t, "g1 owns", func() bool { return one.Status().IsLeader })
+	enginetest.Eventually(t, "g1 leads", func() bool { return one.Status().IsLeader })
 	two := w.gate("g2", nil)
 	lock, _, err := two.client.Read(t.Context(), one.lockKey())
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The owner is cut off, and its session ends.
+	// The leader is cut off, and its session ends.
 	if err := one.agent.Fail(fakeconsul.Faults{Hang: true}); err != nil {
 		t.Fatal(err)
 	}
 	if err := two.client.EndSession(t.Context(), lock.Session); err != nil {
 		t.Fatal(err)
 	}
-	enginetest.Eventually(t, "g2 owns", func() bool { s := two.Status(); return s.IsLeader && s.FencingToken > lock.LockIndex })
+	enginetest.Eventually(t, "g2 leads", func() bool { s := two.Status(); return s.IsLeader && s.FencingToken > lock.LockIndex })
 	w.leave(two, "w1", "read", rolechange.Announced)
 	enginetest.Eventually(t, "the engine has been told by g2", func() bool { return w.eng["w1"].RoleNow() == engine.Read })
 	enginetest.Eventually(t, "g1 has stopped", func() bool { return !one.Status().IsLeader })
 
-	// An owner that was paused for longer than its lease and wakes up does nothing.
+	// A leader that was paused for longer than its lease and wakes up does nothing.
 	stale := &leader{Controller: two.Controller, client: two.client, lease: &lease{session: lock.Session, Lease: rolechange.NewLease(lock.LockIndex, time.Second, time.Now().Add(-time.Hour))}}
 	if err := stale.tick(t.Context()); !errors.Is(err, errLeaseLost) {
 		t.Errorf("woken up: %v", err)
@@ -257,11 +257,11 @@
 	}
 	stale.sendCommand(t.Context(), rolechange.Action{Record: rolechange.Record{Engine: "w1", Addr: w.eng["w1"].Addr(), To: "write"}, Command: rolechange.Drain})
 	if got := stale.replies["w1"]; got != rolechange.Fenced {
-		t.Errorf("the engine took a command of an outdated owner: %v", got)
+		t.Errorf("the engine took a command of an outdated leader: %v", got)
 	}
 }
 
-// Hard case: Consul is away in the middle. Gateways hold on, nobody owns, and the
+// Hard case: Consul is away in the middle. Gateways hold on, nobody leads, and the
 // change ends once it is back.
 func TestConsulUnavailableMidChange(t *testing.T) {
 	w := newWorld(t)
@@ -274,7 +274,7 @@
 	if err := g.agent.Fail(fakeconsul.Faults{Refuse: true}); err != nil {
 		t.Fatal(err)
 	}
-	enginetest.Eventually(t, "nobody owns", func() bool { return !g.Status().IsLeader })
+	enginetest.Eventually(t, "nobody leads", func() bool { return !g.Status().IsLeader })
 	if !g.holds("w1", "write") {
 		t.Error("the engine has new work while the change can't be read")
 	}
@@ -293,7 +293,7 @@
 		o.Limits.Confirmation = 1500 * time.Millisecond
 		o.GatewayCount = func() int { return 2 }
 	})
-	enginetest.Eventually(t, "g1 owns", func() bool { return g.Status().IsLeader })
+	enginetest.Eventually(t, "g1 leads", func() bool { return g.Status().IsLeader })
 	begun := time.Now()
 	w.leave(g, "w1", "read", rolechange.Announced)
 	enginetest.Eventually(t, "it has its new role", func() bool { return g.takes("w1", "read") })
--- a/internal/rolectl/stored_test.go
+++ b/internal/rolectl/stored_test.go
@@ -53,7 +53,7 @@
 	}}
 }
 
-// storedWorld is a gateway that has no name, so that it follows and never owns, and an owner's
+// storedWorld is a gateway that has no name, so that it follows and never leads, and a leader's
 // work that the test does in its place.
 func storedWorld(t *testing.T) (*world, *gate, *leader) {
 	t.Helper()
