--- a/decide/rolechange/lease.go
+++ b/decide/rolechange/lease.go
@@ -2,49 +2,48 @@
 
 import "time"
 
-// Lease is one holding of the right to change things. It is acted on for a part of its
-// TTL after it was last renewed, so that an owner that was paused finds out that it may
-// no longer be one before it does anything.
+// Lease is one term as the leader. It is acted on only for a part of its TTL after its latest
+// renewal, so that a leader that was paused finds its lease no longer valid well before another
+// gateway can have one.
 type Lease struct {
 	FencingToken uint64 // grows with each holder
 	ttl          time.Duration
-	renewed      time.Time
+	renewedAt    time.Time
 }
 
 // validPart is the part of its TTL, one in so many, for which a lease is acted on.
 const validPart = 3
 
-// NewLease returns a lease that was asked for at a time.
-func NewLease(fence uint64, ttl time.Duration, asked time.Time) *Lease {
-	return &Lease{FencingToken: fence, ttl: ttl, renewed: asked}
+// NewLease returns a lease that was requested at a time.
+func NewLease(token uint64, ttl time.Duration, requestedAt time.Time) *Lease {
+	return &Lease{FencingToken: token, ttl: ttl, renewedAt: requestedAt}
 }
 
-// Renewed notes a renewal that was asked for at a time: the answer may have been long
-// on its way.
-func (l *Lease) Renewed(asked time.Time) {
-	if asked.After(l.renewed) {
-		l.renewed = asked
+// Renewed records a renewal that was requested at a time; that of the answer may be much later.
+func (l *Lease) Renewed(requestedAt time.Time) {
+	if requestedAt.After(l.renewedAt) {
+		l.renewedAt = requestedAt
 	}
 }
 
-// Valid tells whether the lease is held beyond doubt.
-func (l *Lease) Valid(now time.Time) bool { return now.Sub(l.renewed) < l.ttl/validPart }
+// Valid tells whether the lease may be acted on.
+func (l *Lease) Valid(now time.Time) bool { return now.Sub(l.renewedAt) < l.ttl/validPart }
 
-// LockAction is what to do about the lock of owners.
+// LockAction is what a gateway does about the lock that leaders hold.
 type LockAction uint8
 
-// The bids.
+// The actions.
 const (
-	LeaveLock     LockAction = iota // another holds it, or this gateway has no name yet
-	EndOwnSession                   // a session of this gateway's own holds it, of a lease it has lost sight of
+	LeaveLock     LockAction = iota // another gateway holds it, or this one has no name yet
+	EndOwnSession                   // the session of this gateway's earlier term still holds it
 	AcquireLock
 )
 
-// DecideLock decides on a lock that a session holds, "" if none does. mine is the session of
-// this gateway's latest lease.
-func DecideLock(holder, mine, gateway string) LockAction {
+// DecideLock decides on a lock that the session holder holds, "" if it is free. own is the session
+// of this gateway's latest term.
+func DecideLock(holder, own, gateway string) LockAction {
 	switch {
-	case holder != "" && holder == mine:
+	case holder != "" && holder == own:
 		return EndOwnSession
 	case holder != "" || gateway == "":
 		return LeaveLock
