--- a/decide/roles/forecast.go
+++ b/decide/roles/forecast.go
@@ -6,26 +6,31 @@
 	"time"
 )
 
-// maxUtilization is the share of a stage that can be used before requests come late.
+// Forecast is the share of the demand that will be served in time, over the horizon and at its
+// worst.
+type Forecast struct{ Mean, Worst float64 }
+
+// maxUtilization is the utilization of a stage past which requests are late.
 const maxUtilization = 0.9
 
-// servedShare is what part of a demand so many engines serve.
-func servedShare(have, demand [2]float64) float64 {
+// servedShare returns the share of a demand that a capacity serves in time.
+func servedShare(capacity, demand [2]float64) float64 {
 	served := 1.0
-	for s := range have {
+	for s := range capacity {
 		if demand[s] > 0 {
-			served = min(served, maxUtilization*have[s]/demand[s])
+			served = min(served, maxUtilization*capacity[s]/demand[s])
 		}
 	}
 	return served
 }
 
-// expectedForecast is foresee over the usual errors of the demand at both stages. Service falls off
-// past what engines can do and gains nothing before: at the mean of the demand alone, a split
-// that is just enough for one stage would look as good as one with room.
+// expectedForecast averages the forecast over the usual errors of the demand at both stages.
+// Service falls beyond the capacity and gains nothing below it: by the mean demand alone a split
+// that is just enough for one stage would look as good as one with a margin.
 func (p *Planner) expectedForecast(c *Change, noise [2]float64, horizon time.Duration) Forecast {
-	var f Forecast
-	for i := range 4 {
+	const cases = 4 // higher or lower demand at either stage
+	var mean Forecast
+	for i := range cases {
 		demand := p.demand
 		for s := range demand {
 			if i>>s&1 == 0 {
@@ -35,32 +40,20 @@
 			}
 		}
 		one := p.forecast(c, demand, horizon)
-		f.Mean += one.Mean / 4
-		f.Worst += one.Worst / 4
+		mean.Mean += one.Mean / cases
+		mean.Worst += one.Worst / cases
 	}
-	return f
+	return mean
 }
 
-// forecast returns the service over a horizon under a demand, with a change or, if c is
-// nil, without one. Changes under way end as planned.
+// forecast returns the service over a horizon under a demand, with a change or, if c is nil,
+// without one. Changes under way are taken to succeed.
 func (p *Planner) forecast(c *Change, demand [2]float64, horizon time.Duration) Forecast {
 	const step = time.Second
 	f := Forecast{Worst: 1}
 	sum, n := 0.0, 0
 	for t := time.Duration(0); t == 0 || t < horizon; t += step {
-		var have [2]float64
-		for _, e := range p.engines {
-			switch {
-			case e.Role == Mixed || !e.Ready && !e.Changing:
-			case e.Changing: // it is somewhere in its change: taken as half way
-				have[e.Role.Other()] += p.relativeRate(e, e.Role.Other()) * p.warmUpShare(t+p.settings.DrainTime/2)
-			case c != nil && e.ID == c.Engine:
-				have[c.To] += p.relativeRate(e, c.To) * p.warmUpShare(t)
-			default:
-				have[e.Role] += p.relativeRate(e, e.Role)
-			}
-		}
-		served := servedShare(have, demand)
+		served := servedShare(p.capacityAfter(t, c), demand)
 		sum += served
 		f.Worst = min(f.Worst, served)
 		n++
@@ -69,9 +62,25 @@
 	return f
 }
 
-// warmUpShare is the share of its power that an engine has in its new role at a time after
-// its change began.
-func (p *Planner) warmUpShare(t time.Duration) float64 {
+// capacityAfter returns the capacity by stage a time after a change began, nil for none.
+func (p *Planner) capacityAfter(t time.Duration, c *Change) (capacity [2]float64) {
+	for _, e := range p.engines {
+		switch {
+		case e.Role == Mixed || !e.Ready && !e.Changing:
+		case e.Changing: // at an unknown point of its change: taken as halfway through its drain
+			capacity[e.Role.Other()] += p.relativeRate(e, e.Role.Other()) * p.warmthInChange(t+p.settings.DrainTime/2)
+		case c != nil && e.ID == c.Engine:
+			capacity[c.To] += p.relativeRate(e, c.To) * p.warmthInChange(t)
+		default:
+			capacity[e.Role] += p.relativeRate(e, e.Role)
+		}
+	}
+	return capacity
+}
+
+// warmthInChange returns the share of its warm rate that an engine has in its new role a time
+// after its change began.
+func (p *Planner) warmthInChange(t time.Duration) float64 {
 	t -= p.settings.DrainTime
 	switch {
 	case t < 0:
@@ -79,15 +88,15 @@
 	case t >= p.settings.WarmUp:
 		return 1
 	}
-	return p.settings.ColdThroughput + (1-p.settings.ColdThroughput)*float64(t)/float64(p.settings.WarmUp)
+	return p.settings.warmthAfter(t)
 }
 
-// OptimalSplit returns how many engines each stage should have to serve a demand best, for an
-// oracle or a fixed split: it weighs all splits of so many engines.
-func OptimalSplit(engines int, demand [2]float64) (prompt, answer int) {
+// OptimalSplit returns how many engines each stage should have to serve a demand best, for a
+// fixed split or to compare plans with: it weighs all splits of so many engines.
+func OptimalSplit(engines int, demand [2]float64) (prefill, decode int) {
 	type split struct {
-		engines int
-		worst   float64
+		prefill int
+		worst   float64 // demand an engine, at the stage where it is higher
 	}
 	var all []split
 	for n := 1; n < engines; n++ {
@@ -97,5 +106,5 @@
 		return engines, 0
 	}
 	best := slices.MinFunc(all, func(a, b split) int { return cmp.Compare(a.worst, b.worst) })
-	return best.engines, engines - best.engines
+	return best.prefill, engines - best.prefill
 }
--- a/decide/roles/observation.go
+++ b/decide/roles/observation.go
@@ -2,49 +2,39 @@
 
 import "time"
 
-// Observation is what is known of an engine at one time, from those who know: the roster, the
-// engine itself, and the record of a change of it.
+// Observation is what is known of an engine at one time: from the roster, from its own report,
+// and from the record of a change of it.
 type Observation struct {
 	ID                  string
 	Rack                int
-	InService           bool          // the roster gives it work
-	UpFor               time.Duration // since it started or took its role, by the roster; 0 = long, or not known
-	Role                string        // by its own word
+	InService           bool          // by the roster
+	UpFor               time.Duration // since it started or took its role, by the roster; 0 = long, or unknown
+	Role                string        // by its own report
 	Slots               int
-	Running, Queue      int // requests; Running includes those that wait
+	Running, Queue      int // requests; Running includes the queued ones
 	MemoryUsed          float64
 	Tokens, BusySeconds float64
 	Pinned              bool
 	Change              *ActiveChange // nil without one
 }
 
-// ActiveChange is what a record of a change says of an engine.
+// ActiveChange is what the record of a change says of an engine.
 type ActiveChange struct {
-	Hold    bool          // it gets no work
-	Role    string        // which it has, as far as the change goes
-	RoleFor time.Duration // that it has had it, with Hold false
+	Hold    bool          // no requests are routed to it
+	Role    string        // its role at the change's present step
+	RoleFor time.Duration // since it has that role, if Hold is false
 }
 
-// RoleOf reads a role's name, false for one that is never planned with.
-func RoleOf(name string) (Role, bool) {
-	for _, r := range []Role{Prefill, Decode} {
-		if r.String() == name {
-			return r, true
-		}
-	}
-	return Mixed, false
-}
-
-// Assess makes an engine out of what is known of it, false if it has no part in the plan.
-// A record comes before the roster and the engine's own word: either may be a moment
-// behind, and an engine that counts in neither role would have another moved for it.
-func (s Settings) Assess(x Observation) (Engine, bool) {
-	e := Engine{ID: x.ID, Rack: x.Rack, MemoryUsed: x.MemoryUsed, Tokens: x.Tokens, BusySeconds: x.BusySeconds, Ready: x.InService, Pinned: x.Pinned}
-	name, up := x.Role, x.UpFor
-	if x.Change != nil {
-		name, e.Changing = x.Change.Role, x.Change.Hold
+// Assess returns an engine as the planner takes it, false if it has no part in the plan. The
+// record of a change takes precedence over the roster and the engine's report: both may lag
+// behind it, and for an engine counted in neither role another would be changed.
+func (s Settings) Assess(o Observation) (Engine, bool) {
+	e := Engine{ID: o.ID, Rack: o.Rack, MemoryUsed: o.MemoryUsed, Tokens: o.Tokens, BusySeconds: o.BusySeconds, Ready: o.InService, Pinned: o.Pinned}
+	name, upFor := o.Role, o.UpFor
+	if o.Change != nil {
+		name, e.Changing = o.Change.Role, o.Change.Hold
 		if !e.Changing {
-			e.Ready, up = true, max(x.Change.RoleFor, 1)
+			e.Ready, upFor = true, max(o.Change.RoleFor, 1)
 		}
 	}
 	role, known := RoleOf(name)
@@ -52,12 +42,12 @@
 		return Engine{}, false
 	}
 	e.Role = role
-	if x.Slots > 0 {
-		e.Utilization = min(1, float64(max(0, x.Running-x.Queue))/float64(x.Slots))
-		e.QueueSeconds = float64(x.Queue) / float64(x.Slots)
+	if o.Slots > 0 {
+		e.Utilization = min(1, float64(max(0, o.Running-o.Queue))/float64(o.Slots))
+		e.QueueSeconds = float64(o.Queue) / float64(o.Slots)
 	}
-	if up > 0 && up < s.WarmUp {
-		e.Warmth = s.ColdThroughput + (1-s.ColdThroughput)*float64(up)/float64(s.WarmUp)
+	if upFor > 0 && upFor < s.WarmUp {
+		e.Warmth = s.warmthAfter(upFor)
 	}
 	return e, true
 }
--- a/decide/roles/phases.go
+++ b/decide/roles/phases.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// mixPhases follows how long the mix leans to one stage before it leans to the other. A
-// change that takes effect after the mix has turned back is worse than none.
+// mixPhases estimates how long the mix of demand leans to one stage before it leans to the
+// other. A change that takes effect after the mix has turned back is worse than none.
 type mixPhases struct {
-	meanDecodeShare float64 // share of the answer stage in all demand, slowly
-	side            int     // to which the mix leans; 0 while that is not known
+	meanDecodeShare float64 // of all demand, by meanMixTimeConstant
+	side            int     // 1 while the mix leans to decode, -1 to prefill, 0 while unknown
 	since           time.Time
-	usualLength     time.Duration // usual, of a phase
+	usualLength     time.Duration // of a phase
 	turns           int
 	observedAt      time.Time
 }
 
-// The figures of phases.
+// The parameters of phases.
 const (
-	leanThreshold       = 0.04 // this far from the mean the mix leans
+	leanThreshold       = 0.04 // distance from the mean from which on the mix leans
 	meanMixTimeConstant = 10 * time.Minute
-	minTurns            = 3   // turns, before a usual length is believed
-	lastPhaseWeight     = 0.5 // of the usual length that the latest phase makes up
-	overduePhaseFactor  = 1.5 // times the usual length, after which a phase is another kind
+	minTurns            = 3   // before the usual length counts
+	lastPhaseWeight     = 0.5 // in the usual length
+	overduePhaseFactor  = 1.5 // times the usual length, after which a phase counts as of unknown length
 )
 
-// observe takes in the demand at a time.
+// observe takes in the demand in engines at a time.
 func (p *mixPhases) observe(now time.Time, demand [2]float64) {
 	sum := demand[Prefill] + demand[Decode]
 	if sum <= 0 {
@@ -56,14 +56,15 @@
 	p.side, p.since = side, now
 }
 
-// remaining is how much longer the mix is expected to stay as it is, most if that is not known.
-func (p *mixPhases) remaining(now time.Time, most time.Duration) time.Duration {
+// remaining returns how much longer the present phase is expected to last, at most limit, and
+// limit if that is unknown.
+func (p *mixPhases) remaining(now time.Time, limit time.Duration) time.Duration {
 	if p.turns < minTurns {
-		return most
+		return limit
 	}
-	in := now.Sub(p.since)
-	if float64(in) > overduePhaseFactor*float64(p.usualLength) {
-		return most
+	elapsed := now.Sub(p.since)
+	if float64(elapsed) > overduePhaseFactor*float64(p.usualLength) {
+		return limit
 	}
-	return min(most, max(p.usualLength-in, 0))
+	return min(limit, max(p.usualLength-elapsed, 0))
 }
--- a/decide/roles/plan.go
+++ b/decide/roles/plan.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"math"
 	"time"
 )
 
@@ -13,99 +12,108 @@
 	From, To Role
 }
 
-// Forecast is the service that is foreseen: the share of what is asked that is served
-// in time, over the horizon and at its worst.
-type Forecast struct{ Mean, Worst float64 }
-
-// Plan is what was decided, and why.
+// Plan is what was decided, and why. Pairs are of the prefill and the decode stage, in engines.
 type Plan struct {
 	Change        *Change // nil: none
 	Reason        string
-	Demand        [2]float64 // smoothed, in engines
-	Noise         [2]float64 // its usual error
-	Capacity      [2]float64 // in engines
-	Before, After Forecast   // without the change, and with it
+	Demand        [2]float64
+	Noise         [2]float64 // usual error of the demand
+	Capacity      [2]float64
+	Before, After Forecast // without the change, and with it
 }
 
-// Plan decides on the next change. At most one is wanted at a time; changes under way
-// count as done in what is foreseen.
+// A change in the other direction than the latest one has to gain more for a while: otherwise a
+// mix between two splits would have an engine change to and fro with the noise.
+const (
+	reversalGainFactor = 4.0
+	reversalHorizons   = 2 // horizons for which the factor holds
+)
+
+// A change may lower service for a while by maxDip, or more as long as it stays above serviceFloor.
+const (
+	maxDip       = 0.05
+	serviceFloor = 0.97
+)
+
+// Plan decides on the next change. At most one is wanted at a time; the forecast counts changes
+// under way as done.
 func (p *Planner) Plan(now time.Time) Plan {
-	out := Plan{Demand: p.demand, Capacity: p.capacity()}
-	for s := range out.Noise {
-		// What is wrong by the same sign again and again is a trend, not noise.
-		out.Noise[s] = math.Sqrt(max(0, p.meanSquareError[s]-p.meanError[s]*p.meanError[s]))
-	}
+	plan := Plan{Demand: p.demand, Noise: p.noise(), Capacity: p.capacity()}
 	horizon := p.phases.remaining(now, p.settings.Horizon)
-	out.Before = p.expectedForecast(nil, out.Noise, horizon)
-	out.After = out.Before
-	if len(p.engines) == 0 {
-		out.Reason = "no engine is seen"
-		return out
+	plan.Before = p.expectedForecast(nil, plan.Noise, horizon)
+	plan.After = plan.Before
+	if plan.Reason = p.whyNotNow(now); plan.Reason != "" {
+		return plan
 	}
-	if !p.demandKnown {
-		out.Reason = "too little is known of the demand yet"
-		return out
+	var to Role
+	if to, plan.Reason = p.bottleneck(plan); plan.Reason != "" {
+		return plan
 	}
-	if n := p.startsLastHour(now); n >= p.settings.MaxPerHour {
-		out.Reason = fmt.Sprintf("%d changes in the last hour are enough", n)
-		return out
+	if p.lastRole != to && now.Sub(p.lastStart) < p.settings.ReversalDelay && !p.lastStart.IsZero() {
+		plan.Reason = "the latest change went the other way and has yet to settle"
+		return plan
+	}
+	var change *Change
+	if change, plan.Reason = p.candidate(now, to); change == nil {
+		return plan
 	}
-	needy, why := p.bottleneck(out)
-	if why != "" {
-		out.Reason = why
-		return out
+	after := p.expectedForecast(change, plan.Noise, horizon)
+	if plan.Reason = p.whyNotWorth(now, change, plan, after, horizon); plan.Reason != "" {
+		return plan
+	}
+	plan.Change, plan.After = change, after
+	from := to.Other()
+	plan.Reason = fmt.Sprintf("%s work needs %.1f of %.1f engines, %s work %.1f of %.1f; service %.3f, with the change %.3f",
+		to, p.demand[to], plan.Capacity[to], from, p.demand[from], plan.Capacity[from], plan.Before.Mean, plan.After.Mean)
+	return plan
+}
+
+// whyNotNow returns why no change is planned at all, "" if one may be.
+func (p *Planner) whyNotNow(now time.Time) string {
+	if len(p.engines) == 0 {
+		return "no engine is seen"
 	}
-	if p.lastRole != needy && now.Sub(p.lastStart) < p.settings.ReversalDelay && !p.lastStart.IsZero() {
-		out.Reason = "the latest change went the other way and has yet to settle"
-		return out
+	if !p.demandKnown {
+		return "too little is known of the demand yet"
 	}
-	c, why := p.candidate(now, needy)
-	if c == nil {
-		out.Reason = why
-		return out
+	if n := p.startsLastHour(now); n >= p.settings.MaxPerHour {
+		return fmt.Sprintf("%d changes in the last hour are enough", n)
 	}
-	out.After = p.expectedForecast(c, out.Noise, horizon)
-	gain := out.After.Mean - out.Before.Mean
+	return ""
+}
+
+// whyNotWorth returns why a change is not worth its cost, "" if it is.
+func (p *Planner) whyNotWorth(now time.Time, c *Change, plan Plan, after Forecast, horizon time.Duration) string {
 	if p.settings.Strategy == Predictive {
-		// The demand may be wrong by its usual error; the gain has to outlast that.
-		low := p.demand
-		low[needy] = max(0, low[needy]-out.Noise[needy])
-		low[needy.Other()] += out.Noise[needy.Other()]
-		sure := p.forecast(c, low, horizon).Mean - p.forecast(nil, low, horizon).Mean
-		least := p.settings.MinGain
-		if p.lastRole != needy && !p.lastStart.IsZero() && now.Sub(p.lastStart) < reversalHorizons*p.settings.Horizon {
-			least *= reversalGainFactor
-		}
-		if gain < least || sure <= 0 {
-			out.Reason = fmt.Sprintf("a change would gain %.3f, %.3f at the low end of the demand: not beyond the noise", gain, sure)
-			out.After = out.Before
-			return out
+		gain := after.Mean - plan.Before.Mean
+		lowGain := p.lowGain(c, plan.Noise, horizon)
+		if gain < p.minGain(now, c.To) || lowGain <= 0 {
+			return fmt.Sprintf("a change would gain %.3f, %.3f at the low end of the demand: not beyond the noise", gain, lowGain)
 		}
 	}
-	if out.After.Worst < out.Before.Worst-maxDip && out.After.Worst < serviceFloor {
-		out.Reason = fmt.Sprintf("its loss would push service down to %.2f meanwhile", out.After.Worst)
-		out.After = out.Before
-		return out
+	if after.Worst < plan.Before.Worst-maxDip && after.Worst < serviceFloor {
+		return fmt.Sprintf("its loss would push service down to %.2f meanwhile", after.Worst)
 	}
-	out.Change = c
-	out.Reason = fmt.Sprintf("%s work needs %.1f of %.1f engines, %s work %.1f of %.1f; service %.3f, with the change %.3f",
-		needy, p.demand[needy], out.Capacity[needy], needy.Other(), p.demand[needy.Other()], out.Capacity[needy.Other()], out.Before.Mean, out.After.Mean)
-	return out
+	return ""
 }
 
-// A change that undoes the latest one has to gain more for a while: a mix that stands
-// between two splits would have an engine go to and fro with the noise.
-const (
-	reversalGainFactor = 4.0
-	reversalHorizons   = 2 // horizons
-)
+// lowGain returns a change's gain if the demand is wrong by its usual error, against the change.
+func (p *Planner) lowGain(c *Change, noise [2]float64, horizon time.Duration) float64 {
+	low := p.demand
+	low[c.To] = max(0, low[c.To]-noise[c.To])
+	low[c.From] += noise[c.From]
+	return p.forecast(c, low, horizon).Mean - p.forecast(nil, low, horizon).Mean
+}
 
-// A change may push service down for a while by so much, or if it stays above the floor.
-const (
-	maxDip       = 0.05
-	serviceFloor = 0.97
-)
+// minGain returns the gain that a change to a role must have.
+func (p *Planner) minGain(now time.Time, to Role) float64 {
+	if p.lastRole != to && !p.lastStart.IsZero() && now.Sub(p.lastStart) < reversalHorizons*p.settings.Horizon {
+		return p.settings.MinGain * reversalGainFactor
+	}
+	return p.settings.MinGain
+}
 
+// capacity returns what the engines in service can do, by stage.
 func (p *Planner) capacity() [2]float64 {
 	var c [2]float64
 	for _, e := range p.engines {
@@ -116,44 +124,45 @@
 	return c
 }
 
-// The thresholds of the two simpler strategies.
+// The parameters of the two simpler strategies.
 const (
-	busyThreshold   = 0.85
-	idleThreshold   = 0.7
-	queueLead       = 0.5
-	maxQueueSeconds = 4.0 // seconds; a longer queue says no more
+	busyThreshold   = 0.85 // load above which a stage is busy
+	idleThreshold   = 0.7  // load up to which the other stage can give an engine
+	queueLead       = 0.5  // in load and seconds of queue, by which one stage must exceed the other
+	maxQueueSeconds = 4.0  // of one engine that count
+	minCapacity     = 1e-9 // in place of none, as a divisor
 )
 
 // bottleneck returns the stage that should get an engine, or why none should.
 func (p *Planner) bottleneck(plan Plan) (Role, string) {
 	var load, queue [2]float64
 	for s := range load {
-		load[s] = plan.Demand[s] / max(plan.Capacity[s], 1e-9)
+		load[s] = plan.Demand[s] / max(plan.Capacity[s], minCapacity)
 	}
 	for _, e := range p.engines {
 		if e.Role != Mixed && e.Ready {
-			queue[e.Role] += min(e.QueueSeconds, maxQueueSeconds) / max(plan.Capacity[e.Role], 1e-9)
+			queue[e.Role] += min(e.QueueSeconds, maxQueueSeconds) / max(plan.Capacity[e.Role], minCapacity)
 		}
 	}
-	needy := Prefill
+	to := Prefill
 	if load[Decode] > load[Prefill] {
-		needy = Decode
+		to = Decode
 	}
-	give := needy.Other()
-	left := plan.Capacity[give] - 1
+	from := to.Other()
+	left := plan.Capacity[from] - 1
 	switch p.settings.Strategy {
 	case Threshold:
-		if load[needy] < busyThreshold || left <= 0 || plan.Demand[give]/left > idleThreshold {
-			return needy, "no stage is busy while the other is not"
+		if load[to] < busyThreshold || left <= 0 || plan.Demand[from]/left > idleThreshold {
+			return to, "no stage is busy while the other is not"
 		}
 	case QueueBalance:
-		if queue[needy]+load[needy]-queue[give]-load[give] < queueLead || left <= 0 {
-			return needy, "the queues are near enough to each other"
+		if queue[to]+load[to]-queue[from]-load[from] < queueLead || left <= 0 {
+			return to, "the queues are near enough to each other"
 		}
 	default:
 		if plan.Before.Mean > 1-p.settings.MinGain {
-			return needy, "all that is asked can be served as it is"
+			return to, "all that is asked can be served as it is"
 		}
 	}
-	return needy, ""
+	return to, ""
 }
--- a/decide/roles/planner.go
+++ b/decide/roles/planner.go
@@ -2,30 +2,33 @@
 
 import (
 	"maps"
+	"math"
 	"slices"
 	"time"
 )
 
-// Planner follows demand and decides on changes. It is not safe for concurrent use.
+// Planner follows the demand and decides on changes. It is not safe for concurrent use.
 type Planner struct {
-	settings        Settings
-	observedAt      time.Time
+	settings   Settings
+	observedAt time.Time
+	engines    []Engine
+	histories  map[string]*history // by engine
+	rates      rates
+
 	estimator       demandEstimator
 	phases          mixPhases
 	demand          [2]float64
-	demandKnown     bool       // enough has been seen to know it
-	meanDemand      [2]float64 // it, smoothed
-	meanError       [2]float64 // smoothed error of the level, sign included
-	meanSquareError [2]float64 // smoothed square of the error
-	engines         []Engine
-	histories       map[string]*history
-	rates           rates
-	recentStarts    []time.Time // of changes in the last hour
-	lastRole        Role        // what the latest change was to
-	lastStart       time.Time
+	demandKnown     bool
+	meanDemand      [2]float64 // smoothed
+	meanError       [2]float64 // of meanDemand, smoothed, with its sign
+	meanSquareError [2]float64
+
+	recentStarts []time.Time // of changes in the last hour
+	lastRole     Role        // to which the latest change was
+	lastStart    time.Time   // of the latest change
 }
 
-// NewPlanner returns a planner; an error names the setting that can't be used.
+// NewPlanner returns a planner. An error names the setting that can't be used.
 func NewPlanner(s Settings) (*Planner, error) {
 	if err := s.Validate(); err != nil {
 		return nil, err
@@ -33,21 +36,21 @@
 	return &Planner{settings: s, estimator: demandEstimator{timeConstant: s.DemandTimeConstant}, histories: map[string]*history{}}, nil
 }
 
-// relativeRate is what an engine can do in a role, against a usual one.
+// relativeRate returns what an engine can do in a role, in engines of the median rate.
 func (p *Planner) relativeRate(e Engine, r Role) float64 {
 	if e.Role == Mixed {
-		return 0 // it does either as it comes; the stages are planned without it
+		return 0 // the stages are planned without the engines that do both
 	}
 	return p.rates.relative(e.ID, r)
 }
 
 // history is what is remembered of an engine.
 type history struct {
-	changedAt     time.Time // of its last change, also one that failed
-	excludedUntil time.Time // until then it is not asked again
-	observedAt    time.Time // last
-	changing      bool      // as last seen
-	role          Role      // the same
+	changedAt     time.Time // its latest change, failed or not
+	excludedUntil time.Time // after a failed change
+	observedAt    time.Time
+	changing      bool // as last observed
+	role          Role // as last observed
 }
 
 func (p *Planner) historyOf(id string) *history {
@@ -59,38 +62,19 @@
 	return h
 }
 
-// Observe takes in how engines are seen now, and what has been asked and served by class.
+// memoryWeight is how much a full memory counts as a full engine: past it requests are rejected
+// though slots are free.
+const memoryWeight = 0.95
+
+// Observe takes in the present state of the engines and the totals of traffic by class.
 func (p *Planner) Observe(now time.Time, engines []Engine, traffic []Traffic) {
-	var work [2]float64
-	p.rates.observe(engines)
-	for _, e := range engines {
-		// A change may begin and end between two looks: its new role still shows it.
-		h := p.historyOf(e.ID)
-		if ended := h.changing && !e.Changing; ended || !h.observedAt.IsZero() && h.role != e.Role {
-			h.changedAt = now
-		}
-		h.observedAt, h.changing, h.role = now, e.Changing, e.Role
-		if e.Role != Mixed && (e.Ready || e.Changing) { // one that drains still works
-			work[e.Role] += p.relativeRate(e, e.Role) * e.currentWarmth() * max(e.Utilization, e.MemoryUsed*memoryWeight)
-		}
-	}
+	busy := p.observeEngines(now, engines)
 	span := now.Sub(p.observedAt)
 	if p.observedAt.IsZero() {
 		span = 0
 	}
-	if seen, known := p.estimator.observe(span, traffic, work); known {
-		fade := ewmaWeight(span, p.settings.DemandTimeConstant)
-		for s := range seen {
-			if !p.demandKnown {
-				p.meanDemand[s] = seen[s]
-			}
-			wrong := seen[s] - p.meanDemand[s]
-			p.meanDemand[s] += wrong * fade
-			p.meanSquareError[s] += (wrong*wrong - p.meanSquareError[s]) * fade
-			p.meanError[s] += (wrong - p.meanError[s]) * fade
-		}
-		p.demand, p.demandKnown = seen, true
-		p.phases.observe(now, seen)
+	if demand, known := p.estimator.observe(span, traffic, busy); known {
+		p.observeDemand(now, span, demand)
 	}
 	p.observedAt, p.engines = now, slices.Clone(engines)
 	maps.DeleteFunc(p.histories, func(_ string, h *history) bool {
@@ -102,29 +86,61 @@
 	})
 }
 
-// currentWarmth is the share of its power that an engine has now.
-func (e Engine) currentWarmth() float64 {
-	if e.Warmth > 0 {
-		return e.Warmth
+// observeEngines updates rates and histories, and returns the engines at work by stage.
+func (p *Planner) observeEngines(now time.Time, engines []Engine) (busy [2]float64) {
+	p.rates.observe(engines)
+	for _, e := range engines {
+		h := p.historyOf(e.ID)
+		ended := h.changing && !e.Changing
+		unseen := !h.observedAt.IsZero() && h.role != e.Role // a change that began and ended between two observations
+		if ended || unseen {
+			h.changedAt = now
+		}
+		h.observedAt, h.changing, h.role = now, e.Changing, e.Role
+		if e.Role != Mixed && (e.Ready || e.Changing) { // one that drains still works
+			busy[e.Role] += p.relativeRate(e, e.Role) * e.currentWarmth() * max(e.Utilization, e.MemoryUsed*memoryWeight)
+		}
 	}
-	return 1
+	return busy
 }
 
-// memoryWeight is how much a full memory counts as a full engine: past it requests are
-// turned away though slots are free.
-const memoryWeight = 0.95
+// observeDemand updates the smoothed demand and its errors.
+func (p *Planner) observeDemand(now time.Time, span time.Duration, demand [2]float64) {
+	weight := ewmaWeight(span, p.settings.DemandTimeConstant)
+	for s := range demand {
+		if !p.demandKnown {
+			p.meanDemand[s] = demand[s]
+		}
+		deviation := demand[s] - p.meanDemand[s]
+		p.meanDemand[s] += deviation * weight
+		p.meanSquareError[s] += (deviation*deviation - p.meanSquareError[s]) * weight
+		p.meanError[s] += (deviation - p.meanError[s]) * weight
+	}
+	p.demand, p.demandKnown = demand, true
+	p.phases.observe(now, demand)
+}
+
+// noise returns the usual error of the demand. An error of one sign again and again is a trend
+// and does not count.
+func (p *Planner) noise() (noise [2]float64) {
+	for s := range noise {
+		noise[s] = math.Sqrt(max(0, p.meanSquareError[s]-p.meanError[s]*p.meanError[s]))
+	}
+	return noise
+}
 
-// Begun notes that a change was begun, by this planner's owner or another.
+// Begun records that a change was begun, by this leader or an earlier one.
 func (p *Planner) Begun(now time.Time, c Change) {
 	p.recentStarts = append(p.recentStarts, now)
 	p.lastRole, p.lastStart = c.To, now
 	p.historyOf(c.Engine).changedAt = now
 }
 
-// Ended notes how a change has ended, by this planner's owner or another.
+// Ended records how a change has ended, by this leader or an earlier one.
 func (p *Planner) Ended(now time.Time, engine string, done bool) {
 	h := p.historyOf(engine)
-	if h.changedAt = now; !done {
+	h.changedAt = now
+	if !done {
 		h.excludedUntil = now.Add(p.settings.RefusalBackoff)
 	}
 }
--- a/decide/roles/settings.go
+++ b/decide/roles/settings.go
@@ -7,42 +7,44 @@
 	"wellgw/decide/setting"
 )
 
-// Strategy is a way to decide.
+// Strategy is a way to decide. The values are those of the settings document.
 type Strategy string
 
 // The strategies.
 const (
 	Threshold    Strategy = "threshold"     // one stage is busy and the other is not
-	QueueBalance Strategy = "queue-balance" // as max-weight scheduling: the longer queue gets the server
-	Predictive   Strategy = "predictive"    // the service foreseen with a change is better than without
+	QueueBalance Strategy = "queue-balance" // as in max-weight scheduling: the longer queue gets the engine
+	Predictive   Strategy = "predictive"    // the forecast with the change is better than without
 )
 
-// Settings are the figures of the decisions.
+// Settings are the parameters of the decisions that operators may set.
 type Settings struct {
 	Strategy           Strategy
-	MinDwell           time.Duration // least time between two changes of one engine
-	ReversalDelay      time.Duration // least time between the ends of changes to and fro
-	MaxRackShare       float64       // most of a rack in change at once; always at least one engine
-	MaxFleetShare      float64       // the same of the fleet
-	MaxPerHour         int           // most changes begun in an hour
-	DrainTime          time.Duration // what a drain is expected to take
+	MinDwell           time.Duration // between two changes of one engine
+	ReversalDelay      time.Duration // between a change and one in the other direction
+	MaxRackShare       float64       // of a rack's engines in change at once; one engine always may be
+	MaxFleetShare      float64       // of the fleet's
+	MaxPerHour         int           // changes begun
+	DrainTime          time.Duration // expected
 	WarmUp             time.Duration // from the change until the engine is warm
-	ColdThroughput     float64       // of its power at the start
-	Horizon            time.Duration // how far the predictive strategy looks
-	RefusalBackoff     time.Duration // an engine that refused, or failed to change, is not asked again for so long
-	MinGain            float64       // least gain in service that is worth a change
-	DemandTimeConstant time.Duration // time constant of the demand
+	ColdThroughput     float64       // share of its warm rate that an engine has at the start
+	Horizon            time.Duration // of the forecast
+	RefusalBackoff     time.Duration // for which an engine whose change failed is not changed
+	MinGain            float64       // in service that is worth a change
+	DemandTimeConstant time.Duration // of the smoothed demand
 }
 
-// DefaultSettings returns what an operator who says nothing gets.
+// DefaultSettings returns the settings for an operator who sets none.
 func DefaultSettings() Settings {
 	return Settings{
-		Strategy: Predictive, MinDwell: 90 * time.Second, ReversalDelay: 30 * time.Second, MaxRackShare: 0.34, MaxFleetShare: 0.2, MaxPerHour: 30,
-		DrainTime: 8 * time.Second, WarmUp: 14 * time.Second, ColdThroughput: 0.32, Horizon: 90 * time.Second, RefusalBackoff: 10 * time.Minute, MinGain: 0.02, DemandTimeConstant: 8 * time.Second,
+		Strategy: Predictive, MinDwell: 90 * time.Second, ReversalDelay: 30 * time.Second,
+		MaxRackShare: 0.34, MaxFleetShare: 0.2, MaxPerHour: 30,
+		DrainTime: 8 * time.Second, WarmUp: 14 * time.Second, ColdThroughput: 0.32,
+		Horizon: 90 * time.Second, RefusalBackoff: 10 * time.Minute, MinGain: 0.02, DemandTimeConstant: 8 * time.Second,
 	}
 }
 
-// Validate tells what is wrong with settings, by the field's name.
+// Validate returns an error that names the field of the settings document that is wrong.
 func (s Settings) Validate() error {
 	switch {
 	case s.Strategy != Threshold && s.Strategy != QueueBalance && s.Strategy != Predictive:
@@ -58,3 +60,9 @@
 	}
 	return nil
 }
+
+// warmthAfter returns the share of its warm rate that an engine has a time after it took its
+// role, if that is within WarmUp.
+func (s Settings) warmthAfter(t time.Duration) float64 {
+	return s.ColdThroughput + (1-s.ColdThroughput)*float64(t)/float64(s.WarmUp)
+}
