--- a/decide/membership/machine_test.go
+++ b/decide/membership/machine_test.go
@@ -20,7 +20,7 @@
 // tier is gateways on a network in virtual time.
 type tier struct {
 	now       Time
-	queue     letters
+	queue     deliveries
 	lastOrder int
 	rng       *rand.Rand
 	nodes     map[string]*node
@@ -41,7 +41,7 @@
 	dead   map[string]Time
 }
 
-type letter struct {
+type delivery struct {
 	at    Time
 	order int
 	to    string
@@ -49,15 +49,15 @@
 	msg   *Message
 }
 
-type letters []letter
+type deliveries []delivery
 
-func (l letters) Len() int { return len(l) }
-func (l letters) Less(i, j int) bool {
+func (l deliveries) Len() int { return len(l) }
+func (l deliveries) Less(i, j int) bool {
 	return cmp.Or(cmp.Compare(l[i].at, l[j].at), l[i].order-l[j].order) < 0
 }
-func (l letters) Swap(i, j int) { l[i], l[j] = l[j], l[i] }
-func (l *letters) Push(x any)   { *l = append(*l, x.(letter)) }
-func (l *letters) Pop() any     { x := (*l)[len(*l)-1]; *l = (*l)[:len(*l)-1]; return x }
+func (l deliveries) Swap(i, j int) { l[i], l[j] = l[j], l[i] }
+func (l *deliveries) Push(x any)   { *l = append(*l, x.(delivery)) }
+func (l *deliveries) Pop() any     { x := (*l)[len(*l)-1]; *l = (*l)[:len(*l)-1]; return x }
 
 func newTier(seed uint64, n int) *tier {
 	t := &tier{rng: rand.New(rand.NewPCG(seed, 9)), nodes: map[string]*node{}, fails: func(string, string) bool { return false }}
@@ -81,7 +81,7 @@
 
 func (t *tier) post(at Time, to string, life uint64, msg *Message) {
 	t.lastOrder++
-	heap.Push(&t.queue, letter{at, t.lastOrder, to, life, msg})
+	heap.Push(&t.queue, delivery{at, t.lastOrder, to, life, msg})
 }
 
 func (t *tier) carry(from *node, out []Outgoing) {
@@ -104,7 +104,7 @@
 // run plays until a time.
 func (t *tier) run(until Time) {
 	for len(t.queue) > 0 && t.queue[0].at <= until {
-		l := heap.Pop(&t.queue).(letter)
+		l := heap.Pop(&t.queue).(delivery)
 		t.now = l.at
 		x := t.nodes[l.to]
 		switch {
--- a/decide/membership/sync.go
+++ b/decide/membership/sync.go
@@ -12,7 +12,7 @@
 	seq       uint32
 	cursor    string // the last name received
 	received  int    // replies
-	tries     int    // requests since the last reply
+	attempts  int    // requests since the last reply
 	deadline  Time   // for the next reply
 	notBefore Time   // no other sync before
 }
@@ -48,9 +48,9 @@
 	if m.sync.peer == "" || m.now < m.sync.deadline {
 		return
 	}
-	m.sync.tries++
+	m.sync.attempts++
 	peer := m.members[m.sync.peer]
-	if peer == nil || peer.Status >= Dead || m.sync.tries > syncAttempts {
+	if peer == nil || peer.Status >= Dead || m.sync.attempts > syncAttempts {
 		m.sync.peer = ""
 		return
 	}
@@ -100,7 +100,7 @@
 		m.sync.peer = ""
 		return
 	}
-	m.sync.cursor, m.sync.tries = max(m.sync.cursor, msg.Subject), 0
+	m.sync.cursor, m.sync.attempts = max(m.sync.cursor, msg.Subject), 0
 	m.sync.received++
 	if m.sync.received%syncMessages == 0 {
 		m.requestSync(msg.Addr)
--- a/decide/rolechange/rolechange_test.go
+++ b/decide/rolechange/rolechange_test.go
@@ -179,7 +179,7 @@
 	}
 }
 
-func TestBids(t *testing.T) {
+func TestDecideLock(t *testing.T) {
 	for _, c := range []struct {
 		holder, mine, gateway string
 		want                  LockAction
--- a/decide/roles/candidate.go
+++ b/decide/roles/candidate.go
@@ -59,7 +59,7 @@
 			continue
 		}
 		rack := racks[e.Rack]
-		if why := p.whyExcluded(now, e, rack, to); why != "" {
+		if why := p.exclusionReason(now, e, rack, to); why != "" {
 			reason = why
 			continue
 		}
@@ -74,8 +74,8 @@
 	return &Change{Engine: best.ID, Rack: best.Rack, From: from, To: to}, ""
 }
 
-// whyExcluded returns why an engine in service may not change to a role, "" if it may.
-func (p *Planner) whyExcluded(now time.Time, e Engine, rack *rackCounts, to Role) string {
+// exclusionReason returns why an engine in service may not change to a role, "" if it may.
+func (p *Planner) exclusionReason(now time.Time, e Engine, rack *rackCounts, to Role) string {
 	if e.Pinned {
 		return "pinned by an operator"
 	}
--- a/decide/roles/phases.go
+++ b/decide/roles/phases.go
@@ -8,7 +8,7 @@
 	meanDecodeShare float64 // of all demand, by meanMixTimeConstant
 	side            int     // 1 while the mix leans to decode, -1 to prefill, 0 while unknown
 	since           time.Time
-	usualLength     time.Duration // of a phase
+	typicalLength   time.Duration // of a phase
 	turns           int
 	observedAt      time.Time
 }
@@ -17,9 +17,9 @@
 const (
 	leanThreshold       = 0.04 // distance from the mean from which on the mix leans
 	meanMixTimeConstant = 10 * time.Minute
-	minTurns            = 3   // before the usual length counts
-	lastPhaseWeight     = 0.5 // in the usual length
-	overduePhaseFactor  = 1.5 // times the usual length, after which a phase counts as of unknown length
+	minTurns            = 3   // before the typical length counts
+	lastPhaseWeight     = 0.5 // in the typical length
+	overduePhaseFactor  = 1.5 // times the typical length, after which a phase counts as of unknown length
 )
 
 // observe takes in the demand in engines at a time.
@@ -48,9 +48,9 @@
 	if p.side != 0 {
 		took := now.Sub(p.since)
 		if p.turns == 0 {
-			p.usualLength = took
+			p.typicalLength = took
 		}
-		p.usualLength += time.Duration(lastPhaseWeight * float64(took-p.usualLength))
+		p.typicalLength += time.Duration(lastPhaseWeight * float64(took-p.typicalLength))
 		p.turns++
 	}
 	p.side, p.since = side, now
@@ -63,8 +63,8 @@
 		return limit
 	}
 	elapsed := now.Sub(p.since)
-	if float64(elapsed) > overduePhaseFactor*float64(p.usualLength) {
+	if float64(elapsed) > overduePhaseFactor*float64(p.typicalLength) {
 		return limit
 	}
-	return min(limit, max(p.usualLength-elapsed, 0))
+	return min(limit, max(p.typicalLength-elapsed, 0))
 }
--- a/decide/roles/plan.go
+++ b/decide/roles/plan.go
@@ -42,7 +42,7 @@
 	horizon := p.phases.remaining(now, p.settings.Horizon)
 	plan.Before = p.expectedForecast(nil, plan.Noise, horizon)
 	plan.After = plan.Before
-	if plan.Reason = p.whyNotNow(now); plan.Reason != "" {
+	if plan.Reason = p.blockedReason(now); plan.Reason != "" {
 		return plan
 	}
 	var to Role
@@ -58,7 +58,7 @@
 		return plan
 	}
 	after := p.expectedForecast(change, plan.Noise, horizon)
-	if plan.Reason = p.whyNotWorth(now, change, plan, after, horizon); plan.Reason != "" {
+	if plan.Reason = p.rejectionReason(now, change, plan, after, horizon); plan.Reason != "" {
 		return plan
 	}
 	plan.Change, plan.After = change, after
@@ -68,8 +68,8 @@
 	return plan
 }
 
-// whyNotNow returns why no change is planned at all, "" if one may be.
-func (p *Planner) whyNotNow(now time.Time) string {
+// blockedReason returns why no change is planned at all, "" if one may be.
+func (p *Planner) blockedReason(now time.Time) string {
 	if len(p.engines) == 0 {
 		return "no engine is seen"
 	}
@@ -82,8 +82,8 @@
 	return ""
 }
 
-// whyNotWorth returns why a change is not worth its cost, "" if it is.
-func (p *Planner) whyNotWorth(now time.Time, c *Change, plan Plan, after Forecast, horizon time.Duration) string {
+// rejectionReason returns why a change is not worth its cost, "" if it is.
+func (p *Planner) rejectionReason(now time.Time, c *Change, plan Plan, after Forecast, horizon time.Duration) string {
 	if p.settings.Strategy == Predictive {
 		gain := after.Mean - plan.Before.Mean
 		lowGain := p.lowGain(c, plan.Noise, horizon)
--- a/decide/roles/roles_test.go
+++ b/decide/roles/roles_test.go
@@ -14,12 +14,12 @@
 
 var t0 = time.Date(2026, 1, 2, 0, 0, 0, 0, time.UTC)
 
-// fleet returns so many prompt and answer engines over two racks, all idle.
-func fleet(prompt, answer int) []Engine {
+// fleet returns so many prefill and decode engines over two racks, all idle.
+func fleet(prefill, decode int) []Engine {
 	var list []Engine
-	for i := range prompt + answer {
+	for i := range prefill + decode {
 		e := Engine{ID: string(rune('a' + i)), Rack: i % 2, Ready: true}
-		if i >= prompt {
+		if i >= prefill {
 			e.Role = Decode
 		}
 		list = append(list, e)
@@ -84,30 +84,30 @@
 }
 
 func TestPlans(t *testing.T) {
-	busyPrompt := func(list []Engine) { load(list, Prefill, 1, 0); load(list, Decode, 0.3, 0) }
+	busyPrefill := func(list []Engine) { load(list, Prefill, 1, 0); load(list, Decode, 0.3, 0) }
 	for name, c := range map[string]struct {
-		prompt, answer int
-		refused        float64
-		set            func(*Settings)
-		change         func([]Engine)
-		want           string // the engine's role to be, and part of the reason
+		prefill, decode int
+		refused         float64
+		set             func(*Settings)
+		change          func([]Engine)
+		want            string // the engine's role to be, and part of the reason
 	}{
 		"all is well":                  {4, 6, 0, nil, func(l []Engine) { load(l, Prefill, 0.6, 0); load(l, Decode, 0.7, 0) }, "can be served as it is"},
-		"prompts are turned away":      {3, 7, 0.3, nil, busyPrompt, "read: read work needs"},
-		"answers are turned away":      {6, 4, 0.3, nil, func(l []Engine) { load(l, Prefill, 0.3, 0); load(l, Decode, 1, 0) }, "write: write work needs"},
+		"prompts are rejected":         {3, 7, 0.3, nil, busyPrefill, "read: read work needs"},
+		"outputs are rejected":         {6, 4, 0.3, nil, func(l []Engine) { load(l, Prefill, 0.3, 0); load(l, Decode, 1, 0) }, "write: write work needs"},
 		"both are short of engines":    {5, 5, 0.4, nil, func(l []Engine) { load(l, Prefill, 1, 0); load(l, Decode, 1, 0) }, "not beyond the noise"},
 		"the last of a role stays":     {9, 1, 0.4, nil, func(l []Engine) { load(l, Prefill, 1, 0); load(l, Decode, 0.1, 0) }, "the last engine of write work stays"},
 		"the last of each rack stays":  {8, 2, 0.4, nil, func(l []Engine) { load(l, Prefill, 1, 0); load(l, Decode, 0.1, 0) }, "the last of their rack stays"},
-		"a pin keeps":                  {3, 7, 0.3, nil, func(l []Engine) { busyPrompt(l); pin(l, Decode) }, "pinned"},
-		"enough of the fleet changes":  {3, 7, 0.3, nil, func(l []Engine) { busyPrompt(l); l[8].Changing, l[9].Changing = true, true }, "of the fleet are in change"},
-		"enough of the rack changes":   {3, 7, 0.4, func(s *Settings) { s.MaxFleetShare, s.MaxRackShare = 1, 0.01 }, func(l []Engine) { busyPrompt(l); l[8].Changing, l[9].Changing = true, true }, "of their rack is in change"},
-		"those that changed lately":    {3, 7, 0.3, nil, busyPrompt, "too lately"},
-		"those that refused":           {3, 7, 0.3, nil, busyPrompt, "refused or failed"},
+		"a pin keeps":                  {3, 7, 0.3, nil, func(l []Engine) { busyPrefill(l); pin(l, Decode) }, "pinned"},
+		"enough of the fleet changes":  {3, 7, 0.3, nil, func(l []Engine) { busyPrefill(l); l[8].Changing, l[9].Changing = true, true }, "of the fleet are in change"},
+		"enough of the rack changes":   {3, 7, 0.4, func(s *Settings) { s.MaxFleetShare, s.MaxRackShare = 1, 0.01 }, func(l []Engine) { busyPrefill(l); l[8].Changing, l[9].Changing = true, true }, "of their rack is in change"},
+		"those that changed lately":    {3, 7, 0.3, nil, busyPrefill, "too lately"},
+		"those that refused":           {3, 7, 0.3, nil, busyPrefill, "refused or failed"},
 		"mixed engines never change":   {0, 0, 0.3, nil, nil, "no engine is seen"},
 		"a loss that would hurt more":  {3, 4, 0.2, nil, func(l []Engine) { load(l, Prefill, 1, 0); load(l, Decode, 0.85, 0) }, "not beyond the noise"},
-		"threshold, one stage is busy": {3, 7, 0, func(s *Settings) { s.Strategy = Threshold }, busyPrompt, "read: read work needs"},
+		"threshold, one stage is busy": {3, 7, 0, func(s *Settings) { s.Strategy = Threshold }, busyPrefill, "read: read work needs"},
 		"threshold, neither is":        {3, 7, 0, func(s *Settings) { s.Strategy = Threshold }, func(l []Engine) { load(l, Prefill, 0.8, 0); load(l, Decode, 0.1, 0) }, "no stage is busy"},
-		"queue balance":                {3, 7, 0, func(s *Settings) { s.Strategy = QueueBalance }, func(l []Engine) { busyPrompt(l); load(l, Prefill, 1, 3) }, "read: read work needs"},
+		"queue balance":                {3, 7, 0, func(s *Settings) { s.Strategy = QueueBalance }, func(l []Engine) { busyPrefill(l); load(l, Prefill, 1, 3) }, "read: read work needs"},
 		"queues that are near":         {3, 7, 0, func(s *Settings) { s.Strategy = QueueBalance }, func(l []Engine) { load(l, Prefill, 0.5, 0); load(l, Decode, 0.5, 0) }, "near enough"},
 		"a memory that is full counts": {6, 4, 0.2, nil, func(l []Engine) {
 			load(l, Prefill, 0.3, 0)
@@ -119,7 +119,7 @@
 		}, "write: write work needs"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			list := fleet(c.prompt, c.answer)
+			list := fleet(c.prefill, c.decode)
 			if c.change != nil {
 				c.change(list)
 			}
@@ -180,10 +180,10 @@
 func TestPhases(t *testing.T) {
 	var p mixPhases
 	now, most := t0, 90*time.Second
-	lean := func(answer float64, seconds int) {
+	lean := func(decode float64, seconds int) {
 		for range seconds {
 			now = now.Add(time.Second)
-			p.observe(now, [2]float64{10 - answer, answer})
+			p.observe(now, [2]float64{10 - decode, decode})
 		}
 	}
 	check := func(what string, low, high time.Duration) {
@@ -268,7 +268,7 @@
 	if plan := see(40, 0.2); plan.Change == nil || plan.Change.To != Prefill {
 		t.Fatalf("%+v", plan)
 	}
-	for _, i := range []int{4, 6} { // two of the three answer engines of rack 0
+	for _, i := range []int{4, 6} { // two of the three decode engines of rack 0
 		list[i].Changing = true
 		p.Begun(now, Change{Engine: list[i].ID, From: Decode, To: Prefill})
 	}
@@ -280,7 +280,7 @@
 }
 
 // What is made of an engine whose roster, own word and record of a change disagree.
-func TestSee(t *testing.T) {
+func TestAssess(t *testing.T) {
 	set := DefaultSettings()
 	sight := func(change func(*Observation)) Observation {
 		x := Observation{ID: "e", InService: true, Role: "read", Slots: 4, Running: 3, Queue: 1}
@@ -344,7 +344,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		list := fleet(rapid.IntRange(1, 6).Draw(t, "prompt"), rapid.IntRange(1, 6).Draw(t, "answer"))
+		list := fleet(rapid.IntRange(1, 6).Draw(t, "prefill"), rapid.IntRange(1, 6).Draw(t, "decode"))
 		for i := range list {
 			list[i].Pinned = rapid.IntRange(0, 6).Draw(t, "pinned") == 0
 			if rapid.IntRange(0, 8).Draw(t, "mixed") == 0 {
