--- a/decide/membership/model_test.go
+++ b/decide/membership/model_test.go
@@ -44,7 +44,7 @@
 					}
 					states++
 					for _, id := range w.names {
-						for _, x := range w.nodes[id].order {
+						for _, x := range w.nodes[id].byName {
 							key := fmt.Sprint(id, w.nodes[id].life, x.ID)
 							if x.Incarnation < seen[key] {
 								t.Fatalf("message %d %s, restart %d: %s takes %s back to incarnation %d", at, fault, restart, id, x.ID, x.Incarnation)
@@ -72,7 +72,7 @@
 // tamper has the n-th message sent lost, doubled or held back.
 func (t *tier) tamper(n int, how string) {
 	done := false
-	t.fails = func(from, to string) bool {
+	t.fails = func(string, string) bool {
 		if t.sent != n || done {
 			return false
 		}
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -124,7 +124,7 @@
 // collectRoles writes the plan, which its leader alone has, and the changes of role.
 func (c *collector) collectRoles(s rolectl.Status, gauge emit) {
 	leads := 0.0
-	if s.Mine {
+	if s.IsLeader {
 		leads = 1
 		for i, role := range []string{"read", "write"} {
 			gauge(c.demand, s.Plan.Demand[i], role)
@@ -140,7 +140,7 @@
 	for step, n := range steps {
 		gauge(c.active, float64(n), step)
 	}
-	for _, e := range s.Ends {
+	for _, e := range s.History {
 		outcomes[cmp.Or(string(e.Outcome), "begun")]++
 	}
 	for outcome, n := range outcomes {
@@ -166,21 +166,21 @@
 	yes := map[bool]float64{true: 1}
 	v, st, n := s.View, s.View.Stats, s.Counts
 	for of, x := range map[string]float64{
-		"epoch": float64(v.Epoch), "sharing": float64(v.Sharing), "minority": yes[v.Minority], "silenced": yes[v.Silenced], "distrust": float64(v.Health),
+		"epoch": float64(v.Epoch), "sharing": float64(v.Sharing), "minority": yes[v.Minority], "silenced": yes[v.Silenced], "distrust": float64(v.LocalHealth),
 	} {
 		gauge(c.tier, x, of)
 	}
 	for event, x := range map[string]uint64{
-		"probes": st.Probes, "unanswered": st.Unanswered, "helped": st.Helped, "suspected": st.Suspected, "refuted": st.Refuted,
-		"died": st.Died, "pauses": st.Pauses, "namesakes": st.Namesakes, "walks": st.Walks,
+		"probes": st.Probes, "unanswered": st.Unanswered, "helped": st.IndirectAcks, "suspected": st.Suspected, "refuted": st.Refuted,
+		"died": st.Died, "pauses": st.Pauses, "namesakes": st.Namesakes, "walks": st.Syncs,
 	} {
 		count(c.member, float64(x), event)
 	}
-	for way, x := range map[string]uint64{"sent": n.Sent, "received": n.Received, "unsent": n.Unsent} {
+	for way, x := range map[string]uint64{"sent": n.Sent, "received": n.Received, "unsent": n.SendFailed} {
 		count(c.datagrams, float64(x), way)
 	}
 	for reason, x := range map[string]uint64{
-		"short": n.Short, "version": n.Version, "key": n.Key, "seal": n.Seal, "replay": n.Replay, "payload": n.Payload, "former": n.Former, "full": n.Full,
+		"short": n.NotADatagram, "version": n.UnknownVersion, "key": n.UnknownKey, "seal": n.BadSeal, "replay": n.Replayed, "payload": n.BadPayload, "former": n.StaleInstance, "full": n.QueueFull,
 	} {
 		count(c.dropped, float64(x), reason)
 	}
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -32,8 +32,8 @@
 	}
 	roles := func() rolectl.Status {
 		return rolectl.Status{
-			Mine: true, Plan: rolectl.Plan{Demand: [2]float64{1.5, 2}}, Changes: []rolechange.Record{{Step: rolechange.Draining}},
-			Ends: []rolectl.End{{Outcome: rolechange.Done}, {}},
+			IsLeader: true, Plan: rolectl.Plan{Demand: [2]float64{1.5, 2}}, Changes: []rolechange.Record{{Step: rolechange.Draining}},
+			History: []rolectl.HistoryEntry{{Outcome: rolechange.Done}, {}},
 		}
 	}
 	tier := func() peers.Status {
@@ -42,7 +42,7 @@
 				Epoch: 7, Sharing: 3, Minority: true, Stats: membership.Stats{Died: 2, Pauses: 1},
 				Others: []membership.Gateway{{Status: membership.Dead}, {OneWay: true}},
 			},
-			Counts: peers.Counts{Sent: 5, Replay: 4},
+			Counts: peers.Counts{Sent: 5, Replayed: 4},
 		}
 	}
 	w := httptest.NewRecorder()
@@ -82,7 +82,7 @@
 // wrote them.
 func TestTraces(t *testing.T) {
 	var out bytes.Buffer
-	r := rolechange.Record{Engine: "e1", From: "read", To: "write", Step: rolechange.Announced, Begun: time.Now(), Since: time.Now()}
+	r := rolechange.Record{Engine: "e1", From: "read", To: "write", Step: rolechange.Announced, BegunAt: time.Now(), StepSince: time.Now()}
 	for _, gateway := range []string{"g1", "g2"} { // two owners, one after the other
 		tracer, err := NewTracer(&out, gateway, 1)
 		if err != nil {
--- a/internal/telemetry/trace.go
+++ b/internal/telemetry/trace.go
@@ -121,9 +121,9 @@
 
 // Step writes one step of a change of role that is over.
 func (t *Tracer) Step(r rolechange.Record, to time.Time, why string) {
-	t.span(within("change "+r.Engine+" "+r.Begun.UTC().Format(time.RFC3339Nano)), "change of role: "+string(r.Step), r.Since, to, "",
+	t.span(within("change "+r.Engine+" "+r.BegunAt.UTC().Format(time.RFC3339Nano)), "change of role: "+string(r.Step), r.StepSince, to, "",
 		attribute.String("engine", r.Engine), attribute.String("from", r.From), attribute.String("to", r.To),
-		attribute.String("owner", r.Owner), attribute.Int64("fence", int64(r.Fence)), attribute.String("why", why))
+		attribute.String("owner", r.Leader), attribute.Int64("fence", int64(r.FencingToken)), attribute.String("why", why))
 }
 
 // Member writes how a gateway of the tier has stood until now, as this one sees it. All that
@@ -134,6 +134,6 @@
 		failed = "held for dead"
 	}
 	t.span(within(fmt.Sprint("member ", e.Gateway, " ", e.Incarnation)), "member: "+cmp.Or(e.From, "not known")+" to "+e.To, e.Since, time.Now(), failed,
-		attribute.String("gateway", e.Gateway), attribute.Int64("incarnation", int64(e.Incarnation)), attribute.Int64("silent_ms", e.Silent.Milliseconds()),
-		attribute.Bool("one_way", e.OneWay), attribute.Int("accusers", e.Accusers), attribute.Int("distrust", e.Distrust), attribute.Int64("own_pauses", int64(e.Pauses)))
+		attribute.String("gateway", e.Gateway), attribute.Int64("incarnation", int64(e.Incarnation)), attribute.Int64("silent_ms", e.SilentFor.Milliseconds()),
+		attribute.Bool("one_way", e.OneWay), attribute.Int("accusers", e.Accusers), attribute.Int("distrust", e.LocalHealth), attribute.Int64("own_pauses", int64(e.Pauses)))
 }
