--- /dev/null
+++ b/internal/config/error_texts_test.go
@@ -0,0 +1,97 @@
+package config
+
+import (
+	"fmt"
+	"os"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+// TestErrorTexts compares each error of the operator's file, word for word, with the saved ones
+// in testdata/error_texts.txt.
+func TestErrorTexts(t *testing.T) {
+	operator, err := os.ReadFile("../../deploy/operator.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	const peers = `"peers": {"listen": "127.0.0.1:1", "name": "a", "tier": "t", "key_file": "k", "incarnation_file": "i"`
+	const consul = `"consul": {"address": "127.0.0.1:1", "service": "x"}, `
+	got := ""
+	for _, c := range []struct{ old, new string }{
+		{`127.0.0.1:8080`, `8080`},
+		{`"free"`, `"often"`},
+		{`"aim_ms": 1000,`, `"aim_ms": 0,`},
+		{`"aim_ms": 1000,`, `"aim_ms": 90000000,`},
+		{`"contract": "place-order"`, `"contract": "x"`},
+		{`change-me-boatyards`, `change-me-counter`},
+		{`["parts-assistant"]`, `["x"]`},
+		{`"requests_per_s": 2`, `"requests_per_s": -2`},
+		{`"role": "openai"`, `"role": "x"`},
+		{`127.0.0.1:9001`, `x`},
+		{`"listen"`, `"lisen"`},
+		{`"engines"`, `"consul": {"service": "x"}, "engines"`},
+		{`"engines"`, `"consul": {"address": "127.0.0.1:8500"}, "engines"`},
+		{`"engines"`, `"consul": {"addresses": ["x"], "service": "x"}, "engines"`},
+		{`"engines"`, `"consul": {"address": "127.0.0.1:1", "service": "x", "hold_ms": -1}, "engines"`},
+		{`"engines"`, `"consul": {"address": "127.0.0.1:1", "service": "x", "consistency": "loose"}, "engines"`},
+		{`"engines"`, `"consul": {"address": "127.0.0.1:1", "service": "x", "check_path": "healthz"}, "engines"`},
+		{`"engines"`, `"consul": {"address": "127.0.0.1:1", "service": "x", "tls": {"cert_file": "x"}}, "engines"`},
+		{`"engines"`, `"consul": {"address": "127.0.0.1:1", "service": "x", "register": {"id": "x"}}, "engines"`},
+		{`"engines"`, `"consul": {"address": "127.0.0.1:1", "service": "x", "register": {"name": "x", "ttl_ms": 999}}, "engines"`},
+		{`"engines"`, `"consul": {"address": "127.0.0.1:1", "service": "x", "register": {"name": "x", "ttl_ms": 1000}}, "engines"`},
+		{`"engines"`, `"consul": {"address": "127.0.0.1:1", "service": "x", "register": {"name": "x", "address": "x"}}, "engines"`},
+		{`"engines"`, `"state_file": "x", "engines"`},
+		{`"engines"`, `"admin": {"listen": "x"}, "engines"`},
+		{`"engines"`, `"admin": {"listen": "127.0.0.1:1", "trace_share": 2}, "engines"`},
+		{`"engines"`, peers + `}, "engines"`},
+		{`"engines"`, peers + `, "dead_after_ms": 999}, "engines"`},
+		{`"engines"`, peers + `, "interval_ms": 231}, "engines"`},
+		{`"engines"`, peers + `, "timeout_ms": 231}, "engines"`},
+		{`"engines"`, peers + `, "join": ["x"]}, "engines"`},
+		{`"engines"`, peers + `, "advertise": "x"}, "engines"`},
+		{`"engines"`, strings.Replace(peers, `"a"`, `"`+strings.Repeat("a", 25)+`"`, 1) + `}, "engines"`},
+		{`"engines"`, `"roles": {}, "engines"`},
+		{`"engines"`, consul + `"roles": {"strategy": "x"}, "engines"`},
+		{`"engines"`, consul + `"roles": {"rack_part": 2}, "engines"`},
+		{`"engines"`, `"idempotency": {"keys": 1, "keys_of_team": 2}, "engines"`},
+		{`"engines"`, `"idempotency": {"age_ms": 1, "least_ms": 2}, "engines"`},
+		{`"engines"`, `"idempotency": {"answer_bytes": 1, "largest_answer": 2}, "engines"`},
+	} {
+		if !strings.Contains(string(operator), c.old) {
+			t.Fatalf("%q is not in the text", c.old)
+		}
+		_, err := ParseOperator([]byte(strings.Replace(string(operator), c.old, c.new, 1)))
+		got += fmt.Sprintf("%s -> %s: %v\n", c.old, c.new, err)
+	}
+	saved, err := os.ReadFile("testdata/error_texts.txt")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if diff := cmp.Diff(strings.Split(string(saved), "\n"), strings.Split(got, "\n")); diff != "" {
+		t.Errorf("(- saved, + found):\n%s", diff)
+	}
+}
+
+// TestDefaults states what settings amount to that a file leaves out.
+func TestDefaults(t *testing.T) {
+	c, r, p := &Consul{}, &Roles{}, &Peers{}
+	connect, idle, slack := (&Operator{}).Network()
+	interval, timeout, deadAfter := p.Times()
+	got := []time.Duration{c.Wait(), c.MaxStale(), c.Hold(), c.Unlisted(), (&Register{}).TTL(), r.Lease(), (&Roles{LeaseMS: 1}).Lease(), connect, idle, slack, interval, timeout, deadAfter}
+	want := []time.Duration{10 * time.Second, 10 * time.Second, 30 * time.Second, 15 * time.Minute, 10 * time.Second, 10 * time.Second, 10 * time.Second,
+		250 * time.Millisecond, 15 * time.Second, 16 * time.Millisecond, 0, 0, 0}
+	if diff := cmp.Diff(want, got); diff != "" {
+		t.Errorf("(-want +got):\n%s", diff)
+	}
+	if c.Watches() != 64 || c.MaxBody() != 16<<20 || r.Keys() != "wellgw/roles" {
+		t.Errorf("%d watches, %d bytes, keys below %q", c.Watches(), c.MaxBody(), r.Keys())
+	}
+	l := Limits{}
+	l.fill()
+	if diff := cmp.Diff(Limits{Cores: 1, MemoryMB: 192, Sockets: 1024}, l); diff != "" {
+		t.Errorf("(-want +got):\n%s", diff)
+	}
+}
