--- a/internal/openai/answer_bytes_test.go
+++ b/internal/openai/answer_bytes_test.go
@@ -28,7 +28,7 @@
 // streamOf is an engine's streamed answer of the events given and the last one.
 func streamOf(events ...string) string {
 	stream := enginetest.StreamHead
-	for _, e := range append(events, done) {
+	for _, e := range append(events, doneData) {
 		stream += enginetest.Chunk("data: " + e + "\n\n")
 	}
 	return stream + "0\r\n\r\n"
--- a/internal/openai/call.go
+++ b/internal/openai/call.go
@@ -17,42 +17,42 @@
 	"wellgw/routing"
 )
 
-// form is the way in which a client gets its answer.
-type form interface {
-	kind() string // the content type
-	// take adds what the client gets, now that p has come of the stream, to dst.
-	take(dst, p []byte) ([]byte, error)
-	// end does the same once the stream has ended. An error says that the answer has not.
-	end(dst []byte) ([]byte, error)
-	// answer is how far it has come.
-	answer() *resume.Answer
+// encoder is the way in which a client gets its answer.
+type encoder interface {
+	contentType() string // the content type
+	// translate adds what the client gets, now that p has come of the stream, to dst.
+	translate(dst, p []byte) ([]byte, error)
+	// finish does the same once the stream has ended. An error says that the answer has not.
+	finish(dst []byte) ([]byte, error)
+	// progress is how far it has come.
+	progress() *resume.Answer
 	// complete tells whether take has returned the whole of it, before the stream's end.
 	complete() bool
-	// drop forgets the part of an event that a break has left.
-	drop()
-	// next makes ready for another engine's stream, which goes on with the answer or, if the
+	// discardPartial forgets the part of an event that a break has left.
+	discardPartial()
+	// nextAttempt makes ready for another engine's stream, which goes on with the answer or, if the
 	// client has been given nothing, begins it anew.
-	next()
-	// fail is what ends an answer that has begun and broke.
-	fail(apiError) []byte
+	nextAttempt()
+	// failure is what ends an answer that has begun and broke.
+	failure(apiError) []byte
 }
 
 // call is one request that the front serves.
 type call struct {
 	*Front
-	w        http.ResponseWriter
-	r        *http.Request
-	out      *http.ResponseController
-	ask      *apiRequest
-	head     head
-	contract config.Contract
-	team     *config.Team
-	arrived  time.Time
-	once     bool // it must not run twice
-	form     form
-	begun    bool      // the client has been given something
-	armed    time.Time // when the write deadline was set
-	resumed  int       // times that its answer has gone on at another engine
+	w               http.ResponseWriter
+	r               *http.Request
+	out             *http.ResponseController
+	ask             *apiRequest
+	head            head
+	contract        config.Contract
+	team            *config.Team
+	arrived         time.Time
+	once            bool // it must not run twice
+	form            encoder
+	responseStarted bool      // the client has been given something
+	deadlineSetAt   time.Time // when the write deadline was set
+	resumptions     int       // times that its answer has gone on at another engine
 
 	key     deduplication.Key
 	claimed bool
@@ -79,23 +79,23 @@
 	}
 	s := a.shape
 	q.Request = routing.Request{
-		Class: c.contract.Name, Tenant: c.team.Name, Session: s.session, Prefix: s.opening, PrefixLen: s.openingLen,
-		PromptTokens: s.prompt, MaxTokens: s.maxOut, TTL: c.contract.Deadline(),
+		Class: c.contract.Name, Tenant: c.team.Name, Session: s.session, Prefix: s.prefix, PrefixLen: s.prefixLen,
+		PromptTokens: s.promptTokens, MaxTokens: s.maxOutputTokens, TTL: c.contract.Deadline(),
 	}
 	return core.SubmitAndWait(c.r.Context(), c.core, q)
 }
 
-// resume says what becomes of an answer that broke, and has it go on at another engine if
+// resumeElsewhere says what becomes of an answer that broke, and has it go on at another engine if
 // its contract says so and an engine takes it.
-func (c *call) resume(err error) (resume.Step, core.Stream, *core.Ticket) {
+func (c *call) resumeElsewhere(err error) (resume.Step, core.Stream, *core.Ticket) {
 	var told reportedError
 	terms := resume.Terms{Free: !c.once, Allowed: c.contract.Continue, Plain: c.ask.path == chatPath && c.ask.choices == 1}
-	if c.ask.limited {
-		terms.Most = c.ask.shape.maxOut
+	if c.ask.hasOutputLimit {
+		terms.Most = c.ask.shape.maxOutputTokens
 	}
-	step := resume.Decide(terms, c.form.answer(), resume.Break{
+	step := resume.Decide(terms, c.form.progress(), resume.Break{
 		Lost:     errors.Is(err, streambuffer.ErrClientGone) || errors.Is(err, streambuffer.ErrSlowClient) || c.r.Context().Err() != nil,
-		Reported: errors.As(err, &told), Times: c.resumed, Since: time.Since(c.arrived),
+		Reported: errors.As(err, &told), Times: c.resumptions, Since: time.Since(c.arrived),
 	})
 	c.counts.breaks[step].Add(1)
 	a := c.ask
@@ -103,12 +103,12 @@
 	case resume.GiveUp, resume.Finish:
 		return step, nil, nil
 	case resume.GoOn:
-		if a, err = c.ask.goOn(c.form.answer().Said()); err != nil {
+		if a, err = c.ask.continuation(c.form.progress().Said()); err != nil {
 			return resume.GiveUp, nil, nil
 		}
 	}
-	c.resumed++
-	answer, ticket, here := c.submit(a, c.head.id+"-"+strconv.Itoa(c.resumed))
+	c.resumptions++
+	answer, ticket, here := c.submit(a, c.head.id+"-"+strconv.Itoa(c.resumptions))
 	if !here || answer.Verdict != core.Streaming {
 		return resume.GiveUp, nil, nil
 	}
@@ -160,7 +160,7 @@
 		conflict.code, conflict.final = codeUnknown, true
 		conflict.text = "an earlier request under this key may have been carried out, or may not; it is not carried out again. Look before asking under another key"
 	default:
-		conflict = apiError{status: http.StatusServiceUnavailable, kind: typeServer, code: codeOverloaded, retryAfter: roomPause,
+		conflict = apiError{status: http.StatusServiceUnavailable, kind: typeServer, code: codeOverloaded, retryAfter: retryAfterFull,
 			text: "no more idempotency keys can be kept; nothing was done"}
 	}
 	conflict.send(c.w)
@@ -193,11 +193,11 @@
 	if c.tooMuch && c.ending.Whole {
 		c.counts.notKept.Add(1)
 	}
-	c.keys.End(c.key, c.head.id, c.ending.Outcome(), c.form.kind(), c.kept)
+	c.keys.End(c.key, c.head.id, c.ending.Outcome(), c.form.contentType(), c.kept)
 }
 
-// keep notes what goes out, for a client that asks again.
-func (c *call) keep(p []byte) {
+// record notes what goes out, for a client that asks again.
+func (c *call) record(p []byte) {
 	if !c.claimed || c.tooMuch {
 		return
 	}
@@ -214,14 +214,14 @@
 	jsonType    = "application/json"
 )
 
-// put gives the client a part of its answer, the head before the first. It blocks for
+// writeBody gives the client a part of its answer, the head before the first. It blocks for
 // writeLimit at most.
-func (c *call) put(p []byte) error {
-	if !c.begun {
-		c.begun = true
+func (c *call) writeBody(p []byte) error {
+	if !c.responseStarted {
+		c.responseStarted = true
 		h := c.w.Header()
-		h["Content-Type"] = []string{c.form.kind()}
-		if c.form.kind() == eventStream {
+		h["Content-Type"] = []string{c.form.contentType()}
+		if c.form.contentType() == eventStream {
 			h["Cache-Control"] = []string{"no-cache"}
 			h["X-Accel-Buffering"] = []string{"no"}
 		} else { // which comes in one piece
@@ -229,11 +229,11 @@
 		}
 	}
 	// A deadline that is near enough to what it should be is left alone.
-	if now := time.Now(); now.Sub(c.armed) > writeLimit/writePart {
+	if now := time.Now(); now.Sub(c.deadlineSetAt) > writeLimit/writeDeadlineParts {
 		if err := c.out.SetWriteDeadline(now.Add(writeLimit)); err != nil {
 			return err
 		}
-		c.armed = now
+		c.deadlineSetAt = now
 	}
 	if _, err := c.w.Write(p); err != nil {
 		return err
@@ -241,61 +241,61 @@
 	return c.out.Flush()
 }
 
-// serve passes an answer on as it comes, what comes together at once. If it breaks, and
+// stream passes an answer on as it comes, what comes together at once. If it breaks, and
 // does not go on elsewhere, its client is told: by a status if it has been given nothing,
 // else by an error event, after which the connection ends without the last chunk. Either
 // is the one final answer; the request is not sent again.
-func (c *call) serve(s core.Stream, t *core.Ticket) {
+func (c *call) stream(s core.Stream, t *core.Ticket) {
 	pipe := streambuffer.Pipe{
 		Take: func(dst, p []byte) ([]byte, error) {
-			dst, err := c.form.take(dst, p)
-			if c.keep(dst); err == nil && c.form.complete() {
+			dst, err := c.form.translate(dst, p)
+			if c.record(dst); err == nil && c.form.complete() {
 				c.whole()
 			}
 			return dst, err
 		},
 		End: func(dst []byte) ([]byte, error) {
 			from := len(dst)
-			dst, err := c.form.end(dst)
-			if c.keep(dst[from:]); err == nil {
+			dst, err := c.form.finish(dst)
+			if c.record(dst[from:]); err == nil {
 				c.whole()
 			}
 			return dst, err
 		},
-		Write: c.put,
+		Write: c.writeBody,
 	}
 	err := streambuffer.Run(c.r.Context(), t, s, pipe, c.bounds)
 	for err != nil {
-		step, next, ticket := c.resume(err)
+		step, next, ticket := c.resumeElsewhere(err)
 		if step == resume.GiveUp {
-			c.broke(err)
+			c.abort(err)
 			return
 		}
-		c.form.drop()
+		c.form.discardPartial()
 		if next != nil {
-			c.form.next()
+			c.form.nextAttempt()
 			err = streambuffer.Run(c.r.Context(), ticket, next, pipe, c.bounds)
 			continue
 		}
 		var last []byte
 		if last, err = pipe.End(nil); err == nil {
-			err = c.put(last)
+			err = c.writeBody(last)
 		}
 		if err != nil {
-			c.broke(err)
+			c.abort(err)
 			return
 		}
 	}
 	_ = c.out.SetWriteDeadline(time.Time{})
 }
 
-// broke ends a call whose answer broke; it does not return unless by a status.
-func (c *call) broke(err error) {
+// abort ends a call whose answer broke; it does not return unless by a status.
+func (c *call) abort(err error) {
 	if errors.Is(err, streambuffer.ErrSlowClient) {
 		c.counts.slow.Add(1)
 	}
-	if c.r.Context().Err() == nil && c.begun {
-		_ = c.put(c.form.fail(broken(err)))
+	if c.r.Context().Err() == nil && c.responseStarted {
+		_ = c.writeBody(c.form.failure(streamError(err)))
 	} else if c.r.Context().Err() == nil {
 		e := refusal(core.Answer{Verdict: core.Failed, Status: routing.StatusReset}, c.once)
 		var told reportedError
--- a/internal/openai/collect.go
+++ b/internal/openai/collect.go
@@ -12,55 +12,57 @@
 )
 
 const (
-	maxAnswer = 4 << 20 // of an answer put together for a client that does not stream
-	maxIndex  = 1023    // of a choice or a tool call
+	maxResponseBytes = 4 << 20 // of an answer put together for a client that does not stream
+	maxIndex         = 1023    // of a choice or a tool call
 )
 
-var errBigAnswer = errors.New("an answer of more than 4 MiB")
+var errResponseTooLarge = errors.New("an answer of more than 4 MiB")
 
-// whole puts a streamed answer together for a client that wants it in one piece. What
+// collector puts a streamed answer together for a client that wants it in one piece. What
 // stands below a delta, or is text, is added up; all else is taken as it first comes, so
 // that fields which this program does not know pass as well.
-type whole struct {
-	head  head
-	scan  sse.Scanner
-	top   node
-	size  int
-	usage []byte
-	so    resume.Answer
+type collector struct {
+	head    head
+	scanner sse.Scanner
+	root    node
+	size    int
+	usage   []byte
+	state   resume.Answer
 }
 
-func (w *whole) kind() string           { return jsonType }
-func (w *whole) answer() *resume.Answer { return &w.so }
-func (w *whole) fail(e apiError) []byte { return e.object() }
-func (w *whole) complete() bool         { return false }
-func (w *whole) drop()                  { w.scan = sse.Scanner{} }
-func (w *whole) next()                  { *w = whole{head: w.head} }
+func (w *collector) contentType() string       { return jsonType }
+func (w *collector) progress() *resume.Answer  { return &w.state }
+func (w *collector) failure(e apiError) []byte { return e.object() }
+func (w *collector) complete() bool            { return false }
+func (w *collector) discardPartial()           { w.scanner = sse.Scanner{} }
+func (w *collector) nextAttempt()              { *w = collector{head: w.head} }
 
-func (w *whole) take(dst, p []byte) ([]byte, error) { return dst, w.scan.Write(p, w.event) }
+func (w *collector) translate(dst, p []byte) ([]byte, error) {
+	return dst, w.scanner.Write(p, w.handleEvent)
+}
 
-// end adds the answer in one piece, if it is whole.
-func (w *whole) end(dst []byte) ([]byte, error) {
-	if err := w.scan.End(w.event); err != nil {
+// finish adds the answer in one piece, if it is whole.
+func (w *collector) finish(dst []byte) ([]byte, error) {
+	if err := w.scanner.End(w.handleEvent); err != nil {
 		return dst, err
 	}
-	if !w.so.Whole() {
-		return dst, errCut
+	if !w.state.Whole() {
+		return dst, errTruncated
 	}
 	return append(append(dst, w.body()...), '\n'), nil
 }
 
-func (w *whole) event(e sse.Event) error {
+func (w *collector) handleEvent(e sse.Event) error {
 	data := bytes.TrimSpace(e.Data)
-	if w.so.Over() || len(data) == 0 {
+	if w.state.Over() || len(data) == 0 {
 		return nil
 	}
-	if bytes.Equal(data, lastData) {
-		w.so.Last()
+	if bytes.Equal(data, doneBytes) {
+		w.state.Last()
 		return nil
 	}
-	if w.size += len(data); w.size > maxAnswer {
-		return errBigAnswer
+	if w.size += len(data); w.size > maxResponseBytes {
+		return errResponseTooLarge
 	}
 	o := jsonscan.Object(data)
 	for {
@@ -72,7 +74,7 @@
 		switch string(name) {
 		case "error":
 			if !value.Null(data) {
-				return reportedError{message(text)}
+				return reportedError{errorMessage(text)}
 			}
 		case "usage":
 			if !value.Null(data) {
@@ -82,44 +84,44 @@
 			if value.Null(data) {
 				continue
 			}
-			if _, err := progress(&w.so, text, false); err != nil {
+			if _, err := recordChoices(&w.state, text, false); err != nil {
 				return err
 			}
-			if err := w.top.member("choices").add(text, false); err != nil {
+			if err := w.root.member("choices").add(text, false); err != nil {
 				return err
 			}
 		case "id", "object", "created", "model":
 		default:
-			if err := w.top.member(string(name)).add(text, false); err != nil {
+			if err := w.root.member(string(name)).add(text, false); err != nil {
 				return err
 			}
 		}
 	}
 	if o.Err() != nil {
-		return errNotChunk
+		return errInvalidChunk
 	}
 	return nil
 }
 
 // body is the answer in one piece.
-func (w *whole) body() []byte {
-	out := appendMember([]byte{'{'}, nameID, quoted(w.head.id))
-	out = appendMember(out, nameObject, quoted(w.head.object))
+func (w *collector) body() []byte {
+	out := appendMember([]byte{'{'}, nameID, quote(w.head.id))
+	out = appendMember(out, nameObject, quote(w.head.object))
 	out = appendMember(out, nameCreated, strconv.AppendInt(nil, w.head.created, 10))
-	out = appendMember(out, nameModel, quoted(w.head.model))
+	out = appendMember(out, nameModel, quote(w.head.model))
 	list := []byte{'['}
-	if choices := w.top.members["choices"]; choices != nil {
-		for i, c := range choices.sorted() {
+	if choices := w.root.members["choices"]; choices != nil {
+		for i, c := range choices.sortedByIndex() {
 			if i > 0 {
 				list = append(list, ',')
 			}
-			list = choice(list, c)
+			list = appendChoice(list, c)
 		}
 	}
 	out = appendMember(out, []byte("choices"), append(list, ']'))
-	for _, name := range w.top.names {
+	for _, name := range w.root.names {
 		if name != "choices" {
-			out = appendMember(out, []byte(name), w.top.members[name].json(nil, false))
+			out = appendMember(out, []byte(name), w.root.members[name].json(nil, false))
 		}
 	}
 	if w.usage != nil {
@@ -128,15 +130,15 @@
 	return append(out, '}')
 }
 
-// choice writes one choice, its delta as the message that it has grown to.
-func choice(out []byte, c *node) []byte {
+// appendChoice writes one choice, its delta as the message that it has grown to.
+func appendChoice(out []byte, c *node) []byte {
 	out = append(out, '{')
 	for _, name := range c.names {
 		if name != "delta" {
 			out = appendMember(out, []byte(name), c.members[name].json(nil, false))
 		}
 	}
-	if d := c.members["delta"]; d != nil && d.kind == object {
+	if d := c.members["delta"]; d != nil && d.kind == objectNode {
 		m := appendMember([]byte{'{'}, []byte("role"), []byte(`"assistant"`))
 		if content := d.members["content"]; content == nil {
 			none := []byte(`""`)
@@ -157,11 +159,11 @@
 
 // The kinds of a node.
 const (
-	nothing = iota
-	scalar  // raw
-	str
-	object
-	list
+	absentNode = iota
+	scalarNode // raw
+	stringNode
+	objectNode
+	listNode
 )
 
 // node is a value that grows with each event.
@@ -176,7 +178,7 @@
 
 func (n *node) member(name string) *node {
 	if n.members == nil {
-		n.kind, n.members = object, map[string]*node{}
+		n.kind, n.members = objectNode, map[string]*node{}
 	}
 	m := n.members[name]
 	if m == nil {
@@ -191,40 +193,40 @@
 func (n *node) add(raw []byte, joins bool) error {
 	switch raw[0] {
 	case 'n':
-		if n.kind == nothing {
-			n.kind, n.raw = scalar, bytes.Clone(raw)
+		if n.kind == absentNode {
+			n.kind, n.raw = scalarNode, bytes.Clone(raw)
 		}
 		return nil
 	case '"':
-		t, is := text(raw)
+		t, is := unquote(raw)
 		if !is {
-			return errNotChunk
+			return errInvalidChunk
 		}
-		if n.kind = str; joins || len(n.text) == 0 {
+		if n.kind = stringNode; joins || len(n.text) == 0 {
 			n.text = append(n.text, t...)
 		}
 		return nil
 	case '{':
-		n.kind = object
+		n.kind = objectNode
 		w := jsonscan.Object(raw)
 		for {
 			name, value, ok := w.Next()
 			if !ok {
 				return w.Err()
 			}
-			if err := n.member(string(name)).add(value.Of(raw), adds(string(name), joins)); err != nil {
+			if err := n.member(string(name)).add(value.Of(raw), concatenates(string(name), joins)); err != nil {
 				return err
 			}
 		}
 	case '[':
 		return n.elements(raw, joins)
 	}
-	n.kind, n.raw = scalar, append(n.raw[:0], raw...)
+	n.kind, n.raw = scalarNode, append(n.raw[:0], raw...)
 	return nil
 }
 
-// adds tells whether texts under a name are added up, going by what is above it.
-func adds(name string, above bool) bool {
+// concatenates tells whether texts under a name are added up, going by what is above it.
+func concatenates(name string, above bool) bool {
 	switch name {
 	case "delta", "text":
 		return true
@@ -236,7 +238,7 @@
 
 // elements takes in a list: elements with an index grow one by one, others are appended.
 func (n *node) elements(raw []byte, joins bool) error {
-	n.kind = list
+	n.kind = listNode
 	w := jsonscan.Array(raw)
 	for {
 		at, ok := w.Element()
@@ -283,14 +285,14 @@
 		}
 		if string(name) == "index" && !at.Null(value) {
 			if index, given = jsonscan.Int(at.Of(value)); !given || index > maxIndex {
-				return 0, false, errNotChunk
+				return 0, false, errInvalidChunk
 			}
 		}
 	}
 }
 
-// sorted returns the elements in order of their index.
-func (n *node) sorted() []*node {
+// sortedByIndex returns the elements in order of their index.
+func (n *node) sortedByIndex() []*node {
 	at := func(x *node) int {
 		if m := x.members["index"]; m != nil {
 			i, _ := jsonscan.Int(m.raw)
@@ -306,9 +308,9 @@
 // json writes the value; bare leaves out the index of elements, which is a stream's alone.
 func (n *node) json(out []byte, bare bool) []byte {
 	switch n.kind {
-	case str:
-		return append(out, quoted(string(n.text))...)
-	case object:
+	case stringNode:
+		return append(out, quote(string(n.text))...)
+	case objectNode:
 		out = append(out, '{')
 		for _, name := range n.names {
 			if !bare || name != "index" {
@@ -316,23 +318,23 @@
 			}
 		}
 		return append(out, '}')
-	case list:
+	case listNode:
 		out = append(out, '[')
-		for i, item := range n.sorted() {
+		for i, item := range n.sortedByIndex() {
 			if i > 0 {
 				out = append(out, ',')
 			}
 			out = item.json(out, bare)
 		}
 		return append(out, ']')
-	case scalar:
+	case scalarNode:
 		return append(out, n.raw...)
 	}
 	return append(out, "null"...)
 }
 
-// quoted is a text as a JSON string.
-func quoted(s string) []byte {
+// quote is a text as a JSON string.
+func quote(s string) []byte {
 	b, err := codec.Marshal(s)
 	if err != nil { // of a string there is none
 		return []byte(`""`)
@@ -340,32 +342,32 @@
 	return b
 }
 
-// plain is an answer that is one body and passes as it is, but for the model's name.
-type plain struct {
-	head head
-	body []byte
-	so   resume.Answer
+// passthrough is an answer that is one body and passes as it is, but for the model's name.
+type passthrough struct {
+	head  head
+	body  []byte
+	state resume.Answer
 }
 
-func (p *plain) kind() string           { return jsonType }
-func (p *plain) answer() *resume.Answer { return &p.so }
-func (p *plain) fail(e apiError) []byte { return e.object() }
-func (p *plain) complete() bool         { return false }
-func (p *plain) drop()                  {}
-func (p *plain) next()                  { *p = plain{head: p.head} }
+func (p *passthrough) contentType() string       { return jsonType }
+func (p *passthrough) progress() *resume.Answer  { return &p.state }
+func (p *passthrough) failure(e apiError) []byte { return e.object() }
+func (p *passthrough) complete() bool            { return false }
+func (p *passthrough) discardPartial()           {}
+func (p *passthrough) nextAttempt()              { *p = passthrough{head: p.head} }
 
-func (p *plain) take(dst, more []byte) ([]byte, error) {
-	if p.body = append(p.body, more...); len(p.body) > maxAnswer {
-		return dst, errBigAnswer
+func (p *passthrough) translate(dst, more []byte) ([]byte, error) {
+	if p.body = append(p.body, more...); len(p.body) > maxResponseBytes {
+		return dst, errResponseTooLarge
 	}
 	return dst, nil
 }
 
-func (p *plain) end(dst []byte) ([]byte, error) {
+func (p *passthrough) finish(dst []byte) ([]byte, error) {
 	f, err := readFields(p.body)
 	if err != nil {
 		return dst, err
 	}
-	p.so.Last()
-	return append(append(dst, f.with(map[string][]byte{"model": quoted(p.head.model)}, "model")...), '\n'), nil
+	p.state.Last()
+	return append(append(dst, f.replace(map[string][]byte{"model": quote(p.head.model)}, "model")...), '\n'), nil
 }
--- a/internal/openai/dialect.go
+++ b/internal/openai/dialect.go
@@ -50,7 +50,7 @@
 
 // Opens tells whether an event begins an answer; see upstream.Opener.
 func (Dialect) Opens(p core.Payload, data []byte) (bool, error) {
-	return opens(data, p.BufferUntilFirstToken)
+	return startsAnswer(data, p.BufferUntilFirstToken)
 }
 
 // TwoStage is how a chat gateway speaks with two-stage engines: by the platform's protocol,
@@ -59,7 +59,7 @@
 
 // Opens tells whether an event begins an answer; see upstream.Opener.
 func (TwoStage) Opens(p core.Payload, data []byte) (bool, error) {
-	return opens(data, p.BufferUntilFirstToken)
+	return startsAnswer(data, p.BufferUntilFirstToken)
 }
 
 // Tail reads the usage.
--- a/internal/openai/errors.go
+++ b/internal/openai/errors.go
@@ -94,7 +94,7 @@
 	return e
 }
 
-func noModel(name string) apiError {
+func unknownModel(name string) apiError {
 	return apiError{status: http.StatusNotFound, kind: typeRequest, code: codeModel, param: "model",
 		text: "the model " + name + " does not exist or is not open to this team"}
 }
@@ -132,8 +132,8 @@
 		text: "an engine failed; the request may have been carried out"}
 }
 
-// broken words the error event that ends a stream.
-func broken(err error) apiError {
+// streamError words the error event that ends a stream.
+func streamError(err error) apiError {
 	if errors.Is(err, streambuffer.ErrSlowClient) {
 		return apiError{kind: typeServer, code: codeSlow, text: "the client read too slowly; the request may have been carried out"}
 	}
--- a/internal/openai/fields.go
+++ b/internal/openai/fields.go
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// into decodes a field; one that is not there leaves the value.
-func (f *fields) into(name string, value any) error {
+// decode decodes a field; one that is not there leaves the value.
+func (f *fields) decode(name string, value any) error {
 	raw := f.get(name)
 	if raw == nil {
 		return nil
@@ -78,8 +78,8 @@
 	return nil
 }
 
-// with writes the body anew, some fields replaced or added.
-func (f *fields) with(set map[string][]byte, order ...string) []byte {
+// replace writes the body anew, some fields replaced or added.
+func (f *fields) replace(set map[string][]byte, order ...string) []byte {
 	out := make([]byte, 0, len(f.data)+64)
 	out = append(out, '{')
 	for _, m := range f.list {
@@ -101,7 +101,7 @@
 		out = append(out, ',')
 	}
 	out = append(out, '"')
-	if bytes.IndexFunc(name, odd) < 0 {
+	if bytes.IndexFunc(name, needsEscape) < 0 {
 		out = append(out, name...)
 	} else if quoted, err := codec.Marshal(string(name)); err == nil {
 		out = append(out, quoted[1:len(quoted)-1]...)
@@ -109,4 +109,4 @@
 	return append(append(out, `":`...), value...)
 }
 
-func odd(c rune) bool { return c < ' ' || c == '"' || c == '\\' || c > '~' }
+func needsEscape(c rune) bool { return c < ' ' || c == '"' || c == '\\' || c > '~' }
--- a/internal/openai/front.go
+++ b/internal/openai/front.go
@@ -25,14 +25,14 @@
 
 // Bounds towards callers.
 const (
-	writeLimit = 5 * time.Second // a caller that takes no byte for this long is given up
-	writePart  = 8               // of the limit: how exactly that is kept
-	stallLimit = 250 * time.Millisecond
-	heldEach   = 256 << 10   // bytes of a stream that are held for a slow caller
-	busyPause  = time.Second // after which there may be memory for a body again
-	keyPause   = time.Second // after which a request under way may have ended
-	roomPause  = 5 * time.Second
-	maxKey     = 255 // bytes of an idempotency key
+	writeLimit         = 5 * time.Second // a caller that takes no byte for this long is given up
+	writeDeadlineParts = 8               // of the limit: how exactly that is kept
+	stallLimit         = 250 * time.Millisecond
+	maxBufferPerClient = 256 << 10   // bytes of a stream that are held for a slow caller
+	retryAfterBusy     = time.Second // after which there may be memory for a body again
+	keyPause           = time.Second // after which a request under way may have ended
+	retryAfterFull     = 5 * time.Second
+	maxKey             = 255 // bytes of an idempotency key
 )
 
 // Options are what a front is made of.
@@ -53,7 +53,7 @@
 	keys    *idempotency.Keeper
 	others  func() bool
 	bounds  *streambuffer.Limits
-	book    atomic.Pointer[book]
+	catalog atomic.Pointer[catalog]
 	started time.Time
 	service atomic.Pointer[lifecycle.Service]
 
@@ -62,8 +62,8 @@
 	keepMost int64
 }
 
-// book is what an operator's file says of callers and models.
-type book struct {
+// catalog is what an operator's file says of callers and models.
+type catalog struct {
 	teams     map[[sha256.Size]byte]*config.Team // by the hash of a key, so that look-up time tells nothing of keys
 	contracts map[string]config.Contract         // by model
 	models    []string
@@ -74,7 +74,7 @@
 func NewFront(o Options) *Front {
 	f := &Front{
 		core: o.Core, bodies: o.Bodies, keys: o.Keys, others: o.Others, started: time.Now(),
-		bounds: streambuffer.NewLimits(stallLimit, heldEach, o.Held), keepMost: o.Held,
+		bounds: streambuffer.NewLimits(stallLimit, maxBufferPerClient, o.Held), keepMost: o.Held,
 	}
 	f.SetService(lifecycle.FullService())
 	f.Reload(o.File)
@@ -84,7 +84,7 @@
 // Reload goes by another file from the next request on. Its contracts and teams
 // must be those the module knows; see config.Operator.Takes.
 func (f *Front) Reload(o *config.Operator) {
-	b := &book{teams: map[[sha256.Size]byte]*config.Team{}, contracts: map[string]config.Contract{}}
+	b := &catalog{teams: map[[sha256.Size]byte]*config.Team{}, contracts: map[string]config.Contract{}}
 	for i := range o.Teams {
 		for _, k := range o.Teams[i].Keys {
 			b.teams[sha256.Sum256([]byte(k))] = &o.Teams[i]
@@ -98,7 +98,7 @@
 			}
 		}
 	}
-	f.book.Store(b)
+	f.catalog.Store(b)
 }
 
 // SetService goes by what clients get from now on.
@@ -119,7 +119,7 @@
 	rand.Read(raw[:])
 	id := hex.EncodeToString(raw[:])
 	w.Header()["X-Request-Id"] = []string{id}
-	b := f.book.Load() // one for the whole request, whatever is read anew meanwhile
+	b := f.catalog.Load() // one for the whole request, whatever is read anew meanwhile
 	team := b.team(r)
 	if team == nil {
 		clientconn.Reject(w, r)
@@ -133,7 +133,7 @@
 	case post && r.Method == http.MethodPost:
 		f.call(w, r, b, team, id)
 	case (r.URL.Path == modelPath || one) && r.Method == http.MethodGet:
-		b.list(w, team, model, one, f.started)
+		b.writeModels(w, team, model, one, f.started)
 	case post || r.URL.Path == modelPath || one:
 		clientconn.Reject(w, r)
 		w.Header().Set("Allow", map[bool]string{true: http.MethodPost, false: http.MethodGet}[post])
@@ -152,7 +152,7 @@
 }
 
 // team is the caller's by its key, nil for none.
-func (b *book) team(r *http.Request) *config.Team {
+func (b *catalog) team(r *http.Request) *config.Team {
 	scheme, key, _ := strings.Cut(r.Header.Get("Authorization"), " ")
 	if !strings.EqualFold(scheme, "Bearer") {
 		return nil
@@ -160,8 +160,8 @@
 	return b.teams[sha256.Sum256([]byte(strings.TrimSpace(key)))]
 }
 
-// list tells of models, and of the contract that each is served under.
-func (b *book) list(w http.ResponseWriter, team *config.Team, name string, one bool, started time.Time) {
+// writeModels tells of models, and of the contract that each is served under.
+func (b *catalog) writeModels(w http.ResponseWriter, team *config.Team, name string, one bool, started time.Time) {
 	all := []any{}
 	for _, m := range b.models {
 		if !slices.Contains(team.Models, m) || one && m != name {
@@ -176,7 +176,7 @@
 	var body any = map[string]any{"object": "list", "data": all}
 	if one {
 		if len(all) == 0 {
-			noModel(name).send(w)
+			unknownModel(name).send(w)
 			return
 		}
 		body = all[0]
@@ -186,7 +186,7 @@
 }
 
 // call serves one request to a model.
-func (f *Front) call(w http.ResponseWriter, r *http.Request, b *book, team *config.Team, id string) {
+func (f *Front) call(w http.ResponseWriter, r *http.Request, b *catalog, team *config.Team, id string) {
 	arrived := time.Now()
 	raw, free, ok := f.body(w, r, team)
 	if !ok {
@@ -213,7 +213,7 @@
 		}
 		defer c.settle()
 	}
-	c.carry()
+	c.run()
 }
 
 // body reads a request's body; false if there is none to go on with, and the client has been told.
@@ -229,11 +229,11 @@
 		}
 		clientconn.Reject(w, r)
 		f.announceClose(w, r)
-		f.spareKey(r, team)
-		refusal(core.Answer{Verdict: core.Rejected, RetryAfter: busyPause}, false).send(w)
+		f.forgetKey(r, team)
+		refusal(core.Answer{Verdict: core.Rejected, RetryAfter: retryAfterBusy}, false).send(w)
 	case errors.Is(err, clientconn.ErrBusy):
-		f.spareKey(r, team)
-		refusal(core.Answer{Verdict: core.Rejected, RetryAfter: busyPause}, false).send(w)
+		f.forgetKey(r, team)
+		refusal(core.Answer{Verdict: core.Rejected, RetryAfter: retryAfterBusy}, false).send(w)
 	case err != nil:
 		clientconn.Reject(w, r)
 		badRequest(err.Error(), "").send(w)
@@ -243,17 +243,17 @@
 	return nil, nil, false
 }
 
-// spareKey notes that a request was turned away before it was read: its key has not run.
-func (f *Front) spareKey(r *http.Request, team *config.Team) {
+// forgetKey notes that a request was turned away before it was read: its key has not run.
+func (f *Front) forgetKey(r *http.Request, team *config.Team) {
 	if name := r.Header.Get(keyHeader); name != "" && len(name) <= maxKey && f.keys != nil {
 		f.keys.Spare(deduplication.Key{Team: team.Name, Name: name})
 	}
 }
 
 // accept parses a request and finds its contract. The error is what its client is told.
-func (b *book) accept(path string, raw []byte, team *config.Team) (*apiRequest, *typedAnswer, config.Contract, *apiError) {
+func (b *catalog) accept(path string, raw []byte, team *config.Team) (*apiRequest, *responsesEncoder, config.Contract, *apiError) {
 	var a *apiRequest
-	var typed *typedAnswer // of /v1/responses
+	var typed *responsesEncoder // of /v1/responses
 	var err error
 	if path == responsePath {
 		a, typed, err = parseResponses(raw, team.Name)
@@ -268,7 +268,7 @@
 	}
 	contract, known := b.contracts[a.model]
 	if !known || !slices.Contains(team.Models, a.model) {
-		wrong := noModel(a.model)
+		wrong := unknownModel(a.model)
 		return nil, nil, config.Contract{}, &wrong
 	}
 	if a.path == embeddingPath && contract.Effect != config.EffectFree {
@@ -278,15 +278,15 @@
 	return a, typed, contract, nil
 }
 
-// carry submits the request and gives its client the answer.
-func (c *call) carry() {
+// run submits the request and gives its client the answer.
+func (c *call) run() {
 	answer, ticket, here := c.submit(c.ask, c.head.id)
 	c.announceClose(c.w, c.r) // the request may have waited since before the gateway began to leave
 	if !here {
 		c.ending.MayRun = !c.once || ticket.MayHaveRun(context.WithoutCancel(c.r.Context()))
 		panic(http.ErrAbortHandler) // the caller has gone: there is nobody to answer
 	}
-	rates(c.w.Header(), answer)
+	setRateLimitHeaders(c.w.Header(), answer)
 	if answer.Verdict != core.Streaming {
 		c.ending = deduplication.Ending{
 			Refused: answer.Verdict == core.Rejected || answer.Verdict == core.Duplicate, Rejected: rejected(answer) != nil, MayRun: answer.MayHaveRun,
@@ -294,28 +294,28 @@
 		refusal(answer, c.once && c.ending.Outcome() == deduplication.Broken).send(c.w)
 		return
 	}
-	c.serve(answer.Stream, ticket)
+	c.stream(answer.Stream, ticket)
 }
 
 // formOf is the way in which a call's client gets its answer.
-func formOf(a *apiRequest, typed *typedAnswer, h head, contract config.Contract) form {
+func formOf(a *apiRequest, typed *responsesEncoder, h head, contract config.Contract) encoder {
 	switch {
 	case typed != nil:
-		typed.head, typed.streams = h, a.stream
+		typed.head, typed.streaming = h, a.stream
 		return typed
 	case a.path == embeddingPath:
-		return &plain{head: h}
+		return &passthrough{head: h}
 	case !a.stream:
-		return &whole{head: h}
+		return &collector{head: h}
 	}
 	if a.path == chatPath {
 		h.object = "chat.completion.chunk"
 	}
-	return newRewriter(h, a.usage, contract.Continue > 0)
+	return newRewriter(h, a.includeUsage, contract.Continue > 0)
 }
 
-// rates tells a team with a budget how it stands, at this gateway.
-func rates(h http.Header, a core.Answer) {
+// setRateLimitHeaders tells a team with a budget how it stands, at this gateway.
+func setRateLimitHeaders(h http.Header, a core.Answer) {
 	if a.Quota == nil {
 		return
 	}
--- a/internal/openai/front_test.go
+++ b/internal/openai/front_test.go
@@ -354,14 +354,14 @@
 	first := turn(`{"role":"system","content":"12345678"},{"role":"user","content":"hi"}`)
 	second := turn(`{"role":"system","content":"12345678"},{"role":"user","content":[{"type":"text","text":"hi"}]},{"role":"assistant","content":null},{"role":"user","content":"more"}`)
 	other := turn(`{"role":"system","content":"12345678"},{"role":"user","content":"ho"}`)
-	if first.session != second.session || first.session == other.session || first.opening != other.opening || first.opening == "" {
+	if first.session != second.session || first.session == other.session || first.prefix != other.prefix || first.prefix == "" {
 		t.Errorf("sessions and openings: %+v %+v %+v", first, second, other)
 	}
-	if q, err := parse(chatPath, []byte(`{"model":"m","max_tokens":1000000000,"messages":[{"role":"user","content":"hi"}]}`), ""); err != nil || q.shape.maxOut != mostOut {
+	if q, err := parse(chatPath, []byte(`{"model":"m","max_tokens":1000000000,"messages":[{"role":"user","content":"hi"}]}`), ""); err != nil || q.shape.maxOutputTokens != maxOutputTokens {
 		t.Errorf("a limit past all sense: %v, %+v", err, q)
 	}
-	first.session, first.opening = "", ""
-	if diff := cmp.Diff(shape{prompt: 2 + 1 + 2*messageTokens, openingLen: 2 + messageTokens, maxOut: 9}, first, cmp.AllowUnexported(shape{})); diff != "" {
+	first.session, first.prefix = "", ""
+	if diff := cmp.Diff(shape{promptTokens: 2 + 1 + 2*messageTokens, prefixLen: 2 + messageTokens, maxOutputTokens: 9}, first, cmp.AllowUnexported(shape{})); diff != "" {
 		t.Errorf("(-want +got):\n%s", diff)
 	}
 }
--- a/internal/openai/idempotency_test.go
+++ b/internal/openai/idempotency_test.go
@@ -171,7 +171,7 @@
 
 // Whatever engines do within what clients of theirs put up with, the answer is the same.
 func TestEngineDeviations(t *testing.T) {
-	events := []string{chunkOf(0, "null"), chunkOf(0, `"stop"`), `{"choices":[],"usage":{"prompt_tokens":1,"completion_tokens":2}}`, done}
+	events := []string{chunkOf(0, "null"), chunkOf(0, `"stop"`), `{"choices":[],"usage":{"prompt_tokens":1,"completion_tokens":2}}`, doneData}
 	join := func(form string) string {
 		out := ""
 		for _, e := range events {
--- a/internal/openai/prompt.go
+++ b/internal/openai/prompt.go
@@ -12,10 +12,10 @@
 	"wellgw/internal/jsonscan"
 )
 
-// messages reads a conversation's shape. All its turns begin with the same messages up to
+// parseMessages reads a conversation's shape. All its turns begin with the same messages up to
 // the caller's first, so these name the session; the first message, if it is not all there
 // is, is the opening that others share.
-func (a *apiRequest) messages(f *fields, session hash.Hash) error {
+func (a *apiRequest) parseMessages(f *fields, session hash.Hash) error {
 	list := f.get("messages")
 	w := jsonscan.Array(list)
 	begun, n := false, 0
@@ -27,18 +27,18 @@
 			return paramError{param, "is no object"}
 		}
 		role := ""
-		if err := m.into("role", &role); err != nil || role == "" {
+		if err := m.decode("role", &role); err != nil || role == "" {
 			return paramError{param, "role is missing"}
 		}
-		text, tokens, err := content(m.get("content"))
+		text, tokens, err := parseContent(m.get("content"))
 		if err != nil {
 			return paramError{param, err.Error()}
 		}
 		tokens += (len(m.get("tool_calls")) + charsPerToken - 1) / charsPerToken
 		tokens += messageTokens
-		a.shape.prompt += tokens
+		a.shape.promptTokens += tokens
 		if n == 0 && role != "user" {
-			opening, a.shape.openingLen = text, tokens
+			opening, a.shape.prefixLen = text, tokens
 		}
 		if !begun {
 			begun = role == "user"
@@ -59,18 +59,18 @@
 		sum := sha256.New()
 		fmt.Fprintf(sum, "%s\x00", a.model)
 		sum.Write(opening)
-		a.shape.opening = hex.EncodeToString(sum.Sum(nil)[:8])
+		a.shape.prefix = hex.EncodeToString(sum.Sum(nil)[:8])
 	} else {
-		a.shape.openingLen = 0
+		a.shape.prefixLen = 0
 	}
 	for _, name := range []string{"tools", "functions", "response_format"} {
-		a.shape.prompt += (len(f.get(name)) + charsPerToken - 1) / charsPerToken
+		a.shape.promptTokens += (len(f.get(name)) + charsPerToken - 1) / charsPerToken
 	}
 	return nil
 }
 
-// text is a string's text; one without escapes is not copied.
-func text(raw []byte) ([]byte, bool) {
+// unquote is a string's text; one without escapes is not copied.
+func unquote(raw []byte) ([]byte, bool) {
 	if len(raw) < 2 || raw[0] != '"' {
 		return nil, false
 	}
@@ -84,17 +84,17 @@
 	return []byte(s), true
 }
 
-func tokensOf(text []byte) int {
+func estimateTokens(text []byte) int {
 	return (utf8.RuneCount(text) + charsPerToken - 1) / charsPerToken
 }
 
-// content returns a message's text, and the tokens that it and its other parts take.
-func content(raw []byte) (all []byte, tokens int, err error) {
+// parseContent returns a message's text, and the tokens that it and its other parts take.
+func parseContent(raw []byte) (all []byte, tokens int, err error) {
 	if raw == nil { // an assistant's tool calls have none
 		return []byte{}, 0, nil
 	}
-	if t, is := text(raw); is {
-		return t, tokensOf(t), nil
+	if t, is := unquote(raw); is {
+		return t, estimateTokens(t), nil
 	}
 	w := jsonscan.Array(raw)
 	other := 0
@@ -104,28 +104,28 @@
 			return nil, 0, errors.New("a part of the content is no object")
 		}
 		kind := ""
-		if err := p.into("type", &kind); err != nil {
+		if err := p.decode("type", &kind); err != nil {
 			return nil, 0, errors.New("a part's type is no string")
 		}
 		switch kind {
 		case "text", "refusal", "":
 			if part := p.get(map[bool]string{true: "refusal", false: "text"}[kind == "refusal"]); part != nil {
-				t, is := text(part)
+				t, is := unquote(part)
 				if !is {
 					return nil, 0, errors.New("a part's text is no string")
 				}
 				all = append(all, t...)
 			}
 		case "image_url":
-			if other += imageHigh; bytes.Contains(p.get("image_url"), []byte(`"low"`)) {
-				other -= imageHigh - imageLow
+			if other += imageTokensHigh; bytes.Contains(p.get("image_url"), []byte(`"low"`)) {
+				other -= imageTokensHigh - imageTokensLow
 			}
 		case "input_audio":
-			other += max(1, len(p.get("input_audio"))/audioBytes)
+			other += max(1, len(p.get("input_audio"))/audioBytesPerToken)
 		case "file":
-			other += max(1, len(p.get("file"))/fileBytes)
+			other += max(1, len(p.get("file"))/fileBytesPerToken)
 		default:
-			other += unknownTokens
+			other += unknownPartTokens
 		}
 	}
 	if w.Err() != nil {
@@ -134,21 +134,21 @@
 	if all == nil {
 		all = []byte{}
 	}
-	return all, tokensOf(all) + other, nil
+	return all, estimateTokens(all) + other, nil
 }
 
-// prompts counts the tokens of a text, a list of texts, tokens, or lists of tokens, and
+// countPrompts counts the tokens of a text, a list of texts, tokens, or lists of tokens, and
 // how many there are. The first text names the session.
-func prompts(raw []byte, param string, session hash.Hash) (tokens, n int, err error) {
+func countPrompts(raw []byte, param string, session hash.Hash) (tokens, n int, err error) {
 	wrong := paramError{param, "is neither text nor tokens, nor a list of these"}
 	if raw == nil {
 		return 0, 0, paramError{param, "missing"}
 	}
-	if t, is := text(raw); is {
+	if t, is := unquote(raw); is {
 		if session != nil {
 			session.Write(t)
 		}
-		return tokensOf(t), 1, nil
+		return estimateTokens(t), 1, nil
 	}
 	w := jsonscan.Array(raw)
 	numbers := 0
@@ -158,11 +158,11 @@
 			numbers++
 			continue
 		}
-		if t, is := text(part); is {
+		if t, is := unquote(part); is {
 			if n == 0 && session != nil {
 				session.Write(t)
 			}
-			tokens += tokensOf(t)
+			tokens += estimateTokens(t)
 		} else if list := jsonscan.Array(part); true {
 			for at, ok := list.Element(); ok; at, ok = list.Element() {
 				if _, is := jsonscan.Int(at.Of(part)); !is {
--- a/internal/openai/request.go
+++ b/internal/openai/request.go
@@ -17,19 +17,19 @@
 // Lengths in the API's terms. What a part that is no text takes is an estimate: the module
 // weighs requests by it, nobody is billed by it.
 const (
-	charsPerToken = 4
-	defaultOut    = 512   // tokens, when the caller sets no limit
-	mostOut       = 16384 // that a limit is believed; a higher one says only that there is none
-	messageTokens = 4     // what a message's frame takes
-	maxMessages   = 2048
-	maxChoices    = 128
-	maxInputs     = 2048 // of an embeddings call
+	charsPerToken       = 4
+	defaultOutputTokens = 512   // tokens, when the caller sets no limit
+	maxOutputTokens     = 16384 // that a limit is believed; a higher one says only that there is none
+	messageTokens       = 4     // what a message's frame takes
+	maxMessages         = 2048
+	maxChoices          = 128
+	maxInputs           = 2048 // of an embeddings call
 
-	imageLow      = 85
-	imageHigh     = 765
-	audioBytes    = 1600 // of base64 text, a token: 100 ms at 12 kB/s
-	fileBytes     = 6    // of base64 text, a token
-	unknownTokens = 64
+	imageTokensLow     = 85
+	imageTokensHigh    = 765
+	audioBytesPerToken = 1600 // of base64 text, a token: 100 ms at 12 kB/s
+	fileBytesPerToken  = 6    // of base64 text, a token
+	unknownPartTokens  = 64
 )
 
 var codec = jsoniter.ConfigCompatibleWithStandardLibrary
@@ -45,20 +45,20 @@
 
 // apiRequest is one call of the API, as far as the gateway reads it; the rest passes.
 type apiRequest struct {
-	path    string // engines are called by
-	model   string
-	stream  bool
-	usage   bool // the client wants to see it in the stream
-	choices int
-	limited bool   // the client has said how long an answer may be
-	body    []byte // as engines get it
-	shape   shape
+	path           string // engines are called by
+	model          string
+	stream         bool
+	includeUsage   bool // the client wants to see it in the stream
+	choices        int
+	hasOutputLimit bool   // the client has said how long an answer may be
+	body           []byte // as engines get it
+	shape          shape
 }
 
 // shape is what the module is told of a conversation.
 type shape struct {
-	session, opening           string
-	prompt, openingLen, maxOut int
+	session, prefix                          string
+	promptTokens, prefixLen, maxOutputTokens int
 }
 
 // parse reads a call. Engines get it always streamed and with its usage, whatever the
@@ -69,15 +69,15 @@
 		return nil, err
 	}
 	a := &apiRequest{path: path, choices: 1}
-	if err := f.into("model", &a.model); err != nil {
+	if err := f.decode("model", &a.model); err != nil {
 		return nil, err
 	}
 	if a.model == "" {
 		return nil, paramError{"model", "missing"}
 	}
 	user := ""
-	if err := errors.Join(f.into("stream", &a.stream), f.into("user", &user), f.into("n", &a.choices)); err != nil {
-		return nil, first(err)
+	if err := errors.Join(f.decode("stream", &a.stream), f.decode("user", &user), f.decode("n", &a.choices)); err != nil {
+		return nil, firstError(err)
 	}
 	if a.choices < 1 || a.choices > maxChoices {
 		return nil, paramError{"n", fmt.Sprintf("must be from 1 to %d", maxChoices)}
@@ -88,44 +88,44 @@
 		if a.stream {
 			return nil, paramError{"stream", "embeddings are not streamed"}
 		}
-		tokens, _, err := prompts(f.get("input"), "input", nil)
+		tokens, _, err := countPrompts(f.get("input"), "input", nil)
 		if err != nil {
 			return nil, err
 		}
-		a.shape = shape{prompt: tokens, maxOut: 1}
-		a.body = f.with(nil)
+		a.shape = shape{promptTokens: tokens, maxOutputTokens: 1}
+		a.body = f.replace(nil)
 		return a, nil
 	}
-	limit, err := outLimit(f, a)
+	limit, err := outputLimit(f, a)
 	if err != nil {
 		return nil, err
 	}
 	many := a.choices
 	if path == completionPath {
-		tokens, n, err := prompts(f.get("prompt"), "prompt", session)
+		tokens, n, err := countPrompts(f.get("prompt"), "prompt", session)
 		if err != nil {
 			return nil, err
 		}
-		a.shape.prompt = tokens
+		a.shape.promptTokens = tokens
 		many *= n
-	} else if err := a.messages(f, session); err != nil {
+	} else if err := a.parseMessages(f, session); err != nil {
 		return nil, err
 	}
 	a.choices = many
-	a.shape.maxOut = min(limit*many, mostOut)
+	a.shape.maxOutputTokens = min(limit*many, maxOutputTokens)
 	a.shape.session = hex.EncodeToString(session.Sum(nil)[:8])
-	options, err := readOptions(f, a)
+	options, err := streamOptions(f, a)
 	if err != nil {
 		return nil, err
 	}
-	a.body = f.with(map[string][]byte{"stream": []byte("true"), "stream_options": options}, "stream", "stream_options")
+	a.body = f.replace(map[string][]byte{"stream": []byte("true"), "stream_options": options}, "stream", "stream_options")
 	return a, nil
 }
 
-// goOn is the call that has an engine go on from an answer's text so far, in the way that
+// continuation is the call that has an engine go on from an answer's text so far, in the way that
 // engines with a chat template offer: the last message is the assistant's own, and is
 // continued instead of answered.
-func (a *apiRequest) goOn(said []byte, tokens int) (*apiRequest, error) {
+func (a *apiRequest) continuation(said []byte, tokens int) (*apiRequest, error) {
 	f, err := readFields(a.body)
 	if err != nil {
 		return nil, err
@@ -136,7 +136,7 @@
 	}
 	messages := append([]byte(nil), list[:len(list)-1]...)
 	messages = append(messages, `,{"role":"assistant","content":`...)
-	messages = append(append(messages, quoted(string(said))...), "}]"...)
+	messages = append(append(messages, quote(string(said))...), "}]"...)
 	set := map[string][]byte{"messages": messages, "continue_final_message": []byte("true"), "add_generation_prompt": []byte("false")}
 	order := []string{"messages", "continue_final_message", "add_generation_prompt"}
 	for _, name := range []string{"max_tokens", "max_completion_tokens"} {
@@ -146,22 +146,22 @@
 		}
 	}
 	next := *a
-	next.body = f.with(set, order...)
-	next.shape.prompt += tokensOf(said) + messageTokens
-	next.shape.maxOut = max(1, a.shape.maxOut-tokens)
+	next.body = f.replace(set, order...)
+	next.shape.promptTokens += estimateTokens(said) + messageTokens
+	next.shape.maxOutputTokens = max(1, a.shape.maxOutputTokens-tokens)
 	return &next, nil
 }
 
-// first is the first of joined errors.
-func first(err error) error {
+// firstError is the first of joined errors.
+func firstError(err error) error {
 	if j, is := err.(interface{ Unwrap() []error }); is {
 		return j.Unwrap()[0]
 	}
 	return err
 }
 
-// readOptions returns the stream options that engines get: the client's, and the usage.
-func readOptions(f *fields, a *apiRequest) ([]byte, error) {
+// streamOptions returns the stream options that engines get: the client's, and the usage.
+func streamOptions(f *fields, a *apiRequest) ([]byte, error) {
 	const usage = `{"include_usage":true}`
 	raw := f.get("stream_options")
 	if raw == nil {
@@ -169,20 +169,20 @@
 	}
 	o, err := readFields(raw)
 	if err == nil {
-		err = o.into("include_usage", &a.usage)
+		err = o.decode("include_usage", &a.includeUsage)
 	}
 	if err != nil {
 		return nil, paramError{"stream_options", "has the wrong type"}
 	}
-	return o.with(map[string][]byte{"include_usage": []byte("true")}, "include_usage"), nil
+	return o.replace(map[string][]byte{"include_usage": []byte("true")}, "include_usage"), nil
 }
 
-// outLimit returns the most tokens of one choice.
-func outLimit(f *fields, a *apiRequest) (int, error) {
-	limit := defaultOut
+// outputLimit returns the most tokens of one choice.
+func outputLimit(f *fields, a *apiRequest) (int, error) {
+	limit := defaultOutputTokens
 	for _, name := range []string{"max_tokens", "max_completion_tokens"} {
 		value := 1.0
-		if err := f.into(name, &value); err != nil {
+		if err := f.decode(name, &value); err != nil {
 			return 0, err
 		}
 		if f.get(name) == nil {
@@ -191,8 +191,8 @@
 		if value < 1 {
 			return 0, paramError{name, "must be at least 1"}
 		}
-		a.limited = true
-		limit = int(min(value, mostOut))
+		a.hasOutputLimit = true
+		limit = int(min(value, maxOutputTokens))
 	}
 	return limit, nil
 }
--- a/internal/openai/responses.go
+++ b/internal/openai/responses.go
@@ -12,8 +12,8 @@
 // engines offer: its input becomes messages, the chunks become typed events. Nothing is
 // stored, so that what refers to an earlier response can't be served.
 
-// part is one part of an input item's content.
-type part struct {
+// inputPart is one part of an input item's content.
+type inputPart struct {
 	Type     string `json:"type"`
 	Text     string `json:"text"`
 	Refusal  string `json:"refusal"`
@@ -24,8 +24,8 @@
 	Filename string `json:"filename"`
 }
 
-// item is one item of the input.
-type item struct {
+// inputItem is one item of the input.
+type inputItem struct {
 	Type      string              `json:"type"`
 	Role      string              `json:"role"`
 	Content   jsoniter.RawMessage `json:"content"`
@@ -36,14 +36,14 @@
 }
 
 // Fields of the responses API that are written otherwise for a chat, or not at all.
-var responseFields = map[string]bool{
+var responsesOnlyFields = map[string]bool{
 	"input": true, "instructions": true, "max_output_tokens": true, "tools": true, "tool_choice": true, "text": true, "reasoning": true,
 	"store": true, "include": true, "truncation": true, "background": true, "previous_response_id": true, "conversation": true, "prompt": true,
 	"max_tool_calls": true,
 }
 
 // parseResponses reads a call of the responses API as a chat.
-func parseResponses(data []byte, team string) (*apiRequest, *typedAnswer, error) {
+func parseResponses(data []byte, team string) (*apiRequest, *responsesEncoder, error) {
 	f, err := readFields(data)
 	if err != nil {
 		return nil, nil, err
@@ -68,10 +68,10 @@
 			order = append(order, name)
 		}
 	}
-	for name := range responseFields {
+	for name := range responsesOnlyFields {
 		set[name] = nil
 	}
-	t := &typedAnswer{echo: map[string]jsoniter.RawMessage{}, calls: map[int]*outItem{}}
+	t := &responsesEncoder{echo: map[string]jsoniter.RawMessage{}, toolCalls: map[int]*outputItem{}}
 	for _, name := range []string{"instructions", "max_output_tokens", "tools", "tool_choice", "text", "reasoning", "temperature", "top_p", "parallel_tool_calls", "metadata", "user", "truncation"} {
 		if raw := f.get(name); raw != nil {
 			t.echo[name] = bytes.Clone(raw)
@@ -83,7 +83,7 @@
 	var reasoning struct {
 		Effort string `json:"effort"`
 	}
-	if err := f.into("reasoning", &reasoning); err != nil {
+	if err := f.decode("reasoning", &reasoning); err != nil {
 		return nil, nil, err
 	}
 	if reasoning.Effort != "" {
@@ -95,14 +95,14 @@
 	if err := chatFormat(f, put); err != nil {
 		return nil, nil, err
 	}
-	a, err := parse(chatPath, f.with(set, order...), team)
+	a, err := parse(chatPath, f.replace(set, order...), team)
 	return a, t, err
 }
 
 func inputMessages(f *fields) ([]byte, error) {
 	var list []any
 	if raw := f.get("instructions"); raw != nil {
-		t, is := text(raw)
+		t, is := unquote(raw)
 		if !is {
 			return nil, paramError{"instructions", "is no text"}
 		}
@@ -112,11 +112,11 @@
 	if raw == nil {
 		return nil, paramError{"input", "missing"}
 	}
-	if t, is := text(raw); is {
+	if t, is := unquote(raw); is {
 		list = append(list, map[string]any{"role": "user", "content": string(t)})
 		return codec.Marshal(list)
 	}
-	var items []item
+	var items []inputItem
 	if codec.Unmarshal(raw, &items) != nil {
 		return nil, paramError{"input", "is neither a text nor a list of items"}
 	}
@@ -163,10 +163,10 @@
 	if len(raw) == 0 || isNull(raw) {
 		return "", nil
 	}
-	if t, is := text(raw); is {
+	if t, is := unquote(raw); is {
 		return string(t), nil
 	}
-	var parts []part
+	var parts []inputPart
 	if codec.Unmarshal(raw, &parts) != nil {
 		return nil, errors.New("content is neither a string nor a list of parts")
 	}
@@ -200,7 +200,7 @@
 
 func chatTools(f *fields, put func(string, any)) error {
 	var tools []map[string]jsoniter.RawMessage
-	if err := f.into("tools", &tools); err != nil {
+	if err := f.decode("tools", &tools); err != nil {
 		return err
 	}
 	var out []any
@@ -223,7 +223,7 @@
 	if raw == nil {
 		return nil
 	}
-	if _, is := text(raw); is {
+	if _, is := unquote(raw); is {
 		put("tool_choice", jsoniter.RawMessage(raw))
 		return nil
 	}
@@ -242,7 +242,7 @@
 	var format struct {
 		Format map[string]jsoniter.RawMessage `json:"format"`
 	}
-	if err := f.into("text", &format); err != nil {
+	if err := f.decode("text", &format); err != nil {
 		return err
 	}
 	switch string(format.Format["type"]) {
--- a/internal/openai/resume_test.go
+++ b/internal/openai/resume_test.go
@@ -47,13 +47,13 @@
 				switch {
 				case stream && bytes.HasSuffix(all, []byte("data: [DONE]\n\n")):
 					r := newRewriter(testHead, false, true)
-					if _, err := r.take(nil, all); err != nil {
+					if _, err := r.translate(nil, all); err != nil {
 						t.Fatal(err)
 					}
-					if said, _ := r.so.Said(); string(said) != want {
+					if said, _ := r.state.Said(); string(said) != want {
 						t.Errorf("%q", said)
 					}
-					for i := 0; times > 0 && i < r.so.Seen(); i++ {
+					for i := 0; times > 0 && i < r.state.Seen(); i++ {
 						if !bytes.Contains(all, fmt.Appendf(nil, "id: %d\ndata: {", i)) {
 							t.Errorf("event %d is missing:\n%s", i, all)
 						}
--- a/internal/openai/rewrite.go
+++ b/internal/openai/rewrite.go
@@ -10,13 +10,13 @@
 	"wellgw/internal/sse"
 )
 
-// done is the data of the event that ends a stream.
-const done = "[DONE]"
+// doneData is the data of the event that ends a stream.
+const doneData = "[DONE]"
 
 // Faults of a stream that its client is told of.
 var (
-	errNotChunk = errors.New("an event that is no JSON object")
-	errCut      = errors.New("the stream ended before its answer did")
+	errInvalidChunk = errors.New("an event that is no JSON object")
+	errTruncated    = errors.New("the stream ended before its answer did")
 )
 
 // reportedError is an engine's own word, in the middle of a stream, that it has failed.
@@ -34,131 +34,131 @@
 // are the gateway's, what engines leave out is added, and all else passes byte by byte.
 // Nothing is decoded, and nothing allocated for an event.
 type rewriter struct {
-	scan    sse.Scanner
-	each    func(sse.Event) error
-	out     []byte
-	id      []byte // JSON texts
-	model   []byte
-	object  []byte
-	created []byte
-	usage   bool // the client wants to see it
-	follows bool // events are numbered, and what they say is noted, so that an answer which breaks can go on
-	like    template
-	so      resume.Answer
+	scanner      sse.Scanner
+	onEvent      func(sse.Event) error
+	out          []byte
+	id           []byte // JSON texts
+	model        []byte
+	object       []byte
+	created      []byte
+	includeUsage bool // the client wants to see it
+	resumable    bool // events are numbered, and what they say is noted, so that an answer which breaks can go on
+	template     template
+	state        resume.Answer
 }
 
 func newRewriter(h head, usage, follows bool) *rewriter {
 	r := &rewriter{
-		id: quoted(h.id), model: quoted(h.model), object: quoted(h.object), created: strconv.AppendInt(nil, h.created, 10),
-		usage: usage, follows: follows,
+		id: quote(h.id), model: quote(h.model), object: quote(h.object), created: strconv.AppendInt(nil, h.created, 10),
+		includeUsage: usage, resumable: follows,
 	}
-	r.each = r.event
+	r.onEvent = r.handleEvent
 	return r
 }
 
-func (r *rewriter) kind() string           { return eventStream }
-func (r *rewriter) answer() *resume.Answer { return &r.so }
-func (r *rewriter) complete() bool         { return r.so.Over() }
-func (r *rewriter) drop()                  { r.scan = sse.Scanner{} }
-func (r *rewriter) next()                  { r.so.Next() }
+func (r *rewriter) contentType() string      { return eventStream }
+func (r *rewriter) progress() *resume.Answer { return &r.state }
+func (r *rewriter) complete() bool           { return r.state.Over() }
+func (r *rewriter) discardPartial()          { r.scanner = sse.Scanner{} }
+func (r *rewriter) nextAttempt()             { r.state.Next() }
 
-// take adds what the client gets, now that p has come, to dst.
-func (r *rewriter) take(dst, p []byte) ([]byte, error) {
+// translate adds what the client gets, now that p has come, to dst.
+func (r *rewriter) translate(dst, p []byte) ([]byte, error) {
 	r.out = dst
-	err := r.scan.Write(p, r.each)
+	err := r.scanner.Write(p, r.onEvent)
 	return r.out, err
 }
 
-// end takes in the end of a stream. Engines are known to leave out the last event; an
+// finish takes in the end of a stream. Engines are known to leave out the last event; an
 // answer of which a choice has not ended is cut off.
-func (r *rewriter) end(dst []byte) ([]byte, error) {
+func (r *rewriter) finish(dst []byte) ([]byte, error) {
 	r.out = dst
-	if err := r.scan.End(r.each); err != nil || r.so.Over() {
+	if err := r.scanner.End(r.onEvent); err != nil || r.state.Over() {
 		return r.out, err
 	}
-	if !r.so.Whole() {
-		return r.out, errCut
+	if !r.state.Whole() {
+		return r.out, errTruncated
 	}
-	return r.over(), nil
+	return r.writeDone(), nil
 }
 
-// over writes the last event.
-func (r *rewriter) over() []byte {
-	r.so.Last()
-	r.out = append(r.out, "data: "+done+"\n\n"...)
+// writeDone writes the last event.
+func (r *rewriter) writeDone() []byte {
+	r.state.Last()
+	r.out = append(r.out, "data: "+doneData+"\n\n"...)
 	return r.out
 }
 
-// fail is the event that ends an answer which broke.
-func (r *rewriter) fail(e apiError) []byte {
+// failure is the event that ends an answer which broke.
+func (r *rewriter) failure(e apiError) []byte {
 	return append(append([]byte("data: "), e.object()...), "\n\n"...)
 }
 
 var (
-	lastData    = []byte(done)
+	doneBytes   = []byte(doneData)
 	nameID      = []byte("id")
 	nameObject  = []byte("object")
 	nameCreated = []byte("created")
 	nameModel   = []byte("model")
 )
 
-func (r *rewriter) event(e sse.Event) error {
+func (r *rewriter) handleEvent(e sse.Event) error {
 	data := bytes.TrimSpace(e.Data)
-	if r.so.Over() || len(data) == 0 {
+	if r.state.Over() || len(data) == 0 {
 		return nil
 	}
-	if bytes.Equal(data, lastData) {
-		r.over()
+	if bytes.Equal(data, doneBytes) {
+		r.writeDone()
 		return nil
 	}
-	if r.like.of > 0 && r.repeat(data) {
+	if r.template.prefixLen > 0 && r.applyTemplate(data) {
 		return nil
 	}
 	from := len(r.out)
-	r.like.of = 0
-	if r.follows {
-		r.number()
+	r.template.prefixLen = 0
+	if r.resumable {
+		r.writeEventID()
 	}
 	r.out = append(r.out, "data: {"...)
-	has, err := r.members(data, from)
+	has, err := r.rewriteMembers(data, from)
 	if err != nil {
 		r.out = r.out[:from]
 		return err
 	}
-	r.missing(has)
+	r.addMissing(has)
 	if bytes.IndexByte(data, '\n') >= 0 || bytes.IndexByte(data, '\r') >= 0 {
-		flat(r.out[bytes.IndexByte(r.out[from:], '{')+from:]) // in JSON a line feed stands between values only
+		replaceLineBreaks(r.out[bytes.IndexByte(r.out[from:], '{')+from:]) // in JSON a line feed stands between values only
 	}
 	r.out = append(r.out, "}\n\n"...)
 	if has.choices {
-		some, err := progress(&r.so, has.choicesSpan.Of(data), r.follows)
+		some, err := recordChoices(&r.state, has.choicesSpan.Of(data), r.resumable)
 		if err != nil {
 			r.out = r.out[:from]
 			return err
 		}
-		if !some && has.counts && !r.usage {
+		if !some && has.usage && !r.includeUsage {
 			r.out = r.out[:from] // asked for by the gateway, not by the client
 			return nil
 		}
-		if !has.counts {
-			r.like.learn(data, has.choicesSpan, has.choicesAt, r.out[from:])
+		if !has.usage {
+			r.template.capture(data, has.choicesSpan, has.choicesStart, r.out[from:])
 		}
 	}
-	r.so.Passed()
+	r.state.Passed()
 	return nil
 }
 
-// found is what an event had of the members that the rewriter looks at.
-type found struct {
-	id, model, object, created, counts, choices bool
+// memberSet is what an event had of the members that the rewriter looks at.
+type memberSet struct {
+	id, model, object, created, usage, choices bool
 
-	choicesSpan jsonscan.Span // in what came
-	choicesAt   int           // in what goes out, from the event's begin
+	choicesSpan  jsonscan.Span // in what came
+	choicesStart int           // in what goes out, from the event's begin
 }
 
-// members writes an event's members, those that name the answer replaced. from is where the
+// rewriteMembers writes an event's members, those that name the answer replaced. from is where the
 // event begins in what goes out.
-func (r *rewriter) members(data []byte, from int) (has found, err error) {
+func (r *rewriter) rewriteMembers(data []byte, from int) (has memberSet, err error) {
 	w := jsonscan.Object(data)
 	for {
 		name, value, ok := w.Next()
@@ -178,15 +178,15 @@
 		case "choices":
 			has.choices, has.choicesSpan = true, value
 		case "usage":
-			has.counts = !value.Null(data)
-			if !r.usage {
+			has.usage = !value.Null(data)
+			if !r.includeUsage {
 				continue
 			}
 		case "error":
 			if value.Null(data) {
 				continue
 			}
-			return has, reportedError{message(text)}
+			return has, reportedError{errorMessage(text)}
 		}
 		if r.out[len(r.out)-1] != '{' {
 			r.out = append(r.out, ',')
@@ -195,17 +195,17 @@
 		// The name as it came, then the value.
 		r.out = append(append(r.out, data[member.Start:value.Start]...), text...)
 		if has.choices && value == has.choicesSpan {
-			has.choicesAt = len(r.out) - len(text) - from
+			has.choicesStart = len(r.out) - len(text) - from
 		}
 	}
 	if w.Err() != nil {
-		return has, errNotChunk
+		return has, errInvalidChunk
 	}
 	return has, nil
 }
 
-// missing adds the members that every event has and this one had not.
-func (r *rewriter) missing(has found) {
+// addMissing adds the members that every event has and this one had not.
+func (r *rewriter) addMissing(has memberSet) {
 	if !has.id {
 		r.out = appendMember(r.out, nameID, r.id)
 	}
@@ -220,64 +220,64 @@
 	}
 }
 
-// number writes the number of the event under way.
-func (r *rewriter) number() {
-	r.out = append(strconv.AppendInt(append(r.out, "id: "...), int64(r.so.Seen()), 10), '\n')
+// writeEventID writes the number of the event under way.
+func (r *rewriter) writeEventID() {
+	r.out = append(strconv.AppendInt(append(r.out, "id: "...), int64(r.state.Seen()), 10), '\n')
 }
 
 // template is an event whose one choice has said a piece of content and nothing else, as it
 // came and as it went out. The next event mostly differs in that piece alone: what comes
 // before and after it has then been checked already, and goes out as it did.
 type template struct {
-	of           int // bytes before the piece; 0 = there is no template
-	in, out      []byte
-	after, outOf int // where what follows the piece begins, in in; and the piece, in out
-	outAfter     int
+	prefixLen                       int // bytes before the piece; 0 = there is no template
+	input, output                   []byte
+	suffixStart, outputContentStart int // where what follows the piece begins, in in; and the piece, in out
+	outputSuffixStart               int
 }
 
-// learn takes an event as the template, if it is of that form.
-func (t *template) learn(data []byte, choices jsonscan.Span, at int, out []byte) {
-	piece, is := onlyContent(choices.Of(data))
+// capture takes an event as the template, if it is of that form.
+func (t *template) capture(data []byte, choices jsonscan.Span, at int, out []byte) {
+	piece, is := soleContent(choices.Of(data))
 	if !is {
 		return
 	}
 	start, end := choices.Start+piece.Start, choices.Start+piece.End
-	t.in, t.out = append(t.in[:0], data...), append(t.out[:0], out...)
-	t.of, t.after = start, end
-	t.outOf, t.outAfter = at+piece.Start, at+piece.End
+	t.input, t.output = append(t.input[:0], data...), append(t.output[:0], out...)
+	t.prefixLen, t.suffixStart = start, end
+	t.outputContentStart, t.outputSuffixStart = at+piece.Start, at+piece.End
 }
 
-// repeat passes an event on by the template; false if it is of another form.
-func (r *rewriter) repeat(data []byte) bool {
-	t := &r.like
-	rest := t.in[t.after:]
-	if len(data) < t.of+len(rest) || !bytes.Equal(data[:t.of], t.in[:t.of]) || !bytes.HasSuffix(data, rest) {
+// applyTemplate passes an event on by the template; false if it is of another form.
+func (r *rewriter) applyTemplate(data []byte) bool {
+	t := &r.template
+	rest := t.input[t.suffixStart:]
+	if len(data) < t.prefixLen+len(rest) || !bytes.Equal(data[:t.prefixLen], t.input[:t.prefixLen]) || !bytes.HasSuffix(data, rest) {
 		return false
 	}
-	if jsonscan.String(data, t.of) != len(data)-len(rest) || data[t.of+1] == '"' {
+	if jsonscan.String(data, t.prefixLen) != len(data)-len(rest) || data[t.prefixLen+1] == '"' {
 		return false
 	}
-	piece := data[t.of : len(data)-len(rest)]
-	out := t.out[:t.outOf]
-	if r.follows {
-		text, is := text(piece)
+	piece := data[t.prefixLen : len(data)-len(rest)]
+	out := t.output[:t.outputContentStart]
+	if r.resumable {
+		text, is := unquote(piece)
 		if !is {
 			return false
 		}
-		r.so.Say(text)
-		r.number()
+		r.state.Say(text)
+		r.writeEventID()
 		out = out[bytes.Index(out, dataField):]
 	}
-	r.out = append(append(append(r.out, out...), piece...), t.out[t.outAfter:]...)
-	r.so.Passed()
+	r.out = append(append(append(r.out, out...), piece...), t.output[t.outputSuffixStart:]...)
+	r.state.Passed()
 	return true
 }
 
 var dataField = []byte("data: ")
 
-// onlyContent returns where the content stands in choices that are one, whose delta is a
+// soleContent returns where the content stands in choices that are one, whose delta is a
 // piece of content and that has not ended.
-func onlyContent(choices []byte) (piece jsonscan.Span, is bool) {
+func soleContent(choices []byte) (piece jsonscan.Span, is bool) {
 	list := jsonscan.Array(choices)
 	at, ok := list.Element()
 	if _, more := list.Element(); !ok || more || list.Err() != nil {
@@ -314,7 +314,7 @@
 	return jsonscan.Span{Start: from, End: from + value.End - value.Start}, true
 }
 
-func flat(text []byte) {
+func replaceLineBreaks(text []byte) {
 	for i, c := range text {
 		if c == '\n' || c == '\r' {
 			text[i] = ' '
@@ -322,9 +322,9 @@
 	}
 }
 
-// progress notes which choices have come and ended and, if it hears, what they say; some
+// recordChoices notes which choices have come and ended and, if it hears, what they say; some
 // tells whether there was any.
-func progress(so *resume.Answer, choices []byte, hears bool) (some bool, err error) {
+func recordChoices(so *resume.Answer, choices []byte, hears bool) (some bool, err error) {
 	w := jsonscan.Array(choices)
 	for at, ok := w.Element(); ok; at, ok = w.Element() {
 		some = true
@@ -345,21 +345,21 @@
 			}
 		}
 		if c.Err() != nil {
-			return some, errNotChunk
+			return some, errInvalidChunk
 		}
 		if hears {
-			hear(so, index, delta.Of(choice))
+			recordDelta(so, index, delta.Of(choice))
 		}
 		so.Choice(index, ended)
 	}
 	if w.Err() != nil && !isNull(choices) {
-		return some, errNotChunk
+		return some, errInvalidChunk
 	}
 	return some, nil
 }
 
-// hear notes what a choice's delta says.
-func hear(so *resume.Answer, index int, delta []byte) {
+// recordDelta notes what a choice's delta says.
+func recordDelta(so *resume.Answer, index int, delta []byte) {
 	if index != 0 {
 		so.Other()
 	}
@@ -369,7 +369,7 @@
 		switch {
 		case string(name) == "role" || value.Null(delta) || string(v) == `""` || string(v) == `[]`:
 		case string(name) == "content":
-			if t, is := text(v); is {
+			if t, is := unquote(v); is {
 				so.Say(t)
 			}
 		default:
@@ -380,8 +380,8 @@
 
 func isNull(text []byte) bool { return len(text) > 0 && text[0] == 'n' }
 
-// message is what an error object says.
-func message(object []byte) string {
+// errorMessage is what an error object says.
+func errorMessage(object []byte) string {
 	var e struct {
 		Message string `json:"message"`
 	}
@@ -391,14 +391,14 @@
 	return firstLine(e.Message)
 }
 
-// opens tells whether an event begins an answer. Where the lead may be held back, that is
+// startsAnswer tells whether an event begins an answer. Where the lead may be held back, that is
 // the first one with something in it: a token, a call, an end.
-func opens(data []byte, holdLead bool) (bool, error) {
+func startsAnswer(data []byte, holdLead bool) (bool, error) {
 	data = bytes.TrimSpace(data)
 	if len(data) == 0 {
 		return false, nil
 	}
-	if bytes.Equal(data, lastData) {
+	if bytes.Equal(data, doneBytes) {
 		return true, nil
 	}
 	w := jsonscan.Object(data)
@@ -411,20 +411,20 @@
 		switch string(name) {
 		case "error":
 			if !value.Null(data) {
-				return false, reportedError{message(value.Of(data))}
+				return false, reportedError{errorMessage(value.Of(data))}
 			}
 		case "choices":
-			token = token || says(value.Of(data))
+			token = token || hasContent(value.Of(data))
 		}
 	}
 	if w.Err() != nil {
-		return false, errNotChunk
+		return false, errInvalidChunk
 	}
 	return token || !holdLead, nil
 }
 
-// says tells whether choices hold more than a role.
-func says(choices []byte) bool {
+// hasContent tells whether choices hold more than a role.
+func hasContent(choices []byte) bool {
 	w := jsonscan.Array(choices)
 	for at, ok := w.Element(); ok; at, ok = w.Element() {
 		choice := at.Of(choices)
--- a/internal/openai/rewrite_test.go
+++ b/internal/openai/rewrite_test.go
@@ -36,14 +36,14 @@
 			return
 		}
 		r := newRewriter(testHead, true, false)
-		out, err := r.take(nil, append(append([]byte("data: "), bytes.ReplaceAll(data, []byte("\n"), []byte("\ndata: "))...), "\n\n"...))
+		out, err := r.translate(nil, append(append([]byte("data: "), bytes.ReplaceAll(data, []byte("\n"), []byte("\ndata: "))...), "\n\n"...))
 		if err != nil {
-			if w := in["error"]; w != nil && string(w) != "null" || errors.Is(err, errNotChunk) {
+			if w := in["error"]; w != nil && string(w) != "null" || errors.Is(err, errInvalidChunk) {
 				return
 			}
 			t.Fatal(err)
 		}
-		if bytes.Equal(bytes.TrimSpace(data), lastData) {
+		if bytes.Equal(bytes.TrimSpace(data), doneBytes) {
 			return
 		}
 		text, found := bytes.CutPrefix(out, []byte("data: "))
@@ -86,14 +86,14 @@
 			var out []byte
 			for _, e := range [][]byte{one, two, two, one} {
 				if !templates {
-					r.like.of = 0
+					r.template.prefixLen = 0
 				}
 				var err error
-				if out, err = r.take(out, append(append([]byte("data: "), e...), "\n\n"...)); err != nil {
+				if out, err = r.translate(out, append(append([]byte("data: "), e...), "\n\n"...)); err != nil {
 					return string(out), err
 				}
 			}
-			return fmt.Sprintf("%s %+v", out, r.so), nil
+			return fmt.Sprintf("%s %+v", out, r.state), nil
 		}
 		want, werr := play(false)
 		got, err := play(true)
@@ -120,30 +120,30 @@
 		err    error
 		last   bool // [DONE] goes out
 	}{
-		"last event":                   {[]string{chunkOf(0, `"stop"`), done}, nil, true},
-		"last event without a finish":  {[]string{chunkOf(0, `null`), done}, nil, true},
+		"last event":                   {[]string{chunkOf(0, `"stop"`), doneData}, nil, true},
+		"last event without a finish":  {[]string{chunkOf(0, `null`), doneData}, nil, true},
 		"no last event":                {[]string{chunkOf(0, `null`), chunkOf(0, `"stop"`)}, nil, true},
-		"one choice has not ended":     {[]string{chunkOf(0, `null`), chunkOf(1, `null`), chunkOf(0, `"stop"`)}, errCut, false},
-		"none has":                     {[]string{chunkOf(0, `null`)}, errCut, false},
-		"nothing":                      {nil, errCut, false},
-		"usage before the last choice": {[]string{chunkOf(0, `null`), chunkOf(1, `null`), `{"choices":[],"usage":{"prompt_tokens":1}}`, chunkOf(0, `"stop"`), chunkOf(1, `"stop"`), done}, nil, true},
-		"events after the last":        {[]string{chunkOf(0, `"stop"`), done, chunkOf(0, `null`)}, nil, true},
-		"an error in the middle":       {[]string{chunkOf(0, `null`), `{"error":{"message":"out of memory"}}`, done}, reportedError{"out of memory"}, false},
-		"no object":                    {[]string{chunkOf(0, `null`), `[1]`, done}, errNotChunk, false},
-		"broken JSON":                  {[]string{`{"choices":[{"index":0,"delta":{"content":"w}]}`, done}, errNotChunk, false},
+		"one choice has not ended":     {[]string{chunkOf(0, `null`), chunkOf(1, `null`), chunkOf(0, `"stop"`)}, errTruncated, false},
+		"none has":                     {[]string{chunkOf(0, `null`)}, errTruncated, false},
+		"nothing":                      {nil, errTruncated, false},
+		"usage before the last choice": {[]string{chunkOf(0, `null`), chunkOf(1, `null`), `{"choices":[],"usage":{"prompt_tokens":1}}`, chunkOf(0, `"stop"`), chunkOf(1, `"stop"`), doneData}, nil, true},
+		"events after the last":        {[]string{chunkOf(0, `"stop"`), doneData, chunkOf(0, `null`)}, nil, true},
+		"an error in the middle":       {[]string{chunkOf(0, `null`), `{"error":{"message":"out of memory"}}`, doneData}, reportedError{"out of memory"}, false},
+		"no object":                    {[]string{chunkOf(0, `null`), `[1]`, doneData}, errInvalidChunk, false},
+		"broken JSON":                  {[]string{`{"choices":[{"index":0,"delta":{"content":"w}]}`, doneData}, errInvalidChunk, false},
 	} {
 		r := newRewriter(testHead, false, false)
 		var out []byte
 		var err error
 		for _, e := range c.events {
-			if out, err = r.take(out, []byte("data: "+e+"\n\n")); err != nil {
+			if out, err = r.translate(out, []byte("data: "+e+"\n\n")); err != nil {
 				break
 			}
 		}
 		if err == nil {
-			out, err = r.end(out)
+			out, err = r.finish(out)
 		}
-		if !errors.Is(err, c.err) || bytes.HasSuffix(out, []byte("data: [DONE]\n\n")) != c.last || bytes.Count(out, []byte(done)) > 1 {
+		if !errors.Is(err, c.err) || bytes.HasSuffix(out, []byte("data: [DONE]\n\n")) != c.last || bytes.Count(out, []byte(doneData)) > 1 {
 			t.Errorf("%s: %v, %q", name, err, out)
 		}
 		if c.err == nil && bytes.Contains(out, []byte("usage")) {
@@ -171,7 +171,7 @@
 		`{"cho`:                                                                                    {false, false, true},
 	} {
 		for hold, want := range map[bool]bool{true: c.held, false: c.atOnce} {
-			got, err := opens([]byte(data), hold)
+			got, err := startsAnswer([]byte(data), hold)
 			if got != want || (err != nil) != c.fails {
 				t.Errorf("%s, held %v: %v, %v", data, hold, got, err)
 			}
@@ -189,13 +189,13 @@
 		`{"choices":[{"index":1,"delta":{"content":"w\u00e9"},"finish_reason":null}]}`, `{"choices":[{"index":1,"delta":{"content":"!"},"finish_reason":"stop"}]}`,
 		`{"choices":[],"usage":{"prompt_tokens":3}}`,
 	}
-	w := &whole{head: testHead}
+	w := &collector{head: testHead}
 	for _, e := range events {
-		if _, err := w.take(nil, []byte("data: "+e+"\r\n\r\n")); err != nil {
+		if _, err := w.translate(nil, []byte("data: "+e+"\r\n\r\n")); err != nil {
 			t.Fatal(err)
 		}
 	}
-	got, err := w.end(nil)
+	got, err := w.finish(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -244,7 +244,7 @@
 			Model  string
 			Stream bool
 		}
-		if err := json.Unmarshal(a.body, &got); err != nil || path != embeddingPath && !got.Stream || a.model == "" || a.shape.prompt < 0 || a.shape.maxOut < 1 {
+		if err := json.Unmarshal(a.body, &got); err != nil || path != embeddingPath && !got.Stream || a.model == "" || a.shape.promptTokens < 0 || a.shape.maxOutputTokens < 1 {
 			t.Fatalf("%q: %v, %q, %+v", data, err, a.body, a)
 		}
 		w := jsonscan.Object(a.body)
@@ -270,7 +270,7 @@
 		out := make([]byte, 0, 64<<10)
 		for b.Loop() {
 			r := newRewriter(testHead, false, false)
-			if _, err := r.take(out[:0], text); err != nil {
+			if _, err := r.translate(out[:0], text); err != nil {
 				b.Fatal(err)
 			}
 		}
@@ -281,7 +281,7 @@
 		for b.Loop() {
 			var s sse.Scanner
 			if err := s.Write(text, func(e sse.Event) error {
-				var c typedChunk
+				var c chatChunk
 				if err := codec.Unmarshal(e.Data, &c); err != nil {
 					return err
 				}
--- a/internal/openai/typedanswer.go
+++ b/internal/openai/typedanswer.go
@@ -11,54 +11,54 @@
 	"wellgw/internal/sse"
 )
 
-// typedAnswer is an answer of the responses API as it grows.
-type typedAnswer struct {
-	echo    map[string]jsoniter.RawMessage // of the request
-	head    head
-	scan    sse.Scanner
-	out     []byte
-	number  int // of the next event
-	begun   bool
-	items   []*outItem
-	calls   map[int]*outItem // by the index of a tool call
-	finish  string
-	usage   jsoniter.RawMessage
-	size    int
-	streams bool // the client gets events, not the response alone
-	so      resume.Answer
+// responsesEncoder is an answer of the responses API as it grows.
+type responsesEncoder struct {
+	echo         map[string]jsoniter.RawMessage // of the request
+	head         head
+	scanner      sse.Scanner
+	out          []byte
+	sequence     int // of the next event
+	started      bool
+	items        []*outputItem
+	toolCalls    map[int]*outputItem // by the index of a tool call
+	finishReason string
+	usage        jsoniter.RawMessage
+	size         int
+	streaming    bool // the client gets events, not the response alone
+	state        resume.Answer
 }
 
-func (t *typedAnswer) kind() string {
-	if t.streams {
+func (t *responsesEncoder) contentType() string {
+	if t.streaming {
 		return eventStream
 	}
 	return jsonType
 }
 
-func (t *typedAnswer) answer() *resume.Answer { return &t.so }
+func (t *responsesEncoder) progress() *resume.Answer { return &t.state }
 
-func (t *typedAnswer) complete() bool { return false }
-func (t *typedAnswer) drop()          { t.scan = sse.Scanner{} }
+func (t *responsesEncoder) complete() bool  { return false }
+func (t *responsesEncoder) discardPartial() { t.scanner = sse.Scanner{} }
 
-// next forgets what came: its client has been given none of it, as events of an answer
+// nextAttempt forgets what came: its client has been given none of it, as events of an answer
 // that has begun can't go on.
-func (t *typedAnswer) next() {
-	*t = typedAnswer{echo: t.echo, head: t.head, streams: t.streams, calls: map[int]*outItem{}}
+func (t *responsesEncoder) nextAttempt() {
+	*t = responsesEncoder{echo: t.echo, head: t.head, streaming: t.streaming, toolCalls: map[int]*outputItem{}}
 }
 
-// outItem is one item of the output.
-type outItem struct {
+// outputItem is one item of the output.
+type outputItem struct {
 	id, kind     string // kind: message, function_call
 	index        int
-	partOpen     string // the type of the part under way; "" for none
+	openPart     string // the type of the part under way; "" for none
 	text         []byte
 	refusal      []byte
 	callID, name string
 	arguments    []byte
 }
 
-// typedChunk is what is read of a chunk.
-type typedChunk struct {
+// chatChunk is what is read of a chunk.
+type chatChunk struct {
 	Choices []struct {
 		Delta struct {
 			Content   string `json:"content"`
@@ -79,14 +79,14 @@
 }
 
 // emit adds an event, numbered, so that a client can tell that none is missing.
-func (t *typedAnswer) emit(kind string, fields map[string]any) {
-	if !t.streams {
+func (t *responsesEncoder) emit(kind string, fields map[string]any) {
+	if !t.streaming {
 		return
 	}
-	t.so.Passed()
-	t.so.Other() // typed events can't go on at another engine
-	fields["type"], fields["sequence_number"] = kind, t.number
-	t.number++
+	t.state.Passed()
+	t.state.Other() // typed events can't go on at another engine
+	fields["type"], fields["sequence_number"] = kind, t.sequence
+	t.sequence++
 	raw, err := codec.Marshal(fields)
 	if err != nil {
 		return
@@ -95,29 +95,29 @@
 	t.out = append(append(t.out, raw...), "\n\n"...)
 }
 
-// take adds the events that come of p to dst.
-func (t *typedAnswer) take(dst, p []byte) ([]byte, error) {
+// translate adds the events that come of p to dst.
+func (t *responsesEncoder) translate(dst, p []byte) ([]byte, error) {
 	t.out = dst
-	err := t.scan.Write(p, t.event)
+	err := t.scanner.Write(p, t.handleEvent)
 	return t.out, err
 }
 
-// end does the same at the end of the stream.
-func (t *typedAnswer) end(dst []byte) ([]byte, error) {
+// finish does the same at the end of the stream.
+func (t *responsesEncoder) finish(dst []byte) ([]byte, error) {
 	t.out = dst
-	if err := t.scan.End(t.event); err != nil {
+	if err := t.scanner.End(t.handleEvent); err != nil {
 		return t.out, err
 	}
-	if !t.so.Whole() {
-		return t.out, errCut
+	if !t.state.Whole() {
+		return t.out, errTruncated
 	}
 	t.start()
 	for _, it := range t.items {
-		t.close(it)
+		t.finishItem(it)
 	}
 	status := t.status()
 	t.emit("response."+status, map[string]any{"response": t.object(status, nil)})
-	if !t.streams {
+	if !t.streaming {
 		raw, err := codec.Marshal(t.object(status, nil))
 		if err != nil {
 			return t.out, err
@@ -127,52 +127,52 @@
 	return t.out, nil
 }
 
-func (t *typedAnswer) status() string {
-	if t.finish == "length" || t.finish == "content_filter" {
+func (t *responsesEncoder) status() string {
+	if t.finishReason == "length" || t.finishReason == "content_filter" {
 		return "incomplete"
 	}
 	return "completed"
 }
 
-// fail is what ends a stream that broke.
-func (t *typedAnswer) fail(e apiError) []byte {
+// failure is what ends a stream that broke.
+func (t *responsesEncoder) failure(e apiError) []byte {
 	t.out = nil
 	t.start()
 	t.emit("response.failed", map[string]any{"response": t.object("failed", map[string]any{"code": e.code, "message": e.text})})
 	return t.out
 }
 
-func (t *typedAnswer) start() {
-	if t.begun {
+func (t *responsesEncoder) start() {
+	if t.started {
 		return
 	}
-	t.begun = true
+	t.started = true
 	t.emit("response.created", map[string]any{"response": t.object("in_progress", nil)})
 	t.emit("response.in_progress", map[string]any{"response": t.object("in_progress", nil)})
 }
 
-func (t *typedAnswer) event(e sse.Event) error {
+func (t *responsesEncoder) handleEvent(e sse.Event) error {
 	data := bytes.TrimSpace(e.Data)
-	if t.so.Over() || len(data) == 0 {
+	if t.state.Over() || len(data) == 0 {
 		return nil
 	}
-	if bytes.Equal(data, lastData) {
-		t.so.Last()
+	if bytes.Equal(data, doneBytes) {
+		t.state.Last()
 		return nil
 	}
-	if t.size += len(data); t.size > maxAnswer {
-		return errBigAnswer
+	if t.size += len(data); t.size > maxResponseBytes {
+		return errResponseTooLarge
 	}
-	var c typedChunk
+	var c chatChunk
 	if w := jsonscan.Object(data); true {
 		for _, _, ok := w.Next(); ok; _, _, ok = w.Next() {
 		}
 		if w.Err() != nil || codec.Unmarshal(data, &c) != nil {
-			return errNotChunk
+			return errInvalidChunk
 		}
 	}
 	if len(c.Error) > 0 && !isNull(c.Error) {
-		return reportedError{message(c.Error)}
+		return reportedError{errorMessage(c.Error)}
 	}
 	t.start()
 	if len(c.Usage) > 0 && !isNull(c.Usage) {
@@ -181,19 +181,19 @@
 	for _, choice := range c.Choices {
 		d := choice.Delta
 		if d.Content != "" {
-			t.say("output_text", d.Content)
+			t.appendText("output_text", d.Content)
 		}
 		if d.Refusal != "" {
-			t.say("refusal", d.Refusal)
+			t.appendText("refusal", d.Refusal)
 		}
 		for _, call := range d.ToolCalls {
 			if call.Index < 0 || call.Index > maxIndex {
-				return errNotChunk
+				return errInvalidChunk
 			}
-			it := t.calls[call.Index]
+			it := t.toolCalls[call.Index]
 			if it == nil {
-				it = t.open("function_call")
-				t.calls[call.Index] = it
+				it = t.addItem("function_call")
+				t.toolCalls[call.Index] = it
 				it.callID, it.name = call.ID, call.Function.Name
 				t.emit("response.output_item.added", map[string]any{"output_index": it.index, "item": it.object("in_progress")})
 			} else {
@@ -205,39 +205,39 @@
 			}
 		}
 		if choice.Finish != "" {
-			t.finish = choice.Finish
+			t.finishReason = choice.Finish
 		}
-		t.so.Choice(0, choice.Finish != "")
+		t.state.Choice(0, choice.Finish != "")
 	}
 	return nil
 }
 
-func (t *typedAnswer) open(kind string) *outItem {
+func (t *responsesEncoder) addItem(kind string) *outputItem {
 	prefix := map[string]string{"message": "msg_", "function_call": "fc_"}[kind]
-	it := &outItem{id: prefix + requestID(t.head.id) + "_" + strconv.Itoa(len(t.items)), kind: kind, index: len(t.items)}
+	it := &outputItem{id: prefix + requestID(t.head.id) + "_" + strconv.Itoa(len(t.items)), kind: kind, index: len(t.items)}
 	t.items = append(t.items, it)
 	return it
 }
 
-// say adds text to the message, which is opened if it is not.
-func (t *typedAnswer) say(kind, text string) {
-	var it *outItem
+// appendText adds text to the message, which is opened if it is not.
+func (t *responsesEncoder) appendText(kind, text string) {
+	var it *outputItem
 	for _, x := range t.items {
 		if x.kind == "message" {
 			it = x
 		}
 	}
 	if it == nil {
-		it = t.open("message")
+		it = t.addItem("message")
 		t.emit("response.output_item.added", map[string]any{"output_index": it.index, "item": map[string]any{
 			"id": it.id, "type": "message", "status": "in_progress", "role": "assistant", "content": []any{}}})
 	}
-	if it.partOpen != kind {
-		t.closePart(it)
-		it.partOpen = kind
-		t.emit("response.content_part.added", map[string]any{"item_id": it.id, "output_index": it.index, "content_index": it.at(kind), "part": it.part(kind, "")})
+	if it.openPart != kind {
+		t.finishPart(it)
+		it.openPart = kind
+		t.emit("response.content_part.added", map[string]any{"item_id": it.id, "output_index": it.index, "content_index": it.contentIndex(kind), "part": it.part(kind, "")})
 	}
-	where := map[string]any{"item_id": it.id, "output_index": it.index, "content_index": it.at(kind), "delta": text}
+	where := map[string]any{"item_id": it.id, "output_index": it.index, "content_index": it.contentIndex(kind), "delta": text}
 	if kind == "refusal" {
 		it.refusal = append(it.refusal, text...)
 		t.emit("response.refusal.delta", where)
@@ -248,28 +248,28 @@
 	t.emit("response.output_text.delta", where)
 }
 
-// at is where a part stands: the text, if there is any, before a refusal.
-func (it *outItem) at(kind string) int {
+// contentIndex is where a part stands: the text, if there is any, before a refusal.
+func (it *outputItem) contentIndex(kind string) int {
 	if kind == "refusal" && len(it.text) > 0 {
 		return 1
 	}
 	return 0
 }
 
-func (it *outItem) part(kind, text string) map[string]any {
+func (it *outputItem) part(kind, text string) map[string]any {
 	if kind == "refusal" {
 		return map[string]any{"type": "refusal", "refusal": text}
 	}
 	return map[string]any{"type": "output_text", "text": text, "annotations": []any{}, "logprobs": []any{}}
 }
 
-func (t *typedAnswer) closePart(it *outItem) {
-	kind := it.partOpen
+func (t *responsesEncoder) finishPart(it *outputItem) {
+	kind := it.openPart
 	if kind == "" {
 		return
 	}
-	it.partOpen = ""
-	where := map[string]any{"item_id": it.id, "output_index": it.index, "content_index": it.at(kind)}
+	it.openPart = ""
+	where := map[string]any{"item_id": it.id, "output_index": it.index, "content_index": it.contentIndex(kind)}
 	text := string(it.text)
 	if kind == "refusal" {
 		text = string(it.refusal)
@@ -279,18 +279,18 @@
 		where["text"], where["logprobs"] = text, []any{}
 		t.emit("response.output_text.done", where)
 	}
-	t.emit("response.content_part.done", map[string]any{"item_id": it.id, "output_index": it.index, "content_index": it.at(kind), "part": it.part(kind, text)})
+	t.emit("response.content_part.done", map[string]any{"item_id": it.id, "output_index": it.index, "content_index": it.contentIndex(kind), "part": it.part(kind, text)})
 }
 
-func (t *typedAnswer) close(it *outItem) {
-	t.closePart(it)
+func (t *responsesEncoder) finishItem(it *outputItem) {
+	t.finishPart(it)
 	if it.kind == "function_call" {
 		t.emit("response.function_call_arguments.done", map[string]any{"item_id": it.id, "output_index": it.index, "name": it.name, "arguments": string(it.arguments)})
 	}
 	t.emit("response.output_item.done", map[string]any{"output_index": it.index, "item": it.object("completed")})
 }
 
-func (it *outItem) object(status string) map[string]any {
+func (it *outputItem) object(status string) map[string]any {
 	if it.kind == "function_call" {
 		return map[string]any{"id": it.id, "type": "function_call", "status": status, "call_id": it.callID, "name": it.name, "arguments": string(it.arguments)}
 	}
@@ -305,7 +305,7 @@
 }
 
 // object is the response as it stands.
-func (t *typedAnswer) object(status string, wrong any) map[string]any {
+func (t *responsesEncoder) object(status string, wrong any) map[string]any {
 	output := []any{}
 	if status != "in_progress" {
 		for _, it := range t.items {
@@ -321,7 +321,7 @@
 		o[name] = raw
 	}
 	if status == "incomplete" {
-		o["incomplete_details"] = map[string]any{"reason": map[bool]string{true: "max_output_tokens", false: "content_filter"}[t.finish == "length"]}
+		o["incomplete_details"] = map[string]any{"reason": map[bool]string{true: "max_output_tokens", false: "content_filter"}[t.finishReason == "length"]}
 	}
 	var u struct {
 		Prompt     int `json:"prompt_tokens"`
