--- /dev/null
+++ b/internal/openai/passthrough.go
@@ -0,0 +1,35 @@
+package openai
+
+import (
+	"wellgw/decide/resume"
+)
+
+// passthrough is an answer that is one body and passes as it is, but for the model's name.
+type passthrough struct {
+	head  head
+	body  []byte
+	state resume.Answer
+}
+
+func (p *passthrough) contentType() string       { return jsonType }
+func (p *passthrough) progress() *resume.Answer  { return &p.state }
+func (p *passthrough) failure(e apiError) []byte { return e.object() }
+func (p *passthrough) complete() bool            { return false }
+func (p *passthrough) discardPartial()           {}
+func (p *passthrough) nextAttempt()              { *p = passthrough{head: p.head} }
+
+func (p *passthrough) translate(dst, more []byte) ([]byte, error) {
+	if p.body = append(p.body, more...); len(p.body) > maxResponseBytes {
+		return dst, errResponseTooLarge
+	}
+	return dst, nil
+}
+
+func (p *passthrough) finish(dst []byte) ([]byte, error) {
+	f, err := readFields(p.body)
+	if err != nil {
+		return dst, err
+	}
+	p.state.Last()
+	return append(append(dst, f.replace(map[string][]byte{"model": quote(p.head.model)}, "model")...), '\n'), nil
+}
--- /dev/null
+++ b/internal/openai/template.go
@@ -0,0 +1,96 @@
+package openai
+
+import (
+	"bytes"
+
+	"wellgw/internal/jsonscan"
+)
+
+// template is an event whose one choice has said a piece of content and nothing else, as it
+// came and as it went out. The next event mostly differs in that piece alone: what comes
+// before and after it has then been checked already, and goes out as it did.
+type template struct {
+	prefixLen                       int // bytes before the piece; 0 = there is no template
+	input, output                   []byte
+	suffixStart, outputContentStart int // where what follows the piece begins, in in; and the piece, in out
+	outputSuffixStart               int
+}
+
+// capture takes an event as the template, if it is of that form.
+func (t *template) capture(data []byte, choices jsonscan.Span, at int, out []byte) {
+	piece, is := soleContent(choices.Of(data))
+	if !is {
+		return
+	}
+	start, end := choices.Start+piece.Start, choices.Start+piece.End
+	t.input, t.output = append(t.input[:0], data...), append(t.output[:0], out...)
+	t.prefixLen, t.suffixStart = start, end
+	t.outputContentStart, t.outputSuffixStart = at+piece.Start, at+piece.End
+}
+
+// applyTemplate passes an event on by the template; false if it is of another form.
+func (r *rewriter) applyTemplate(data []byte) bool {
+	t := &r.template
+	rest := t.input[t.suffixStart:]
+	if len(data) < t.prefixLen+len(rest) || !bytes.Equal(data[:t.prefixLen], t.input[:t.prefixLen]) || !bytes.HasSuffix(data, rest) {
+		return false
+	}
+	if jsonscan.String(data, t.prefixLen) != len(data)-len(rest) || data[t.prefixLen+1] == '"' {
+		return false
+	}
+	piece := data[t.prefixLen : len(data)-len(rest)]
+	out := t.output[:t.outputContentStart]
+	if r.resumable {
+		text, is := unquote(piece)
+		if !is {
+			return false
+		}
+		r.state.Say(text)
+		r.writeEventID()
+		out = out[bytes.Index(out, dataField):]
+	}
+	r.out = append(append(append(r.out, out...), piece...), t.output[t.outputSuffixStart:]...)
+	r.state.Passed()
+	return true
+}
+
+var dataField = []byte("data: ")
+
+// soleContent returns where the content stands in choices that are one, whose delta is a
+// piece of content and that has not ended.
+func soleContent(choices []byte) (piece jsonscan.Span, is bool) {
+	list := jsonscan.Array(choices)
+	at, ok := list.Element()
+	if _, more := list.Element(); !ok || more || list.Err() != nil {
+		return piece, false
+	}
+	choice := at.Of(choices)
+	var delta jsonscan.Span
+	c := jsonscan.Object(choice)
+	for name, value, ok := c.Next(); ok; name, value, ok = c.Next() {
+		switch string(name) {
+		case "delta":
+			if delta.End > 0 {
+				return piece, false
+			}
+			delta = value
+		case "index":
+		case "finish_reason", "logprobs":
+			if !value.Null(choice) {
+				return piece, false
+			}
+		default:
+			return piece, false
+		}
+	}
+	if delta.End == 0 || choice[delta.Start] != '{' {
+		return piece, false
+	}
+	d := jsonscan.Object(delta.Of(choice))
+	name, value, ok := d.Next()
+	if _, _, more := d.Next(); !ok || more || d.Err() != nil || string(name) != "content" || value.Of(delta.Of(choice))[0] != '"' {
+		return piece, false
+	}
+	from := at.Start + delta.Start + value.Start
+	return jsonscan.Span{Start: from, End: from + value.End - value.Start}, true
+}
