--- a/internal/openai/fields.go
+++ b/internal/openai/fields.go
@@ -12,7 +12,10 @@
 
 func (e paramError) Error() string { return e.param + ": " + e.problem }
 
-var errNotObject = errors.New("the body is not a JSON object")
+var (
+	errNotObject     = errors.New("the body is not a JSON object")
+	errTooManyFields = errors.New("the body has too many fields")
+)
 
 // fields are a body's members, each name once: of two the last counts, for engines as well.
 type fields struct {
@@ -36,7 +39,7 @@
 		at := f.index(string(name))
 		if at < 0 {
 			if len(f.list) >= maxMessages {
-				return nil, errors.New("the body has too many fields")
+				return nil, errTooManyFields
 			}
 			f.list = append(f.list, field{name, value})
 			continue
--- a/internal/openai/request.go
+++ b/internal/openai/request.go
@@ -7,6 +7,8 @@
 	"encoding/hex"
 	"errors"
 	"fmt"
+	"hash"
+	"io"
 	"strconv"
 
 	jsoniter "github.com/json-iterator/go"
@@ -82,44 +84,57 @@
 	if a.choices < 1 || a.choices > maxChoices {
 		return nil, paramError{"n", fmt.Sprintf("must be from 1 to %d", maxChoices)}
 	}
-	session := sha256.New()
-	fmt.Fprintf(session, "%q %q %q", team, a.model, user)
 	if path == embeddingPath {
-		if a.stream {
-			return nil, paramError{"stream", "embeddings are not streamed"}
-		}
-		tokens, _, err := countPrompts(f.get("input"), "input", nil)
-		if err != nil {
-			return nil, err
-		}
-		a.shape = shape{promptTokens: tokens, maxOutputTokens: 1}
-		a.body = f.replace(nil)
-		return a, nil
+		err = a.parseEmbedding(f)
+	} else {
+		session := sha256.New()
+		fmt.Fprintf(session, "%q %q %q", team, a.model, user)
+		err = a.parseGeneration(f, session)
 	}
-	limit, err := outputLimit(f, a)
 	if err != nil {
 		return nil, err
 	}
-	many := a.choices
-	if path == completionPath {
+	return a, nil
+}
+
+// parseEmbedding reads what is an embeddings call's own.
+func (a *apiRequest) parseEmbedding(f *fields) error {
+	if a.stream {
+		return paramError{"stream", "embeddings are not streamed"}
+	}
+	tokens, _, err := countPrompts(f.get("input"), "input", io.Discard)
+	if err != nil {
+		return err
+	}
+	a.shape = shape{promptTokens: tokens, maxOutputTokens: 1}
+	a.body = f.replace(nil)
+	return nil
+}
+
+// parseGeneration reads what chats and completions have beside the fields of every call.
+func (a *apiRequest) parseGeneration(f *fields, session hash.Hash) error {
+	limit, err := outputLimit(f, a)
+	if err != nil {
+		return err
+	}
+	if a.path == completionPath {
 		tokens, n, err := countPrompts(f.get("prompt"), "prompt", session)
 		if err != nil {
-			return nil, err
+			return err
 		}
 		a.shape.promptTokens = tokens
-		many *= n
+		a.choices *= n
 	} else if err := a.parseMessages(f, session); err != nil {
-		return nil, err
+		return err
 	}
-	a.choices = many
-	a.shape.maxOutputTokens = min(limit*many, maxOutputTokens)
+	a.shape.maxOutputTokens = min(limit*a.choices, maxOutputTokens)
 	a.shape.session = hex.EncodeToString(session.Sum(nil)[:8])
 	options, err := streamOptions(f, a)
 	if err != nil {
-		return nil, err
+		return err
 	}
 	a.body = f.replace(map[string][]byte{"stream": []byte("true"), "stream_options": options}, "stream", "stream_options")
-	return a, nil
+	return nil
 }
 
 // continuation is the call that has an engine go on from an answer's text so far, in the way that
--- a/internal/openai/responses.go
+++ b/internal/openai/responses.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"errors"
 	"fmt"
 
 	jsoniter "github.com/json-iterator/go"
@@ -24,6 +23,11 @@
 	Filename string `json:"filename"`
 }
 
+// unknownPartError is a part of content of a type that chats have not.
+type unknownPartError struct{ partType string }
+
+func (e unknownPartError) Error() string { return "parts of type " + e.partType + " are not offered" }
+
 // inputItem is one item of the input.
 type inputItem struct {
 	Type      string              `json:"type"`
@@ -42,123 +46,165 @@
 	"max_tool_calls": true,
 }
 
+// echoedFields are the fields of a request that its response repeats.
+var echoedFields = []string{
+	"instructions", "max_output_tokens", "tools", "tool_choice", "text", "reasoning",
+	"temperature", "top_p", "parallel_tool_calls", "metadata", "user", "truncation",
+}
+
+// chatFields are the fields that a chat has in place of those of the responses API, in order.
+type chatFields struct {
+	values map[string][]byte // nil: the field is left out
+	order  []string
+}
+
+func (c *chatFields) set(name string, value any) {
+	if raw, err := codec.Marshal(value); err == nil {
+		c.values[name] = raw
+		c.order = append(c.order, name)
+	}
+}
+
 // parseResponses reads a call of the responses API as a chat.
 func parseResponses(data []byte, team string) (*apiRequest, *responsesEncoder, error) {
 	f, err := readFields(data)
 	if err != nil {
 		return nil, nil, err
 	}
-	for _, name := range []string{"previous_response_id", "conversation", "prompt"} {
-		if f.get(name) != nil {
-			return nil, nil, paramError{name, "nothing is stored here that it could refer to"}
-		}
-	}
-	if string(f.get("background")) == "true" {
-		return nil, nil, paramError{"background", "not offered"}
+	if err := checkOffered(f); err != nil {
+		return nil, nil, err
 	}
 	messages, err := inputMessages(f)
 	if err != nil {
 		return nil, nil, err
 	}
-	set := map[string][]byte{"messages": messages}
-	order := []string{"messages"}
-	put := func(name string, value any) {
-		if raw, err := codec.Marshal(value); err == nil {
-			set[name] = raw
-			order = append(order, name)
-		}
-	}
+	chat := &chatFields{values: map[string][]byte{"messages": messages}, order: []string{"messages"}}
 	for name := range responsesOnlyFields {
-		set[name] = nil
+		chat.values[name] = nil
 	}
 	t := &responsesEncoder{echo: map[string]jsoniter.RawMessage{}, toolCalls: map[int]*outputItem{}}
-	for _, name := range []string{"instructions", "max_output_tokens", "tools", "tool_choice", "text", "reasoning", "temperature", "top_p", "parallel_tool_calls", "metadata", "user", "truncation"} {
+	for _, name := range echoedFields {
 		if raw := f.get(name); raw != nil {
 			t.echo[name] = bytes.Clone(raw)
 		}
 	}
 	if raw := f.get("max_output_tokens"); raw != nil {
-		put("max_completion_tokens", jsoniter.RawMessage(raw))
+		chat.set("max_completion_tokens", jsoniter.RawMessage(raw))
 	}
-	var reasoning struct {
-		Effort string `json:"effort"`
+	for _, translate := range []func(*fields, *chatFields) error{chatReasoning, chatTools, chatFormat} {
+		if err := translate(f, chat); err != nil {
+			return nil, nil, err
+		}
 	}
-	if err := f.decode("reasoning", &reasoning); err != nil {
-		return nil, nil, err
+	a, err := parse(chatPath, f.replace(chat.values, chat.order...), team)
+	return a, t, err
+}
+
+// checkOffered refuses what refers to something stored, or asks for it.
+func checkOffered(f *fields) error {
+	for _, name := range []string{"previous_response_id", "conversation", "prompt"} {
+		if f.get(name) != nil {
+			return paramError{name, "nothing is stored here that it could refer to"}
+		}
 	}
-	if reasoning.Effort != "" {
-		put("reasoning_effort", reasoning.Effort)
+	if string(f.get("background")) == "true" {
+		return paramError{"background", "not offered"}
 	}
-	if err := chatTools(f, put); err != nil {
-		return nil, nil, err
+	return nil
+}
+
+// conversation is the chat's messages as they are put together from input items.
+type conversation struct {
+	messages []any
+	calls    []any // tool calls of one assistant's turn, which become one message
+}
+
+func (c *conversation) add(message map[string]any) { c.messages = append(c.messages, message) }
+
+// endTurn adds the message of the tool calls so far.
+func (c *conversation) endTurn() {
+	if len(c.calls) > 0 {
+		c.add(map[string]any{"role": "assistant", "content": nil, "tool_calls": c.calls})
+		c.calls = nil
 	}
-	if err := chatFormat(f, put); err != nil {
-		return nil, nil, err
+}
+
+// addItem adds an input item; param names it in an error.
+func (c *conversation) addItem(it inputItem, param string) error {
+	if it.Type != "function_call" {
+		c.endTurn()
+	}
+	switch it.Type {
+	case "message", "":
+		if it.Role == "" {
+			return paramError{param, "role is missing"}
+		}
+		content, err := chatContent(it.Content)
+		if err != nil {
+			return paramError{param, err.Error()}
+		}
+		c.add(map[string]any{"role": it.Role, "content": content})
+	case "function_call":
+		c.calls = append(c.calls, map[string]any{"id": it.CallID, "type": "function", "function": map[string]any{"name": it.Name, "arguments": it.Arguments}})
+	case "function_call_output":
+		content, err := chatContent(it.Output)
+		if err != nil {
+			return paramError{param, err.Error()}
+		}
+		c.add(map[string]any{"role": "tool", "tool_call_id": it.CallID, "content": content})
+	case "reasoning": // engines keep none of their own
+	default:
+		return paramError{param, "items of type " + firstLine(it.Type) + " are not offered"}
 	}
-	a, err := parse(chatPath, f.replace(set, order...), team)
-	return a, t, err
+	return nil
 }
 
+// inputMessages returns the chat's messages, as JSON, for a call's instructions and input.
 func inputMessages(f *fields) ([]byte, error) {
-	var list []any
+	c := &conversation{}
 	if raw := f.get("instructions"); raw != nil {
 		t, is := unquote(raw)
 		if !is {
 			return nil, paramError{"instructions", "is no text"}
 		}
-		list = append(list, map[string]any{"role": "system", "content": string(t)})
+		c.add(map[string]any{"role": "system", "content": string(t)})
 	}
 	raw := f.get("input")
 	if raw == nil {
 		return nil, paramError{"input", "missing"}
 	}
 	if t, is := unquote(raw); is {
-		list = append(list, map[string]any{"role": "user", "content": string(t)})
-		return codec.Marshal(list)
+		c.add(map[string]any{"role": "user", "content": string(t)})
+		return codec.Marshal(c.messages)
 	}
 	var items []inputItem
 	if codec.Unmarshal(raw, &items) != nil {
 		return nil, paramError{"input", "is neither a text nor a list of items"}
 	}
-	var calls []any // of one assistant's turn
-	flush := func() {
-		if len(calls) > 0 {
-			list = append(list, map[string]any{"role": "assistant", "content": nil, "tool_calls": calls})
-			calls = nil
-		}
-	}
 	for i, it := range items {
-		param := fmt.Sprintf("input[%d]", i)
-		if it.Type != "function_call" {
-			flush()
-		}
-		switch it.Type {
-		case "message", "":
-			if it.Role == "" {
-				return nil, paramError{param, "role is missing"}
-			}
-			content, err := chatContent(it.Content)
-			if err != nil {
-				return nil, paramError{param, err.Error()}
-			}
-			list = append(list, map[string]any{"role": it.Role, "content": content})
-		case "function_call":
-			calls = append(calls, map[string]any{"id": it.CallID, "type": "function", "function": map[string]any{"name": it.Name, "arguments": it.Arguments}})
-		case "function_call_output":
-			content, err := chatContent(it.Output)
-			if err != nil {
-				return nil, paramError{param, err.Error()}
-			}
-			list = append(list, map[string]any{"role": "tool", "tool_call_id": it.CallID, "content": content})
-		case "reasoning": // engines keep none of their own
-		default:
-			return nil, paramError{param, "items of type " + firstLine(it.Type) + " are not offered"}
+		if err := c.addItem(it, fmt.Sprintf("input[%d]", i)); err != nil {
+			return nil, err
 		}
 	}
-	flush()
-	return codec.Marshal(list)
+	c.endTurn()
+	return codec.Marshal(c.messages)
+}
+
+// chatReasoning translates the effort of reasoning.
+func chatReasoning(f *fields, chat *chatFields) error {
+	var reasoning struct {
+		Effort string `json:"effort"`
+	}
+	if err := f.decode("reasoning", &reasoning); err != nil {
+		return err
+	}
+	if reasoning.Effort != "" {
+		chat.set("reasoning_effort", reasoning.Effort)
+	}
+	return nil
 }
 
+// chatContent translates an item's content: a text, or a list of parts.
 func chatContent(raw []byte) (any, error) {
 	if len(raw) == 0 || isNull(raw) {
 		return "", nil
@@ -168,7 +214,7 @@
 	}
 	var parts []inputPart
 	if codec.Unmarshal(raw, &parts) != nil {
-		return nil, errors.New("content is neither a string nor a list of parts")
+		return nil, errContentType
 	}
 	out := []any{}
 	for _, p := range parts {
@@ -192,13 +238,14 @@
 			}
 			out = append(out, map[string]any{"type": "file", "file": file})
 		default:
-			return nil, errors.New("parts of type " + firstLine(p.Type) + " are not offered")
+			return nil, unknownPartError{firstLine(p.Type)}
 		}
 	}
 	return out, nil
 }
 
-func chatTools(f *fields, put func(string, any)) error {
+// chatTools translates the tools and the choice among them.
+func chatTools(f *fields, chat *chatFields) error {
 	var tools []map[string]jsoniter.RawMessage
 	if err := f.decode("tools", &tools); err != nil {
 		return err
@@ -217,14 +264,14 @@
 		out = append(out, map[string]any{"type": "function", "function": function})
 	}
 	if len(out) > 0 {
-		put("tools", out)
+		chat.set("tools", out)
 	}
 	raw := f.get("tool_choice")
 	if raw == nil {
 		return nil
 	}
 	if _, is := unquote(raw); is {
-		put("tool_choice", jsoniter.RawMessage(raw))
+		chat.set("tool_choice", jsoniter.RawMessage(raw))
 		return nil
 	}
 	var choice struct {
@@ -234,11 +281,12 @@
 	if codec.Unmarshal(raw, &choice) != nil || choice.Type != "function" {
 		return paramError{"tool_choice", "is neither a word nor a function"}
 	}
-	put("tool_choice", map[string]any{"type": "function", "function": map[string]any{"name": choice.Name}})
+	chat.set("tool_choice", map[string]any{"type": "function", "function": map[string]any{"name": choice.Name}})
 	return nil
 }
 
-func chatFormat(f *fields, put func(string, any)) error {
+// chatFormat translates the format of the answer's text.
+func chatFormat(f *fields, chat *chatFields) error {
 	var format struct {
 		Format map[string]jsoniter.RawMessage `json:"format"`
 	}
@@ -254,9 +302,9 @@
 				schema[name] = value
 			}
 		}
-		put("response_format", map[string]any{"type": "json_schema", "json_schema": schema})
+		chat.set("response_format", map[string]any{"type": "json_schema", "json_schema": schema})
 	default:
-		put("response_format", format.Format)
+		chat.set("response_format", format.Format)
 	}
 	return nil
 }
