--- a/internal/openai/chunk.go
+++ b/internal/openai/chunk.go
@@ -63,6 +63,14 @@
 	}
 }
 
+// isObject tells whether a text is a JSON object, and nothing else.
+func isObject(text []byte) bool {
+	w := jsonscan.Object(text)
+	for _, _, ok := w.Next(); ok; _, _, ok = w.Next() {
+	}
+	return w.Err() == nil
+}
+
 func isNull(text []byte) bool { return len(text) > 0 && text[0] == 'n' }
 
 // errorMessage is what an error object says.
--- /dev/null
+++ b/internal/openai/output_item.go
@@ -0,0 +1,59 @@
+package openai
+
+// The types of output items and of a message's parts, as the API has them.
+const (
+	messageItem      = "message"
+	functionCallItem = "function_call"
+	textPart         = "output_text"
+	refusalPart      = "refusal"
+)
+
+// The states of a response and of an item, as the API has them.
+const (
+	statusInProgress = "in_progress"
+	statusCompleted  = "completed"
+	statusIncomplete = "incomplete"
+	statusFailed     = "failed"
+)
+
+// outputItem is one item of the output.
+type outputItem struct {
+	id, kind     string // kind: messageItem, functionCallItem
+	index        int
+	openPart     string // the type of the part under way; "" for none
+	text         []byte
+	refusal      []byte
+	callID, name string
+	arguments    []byte
+}
+
+// contentIndex is where a part stands: the text, if there is any, before a refusal.
+func (it *outputItem) contentIndex(kind string) int {
+	if kind == refusalPart && len(it.text) > 0 {
+		return 1
+	}
+	return 0
+}
+
+// part is a part of the message as the API has it.
+func (it *outputItem) part(kind, text string) map[string]any {
+	if kind == refusalPart {
+		return map[string]any{"type": refusalPart, "refusal": text}
+	}
+	return map[string]any{"type": textPart, "text": text, "annotations": []any{}, "logprobs": []any{}}
+}
+
+// object is the item as the API has it.
+func (it *outputItem) object(status string) map[string]any {
+	if it.kind == functionCallItem {
+		return map[string]any{"id": it.id, "type": functionCallItem, "status": status, "call_id": it.callID, "name": it.name, "arguments": string(it.arguments)}
+	}
+	content := []any{}
+	if len(it.text) > 0 {
+		content = append(content, it.part(textPart, string(it.text)))
+	}
+	if len(it.refusal) > 0 {
+		content = append(content, it.part(refusalPart, string(it.refusal)))
+	}
+	return map[string]any{"id": it.id, "type": messageItem, "status": status, "role": "assistant", "content": content}
+}
--- a/internal/openai/responses_encoder.go
+++ b/internal/openai/responses_encoder.go
@@ -7,7 +7,6 @@
 	jsoniter "github.com/json-iterator/go"
 
 	"wellgw/decide/resume"
-	"wellgw/internal/jsonscan"
 	"wellgw/internal/sse"
 )
 
@@ -46,38 +45,39 @@
 	*t = responsesEncoder{echo: t.echo, head: t.head, streaming: t.streaming, toolCalls: map[int]*outputItem{}}
 }
 
-// outputItem is one item of the output.
-type outputItem struct {
-	id, kind     string // kind: message, function_call
-	index        int
-	openPart     string // the type of the part under way; "" for none
-	text         []byte
-	refusal      []byte
-	callID, name string
-	arguments    []byte
-}
+// The reasons to end a choice, as engines give them, that leave an answer incomplete.
+const (
+	finishLength        = "length"
+	finishContentFilter = "content_filter"
+)
 
 // chatChunk is what is read of a chunk.
 type chatChunk struct {
 	Choices []struct {
-		Delta struct {
-			Content   string `json:"content"`
-			Refusal   string `json:"refusal"`
-			ToolCalls []struct {
-				Index    int    `json:"index"`
-				ID       string `json:"id"`
-				Function struct {
-					Name      string `json:"name"`
-					Arguments string `json:"arguments"`
-				} `json:"function"`
-			} `json:"tool_calls"`
-		} `json:"delta"`
-		Finish string `json:"finish_reason"`
+		Delta  chatDelta `json:"delta"`
+		Finish string    `json:"finish_reason"`
 	} `json:"choices"`
 	Usage jsoniter.RawMessage `json:"usage"`
 	Error jsoniter.RawMessage `json:"error"`
 }
 
+// chatDelta is what a chunk adds to a choice.
+type chatDelta struct {
+	Content   string          `json:"content"`
+	Refusal   string          `json:"refusal"`
+	ToolCalls []toolCallDelta `json:"tool_calls"`
+}
+
+// toolCallDelta is what a chunk adds to the tool call of an index.
+type toolCallDelta struct {
+	Index    int    `json:"index"`
+	ID       string `json:"id"`
+	Function struct {
+		Name      string `json:"name"`
+		Arguments string `json:"arguments"`
+	} `json:"function"`
+}
+
 // emit adds an event, numbered, so that a client can tell that none is missing.
 func (t *responsesEncoder) emit(kind string, fields map[string]any) {
 	if !t.streaming {
@@ -127,28 +127,30 @@
 	return t.out, nil
 }
 
+// status is the state of an answer whose stream has ended.
 func (t *responsesEncoder) status() string {
-	if t.finishReason == "length" || t.finishReason == "content_filter" {
-		return "incomplete"
+	if t.finishReason == finishLength || t.finishReason == finishContentFilter {
+		return statusIncomplete
 	}
-	return "completed"
+	return statusCompleted
 }
 
 // failure is what ends a stream that broke.
 func (t *responsesEncoder) failure(e apiError) []byte {
 	t.out = nil
 	t.start()
-	t.emit("response.failed", map[string]any{"response": t.object("failed", map[string]any{"code": e.code, "message": e.text})})
+	t.emit("response.failed", map[string]any{"response": t.object(statusFailed, map[string]any{"code": e.code, "message": e.text})})
 	return t.out
 }
 
+// start adds the events that begin a response, once.
 func (t *responsesEncoder) start() {
 	if t.started {
 		return
 	}
 	t.started = true
-	t.emit("response.created", map[string]any{"response": t.object("in_progress", nil)})
-	t.emit("response.in_progress", map[string]any{"response": t.object("in_progress", nil)})
+	t.emit("response.created", map[string]any{"response": t.object(statusInProgress, nil)})
+	t.emit("response.in_progress", map[string]any{"response": t.object(statusInProgress, nil)})
 }
 
 func (t *responsesEncoder) handleEvent(e sse.Event) error {
@@ -164,12 +166,8 @@
 		return errResponseTooLarge
 	}
 	var c chatChunk
-	if w := jsonscan.Object(data); true {
-		for _, _, ok := w.Next(); ok; _, _, ok = w.Next() {
-		}
-		if w.Err() != nil || codec.Unmarshal(data, &c) != nil {
-			return errInvalidChunk
-		}
+	if !isObject(data) || codec.Unmarshal(data, &c) != nil {
+		return errInvalidChunk
 	}
 	if len(c.Error) > 0 && !isNull(c.Error) {
 		return reportedError{errorMessage(c.Error)}
@@ -179,30 +177,8 @@
 		t.usage = bytes.Clone(c.Usage)
 	}
 	for _, choice := range c.Choices {
-		d := choice.Delta
-		if d.Content != "" {
-			t.appendText("output_text", d.Content)
-		}
-		if d.Refusal != "" {
-			t.appendText("refusal", d.Refusal)
-		}
-		for _, call := range d.ToolCalls {
-			if call.Index < 0 || call.Index > maxIndex {
-				return errInvalidChunk
-			}
-			it := t.toolCalls[call.Index]
-			if it == nil {
-				it = t.addItem("function_call")
-				t.toolCalls[call.Index] = it
-				it.callID, it.name = call.ID, call.Function.Name
-				t.emit("response.output_item.added", map[string]any{"output_index": it.index, "item": it.object("in_progress")})
-			} else {
-				it.name += call.Function.Name
-			}
-			if a := call.Function.Arguments; a != "" {
-				it.arguments = append(it.arguments, a...)
-				t.emit("response.function_call_arguments.delta", map[string]any{"item_id": it.id, "output_index": it.index, "delta": a})
-			}
+		if err := t.addDelta(choice.Delta); err != nil {
+			return err
 		}
 		if choice.Finish != "" {
 			t.finishReason = choice.Finish
@@ -212,25 +188,60 @@
 	return nil
 }
 
+// addDelta adds what a chunk says to the items that it belongs to.
+func (t *responsesEncoder) addDelta(d chatDelta) error {
+	if d.Content != "" {
+		t.appendText(textPart, d.Content)
+	}
+	if d.Refusal != "" {
+		t.appendText(refusalPart, d.Refusal)
+	}
+	for _, call := range d.ToolCalls {
+		if call.Index < 0 || call.Index > maxIndex {
+			return errInvalidChunk
+		}
+		t.addToolCall(call)
+	}
+	return nil
+}
+
+// addToolCall adds a part of a tool call, whose item is added with the first one.
+func (t *responsesEncoder) addToolCall(call toolCallDelta) {
+	it := t.toolCalls[call.Index]
+	if it == nil {
+		it = t.addItem(functionCallItem)
+		t.toolCalls[call.Index] = it
+		it.callID, it.name = call.ID, call.Function.Name
+		t.emit("response.output_item.added", map[string]any{"output_index": it.index, "item": it.object(statusInProgress)})
+	} else {
+		it.name += call.Function.Name
+	}
+	if a := call.Function.Arguments; a != "" {
+		it.arguments = append(it.arguments, a...)
+		t.emit("response.function_call_arguments.delta", map[string]any{"item_id": it.id, "output_index": it.index, "delta": a})
+	}
+}
+
+// addItem adds an empty item to the output.
 func (t *responsesEncoder) addItem(kind string) *outputItem {
-	prefix := map[string]string{"message": "msg_", "function_call": "fc_"}[kind]
+	prefix := map[string]string{messageItem: "msg_", functionCallItem: "fc_"}[kind]
 	it := &outputItem{id: prefix + requestID(t.head.id) + "_" + strconv.Itoa(len(t.items)), kind: kind, index: len(t.items)}
 	t.items = append(t.items, it)
 	return it
 }
 
-// appendText adds text to the message, which is opened if it is not.
+// appendText adds text to the message, which is added if there is none.
 func (t *responsesEncoder) appendText(kind, text string) {
 	var it *outputItem
 	for _, x := range t.items {
-		if x.kind == "message" {
+		if x.kind == messageItem {
 			it = x
 		}
 	}
 	if it == nil {
-		it = t.addItem("message")
+		it = t.addItem(messageItem)
 		t.emit("response.output_item.added", map[string]any{"output_index": it.index, "item": map[string]any{
-			"id": it.id, "type": "message", "status": "in_progress", "role": "assistant", "content": []any{}}})
+			"id": it.id, "type": messageItem, "status": statusInProgress, "role": "assistant", "content": []any{}}})
 	}
 	if it.openPart != kind {
 		t.finishPart(it)
@@ -238,7 +249,7 @@
 		t.emit("response.content_part.added", map[string]any{"item_id": it.id, "output_index": it.index, "content_index": it.contentIndex(kind), "part": it.part(kind, "")})
 	}
 	where := map[string]any{"item_id": it.id, "output_index": it.index, "content_index": it.contentIndex(kind), "delta": text}
-	if kind == "refusal" {
+	if kind == refusalPart {
 		it.refusal = append(it.refusal, text...)
 		t.emit("response.refusal.delta", where)
 		return
@@ -248,21 +259,7 @@
 	t.emit("response.output_text.delta", where)
 }
 
-// contentIndex is where a part stands: the text, if there is any, before a refusal.
-func (it *outputItem) contentIndex(kind string) int {
-	if kind == "refusal" && len(it.text) > 0 {
-		return 1
-	}
-	return 0
-}
-
-func (it *outputItem) part(kind, text string) map[string]any {
-	if kind == "refusal" {
-		return map[string]any{"type": "refusal", "refusal": text}
-	}
-	return map[string]any{"type": "output_text", "text": text, "annotations": []any{}, "logprobs": []any{}}
-}
-
+// finishPart adds the events that end the part under way, if there is one.
 func (t *responsesEncoder) finishPart(it *outputItem) {
 	kind := it.openPart
 	if kind == "" {
@@ -271,7 +268,7 @@
 	it.openPart = ""
 	where := map[string]any{"item_id": it.id, "output_index": it.index, "content_index": it.contentIndex(kind)}
 	text := string(it.text)
-	if kind == "refusal" {
+	if kind == refusalPart {
 		text = string(it.refusal)
 		where["refusal"] = text
 		t.emit("response.refusal.done", where)
@@ -282,47 +279,56 @@
 	t.emit("response.content_part.done", map[string]any{"item_id": it.id, "output_index": it.index, "content_index": it.contentIndex(kind), "part": it.part(kind, text)})
 }
 
+// finishItem adds the events that end an item.
 func (t *responsesEncoder) finishItem(it *outputItem) {
 	t.finishPart(it)
-	if it.kind == "function_call" {
+	if it.kind == functionCallItem {
 		t.emit("response.function_call_arguments.done", map[string]any{"item_id": it.id, "output_index": it.index, "name": it.name, "arguments": string(it.arguments)})
 	}
-	t.emit("response.output_item.done", map[string]any{"output_index": it.index, "item": it.object("completed")})
+	t.emit("response.output_item.done", map[string]any{"output_index": it.index, "item": it.object(statusCompleted)})
 }
 
-func (it *outputItem) object(status string) map[string]any {
-	if it.kind == "function_call" {
-		return map[string]any{"id": it.id, "type": "function_call", "status": status, "call_id": it.callID, "name": it.name, "arguments": string(it.arguments)}
+// object is the response as it stands; failure is its error object, nil for none.
+func (t *responsesEncoder) object(status string, failure any) map[string]any {
+	o := map[string]any{
+		"id": "resp_" + requestID(t.head.id), "object": "response", "created_at": t.head.created, "status": status, "model": t.head.model, "output": t.output(status),
+		"error": failure, "incomplete_details": nil, "usage": nil, "store": false, "instructions": nil, "metadata": map[string]any{},
+		"parallel_tool_calls": true, "tools": []any{}, "tool_choice": "auto", "previous_response_id": nil,
 	}
-	content := []any{}
-	if len(it.text) > 0 {
-		content = append(content, it.part("output_text", string(it.text)))
+	for name, raw := range t.echo {
+		o[name] = raw
+	}
+	if status == statusIncomplete {
+		reason := "content_filter"
+		if t.finishReason == finishLength {
+			reason = "max_output_tokens"
+		}
+		o["incomplete_details"] = map[string]any{"reason": reason}
 	}
-	if len(it.refusal) > 0 {
-		content = append(content, it.part("refusal", string(it.refusal)))
+	if usage := t.responseUsage(); usage != nil {
+		o["usage"] = usage
 	}
-	return map[string]any{"id": it.id, "type": "message", "status": status, "role": "assistant", "content": content}
+	return o
 }
 
-// object is the response as it stands.
-func (t *responsesEncoder) object(status string, wrong any) map[string]any {
+// output is the list of items; a response that has just begun names none.
+func (t *responsesEncoder) output(status string) []any {
 	output := []any{}
-	if status != "in_progress" {
-		for _, it := range t.items {
-			output = append(output, it.object(map[bool]string{true: "completed", false: "incomplete"}[status == "completed"]))
-		}
-	}
-	o := map[string]any{
-		"id": "resp_" + requestID(t.head.id), "object": "response", "created_at": t.head.created, "status": status, "model": t.head.model, "output": output,
-		"error": wrong, "incomplete_details": nil, "usage": nil, "store": false, "instructions": nil, "metadata": map[string]any{},
-		"parallel_tool_calls": true, "tools": []any{}, "tool_choice": "auto", "previous_response_id": nil,
+	if status == statusInProgress {
+		return output
 	}
-	for name, raw := range t.echo {
-		o[name] = raw
+	itemStatus := statusIncomplete
+	if status == statusCompleted {
+		itemStatus = statusCompleted
 	}
-	if status == "incomplete" {
-		o["incomplete_details"] = map[string]any{"reason": map[bool]string{true: "max_output_tokens", false: "content_filter"}[t.finishReason == "length"]}
+	for _, it := range t.items {
+		output = append(output, it.object(itemStatus))
 	}
+	return output
+}
+
+// responseUsage is the engine's usage under the names of the responses API, nil for none.
+func (t *responsesEncoder) responseUsage() map[string]any {
 	var u struct {
 		Prompt     int `json:"prompt_tokens"`
 		Completion int `json:"completion_tokens"`
@@ -334,14 +340,14 @@
 			Reasoning int `json:"reasoning_tokens"`
 		} `json:"completion_tokens_details"`
 	}
-	if t.usage != nil && codec.Unmarshal(t.usage, &u) == nil {
-		if u.Total == 0 {
-			u.Total = u.Prompt + u.Completion
-		}
-		o["usage"] = map[string]any{
-			"input_tokens": u.Prompt, "input_tokens_details": map[string]any{"cached_tokens": u.In.Cached},
-			"output_tokens": u.Completion, "output_tokens_details": map[string]any{"reasoning_tokens": u.Out.Reasoning}, "total_tokens": u.Total,
-		}
+	if t.usage == nil || codec.Unmarshal(t.usage, &u) != nil {
+		return nil
+	}
+	if u.Total == 0 {
+		u.Total = u.Prompt + u.Completion
+	}
+	return map[string]any{
+		"input_tokens": u.Prompt, "input_tokens_details": map[string]any{"cached_tokens": u.In.Cached},
+		"output_tokens": u.Completion, "output_tokens_details": map[string]any{"reasoning_tokens": u.Out.Reasoning}, "total_tokens": u.Total,
 	}
-	return o
 }
