--- a/internal/openai/call.go
+++ b/internal/openai/call.go
@@ -17,7 +17,8 @@
 	"wellgw/routing"
 )
 
-// call is one request that the front serves.
+// call is one request to a model, from its head to the end of its answer. It belongs to the
+// goroutine of its handler.
 type call struct {
 	*Front
 	w               http.ResponseWriter
@@ -28,54 +29,55 @@
 	contract        config.Contract
 	team            *config.Team
 	arrived         time.Time
-	once            bool // it must not run twice
+	once            bool // the request must not run twice
 	form            encoder
-	responseStarted bool      // the client has been given something
-	deadlineSetAt   time.Time // when the write deadline was set
-	resumptions     int       // times that its answer has gone on at another engine
+	responseStarted bool      // a part of the answer has been sent
+	deadlineSetAt   time.Time // when the write deadline was last set
+	resumptions     int       // how often the answer has been continued at another engine
 
 	key     deduplication.Key
 	claimed bool
 	ending  deduplication.Ending
 	kept    []byte // of the answer as it went out
-	tooMuch bool   // more than is kept
+	tooMuch bool   // the answer is larger than what may be recorded
 }
 
-// Headers of requests that clients send again.
+// Headers of retried requests.
 const (
 	keyHeader      = "Idempotency-Key"
 	retryHeader    = "X-Stainless-Retry-Count" // the official libraries' count of their own retries
 	replayedHeader = "Idempotent-Replayed"
 )
 
-// submit hands a call to the core under a name and waits for its answer; see core.SubmitAndWait.
-func (c *call) submit(a *apiRequest, wire string) (core.Answer, *core.Ticket, bool) {
-	q := core.Request{
-		ClientRequestID: wire, Arrived: time.Now(),
+// submit passes a request to the core under an id and waits for its answer; see
+// core.SubmitAndWait. It is false if the client has gone before there is one.
+func (c *call) submit(a *apiRequest, id string) (core.Answer, *core.Ticket, bool) {
+	request := core.Request{
+		ClientRequestID: id, Arrived: time.Now(),
 		Payload: core.Payload{Method: http.MethodPost, Target: a.path, Body: a.body, Unary: a.path == embeddingPath, BufferUntilFirstToken: !c.once},
 	}
-	if wire == c.head.id {
-		q.Arrived = c.arrived
+	if id == c.head.id {
+		request.Arrived = c.arrived
 	}
 	s := a.shape
-	q.Request = routing.Request{
+	request.Request = routing.Request{
 		Class: c.contract.Name, Tenant: c.team.Name, Session: s.session, Prefix: s.prefix, PrefixLen: s.prefixLen,
 		PromptTokens: s.promptTokens, MaxTokens: s.maxOutputTokens, TTL: c.contract.Deadline(),
 	}
-	return core.SubmitAndWait(c.r.Context(), c.core, q)
+	return core.SubmitAndWait(c.r.Context(), c.core, request)
 }
 
-// resumeElsewhere says what becomes of an answer that broke, and has it go on at another engine if
-// its contract says so and an engine takes it.
+// resumeElsewhere decides what becomes of a broken answer, and continues it at another engine if its
+// contract allows that and an engine accepts it.
 func (c *call) resumeElsewhere(err error) (resume.Step, core.Stream, *core.Ticket) {
-	var told reportedError
+	var reported reportedError
 	terms := resume.Terms{Free: !c.once, Allowed: c.contract.Continue, Plain: c.ask.path == chatPath && c.ask.choices == 1}
 	if c.ask.hasOutputLimit {
 		terms.Most = c.ask.shape.maxOutputTokens
 	}
 	step := resume.Decide(terms, c.form.progress(), resume.Break{
 		Lost:     errors.Is(err, streambuffer.ErrClientGone) || errors.Is(err, streambuffer.ErrSlowClient) || c.r.Context().Err() != nil,
-		Reported: errors.As(err, &told), Times: c.resumptions, Since: time.Since(c.arrived),
+		Reported: errors.As(err, &reported), Times: c.resumptions, Since: time.Since(c.arrived),
 	})
 	c.counts.breaks[step].Add(1)
 	a := c.ask
@@ -88,15 +90,15 @@
 		}
 	}
 	c.resumptions++
-	answer, ticket, here := c.submit(a, c.head.id+"-"+strconv.Itoa(c.resumptions))
-	if !here || answer.Verdict != core.Streaming {
+	answer, ticket, answered := c.submit(a, c.head.id+"-"+strconv.Itoa(c.resumptions))
+	if !answered || answer.Verdict != core.Streaming {
 		return resume.GiveUp, nil, nil
 	}
 	return step, answer.Stream, ticket
 }
 
-// claim looks a request's key up. It returns true if the request has been answered, by what
-// is known of the key; else it may run, and settle must follow.
+// claim looks up the request's idempotency key. It returns true if the request has been answered
+// by what is known of the key; else it may run, and settle must be called when it has ended.
 func (c *call) claim(body []byte) (answered bool) {
 	name := c.r.Header.Get(keyHeader)
 	if name == "" || c.keys == nil {
@@ -147,7 +149,7 @@
 	return true
 }
 
-// requestID is the part of an answer's id that names the request.
+// requestID returns an answer's id without the prefix that names its kind.
 func requestID(id string) string {
 	if _, after, found := strings.Cut(id, "-"); found {
 		return after
@@ -155,15 +157,15 @@
 	return id
 }
 
-// whole notes that the answer is whole, and kept, though its client may go before it has it all.
-// A client may ask again as soon as it has the last of it, so the key is settled before that
-// goes out.
+// whole records that the answer is complete, though its client may disconnect before it has been
+// sent. A client may retry as soon as it has the last byte, so the key is settled before that is
+// sent.
 func (c *call) whole() {
 	c.ending.Whole = true
 	c.settle()
 }
 
-// settle tells, once, how a claimed request has ended.
+// settle reports, once, how a claimed request has ended.
 func (c *call) settle() {
 	if !c.claimed {
 		return
@@ -176,7 +178,7 @@
 	c.keys.End(c.key, c.head.id, c.ending.Outcome(), c.form.contentType(), c.kept)
 }
 
-// record notes what goes out, for a client that asks again.
+// record adds what is sent to the recorded answer, as long as that stays within its limits.
 func (c *call) record(p []byte) {
 	if !c.claimed || c.tooMuch {
 		return
@@ -194,7 +196,7 @@
 	jsonType    = "application/json"
 )
 
-// writeBody gives the client a part of its answer, the head before the first. It blocks for
+// writeBody sends a part of the answer, before the first one also the headers. It blocks for
 // writeLimit at most.
 func (c *call) writeBody(p []byte) error {
 	if !c.responseStarted {
@@ -204,11 +206,11 @@
 		if c.form.contentType() == eventStream {
 			h["Cache-Control"] = []string{"no-cache"}
 			h["X-Accel-Buffering"] = []string{"no"}
-		} else { // which comes in one piece
+		} else { // the answer is written in one piece
 			h["Content-Length"] = []string{strconv.Itoa(len(p))}
 		}
 	}
-	// A deadline that is near enough to what it should be is left alone.
+	// Setting a deadline costs a timer, so one that is nearly right is kept.
 	if now := time.Now(); now.Sub(c.deadlineSetAt) > writeLimit/writeDeadlineParts {
 		if err := c.out.SetWriteDeadline(now.Add(writeLimit)); err != nil {
 			return err
@@ -221,10 +223,10 @@
 	return c.out.Flush()
 }
 
-// stream passes an answer on as it comes, what comes together at once. If it breaks, and
-// does not go on elsewhere, its client is told: by a status if it has been given nothing,
-// else by an error event, after which the connection ends without the last chunk. Either
-// is the one final answer; the request is not sent again.
+// stream forwards an answer as it arrives. If it breaks and can't be continued at another engine,
+// the client gets an error: as a status if nothing has been sent yet, else as an event, after
+// which the connection is closed without the last chunk. Either is final; the request is not
+// sent again.
 func (c *call) stream(s core.Stream, t *core.Ticket) {
 	pipe := streambuffer.Pipe{
 		Take: func(dst, p []byte) ([]byte, error) {
@@ -269,7 +271,8 @@
 	_ = c.out.SetWriteDeadline(time.Time{})
 }
 
-// abort ends a call whose answer broke; it does not return unless by a status.
+// abort ends a call whose answer broke. It returns if the client was answered by a status, and
+// panics with http.ErrAbortHandler if the connection has to be closed.
 func (c *call) abort(err error) {
 	if errors.Is(err, streambuffer.ErrSlowClient) {
 		c.counts.slow.Add(1)
@@ -278,9 +281,9 @@
 		_ = c.writeBody(c.form.failure(streamError(err)))
 	} else if c.r.Context().Err() == nil {
 		e := refusal(core.Answer{Verdict: core.Failed, Status: routing.StatusReset}, c.once)
-		var told reportedError
-		if errors.As(err, &told) {
-			e.code, e.text = codeReported, told.Error()+"; the request may have been carried out"
+		var reported reportedError
+		if errors.As(err, &reported) {
+			e.code, e.text = codeReported, reported.Error()+"; the request may have been carried out"
 		}
 		e.send(c.w)
 		_ = c.out.Flush()
--- a/internal/openai/chunk.go
+++ b/internal/openai/chunk.go
@@ -2,17 +2,46 @@
 
 import (
 	"bytes"
+	"errors"
 
 	"wellgw/decide/resume"
 	"wellgw/internal/jsonscan"
 )
 
-// recordChoices notes which choices have come and ended and, if it hears, what they say; some
-// tells whether there was any.
-func recordChoices(so *resume.Answer, choices []byte, hears bool) (some bool, err error) {
+// doneData is the data of the event that ends a stream.
+const doneData = "[DONE]"
+
+// Faults of a stream that its client is told of.
+var (
+	errInvalidChunk = errors.New("an event that is no JSON object")
+	errTruncated    = errors.New("the stream ended before its answer did")
+)
+
+// reportedError is an error that an engine reports in the middle of its stream.
+type reportedError struct{ text string }
+
+func (e reportedError) Error() string { return "the engine reports an error: " + e.text }
+
+// head holds the members that every event of an answer repeats.
+type head struct {
+	id, model, object string
+	created           int64
+}
+
+var (
+	doneBytes   = []byte(doneData)
+	nameID      = []byte("id")
+	nameObject  = []byte("object")
+	nameCreated = []byte("created")
+	nameModel   = []byte("model")
+)
+
+// recordChoices records which choices have come and ended and, if withText is set, their content.
+// It tells whether there was any choice.
+func recordChoices(answer *resume.Answer, choices []byte, withText bool) (hasChoices bool, err error) {
 	w := jsonscan.Array(choices)
 	for at, ok := w.Element(); ok; at, ok = w.Element() {
-		some = true
+		hasChoices = true
 		index, ended := 0, false
 		var delta jsonscan.Span
 		choice := at.Of(choices)
@@ -26,39 +55,40 @@
 			case "delta":
 				delta = value
 			case "text":
-				so.Other()
+				answer.Other()
 			}
 		}
 		if c.Err() != nil {
-			return some, errInvalidChunk
+			return hasChoices, errInvalidChunk
 		}
-		if hears {
-			recordDelta(so, index, delta.Of(choice))
+		if withText {
+			recordDelta(answer, index, delta.Of(choice))
 		}
-		so.Choice(index, ended)
+		answer.Choice(index, ended)
 	}
 	if w.Err() != nil && !isNull(choices) {
-		return some, errInvalidChunk
+		return hasChoices, errInvalidChunk
 	}
-	return some, nil
+	return hasChoices, nil
 }
 
-// recordDelta notes what a choice's delta says.
-func recordDelta(so *resume.Answer, index int, delta []byte) {
+// recordDelta records the content of a choice's delta. Whatever is not the text of the first
+// choice makes the answer one that can't be continued.
+func recordDelta(answer *resume.Answer, index int, delta []byte) {
 	if index != 0 {
-		so.Other()
+		answer.Other()
 	}
 	d := jsonscan.Object(delta)
 	for name, value, ok := d.Next(); ok; name, value, ok = d.Next() {
 		v := value.Of(delta)
 		switch {
-		case string(name) == "role" || value.Null(delta) || string(v) == `""` || string(v) == `[]`:
+		case isEmptyMember(name, v):
 		case string(name) == "content":
 			if t, is := unquote(v); is {
-				so.Say(t)
+				answer.Say(t)
 			}
 		default:
-			so.Other()
+			answer.Other()
 		}
 	}
 }
@@ -71,9 +101,10 @@
 	return w.Err() == nil
 }
 
+// isNull tells whether a JSON value is null.
 func isNull(text []byte) bool { return len(text) > 0 && text[0] == 'n' }
 
-// errorMessage is what an error object says.
+// errorMessage returns the message of an error object, or the object itself if it has none.
 func errorMessage(object []byte) string {
 	var e struct {
 		Message string `json:"message"`
@@ -84,9 +115,9 @@
 	return firstLine(e.Message)
 }
 
-// startsAnswer tells whether an event begins an answer. Where the lead may be held back, that is
-// the first one with something in it: a token, a call, an end.
-func startsAnswer(data []byte, holdLead bool) (bool, error) {
+// startsAnswer tells whether an event begins an answer. With bufferUntilToken, that is the first
+// event with content: a token, a tool call, a finish reason.
+func startsAnswer(data []byte, bufferUntilToken bool) (bool, error) {
 	data = bytes.TrimSpace(data)
 	if len(data) == 0 {
 		return false, nil
@@ -95,7 +126,7 @@
 		return true, nil
 	}
 	w := jsonscan.Object(data)
-	token := false
+	hasToken := false
 	for {
 		name, value, ok := w.Next()
 		if !ok {
@@ -107,13 +138,18 @@
 				return false, reportedError{errorMessage(value.Of(data))}
 			}
 		case "choices":
-			token = token || hasContent(value.Of(data))
+			hasToken = hasToken || hasContent(value.Of(data))
 		}
 	}
 	if w.Err() != nil {
 		return false, errInvalidChunk
 	}
-	return token || !holdLead, nil
+	return hasToken || !bufferUntilToken, nil
+}
+
+// isEmptyMember tells whether a member of a delta adds nothing to an answer.
+func isEmptyMember(name, value []byte) bool {
+	return string(name) == "role" || isNull(value) || string(value) == `""` || string(value) == `[]`
 }
 
 // hasContent tells whether choices hold more than a role.
@@ -129,7 +165,7 @@
 			case "delta":
 				d := jsonscan.Object(text)
 				for name, value, ok := d.Next(); ok; name, value, ok = d.Next() {
-					if v := value.Of(text); string(name) != "role" && !value.Null(text) && string(v) != `""` && string(v) != `[]` {
+					if !isEmptyMember(name, value.Of(text)) {
 						return true
 					}
 				}
--- a/internal/openai/collector.go
+++ b/internal/openai/collector.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	maxResponseBytes = 4 << 20 // of an answer put together for a client that does not stream
+	maxResponseBytes = 4 << 20 // of an answer that is merged for a client that does not stream
 	maxIndex         = 1023    // of a choice or a tool call
 )
 
 var errResponseTooLarge = errors.New("an answer of more than 4 MiB")
 
-// collector puts a streamed answer together for a client that wants it in one piece. What
-// stands below a delta, or is text, is added up; all else is taken as it first comes, so
-// that fields which this program does not know pass as well.
+// collector merges a streamed answer for a client that does not stream. Strings below a delta,
+// and texts, are concatenated; other strings keep their first value, numbers and booleans take
+// the last one. Members that this program does not know are merged in the same way.
 type collector struct {
 	head    head
 	scanner sse.Scanner
@@ -29,38 +29,39 @@
 	state   resume.Answer
 }
 
-func (w *collector) contentType() string       { return jsonType }
-func (w *collector) progress() *resume.Answer  { return &w.state }
-func (w *collector) failure(e apiError) []byte { return e.object() }
-func (w *collector) complete() bool            { return false }
-func (w *collector) discardPartial()           { w.scanner = sse.Scanner{} }
-func (w *collector) nextAttempt()              { *w = collector{head: w.head} }
+func (c *collector) contentType() string       { return jsonType }
+func (c *collector) progress() *resume.Answer  { return &c.state }
+func (c *collector) failure(e apiError) []byte { return e.object() }
+func (c *collector) complete() bool            { return false }
+func (c *collector) discardPartial()           { c.scanner = sse.Scanner{} }
+func (c *collector) nextAttempt()              { *c = collector{head: c.head} }
 
-func (w *collector) translate(dst, p []byte) ([]byte, error) {
-	return dst, w.scanner.Write(p, w.handleEvent)
+func (c *collector) translate(dst, p []byte) ([]byte, error) {
+	return dst, c.scanner.Write(p, c.handleEvent)
 }
 
-// finish adds the answer in one piece, if it is whole.
-func (w *collector) finish(dst []byte) ([]byte, error) {
-	if err := w.scanner.End(w.handleEvent); err != nil {
+// finish appends the merged answer, if it is complete.
+func (c *collector) finish(dst []byte) ([]byte, error) {
+	if err := c.scanner.End(c.handleEvent); err != nil {
 		return dst, err
 	}
-	if !w.state.Whole() {
+	if !c.state.Whole() {
 		return dst, errTruncated
 	}
-	return append(append(dst, w.body()...), '\n'), nil
+	return append(append(dst, c.body()...), '\n'), nil
 }
 
-func (w *collector) handleEvent(e sse.Event) error {
+// handleEvent merges one event.
+func (c *collector) handleEvent(e sse.Event) error {
 	data := bytes.TrimSpace(e.Data)
-	if w.state.Over() || len(data) == 0 {
+	if c.state.Over() || len(data) == 0 {
 		return nil
 	}
 	if bytes.Equal(data, doneBytes) {
-		w.state.Last()
+		c.state.Last()
 		return nil
 	}
-	if w.size += len(data); w.size > maxResponseBytes {
+	if c.size += len(data); c.size > maxResponseBytes {
 		return errResponseTooLarge
 	}
 	o := jsonscan.Object(data)
@@ -77,21 +78,21 @@
 			}
 		case "usage":
 			if !value.Null(data) {
-				w.usage = bytes.Clone(text)
+				c.usage = bytes.Clone(text)
 			}
 		case "choices":
 			if value.Null(data) {
 				continue
 			}
-			if _, err := recordChoices(&w.state, text, false); err != nil {
+			if _, err := recordChoices(&c.state, text, false); err != nil {
 				return err
 			}
-			if err := w.root.member("choices").add(text, false); err != nil {
+			if err := c.root.member("choices").add(text, false); err != nil {
 				return err
 			}
 		case "id", "object", "created", "model":
 		default:
-			if err := w.root.member(string(name)).add(text, false); err != nil {
+			if err := c.root.member(string(name)).add(text, false); err != nil {
 				return err
 			}
 		}
@@ -102,34 +103,34 @@
 	return nil
 }
 
-// body is the answer in one piece.
-func (w *collector) body() []byte {
-	out := appendMember([]byte{'{'}, nameID, quote(w.head.id))
-	out = appendMember(out, nameObject, quote(w.head.object))
-	out = appendMember(out, nameCreated, strconv.AppendInt(nil, w.head.created, 10))
-	out = appendMember(out, nameModel, quote(w.head.model))
+// body returns the merged answer.
+func (c *collector) body() []byte {
+	out := appendMember([]byte{'{'}, nameID, quote(c.head.id))
+	out = appendMember(out, nameObject, quote(c.head.object))
+	out = appendMember(out, nameCreated, strconv.AppendInt(nil, c.head.created, 10))
+	out = appendMember(out, nameModel, quote(c.head.model))
 	list := []byte{'['}
-	if choices := w.root.members["choices"]; choices != nil {
-		for i, c := range choices.sortedByIndex() {
+	if choices := c.root.members["choices"]; choices != nil {
+		for i, choice := range choices.sortedByIndex() {
 			if i > 0 {
 				list = append(list, ',')
 			}
-			list = appendChoice(list, c)
+			list = appendChoice(list, choice)
 		}
 	}
 	out = appendMember(out, []byte("choices"), append(list, ']'))
-	for _, name := range w.root.names {
+	for _, name := range c.root.names {
 		if name != "choices" {
-			out = appendMember(out, []byte(name), w.root.members[name].json(nil, false))
+			out = appendMember(out, []byte(name), c.root.members[name].json(nil, false))
 		}
 	}
-	if w.usage != nil {
-		out = appendMember(out, []byte("usage"), w.usage)
+	if c.usage != nil {
+		out = appendMember(out, []byte("usage"), c.usage)
 	}
 	return append(out, '}')
 }
 
-// appendChoice writes one choice, its delta as the message that it has grown to.
+// appendChoice appends one choice, with its merged delta as the message.
 func appendChoice(out []byte, c *node) []byte {
 	out = append(out, '{')
 	for _, name := range c.names {
--- a/internal/openai/counts.go
+++ b/internal/openai/counts.go
@@ -7,7 +7,7 @@
 	"wellgw/decide/resume"
 )
 
-// counts are how often things of the front's own came to pass.
+// counts are the front's own counters.
 type counts struct {
 	keys    [deduplication.Full + 1]atomic.Int64 // requests under keys, by verdict
 	breaks  [resume.Finish + 1]atomic.Int64      // answers that broke, by what became of them
--- a/internal/openai/dialect.go
+++ b/internal/openai/dialect.go
@@ -11,14 +11,14 @@
 	"wellgw/routing"
 )
 
-// Dialect is how engines that offer only the chat API are spoken with. They read
-// and answer whole requests, hold nothing that could be let go, and prove nothing
-// by their errors: what ended in a 5xx or a break may have run.
+// Dialect is the protocol of engines that offer only the chat API. They serve a request in one
+// call, hold no state that could be released, and prove nothing by their errors: what ended in a
+// 5xx or a broken connection may have run.
 type Dialect struct {
 	Key string // sent as the bearer, if not empty
 }
 
-// EngineError is an engine's own word on a request that it did not serve.
+// EngineError is an engine's answer with an error status.
 type EngineError struct {
 	Status int
 	Body   []byte
@@ -26,7 +26,7 @@
 
 func (e *EngineError) Error() string { return fmt.Sprintf("engine answered %d", e.Status) }
 
-// Attempt is one chat completion.
+// Attempt returns the call for one attempt of a request.
 func (d Dialect) Attempt(a core.Attempt) upstream.Call {
 	header := [][2]string{
 		{"Content-Type", "application/json"}, {"Accept", "text/event-stream"},
@@ -38,8 +38,8 @@
 	return upstream.Call{Method: http.MethodPost, Target: a.Payload.Target, Header: header, Body: a.Payload.Body}
 }
 
-// Judge maps an error. 429 says that a limit was met before any work began;
-// X-Not-Run says so outright.
+// Judge maps an error status to a result. 429 means that a limit was exceeded before any work
+// began; the header X-Not-Run says that outright.
 func (Dialect) Judge(status int, h http.Header, body []byte) core.Result {
 	r := core.Result{Status: routing.StatusError, Cause: &EngineError{Status: status, Body: body}}
 	if status == http.StatusTooManyRequests || h.Get("X-Not-Run") == "1" {
@@ -53,8 +53,8 @@
 	return startsAnswer(data, p.BufferUntilFirstToken)
 }
 
-// TwoStage is how a chat gateway speaks with two-stage engines: by the platform's protocol,
-// and with the same eye for where an answer begins.
+// TwoStage is the protocol of two-stage engines behind a chat gateway: the platform's, with the
+// same rule for where an answer begins.
 type TwoStage struct{ platform.Dialect }
 
 // Opens tells whether an event begins an answer; see upstream.Opener.
@@ -62,13 +62,13 @@
 	return startsAnswer(data, p.BufferUntilFirstToken)
 }
 
-// Tail reads the usage.
+// Tail reads the usage from the end of an answer.
 func (Dialect) Tail(tail []byte, r *core.Result) {
 	r.CachedTokens, r.OutputTokens = upstream.Usage(tail)
 }
 
-// Release has nothing to call: such an engine ends its work with the connection.
+// Release returns no call: such an engine stops its work when the connection is closed.
 func (Dialect) Release(string) (upstream.Call, bool) { return upstream.Call{}, false }
 
-// Probe has nothing to call.
+// Probe returns no call.
 func (Dialect) Probe() (upstream.Call, bool) { return upstream.Call{}, false }
--- a/internal/openai/encoder.go
+++ b/internal/openai/encoder.go
@@ -4,22 +4,23 @@
 	"wellgw/decide/resume"
 )
 
-// encoder is the way in which a client gets its answer.
+// encoder turns an engine's stream into the answer that the client gets. It is used by one
+// goroutine at a time.
 type encoder interface {
-	contentType() string // the content type
-	// translate adds what the client gets, now that p has come of the stream, to dst.
+	contentType() string
+	// translate appends to dst what the client gets for p, the next bytes of the stream.
 	translate(dst, p []byte) ([]byte, error)
-	// finish does the same once the stream has ended. An error says that the answer has not.
+	// finish does the same at the end of the stream. An error says that the answer is truncated.
 	finish(dst []byte) ([]byte, error)
-	// progress is how far it has come.
+	// progress tells how far the answer has come.
 	progress() *resume.Answer
-	// complete tells whether take has returned the whole of it, before the stream's end.
+	// complete tells whether translate has returned the whole answer, before the stream's end.
 	complete() bool
-	// discardPartial forgets the part of an event that a break has left.
+	// discardPartial drops the incomplete event that a broken stream has left.
 	discardPartial()
-	// nextAttempt makes ready for another engine's stream, which goes on with the answer or, if the
-	// client has been given nothing, begins it anew.
+	// nextAttempt prepares for the stream of another engine, which continues the answer or, if
+	// nothing has been sent to the client, begins it anew.
 	nextAttempt()
-	// failure is what ends an answer that has begun and broke.
+	// failure returns what ends an answer that broke after a part of it was sent.
 	failure(apiError) []byte
 }
--- a/internal/openai/errors.go
+++ b/internal/openai/errors.go
@@ -13,7 +13,7 @@
 	"wellgw/routing"
 )
 
-// The codes of errors, as docs/chat-errors.md lists them. They do not change.
+// The codes of errors, as docs/chat-errors.md lists them. Clients rely on them: they do not change.
 const (
 	codeKey        = "invalid_api_key"
 	codeURL        = "unknown_url"
@@ -50,9 +50,10 @@
 	kind, code, text string
 	param            string
 	retryAfter       time.Duration
-	final            bool // clients' libraries are told not to try again by themselves
+	final            bool // client libraries are told not to retry by themselves
 }
 
+// object returns the error object.
 func (e apiError) object() []byte {
 	optional := func(s string) any {
 		if s == "" {
@@ -69,23 +70,25 @@
 	return b
 }
 
+// send answers a request with the error.
 func (e apiError) send(w http.ResponseWriter) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
 	if e.retryAfter > 0 {
-		// Whole seconds by the HTTP standard; clients' libraries know the finer one.
+		// The HTTP standard has whole seconds; client libraries also read milliseconds.
 		h.Set("Retry-After", strconv.Itoa(int(math.Ceil(e.retryAfter.Seconds()))))
 		h.Set("Retry-After-Ms", strconv.FormatInt(max(1, e.retryAfter.Milliseconds()), 10))
 	}
 	if e.final {
-		// Libraries try 408, 409, 429 and 5xx again by themselves; this header, which they
-		// know, has them not: what may have run must not be sent again unasked.
+		// Client libraries retry 408, 409, 429 and 5xx by themselves unless this header says
+		// otherwise: what may have run must not be sent again without the caller's decision.
 		h.Set("X-Should-Retry", "false")
 	}
 	w.WriteHeader(e.status)
 	w.Write(append(e.object(), '\n'))
 }
 
+// badRequest returns the error for an invalid body or, if param is given, parameter.
 func badRequest(text, param string) apiError {
 	e := apiError{status: http.StatusBadRequest, kind: typeRequest, code: codeBody, text: text, param: param}
 	if param != "" {
@@ -94,12 +97,13 @@
 	return e
 }
 
+// unknownModel returns the error for a model that does not exist or that the team may not use.
 func unknownModel(name string) apiError {
 	return apiError{status: http.StatusNotFound, kind: typeRequest, code: codeModel, param: "model",
 		text: "the model " + name + " does not exist or is not open to this team"}
 }
 
-// rejected returns the engine's word that it does not accept a request, nil if it is none.
+// rejected returns the engine's error if it says that the request is invalid, else nil.
 func rejected(a core.Answer) *EngineError {
 	var e *EngineError
 	if errors.As(a.Cause, &e) && slices.Contains([]int{http.StatusBadRequest, http.StatusRequestEntityTooLarge, http.StatusUnprocessableEntity}, e.Status) {
@@ -108,9 +112,9 @@
 	return nil
 }
 
-// refusal words a final answer that is no stream. Only 429 and 503 say that trying again
-// is harmless; 502 and 504 promise nothing, so that where an order may have run its
-// client's library is told not to.
+// refusal returns the error for an answer without a stream. Only 429 and 503 say that a retry is
+// harmless; 502 and 504 promise nothing, so that for a request which must not run twice (once)
+// client libraries are told not to retry.
 func refusal(a core.Answer, once bool) apiError {
 	if e := rejected(a); e != nil {
 		r := badRequest("the engine did not accept the request: "+firstLine(string(e.Body)), "")
@@ -132,14 +136,14 @@
 		text: "an engine failed; the request may have been carried out"}
 }
 
-// streamError words the error event that ends a stream.
+// streamError returns the error for an event that ends a broken stream.
 func streamError(err error) apiError {
 	if errors.Is(err, streambuffer.ErrSlowClient) {
 		return apiError{kind: typeServer, code: codeSlow, text: "the client read too slowly; the request may have been carried out"}
 	}
-	var told reportedError
-	if errors.As(err, &told) {
-		return apiError{kind: typeServer, code: codeReported, text: told.Error() + "; the request may have been carried out"}
+	var reported reportedError
+	if errors.As(err, &reported) {
+		return apiError{kind: typeServer, code: codeReported, text: reported.Error() + "; the request may have been carried out"}
 	}
 	return apiError{kind: typeServer, code: codeBroken, text: "the stream broke; the request may have been carried out"}
 }
--- a/internal/openai/fields.go
+++ b/internal/openai/fields.go
@@ -7,7 +7,7 @@
 	"wellgw/internal/jsonscan"
 )
 
-// paramError is a fault in a request's field.
+// paramError is a field of a request that is missing or invalid.
 type paramError struct{ param, problem string }
 
 func (e paramError) Error() string { return e.param + ": " + e.problem }
@@ -17,7 +17,8 @@
 	errTooManyFields = errors.New("the body has too many fields")
 )
 
-// fields are a body's members, each name once: of two the last counts, for engines as well.
+// fields are the members of a request's body, each name once: of duplicates the last one counts,
+// and engines get no duplicates.
 type fields struct {
 	data []byte
 	list []field
@@ -28,6 +29,7 @@
 	value jsonscan.Span
 }
 
+// readFields reads the members of a JSON object.
 func readFields(data []byte) (*fields, error) {
 	f := &fields{data: data, list: make([]field, 0, 16)}
 	w := jsonscan.Object(data)
@@ -52,6 +54,7 @@
 	return f, nil
 }
 
+// index returns the place of a field in the list, -1 if there is none.
 func (f *fields) index(name string) int {
 	for i := range f.list {
 		if string(f.list[i].name) == name {
@@ -61,7 +64,7 @@
 	return -1
 }
 
-// get returns a field's text, nil if it is null or not there.
+// get returns a field's JSON text, nil if the field is null or missing.
 func (f *fields) get(name string) []byte {
 	if at := f.index(name); at >= 0 && !f.list[at].value.Null(f.data) {
 		return f.list[at].value.Of(f.data)
@@ -69,7 +72,7 @@
 	return nil
 }
 
-// decode decodes a field; one that is not there leaves the value.
+// decode decodes a field into value, which stays as it is if the field is null or missing.
 func (f *fields) decode(name string, value any) error {
 	raw := f.get(name)
 	if raw == nil {
@@ -81,7 +84,8 @@
 	return nil
 }
 
-// replace writes the body anew, some fields replaced or added.
+// replace returns the body with the fields of set replaced by those that order names, at the end.
+// A field that set has as nil is left out.
 func (f *fields) replace(set map[string][]byte, order ...string) []byte {
 	out := make([]byte, 0, len(f.data)+64)
 	out = append(out, '{')
@@ -98,7 +102,7 @@
 	return append(out, '}')
 }
 
-// appendMember adds a member to an object under way.
+// appendMember appends a member to an object that is being written.
 func appendMember(out, name, value []byte) []byte {
 	if out[len(out)-1] != '{' {
 		out = append(out, ',')
@@ -112,4 +116,5 @@
 	return append(append(out, `":`...), value...)
 }
 
+// needsEscape tells whether a character of a name is escaped in JSON.
 func needsEscape(c rune) bool { return c < ' ' || c == '"' || c == '\\' || c > '~' }
--- a/internal/openai/front.go
+++ b/internal/openai/front.go
@@ -23,19 +23,19 @@
 	"wellgw/internal/streambuffer"
 )
 
-// Bounds towards callers.
+// Limits towards clients.
 const (
-	writeLimit         = 5 * time.Second // a caller that takes no byte for this long is given up
-	writeDeadlineParts = 8               // of the limit: how exactly that is kept
+	writeLimit         = 5 * time.Second // a client that accepts no byte for this long is disconnected
+	writeDeadlineParts = 8               // the write deadline may be short by one such part of the limit
 	stallLimit         = 250 * time.Millisecond
-	maxBufferPerClient = 256 << 10   // bytes of a stream that are held for a slow caller
-	retryAfterBusy     = time.Second // after which there may be memory for a body again
-	keyPause           = time.Second // after which a request under way may have ended
-	retryAfterFull     = 5 * time.Second
-	maxKey             = 255 // bytes of an idempotency key
+	maxBufferPerClient = 256 << 10       // bytes of a stream that are buffered for a slow client
+	retryAfterBusy     = time.Second     // when there may be memory for a body again
+	keyPause           = time.Second     // after which a request under way may have ended
+	retryAfterFull     = 5 * time.Second // when the table of idempotency keys may have room again
+	maxKey             = 255             // bytes of an idempotency key
 )
 
-// Options are what a front is made of.
+// Options are what a front depends on.
 type Options struct {
 	Core   *core.Core
 	File   *config.Operator
@@ -46,7 +46,7 @@
 	Others func() bool
 }
 
-// Front answers callers of the chat API.
+// Front is the HTTP handler of the chat API. Its methods may be called from any goroutine.
 type Front struct {
 	core    *core.Core
 	bodies  *clientconn.Budget
@@ -62,15 +62,16 @@
 	keepMost int64
 }
 
-// catalog is what an operator's file says of callers and models.
+// catalog holds the teams, models and contracts of one operator's file. It does not change; a
+// reload replaces it.
 type catalog struct {
-	teams     map[[sha256.Size]byte]*config.Team // by the hash of a key, so that look-up time tells nothing of keys
+	teams     map[[sha256.Size]byte]*config.Team // by the SHA-256 of a key, so that the time of a look-up tells nothing about keys
 	contracts map[string]config.Contract         // by model
 	models    []string
 }
 
-// NewFront returns a front to a core whose classes are the operator's contracts
-// and whose tenants are the teams.
+// NewFront returns a front for a core whose classes are the operator's contracts and whose
+// tenants are the teams.
 func NewFront(o Options) *Front {
 	f := &Front{
 		core: o.Core, bodies: o.Bodies, keys: o.Keys, others: o.Others, started: time.Now(),
@@ -81,27 +82,27 @@
 	return f
 }
 
-// Reload goes by another file from the next request on. Its contracts and teams
-// must be those the module knows; see config.Operator.Takes.
+// Reload replaces the operator's file from the next request on. Its contracts and teams must be
+// those that the routing policy was started with; see config.Operator.Takes.
 func (f *Front) Reload(o *config.Operator) {
-	b := &catalog{teams: map[[sha256.Size]byte]*config.Team{}, contracts: map[string]config.Contract{}}
+	next := &catalog{teams: map[[sha256.Size]byte]*config.Team{}, contracts: map[string]config.Contract{}}
 	for i := range o.Teams {
 		for _, k := range o.Teams[i].Keys {
-			b.teams[sha256.Sum256([]byte(k))] = &o.Teams[i]
+			next.teams[sha256.Sum256([]byte(k))] = &o.Teams[i]
 		}
 	}
 	for _, m := range o.Models {
-		b.models = append(b.models, m.Name)
+		next.models = append(next.models, m.Name)
 		for _, c := range o.Contracts {
 			if c.Name == m.Contract {
-				b.contracts[m.Name] = c
+				next.contracts[m.Name] = c
 			}
 		}
 	}
-	f.catalog.Store(b)
+	f.catalog.Store(next)
 }
 
-// SetService goes by what clients get from now on.
+// SetService sets what clients are served from now on, as the process starts and shuts down.
 func (f *Front) SetService(s lifecycle.Service) { f.service.Store(&s) }
 
 // ServeHTTP serves the chat API, the list of models and the health check.
@@ -119,22 +120,22 @@
 	rand.Read(raw[:])
 	id := hex.EncodeToString(raw[:])
 	w.Header()["X-Request-Id"] = []string{id}
-	b := f.catalog.Load() // one for the whole request, whatever is read anew meanwhile
-	team := b.team(r)
+	catalog := f.catalog.Load() // the same for the whole request, also across a reload
+	team := catalog.team(r)
 	if team == nil {
 		clientconn.Reject(w, r)
 		w.Header().Set("WWW-Authenticate", "Bearer")
 		apiError{status: http.StatusUnauthorized, kind: typeRequest, code: codeKey, text: "missing or unknown API key"}.send(w)
 		return
 	}
-	model, one := strings.CutPrefix(r.URL.Path, modelPath+"/")
+	model, single := strings.CutPrefix(r.URL.Path, modelPath+"/")
 	post := slices.Contains([]string{chatPath, completionPath, embeddingPath, responsePath}, r.URL.Path)
 	switch {
 	case post && r.Method == http.MethodPost:
-		f.call(w, r, b, team, id)
-	case (r.URL.Path == modelPath || one) && r.Method == http.MethodGet:
-		b.writeModels(w, team, model, one, f.started)
-	case post || r.URL.Path == modelPath || one:
+		f.call(w, r, catalog, team, id)
+	case (r.URL.Path == modelPath || single) && r.Method == http.MethodGet:
+		catalog.writeModels(w, team, model, single, f.started)
+	case post || r.URL.Path == modelPath || single:
 		clientconn.Reject(w, r)
 		w.Header().Set("Allow", map[bool]string{true: http.MethodPost, false: http.MethodGet}[post])
 		apiError{status: http.StatusMethodNotAllowed, kind: typeRequest, code: codeMethod, text: "method not allowed"}.send(w)
@@ -144,56 +145,57 @@
 	}
 }
 
-// announceClose tells the caller that its connection ends with this answer, if that is so.
+// announceClose sets Connection: close if the connection is closed after this answer.
 func (f *Front) announceClose(w http.ResponseWriter, r *http.Request) {
 	if !f.service.Load().Reusable && clientconn.NothingAhead(r.Context()) {
 		w.Header().Set("Connection", "close")
 	}
 }
 
-// team is the caller's by its key, nil for none.
-func (b *catalog) team(r *http.Request) *config.Team {
+// team returns the team of the request's API key, nil for none.
+func (c *catalog) team(r *http.Request) *config.Team {
 	scheme, key, _ := strings.Cut(r.Header.Get("Authorization"), " ")
 	if !strings.EqualFold(scheme, "Bearer") {
 		return nil
 	}
-	return b.teams[sha256.Sum256([]byte(strings.TrimSpace(key)))]
+	return c.teams[sha256.Sum256([]byte(strings.TrimSpace(key)))]
 }
 
-// writeModels tells of models, and of the contract that each is served under.
-func (b *catalog) writeModels(w http.ResponseWriter, team *config.Team, name string, one bool, started time.Time) {
-	all := []any{}
-	for _, m := range b.models {
-		if !slices.Contains(team.Models, m) || one && m != name {
+// writeModels answers with the team's models, or with the single one of a name, and the contract
+// that each is served under.
+func (c *catalog) writeModels(w http.ResponseWriter, team *config.Team, name string, single bool, started time.Time) {
+	models := []any{}
+	for _, m := range c.models {
+		if !slices.Contains(team.Models, m) || single && m != name {
 			continue
 		}
-		c := b.contracts[m]
-		all = append(all, map[string]any{
+		contract := c.contracts[m]
+		models = append(models, map[string]any{
 			"id": m, "object": "model", "created": started.Unix(), "owned_by": "wellgw",
-			"contract": map[string]any{"name": c.Name, "effect": c.Effect, "aim_ms": c.AimMS, "deadline_ms": c.DeadlineMS, "worth": c.Worth},
+			"contract": map[string]any{"name": contract.Name, "effect": contract.Effect, "aim_ms": contract.AimMS, "deadline_ms": contract.DeadlineMS, "worth": contract.Worth},
 		})
 	}
-	var body any = map[string]any{"object": "list", "data": all}
-	if one {
-		if len(all) == 0 {
+	var body any = map[string]any{"object": "list", "data": models}
+	if single {
+		if len(models) == 0 {
 			unknownModel(name).send(w)
 			return
 		}
-		body = all[0]
+		body = models[0]
 	}
 	w.Header().Set("Content-Type", "application/json")
 	codec.NewEncoder(w).Encode(body)
 }
 
 // call serves one request to a model.
-func (f *Front) call(w http.ResponseWriter, r *http.Request, b *catalog, team *config.Team, id string) {
+func (f *Front) call(w http.ResponseWriter, r *http.Request, catalog *catalog, team *config.Team, id string) {
 	arrived := time.Now()
 	raw, free, ok := f.body(w, r, team)
 	if !ok {
 		return
 	}
 	defer free()
-	a, typed, contract, err := b.accept(r.URL.Path, raw, team)
+	a, typed, contract, err := catalog.accept(r.URL.Path, raw, team)
 	if err != nil {
 		err.send(w)
 		return
@@ -216,7 +218,8 @@
 	c.run()
 }
 
-// body reads a request's body; false if there is none to go on with, and the client has been told.
+// body reads a request's body. It is false if the request ends here and has been answered; else
+// free gives the body's memory back.
 func (f *Front) body(w http.ResponseWriter, r *http.Request, team *config.Team) (raw []byte, free func(), ok bool) {
 	raw, free, err := f.bodies.Read(w, r)
 	switch {
@@ -243,15 +246,15 @@
 	return nil, nil, false
 }
 
-// forgetKey notes that a request was turned away before it was read: its key has not run.
+// forgetKey records that a request was rejected before it was read, so that its key has not run.
 func (f *Front) forgetKey(r *http.Request, team *config.Team) {
 	if name := r.Header.Get(keyHeader); name != "" && len(name) <= maxKey && f.keys != nil {
 		f.keys.Spare(deduplication.Key{Team: team.Name, Name: name})
 	}
 }
 
-// accept parses a request and finds its contract. The error is what its client is told.
-func (b *catalog) accept(path string, raw []byte, team *config.Team) (*apiRequest, *responsesEncoder, config.Contract, *apiError) {
+// accept parses a request and finds its contract. The error is the answer to the client.
+func (c *catalog) accept(path string, raw []byte, team *config.Team) (*apiRequest, *responsesEncoder, config.Contract, *apiError) {
 	var a *apiRequest
 	var typed *responsesEncoder // of /v1/responses
 	var err error
@@ -263,25 +266,25 @@
 	if err != nil {
 		var p paramError
 		errors.As(err, &p)
-		wrong := badRequest(err.Error(), p.param)
-		return nil, nil, config.Contract{}, &wrong
+		invalid := badRequest(err.Error(), p.param)
+		return nil, nil, config.Contract{}, &invalid
 	}
-	contract, known := b.contracts[a.model]
+	contract, known := c.contracts[a.model]
 	if !known || !slices.Contains(team.Models, a.model) {
-		wrong := unknownModel(a.model)
-		return nil, nil, config.Contract{}, &wrong
+		invalid := unknownModel(a.model)
+		return nil, nil, config.Contract{}, &invalid
 	}
 	if a.path == embeddingPath && contract.Effect != config.EffectFree {
-		wrong := badRequest("model: embeddings need a model under a free contract", "model")
-		return nil, nil, config.Contract{}, &wrong
+		invalid := badRequest("model: embeddings need a model under a free contract", "model")
+		return nil, nil, config.Contract{}, &invalid
 	}
 	return a, typed, contract, nil
 }
 
-// run submits the request and gives its client the answer.
+// run submits the request to the core and writes the answer to the client.
 func (c *call) run() {
 	answer, ticket, here := c.submit(c.ask, c.head.id)
-	c.announceClose(c.w, c.r) // the request may have waited since before the gateway began to leave
+	c.announceClose(c.w, c.r) // the process may have begun to shut down while the request waited
 	if !here {
 		c.ending.MayRun = !c.once || ticket.MayHaveRun(context.WithoutCancel(c.r.Context()))
 		panic(http.ErrAbortHandler) // the caller has gone: there is nobody to answer
@@ -297,7 +300,7 @@
 	c.stream(answer.Stream, ticket)
 }
 
-// formOf is the way in which a call's client gets its answer.
+// formOf returns the encoder for a call's answer.
 func formOf(a *apiRequest, typed *responsesEncoder, h head, contract config.Contract) encoder {
 	switch {
 	case typed != nil:
@@ -314,16 +317,16 @@
 	return newRewriter(h, a.includeUsage, contract.Continue > 0)
 }
 
-// setRateLimitHeaders tells a team with a budget how it stands, at this gateway.
+// setRateLimitHeaders states the quota of the request's team, as far as this gateway knows it.
 func setRateLimitHeaders(h http.Header, a core.Answer) {
 	if a.Quota == nil {
 		return
 	}
-	full := a.Quota.ResetIn
+	reset := a.Quota.ResetIn
 	if a.OverQuota {
-		full = max(full, a.RetryAfter)
+		reset = max(reset, a.RetryAfter)
 	}
 	h["X-Ratelimit-Limit-Requests"] = []string{strconv.Itoa(int(a.Quota.Burst))}
 	h["X-Ratelimit-Remaining-Requests"] = []string{strconv.Itoa(int(a.Quota.Remaining))}
-	h["X-Ratelimit-Reset-Requests"] = []string{full.Round(time.Millisecond).String()}
+	h["X-Ratelimit-Reset-Requests"] = []string{reset.Round(time.Millisecond).String()}
 }
--- a/internal/openai/node.go
+++ b/internal/openai/node.go
@@ -7,18 +7,20 @@
 	"wellgw/internal/jsonscan"
 )
 
-// The kinds of a node.
+// nodeKind is the kind of value that a node holds.
+type nodeKind int
+
 const (
-	absentNode = iota
-	scalarNode // raw
+	absentNode nodeKind = iota
+	scalarNode          // a number, a boolean or null, kept as raw
 	stringNode
 	objectNode
 	listNode
 )
 
-// node is a value that grows with each event.
+// node is a JSON value that is merged from the values of several events.
 type node struct {
-	kind    int
+	kind    nodeKind
 	raw     []byte
 	text    []byte // decoded
 	names   []string
@@ -26,6 +28,7 @@
 	items   []*node
 }
 
+// member returns the member of a name, which is added if there is none.
 func (n *node) member(name string) *node {
 	if n.members == nil {
 		n.kind, n.members = objectNode, map[string]*node{}
@@ -39,8 +42,8 @@
 	return m
 }
 
-// add takes in a value; joins tells that texts are added up.
-func (n *node) add(raw []byte, joins bool) error {
+// add merges a value; with concat, strings are concatenated.
+func (n *node) add(raw []byte, concat bool) error {
 	switch raw[0] {
 	case 'n':
 		if n.kind == absentNode {
@@ -52,7 +55,7 @@
 		if !is {
 			return errInvalidChunk
 		}
-		if n.kind = stringNode; joins || len(n.text) == 0 {
+		if n.kind = stringNode; concat || len(n.text) == 0 {
 			n.text = append(n.text, t...)
 		}
 		return nil
@@ -64,30 +67,31 @@
 			if !ok {
 				return w.Err()
 			}
-			if err := n.member(string(name)).add(value.Of(raw), concatenates(string(name), joins)); err != nil {
+			if err := n.member(string(name)).add(value.Of(raw), concatenates(string(name), concat)); err != nil {
 				return err
 			}
 		}
 	case '[':
-		return n.elements(raw, joins)
+		return n.elements(raw, concat)
 	}
 	n.kind, n.raw = scalarNode, append(n.raw[:0], raw...)
 	return nil
 }
 
-// concatenates tells whether texts under a name are added up, going by what is above it.
-func concatenates(name string, above bool) bool {
+// concatenates tells whether strings under a name are concatenated; parent tells it of what the
+// name is a member of.
+func concatenates(name string, parent bool) bool {
 	switch name {
 	case "delta", "text":
 		return true
 	case "role", "id", "type", "finish_reason", "object":
 		return false
 	}
-	return above
+	return parent
 }
 
-// elements takes in a list: elements with an index grow one by one, others are appended.
-func (n *node) elements(raw []byte, joins bool) error {
+// elements merges a list: elements with an index are merged one by one, others are appended.
+func (n *node) elements(raw []byte, concat bool) error {
 	n.kind = listNode
 	w := jsonscan.Array(raw)
 	for {
@@ -120,12 +124,13 @@
 			item = &node{}
 			n.items = append(n.items, item)
 		}
-		if err := item.add(value, joins); err != nil {
+		if err := item.add(value, concat); err != nil {
 			return err
 		}
 	}
 }
 
+// indexOf returns the index that an element states, if it does.
 func indexOf(value []byte) (index int, given bool, err error) {
 	o := jsonscan.Object(value)
 	for {
@@ -155,15 +160,15 @@
 	return out
 }
 
-// json writes the value; bare leaves out the index of elements, which is a stream's alone.
-func (n *node) json(out []byte, bare bool) []byte {
+// json appends the value; withoutIndex leaves out the index of elements, which only streams have.
+func (n *node) json(out []byte, withoutIndex bool) []byte {
 	switch n.kind {
 	case stringNode:
 		return append(out, quote(string(n.text))...)
 	case objectNode:
 		out = append(out, '{')
 		for _, name := range n.names {
-			if !bare || name != "index" {
+			if !withoutIndex || name != "index" {
 				out = appendMember(out, []byte(name), n.members[name].json(nil, false))
 			}
 		}
@@ -174,7 +179,7 @@
 			if i > 0 {
 				out = append(out, ',')
 			}
-			out = item.json(out, bare)
+			out = item.json(out, withoutIndex)
 		}
 		return append(out, ']')
 	case scalarNode:
@@ -183,7 +188,7 @@
 	return append(out, "null"...)
 }
 
-// quote is a text as a JSON string.
+// quote returns a text as a JSON string.
 func quote(s string) []byte {
 	b, err := codec.Marshal(s)
 	if err != nil { // of a string there is none
--- a/internal/openai/passthrough.go
+++ b/internal/openai/passthrough.go
@@ -4,7 +4,7 @@
 	"wellgw/decide/resume"
 )
 
-// passthrough is an answer that is one body and passes as it is, but for the model's name.
+// passthrough passes an answer that is one JSON body, with the model's name replaced.
 type passthrough struct {
 	head  head
 	body  []byte
--- a/internal/openai/request.go
+++ b/internal/openai/request.go
@@ -1,5 +1,9 @@
-// Package openai is the chat front: an OpenAI-style API before the core, and the dialect
-// of engines that offer nothing else.
+// Package openai is the chat front: an HTTP handler for an OpenAI-style API in front of the core,
+// and the dialect of engines that offer nothing but that API.
+//
+// Front authenticates a request and reads its body; a call parses it, submits it to the core and
+// writes the answer by an encoder: rewriter for streams of chats and completions, collector for
+// the same in one piece, passthrough for embeddings, responsesEncoder for the responses API.
 package openai
 
 import (
@@ -16,21 +20,21 @@
 	"wellgw/internal/jsonscan"
 )
 
-// Lengths in the API's terms. What a part that is no text takes is an estimate: the module
-// weighs requests by it, nobody is billed by it.
+// Limits and estimates of sizes, in tokens unless said otherwise. What a part other than text
+// takes is an estimate, by which the routing policy weighs requests; nothing is billed by it.
 const (
 	charsPerToken       = 4
-	defaultOutputTokens = 512   // tokens, when the caller sets no limit
-	maxOutputTokens     = 16384 // that a limit is believed; a higher one says only that there is none
-	messageTokens       = 4     // what a message's frame takes
+	defaultOutputTokens = 512   // if the client sets no limit
+	maxOutputTokens     = 16384 // of a limit that is believed; a higher one says only that there is none
+	messageTokens       = 4     // of a message's role and delimiters
 	maxMessages         = 2048
 	maxChoices          = 128
-	maxInputs           = 2048 // of an embeddings call
+	maxInputs           = 2048 // prompts or inputs of one call
 
 	imageTokensLow     = 85
 	imageTokensHigh    = 765
-	audioBytesPerToken = 1600 // of base64 text, a token: 100 ms at 12 kB/s
-	fileBytesPerToken  = 6    // of base64 text, a token
+	audioBytesPerToken = 1600 // bytes of base64 text a token: 100 ms at 12 kB/s
+	fileBytesPerToken  = 6    // bytes of base64 text a token
 	unknownPartTokens  = 64
 )
 
@@ -45,26 +49,27 @@
 	modelPath      = "/v1/models"
 )
 
-// apiRequest is one call of the API, as far as the gateway reads it; the rest passes.
+// apiRequest is one call of the API, as far as the gateway reads it. The rest of its body passes
+// unread.
 type apiRequest struct {
-	path           string // engines are called by
+	path           string // of the call to an engine
 	model          string
 	stream         bool
-	includeUsage   bool // the client wants to see it in the stream
+	includeUsage   bool // the client has asked for the event with the usage
 	choices        int
-	hasOutputLimit bool   // the client has said how long an answer may be
-	body           []byte // as engines get it
+	hasOutputLimit bool   // the client has limited the length of the answer
+	body           []byte // as sent to engines
 	shape          shape
 }
 
-// shape is what the module is told of a conversation.
+// shape is what the routing policy knows of a conversation.
 type shape struct {
 	session, prefix                          string
 	promptTokens, prefixLen, maxOutputTokens int
 }
 
-// parse reads a call. Engines get it always streamed and with its usage, whatever the
-// client wants to see of that; embeddings alone come whole.
+// parse reads a call. Engines are always asked for a stream with its usage, whatever the client
+// has asked for; only embeddings are not streamed.
 func parse(path string, data []byte, team string) (*apiRequest, error) {
 	f, err := readFields(data)
 	if err != nil {
@@ -97,7 +102,7 @@
 	return a, nil
 }
 
-// parseEmbedding reads what is an embeddings call's own.
+// parseEmbedding reads the fields that only embeddings have.
 func (a *apiRequest) parseEmbedding(f *fields) error {
 	if a.stream {
 		return paramError{"stream", "embeddings are not streamed"}
@@ -111,7 +116,7 @@
 	return nil
 }
 
-// parseGeneration reads what chats and completions have beside the fields of every call.
+// parseGeneration reads the fields that chats and completions have beside those of every call.
 func (a *apiRequest) parseGeneration(f *fields, session hash.Hash) error {
 	limit, err := outputLimit(f, a)
 	if err != nil {
@@ -137,9 +142,9 @@
 	return nil
 }
 
-// continuation is the call that has an engine go on from an answer's text so far, in the way that
-// engines with a chat template offer: the last message is the assistant's own, and is
-// continued instead of answered.
+// continuation returns the call by which another engine continues an answer whose text so far is
+// said. It uses what engines with a chat template offer: the last message is the assistant's own,
+// and is continued instead of answered.
 func (a *apiRequest) continuation(said []byte, tokens int) (*apiRequest, error) {
 	f, err := readFields(a.body)
 	if err != nil {
@@ -167,7 +172,7 @@
 	return &next, nil
 }
 
-// firstError is the first of joined errors.
+// firstError returns the first of joined errors.
 func firstError(err error) error {
 	if j, is := err.(interface{ Unwrap() []error }); is {
 		return j.Unwrap()[0]
@@ -175,7 +180,7 @@
 	return err
 }
 
-// streamOptions returns the stream options that engines get: the client's, and the usage.
+// streamOptions returns the stream options for engines: the client's, with the usage included.
 func streamOptions(f *fields, a *apiRequest) ([]byte, error) {
 	const usage = `{"include_usage":true}`
 	raw := f.get("stream_options")
@@ -192,7 +197,7 @@
 	return o.replace(map[string][]byte{"include_usage": []byte("true")}, "include_usage"), nil
 }
 
-// outputLimit returns the most tokens of one choice.
+// outputLimit returns the limit of one choice's length, in tokens.
 func outputLimit(f *fields, a *apiRequest) (int, error) {
 	limit := defaultOutputTokens
 	for _, name := range []string{"max_tokens", "max_completion_tokens"} {
--- a/internal/openai/responses.go
+++ b/internal/openai/responses.go
@@ -7,9 +7,9 @@
 	jsoniter "github.com/json-iterator/go"
 )
 
-// The responses API (/v1/responses) is served by way of chat completions, as that is what
-// engines offer: its input becomes messages, the chunks become typed events. Nothing is
-// stored, so that what refers to an earlier response can't be served.
+// The responses API (/v1/responses) is translated to chat completions, which is what engines
+// offer: its input becomes messages, the chunks become typed events. Nothing is stored, so that
+// references to earlier responses can't be served.
 
 // inputPart is one part of an input item's content.
 type inputPart struct {
@@ -23,7 +23,7 @@
 	Filename string `json:"filename"`
 }
 
-// unknownPartError is a part of content of a type that chats have not.
+// unknownPartError is a part of content whose type is not supported.
 type unknownPartError struct{ partType string }
 
 func (e unknownPartError) Error() string { return "parts of type " + e.partType + " are not offered" }
@@ -39,7 +39,8 @@
 	Output    jsoniter.RawMessage `json:"output"`
 }
 
-// Fields of the responses API that are written otherwise for a chat, or not at all.
+// responsesOnlyFields are fields of the responses API that a chat has under another name or in
+// another form, or not at all.
 var responsesOnlyFields = map[string]bool{
 	"input": true, "instructions": true, "max_output_tokens": true, "tools": true, "tool_choice": true, "text": true, "reasoning": true,
 	"store": true, "include": true, "truncation": true, "background": true, "previous_response_id": true, "conversation": true, "prompt": true,
@@ -100,7 +101,7 @@
 	return a, t, err
 }
 
-// checkOffered refuses what refers to something stored, or asks for it.
+// checkOffered returns an error for what needs stored responses.
 func checkOffered(f *fields) error {
 	for _, name := range []string{"previous_response_id", "conversation", "prompt"} {
 		if f.get(name) != nil {
@@ -113,7 +114,7 @@
 	return nil
 }
 
-// conversation is the chat's messages as they are put together from input items.
+// conversation gathers the messages of a chat from input items.
 type conversation struct {
 	messages []any
 	calls    []any // tool calls of one assistant's turn, which become one message
--- a/internal/openai/responses_encoder.go
+++ b/internal/openai/responses_encoder.go
@@ -10,9 +10,10 @@
 	"wellgw/internal/sse"
 )
 
-// responsesEncoder is an answer of the responses API as it grows.
+// responsesEncoder translates a chat's stream to an answer of the responses API: typed events, or
+// one object.
 type responsesEncoder struct {
-	echo         map[string]jsoniter.RawMessage // of the request
+	echo         map[string]jsoniter.RawMessage // the request's fields that the response repeats
 	head         head
 	scanner      sse.Scanner
 	out          []byte
@@ -23,7 +24,7 @@
 	finishReason string
 	usage        jsoniter.RawMessage
 	size         int
-	streaming    bool // the client gets events, not the response alone
+	streaming    bool // the client gets events, not one object
 	state        resume.Answer
 }
 
@@ -39,8 +40,8 @@
 func (t *responsesEncoder) complete() bool  { return false }
 func (t *responsesEncoder) discardPartial() { t.scanner = sse.Scanner{} }
 
-// nextAttempt forgets what came: its client has been given none of it, as events of an answer
-// that has begun can't go on.
+// nextAttempt drops the answer so far. Nothing of it has been sent, as typed events can't be
+// continued at another engine once they have begun.
 func (t *responsesEncoder) nextAttempt() {
 	*t = responsesEncoder{echo: t.echo, head: t.head, streaming: t.streaming, toolCalls: map[int]*outputItem{}}
 }
@@ -51,7 +52,7 @@
 	finishContentFilter = "content_filter"
 )
 
-// chatChunk is what is read of a chunk.
+// chatChunk is a chunk of a chat's stream, as far as it is read.
 type chatChunk struct {
 	Choices []struct {
 		Delta  chatDelta `json:"delta"`
@@ -78,13 +79,13 @@
 	} `json:"function"`
 }
 
-// emit adds an event, numbered, so that a client can tell that none is missing.
+// emit appends an event with its sequence number.
 func (t *responsesEncoder) emit(kind string, fields map[string]any) {
 	if !t.streaming {
 		return
 	}
 	t.state.Passed()
-	t.state.Other() // typed events can't go on at another engine
+	t.state.Other() // so that the answer is not continued at another engine
 	fields["type"], fields["sequence_number"] = kind, t.sequence
 	t.sequence++
 	raw, err := codec.Marshal(fields)
@@ -95,14 +96,15 @@
 	t.out = append(append(t.out, raw...), "\n\n"...)
 }
 
-// translate adds the events that come of p to dst.
+// translate appends the events for p, the next bytes of the stream, to dst.
 func (t *responsesEncoder) translate(dst, p []byte) ([]byte, error) {
 	t.out = dst
 	err := t.scanner.Write(p, t.handleEvent)
 	return t.out, err
 }
 
-// finish does the same at the end of the stream.
+// finish appends the events for the end of the stream or, if the client does not stream, the
+// response.
 func (t *responsesEncoder) finish(dst []byte) ([]byte, error) {
 	t.out = dst
 	if err := t.scanner.End(t.handleEvent); err != nil {
@@ -135,7 +137,7 @@
 	return statusCompleted
 }
 
-// failure is what ends a stream that broke.
+// failure returns the events that end a broken stream.
 func (t *responsesEncoder) failure(e apiError) []byte {
 	t.out = nil
 	t.start()
--- a/internal/openai/rewriter.go
+++ b/internal/openai/rewriter.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"errors"
 	"strconv"
 
 	"wellgw/decide/resume"
@@ -10,26 +9,6 @@
 	"wellgw/internal/sse"
 )
 
-// doneData is the data of the event that ends a stream.
-const doneData = "[DONE]"
-
-// Faults of a stream that its client is told of.
-var (
-	errInvalidChunk = errors.New("an event that is no JSON object")
-	errTruncated    = errors.New("the stream ended before its answer did")
-)
-
-// reportedError is an engine's own word, in the middle of a stream, that it has failed.
-type reportedError struct{ text string }
-
-func (e reportedError) Error() string { return "the engine reports an error: " + e.text }
-
-// head is what every event of an answer repeats.
-type head struct {
-	id, model, object string
-	created           int64
-}
-
 // rewriter turns an engine's events into those that a client gets: the id and the model
 // are the gateway's, what engines leave out is added, and all else passes byte by byte.
 // Nothing is decoded, and nothing allocated for an event.
@@ -37,20 +16,20 @@
 	scanner      sse.Scanner
 	onEvent      func(sse.Event) error
 	out          []byte
-	id           []byte // JSON texts
+	id           []byte // this and the next three: JSON texts
 	model        []byte
 	object       []byte
 	created      []byte
-	includeUsage bool // the client wants to see it
-	resumable    bool // events are numbered, and what they say is noted, so that an answer which breaks can go on
+	includeUsage bool // the client has asked for the event with the usage
+	resumable    bool // events are numbered and their content recorded, so that a broken answer can be continued
 	template     template
 	state        resume.Answer
 }
 
-func newRewriter(h head, usage, follows bool) *rewriter {
+func newRewriter(h head, includeUsage, resumable bool) *rewriter {
 	r := &rewriter{
 		id: quote(h.id), model: quote(h.model), object: quote(h.object), created: strconv.AppendInt(nil, h.created, 10),
-		includeUsage: usage, resumable: follows,
+		includeUsage: includeUsage, resumable: resumable,
 	}
 	r.onEvent = r.handleEvent
 	return r
@@ -69,8 +48,8 @@
 	return r.out, err
 }
 
-// finish takes in the end of a stream. Engines are known to leave out the last event; an
-// answer of which a choice has not ended is cut off.
+// finish handles the end of a stream. Some engines leave out the last event, so it is added if
+// each choice has ended; else the answer was truncated.
 func (r *rewriter) finish(dst []byte) ([]byte, error) {
 	r.out = dst
 	if err := r.scanner.End(r.onEvent); err != nil || r.state.Over() {
@@ -82,26 +61,19 @@
 	return r.writeDone(), nil
 }
 
-// writeDone writes the last event.
+// writeDone writes the event that ends a stream.
 func (r *rewriter) writeDone() []byte {
 	r.state.Last()
 	r.out = append(r.out, "data: "+doneData+"\n\n"...)
 	return r.out
 }
 
-// failure is the event that ends an answer which broke.
+// failure returns the error event that ends a broken answer.
 func (r *rewriter) failure(e apiError) []byte {
 	return append(append([]byte("data: "), e.object()...), "\n\n"...)
 }
 
-var (
-	doneBytes   = []byte(doneData)
-	nameID      = []byte("id")
-	nameObject  = []byte("object")
-	nameCreated = []byte("created")
-	nameModel   = []byte("model")
-)
-
+// handleEvent writes one event of the engine's as the client gets it.
 func (r *rewriter) handleEvent(e sse.Event) error {
 	data := bytes.TrimSpace(e.Data)
 	if r.state.Over() || len(data) == 0 {
@@ -114,51 +86,51 @@
 	if r.template.prefixLen > 0 && r.applyTemplate(data) {
 		return nil
 	}
-	from := len(r.out)
+	start := len(r.out)
 	r.template.prefixLen = 0
 	if r.resumable {
 		r.writeEventID()
 	}
 	r.out = append(r.out, "data: {"...)
-	has, err := r.rewriteMembers(data, from)
+	has, err := r.rewriteMembers(data, start)
 	if err != nil {
-		r.out = r.out[:from]
+		r.out = r.out[:start]
 		return err
 	}
 	r.addMissing(has)
 	if bytes.IndexByte(data, '\n') >= 0 || bytes.IndexByte(data, '\r') >= 0 {
-		replaceLineBreaks(r.out[bytes.IndexByte(r.out[from:], '{')+from:]) // in JSON a line feed stands between values only
+		replaceLineBreaks(r.out[bytes.IndexByte(r.out[start:], '{')+start:])
 	}
 	r.out = append(r.out, "}\n\n"...)
 	if has.choices {
-		some, err := recordChoices(&r.state, has.choicesSpan.Of(data), r.resumable)
+		hasChoices, err := recordChoices(&r.state, has.choicesSpan.Of(data), r.resumable)
 		if err != nil {
-			r.out = r.out[:from]
+			r.out = r.out[:start]
 			return err
 		}
-		if !some && has.usage && !r.includeUsage {
-			r.out = r.out[:from] // asked for by the gateway, not by the client
+		if !hasChoices && has.usage && !r.includeUsage {
+			r.out = r.out[:start] // requested by the gateway, not by the client
 			return nil
 		}
 		if !has.usage {
-			r.template.capture(data, has.choicesSpan, has.choicesStart, r.out[from:])
+			r.template.capture(data, has.choicesSpan, has.choicesStart, r.out[start:])
 		}
 	}
 	r.state.Passed()
 	return nil
 }
 
-// memberSet is what an event had of the members that the rewriter looks at.
+// memberSet tells which of the members that the rewriter reads an event had.
 type memberSet struct {
 	id, model, object, created, usage, choices bool
 
-	choicesSpan  jsonscan.Span // in what came
-	choicesStart int           // in what goes out, from the event's begin
+	choicesSpan  jsonscan.Span // in the input
+	choicesStart int           // in the output, from the start of the event
 }
 
-// rewriteMembers writes an event's members, those that name the answer replaced. from is where the
-// event begins in what goes out.
-func (r *rewriter) rewriteMembers(data []byte, from int) (has memberSet, err error) {
+// rewriteMembers writes an event's members, with the head's in place of the engine's own. start is
+// where the event begins in the output.
+func (r *rewriter) rewriteMembers(data []byte, start int) (has memberSet, err error) {
 	w := jsonscan.Object(data)
 	for {
 		name, value, ok := w.Next()
@@ -192,10 +164,10 @@
 			r.out = append(r.out, ',')
 		}
 		member := w.Member()
-		// The name as it came, then the value.
+		// The name is copied with its escapes.
 		r.out = append(append(r.out, data[member.Start:value.Start]...), text...)
 		if has.choices && value == has.choicesSpan {
-			has.choicesStart = len(r.out) - len(text) - from
+			has.choicesStart = len(r.out) - len(text) - start
 		}
 	}
 	if w.Err() != nil {
@@ -204,7 +176,7 @@
 	return has, nil
 }
 
-// addMissing adds the members that every event has and this one had not.
+// addMissing adds the members of the head that an event lacked.
 func (r *rewriter) addMissing(has memberSet) {
 	if !has.id {
 		r.out = appendMember(r.out, nameID, r.id)
@@ -220,11 +192,13 @@
 	}
 }
 
-// writeEventID writes the number of the event under way.
+// writeEventID writes the number of the current event.
 func (r *rewriter) writeEventID() {
 	r.out = append(strconv.AppendInt(append(r.out, "id: "...), int64(r.state.Seen()), 10), '\n')
 }
 
+// replaceLineBreaks puts spaces in the place of line breaks, which in JSON stand between values
+// only but would end the event's data line.
 func replaceLineBreaks(text []byte) {
 	for i, c := range text {
 		if c == '\n' || c == '\r' {
--- a/internal/openai/template.go
+++ b/internal/openai/template.go
@@ -6,18 +6,20 @@
 	"wellgw/internal/jsonscan"
 )
 
-// template is an event whose one choice has said a piece of content and nothing else, as it
-// came and as it went out. The next event mostly differs in that piece alone: what comes
-// before and after it has then been checked already, and goes out as it did.
+// template is an event, as input and as output, whose one choice holds a piece of content and
+// nothing else. The next event mostly differs in that piece alone: what stands before and after
+// it has then been checked already, and is written as it was.
 type template struct {
-	prefixLen                       int // bytes before the piece; 0 = there is no template
-	input, output                   []byte
-	suffixStart, outputContentStart int // where what follows the piece begins, in in; and the piece, in out
-	outputSuffixStart               int
+	prefixLen          int    // bytes of the input before the piece; 0 = there is no template
+	suffixStart        int    // where the input goes on behind the piece
+	outputContentStart int    // where the piece stands in the output
+	outputSuffixStart  int    // where the output goes on behind the piece
+	input, output      []byte // both reused from one template to the next
 }
 
-// capture takes an event as the template, if it is of that form.
-func (t *template) capture(data []byte, choices jsonscan.Span, at int, out []byte) {
+// capture makes an event the template, if it is of that form. choicesStart is where its choices
+// stand in the output.
+func (t *template) capture(data []byte, choices jsonscan.Span, choicesStart int, out []byte) {
 	piece, is := soleContent(choices.Of(data))
 	if !is {
 		return
@@ -25,20 +27,20 @@
 	start, end := choices.Start+piece.Start, choices.Start+piece.End
 	t.input, t.output = append(t.input[:0], data...), append(t.output[:0], out...)
 	t.prefixLen, t.suffixStart = start, end
-	t.outputContentStart, t.outputSuffixStart = at+piece.Start, at+piece.End
+	t.outputContentStart, t.outputSuffixStart = choicesStart+piece.Start, choicesStart+piece.End
 }
 
-// applyTemplate passes an event on by the template; false if it is of another form.
+// applyTemplate writes an event by the template; false if it is of another form.
 func (r *rewriter) applyTemplate(data []byte) bool {
 	t := &r.template
-	rest := t.input[t.suffixStart:]
-	if len(data) < t.prefixLen+len(rest) || !bytes.Equal(data[:t.prefixLen], t.input[:t.prefixLen]) || !bytes.HasSuffix(data, rest) {
+	suffix := t.input[t.suffixStart:]
+	if len(data) < t.prefixLen+len(suffix) || !bytes.Equal(data[:t.prefixLen], t.input[:t.prefixLen]) || !bytes.HasSuffix(data, suffix) {
 		return false
 	}
-	if jsonscan.String(data, t.prefixLen) != len(data)-len(rest) || data[t.prefixLen+1] == '"' {
+	if jsonscan.String(data, t.prefixLen) != len(data)-len(suffix) || data[t.prefixLen+1] == '"' {
 		return false
 	}
-	piece := data[t.prefixLen : len(data)-len(rest)]
+	piece := data[t.prefixLen : len(data)-len(suffix)]
 	out := t.output[:t.outputContentStart]
 	if r.resumable {
 		text, is := unquote(piece)
@@ -47,7 +49,7 @@
 		}
 		r.state.Say(text)
 		r.writeEventID()
-		out = out[bytes.Index(out, dataField):]
+		out = out[bytes.Index(out, dataField):] // without the number of the template's event
 	}
 	r.out = append(append(append(r.out, out...), piece...), t.output[t.outputSuffixStart:]...)
 	r.state.Passed()
@@ -56,8 +58,8 @@
 
 var dataField = []byte("data: ")
 
-// soleContent returns where the content stands in choices that are one, whose delta is a
-// piece of content and that has not ended.
+// soleContent returns where the content stands in a list of choices that has one element, whose
+// delta holds a piece of content alone and which has not ended.
 func soleContent(choices []byte) (piece jsonscan.Span, is bool) {
 	list := jsonscan.Array(choices)
 	at, ok := list.Element()
