--- a/internal/config/consul.go
+++ b/internal/config/consul.go
@@ -6,30 +6,30 @@
 	"time"
 )
 
-// Consul says where engines are listed: under one service, or under every service
-// of the catalogue that carries a tag.
+// Consul sets up the discovery of engines in Consul: those of one service, or of every service
+// of the catalogue that has a tag.
 type Consul struct {
-	Address     string    `json:"address"`   // of one agent
-	Addresses   []string  `json:"addresses"` // or of several, the first preferred
+	Address     string    `json:"address"`   // of one agent, host and port
+	Addresses   []string  `json:"addresses"` // or of several, the first one preferred
 	Service     string    `json:"service"`
-	Tag         string    `json:"tag"`    // with service: of its engines, those that carry it
-	Filter      string    `json:"filter"` // an expression of Consul's filter language, for engines
+	Tag         string    `json:"tag"`    // together with service: only its engines with this tag
+	Filter      string    `json:"filter"` // of engines, in Consul's filter language
 	Datacenter  string    `json:"datacenter"`
 	Token       string    `json:"token"`
-	TokenFile   string    `json:"token_file"` // read anew as it changes; comes before token
+	TokenFile   string    `json:"token_file"` // read again when it changes; overrides token
 	TLS         *TLS      `json:"tls"`
-	Consistency string    `json:"consistency"` // default, stale or consistent
-	WaitMS      int64     `json:"wait_ms"`     // longest blocking query
-	MaxStaleMS  int64     `json:"max_stale_ms"`
-	HoldMS      int64     `json:"hold_ms"`     // how long a doubted view is held back
-	UnlistedMS  int64     `json:"unlisted_ms"` // how long an engine that answers outlives a loss of many
+	Consistency string    `json:"consistency"`  // default, stale or consistent
+	WaitMS      int64     `json:"wait_ms"`      // of the longest blocking query
+	MaxStaleMS  int64     `json:"max_stale_ms"` // since the server heard from its leader
+	HoldMS      int64     `json:"hold_ms"`      // how long an implausible list is not applied
+	UnlistedMS  int64     `json:"unlisted_ms"`  // how long an engine that answers is kept after a loss of many engines
 	MaxWatches  int       `json:"max_watches"`
 	MaxBodyMB   int64     `json:"max_body_mb"`
-	CheckPath   string    `json:"check_path"` // asked of engines in doubt; without it a connection is enough
+	CheckPath   string    `json:"check_path"` // the path that engines in doubt are probed by; "" to probe by a TCP connection
 	Register    *Register `json:"register"`
 }
 
-// TLS says how an agent is spoken with over TLS. The files are read anew as they change.
+// TLS sets up connections to agents over TLS. The files are read again when they change.
 type TLS struct {
 	CAFile     string `json:"ca_file"`
 	CertFile   string `json:"cert_file"`
@@ -37,27 +37,27 @@
 	ServerName string `json:"server_name"`
 }
 
-// Register says as what the gateway lists itself, and where the others are found.
+// Register sets up the service under which the gateway registers itself and finds other gateways.
 type Register struct {
 	Name    string `json:"name"`
 	ID      string `json:"id"`
-	Address string `json:"address"` // host and port that are listed; default: listen
+	Address string `json:"address"` // host and port that are registered; default: listen
 	TTLMS   int64  `json:"ttl_ms"`
 }
 
-// Defaults of the section, and the least that makes sense.
+// Defaults of the section, and the minimum of a TTL.
 const (
-	defaultWait     = 10 * time.Second
-	defaultMaxStale = 10 * time.Second
-	defaultHold     = 30 * time.Second
-	defaultUnlisted = 15 * time.Minute
-	defaultWatches  = 64
-	defaultBodyMB   = 16
-	defaultTTL      = 10 * time.Second
-	leastTTL        = time.Second
+	defaultWait       = 10 * time.Second
+	defaultMaxStale   = 10 * time.Second
+	defaultHold       = 30 * time.Second
+	defaultUnlisted   = 15 * time.Minute
+	defaultMaxWatches = 64
+	defaultMaxBodyMB  = 16
+	defaultTTL        = 10 * time.Second
+	minTTL            = time.Second
 )
 
-// Agents are the addresses of all agents, the preferred one first.
+// Agents returns the addresses of all agents, the preferred one first.
 func (c *Consul) Agents() []string {
 	if c.Address == "" {
 		return c.Addresses
@@ -65,6 +65,7 @@
 	return append([]string{c.Address}, c.Addresses...)
 }
 
+// millis returns a setting in milliseconds as a duration, none if it is not above 0.
 func millis(ms int64, none time.Duration) time.Duration {
 	if ms <= 0 {
 		return none
@@ -72,49 +73,40 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-// Wait is the longest that a blocking query is to take.
+// Wait returns the limit of a blocking query's duration.
 func (c *Consul) Wait() time.Duration { return millis(c.WaitMS, defaultWait) }
 
-// MaxStale is how long ago a server may have heard from its leader.
+// MaxStale returns how long ago a server may have heard from its leader.
 func (c *Consul) MaxStale() time.Duration { return millis(c.MaxStaleMS, defaultMaxStale) }
 
-// Hold is how long a view that cannot be believed is held back.
+// Hold returns how long an implausible list is not applied.
 func (c *Consul) Hold() time.Duration { return millis(c.HoldMS, defaultHold) }
 
-// Unlisted is how long an engine that answers is kept after many were lost at once.
+// Unlisted returns how long an engine that answers is kept after many were lost at once.
 func (c *Consul) Unlisted() time.Duration { return millis(c.UnlistedMS, defaultUnlisted) }
 
-// Watches is how many queries may be open at once.
+// Watches returns how many queries may be open at once.
 func (c *Consul) Watches() int {
 	if c.MaxWatches <= 0 {
-		return defaultWatches
+		return defaultMaxWatches
 	}
 	return c.MaxWatches
 }
 
-// MaxBody is the longest answer that is read, in bytes.
+// MaxBody returns the limit of an answer's length, in bytes.
 func (c *Consul) MaxBody() int64 {
 	if c.MaxBodyMB <= 0 {
-		return defaultBodyMB << 20
+		return defaultMaxBodyMB << 20
 	}
 	return c.MaxBodyMB << 20
 }
 
-// TTL is how long the gateway's own check stays passing.
+// TTL returns how long the check of the gateway itself stays passing without an update.
 func (r *Register) TTL() time.Duration { return millis(r.TTLMS, defaultTTL) }
 
 func (c *Consul) validate() error {
-	agents := c.Agents()
-	if len(agents) == 0 {
-		return fieldError("consul.address", "give it, or addresses")
-	}
-	for i, a := range agents {
-		if _, _, err := net.SplitHostPort(a); err != nil {
-			if i == 0 && c.Address != "" {
-				return fieldError("consul.address", "%w", err)
-			}
-			return fieldError("consul.addresses", "%w", err)
-		}
+	if err := c.validateAgents(); err != nil {
+		return err
 	}
 	if c.Service == "" && c.Tag == "" {
 		return fieldError("consul", "give service, or tag, or both")
@@ -143,18 +135,40 @@
 	if t := c.TLS; t != nil && (t.CertFile == "") != (t.KeyFile == "") {
 		return fieldError("consul.tls", "give cert_file and key_file, or neither")
 	}
-	if r := c.Register; r != nil {
-		if r.Name == "" {
-			return fieldError("consul.register.name", "missing")
-		}
-		if r.Address != "" {
-			if _, _, err := net.SplitHostPort(r.Address); err != nil {
-				return fieldError("consul.register.address", "%w", err)
+	return c.Register.validate()
+}
+
+func (c *Consul) validateAgents() error {
+	agents := c.Agents()
+	if len(agents) == 0 {
+		return fieldError("consul.address", "give it, or addresses")
+	}
+	for i, a := range agents {
+		if _, _, err := net.SplitHostPort(a); err != nil {
+			if i == 0 && c.Address != "" {
+				return fieldError("consul.address", "%w", err)
 			}
+			return fieldError("consul.addresses", "%w", err)
 		}
-		if r.TTLMS < 0 || r.TTLMS > 0 && r.TTL() < leastTTL {
-			return fieldError("consul.register.ttl_ms", "below 1000")
+	}
+	return nil
+}
+
+// validate accepts nil, with which the gateway is not registered.
+func (r *Register) validate() error {
+	if r == nil {
+		return nil
+	}
+	if r.Name == "" {
+		return fieldError("consul.register.name", "missing")
+	}
+	if r.Address != "" {
+		if _, _, err := net.SplitHostPort(r.Address); err != nil {
+			return fieldError("consul.register.address", "%w", err)
 		}
 	}
+	if r.TTLMS < 0 || r.TTLMS > 0 && r.TTL() < minTTL {
+		return fieldError("consul.register.ttl_ms", "below 1000")
+	}
 	return nil
 }
--- a/internal/config/error_texts_test.go
+++ b/internal/config/error_texts_test.go
@@ -90,7 +90,7 @@
 		t.Errorf("%d watches, %d bytes, keys below %q", c.Watches(), c.MaxBody(), r.Keys())
 	}
 	l := Limits{}
-	l.fill()
+	l.setDefaults()
 	if diff := cmp.Diff(Limits{Cores: 1, MemoryMB: 192, Sockets: 1024}, l); diff != "" {
 		t.Errorf("(-want +got):\n%s", diff)
 	}
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -7,13 +7,13 @@
 	"wellgw/decide/setting"
 )
 
-// FieldError is a field of a configuration that can't be used.
+// FieldError is an invalid or missing field of a configuration.
 type FieldError struct {
 	Field   string // as in contracts[0].effect; "" for the whole file
 	Problem error
 }
 
-// Error words the problem behind the field's name.
+// Error returns the field's name and the problem.
 func (e FieldError) Error() string {
 	if e.Field == "" {
 		return e.Problem.Error()
@@ -24,13 +24,13 @@
 // Unwrap returns the problem.
 func (e FieldError) Unwrap() error { return e.Problem }
 
-// fieldError returns a FieldError whose problem is worded as by fmt.Errorf.
+// fieldError returns a FieldError whose problem is formatted as by fmt.Errorf.
 func fieldError(field, format string, args ...any) error {
 	return FieldError{Field: field, Problem: fmt.Errorf(format, args...)}
 }
 
-// element names a field of one element of a list; with no field, the element.
-func element(list string, index int, field string) string {
+// elementPath returns the path of a field of one element of a list; with no field, of the element.
+func elementPath(list string, index int, field string) string {
 	path := fmt.Sprintf("%s[%d]", list, index)
 	if field == "" {
 		return path
@@ -38,8 +38,9 @@
 	return path + "." + field
 }
 
-// within names a setting that a decision package refused by its place in the file.
-func within(section string, err error) error {
+// inSection returns an error of a decision package's settings with the section of the file that
+// the setting stands in.
+func inSection(section string, err error) error {
 	if wrong := (setting.Error{}); errors.As(err, &wrong) {
 		return fieldError(section+"."+wrong.Field, "%s", wrong.Problem)
 	}
--- a/internal/config/idempotency.go
+++ b/internal/config/idempotency.go
@@ -4,17 +4,17 @@
 	"wellgw/decide/deduplication"
 )
 
-// Idempotency says how keys are remembered under which clients ask for what must not run
-// twice. Without it they are, in memory alone.
+// Idempotency sets up the store of idempotency keys. Without it keys are kept in memory, with
+// defaults.
 type Idempotency struct {
-	File          string `json:"file"`           // where they are kept over a restart; none without it
-	Keys          int    `json:"keys"`           // that are remembered at most
-	KeysOfTeam    int    `json:"keys_of_team"`   // of one team at most; default: half, if there are more teams
-	AnswerBytes   int64  `json:"answer_bytes"`   // of all answers kept
-	LargestAnswer int    `json:"largest_answer"` // bytes
+	File          string `json:"file"`           // where keys are kept over a restart; "" for memory alone
+	Keys          int    `json:"keys"`           // limit of all keys
+	KeysOfTeam    int    `json:"keys_of_team"`   // limit of one team's keys; default: half of all, if there are several teams
+	AnswerBytes   int64  `json:"answer_bytes"`   // limit of all stored answers
+	LargestAnswer int    `json:"largest_answer"` // limit of one stored answer, in bytes
 	AgeMS         int64  `json:"age_ms"`
 	LeastMS       int64  `json:"least_ms"`
-	Sticky        bool   `json:"sticky"` // a key's tries all come to one gateway
+	Sticky        bool   `json:"sticky"` // all attempts under a key reach the same gateway
 }
 
 // answerPart is the most of the memory limit that kept answers take.
@@ -46,7 +46,7 @@
 
 func (o *Operator) validateKeys() error {
 	if err := o.KeyLimits().Validate(); err != nil {
-		return within("idempotency", err)
+		return inSection("idempotency", err)
 	}
 	return nil
 }
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -13,14 +13,14 @@
 	"wellgw/routing"
 )
 
-// Contract is what a model promises its callers: a class of the decision module.
+// Contract is the service level of models: a class of the routing policy.
 type Contract struct {
 	Name       string  `json:"name"`
 	Effect     string  `json:"effect"` // free, or single_shot: must never run twice
 	AimMS      int64   `json:"aim_ms"`
 	DeadlineMS int64   `json:"deadline_ms"`
 	Worth      float64 `json:"worth"`
-	Continue   int     `json:"continue"` // times that an answer which breaks goes on at another engine; free only
+	Continue   int     `json:"continue"` // how often a broken answer may be continued at another engine; free only
 }
 
 // The effects of a contract.
@@ -29,10 +29,10 @@
 	EffectOnce = "single_shot"
 )
 
-// Deadline is how long a caller waits for the first token.
+// Deadline returns how long a caller waits for the first token.
 func (c Contract) Deadline() time.Duration { return time.Duration(c.DeadlineMS) * time.Millisecond }
 
-// Model is a name that callers ask for, and the contract it is served under.
+// Model is a model's name in requests, and the contract it is served under.
 type Model struct {
 	Name     string `json:"name"`
 	Contract string `json:"contract"`
@@ -43,26 +43,26 @@
 	Name         string   `json:"name"`
 	Keys         []string `json:"keys"`
 	Models       []string `json:"models"`
-	RequestsPerS float64  `json:"requests_per_s"` // the budget; 0 = none set
+	RequestsPerS float64  `json:"requests_per_s"` // the quota; 0 = none
 }
 
-// StaticEngine is an engine that the file itself names.
+// StaticEngine is an engine that the file lists.
 type StaticEngine struct {
 	ID      string `json:"id"`
 	Address string `json:"address"`
-	Role    string `json:"role"` // see Kinds
+	Role    string `json:"role"` // one of the roles below
 	Zone    string `json:"zone"`
 	Cell    int    `json:"cell"`
 }
 
-// Admin is where the program tells operators about itself.
+// Admin sets up the listener for operators, with metrics and status, and traces.
 type Admin struct {
 	Listen     string  `json:"listen"`
-	TraceFile  string  `json:"trace_file"`  // spans are appended here; none are made without
-	TraceShare float64 `json:"trace_share"` // part of the requests that is traced; 0 = all
+	TraceFile  string  `json:"trace_file"`  // spans are appended here; "" for no traces
+	TraceShare float64 `json:"trace_share"` // fraction of the requests that is traced; 0 = all
 }
 
-// Share is the part of the requests that is traced.
+// Share returns the fraction of the requests that is traced.
 func (a Admin) Share() float64 {
 	if a.TraceShare == 0 {
 		return 1
@@ -75,7 +75,7 @@
 	Listen       string         `json:"listen"`
 	Zone         string         `json:"zone"`
 	Zones        []string       `json:"zones"`    // default: Zone alone
-	Gateways     int            `json:"gateways"` // that serve the same clients; 0: not said
+	Gateways     int            `json:"gateways"` // that serve the same clients; 0 = not stated
 	MemoryTokens float64        `json:"engine_memory_tokens"`
 	EngineKey    string         `json:"engine_key"` // sent to OpenAI-only engines
 	Limits       Limits         `json:"limits"`
@@ -84,7 +84,7 @@
 	Teams        []Team         `json:"teams"`
 	Engines      []StaticEngine `json:"engines"`
 	Consul       *Consul        `json:"consul"`
-	StateFile    string         `json:"state_file"` // the last good view of the engines; none is kept without
+	StateFile    string         `json:"state_file"` // the last good list of engines is stored here; "" for none
 	Admin        *Admin         `json:"admin"`
 	Roles        *Roles         `json:"roles"`
 	Idempotency  *Idempotency   `json:"idempotency"`
@@ -102,10 +102,10 @@
 
 // The operator's defaults.
 const (
-	defaultMemoryTokens = 200_000
-	defaultConnIdle     = 15 * time.Second
-	defaultConnect      = 250 * time.Millisecond
-	defaultSlack        = 16 * time.Millisecond
+	defaultMemoryTokens   = 200_000
+	defaultConnIdle       = 15 * time.Second
+	defaultConnectTimeout = 250 * time.Millisecond
+	defaultDeadlineSlack  = 16 * time.Millisecond
 )
 
 // ReadOperator reads an operator's file. An error names the field at fault.
@@ -117,8 +117,8 @@
 	return ParseOperator(raw)
 }
 
-// ParseOperator is ReadOperator on the file's text. A field that is not known is
-// an error: a misspelt one would silently do nothing.
+// ParseOperator is ReadOperator on the file's text. An unknown field is an error, as a misspelt
+// one would be ignored silently.
 func ParseOperator(raw []byte) (*Operator, error) {
 	if err := checkSchema(raw); err != nil {
 		return nil, fmt.Errorf("operator's file: %w", err)
@@ -134,7 +134,7 @@
 	if o.MemoryTokens <= 0 {
 		o.MemoryTokens = defaultMemoryTokens
 	}
-	o.Limits.fill()
+	o.Limits.setDefaults()
 	if err := o.validate(); err != nil {
 		return nil, err
 	}
@@ -208,13 +208,13 @@
 	for i, c := range o.Contracts {
 		switch {
 		case c.Name == "" || contracts[c.Name]:
-			return nil, fieldError(element("contracts", i, "name"), "missing or given twice")
+			return nil, fieldError(elementPath("contracts", i, "name"), "missing or given twice")
 		case c.Effect != EffectFree && c.Effect != EffectOnce:
-			return nil, fieldError(element("contracts", i, "effect"), "%q is neither free nor single_shot", c.Effect)
+			return nil, fieldError(elementPath("contracts", i, "effect"), "%q is neither free nor single_shot", c.Effect)
 		case c.AimMS <= 0 || c.DeadlineMS < c.AimMS:
-			return nil, fieldError(element("contracts", i, ""), "aim_ms must be above 0 and deadline_ms no less")
+			return nil, fieldError(elementPath("contracts", i, ""), "aim_ms must be above 0 and deadline_ms no less")
 		case c.Continue < 0 || c.Continue > 0 && c.Effect != EffectFree:
-			return nil, fieldError(element("contracts", i, "continue"), "only a free contract lets an answer go on at another engine")
+			return nil, fieldError(elementPath("contracts", i, "continue"), "only a free contract lets an answer go on at another engine")
 		}
 		contracts[c.Name] = true
 	}
@@ -226,10 +226,10 @@
 	models := map[string]bool{}
 	for i, m := range o.Models {
 		if m.Name == "" || models[m.Name] {
-			return nil, fieldError(element("models", i, "name"), "missing or given twice")
+			return nil, fieldError(elementPath("models", i, "name"), "missing or given twice")
 		}
 		if !contracts[m.Contract] {
-			return nil, fieldError(element("models", i, "contract"), "%q is not a contract", m.Contract)
+			return nil, fieldError(elementPath("models", i, "contract"), "%q is not a contract", m.Contract)
 		}
 		models[m.Name] = true
 	}
@@ -240,21 +240,21 @@
 	names, keys := map[string]bool{}, map[string]bool{}
 	for i, t := range o.Teams {
 		if t.Name == "" || names[t.Name] {
-			return fieldError(element("teams", i, "name"), "missing or given twice")
+			return fieldError(elementPath("teams", i, "name"), "missing or given twice")
 		}
 		names[t.Name] = true
 		if t.RequestsPerS < 0 {
-			return fieldError(element("teams", i, "requests_per_s"), "below 0")
+			return fieldError(elementPath("teams", i, "requests_per_s"), "below 0")
 		}
 		for _, k := range t.Keys {
 			if k == "" || keys[k] {
-				return fieldError(element("teams", i, "keys"), "empty or given twice")
+				return fieldError(elementPath("teams", i, "keys"), "empty or given twice")
 			}
 			keys[k] = true
 		}
 		for _, m := range t.Models {
 			if !models[m] {
-				return fieldError(element("teams", i, "models"), "%q is not a model", m)
+				return fieldError(elementPath("teams", i, "models"), "%q is not a model", m)
 			}
 		}
 	}
@@ -265,22 +265,22 @@
 	ids := map[string]bool{}
 	for i, e := range o.Engines {
 		if e.ID == "" || ids[e.ID] {
-			return fieldError(element("engines", i, "id"), "missing or given twice")
+			return fieldError(elementPath("engines", i, "id"), "missing or given twice")
 		}
 		ids[e.ID] = true
 		if _, _, err := net.SplitHostPort(e.Address); err != nil {
-			return fieldError(element("engines", i, "address"), "%w", err)
+			return fieldError(elementPath("engines", i, "address"), "%w", err)
 		}
 		if !slices.Contains([]string{RoleRead, RoleWrite, RoleBoth, RoleOpenAI}, e.Role) {
-			return fieldError(element("engines", i, "role"), "%q is not read, write, both or openai", e.Role)
+			return fieldError(elementPath("engines", i, "role"), "%q is not read, write, both or openai", e.Role)
 		}
 	}
 	return nil
 }
 
-// Takes tells whether a program that runs by o can go on by next. What the module
-// was given at its start stands until the program is started again: contracts,
-// teams and their budgets, zones; and so do the address and the limits.
+// Takes returns an error if a program that runs with o can't be reloaded with next. What the
+// routing policy was started with needs a restart: contracts, teams and their quotas, zones; and
+// so do the address, the limits and whole sections.
 func (o *Operator) Takes(next *Operator) error {
 	switch {
 	case o.Listen != next.Listen || o.Limits != next.Limits:
@@ -303,8 +303,8 @@
 	return nil
 }
 
-// Settings are what the decision module is given for the chat front. Work beyond
-// a team's budget is worth nothing, so the module refuses it.
+// Settings returns the settings of the routing policy for the chat front. Requests over a team's
+// quota have no priority weight, so that the policy rejects them.
 func (o *Operator) Settings() routing.Settings {
 	s := routing.Settings{
 		Zone: o.Zone, Zones: o.Zones, Gateways: max(o.Gateways, 1),
@@ -334,7 +334,7 @@
 	return s
 }
 
-// Network are the figures that the operator's file leaves to defaults.
+// Network returns the timeouts that the operator's file can't set.
 func (o *Operator) Network() (connect, idle, slack time.Duration) {
-	return defaultConnect, defaultConnIdle, defaultSlack
+	return defaultConnectTimeout, defaultConnIdle, defaultDeadlineSlack
 }
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -1,5 +1,7 @@
-// Package config reads the gateway's configuration: the platform's object, and
-// the operator's file for the chat front.
+// Package config reads and validates the gateway's configuration: the platform's object, and the
+// operator's file for the chat front. Its types mirror these files: a field is named like its
+// setting (least_ms is LeastMS), also where the code that takes the value has another term for it.
+// Methods return values with defaults applied, in the types of the packages that take them.
 package config
 
 import (
@@ -34,7 +36,7 @@
 	Members  []ListEntry `json:"members"`
 }
 
-// Limits are what the machine gives the gateway.
+// Limits are the resources that the gateway may use.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
@@ -46,28 +48,28 @@
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
 	Discovery string `json:"discovery"`
-	Control   string `json:"control"` // where operators call; "" for nowhere
+	Control   string `json:"control"` // the control listener's address; "" for none
 	Seed      string `json:"seed"`
 	Limits    Limits `json:"limits"`
 	Known     List   `json:"known"`
 
-	PeerListen string   `json:"peer_listen"` // where datagrams of the other gateways arrive
-	Peers      []string `json:"peers"`       // of every gateway, as this one reaches it, by number
-	PeerKeys   string   `json:"-"`           // the operators' key file; "" for no talk between gateways
+	PeerListen string   `json:"peer_listen"` // where datagrams of other gateways are received
+	Peers      []string `json:"peers"`       // addresses of all gateways as this one reaches them, by number
+	PeerKeys   string   `json:"-"`           // the operators' key file; "" for no membership protocol
 
 	Options settings.Options `json:"settings"`
 
-	shape shape // which keys of the settings the text had
+	present presentKeys // which keys of the settings the text had
 }
 
-// The limits of a scored day stand in for absent ones.
+// Defaults of the limits: those of the platform's scored days.
 const (
 	defaultMemoryMB = 192
 	defaultSockets  = 1024
 )
 
-// fill puts defaults in the place of what is absent.
-func (l *Limits) fill() {
+// setDefaults sets the limits that are absent.
+func (l *Limits) setDefaults() {
 	if l.Cores <= 0 {
 		l.Cores = 1
 	}
@@ -79,15 +81,15 @@
 	}
 }
 
-// ReadPlatform reads the object that EDGE_CONFIG names; the other variables of
-// the platform come before what the object says. An error names the field.
+// ReadPlatform reads the object in the file that EDGE_CONFIG names; the platform's other variables
+// override it. An error names the field.
 func ReadPlatform(env func(string) string) (*Platform, error) {
 	return readPlatform(env, true)
 }
 
-// ReadPlatformAnew is ReadPlatform for a program that runs. What the object says
-// comes before the variables, which are as old as the process.
-func ReadPlatformAnew(env func(string) string) (*Platform, error) {
+// rereadPlatform is ReadPlatform for a running program: the object overrides the variables, which
+// are as old as the process.
+func rereadPlatform(env func(string) string) (*Platform, error) {
 	return readPlatform(env, false)
 }
 
@@ -127,8 +129,8 @@
 			*field = v
 		}
 	}
-	p.shape = shapeOf(raw)
-	p.Limits.fill()
+	p.present = presentKeysOf(raw)
+	p.Limits.setDefaults()
 	for _, a := range []struct{ field, value string }{{"listen", p.Listen}, {"discovery", p.Discovery}} {
 		if _, _, err := net.SplitHostPort(a.value); err != nil {
 			return nil, fieldError(a.field, "%w", err)
@@ -151,17 +153,17 @@
 	return p, nil
 }
 
-// Talk tells whether gateways tell each other who is there: where the settings allow it, the
-// platform gives addresses, and the operators have given a key.
+// Talk reports whether the membership protocol runs: the settings allow it, the platform gives
+// addresses, and the operators have given a key.
 func (p *Platform) Talk() bool {
 	me := p.Options.Me
 	return p.PeerKeys != "" && p.Options.Limits.Peers && p.PeerListen != "" && me >= 0 && me < len(p.Peers) && len(p.Peers) > 1
 }
 
-// oneLine words a decoder's error, which may quote the text over several lines.
+// oneLine returns a decoder's error, which may quote several lines of the text, on one line.
 func oneLine(err error) string { return strings.Join(strings.Fields(err.Error()), " ") }
 
-// SeedNumber is the seed for random numbers.
+// SeedNumber returns the seed for random numbers, 0 if none is given.
 func (p *Platform) SeedNumber() (uint64, error) {
 	if p.Seed == "" {
 		return 0, nil
@@ -173,19 +175,19 @@
 	return n, nil
 }
 
-// Settings are what the decision module is given. Over HTTP every refusal can
-// carry Retry-After, also where the simulator's clients are given no advice.
+// Settings returns the settings of the routing policy. Over HTTP every rejection can have a
+// Retry-After, also where the simulator's clients get none.
 func (p *Platform) Settings() routing.Settings {
 	s := p.Options.Settings()
 	s.CanRetryAfter = true
-	s.SendDelay = settings.Micros(p.Options.Limits.ConnTimeout) // a connection may have to come up first
+	s.SendDelay = settings.Micros(p.Options.Limits.ConnTimeout) // a connection may have to be opened first
 	if s.MaxRetryAfter <= 0 {
 		s.MaxRetryAfter = 2 * time.Second
 	}
 	return s
 }
 
-// LongestWait is the longest time that a client waits for a first token.
+// LongestWait returns the longest time that a client waits for a first token.
 func (p *Platform) LongestWait() time.Duration {
 	longest := time.Duration(0)
 	for _, c := range p.Options.Classes {
--- a/internal/config/roles.go
+++ b/internal/config/roles.go
@@ -8,10 +8,10 @@
 	"wellgw/decide/roles"
 )
 
-// Roles says whether and how engines change between prompt and answer work. It needs
-// consul, where the lease and the changes are kept.
+// Roles sets up role changes: engines switch between prefill and decode. It needs consul, where
+// the lease and the changes are stored.
 type Roles struct {
-	DryRun        bool     `json:"dry_run"` // decide and log, and change nothing
+	DryRun        bool     `json:"dry_run"` // log decisions without carrying them out
 	Strategy      string   `json:"strategy"`
 	Prefix        string   `json:"prefix"` // of the keys in Consul
 	PinEngines    []string `json:"pin_engines"`
@@ -30,10 +30,10 @@
 
 const (
 	defaultPrefix = "wellgw/roles"
-	leastLease    = 10 * time.Second // by Consul's documentation of sessions
+	minLease      = 10 * time.Second // the minimum TTL of a session in Consul
 )
 
-// Settings are what the planner is given.
+// Settings returns the settings of the planner.
 func (r *Roles) Settings() roles.Settings {
 	s := roles.DefaultSettings()
 	if r.Strategy != "" {
@@ -54,17 +54,17 @@
 	return s
 }
 
-// Limits are how long the steps of a change may take.
+// Limits returns how long the steps of a change may take.
 func (r *Roles) Limits() rolechange.Limits {
 	l := rolechange.DefaultLimits()
 	l.Cold = millis(r.ColdMS, l.Cold)
 	return l
 }
 
-// Lease is how long an owner that is silent keeps its lease, at least.
-func (r *Roles) Lease() time.Duration { return max(leastLease, millis(r.LeaseMS, leastLease)) }
+// Lease returns how long an owner that does not renew its lease keeps it at least.
+func (r *Roles) Lease() time.Duration { return max(minLease, millis(r.LeaseMS, minLease)) }
 
-// Keys is the prefix of the keys in Consul.
+// Keys returns the prefix of the keys in Consul.
 func (r *Roles) Keys() string {
 	if r.Prefix == "" {
 		return defaultPrefix
@@ -77,7 +77,7 @@
 		return fieldError("roles", "needs consul, where the lease is kept")
 	}
 	if err := r.Settings().Validate(); err != nil {
-		return within("roles", err)
+		return inSection("roles", err)
 	}
 	return nil
 }
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -19,8 +19,8 @@
 
 const schemaName = "operator.schema.json"
 
-// checkSchema holds an operator's file against the schema that operators are given.
-// The error names the first field at fault.
+// checkSchema validates an operator's file by the published schema. The error names the first
+// invalid field.
 func checkSchema(raw []byte) error {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(deploy.Schema))
 	if err != nil {
@@ -36,17 +36,17 @@
 	}
 	value, err := jsonschema.UnmarshalJSON(bytes.NewReader(raw))
 	if err != nil {
-		return FieldError{Problem: errors.New(oneLine(err))}
+		return fieldError("", "%s", oneLine(err))
 	}
 	err = schema.Validate(value)
 	if v := (*jsonschema.ValidationError)(nil); errors.As(err, &v) {
-		return mistake(v)
+		return schemaError(v)
 	}
 	return err
 }
 
-// mistake words the first cause of a validation error, in order of the fields.
-func mistake(v *jsonschema.ValidationError) error {
+// schemaError returns the first cause of a validation error, in order of the fields.
+func schemaError(v *jsonschema.ValidationError) error {
 	var leaves []*jsonschema.ValidationError
 	var walk func(*jsonschema.ValidationError)
 	walk = func(e *jsonschema.ValidationError) {
@@ -58,14 +58,14 @@
 		}
 	}
 	walk(v)
-	unknown := func(e *jsonschema.ValidationError) int {
+	rank := func(e *jsonschema.ValidationError) int {
 		if _, is := e.ErrorKind.(*kind.AdditionalProperties); is {
-			return 0 // a name that is misspelt makes another one missing
+			return 0 // before a missing field, which may be this one misspelt
 		}
 		return 1
 	}
 	slices.SortStableFunc(leaves, func(a, b *jsonschema.ValidationError) int {
-		return cmp.Or(cmp.Compare(unknown(a), unknown(b)), slices.Compare(a.InstanceLocation, b.InstanceLocation))
+		return cmp.Or(cmp.Compare(rank(a), rank(b)), slices.Compare(a.InstanceLocation, b.InstanceLocation))
 	})
 	e := leaves[0]
 	field := fieldName(e.InstanceLocation)
@@ -75,11 +75,10 @@
 	if missing, is := e.ErrorKind.(*kind.Required); is {
 		return fieldError(fieldName(append(slices.Clone(e.InstanceLocation), missing.Missing[0])), "missing")
 	}
-	text := e.ErrorKind.LocalizedString(message.NewPrinter(language.English))
-	return FieldError{Field: field, Problem: errors.New(text)}
+	return fieldError(field, "%s", e.ErrorKind.LocalizedString(message.NewPrinter(language.English)))
 }
 
-// fieldName words a place in the file as contracts[0].effect.
+// fieldName returns the path of a field, as in contracts[0].effect.
 func fieldName(path []string) string {
 	var b strings.Builder
 	for _, p := range path {
