--- a/internal/config/idempotency.go
+++ b/internal/config/idempotency.go
@@ -17,13 +17,13 @@
 	Sticky        bool   `json:"sticky"` // all attempts under a key reach the same gateway
 }
 
-// answerPart is the most of the memory limit that kept answers take.
-const answerPart = 12
+// answerMemoryDivisor gives the part of the memory limit that stored answers may take.
+const answerMemoryDivisor = 12
 
 // KeyLimits are what decide/deduplication is given.
 func (o *Operator) KeyLimits() deduplication.Limits {
 	l := deduplication.DefaultLimits()
-	l.MaxTotalAnswerBytes = min(l.MaxTotalAnswerBytes, int64(o.Limits.MemoryMB)<<20/answerPart)
+	l.MaxTotalAnswerBytes = min(l.MaxTotalAnswerBytes, int64(o.Limits.MemoryMB)<<20/answerMemoryDivisor)
 	i := o.Idempotency
 	if i == nil {
 		i = &Idempotency{}
--- a/internal/openai/call.go
+++ b/internal/openai/call.go
@@ -23,23 +23,23 @@
 	*Front
 	w               http.ResponseWriter
 	r               *http.Request
-	out             *http.ResponseController
-	ask             *apiRequest
+	controller      *http.ResponseController
+	request         *apiRequest
 	head            head
 	contract        config.Contract
 	team            *config.Team
 	arrived         time.Time
-	once            bool // the request must not run twice
-	form            encoder
+	atMostOnce      bool // the request must not run twice
+	encoder         encoder
 	responseStarted bool      // a part of the answer has been sent
 	deadlineSetAt   time.Time // when the write deadline was last set
 	resumptions     int       // how often the answer has been continued at another engine
 
-	key     deduplication.Key
-	claimed bool
-	ending  deduplication.Result
-	kept    []byte // of the answer as it went out
-	tooMuch bool   // the answer is larger than what may be recorded
+	key            deduplication.Key
+	claimed        bool
+	result         deduplication.Result
+	recorded       []byte // the answer as sent, to be replayed under the key
+	recordOverflow bool   // the answer is larger than what may be recorded
 }
 
 // Headers of retried requests.
@@ -54,7 +54,7 @@
 func (c *call) submit(a *apiRequest, id string) (core.Answer, *core.Ticket, bool) {
 	request := core.Request{
 		ClientRequestID: id, Arrived: time.Now(),
-		Payload: core.Payload{Method: http.MethodPost, Target: a.path, Body: a.body, Unary: a.path == embeddingPath, BufferUntilFirstToken: !c.once},
+		Payload: core.Payload{Method: http.MethodPost, Target: a.path, Body: a.body, Unary: a.path == embeddingPath, BufferUntilFirstToken: !c.atMostOnce},
 	}
 	if id == c.head.id {
 		request.Arrived = c.arrived
@@ -71,21 +71,21 @@
 // contract allows that and an engine accepts it.
 func (c *call) resumeElsewhere(err error) (resume.Step, core.Stream, *core.Ticket) {
 	var reported reportedError
-	terms := resume.Terms{Free: !c.once, Allowed: c.contract.Continue, Plain: c.ask.path == chatPath && c.ask.choices == 1}
-	if c.ask.hasOutputLimit {
-		terms.Most = c.ask.shape.maxOutputTokens
+	terms := resume.Terms{Free: !c.atMostOnce, Allowed: c.contract.Continue, Plain: c.request.path == chatPath && c.request.choices == 1}
+	if c.request.hasOutputLimit {
+		terms.Most = c.request.shape.maxOutputTokens
 	}
-	step := resume.Decide(terms, c.form.progress(), resume.Break{
+	step := resume.Decide(terms, c.encoder.progress(), resume.Break{
 		Lost:     errors.Is(err, streambuffer.ErrClientGone) || errors.Is(err, streambuffer.ErrSlowClient) || c.r.Context().Err() != nil,
 		Reported: errors.As(err, &reported), Times: c.resumptions, Since: time.Since(c.arrived),
 	})
-	c.counts.breaks[step].Add(1)
-	a := c.ask
+	c.counts.brokenAnswers[step].Add(1)
+	a := c.request
 	switch step {
 	case resume.GiveUp, resume.Finish:
 		return step, nil, nil
 	case resume.GoOn:
-		if a, err = c.ask.continuation(c.form.progress().Said()); err != nil {
+		if a, err = c.request.continuation(c.encoder.progress().Said()); err != nil {
 			return resume.GiveUp, nil, nil
 		}
 	}
@@ -104,9 +104,9 @@
 	if name == "" || c.keys == nil {
 		return false
 	}
-	if len(name) > maxKey || strings.IndexFunc(name, func(r rune) bool { return r < ' ' || r > '~' }) >= 0 {
-		apiError{status: http.StatusBadRequest, kind: typeRequest, code: codeKeyLength, param: keyHeader,
-			text: "an idempotency key has at most " + strconv.Itoa(maxKey) + " printable ASCII characters"}.send(c.w)
+	if len(name) > maxKeyBytes || strings.IndexFunc(name, func(r rune) bool { return r < ' ' || r > '~' }) >= 0 {
+		apiError{status: http.StatusBadRequest, errorType: typeRequest, code: codeKeyInvalid, param: keyHeader,
+			message: "an idempotency key has at most " + strconv.Itoa(maxKeyBytes) + " printable ASCII characters"}.send(c.w)
 		return true
 	}
 	sum := sha256.New()
@@ -114,10 +114,10 @@
 	sum.Write(body)
 	a := deduplication.Request{Key: deduplication.Key{Team: c.team.Name, Name: name}, Digest: hex.EncodeToString(sum.Sum(nil)), RequestID: c.head.id}
 	a.RetryCount, _ = strconv.Atoi(c.r.Header.Get(retryHeader))
-	a.MayHaveRunElsewhere = c.others != nil && c.others()
+	a.MayHaveRunElsewhere = c.hasPeers != nil && c.hasPeers()
 	verdict, e := c.keys.Begin(a)
 	c.counts.keys[verdict].Add(1)
-	conflict := apiError{status: http.StatusConflict, kind: typeRequest, param: keyHeader}
+	conflict := apiError{status: http.StatusConflict, errorType: typeRequest, param: keyHeader}
 	switch verdict {
 	case deduplication.Run:
 		c.key, c.claimed = a.Key, true
@@ -130,20 +130,20 @@
 		c.w.Write(e.Answer)
 		return true
 	case deduplication.InProgress:
-		conflict.code, conflict.retryAfter = codeUnderWay, keyPause
-		conflict.text = "a request under this key is under way"
+		conflict.code, conflict.retryAfter = codeInProgress, retryAfterInProgress
+		conflict.message = "a request under this key is under way"
 	case deduplication.AnswerUnavailable:
-		conflict.code, conflict.final = codeNotKept, true
-		conflict.text = "a request under this key has been carried out; its answer was too large, or is too old, to be kept"
+		conflict.code, conflict.noRetry = codeAnswerUnavailable, true
+		conflict.message = "a request under this key has been carried out; its answer was too large, or is too old, to be kept"
 	case deduplication.KeyReused:
-		conflict.status, conflict.code, conflict.final = http.StatusUnprocessableEntity, codeReused, true
-		conflict.text = "this key was used for another request"
+		conflict.status, conflict.code, conflict.noRetry = http.StatusUnprocessableEntity, codeKeyReused, true
+		conflict.message = "this key was used for another request"
 	case deduplication.PriorOutcomeUnknown:
-		conflict.code, conflict.final = codeUnknown, true
-		conflict.text = "an earlier request under this key may have been carried out, or may not; it is not carried out again. Look before asking under another key"
+		conflict.code, conflict.noRetry = codeOutcomeUnknown, true
+		conflict.message = "an earlier request under this key may have been carried out, or may not; it is not carried out again. Look before asking under another key"
 	default:
-		conflict = apiError{status: http.StatusServiceUnavailable, kind: typeServer, code: codeOverloaded, retryAfter: retryAfterFull,
-			text: "no more idempotency keys can be kept; nothing was done"}
+		conflict = apiError{status: http.StatusServiceUnavailable, errorType: typeServer, code: codeOverloaded, retryAfter: retryAfterFull,
+			message: "no more idempotency keys can be kept; nothing was done"}
 	}
 	conflict.send(c.w)
 	return true
@@ -157,37 +157,37 @@
 	return id
 }
 
-// whole records that the answer is complete, though its client may disconnect before it has been
+// markComplete records that the answer is complete, though its client may disconnect before it has been
 // sent. A client may retry as soon as it has the last byte, so the key is settled before that is
 // sent.
-func (c *call) whole() {
-	c.ending.Complete = true
-	c.settle()
+func (c *call) markComplete() {
+	c.result.Complete = true
+	c.releaseKey()
 }
 
-// settle reports, once, how a claimed request has ended.
-func (c *call) settle() {
+// releaseKey reports, once, how a claimed request has ended.
+func (c *call) releaseKey() {
 	if !c.claimed {
 		return
 	}
 	c.claimed = false
-	c.keeping.Add(-int64(len(c.kept)))
-	if c.tooMuch && c.ending.Complete {
-		c.counts.notKept.Add(1)
+	c.recordedBytes.Add(-int64(len(c.recorded)))
+	if c.recordOverflow && c.result.Complete {
+		c.counts.answersNotRecorded.Add(1)
 	}
-	c.keys.End(c.key, c.head.id, c.ending.Outcome(), c.form.contentType(), c.kept)
+	c.keys.End(c.key, c.head.id, c.result.Outcome(), c.encoder.contentType(), c.recorded)
 }
 
 // record adds what is sent to the recorded answer, as long as that stays within its limits.
 func (c *call) record(p []byte) {
-	if !c.claimed || c.tooMuch {
+	if !c.claimed || c.recordOverflow {
 		return
 	}
-	c.keeping.Add(int64(len(p)))
-	c.kept = append(c.kept, p...)
-	if len(c.kept) > c.keys.MaxAnswerBytes() || c.keeping.Load() > c.keepMost {
-		c.keeping.Add(-int64(len(c.kept)))
-		c.kept, c.tooMuch = nil, true
+	c.recordedBytes.Add(int64(len(p)))
+	c.recorded = append(c.recorded, p...)
+	if len(c.recorded) > c.keys.MaxAnswerBytes() || c.recordedBytes.Load() > c.maxRecordedBytes {
+		c.recordedBytes.Add(-int64(len(c.recorded)))
+		c.recorded, c.recordOverflow = nil, true
 	}
 }
 
@@ -202,8 +202,8 @@
 	if !c.responseStarted {
 		c.responseStarted = true
 		h := c.w.Header()
-		h["Content-Type"] = []string{c.form.contentType()}
-		if c.form.contentType() == eventStream {
+		h["Content-Type"] = []string{c.encoder.contentType()}
+		if c.encoder.contentType() == eventStream {
 			h["Cache-Control"] = []string{"no-cache"}
 			h["X-Accel-Buffering"] = []string{"no"}
 		} else { // the answer is written in one piece
@@ -212,7 +212,7 @@
 	}
 	// Setting a deadline costs a timer, so one that is nearly right is kept.
 	if now := time.Now(); now.Sub(c.deadlineSetAt) > writeLimit/writeDeadlineParts {
-		if err := c.out.SetWriteDeadline(now.Add(writeLimit)); err != nil {
+		if err := c.controller.SetWriteDeadline(now.Add(writeLimit)); err != nil {
 			return err
 		}
 		c.deadlineSetAt = now
@@ -220,7 +220,7 @@
 	if _, err := c.w.Write(p); err != nil {
 		return err
 	}
-	return c.out.Flush()
+	return c.controller.Flush()
 }
 
 // stream forwards an answer as it arrives. If it breaks and can't be continued at another engine,
@@ -230,17 +230,17 @@
 func (c *call) stream(s core.Stream, t *core.Ticket) {
 	pipe := streambuffer.Pipe{
 		Take: func(dst, p []byte) ([]byte, error) {
-			dst, err := c.form.translate(dst, p)
-			if c.record(dst); err == nil && c.form.complete() {
-				c.whole()
+			dst, err := c.encoder.translate(dst, p)
+			if c.record(dst); err == nil && c.encoder.complete() {
+				c.markComplete()
 			}
 			return dst, err
 		},
 		End: func(dst []byte) ([]byte, error) {
 			from := len(dst)
-			dst, err := c.form.finish(dst)
+			dst, err := c.encoder.finish(dst)
 			if c.record(dst[from:]); err == nil {
-				c.whole()
+				c.markComplete()
 			}
 			return dst, err
 		},
@@ -253,9 +253,9 @@
 			c.abort(err)
 			return
 		}
-		c.form.discardPartial()
+		c.encoder.discardPartial()
 		if next != nil {
-			c.form.nextAttempt()
+			c.encoder.nextAttempt()
 			err = streambuffer.Run(c.r.Context(), ticket, next, pipe, c.bounds)
 			continue
 		}
@@ -268,25 +268,25 @@
 			return
 		}
 	}
-	_ = c.out.SetWriteDeadline(time.Time{})
+	_ = c.controller.SetWriteDeadline(time.Time{})
 }
 
 // abort ends a call whose answer broke. It returns if the client was answered by a status, and
 // panics with http.ErrAbortHandler if the connection has to be closed.
 func (c *call) abort(err error) {
 	if errors.Is(err, streambuffer.ErrSlowClient) {
-		c.counts.slow.Add(1)
+		c.counts.slowClients.Add(1)
 	}
 	if c.r.Context().Err() == nil && c.responseStarted {
-		_ = c.writeBody(c.form.failure(streamError(err)))
+		_ = c.writeBody(c.encoder.failure(streamError(err)))
 	} else if c.r.Context().Err() == nil {
-		e := refusal(core.Answer{Verdict: core.Failed, Status: routing.StatusReset}, c.once)
+		e := answerError(core.Answer{Verdict: core.Failed, Status: routing.StatusReset}, c.atMostOnce)
 		var reported reportedError
 		if errors.As(err, &reported) {
-			e.code, e.text = codeReported, reported.Error()+"; the request may have been carried out"
+			e.code, e.message = codeEngineError, reported.Error()+"; the request may have been carried out"
 		}
 		e.send(c.w)
-		_ = c.out.Flush()
+		_ = c.controller.Flush()
 		return
 	}
 	panic(http.ErrAbortHandler)
--- a/internal/openai/counts.go
+++ b/internal/openai/counts.go
@@ -9,20 +9,20 @@
 
 // counts are the front's own counters.
 type counts struct {
-	keys    [deduplication.CapacityExceeded + 1]atomic.Int64 // requests under keys, by verdict
-	breaks  [resume.Finish + 1]atomic.Int64                  // answers that broke, by what became of them
-	slow    atomic.Int64                                     // clients cut off for reading too slowly
-	notKept atomic.Int64                                     // whole answers under keys that were not kept
+	keys               [deduplication.CapacityExceeded + 1]atomic.Int64 // requests with idempotency keys, by decision
+	brokenAnswers      [resume.Finish + 1]atomic.Int64                  // broken answers, by what became of them
+	slowClients        atomic.Int64                                     // clients disconnected for reading too slowly
+	answersNotRecorded atomic.Int64                                     // complete answers under keys that were too large to record
 }
 
-// Counts returns them by name, for people and metrics; see docs/chat.md.
+// Counts returns the counters by name, for the status page and metrics; see docs/chat.md.
 func (f *Front) Counts() map[string]int {
-	m := map[string]int{"slow clients cut": int(f.counts.slow.Load()), "answers not kept": int(f.counts.notKept.Load())}
+	m := map[string]int{"slow clients cut": int(f.counts.slowClients.Load()), "answers not kept": int(f.counts.answersNotRecorded.Load())}
 	for v := range f.counts.keys {
 		m["key "+deduplication.Decision(v).String()] = int(f.counts.keys[v].Load())
 	}
-	for s := range f.counts.breaks {
-		m["broken answer "+resume.Step(s).String()] = int(f.counts.breaks[s].Load())
+	for s := range f.counts.brokenAnswers {
+		m["broken answer "+resume.Step(s).String()] = int(f.counts.brokenAnswers[s].Load())
 	}
 	if f.keys != nil {
 		keys, bytes := f.keys.Counts()
--- a/internal/openai/errors.go
+++ b/internal/openai/errors.go
@@ -15,42 +15,42 @@
 
 // The codes of errors, as docs/chat-errors.md lists them. Clients rely on them: they do not change.
 const (
-	codeKey        = "invalid_api_key"
-	codeURL        = "unknown_url"
-	codeMethod     = "method_not_allowed"
-	codeModel      = "model_not_found"
-	codeBody       = "invalid_body"
-	codeParam      = "invalid_parameter"
-	codeTooBig     = "request_too_large"
-	codeRejected   = "rejected_by_engine"
-	codeQuota      = "rate_limit_exceeded"
-	codeOverloaded = "overloaded"
-	codeTimeout    = "timeout"
-	codeFailed     = "engine_failed"
-	codeBroken     = "stream_broken"
-	codeReported   = "engine_error"
-	codeSlow       = "client_too_slow"
-	codeUnderWay   = "idempotency_in_progress"
-	codeReused     = "idempotency_key_reused"
-	codeUnknown    = "idempotency_fate_unknown"
-	codeNotKept    = "idempotency_answer_not_kept"
-	codeKeyLength  = "idempotency_key_invalid"
+	codeAPIKey            = "invalid_api_key"
+	codeURL               = "unknown_url"
+	codeMethod            = "method_not_allowed"
+	codeModel             = "model_not_found"
+	codeBody              = "invalid_body"
+	codeParam             = "invalid_parameter"
+	codeTooBig            = "request_too_large"
+	codeRejected          = "rejected_by_engine"
+	codeQuota             = "rate_limit_exceeded"
+	codeOverloaded        = "overloaded"
+	codeTimeout           = "timeout"
+	codeEngineFailed      = "engine_failed"
+	codeStreamBroken      = "stream_broken"
+	codeEngineError       = "engine_error"
+	codeSlowClient        = "client_too_slow"
+	codeInProgress        = "idempotency_in_progress"
+	codeKeyReused         = "idempotency_key_reused"
+	codeOutcomeUnknown    = "idempotency_fate_unknown"
+	codeAnswerUnavailable = "idempotency_answer_not_kept"
+	codeKeyInvalid        = "idempotency_key_invalid"
 )
 
 // The types of errors, as the API has them.
 const (
-	typeRequest = "invalid_request_error"
-	typeRate    = "rate_limit_error"
-	typeServer  = "server_error"
+	typeRequest   = "invalid_request_error"
+	typeRateLimit = "rate_limit_error"
+	typeServer    = "server_error"
 )
 
 // apiError is an OpenAI error object with its HTTP status.
 type apiError struct {
-	status           int
-	kind, code, text string
-	param            string
-	retryAfter       time.Duration
-	final            bool // client libraries are told not to retry by themselves
+	status                   int
+	errorType, code, message string
+	param                    string
+	retryAfter               time.Duration
+	noRetry                  bool // client libraries are told not to retry by themselves
 }
 
 // object returns the error object.
@@ -62,7 +62,7 @@
 		return s
 	}
 	b, err := codec.Marshal(map[string]any{"error": map[string]any{
-		"message": e.text, "type": e.kind, "param": optional(e.param), "code": optional(e.code),
+		"message": e.message, "type": e.errorType, "param": optional(e.param), "code": optional(e.code),
 	}})
 	if err != nil { // only plain strings
 		return []byte(`{"error":{"message":"failed","type":"server_error","param":null,"code":null}}`)
@@ -79,7 +79,7 @@
 		h.Set("Retry-After", strconv.Itoa(int(math.Ceil(e.retryAfter.Seconds()))))
 		h.Set("Retry-After-Ms", strconv.FormatInt(max(1, e.retryAfter.Milliseconds()), 10))
 	}
-	if e.final {
+	if e.noRetry {
 		// Client libraries retry 408, 409, 429 and 5xx by themselves unless this header says
 		// otherwise: what may have run must not be sent again without the caller's decision.
 		h.Set("X-Should-Retry", "false")
@@ -90,7 +90,7 @@
 
 // badRequest returns the error for an invalid body or, if param is given, parameter.
 func badRequest(text, param string) apiError {
-	e := apiError{status: http.StatusBadRequest, kind: typeRequest, code: codeBody, text: text, param: param}
+	e := apiError{status: http.StatusBadRequest, errorType: typeRequest, code: codeBody, message: text, param: param}
 	if param != "" {
 		e.code = codeParam
 	}
@@ -99,12 +99,12 @@
 
 // unknownModel returns the error for a model that does not exist or that the team may not use.
 func unknownModel(name string) apiError {
-	return apiError{status: http.StatusNotFound, kind: typeRequest, code: codeModel, param: "model",
-		text: "the model " + name + " does not exist or is not open to this team"}
+	return apiError{status: http.StatusNotFound, errorType: typeRequest, code: codeModel, param: "model",
+		message: "the model " + name + " does not exist or is not open to this team"}
 }
 
-// rejected returns the engine's error if it says that the request is invalid, else nil.
-func rejected(a core.Answer) *EngineError {
+// engineRejection returns the engine's error if it says that the request is invalid, else nil.
+func engineRejection(a core.Answer) *EngineError {
 	var e *EngineError
 	if errors.As(a.Cause, &e) && slices.Contains([]int{http.StatusBadRequest, http.StatusRequestEntityTooLarge, http.StatusUnprocessableEntity}, e.Status) {
 		return e
@@ -112,38 +112,38 @@
 	return nil
 }
 
-// refusal returns the error for an answer without a stream. Only 429 and 503 say that a retry is
-// harmless; 502 and 504 promise nothing, so that for a request which must not run twice (once)
+// answerError returns the error for an answer without a stream. Only 429 and 503 say that a retry is
+// harmless; 502 and 504 promise nothing, so that for a request which must not run twice (atMostOnce)
 // client libraries are told not to retry.
-func refusal(a core.Answer, once bool) apiError {
-	if e := rejected(a); e != nil {
+func answerError(a core.Answer, atMostOnce bool) apiError {
+	if e := engineRejection(a); e != nil {
 		r := badRequest("the engine did not accept the request: "+firstLine(string(e.Body)), "")
 		r.code = codeRejected
 		return r
 	}
 	switch {
 	case a.Verdict == core.Rejected && a.OverQuota:
-		return apiError{status: http.StatusTooManyRequests, kind: typeRate, code: codeQuota,
-			text: "the team's budget is spent for now", retryAfter: a.RetryAfter}
+		return apiError{status: http.StatusTooManyRequests, errorType: typeRateLimit, code: codeQuota,
+			message: "the team's budget is spent for now", retryAfter: a.RetryAfter}
 	case a.Verdict == core.Rejected:
-		return apiError{status: http.StatusServiceUnavailable, kind: typeServer, code: codeOverloaded,
-			text: "no engine can take this in time; nothing was done", retryAfter: a.RetryAfter}
+		return apiError{status: http.StatusServiceUnavailable, errorType: typeServer, code: codeOverloaded,
+			message: "no engine can take this in time; nothing was done", retryAfter: a.RetryAfter}
 	case a.Verdict == core.DeadlineExceeded || a.Status == routing.StatusTimeout:
-		return apiError{status: http.StatusGatewayTimeout, kind: typeServer, code: codeTimeout, final: once,
-			text: "no engine answered in time; the request may have been carried out"}
+		return apiError{status: http.StatusGatewayTimeout, errorType: typeServer, code: codeTimeout, noRetry: atMostOnce,
+			message: "no engine answered in time; the request may have been carried out"}
 	}
-	return apiError{status: http.StatusBadGateway, kind: typeServer, code: codeFailed, final: once,
-		text: "an engine failed; the request may have been carried out"}
+	return apiError{status: http.StatusBadGateway, errorType: typeServer, code: codeEngineFailed, noRetry: atMostOnce,
+		message: "an engine failed; the request may have been carried out"}
 }
 
 // streamError returns the error for an event that ends a broken stream.
 func streamError(err error) apiError {
 	if errors.Is(err, streambuffer.ErrSlowClient) {
-		return apiError{kind: typeServer, code: codeSlow, text: "the client read too slowly; the request may have been carried out"}
+		return apiError{errorType: typeServer, code: codeSlowClient, message: "the client read too slowly; the request may have been carried out"}
 	}
 	var reported reportedError
 	if errors.As(err, &reported) {
-		return apiError{kind: typeServer, code: codeReported, text: reported.Error() + "; the request may have been carried out"}
+		return apiError{errorType: typeServer, code: codeEngineError, message: reported.Error() + "; the request may have been carried out"}
 	}
-	return apiError{kind: typeServer, code: codeBroken, text: "the stream broke; the request may have been carried out"}
+	return apiError{errorType: typeServer, code: codeStreamBroken, message: "the stream broke; the request may have been carried out"}
 }
--- a/internal/openai/front.go
+++ b/internal/openai/front.go
@@ -25,14 +25,14 @@
 
 // Limits towards clients.
 const (
-	writeLimit         = 5 * time.Second // a client that accepts no byte for this long is disconnected
-	writeDeadlineParts = 8               // the write deadline may be short by one such part of the limit
-	stallLimit         = 250 * time.Millisecond
-	maxBufferPerClient = 256 << 10       // bytes of a stream that are buffered for a slow client
-	retryAfterBusy     = time.Second     // when there may be memory for a body again
-	keyPause           = time.Second     // after which a request under way may have ended
-	retryAfterFull     = 5 * time.Second // when the table of idempotency keys may have room again
-	maxKey             = 255             // bytes of an idempotency key
+	writeLimit           = 5 * time.Second // a client that accepts no byte for this long is disconnected
+	writeDeadlineParts   = 8               // the write deadline may be short by one such part of the limit
+	stallLimit           = 250 * time.Millisecond
+	maxBufferPerClient   = 256 << 10       // bytes of a stream that are buffered for a slow client
+	retryAfterBusy       = time.Second     // when there may be memory for a body again
+	retryAfterInProgress = time.Second     // when the request in progress may have ended
+	retryAfterFull       = 5 * time.Second // when the table of idempotency keys may have room again
+	maxKeyBytes          = 255             // bytes of an idempotency key
 )
 
 // Options are what a front depends on.
@@ -40,26 +40,26 @@
 	Core   *core.Core
 	File   *config.Operator
 	Bodies *clientconn.Budget
-	Keys   *idempotency.Store // of requests that must not run twice
-	Held   int64              // bytes that are held for all slow callers together, and of answers under way that are to be kept
-	// Others tells whether other gateways serve the same clients; nil for none.
+	Keys   *idempotency.Store // of requests that must not run twice; nil for no keys
+	Held   int64              // limit of the bytes buffered for all slow clients together, and of those of answers recorded while they are sent
+	// Others reports whether other gateways serve the same clients; nil for none.
 	Others func() bool
 }
 
 // Front is the HTTP handler of the chat API. Its methods may be called from any goroutine.
 type Front struct {
-	core    *core.Core
-	bodies  *clientconn.Budget
-	keys    *idempotency.Store
-	others  func() bool
-	bounds  *streambuffer.Limits
-	catalog atomic.Pointer[catalog]
-	started time.Time
-	service atomic.Pointer[lifecycle.Service]
+	core     *core.Core
+	bodies   *clientconn.Budget
+	keys     *idempotency.Store
+	hasPeers func() bool
+	bounds   *streambuffer.Limits
+	catalog  atomic.Pointer[catalog]
+	started  time.Time
+	service  atomic.Pointer[lifecycle.Service]
 
-	counts   counts
-	keeping  atomic.Int64 // bytes of answers under way that are to be kept
-	keepMost int64
+	counts           counts
+	recordedBytes    atomic.Int64 // bytes of answers that are recorded while they are sent
+	maxRecordedBytes int64
 }
 
 // catalog holds the teams, models and contracts of one operator's file. It does not change; a
@@ -74,8 +74,8 @@
 // tenants are the teams.
 func NewFront(o Options) *Front {
 	f := &Front{
-		core: o.Core, bodies: o.Bodies, keys: o.Keys, others: o.Others, started: time.Now(),
-		bounds: streambuffer.NewLimits(stallLimit, maxBufferPerClient, o.Held), keepMost: o.Held,
+		core: o.Core, bodies: o.Bodies, keys: o.Keys, hasPeers: o.Others, started: time.Now(),
+		bounds: streambuffer.NewLimits(stallLimit, maxBufferPerClient, o.Held), maxRecordedBytes: o.Held,
 	}
 	f.SetService(lifecycle.FullService())
 	f.Reload(o.File)
@@ -125,7 +125,7 @@
 	if team == nil {
 		clientconn.Reject(w, r)
 		w.Header().Set("WWW-Authenticate", "Bearer")
-		apiError{status: http.StatusUnauthorized, kind: typeRequest, code: codeKey, text: "missing or unknown API key"}.send(w)
+		apiError{status: http.StatusUnauthorized, errorType: typeRequest, code: codeAPIKey, message: "missing or unknown API key"}.send(w)
 		return
 	}
 	model, single := strings.CutPrefix(r.URL.Path, modelPath+"/")
@@ -138,10 +138,10 @@
 	case post || r.URL.Path == modelPath || single:
 		clientconn.Reject(w, r)
 		w.Header().Set("Allow", map[bool]string{true: http.MethodPost, false: http.MethodGet}[post])
-		apiError{status: http.StatusMethodNotAllowed, kind: typeRequest, code: codeMethod, text: "method not allowed"}.send(w)
+		apiError{status: http.StatusMethodNotAllowed, errorType: typeRequest, code: codeMethod, message: "method not allowed"}.send(w)
 	default:
 		clientconn.Reject(w, r)
-		apiError{status: http.StatusNotFound, kind: typeRequest, code: codeURL, text: "no such path"}.send(w)
+		apiError{status: http.StatusNotFound, errorType: typeRequest, code: codeURL, message: "no such path"}.send(w)
 	}
 }
 
@@ -195,25 +195,25 @@
 		return
 	}
 	defer free()
-	a, typed, contract, err := catalog.accept(r.URL.Path, raw, team)
+	a, responses, contract, err := catalog.accept(r.URL.Path, raw, team)
 	if err != nil {
 		err.send(w)
 		return
 	}
-	once := contract.Effect != config.EffectFree
+	atMostOnce := contract.Effect != config.EffectFree
 	h := head{id: "chatcmpl-" + id, model: a.model, object: "chat.completion", created: arrived.Unix()}
 	if a.path == completionPath {
 		h.id, h.object = "cmpl-"+id, "text_completion"
 	}
 	c := &call{
-		Front: f, w: w, r: r, out: http.NewResponseController(w), ask: a, head: h, once: once, contract: contract, team: team, arrived: arrived,
-		ending: deduplication.Result{MayHaveRun: true}, form: formOf(a, typed, h, contract),
+		Front: f, w: w, r: r, controller: http.NewResponseController(w), request: a, head: h, atMostOnce: atMostOnce, contract: contract, team: team, arrived: arrived,
+		result: deduplication.Result{MayHaveRun: true}, encoder: newEncoder(a, responses, h, contract),
 	}
-	if once {
+	if atMostOnce {
 		if answered := c.claim(raw); answered {
 			return
 		}
-		defer c.settle()
+		defer c.releaseKey()
 	}
 	c.run()
 }
@@ -225,7 +225,7 @@
 	switch {
 	case errors.Is(err, clientconn.ErrTooBig):
 		clientconn.Reject(w, r)
-		apiError{status: http.StatusRequestEntityTooLarge, kind: typeRequest, code: codeTooBig, text: err.Error()}.send(w)
+		apiError{status: http.StatusRequestEntityTooLarge, errorType: typeRequest, code: codeTooBig, message: err.Error()}.send(w)
 	case err == nil && !f.service.Load().TakesRequest(time.Now()), errors.Is(err, clientconn.ErrLate):
 		if err == nil {
 			free()
@@ -233,10 +233,10 @@
 		clientconn.Reject(w, r)
 		f.announceClose(w, r)
 		f.forgetKey(r, team)
-		refusal(core.Answer{Verdict: core.Rejected, RetryAfter: retryAfterBusy}, false).send(w)
+		answerError(core.Answer{Verdict: core.Rejected, RetryAfter: retryAfterBusy}, false).send(w)
 	case errors.Is(err, clientconn.ErrBusy):
 		f.forgetKey(r, team)
-		refusal(core.Answer{Verdict: core.Rejected, RetryAfter: retryAfterBusy}, false).send(w)
+		answerError(core.Answer{Verdict: core.Rejected, RetryAfter: retryAfterBusy}, false).send(w)
 	case err != nil:
 		clientconn.Reject(w, r)
 		badRequest(err.Error(), "").send(w)
@@ -248,7 +248,7 @@
 
 // forgetKey records that a request was rejected before it was read, so that its key has not run.
 func (f *Front) forgetKey(r *http.Request, team *config.Team) {
-	if name := r.Header.Get(keyHeader); name != "" && len(name) <= maxKey && f.keys != nil {
+	if name := r.Header.Get(keyHeader); name != "" && len(name) <= maxKeyBytes && f.keys != nil {
 		f.keys.RecordRefusal(deduplication.Key{Team: team.Name, Name: name})
 	}
 }
@@ -256,10 +256,10 @@
 // accept parses a request and finds its contract. The error is the answer to the client.
 func (c *catalog) accept(path string, raw []byte, team *config.Team) (*apiRequest, *responsesEncoder, config.Contract, *apiError) {
 	var a *apiRequest
-	var typed *responsesEncoder // of /v1/responses
+	var responses *responsesEncoder // nil but for /v1/responses
 	var err error
 	if path == responsePath {
-		a, typed, err = parseResponses(raw, team.Name)
+		a, responses, err = parseResponses(raw, team.Name)
 	} else {
 		a, err = parse(path, raw, team.Name)
 	}
@@ -278,34 +278,34 @@
 		invalid := badRequest("model: embeddings need a model under a free contract", "model")
 		return nil, nil, config.Contract{}, &invalid
 	}
-	return a, typed, contract, nil
+	return a, responses, contract, nil
 }
 
 // run submits the request to the core and writes the answer to the client.
 func (c *call) run() {
-	answer, ticket, here := c.submit(c.ask, c.head.id)
+	answer, ticket, answered := c.submit(c.request, c.head.id)
 	c.announceClose(c.w, c.r) // the process may have begun to shut down while the request waited
-	if !here {
-		c.ending.MayHaveRun = !c.once || ticket.MayHaveRun(context.WithoutCancel(c.r.Context()))
-		panic(http.ErrAbortHandler) // the caller has gone: there is nobody to answer
+	if !answered {
+		c.result.MayHaveRun = !c.atMostOnce || ticket.MayHaveRun(context.WithoutCancel(c.r.Context()))
+		panic(http.ErrAbortHandler) // the client has disconnected
 	}
 	setRateLimitHeaders(c.w.Header(), answer)
 	if answer.Verdict != core.Streaming {
-		c.ending = deduplication.Result{
-			Refused: answer.Verdict == core.Rejected || answer.Verdict == core.Duplicate, RejectedByEngine: rejected(answer) != nil, MayHaveRun: answer.MayHaveRun,
+		c.result = deduplication.Result{
+			Refused: answer.Verdict == core.Rejected || answer.Verdict == core.Duplicate, RejectedByEngine: engineRejection(answer) != nil, MayHaveRun: answer.MayHaveRun,
 		}
-		refusal(answer, c.once && c.ending.Outcome() == deduplication.OutcomeIndeterminate).send(c.w)
+		answerError(answer, c.atMostOnce && c.result.Outcome() == deduplication.OutcomeIndeterminate).send(c.w)
 		return
 	}
 	c.stream(answer.Stream, ticket)
 }
 
-// formOf returns the encoder for a call's answer.
-func formOf(a *apiRequest, typed *responsesEncoder, h head, contract config.Contract) encoder {
+// newEncoder returns the encoder for a call's answer.
+func newEncoder(a *apiRequest, responses *responsesEncoder, h head, contract config.Contract) encoder {
 	switch {
-	case typed != nil:
-		typed.head, typed.streaming = h, a.stream
-		return typed
+	case responses != nil:
+		responses.head, responses.streaming = h, a.stream
+		return responses
 	case a.path == embeddingPath:
 		return &passthrough{head: h}
 	case !a.stream:
--- a/internal/openai/idempotency_test.go
+++ b/internal/openai/idempotency_test.go
@@ -49,12 +49,12 @@
 		sent          int
 	}{
 		{"whole", whole, 200, 200, "", 1},
-		{"broken in the middle", whole[:len(whole)/2] + enginetest.Cut, 502, 409, codeUnknown, 1},
-		{"broken before its head", enginetest.Cut, 502, 409, codeUnknown, 1},
-		{"failed", enginetest.Status(500, "", ""), 502, 409, codeUnknown, 1},
+		{"broken in the middle", whole[:len(whole)/2] + enginetest.Cut, 502, 409, codeOutcomeUnknown, 1},
+		{"broken before its head", enginetest.Cut, 502, 409, codeOutcomeUnknown, 1},
+		{"failed", enginetest.Status(500, "", ""), 502, 409, codeOutcomeUnknown, 1},
 		{"turned away", enginetest.Status(429, "", ""), 503, 503, codeOverloaded, 0},
 		{"not accepted", enginetest.Status(400, "", "too long"), 400, 400, codeRejected, 2},
-		{"reported in the stream", enginetest.StreamHead + enginetest.Chunk("data: "+chunkOf(0, "null")+"\n\n") + enginetest.Chunk(`data: {"error":{"message":"no"}}`+"\n\n") + "0\r\n\r\n", 502, 409, codeUnknown, 1},
+		{"reported in the stream", enginetest.StreamHead + enginetest.Chunk("data: "+chunkOf(0, "null")+"\n\n") + enginetest.Chunk(`data: {"error":{"message":"no"}}`+"\n\n") + "0\r\n\r\n", 502, 409, codeOutcomeUnknown, 1},
 	} {
 		for _, stream := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, stream %v", c.name, stream), func(t *testing.T) {
@@ -139,7 +139,7 @@
 	}()
 	enginetest.Eventually(t, "the order is at the engine", func() bool { return len(e.Calls("POST")) == 1 })
 	resp, text := order(t.Context(), t, url, "k", "a hull", false, 1)
-	if resp.StatusCode != http.StatusConflict || !strings.Contains(text, codeUnderWay) || resp.Header.Get("Retry-After") == "" || resp.Header.Get("X-Should-Retry") != "" {
+	if resp.StatusCode != http.StatusConflict || !strings.Contains(text, codeInProgress) || resp.Header.Get("Retry-After") == "" || resp.Header.Get("X-Should-Retry") != "" {
 		t.Errorf("%d, %s, %v", resp.StatusCode, text, resp.Header)
 	}
 	leave()
@@ -149,7 +149,7 @@
 	}
 	enginetest.Eventually(t, "its fate is unknown", func() bool {
 		_, text = order(t.Context(), t, url, "k", "a hull", false, 1)
-		return strings.Contains(text, codeUnknown)
+		return strings.Contains(text, codeOutcomeUnknown)
 	})
 	if n := len(e.Calls("POST")); n != 1 {
 		t.Errorf("sent %d times", n)
@@ -159,8 +159,8 @@
 func TestInvalidKeys(t *testing.T) {
 	engines, e := one(config.RoleOpenAI, func(enginetest.Call) string { return enginetest.Stream(1, 0) }, t)
 	url, _ := start(t, engines)
-	for _, key := range []string{strings.Repeat("k", maxKey+1), "k\u00e9"} {
-		if resp, text := order(t.Context(), t, url, key, "a hull", false, 0); resp.StatusCode != http.StatusBadRequest || !strings.Contains(text, codeKeyLength) {
+	for _, key := range []string{strings.Repeat("k", maxKeyBytes+1), "k\u00e9"} {
+		if resp, text := order(t.Context(), t, url, key, "a hull", false, 0); resp.StatusCode != http.StatusBadRequest || !strings.Contains(text, codeKeyInvalid) {
 			t.Errorf("%d, %s", resp.StatusCode, text)
 		}
 	}
--- a/internal/openai/responses_encoder.go
+++ b/internal/openai/responses_encoder.go
@@ -141,7 +141,7 @@
 func (t *responsesEncoder) failure(e apiError) []byte {
 	t.out = nil
 	t.start()
-	t.emit("response.failed", map[string]any{"response": t.object(statusFailed, map[string]any{"code": e.code, "message": e.text})})
+	t.emit("response.failed", map[string]any{"response": t.object(statusFailed, map[string]any{"code": e.code, "message": e.message})})
 	return t.out
 }
 
