--- a/internal/openai/call.go
+++ b/internal/openai/call.go
@@ -1,12 +1,9 @@
 package openai
 
 import (
-	"crypto/sha256"
-	"encoding/hex"
 	"errors"
 	"net/http"
 	"strconv"
-	"strings"
 	"time"
 
 	"wellgw/decide/deduplication"
@@ -42,13 +39,6 @@
 	recordOverflow bool   // the answer is larger than what may be recorded
 }
 
-// Headers of retried requests.
-const (
-	keyHeader      = "Idempotency-Key"
-	retryHeader    = "X-Stainless-Retry-Count" // the official libraries' count of their own retries
-	replayedHeader = "Idempotent-Replayed"
-)
-
 // submit passes a request to the core under an id and waits for its answer; see
 // core.SubmitAndWait. It is false if the client has gone before there is one.
 func (c *call) submit(a *apiRequest, id string) (core.Answer, *core.Ticket, bool) {
@@ -97,100 +87,6 @@
 	return step, answer.Stream, ticket
 }
 
-// claim looks up the request's idempotency key. It returns true if the request has been answered
-// by what is known of the key; else it may run, and settle must be called when it has ended.
-func (c *call) claim(body []byte) (answered bool) {
-	name := c.r.Header.Get(keyHeader)
-	if name == "" || c.keys == nil {
-		return false
-	}
-	if len(name) > maxKeyBytes || strings.IndexFunc(name, func(r rune) bool { return r < ' ' || r > '~' }) >= 0 {
-		apiError{status: http.StatusBadRequest, errorType: typeRequest, code: codeKeyInvalid, param: keyHeader,
-			message: "an idempotency key has at most " + strconv.Itoa(maxKeyBytes) + " printable ASCII characters"}.send(c.w)
-		return true
-	}
-	sum := sha256.New()
-	sum.Write([]byte(c.r.URL.Path + "\x00"))
-	sum.Write(body)
-	a := deduplication.Request{Key: deduplication.Key{Team: c.team.Name, Name: name}, Digest: hex.EncodeToString(sum.Sum(nil)), RequestID: c.head.id}
-	a.RetryCount, _ = strconv.Atoi(c.r.Header.Get(retryHeader))
-	a.MayHaveRunElsewhere = c.hasPeers != nil && c.hasPeers()
-	verdict, e := c.keys.Begin(a)
-	c.counts.keys[verdict].Add(1)
-	conflict := apiError{status: http.StatusConflict, errorType: typeRequest, param: keyHeader}
-	switch verdict {
-	case deduplication.Run:
-		c.key, c.claimed = a.Key, true
-		return false
-	case deduplication.Replay:
-		h := c.w.Header()
-		h.Set("Content-Type", e.ContentType)
-		h.Set(replayedHeader, "true")
-		h.Set("X-Request-Id", requestID(e.RequestID))
-		c.w.Write(e.Answer)
-		return true
-	case deduplication.InProgress:
-		conflict.code, conflict.retryAfter = codeInProgress, retryAfterInProgress
-		conflict.message = "a request under this key is under way"
-	case deduplication.AnswerUnavailable:
-		conflict.code, conflict.noRetry = codeAnswerUnavailable, true
-		conflict.message = "a request under this key has been carried out; its answer was too large, or is too old, to be kept"
-	case deduplication.KeyReused:
-		conflict.status, conflict.code, conflict.noRetry = http.StatusUnprocessableEntity, codeKeyReused, true
-		conflict.message = "this key was used for another request"
-	case deduplication.PriorOutcomeUnknown:
-		conflict.code, conflict.noRetry = codeOutcomeUnknown, true
-		conflict.message = "an earlier request under this key may have been carried out, or may not; it is not carried out again. Look before asking under another key"
-	default:
-		conflict = apiError{status: http.StatusServiceUnavailable, errorType: typeServer, code: codeOverloaded, retryAfter: retryAfterFull,
-			message: "no more idempotency keys can be kept; nothing was done"}
-	}
-	conflict.send(c.w)
-	return true
-}
-
-// requestID returns an answer's id without the prefix that names its kind.
-func requestID(id string) string {
-	if _, after, found := strings.Cut(id, "-"); found {
-		return after
-	}
-	return id
-}
-
-// markComplete records that the answer is complete, though its client may disconnect before it has been
-// sent. A client may retry as soon as it has the last byte, so the key is settled before that is
-// sent.
-func (c *call) markComplete() {
-	c.result.Complete = true
-	c.releaseKey()
-}
-
-// releaseKey reports, once, how a claimed request has ended.
-func (c *call) releaseKey() {
-	if !c.claimed {
-		return
-	}
-	c.claimed = false
-	c.recordedBytes.Add(-int64(len(c.recorded)))
-	if c.recordOverflow && c.result.Complete {
-		c.counts.answersNotRecorded.Add(1)
-	}
-	c.keys.End(c.key, c.head.id, c.result.Outcome(), c.encoder.contentType(), c.recorded)
-}
-
-// record adds what is sent to the recorded answer, as long as that stays within its limits.
-func (c *call) record(p []byte) {
-	if !c.claimed || c.recordOverflow {
-		return
-	}
-	c.recordedBytes.Add(int64(len(p)))
-	c.recorded = append(c.recorded, p...)
-	if len(c.recorded) > c.keys.MaxAnswerBytes() || c.recordedBytes.Load() > c.maxRecordedBytes {
-		c.recordedBytes.Add(-int64(len(c.recorded)))
-		c.recorded, c.recordOverflow = nil, true
-	}
-}
-
 const (
 	eventStream = "text/event-stream"
 	jsonType    = "application/json"
--- a/internal/openai/front.go
+++ b/internal/openai/front.go
@@ -246,13 +246,6 @@
 	return nil, nil, false
 }
 
-// forgetKey records that a request was rejected before it was read, so that its key has not run.
-func (f *Front) forgetKey(r *http.Request, team *config.Team) {
-	if name := r.Header.Get(keyHeader); name != "" && len(name) <= maxKeyBytes && f.keys != nil {
-		f.keys.RecordRefusal(deduplication.Key{Team: team.Name, Name: name})
-	}
-}
-
 // accept parses a request and finds its contract. The error is the answer to the client.
 func (c *catalog) accept(path string, raw []byte, team *config.Team) (*apiRequest, *responsesEncoder, config.Contract, *apiError) {
 	var a *apiRequest
