--- a/internal/openai/conformance/chat.go
+++ b/internal/openai/conformance/chat.go
@@ -10,7 +10,7 @@
 	"github.com/openai/openai-go/v3/shared"
 )
 
-func (s *suite) whole(ctx context.Context) error {
+func (s *suite) notStreamed(ctx context.Context) error {
 	r, err := s.client.Chat.Completions.New(ctx, s.params("a hull fitting"))
 	if err != nil {
 		return err
@@ -107,7 +107,7 @@
 
 func checkCalls(calls []openai.ChatCompletionMessageToolCallUnion) error {
 	if len(calls) == 0 {
-		return errors.New("no tool call")
+		return errNoToolCall
 	}
 	for i, c := range calls {
 		if c.ID == "" || c.Function.Name == "" || !strings.HasPrefix(c.Function.Arguments, "{") || !strings.HasSuffix(c.Function.Arguments, "}") {
--- a/internal/openai/conformance/conformance.go
+++ b/internal/openai/conformance/conformance.go
@@ -1,7 +1,6 @@
-// Package conformance plays the chat API as its users know it, by the official Go client
-// library, against any base URL, and says what holds. What it asks for is the published
-// API's, and the gateway's own promises beyond that (keys, codes, contracts shown); what a
-// model says does not matter to it.
+// Package conformance tests a server of the chat API at any base URL by the official Go client
+// library. It tests the published API and what the gateway promises beyond that (idempotency
+// keys, error codes, contracts in the list of models), whatever the text of a model's answers.
 package conformance
 
 import (
@@ -15,18 +14,23 @@
 	"github.com/openai/openai-go/v3/option"
 )
 
-// Options say what is tested. Words are put into prompts, for engines that answer in a way
-// of their own on them; "" skips the cases.
+// Options say what is tested.
 type Options struct {
 	BaseURL    string // up to and without /v1
 	Key        string
 	Model      string // under a free contract
 	OrderModel string // under a contract that must not run twice; "" skips its cases
-	Refuse     string
-	Think      string
+	Refuse     string // a prompt that the engine refuses; "" skips its cases
+	Think      string // a prompt that the engine reasons about; "" skips its cases
 }
 
-// Result is what came of one case.
+// Faults of answers that have no error of the library's own.
+var (
+	errChunk      = errors.New("the library can't add a chunk")
+	errNoToolCall = errors.New("no tool call")
+)
+
+// Result is the outcome of one case.
 type Result struct {
 	Name   string
 	Passed bool
@@ -73,7 +77,7 @@
 func (s *suite) cases() []testCase {
 	order, refuse, think := s.OrderModel == "", s.Refuse == "", s.Think == ""
 	return []testCase{
-		{"chat: an answer in one piece", false, s.whole},
+		{"chat: an answer in one piece", false, s.notStreamed},
 		{"chat: a stream adds up to an answer", false, s.streamed},
 		{"chat: id and model are the same in all events", false, s.oneID},
 		{"chat: usage in a stream, if asked for", false, s.usage},
@@ -100,7 +104,7 @@
 		{"models: list and one", false, s.models},
 		{"errors: a wrong key is 401", false, s.wrongKey},
 		{"errors: an unknown model is 404", false, s.unknownModel},
-		{"errors: a bad field is 400 and named", false, s.badField},
+		{"errors: a bad field is 400 and named", false, s.invalidField},
 		{"errors: an unknown path is 404", false, s.unknownPath},
 		{"headers: X-Request-Id", false, s.requestID},
 		{"keys: a repeat is replayed", order, s.replay},
@@ -125,7 +129,7 @@
 	for stream.Next() {
 		c := stream.Current()
 		if !acc.AddChunk(c) {
-			return acc, errors.New("the library can't add a chunk")
+			return acc, errChunk
 		}
 		if each != nil {
 			if err := each(c); err != nil {
--- a/internal/openai/conformance/errors.go
+++ b/internal/openai/conformance/errors.go
@@ -31,7 +31,7 @@
 	return fails(err, http.StatusNotFound, "model_not_found")
 }
 
-func (s *suite) badField(ctx context.Context) error {
+func (s *suite) invalidField(ctx context.Context) error {
 	p := s.params("x")
 	p.Messages = nil
 	_, err := s.client.Chat.Completions.New(ctx, p, option.WithJSONSet("messages", "none"))
