--- a/internal/openai/responses.go
+++ b/internal/openai/responses.go
@@ -2,18 +2,17 @@
 
 import (
 	"bytes"
-	"errors"
 	"fmt"
 
 	jsoniter "github.com/json-iterator/go"
 )
 
-// The responses API (/v1/responses) is served by way of chat completions, as that is what
-// engines offer: its input becomes messages, the chunks become typed events. Nothing is
-// stored, so that what refers to an earlier response can't be served.
+// The responses API (/v1/responses) is translated to chat completions, which is what engines
+// offer: its input becomes messages, the chunks become typed events. Nothing is stored, so that
+// references to earlier responses can't be served.
 
-// part is one part of an input item's content.
-type part struct {
+// inputPart is one part of an input item's content.
+type inputPart struct {
 	Type     string `json:"type"`
 	Text     string `json:"text"`
 	Refusal  string `json:"refusal"`
@@ -24,8 +23,13 @@
 	Filename string `json:"filename"`
 }
 
-// item is one item of the input.
-type item struct {
+// unknownPartError is a part of content whose type is not supported.
+type unknownPartError struct{ partType string }
+
+func (e unknownPartError) Error() string { return "parts of type " + e.partType + " are not offered" }
+
+// inputItem is one item of the input.
+type inputItem struct {
 	Type      string              `json:"type"`
 	Role      string              `json:"role"`
 	Content   jsoniter.RawMessage `json:"content"`
@@ -35,140 +39,183 @@
 	Output    jsoniter.RawMessage `json:"output"`
 }
 
-// Fields of the responses API that are written otherwise for a chat, or not at all.
-var responseFields = map[string]bool{
+// responsesOnlyFields are fields of the responses API that a chat has under another name or in
+// another form, or not at all.
+var responsesOnlyFields = map[string]bool{
 	"input": true, "instructions": true, "max_output_tokens": true, "tools": true, "tool_choice": true, "text": true, "reasoning": true,
 	"store": true, "include": true, "truncation": true, "background": true, "previous_response_id": true, "conversation": true, "prompt": true,
 	"max_tool_calls": true,
 }
 
+// echoedFields are the fields of a request that its response repeats.
+var echoedFields = []string{
+	"instructions", "max_output_tokens", "tools", "tool_choice", "text", "reasoning",
+	"temperature", "top_p", "parallel_tool_calls", "metadata", "user", "truncation",
+}
+
+// chatFields are the fields that a chat has in place of those of the responses API, in order.
+type chatFields struct {
+	values map[string][]byte // nil: the field is left out
+	order  []string
+}
+
+func (c *chatFields) set(name string, value any) {
+	if raw, err := codec.Marshal(value); err == nil {
+		c.values[name] = raw
+		c.order = append(c.order, name)
+	}
+}
+
 // parseResponses reads a call of the responses API as a chat.
-func parseResponses(data []byte, team string) (*apiRequest, *typedAnswer, error) {
+func parseResponses(data []byte, team string) (*apiRequest, *responsesEncoder, error) {
 	f, err := readFields(data)
 	if err != nil {
 		return nil, nil, err
 	}
-	for _, name := range []string{"previous_response_id", "conversation", "prompt"} {
-		if f.get(name) != nil {
-			return nil, nil, paramError{name, "nothing is stored here that it could refer to"}
-		}
-	}
-	if string(f.get("background")) == "true" {
-		return nil, nil, paramError{"background", "not offered"}
+	if err := checkOffered(f); err != nil {
+		return nil, nil, err
 	}
 	messages, err := inputMessages(f)
 	if err != nil {
 		return nil, nil, err
 	}
-	set := map[string][]byte{"messages": messages}
-	order := []string{"messages"}
-	put := func(name string, value any) {
-		if raw, err := codec.Marshal(value); err == nil {
-			set[name] = raw
-			order = append(order, name)
-		}
+	chat := &chatFields{values: map[string][]byte{"messages": messages}, order: []string{"messages"}}
+	for name := range responsesOnlyFields {
+		chat.values[name] = nil
 	}
-	for name := range responseFields {
-		set[name] = nil
-	}
-	t := &typedAnswer{echo: map[string]jsoniter.RawMessage{}, calls: map[int]*outItem{}}
-	for _, name := range []string{"instructions", "max_output_tokens", "tools", "tool_choice", "text", "reasoning", "temperature", "top_p", "parallel_tool_calls", "metadata", "user", "truncation"} {
+	t := &responsesEncoder{echo: map[string]jsoniter.RawMessage{}, toolCalls: map[int]*outputItem{}}
+	for _, name := range echoedFields {
 		if raw := f.get(name); raw != nil {
 			t.echo[name] = bytes.Clone(raw)
 		}
 	}
 	if raw := f.get("max_output_tokens"); raw != nil {
-		put("max_completion_tokens", jsoniter.RawMessage(raw))
+		chat.set("max_completion_tokens", jsoniter.RawMessage(raw))
 	}
-	var reasoning struct {
-		Effort string `json:"effort"`
+	for _, translate := range []func(*fields, *chatFields) error{chatReasoning, chatTools, chatFormat} {
+		if err := translate(f, chat); err != nil {
+			return nil, nil, err
+		}
 	}
-	if err := f.into("reasoning", &reasoning); err != nil {
-		return nil, nil, err
+	a, err := parse(chatPath, f.replace(chat.values, chat.order...), team)
+	return a, t, err
+}
+
+// checkOffered returns an error for what needs stored responses.
+func checkOffered(f *fields) error {
+	for _, name := range []string{"previous_response_id", "conversation", "prompt"} {
+		if f.get(name) != nil {
+			return paramError{name, "nothing is stored here that it could refer to"}
+		}
 	}
-	if reasoning.Effort != "" {
-		put("reasoning_effort", reasoning.Effort)
+	if string(f.get("background")) == "true" {
+		return paramError{"background", "not offered"}
 	}
-	if err := chatTools(f, put); err != nil {
-		return nil, nil, err
+	return nil
+}
+
+// conversation gathers the messages of a chat from input items.
+type conversation struct {
+	messages []any
+	calls    []any // tool calls of one assistant's turn, which become one message
+}
+
+func (c *conversation) add(message map[string]any) { c.messages = append(c.messages, message) }
+
+// endTurn adds the message of the tool calls so far.
+func (c *conversation) endTurn() {
+	if len(c.calls) > 0 {
+		c.add(map[string]any{"role": "assistant", "content": nil, "tool_calls": c.calls})
+		c.calls = nil
 	}
-	if err := chatFormat(f, put); err != nil {
-		return nil, nil, err
+}
+
+// addItem adds an input item; param names it in an error.
+func (c *conversation) addItem(it inputItem, param string) error {
+	if it.Type != "function_call" {
+		c.endTurn()
+	}
+	switch it.Type {
+	case "message", "":
+		if it.Role == "" {
+			return paramError{param, "role is missing"}
+		}
+		content, err := chatContent(it.Content)
+		if err != nil {
+			return paramError{param, err.Error()}
+		}
+		c.add(map[string]any{"role": it.Role, "content": content})
+	case "function_call":
+		c.calls = append(c.calls, map[string]any{"id": it.CallID, "type": "function", "function": map[string]any{"name": it.Name, "arguments": it.Arguments}})
+	case "function_call_output":
+		content, err := chatContent(it.Output)
+		if err != nil {
+			return paramError{param, err.Error()}
+		}
+		c.add(map[string]any{"role": "tool", "tool_call_id": it.CallID, "content": content})
+	case "reasoning": // engines keep none of their own
+	default:
+		return paramError{param, "items of type " + firstLine(it.Type) + " are not offered"}
 	}
-	a, err := parse(chatPath, f.with(set, order...), team)
-	return a, t, err
+	return nil
 }
 
+// inputMessages returns the chat's messages, as JSON, for a call's instructions and input.
 func inputMessages(f *fields) ([]byte, error) {
-	var list []any
+	c := &conversation{}
 	if raw := f.get("instructions"); raw != nil {
-		t, is := text(raw)
+		t, is := unquote(raw)
 		if !is {
 			return nil, paramError{"instructions", "is no text"}
 		}
-		list = append(list, map[string]any{"role": "system", "content": string(t)})
+		c.add(map[string]any{"role": "system", "content": string(t)})
 	}
 	raw := f.get("input")
 	if raw == nil {
 		return nil, paramError{"input", "missing"}
 	}
-	if t, is := text(raw); is {
-		list = append(list, map[string]any{"role": "user", "content": string(t)})
-		return codec.Marshal(list)
+	if t, is := unquote(raw); is {
+		c.add(map[string]any{"role": "user", "content": string(t)})
+		return codec.Marshal(c.messages)
 	}
-	var items []item
+	var items []inputItem
 	if codec.Unmarshal(raw, &items) != nil {
 		return nil, paramError{"input", "is neither a text nor a list of items"}
 	}
-	var calls []any // of one assistant's turn
-	flush := func() {
-		if len(calls) > 0 {
-			list = append(list, map[string]any{"role": "assistant", "content": nil, "tool_calls": calls})
-			calls = nil
-		}
-	}
 	for i, it := range items {
-		param := fmt.Sprintf("input[%d]", i)
-		if it.Type != "function_call" {
-			flush()
-		}
-		switch it.Type {
-		case "message", "":
-			if it.Role == "" {
-				return nil, paramError{param, "role is missing"}
-			}
-			content, err := chatContent(it.Content)
-			if err != nil {
-				return nil, paramError{param, err.Error()}
-			}
-			list = append(list, map[string]any{"role": it.Role, "content": content})
-		case "function_call":
-			calls = append(calls, map[string]any{"id": it.CallID, "type": "function", "function": map[string]any{"name": it.Name, "arguments": it.Arguments}})
-		case "function_call_output":
-			content, err := chatContent(it.Output)
-			if err != nil {
-				return nil, paramError{param, err.Error()}
-			}
-			list = append(list, map[string]any{"role": "tool", "tool_call_id": it.CallID, "content": content})
-		case "reasoning": // engines keep none of their own
-		default:
-			return nil, paramError{param, "items of type " + firstLine(it.Type) + " are not offered"}
+		if err := c.addItem(it, fmt.Sprintf("input[%d]", i)); err != nil {
+			return nil, err
 		}
 	}
-	flush()
-	return codec.Marshal(list)
+	c.endTurn()
+	return codec.Marshal(c.messages)
+}
+
+// chatReasoning translates the effort of reasoning.
+func chatReasoning(f *fields, chat *chatFields) error {
+	var reasoning struct {
+		Effort string `json:"effort"`
+	}
+	if err := f.decode("reasoning", &reasoning); err != nil {
+		return err
+	}
+	if reasoning.Effort != "" {
+		chat.set("reasoning_effort", reasoning.Effort)
+	}
+	return nil
 }
 
+// chatContent translates an item's content: a text, or a list of parts.
 func chatContent(raw []byte) (any, error) {
 	if len(raw) == 0 || isNull(raw) {
 		return "", nil
 	}
-	if t, is := text(raw); is {
+	if t, is := unquote(raw); is {
 		return string(t), nil
 	}
-	var parts []part
+	var parts []inputPart
 	if codec.Unmarshal(raw, &parts) != nil {
-		return nil, errors.New("content is neither a string nor a list of parts")
+		return nil, errContentType
 	}
 	out := []any{}
 	for _, p := range parts {
@@ -192,15 +239,16 @@
 			}
 			out = append(out, map[string]any{"type": "file", "file": file})
 		default:
-			return nil, errors.New("parts of type " + firstLine(p.Type) + " are not offered")
+			return nil, unknownPartError{firstLine(p.Type)}
 		}
 	}
 	return out, nil
 }
 
-func chatTools(f *fields, put func(string, any)) error {
+// chatTools translates the tools and the choice among them.
+func chatTools(f *fields, chat *chatFields) error {
 	var tools []map[string]jsoniter.RawMessage
-	if err := f.into("tools", &tools); err != nil {
+	if err := f.decode("tools", &tools); err != nil {
 		return err
 	}
 	var out []any
@@ -217,14 +265,14 @@
 		out = append(out, map[string]any{"type": "function", "function": function})
 	}
 	if len(out) > 0 {
-		put("tools", out)
+		chat.set("tools", out)
 	}
 	raw := f.get("tool_choice")
 	if raw == nil {
 		return nil
 	}
-	if _, is := text(raw); is {
-		put("tool_choice", jsoniter.RawMessage(raw))
+	if _, is := unquote(raw); is {
+		chat.set("tool_choice", jsoniter.RawMessage(raw))
 		return nil
 	}
 	var choice struct {
@@ -234,15 +282,16 @@
 	if codec.Unmarshal(raw, &choice) != nil || choice.Type != "function" {
 		return paramError{"tool_choice", "is neither a word nor a function"}
 	}
-	put("tool_choice", map[string]any{"type": "function", "function": map[string]any{"name": choice.Name}})
+	chat.set("tool_choice", map[string]any{"type": "function", "function": map[string]any{"name": choice.Name}})
 	return nil
 }
 
-func chatFormat(f *fields, put func(string, any)) error {
+// chatFormat translates the format of the answer's text.
+func chatFormat(f *fields, chat *chatFields) error {
 	var format struct {
 		Format map[string]jsoniter.RawMessage `json:"format"`
 	}
-	if err := f.into("text", &format); err != nil {
+	if err := f.decode("text", &format); err != nil {
 		return err
 	}
 	switch string(format.Format["type"]) {
@@ -254,9 +303,9 @@
 				schema[name] = value
 			}
 		}
-		put("response_format", map[string]any{"type": "json_schema", "json_schema": schema})
+		chat.set("response_format", map[string]any{"type": "json_schema", "json_schema": schema})
 	default:
-		put("response_format", format.Format)
+		chat.set("response_format", format.Format)
 	}
 	return nil
 }
--- /dev/null
+++ b/internal/openai/rewriter.go
@@ -0,0 +1,208 @@
+package openai
+
+import (
+	"bytes"
+	"strconv"
+
+	"wellgw/decide/resume"
+	"wellgw/internal/jsonscan"
+	"wellgw/internal/sse"
+)
+
+// rewriter turns an engine's events into those that a client gets: the id and the model
+// are the gateway's, what engines leave out is added, and all else passes byte by byte.
+// Nothing is decoded, and nothing allocated for an event.
+type rewriter struct {
+	scanner      sse.Scanner
+	onEvent      func(sse.Event) error
+	out          []byte
+	id           []byte // this and the next three: JSON texts
+	model        []byte
+	object       []byte
+	created      []byte
+	includeUsage bool // the client has asked for the event with the usage
+	resumable    bool // events are numbered and their content recorded, so that a broken answer can be continued
+	template     template
+	state        resume.Answer
+}
+
+func newRewriter(h head, includeUsage, resumable bool) *rewriter {
+	r := &rewriter{
+		id: quote(h.id), model: quote(h.model), object: quote(h.object), created: strconv.AppendInt(nil, h.created, 10),
+		includeUsage: includeUsage, resumable: resumable,
+	}
+	r.onEvent = r.handleEvent
+	return r
+}
+
+func (r *rewriter) contentType() string      { return eventStream }
+func (r *rewriter) progress() *resume.Answer { return &r.state }
+func (r *rewriter) complete() bool           { return r.state.Over() }
+func (r *rewriter) discardPartial()          { r.scanner = sse.Scanner{} }
+func (r *rewriter) nextAttempt()             { r.state.Next() }
+
+// translate adds what the client gets, now that p has come, to dst.
+func (r *rewriter) translate(dst, p []byte) ([]byte, error) {
+	r.out = dst
+	err := r.scanner.Write(p, r.onEvent)
+	return r.out, err
+}
+
+// finish handles the end of a stream. Some engines leave out the last event, so it is added if
+// each choice has ended; else the answer was truncated.
+func (r *rewriter) finish(dst []byte) ([]byte, error) {
+	r.out = dst
+	if err := r.scanner.End(r.onEvent); err != nil || r.state.Over() {
+		return r.out, err
+	}
+	if !r.state.Whole() {
+		return r.out, errTruncated
+	}
+	return r.writeDone(), nil
+}
+
+// writeDone writes the event that ends a stream.
+func (r *rewriter) writeDone() []byte {
+	r.state.Last()
+	r.out = append(r.out, "data: "+doneData+"\n\n"...)
+	return r.out
+}
+
+// failure returns the error event that ends a broken answer.
+func (r *rewriter) failure(e apiError) []byte {
+	return append(append([]byte("data: "), e.object()...), "\n\n"...)
+}
+
+// handleEvent writes one event of the engine's as the client gets it.
+func (r *rewriter) handleEvent(e sse.Event) error {
+	data := bytes.TrimSpace(e.Data)
+	if r.state.Over() || len(data) == 0 {
+		return nil
+	}
+	if bytes.Equal(data, doneBytes) {
+		r.writeDone()
+		return nil
+	}
+	if r.template.prefixLen > 0 && r.applyTemplate(data) {
+		return nil
+	}
+	start := len(r.out)
+	r.template.prefixLen = 0
+	if r.resumable {
+		r.writeEventID()
+	}
+	r.out = append(r.out, "data: {"...)
+	has, err := r.rewriteMembers(data, start)
+	if err != nil {
+		r.out = r.out[:start]
+		return err
+	}
+	r.addMissing(has)
+	if bytes.IndexByte(data, '\n') >= 0 || bytes.IndexByte(data, '\r') >= 0 {
+		replaceLineBreaks(r.out[bytes.IndexByte(r.out[start:], '{')+start:])
+	}
+	r.out = append(r.out, "}\n\n"...)
+	if has.choices {
+		hasChoices, err := recordChoices(&r.state, has.choicesSpan.Of(data), r.resumable)
+		if err != nil {
+			r.out = r.out[:start]
+			return err
+		}
+		if !hasChoices && has.usage && !r.includeUsage {
+			r.out = r.out[:start] // requested by the gateway, not by the client
+			return nil
+		}
+		if !has.usage {
+			r.template.capture(data, has.choicesSpan, has.choicesStart, r.out[start:])
+		}
+	}
+	r.state.Passed()
+	return nil
+}
+
+// memberSet tells which of the members that the rewriter reads an event had.
+type memberSet struct {
+	id, model, object, created, usage, choices bool
+
+	choicesSpan  jsonscan.Span // in the input
+	choicesStart int           // in the output, from the start of the event
+}
+
+// rewriteMembers writes an event's members, with the head's in place of the engine's own. start is
+// where the event begins in the output.
+func (r *rewriter) rewriteMembers(data []byte, start int) (has memberSet, err error) {
+	w := jsonscan.Object(data)
+	for {
+		name, value, ok := w.Next()
+		if !ok {
+			break
+		}
+		text := value.Of(data)
+		switch string(name) {
+		case "id":
+			has.id, text = true, r.id
+		case "model":
+			has.model, text = true, r.model
+		case "object":
+			has.object, text = true, r.object
+		case "created":
+			has.created = true
+		case "choices":
+			has.choices, has.choicesSpan = true, value
+		case "usage":
+			has.usage = !value.Null(data)
+			if !r.includeUsage {
+				continue
+			}
+		case "error":
+			if value.Null(data) {
+				continue
+			}
+			return has, reportedError{errorMessage(text)}
+		}
+		if r.out[len(r.out)-1] != '{' {
+			r.out = append(r.out, ',')
+		}
+		member := w.Member()
+		// The name is copied with its escapes.
+		r.out = append(append(r.out, data[member.Start:value.Start]...), text...)
+		if has.choices && value == has.choicesSpan {
+			has.choicesStart = len(r.out) - len(text) - start
+		}
+	}
+	if w.Err() != nil {
+		return has, errInvalidChunk
+	}
+	return has, nil
+}
+
+// addMissing adds the members of the head that an event lacked.
+func (r *rewriter) addMissing(has memberSet) {
+	if !has.id {
+		r.out = appendMember(r.out, nameID, r.id)
+	}
+	if !has.object {
+		r.out = appendMember(r.out, nameObject, r.object)
+	}
+	if !has.created {
+		r.out = appendMember(r.out, nameCreated, r.created)
+	}
+	if !has.model {
+		r.out = appendMember(r.out, nameModel, r.model)
+	}
+}
+
+// writeEventID writes the number of the current event.
+func (r *rewriter) writeEventID() {
+	r.out = append(strconv.AppendInt(append(r.out, "id: "...), int64(r.state.Seen()), 10), '\n')
+}
+
+// replaceLineBreaks puts spaces in the place of line breaks, which in JSON stand between values
+// only but would end the event's data line.
+func replaceLineBreaks(text []byte) {
+	for i, c := range text {
+		if c == '\n' || c == '\r' {
+			text[i] = ' '
+		}
+	}
+}
