--- a/decide/resume/answer.go
+++ b/decide/resume/answer.go
@@ -1,8 +1,8 @@
 package resume
 
-// Answer is how far an answer has come, by the events of its stream. The zero value is one that has not
+// Progress is how far an answer has come, by the events of its stream. The zero value is one that has not
 // begun.
-type Answer struct {
+type Progress struct {
 	choices      map[int]bool // choices that have begun; true: ended
 	openChoices  int          // choices that have begun and not ended
 	choiceEnded  bool         // some choice has ended
@@ -13,8 +13,8 @@
 	otherContent bool         // the client was sent something besides text of the first choice
 }
 
-// Choice records an event of a choice, and whether that ended the choice.
-func (a *Answer) Choice(index int, end bool) {
+// RecordChoice records an event of a choice, and whether that ended the choice.
+func (a *Progress) RecordChoice(index int, end bool) {
 	ended, begun := a.choices[index]
 	switch {
 	case !begun:
@@ -31,43 +31,43 @@
 	a.choiceEnded = a.choiceEnded || end
 }
 
-// Last records the stream's end marker.
-func (a *Answer) Last() { a.streamEnded = true }
+// RecordStreamEnd records the stream's end marker.
+func (a *Progress) RecordStreamEnd() { a.streamEnded = true }
 
-// Over reports whether the stream's end marker has come.
-func (a *Answer) Over() bool { return a.streamEnded }
+// StreamEnded reports whether the stream's end marker has come.
+func (a *Progress) StreamEnded() bool { return a.streamEnded }
 
-// Passed records that the client has been sent an event. It returns how many were sent before, which is
+// RecordSent records that the client has been sent an event. It returns how many were sent before, which is
 // the event's number.
-func (a *Answer) Passed() int {
+func (a *Progress) RecordSent() int {
 	a.sentEvents++
 	return a.sentEvents - 1
 }
 
-// Seen returns how many events the client has been sent.
-func (a *Answer) Seen() int { return a.sentEvents }
+// SentEvents returns how many events the client has been sent.
+func (a *Progress) SentEvents() int { return a.sentEvents }
 
-// Say records a part of the first choice's text.
-func (a *Answer) Say(text []byte) {
+// AppendText records a part of the first choice's text.
+func (a *Progress) AppendText(text []byte) {
 	a.text = append(a.text, text...)
 	a.textEvents++
 }
 
-// Said returns the text so far, and in how many events it came: about its tokens.
-func (a *Answer) Said() (text []byte, tokens int) { return a.text, a.textEvents }
+// Text returns the text so far, and in how many events it came: about its tokens.
+func (a *Progress) Text() (text []byte, tokens int) { return a.text, a.textEvents }
 
-// Other records that the client has been sent what no engine can continue: a tool call, another choice,
+// RecordOtherContent records that the client has been sent what no engine can continue: a tool call, another choice,
 // anything but text.
-func (a *Answer) Other() { a.otherContent = true }
+func (a *Progress) RecordOtherContent() { a.otherContent = true }
 
-// Whole reports whether the answer is complete. Engines may omit the stream's end marker, or break before
+// Complete reports whether the answer is complete. Engines may omit the stream's end marker, or break before
 // it: without it, the answer is complete once each choice has ended.
-func (a *Answer) Whole() bool { return a.streamEnded || a.choiceEnded && a.openChoices == 0 }
+func (a *Progress) Complete() bool { return a.streamEnded || a.choiceEnded && a.openChoices == 0 }
 
-// Next prepares for another engine's stream, which continues the answer or, if the client has been sent
+// NextAttempt prepares for another engine's stream, which continues the answer or, if the client has been sent
 // nothing, begins it anew.
-func (a *Answer) Next() {
+func (a *Progress) NextAttempt() {
 	if a.sentEvents == 0 {
-		*a = Answer{}
+		*a = Progress{}
 	}
 }
--- a/decide/resume/resume_test.go
+++ b/decide/resume/resume_test.go
@@ -10,35 +10,35 @@
 func TestDecide(t *testing.T) {
 	for name, c := range map[string]struct {
 		terms func(*Terms)
-		so    func(*Answer)
-		how   func(*Break)
+		so    func(*Progress)
+		how   func(*Interruption)
 		want  Step
 	}{
-		"text so far":                   {nil, nil, nil, GoOn},
-		"not said how long":             {func(t *Terms) { t.Most = 0 }, nil, nil, GoOn},
-		"nothing seen":                  {nil, func(a *Answer) { *a = Answer{} }, nil, Again},
-		"nothing seen, engine's word":   {nil, func(a *Answer) { *a = Answer{} }, func(b *Break) { b.Reported = true }, Again},
-		"engine's word":                 {nil, nil, func(b *Break) { b.Reported = true }, GiveUp},
-		"calls so far":                  {nil, func(a *Answer) { a.Other() }, nil, GiveUp},
-		"seen, and no text":             {nil, func(a *Answer) { *a = Answer{}; a.Passed() }, nil, GiveUp},
-		"no chat":                       {func(t *Terms) { t.Plain = false }, nil, nil, GiveUp},
-		"all tokens are there":          {func(t *Terms) { t.Most = 2 }, nil, nil, GiveUp},
-		"often enough":                  {nil, nil, func(b *Break) { b.Times = 2 }, GiveUp},
-		"not in the contract":           {func(t *Terms) { t.Allowed = 0 }, nil, nil, GiveUp},
-		"must not run twice":            {func(t *Terms) { t.Free = false }, nil, nil, GiveUp},
-		"must not run twice, none seen": {func(t *Terms) { t.Free = false }, func(a *Answer) { *a = Answer{} }, nil, GiveUp},
-		"ended":                         {nil, func(a *Answer) { a.Choice(0, true) }, nil, Finish},
-		"ended, must not run twice":     {func(t *Terms) { t.Free = false }, func(a *Answer) { a.Choice(0, true) }, nil, Finish},
-		"ended, and then said to fail":  {nil, func(a *Answer) { a.Choice(0, true) }, func(b *Break) { b.Reported = true }, GiveUp},
-		"ended, its client has gone":    {nil, func(a *Answer) { a.Choice(0, true) }, func(b *Break) { b.Lost = true }, GiveUp},
-		"its client has gone":           {nil, nil, func(b *Break) { b.Lost = true }, GiveUp},
-		"too late":                      {nil, nil, func(b *Break) { b.Since = Limit }, GiveUp},
+		"text so far":                   {nil, nil, nil, Continue},
+		"not said how long":             {func(t *Terms) { t.MaxTokens = 0 }, nil, nil, Continue},
+		"nothing seen":                  {nil, func(a *Progress) { *a = Progress{} }, nil, Restart},
+		"nothing seen, engine's word":   {nil, func(a *Progress) { *a = Progress{} }, func(b *Interruption) { b.EngineError = true }, Restart},
+		"engine's word":                 {nil, nil, func(b *Interruption) { b.EngineError = true }, GiveUp},
+		"calls so far":                  {nil, func(a *Progress) { a.RecordOtherContent() }, nil, GiveUp},
+		"seen, and no text":             {nil, func(a *Progress) { *a = Progress{}; a.RecordSent() }, nil, GiveUp},
+		"no chat":                       {func(t *Terms) { t.Continuable = false }, nil, nil, GiveUp},
+		"all tokens are there":          {func(t *Terms) { t.MaxTokens = 2 }, nil, nil, GiveUp},
+		"often enough":                  {nil, nil, func(b *Interruption) { b.Continuations = 2 }, GiveUp},
+		"not in the contract":           {func(t *Terms) { t.MaxContinuations = 0 }, nil, nil, GiveUp},
+		"must not run twice":            {func(t *Terms) { t.Repeatable = false }, nil, nil, GiveUp},
+		"must not run twice, none seen": {func(t *Terms) { t.Repeatable = false }, func(a *Progress) { *a = Progress{} }, nil, GiveUp},
+		"ended":                         {nil, func(a *Progress) { a.RecordChoice(0, true) }, nil, Finish},
+		"ended, must not run twice":     {func(t *Terms) { t.Repeatable = false }, func(a *Progress) { a.RecordChoice(0, true) }, nil, Finish},
+		"ended, and then said to fail":  {nil, func(a *Progress) { a.RecordChoice(0, true) }, func(b *Interruption) { b.EngineError = true }, GiveUp},
+		"ended, its client has gone":    {nil, func(a *Progress) { a.RecordChoice(0, true) }, func(b *Interruption) { b.ClientGone = true }, GiveUp},
+		"its client has gone":           {nil, nil, func(b *Interruption) { b.ClientGone = true }, GiveUp},
+		"too late":                      {nil, nil, func(b *Interruption) { b.Elapsed = MaxElapsed }, GiveUp},
 	} {
-		terms, a, b := Terms{Free: true, Allowed: 2, Most: 40, Plain: true}, &Answer{}, Break{Since: time.Second}
+		terms, a, b := Terms{Repeatable: true, MaxContinuations: 2, MaxTokens: 40, Continuable: true}, &Progress{}, Interruption{Elapsed: time.Second}
 		for range 2 {
-			a.Choice(0, false)
-			a.Say([]byte("w"))
-			a.Passed()
+			a.RecordChoice(0, false)
+			a.AppendText([]byte("w"))
+			a.RecordSent()
 		}
 		if c.terms != nil {
 			c.terms(&terms)
@@ -57,23 +57,23 @@
 
 func TestAnswerComplete(t *testing.T) {
 	for name, c := range map[string]struct {
-		come func(*Answer)
+		come func(*Progress)
 		want bool
 	}{
-		"nothing":              {func(*Answer) {}, false},
-		"begun":                {func(a *Answer) { a.Choice(0, false) }, false},
-		"ended":                {func(a *Answer) { a.Choice(0, false); a.Choice(0, true) }, true},
-		"at once":              {func(a *Answer) { a.Choice(0, true) }, true},
-		"twice":                {func(a *Answer) { a.Choice(0, true); a.Choice(0, true); a.Choice(1, false) }, false},
-		"one of two":           {func(a *Answer) { a.Choice(1, false); a.Choice(0, true) }, false},
-		"both":                 {func(a *Answer) { a.Choice(1, false); a.Choice(0, true); a.Choice(1, true) }, true},
-		"the stream's own end": {func(a *Answer) { a.Choice(0, false); a.Last() }, true},
-		"anew, nothing seen":   {func(a *Answer) { a.Choice(0, true); a.Next() }, false},
-		"goes on":              {func(a *Answer) { a.Choice(0, true); a.Passed(); a.Next() }, true},
+		"nothing":              {func(*Progress) {}, false},
+		"begun":                {func(a *Progress) { a.RecordChoice(0, false) }, false},
+		"ended":                {func(a *Progress) { a.RecordChoice(0, false); a.RecordChoice(0, true) }, true},
+		"at once":              {func(a *Progress) { a.RecordChoice(0, true) }, true},
+		"twice":                {func(a *Progress) { a.RecordChoice(0, true); a.RecordChoice(0, true); a.RecordChoice(1, false) }, false},
+		"one of two":           {func(a *Progress) { a.RecordChoice(1, false); a.RecordChoice(0, true) }, false},
+		"both":                 {func(a *Progress) { a.RecordChoice(1, false); a.RecordChoice(0, true); a.RecordChoice(1, true) }, true},
+		"the stream's own end": {func(a *Progress) { a.RecordChoice(0, false); a.RecordStreamEnd() }, true},
+		"anew, nothing seen":   {func(a *Progress) { a.RecordChoice(0, true); a.NextAttempt() }, false},
+		"goes on":              {func(a *Progress) { a.RecordChoice(0, true); a.RecordSent(); a.NextAttempt() }, true},
 	} {
-		a := &Answer{}
-		if c.come(a); a.Whole() != c.want {
-			t.Errorf("%s: %v", name, a.Whole())
+		a := &Progress{}
+		if c.come(a); a.Complete() != c.want {
+			t.Errorf("%s: %v", name, a.Complete())
 		}
 	}
 }
@@ -82,31 +82,31 @@
 // is sent for a client that has gone, and never more often than the contract says.
 func TestResumeRespectsContracts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		terms := Terms{Free: rapid.Bool().Draw(t, "free"), Allowed: rapid.IntRange(0, 3).Draw(t, "allowed"), Plain: rapid.Bool().Draw(t, "plain"), Most: rapid.IntRange(0, 4).Draw(t, "most")}
-		a, b := &Answer{}, Break{}
+		terms := Terms{Repeatable: rapid.Bool().Draw(t, "free"), MaxContinuations: rapid.IntRange(0, 3).Draw(t, "allowed"), Continuable: rapid.Bool().Draw(t, "plain"), MaxTokens: rapid.IntRange(0, 4).Draw(t, "most")}
+		a, b := &Progress{}, Interruption{}
 		for range rapid.IntRange(0, 12).Draw(t, "breaks") {
 			for range rapid.IntRange(0, 3).Draw(t, "events") {
-				a.Choice(rapid.IntRange(0, 2).Draw(t, "choice"), rapid.Bool().Draw(t, "end"))
+				a.RecordChoice(rapid.IntRange(0, 2).Draw(t, "choice"), rapid.Bool().Draw(t, "end"))
 				if rapid.Bool().Draw(t, "text") {
-					a.Say([]byte("w"))
+					a.AppendText([]byte("w"))
 				}
 				if rapid.Bool().Draw(t, "seen") {
-					a.Passed()
+					a.RecordSent()
 				}
 			}
-			b.Lost, b.Reported = rapid.Bool().Draw(t, "lost"), rapid.Bool().Draw(t, "reported")
+			b.ClientGone, b.EngineError = rapid.Bool().Draw(t, "lost"), rapid.Bool().Draw(t, "reported")
 			switch step := Decide(terms, a, b); step {
-			case Again, GoOn:
-				if !terms.Free || b.Lost || b.Times >= terms.Allowed {
+			case Restart, Continue:
+				if !terms.Repeatable || b.ClientGone || b.Continuations >= terms.MaxContinuations {
 					t.Fatalf("%v for %+v, %+v", step, terms, b)
 				}
-				if step == Again && a.Seen() > 0 || step == GoOn && (a.Whole() || !terms.Plain) {
-					t.Fatalf("%v after %d events", step, a.Seen())
+				if step == Restart && a.SentEvents() > 0 || step == Continue && (a.Complete() || !terms.Continuable) {
+					t.Fatalf("%v after %d events", step, a.SentEvents())
 				}
-				b.Times++
-				a.Next()
+				b.Continuations++
+				a.NextAttempt()
 			case Finish:
-				if !a.Whole() || b.Reported || b.Lost {
+				if !a.Complete() || b.EngineError || b.ClientGone {
 					t.Fatalf("finished: %+v, %+v", a, b)
 				}
 			}
--- a/internal/openai/call.go
+++ b/internal/openai/call.go
@@ -61,21 +61,21 @@
 // contract allows that and an engine accepts it.
 func (c *call) resumeElsewhere(err error) (resume.Step, core.Stream, *core.Ticket) {
 	var reported reportedError
-	terms := resume.Terms{Free: !c.atMostOnce, Allowed: c.contract.Continue, Plain: c.request.path == chatPath && c.request.choices == 1}
+	terms := resume.Terms{Repeatable: !c.atMostOnce, MaxContinuations: c.contract.Continue, Continuable: c.request.path == chatPath && c.request.choices == 1}
 	if c.request.hasOutputLimit {
-		terms.Most = c.request.shape.maxOutputTokens
+		terms.MaxTokens = c.request.shape.maxOutputTokens
 	}
-	step := resume.Decide(terms, c.encoder.progress(), resume.Break{
-		Lost:     errors.Is(err, streambuffer.ErrClientGone) || errors.Is(err, streambuffer.ErrSlowClient) || c.r.Context().Err() != nil,
-		Reported: errors.As(err, &reported), Times: c.resumptions, Since: time.Since(c.arrived),
+	step := resume.Decide(terms, c.encoder.progress(), resume.Interruption{
+		ClientGone:  errors.Is(err, streambuffer.ErrClientGone) || errors.Is(err, streambuffer.ErrSlowClient) || c.r.Context().Err() != nil,
+		EngineError: errors.As(err, &reported), Continuations: c.resumptions, Elapsed: time.Since(c.arrived),
 	})
 	c.counts.brokenAnswers[step].Add(1)
 	a := c.request
 	switch step {
 	case resume.GiveUp, resume.Finish:
 		return step, nil, nil
-	case resume.GoOn:
-		if a, err = c.request.continuation(c.encoder.progress().Said()); err != nil {
+	case resume.Continue:
+		if a, err = c.request.continuation(c.encoder.progress().Text()); err != nil {
 			return resume.GiveUp, nil, nil
 		}
 	}
--- a/internal/openai/chunk.go
+++ b/internal/openai/chunk.go
@@ -38,7 +38,7 @@
 
 // recordChoices records which choices have come and ended and, if withText is set, their content.
 // It tells whether there was any choice.
-func recordChoices(answer *resume.Answer, choices []byte, withText bool) (hasChoices bool, err error) {
+func recordChoices(answer *resume.Progress, choices []byte, withText bool) (hasChoices bool, err error) {
 	w := jsonscan.Array(choices)
 	for at, ok := w.Element(); ok; at, ok = w.Element() {
 		hasChoices = true
@@ -55,7 +55,7 @@
 			case "delta":
 				delta = value
 			case "text":
-				answer.Other()
+				answer.RecordOtherContent()
 			}
 		}
 		if c.Err() != nil {
@@ -64,7 +64,7 @@
 		if withText {
 			recordDelta(answer, index, delta.Of(choice))
 		}
-		answer.Choice(index, ended)
+		answer.RecordChoice(index, ended)
 	}
 	if w.Err() != nil && !isNull(choices) {
 		return hasChoices, errInvalidChunk
@@ -74,9 +74,9 @@
 
 // recordDelta records the content of a choice's delta. Whatever is not the text of the first
 // choice makes the answer one that can't be continued.
-func recordDelta(answer *resume.Answer, index int, delta []byte) {
+func recordDelta(answer *resume.Progress, index int, delta []byte) {
 	if index != 0 {
-		answer.Other()
+		answer.RecordOtherContent()
 	}
 	d := jsonscan.Object(delta)
 	for name, value, ok := d.Next(); ok; name, value, ok = d.Next() {
@@ -85,10 +85,10 @@
 		case isEmptyMember(name, v):
 		case string(name) == "content":
 			if t, is := unquote(v); is {
-				answer.Say(t)
+				answer.AppendText(t)
 			}
 		default:
-			answer.Other()
+			answer.RecordOtherContent()
 		}
 	}
 }
--- a/internal/openai/collector.go
+++ b/internal/openai/collector.go
@@ -26,15 +26,15 @@
 	root    node
 	size    int
 	usage   []byte
-	state   resume.Answer
+	state   resume.Progress
 }
 
-func (c *collector) contentType() string       { return jsonType }
-func (c *collector) progress() *resume.Answer  { return &c.state }
-func (c *collector) failure(e apiError) []byte { return e.object() }
-func (c *collector) complete() bool            { return false }
-func (c *collector) discardPartial()           { c.scanner = sse.Scanner{} }
-func (c *collector) nextAttempt()              { *c = collector{head: c.head} }
+func (c *collector) contentType() string        { return jsonType }
+func (c *collector) progress() *resume.Progress { return &c.state }
+func (c *collector) failure(e apiError) []byte  { return e.object() }
+func (c *collector) complete() bool             { return false }
+func (c *collector) discardPartial()            { c.scanner = sse.Scanner{} }
+func (c *collector) nextAttempt()               { *c = collector{head: c.head} }
 
 func (c *collector) translate(dst, p []byte) ([]byte, error) {
 	return dst, c.scanner.Write(p, c.handleEvent)
@@ -45,7 +45,7 @@
 	if err := c.scanner.End(c.handleEvent); err != nil {
 		return dst, err
 	}
-	if !c.state.Whole() {
+	if !c.state.Complete() {
 		return dst, errTruncated
 	}
 	return append(append(dst, c.body()...), '\n'), nil
@@ -54,11 +54,11 @@
 // handleEvent merges one event.
 func (c *collector) handleEvent(e sse.Event) error {
 	data := bytes.TrimSpace(e.Data)
-	if c.state.Over() || len(data) == 0 {
+	if c.state.StreamEnded() || len(data) == 0 {
 		return nil
 	}
 	if bytes.Equal(data, doneBytes) {
-		c.state.Last()
+		c.state.RecordStreamEnd()
 		return nil
 	}
 	if c.size += len(data); c.size > maxResponseBytes {
--- a/internal/openai/encoder.go
+++ b/internal/openai/encoder.go
@@ -13,7 +13,7 @@
 	// finish does the same at the end of the stream. An error says that the answer is truncated.
 	finish(dst []byte) ([]byte, error)
 	// progress tells how far the answer has come.
-	progress() *resume.Answer
+	progress() *resume.Progress
 	// complete tells whether translate has returned the whole answer, before the stream's end.
 	complete() bool
 	// discardPartial drops the incomplete event that a broken stream has left.
--- a/internal/openai/passthrough.go
+++ b/internal/openai/passthrough.go
@@ -8,15 +8,15 @@
 type passthrough struct {
 	head  head
 	body  []byte
-	state resume.Answer
+	state resume.Progress
 }
 
-func (p *passthrough) contentType() string       { return jsonType }
-func (p *passthrough) progress() *resume.Answer  { return &p.state }
-func (p *passthrough) failure(e apiError) []byte { return e.object() }
-func (p *passthrough) complete() bool            { return false }
-func (p *passthrough) discardPartial()           {}
-func (p *passthrough) nextAttempt()              { *p = passthrough{head: p.head} }
+func (p *passthrough) contentType() string        { return jsonType }
+func (p *passthrough) progress() *resume.Progress { return &p.state }
+func (p *passthrough) failure(e apiError) []byte  { return e.object() }
+func (p *passthrough) complete() bool             { return false }
+func (p *passthrough) discardPartial()            {}
+func (p *passthrough) nextAttempt()               { *p = passthrough{head: p.head} }
 
 func (p *passthrough) translate(dst, more []byte) ([]byte, error) {
 	if p.body = append(p.body, more...); len(p.body) > maxResponseBytes {
@@ -30,6 +30,6 @@
 	if err != nil {
 		return dst, err
 	}
-	p.state.Last()
+	p.state.RecordStreamEnd()
 	return append(append(dst, f.replace(map[string][]byte{"model": quote(p.head.model)}, "model")...), '\n'), nil
 }
--- a/internal/openai/responses_encoder.go
+++ b/internal/openai/responses_encoder.go
@@ -25,7 +25,7 @@
 	usage        jsoniter.RawMessage
 	size         int
 	streaming    bool // the client gets events, not one object
-	state        resume.Answer
+	state        resume.Progress
 }
 
 func (t *responsesEncoder) contentType() string {
@@ -35,7 +35,7 @@
 	return jsonType
 }
 
-func (t *responsesEncoder) progress() *resume.Answer { return &t.state }
+func (t *responsesEncoder) progress() *resume.Progress { return &t.state }
 
 func (t *responsesEncoder) complete() bool  { return false }
 func (t *responsesEncoder) discardPartial() { t.scanner = sse.Scanner{} }
@@ -84,8 +84,8 @@
 	if !t.streaming {
 		return
 	}
-	t.state.Passed()
-	t.state.Other() // so that the answer is not continued at another engine
+	t.state.RecordSent()
+	t.state.RecordOtherContent() // so that the answer is not continued at another engine
 	fields["type"], fields["sequence_number"] = kind, t.sequence
 	t.sequence++
 	raw, err := codec.Marshal(fields)
@@ -110,7 +110,7 @@
 	if err := t.scanner.End(t.handleEvent); err != nil {
 		return t.out, err
 	}
-	if !t.state.Whole() {
+	if !t.state.Complete() {
 		return t.out, errTruncated
 	}
 	t.start()
@@ -157,11 +157,11 @@
 
 func (t *responsesEncoder) handleEvent(e sse.Event) error {
 	data := bytes.TrimSpace(e.Data)
-	if t.state.Over() || len(data) == 0 {
+	if t.state.StreamEnded() || len(data) == 0 {
 		return nil
 	}
 	if bytes.Equal(data, doneBytes) {
-		t.state.Last()
+		t.state.RecordStreamEnd()
 		return nil
 	}
 	if t.size += len(data); t.size > maxResponseBytes {
@@ -185,7 +185,7 @@
 		if choice.Finish != "" {
 			t.finishReason = choice.Finish
 		}
-		t.state.Choice(0, choice.Finish != "")
+		t.state.RecordChoice(0, choice.Finish != "")
 	}
 	return nil
 }
--- a/internal/openai/resume_test.go
+++ b/internal/openai/resume_test.go
@@ -50,10 +50,10 @@
 					if _, err := r.translate(nil, all); err != nil {
 						t.Fatal(err)
 					}
-					if said, _ := r.state.Said(); string(said) != want {
+					if said, _ := r.state.Text(); string(said) != want {
 						t.Errorf("%q", said)
 					}
-					for i := 0; times > 0 && i < r.state.Seen(); i++ {
+					for i := 0; times > 0 && i < r.state.SentEvents(); i++ {
 						if !bytes.Contains(all, fmt.Appendf(nil, "id: %d\ndata: {", i)) {
 							t.Errorf("event %d is missing:\n%s", i, all)
 						}
--- a/internal/openai/rewriter.go
+++ b/internal/openai/rewriter.go
@@ -23,7 +23,7 @@
 	includeUsage bool // the client has asked for the event with the usage
 	resumable    bool // events are numbered and their content recorded, so that a broken answer can be continued
 	template     template
-	state        resume.Answer
+	state        resume.Progress
 }
 
 func newRewriter(h head, includeUsage, resumable bool) *rewriter {
@@ -35,11 +35,11 @@
 	return r
 }
 
-func (r *rewriter) contentType() string      { return eventStream }
-func (r *rewriter) progress() *resume.Answer { return &r.state }
-func (r *rewriter) complete() bool           { return r.state.Over() }
-func (r *rewriter) discardPartial()          { r.scanner = sse.Scanner{} }
-func (r *rewriter) nextAttempt()             { r.state.Next() }
+func (r *rewriter) contentType() string        { return eventStream }
+func (r *rewriter) progress() *resume.Progress { return &r.state }
+func (r *rewriter) complete() bool             { return r.state.StreamEnded() }
+func (r *rewriter) discardPartial()            { r.scanner = sse.Scanner{} }
+func (r *rewriter) nextAttempt()               { r.state.NextAttempt() }
 
 // translate adds what the client gets, now that p has come, to dst.
 func (r *rewriter) translate(dst, p []byte) ([]byte, error) {
@@ -52,10 +52,10 @@
 // each choice has ended; else the answer was truncated.
 func (r *rewriter) finish(dst []byte) ([]byte, error) {
 	r.out = dst
-	if err := r.scanner.End(r.onEvent); err != nil || r.state.Over() {
+	if err := r.scanner.End(r.onEvent); err != nil || r.state.StreamEnded() {
 		return r.out, err
 	}
-	if !r.state.Whole() {
+	if !r.state.Complete() {
 		return r.out, errTruncated
 	}
 	return r.writeDone(), nil
@@ -63,7 +63,7 @@
 
 // writeDone writes the event that ends a stream.
 func (r *rewriter) writeDone() []byte {
-	r.state.Last()
+	r.state.RecordStreamEnd()
 	r.out = append(r.out, "data: "+doneData+"\n\n"...)
 	return r.out
 }
@@ -76,7 +76,7 @@
 // handleEvent writes one event of the engine's as the client gets it.
 func (r *rewriter) handleEvent(e sse.Event) error {
 	data := bytes.TrimSpace(e.Data)
-	if r.state.Over() || len(data) == 0 {
+	if r.state.StreamEnded() || len(data) == 0 {
 		return nil
 	}
 	if bytes.Equal(data, doneBytes) {
@@ -116,7 +116,7 @@
 			r.template.capture(data, has.choicesSpan, has.choicesStart, r.out[start:])
 		}
 	}
-	r.state.Passed()
+	r.state.RecordSent()
 	return nil
 }
 
@@ -194,7 +194,7 @@
 
 // writeEventID writes the number of the current event.
 func (r *rewriter) writeEventID() {
-	r.out = append(strconv.AppendInt(append(r.out, "id: "...), int64(r.state.Seen()), 10), '\n')
+	r.out = append(strconv.AppendInt(append(r.out, "id: "...), int64(r.state.SentEvents()), 10), '\n')
 }
 
 // replaceLineBreaks puts spaces in the place of line breaks, which in JSON stand between values
--- a/internal/openai/template.go
+++ b/internal/openai/template.go
@@ -47,12 +47,12 @@
 		if !is {
 			return false
 		}
-		r.state.Say(text)
+		r.state.AppendText(text)
 		r.writeEventID()
 		out = out[bytes.Index(out, dataField):] // without the number of the template's event
 	}
 	r.out = append(append(append(r.out, out...), piece...), t.output[t.outputSuffixStart:]...)
-	r.state.Passed()
+	r.state.RecordSent()
 	return true
 }
 
