--- a/decide/roster/golden_test.go
+++ b/decide/roster/golden_test.go
@@ -36,10 +36,10 @@
 	"lost from the list and does not answer: gone",
 }
 
-func noteKind(t *testing.T, n Note) int {
+func noteKind(t *testing.T, n Event) int {
 	t.Helper()
 	for i, text := range noteKinds {
-		if strings.HasPrefix(n.What, text) {
+		if strings.HasPrefix(n.Message, text) {
 			return i
 		}
 	}
@@ -84,9 +84,9 @@
 		case 5:
 			e.Started = t0.Add(time.Duration(r.IntN(100)) * time.Second)
 		case 6:
-			v.Unread = append(v.Unread, e.ID)
+			v.Malformed = append(v.Malformed, e.ID)
 			if r.IntN(2) == 0 {
-				v.Against = map[string]Mark{e.ID: Critical}
+				v.MalformedMarks = map[string]Mark{e.ID: Critical}
 			}
 			continue
 		}
@@ -98,30 +98,30 @@
 	case 1:
 		v.Age = time.Minute
 	case 2:
-		v.Unread = append(v.Unread, "")
+		v.Malformed = append(v.Malformed, "")
 	}
 	return v
 }
 
 // writeOutcome words all that is to be seen of a book.
-func writeOutcome(t *testing.T, w io.Writer, b *Book) {
+func writeOutcome(t *testing.T, w io.Writer, reg *Registry) {
 	t.Helper()
-	for n, list := range [][]Engine{b.Changes(), b.All()} {
+	for n, list := range [][]Engine{reg.Changes(), reg.Engines()} {
 		for _, e := range list {
 			fmt.Fprintf(w, "engine %d %s %s %s %s %d %d %q %d %d %d %s %q\n", n, e.ID, e.Addr, e.Kind, e.Zone, e.Cell, uint8(e.State), e.Why,
-				stamp(e.Started), stamp(e.Seen), uint8(e.Confidence), e.Listed, e.Sources)
+				stamp(e.Started), stamp(e.LastSeen), uint8(e.Confidence), e.ListedKind, e.Sources)
 		}
 	}
 	var notes []string
-	for _, n := range b.Notes() { // sources are gone through in no order
+	for _, n := range reg.Events() { // sources are gone through in no order
 		notes = append(notes, fmt.Sprintf("note %d %s %s %q %d %v", noteKind(t, n), n.Source, n.Engine, string(n.Reason), n.Engines, n.Warn))
 	}
 	slices.Sort(notes)
 	fmt.Fprintln(w, strings.Join(notes, "\n"))
-	for _, s := range b.Sources() {
-		fmt.Fprintf(w, "source %s %q %d %d %d %d\n", s.Source, string(s.Doubt), stamp(s.Since), stamp(s.Believed), s.Index, s.Engines)
+	for _, s := range reg.SourceStatuses() {
+		fmt.Fprintf(w, "source %s %q %d %d %d %d\n", s.Source, string(s.Doubt), stamp(s.DoubtedSince), stamp(s.LastTrusted), s.Index, s.Engines)
 	}
-	for _, s := range b.Known() {
+	for _, s := range reg.KnownSources() {
 		fmt.Fprintf(w, "known %d %s\n", uint8(s.Origin), s.Name)
 	}
 }
@@ -131,7 +131,7 @@
 	t.Helper()
 	r := rand.New(rand.NewPCG(seed, 45))
 	h := fnv.New64a()
-	b, now, index := New(DefaultPolicy()), t0, uint64(100)
+	reg, now, index := New(DefaultPolicy()), t0, uint64(100)
 	sources := []Source{{File, ""}, {Catalogue, "x"}, {Catalogue, "y"}}
 	for range steps {
 		now = now.Add([]time.Duration{0, 20 * time.Millisecond, 400 * time.Millisecond, 3 * time.Second, 40 * time.Second, 10 * time.Minute}[min(r.IntN(40), 5-min(r.IntN(6), 5))])
@@ -141,56 +141,56 @@
 		id, addr := fmt.Sprint("e", engine), fmt.Sprint("at", engine)
 		switch r.IntN(24) {
 		case 0, 1, 2, 3, 4, 5, 6, 7:
-			fmt.Fprintf(h, "observed %q\n", string(b.Observe(now, src, goldenView(r, index))))
+			fmt.Fprintf(h, "observed %q\n", string(reg.Observe(now, src, goldenView(r, index))))
 		case 8, 9, 10, 11, 12:
 			for range 1 + r.IntN(4) {
-				b.Checked(now, id, addr, []Pulse{Alive, Alive, Refused, Unheard}[r.IntN(4)])
+				reg.ObserveProbe(now, id, addr, []ProbeResult{Answered, Answered, Refused, NoAnswer}[r.IntN(4)])
 			}
 		case 13, 14:
-			b.Tick(now)
+			reg.Tick(now)
 		case 15:
-			b.Fail(now, src, []Reason{Unreadable, Silent, NoLeader}[r.IntN(3)])
+			reg.ObserveFailure(now, src, []Reason{Unreadable, Unreachable, NoLeader}[r.IntN(3)])
 		case 16:
-			fmt.Fprintf(h, "confirmed %v\n", b.Confirm(now, src))
+			fmt.Fprintf(h, "confirmed %v\n", reg.Confirm(now, src))
 		case 17:
-			b.Rebase(src)
+			reg.ResetIndex(src)
 		case 18:
-			b.Replace(now, sources[0], goldenView(r, 0))
+			reg.ReplaceSource(now, sources[0], goldenView(r, 0))
 		case 19:
 			if r.IntN(3) == 0 {
-				b.Withdraw(now, src, "a test says so")
+				reg.RemoveSource(now, src, "a test says so")
 			}
 		case 20:
 			if r.IntN(3) == 0 {
-				b.Vanish(now, src)
+				reg.SourceVanished(now, src)
 			}
 		case 21:
-			b.Join(src, r.IntN(2) == 0)
+			reg.AddSource(src, r.IntN(2) == 0)
 		case 22:
-			b.Override(now, []map[string]Override{
+			reg.Override(now, []map[string]Override{
 				nil, {id: {Hold: true, Why: "changing"}}, {id: {Kind: "write", Started: now.Add(-time.Second)}}, {id: {Hold: true, Kind: "read"}},
 			}[r.IntN(4)])
 		case 23:
-			kept, indexes := b.Keep()
+			kept, indexes := reg.Snapshot()
 			for _, k := range kept {
 				fmt.Fprintf(h, "kept %d %s %s %s %s %s %d %d %d %d %d %d %d %d\n", uint8(k.Source.Origin), k.Source.Name, k.Entry.ID, k.Entry.Addr, k.Entry.Kind,
 					k.Entry.Zone, k.Entry.Cell, uint8(k.Entry.Mark), stamp(k.Entry.Started), k.Entry.Registered, k.Entry.Index, stamp(k.Born), stamp(k.Seen), stamp(k.Begun))
 			}
-			for _, s := range b.Known() {
+			for _, s := range reg.KnownSources() {
 				fmt.Fprintf(h, "index %d\n", indexes[s])
 			}
 			if r.IntN(3) == 0 {
-				b = New(DefaultPolicy())
-				b.Restore(now, kept, indexes)
+				reg = New(DefaultPolicy())
+				reg.Restore(now, kept, indexes)
 			}
 		}
 		var probes []string
-		for _, p := range b.Wanted(now, 1000) {
+		for _, p := range reg.DueProbes(now, 1000) {
 			probes = append(probes, p.ID+" "+p.Addr)
 		}
 		slices.Sort(probes)
 		fmt.Fprintf(h, "wanted %q\n", probes)
-		writeOutcome(t, h, b)
+		writeOutcome(t, h, reg)
 	}
 	return h.Sum64()
 }
@@ -208,7 +208,7 @@
 func TestGoldenServicesAndPeers(t *testing.T) {
 	r := rand.New(rand.NewPCG(9, 45))
 	h := fnv.New64a()
-	s, p, now := NewServices(DefaultPolicy(), []string{"s0", "s9"}), NewPeers(2, 10*time.Second), t0
+	s, p, now := NewServiceTracker(DefaultPolicy(), []string{"s0", "s9"}), NewGatewayCount(2, 10*time.Second), t0
 	for index := range uint64(5000) {
 		now = now.Add(time.Duration(r.IntN(4000)) * time.Millisecond)
 		var tagged, others []string
@@ -223,7 +223,7 @@
 		}
 		v := goldenView(r, index+20)
 		plan := s.Observe(now, v, tagged, others)
-		fmt.Fprintf(h, "%q %q %q %q\n", string(plan.Doubt), plan.Begin, plan.Withdraw, plan.Vanish)
+		fmt.Fprintf(h, "%q %q %q %q\n", string(plan.Doubt), plan.Added, plan.Untagged, plan.Vanished)
 		fmt.Fprintln(h, p.Observe(now, r.IntN(6)), p.Count(), p.Tick(now.Add(time.Second)), p.Count())
 	}
 	if got := h.Sum64(); got != goldenServices {
--- a/decide/roster/merge.go
+++ b/decide/roster/merge.go
@@ -6,282 +6,282 @@
 	"time"
 )
 
-// take makes a view the source's word. sure says that it is believed: then who is
+// apply makes a view the source's word. sure says that it is trusted: then who is
 // missing is gone, unless too many are missing at once. A view that is taken for
 // want of better removes nobody that may be alive.
-func (b *Book) take(now time.Time, s *source, v View, sure bool) {
-	first := !s.spoken
-	s.spoken = true
+func (r *Registry) apply(now time.Time, s *sourceState, v View, sure bool) {
+	first := !s.observed
+	s.observed = true
 	listed := make(map[string]bool, len(v.Entries))
 	for _, e := range v.Entries {
 		listed[e.ID] = true
-		b.put(now, s, e, first && s.atStart)
+		r.upsert(now, s, e, first && s.atStart)
 	}
-	b.against(s, v)
-	blind := slices.Contains(v.Unread, "")
+	r.applyMalformedMarks(s, v)
+	blind := slices.Contains(v.Malformed, "")
 	var missing []string
-	for id, r := range s.records {
-		r.asked = time.Time{}
-		if s.renewed && !listed[id] {
-			r.Registered = 0 // of another time line: the next one is no news
+	for id, l := range s.listings {
+		l.questionedSince = time.Time{}
+		if s.rebased && !listed[id] {
+			l.Registered = 0 // of another time line: the next one is no news
 		}
 		switch {
 		case listed[id]:
-		case blind || slices.Contains(v.Unread, id): // it may be one of those
-			if !r.unread {
-				r.unread = true
-				b.note(Note{Source: s.name.String(), Engine: id, What: "its entry may be one that made no sense: held", Reason: Unreadable, Engines: 1, Warn: true})
+		case blind || slices.Contains(v.Malformed, id): // it may be one of those
+			if !l.malformed {
+				l.malformed = true
+				r.emit(Event{Source: s.id.String(), Engine: id, Message: "its entry may be one that made no sense: held", Reason: Unreadable, Engines: 1, Warn: true})
 			}
-			b.touch(id)
-		case r.lost.IsZero():
+			r.markDirty(id)
+		case l.missingSince.IsZero():
 			missing = append(missing, id)
 		}
 	}
-	s.renewed = false
+	s.rebased = false
 	slices.Sort(missing)
-	b.remove(now, s, missing, sure)
+	r.handleMissing(now, s, missing, sure)
 	s.index = max(s.index, v.Index)
 }
 
-// remove handles engines that are listed no more. One is gone. Many at once, with no
+// handleMissing handles engines that are listed no more. One is gone. Many at once, with no
 // mark before, are more likely a fault of the catalogue: they are held and checked.
-func (b *Book) remove(now time.Time, s *source, missing []string, sure bool) {
-	old := func(t time.Time) bool { return now.Sub(t) > b.policy.LossSpan }
-	s.losses, b.losses = slices.DeleteFunc(s.losses, old), slices.DeleteFunc(b.losses, old)
+func (r *Registry) handleMissing(now time.Time, s *sourceState, missing []string, sure bool) {
+	old := func(t time.Time) bool { return now.Sub(t) > r.policy.LossWindow }
+	s.losses, r.losses = slices.DeleteFunc(s.losses, old), slices.DeleteFunc(r.losses, old)
 	var fresh []string
 	for _, id := range missing {
-		if b.stays(now, s, s.records[id]) {
+		if r.heldWhenMissing(now, s, s.listings[id]) {
 			fresh = append(fresh, id)
 		} else {
-			b.drop(s, id)
+			r.removeListing(s, id)
 		}
 	}
-	here, all := len(s.losses)+len(s.records), len(b.losses)+len(b.engines)
+	here, all := len(s.losses)+len(s.listings), len(r.losses)+len(r.engines)
 	for range fresh {
-		s.losses, b.losses = append(s.losses, now), append(b.losses, now)
+		s.losses, r.losses = append(s.losses, now), append(r.losses, now)
 	}
 	much := func(lost, of int, share float64) bool { return lost > 1 && float64(lost) > share*float64(of) }
 	// Small services may each lose their only engine: that is seen over all of them.
-	many := much(len(s.losses), here, b.policy.LossShare) || much(len(b.losses), all, b.policy.LossAll)
+	many := much(len(s.losses), here, r.policy.MaxSourceLoss) || much(len(r.losses), all, r.policy.MaxTotalLoss)
 	if sure && !many {
 		for _, id := range fresh {
-			b.drop(s, id)
+			r.removeListing(s, id)
 		}
 		return
 	}
 	for _, id := range fresh {
-		s.lose(now, s.records[id])
-		b.touch(id)
+		s.markMissing(now, s.listings[id])
+		r.markDirty(id)
 	}
 	if len(fresh) > 0 {
-		b.note(Note{Source: s.name.String(), What: "many engines lost at once without a mark: checked and held", Engines: len(fresh), Warn: true})
+		r.emit(Event{Source: s.id.String(), Message: "many engines lost at once without a mark: checked and held", Engines: len(fresh), Warn: true})
 	}
 }
 
-// against takes the marks of entries that otherwise made no sense.
-func (b *Book) against(s *source, v View) {
-	for id, m := range v.Against {
-		if r := s.records[id]; r != nil && m > r.Mark {
-			r.Mark = m
-			b.touch(id)
+// applyMalformedMarks takes the marks of entries that otherwise made no sense.
+func (r *Registry) applyMalformedMarks(s *sourceState, v View) {
+	for id, m := range v.MalformedMarks {
+		if l := s.listings[id]; l != nil && m > l.Mark {
+			l.Mark = m
+			r.markDirty(id)
 		}
 	}
 }
 
-// onTrial takes from a doubted view what is safe to take: marks against engines.
-func (b *Book) onTrial(now time.Time, s *source, v View) {
+// applyDoubted takes from a doubted view what is safe to take: marks against engines.
+func (r *Registry) applyDoubted(now time.Time, s *sourceState, v View) {
 	listed := make(map[string]bool, len(v.Entries))
 	for _, e := range v.Entries {
 		listed[e.ID] = true
-		if r := s.records[e.ID]; r != nil && e.Mark > r.Mark {
-			r.Mark = e.Mark
-			b.touch(e.ID)
+		if l := s.listings[e.ID]; l != nil && e.Mark > l.Mark {
+			l.Mark = e.Mark
+			r.markDirty(e.ID)
 		}
 	}
-	b.against(s, v)
-	blind := slices.Contains(v.Unread, "")
-	for id, r := range s.records { // those it lacks are in question
+	r.applyMalformedMarks(s, v)
+	blind := slices.Contains(v.Malformed, "")
+	for id, l := range s.listings { // those it lacks are in question
 		switch {
-		case listed[id] || blind || slices.Contains(v.Unread, id):
-			r.asked = time.Time{}
-		case r.asked.IsZero():
-			r.asked = now
+		case listed[id] || blind || slices.Contains(v.Malformed, id):
+			l.questionedSince = time.Time{}
+		case l.questionedSince.IsZero():
+			l.questionedSince = now
 		}
 	}
 }
 
-// put takes one entry in.
-func (b *Book) put(now time.Time, s *source, e Entry, old bool) {
-	r := s.records[e.ID]
-	eng := b.engines[e.ID]
+// upsert takes one entry in.
+func (r *Registry) upsert(now time.Time, s *sourceState, e Entry, old bool) {
+	l := s.listings[e.ID]
+	eng := r.engines[e.ID]
 	if eng == nil {
-		eng = &engine{id: e.ID, records: map[Source]*record{}}
-		b.engines[e.ID] = eng
+		eng = &engine{id: e.ID, listings: map[Source]*listing{}}
+		r.engines[e.ID] = eng
 	}
-	if r == nil {
-		r = &record{}
+	if l == nil {
+		l = &listing{}
 		if !old {
-			r.born = now
+			l.firstListed = now
 		}
-		s.records[e.ID] = r
-		eng.records[s.name] = r
-	} else if r.Registered != 0 && e.Registered != r.Registered && !s.renewed && !eng.survived(r.lost) {
-		eng.restart = now // deregistered and registered anew between two views
+		s.listings[e.ID] = l
+		eng.listings[s.id] = l
+	} else if l.Registered != 0 && e.Registered != l.Registered && !s.rebased && !eng.answeredSince(l.missingSince) {
+		eng.restartedAt = now // deregistered and registered anew between two views
 	}
-	if !r.lost.IsZero() {
-		s.lost--
+	if !l.missingSince.IsZero() {
+		s.missingCount--
 	}
-	r.Entry, r.seen, r.lost, r.restored, r.unread = e, now, time.Time{}, false, false
-	b.touch(e.ID)
+	l.Entry, l.lastSeen, l.missingSince, l.restored, l.malformed = e, now, time.Time{}, false, false
+	r.markDirty(e.ID)
 }
 
-// drop takes a source's word on an engine away.
-func (b *Book) drop(s *source, id string) {
-	if r := s.records[id]; r != nil && !r.lost.IsZero() {
-		s.lost--
+// removeListing takes a source's word on an engine away.
+func (r *Registry) removeListing(s *sourceState, id string) {
+	if l := s.listings[id]; l != nil && !l.missingSince.IsZero() {
+		s.missingCount--
 	}
-	delete(s.records, id)
-	if e := b.engines[id]; e != nil {
-		delete(e.records, s.name)
-		b.touch(id)
+	delete(s.listings, id)
+	if e := r.engines[id]; e != nil {
+		delete(e.listings, s.id)
+		r.markDirty(id)
 	}
 }
 
-// survived tells whether checks have seen an engine through since a time: it
+// answeredSince tells whether checks have seen an engine through since a time: it
 // answered, and refused nothing.
-func (e *engine) survived(since time.Time) bool {
-	return !since.IsZero() && !e.alive.Before(since) && e.refusal.Before(since)
+func (e *engine) answeredSince(since time.Time) bool {
+	return !since.IsZero() && !e.answeredAt.Before(since) && e.refusedAt.Before(since)
 }
 
-// ahead ranks two records of one engine, or of two at one address: the catalogue
+// supersedes ranks two listings of one engine, or of two at one address: the catalogue
 // before the file, then the later registration, then the later change.
-func ahead(x, y *record, xs, ys Source) bool {
+func supersedes(x, y *listing, xs, ys Source) bool {
 	return cmp.Or(
 		cmp.Compare(xs.Origin, ys.Origin), cmp.Compare(x.Registered, y.Registered), cmp.Compare(x.Index, y.Index),
 		cmp.Compare(ys.Name, xs.Name),
 	) > 0
 }
 
-// settle works out what is made of one engine and notes a change.
-func (b *Book) settle(now time.Time, e *engine) {
-	if len(e.records) == 0 {
-		b.unlist(e)
+// evaluate works out what is made of one engine and notes a change.
+func (r *Registry) evaluate(now time.Time, e *engine) {
+	if len(e.listings) == 0 {
+		r.removeEngine(e)
 		return
 	}
-	b.rank(e)
-	next := Engine{ID: e.id, Addr: e.best.Addr, Kind: e.best.Kind, Zone: e.best.Zone, Cell: e.best.Cell, Listed: e.best.Kind}
-	over, overridden := b.over[e.id]
+	r.selectPrimary(e)
+	next := Engine{ID: e.id, Addr: e.primary.Addr, Kind: e.primary.Kind, Zone: e.primary.Zone, Cell: e.primary.Cell, ListedKind: e.primary.Kind}
+	over, overridden := r.overrides[e.id]
 	if over.Kind != "" {
 		next.Kind = over.Kind
 	}
-	moved := e.known && e.told.Addr != next.Addr
-	b.place(e, place{next.Addr, next.Kind})
-	said := b.combine(e)
-	next.Sources, next.Seen, next.Confidence = said.sources, said.seen, said.confidence
+	moved := e.isPublished && e.published.Addr != next.Addr
+	r.relocate(e, location{next.Addr, next.Kind})
+	said := r.merge(e)
+	next.Sources, next.LastSeen, next.Confidence = said.sources, said.lastSeen, said.confidence
 	switch {
 	case said.mark == Critical:
-		next.State, next.Why = Out, "critical by "+said.marker
+		next.State, next.Why = OutOfService, "critical by "+said.markedBy
 	case said.mark == Maintenance:
-		next.State, next.Why = Draining, "maintenance by "+said.marker
-	case b.suspect(now, e):
+		next.State, next.Why = Draining, "maintenance by "+said.markedBy
+	case r.isSuspect(now, e):
 		next.State, next.Why = Suspect, "its sources are silent and it refuses connections"
 	case said.confidence != Confirmed:
-		next.Why = said.confidence.String() + ": " + b.whyHeld(e)
+		next.Why = said.confidence.String() + ": " + r.holdReason(e)
 	}
-	if overridden && over.Hold && next.State == In {
+	if overridden && over.Hold && next.State == InService {
 		next.State, next.Why = Draining, over.Why
 	}
-	b.history(now, e, next.State, moved)
-	if e.known && e.told.Kind != next.Kind { // in another role it has nothing of what it kept
-		e.turned = now
+	r.detectRestart(now, e, next.State, moved)
+	if e.isPublished && e.published.Kind != next.Kind { // in another role it has nothing of what it kept
+		e.roleSince = now
 		if !over.Started.IsZero() {
-			e.turned = over.Started
+			e.roleSince = over.Started
 		}
 	}
-	next.Started = e.startOf(said)
-	if rival := b.rival(e); rival != nil && next.State != Out {
-		next.State, next.Why = Gone, "another id has come at its address: "+rival.id
+	next.Started = e.startTime(said)
+	if rival := r.rival(e); rival != nil && next.State != OutOfService {
+		next.State, next.Why = Removed, "another id has come at its address: "+rival.id
 	}
-	b.tell(e, next)
+	r.publish(e, next)
 }
 
-// unlist takes an engine that no source lists any more off the book.
-func (b *Book) unlist(e *engine) {
-	b.place(e, place{})
-	delete(b.engines, e.id)
-	if e.known {
-		e.told.State, e.told.Why = Gone, "listed no more"
-		b.changes = append(b.changes, e.told)
+// removeEngine takes an engine that no source lists any more off the registry.
+func (r *Registry) removeEngine(e *engine) {
+	r.relocate(e, location{})
+	delete(r.engines, e.id)
+	if e.isPublished {
+		e.published.State, e.published.Why = Removed, "listed no more"
+		r.changes = append(r.changes, e.published)
 	}
 }
 
-// rank finds the record that speaks for an engine.
-func (b *Book) rank(e *engine) {
+// selectPrimary finds the listing that speaks for an engine.
+func (r *Registry) selectPrimary(e *engine) {
 	var src Source
-	e.best = nil
-	for s, r := range e.records {
-		if e.best == nil || ahead(r, e.best, s, src) {
-			e.best, src = r, s
+	e.primary = nil
+	for s, l := range e.listings {
+		if e.primary == nil || supersedes(l, e.primary, s, src) {
+			e.primary, src = l, s
 		}
 	}
-	if rank := [2]uint64{e.best.Registered, e.best.Index}; e.rank != rank {
-		e.rank = rank
-		b.touchRivals(e, e.at)
+	if rank := [2]uint64{e.primary.Registered, e.primary.Index}; e.primaryRank != rank {
+		e.primaryRank = rank
+		r.markRivalsDirty(e, e.location)
 	}
 }
 
-// combined is what all sources together say of an engine.
-type combined struct {
-	mark       Mark
-	marker     string    // the source of the mark
-	born       time.Time // since when the source that listed it first has listed it
-	started    time.Time // its own word of its last start
-	seen       time.Time
-	sources    []string
-	confidence Confidence
+// mergedListings is what all sources together say of an engine.
+type mergedListings struct {
+	mark          Mark
+	markedBy      string    // the source of the mark
+	firstListed   time.Time // since when the source that listed it first has listed it
+	reportedStart time.Time // its own word of its last start
+	lastSeen      time.Time
+	sources       []string
+	confidence    Confidence
 }
 
-// combine adds up what the sources of an engine say.
-func (b *Book) combine(e *engine) combined {
-	said := combined{mark: Clear, confidence: Restored}
-	for i, s := range sortedSources(e.records) {
-		r := e.records[s]
-		if r.Mark > said.mark {
-			said.mark, said.marker = r.Mark, s.String()
+// merge adds up what the sources of an engine say.
+func (r *Registry) merge(e *engine) mergedListings {
+	said := mergedListings{mark: Clear, confidence: Restored}
+	for i, s := range sortedSources(e.listings) {
+		l := e.listings[s]
+		if l.Mark > said.mark {
+			said.mark, said.markedBy = l.Mark, s.String()
 		}
-		if i == 0 || r.born.Before(said.born) { // who has listed it longest knows best
-			said.born = r.born
+		if i == 0 || l.firstListed.Before(said.firstListed) { // who has listed it longest knows best
+			said.firstListed = l.firstListed
 		}
-		if r.Started.After(said.started) {
-			said.started = r.Started
+		if l.Started.After(said.reportedStart) {
+			said.reportedStart = l.Started
 		}
 		said.sources = append(said.sources, s.String())
-		if r.seen.After(said.seen) {
-			said.seen = r.seen
+		if l.lastSeen.After(said.lastSeen) {
+			said.lastSeen = l.lastSeen
 		}
-		said.confidence = min(said.confidence, b.confidence(s, r))
+		said.confidence = min(said.confidence, r.confidence(s, l))
 	}
 	return said
 }
 
-// startOf returns when an engine last started. Its own word comes before any guess.
-func (e *engine) startOf(said combined) time.Time {
-	at := said.born
-	if e.restart.After(at) {
-		at = e.restart
+// startTime returns when an engine last started. Its own word comes before any guess.
+func (e *engine) startTime(said mergedListings) time.Time {
+	at := said.firstListed
+	if e.restartedAt.After(at) {
+		at = e.restartedAt
 	}
-	if !said.started.IsZero() {
-		at = said.started
+	if !said.reportedStart.IsZero() {
+		at = said.reportedStart
 	}
-	if e.turned.After(at) {
-		at = e.turned
+	if e.roleSince.After(at) {
+		at = e.roleSince
 	}
 	return at
 }
 
-func sortedSources(records map[Source]*record) []Source {
-	list := make([]Source, 0, len(records))
-	for s := range records {
+func sortedSources(listings map[Source]*listing) []Source {
+	list := make([]Source, 0, len(listings))
+	for s := range listings {
 		list = append(list, s)
 	}
 	slices.SortFunc(list, func(x, y Source) int {
@@ -290,93 +290,93 @@
 	return list
 }
 
-func (b *Book) confidence(s Source, r *record) Confidence {
+func (r *Registry) confidence(s Source, l *listing) Confidence {
 	switch {
-	case r.restored:
+	case l.restored:
 		return Restored
-	case !r.lost.IsZero():
+	case !l.missingSince.IsZero():
 		return Unlisted
-	case r.unread || b.sources[s].doubt != Believed:
+	case l.malformed || r.sources[s].doubt != Trusted:
 		return Held
 	}
 	return Confirmed
 }
 
-func (b *Book) whyHeld(e *engine) string {
-	for _, s := range sortedSources(e.records) {
-		if d := b.sources[s].doubt; d != Believed {
+func (r *Registry) holdReason(e *engine) string {
+	for _, s := range sortedSources(e.listings) {
+		if d := r.sources[s].doubt; d != Trusted {
 			return s.String() + ": " + string(d)
 		}
 	}
 	return "its latest entry is missing or made no sense"
 }
 
-// suspect tells whether an engine is taken out on checks alone: every source of it
+// isSuspect tells whether an engine is taken out on checks alone: every source of it
 // has been in doubt for longer than the hold, it refuses connections, and another
 // of its kind answers, so that nobody's silence ever empties the roster.
-func (b *Book) suspect(now time.Time, e *engine) bool {
-	if e.refused < refusedLeast || !b.doubted(e) || !b.othersAnswer(now, e) {
+func (r *Registry) isSuspect(now time.Time, e *engine) bool {
+	if e.refusals < minRefusals || !r.allSourcesDoubted(e) || !r.anotherAnswers(now, e) {
 		return false
 	}
-	for s := range e.records {
-		if now.Sub(b.sources[s].since) < b.policy.Hold {
+	for s := range e.listings {
+		if now.Sub(r.sources[s].doubtedSince) < r.policy.HoldTime {
 			return false
 		}
 	}
 	return true
 }
 
-// history tells a flap from a restart as an engine leaves Out or Suspect: it has
+// detectRestart tells a flap from a restart as an engine leaves Out or Suspect: it has
 // restarted if a connection was refused meanwhile, or if it was away for long and
 // no check ever reached it. Another address is another process.
-func (b *Book) history(now time.Time, e *engine, next State, moved bool) {
-	was := e.told.State
-	away := func(s State) bool { return s == Out || s == Suspect }
+func (r *Registry) detectRestart(now time.Time, e *engine, next State, moved bool) {
+	was := e.published.State
+	away := func(s State) bool { return s == OutOfService || s == Suspect }
 	switch {
-	case !e.known:
+	case !e.isPublished:
 	case moved:
-		e.restart = now
-		e.alive, e.refusal, e.refused, e.unheard = time.Time{}, time.Time{}, 0, 0
+		e.restartedAt = now
+		e.answeredAt, e.refusedAt, e.refusals, e.unanswered = time.Time{}, time.Time{}, 0, 0
 	case away(was) && !away(next):
-		refused := !e.refusal.Before(e.marked)
-		if refused || !e.survived(e.marked) && now.Sub(e.marked) >= b.policy.Flap {
-			e.restart = now
+		refused := !e.refusedAt.Before(e.downSince)
+		if refused || !e.answeredSince(e.downSince) && now.Sub(e.downSince) >= r.policy.FlapTime {
+			e.restartedAt = now
 		}
 	}
-	if away(next) && (!e.known || !away(was)) {
-		e.marked = now
-		if e.refused > 0 { // it began before the mark came
-			e.marked = e.refusal
+	if away(next) && (!e.isPublished || !away(was)) {
+		e.downSince = now
+		if e.refusals > 0 { // it began before the mark came
+			e.downSince = e.refusedAt
 		}
 	}
 }
 
-// place moves an engine in the index of addresses and has those that share the old
+// relocate moves an engine in the index of addresses and has those that share the old
 // or the new one settled again.
-func (b *Book) place(e *engine, to place) {
-	if e.at == to {
+func (r *Registry) relocate(e *engine, to location) {
+	if e.location == to {
 		return
 	}
-	b.touchRivals(e, e.at)
-	b.touchRivals(e, to)
-	if e.at != (place{}) {
-		delete(b.addrs[e.at], e.id)
-		if len(b.addrs[e.at]) == 0 {
-			delete(b.addrs, e.at)
+	r.markRivalsDirty(e, e.location)
+	r.markRivalsDirty(e, to)
+	if e.location != (location{}) {
+		delete(r.byLocation[e.location], e.id)
+		if len(r.byLocation[e.location]) == 0 {
+			delete(r.byLocation, e.location)
 		}
 	}
-	if e.at = to; to != (place{}) {
-		if b.addrs[to] == nil {
-			b.addrs[to] = map[string]*engine{}
+	if e.location = to; to != (location{}) {
+		if r.byLocation[to] == nil {
+			r.byLocation[to] = map[string]*engine{}
 		}
-		b.addrs[to][e.id] = e
+		r.byLocation[to][e.id] = e
 	}
 }
 
-func (b *Book) touchRivals(e *engine, p place) {
-	for id := range b.addrs[p] {
+func (r *Registry) markRivalsDirty(e *engine, p location) {
+	for id := range r.byLocation[p] {
 		if id != e.id {
-			b.touch(id)
+			r.markDirty(id)
 		}
 	}
 }
@@ -384,13 +384,13 @@
 // rival returns the engine that has come at another's address since, nil if none
 // has. A dead process leaves its entry behind; the process that listens now must
 // not be sent the share of two.
-func (b *Book) rival(e *engine) *engine {
+func (r *Registry) rival(e *engine) *engine {
 	var best *engine
-	for _, other := range b.addrs[e.at] {
-		if other == e || other.best == nil {
+	for _, other := range r.byLocation[e.location] {
+		if other == e || other.primary == nil {
 			continue
 		}
-		order := cmp.Or(cmp.Compare(other.best.Registered, e.best.Registered), cmp.Compare(other.best.Index, e.best.Index),
+		order := cmp.Or(cmp.Compare(other.primary.Registered, e.primary.Registered), cmp.Compare(other.primary.Index, e.primary.Index),
 			cmp.Compare(other.id, e.id))
 		if order > 0 && (best == nil || other.id > best.id) {
 			best = other
@@ -399,13 +399,13 @@
 	return best
 }
 
-// tell notes what the module has to know.
-func (b *Book) tell(e *engine, next Engine) {
-	old := e.told
-	same := e.known && old.Addr == next.Addr && old.Kind == next.Kind && old.Zone == next.Zone &&
+// publish notes what the module has to know.
+func (r *Registry) publish(e *engine, next Engine) {
+	old := e.published
+	same := e.isPublished && old.Addr == next.Addr && old.Kind == next.Kind && old.Zone == next.Zone &&
 		old.Cell == next.Cell && old.State == next.State && old.Started.Equal(next.Started)
-	e.told, e.known = next, true
+	e.published, e.isPublished = next, true
 	if !same {
-		b.changes = append(b.changes, next)
+		r.changes = append(r.changes, next)
 	}
 }
--- a/decide/roster/probes.go
+++ b/decide/roster/probes.go
@@ -6,118 +6,118 @@
 	"time"
 )
 
-// Checked notes how a direct check of an engine at an address went, or an attempt
+// ObserveProbe notes how a direct check of an engine at an address went, or an attempt
 // whose connection told as much.
-func (b *Book) Checked(now time.Time, id, addr string, p Pulse) {
-	e := b.engines[id]
-	if e == nil || e.at.addr != addr { // it has moved since the check began, or is elsewhere by a doubted view
-		b.newcomer(now, id, addr, p)
-		b.flush(now)
+func (r *Registry) ObserveProbe(now time.Time, id, addr string, p ProbeResult) {
+	e := r.engines[id]
+	if e == nil || e.location.addr != addr { // it has moved since the check began, or is elsewhere by a doubted view
+		r.admitFromDoubted(now, id, addr, p)
+		r.evaluateDirty(now)
 		return
 	}
 	switch p {
-	case Alive:
-		e.alive, e.refused, e.unheard = now, 0, 0
-		if b.heard[e.at.kind] == nil {
-			b.heard[e.at.kind] = map[string]time.Time{}
+	case Answered:
+		e.answeredAt, e.refusals, e.unanswered = now, 0, 0
+		if r.answered[e.location.kind] == nil {
+			r.answered[e.location.kind] = map[string]time.Time{}
 		}
-		b.heard[e.at.kind][id] = now
+		r.answered[e.location.kind][id] = now
 	case Refused:
-		e.refusal, e.unheard = now, 0
-		e.refused++
-	case Unheard:
-		e.unheard++
+		e.refusedAt, e.unanswered = now, 0
+		e.refusals++
+	case NoAnswer:
+		e.unanswered++
 	}
-	if p != Alive {
-		delete(b.heard[e.at.kind], id)
+	if p != Answered {
+		delete(r.answered[e.location.kind], id)
 	}
-	for src, r := range e.records {
-		if r.missing() && b.dead(now, e) {
-			b.note(Note{Source: src.String(), Engine: id, What: "lost from the list and does not answer: gone", Engines: 1})
-			b.drop(b.sources[src], id)
+	for src, l := range e.listings {
+		if l.isMissing() && r.provenDead(now, e) {
+			r.emit(Event{Source: src.String(), Engine: id, Message: "lost from the list and does not answer: gone", Engines: 1})
+			r.removeListing(r.sources[src], id)
 		}
 	}
-	b.touch(id)
-	b.flush(now)
+	r.markDirty(id)
+	r.evaluateDirty(now)
 }
 
-// dead tells whether checks alone prove that an engine cannot serve. Silence counts
+// provenDead tells whether checks alone prove that an engine cannot serve. Silence counts
 // only while another engine of its kind answers: else it may be the gateway that is
 // cut off.
-func (b *Book) dead(now time.Time, e *engine) bool {
-	return e.refused >= refusedLeast || e.unheard >= unheardLeast && b.othersAnswer(now, e)
+func (r *Registry) provenDead(now time.Time, e *engine) bool {
+	return e.refusals >= minRefusals || e.unanswered >= minUnanswered && r.anotherAnswers(now, e)
 }
 
-// othersAnswer tells whether another engine of the same kind that takes work has
+// anotherAnswers tells whether another engine of the same kind that takes work has
 // answered a check of late, and so the gateway is not cut off.
-func (b *Book) othersAnswer(now time.Time, e *engine) bool {
-	for id, at := range b.heard[e.at.kind] {
-		if other := b.engines[id]; other == nil || now.Sub(at) > 2*b.policy.CheckLater {
-			delete(b.heard[e.at.kind], id)
-		} else if other != e && other.told.State == In {
+func (r *Registry) anotherAnswers(now time.Time, e *engine) bool {
+	for id, at := range r.answered[e.location.kind] {
+		if other := r.engines[id]; other == nil || now.Sub(at) > 2*r.policy.ProbeInterval {
+			delete(r.answered[e.location.kind], id)
+		} else if other != e && other.published.State == InService {
 			return true
 		}
 	}
 	return false
 }
 
-// newcomer takes in an engine that only a doubted view names, or names at another
+// admitFromDoubted takes in an engine that only a doubted view names, or names at another
 // address while nobody listens at the one that is held, once it answers.
-func (b *Book) newcomer(now time.Time, id, addr string, p Pulse) {
-	if p != Alive {
+func (r *Registry) admitFromDoubted(now time.Time, id, addr string, p ProbeResult) {
+	if p != Answered {
 		return
 	}
-	for _, s := range b.sources {
-		if s.trial == nil {
+	for _, s := range r.sources {
+		if s.doubtedView == nil {
 			continue
 		}
-		for _, e := range s.trial.Entries {
-			if r := s.records[id]; e.ID == id && e.Addr == addr && (r == nil || b.elsewhere(e)) {
-				if r != nil {
-					e.Mark = max(e.Mark, r.Mark)
+		for _, e := range s.doubtedView.Entries {
+			if l := s.listings[id]; e.ID == id && e.Addr == addr && (l == nil || r.movedFromRefusing(e)) {
+				if l != nil {
+					e.Mark = max(e.Mark, l.Mark)
 				}
-				b.put(now, s, e, false)
+				r.upsert(now, s, e, false)
 			}
 		}
 	}
 }
 
-// elsewhere tells whether an entry names another address for an engine that refuses
+// movedFromRefusing tells whether an entry names another address for an engine that refuses
 // connections where it is held to be.
-func (b *Book) elsewhere(e Entry) bool {
-	known := b.engines[e.ID]
-	return known != nil && known.at.addr != e.Addr && known.refused >= refusedLeast
+func (r *Registry) movedFromRefusing(e Entry) bool {
+	known := r.engines[e.ID]
+	return known != nil && known.location.addr != e.Addr && known.refusals >= minRefusals
 }
 
 // Probe names an engine to be checked directly.
 type Probe struct{ ID, Addr string }
 
-// Wanted returns which engines are to be checked now, those in question first: the
+// DueProbes returns which engines are to be checked now, those in question first: the
 // lost, the critical, the newcomers of a doubted view; then, more seldom, all of a
 // source that is doubted. At most that many are returned; the others come next time.
-func (b *Book) Wanted(now time.Time, most int) []Probe {
+func (r *Registry) DueProbes(now time.Time, most int) []Probe {
 	var soon, later []*engine
 	var probes []Probe
-	for _, s := range b.sources {
-		if s.trial != nil {
-			for _, e := range s.trial.Entries {
-				if (s.records[e.ID] == nil && b.engines[e.ID] == nil || b.elsewhere(e)) && len(probes) < most {
+	for _, s := range r.sources {
+		if s.doubtedView != nil {
+			for _, e := range s.doubtedView.Entries {
+				if (s.listings[e.ID] == nil && r.engines[e.ID] == nil || r.movedFromRefusing(e)) && len(probes) < most {
 					probes = append(probes, Probe{e.ID, e.Addr})
 				}
 			}
 		}
 	}
-	for _, e := range b.engines {
-		if since := now.Sub(e.checked); since < b.policy.CheckSoon {
+	for _, e := range r.engines {
+		if since := now.Sub(e.probedAt); since < r.policy.UrgentProbeInterval {
 			continue
-		} else if b.questioned(e) {
+		} else if r.inQuestion(e) {
 			soon = append(soon, e)
-		} else if since >= b.policy.CheckLater && b.doubted(e) {
+		} else if since >= r.policy.ProbeInterval && r.allSourcesDoubted(e) {
 			later = append(later, e)
 		}
 	}
 	longest := func(x, y *engine) int {
-		return cmp.Or(x.checked.Compare(y.checked), cmp.Compare(x.id, y.id))
+		return cmp.Or(x.probedAt.Compare(y.probedAt), cmp.Compare(x.id, y.id))
 	}
 	slices.SortFunc(soon, longest)
 	slices.SortFunc(later, longest)
@@ -125,27 +125,27 @@
 		if len(probes) >= most {
 			break
 		}
-		e.checked = now
-		probes = append(probes, Probe{e.id, e.at.addr})
+		e.probedAt = now
+		probes = append(probes, Probe{e.id, e.location.addr})
 	}
 	return probes
 }
 
-func (b *Book) questioned(e *engine) bool {
-	if e.told.State == Out || e.told.State == Suspect || e.told.Confidence == Restored {
+func (r *Registry) inQuestion(e *engine) bool {
+	if e.published.State == OutOfService || e.published.State == Suspect || e.published.Confidence == Restored {
 		return true
 	}
-	for _, r := range e.records {
-		if r.missing() {
+	for _, l := range e.listings {
+		if l.isMissing() {
 			return true
 		}
 	}
 	return false
 }
 
-func (b *Book) doubted(e *engine) bool {
-	for src := range e.records {
-		if b.sources[src].doubt == Believed {
+func (r *Registry) allSourcesDoubted(e *engine) bool {
+	for src := range e.listings {
+		if r.sources[src].doubt == Trusted {
 			return false
 		}
 	}
--- a/decide/roster/property_test.go
+++ b/decide/roster/property_test.go
@@ -27,7 +27,7 @@
 		v.Age = time.Minute
 	}
 	if rapid.IntRange(0, 4).Draw(t, "nonsense") == 0 {
-		v.Unread = []string{rapid.SampledFrom([]string{"", "e0", "e1"}).Draw(t, "unread")}
+		v.Malformed = []string{rapid.SampledFrom([]string{"", "e0", "e1"}).Draw(t, "unread")}
 	}
 	return v
 }
@@ -36,12 +36,12 @@
 // never empties a roster that had an engine in it.
 func TestUnreadableSourceKeepsRoster(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b, now := New(DefaultPolicy()), t0
+		reg, now := New(DefaultPolicy()), t0
 		v := drawView(t, "first")
 		v.Leaderless, v.Age = false, 0
-		b.Observe(now, llm, v)
+		reg.Observe(now, llm, v)
 		in := func() int {
-			return len(slices.DeleteFunc(b.All(), func(e Engine) bool { return e.State != In }))
+			return len(slices.DeleteFunc(reg.Engines(), func(e Engine) bool { return e.State != InService }))
 		}
 		if in() == 0 {
 			return
@@ -50,15 +50,15 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 40_000).Draw(t, "ms")) * time.Millisecond)
 			switch rapid.IntRange(0, 2).Draw(t, "what") {
 			case 0:
-				b.Fail(now, llm, rapid.SampledFrom([]Reason{Unreadable, Silent}).Draw(t, "reason"))
+				reg.ObserveFailure(now, llm, rapid.SampledFrom([]Reason{Unreadable, Unreachable}).Draw(t, "reason"))
 			case 1:
 				id := rapid.IntRange(0, 5).Draw(t, "id")
-				b.Checked(now, fmt.Sprint("e", id), fmt.Sprint("at", id), rapid.SampledFrom([]Pulse{Alive, Refused, Unheard}).Draw(t, "pulse"))
+				reg.ObserveProbe(now, fmt.Sprint("e", id), fmt.Sprint("at", id), rapid.SampledFrom([]ProbeResult{Answered, Refused, NoAnswer}).Draw(t, "pulse"))
 			case 2:
-				b.Tick(now)
+				reg.Tick(now)
 			}
 			if in() == 0 {
-				t.Fatalf("nobody is in: %+v", b.All())
+				t.Fatalf("nobody is in: %+v", reg.Engines())
 			}
 		}
 	})
@@ -70,7 +70,7 @@
 func TestNoWorkAfterDrainMark(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := DefaultPolicy()
-		b, now := New(p), t0
+		reg, now := New(p), t0
 		type mark struct {
 			src Source
 			id  string
@@ -83,7 +83,7 @@
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0, 1, 2:
 				v := drawView(t, "next")
-				sure := b.Observe(now, src, v) == Believed
+				sure := reg.Observe(now, src, v) == Trusted
 				latest[src] = v
 				if sure { // its word counts for all it lists; who is gone comes back with no old mark
 					for _, e := range v.Entries {
@@ -96,13 +96,13 @@
 					}
 				}
 			case 3:
-				b.Fail(now, src, Silent)
+				reg.ObserveFailure(now, src, Unreachable)
 			case 4:
 				id := rapid.IntRange(0, 5).Draw(t, "id")
-				b.Checked(now, fmt.Sprint("e", id), fmt.Sprint("at", id), rapid.SampledFrom([]Pulse{Alive, Refused, Unheard}).Draw(t, "pulse"))
+				reg.ObserveProbe(now, fmt.Sprint("e", id), fmt.Sprint("at", id), rapid.SampledFrom([]ProbeResult{Answered, Refused, NoAnswer}).Draw(t, "pulse"))
 			case 5:
-				for src, s := range b.sources {
-					if s.trial != nil && now.Sub(s.trialAt) >= p.Hold {
+				for src, s := range reg.sources {
+					if s.doubtedView != nil && now.Sub(s.doubtedViewSince) >= p.HoldTime {
 						for _, e := range latest[src].Entries {
 							if e.Mark == Clear {
 								delete(marked, mark{src, e.ID})
@@ -110,10 +110,10 @@
 						}
 					}
 				}
-				b.Tick(now)
+				reg.Tick(now)
 			}
 			listed := map[string]Engine{}
-			for _, e := range b.All() {
+			for _, e := range reg.Engines() {
 				listed[e.ID] = e
 			}
 			for m := range marked {
@@ -122,7 +122,7 @@
 					delete(marked, m) // gone from that source
 					continue
 				}
-				if e.State == In {
+				if e.State == InService {
 					t.Fatalf("%v marked %s, which is in: %+v", m.src, m.id, e)
 				}
 			}
@@ -144,15 +144,15 @@
 			}
 		}
 		policy := DefaultPolicy()
-		policy.LossAll = 1
+		policy.MaxTotalLoss = 1
 		play := func(order []Source) []Engine {
-			b, next := New(policy), map[Source]int{}
+			reg, next := New(policy), map[Source]int{}
 			for _, src := range order {
-				b.Observe(t0, src, views[src][next[src]])
+				reg.Observe(t0, src, views[src][next[src]])
 				next[src]++
 			}
 			var all []Engine
-			for _, e := range b.All() {
+			for _, e := range reg.Engines() {
 				e.Started = time.Time{} // moves are seen, or not, by who speaks between them
 				all = append(all, e)
 			}
@@ -168,13 +168,13 @@
 // Taking views in one by one and telling changes adds up to the whole.
 func TestChangesAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b, now, known := New(DefaultPolicy()), t0, map[string]Engine{}
+		reg, now, known := New(DefaultPolicy()), t0, map[string]Engine{}
 		for range rapid.IntRange(1, 20).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 20_000).Draw(t, "ms")) * time.Millisecond)
-			b.Observe(now, rapid.SampledFrom(sources).Draw(t, "source"), drawView(t, "next"))
-			b.Tick(now)
-			apply(known, b.Changes())
-			if diff := cmp.Diff(facts(b.All()), facts(values(known))); diff != "" {
+			reg.Observe(now, rapid.SampledFrom(sources).Draw(t, "source"), drawView(t, "next"))
+			reg.Tick(now)
+			apply(known, reg.Changes())
+			if diff := cmp.Diff(facts(reg.Engines()), facts(values(known))); diff != "" {
 				t.Fatalf("(-whole +changes):\n%s", diff)
 			}
 		}
--- a/decide/roster/reports.go
+++ b/decide/roster/reports.go
@@ -8,28 +8,28 @@
 )
 
 // Changes returns what is to be told of since the last call, in order of id.
-func (b *Book) Changes() []Engine {
-	out := b.changes
-	b.changes = nil
+func (r *Registry) Changes() []Engine {
+	out := r.changes
+	r.changes = nil
 	slices.SortFunc(out, func(x, y Engine) int { return cmp.Compare(x.ID, y.ID) })
 	return out
 }
 
-// Notes returns what is to be logged since the last call.
-func (b *Book) Notes() []Note {
-	out := b.notes
-	b.notes = nil
+// Events returns what is to be logged since the last call.
+func (r *Registry) Events() []Event {
+	out := r.events
+	r.events = nil
 	return out
 }
 
-// All returns every engine that is known, in order of id.
-func (b *Book) All() []Engine {
-	out := make([]Engine, 0, len(b.engines))
-	for _, e := range b.engines {
-		now := e.told
-		for src, r := range e.records {
-			if at := b.sources[src].seen(r); at.After(now.Seen) {
-				now.Seen = at
+// Engines returns every engine that is known, in order of id.
+func (r *Registry) Engines() []Engine {
+	out := make([]Engine, 0, len(r.engines))
+	for _, e := range r.engines {
+		now := e.published
+		for src, l := range e.listings {
+			if at := r.sources[src].lastSeen(l); at.After(now.LastSeen) {
+				now.LastSeen = at
 			}
 		}
 		out = append(out, now)
@@ -38,42 +38,42 @@
 	return out
 }
 
-// Health is the state of one source.
-type Health struct {
-	Source   string
-	Doubt    Reason
-	Since    time.Time // of the doubt
-	Believed time.Time // when a view was last believed
-	Index    uint64
-	Engines  int
+// SourceStatus is the state of one source.
+type SourceStatus struct {
+	Source       string
+	Doubt        Reason
+	DoubtedSince time.Time // of the doubt
+	LastTrusted  time.Time // when a view was last trusted
+	Index        uint64
+	Engines      int
 }
 
-// Sources returns the state of every source, in order of name.
-func (b *Book) Sources() []Health {
-	var out []Health
-	for src, s := range b.sources {
-		out = append(out, Health{src.String(), s.doubt, s.since, s.believed, s.index, len(s.records)})
+// SourceStatuses returns the state of every source, in order of name.
+func (r *Registry) SourceStatuses() []SourceStatus {
+	var out []SourceStatus
+	for src, s := range r.sources {
+		out = append(out, SourceStatus{src.String(), s.doubt, s.doubtedSince, s.lastTrusted, s.index, len(s.listings)})
 	}
-	slices.SortFunc(out, func(x, y Health) int { return cmp.Compare(x.Source, y.Source) })
+	slices.SortFunc(out, func(x, y SourceStatus) int { return cmp.Compare(x.Source, y.Source) })
 	return out
 }
 
-func (b *Book) note(n Note) { b.notes = append(b.notes, n) }
+func (r *Registry) emit(n Event) { r.events = append(r.events, n) }
 
-func (b *Book) touch(id string) {
-	if e := b.engines[id]; e != nil {
-		b.dirty[id] = e
+func (r *Registry) markDirty(id string) {
+	if e := r.engines[id]; e != nil {
+		r.dirty[id] = e
 	}
 }
 
-// flush works out anew what is made of all engines that something was said of.
-func (b *Book) flush(now time.Time) {
-	for len(b.dirty) > 0 {
-		batch := slices.Sorted(maps.Keys(b.dirty))
+// evaluateDirty works out anew what is made of all engines that something was said of.
+func (r *Registry) evaluateDirty(now time.Time) {
+	for len(r.dirty) > 0 {
+		batch := slices.Sorted(maps.Keys(r.dirty))
 		for _, id := range batch {
-			e := b.dirty[id]
-			delete(b.dirty, id)
-			b.settle(now, e)
+			e := r.dirty[id]
+			delete(r.dirty, id)
+			r.evaluate(now, e)
 		}
 	}
 }
--- a/decide/roster/roster_test.go
+++ b/decide/roster/rules_test.go
@@ -22,8 +22,8 @@
 	for word := range strings.FieldsSeq(text) {
 		if id, bad := strings.CutPrefix(word, "?"); bad {
 			id, critical := strings.CutSuffix(id, "!")
-			if v.Unread = append(v.Unread, id); critical {
-				v.Against = map[string]Mark{id: Critical}
+			if v.Malformed = append(v.Malformed, id); critical {
+				v.MalformedMarks = map[string]Mark{id: Critical}
 			}
 			continue
 		}
@@ -48,10 +48,10 @@
 
 // say words what a book makes of its engines: "a b! (c)", with * for one that is
 // cold since its latest start, / for one that is held.
-func say(b *Book, now time.Time) string {
+func say(reg *Registry, now time.Time) string {
 	var words []string
-	for _, e := range b.All() {
-		word := e.ID + map[State]string{In: "", Draining: "~", Out: "!", Suspect: "?", Gone: "-"}[e.State]
+	for _, e := range reg.Engines() {
+		word := e.ID + map[State]string{InService: "", Draining: "~", OutOfService: "!", Suspect: "?", Removed: "-"}[e.State]
 		if e.Confidence != Confirmed {
 			word += "/"
 		}
@@ -66,40 +66,40 @@
 // step is one thing that happens to a book, and what is made of it after.
 type step struct {
 	after time.Duration
-	do    func(b *Book, now time.Time)
+	do    func(reg *Registry, now time.Time)
 	want  string
 }
 
-func view(index uint64, text string) func(*Book, time.Time) {
-	return func(b *Book, now time.Time) { b.Observe(now, llm, list(index, text)) }
+func view(index uint64, text string) func(*Registry, time.Time) {
+	return func(reg *Registry, now time.Time) { reg.Observe(now, llm, list(index, text)) }
 }
 
-func doubtful(index uint64, text string, change func(*View)) func(*Book, time.Time) {
-	return func(b *Book, now time.Time) {
+func doubtful(index uint64, text string, change func(*View)) func(*Registry, time.Time) {
+	return func(reg *Registry, now time.Time) {
 		v := list(index, text)
 		change(&v)
-		b.Observe(now, llm, v)
+		reg.Observe(now, llm, v)
 	}
 }
 
 func leaderless(v *View) { v.Leaderless = true }
 func lagging(v *View)    { v.Age = time.Minute }
 
-func fail(r Reason) func(*Book, time.Time) {
-	return func(b *Book, now time.Time) { b.Fail(now, llm, r) }
+func fail(r Reason) func(*Registry, time.Time) {
+	return func(reg *Registry, now time.Time) { reg.ObserveFailure(now, llm, r) }
 }
 
-func pulses(p Pulse, n int, ids string) func(*Book, time.Time) {
-	return func(b *Book, now time.Time) {
+func pulses(p ProbeResult, n int, ids string) func(*Registry, time.Time) {
+	return func(reg *Registry, now time.Time) {
 		for range n {
 			for id := range strings.FieldsSeq(ids) {
-				b.Checked(now, id, id, p)
+				reg.ObserveProbe(now, id, id, p)
 			}
 		}
 	}
 }
 
-func tick(b *Book, now time.Time) { b.Tick(now) }
+func tick(reg *Registry, now time.Time) { reg.Tick(now) }
 
 const s = time.Second
 
@@ -112,21 +112,21 @@
 		"one that is deregistered is gone": {
 			{0, view(1, "a b c"), "a b c"}, {s, view(2, "a b"), "a b"}, {9 * s, view(3, "a"), "a"}, {9 * s, view(4, ""), ""}},
 		"many lost at once are held while they answer": {
-			{0, view(1, "a b c"), "a b c"}, {s, view(2, ""), "a/ b/ c/"}, {s, pulses(Alive, 3, "a b"), "a/ b/ c/"},
+			{0, view(1, "a b c"), "a b c"}, {s, view(2, ""), "a/ b/ c/"}, {s, pulses(Answered, 3, "a b"), "a/ b/ c/"},
 			{s, pulses(Refused, 2, "c"), "a/ b/"}, {s, view(3, "a b c"), "a b c*"}, {s, view(4, ""), "a/ b/ c/*"},
 			{16 * 60 * s, tick, ""}},
 		"losses one after the other are as many": {
 			{0, view(1, "a b c"), "a b c"}, {s, view(2, "a b"), "a b"}, {s, view(3, "a"), "a b/"}, {s, view(4, ""), "a/ b/"}},
 		"services that each lose their only engine are many too": {
 			{0, view(1, "a"), "a"},
-			{0, func(b *Book, now time.Time) { b.Observe(now, sources[1], list(1, "b")) }, "a b"},
-			{0, func(b *Book, now time.Time) { b.Observe(now, sources[2], list(1, "c")) }, "a b c"},
-			{s, func(b *Book, now time.Time) { b.Observe(now, sources[1], list(2, "")) }, "a c"},
-			{s, func(b *Book, now time.Time) { b.Observe(now, sources[2], list(2, "")) }, "a c/"}},
+			{0, func(reg *Registry, now time.Time) { reg.Observe(now, sources[1], list(1, "b")) }, "a b"},
+			{0, func(reg *Registry, now time.Time) { reg.Observe(now, sources[2], list(1, "c")) }, "a b c"},
+			{s, func(reg *Registry, now time.Time) { reg.Observe(now, sources[1], list(2, "")) }, "a c"},
+			{s, func(reg *Registry, now time.Time) { reg.Observe(now, sources[2], list(2, "")) }, "a c/"}},
 		"those marked before may be lost in any number": {
 			{0, view(1, "a! b! c~ d"), "a! b! c~ d"}, {s, view(2, "d"), "d"}},
 		"an empty list at a lower index is held, then decided by who answers": {
-			{0, view(100, "a b c"), "a b c"}, {s, view(3, ""), "a/ b/ c/"}, {s, pulses(Alive, 1, "a b c"), "a/ b/ c/"},
+			{0, view(100, "a b c"), "a b c"}, {s, view(3, ""), "a/ b/ c/"}, {s, pulses(Answered, 1, "a b c"), "a/ b/ c/"},
 			{31 * s, tick, "a/ b/ c/"}, {s, pulses(Refused, 2, "b"), "a/ c/"}, {s, view(4, "a@7 c@8"), "a c"}},
 		"marks count in a view that is not believed, lifts do not": {
 			{0, view(100, "a b~"), "a b~"}, {s, view(3, "a! b"), "a!/ b~/"}, {31 * s, tick, "a! b"}},
@@ -143,22 +143,22 @@
 		"a mark in an entry that otherwise makes no sense": {
 			{0, view(1, "a b c"), "a b c"}, {s, view(2, "a ?b! c"), "a b!/ c"}, {s, doubtful(1, "a ?c!", lagging), "a/ b!/ c!/"}},
 		"refusals take an engine out of a silent source only after the hold, and never the last": {
-			{0, view(1, "a b"), "a b"}, {s, fail(Silent), "a/ b/"}, {s, pulses(Alive, 1, "a"), "a/ b/"}, {s, pulses(Refused, 2, "b"), "a/ b/"},
-			{30 * s, pulses(Alive, 1, "a"), "a/ b/"}, {0, tick, "a/ b?/"}, {s, pulses(Refused, 5, "a"), "a/ b?/"}, {s, pulses(Alive, 1, "b"), "a/ b/*"}},
+			{0, view(1, "a b"), "a b"}, {s, fail(Unreachable), "a/ b/"}, {s, pulses(Answered, 1, "a"), "a/ b/"}, {s, pulses(Refused, 2, "b"), "a/ b/"},
+			{30 * s, pulses(Answered, 1, "a"), "a/ b/"}, {0, tick, "a/ b?/"}, {s, pulses(Refused, 5, "a"), "a/ b?/"}, {s, pulses(Answered, 1, "b"), "a/ b/*"}},
 		"silence of all proves nothing": {
-			{0, view(1, "a b c"), "a b c"}, {s, view(2, ""), "a/ b/ c/"}, {s, pulses(Unheard, 9, "a b c"), "a/ b/ c/"},
-			{s, pulses(Alive, 1, "a"), "a/ b/ c/"}, {s, pulses(Unheard, 4, "b"), "a/ c/"}},
+			{0, view(1, "a b c"), "a b c"}, {s, view(2, ""), "a/ b/ c/"}, {s, pulses(NoAnswer, 9, "a b c"), "a/ b/ c/"},
+			{s, pulses(Answered, 1, "a"), "a/ b/ c/"}, {s, pulses(NoAnswer, 4, "b"), "a/ c/"}},
 		"all flap and none refuses: nobody is cold": {
-			{0, view(1, "a b"), "a b"}, {s, view(2, "a! b!"), "a! b!"}, {s, pulses(Alive, 2, "a b"), "a! b!"}, {4 * s, view(3, "a b"), "a b"}},
+			{0, view(1, "a b"), "a b"}, {s, view(2, "a! b!"), "a! b!"}, {s, pulses(Answered, 2, "a b"), "a! b!"}, {4 * s, view(3, "a b"), "a b"}},
 		"a flap too short for any check is no restart": {
 			{0, view(1, "a"), "a"}, {s, view(2, "a!"), "a!"}, {s / 2, view(3, "a"), "a"}},
 		"one that refused while it was critical has restarted": {
-			{0, view(1, "a b"), "a b"}, {s, view(2, "a! b"), "a! b"}, {s, pulses(Alive, 1, "a"), "a! b"}, {s, pulses(Refused, 1, "a"), "a! b"},
-			{s, pulses(Alive, 1, "a"), "a! b"}, {s, view(3, "a b"), "a* b"}},
+			{0, view(1, "a b"), "a b"}, {s, view(2, "a! b"), "a! b"}, {s, pulses(Answered, 1, "a"), "a! b"}, {s, pulses(Refused, 1, "a"), "a! b"},
+			{s, pulses(Answered, 1, "a"), "a! b"}, {s, view(3, "a b"), "a* b"}},
 		"one whose refusals came before its mark has restarted": {
 			{0, view(1, "a b"), "a b"}, {s, pulses(Refused, 2, "a"), "a b"}, {s, view(2, "a! b"), "a! b"}, {s / 2, view(3, "a b"), "a* b"}},
 		"one that was critical for long and never answered counts as restarted": {
-			{0, view(1, "a"), "a"}, {s, view(2, "a!"), "a!"}, {5 * s, pulses(Unheard, 4, "a"), "a!"}, {s, view(3, "a"), "a*"}},
+			{0, view(1, "a"), "a"}, {s, view(2, "a!"), "a!"}, {5 * s, pulses(NoAnswer, 4, "a"), "a!"}, {s, view(3, "a"), "a*"}},
 		"a registration anew is a restart": {
 			{0, view(1, "a b"), "a b"}, {s, view(2, "a@2 b"), "a* b"}},
 		"registrations of a restored catalogue are no restarts": {
@@ -170,31 +170,31 @@
 		"an id that takes the address of another by a later change": {
 			{0, view(1, "a:x b:y"), "a b"}, {s, view(2, "a:x b:x@5"), "a- b*"}, {20 * s, view(3, "a:x b:y@5"), "a b*"}},
 		"a newcomer of a doubted view comes in once it answers": {
-			{0, view(100, "a"), "a"}, {s, view(3, "a b"), "a/"}, {s, pulses(Alive, 1, "b"), "a/ b/*"}},
+			{0, view(100, "a"), "a"}, {s, view(3, "a b"), "a/"}, {s, pulses(Answered, 1, "b"), "a/ b/*"}},
 		"an engine that a doubted view has elsewhere moves once nobody listens where it was": {
 			{0, view(100, "a b"), "a b"}, {s, view(3, "a:x b~"), "a/ b~/"},
-			{s, func(b *Book, now time.Time) { b.Checked(now, "a", "x", Alive) }, "a/ b~/"},
+			{s, func(reg *Registry, now time.Time) { reg.ObserveProbe(now, "a", "x", Answered) }, "a/ b~/"},
 			{s, pulses(Refused, 2, "a"), "a/ b~/"},
-			{s, func(b *Book, now time.Time) { b.Checked(now, "a", "x", Alive) }, "a/* b~/"}},
+			{s, func(reg *Registry, now time.Time) { reg.ObserveProbe(now, "a", "x", Answered) }, "a/* b~/"}},
 		"a source that nobody took away": {
-			{0, view(1, "a b!"), "a b!"}, {s, func(b *Book, now time.Time) { b.Vanish(now, llm) }, "a/"}, {s, pulses(Refused, 2, "a"), ""}},
+			{0, view(1, "a b!"), "a b!"}, {s, func(reg *Registry, now time.Time) { reg.SourceVanished(now, llm) }, "a/"}, {s, pulses(Refused, 2, "a"), ""}},
 		"a tag taken away during a drain, and given back": {
-			{0, view(1, "a~ b"), "a~ b"}, {s, func(b *Book, now time.Time) { b.Withdraw(now, llm, "tag") }, ""},
-			{s, func(b *Book, now time.Time) { b.Join(llm, false) }, ""}, {s, view(5, "a~ b"), "a~* b*"}},
+			{0, view(1, "a~ b"), "a~ b"}, {s, func(reg *Registry, now time.Time) { reg.RemoveSource(now, llm, "tag") }, ""},
+			{s, func(reg *Registry, now time.Time) { reg.AddSource(llm, false) }, ""}, {s, view(5, "a~ b"), "a~* b*"}},
 		"another catalogue": {
-			{0, view(100, "a b c"), "a b c"}, {s, func(b *Book, _ time.Time) { b.Rebase(llm) }, "a b c"}, {s, view(3, "a@4 b@5 c@6"), "a b c"}},
+			{0, view(100, "a b c"), "a b c"}, {s, func(reg *Registry, _ time.Time) { reg.ResetIndex(llm) }, "a b c"}, {s, view(3, "a@4 b@5 c@6"), "a b c"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b, now := New(DefaultPolicy()), t0
+			reg, now := New(DefaultPolicy()), t0
 			known := map[string]Engine{}
 			for i, st := range steps {
 				now = now.Add(st.after)
-				st.do(b, now)
-				if got := say(b, now); got != st.want {
+				st.do(reg, now)
+				if got := say(reg, now); got != st.want {
 					t.Fatalf("step %d: %q, want %q", i, got, st.want)
 				}
-				apply(known, b.Changes())
-				if diff := cmp.Diff(facts(b.All()), facts(values(known))); diff != "" {
+				apply(known, reg.Changes())
+				if diff := cmp.Diff(facts(reg.Engines()), facts(values(known))); diff != "" {
 					t.Fatalf("step %d: the changes do not add up to the whole (-whole +changes):\n%s", i, diff)
 				}
 			}
@@ -204,7 +204,7 @@
 
 func apply(known map[string]Engine, changes []Engine) {
 	for _, c := range changes {
-		if known[c.ID] = c; c.State == Gone {
+		if known[c.ID] = c; c.State == Removed {
 			delete(known, c.ID)
 		}
 	}
@@ -222,7 +222,7 @@
 func facts(list []Engine) map[string]string {
 	out := map[string]string{}
 	for _, e := range list {
-		if e.State != Gone {
+		if e.State != Removed {
 			out[e.ID] = fmt.Sprint(e.Addr, e.Kind, e.Zone, e.Cell, e.State, e.Started)
 		}
 	}
@@ -230,29 +230,29 @@
 }
 
 func TestReportedStartTakesPrecedence(t *testing.T) {
-	b := New(DefaultPolicy())
+	reg := New(DefaultPolicy())
 	v := list(1, "a")
 	v.Entries[0].Started = t0.Add(-time.Hour)
-	b.Observe(t0, llm, v)
+	reg.Observe(t0, llm, v)
 	down := list(2, "a!")
 	down.Entries[0].Started = v.Entries[0].Started
-	b.Observe(t0.Add(s), llm, down)
-	b.Checked(t0.Add(2*s), "a", "a", Refused) // such as a full backlog
+	reg.Observe(t0.Add(s), llm, down)
+	reg.ObserveProbe(t0.Add(2*s), "a", "a", Refused) // such as a full backlog
 	v.Index = 3
-	b.Observe(t0.Add(9*s), llm, v)
-	if got := b.All()[0].Started; !got.Equal(t0.Add(-time.Hour)) {
+	reg.Observe(t0.Add(9*s), llm, v)
+	if got := reg.Engines()[0].Started; !got.Equal(t0.Add(-time.Hour)) {
 		t.Errorf("started %v", got)
 	}
 	v.Index, v.Entries[0].Started = 4, t0.Add(8*s)
-	b.Observe(t0.Add(10*s), llm, v)
-	if got := b.All()[0].Started; !got.Equal(t0.Add(8 * s)) {
+	reg.Observe(t0.Add(10*s), llm, v)
+	if got := reg.Engines()[0].Started; !got.Equal(t0.Add(8 * s)) {
 		t.Errorf("after a restart: started %v", got)
 	}
 }
 
 func TestEnginesToCheck(t *testing.T) {
-	b := New(DefaultPolicy())
-	b.Observe(t0, llm, list(1, "a b! c d e f g h i"))
+	reg := New(DefaultPolicy())
+	reg.Observe(t0, llm, list(1, "a b! c d e f g h i"))
 	names := func(probes []Probe) string {
 		var ids []string
 		for _, p := range probes {
@@ -260,21 +260,21 @@
 		}
 		return strings.Join(ids, " ")
 	}
-	if got := names(b.Wanted(t0.Add(s), 9)); got != "b" {
+	if got := names(reg.DueProbes(t0.Add(s), 9)); got != "b" {
 		t.Errorf("all well: %q", got)
 	}
-	if got := names(b.Wanted(t0.Add(s+100*time.Millisecond), 9)); got != "" {
+	if got := names(reg.DueProbes(t0.Add(s+100*time.Millisecond), 9)); got != "" {
 		t.Errorf("too soon: %q", got)
 	}
-	b.Observe(t0.Add(2*s), llm, list(2, "a b! c d"))
-	if got := names(b.Wanted(t0.Add(3*s), 9)); got != "e f g h i b" {
+	reg.Observe(t0.Add(2*s), llm, list(2, "a b! c d"))
+	if got := names(reg.DueProbes(t0.Add(3*s), 9)); got != "e f g h i b" {
 		t.Errorf("many lost: %q", got)
 	}
-	b.Fail(t0.Add(4*s), llm, Silent)
-	if got := names(b.Wanted(t0.Add(4*s), 8)); got != "b e f g h i a c" {
+	reg.ObserveFailure(t0.Add(4*s), llm, Unreachable)
+	if got := names(reg.DueProbes(t0.Add(4*s), 8)); got != "b e f g h i a c" {
 		t.Errorf("in doubt: %q", got)
 	}
-	if got := names(b.Wanted(t0.Add(4*s+time.Millisecond), 8)); got != "d" {
+	if got := names(reg.DueProbes(t0.Add(4*s+time.Millisecond), 8)); got != "d" {
 		t.Errorf("the rest: %q", got)
 	}
 }
@@ -282,22 +282,22 @@
 // A gateway that starts while the catalogue is away serves from disk, marks
 // honoured, and believes what then comes.
 func TestRestore(t *testing.T) {
-	b := New(DefaultPolicy())
-	b.Observe(t0, llm, list(100, "a b! c d"))
-	b.Observe(t0.Add(s), llm, list(101, "a b! c d@9"))
-	kept, indexes := b.Keep()
-	b = New(DefaultPolicy())
+	reg := New(DefaultPolicy())
+	reg.Observe(t0, llm, list(100, "a b! c d"))
+	reg.Observe(t0.Add(s), llm, list(101, "a b! c d@9"))
+	kept, indexes := reg.Snapshot()
+	reg = New(DefaultPolicy())
 	now := t0.Add(5 * s)
-	b.Restore(now, kept, indexes)
-	if got := say(b, now); got != "a/ b!/ c/ d/*" {
+	reg.Restore(now, kept, indexes)
+	if got := say(reg, now); got != "a/ b!/ c/ d/*" {
 		t.Errorf("restored: %q", got)
 	}
-	b.Observe(now, llm, list(3, ""))
-	if got := say(b, now); got != "a/ b!/ c/ d/*" {
+	reg.Observe(now, llm, list(3, ""))
+	if got := say(reg, now); got != "a/ b!/ c/ d/*" {
 		t.Errorf("after an empty list at a lower index: %q", got)
 	}
-	b.Observe(now, llm, list(102, "a b c d@9"))
-	if got := say(b, now.Add(20*s)); got != "a b c d" {
+	reg.Observe(now, llm, list(102, "a b c d@9"))
+	if got := say(reg, now.Add(20*s)); got != "a b c d" {
 		t.Errorf("after a view that is believed: %q", got)
 	}
 	old := New(DefaultPolicy())
@@ -310,7 +310,7 @@
 }
 
 func TestPeers(t *testing.T) {
-	p, now := NewPeers(2, 10*s), t0
+	p, now := NewGatewayCount(2, 10*s), t0
 	for i, c := range []struct {
 		after   time.Duration
 		seen    int
@@ -328,37 +328,37 @@
 }
 
 func TestNotes(t *testing.T) {
-	b := New(DefaultPolicy())
-	b.Observe(t0, llm, list(100, "a b c"))
-	b.Observe(t0.Add(s), llm, list(3, ""))
-	b.Observe(t0.Add(2*s), llm, list(3, ""))
-	notes := b.Notes()
-	if len(notes) != 1 || notes[0].Reason != WentBack || notes[0].Engines != 3 || !notes[0].Warn || len(b.Notes()) > 0 {
+	reg := New(DefaultPolicy())
+	reg.Observe(t0, llm, list(100, "a b c"))
+	reg.Observe(t0.Add(s), llm, list(3, ""))
+	reg.Observe(t0.Add(2*s), llm, list(3, ""))
+	notes := reg.Events()
+	if len(notes) != 1 || notes[0].Reason != IndexRegressed || notes[0].Engines != 3 || !notes[0].Warn || len(reg.Events()) > 0 {
 		t.Errorf("%+v", notes)
 	}
-	h := b.Sources()
-	if len(h) != 1 || h[0].Doubt != WentBack || h[0].Index != 100 || !h[0].Since.Equal(t0.Add(s)) || !slices.Equal([]string{"service llm"}, b.All()[0].Sources) {
+	h := reg.SourceStatuses()
+	if len(h) != 1 || h[0].Doubt != IndexRegressed || h[0].Index != 100 || !h[0].DoubtedSince.Equal(t0.Add(s)) || !slices.Equal([]string{"service llm"}, reg.Engines()[0].Sources) {
 		t.Errorf("%+v", h)
 	}
 }
 
 func TestServices(t *testing.T) {
 	names := strings.Fields
-	v := NewServices(DefaultPolicy(), []string{"old"})
+	v := NewServiceTracker(DefaultPolicy(), []string{"old"})
 	for i, c := range []struct {
 		at             time.Duration
 		view           View
 		tagged, others string
-		want           Plan
+		want           ServiceChanges
 	}{
-		{0, View{Index: 5, Leaderless: true}, "a", "", Plan{Doubt: NoLeader, Begin: names("a")}},
-		{s, View{Index: 5}, "a b", "old", Plan{Begin: names("b"), Withdraw: names("old")}},
-		{2 * s, View{Index: 3}, "", "", Plan{Doubt: WentBack}},
-		{3 * s, View{Index: 3}, "c", "a", Plan{Doubt: WentBack, Begin: names("c")}},
-		{33 * s, View{Index: 3}, "c", "a", Plan{Doubt: WentBack, Withdraw: names("a"), Vanish: names("b")}},
-		{34 * s, View{Index: 4}, "a c", "", Plan{Begin: names("a")}},
-		{35 * s, View{Index: 4, Age: time.Hour}, "", "", Plan{Doubt: TooOld}},
-		{99 * s, View{Index: 6}, "c", "a", Plan{Withdraw: names("a")}},
+		{0, View{Index: 5, Leaderless: true}, "a", "", ServiceChanges{Doubt: NoLeader, Added: names("a")}},
+		{s, View{Index: 5}, "a b", "old", ServiceChanges{Added: names("b"), Untagged: names("old")}},
+		{2 * s, View{Index: 3}, "", "", ServiceChanges{Doubt: IndexRegressed}},
+		{3 * s, View{Index: 3}, "c", "a", ServiceChanges{Doubt: IndexRegressed, Added: names("c")}},
+		{33 * s, View{Index: 3}, "c", "a", ServiceChanges{Doubt: IndexRegressed, Untagged: names("a"), Vanished: names("b")}},
+		{34 * s, View{Index: 4}, "a c", "", ServiceChanges{Added: names("a")}},
+		{35 * s, View{Index: 4, Age: time.Hour}, "", "", ServiceChanges{Doubt: Stale}},
+		{99 * s, View{Index: 6}, "c", "a", ServiceChanges{Untagged: names("a")}},
 	} {
 		if diff := cmp.Diff(c.want, v.Observe(t0.Add(c.at), c.view, names(c.tagged), names(c.others))); diff != "" {
 			t.Errorf("step %d (-want +got):\n%s", i, diff)
@@ -400,29 +400,29 @@
 // whatever its sources and its own start time say; when the catalogue says the same,
 // nothing is lost.
 func TestOverrides(t *testing.T) {
-	b := New(DefaultPolicy())
+	reg := New(DefaultPolicy())
 	v := list(1, "a b!")
 	v.Entries[0].Started = t0.Add(-time.Hour)
-	b.Observe(t0, llm, v)
+	reg.Observe(t0, llm, v)
 	now := t0.Add(s)
 	at := func(step string, state State, kind string, cold bool) {
 		t.Helper()
-		e := b.All()[0]
-		if e.State != state || e.Kind != kind || e.Listed != v.Entries[0].Kind || now.Sub(e.Started) < time.Minute != cold {
+		e := reg.Engines()[0]
+		if e.State != state || e.Kind != kind || e.ListedKind != v.Entries[0].Kind || now.Sub(e.Started) < time.Minute != cold {
 			t.Errorf("%s: %+v", step, e)
 		}
 	}
-	b.Override(now, map[string]Override{"a": {Hold: true, Why: "changing"}, "b": {Hold: true}, "gone": {Hold: true}})
+	reg.Override(now, map[string]Override{"a": {Hold: true, Why: "changing"}, "b": {Hold: true}, "gone": {Hold: true}})
 	at("held", Draining, "openai", false)
-	if e := b.All()[1]; e.State != Out {
+	if e := reg.Engines()[1]; e.State != OutOfService {
 		t.Errorf("a mark is hidden by an override: %+v", e)
 	}
-	b.Override(now, map[string]Override{"a": {Kind: "write", Started: now}})
-	at("flipped", In, "write", true)
+	reg.Override(now, map[string]Override{"a": {Kind: "write", Started: now}})
+	at("flipped", InService, "write", true)
 	v.Index, v.Entries[0].Kind = 2, "write"
-	b.Observe(now, llm, v)
-	b.Override(now, nil)
-	at("listed so", In, "write", true)
+	reg.Observe(now, llm, v)
+	reg.Override(now, nil)
+	at("listed so", InService, "write", true)
 	now = now.Add(time.Hour)
-	at("later", In, "write", false)
+	at("later", InService, "write", false)
 }
--- a/decide/roster/roster.go
+++ b/decide/roster/types.go
@@ -11,7 +11,7 @@
 import "time"
 
 // Mark is what a source states against an engine. A mark holds from the moment it
-// is seen, whatever the state of the source that stated it; only a believed view,
+// is seen, whatever the state of the source that stated it; only a trusted view,
 // or the end of a hold, lifts it.
 type Mark uint8
 
@@ -61,37 +61,37 @@
 
 // View is the whole of what a source said at one time.
 type View struct {
-	Agent      string
-	Index      uint64        // X-Consul-Index; 0 where the source has none
-	Leaderless bool          // the servers know no leader
-	Age        time.Duration // since the server that answered heard from the leader
-	Entries    []Entry
-	Unread     []string        // ids of entries that made no sense; "" for one without an id
-	Against    map[string]Mark // marks that could be read of such entries, by id
+	Agent          string
+	Index          uint64        // X-Consul-Index; 0 where the source has none
+	Leaderless     bool          // the servers know no leader
+	Age            time.Duration // since the server that answered heard from the leader
+	Entries        []Entry
+	Malformed      []string        // ids of entries that made no sense; "" for one without an id
+	MalformedMarks map[string]Mark // marks that could be read of such entries, by id
 }
 
-// Reason says why a source is not believed, or why an engine is held or out.
+// Reason says why a source is not trusted, or why an engine is held or out.
 type Reason string
 
 // The reasons for which a source is doubted.
 const (
-	Believed   Reason = ""
-	WentBack   Reason = "the index went backwards"
-	NoLeader   Reason = "no leader"
-	TooOld     Reason = "too old"
-	Unreadable Reason = "unreadable"
-	Silent     Reason = "no answer"
-	FromDisk   Reason = "last good view from disk"
+	Trusted        Reason = ""
+	IndexRegressed Reason = "the index went backwards"
+	NoLeader       Reason = "no leader"
+	Stale          Reason = "too old"
+	Unreadable     Reason = "unreadable"
+	Unreachable    Reason = "no answer"
+	FromDisk       Reason = "last good view from disk"
 )
 
-// Pulse is how a direct check of an engine, or an attempt at it, went.
-type Pulse uint8
+// ProbeResult is how a direct check of an engine, or an attempt at it, went.
+type ProbeResult uint8
 
 // The pulses. Refused proves that no process listened; Unheard proves nothing.
 const (
-	Alive Pulse = iota
+	Answered ProbeResult = iota
 	Refused
-	Unheard
+	NoAnswer
 )
 
 // State is what is made of an engine.
@@ -99,11 +99,11 @@
 
 // The states. The decision module sends new work to engines that are In alone.
 const (
-	In       State = iota
-	Draining       // maintenance: it finishes what it has
-	Out            // critical: it finishes what it can
-	Suspect        // its sources are long silent and it refuses connections
-	Gone           // told once; then it is forgotten
+	InService    State = iota
+	Draining           // maintenance: it finishes what it has
+	OutOfService       // critical: it finishes what it can
+	Suspect            // its sources are long silent and it refuses connections
+	Removed            // told once; then it is forgotten
 )
 
 func (s State) String() string {
@@ -115,7 +115,7 @@
 
 // The levels, best first.
 const (
-	Confirmed Confidence = iota // by a view that is believed
+	Confirmed Confidence = iota // by a view that is trusted
 	Held                        // by the last good view; its source is in doubt
 	Unlisted                    // listed no more, but it answers
 	Restored                    // from disk, and not confirmed since
@@ -125,16 +125,16 @@
 	return [...]string{"confirmed", "held", "unlisted", "restored"}[c]
 }
 
-// Engine is what the book makes of an engine.
+// Engine is what the registry makes of an engine.
 type Engine struct {
 	ID, Addr, Kind, Zone string
 	Cell                 int
 	State                State
 	Why                  string    // if it is not In, or why it is held
 	Started              time.Time // zero: long ago, as far as is known
-	Seen                 time.Time // when a believed view last had it
+	LastSeen             time.Time // when a trusted view last had it
 	Confidence           Confidence
-	Listed               string // the role that its sources state, whatever an override says
+	ListedKind           string // the role that its sources state, whatever an override says
 	Sources              []string
 }
 
@@ -147,11 +147,11 @@
 	Why     string
 }
 
-// Note is a line for the log: something was decided that a person may ask about.
-type Note struct {
+// Event is a line for the log: something was decided that a person may ask about.
+type Event struct {
 	Source  string
 	Engine  string // "" if it speaks of many
-	What    string
+	Message string
 	Reason  Reason
 	Engines int // how many it speaks of
 	Warn    bool
@@ -159,29 +159,29 @@
 
 // Policy holds the figures of the rules.
 type Policy struct {
-	Hold       time.Duration // a doubted view is held back for so long, then taken
-	MaxAge     time.Duration // a view whose server heard from the leader longer ago is doubted
-	LossShare  float64       // a greater part of a source's engines lost at once is doubted
-	LossAll    float64       // the same over all sources: which of them lost first then matters; 1 = off
-	LossSpan   time.Duration // losses within this count as at once
-	Unlisted   time.Duration // an engine that answers is kept for so long after it was lost so
-	Trust      time.Duration // an entry that was confirmed longer ago is no reason to doubt a loss
-	Flap       time.Duration // a critical mark shorter than this is no restart unless refused
-	CheckSoon  time.Duration // between checks of an engine whose place is in question
-	CheckLater time.Duration // between checks of all others of a doubted source
+	HoldTime            time.Duration // a doubted view is held back for so long, then taken
+	MaxAge              time.Duration // a view whose server heard from the leader longer ago is doubted
+	MaxSourceLoss       float64       // a greater part of a source's engines lost at once is doubted
+	MaxTotalLoss        float64       // the same over all sources: which of them lost first then matters; 1 = off
+	LossWindow          time.Duration // losses within this count as at once
+	UnlistedTTL         time.Duration // an engine that answers is kept for so long after it was lost so
+	ConfirmationTTL     time.Duration // an entry that was confirmed longer ago is no reason to doubt a loss
+	FlapTime            time.Duration // a critical mark shorter than this is no restart unless refused
+	UrgentProbeInterval time.Duration // between checks of an engine whose place is in question
+	ProbeInterval       time.Duration // between checks of all others of a doubted source
 }
 
 // DefaultPolicy returns the figures that an operator who gives none gets.
 func DefaultPolicy() Policy {
 	return Policy{
-		Hold: 30 * time.Second, MaxAge: 10 * time.Second, LossShare: 0.3, LossAll: 0.3, LossSpan: 5 * time.Second,
-		Unlisted: 15 * time.Minute, Trust: 10 * time.Minute, Flap: time.Second,
-		CheckSoon: 250 * time.Millisecond, CheckLater: 2 * time.Second,
+		HoldTime: 30 * time.Second, MaxAge: 10 * time.Second, MaxSourceLoss: 0.3, MaxTotalLoss: 0.3, LossWindow: 5 * time.Second,
+		UnlistedTTL: 15 * time.Minute, ConfirmationTTL: 10 * time.Minute, FlapTime: time.Second,
+		UrgentProbeInterval: 250 * time.Millisecond, ProbeInterval: 2 * time.Second,
 	}
 }
 
 // The counts that decide on an engine by checks alone.
 const (
-	refusedLeast = 2 // in a row: no process is there
-	unheardLeast = 4 // in a row, while another engine answers: it cannot be reached
+	minRefusals   = 2 // in a row: no process is there
+	minUnanswered = 4 // in a row, while another engine answers: it cannot be reached
 )
--- a/decide/watch/watch.go
+++ b/decide/watch/watch.go
@@ -140,12 +140,12 @@
 	case Nonsense:
 		v.Reason = roster.Unreadable
 	}
-	if v.Reason != roster.Believed {
+	if v.Reason != roster.Trusted {
 		v.Log = true
 		return v
 	}
 	if s.fails >= s.limits.FailsLeast { // one question that fails is no news yet
-		v.Reason, v.Log = roster.Silent, s.fails == s.limits.FailsLeast
+		v.Reason, v.Log = roster.Unreachable, s.fails == s.limits.FailsLeast
 	}
 	return v
 }
--- a/decide/watch/watch_test.go
+++ b/decide/watch/watch_test.go
@@ -66,11 +66,11 @@
 		stale    bool
 	}{
 		"one that breaks":           {[]Failure{Broken}, 0, Verdict{Pause: s}, false},
-		"two":                       {[]Failure{Broken, Broken}, 0, Verdict{roster.Silent, true, s}, false},
-		"three: said before":        {[]Failure{Broken, Broken, Broken}, 0, Verdict{roster.Silent, false, s}, false},
+		"two":                       {[]Failure{Broken, Broken}, 0, Verdict{roster.Unreachable, true, s}, false},
+		"three: said before":        {[]Failure{Broken, Broken, Broken}, 0, Verdict{roster.Unreachable, false, s}, false},
 		"a hang, another agent":     {[]Failure{Hung}, 0, Verdict{}, false},
-		"a hang again":              {[]Failure{Hung, Hung}, 0, Verdict{roster.Silent, true, s}, false},
-		"nobody lives":              {[]Failure{Hung, NoAgent}, 0, Verdict{roster.Silent, true, 2 * s}, false},
+		"a hang again":              {[]Failure{Hung, Hung}, 0, Verdict{roster.Unreachable, true, s}, false},
+		"nobody lives":              {[]Failure{Hung, NoAgent}, 0, Verdict{roster.Unreachable, true, 2 * s}, false},
 		"denied with a hint":        {[]Failure{Denied}, 7 * s, Verdict{Pause: 7 * s}, false},
 		"a hint below the back-off": {[]Failure{Denied}, 1, Verdict{Pause: s}, false},
 		"no leader":                 {[]Failure{Leaderless}, 0, Verdict{roster.NoLeader, true, s}, true},
--- a/internal/consul/consul_test.go
+++ b/internal/consul/consul_test.go
@@ -79,12 +79,12 @@
 	}
 	w.await("a b c!")
 	w.fail(consul.Faults{Hang: true})
-	w.awaitDoubt(roster.Silent)
+	w.awaitDoubt(roster.Unreachable)
 	w.store.Restore(old)
 	w.store.SetCheck(node, "a", "alive", "critical")
 	w.fail(consul.Faults{})
 	w.await("a! b c!") // the new mark counts; the old one is not lifted by a view in doubt
-	w.awaitDoubt(roster.WentBack)
+	w.awaitDoubt(roster.IndexRegressed)
 }
 
 // Hard case: two agents disagree. The one that lags can lift no mark; it can add one.
@@ -100,7 +100,7 @@
 	if err := w.agents[0].Fail(consul.Faults{Refuse: true}); err != nil {
 		t.Fatal(err)
 	}
-	w.awaitDoubt(roster.WentBack)
+	w.awaitDoubt(roster.IndexRegressed)
 	w.stays("a! b c", 200*time.Millisecond)
 	if err := w.agents[1].Fail(consul.Faults{}); err != nil {
 		t.Fatal(err)
@@ -204,7 +204,7 @@
 			w.fail(consul.Faults{})
 			w.store.SetCheck(node, "a", "alive", "critical")
 			w.await("a! b c")
-			w.awaitDoubt(roster.Believed)
+			w.awaitDoubt(roster.Trusted)
 		})
 	}
 }
@@ -260,7 +260,7 @@
 	if err := w.dir.Move(cfg); err != nil {
 		t.Fatal(err)
 	}
-	w.awaitDoubt(roster.Silent) // another name than the certificate's
+	w.awaitDoubt(roster.Unreachable) // another name than the certificate's
 }
 
 // An answer that is too long is not taken, and removes nobody.
--- a/internal/consul/directory.go
+++ b/internal/consul/directory.go
@@ -33,7 +33,7 @@
 // Policy is the rules' figures as a configuration has them.
 func Policy(cfg config.Consul) roster.Policy {
 	p := roster.DefaultPolicy()
-	p.Hold, p.Unlisted, p.MaxAge = cfg.Hold(), cfg.Unlisted(), cfg.MaxStale()
+	p.HoldTime, p.UnlistedTTL, p.MaxAge = cfg.Hold(), cfg.Unlisted(), cfg.MaxStale()
 	return p
 }
 
@@ -103,7 +103,7 @@
 		agents := clusterName(f.cfg)
 		if !first && agents != cluster { // perhaps of another catalogue
 			for _, name := range f.known() {
-				f.keeper.With(func(b *roster.Book, _ time.Time) { b.Rebase(source(name)) })
+				f.keeper.With(func(b *roster.Registry, _ time.Time) { b.ResetIndex(source(name)) })
 			}
 		}
 		cluster = agents
--- a/internal/consul/follow.go
+++ b/internal/consul/follow.go
@@ -120,7 +120,7 @@
 	if v.Log {
 		f.log.Warn("query failed", "path", s.path, "reason", string(v.Reason), "cause", err)
 	}
-	if v.Reason != roster.Believed {
+	if v.Reason != roster.Trusted {
 		tell(v.Reason)
 	}
 	if v.Pause > 0 {
@@ -182,13 +182,13 @@
 func source(name string) roster.Source { return roster.Source{Origin: roster.Catalogue, Name: name} }
 
 func (f *follower) join(name string, atStart bool) {
-	f.keeper.With(func(b *roster.Book, _ time.Time) { b.Join(source(name), atStart) })
+	f.keeper.With(func(b *roster.Registry, _ time.Time) { b.AddSource(source(name), atStart) })
 }
 
 func (f *follower) known() []string {
 	var names []string
-	f.keeper.With(func(b *roster.Book, _ time.Time) {
-		for _, s := range b.Known() {
+	f.keeper.With(func(b *roster.Registry, _ time.Time) {
+		for _, s := range b.KnownSources() {
 			if s.Origin == roster.Catalogue {
 				names = append(names, s.Name)
 			}
@@ -201,8 +201,8 @@
 func (f *follower) withdrawOthers(name string) {
 	for _, other := range f.known() {
 		if other != name {
-			f.keeper.With(func(b *roster.Book, now time.Time) {
-				b.Withdraw(now, source(other), "the configuration names it no more")
+			f.keeper.With(func(b *roster.Registry, now time.Time) {
+				b.RemoveSource(now, source(other), "the configuration names it no more")
 			})
 		}
 	}
@@ -226,21 +226,21 @@
 		}
 		v.Agent, v.Index, v.Leaderless, v.Age = a.Agent, a.Index, !a.KnownLeader, a.LastContact
 		f.noteNodes(name, nodes)
-		doubt := roster.Believed
-		f.keeper.With(func(b *roster.Book, now time.Time) {
+		doubt := roster.Trusted
+		f.keeper.With(func(b *roster.Registry, now time.Time) {
 			if ctx.Err() == nil {
 				doubt = b.Observe(now, src, v)
 			}
 		})
-		if doubt == roster.Believed {
+		if doubt == roster.Trusted {
 			first()
 		}
 		return nil
 	}, func() (enough bool) {
-		f.keeper.With(func(b *roster.Book, now time.Time) { enough = b.Confirm(now, src) })
+		f.keeper.With(func(b *roster.Registry, now time.Time) { enough = b.Confirm(now, src) })
 		return enough
 	}, func(reason roster.Reason) {
-		f.keeper.With(func(b *roster.Book, now time.Time) { b.Fail(now, src, reason) })
+		f.keeper.With(func(b *roster.Registry, now time.Time) { b.ObserveFailure(now, src, reason) })
 	})
 }
 
@@ -254,7 +254,7 @@
 
 // catalogue follows which services carry the tag, and each of these.
 func (f *follower) catalogue(ctx context.Context) {
-	set := roster.NewServices(f.policy, f.known())
+	set := roster.NewServiceTracker(f.policy, f.known())
 	stops := map[string]context.CancelFunc{}
 	var group sync.WaitGroup
 	defer group.Wait()
@@ -288,11 +288,11 @@
 		}
 		v := roster.View{Index: a.Index, Leaderless: !a.KnownLeader, Age: a.LastContact}
 		plan := set.Observe(time.Now(), v, tagged, others)
-		if plan.Doubt != roster.Believed {
+		if plan.Doubt != roster.Trusted {
 			f.log.Warn("the catalogue is in doubt", "reason", string(plan.Doubt), "services", len(tagged))
 		}
-		f.crowd(len(stops) + len(plan.Begin) - len(plan.Withdraw) - len(plan.Vanish))
-		for _, name := range plan.Begin {
+		f.crowd(len(stops) + len(plan.Added) - len(plan.Untagged) - len(plan.Vanished))
+		for _, name := range plan.Added {
 			begin(name, atStart)
 		}
 		end := func(name string) {
@@ -305,15 +305,15 @@
 			f.marked.Seen(name, nil)
 			f.mu.Unlock()
 		}
-		for _, name := range plan.Withdraw {
+		for _, name := range plan.Untagged {
 			end(name)
-			f.keeper.With(func(b *roster.Book, now time.Time) { b.Withdraw(now, source(name), "it lost the tag") })
+			f.keeper.With(func(b *roster.Registry, now time.Time) { b.RemoveSource(now, source(name), "it lost the tag") })
 		}
-		for _, name := range plan.Vanish {
+		for _, name := range plan.Vanished {
 			end(name)
-			f.keeper.With(func(b *roster.Book, now time.Time) { b.Vanish(now, source(name)) })
+			f.keeper.With(func(b *roster.Registry, now time.Time) { b.SourceVanished(now, source(name)) })
 		}
-		atStart, doubted = false, plan.Doubt != roster.Believed
+		atStart, doubted = false, plan.Doubt != roster.Trusted
 		return nil
 	}
 	f.follow(ctx, f.subject("/v1/catalog/services", nil), nil, take, func() bool { return !doubted }, func(roster.Reason) {})
--- a/internal/consul/harness_test.go
+++ b/internal/consul/harness_test.go
@@ -32,14 +32,14 @@
 	mu       sync.Mutex
 	phases   map[string]routing.Phase
 	gateways int
-	alive    map[string]roster.Pulse // by address; absent: alive
+	alive    map[string]roster.ProbeResult // by address; absent: alive
 }
 
 // begin makes a world of so many agents with the services that list names; change
 // may alter the configuration.
 func begin(t *testing.T, agents int, list func(*world), change func(*world, *config.Consul)) *world {
 	t.Helper()
-	w := &world{T: t, store: consul.NewStore(), phases: map[string]routing.Phase{}, alive: map[string]roster.Pulse{}}
+	w := &world{T: t, store: consul.NewStore(), phases: map[string]routing.Phase{}, alive: map[string]roster.ProbeResult{}}
 	t.Cleanup(w.store.Close)
 	for range agents {
 		a, err := consul.NewAgent(w.store, node)
@@ -56,7 +56,7 @@
 		change(w, &w.cfg)
 	}
 	log := slog.New(slog.DiscardHandler)
-	w.keeper = directory.New(directory.Options{Policy: Policy(w.cfg), Log: log, Tell: w.tell, Check: func(_ context.Context, addr string) roster.Pulse {
+	w.keeper = directory.New(directory.Options{Policy: Policy(w.cfg), Log: log, Tell: w.tell, Check: func(_ context.Context, addr string) roster.ProbeResult {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		return w.alive[addr]
--- a/internal/consul/parse.go
+++ b/internal/consul/parse.go
@@ -64,12 +64,12 @@
 			// An engine that can be named is alone in doubt; else any that is missing may
 			// be the one.
 			id, mark := salvage(line)
-			v.Unread = append(v.Unread, id)
+			v.Malformed = append(v.Malformed, id)
 			if id != "" && mark > roster.Clear {
-				if v.Against == nil {
-					v.Against = map[string]roster.Mark{}
+				if v.MalformedMarks == nil {
+					v.MalformedMarks = map[string]roster.Mark{}
 				}
-				v.Against[id] = max(mark, v.Against[id])
+				v.MalformedMarks[id] = max(mark, v.MalformedMarks[id])
 			}
 			continue
 		}
--- a/internal/consul/parse_test.go
+++ b/internal/consul/parse_test.go
@@ -39,7 +39,7 @@
 			t.Errorf("%+v, want %+v", got, want[i])
 		}
 	}
-	if len(v.Entries) != 2 || !slices.Equal(v.Unread, []string{"c", ""}) || v.Against["c"] != roster.Critical || len(nodes) != 3 {
+	if len(v.Entries) != 2 || !slices.Equal(v.Malformed, []string{"c", ""}) || v.MalformedMarks["c"] != roster.Critical || len(nodes) != 3 {
 		t.Errorf("%+v, nodes %v", v, nodes)
 	}
 }
--- a/internal/consul/register.go
+++ b/internal/consul/register.go
@@ -115,7 +115,7 @@
 
 // count follows how many gateways are listed. What can't be believed changes nothing.
 func (d *Directory) count(ctx context.Context, f *follower) {
-	peers := roster.NewPeers(1, peersHold)
+	peers := roster.NewGatewayCount(1, peersHold)
 	tell := func(changed bool) {
 		if changed {
 			f.log.Info("gateways that share the engines", "gateways", peers.Count())
@@ -136,7 +136,7 @@
 				n++
 			}
 		}
-		if last = n + len(v.Unread); !doubted {
+		if last = n + len(v.Malformed); !doubted {
 			tell(peers.Observe(time.Now(), last))
 		}
 		return nil
--- a/internal/directory/check.go
+++ b/internal/directory/check.go
@@ -16,8 +16,8 @@
 
 // Checker returns a check that opens a connection and, if a path is given, asks for
 // it: any answer to that is a sign of life, an error too.
-func Checker(path string) func(ctx context.Context, addr string) roster.Pulse {
-	return func(ctx context.Context, addr string) roster.Pulse {
+func Checker(path string) func(ctx context.Context, addr string) roster.ProbeResult {
+	return func(ctx context.Context, addr string) roster.ProbeResult {
 		ctx, cancel := context.WithTimeout(ctx, checkWait)
 		defer cancel()
 		c, err := (&net.Dialer{KeepAlive: -1}).DialContext(ctx, "tcp", addr)
@@ -26,12 +26,12 @@
 		}
 		defer c.Close()
 		if path == "" {
-			return roster.Alive
+			return roster.Answered
 		}
 		c.SetDeadline(time.Now().Add(checkWait))
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+path, nil)
 		if err != nil {
-			return roster.Unheard
+			return roster.NoAnswer
 		}
 		req.Close = true
 		if err := req.Write(c); err != nil {
@@ -42,14 +42,14 @@
 			return pulse(err)
 		}
 		resp.Body.Close()
-		return roster.Alive
+		return roster.Answered
 	}
 }
 
 // pulse reads an error: a refusal proves that nobody listens.
-func pulse(err error) roster.Pulse {
+func pulse(err error) roster.ProbeResult {
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return roster.Refused
 	}
-	return roster.Unheard
+	return roster.NoAnswer
 }
--- a/internal/directory/golden_test.go
+++ b/internal/directory/golden_test.go
@@ -59,17 +59,17 @@
 
 // What a keeper shows of engines in each state, in the words that people read.
 func TestViewShowsStatesAndReasons(t *testing.T) {
-	k, _, _ := keeper(t, "", func(context.Context, string) roster.Pulse { return roster.Alive })
+	k, _, _ := keeper(t, "", func(context.Context, string) roster.ProbeResult { return roster.Answered })
 	start := time.Now().Add(-time.Hour)
 	e := func(id string, mark roster.Mark) roster.Entry {
 		return roster.Entry{ID: id, Addr: id + ":1", Kind: "read", Zone: "z", Cell: 1, Mark: mark, Started: start}
 	}
-	k.With(func(b *roster.Book, now time.Time) {
+	k.With(func(b *roster.Registry, now time.Time) {
 		b.Observe(now, llm, roster.View{Index: 9, Entries: []roster.Entry{
 			e("a", roster.Clear), e("b", roster.Critical), e("c", roster.Maintenance), e("d", roster.Clear), e("e", roster.Clear),
 		}})
 		b.Override(now, map[string]roster.Override{"d": {Hold: true, Why: "changing"}, "e": {Kind: "write", Started: now}})
-		b.Fail(now, llm, roster.Silent)
+		b.ObserveFailure(now, llm, roster.Unreachable)
 	})
 	v := k.View()
 	for i := range v.Engines {
@@ -110,7 +110,7 @@
 	x, file := roster.Source{Origin: roster.Catalogue, Name: "x"}, roster.Source{Origin: roster.File}
 	return lastview.View{
 		SavedAt: at,
-		Entries: []roster.Kept{
+		Entries: []roster.StoredEntry{
 			{Source: file, Entry: roster.Entry{ID: "a", Addr: "127.0.0.1:1", Kind: "read", Zone: "z", Cell: 1}, Seen: at},
 			{
 				Source: x, Entry: roster.Entry{ID: "b", Addr: "127.0.0.1:2", Kind: "write", Zone: "y", Cell: 2, Mark: roster.Critical, Started: at, Registered: 3, Index: 4},
@@ -153,7 +153,7 @@
 	if err := os.WriteFile(path, raw, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	k, _, end := keeper(t, path, func(context.Context, string) roster.Pulse { return roster.Unheard })
+	k, _, end := keeper(t, path, func(context.Context, string) roster.ProbeResult { return roster.NoAnswer })
 	var lines []string
 	for _, e := range k.View().Engines {
 		lines = append(lines, strings.Join([]string{e.ID, e.Address, e.Role, e.State, e.Why, e.Confidence, strings.Join(e.Sources, "+")}, "|"))
--- a/internal/directory/keeper.go
+++ b/internal/directory/keeper.go
@@ -31,7 +31,7 @@
 	// Tell takes what has changed. It may block for a moment.
 	Tell func(routing.EngineListScope, []core.Endpoint)
 	// Check looks whether an engine at an address answers.
-	Check func(ctx context.Context, addr string) roster.Pulse
+	Check func(ctx context.Context, addr string) roster.ProbeResult
 	// StateFile is where the last good view is kept; "" for nowhere.
 	StateFile string
 	Log       *slog.Logger
@@ -42,7 +42,7 @@
 	opt Options
 
 	mu       sync.Mutex
-	book     *roster.Book
+	book     *roster.Registry
 	pending  map[string]roster.Engine
 	flushed  time.Time
 	changed  bool // since the last save
@@ -85,11 +85,11 @@
 		return
 	}
 	k.opt.Log.Info("last good view read", "file", k.opt.StateFile, "age", time.Since(v.SavedAt).Round(time.Millisecond).String())
-	k.With(func(b *roster.Book, now time.Time) { b.Restore(now, v.Entries, v.IndexOf()) })
+	k.With(func(b *roster.Registry, now time.Time) { b.Restore(now, v.Entries, v.IndexOf()) })
 }
 
 // With has do work on the book, alone, and tells what comes of it.
-func (k *Keeper) With(do func(b *roster.Book, now time.Time)) {
+func (k *Keeper) With(do func(b *roster.Registry, now time.Time)) {
 	k.mu.Lock()
 	now := time.Now()
 	do(k.book, now)
@@ -97,7 +97,7 @@
 		k.pending[c.ID] = c
 		k.changed = true
 	}
-	notes := k.book.Notes()
+	notes := k.book.Events()
 	due := len(k.pending) > 0 && now.Sub(k.flushed) >= flushEvery
 	k.mu.Unlock()
 	for _, n := range notes {
@@ -108,7 +108,7 @@
 	}
 }
 
-func (k *Keeper) say(n roster.Note) {
+func (k *Keeper) say(n roster.Event) {
 	level := slog.LevelInfo
 	if n.Warn {
 		level = slog.LevelWarn
@@ -119,7 +119,7 @@
 			attrs = append(attrs, a[0], a[1])
 		}
 	}
-	k.opt.Log.Log(context.Background(), level, n.What, attrs...)
+	k.opt.Log.Log(context.Background(), level, n.Message, attrs...)
 }
 
 // Flush tells the core at once of what has changed.
@@ -154,9 +154,9 @@
 		Addr:       e.Addr, StartedAt: e.Started,
 	}
 	switch e.State {
-	case roster.In:
+	case roster.InService:
 		m.Phase = routing.PhaseActive
-	case roster.Gone:
+	case roster.Removed:
 		m.Phase = routing.PhaseRemoved
 	default:
 		m.Phase = routing.PhaseDraining
@@ -169,7 +169,7 @@
 
 // Broke notes that an engine refused a connection, as an attempt at it has shown.
 func (k *Keeper) Broke(id, addr string) {
-	k.With(func(b *roster.Book, now time.Time) { b.Checked(now, id, addr, roster.Refused) })
+	k.With(func(b *roster.Registry, now time.Time) { b.ObserveProbe(now, id, addr, roster.Refused) })
 }
 
 // Run lets time pass and makes the checks that are wanted until ctx ends.
@@ -183,9 +183,9 @@
 	defer t.Stop()
 	for {
 		var probes []roster.Probe
-		k.With(func(b *roster.Book, now time.Time) {
+		k.With(func(b *roster.Registry, now time.Time) {
 			b.Tick(now)
-			for _, p := range b.Wanted(now, checkMost) {
+			for _, p := range b.DueProbes(now, checkMost) {
 				if !k.checking[p] {
 					k.checking[p] = true
 					k.stats.Checks++
@@ -196,10 +196,10 @@
 		for _, p := range probes {
 			group.Go(func() {
 				pulse := k.opt.Check(ctx, p.Addr)
-				k.With(func(b *roster.Book, now time.Time) {
+				k.With(func(b *roster.Registry, now time.Time) {
 					delete(k.checking, p)
 					if ctx.Err() == nil {
-						b.Checked(now, p.ID, p.Addr, pulse)
+						b.ObserveProbe(now, p.ID, p.Addr, pulse)
 					}
 				})
 			})
@@ -232,7 +232,7 @@
 			continue
 		}
 		k.changed = false
-		entries, indexes := k.book.Keep()
+		entries, indexes := k.book.Snapshot()
 		k.mu.Unlock()
 		v := lastview.View{SavedAt: time.Now(), Entries: entries}
 		for src, n := range indexes {
@@ -297,23 +297,23 @@
 		return now.Sub(t).Milliseconds()
 	}
 	v := View{Stats: k.stats, Engines: []Engine{}, Sources: []Source{}}
-	for _, e := range k.book.All() {
+	for _, e := range k.book.Engines() {
 		line := Engine{
 			ID: e.ID, Address: e.Addr, Role: e.Kind, Zone: e.Zone, Cell: e.Cell, State: e.State.String(), Why: e.Why,
-			Confidence: e.Confidence.String(), AgeMS: since(e.Seen), Sources: e.Sources,
+			Confidence: e.Confidence.String(), AgeMS: since(e.LastSeen), Sources: e.Sources,
 		}
-		if e.Listed != e.Kind {
-			line.Listed = e.Listed
+		if e.ListedKind != e.Kind {
+			line.Listed = e.ListedKind
 		}
 		if !e.Started.IsZero() {
 			line.UpMS = max(1, since(e.Started)) // 0 is one that nobody knows
 		}
 		v.Engines = append(v.Engines, line)
 	}
-	for _, s := range k.book.Sources() {
-		line := Source{Source: s.Source, Doubt: string(s.Doubt), AgeMS: since(s.Believed), Index: s.Index, Engines: s.Engines}
-		if s.Doubt != roster.Believed {
-			line.DoubtMS = since(s.Since)
+	for _, s := range k.book.SourceStatuses() {
+		line := Source{Source: s.Source, Doubt: string(s.Doubt), AgeMS: since(s.LastTrusted), Index: s.Index, Engines: s.Engines}
+		if s.Doubt != roster.Trusted {
+			line.DoubtMS = since(s.DoubtedSince)
 		}
 		v.Sources = append(v.Sources, line)
 	}
--- a/internal/directory/keeper_test.go
+++ b/internal/directory/keeper_test.go
@@ -57,7 +57,7 @@
 	return strings.Join(words, " ")
 }
 
-func keeper(t *testing.T, file string, check func(context.Context, string) roster.Pulse) (*Keeper, *told, func()) {
+func keeper(t *testing.T, file string, check func(context.Context, string) roster.ProbeResult) (*Keeper, *told, func()) {
 	t.Helper()
 	c := &told{list: map[string]core.Endpoint{}}
 	k := New(Options{Policy: roster.DefaultPolicy(), Tell: c.tell, Check: check, StateFile: file, Log: logging.New(c, true)})
@@ -72,7 +72,9 @@
 var llm = roster.Source{Origin: roster.Catalogue, Name: "llm"}
 
 func observe(k *Keeper, index uint64, entries ...roster.Entry) {
-	k.With(func(b *roster.Book, now time.Time) { b.Observe(now, llm, roster.View{Index: index, Entries: entries}) })
+	k.With(func(b *roster.Registry, now time.Time) {
+		b.Observe(now, llm, roster.View{Index: index, Entries: entries})
+	})
 }
 
 func entry(id string, mark roster.Mark) roster.Entry {
@@ -87,7 +89,7 @@
 // A gateway that starts while its sources are away serves from the view on disk, with
 // its marks; a damaged file is set aside, and said so.
 func TestStartFromDisk(t *testing.T) {
-	alive := func(context.Context, string) roster.Pulse { return roster.Alive }
+	alive := func(context.Context, string) roster.ProbeResult { return roster.Answered }
 	file := filepath.Join(t.TempDir(), "view")
 	k, c, end := keeper(t, file, alive)
 	observe(k, 5, entry("a", roster.Clear), entry("b", roster.Critical), entry("c", roster.Maintenance))
@@ -112,11 +114,11 @@
 
 // Engines in question are checked, and those that refuse are gone.
 func TestEnginesInQuestionAreChecked(t *testing.T) {
-	k, c, _ := keeper(t, "", func(_ context.Context, addr string) roster.Pulse {
+	k, c, _ := keeper(t, "", func(_ context.Context, addr string) roster.ProbeResult {
 		if addr == "127.0.0.1:2" {
 			return roster.Refused
 		}
-		return roster.Alive
+		return roster.Answered
 	})
 	b := entry("b", roster.Clear)
 	b.Addr = "127.0.0.1:2"
@@ -130,7 +132,7 @@
 }
 
 func TestFileIsASource(t *testing.T) {
-	k, c, _ := keeper(t, "", func(context.Context, string) roster.Pulse { return roster.Alive })
+	k, c, _ := keeper(t, "", func(context.Context, string) roster.ProbeResult { return roster.Answered })
 	o := &config.Operator{Zone: "z", Engines: []config.StaticEngine{{ID: "x", Address: "127.0.0.1:9", Role: "read"}, {ID: "y", Address: "127.0.0.1:8", Role: "read"}}}
 	File(k, o)
 	observe(k, 1, entry("a", roster.Clear), roster.Entry{ID: "y", Addr: "127.0.0.1:7", Kind: "read", Mark: roster.Critical})
@@ -153,10 +155,10 @@
 	l.Close()
 	for _, c := range []struct {
 		path, addr string
-		want       roster.Pulse
+		want       roster.ProbeResult
 	}{
-		{"", answers.Addr, roster.Alive}, {"/healthz", answers.Addr, roster.Alive}, {"", hangs.Addr, roster.Alive},
-		{"/healthz", hangs.Addr, roster.Unheard}, {"", l.Addr().String(), roster.Refused},
+		{"", answers.Addr, roster.Answered}, {"/healthz", answers.Addr, roster.Answered}, {"", hangs.Addr, roster.Answered},
+		{"/healthz", hangs.Addr, roster.NoAnswer}, {"", l.Addr().String(), roster.Refused},
 	} {
 		if got := Checker(c.path)(t.Context(), c.addr); got != c.want {
 			t.Errorf("%q: %v, want %v", c.path, got, c.want)
--- a/internal/directory/sources.go
+++ b/internal/directory/sources.go
@@ -22,12 +22,12 @@
 		}
 		v.Entries = append(v.Entries, roster.Entry{ID: e.ID, Addr: e.Address, Kind: e.Role, Zone: zone, Cell: e.Cell})
 	}
-	k.With(func(b *roster.Book, now time.Time) {
+	k.With(func(b *roster.Registry, now time.Time) {
 		if len(v.Entries) == 0 { // an operator's own word: no rule about losses holds
-			b.Withdraw(now, src, "the file names no engine")
+			b.RemoveSource(now, src, "the file names no engine")
 			return
 		}
-		b.Replace(now, src, v)
+		b.ReplaceSource(now, src, v)
 	})
 }
 
--- a/internal/lastview/lastview.go
+++ b/internal/lastview/lastview.go
@@ -35,7 +35,7 @@
 // View is what is kept.
 type View struct {
 	SavedAt time.Time
-	Entries []roster.Kept
+	Entries []roster.StoredEntry
 	Indexes []Index
 }
 
--- a/internal/lastview/stored_test.go
+++ b/internal/lastview/stored_test.go
@@ -22,7 +22,7 @@
 	catalogue, file := roster.Source{Origin: roster.Catalogue, Name: "llm"}, roster.Source{Origin: roster.File}
 	return View{
 		SavedAt: at(5),
-		Entries: []roster.Kept{
+		Entries: []roster.StoredEntry{
 			{Source: file, Entry: roster.Entry{ID: "f1", Addr: "127.0.0.1:1"}, Seen: at(1)},
 			{
 				Source: catalogue,
--- a/internal/rolectl/rolectl.go
+++ b/internal/rolectl/rolectl.go
@@ -171,7 +171,7 @@
 		hold, role, cold := r.View()
 		over[r.Engine] = roster.Override{Hold: hold, Kind: role, Started: cold, Why: "changes from " + r.From + " to " + r.To + ": " + string(r.Step)}
 	}
-	c.opt.Keeper.With(func(b *roster.Book, now time.Time) { b.Override(now, over) })
+	c.opt.Keeper.With(func(b *roster.Registry, now time.Time) { b.Override(now, over) })
 	c.opt.Keeper.Flush()
 	c.mu.Lock()
 	c.records, c.known = records, true
--- a/internal/rolectl/rolectl_test.go
+++ b/internal/rolectl/rolectl_test.go
@@ -77,7 +77,7 @@
 		}
 		v.Entries = append(v.Entries, roster.Entry{ID: id, Addr: e.Addr(), Kind: role})
 	}
-	g.keeper.With(func(b *roster.Book, now time.Time) {
+	g.keeper.With(func(b *roster.Registry, now time.Time) {
 		b.Observe(now, roster.Source{Origin: roster.Catalogue, Name: "llm"}, v)
 	})
 }
