--- a/decide/roster/reports.go
+++ b/decide/roster/reports.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"maps"
 	"slices"
 	"time"
 )
@@ -57,23 +56,3 @@
 	slices.SortFunc(out, func(x, y SourceStatus) int { return cmp.Compare(x.Source, y.Source) })
 	return out
 }
-
-func (r *Registry) emit(n Event) { r.events = append(r.events, n) }
-
-func (r *Registry) markDirty(id string) {
-	if e := r.engines[id]; e != nil {
-		r.dirty[id] = e
-	}
-}
-
-// evaluateDirty works out anew what is made of all engines that something was said of.
-func (r *Registry) evaluateDirty(now time.Time) {
-	for len(r.dirty) > 0 {
-		batch := slices.Sorted(maps.Keys(r.dirty))
-		for _, id := range batch {
-			e := r.dirty[id]
-			delete(r.dirty, id)
-			r.evaluate(now, e)
-		}
-	}
-}
