--- a/decide/roster/apply.go
+++ b/decide/roster/apply.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// heldWhenMissing tells whether a listing that is lost with many others is held: one that is
-// marked, or was not confirmed for long, is not.
+// heldWhenMissing reports whether a listing lost in a mass loss is held: not if it was
+// marked, whose engine was expected to go, nor if it was last confirmed long ago.
 func (r *Registry) heldWhenMissing(now time.Time, s *sourceState, l *listing) bool {
 	return l.Mark == Clear && now.Sub(s.lastSeen(l)) <= r.policy.ConfirmationTTL
 }
 
+// markMissing holds a listing that is no longer listed.
 func (s *sourceState) markMissing(now time.Time, l *listing) {
 	if l.missingSince.IsZero() {
 		l.missingSince = now
@@ -18,20 +19,20 @@
 	}
 }
 
-// expireMissing lets go of what has long been listed no more.
+// expireMissing removes the listings whose time as unlisted has expired.
 func (r *Registry) expireMissing(now time.Time, s *sourceState) {
 	for id, l := range s.listings {
 		if !l.missingSince.IsZero() && now.Sub(l.missingSince) >= r.policy.UnlistedTTL {
-			r.emit(Event{Source: s.id.String(), Engine: id, Message: "listed no more for too long: gone", Engines: 1, Warn: true})
+			r.emit(Event{Source: s.id.String(), Engine: id, Message: "unlisted engine expired", Engines: 1, Warn: true})
 			r.removeListing(s, id)
 		}
 	}
 }
 
-// apply makes a view the source's word. sure says that it is trusted: then who is
-// missing is gone, unless too many are missing at once. A view that is taken for
-// want of better removes nobody that may be alive.
-func (r *Registry) apply(now time.Time, s *sourceState, v View, sure bool) {
+// apply replaces a source's listings by a view. Engines missing from a trusted view are
+// removed, unless too many are missing at once; a view that is not trusted removes no
+// engine that may be alive.
+func (r *Registry) apply(now time.Time, s *sourceState, v View, trusted bool) {
 	first := !s.observed
 	s.observed = true
 	listed := make(map[string]bool, len(v.Entries))
@@ -40,19 +41,19 @@
 		r.upsert(now, s, e, first && s.atStart)
 	}
 	r.applyMalformedMarks(s, v)
-	blind := slices.Contains(v.Malformed, "")
+	anyID := slices.Contains(v.Malformed, "")
 	var missing []string
 	for id, l := range s.listings {
 		l.questionedSince = time.Time{}
 		if s.rebased && !listed[id] {
-			l.Registered = 0 // of another time line: the next one is no news
+			l.Registered = 0 // of another catalog history: its next one proves no restart
 		}
 		switch {
 		case listed[id]:
-		case blind || slices.Contains(v.Malformed, id): // it may be one of those
+		case anyID || slices.Contains(v.Malformed, id): // it may be one of the malformed entries
 			if !l.malformed {
 				l.malformed = true
-				r.emit(Event{Source: s.id.String(), Engine: id, Message: "its entry may be one that made no sense: held", Reason: Unreadable, Engines: 1, Warn: true})
+				r.emit(Event{Source: s.id.String(), Engine: id, Message: "malformed entry, holding engine", Reason: Unreadable, Engines: 1, Warn: true})
 			}
 			r.markDirty(id)
 		case l.missingSince.IsZero():
@@ -61,46 +62,51 @@
 	}
 	s.rebased = false
 	slices.Sort(missing)
-	r.handleMissing(now, s, missing, sure)
+	r.handleMissing(now, s, missing, trusted)
 	s.index = max(s.index, v.Index)
 }
 
-// handleMissing handles engines that are listed no more. One is gone. Many at once, with no
-// mark before, are more likely a fault of the catalogue: they are held and checked.
-func (r *Registry) handleMissing(now time.Time, s *sourceState, missing []string, sure bool) {
-	old := func(t time.Time) bool { return now.Sub(t) > r.policy.LossWindow }
-	s.losses, r.losses = slices.DeleteFunc(s.losses, old), slices.DeleteFunc(r.losses, old)
-	var fresh []string
+// handleMissing removes engines that are no longer listed. A mass loss without marks is more
+// likely a fault of the catalog: those engines are held and probed.
+func (r *Registry) handleMissing(now time.Time, s *sourceState, missing []string, trusted bool) {
+	var unmarked []string
 	for _, id := range missing {
 		if r.heldWhenMissing(now, s, s.listings[id]) {
-			fresh = append(fresh, id)
+			unmarked = append(unmarked, id)
 		} else {
 			r.removeListing(s, id)
 		}
 	}
-	here, all := len(s.losses)+len(s.listings), len(r.losses)+len(r.engines)
-	for range fresh {
-		s.losses, r.losses = append(s.losses, now), append(r.losses, now)
-	}
-	much := func(lost, of int, share float64) bool { return lost > 1 && float64(lost) > share*float64(of) }
-	// Small services may each lose their only engine: that is seen over all of them.
-	many := much(len(s.losses), here, r.policy.MaxSourceLoss) || much(len(r.losses), all, r.policy.MaxTotalLoss)
-	if sure && !many {
-		for _, id := range fresh {
+	massLoss := r.recordLosses(now, s, len(unmarked))
+	if trusted && !massLoss {
+		for _, id := range unmarked {
 			r.removeListing(s, id)
 		}
 		return
 	}
-	for _, id := range fresh {
+	for _, id := range unmarked {
 		s.markMissing(now, s.listings[id])
 		r.markDirty(id)
 	}
-	if len(fresh) > 0 {
-		r.emit(Event{Source: s.id.String(), Message: "many engines lost at once without a mark: checked and held", Engines: len(fresh), Warn: true})
+	if len(unmarked) > 0 {
+		r.emit(Event{Source: s.id.String(), Message: "mass loss without marks, holding engines", Engines: len(unmarked), Warn: true})
 	}
 }
 
-// applyMalformedMarks takes the marks of entries that otherwise made no sense.
+// recordLosses records unmarked losses and reports whether those within the window are a
+// mass loss of the source, or of all: small services may each lose their only engine.
+func (r *Registry) recordLosses(now time.Time, s *sourceState, lost int) (massLoss bool) {
+	expired := func(t time.Time) bool { return now.Sub(t) > r.policy.LossWindow }
+	s.losses, r.losses = slices.DeleteFunc(s.losses, expired), slices.DeleteFunc(r.losses, expired)
+	ofSource, ofAll := len(s.losses)+len(s.listings), len(r.losses)+len(r.engines)
+	for range lost {
+		s.losses, r.losses = append(s.losses, now), append(r.losses, now)
+	}
+	exceeds := func(lost, of int, share float64) bool { return lost > 1 && float64(lost) > share*float64(of) }
+	return exceeds(len(s.losses), ofSource, r.policy.MaxSourceLoss) || exceeds(len(r.losses), ofAll, r.policy.MaxTotalLoss)
+}
+
+// applyMalformedMarks applies the marks that could be read from malformed entries.
 func (r *Registry) applyMalformedMarks(s *sourceState, v View) {
 	for id, m := range v.MalformedMarks {
 		if l := s.listings[id]; l != nil && m > l.Mark {
@@ -110,7 +116,8 @@
 	}
 }
 
-// applyDoubted takes from a doubted view what is safe to take: marks against engines.
+// applyDoubted applies what is safe of a doubted view: worse marks. Engines missing from it
+// are in question, and probed.
 func (r *Registry) applyDoubted(now time.Time, s *sourceState, v View) {
 	listed := make(map[string]bool, len(v.Entries))
 	for _, e := range v.Entries {
@@ -121,10 +128,10 @@
 		}
 	}
 	r.applyMalformedMarks(s, v)
-	blind := slices.Contains(v.Malformed, "")
-	for id, l := range s.listings { // those it lacks are in question
+	anyID := slices.Contains(v.Malformed, "")
+	for id, l := range s.listings {
 		switch {
-		case listed[id] || blind || slices.Contains(v.Malformed, id):
+		case listed[id] || anyID || slices.Contains(v.Malformed, id):
 			l.questionedSince = time.Time{}
 		case l.questionedSince.IsZero():
 			l.questionedSince = now
@@ -132,8 +139,9 @@
 	}
 }
 
-// upsert takes one entry in.
-func (r *Registry) upsert(now time.Time, s *sourceState, e Entry, old bool) {
+// upsert inserts or updates a source's listing of one engine. preexisting says that the
+// engine may have run since before the gateway started.
+func (r *Registry) upsert(now time.Time, s *sourceState, e Entry, preexisting bool) {
 	l := s.listings[e.ID]
 	eng := r.engines[e.ID]
 	if eng == nil {
@@ -142,7 +150,7 @@
 	}
 	if l == nil {
 		l = &listing{}
-		if !old {
+		if !preexisting {
 			l.firstListed = now
 		}
 		s.listings[e.ID] = l
@@ -157,7 +165,7 @@
 	r.markDirty(e.ID)
 }
 
-// removeListing takes a source's word on an engine away.
+// removeListing removes a source's listing of an engine.
 func (r *Registry) removeListing(s *sourceState, id string) {
 	if l := s.listings[id]; l != nil && !l.missingSince.IsZero() {
 		s.missingCount--
--- a/decide/roster/evaluate.go
+++ b/decide/roster/evaluate.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// answeredSince tells whether checks have seen an engine through since a time: it
-// answered, and refused nothing.
+// answeredSince reports whether an engine answered probes since a time and refused nothing,
+// which proves that it has not restarted.
 func (e *engine) answeredSince(since time.Time) bool {
 	return !since.IsZero() && !e.answeredAt.Before(since) && e.refusedAt.Before(since)
 }
 
-// supersedes ranks two listings of one engine, or of two at one address: the catalogue
-// before the file, then the later registration, then the later change.
+// supersedes reports whether listing x takes precedence over y: the catalog over the file,
+// then the later registration, then the later change.
 func supersedes(x, y *listing, xs, ys Source) bool {
 	return cmp.Or(
 		cmp.Compare(xs.Origin, ys.Origin), cmp.Compare(x.Registered, y.Registered), cmp.Compare(x.Index, y.Index),
@@ -22,7 +22,8 @@
 	) > 0
 }
 
-// evaluate works out what is made of one engine and notes a change.
+// evaluate derives an engine's state from its listings, probes and override, and publishes a
+// change.
 func (r *Registry) evaluate(now time.Time, e *engine) {
 	if len(e.listings) == 0 {
 		r.removeEngine(e)
@@ -36,36 +37,43 @@
 	}
 	moved := e.isPublished && e.published.Addr != next.Addr
 	r.relocate(e, location{next.Addr, next.Kind})
-	said := r.merge(e)
-	next.Sources, next.LastSeen, next.Confidence = said.sources, said.lastSeen, said.confidence
-	switch {
-	case said.mark == Critical:
-		next.State, next.Why = OutOfService, "critical by "+said.markedBy
-	case said.mark == Maintenance:
-		next.State, next.Why = Draining, "maintenance by "+said.markedBy
-	case r.isSuspect(now, e):
-		next.State, next.Why = Suspect, "its sources are silent and it refuses connections"
-	case said.confidence != Confirmed:
-		next.Why = said.confidence.String() + ": " + r.holdReason(e)
-	}
+	merged := r.merge(e)
+	next.Sources, next.LastSeen, next.Confidence = merged.sources, merged.lastSeen, merged.confidence
+	next.State, next.Why = r.stateOf(now, e, merged)
 	if overridden && over.Hold && next.State == InService {
 		next.State, next.Why = Draining, over.Why
 	}
 	r.detectRestart(now, e, next.State, moved)
-	if e.isPublished && e.published.Kind != next.Kind { // in another role it has nothing of what it kept
+	if e.isPublished && e.published.Kind != next.Kind { // in another role its caches are cold
 		e.roleSince = now
 		if !over.Started.IsZero() {
 			e.roleSince = over.Started
 		}
 	}
-	next.Started = e.startTime(said)
+	next.Started = e.startTime(merged)
 	if rival := r.rival(e); rival != nil && next.State != OutOfService {
 		next.State, next.Why = Removed, "another id has come at its address: "+rival.id
 	}
 	r.publish(e, next)
 }
 
-// removeEngine takes an engine that no source lists any more off the registry.
+// stateOf returns an engine's state by its sources and probes, and why it is not in service or
+// held.
+func (r *Registry) stateOf(now time.Time, e *engine, merged mergedListings) (State, string) {
+	switch {
+	case merged.mark == Critical:
+		return OutOfService, "critical by " + merged.markedBy
+	case merged.mark == Maintenance:
+		return Draining, "maintenance by " + merged.markedBy
+	case r.isSuspect(now, e):
+		return Suspect, "its sources are silent and it refuses connections"
+	case merged.confidence != Confirmed:
+		return InService, merged.confidence.String() + ": " + r.holdReason(e)
+	}
+	return InService, ""
+}
+
+// removeEngine removes an engine that no source lists any more.
 func (r *Registry) removeEngine(e *engine) {
 	r.relocate(e, location{})
 	delete(r.engines, e.id)
@@ -75,7 +83,7 @@
 	}
 }
 
-// selectPrimary finds the listing that speaks for an engine.
+// selectPrimary selects the listing with precedence.
 func (r *Registry) selectPrimary(e *engine) {
 	var src Source
 	e.primary = nil
@@ -90,48 +98,49 @@
 	}
 }
 
-// mergedListings is what all sources together say of an engine.
+// mergedListings is what all listings of an engine add up to.
 type mergedListings struct {
 	mark          Mark
-	markedBy      string    // the source of the mark
-	firstListed   time.Time // since when the source that listed it first has listed it
-	reportedStart time.Time // its own word of its last start
+	markedBy      string    // the source of the worst mark
+	firstListed   time.Time // the earliest over all sources
+	reportedStart time.Time // the latest start that it reports
 	lastSeen      time.Time
 	sources       []string
 	confidence    Confidence
 }
 
-// merge adds up what the sources of an engine say.
+// merge merges the listings of an engine.
 func (r *Registry) merge(e *engine) mergedListings {
-	said := mergedListings{mark: Clear, confidence: Restored}
+	merged := mergedListings{mark: Clear, confidence: Restored}
 	for i, s := range sortedSources(e.listings) {
 		l := e.listings[s]
-		if l.Mark > said.mark {
-			said.mark, said.markedBy = l.Mark, s.String()
+		if l.Mark > merged.mark {
+			merged.mark, merged.markedBy = l.Mark, s.String()
 		}
-		if i == 0 || l.firstListed.Before(said.firstListed) { // who has listed it longest knows best
-			said.firstListed = l.firstListed
+		if i == 0 || l.firstListed.Before(merged.firstListed) { // the source that has listed it longest knows best
+			merged.firstListed = l.firstListed
 		}
-		if l.Started.After(said.reportedStart) {
-			said.reportedStart = l.Started
+		if l.Started.After(merged.reportedStart) {
+			merged.reportedStart = l.Started
 		}
-		said.sources = append(said.sources, s.String())
-		if l.lastSeen.After(said.lastSeen) {
-			said.lastSeen = l.lastSeen
+		merged.sources = append(merged.sources, s.String())
+		if l.lastSeen.After(merged.lastSeen) {
+			merged.lastSeen = l.lastSeen
 		}
-		said.confidence = min(said.confidence, r.confidence(s, l))
+		merged.confidence = min(merged.confidence, r.confidence(s, l))
 	}
-	return said
+	return merged
 }
 
-// startTime returns when an engine last started. Its own word comes before any guess.
-func (e *engine) startTime(said mergedListings) time.Time {
-	at := said.firstListed
+// startTime returns when an engine last started. What it reports takes precedence over what
+// is inferred.
+func (e *engine) startTime(merged mergedListings) time.Time {
+	at := merged.firstListed
 	if e.restartedAt.After(at) {
 		at = e.restartedAt
 	}
-	if !said.reportedStart.IsZero() {
-		at = said.reportedStart
+	if !merged.reportedStart.IsZero() {
+		at = merged.reportedStart
 	}
 	if e.roleSince.After(at) {
 		at = e.roleSince
@@ -140,16 +149,10 @@
 }
 
 func sortedSources(listings map[Source]*listing) []Source {
-	list := make([]Source, 0, len(listings))
-	for s := range listings {
-		list = append(list, s)
-	}
-	slices.SortFunc(list, func(x, y Source) int {
-		return cmp.Or(cmp.Compare(x.Origin, y.Origin), cmp.Compare(x.Name, y.Name))
-	})
-	return list
+	return slices.SortedFunc(maps.Keys(listings), compareSources)
 }
 
+// confidence ranks the evidence that one listing gives.
 func (r *Registry) confidence(s Source, l *listing) Confidence {
 	switch {
 	case l.restored:
@@ -162,6 +165,7 @@
 	return Confirmed
 }
 
+// holdReason words why an engine is held: the doubt of its first doubted source.
 func (r *Registry) holdReason(e *engine) string {
 	for _, s := range sortedSources(e.listings) {
 		if d := r.sources[s].doubt; d != Trusted {
@@ -171,9 +175,9 @@
 	return "its latest entry is missing or made no sense"
 }
 
-// isSuspect tells whether an engine is taken out on checks alone: every source of it
-// has been in doubt for longer than the hold, it refuses connections, and another
-// of its kind answers, so that nobody's silence ever empties the roster.
+// isSuspect reports whether an engine is taken out of service by probes alone: all its
+// sources have been doubted for longer than the hold, it refuses connections, and another
+// engine of its kind answers, so that a failure of all sources never empties the registry.
 func (r *Registry) isSuspect(now time.Time, e *engine) bool {
 	if e.refusals < minRefusals || !r.allSourcesDoubted(e) || !r.anotherAnswers(now, e) {
 		return false
@@ -186,32 +190,32 @@
 	return true
 }
 
-// detectRestart tells a flap from a restart as an engine leaves Out or Suspect: it has
-// restarted if a connection was refused meanwhile, or if it was away for long and
-// no check ever reached it. Another address is another process.
+// detectRestart tells a flap of a health check from a restart when an engine comes back from
+// OutOfService or Suspect: it has restarted if a connection was refused meanwhile, or if it
+// was down for long and no probe was answered. Another address is another process.
 func (r *Registry) detectRestart(now time.Time, e *engine, next State, moved bool) {
-	was := e.published.State
-	away := func(s State) bool { return s == OutOfService || s == Suspect }
+	previous := e.published.State
+	isDown := func(s State) bool { return s == OutOfService || s == Suspect }
 	switch {
 	case !e.isPublished:
 	case moved:
 		e.restartedAt = now
 		e.answeredAt, e.refusedAt, e.refusals, e.unanswered = time.Time{}, time.Time{}, 0, 0
-	case away(was) && !away(next):
+	case isDown(previous) && !isDown(next):
 		refused := !e.refusedAt.Before(e.downSince)
 		if refused || !e.answeredSince(e.downSince) && now.Sub(e.downSince) >= r.policy.FlapTime {
 			e.restartedAt = now
 		}
 	}
-	if away(next) && (!e.isPublished || !away(was)) {
+	if isDown(next) && (!e.isPublished || !isDown(previous)) {
 		e.downSince = now
-		if e.refusals > 0 { // it began before the mark came
+		if e.refusals > 0 { // it went down before the mark was seen
 			e.downSince = e.refusedAt
 		}
 	}
 }
 
-// publish notes what the module has to know.
+// publish adds an engine to the changes if anything that the core gets to know differs.
 func (r *Registry) publish(e *engine, next Engine) {
 	old := e.published
 	same := e.isPublished && old.Addr == next.Addr && old.Kind == next.Kind && old.Zone == next.Zone &&
@@ -222,7 +226,7 @@
 	}
 }
 
-// evaluateDirty works out anew what is made of all engines that something was said of.
+// evaluateDirty evaluates all engines that are marked dirty, and those that this marks.
 func (r *Registry) evaluateDirty(now time.Time) {
 	for len(r.dirty) > 0 {
 		batch := slices.Sorted(maps.Keys(r.dirty))
--- a/decide/roster/golden_test.go
+++ b/decide/roster/golden_test.go
@@ -24,16 +24,16 @@
 // noteKinds numbers the texts of log lines, which may change while what they speak of
 // does not.
 var noteKinds = []string{
-	"source withdrawn: ",
-	"source vanished; its engines are checked and held",
-	"hold over: the doubted view is taken, engines that answer are kept",
-	"listed no more for too long: gone",
-	"source in doubt: its last good view is held",
-	"source believed again",
-	"last good view taken from disk",
-	"its entry may be one that made no sense: held",
-	"many engines lost at once without a mark: checked and held",
-	"lost from the list and does not answer: gone",
+	"source removed",
+	"source vanished, holding its engines",
+	"hold expired, doubted view applied",
+	"unlisted engine expired",
+	"source doubted, holding last good view",
+	"source trusted again",
+	"last good view restored",
+	"malformed entry, holding engine",
+	"mass loss without marks, holding engines",
+	"unlisted engine does not answer, removed",
 }
 
 func noteKind(t *testing.T, n Event) int {
@@ -55,7 +55,7 @@
 }
 
 // goldenView draws a view: mostly of the engines that are there, with faults of the
-// catalogue now and then.
+// catalog now and then.
 func goldenView(r *rand.Rand, index uint64) View {
 	v := View{Agent: "one", Index: index}
 	if r.IntN(12) == 0 {
@@ -103,7 +103,7 @@
 	return v
 }
 
-// writeOutcome words all that is to be seen of a book.
+// writeOutcome words all that is to be seen of a registry.
 func writeOutcome(t *testing.T, w io.Writer, reg *Registry) {
 	t.Helper()
 	for n, list := range [][]Engine{reg.Changes(), reg.Engines()} {
@@ -126,8 +126,8 @@
 	}
 }
 
-// playBook plays drawn events on a book and returns the hash of what came of them.
-func playBook(t *testing.T, seed uint64, steps int) uint64 {
+// playRegistry plays drawn events on a registry and returns the hash of what came of them.
+func playRegistry(t *testing.T, seed uint64, steps int) uint64 {
 	t.Helper()
 	r := rand.New(rand.NewPCG(seed, 45))
 	h := fnv.New64a()
@@ -198,14 +198,14 @@
 func TestGoldenDecisions(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			if got := playBook(t, seed, 3000); got != goldenDecisions[seed] {
+			if got := playRegistry(t, seed, 3000); got != goldenDecisions[seed] {
 				t.Errorf("%d: %#x, want %#x", seed, got, goldenDecisions[seed])
 			}
 		})
 	}
 }
 
-func TestGoldenServicesAndPeers(t *testing.T) {
+func TestGoldenServicesAndGatewayCount(t *testing.T) {
 	r := rand.New(rand.NewPCG(9, 45))
 	h := fnv.New64a()
 	s, p, now := NewServiceTracker(DefaultPolicy(), []string{"s0", "s9"}), NewGatewayCount(2, 10*time.Second), t0
--- a/decide/roster/locations.go
+++ b/decide/roster/locations.go
@@ -2,10 +2,11 @@
 
 import "cmp"
 
+// location is where an engine serves and in which role: two roles at one address are no rivals.
 type location struct{ addr, kind string }
 
-// relocate moves an engine in the index of addresses and has those that share the old
-// or the new one settled again.
+// relocate moves an engine in the index of locations and marks those that share the old or
+// the new location to be evaluated again.
 func (r *Registry) relocate(e *engine, to location) {
 	if e.location == to {
 		return
@@ -26,6 +27,7 @@
 	}
 }
 
+// markRivalsDirty has the other engines at a location evaluated again.
 func (r *Registry) markRivalsDirty(e *engine, p location) {
 	for id := range r.byLocation[p] {
 		if id != e.id {
@@ -34,9 +36,9 @@
 	}
 }
 
-// rival returns the engine that has come at another's address since, nil if none
-// has. A dead process leaves its entry behind; the process that listens now must
-// not be sent the share of two.
+// rival returns the engine that was registered later at the same location, nil if there is
+// none. A dead process leaves its entry behind; the process that listens there now must not
+// get the load of two engines.
 func (r *Registry) rival(e *engine) *engine {
 	var best *engine
 	for _, other := range r.byLocation[e.location] {
--- a/decide/roster/probes.go
+++ b/decide/roster/probes.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// ObserveProbe notes how a direct check of an engine at an address went, or an attempt
-// whose connection told as much.
+// ObserveProbe takes the result of a direct probe of an engine at an address, or of an
+// attempt's connection there.
 func (r *Registry) ObserveProbe(now time.Time, id, addr string, p ProbeResult) {
 	e := r.engines[id]
-	if e == nil || e.location.addr != addr { // it has moved since the check began, or is elsewhere by a doubted view
+	if e == nil || e.location.addr != addr { // it has moved since the probe began, or only a doubted view has it there
 		r.admitFromDoubted(now, id, addr, p)
 		r.evaluateDirty(now)
 		return
@@ -33,7 +33,7 @@
 	}
 	for src, l := range e.listings {
 		if l.isMissing() && r.provenDead(now, e) {
-			r.emit(Event{Source: src.String(), Engine: id, Message: "lost from the list and does not answer: gone", Engines: 1})
+			r.emit(Event{Source: src.String(), Engine: id, Message: "unlisted engine does not answer, removed", Engines: 1})
 			r.removeListing(r.sources[src], id)
 		}
 	}
@@ -41,15 +41,14 @@
 	r.evaluateDirty(now)
 }
 
-// provenDead tells whether checks alone prove that an engine cannot serve. Silence counts
-// only while another engine of its kind answers: else it may be the gateway that is
-// cut off.
+// provenDead reports whether probes alone prove that an engine can't serve. Silence counts
+// only while another engine of its kind answers: else the gateway may be cut off.
 func (r *Registry) provenDead(now time.Time, e *engine) bool {
 	return e.refusals >= minRefusals || e.unanswered >= minUnanswered && r.anotherAnswers(now, e)
 }
 
-// anotherAnswers tells whether another engine of the same kind that takes work has
-// answered a check of late, and so the gateway is not cut off.
+// anotherAnswers reports whether another engine of the same kind in service has answered a
+// probe of late, so that the gateway is not cut off.
 func (r *Registry) anotherAnswers(now time.Time, e *engine) bool {
 	for id, at := range r.answered[e.location.kind] {
 		if other := r.engines[id]; other == nil || now.Sub(at) > 2*r.policy.ProbeInterval {
@@ -61,8 +60,8 @@
 	return false
 }
 
-// admitFromDoubted takes in an engine that only a doubted view names, or names at another
-// address while nobody listens at the one that is held, once it answers.
+// admitFromDoubted admits an engine that answers and that only a doubted view lists, or lists
+// at another address while nothing listens at the held one.
 func (r *Registry) admitFromDoubted(now time.Time, id, addr string, p ProbeResult) {
 	if p != Answered {
 		return
@@ -82,26 +81,26 @@
 	}
 }
 
-// movedFromRefusing tells whether an entry names another address for an engine that refuses
-// connections where it is held to be.
+// movedFromRefusing reports whether an entry has another address for an engine that refuses
+// connections at its present one.
 func (r *Registry) movedFromRefusing(e Entry) bool {
 	known := r.engines[e.ID]
 	return known != nil && known.location.addr != e.Addr && known.refusals >= minRefusals
 }
 
-// Probe names an engine to be checked directly.
+// Probe names an engine to probe.
 type Probe struct{ ID, Addr string }
 
-// DueProbes returns which engines are to be checked now, those in question first: the
-// lost, the critical, the newcomers of a doubted view; then, more seldom, all of a
-// source that is doubted. At most that many are returned; the others come next time.
-func (r *Registry) DueProbes(now time.Time, most int) []Probe {
-	var soon, later []*engine
+// DueProbes returns the engines to probe now, at most limit of them, those in question first:
+// engines that only a doubted view lists, missing and critical ones; then, at a longer
+// interval, all engines of doubted sources. The rest is due at the next call.
+func (r *Registry) DueProbes(now time.Time, limit int) []Probe {
+	var urgent, routine []*engine
 	var probes []Probe
 	for _, s := range r.sources {
 		if s.doubtedView != nil {
 			for _, e := range s.doubtedView.Entries {
-				if (s.listings[e.ID] == nil && r.engines[e.ID] == nil || r.movedFromRefusing(e)) && len(probes) < most {
+				if (s.listings[e.ID] == nil && r.engines[e.ID] == nil || r.movedFromRefusing(e)) && len(probes) < limit {
 					probes = append(probes, Probe{e.ID, e.Addr})
 				}
 			}
@@ -111,18 +110,18 @@
 		if since := now.Sub(e.probedAt); since < r.policy.UrgentProbeInterval {
 			continue
 		} else if r.inQuestion(e) {
-			soon = append(soon, e)
+			urgent = append(urgent, e)
 		} else if since >= r.policy.ProbeInterval && r.allSourcesDoubted(e) {
-			later = append(later, e)
+			routine = append(routine, e)
 		}
 	}
-	longest := func(x, y *engine) int {
+	leastRecent := func(x, y *engine) int {
 		return cmp.Or(x.probedAt.Compare(y.probedAt), cmp.Compare(x.id, y.id))
 	}
-	slices.SortFunc(soon, longest)
-	slices.SortFunc(later, longest)
-	for _, e := range slices.Concat(soon, later) {
-		if len(probes) >= most {
+	slices.SortFunc(urgent, leastRecent)
+	slices.SortFunc(routine, leastRecent)
+	for _, e := range slices.Concat(urgent, routine) {
+		if len(probes) >= limit {
 			break
 		}
 		e.probedAt = now
@@ -131,6 +130,7 @@
 	return probes
 }
 
+// inQuestion reports whether an engine may be gone or back, so that probes decide.
 func (r *Registry) inQuestion(e *engine) bool {
 	if e.published.State == OutOfService || e.published.State == Suspect || e.published.Confidence == Restored {
 		return true
@@ -143,6 +143,7 @@
 	return false
 }
 
+// allSourcesDoubted reports whether no source of an engine is trusted.
 func (r *Registry) allSourcesDoubted(e *engine) bool {
 	for src := range e.listings {
 		if r.sources[src].doubt == Trusted {
--- a/decide/roster/property_test.go
+++ b/decide/roster/property_test.go
@@ -53,7 +53,7 @@
 				reg.ObserveFailure(now, llm, rapid.SampledFrom([]Reason{Unreadable, Unreachable}).Draw(t, "reason"))
 			case 1:
 				id := rapid.IntRange(0, 5).Draw(t, "id")
-				reg.ObserveProbe(now, fmt.Sprint("e", id), fmt.Sprint("at", id), rapid.SampledFrom([]ProbeResult{Answered, Refused, NoAnswer}).Draw(t, "pulse"))
+				reg.ObserveProbe(now, fmt.Sprint("e", id), fmt.Sprint("at", id), rapid.SampledFrom([]ProbeResult{Answered, Refused, NoAnswer}).Draw(t, "probe result"))
 			case 2:
 				reg.Tick(now)
 			}
@@ -65,7 +65,7 @@
 }
 
 // From the moment a mark is seen, in whatever state its source is, its engine gets
-// no new work until a believed view of that source, or one whose hold is over, is
+// no new work until a trusted view of that source, or one whose hold is over, is
 // without the mark.
 func TestNoWorkAfterDrainMark(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -99,7 +99,7 @@
 				reg.ObserveFailure(now, src, Unreachable)
 			case 4:
 				id := rapid.IntRange(0, 5).Draw(t, "id")
-				reg.ObserveProbe(now, fmt.Sprint("e", id), fmt.Sprint("at", id), rapid.SampledFrom([]ProbeResult{Answered, Refused, NoAnswer}).Draw(t, "pulse"))
+				reg.ObserveProbe(now, fmt.Sprint("e", id), fmt.Sprint("at", id), rapid.SampledFrom([]ProbeResult{Answered, Refused, NoAnswer}).Draw(t, "probe result"))
 			case 5:
 				for src, s := range reg.sources {
 					if s.doubtedView != nil && now.Sub(s.doubtedViewSince) >= p.HoldTime {
--- a/decide/roster/registry.go
+++ b/decide/roster/registry.go
@@ -2,68 +2,68 @@
 
 import "time"
 
-// Registry holds what all sources have said and what is made of it. It is not safe for
-// concurrent use. Each call costs time in proportion to the entries it names, not
-// to all that are known.
+// Registry holds the listings of all sources and the engines reconciled from them. It is
+// not safe for concurrent use. Each call costs time in proportion to the entries it
+// concerns, not to all that are known.
 type Registry struct {
 	policy     Policy
 	sources    map[Source]*sourceState
 	engines    map[string]*engine
-	byLocation map[location]map[string]*engine // who is said to be where
-	dirty      map[string]*engine
+	byLocation map[location]map[string]*engine // engines by address and kind, then by id
+	dirty      map[string]*engine              // to be evaluated before the call returns
 	changes    []Engine
 	events     []Event
 	overrides  map[string]Override
-	losses     []time.Time                     // of engines of any source that were lost without a mark
-	answered   map[string]map[string]time.Time // by kind and id: engines whose latest check was answered
+	losses     []time.Time                     // times of unmarked losses, over all sources
+	answered   map[string]map[string]time.Time // by kind and id: when an engine answered its latest probe
 }
 
-// sourceState is what one source has said.
+// sourceState is the state of one source.
 type sourceState struct {
 	id               Source
-	atStart          bool // its first list tells nothing of when engines started
-	observed         bool // a view of it has been taken
+	atStart          bool // known since the gateway started: its first list says nothing of starts
+	observed         bool // a view of it has been applied
 	index            uint64
 	listings         map[string]*listing
-	losses           []time.Time // of engines that were lost without a mark
-	missingCount     int         // listings that are held though they are listed no more
-	vanished         bool        // nothing names it any more: it ends with its last listing
+	losses           []time.Time // times of unmarked losses
+	missingCount     int         // listings held though no longer listed
+	vanished         bool        // no longer in the catalog: removed with its last listing
 	doubt            Reason
-	doubtedSince     time.Time // of the doubt
-	doubtedView      *View     // the latest doubted view, to be taken when trialAt + Hold has come
+	doubtedSince     time.Time // zero while trusted
+	doubtedView      *View     // the latest doubted view, applied once Policy.HoldTime has passed
 	doubtedViewSince time.Time
-	rebased          bool // the next view may come from another time line: its registrations are no news
+	rebased          bool // the next view may be of another catalog history: new registration indexes prove no restart
 	lastTrusted      time.Time
 }
 
-// listing is what one source says of one engine.
+// listing is the entry of one source for one engine.
 type listing struct {
 	Entry
-	firstListed     time.Time // first listed here; zero if it was there on a first list
-	lastSeen        time.Time // last listed in a view that was trusted
-	missingSince    time.Time // not listed since, though it may be alive; zero if it is listed
-	questionedSince time.Time // a doubted view has not listed it since: it is to be checked
-	restored        bool      // known from disk alone
-	malformed       bool      // its latest entry made no sense
+	firstListed     time.Time // zero if it was on the source's first list
+	lastSeen        time.Time // in a trusted view
+	missingSince    time.Time // no longer listed, but held since then; zero if it is listed
+	questionedSince time.Time // absent from doubted views since then, so it is probed; zero if it is not
+	restored        bool      // known from the last good view's file alone
+	malformed       bool      // its latest entry was malformed
 }
 
-// engine is what the registry makes of the listings of one id.
+// engine is one engine id, reconciled from its listings.
 type engine struct {
 	id          string
 	listings    map[Source]*listing
-	primary     *listing  // whose address counts
-	primaryRank [2]uint64 // of best, as its rivals know it
+	primary     *listing  // the listing with precedence
+	primaryRank [2]uint64 // its indexes when rivals were last evaluated
 	location    location
 	published   Engine
-	isPublished bool      // told holds what the module knows
-	restartedAt time.Time // when it was last held to have started anew
-	roleSince   time.Time // when it took its present role, as far as that was seen
-	downSince   time.Time // since when it has been critical
-	answeredAt  time.Time
-	refusedAt   time.Time // the last one
-	refusals    int       // in a row
-	unanswered  int
-	probedAt    time.Time // last asked for by Wanted
+	isPublished bool      // whether published holds anything
+	restartedAt time.Time // its last start, as inferred
+	roleSince   time.Time // when its role was seen to change
+	downSince   time.Time // since when it has been out of service or suspect
+	answeredAt  time.Time // its latest probe that was answered
+	refusedAt   time.Time // its latest connection that was refused
+	refusals    int       // consecutive
+	unanswered  int       // consecutive
+	probedAt    time.Time // last returned by DueProbes
 }
 
 // New returns an empty registry.
@@ -74,7 +74,7 @@
 	}
 }
 
-// lastSeen is when a trusted view last had a listing.
+// lastSeen is when a trusted view last contained a listing.
 func (s *sourceState) lastSeen(l *listing) time.Time {
 	if l.missingSince.IsZero() && !l.malformed && !l.restored && s.lastTrusted.After(l.lastSeen) {
 		return s.lastTrusted
@@ -82,10 +82,10 @@
 	return l.lastSeen
 }
 
-// isMissing tells whether a listing is not on the latest list, trusted or not.
+// isMissing reports whether a listing is absent from the latest view, trusted or doubted.
 func (l *listing) isMissing() bool { return !l.missingSince.IsZero() || !l.questionedSince.IsZero() }
 
-// Override replaces all overrides by those given, by id.
+// Override replaces all overrides by those given, by engine id.
 func (r *Registry) Override(now time.Time, over map[string]Override) {
 	for id := range r.overrides {
 		r.markDirty(id)
@@ -97,8 +97,9 @@
 	r.evaluateDirty(now)
 }
 
-func (r *Registry) emit(n Event) { r.events = append(r.events, n) }
+func (r *Registry) emit(e Event) { r.events = append(r.events, e) }
 
+// markDirty has an engine evaluated again before the call returns.
 func (r *Registry) markDirty(id string) {
 	if e := r.engines[id]; e != nil {
 		r.dirty[id] = e
--- a/decide/roster/reports.go
+++ b/decide/roster/reports.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Changes returns what is to be told of since the last call, in order of id.
+// Changes returns the engines to publish since the last call, in order of id.
 func (r *Registry) Changes() []Engine {
 	out := r.changes
 	r.changes = nil
@@ -14,14 +14,14 @@
 	return out
 }
 
-// Events returns what is to be logged since the last call.
+// Events returns the decisions to log since the last call.
 func (r *Registry) Events() []Event {
 	out := r.events
 	r.events = nil
 	return out
 }
 
-// Engines returns every engine that is known, in order of id.
+// Engines returns all engines, in order of id.
 func (r *Registry) Engines() []Engine {
 	out := make([]Engine, 0, len(r.engines))
 	for _, e := range r.engines {
@@ -41,7 +41,7 @@
 type SourceStatus struct {
 	Source       string
 	Doubt        Reason
-	DoubtedSince time.Time // of the doubt
+	DoubtedSince time.Time // zero while trusted
 	LastTrusted  time.Time // when a view was last trusted
 	Index        uint64
 	Engines      int
--- a/decide/roster/rules_test.go
+++ b/decide/roster/rules_test.go
@@ -46,7 +46,7 @@
 	return v
 }
 
-// say words what a book makes of its engines: "a b! (c)", with * for one that is
+// say words the engines of a registry: "a b! (c)", with * for one that is
 // cold since its latest start, / for one that is held.
 func say(reg *Registry, now time.Time) string {
 	var words []string
@@ -63,7 +63,7 @@
 	return strings.Join(words, " ")
 }
 
-// step is one thing that happens to a book, and what is made of it after.
+// step is one thing that happens to a registry, and its engines after it.
 type step struct {
 	after time.Duration
 	do    func(reg *Registry, now time.Time)
@@ -74,7 +74,7 @@
 	return func(reg *Registry, now time.Time) { reg.Observe(now, llm, list(index, text)) }
 }
 
-func doubtful(index uint64, text string, change func(*View)) func(*Registry, time.Time) {
+func doubted(index uint64, text string, change func(*View)) func(*Registry, time.Time) {
 	return func(reg *Registry, now time.Time) {
 		v := list(index, text)
 		change(&v)
@@ -89,7 +89,7 @@
 	return func(reg *Registry, now time.Time) { reg.ObserveFailure(now, llm, r) }
 }
 
-func pulses(p ProbeResult, n int, ids string) func(*Registry, time.Time) {
+func probed(p ProbeResult, n int, ids string) func(*Registry, time.Time) {
 	return func(reg *Registry, now time.Time) {
 		for range n {
 			for id := range strings.FieldsSeq(ids) {
@@ -112,8 +112,8 @@
 		"one that is deregistered is gone": {
 			{0, view(1, "a b c"), "a b c"}, {s, view(2, "a b"), "a b"}, {9 * s, view(3, "a"), "a"}, {9 * s, view(4, ""), ""}},
 		"many lost at once are held while they answer": {
-			{0, view(1, "a b c"), "a b c"}, {s, view(2, ""), "a/ b/ c/"}, {s, pulses(Answered, 3, "a b"), "a/ b/ c/"},
-			{s, pulses(Refused, 2, "c"), "a/ b/"}, {s, view(3, "a b c"), "a b c*"}, {s, view(4, ""), "a/ b/ c/*"},
+			{0, view(1, "a b c"), "a b c"}, {s, view(2, ""), "a/ b/ c/"}, {s, probed(Answered, 3, "a b"), "a/ b/ c/"},
+			{s, probed(Refused, 2, "c"), "a/ b/"}, {s, view(3, "a b c"), "a b c*"}, {s, view(4, ""), "a/ b/ c/*"},
 			{16 * 60 * s, tick, ""}},
 		"losses one after the other are as many": {
 			{0, view(1, "a b c"), "a b c"}, {s, view(2, "a b"), "a b"}, {s, view(3, "a"), "a b/"}, {s, view(4, ""), "a/ b/"}},
@@ -126,42 +126,42 @@
 		"those marked before may be lost in any number": {
 			{0, view(1, "a! b! c~ d"), "a! b! c~ d"}, {s, view(2, "d"), "d"}},
 		"an empty list at a lower index is held, then decided by who answers": {
-			{0, view(100, "a b c"), "a b c"}, {s, view(3, ""), "a/ b/ c/"}, {s, pulses(Answered, 1, "a b c"), "a/ b/ c/"},
-			{31 * s, tick, "a/ b/ c/"}, {s, pulses(Refused, 2, "b"), "a/ c/"}, {s, view(4, "a@7 c@8"), "a c"}},
-		"marks count in a view that is not believed, lifts do not": {
+			{0, view(100, "a b c"), "a b c"}, {s, view(3, ""), "a/ b/ c/"}, {s, probed(Answered, 1, "a b c"), "a/ b/ c/"},
+			{31 * s, tick, "a/ b/ c/"}, {s, probed(Refused, 2, "b"), "a/ c/"}, {s, view(4, "a@7 c@8"), "a c"}},
+		"marks count in a view that is not trusted, lifts do not": {
 			{0, view(100, "a b~"), "a b~"}, {s, view(3, "a! b"), "a!/ b~/"}, {31 * s, tick, "a! b"}},
 		"a lagging server lifts nothing, adds marks, and one in time puts it right": {
-			{0, view(100, "a b!"), "a b!"}, {s, doubtful(90, "a~ b", lagging), "a~/ b!/"}, {s, view(100, "a b!"), "a b!"}},
+			{0, view(100, "a b!"), "a b!"}, {s, doubted(90, "a~ b", lagging), "a~/ b!/"}, {s, view(100, "a b!"), "a b!"}},
 		"no leader holds what is known": {
-			{0, view(100, "a b"), "a b"}, {s, doubtful(100, "", leaderless), "a/ b/"}, {31 * s, tick, "a/ b/"}, {s, view(101, "a b"), "a b"}},
-		"with nothing known a doubtful view is the best there is": {
-			{0, doubtful(9, "a b~", leaderless), "a/ b~/"}, {s, view(10, "a b"), "a b"}},
+			{0, view(100, "a b"), "a b"}, {s, doubted(100, "", leaderless), "a/ b/"}, {31 * s, tick, "a/ b/"}, {s, view(101, "a b"), "a b"}},
+		"with nothing known a doubted view is the best there is": {
+			{0, doubted(9, "a b~", leaderless), "a/ b~/"}, {s, view(10, "a b"), "a b"}},
 		"what cannot be read removes nobody": {
 			{0, view(1, "a b"), "a b"}, {s, fail(Unreadable), "a/ b/"}, {3600 * s, tick, "a/ b/"}},
 		"a mark beside an entry that makes no sense": {
 			{0, view(1, "a b c"), "a b c"}, {s, view(2, "a! ?b c"), "a! b/ c"}, {s, view(3, "?"), "a!/ b/ c/"}, {s, view(4, "a! c"), "a! c"}},
 		"a mark in an entry that otherwise makes no sense": {
-			{0, view(1, "a b c"), "a b c"}, {s, view(2, "a ?b! c"), "a b!/ c"}, {s, doubtful(1, "a ?c!", lagging), "a/ b!/ c!/"}},
+			{0, view(1, "a b c"), "a b c"}, {s, view(2, "a ?b! c"), "a b!/ c"}, {s, doubted(1, "a ?c!", lagging), "a/ b!/ c!/"}},
 		"refusals take an engine out of a silent source only after the hold, and never the last": {
-			{0, view(1, "a b"), "a b"}, {s, fail(Unreachable), "a/ b/"}, {s, pulses(Answered, 1, "a"), "a/ b/"}, {s, pulses(Refused, 2, "b"), "a/ b/"},
-			{30 * s, pulses(Answered, 1, "a"), "a/ b/"}, {0, tick, "a/ b?/"}, {s, pulses(Refused, 5, "a"), "a/ b?/"}, {s, pulses(Answered, 1, "b"), "a/ b/*"}},
+			{0, view(1, "a b"), "a b"}, {s, fail(Unreachable), "a/ b/"}, {s, probed(Answered, 1, "a"), "a/ b/"}, {s, probed(Refused, 2, "b"), "a/ b/"},
+			{30 * s, probed(Answered, 1, "a"), "a/ b/"}, {0, tick, "a/ b?/"}, {s, probed(Refused, 5, "a"), "a/ b?/"}, {s, probed(Answered, 1, "b"), "a/ b/*"}},
 		"silence of all proves nothing": {
-			{0, view(1, "a b c"), "a b c"}, {s, view(2, ""), "a/ b/ c/"}, {s, pulses(NoAnswer, 9, "a b c"), "a/ b/ c/"},
-			{s, pulses(Answered, 1, "a"), "a/ b/ c/"}, {s, pulses(NoAnswer, 4, "b"), "a/ c/"}},
+			{0, view(1, "a b c"), "a b c"}, {s, view(2, ""), "a/ b/ c/"}, {s, probed(NoAnswer, 9, "a b c"), "a/ b/ c/"},
+			{s, probed(Answered, 1, "a"), "a/ b/ c/"}, {s, probed(NoAnswer, 4, "b"), "a/ c/"}},
 		"all flap and none refuses: nobody is cold": {
-			{0, view(1, "a b"), "a b"}, {s, view(2, "a! b!"), "a! b!"}, {s, pulses(Answered, 2, "a b"), "a! b!"}, {4 * s, view(3, "a b"), "a b"}},
+			{0, view(1, "a b"), "a b"}, {s, view(2, "a! b!"), "a! b!"}, {s, probed(Answered, 2, "a b"), "a! b!"}, {4 * s, view(3, "a b"), "a b"}},
 		"a flap too short for any check is no restart": {
 			{0, view(1, "a"), "a"}, {s, view(2, "a!"), "a!"}, {s / 2, view(3, "a"), "a"}},
 		"one that refused while it was critical has restarted": {
-			{0, view(1, "a b"), "a b"}, {s, view(2, "a! b"), "a! b"}, {s, pulses(Answered, 1, "a"), "a! b"}, {s, pulses(Refused, 1, "a"), "a! b"},
-			{s, pulses(Answered, 1, "a"), "a! b"}, {s, view(3, "a b"), "a* b"}},
+			{0, view(1, "a b"), "a b"}, {s, view(2, "a! b"), "a! b"}, {s, probed(Answered, 1, "a"), "a! b"}, {s, probed(Refused, 1, "a"), "a! b"},
+			{s, probed(Answered, 1, "a"), "a! b"}, {s, view(3, "a b"), "a* b"}},
 		"one whose refusals came before its mark has restarted": {
-			{0, view(1, "a b"), "a b"}, {s, pulses(Refused, 2, "a"), "a b"}, {s, view(2, "a! b"), "a! b"}, {s / 2, view(3, "a b"), "a* b"}},
+			{0, view(1, "a b"), "a b"}, {s, probed(Refused, 2, "a"), "a b"}, {s, view(2, "a! b"), "a! b"}, {s / 2, view(3, "a b"), "a* b"}},
 		"one that was critical for long and never answered counts as restarted": {
-			{0, view(1, "a"), "a"}, {s, view(2, "a!"), "a!"}, {5 * s, pulses(NoAnswer, 4, "a"), "a!"}, {s, view(3, "a"), "a*"}},
+			{0, view(1, "a"), "a"}, {s, view(2, "a!"), "a!"}, {5 * s, probed(NoAnswer, 4, "a"), "a!"}, {s, view(3, "a"), "a*"}},
 		"a registration anew is a restart": {
 			{0, view(1, "a b"), "a b"}, {s, view(2, "a@2 b"), "a* b"}},
-		"registrations of a restored catalogue are no restarts": {
+		"registrations of a restored catalog are no restarts": {
 			{0, view(100, "a b"), "a b"}, {s, view(3, "a@2 b@3"), "a/ b/"}, {31 * s, tick, "a b"}, {s, view(4, "a@2 b@3"), "a b"}},
 		"an engine at another address is another process": {
 			{0, view(1, "a b"), "a b"}, {s, view(2, "a:x b"), "a* b"}},
@@ -170,18 +170,18 @@
 		"an id that takes the address of another by a later change": {
 			{0, view(1, "a:x b:y"), "a b"}, {s, view(2, "a:x b:x@5"), "a- b*"}, {20 * s, view(3, "a:x b:y@5"), "a b*"}},
 		"a newcomer of a doubted view comes in once it answers": {
-			{0, view(100, "a"), "a"}, {s, view(3, "a b"), "a/"}, {s, pulses(Answered, 1, "b"), "a/ b/*"}},
+			{0, view(100, "a"), "a"}, {s, view(3, "a b"), "a/"}, {s, probed(Answered, 1, "b"), "a/ b/*"}},
 		"an engine that a doubted view has elsewhere moves once nobody listens where it was": {
 			{0, view(100, "a b"), "a b"}, {s, view(3, "a:x b~"), "a/ b~/"},
 			{s, func(reg *Registry, now time.Time) { reg.ObserveProbe(now, "a", "x", Answered) }, "a/ b~/"},
-			{s, pulses(Refused, 2, "a"), "a/ b~/"},
+			{s, probed(Refused, 2, "a"), "a/ b~/"},
 			{s, func(reg *Registry, now time.Time) { reg.ObserveProbe(now, "a", "x", Answered) }, "a/* b~/"}},
 		"a source that nobody took away": {
-			{0, view(1, "a b!"), "a b!"}, {s, func(reg *Registry, now time.Time) { reg.SourceVanished(now, llm) }, "a/"}, {s, pulses(Refused, 2, "a"), ""}},
+			{0, view(1, "a b!"), "a b!"}, {s, func(reg *Registry, now time.Time) { reg.SourceVanished(now, llm) }, "a/"}, {s, probed(Refused, 2, "a"), ""}},
 		"a tag taken away during a drain, and given back": {
 			{0, view(1, "a~ b"), "a~ b"}, {s, func(reg *Registry, now time.Time) { reg.RemoveSource(now, llm, "tag") }, ""},
-			{s, func(reg *Registry, now time.Time) { reg.AddSource(llm, false) }, ""}, {s, view(5, "a~ b"), "a~* b*"}},
-		"another catalogue": {
+			{s, func(reg *Registry, _ time.Time) { reg.AddSource(llm, false) }, ""}, {s, view(5, "a~ b"), "a~* b*"}},
+		"another catalog": {
 			{0, view(100, "a b c"), "a b c"}, {s, func(reg *Registry, _ time.Time) { reg.ResetIndex(llm) }, "a b c"}, {s, view(3, "a@4 b@5 c@6"), "a b c"}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -279,8 +279,8 @@
 	}
 }
 
-// A gateway that starts while the catalogue is away serves from disk, marks
-// honoured, and believes what then comes.
+// A gateway that starts while the catalog is away serves from disk, marks
+// honoured, and trusts what then comes.
 func TestRestore(t *testing.T) {
 	reg := New(DefaultPolicy())
 	reg.Observe(t0, llm, list(100, "a b! c d"))
@@ -298,18 +298,18 @@
 	}
 	reg.Observe(now, llm, list(102, "a b c d@9"))
 	if got := say(reg, now.Add(20*s)); got != "a b c d" {
-		t.Errorf("after a view that is believed: %q", got)
+		t.Errorf("after a view that is trusted: %q", got)
 	}
 	old := New(DefaultPolicy())
 	now = t0.Add(time.Hour)
 	old.Restore(now, kept, indexes)
 	old.Observe(now, llm, list(900, "x"))
 	if got := say(old, now); got != "x*" {
-		t.Errorf("entries of an hour ago outlive a view that is believed: %q", got)
+		t.Errorf("entries of an hour ago outlive a view that is trusted: %q", got)
 	}
 }
 
-func TestPeers(t *testing.T) {
+func TestGatewayCount(t *testing.T) {
 	p, now := NewGatewayCount(2, 10*s), t0
 	for i, c := range []struct {
 		after   time.Duration
@@ -327,7 +327,7 @@
 	}
 }
 
-func TestNotes(t *testing.T) {
+func TestEvents(t *testing.T) {
 	reg := New(DefaultPolicy())
 	reg.Observe(t0, llm, list(100, "a b c"))
 	reg.Observe(t0.Add(s), llm, list(3, ""))
@@ -342,7 +342,7 @@
 	}
 }
 
-func TestServices(t *testing.T) {
+func TestServiceTracker(t *testing.T) {
 	names := strings.Fields
 	v := NewServiceTracker(DefaultPolicy(), []string{"old"})
 	for i, c := range []struct {
@@ -369,7 +369,7 @@
 // BenchmarkObserve takes in a view of 15 engines of which one has flapped, among
 // 3,000 in 200 services.
 func BenchmarkObserve(b *testing.B) {
-	book := New(DefaultPolicy())
+	registry := New(DefaultPolicy())
 	var views [200][2]View
 	for svc := range views {
 		for turn := range 2 {
@@ -389,15 +389,15 @@
 		svc := n % len(views)
 		v := views[svc][n/len(views)%2]
 		v.Index = uint64(n + 1)
-		book.Observe(t0.Add(time.Duration(n)*time.Millisecond), Source{Catalogue, fmt.Sprint(svc)}, v)
+		registry.Observe(t0.Add(time.Duration(n)*time.Millisecond), Source{Catalogue, fmt.Sprint(svc)}, v)
 		if n%100 == 0 {
-			book.Changes()
+			registry.Changes()
 		}
 	}
 }
 
 // A change of role holds an engine, then makes it one of its new role, cold since then,
-// whatever its sources and its own start time say; when the catalogue says the same,
+// whatever its sources and its own start time say; when the catalog says the same,
 // nothing is lost.
 func TestOverrides(t *testing.T) {
 	reg := New(DefaultPolicy())
--- a/decide/roster/services.go
+++ b/decide/roster/services.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// ServiceTracker decides which services of a catalogue are followed, out of views of the
-// catalogue that may be as doubtful as those of engines. The zero value is not
-// usable; see NewServices.
+// ServiceTracker decides which services of a catalog are watched, from views of the catalog
+// that are doubted for the same reasons as those of engines. The zero value is not usable;
+// see NewServiceTracker.
 type ServiceTracker struct {
 	policy       Policy
 	index        uint64
 	known        map[string]bool
-	doubtedSince time.Time // since when views are doubted; zero if they are not
+	doubtedSince time.Time // zero while views are trusted
 }
 
-// NewServiceTracker returns a set that begins with the services named, such as those that
-// an older configuration or the last good view knew.
+// NewServiceTracker returns a tracker that starts with the services named, such as those of
+// the previous configuration or the last good view.
 func NewServiceTracker(p Policy, known []string) *ServiceTracker {
 	s := &ServiceTracker{policy: p, known: map[string]bool{}}
 	for _, name := range known {
@@ -26,38 +26,30 @@
 	return s
 }
 
-// ServiceChanges is what a view of the catalogue leads to, each in order of name.
+// ServiceChanges are the changes that a view of the catalog leads to, each in order of name.
 type ServiceChanges struct {
 	Doubt    Reason
-	Added    []string // services to follow from now on
-	Untagged []string // they are there without the tag: somebody took it away
-	Vanished []string // they are not there at all: perhaps a fault of the catalogue
+	Added    []string // to be watched from now on
+	Untagged []string // present without the tag: an operator took it away
+	Vanished []string // absent altogether: perhaps a fault of the catalog
 }
 
-// Observe takes a view in: which services carry the tag, and which do not. A
-// doubted view begins services and ends none until its hold is over.
+// Observe takes a view: which services carry the tag, and which do not. A doubted view adds
+// services at once and removes none until its hold has expired.
 func (s *ServiceTracker) Observe(now time.Time, v View, tagged, others []string) ServiceChanges {
-	var p ServiceChanges
-	switch {
-	case v.Leaderless:
-		p.Doubt = NoLeader
-	case v.Age > s.policy.MaxAge:
-		p.Doubt = Stale
-	case v.Index < s.index:
-		p.Doubt = IndexRegressed
-	}
+	changes := ServiceChanges{Doubt: v.reasonToDoubt(s.policy.MaxAge, s.index)}
 	for _, name := range tagged {
 		if !s.known[name] {
 			s.known[name] = true
-			p.Added = append(p.Added, name)
+			changes.Added = append(changes.Added, name)
 		}
 	}
-	if p.Doubt != Trusted {
+	if changes.Doubt != Trusted {
 		if s.doubtedSince.IsZero() {
 			s.doubtedSince = now
 		}
 		if now.Sub(s.doubtedSince) < s.policy.HoldTime {
-			return p
+			return changes
 		}
 	}
 	s.doubtedSince, s.index = time.Time{}, v.Index
@@ -67,10 +59,10 @@
 		}
 		delete(s.known, name)
 		if slices.Contains(others, name) {
-			p.Untagged = append(p.Untagged, name)
+			changes.Untagged = append(changes.Untagged, name)
 		} else {
-			p.Vanished = append(p.Vanished, name)
+			changes.Vanished = append(changes.Vanished, name)
 		}
 	}
-	return p
+	return changes
 }
--- a/decide/roster/snapshot.go
+++ b/decide/roster/snapshot.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// StoredEntry is an entry as it is kept on disk.
+// StoredEntry is an entry of the last good view's file; the field names are its keys.
 type StoredEntry struct {
 	Source Source
 	Entry  Entry
 	Born   time.Time // when it was first listed; zero if unknown
 	Seen   time.Time // when a trusted view last had it
-	Begun  time.Time // the start that was told; zero if long ago
+	Begun  time.Time // the start that was published; zero if long ago
 }
 
-// Snapshot returns the last good view, marks included, in order of source and id, and
-// the index that each source had reached.
+// Snapshot returns the last good view, marks included, in order of source and id, and the
+// index that each source has reached.
 func (r *Registry) Snapshot() (entries []StoredEntry, indexes map[Source]uint64) {
 	indexes = map[Source]uint64{}
 	for src, s := range r.sources {
@@ -28,13 +28,13 @@
 		}
 	}
 	slices.SortFunc(entries, func(x, y StoredEntry) int {
-		return cmp.Or(cmp.Compare(x.Source.Origin, y.Source.Origin), cmp.Compare(x.Source.Name, y.Source.Name), cmp.Compare(x.Entry.ID, y.Entry.ID))
+		return cmp.Or(compareSources(x.Source, y.Source), cmp.Compare(x.Entry.ID, y.Entry.ID))
 	})
 	return entries, indexes
 }
 
-// Restore takes the last good view from disk, before any source has spoken. Marks
-// hold; each source is in doubt until it speaks, so its engines are checked.
+// Restore applies the last good view, before any source is observed. Marks take effect; each
+// source is doubted until it is observed, so its engines are probed.
 func (r *Registry) Restore(now time.Time, entries []StoredEntry, indexes map[Source]uint64) {
 	for _, k := range entries {
 		r.AddSource(k.Source, true)
@@ -52,7 +52,7 @@
 		}
 	}
 	if len(entries) > 0 {
-		r.emit(Event{Message: "last good view taken from disk", Reason: FromDisk, Engines: len(entries)})
+		r.emit(Event{Message: "last good view restored", Reason: FromDisk, Engines: len(entries)})
 	}
 	r.evaluateDirty(now)
 }
--- a/decide/roster/sources.go
+++ b/decide/roster/sources.go
@@ -7,55 +7,61 @@
 	"time"
 )
 
-// AddSource makes a source known before it speaks. atStart says that the gateway has
-// just begun: engines on its first list may have run for long. Those on the first
-// list of a source that joins later count as started when they were seen.
+// AddSource adds a source before its first view. atStart says that the gateway has just
+// started: engines on the first list may have run for long. Those on the first list of a
+// source added later count as started when they were first seen.
 func (r *Registry) AddSource(src Source, atStart bool) {
 	if r.sources[src] == nil {
 		r.sources[src] = &sourceState{id: src, atStart: atStart, listings: map[string]*listing{}}
 	}
 }
 
-// Observe takes a view in and returns why it is doubted, Trusted if it is not.
+// Observe applies a view, or what is safe to apply of a doubted one, and returns the reason
+// to doubt it.
 func (r *Registry) Observe(now time.Time, src Source, v View) Reason {
 	r.AddSource(src, true)
 	s := r.sources[src]
-	reason := r.reasonToDoubt(s, v)
-	if reason != Trusted && len(s.listings) > 0 {
+	reason := v.reasonToDoubt(r.policy.MaxAge, s.index)
+	switch {
+	case reason == Trusted:
+		r.apply(now, s, v, true)
+		r.markTrusted(now, s)
+	case len(s.listings) == 0: // with nothing known, a doubted view is the best there is
+		r.apply(now, s, v, false)
 		r.markDoubted(now, s, reason)
-		if s.doubtedView == nil {
-			s.doubtedViewSince = now
-		}
-		s.doubtedView = &v
-		s.rebased = s.rebased || reason == IndexRegressed
-		r.applyDoubted(now, s, v)
-	} else {
-		// With nothing known, a doubtful view is the best there is.
-		r.apply(now, s, v, reason == Trusted)
-		if reason != Trusted {
-			r.markDoubted(now, s, reason)
-		} else {
-			r.markTrusted(now, s)
-		}
+	default:
+		r.holdBack(now, s, v, reason)
 	}
 	r.evaluateDirty(now)
 	return reason
 }
 
-func (r *Registry) reasonToDoubt(s *sourceState, v View) Reason {
+// holdBack keeps a doubted view to be applied by Tick if no trusted one comes first.
+func (r *Registry) holdBack(now time.Time, s *sourceState, v View, reason Reason) {
+	r.markDoubted(now, s, reason)
+	if s.doubtedView == nil {
+		s.doubtedViewSince = now
+	}
+	s.doubtedView = &v
+	s.rebased = s.rebased || reason == IndexRegressed
+	r.applyDoubted(now, s, v)
+}
+
+// reasonToDoubt judges a view by its metadata, against the last index of its source.
+func (v View) reasonToDoubt(maxAge time.Duration, lastIndex uint64) Reason {
 	switch {
 	case v.Leaderless:
 		return NoLeader
-	case v.Age > r.policy.MaxAge:
+	case v.Age > maxAge:
 		return Stale
-	case v.Index < s.index:
+	case v.Index < lastIndex:
 		return IndexRegressed
 	}
 	return Trusted
 }
 
-// Confirm notes that a source has said again what it said last, and tells whether
-// that is enough: one that is in doubt has to be observed in full.
+// Confirm records that a source has repeated its last view and reports whether that
+// suffices: a view of a doubted source has to be observed in full.
 func (r *Registry) Confirm(now time.Time, src Source) bool {
 	s := r.sources[src]
 	if s == nil || s.doubt != Trusted || s.missingCount > 0 {
@@ -65,38 +71,40 @@
 	return true
 }
 
-// KnownSources returns the sources that have something listed or are expected to.
+// KnownSources returns the sources that have listings or were added, in order.
 func (r *Registry) KnownSources() []Source {
-	return slices.SortedFunc(maps.Keys(r.sources), func(x, y Source) int {
-		return cmp.Or(cmp.Compare(x.Origin, y.Origin), cmp.Compare(x.Name, y.Name))
-	})
+	return slices.SortedFunc(maps.Keys(r.sources), compareSources)
 }
 
-// ObserveFailure notes that a source gave nothing that could be read. What it last said is
-// held; nothing is ever removed for it.
+func compareSources(x, y Source) int {
+	return cmp.Or(cmp.Compare(x.Origin, y.Origin), cmp.Compare(x.Name, y.Name))
+}
+
+// ObserveFailure records that a source could not be read. Its last good view is held;
+// nothing is ever removed because of a failure.
 func (r *Registry) ObserveFailure(now time.Time, src Source, reason Reason) {
 	r.AddSource(src, true)
 	r.markDoubted(now, r.sources[src], reason)
 	r.evaluateDirty(now)
 }
 
-// ResetIndex has a source go on by another catalogue: its index is no longer to be
-// compared, nor are its registrations.
+// ResetIndex prepares a source for views of another catalog, whose index and registrations
+// can't be compared with those of the present one.
 func (r *Registry) ResetIndex(src Source) {
 	if s := r.sources[src]; s != nil {
 		s.index, s.rebased, s.doubtedView = 0, true, nil
 	}
 }
 
-// RemoveSource ends a source by an operator's will, such as a tag that was taken away:
-// the engines that no other source lists are gone at once.
-func (r *Registry) RemoveSource(now time.Time, src Source, why string) {
+// RemoveSource removes a source that an operator has withdrawn, such as by taking a tag
+// away. Engines that no other source lists are removed at once.
+func (r *Registry) RemoveSource(now time.Time, src Source, cause string) {
 	s := r.sources[src]
 	if s == nil {
 		return
 	}
 	if n := len(s.listings); n > 0 {
-		r.emit(Event{Source: src.String(), Message: "source withdrawn: " + why, Engines: n})
+		r.emit(Event{Source: src.String(), Message: "source removed", Cause: cause, Engines: n})
 	}
 	for id := range s.listings {
 		r.removeListing(s, id)
@@ -105,8 +113,8 @@
 	r.evaluateDirty(now)
 }
 
-// SourceVanished handles a source that is not named any more though nobody took it away:
-// its engines are held and checked, as after a loss of many at once.
+// SourceVanished handles a source that is missing from the catalog though no operator has
+// withdrawn it: its engines are held and probed, as after a mass loss.
 func (r *Registry) SourceVanished(now time.Time, src Source) {
 	s := r.sources[src]
 	if s == nil {
@@ -126,23 +134,17 @@
 		delete(r.sources, src)
 	}
 	if held > 0 {
-		r.emit(Event{Source: src.String(), Message: "source vanished; its engines are checked and held", Engines: held, Warn: true})
+		r.emit(Event{Source: src.String(), Message: "source vanished, holding its engines", Engines: held, Warn: true})
 	}
 	r.evaluateDirty(now)
 }
 
-// Tick lets time pass: a doubted view whose hold is over is taken, and an engine
-// that has long been listed no more is let go.
+// Tick applies doubted views whose hold has expired and removes engines whose time as
+// unlisted has expired.
 func (r *Registry) Tick(now time.Time) {
 	for _, s := range r.sources {
 		if s.doubtedView != nil && now.Sub(s.doubtedViewSince) >= r.policy.HoldTime {
-			v := *s.doubtedView
-			r.emit(Event{Source: s.id.String(), Message: "hold over: the doubted view is taken, engines that answer are kept", Reason: s.doubt, Engines: len(v.Entries), Warn: true})
-			r.apply(now, s, v, false)
-			s.index, s.doubtedView = v.Index, nil
-			if s.doubt == IndexRegressed {
-				r.markTrusted(now, s)
-			}
+			r.applyHeldBack(now, s)
 		}
 		if s.missingCount > 0 {
 			r.expireMissing(now, s)
@@ -162,12 +164,24 @@
 	r.evaluateDirty(now)
 }
 
+// applyHeldBack applies a doubted view for want of a trusted one. A regressed index is then
+// the new state of the catalog, and trusted; other doubts remain.
+func (r *Registry) applyHeldBack(now time.Time, s *sourceState) {
+	v := *s.doubtedView
+	r.emit(Event{Source: s.id.String(), Message: "hold expired, doubted view applied", Reason: s.doubt, Engines: len(v.Entries), Warn: true})
+	r.apply(now, s, v, false)
+	s.index, s.doubtedView = v.Index, nil
+	if s.doubt == IndexRegressed {
+		r.markTrusted(now, s)
+	}
+}
+
 func (r *Registry) markDoubted(now time.Time, s *sourceState, reason Reason) {
 	if s.doubt == Trusted {
 		s.doubtedSince = now
 	}
 	if s.doubt != reason {
-		r.emit(Event{Source: s.id.String(), Message: "source in doubt: its last good view is held", Reason: reason, Engines: len(s.listings), Warn: true})
+		r.emit(Event{Source: s.id.String(), Message: "source doubted, holding last good view", Reason: reason, Engines: len(s.listings), Warn: true})
 		s.doubt = reason
 		for id := range s.listings {
 			r.markDirty(id)
@@ -177,7 +191,7 @@
 
 func (r *Registry) markTrusted(now time.Time, s *sourceState) {
 	if s.doubt != Trusted {
-		r.emit(Event{Source: s.id.String(), Message: "source believed again", Reason: s.doubt, Engines: len(s.listings)})
+		r.emit(Event{Source: s.id.String(), Message: "source trusted again", Reason: s.doubt, Engines: len(s.listings)})
 		for id := range s.listings {
 			r.markDirty(id)
 		}
@@ -185,8 +199,8 @@
 	s.doubt, s.doubtedSince, s.lastTrusted, s.doubtedView = Trusted, time.Time{}, now, nil
 }
 
-// ReplaceSource takes a view in that is a person's own word, such as a file's: it is
-// trusted whatever it says, and who is missing is gone.
+// ReplaceSource applies a view that an operator has written, such as the file's: it is
+// always trusted, and engines missing from it are removed whatever their number.
 func (r *Registry) ReplaceSource(now time.Time, src Source, v View) {
 	r.AddSource(src, true)
 	s := r.sources[src]
--- a/decide/roster/types.go
+++ b/decide/roster/types.go
@@ -1,41 +1,40 @@
-// Package roster decides which engines there are out of what several sources say:
-// an operator's file, and services of a catalogue that may hang, lag, be restored
-// from an old snapshot or answer with what cannot be read.
+// Package roster reconciles the engine lists of several sources into one registry: an
+// operator's file, and services of a catalog that may hang, lag, be restored from an old
+// snapshot or answer with malformed entries.
 //
-// It does no I/O and reads no clock: what a source said, how a direct check of an
-// engine went and what time it is come in as arguments, and what the decision
-// module is to be told comes out as changes. docs/design/consul.md has the rule
-// for each case as a table; the names of its rows are those of the Reasons here.
+// It does no I/O and reads no clock: views of sources, results of direct health probes and
+// the time are arguments, and changes for the core are results. docs/design/consul.md has
+// the rule for each case as a table; the names of its rows are those of the Reasons here.
 package roster
 
 import "time"
 
-// Mark is what a source states against an engine. A mark holds from the moment it
-// is seen, whatever the state of the source that stated it; only a trusted view,
-// or the end of a hold, lifts it.
+// Mark is the health status that a source reports for an engine. A mark takes effect as
+// soon as it is seen, whether its source is trusted or doubted; only a trusted view, or the
+// end of a hold, clears it.
 type Mark uint8
 
-// The marks, worst last.
+// The marks, in order of severity.
 const (
 	Clear       Mark = iota
-	Maintenance      // an operator drains it
-	Critical         // a check fails
+	Maintenance      // drained by an operator
+	Critical         // a health check fails
 )
 
 func (m Mark) String() string { return [...]string{"clear", "maintenance", "critical"}[m] }
 
-// Entry is what one view says of one engine.
+// Entry is one engine in a view. Its field names are keys of the last good view's file.
 type Entry struct {
 	ID, Addr, Kind, Zone string
 	Cell                 int
 	Mark                 Mark
-	Started              time.Time // by the engine's own word; zero if it gives none
-	Registered           uint64    // index at which it was registered; 0 if not told
-	Index                uint64    // index at which it last changed; 0 if not told
+	Started              time.Time // as the engine reports it; zero if it does not
+	Registered           uint64    // catalog index of the registration; 0 if unknown
+	Index                uint64    // catalog index of the last change; 0 if unknown
 }
 
-// Origin ranks sources: of two that name different addresses for an engine the
-// higher one counts.
+// Origin is the precedence of a source: if two name different addresses for an engine, the
+// higher origin wins.
 type Origin uint8
 
 // The origins.
@@ -44,9 +43,9 @@
 	Catalogue
 )
 
-// Source names who says something: the file, or one service of the catalogue.
-// Agents are no sources of their own: they pass on what one catalogue holds, and
-// the index tells which of two is ahead.
+// Source identifies a list of engines: the file, or one service of the catalog. Agents are
+// not sources: they serve the same catalog, and the index tells which of two is ahead. Its
+// field names are keys of the last good view's file.
 type Source struct {
 	Origin Origin
 	Name   string
@@ -59,21 +58,21 @@
 	return "service " + s.Name
 }
 
-// View is the whole of what a source said at one time.
+// View is a complete list from one source at one time.
 type View struct {
 	Agent          string
 	Index          uint64        // X-Consul-Index; 0 where the source has none
-	Leaderless     bool          // the servers know no leader
-	Age            time.Duration // since the server that answered heard from the leader
+	Leaderless     bool          // the servers have no leader
+	Age            time.Duration // since the responding server was last in contact with the leader
 	Entries        []Entry
-	Malformed      []string        // ids of entries that made no sense; "" for one without an id
-	MalformedMarks map[string]Mark // marks that could be read of such entries, by id
+	Malformed      []string        // ids of malformed entries; "" for one without a readable id
+	MalformedMarks map[string]Mark // marks that could be read from malformed entries, by id
 }
 
-// Reason says why a source is not trusted, or why an engine is held or out.
+// Reason says why a source is doubted. The texts are shown to operators.
 type Reason string
 
-// The reasons for which a source is doubted.
+// The reasons to doubt a source; Trusted is none.
 const (
 	Trusted        Reason = ""
 	IndexRegressed Reason = "the index went backwards"
@@ -84,94 +83,95 @@
 	FromDisk       Reason = "last good view from disk"
 )
 
-// ProbeResult is how a direct check of an engine, or an attempt at it, went.
+// ProbeResult is the outcome of a direct health probe, or of an attempt's connection.
 type ProbeResult uint8
 
-// The pulses. Refused proves that no process listened; Unheard proves nothing.
+// The results. Refused proves that no process listened; NoAnswer proves nothing, since the
+// gateway itself may be cut off.
 const (
 	Answered ProbeResult = iota
 	Refused
 	NoAnswer
 )
 
-// State is what is made of an engine.
+// State is whether an engine takes work.
 type State uint8
 
-// The states. The decision module sends new work to engines that are In alone.
+// The states. Only engines in service get new requests.
 const (
 	InService    State = iota
-	Draining           // maintenance: it finishes what it has
-	OutOfService       // critical: it finishes what it can
-	Suspect            // its sources are long silent and it refuses connections
-	Removed            // told once; then it is forgotten
+	Draining           // maintenance: requests in flight finish
+	OutOfService       // critical: requests in flight finish if they can
+	Suspect            // its sources have been doubted for long and it refuses connections
+	Removed            // published once, then forgotten
 )
 
 func (s State) String() string {
 	return [...]string{"in", "draining", "critical", "suspect", "gone"}[s]
 }
 
-// Confidence says how sure the present entry of an engine is.
+// Confidence ranks the evidence for an engine's present entry.
 type Confidence uint8
 
 // The levels, best first.
 const (
-	Confirmed Confidence = iota // by a view that is trusted
-	Held                        // by the last good view; its source is in doubt
-	Unlisted                    // listed no more, but it answers
-	Restored                    // from disk, and not confirmed since
+	Confirmed Confidence = iota // by a trusted view
+	Held                        // by the last good view; its source is doubted
+	Unlisted                    // no longer listed, but it answers probes
+	Restored                    // from the last good view's file, not confirmed since
 )
 
 func (c Confidence) String() string {
 	return [...]string{"confirmed", "held", "unlisted", "restored"}[c]
 }
 
-// Engine is what the registry makes of an engine.
+// Engine is an engine as the registry publishes it.
 type Engine struct {
 	ID, Addr, Kind, Zone string
 	Cell                 int
 	State                State
-	Why                  string    // if it is not In, or why it is held
-	Started              time.Time // zero: long ago, as far as is known
-	LastSeen             time.Time // when a trusted view last had it
+	Why                  string    // why it is not in service, or why it is held
+	Started              time.Time // zero if it is not known to have started of late
+	LastSeen             time.Time // when a trusted view last listed it
 	Confidence           Confidence
-	ListedKind           string // the role that its sources state, whatever an override says
+	ListedKind           string // the role that its sources state, before overrides
 	Sources              []string
 }
 
-// Override is what is decided about an engine elsewhere and comes before what its
-// sources say: a change of its role that is under way.
+// Override takes precedence over what sources say of an engine while its role changes.
 type Override struct {
-	Hold    bool      // no new work
-	Kind    string    // its role; "" leaves it
-	Started time.Time // since when it has that role, and is cold
+	Hold    bool      // no new requests
+	Kind    string    // its role; "" for the listed one
+	Started time.Time // when it took that role, with cold caches
 	Why     string
 }
 
-// Event is a line for the log: something was decided that a person may ask about.
+// Event is a decision to be logged.
 type Event struct {
 	Source  string
-	Engine  string // "" if it speaks of many
+	Engine  string // "" if it concerns several
 	Message string
 	Reason  Reason
-	Engines int // how many it speaks of
+	Cause   string // the operator's action behind it, "" if there is none
+	Engines int    // how many it concerns
 	Warn    bool
 }
 
-// Policy holds the figures of the rules.
+// Policy holds the thresholds of the rules.
 type Policy struct {
-	HoldTime            time.Duration // a doubted view is held back for so long, then taken
-	MaxAge              time.Duration // a view whose server heard from the leader longer ago is doubted
-	MaxSourceLoss       float64       // a greater part of a source's engines lost at once is doubted
-	MaxTotalLoss        float64       // the same over all sources: which of them lost first then matters; 1 = off
-	LossWindow          time.Duration // losses within this count as at once
-	UnlistedTTL         time.Duration // an engine that answers is kept for so long after it was lost so
-	ConfirmationTTL     time.Duration // an entry that was confirmed longer ago is no reason to doubt a loss
-	FlapTime            time.Duration // a critical mark shorter than this is no restart unless refused
-	UrgentProbeInterval time.Duration // between checks of an engine whose place is in question
-	ProbeInterval       time.Duration // between checks of all others of a doubted source
+	HoldTime            time.Duration // a doubted view is held back for this long, then applied
+	MaxAge              time.Duration // a view whose server was last in contact with the leader longer ago is doubted
+	MaxSourceLoss       float64       // the loss of a greater share of a source's engines at once is doubted
+	MaxTotalLoss        float64       // the same over all sources, which makes results depend on their order; 1 turns it off
+	LossWindow          time.Duration // losses within this time count as simultaneous
+	UnlistedTTL         time.Duration // an engine lost so is kept for this long while it answers probes
+	ConfirmationTTL     time.Duration // the loss of an entry confirmed longer ago is not doubted
+	FlapTime            time.Duration // a shorter critical mark is no restart unless a connection was refused
+	UrgentProbeInterval time.Duration // between probes of an engine in question
+	ProbeInterval       time.Duration // between probes of the other engines of a doubted source
 }
 
-// DefaultPolicy returns the figures that an operator who gives none gets.
+// DefaultPolicy returns the thresholds that hold where the operator's file sets none.
 func DefaultPolicy() Policy {
 	return Policy{
 		HoldTime: 30 * time.Second, MaxAge: 10 * time.Second, MaxSourceLoss: 0.3, MaxTotalLoss: 0.3, LossWindow: 5 * time.Second,
@@ -180,8 +180,8 @@
 	}
 }
 
-// The counts that decide on an engine by checks alone.
+// Consecutive probe results that decide on an engine by themselves.
 const (
-	minRefusals   = 2 // in a row: no process is there
-	minUnanswered = 4 // in a row, while another engine answers: it cannot be reached
+	minRefusals   = 2 // no process listens there
+	minUnanswered = 4 // it cannot be reached, if another engine answers meanwhile
 )
--- a/internal/directory/keeper.go
+++ b/internal/directory/keeper.go
@@ -114,7 +114,7 @@
 		level = slog.LevelWarn
 	}
 	attrs := []any{"engines", n.Engines}
-	for _, a := range [][2]string{{"source", n.Source}, {"engine", n.Engine}, {"reason", string(n.Reason)}} {
+	for _, a := range [][2]string{{"source", n.Source}, {"engine", n.Engine}, {"reason", string(n.Reason)}, {"cause", n.Cause}} {
 		if a[1] != "" {
 			attrs = append(attrs, a[0], a[1])
 		}
