--- a/decide/watch/golden_test.go
+++ b/decide/watch/golden_test.go
@@ -21,10 +21,10 @@
 	h := fnv.New64a()
 	for seed := range uint64(20) {
 		r := rand.New(rand.NewPCG(seed, 45))
-		q, index := NewSubject(DefaultLimits()), uint64(5)
+		q, index := NewQuery(DefaultLimits()), uint64(5)
 		for range 1000 {
 			index += uint64(r.IntN(3))
-			a := Answer{Index: index, Sum: uint64(r.IntN(3)), Leader: r.IntN(8) > 0}
+			a := Response{Index: index, Checksum: uint64(r.IntN(3)), HasLeader: r.IntN(8) > 0}
 			if r.IntN(10) == 0 {
 				a.Index = uint64(r.IntN(int(index)))
 			}
@@ -38,10 +38,10 @@
 				fmt.Fprintf(h, "failed %q %v %d\n", string(v.Reason), v.Log, int64(v.Pause))
 				continue
 			}
-			news := q.Answered(a)
+			news := q.Responded(a)
 			fmt.Fprintln(h, "answered", news)
 			if r.IntN(6) > 0 {
-				fmt.Fprintln(h, "pause", int64(q.Taken(a, news || r.IntN(5) == 0, time.Duration(r.IntN(400))*time.Millisecond)))
+				fmt.Fprintln(h, "pause", int64(q.Processed(a, news || r.IntN(5) == 0, time.Duration(r.IntN(400))*time.Millisecond)))
 			}
 		}
 	}
@@ -58,11 +58,11 @@
 	for range 5000 {
 		switch name := names[r.IntN(3)]; r.IntN(3) {
 		case 0:
-			fmt.Fprintln(h, "lost", a.Lost(name))
+			fmt.Fprintln(h, "lost", a.MarkDown(name))
 		case 1:
-			fmt.Fprintln(h, "back", a.Back(name))
+			fmt.Fprintln(h, "back", a.MarkUp(name))
 		case 2:
-			name, other, ok := a.Pick()
+			name, other, ok := a.Select()
 			fmt.Fprintln(h, "pick", name, other, ok)
 		}
 	}
@@ -74,15 +74,15 @@
 func TestGoldenTurnsAndMarks(t *testing.T) {
 	h := fnv.New64a()
 	r := rand.New(rand.NewPCG(2, 45))
-	turns, m := NewTurns(16), NewMarks()
+	turns, m := NewPollingMode(16), NewCheckTracker()
 	for range 5000 {
-		fmt.Fprintln(h, "turns", turns.Count(r.IntN(40)), turns.On(), turns.Services(), int64(turns.Round()))
+		fmt.Fprintln(h, "turns", turns.SetServices(r.IntN(40)), turns.Polling(), turns.Services(), int64(turns.Interval()))
 		if r.IntN(3) == 0 {
 			var nodes []string
 			for range r.IntN(4) {
 				nodes = append(nodes, fmt.Sprint("n", r.IntN(5)))
 			}
-			m.Seen(fmt.Sprint("s", r.IntN(6)), nodes)
+			m.SetNodes(fmt.Sprint("s", r.IntN(6)), nodes)
 			continue
 		}
 		var failing []Check
@@ -94,7 +94,7 @@
 			}
 			failing = append(failing, c)
 		}
-		fmt.Fprintf(h, "wake %q\n", m.Take(failing))
+		fmt.Fprintf(h, "wake %q\n", m.Update(failing))
 	}
 	if got := h.Sum64(); got != goldenTurns {
 		t.Errorf("%#x, want %#x", got, uint64(goldenTurns))
@@ -105,8 +105,8 @@
 	h := fnv.New64a()
 	for grace := -time.Second; grace < 8*time.Second; grace += 37 * time.Millisecond {
 		for _, beat := range []time.Duration{0, time.Second, 2 * time.Second} {
-			p := PaceFor(grace, beat)
-			fmt.Fprintln(h, int64(p.Answer), int64(p.Silence), int64(p.First), int64(p.Most), p.Spread, int64(p.Worst()))
+			p := TimingFor(grace, beat)
+			fmt.Fprintln(h, int64(p.ResponseTimeout), int64(p.IdleTimeout), int64(p.InitialBackoff), int64(p.MaxBackoff), p.Jitter, int64(p.MaxDelay()))
 		}
 	}
 	if got := h.Sum64(); got != goldenPace {
--- a/decide/watch/pace_test.go
+++ b/decide/watch/timing_test.go
@@ -11,15 +11,15 @@
 func TestDrainSeenWithinGrace(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		grace := time.Duration(rapid.Int64Range(0, int64(10*time.Second)).Draw(t, "grace"))
-		p := PaceFor(grace, 2*time.Second)
+		p := TimingFor(grace, 2*time.Second)
 		limit := grace
 		if grace == 0 {
-			limit = graceUsual
+			limit = defaultGrace
 		}
-		if limit = max(limit, graceLeast); p.Worst() > limit*9/10 {
-			t.Errorf("grace %v: heard after %v at worst", grace, p.Worst())
+		if limit = max(limit, minGrace); p.MaxDelay() > limit*9/10 {
+			t.Errorf("grace %v: heard after %v at worst", grace, p.MaxDelay())
 		}
-		if p.Answer < 50*time.Millisecond || p.First < 50*time.Millisecond || p.First > p.Most || p.Silence < 2200*time.Millisecond {
+		if p.ResponseTimeout < 50*time.Millisecond || p.InitialBackoff < 50*time.Millisecond || p.InitialBackoff > p.MaxBackoff || p.IdleTimeout < 2200*time.Millisecond {
 			t.Errorf("grace %v: %+v", grace, p)
 		}
 	})
--- a/internal/consul/client.go
+++ b/internal/consul/client.go
@@ -233,7 +233,7 @@
 // down notes that an agent cannot be asked, and ends the queries that wait for it.
 func (c *Client) down(a *agent, cause error) {
 	c.mu.Lock()
-	lost := c.choice.Lost(a.addr)
+	lost := c.choice.MarkDown(a.addr)
 	a.end()
 	c.mu.Unlock()
 	if lost {
@@ -246,7 +246,7 @@
 func (c *Client) revive(a *agent) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.choice.Back(a.addr) {
+	if !c.choice.MarkUp(a.addr) {
 		return
 	}
 	c.log.Info("agent back", "agent", a.addr)
@@ -259,7 +259,7 @@
 func (c *Client) pick() (*agent, context.Context, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	name, other, ok := c.choice.Pick()
+	name, other, ok := c.choice.Select()
 	if !ok {
 		return nil, nil, false
 	}
--- a/internal/consul/directory.go
+++ b/internal/consul/directory.go
@@ -95,8 +95,8 @@
 		d.mu.Lock()
 		f := &follower{
 			cfg: d.cfg, zone: d.zone, keeper: d.keeper, client: d.next, log: d.log, policy: Policy(d.cfg), first: first,
-			slots: make(chan struct{}, d.cfg.Watches()), turns: watch.NewTurns(d.cfg.Watches()), turned: make(chan struct{}),
-			marked: watch.NewMarks(), wake: map[string]chan struct{}{},
+			slots: make(chan struct{}, d.cfg.Watches()), turns: watch.NewPollingMode(d.cfg.Watches()), turned: make(chan struct{}),
+			marked: watch.NewCheckTracker(), wake: map[string]chan struct{}{},
 		}
 		d.now, d.leave = f, leave
 		d.mu.Unlock()
--- a/internal/consul/follow.go
+++ b/internal/consul/follow.go
@@ -44,15 +44,15 @@
 
 	mu     sync.Mutex
 	stats  Stats
-	turns  *watch.Turns
+	turns  *watch.PollingMode
 	turned chan struct{} // closed when the way of asking changes
-	marked *watch.Marks
+	marked *watch.CheckTracker
 	wake   map[string]chan struct{} // by service
 }
 
 // subject is one thing that is asked about again and again.
 type subject struct {
-	*watch.Subject
+	*watch.Query
 	path   string
 	params url.Values
 	retry  backoff.BackOff
@@ -60,12 +60,12 @@
 
 func (f *follower) subject(path string, params url.Values) *subject {
 	l := watch.DefaultLimits()
-	l.Wait, l.MaxAge = f.cfg.Wait(), f.policy.MaxAge
+	l.MaxWait, l.MaxAge = f.cfg.Wait(), f.policy.MaxAge
 	b := backoff.NewExponentialBackOff()
-	b.MaxInterval = l.RetryMost
-	b.InitialInterval = l.PauseLeast
+	b.MaxInterval = l.MaxBackoff
+	b.InitialInterval = l.MinPause
 	b.Reset()
-	return &subject{Subject: watch.NewSubject(l), path: path, params: params, retry: b}
+	return &subject{Query: watch.NewQuery(l), path: path, params: params, retry: b}
 }
 
 // ask makes one query. Those in turn take a slot: only so many are open at once.
@@ -99,15 +99,15 @@
 	case errors.Is(err, errNone):
 		return watch.NoAgent, 0
 	case errors.Is(err, errHung):
-		return watch.Hung, 0
+		return watch.AgentHung, 0
 	case errors.Is(err, errNoList), errors.Is(err, errBig), errors.Is(err, errIndex):
-		return watch.Nonsense, 0
+		return watch.Malformed, 0
 	case errors.As(err, &status) && status.noLeader():
-		return watch.Leaderless, status.RetryAfter
+		return watch.NoLeader, status.RetryAfter
 	case errors.As(err, &status):
-		return watch.Denied, status.RetryAfter
+		return watch.ErrorStatus, status.RetryAfter
 	}
-	return watch.Broken, 0
+	return watch.Disconnected, 0
 }
 
 // fail notes that a query failed, and waits as long as is due.
@@ -138,10 +138,10 @@
 		}
 		a, err := f.ask(ctx, s, next != nil)
 		begun := time.Now()
-		answer := watch.Answer{Index: a.Index, Sum: xxhash.Sum64(a.Body), Leader: a.KnownLeader, Age: a.LastContact}
+		answer := watch.Response{Index: a.Index, Checksum: xxhash.Sum64(a.Body), HasLeader: a.KnownLeader, Age: a.LastContact}
 		news := false
 		if err == nil {
-			news = s.Answered(answer) || !same()
+			news = s.Responded(answer) || !same()
 		}
 		switch {
 		case err != nil:
@@ -157,7 +157,7 @@
 			continue
 		}
 		s.retry.Reset()
-		if wait := s.Taken(answer, news, time.Since(begun)); wait > 0 && next == nil {
+		if wait := s.Processed(answer, news, time.Since(begun)); wait > 0 && next == nil {
 			pause.Sleep(ctx, wait)
 		}
 	}
@@ -249,7 +249,7 @@
 func (f *follower) noteNodes(service string, nodes []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.marked.Seen(service, nodes)
+	f.marked.SetNodes(service, nodes)
 }
 
 // catalogue follows which services carry the tag, and each of these.
@@ -302,7 +302,7 @@
 			}
 			f.mu.Lock()
 			delete(f.wake, name)
-			f.marked.Seen(name, nil)
+			f.marked.SetNodes(name, nil)
 			f.mu.Unlock()
 		}
 		for _, name := range plan.Untagged {
@@ -324,11 +324,11 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.stats.Services = services
-	if !f.turns.Count(services) {
+	if !f.turns.SetServices(services) {
 		return
 	}
-	f.stats.Rounds = f.turns.On()
-	f.log.Info("services are followed", "in_rounds", f.turns.On(), "services", services, "watches", f.cfg.Watches())
+	f.stats.Rounds = f.turns.Polling()
+	f.log.Info("services are followed", "in_rounds", f.turns.Polling(), "services", services, "watches", f.cfg.Watches())
 	close(f.turned)
 	f.turned = make(chan struct{})
 }
@@ -338,7 +338,7 @@
 func (f *follower) inTurns() (on bool, round time.Duration, turned <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.turns.On(), f.turns.Round(), f.turned
+	return f.turns.Polling(), f.turns.Interval(), f.turned
 }
 
 func poke(ch chan struct{}) {
@@ -412,7 +412,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, service := range f.marked.Take(failing) {
+	for _, service := range f.marked.Update(failing) {
 		if wake := f.wake[service]; wake != nil {
 			poke(wake)
 		}
--- a/internal/platform/pauses_test.go
+++ b/internal/platform/pauses_test.go
@@ -11,12 +11,12 @@
 // of a fleet spread out and keep their bounds.
 func TestWatchRetryJitter(t *testing.T) {
 	last := map[time.Duration]bool{}
-	pace := watch.PaceFor(2*time.Second, watchBeat)
+	pace := watch.TimingFor(2*time.Second, watchBeat)
 	for range 80 {
 		b := pauses(pace)
-		for n, mean := 0, pace.First; n < 8; n, mean = n+1, min(2*mean, pace.Most) {
+		for n, mean := 0, pace.InitialBackoff; n < 8; n, mean = n+1, min(2*mean, pace.MaxBackoff) {
 			p := b.NextBackOff()
-			if spread := time.Duration(pace.Spread * float64(mean)); p < mean-spread || p > mean+spread {
+			if spread := time.Duration(pace.Jitter * float64(mean)); p < mean-spread || p > mean+spread {
 				t.Fatalf("pause %d: %v, want %v within %v", n, p, mean, spread)
 			}
 			if n == 7 {
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -132,7 +132,7 @@
 	roster *Roster
 	wake   chan struct{} // a Subscribe; nil where changes come by themselves
 	moved  chan struct{} // the address has changed
-	pace   watch.Pace
+	pace   watch.Timing
 	client *http.Client
 
 	mu    sync.Mutex
@@ -144,12 +144,12 @@
 // only with the first Subscribe. Sends must end so long after a drain was announced as grace
 // says, and what a discovery that was away has to announce counts as announced from when it is back.
 func NewWatch(addr string, asked bool, grace time.Duration, tell func(routing.EngineListScope, []core.Endpoint), log *slog.Logger) *Watch {
-	w := &Watch{addr: addr, tell: tell, log: log, roster: NewRoster(), moved: make(chan struct{}, 1), pace: watch.PaceFor(grace, watchBeat)}
+	w := &Watch{addr: addr, tell: tell, log: log, roster: NewRoster(), moved: make(chan struct{}, 1), pace: watch.TimingFor(grace, watchBeat)}
 	if asked {
 		w.wake = make(chan struct{}, 1)
-		w.pace.Answer = askWait
+		w.pace.ResponseTimeout = askWait
 	}
-	w.client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true, ResponseHeaderTimeout: w.pace.Answer}}
+	w.client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true, ResponseHeaderTimeout: w.pace.ResponseTimeout}}
 	return w
 }
 
@@ -183,9 +183,9 @@
 // random about their mean. A fleet of gateways started or refused together must
 // not call again together: in step, their calls would keep an overbooked discovery
 // overbooked, and fixed pauses of a second did exactly that.
-func pauses(p watch.Pace) *backoff.ExponentialBackOff {
+func pauses(p watch.Timing) *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
-	b.InitialInterval, b.MaxInterval, b.RandomizationFactor = p.First, p.Most, p.Spread
+	b.InitialInterval, b.MaxInterval, b.RandomizationFactor = p.InitialBackoff, p.MaxBackoff, p.Jitter
 	b.Multiplier = 2
 	b.Reset()
 	return b
@@ -232,7 +232,7 @@
 
 // list asks once for the whole list and tells what changed.
 func (w *Watch) list(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, w.pace.Answer)
+	ctx, cancel := context.WithTimeout(ctx, w.pace.ResponseTimeout)
 	defer cancel()
 	w.mu.Lock()
 	addr := w.addr
@@ -251,7 +251,7 @@
 func (w *Watch) follow(ctx context.Context) (lines int, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	silence := time.AfterFunc(max(w.pace.Silence, w.pace.Answer), cancel)
+	silence := time.AfterFunc(max(w.pace.IdleTimeout, w.pace.ResponseTimeout), cancel)
 	defer silence.Stop()
 	w.mu.Lock()
 	addr := w.addr
@@ -270,7 +270,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return 0, fmt.Errorf("watch: %w", fetch.StatusError{Code: resp.StatusCode})
 	}
-	from := &heard{from: resp.Body, silence: silence, span: w.pace.Silence}
+	from := &heard{from: resp.Body, silence: silence, span: w.pace.IdleTimeout}
 	for lists := jsoniter.NewDecoder(from); ; {
 		from.left = maxList
 		var l config.List
