--- a/decide/watch/agents.go
+++ b/decide/watch/agents.go
@@ -1,36 +1,35 @@
 package watch
 
-// Agents decides which of several agents is asked: the one in use while it lives, else
-// the first that does. To go back to the preferred one for its own sake would have
-// everything asked anew. The zero value is not usable; see NewAgents.
+// Agents selects one of several agents: the current one while it is up, else the first that
+// is. It does not fail back to the preferred one, since every query would start anew. The
+// zero value is not usable; see NewAgents.
 type Agents struct {
-	names   []string // the preferred one first
+	names   []string // in order of preference
 	down    map[string]bool
 	current string
 }
 
-// NewAgents returns agents that are all held to live.
+// NewAgents returns agents that are all assumed to be up.
 func NewAgents(names []string) *Agents {
 	return &Agents{names: names, down: map[string]bool{}, current: names[0]}
 }
 
-// MarkDown notes that an agent does not answer, and tells whether that is new.
+// MarkDown marks an agent as down and reports whether it was up.
 func (a *Agents) MarkDown(name string) bool {
 	was := a.down[name]
 	a.down[name] = true
 	return !was
 }
 
-// MarkUp notes that an agent answers, and tells whether that is new.
+// MarkUp marks an agent as up and reports whether it was down.
 func (a *Agents) MarkUp(name string) bool {
 	was := a.down[name]
 	delete(a.down, name)
 	return was
 }
 
-// Select returns the agent to ask, false if none is known to live, and whether it is
-// another one than before.
-func (a *Agents) Select() (name string, other, ok bool) {
+// Select returns the agent to ask and whether it has changed; ok is false if all are down.
+func (a *Agents) Select() (name string, changed, ok bool) {
 	if !a.down[a.current] {
 		return a.current, false, true
 	}
--- a/decide/watch/checks.go
+++ b/decide/watch/checks.go
@@ -5,25 +5,25 @@
 	"slices"
 )
 
-// Check names a check that fails, of one service or of a whole node.
+// Check identifies a failing health check, of one service or, without a service, of a node.
 type Check struct {
 	Node, CheckID, ServiceID, Service string
 }
 
-// CheckTracker decides which services are asked out of turn, from the checks that fail. The
-// zero value is not usable; see NewMarks.
+// CheckTracker decides which services are polled out of turn when health checks change. The
+// zero value is not usable; see NewCheckTracker.
 type CheckTracker struct {
 	failing        map[Check]bool
-	servicesByNode map[string]map[string]bool // services that have an engine on a node
-	nodesByService map[string][]string        // and back
+	servicesByNode map[string]map[string]bool // services with an engine on a node
+	nodesByService map[string][]string        // the reverse
 }
 
-// NewCheckTracker returns marks without any check.
+// NewCheckTracker returns a tracker without failing checks.
 func NewCheckTracker() *CheckTracker {
 	return &CheckTracker{failing: map[Check]bool{}, servicesByNode: map[string]map[string]bool{}, nodesByService: map[string][]string{}}
 }
 
-// SetNodes notes on which nodes a service has engines now; none forgets the service.
+// SetNodes sets the nodes on which a service has engines; none removes the service.
 func (t *CheckTracker) SetNodes(service string, nodes []string) {
 	for _, n := range t.nodesByService[service] {
 		if delete(t.servicesByNode[n], service); len(t.servicesByNode[n]) == 0 {
@@ -43,27 +43,27 @@
 	}
 }
 
-// Update takes in all checks that fail now and returns the services that a change speaks
-// of, in order of name: a check that began to fail, or ceased to.
+// Update replaces the failing checks and returns the services affected by a check that
+// started or stopped failing, in order of name.
 func (t *CheckTracker) Update(failing []Check) []string {
 	now := make(map[Check]bool, len(failing))
 	for _, c := range failing {
 		now[c] = true
 	}
-	wake := map[string]bool{}
+	affected := map[string]bool{}
 	for _, pair := range [][2]map[Check]bool{{now, t.failing}, {t.failing, now}} {
 		for c := range pair[0] {
 			switch {
 			case pair[1][c]:
 			case c.Service != "":
-				wake[c.Service] = true
-			default: // it speaks of a whole node
+				affected[c.Service] = true
+			default: // a check of the whole node
 				for s := range t.servicesByNode[c.Node] {
-					wake[s] = true
+					affected[s] = true
 				}
 			}
 		}
 	}
 	t.failing = now
-	return slices.Sorted(maps.Keys(wake))
+	return slices.Sorted(maps.Keys(affected))
 }
--- a/decide/watch/golden_test.go
+++ b/decide/watch/golden_test.go
@@ -13,8 +13,8 @@
 const (
 	goldenQueries = 0xd2c083c187dbe8b3
 	goldenAgents  = 0x3281c47505954852
-	goldenTurns   = 0x72ae3efee99f2376
-	goldenPace    = 0x1905b6610a149d0c
+	goldenPolling = 0x72ae3efee99f2376
+	goldenTiming  = 0x1905b6610a149d0c
 )
 
 func TestGoldenQueries(t *testing.T) {
@@ -71,18 +71,18 @@
 	}
 }
 
-func TestGoldenTurnsAndMarks(t *testing.T) {
+func TestGoldenPollingAndChecks(t *testing.T) {
 	h := fnv.New64a()
 	r := rand.New(rand.NewPCG(2, 45))
-	turns, m := NewPollingMode(16), NewCheckTracker()
+	mode, checks := NewPollingMode(16), NewCheckTracker()
 	for range 5000 {
-		fmt.Fprintln(h, "turns", turns.SetServices(r.IntN(40)), turns.Polling(), turns.Services(), int64(turns.Interval()))
+		fmt.Fprintln(h, "turns", mode.SetServices(r.IntN(40)), mode.Polling(), mode.Services(), int64(mode.Interval()))
 		if r.IntN(3) == 0 {
 			var nodes []string
 			for range r.IntN(4) {
 				nodes = append(nodes, fmt.Sprint("n", r.IntN(5)))
 			}
-			m.SetNodes(fmt.Sprint("s", r.IntN(6)), nodes)
+			checks.SetNodes(fmt.Sprint("s", r.IntN(6)), nodes)
 			continue
 		}
 		var failing []Check
@@ -94,14 +94,14 @@
 			}
 			failing = append(failing, c)
 		}
-		fmt.Fprintf(h, "wake %q\n", m.Update(failing))
+		fmt.Fprintf(h, "wake %q\n", checks.Update(failing))
 	}
-	if got := h.Sum64(); got != goldenTurns {
-		t.Errorf("%#x, want %#x", got, uint64(goldenTurns))
+	if got := h.Sum64(); got != goldenPolling {
+		t.Errorf("%#x, want %#x", got, uint64(goldenPolling))
 	}
 }
 
-func TestGoldenPace(t *testing.T) {
+func TestGoldenTiming(t *testing.T) {
 	h := fnv.New64a()
 	for grace := -time.Second; grace < 8*time.Second; grace += 37 * time.Millisecond {
 		for _, beat := range []time.Duration{0, time.Second, 2 * time.Second} {
@@ -109,7 +109,7 @@
 			fmt.Fprintln(h, int64(p.ResponseTimeout), int64(p.IdleTimeout), int64(p.InitialBackoff), int64(p.MaxBackoff), p.Jitter, int64(p.MaxDelay()))
 		}
 	}
-	if got := h.Sum64(); got != goldenPace {
-		t.Errorf("%#x, want %#x", got, uint64(goldenPace))
+	if got := h.Sum64(); got != goldenTiming {
+		t.Errorf("%#x, want %#x", got, uint64(goldenTiming))
 	}
 }
--- a/decide/watch/polling.go
+++ b/decide/watch/polling.go
@@ -2,41 +2,41 @@
 
 import "time"
 
-// The figures of asking in turn.
+// Limits of polling.
 const (
-	reservedWatches = 2   // for the catalogue, and for the checks that fail
-	pollsPerWatch   = 2.0 // services asked a second for each query that may be open
+	reservedWatches = 2   // for the catalog, and for the failing checks
+	pollsPerWatch   = 2.0 // services polled per second for each query that may be open
 	minPollInterval = time.Second
 )
 
-// PollingMode decides whether each service can have a query of its own that blocks, or all
-// are asked in turn, in rounds.
+// PollingMode decides whether each service has a blocking query of its own, or all services
+// are polled in turn because there are more than queries that may be open.
 type PollingMode struct {
 	watches  int
 	services int
 	polling  bool
 }
 
-// NewPollingMode returns a decision for so many queries that may be open at once.
+// NewPollingMode returns a decision for a number of queries that may be open at once.
 func NewPollingMode(watches int) *PollingMode {
 	return &PollingMode{watches: max(watches, 2*reservedWatches)}
 }
 
-// SetServices notes how many services there are and tells whether the way of asking changes.
+// SetServices sets the number of services and reports whether the mode has changed.
 func (p *PollingMode) SetServices(services int) (changed bool) {
 	p.services = services
-	was := p.polling
+	previous := p.polling
 	p.polling = services > p.watches-reservedWatches
-	return p.polling != was
+	return p.polling != previous
 }
 
-// Polling tells whether services are asked in turn.
+// Polling reports whether services are polled.
 func (p *PollingMode) Polling() bool { return p.polling }
 
-// Services returns how many there are.
+// Services returns the number of services.
 func (p *PollingMode) Services() int { return p.services }
 
-// Interval is how long it is from one turn of a service to its next.
+// Interval returns the time between two polls of one service.
 func (p *PollingMode) Interval() time.Duration {
 	return max(time.Duration(float64(p.services)/(pollsPerWatch*float64(p.watches))*float64(time.Second)), minPollInterval)
 }
--- a/decide/watch/query.go
+++ b/decide/watch/query.go
@@ -1,7 +1,7 @@
-// Package watch decides how a catalogue is followed: what is asked next and for how
-// long, what an answer or a failure is worth, which of several agents is asked, and
-// whether each service can have a query of its own. It does no I/O and reads no clock;
-// what an answer makes of the engines is decided in decide/roster.
+// Package watch decides how a catalog is watched: the next request and how long it may
+// block, what a response or a failure says of the source, which of several agents is asked,
+// and whether each service gets a blocking query of its own. It does no I/O and reads no
+// clock; decide/roster decides which engines follow from the responses.
 package watch
 
 import (
@@ -10,19 +10,19 @@
 	"wellgw/decide/roster"
 )
 
-// Limits are the figures of following.
+// Limits bound the requests of a watch.
 type Limits struct {
-	MaxWait     time.Duration // longest blocking query
-	ShortWait   time.Duration // the same for the first one after a pause
-	MinPause    time.Duration // between two answers to one question
+	MaxWait     time.Duration // of a blocking query
+	ShortWait   time.Duration // of the first blocking query after a pause
+	MinPause    time.Duration // between two responses to one query, unless the index advances alone
 	MaxPause    time.Duration
-	PauseFactor int           // times as long as the last answer took to digest
-	MaxBackoff  time.Duration // longest wait while nobody answers
-	MinFailures int           // failures in a row that say something of the source
-	MaxAge      time.Duration // a server that heard from its leader longer ago is behind
+	PauseFactor int           // times the processing time of the last response
+	MaxBackoff  time.Duration // after failures
+	MinFailures int           // consecutive, before the source counts as unreachable
+	MaxAge      time.Duration // of a response, since its server was in contact with the leader
 }
 
-// DefaultLimits returns the usual figures.
+// DefaultLimits returns the limits that hold where the operator's file sets none.
 func DefaultLimits() Limits {
 	return Limits{
 		MaxWait: 10 * time.Second, ShortWait: time.Second, MinPause: 100 * time.Millisecond, MaxPause: time.Second,
@@ -30,122 +30,122 @@
 	}
 }
 
-// Request is the next question.
+// Request is the next request of a query.
 type Request struct {
-	Index uint64        // 0: to be answered at once
-	Wait  time.Duration // with Index
-	Stale bool          // any server may answer, with a leader or without
+	Index uint64        // block until the catalog's index exceeds it; 0: do not block
+	Wait  time.Duration // longest time to block
+	Stale bool          // any server may answer, even without a leader
 }
 
-// Response is what came, as far as following goes.
+// Response is the metadata of a response.
 type Response struct {
 	Index     uint64
 	Checksum  uint64        // of the body
-	HasLeader bool          // the servers know one
-	Age       time.Duration // since the server that answered heard from it
+	HasLeader bool          // whether the servers have a leader
+	Age       time.Duration // since the responding server was last in contact with it
 }
 
-// Failure is a way in which a question came to nothing.
+// Failure is the kind of failure of a request.
 type Failure uint8
 
 // The failures.
 const (
-	NoAgent      Failure = iota // none is known to live
-	AgentHung                   // the agent was given up while it was asked
-	Disconnected                // anything else between here and there
-	ErrorStatus                 // an error of the agent's own
-	NoLeader                    // the servers have no leader to ask
-	Malformed                   // what came cannot be read
+	NoAgent      Failure = iota // all agents are down
+	AgentHung                   // the agent was marked down during the request
+	Disconnected                // any other failure of the connection
+	ErrorStatus                 // an error status of the agent
+	NoLeader                    // the servers have no leader
+	Malformed                   // the response can't be read
 )
 
-// Query is one question that is asked again and again, such as the health of one
-// service. It is not safe for concurrent use.
+// Query is the state of one query that is repeated, such as for the health of one service.
+// It is not safe for concurrent use.
 type Query struct {
 	limits       Limits
 	index        uint64
 	checksum     uint64
-	hasChecksum  bool // sum is that of a body
+	hasChecksum  bool // whether checksum is that of a response
 	allowStale   bool
-	unchanged    bool // the last answer had no news
-	indexStalled bool // and its index did not move
-	failures     int
+	unchanged    bool // the last response had nothing new
+	indexStalled bool // the last response had the index of the one before
+	failures     int  // consecutive
 }
 
-// NewQuery returns a subject that has yet to be asked about.
+// NewQuery returns a query without any response yet.
 func NewQuery(l Limits) *Query { return &Query{limits: l} }
 
-// Next returns what to ask. inTurn says that the subject is one of more than can be
-// watched: it is then asked at once and never blocks.
-func (q *Query) Next(inTurn bool) Request {
-	a := Request{Index: q.index, Wait: q.limits.MaxWait, Stale: q.allowStale}
+// Next returns the next request. polled says that there are more queries than can block:
+// the request then does not.
+func (q *Query) Next(polled bool) Request {
+	r := Request{Index: q.index, Wait: q.limits.MaxWait, Stale: q.allowStale}
 	switch {
-	case inTurn:
-		a.Index = 0
+	case polled:
+		r.Index = 0
 	case !q.unchanged:
-		// While the gateway paused after an answer the servers may have been restored to a
-		// lower index: they would then hold a query for as long as it allows, whatever
-		// changes. So the first one after a pause is short.
-		a.Wait = min(a.Wait, q.limits.ShortWait)
+		// While the gateway paused after a response the servers may have been restored to a
+		// lower index: they would then block a query for all of its wait, whatever changes.
+		// So the first one after a pause is short.
+		r.Wait = min(r.Wait, q.limits.ShortWait)
 	}
-	return a
+	return r
 }
 
-// Responded takes an answer in and tells whether there is news in it: another body, or
-// anything for which it has to be looked at in full.
-func (q *Query) Responded(a Response) (news bool) {
-	news = !q.hasChecksum || a.Checksum != q.checksum || a.Index < q.index || !a.HasLeader || a.Age > q.limits.MaxAge
-	q.indexStalled = a.Index == q.index
-	if a.Index < q.index { // by Consul's documentation the question then starts anew
+// Responded records a response and reports whether it has to be processed: its body is new,
+// or its metadata gives reason to doubt the source.
+func (q *Query) Responded(r Response) (changed bool) {
+	changed = !q.hasChecksum || r.Checksum != q.checksum || r.Index < q.index || !r.HasLeader || r.Age > q.limits.MaxAge
+	q.indexStalled = r.Index == q.index
+	if r.Index < q.index { // Consul's documentation has clients reset the index then
 		q.index = 0
 	} else {
-		q.index = a.Index
+		q.index = r.Index
 	}
-	q.checksum, q.hasChecksum = a.Checksum, true
-	return news
+	q.checksum, q.hasChecksum = r.Checksum, true
+	return changed
 }
 
-// Processed notes that an answer made sense and how long it took to digest, and returns how
-// long to wait before the next question: neither a list that changes all the time nor a
+// Processed records that a response was well formed and how long its processing took, and
+// returns the pause before the next request: neither a list that changes all the time nor a
 // server that ignores the index is asked in a tight loop.
-func (q *Query) Processed(a Response, news bool, took time.Duration) time.Duration {
-	q.failures, q.allowStale, q.unchanged = 0, !a.HasLeader, !news
-	if !news && !q.indexStalled && q.index != 0 {
+func (q *Query) Processed(r Response, changed bool, took time.Duration) time.Duration {
+	q.failures, q.allowStale, q.unchanged = 0, !r.HasLeader, !changed
+	if !changed && !q.indexStalled && q.index != 0 {
 		return 0
 	}
 	return min(max(q.limits.MinPause, time.Duration(q.limits.PauseFactor)*took), q.limits.MaxPause)
 }
 
-// FailureAction is what a failure leads to.
+// FailureAction is how to react to a failure.
 type FailureAction struct {
-	Reason roster.Reason // what it says of the source; Believed if nothing yet
-	Log    bool          // it is the first that a person should know of
-	Pause  time.Duration // before the next question; 0 = none
+	Reason roster.Reason // to doubt the source; Trusted if there is none yet
+	Log    bool          // it is the first failure of its kind to be logged
+	Pause  time.Duration // before the next request; 0 for none
 }
 
-// Failed notes a failure. backoff is how long to wait by the usual rule, hint what the
-// agent asked for, 0 if it did not.
-func (q *Query) Failed(f Failure, backoff, hint time.Duration) FailureAction {
-	q.index, q.hasChecksum, q.unchanged = 0, false, false // what was missed is unknown: ask for all of it
+// Failed records a failure. backoff is the pause by the usual rule, retryAfter the agent's
+// own, 0 without one.
+func (q *Query) Failed(f Failure, backoff, retryAfter time.Duration) FailureAction {
+	q.index, q.hasChecksum, q.unchanged = 0, false, false // changes may have been missed: ask for the whole list
 	q.failures++
-	v := FailureAction{Pause: max(backoff, hint)}
+	action := FailureAction{Pause: max(backoff, retryAfter)}
 	switch f {
 	case NoAgent:
-		v.Pause = q.limits.MaxBackoff // or less: an agent that comes back ends it
+		action.Pause = q.limits.MaxBackoff // an agent that recovers ends it earlier
 	case AgentHung:
 		if q.failures < q.limits.MinFailures {
-			v.Pause = 0 // there may be another agent
+			action.Pause = 0 // there may be another agent
 		}
 	case NoLeader:
-		v.Reason, q.allowStale = roster.NoLeader, true // marks can still be seen
+		action.Reason, q.allowStale = roster.NoLeader, true // marks can still be seen
 	case Malformed:
-		v.Reason = roster.Unreadable
+		action.Reason = roster.Unreadable
 	}
-	if v.Reason != roster.Trusted {
-		v.Log = true
-		return v
+	if action.Reason != roster.Trusted {
+		action.Log = true
+		return action
 	}
-	if q.failures >= q.limits.MinFailures { // one question that fails is no news yet
-		v.Reason, v.Log = roster.Unreachable, q.failures == q.limits.MinFailures
+	if q.failures >= q.limits.MinFailures { // a single failure says nothing of the source
+		action.Reason, action.Log = roster.Unreachable, q.failures == q.limits.MinFailures
 	}
-	return v
+	return action
 }
--- a/decide/watch/query_test.go
+++ b/decide/watch/query_test.go
@@ -18,7 +18,7 @@
 	return Response{Index: index, Checksum: sum, HasLeader: true}
 }
 
-func TestAnswers(t *testing.T) {
+func TestResponses(t *testing.T) {
 	behind, leaderless := good(5, 1), good(5, 1)
 	behind.Age, leaderless.HasLeader = 11*s, false
 	for name, c := range map[string]struct {
@@ -74,7 +74,7 @@
 		"denied with a hint":        {[]Failure{ErrorStatus}, 7 * s, FailureAction{Pause: 7 * s}, false},
 		"a hint below the back-off": {[]Failure{ErrorStatus}, 1, FailureAction{Pause: s}, false},
 		"no leader":                 {[]Failure{NoLeader}, 0, FailureAction{roster.NoLeader, true, s}, true},
-		"nonsense":                  {[]Failure{Malformed}, 0, FailureAction{roster.Unreadable, true, s}, false},
+		"malformed":                 {[]Failure{Malformed}, 0, FailureAction{roster.Unreadable, true, s}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			q := NewQuery(DefaultLimits())
@@ -122,23 +122,23 @@
 	}
 }
 
-func TestTurns(t *testing.T) {
-	turns := NewPollingMode(64)
+func TestPollingMode(t *testing.T) {
+	mode := NewPollingMode(64)
 	for _, c := range []struct {
 		services    int
 		changed, on bool
 		round       time.Duration
 	}{{62, false, false, s}, {63, true, true, s}, {2000, false, true, 15625 * time.Millisecond}, {9, true, false, s}} {
-		if got := turns.SetServices(c.services); got != c.changed || turns.Polling() != c.on || turns.Interval() != c.round {
-			t.Errorf("%d services: changed %v, in turn %v, a round of %v", c.services, got, turns.Polling(), turns.Interval())
+		if got := mode.SetServices(c.services); got != c.changed || mode.Polling() != c.on || mode.Interval() != c.round {
+			t.Errorf("%d services: changed %v, in turn %v, a round of %v", c.services, got, mode.Polling(), mode.Interval())
 		}
 	}
 }
 
-func TestMarks(t *testing.T) {
-	m := NewCheckTracker()
-	m.SetNodes("x", []string{"n1", "n2"})
-	m.SetNodes("y", []string{"n1"})
+func TestCheckTracker(t *testing.T) {
+	checks := NewCheckTracker()
+	checks.SetNodes("x", []string{"n1", "n2"})
+	checks.SetNodes("y", []string{"n1"})
 	parse := func(text string) (list []Check) {
 		for i, word := range strings.Fields(text) {
 			c := Check{CheckID: "c" + strconv.Itoa(i), Service: word}
@@ -152,13 +152,13 @@
 	for i, step := range []struct{ failing, want string }{
 		{"", ""}, {"x", "x"}, {"x", ""}, {"x @n1", "x y"}, {"x", "x y"}, {"", "x"}, {"@n2 @n3", "x"},
 	} {
-		if got := m.Update(parse(step.failing)); !slices.Equal(got, strings.Fields(step.want)) {
+		if got := checks.Update(parse(step.failing)); !slices.Equal(got, strings.Fields(step.want)) {
 			t.Errorf("step %d: %v, want %s", i, got, step.want)
 		}
 	}
-	m.SetNodes("x", []string{"n9"}) // it has moved
-	m.SetNodes("y", nil)
-	if got := m.Update(nil); len(got) > 0 || len(m.servicesByNode) != 1 || len(m.nodesByService) != 1 {
-		t.Errorf("woken: %v; nodes %v", got, m.servicesByNode)
+	checks.SetNodes("x", []string{"n9"}) // it has moved
+	checks.SetNodes("y", nil)
+	if got := checks.Update(nil); len(got) > 0 || len(checks.servicesByNode) != 1 || len(checks.nodesByService) != 1 {
+		t.Errorf("woken: %v; nodes %v", got, checks.servicesByNode)
 	}
 }
--- a/decide/watch/timing.go
+++ b/decide/watch/timing.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Timing is how a source that pushes changes, with an empty line now and then, is tended.
+// Timing is the timeouts and backoff of a watch whose source pushes changes and heartbeats.
 type Timing struct {
-	ResponseTimeout time.Duration // a call without an answer by then is given up and made anew
-	IdleTimeout     time.Duration // a watch without a line by then is broken
-	InitialBackoff  time.Duration // mean pause after the first failure; it doubles
-	MaxBackoff      time.Duration // mean of the longest
-	Jitter          float64       // each pause is drawn from this part below to above its mean
+	ResponseTimeout time.Duration // a request without a response by then is retried
+	IdleTimeout     time.Duration // a watch without a line by then is reconnected
+	InitialBackoff  time.Duration // mean backoff after the first failure; it doubles
+	MaxBackoff      time.Duration // longest mean backoff
+	Jitter          float64       // each backoff is drawn from its mean plus or minus this share
 }
 
-// The parts of the grace that an answer and the longest mean pause may take. A call made
-// just before the source has come back is lost, so a drain is learned after one of each.
+// Shares of the drain grace for a response and for the longest mean backoff. A request made
+// just before the source recovers is lost, so a drain is learned after one of each.
 const (
 	responseShare = 0.25
 	backoffShare  = 0.4
@@ -20,25 +20,26 @@
 	minGrace      = 400 * time.Millisecond
 	maxGrace      = 5 * time.Second
 	backoffJitter = 0.5
-	idleFactor    = 1.3 // of the span between lines, after which silence is a break
+	idleFactor    = 1.3 // times the heartbeat, after which the connection counts as broken
 )
 
-// TimingFor returns the pace for sends that must end so long after a drain was announced (0: not
-// said), where a line comes every beat at least. With it a source that has come back, and
-// answers at once, is heard within nine tenths of the grace.
-func TimingFor(grace, beat time.Duration) Timing {
+// TimingFor returns the timing for a drain grace, the time after the announcement of a drain
+// by which requests to the engine must have ended (0 for unknown), and the interval of the
+// source's heartbeats. A source that has recovered, and responds at once, is heard within
+// nine tenths of the grace.
+func TimingFor(grace, heartbeat time.Duration) Timing {
 	if grace <= 0 {
 		grace = defaultGrace
 	}
 	grace = min(max(grace, minGrace), maxGrace)
-	part := func(x float64) time.Duration { return time.Duration(x * float64(grace)) }
+	shareOf := func(share float64) time.Duration { return time.Duration(share * float64(grace)) }
 	return Timing{
-		ResponseTimeout: part(responseShare), IdleTimeout: time.Duration(idleFactor * float64(beat)),
-		InitialBackoff: min(100*time.Millisecond, part(backoffShare)), MaxBackoff: part(backoffShare), Jitter: backoffJitter,
+		ResponseTimeout: shareOf(responseShare), IdleTimeout: time.Duration(idleFactor * float64(heartbeat)),
+		InitialBackoff: min(100*time.Millisecond, shareOf(backoffShare)), MaxBackoff: shareOf(backoffShare), Jitter: backoffJitter,
 	}
 }
 
-// MaxDelay is the longest from when the source is back until it is asked and answers.
+// MaxDelay is the longest time from the recovery of the source to its next response.
 func (t Timing) MaxDelay() time.Duration {
 	return t.ResponseTimeout + time.Duration((1+t.Jitter)*float64(t.MaxBackoff))
 }
