--- a/cmd/wellgw/directory.go
+++ b/cmd/wellgw/directory.go
@@ -41,7 +41,7 @@
 type sources struct {
 	*gateway
 	core   *core.Core
-	keeper *directory.Keeper
+	keeper *directory.Directory
 	consul *consul.Directory   // nil without Consul
 	roles  *rolectl.Controller // nil where engines keep their roles
 	tracer *telemetry.Tracer   // nil without traces
@@ -56,7 +56,7 @@
 		policy, check = consul.Policy(*o.Consul), o.Consul.CheckPath
 	}
 	s.keeper = directory.New(directory.Options{
-		Policy: policy, Tell: s.core.UpdateEndpoints, Check: directory.Checker(check), StateFile: o.StateFile, Log: s.log,
+		Policy: policy, Publish: s.core.UpdateEndpoints, Probe: directory.NewProbe(check), StateFile: o.StateFile, Log: s.log,
 	})
 	if err := s.tell(o.Admin, o.Listen); err != nil {
 		return err
@@ -98,9 +98,9 @@
 			return err
 		}
 	}
-	directory.File(s.keeper, o)
+	directory.LoadFile(s.keeper, o)
 	s.watched = func(e core.Transport) core.Transport {
-		e = directory.Watched{Transport: e, Broke: s.keeper.Broke}
+		e = directory.ObservedTransport{Transport: e, OnRefused: s.keeper.ConnectionRefused}
 		if s.tracer != nil {
 			e = s.tracer.Engines(e)
 		}
@@ -152,7 +152,7 @@
 			return err
 		}
 	}
-	directory.File(s.keeper, o)
+	directory.LoadFile(s.keeper, o)
 	return nil
 }
 
--- a/internal/consul/directory.go
+++ b/internal/consul/directory.go
@@ -16,7 +16,7 @@
 // Directory follows Consul, on its own behalf and that of the gateway's own listing.
 type Directory struct {
 	zone     string
-	keeper   *directory.Keeper
+	keeper   *directory.Directory
 	gateways func(int)
 	ready    func() bool
 	address  func() string
@@ -41,7 +41,7 @@
 type Options struct {
 	Config   config.Consul
 	Zone     string // of engines that state none
-	Keeper   *directory.Keeper
+	Keeper   *directory.Directory
 	Gateways func(int)   // takes how many gateways share the engines; needs Register
 	Ready    func() bool // whether this gateway can serve
 	// Address is where this gateway serves, once it does; "" before. It is listed if
--- a/internal/consul/follow.go
+++ b/internal/consul/follow.go
@@ -35,7 +35,7 @@
 type follower struct {
 	cfg    config.Consul
 	zone   string
-	keeper *directory.Keeper
+	keeper *directory.Directory
 	client *Client
 	log    *slog.Logger
 	policy roster.Policy
--- a/internal/consul/harness_test.go
+++ b/internal/consul/harness_test.go
@@ -25,7 +25,7 @@
 	*testing.T
 	store  *consul.Store
 	agents []*consul.Agent
-	keeper *directory.Keeper
+	keeper *directory.Directory
 	dir    *Directory
 	cfg    config.Consul
 
@@ -56,7 +56,7 @@
 		change(w, &w.cfg)
 	}
 	log := slog.New(slog.DiscardHandler)
-	w.keeper = directory.New(directory.Options{Policy: Policy(w.cfg), Log: log, Tell: w.tell, Check: func(_ context.Context, addr string) roster.ProbeResult {
+	w.keeper = directory.New(directory.Options{Policy: Policy(w.cfg), Log: log, Publish: w.tell, Probe: func(_ context.Context, addr string) roster.ProbeResult {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		return w.alive[addr]
--- a/internal/directory/keeper.go
+++ b/internal/directory/directory.go
@@ -19,36 +19,36 @@
 
 // The keeper's margins.
 const (
-	tickEvery  = 100 * time.Millisecond
-	checkMost  = 32                    // direct checks begun at a tick: 320 a second
-	flushEvery = 20 * time.Millisecond // a catalogue that flaps is told of in pieces
-	saveEvery  = time.Second
+	tickInterval     = 100 * time.Millisecond
+	maxProbesPerTick = 32                    // direct checks begun at a tick: 320 a second
+	flushInterval    = 20 * time.Millisecond // a catalogue that flaps is told of in pieces
+	saveInterval     = time.Second
 )
 
 // Options are what a keeper is made of.
 type Options struct {
 	Policy roster.Policy
-	// Tell takes what has changed. It may block for a moment.
-	Tell func(routing.EngineListScope, []core.Endpoint)
-	// Check looks whether an engine at an address answers.
-	Check func(ctx context.Context, addr string) roster.ProbeResult
+	// Publish takes what has changed. It may block for a moment.
+	Publish func(routing.EngineListScope, []core.Endpoint)
+	// Probe looks whether an engine at an address answers.
+	Probe func(ctx context.Context, addr string) roster.ProbeResult
 	// StateFile is where the last good view is kept; "" for nowhere.
 	StateFile string
 	Log       *slog.Logger
 }
 
-// Keeper owns the book of engines.
-type Keeper struct {
+// Directory owns the book of engines.
+type Directory struct {
 	opt Options
 
-	mu       sync.Mutex
-	book     *roster.Registry
-	pending  map[string]roster.Engine
-	flushed  time.Time
-	changed  bool // since the last save
-	checking map[roster.Probe]bool
-	stats    Stats
-	told     sync.Mutex // keeps what is told in order
+	mu         sync.Mutex
+	registry   *roster.Registry
+	pending    map[string]roster.Engine
+	lastFlush  time.Time
+	unsaved    bool // since the last save
+	probing    map[roster.Probe]bool
+	stats      Stats
+	publishing sync.Mutex // keeps what is told in order
 }
 
 // Stats count what the keeper has done.
@@ -61,54 +61,54 @@
 
 // New returns a keeper; with a state file, it begins with the view that it holds.
 // A damaged file is set aside.
-func New(opt Options) *Keeper {
-	k := &Keeper{
-		opt: opt, book: roster.New(opt.Policy), pending: map[string]roster.Engine{}, checking: map[roster.Probe]bool{},
+func New(opt Options) *Directory {
+	d := &Directory{
+		opt: opt, registry: roster.New(opt.Policy), pending: map[string]roster.Engine{}, probing: map[roster.Probe]bool{},
 	}
 	if opt.StateFile != "" {
-		k.restore()
+		d.restore()
 	}
-	return k
+	return d
 }
 
-func (k *Keeper) restore() {
-	v, err := lastview.Load(k.opt.StateFile)
+func (d *Directory) restore() {
+	v, err := lastview.Load(d.opt.StateFile)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
 		return
 	case errors.Is(err, lastview.ErrDamaged):
-		aside, moved := lastview.SetAside(k.opt.StateFile, time.Now())
-		k.opt.Log.Error("the last good view cannot be used and is set aside", "file", aside, "cause", errors.Join(err, moved))
+		aside, moved := lastview.SetAside(d.opt.StateFile, time.Now())
+		d.opt.Log.Error("the last good view cannot be used and is set aside", "file", aside, "cause", errors.Join(err, moved))
 		return
 	case err != nil:
-		k.opt.Log.Error("the last good view cannot be read", "file", k.opt.StateFile, "cause", err)
+		d.opt.Log.Error("the last good view cannot be read", "file", d.opt.StateFile, "cause", err)
 		return
 	}
-	k.opt.Log.Info("last good view read", "file", k.opt.StateFile, "age", time.Since(v.SavedAt).Round(time.Millisecond).String())
-	k.With(func(b *roster.Registry, now time.Time) { b.Restore(now, v.Entries, v.IndexOf()) })
+	d.opt.Log.Info("last good view read", "file", d.opt.StateFile, "age", time.Since(v.SavedAt).Round(time.Millisecond).String())
+	d.With(func(b *roster.Registry, now time.Time) { b.Restore(now, v.Entries, v.IndexOf()) })
 }
 
 // With has do work on the book, alone, and tells what comes of it.
-func (k *Keeper) With(do func(b *roster.Registry, now time.Time)) {
-	k.mu.Lock()
+func (d *Directory) With(do func(b *roster.Registry, now time.Time)) {
+	d.mu.Lock()
 	now := time.Now()
-	do(k.book, now)
-	for _, c := range k.book.Changes() {
-		k.pending[c.ID] = c
-		k.changed = true
+	do(d.registry, now)
+	for _, c := range d.registry.Changes() {
+		d.pending[c.ID] = c
+		d.unsaved = true
 	}
-	notes := k.book.Events()
-	due := len(k.pending) > 0 && now.Sub(k.flushed) >= flushEvery
-	k.mu.Unlock()
+	notes := d.registry.Events()
+	due := len(d.pending) > 0 && now.Sub(d.lastFlush) >= flushInterval
+	d.mu.Unlock()
 	for _, n := range notes {
-		k.say(n)
+		d.logEvent(n)
 	}
 	if due {
-		k.flush()
+		d.flush()
 	}
 }
 
-func (k *Keeper) say(n roster.Event) {
+func (d *Directory) logEvent(n roster.Event) {
 	level := slog.LevelInfo
 	if n.Warn {
 		level = slog.LevelWarn
@@ -119,36 +119,36 @@
 			attrs = append(attrs, a[0], a[1])
 		}
 	}
-	k.opt.Log.Log(context.Background(), level, n.Message, attrs...)
+	d.opt.Log.Log(context.Background(), level, n.Message, attrs...)
 }
 
 // Flush tells the core at once of what has changed.
-func (k *Keeper) Flush() { k.flush() }
+func (d *Directory) Flush() { d.flush() }
 
 // flush tells the core of all that has changed.
-func (k *Keeper) flush() {
-	k.told.Lock()
-	defer k.told.Unlock()
-	k.mu.Lock()
-	members := make([]core.Endpoint, 0, len(k.pending))
-	for _, e := range k.pending {
-		members = append(members, member(e))
+func (d *Directory) flush() {
+	d.publishing.Lock()
+	defer d.publishing.Unlock()
+	d.mu.Lock()
+	members := make([]core.Endpoint, 0, len(d.pending))
+	for _, e := range d.pending {
+		members = append(members, endpoint(e))
 	}
-	clear(k.pending)
-	k.flushed = time.Now()
+	clear(d.pending)
+	d.lastFlush = time.Now()
 	if len(members) > 0 {
-		k.stats.Changes += len(members)
-		k.stats.Tells++
+		d.stats.Changes += len(members)
+		d.stats.Tells++
 	}
-	k.mu.Unlock()
+	d.mu.Unlock()
 	if len(members) > 0 {
-		k.opt.Tell(routing.EngineListDelta, members)
+		d.opt.Publish(routing.EngineListDelta, members)
 	}
 }
 
-// member is an engine as the core is told of it. One that is critical or suspect
+// endpoint is an engine as the core is told of it. One that is critical or suspect
 // gets no new work but keeps its place: what is known of it holds if it comes back.
-func member(e roster.Engine) core.Endpoint {
+func endpoint(e roster.Engine) core.Endpoint {
 	m := core.Endpoint{
 		EngineInfo: routing.EngineInfo{Name: e.ID, Kind: e.Kind, Zone: e.Zone, Cell: e.Cell, Weight: 1},
 		Addr:       e.Addr, StartedAt: e.Started,
@@ -165,39 +165,39 @@
 }
 
 // Subscribe does nothing: changes come by themselves. A keeper is a core.Directory.
-func (k *Keeper) Subscribe() {}
+func (d *Directory) Subscribe() {}
 
-// Broke notes that an engine refused a connection, as an attempt at it has shown.
-func (k *Keeper) Broke(id, addr string) {
-	k.With(func(b *roster.Registry, now time.Time) { b.ObserveProbe(now, id, addr, roster.Refused) })
+// ConnectionRefused notes that an engine refused a connection, as an attempt at it has shown.
+func (d *Directory) ConnectionRefused(id, addr string) {
+	d.With(func(b *roster.Registry, now time.Time) { b.ObserveProbe(now, id, addr, roster.Refused) })
 }
 
 // Run lets time pass and makes the checks that are wanted until ctx ends.
-func (k *Keeper) Run(ctx context.Context) {
+func (d *Directory) Run(ctx context.Context) {
 	var group sync.WaitGroup
 	defer group.Wait()
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	group.Go(func() { k.save(ctx) })
-	t := time.NewTicker(tickEvery)
+	group.Go(func() { d.save(ctx) })
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
 		var probes []roster.Probe
-		k.With(func(b *roster.Registry, now time.Time) {
+		d.With(func(b *roster.Registry, now time.Time) {
 			b.Tick(now)
-			for _, p := range b.DueProbes(now, checkMost) {
-				if !k.checking[p] {
-					k.checking[p] = true
-					k.stats.Checks++
+			for _, p := range b.DueProbes(now, maxProbesPerTick) {
+				if !d.probing[p] {
+					d.probing[p] = true
+					d.stats.Checks++
 					probes = append(probes, p)
 				}
 			}
 		})
 		for _, p := range probes {
 			group.Go(func() {
-				pulse := k.opt.Check(ctx, p.Addr)
-				k.With(func(b *roster.Registry, now time.Time) {
-					delete(k.checking, p)
+				pulse := d.opt.Probe(ctx, p.Addr)
+				d.With(func(b *roster.Registry, now time.Time) {
+					delete(d.probing, p)
 					if ctx.Err() == nil {
 						b.ObserveProbe(now, p.ID, p.Addr, pulse)
 					}
@@ -213,11 +213,11 @@
 }
 
 // save keeps the last good view as it changes, and its age from time to time.
-func (k *Keeper) save(ctx context.Context) {
-	if k.opt.StateFile == "" {
+func (d *Directory) save(ctx context.Context) {
+	if d.opt.StateFile == "" {
 		return
 	}
-	t := time.NewTicker(saveEvery)
+	t := time.NewTicker(saveInterval)
 	defer t.Stop()
 	failed, written := false, time.Time{}
 	for on := true; on; {
@@ -226,28 +226,28 @@
 			on = false
 		case <-t.C:
 		}
-		k.mu.Lock()
-		if !k.changed && time.Since(written) < time.Minute {
-			k.mu.Unlock()
+		d.mu.Lock()
+		if !d.unsaved && time.Since(written) < time.Minute {
+			d.mu.Unlock()
 			continue
 		}
-		k.changed = false
-		entries, indexes := k.book.Snapshot()
-		k.mu.Unlock()
+		d.unsaved = false
+		entries, indexes := d.registry.Snapshot()
+		d.mu.Unlock()
 		v := lastview.View{SavedAt: time.Now(), Entries: entries}
 		for src, n := range indexes {
 			v.Indexes = append(v.Indexes, lastview.Index{Source: src, Index: n})
 		}
-		err := lastview.Save(k.opt.StateFile, v)
+		err := lastview.Save(d.opt.StateFile, v)
 		written = v.SavedAt
 		if err != nil && !failed { // a full disk is no reason to fill the log as well
-			k.opt.Log.Error("the last good view is not kept", "file", k.opt.StateFile, "cause", err)
+			d.opt.Log.Error("the last good view is not kept", "file", d.opt.StateFile, "cause", err)
 		}
 		failed = err != nil
 		if err == nil {
-			k.mu.Lock()
-			k.stats.Saves++
-			k.mu.Unlock()
+			d.mu.Lock()
+			d.stats.Saves++
+			d.mu.Unlock()
 		}
 	}
 }
@@ -286,9 +286,9 @@
 }
 
 // View returns the present view.
-func (k *Keeper) View() View {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (d *Directory) View() View {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	now := time.Now()
 	since := func(t time.Time) int64 {
 		if t.IsZero() {
@@ -296,8 +296,8 @@
 		}
 		return now.Sub(t).Milliseconds()
 	}
-	v := View{Stats: k.stats, Engines: []Engine{}, Sources: []Source{}}
-	for _, e := range k.book.Engines() {
+	v := View{Stats: d.stats, Engines: []Engine{}, Sources: []Source{}}
+	for _, e := range d.registry.Engines() {
 		line := Engine{
 			ID: e.ID, Address: e.Addr, Role: e.Kind, Zone: e.Zone, Cell: e.Cell, State: e.State.String(), Why: e.Why,
 			Confidence: e.Confidence.String(), AgeMS: since(e.LastSeen), Sources: e.Sources,
@@ -310,7 +310,7 @@
 		}
 		v.Engines = append(v.Engines, line)
 	}
-	for _, s := range k.book.SourceStatuses() {
+	for _, s := range d.registry.SourceStatuses() {
 		line := Source{Source: s.Source, Doubt: string(s.Doubt), AgeMS: since(s.LastTrusted), Index: s.Index, Engines: s.Engines}
 		if s.Doubt != roster.Trusted {
 			line.DoubtMS = since(s.DoubtedSince)
--- a/internal/directory/keeper_test.go
+++ b/internal/directory/directory_test.go
@@ -57,22 +57,22 @@
 	return strings.Join(words, " ")
 }
 
-func keeper(t *testing.T, file string, check func(context.Context, string) roster.ProbeResult) (*Keeper, *told, func()) {
+func start(t *testing.T, file string, check func(context.Context, string) roster.ProbeResult) (*Directory, *told, func()) {
 	t.Helper()
 	c := &told{list: map[string]core.Endpoint{}}
-	k := New(Options{Policy: roster.DefaultPolicy(), Tell: c.tell, Check: check, StateFile: file, Log: logging.New(c, true)})
+	d := New(Options{Policy: roster.DefaultPolicy(), Publish: c.tell, Probe: check, StateFile: file, Log: logging.New(c, true)})
 	ctx, stop := context.WithCancel(t.Context())
 	var group sync.WaitGroup
-	group.Go(func() { k.Run(ctx) })
+	group.Go(func() { d.Run(ctx) })
 	end := sync.OnceFunc(func() { stop(); group.Wait() })
 	t.Cleanup(end)
-	return k, c, end
+	return d, c, end
 }
 
 var llm = roster.Source{Origin: roster.Catalogue, Name: "llm"}
 
-func observe(k *Keeper, index uint64, entries ...roster.Entry) {
-	k.With(func(b *roster.Registry, now time.Time) {
+func observe(d *Directory, index uint64, entries ...roster.Entry) {
+	d.With(func(b *roster.Registry, now time.Time) {
 		b.Observe(now, llm, roster.View{Index: index, Entries: entries})
 	})
 }
@@ -91,20 +91,20 @@
 func TestStartFromDisk(t *testing.T) {
 	alive := func(context.Context, string) roster.ProbeResult { return roster.Answered }
 	file := filepath.Join(t.TempDir(), "view")
-	k, c, end := keeper(t, file, alive)
-	observe(k, 5, entry("a", roster.Clear), entry("b", roster.Critical), entry("c", roster.Maintenance))
+	d, c, end := start(t, file, alive)
+	observe(d, 5, entry("a", roster.Clear), entry("b", roster.Critical), entry("c", roster.Maintenance))
 	awaits(t, c, "a:0 b:1 c:1")
 	end() // the last view is written
-	k, c, end = keeper(t, file, alive)
+	d, c, end = start(t, file, alive)
 	awaits(t, c, "a:0 b:1 c:1")
-	if v := k.View(); v.Engines[0].Confidence != "restored" || v.Sources[0].Doubt != string(roster.FromDisk) || v.Sources[0].Index != 5 {
+	if v := d.View(); v.Engines[0].Confidence != "restored" || v.Sources[0].Doubt != string(roster.FromDisk) || v.Sources[0].Index != 5 {
 		t.Errorf("%+v", v)
 	}
 	end()
 	if err := os.WriteFile(file, []byte("wellgw-view 1 0000000000000000\n{}"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	_, c, end = keeper(t, file, alive)
+	_, c, end = start(t, file, alive)
 	end()
 	aside, _ := filepath.Glob(file + ".damaged-*")
 	if c.says() != "" || len(aside) != 1 || !strings.Contains(c.log.String(), "set aside") {
@@ -114,7 +114,7 @@
 
 // Engines in question are checked, and those that refuse are gone.
 func TestEnginesInQuestionAreChecked(t *testing.T) {
-	k, c, _ := keeper(t, "", func(_ context.Context, addr string) roster.ProbeResult {
+	d, c, _ := start(t, "", func(_ context.Context, addr string) roster.ProbeResult {
 		if addr == "127.0.0.1:2" {
 			return roster.Refused
 		}
@@ -122,26 +122,26 @@
 	})
 	b := entry("b", roster.Clear)
 	b.Addr = "127.0.0.1:2"
-	observe(k, 1, entry("a", roster.Clear), b)
+	observe(d, 1, entry("a", roster.Clear), b)
 	awaits(t, c, "a:0 b:0")
-	observe(k, 2)
+	observe(d, 2)
 	awaits(t, c, "a:0")
-	if s := k.View().Stats; s.Checks < 3 || s.Changes < 3 {
+	if s := d.View().Stats; s.Checks < 3 || s.Changes < 3 {
 		t.Errorf("%+v", s)
 	}
 }
 
 func TestFileIsASource(t *testing.T) {
-	k, c, _ := keeper(t, "", func(context.Context, string) roster.ProbeResult { return roster.Answered })
+	d, c, _ := start(t, "", func(context.Context, string) roster.ProbeResult { return roster.Answered })
 	o := &config.Operator{Zone: "z", Engines: []config.StaticEngine{{ID: "x", Address: "127.0.0.1:9", Role: "read"}, {ID: "y", Address: "127.0.0.1:8", Role: "read"}}}
-	File(k, o)
-	observe(k, 1, entry("a", roster.Clear), roster.Entry{ID: "y", Addr: "127.0.0.1:7", Kind: "read", Mark: roster.Critical})
+	LoadFile(d, o)
+	observe(d, 1, entry("a", roster.Clear), roster.Entry{ID: "y", Addr: "127.0.0.1:7", Kind: "read", Mark: roster.Critical})
 	awaits(t, c, "a:0 x:0 y:1")
-	if e := k.View().Engines[2]; e.Address != "127.0.0.1:7" || len(e.Sources) != 2 {
+	if e := d.View().Engines[2]; e.Address != "127.0.0.1:7" || len(e.Sources) != 2 {
 		t.Errorf("the catalogue's address does not count: %+v", e)
 	}
 	o.Engines = nil
-	File(k, o)
+	LoadFile(d, o)
 	awaits(t, c, "a:0 y:1")
 }
 
@@ -160,7 +160,7 @@
 		{"", answers.Addr, roster.Answered}, {"/healthz", answers.Addr, roster.Answered}, {"", hangs.Addr, roster.Answered},
 		{"/healthz", hangs.Addr, roster.NoAnswer}, {"", l.Addr().String(), roster.Refused},
 	} {
-		if got := Checker(c.path)(t.Context(), c.addr); got != c.want {
+		if got := NewProbe(c.path)(t.Context(), c.addr); got != c.want {
 			t.Errorf("%q: %v, want %v", c.path, got, c.want)
 		}
 	}
@@ -180,7 +180,7 @@
 func TestRefusedAttemptsAreNoted(t *testing.T) {
 	for cause, want := range map[error]int{syscall.ECONNREFUSED: 1, errors.New("other"): 0} {
 		broke, ended := 0, 0
-		w := Watched{fake{result: core.Result{Status: routing.StatusConnectFailed, Cause: fmt.Errorf("connect: %w", cause)}}, func(string, string) { broke++ }}
+		w := ObservedTransport{fake{result: core.Result{Status: routing.StatusConnectFailed, Cause: fmt.Errorf("connect: %w", cause)}}, func(string, string) { broke++ }}
 		w.Start(core.Attempt{}, nil, func(core.Result) { ended++ })
 		if broke != want || ended != 1 {
 			t.Errorf("%v: noted %d times, ended %d times", cause, broke, ended)
--- a/internal/directory/golden_test.go
+++ b/internal/directory/golden_test.go
@@ -59,19 +59,19 @@
 
 // What a keeper shows of engines in each state, in the words that people read.
 func TestViewShowsStatesAndReasons(t *testing.T) {
-	k, _, _ := keeper(t, "", func(context.Context, string) roster.ProbeResult { return roster.Answered })
+	d, _, _ := start(t, "", func(context.Context, string) roster.ProbeResult { return roster.Answered })
 	start := time.Now().Add(-time.Hour)
 	e := func(id string, mark roster.Mark) roster.Entry {
 		return roster.Entry{ID: id, Addr: id + ":1", Kind: "read", Zone: "z", Cell: 1, Mark: mark, Started: start}
 	}
-	k.With(func(b *roster.Registry, now time.Time) {
+	d.With(func(b *roster.Registry, now time.Time) {
 		b.Observe(now, llm, roster.View{Index: 9, Entries: []roster.Entry{
 			e("a", roster.Clear), e("b", roster.Critical), e("c", roster.Maintenance), e("d", roster.Clear), e("e", roster.Clear),
 		}})
 		b.Override(now, map[string]roster.Override{"d": {Hold: true, Why: "changing"}, "e": {Kind: "write", Started: now}})
 		b.ObserveFailure(now, llm, roster.Unreachable)
 	})
-	v := k.View()
+	v := d.View()
 	for i := range v.Engines {
 		v.Engines[i].AgeMS, v.Engines[i].UpMS = 0, 0
 	}
@@ -153,9 +153,9 @@
 	if err := os.WriteFile(path, raw, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	k, _, end := keeper(t, path, func(context.Context, string) roster.ProbeResult { return roster.NoAnswer })
+	d, _, end := start(t, path, func(context.Context, string) roster.ProbeResult { return roster.NoAnswer })
 	var lines []string
-	for _, e := range k.View().Engines {
+	for _, e := range d.View().Engines {
 		lines = append(lines, strings.Join([]string{e.ID, e.Address, e.Role, e.State, e.Why, e.Confidence, strings.Join(e.Sources, "+")}, "|"))
 	}
 	end()
--- a/internal/directory/sources.go
+++ b/internal/directory/sources.go
@@ -10,9 +10,9 @@
 	"wellgw/internal/core"
 )
 
-// File has a keeper take the engines that an operator's file names. The file is a
+// LoadFile has a keeper take the engines that an operator's file names. The file is a
 // source like any other, and is always believed.
-func File(k *Keeper, o *config.Operator) {
+func LoadFile(d *Directory, o *config.Operator) {
 	src := roster.Source{Origin: roster.File}
 	var v roster.View
 	for _, e := range o.Engines {
@@ -22,7 +22,7 @@
 		}
 		v.Entries = append(v.Entries, roster.Entry{ID: e.ID, Addr: e.Address, Kind: e.Role, Zone: zone, Cell: e.Cell})
 	}
-	k.With(func(b *roster.Registry, now time.Time) {
+	d.With(func(b *roster.Registry, now time.Time) {
 		if len(v.Entries) == 0 { // an operator's own word: no rule about losses holds
 			b.RemoveSource(now, src, "the file names no engine")
 			return
@@ -31,18 +31,18 @@
 	})
 }
 
-// Watched are engines whose refused connections a directory learns of: they tell a
+// ObservedTransport are engines whose refused connections a directory learns of: they tell a
 // restart from a check that flapped.
-type Watched struct {
+type ObservedTransport struct {
 	core.Transport
-	Broke func(id, addr string)
+	OnRefused func(id, addr string)
 }
 
 // Start makes an attempt; see core.Engine.
-func (w Watched) Start(a core.Attempt, first func(core.Stream), ended func(core.Result)) core.Handle {
+func (w ObservedTransport) Start(a core.Attempt, first func(core.Stream), ended func(core.Result)) core.Handle {
 	return w.Transport.Start(a, first, func(r core.Result) {
 		if errors.Is(r.Cause, syscall.ECONNREFUSED) {
-			w.Broke(a.Endpoint.Name, a.Endpoint.Addr)
+			w.OnRefused(a.Endpoint.Name, a.Endpoint.Addr)
 		}
 		ended(r)
 	})
--- a/internal/rolectl/rolectl.go
+++ b/internal/rolectl/rolectl.go
@@ -33,7 +33,7 @@
 
 // Options are what a controller is made of.
 type Options struct {
-	Keeper   *directory.Keeper
+	Keeper   *directory.Directory
 	Settings roles.Settings
 	Limits   rolechange.Limits
 	Lease    time.Duration
--- a/internal/rolectl/rolectl_test.go
+++ b/internal/rolectl/rolectl_test.go
@@ -27,7 +27,7 @@
 // gate is one gateway, as far as changes of role need it.
 type gate struct {
 	*Controller
-	keeper *directory.Keeper
+	keeper *directory.Directory
 	client *consul.Client
 	agent  *fakeconsul.Agent
 	stop   func()
@@ -96,7 +96,7 @@
 		w.Fatal(err)
 	}
 	g := &gate{client: client, agent: agent, phase: map[string]routing.Phase{}}
-	g.keeper = directory.New(directory.Options{Policy: roster.DefaultPolicy(), Log: log, Check: directory.Checker(""), Tell: func(_ routing.EngineListScope, list []core.Endpoint) {
+	g.keeper = directory.New(directory.Options{Policy: roster.DefaultPolicy(), Log: log, Probe: directory.NewProbe(""), Publish: func(_ routing.EngineListScope, list []core.Endpoint) {
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		for _, m := range list {
