--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -5,15 +5,12 @@
 
 import (
 	"context"
-	"errors"
-	"io/fs"
 	"log/slog"
 	"sync"
 	"time"
 
 	"wellgw/decide/roster"
 	"wellgw/internal/core"
-	"wellgw/internal/lastview"
 	"wellgw/routing"
 )
 
@@ -71,23 +68,6 @@
 	return d
 }
 
-func (d *Directory) restore() {
-	v, err := lastview.Load(d.opt.StateFile)
-	switch {
-	case errors.Is(err, fs.ErrNotExist):
-		return
-	case errors.Is(err, lastview.ErrDamaged):
-		aside, moved := lastview.SetAside(d.opt.StateFile, time.Now())
-		d.opt.Log.Error("the last good view cannot be used and is set aside", "file", aside, "cause", errors.Join(err, moved))
-		return
-	case err != nil:
-		d.opt.Log.Error("the last good view cannot be read", "file", d.opt.StateFile, "cause", err)
-		return
-	}
-	d.opt.Log.Info("last good view read", "file", d.opt.StateFile, "age", time.Since(v.SavedAt).Round(time.Millisecond).String())
-	d.With(func(b *roster.Registry, now time.Time) { b.Restore(now, v.Entries, v.IndexOf()) })
-}
-
 // With has do work on the book, alone, and tells what comes of it.
 func (d *Directory) With(do func(b *roster.Registry, now time.Time)) {
 	d.mu.Lock()
@@ -211,111 +191,3 @@
 		}
 	}
 }
-
-// save keeps the last good view as it changes, and its age from time to time.
-func (d *Directory) save(ctx context.Context) {
-	if d.opt.StateFile == "" {
-		return
-	}
-	t := time.NewTicker(saveInterval)
-	defer t.Stop()
-	failed, written := false, time.Time{}
-	for on := true; on; {
-		select {
-		case <-ctx.Done():
-			on = false
-		case <-t.C:
-		}
-		d.mu.Lock()
-		if !d.unsaved && time.Since(written) < time.Minute {
-			d.mu.Unlock()
-			continue
-		}
-		d.unsaved = false
-		entries, indexes := d.registry.Snapshot()
-		d.mu.Unlock()
-		v := lastview.View{SavedAt: time.Now(), Entries: entries}
-		for src, n := range indexes {
-			v.Indexes = append(v.Indexes, lastview.Index{Source: src, Index: n})
-		}
-		err := lastview.Save(d.opt.StateFile, v)
-		written = v.SavedAt
-		if err != nil && !failed { // a full disk is no reason to fill the log as well
-			d.opt.Log.Error("the last good view is not kept", "file", d.opt.StateFile, "cause", err)
-		}
-		failed = err != nil
-		if err == nil {
-			d.mu.Lock()
-			d.stats.Saves++
-			d.mu.Unlock()
-		}
-	}
-}
-
-// Engine is one line of the present view, for people.
-type Engine struct {
-	ID         string   `json:"id"`
-	Address    string   `json:"address"`
-	Role       string   `json:"role"`
-	Listed     string   `json:"listed,omitempty"` // the role that its sources state, if it is another
-	Zone       string   `json:"zone"`
-	Cell       int      `json:"cell"`
-	State      string   `json:"state"`
-	Why        string   `json:"why,omitempty"`
-	Confidence string   `json:"confidence"`
-	AgeMS      int64    `json:"age_ms"`          // since a believed view had it
-	UpMS       int64    `json:"up_ms,omitempty"` // since its start, if that is known
-	Sources    []string `json:"sources"`
-}
-
-// Source is the state of one source, for people.
-type Source struct {
-	Source  string `json:"source"`
-	Doubt   string `json:"doubt,omitempty"`
-	DoubtMS int64  `json:"doubt_ms,omitempty"`
-	AgeMS   int64  `json:"age_ms"` // since a view was believed; -1 if none was
-	Index   uint64 `json:"index"`
-	Engines int    `json:"engines"`
-}
-
-// View is the whole of the present view.
-type View struct {
-	Engines []Engine `json:"engines"`
-	Sources []Source `json:"sources"`
-	Stats   Stats    `json:"stats"`
-}
-
-// View returns the present view.
-func (d *Directory) View() View {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	now := time.Now()
-	since := func(t time.Time) int64 {
-		if t.IsZero() {
-			return -1
-		}
-		return now.Sub(t).Milliseconds()
-	}
-	v := View{Stats: d.stats, Engines: []Engine{}, Sources: []Source{}}
-	for _, e := range d.registry.Engines() {
-		line := Engine{
-			ID: e.ID, Address: e.Addr, Role: e.Kind, Zone: e.Zone, Cell: e.Cell, State: e.State.String(), Why: e.Why,
-			Confidence: e.Confidence.String(), AgeMS: since(e.LastSeen), Sources: e.Sources,
-		}
-		if e.ListedKind != e.Kind {
-			line.Listed = e.ListedKind
-		}
-		if !e.Started.IsZero() {
-			line.UpMS = max(1, since(e.Started)) // 0 is one that nobody knows
-		}
-		v.Engines = append(v.Engines, line)
-	}
-	for _, s := range d.registry.SourceStatuses() {
-		line := Source{Source: s.Source, Doubt: string(s.Doubt), AgeMS: since(s.LastTrusted), Index: s.Index, Engines: s.Engines}
-		if s.Doubt != roster.Trusted {
-			line.DoubtMS = since(s.DoubtedSince)
-		}
-		v.Sources = append(v.Sources, line)
-	}
-	return v
-}
--- a/internal/directory/sources.go
+++ b/internal/directory/file.go
@@ -1,13 +1,10 @@
 package directory
 
 import (
-	"errors"
-	"syscall"
 	"time"
 
 	"wellgw/decide/roster"
 	"wellgw/internal/config"
-	"wellgw/internal/core"
 )
 
 // LoadFile has a keeper take the engines that an operator's file names. The file is a
@@ -30,20 +27,3 @@
 		b.ReplaceSource(now, src, v)
 	})
 }
-
-// ObservedTransport are engines whose refused connections a directory learns of: they tell a
-// restart from a check that flapped.
-type ObservedTransport struct {
-	core.Transport
-	OnRefused func(id, addr string)
-}
-
-// Start makes an attempt; see core.Engine.
-func (w ObservedTransport) Start(a core.Attempt, first func(core.Stream), ended func(core.Result)) core.Handle {
-	return w.Transport.Start(a, first, func(r core.Result) {
-		if errors.Is(r.Cause, syscall.ECONNREFUSED) {
-			w.OnRefused(a.Endpoint.Name, a.Endpoint.Addr)
-		}
-		ended(r)
-	})
-}
--- /dev/null
+++ b/internal/directory/view.go
@@ -0,0 +1,75 @@
+package directory
+
+import (
+	"time"
+
+	"wellgw/decide/roster"
+)
+
+// Engine is one line of the present view, for people.
+type Engine struct {
+	ID         string   `json:"id"`
+	Address    string   `json:"address"`
+	Role       string   `json:"role"`
+	Listed     string   `json:"listed,omitempty"` // the role that its sources state, if it is another
+	Zone       string   `json:"zone"`
+	Cell       int      `json:"cell"`
+	State      string   `json:"state"`
+	Why        string   `json:"why,omitempty"`
+	Confidence string   `json:"confidence"`
+	AgeMS      int64    `json:"age_ms"`          // since a believed view had it
+	UpMS       int64    `json:"up_ms,omitempty"` // since its start, if that is known
+	Sources    []string `json:"sources"`
+}
+
+// Source is the state of one source, for people.
+type Source struct {
+	Source  string `json:"source"`
+	Doubt   string `json:"doubt,omitempty"`
+	DoubtMS int64  `json:"doubt_ms,omitempty"`
+	AgeMS   int64  `json:"age_ms"` // since a view was believed; -1 if none was
+	Index   uint64 `json:"index"`
+	Engines int    `json:"engines"`
+}
+
+// View is the whole of the present view.
+type View struct {
+	Engines []Engine `json:"engines"`
+	Sources []Source `json:"sources"`
+	Stats   Stats    `json:"stats"`
+}
+
+// View returns the present view.
+func (d *Directory) View() View {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	now := time.Now()
+	since := func(t time.Time) int64 {
+		if t.IsZero() {
+			return -1
+		}
+		return now.Sub(t).Milliseconds()
+	}
+	v := View{Stats: d.stats, Engines: []Engine{}, Sources: []Source{}}
+	for _, e := range d.registry.Engines() {
+		line := Engine{
+			ID: e.ID, Address: e.Addr, Role: e.Kind, Zone: e.Zone, Cell: e.Cell, State: e.State.String(), Why: e.Why,
+			Confidence: e.Confidence.String(), AgeMS: since(e.LastSeen), Sources: e.Sources,
+		}
+		if e.ListedKind != e.Kind {
+			line.Listed = e.ListedKind
+		}
+		if !e.Started.IsZero() {
+			line.UpMS = max(1, since(e.Started)) // 0 is one that nobody knows
+		}
+		v.Engines = append(v.Engines, line)
+	}
+	for _, s := range d.registry.SourceStatuses() {
+		line := Source{Source: s.Source, Doubt: string(s.Doubt), AgeMS: since(s.LastTrusted), Index: s.Index, Engines: s.Engines}
+		if s.Doubt != roster.Trusted {
+			line.DoubtMS = since(s.DoubtedSince)
+		}
+		v.Sources = append(v.Sources, line)
+	}
+	return v
+}
