--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -1,6 +1,6 @@
-// Package directory stands between the sources of engines and the core. It gives
-// what sources say to decide/roster, carries out the direct checks that it asks
-// for, tells the core of changes, and keeps the last good view on disk.
+// Package directory connects the sources of engines with the core. It passes their views to
+// decide/roster, makes the health probes that it asks for, publishes changes to the core, and
+// stores the last good view on disk.
 package directory
 
 import (
@@ -14,50 +14,51 @@
 	"wellgw/routing"
 )
 
-// The keeper's margins.
+// Intervals and limits of the directory's work.
 const (
 	tickInterval     = 100 * time.Millisecond
-	maxProbesPerTick = 32                    // direct checks begun at a tick: 320 a second
-	flushInterval    = 20 * time.Millisecond // a catalogue that flaps is told of in pieces
+	maxProbesPerTick = 32                    // 320 probes a second
+	flushInterval    = 20 * time.Millisecond // batches the changes of a flapping catalog
 	saveInterval     = time.Second
+	maxSnapshotAge   = time.Minute // without changes the file is written for its time stamp
 )
 
-// Options are what a keeper is made of.
+// Options configure a directory.
 type Options struct {
 	Policy roster.Policy
-	// Publish takes what has changed. It may block for a moment.
+	// Publish passes changed engines to the core. It may block for a moment.
 	Publish func(routing.EngineListScope, []core.Endpoint)
-	// Probe looks whether an engine at an address answers.
+	// Probe reports whether an engine at an address answers.
 	Probe func(ctx context.Context, addr string) roster.ProbeResult
-	// StateFile is where the last good view is kept; "" for nowhere.
+	// StateFile is the path of the last good view; "" for none.
 	StateFile string
 	Log       *slog.Logger
 }
 
-// Directory owns the book of engines.
+// Directory owns the registry of engines behind one lock. It is a core.Directory.
 type Directory struct {
 	opt Options
 
 	mu         sync.Mutex
 	registry   *roster.Registry
-	pending    map[string]roster.Engine
+	pending    map[string]roster.Engine // changes to publish, by id
 	lastFlush  time.Time
-	unsaved    bool // since the last save
-	probing    map[roster.Probe]bool
+	unsaved    bool                  // changes since the last snapshot
+	probing    map[roster.Probe]bool // under way
 	stats      Stats
-	publishing sync.Mutex // keeps what is told in order
+	publishing sync.Mutex // keeps messages to the core in order; taken before mu
 }
 
-// Stats count what the keeper has done.
+// Stats count the directory's work.
 type Stats struct {
-	Checks  int `json:"checks"`  // direct checks of engines
-	Changes int `json:"changes"` // engines told anew to the core
-	Tells   int `json:"tells"`   // in so many messages
+	Checks  int `json:"checks"`  // health probes of engines
+	Changes int `json:"changes"` // engines published to the core
+	Tells   int `json:"tells"`   // messages to the core
 	Saves   int `json:"saves"`
 }
 
-// New returns a keeper; with a state file, it begins with the view that it holds.
-// A damaged file is set aside.
+// New returns a directory. With a state file it starts from the view stored there; a damaged
+// file is renamed and logged.
 func New(opt Options) *Directory {
 	d := &Directory{
 		opt: opt, registry: roster.New(opt.Policy), pending: map[string]roster.Engine{}, probing: map[roster.Probe]bool{},
@@ -68,8 +69,9 @@
 	return d
 }
 
-// With has do work on the book, alone, and tells what comes of it.
-func (d *Directory) With(do func(b *roster.Registry, now time.Time)) {
+// With calls do with exclusive access to the registry, then logs its events and publishes its
+// changes when they are due.
+func (d *Directory) With(do func(r *roster.Registry, now time.Time)) {
 	d.mu.Lock()
 	now := time.Now()
 	do(d.registry, now)
@@ -77,57 +79,56 @@
 		d.pending[c.ID] = c
 		d.unsaved = true
 	}
-	notes := d.registry.Events()
+	events := d.registry.Events()
 	due := len(d.pending) > 0 && now.Sub(d.lastFlush) >= flushInterval
 	d.mu.Unlock()
-	for _, n := range notes {
-		d.logEvent(n)
+	for _, e := range events {
+		d.logEvent(e)
 	}
 	if due {
-		d.flush()
+		d.Flush()
 	}
 }
 
-func (d *Directory) logEvent(n roster.Event) {
+func (d *Directory) logEvent(e roster.Event) {
 	level := slog.LevelInfo
-	if n.Warn {
+	if e.Warn {
 		level = slog.LevelWarn
 	}
-	attrs := []any{"engines", n.Engines}
-	for _, a := range [][2]string{{"source", n.Source}, {"engine", n.Engine}, {"reason", string(n.Reason)}, {"cause", n.Cause}} {
-		if a[1] != "" {
-			attrs = append(attrs, a[0], a[1])
+	attrs := []slog.Attr{slog.Int("engines", e.Engines)}
+	for _, attr := range []slog.Attr{
+		slog.String("source", e.Source), slog.String("engine", e.Engine), slog.String("reason", string(e.Reason)), slog.String("cause", e.Cause),
+	} {
+		if attr.Value.String() != "" {
+			attrs = append(attrs, attr)
 		}
 	}
-	d.opt.Log.Log(context.Background(), level, n.Message, attrs...)
+	d.opt.Log.LogAttrs(context.Background(), level, e.Message, attrs...)
 }
 
-// Flush tells the core at once of what has changed.
-func (d *Directory) Flush() { d.flush() }
-
-// flush tells the core of all that has changed.
-func (d *Directory) flush() {
+// Flush publishes all pending changes at once.
+func (d *Directory) Flush() {
 	d.publishing.Lock()
 	defer d.publishing.Unlock()
 	d.mu.Lock()
-	members := make([]core.Endpoint, 0, len(d.pending))
+	endpoints := make([]core.Endpoint, 0, len(d.pending))
 	for _, e := range d.pending {
-		members = append(members, endpoint(e))
+		endpoints = append(endpoints, endpoint(e))
 	}
 	clear(d.pending)
 	d.lastFlush = time.Now()
-	if len(members) > 0 {
-		d.stats.Changes += len(members)
+	if len(endpoints) > 0 {
+		d.stats.Changes += len(endpoints)
 		d.stats.Tells++
 	}
 	d.mu.Unlock()
-	if len(members) > 0 {
-		d.opt.Publish(routing.EngineListDelta, members)
+	if len(endpoints) > 0 {
+		d.opt.Publish(routing.EngineListDelta, endpoints)
 	}
 }
 
-// endpoint is an engine as the core is told of it. One that is critical or suspect
-// gets no new work but keeps its place: what is known of it holds if it comes back.
+// endpoint returns an engine in the core's form. One that is critical or suspect gets no new
+// requests but stays listed: what is known of it still holds if it comes back.
 func endpoint(e roster.Engine) core.Endpoint {
 	m := core.Endpoint{
 		EngineInfo: routing.EngineInfo{Name: e.ID, Kind: e.Kind, Zone: e.Zone, Cell: e.Cell, Weight: 1},
@@ -144,15 +145,17 @@
 	return m
 }
 
-// Subscribe does nothing: changes come by themselves. A keeper is a core.Directory.
+// Subscribe does nothing, since changes are always published. It makes a Directory a
+// core.Directory.
 func (d *Directory) Subscribe() {}
 
-// ConnectionRefused notes that an engine refused a connection, as an attempt at it has shown.
+// ConnectionRefused records that an engine refused the connection of an attempt.
 func (d *Directory) ConnectionRefused(id, addr string) {
-	d.With(func(b *roster.Registry, now time.Time) { b.ObserveProbe(now, id, addr, roster.Refused) })
+	d.With(func(r *roster.Registry, now time.Time) { r.ObserveProbe(now, id, addr, roster.Refused) })
 }
 
-// Run lets time pass and makes the checks that are wanted until ctx ends.
+// Run advances the registry's time and makes the probes that are due until ctx ends. It
+// returns when its goroutines have ended.
 func (d *Directory) Run(ctx context.Context) {
 	var group sync.WaitGroup
 	defer group.Wait()
@@ -162,27 +165,8 @@
 	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
-		var probes []roster.Probe
-		d.With(func(b *roster.Registry, now time.Time) {
-			b.Tick(now)
-			for _, p := range b.DueProbes(now, maxProbesPerTick) {
-				if !d.probing[p] {
-					d.probing[p] = true
-					d.stats.Checks++
-					probes = append(probes, p)
-				}
-			}
-		})
-		for _, p := range probes {
-			group.Go(func() {
-				pulse := d.opt.Probe(ctx, p.Addr)
-				d.With(func(b *roster.Registry, now time.Time) {
-					delete(d.probing, p)
-					if ctx.Err() == nil {
-						b.ObserveProbe(now, p.ID, p.Addr, pulse)
-					}
-				})
-			})
+		for _, p := range d.tick() {
+			group.Go(func() { d.probe(ctx, p) })
 		}
 		select {
 		case <-ctx.Done():
@@ -191,3 +175,28 @@
 		}
 	}
 }
+
+// tick advances the registry's time and returns the probes to make. None is made twice at once.
+func (d *Directory) tick() (probes []roster.Probe) {
+	d.With(func(r *roster.Registry, now time.Time) {
+		r.Tick(now)
+		for _, p := range r.DueProbes(now, maxProbesPerTick) {
+			if !d.probing[p] {
+				d.probing[p] = true
+				d.stats.Checks++
+				probes = append(probes, p)
+			}
+		}
+	})
+	return probes
+}
+
+func (d *Directory) probe(ctx context.Context, p roster.Probe) {
+	result := d.opt.Probe(ctx, p.Addr)
+	d.With(func(r *roster.Registry, now time.Time) {
+		delete(d.probing, p)
+		if ctx.Err() == nil { // else the probe was cut short
+			r.ObserveProbe(now, p.ID, p.Addr, result)
+		}
+	})
+}
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -23,7 +23,7 @@
 	"wellgw/routing"
 )
 
-// told collects what a keeper tells.
+// told collects what a directory publishes.
 type told struct {
 	mu   sync.Mutex
 	list map[string]core.Endpoint
@@ -72,8 +72,8 @@
 var llm = roster.Source{Origin: roster.Catalogue, Name: "llm"}
 
 func observe(d *Directory, index uint64, entries ...roster.Entry) {
-	d.With(func(b *roster.Registry, now time.Time) {
-		b.Observe(now, llm, roster.View{Index: index, Entries: entries})
+	d.With(func(r *roster.Registry, now time.Time) {
+		r.Observe(now, llm, roster.View{Index: index, Entries: entries})
 	})
 }
 
--- a/internal/directory/file.go
+++ b/internal/directory/file.go
@@ -7,23 +7,23 @@
 	"wellgw/internal/config"
 )
 
-// LoadFile has a keeper take the engines that an operator's file names. The file is a
-// source like any other, and is always believed.
+// LoadFile replaces the engines that the operator's file lists. The file is a source like any
+// other, and is always trusted.
 func LoadFile(d *Directory, o *config.Operator) {
-	src := roster.Source{Origin: roster.File}
-	var v roster.View
+	source := roster.Source{Origin: roster.File}
+	var view roster.View
 	for _, e := range o.Engines {
 		zone := e.Zone
 		if zone == "" {
 			zone = o.Zone
 		}
-		v.Entries = append(v.Entries, roster.Entry{ID: e.ID, Addr: e.Address, Kind: e.Role, Zone: zone, Cell: e.Cell})
+		view.Entries = append(view.Entries, roster.Entry{ID: e.ID, Addr: e.Address, Kind: e.Role, Zone: zone, Cell: e.Cell})
 	}
-	d.With(func(b *roster.Registry, now time.Time) {
-		if len(v.Entries) == 0 { // an operator's own word: no rule about losses holds
-			b.RemoveSource(now, src, "the file names no engine")
+	d.With(func(r *roster.Registry, now time.Time) {
+		if len(view.Entries) == 0 { // an operator's decision: rules about losses don't apply
+			r.RemoveSource(now, source, "the file names no engine")
 			return
 		}
-		b.ReplaceSource(now, src, v)
+		r.ReplaceSource(now, source, view)
 	})
 }
--- a/internal/directory/golden_test.go
+++ b/internal/directory/golden_test.go
@@ -57,19 +57,19 @@
 	}
 }
 
-// What a keeper shows of engines in each state, in the words that people read.
+// What a directory shows of engines in each state, in the words that people read.
 func TestViewShowsStatesAndReasons(t *testing.T) {
 	d, _, _ := start(t, "", func(context.Context, string) roster.ProbeResult { return roster.Answered })
 	start := time.Now().Add(-time.Hour)
 	e := func(id string, mark roster.Mark) roster.Entry {
 		return roster.Entry{ID: id, Addr: id + ":1", Kind: "read", Zone: "z", Cell: 1, Mark: mark, Started: start}
 	}
-	d.With(func(b *roster.Registry, now time.Time) {
-		b.Observe(now, llm, roster.View{Index: 9, Entries: []roster.Entry{
+	d.With(func(r *roster.Registry, now time.Time) {
+		r.Observe(now, llm, roster.View{Index: 9, Entries: []roster.Entry{
 			e("a", roster.Clear), e("b", roster.Critical), e("c", roster.Maintenance), e("d", roster.Clear), e("e", roster.Clear),
 		}})
-		b.Override(now, map[string]roster.Override{"d": {Hold: true, Why: "changing"}, "e": {Kind: "write", Started: now}})
-		b.ObserveFailure(now, llm, roster.Unreachable)
+		r.Override(now, map[string]roster.Override{"d": {Hold: true, Why: "changing"}, "e": {Kind: "write", Started: now}})
+		r.ObserveFailure(now, llm, roster.Unreachable)
 	})
 	v := d.View()
 	for i := range v.Engines {
@@ -143,7 +143,7 @@
 	}
 }
 
-// A keeper that starts from that file shows what it holds.
+// A directory that starts from that file shows what it holds.
 func TestRestoreFromLastViewFile(t *testing.T) {
 	raw, err := os.ReadFile(filepath.Join("testdata", "lastview"))
 	if err != nil {
--- a/internal/directory/snapshot.go
+++ b/internal/directory/snapshot.go
@@ -10,6 +10,7 @@
 	"wellgw/internal/lastview"
 )
 
+// restore starts the registry from the last good view on disk, if there is one.
 func (d *Directory) restore() {
 	v, err := lastview.Load(d.opt.StateFile)
 	switch {
@@ -17,52 +18,60 @@
 		return
 	case errors.Is(err, lastview.ErrDamaged):
 		aside, moved := lastview.SetAside(d.opt.StateFile, time.Now())
-		d.opt.Log.Error("the last good view cannot be used and is set aside", "file", aside, "cause", errors.Join(err, moved))
+		d.opt.Log.Error("last good view damaged, set aside", "file", aside, "cause", errors.Join(err, moved))
 		return
 	case err != nil:
-		d.opt.Log.Error("the last good view cannot be read", "file", d.opt.StateFile, "cause", err)
+		d.opt.Log.Error("last good view unreadable", "file", d.opt.StateFile, "cause", err)
 		return
 	}
-	d.opt.Log.Info("last good view read", "file", d.opt.StateFile, "age", time.Since(v.SavedAt).Round(time.Millisecond).String())
-	d.With(func(b *roster.Registry, now time.Time) { b.Restore(now, v.Entries, v.IndexOf()) })
+	d.opt.Log.Info("last good view loaded", "file", d.opt.StateFile, "age", time.Since(v.SavedAt).Round(time.Millisecond).String())
+	d.With(func(r *roster.Registry, now time.Time) { r.Restore(now, v.Entries, v.IndexOf()) })
 }
 
-// save keeps the last good view as it changes, and its age from time to time.
+// save writes the last good view while it changes, and once more when ctx ends.
 func (d *Directory) save(ctx context.Context) {
 	if d.opt.StateFile == "" {
 		return
 	}
 	t := time.NewTicker(saveInterval)
 	defer t.Stop()
-	failed, written := false, time.Time{}
-	for on := true; on; {
+	failed, savedAt := false, time.Time{}
+	for ended := false; !ended; {
 		select {
 		case <-ctx.Done():
-			on = false
+			ended = true
 		case <-t.C:
 		}
-		d.mu.Lock()
-		if !d.unsaved && time.Since(written) < time.Minute {
-			d.mu.Unlock()
+		view, due := d.snapshot(savedAt)
+		if !due {
 			continue
 		}
-		d.unsaved = false
-		entries, indexes := d.registry.Snapshot()
-		d.mu.Unlock()
-		v := lastview.View{SavedAt: time.Now(), Entries: entries}
-		for src, n := range indexes {
-			v.Indexes = append(v.Indexes, lastview.Index{Source: src, Index: n})
-		}
-		err := lastview.Save(d.opt.StateFile, v)
-		written = v.SavedAt
-		if err != nil && !failed { // a full disk is no reason to fill the log as well
-			d.opt.Log.Error("the last good view is not kept", "file", d.opt.StateFile, "cause", err)
+		savedAt = view.SavedAt
+		err := lastview.Save(d.opt.StateFile, view)
+		if err != nil && !failed { // logged once: a full disk must not fill the log as well
+			d.opt.Log.Error("last good view not saved", "file", d.opt.StateFile, "cause", err)
 		}
-		failed = err != nil
-		if err == nil {
+		if failed = err != nil; !failed {
 			d.mu.Lock()
 			d.stats.Saves++
 			d.mu.Unlock()
 		}
 	}
 }
+
+// snapshot returns the last good view if it has changed, or was saved too long ago.
+func (d *Directory) snapshot(savedAt time.Time) (view lastview.View, due bool) {
+	d.mu.Lock()
+	if !d.unsaved && time.Since(savedAt) < maxSnapshotAge {
+		d.mu.Unlock()
+		return lastview.View{}, false
+	}
+	d.unsaved = false
+	entries, indexes := d.registry.Snapshot()
+	d.mu.Unlock()
+	view = lastview.View{SavedAt: time.Now(), Entries: entries}
+	for source, index := range indexes {
+		view.Indexes = append(view.Indexes, lastview.Index{Source: source, Index: index})
+	}
+	return view, true
+}
--- a/internal/directory/view.go
+++ b/internal/directory/view.go
@@ -6,40 +6,40 @@
 	"wellgw/decide/roster"
 )
 
-// Engine is one line of the present view, for people.
+// Engine is an engine in the view for operators.
 type Engine struct {
 	ID         string   `json:"id"`
 	Address    string   `json:"address"`
 	Role       string   `json:"role"`
-	Listed     string   `json:"listed,omitempty"` // the role that its sources state, if it is another
+	Listed     string   `json:"listed,omitempty"` // the role that its sources state, if it differs
 	Zone       string   `json:"zone"`
 	Cell       int      `json:"cell"`
 	State      string   `json:"state"`
 	Why        string   `json:"why,omitempty"`
 	Confidence string   `json:"confidence"`
-	AgeMS      int64    `json:"age_ms"`          // since a believed view had it
-	UpMS       int64    `json:"up_ms,omitempty"` // since its start, if that is known
+	AgeMS      int64    `json:"age_ms"`          // since a trusted view listed it
+	UpMS       int64    `json:"up_ms,omitempty"` // since its start, if known
 	Sources    []string `json:"sources"`
 }
 
-// Source is the state of one source, for people.
+// Source is a source in the view for operators.
 type Source struct {
 	Source  string `json:"source"`
 	Doubt   string `json:"doubt,omitempty"`
 	DoubtMS int64  `json:"doubt_ms,omitempty"`
-	AgeMS   int64  `json:"age_ms"` // since a view was believed; -1 if none was
+	AgeMS   int64  `json:"age_ms"` // since a view was trusted; -1 if none was
 	Index   uint64 `json:"index"`
 	Engines int    `json:"engines"`
 }
 
-// View is the whole of the present view.
+// View is what operators see of the engines and their sources.
 type View struct {
 	Engines []Engine `json:"engines"`
 	Sources []Source `json:"sources"`
 	Stats   Stats    `json:"stats"`
 }
 
-// View returns the present view.
+// View returns the present view for operators.
 func (d *Directory) View() View {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -60,7 +60,7 @@
 			line.Listed = e.ListedKind
 		}
 		if !e.Started.IsZero() {
-			line.UpMS = max(1, since(e.Started)) // 0 is one that nobody knows
+			line.UpMS = max(1, since(e.Started)) // 0 stands for unknown
 		}
 		v.Engines = append(v.Engines, line)
 	}
