--- a/cmd/wellgw/directory.go
+++ b/cmd/wellgw/directory.go
@@ -42,7 +42,7 @@
 	*gateway
 	core   *core.Core
 	keeper *directory.Directory
-	consul *consul.Directory   // nil without Consul
+	consul *consul.Discovery   // nil without Consul
 	roles  *rolectl.Controller // nil where engines keep their roles
 	tracer *telemetry.Tracer   // nil without traces
 	admin  net.Listener        // nil without one
@@ -82,13 +82,13 @@
 	if o.Consul != nil {
 		var err error
 		s.consul, err = consul.New(consul.Options{
-			Config: *o.Consul, Zone: o.Zone, Keeper: s.keeper, Ready: s.core.Ready, Log: s.log, Address: s.address,
-			Gateways: func(n int) {
+			Config: *o.Consul, Zone: o.Zone, Directory: s.keeper, Ready: s.core.Ready, Log: s.log, Address: s.address,
+			SetGateways: func(n int) {
 				if s.peers == nil { // who talk to each other know better, and sooner
 					s.share(n)
 				}
 			},
-			Beside: func(ctx context.Context, client *consul.Client) {
+			RunWith: func(ctx context.Context, client *consul.Client) {
 				if s.roles != nil {
 					s.roles.Run(ctx, client)
 				}
@@ -148,7 +148,7 @@
 // take goes on by a file that was read anew.
 func (s *sources) take(o *config.Operator) error {
 	if s.consul != nil {
-		if err := s.consul.Move(*o.Consul); err != nil {
+		if err := s.consul.Reconfigure(*o.Consul); err != nil {
 			return err
 		}
 	}
--- a/internal/consul/client.go
+++ b/internal/consul/client.go
@@ -32,15 +32,15 @@
 
 // The client's margins.
 const (
-	beatEvery   = 800 * time.Millisecond  // between calls that tell whether an agent lives
-	beatWait    = 1200 * time.Millisecond // an agent that takes longer hangs
-	plainWait   = 5 * time.Second         // a query that does not block, body included
-	blockSlack  = 2 * time.Second         // past the wait and its sixteenth, for a blocking one
-	connectWait = time.Second
-	bodyWait    = 1500 * time.Millisecond // for each part of a body
-	bodyPart    = 128 << 10
-	retryMost   = 30 * time.Second // longest hint of an agent's that is followed
-	errorText   = 200              // of an error's body, for the log
+	heartbeatInterval = 800 * time.Millisecond  // between calls that tell whether an agent lives
+	heartbeatTimeout  = 1200 * time.Millisecond // an agent that takes longer hangs
+	requestTimeout    = 5 * time.Second         // a query that does not block, body included
+	blockingSlack     = 2 * time.Second         // past the wait and its sixteenth, for a blocking one
+	connectTimeout    = time.Second
+	bodyStallTimeout  = 1500 * time.Millisecond // for each part of a body
+	bodyChunk         = 128 << 10
+	maxRetryAfter     = 30 * time.Second // longest hint of an agent's that is followed
+	maxErrorText      = 200              // of an error's body, for the log
 )
 
 // Query is one question to whichever agent answers.
@@ -74,48 +74,48 @@
 	return fmt.Sprintf("agent %s answered %d: %s", e.Agent, e.Status, e.Text)
 }
 
-// noLeader tells whether the servers had no leader to ask.
-func (e *StatusError) noLeader() bool {
+// isNoLeader tells whether the servers had no leader to ask.
+func (e *StatusError) isNoLeader() bool {
 	return e.Status == http.StatusInternalServerError && strings.Contains(e.Text, "No cluster leader")
 }
 
 var (
-	errHung  = errors.New("the agent hangs")
-	errNone  = errors.New("no agent answers")
-	errBig   = errors.New("the answer is too long")
-	errIndex = errors.New("no X-Consul-Index above 0")
+	errAgentHung = errors.New("the agent hangs")
+	errNoAgent   = errors.New("no agent answers")
+	errTooLong   = errors.New("the answer is too long")
+	errNoIndex   = errors.New("no X-Consul-Index above 0")
 )
 
 // agent is one of the agents. A beat tells whether it lives.
 type agent struct {
 	addr string
 
-	epoch context.Context // ends when it hangs or fails: so do the queries that wait for it
-	end   context.CancelFunc
+	lifetime context.Context // ends when it hangs or fails: so do the queries that wait for it
+	cancel   context.CancelFunc
 }
 
 // Client asks the first agent that lives.
 type Client struct {
-	cfg    config.Consul
-	log    *slog.Logger
-	http   *http.Client
-	beats  *http.Client
-	scheme string
+	cfg        config.Consul
+	log        *slog.Logger
+	http       *http.Client
+	heartbeats *http.Client
+	scheme     string
 
-	mu      sync.Mutex
-	agents  map[string]*agent
-	choice  *watch.Agents
-	back    chan struct{} // closed when an agent has come back
-	token   string
-	tokenAt time.Time // the file's time as it was read
+	mu           sync.Mutex
+	agents       map[string]*agent
+	selection    *watch.Agents
+	recovered    chan struct{} // closed when an agent has come back
+	token        string
+	tokenModTime time.Time // the file's time as it was read
 }
 
 // NewClient returns a client. Run must be called for it to notice who lives.
 func NewClient(cfg config.Consul, log *slog.Logger) (*Client, error) {
-	c := &Client{cfg: cfg, log: log, scheme: "http", back: make(chan struct{})}
-	dial := &net.Dialer{Timeout: connectWait}
+	c := &Client{cfg: cfg, log: log, scheme: "http", recovered: make(chan struct{})}
+	dial := &net.Dialer{Timeout: connectTimeout}
 	transport := func(idle int) *http.Transport {
-		return &http.Transport{DialContext: dial.DialContext, MaxIdleConnsPerHost: idle, IdleConnTimeout: time.Minute, TLSHandshakeTimeout: connectWait}
+		return &http.Transport{DialContext: dial.DialContext, MaxIdleConnsPerHost: idle, IdleConnTimeout: time.Minute, TLSHandshakeTimeout: connectTimeout}
 	}
 	data, beat := transport(cfg.Watches()), transport(1)
 	if cfg.TLS != nil {
@@ -128,11 +128,11 @@
 			t.TLSClientConfig = conf
 		}
 	}
-	c.http, c.beats = &http.Client{Transport: data}, &http.Client{Transport: beat}
-	c.agents, c.choice = map[string]*agent{}, watch.NewAgents(cfg.Agents())
+	c.http, c.heartbeats = &http.Client{Transport: data}, &http.Client{Transport: beat}
+	c.agents, c.selection = map[string]*agent{}, watch.NewAgents(cfg.Agents())
 	for _, addr := range cfg.Agents() {
 		a := &agent{addr: addr}
-		a.epoch, a.end = context.WithCancel(context.Background())
+		a.lifetime, a.cancel = context.WithCancel(context.Background())
 		c.agents[addr] = a
 	}
 	return c, nil
@@ -191,50 +191,50 @@
 func (c *Client) Run(ctx context.Context) {
 	var group sync.WaitGroup
 	for _, a := range c.agents {
-		group.Go(func() { c.watchOver(ctx, a) })
+		group.Go(func() { c.monitor(ctx, a) })
 	}
 	group.Wait()
 	c.http.CloseIdleConnections()
-	c.beats.CloseIdleConnections()
+	c.heartbeats.CloseIdleConnections()
 }
 
-func (c *Client) watchOver(ctx context.Context, a *agent) {
+func (c *Client) monitor(ctx context.Context, a *agent) {
 	for ctx.Err() == nil {
-		if err := c.beat(ctx, a); ctx.Err() != nil {
+		if err := c.heartbeat(ctx, a); ctx.Err() != nil {
 			return
 		} else if err != nil {
-			c.down(a, err)
+			c.markDown(a, err)
 		} else {
-			c.revive(a)
+			c.markUp(a)
 		}
-		pause.Sleep(ctx, jitter(beatEvery))
+		pause.Sleep(ctx, jitter(heartbeatInterval))
 	}
 }
 
-func (c *Client) beat(ctx context.Context, a *agent) error {
-	ctx, cancel := context.WithTimeout(ctx, beatWait)
+func (c *Client) heartbeat(ctx context.Context, a *agent) error {
+	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.scheme+"://"+a.addr+"/v1/status/leader", nil)
 	if err != nil {
 		return err
 	}
-	resp, err := c.beats.Do(req)
+	resp, err := c.heartbeats.Do(req)
 	if err != nil {
 		if errors.Is(err, context.DeadlineExceeded) {
-			return errHung
+			return errAgentHung
 		}
 		return err
 	}
 	defer resp.Body.Close()
-	_, err = io.Copy(io.Discard, io.LimitReader(resp.Body, maxSmall))
+	_, err = io.Copy(io.Discard, io.LimitReader(resp.Body, maxHeartbeatBody))
 	return err // any answer is a sign of life, a refusal too
 }
 
-// down notes that an agent cannot be asked, and ends the queries that wait for it.
-func (c *Client) down(a *agent, cause error) {
+// markDown notes that an agent cannot be asked, and ends the queries that wait for it.
+func (c *Client) markDown(a *agent, cause error) {
 	c.mu.Lock()
-	lost := c.choice.MarkDown(a.addr)
-	a.end()
+	lost := c.selection.MarkDown(a.addr)
+	a.cancel()
 	c.mu.Unlock()
 	if lost {
 		c.log.Warn("agent lost", "agent", a.addr, "cause", cause)
@@ -242,24 +242,24 @@
 	}
 }
 
-// revive notes that an agent lives, and wakes those that wait for one.
-func (c *Client) revive(a *agent) {
+// markUp notes that an agent lives, and wakes those that wait for one.
+func (c *Client) markUp(a *agent) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.choice.MarkUp(a.addr) {
+	if !c.selection.MarkUp(a.addr) {
 		return
 	}
 	c.log.Info("agent back", "agent", a.addr)
-	a.epoch, a.end = context.WithCancel(context.Background())
-	close(c.back)
-	c.back = make(chan struct{})
+	a.lifetime, a.cancel = context.WithCancel(context.Background())
+	close(c.recovered)
+	c.recovered = make(chan struct{})
 }
 
-// pick returns the agent to ask, and what ends when it is lost.
-func (c *Client) pick() (*agent, context.Context, bool) {
+// selectAgent returns the agent to ask, and what ends when it is lost.
+func (c *Client) selectAgent() (*agent, context.Context, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	name, other, ok := c.choice.Select()
+	name, other, ok := c.selection.Select()
 	if !ok {
 		return nil, nil, false
 	}
@@ -267,13 +267,13 @@
 		c.log.Info("agent in use", "agent", name)
 	}
 	a := c.agents[name]
-	return a, a.epoch, true
+	return a, a.lifetime, true
 }
 
 // Pause waits for d, or less if an agent comes back meanwhile.
 func (c *Client) Pause(ctx context.Context, d time.Duration) {
 	c.mu.Lock()
-	back := c.back
+	back := c.recovered
 	c.mu.Unlock()
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -286,7 +286,7 @@
 
 // Get asks one question. An error is a *StatusError, or tells that nobody answers.
 func (c *Client) Get(ctx context.Context, q Query) (Answer, error) {
-	span := plainWait
+	span := requestTimeout
 	params := url.Values{}
 	for k, v := range q.Params {
 		params[k] = v
@@ -297,7 +297,7 @@
 	if q.Index > 0 {
 		params.Set("index", strconv.FormatUint(q.Index, 10))
 		params.Set("wait", strconv.FormatInt(q.Wait.Milliseconds(), 10)+"ms")
-		span = q.Wait + q.Wait/16 + blockSlack // Consul adds up to a sixteenth, by its documentation
+		span = q.Wait + q.Wait/16 + blockingSlack // Consul adds up to a sixteenth, by its documentation
 	}
 	switch {
 	case q.Stale || c.cfg.Consistency == "stale":
@@ -311,7 +311,7 @@
 	}
 	a := Answer{Body: body, Agent: agent, KnownLeader: resp.Header.Get("X-Consul-KnownLeader") != "false"}
 	if a.Index = indexOf(resp.Header); a.Index == 0 {
-		return Answer{}, fmt.Errorf("agent %s: %w", agent, errIndex)
+		return Answer{}, fmt.Errorf("agent %s: %w", agent, errNoIndex)
 	}
 	if ms, err := strconv.ParseInt(resp.Header.Get("X-Consul-LastContact"), 10, 64); err == nil && ms > 0 {
 		a.LastContact = time.Duration(ms) * time.Millisecond
@@ -330,14 +330,14 @@
 
 // Put makes a call that changes something at the agent in use.
 func (c *Client) Put(ctx context.Context, path string, body []byte) error {
-	_, _, _, err := c.do(ctx, http.MethodPut, path, nil, body, plainWait)
+	_, _, _, err := c.do(ctx, http.MethodPut, path, nil, body, requestTimeout)
 	return err
 }
 
 func (c *Client) do(ctx context.Context, method, path string, params url.Values, body []byte, span time.Duration) (*http.Response, []byte, string, error) {
-	a, epoch, up := c.pick()
+	a, epoch, up := c.selectAgent()
 	if !up {
-		return nil, nil, "", errNone
+		return nil, nil, "", errNoAgent
 	}
 	ctx, cancel := context.WithTimeout(ctx, span)
 	defer cancel()
@@ -355,24 +355,24 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return nil, nil, "", c.failed(a, epoch, err)
+		return nil, nil, "", c.requestError(a, epoch, err)
 	}
 	defer resp.Body.Close()
 	limit := c.cfg.MaxBody()
 	if resp.StatusCode != http.StatusOK {
-		limit = errorText
+		limit = maxErrorText
 	}
 	raw, err := readBody(io.LimitReader(resp.Body, limit+1), cancel)
 	switch {
 	case resp.StatusCode != http.StatusOK:
 		return nil, nil, "", &StatusError{
 			Agent: a.addr, Status: resp.StatusCode, RetryAfter: retryAfter(resp.Header),
-			Text: strings.Join(strings.Fields(string(raw[:min(len(raw), errorText)])), " "), Index: indexOf(resp.Header),
+			Text: strings.Join(strings.Fields(string(raw[:min(len(raw), maxErrorText)])), " "), Index: indexOf(resp.Header),
 		}
 	case err != nil:
-		return nil, nil, "", c.failed(a, epoch, err)
+		return nil, nil, "", c.requestError(a, epoch, err)
 	case int64(len(raw)) > limit:
-		return nil, nil, "", fmt.Errorf("agent %s: %w", a.addr, errBig)
+		return nil, nil, "", fmt.Errorf("agent %s: %w", a.addr, errTooLong)
 	}
 	return resp, raw, a.addr, nil
 }
@@ -380,28 +380,28 @@
 // readBody reads to the end as long as the body keeps coming: one that trickles would
 // keep what is new from being asked for. stop ends the reading.
 func readBody(r io.Reader, stop func()) ([]byte, error) {
-	stalled := time.AfterFunc(bodyWait, stop)
+	stalled := time.AfterFunc(bodyStallTimeout, stop)
 	defer stalled.Stop()
 	var body bytes.Buffer
 	for {
-		switch _, err := io.CopyN(&body, r, bodyPart); {
+		switch _, err := io.CopyN(&body, r, bodyChunk); {
 		case errors.Is(err, io.EOF):
 			return body.Bytes(), nil
 		case err != nil:
 			return nil, err
 		}
-		stalled.Reset(bodyWait)
+		stalled.Reset(bodyStallTimeout)
 	}
 }
 
-// failed words a failure. An agent that refuses connections is lost at once; for
+// requestError words a failure. An agent that refuses connections is lost at once; for
 // anything else a beat tells.
-func (c *Client) failed(a *agent, epoch context.Context, err error) error {
+func (c *Client) requestError(a *agent, epoch context.Context, err error) error {
 	if op := (*net.OpError)(nil); errors.As(err, &op) && op.Op == "dial" {
-		c.down(a, err)
+		c.markDown(a, err)
 	}
 	if epoch.Err() != nil {
-		err = errHung
+		err = errAgentHung
 	}
 	return fmt.Errorf("agent %s: %w", a.addr, err)
 }
@@ -413,7 +413,7 @@
 	if err != nil || s <= 0 {
 		return 0
 	}
-	return min(time.Duration(s*float64(time.Second)), retryMost)
+	return min(time.Duration(s*float64(time.Second)), maxRetryAfter)
 }
 
 // readToken returns the token as the file now has it. A file that can't be read
@@ -425,10 +425,10 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	info, err := os.Stat(c.cfg.TokenFile)
-	if err == nil && !info.ModTime().Equal(c.tokenAt) {
+	if err == nil && !info.ModTime().Equal(c.tokenModTime) {
 		var raw []byte
 		if raw, err = os.ReadFile(c.cfg.TokenFile); err == nil {
-			c.token, c.tokenAt = strings.TrimSpace(string(raw)), info.ModTime()
+			c.token, c.tokenModTime = strings.TrimSpace(string(raw)), info.ModTime()
 		}
 	}
 	if err != nil && c.token == "" {
--- a/internal/consul/consul_test.go
+++ b/internal/consul/consul_test.go
@@ -170,19 +170,19 @@
 	w.store.SetCheck(node, "b", "alive", "critical")
 	cfg := w.cfg
 	cfg.Addresses = []string{next.Addr}
-	if err := w.dir.Move(cfg); err != nil {
+	if err := w.dir.Reconfigure(cfg); err != nil {
 		t.Fatal(err)
 	}
 	w.await("a b! c")
 	cfg.Service = "other" // and to another service: what only the old one named goes once the new one has spoken
 	w.list("other", "x", 9200)
-	if err := w.dir.Move(cfg); err != nil {
+	if err := w.dir.Reconfigure(cfg); err != nil {
 		t.Fatal(err)
 	}
 	w.await("x")
 	bad := cfg
 	bad.TLS = &config.TLS{CAFile: "nowhere.pem"}
-	if err := w.dir.Move(bad); err == nil || !strings.Contains(err.Error(), "consul.tls.ca_file") {
+	if err := w.dir.Reconfigure(bad); err == nil || !strings.Contains(err.Error(), "consul.tls.ca_file") {
 		t.Errorf("a file that is not there: %v", err)
 	}
 }
@@ -257,7 +257,7 @@
 	w.await("a b c")
 	cfg := w.cfg
 	cfg.TLS = &config.TLS{CAFile: path, ServerName: "elsewhere.test"}
-	if err := w.dir.Move(cfg); err != nil {
+	if err := w.dir.Reconfigure(cfg); err != nil {
 		t.Fatal(err)
 	}
 	w.awaitDoubt(roster.Unreachable) // another name than the certificate's
@@ -302,7 +302,7 @@
 		t.Errorf("%d gateways, though one was away for a moment only", n)
 	}
 	w.dir.mu.Lock()
-	w.dir.leave() // as Move would; the listing is taken off and made anew
+	w.dir.restart() // as Move would; the listing is taken off and made anew
 	w.dir.mu.Unlock()
 	enginetest.Eventually(t, "the gateway was taken off", func() bool {
 		gone := 0
--- a/internal/consul/golden_test.go
+++ b/internal/consul/golden_test.go
@@ -146,7 +146,7 @@
 		}
 	}
 	w.dir.mu.Lock()
-	w.dir.leave()
+	w.dir.restart()
 	w.dir.mu.Unlock()
 	for got := range calls {
 		if strings.Contains(got, "deregister") {
--- a/internal/consul/harness_test.go
+++ b/internal/consul/harness_test.go
@@ -26,7 +26,7 @@
 	store  *consul.Store
 	agents []*consul.Agent
 	keeper *directory.Directory
-	dir    *Directory
+	dir    *Discovery
 	cfg    config.Consul
 
 	mu       sync.Mutex
@@ -62,7 +62,7 @@
 		return w.alive[addr]
 	}})
 	var err error
-	w.dir, err = New(Options{Config: w.cfg, Zone: "here", Keeper: w.keeper, Log: log, Ready: func() bool { return true }, Gateways: func(n int) {
+	w.dir, err = New(Options{Config: w.cfg, Zone: "here", Directory: w.keeper, Log: log, Ready: func() bool { return true }, SetGateways: func(n int) {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		w.gateways = n
--- a/internal/consul/kv.go
+++ b/internal/consul/kv.go
@@ -52,34 +52,34 @@
 // Swap writes an entry if it is as it was when its index was modify, 0 if it was not
 // there, and tells whether it was.
 func (c *Client) Swap(ctx context.Context, key string, value []byte, modify uint64) (bool, error) {
-	return c.yes(ctx, http.MethodPut, "/v1/kv/"+key, url.Values{"cas": {strconv.FormatUint(modify, 10)}}, value)
+	return c.applied(ctx, http.MethodPut, "/v1/kv/"+key, url.Values{"cas": {strconv.FormatUint(modify, 10)}}, value)
 }
 
 // Delete deletes an entry if it is as it was when its index was modify.
 func (c *Client) Delete(ctx context.Context, key string, modify uint64) (bool, error) {
-	return c.yes(ctx, http.MethodDelete, "/v1/kv/"+key, url.Values{"cas": {strconv.FormatUint(modify, 10)}}, nil)
+	return c.applied(ctx, http.MethodDelete, "/v1/kv/"+key, url.Values{"cas": {strconv.FormatUint(modify, 10)}}, nil)
 }
 
 // DeleteBelow deletes all entries below a prefix.
 func (c *Client) DeleteBelow(ctx context.Context, prefix string) error {
-	_, err := c.yes(ctx, http.MethodDelete, "/v1/kv/"+prefix, url.Values{"recurse": {""}}, nil)
+	_, err := c.applied(ctx, http.MethodDelete, "/v1/kv/"+prefix, url.Values{"recurse": {""}}, nil)
 	return err
 }
 
 // Write writes an entry whatever it was.
 func (c *Client) Write(ctx context.Context, key string, value []byte) error {
-	_, err := c.yes(ctx, http.MethodPut, "/v1/kv/"+key, nil, value)
+	_, err := c.applied(ctx, http.MethodPut, "/v1/kv/"+key, nil, value)
 	return err
 }
 
 // Lock takes, or keeps, the lock on an entry for a session and writes it, and tells
 // whether the session holds it.
 func (c *Client) Lock(ctx context.Context, key, session string, value []byte) (bool, error) {
-	return c.yes(ctx, http.MethodPut, "/v1/kv/"+key, url.Values{"acquire": {session}}, value)
+	return c.applied(ctx, http.MethodPut, "/v1/kv/"+key, url.Values{"acquire": {session}}, value)
 }
 
-func (c *Client) yes(ctx context.Context, method, path string, params url.Values, body []byte) (bool, error) {
-	_, raw, _, err := c.do(ctx, method, path, params, body, plainWait)
+func (c *Client) applied(ctx context.Context, method, path string, params url.Values, body []byte) (bool, error) {
+	_, raw, _, err := c.do(ctx, method, path, params, body, requestTimeout)
 	return string(raw) == "true" || string(raw) == "true\n", err
 }
 
@@ -90,7 +90,7 @@
 	if err != nil {
 		return "", fmt.Errorf("session: %w", err)
 	}
-	_, raw, _, err := c.do(ctx, http.MethodPut, "/v1/session/create", nil, body, plainWait)
+	_, raw, _, err := c.do(ctx, http.MethodPut, "/v1/session/create", nil, body, requestTimeout)
 	if err != nil {
 		return "", err
 	}
--- a/internal/consul/parse.go
+++ b/internal/consul/parse.go
@@ -15,7 +15,7 @@
 	"wellgw/internal/config"
 )
 
-const maxSmall = 4 << 10
+const maxHeartbeatBody = 4 << 10
 
 // serviceEntry is one line of /v1/health/service/NAME, as far as it is read.
 type serviceEntry struct {
@@ -44,7 +44,7 @@
 	ModifyIndex uint64 `json:"ModifyIndex"`
 }
 
-var errNoList = errors.New("the body is no list")
+var errNotAList = errors.New("the body is no list")
 
 // parseHealth reads a body of /v1/health/service/NAME. Each entry stands for itself:
 // one that makes no sense is named in Unread and spoils no other. Only a body that
@@ -52,10 +52,10 @@
 func parseHealth(body []byte, zone string) (v roster.View, nodes []string, err error) {
 	var raw []jsoniter.RawMessage
 	if trimmed := strings.TrimSpace(string(body[:min(len(body), 64)])); !strings.HasPrefix(trimmed, "[") {
-		return v, nil, errNoList
+		return v, nil, errNotAList
 	}
 	if err := jsoniter.Unmarshal(body, &raw); err != nil {
-		return v, nil, fmt.Errorf("%w: %w", errNoList, err)
+		return v, nil, fmt.Errorf("%w: %w", errNotAList, err)
 	}
 	listed := map[string]int{}
 	for _, line := range raw {
@@ -63,7 +63,7 @@
 		if err != nil {
 			// An engine that can be named is alone in doubt; else any that is missing may
 			// be the one.
-			id, mark := salvage(line)
+			id, mark := parseMarks(line)
 			v.Malformed = append(v.Malformed, id)
 			if id != "" && mark > roster.Clear {
 				if v.MalformedMarks == nil {
@@ -92,9 +92,9 @@
 	return v, nodes, nil
 }
 
-// salvage reads the id and the marks of an entry that otherwise makes no sense, as
+// parseMarks reads the id and the marks of an entry that otherwise makes no sense, as
 // far as they can be read.
-func salvage(line []byte) (id string, mark roster.Mark) {
+func parseMarks(line []byte) (id string, mark roster.Mark) {
 	var parts struct{ Service, Checks jsoniter.RawMessage }
 	if jsoniter.Unmarshal(line, &parts) != nil {
 		return "", roster.Clear
@@ -133,7 +133,7 @@
 	}
 	e := roster.Entry{
 		ID: s.Service.ID, Addr: net.JoinHostPort(host, strconv.Itoa(s.Service.Port)),
-		Kind: config.RoleOpenAI, Zone: zone, Mark: markOf(s.Checks), Started: startOf(s.Service.Meta),
+		Kind: config.RoleOpenAI, Zone: zone, Mark: markOf(s.Checks), Started: startTime(s.Service.Meta),
 		Registered: s.Service.CreateIndex, Index: s.Service.ModifyIndex,
 	}
 	for _, c := range s.Checks {
@@ -166,9 +166,9 @@
 	return m
 }
 
-// startOf reads when an engine says it started: Meta's started_ms, Unix time in
+// startTime reads when an engine says it started: Meta's started_ms, Unix time in
 // milliseconds, or started, by RFC 3339. What makes no sense counts as not said.
-func startOf(meta map[string]string) time.Time {
+func startTime(meta map[string]string) time.Time {
 	if ms, err := strconv.ParseInt(meta["started_ms"], 10, 64); err == nil && ms > 0 {
 		return time.UnixMilli(ms)
 	}
