--- a/internal/consul/client.go
+++ b/internal/consul/client.go
@@ -9,17 +9,13 @@
 import (
 	"bytes"
 	"context"
-	"crypto/tls"
-	"crypto/x509"
 	"errors"
 	"fmt"
 	"io"
 	"log/slog"
-	"math/rand/v2"
 	"net"
 	"net/http"
 	"net/url"
-	"os"
 	"strconv"
 	"strings"
 	"sync"
@@ -27,7 +23,6 @@
 
 	"wellgw/decide/watch"
 	"wellgw/internal/config"
-	"wellgw/internal/pause"
 )
 
 // The client's margins.
@@ -61,39 +56,6 @@
 	Agent       string
 }
 
-// StatusError is an answer other than 200.
-type StatusError struct {
-	Agent      string
-	Status     int
-	RetryAfter time.Duration // 0 = no advice
-	Text       string
-	Index      uint64 // X-Consul-Index, which comes with a 404 too
-}
-
-func (e *StatusError) Error() string {
-	return fmt.Sprintf("agent %s answered %d: %s", e.Agent, e.Status, e.Text)
-}
-
-// isNoLeader tells whether the servers had no leader to ask.
-func (e *StatusError) isNoLeader() bool {
-	return e.Status == http.StatusInternalServerError && strings.Contains(e.Text, "No cluster leader")
-}
-
-var (
-	errAgentHung = errors.New("the agent hangs")
-	errNoAgent   = errors.New("no agent answers")
-	errTooLong   = errors.New("the answer is too long")
-	errNoIndex   = errors.New("no X-Consul-Index above 0")
-)
-
-// agent is one of the agents. A beat tells whether it lives.
-type agent struct {
-	addr string
-
-	lifetime context.Context // ends when it hangs or fails: so do the queries that wait for it
-	cancel   context.CancelFunc
-}
-
 // Client asks the first agent that lives.
 type Client struct {
 	cfg        config.Consul
@@ -138,152 +100,6 @@
 	return c, nil
 }
 
-// tlsConfig reads certificates and authorities at every handshake, so that new keys
-// hold from the next connection on. Files that can't be read are an error at once.
-func tlsConfig(t *config.TLS) (*tls.Config, error) {
-	conf := &tls.Config{MinVersion: tls.VersionTLS12, ServerName: t.ServerName}
-	if t.CertFile != "" {
-		read := func() (*tls.Certificate, error) {
-			cert, err := tls.LoadX509KeyPair(t.CertFile, t.KeyFile)
-			return &cert, err
-		}
-		if _, err := read(); err != nil {
-			return nil, fmt.Errorf("consul.tls.cert_file: %w", err)
-		}
-		conf.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return read() }
-	}
-	if t.CAFile != "" {
-		read := func() (*x509.CertPool, error) {
-			pem, err := os.ReadFile(t.CAFile)
-			if err != nil {
-				return nil, err
-			}
-			pool := x509.NewCertPool()
-			if !pool.AppendCertsFromPEM(pem) {
-				return nil, errors.New("no certificate in it")
-			}
-			return pool, nil
-		}
-		if _, err := read(); err != nil {
-			return nil, fmt.Errorf("consul.tls.ca_file: %w", err)
-		}
-		// The library takes authorities once; to have them read anew, its own check
-		// is replaced by the same check against the file as it is now.
-		conf.InsecureSkipVerify = true
-		conf.VerifyConnection = func(s tls.ConnectionState) error {
-			roots, err := read()
-			if err != nil {
-				return fmt.Errorf("consul.tls.ca_file: %w", err)
-			}
-			opts := x509.VerifyOptions{Roots: roots, DNSName: s.ServerName, Intermediates: x509.NewCertPool()}
-			for _, cert := range s.PeerCertificates[1:] {
-				opts.Intermediates.AddCert(cert)
-			}
-			_, err = s.PeerCertificates[0].Verify(opts)
-			return err
-		}
-	}
-	return conf, nil
-}
-
-// Run keeps asking agents for a sign of life until ctx ends. A blocking query may
-// be silent for as long as it likes; an agent may not.
-func (c *Client) Run(ctx context.Context) {
-	var group sync.WaitGroup
-	for _, a := range c.agents {
-		group.Go(func() { c.monitor(ctx, a) })
-	}
-	group.Wait()
-	c.http.CloseIdleConnections()
-	c.heartbeats.CloseIdleConnections()
-}
-
-func (c *Client) monitor(ctx context.Context, a *agent) {
-	for ctx.Err() == nil {
-		if err := c.heartbeat(ctx, a); ctx.Err() != nil {
-			return
-		} else if err != nil {
-			c.markDown(a, err)
-		} else {
-			c.markUp(a)
-		}
-		pause.Sleep(ctx, jitter(heartbeatInterval))
-	}
-}
-
-func (c *Client) heartbeat(ctx context.Context, a *agent) error {
-	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
-	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.scheme+"://"+a.addr+"/v1/status/leader", nil)
-	if err != nil {
-		return err
-	}
-	resp, err := c.heartbeats.Do(req)
-	if err != nil {
-		if errors.Is(err, context.DeadlineExceeded) {
-			return errAgentHung
-		}
-		return err
-	}
-	defer resp.Body.Close()
-	_, err = io.Copy(io.Discard, io.LimitReader(resp.Body, maxHeartbeatBody))
-	return err // any answer is a sign of life, a refusal too
-}
-
-// markDown notes that an agent cannot be asked, and ends the queries that wait for it.
-func (c *Client) markDown(a *agent, cause error) {
-	c.mu.Lock()
-	lost := c.selection.MarkDown(a.addr)
-	a.cancel()
-	c.mu.Unlock()
-	if lost {
-		c.log.Warn("agent lost", "agent", a.addr, "cause", cause)
-		c.http.CloseIdleConnections()
-	}
-}
-
-// markUp notes that an agent lives, and wakes those that wait for one.
-func (c *Client) markUp(a *agent) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if !c.selection.MarkUp(a.addr) {
-		return
-	}
-	c.log.Info("agent back", "agent", a.addr)
-	a.lifetime, a.cancel = context.WithCancel(context.Background())
-	close(c.recovered)
-	c.recovered = make(chan struct{})
-}
-
-// selectAgent returns the agent to ask, and what ends when it is lost.
-func (c *Client) selectAgent() (*agent, context.Context, bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	name, other, ok := c.selection.Select()
-	if !ok {
-		return nil, nil, false
-	}
-	if other {
-		c.log.Info("agent in use", "agent", name)
-	}
-	a := c.agents[name]
-	return a, a.lifetime, true
-}
-
-// Pause waits for d, or less if an agent comes back meanwhile.
-func (c *Client) Pause(ctx context.Context, d time.Duration) {
-	c.mu.Lock()
-	back := c.recovered
-	c.mu.Unlock()
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-ctx.Done():
-	case <-back:
-	case <-t.C:
-	}
-}
-
 // Get asks one question. An error is a *StatusError, or tells that nobody answers.
 func (c *Client) Get(ctx context.Context, q Query) (Answer, error) {
 	span := requestTimeout
@@ -393,52 +209,3 @@
 		stalled.Reset(bodyStallTimeout)
 	}
 }
-
-// requestError words a failure. An agent that refuses connections is lost at once; for
-// anything else a beat tells.
-func (c *Client) requestError(a *agent, epoch context.Context, err error) error {
-	if op := (*net.OpError)(nil); errors.As(err, &op) && op.Op == "dial" {
-		c.markDown(a, err)
-	}
-	if epoch.Err() != nil {
-		err = errAgentHung
-	}
-	return fmt.Errorf("agent %s: %w", a.addr, err)
-}
-
-// retryAfter reads an agent's hint in seconds; RFC 9110 allows a date too, which
-// Consul does not use.
-func retryAfter(h http.Header) time.Duration {
-	s, err := strconv.ParseFloat(h.Get("Retry-After"), 64)
-	if err != nil || s <= 0 {
-		return 0
-	}
-	return min(time.Duration(s*float64(time.Second)), maxRetryAfter)
-}
-
-// readToken returns the token as the file now has it. A file that can't be read
-// leaves the last one in use: it may be about to be replaced.
-func (c *Client) readToken() string {
-	if c.cfg.TokenFile == "" {
-		return c.cfg.Token
-	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	info, err := os.Stat(c.cfg.TokenFile)
-	if err == nil && !info.ModTime().Equal(c.tokenModTime) {
-		var raw []byte
-		if raw, err = os.ReadFile(c.cfg.TokenFile); err == nil {
-			c.token, c.tokenModTime = strings.TrimSpace(string(raw)), info.ModTime()
-		}
-	}
-	if err != nil && c.token == "" {
-		c.log.Warn("token file", "cause", err)
-		return c.cfg.Token
-	}
-	return c.token
-}
-
-// jitter spreads calls of many gateways over time.
-func jitter(d time.Duration) time.Duration {
-	return d*3/4 + rand.N(d/2+1)
-}
--- a/internal/consul/parse.go
+++ b/internal/consul/parse.go
@@ -44,8 +44,6 @@
 	ModifyIndex uint64 `json:"ModifyIndex"`
 }
 
-var errNotAList = errors.New("the body is no list")
-
 // parseHealth reads a body of /v1/health/service/NAME. Each entry stands for itself:
 // one that makes no sense is named in Unread and spoils no other. Only a body that
 // is no list at all is an error.
@@ -195,11 +193,3 @@
 	slices.Sort(others)
 	return tagged, others, nil
 }
-
-// criticalCheck is one line of /v1/health/state/critical, as far as it is read.
-type criticalCheck struct {
-	Node        string `json:"Node"`
-	CheckID     string `json:"CheckID"`
-	ServiceID   string `json:"ServiceID"`
-	ServiceName string `json:"ServiceName"`
-}
--- /dev/null
+++ b/internal/consul/tls.go
@@ -0,0 +1,59 @@
+package consul
+
+import (
+	"crypto/tls"
+	"crypto/x509"
+	"errors"
+	"fmt"
+	"os"
+
+	"wellgw/internal/config"
+)
+
+// tlsConfig reads certificates and authorities at every handshake, so that new keys
+// hold from the next connection on. Files that can't be read are an error at once.
+func tlsConfig(t *config.TLS) (*tls.Config, error) {
+	conf := &tls.Config{MinVersion: tls.VersionTLS12, ServerName: t.ServerName}
+	if t.CertFile != "" {
+		read := func() (*tls.Certificate, error) {
+			cert, err := tls.LoadX509KeyPair(t.CertFile, t.KeyFile)
+			return &cert, err
+		}
+		if _, err := read(); err != nil {
+			return nil, fmt.Errorf("consul.tls.cert_file: %w", err)
+		}
+		conf.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return read() }
+	}
+	if t.CAFile != "" {
+		read := func() (*x509.CertPool, error) {
+			pem, err := os.ReadFile(t.CAFile)
+			if err != nil {
+				return nil, err
+			}
+			pool := x509.NewCertPool()
+			if !pool.AppendCertsFromPEM(pem) {
+				return nil, errors.New("no certificate in it")
+			}
+			return pool, nil
+		}
+		if _, err := read(); err != nil {
+			return nil, fmt.Errorf("consul.tls.ca_file: %w", err)
+		}
+		// The library takes authorities once; to have them read anew, its own check
+		// is replaced by the same check against the file as it is now.
+		conf.InsecureSkipVerify = true
+		conf.VerifyConnection = func(s tls.ConnectionState) error {
+			roots, err := read()
+			if err != nil {
+				return fmt.Errorf("consul.tls.ca_file: %w", err)
+			}
+			opts := x509.VerifyOptions{Roots: roots, DNSName: s.ServerName, Intermediates: x509.NewCertPool()}
+			for _, cert := range s.PeerCertificates[1:] {
+				opts.Intermediates.AddCert(cert)
+			}
+			_, err = s.PeerCertificates[0].Verify(opts)
+			return err
+		}
+	}
+	return conf, nil
+}
