--- a/internal/consul/catalog.go
+++ b/internal/consul/catalog.go
@@ -9,74 +9,93 @@
 	"wellgw/decide/roster"
 )
 
-// watchCatalog follows which services carry the tag, and each of these.
+// catalogWatch watches the services that carry the tag, each in a goroutine of its own.
+type catalogWatch struct {
+	*watcher
+	tracker *roster.ServiceTracker
+	cancels map[string]context.CancelFunc // by service
+	group   sync.WaitGroup
+	initial bool // services added now may have run since before the gateway started
+	doubted bool // the latest view was
+}
+
+// watchCatalog watches the catalog and the services in it that carry the tag, until ctx ends.
+// It returns when all it started has ended.
 func (w *watcher) watchCatalog(ctx context.Context) {
-	set := roster.NewServiceTracker(w.policy, w.knownServices())
-	stops := map[string]context.CancelFunc{}
-	var group sync.WaitGroup
-	defer group.Wait()
+	c := &catalogWatch{
+		watcher: w, tracker: roster.NewServiceTracker(w.policy, w.knownServices()), cancels: map[string]context.CancelFunc{}, initial: w.atStart,
+	}
+	defer c.group.Wait()
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	begin := func(name string, atStart bool) {
-		if stops[name] != nil {
-			return
-		}
-		sub, stop := context.WithCancel(ctx)
-		stops[name] = stop
-		w.addSource(name, atStart)
-		wake := make(chan struct{}, 1)
-		w.mu.Lock()
-		w.pollNow[name] = wake
-		w.mu.Unlock()
-		group.Go(func() { w.watchOrPoll(sub, name, wake) })
+	c.group.Go(func() { w.watchChecks(ctx) })
+	known := w.knownServices()
+	w.setServices(len(known))
+	for _, name := range known {
+		c.add(ctx, name)
+	}
+	w.watch(ctx, w.newQuery("/v1/catalog/services", nil), queryHandler{
+		apply:   func(a Answer) error { return c.apply(ctx, a) },
+		confirm: func() bool { return !c.doubted },
+		doubt:   ignore,
+	})
+}
+
+// apply starts and ends watches of services by a view of the catalog.
+func (c *catalogWatch) apply(ctx context.Context, a Answer) error {
+	tagged, others, err := parseServices(a.Body, c.cfg.Tag)
+	if err != nil {
+		return fmt.Errorf("%w: %w", errNotAList, err)
+	}
+	view := roster.View{Index: a.Index, Leaderless: !a.KnownLeader, Age: a.LastContact}
+	changes := c.tracker.Observe(time.Now(), view, tagged, others)
+	if changes.Doubt != roster.Trusted {
+		c.log.Warn("catalog doubted", "reason", string(changes.Doubt), "services", len(tagged))
+	}
+	c.setServices(len(c.cancels) + len(changes.Added) - len(changes.Untagged) - len(changes.Vanished))
+	for _, name := range changes.Added {
+		c.add(ctx, name)
 	}
-	group.Go(func() { w.watchChecks(ctx) })
-	atStart := w.atStart
-	before := w.knownServices() // of the last good view, or an older configuration
-	w.setServices(len(before))
-	for _, name := range before {
-		begin(name, atStart)
+	for _, name := range changes.Untagged {
+		c.end(name)
+		c.directory.With(func(r *roster.Registry, now time.Time) { r.RemoveSource(now, source(name), "tag removed") })
 	}
-	doubted := false
-	take := func(a Answer) error {
-		tagged, others, err := parseServices(a.Body, w.cfg.Tag)
-		if err != nil {
-			return fmt.Errorf("%w: %w", errNotAList, err)
-		}
-		v := roster.View{Index: a.Index, Leaderless: !a.KnownLeader, Age: a.LastContact}
-		plan := set.Observe(time.Now(), v, tagged, others)
-		if plan.Doubt != roster.Trusted {
-			w.log.Warn("the catalogue is in doubt", "reason", string(plan.Doubt), "services", len(tagged))
-		}
-		w.setServices(len(stops) + len(plan.Added) - len(plan.Untagged) - len(plan.Vanished))
-		for _, name := range plan.Added {
-			begin(name, atStart)
-		}
-		end := func(name string) {
-			if stop := stops[name]; stop != nil {
-				stop()
-				delete(stops, name)
-			}
-			w.mu.Lock()
-			delete(w.pollNow, name)
-			w.checks.SetNodes(name, nil)
-			w.mu.Unlock()
-		}
-		for _, name := range plan.Untagged {
-			end(name)
-			w.directory.With(func(b *roster.Registry, now time.Time) { b.RemoveSource(now, source(name), "it lost the tag") })
-		}
-		for _, name := range plan.Vanished {
-			end(name)
-			w.directory.With(func(b *roster.Registry, now time.Time) { b.SourceVanished(now, source(name)) })
-		}
-		atStart, doubted = false, plan.Doubt != roster.Trusted
-		return nil
+	for _, name := range changes.Vanished {
+		c.end(name)
+		c.directory.With(func(r *roster.Registry, now time.Time) { r.SourceVanished(now, source(name)) })
+	}
+	c.initial, c.doubted = false, changes.Doubt != roster.Trusted
+	return nil
+}
+
+// add starts to watch a service, unless it is watched.
+func (c *catalogWatch) add(ctx context.Context, name string) {
+	if c.cancels[name] != nil {
+		return
+	}
+	ctx, cancel := context.WithCancel(ctx)
+	c.cancels[name] = cancel
+	c.addSource(name, c.initial)
+	pollNow := make(chan struct{}, 1)
+	c.mu.Lock()
+	c.pollNow[name] = pollNow
+	c.mu.Unlock()
+	c.group.Go(func() { c.watchOrPoll(ctx, name, pollNow) })
+}
+
+// end ends the watch of a service; its goroutine ends soon after.
+func (c *catalogWatch) end(name string) {
+	if cancel := c.cancels[name]; cancel != nil {
+		cancel()
+		delete(c.cancels, name)
 	}
-	w.watch(ctx, w.newQuery("/v1/catalog/services", nil), nil, take, func() bool { return !doubted }, func(roster.Reason) {})
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.pollNow, name)
+	c.checks.SetNodes(name, nil)
 }
 
-// setServices notes how many services there are, which decides how they are asked.
+// setServices sets the number of services, which decides whether they are polled.
 func (w *watcher) setServices(services int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -85,7 +104,7 @@
 		return
 	}
 	w.stats.Rounds = w.mode.Polling()
-	w.log.Info("services are followed", "in_rounds", w.mode.Polling(), "services", services, "watches", w.cfg.Watches())
+	w.log.Info("watch mode changed", "polling", w.mode.Polling(), "services", services, "watches", w.cfg.Watches())
 	close(w.modeChanged)
 	w.modeChanged = make(chan struct{})
 }
--- a/internal/consul/kv.go
+++ b/internal/consul/kv.go
@@ -12,7 +12,7 @@
 	jsoniter "github.com/json-iterator/go"
 )
 
-// Pair is a key-value entry. Source: Consul's HTTP API documentation, "KV Store".
+// Pair is a key-value entry; its field names are keys of the answer. Source: Consul's HTTP API documentation, "KV Store".
 type Pair struct {
 	Key         string
 	Value       []byte
@@ -21,8 +21,8 @@
 	ModifyIndex uint64
 }
 
-// List returns all entries below a prefix, waiting up to wait for an index above one
-// that is not 0, and the index that it is of. No entry is no error.
+// List returns the entries below a prefix and their index. With an index that is not 0 it
+// blocks for up to wait until theirs exceeds it. A prefix without entries is no error.
 func (c *Client) List(ctx context.Context, prefix string, index uint64, wait time.Duration) ([]Pair, uint64, error) {
 	a, err := c.Get(ctx, Query{Path: "/v1/kv/" + prefix, Params: url.Values{"recurse": {""}}, Index: index, Wait: wait})
 	if s := (*StatusError)(nil); errors.As(err, &s) && s.Status == http.StatusNotFound {
@@ -38,7 +38,7 @@
 	return pairs, a.Index, nil
 }
 
-// Read returns one entry, false if there is none.
+// Read returns one entry, and whether it exists.
 func (c *Client) Read(ctx context.Context, key string) (Pair, bool, error) {
 	pairs, _, err := c.List(ctx, key, 0, 0)
 	for _, p := range pairs {
@@ -49,13 +49,13 @@
 	return Pair{}, false, err
 }
 
-// Swap writes an entry if it is as it was when its index was modify, 0 if it was not
-// there, and tells whether it was.
+// Swap writes an entry if its ModifyIndex is still modify, 0 for one that does not exist, and
+// reports whether it was.
 func (c *Client) Swap(ctx context.Context, key string, value []byte, modify uint64) (bool, error) {
 	return c.applied(ctx, http.MethodPut, "/v1/kv/"+key, url.Values{"cas": {strconv.FormatUint(modify, 10)}}, value)
 }
 
-// Delete deletes an entry if it is as it was when its index was modify.
+// Delete deletes an entry if its ModifyIndex is still modify, and reports whether it was.
 func (c *Client) Delete(ctx context.Context, key string, modify uint64) (bool, error) {
 	return c.applied(ctx, http.MethodDelete, "/v1/kv/"+key, url.Values{"cas": {strconv.FormatUint(modify, 10)}}, nil)
 }
@@ -66,27 +66,37 @@
 	return err
 }
 
-// Write writes an entry whatever it was.
+// Write writes an entry unconditionally.
 func (c *Client) Write(ctx context.Context, key string, value []byte) error {
 	_, err := c.applied(ctx, http.MethodPut, "/v1/kv/"+key, nil, value)
 	return err
 }
 
-// Lock takes, or keeps, the lock on an entry for a session and writes it, and tells
-// whether the session holds it.
+// Lock acquires, or keeps, the lock on an entry for a session and writes it, and reports
+// whether the session holds the lock.
 func (c *Client) Lock(ctx context.Context, key, session string, value []byte) (bool, error) {
 	return c.applied(ctx, http.MethodPut, "/v1/kv/"+key, url.Values{"acquire": {session}}, value)
 }
 
+// applied makes a call whose body in the answer says whether it took effect.
 func (c *Client) applied(ctx context.Context, method, path string, params url.Values, body []byte) (bool, error) {
 	_, raw, _, err := c.do(ctx, method, path, params, body, requestTimeout)
 	return string(raw) == "true" || string(raw) == "true\n", err
 }
 
-// NewSession begins a session that ends on its own if it is not renewed within its TTL,
-// or up to twice that; the keys that it has locked are then let go after delay.
+// session is the body of PUT /v1/session/create; its field names are the keys.
+type session struct {
+	Name      string
+	TTL       string
+	LockDelay string
+	Behavior  string
+	Checks    []string // none: the session does not depend on health checks
+}
+
+// NewSession creates a session that expires if it is not renewed within its TTL, or up to
+// twice that; the keys that it has locked are released after delay.
 func (c *Client) NewSession(ctx context.Context, name string, ttl, delay time.Duration) (string, error) {
-	body, err := jsoniter.Marshal(map[string]any{"Name": name, "TTL": ttl.String(), "LockDelay": delay.String(), "Behavior": "release", "Checks": []string{}})
+	body, err := jsoniter.Marshal(session{Name: name, TTL: ttl.String(), LockDelay: delay.String(), Behavior: "release", Checks: []string{}})
 	if err != nil {
 		return "", fmt.Errorf("session: %w", err)
 	}
@@ -101,7 +111,7 @@
 	return s.ID, nil
 }
 
-// RenewSession renews a session; false tells that it has ended.
+// RenewSession renews a session and reports whether it still existed.
 func (c *Client) RenewSession(ctx context.Context, id string) (bool, error) {
 	err := c.Put(ctx, "/v1/session/renew/"+id, nil)
 	if s := (*StatusError)(nil); errors.As(err, &s) && s.Status == http.StatusNotFound {
@@ -110,7 +120,7 @@
 	return err == nil, err
 }
 
-// EndSession ends a session at once.
+// EndSession destroys a session.
 func (c *Client) EndSession(ctx context.Context, id string) error {
 	return c.Put(ctx, "/v1/session/destroy/"+id, nil)
 }
--- a/internal/consul/polling.go
+++ b/internal/consul/polling.go
@@ -3,22 +3,23 @@
 import (
 	"context"
 	"fmt"
+	"sync"
 	"time"
 
 	jsoniter "github.com/json-iterator/go"
 
-	"wellgw/decide/roster"
 	"wellgw/decide/watch"
 )
 
-// pollingMode tells whether services are asked in turn, how long a round is, and what is
-// closed when that changes.
-func (w *watcher) pollingMode() (on bool, round time.Duration, turned <-chan struct{}) {
+// pollingMode reports whether services are polled, at which interval, and the channel that is
+// closed when the mode changes.
+func (w *watcher) pollingMode() (polling bool, interval time.Duration, changed <-chan struct{}) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.mode.Polling(), w.mode.Interval(), w.modeChanged
 }
 
+// signal sends to a channel with room for one, unless a signal is pending.
 func signal(ch chan struct{}) {
 	select {
 	case ch <- struct{}{}:
@@ -26,59 +27,64 @@
 	}
 }
 
-// watchOrPoll follows one service of many: by a watch of its own while there are few enough,
-// else by plain queries in rounds, out of turn when a mark has changed.
-func (w *watcher) watchOrPoll(ctx context.Context, name string, wake <-chan struct{}) {
-	due := time.Now() // the first round is asked at once, as fast as slots allow
+// watchOrPoll watches one service of many until ctx ends: by blocking queries while there are
+// few enough services, else by polls, out of turn when a health check has changed.
+func (w *watcher) watchOrPoll(ctx context.Context, name string, pollNow <-chan struct{}) {
+	due := time.Now() // the first poll is made at once, as fast as slots allow
 	for ctx.Err() == nil {
-		on, _, turned := w.pollingMode()
+		polling, _, changed := w.pollingMode()
 		sub, stop := context.WithCancel(ctx)
-		go func() { // a change of the way ends this one
+		go func() { // ends with sub, at the latest when this round ends
 			select {
 			case <-sub.Done():
-			case <-turned:
+			case <-changed:
 				stop()
 			}
 		}()
-		next := func() bool {
+		nextPoll := func() bool {
 			t := time.NewTimer(time.Until(due))
 			defer t.Stop()
 			select {
 			case <-sub.Done():
 				return false
-			case <-wake:
+			case <-pollNow:
 			case <-t.C:
 			}
-			_, round, _ := w.pollingMode()
-			due = time.Now().Add(jitter(round))
+			_, interval, _ := w.pollingMode()
+			due = time.Now().Add(jitter(interval))
 			return true
 		}
-		if !on {
-			next = nil
+		if !polling {
+			nextPoll = nil
 		}
-		w.watchService(sub, name, next, func() {})
+		w.watchService(sub, name, nextPoll, func() {})
 		stop()
 	}
 }
 
-// watchChecks watches all checks that fail, while services are asked in turn, and has those
-// asked out of turn that a change speaks of. One query stands for all services, and its
-// answer is short while most engines are well.
+// watchChecks watches the failing health checks while services are polled, and has the services
+// that a change affects polled at once. One query serves all services, and its response is
+// short while most engines are healthy.
 func (w *watcher) watchChecks(ctx context.Context) {
+	var group sync.WaitGroup
+	defer group.Wait()
 	for ctx.Err() == nil {
-		on, _, turned := w.pollingMode()
+		polling, _, changed := w.pollingMode()
 		sub, stop := context.WithCancel(ctx)
-		if on {
-			go w.watch(sub, w.newQuery("/v1/health/state/critical", nil), nil, w.applyChecks, func() bool { return true }, func(roster.Reason) {})
+		if polling {
+			q := w.newQuery("/v1/health/state/critical", nil)
+			h := queryHandler{apply: w.applyChecks, confirm: func() bool { return true }, doubt: ignore}
+			group.Go(func() { w.watch(sub, q, h) })
 		}
 		select {
 		case <-ctx.Done():
-		case <-turned:
+		case <-changed:
 		}
 		stop()
 	}
 }
 
+// applyChecks replaces the failing health checks.
 func (w *watcher) applyChecks(a Answer) error {
 	var list []criticalCheck
 	if err := jsoniter.Unmarshal(a.Body, &list); err != nil {
@@ -91,14 +97,14 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, service := range w.checks.Update(failing) {
-		if wake := w.pollNow[service]; wake != nil {
-			signal(wake)
+		if ch := w.pollNow[service]; ch != nil {
+			signal(ch)
 		}
 	}
 	return nil
 }
 
-// criticalCheck is one line of /v1/health/state/critical, as far as it is read.
+// criticalCheck is an element of /v1/health/state/critical, as far as it is read.
 type criticalCheck struct {
 	Node        string `json:"Node"`
 	CheckID     string `json:"CheckID"`
--- a/internal/consul/register.go
+++ b/internal/consul/register.go
@@ -13,21 +13,24 @@
 	jsoniter "github.com/json-iterator/go"
 
 	"wellgw/decide/roster"
+	"wellgw/internal/config"
 	"wellgw/internal/pause"
 )
 
-// The margins of the gateway's own listing.
+// Intervals and limits of the gateway's own registration.
 const (
-	renewalsPerTTL      = 3                // times in each TTL that the check is passed
-	minDeregisterAfter  = time.Minute      // Consul takes a critical service off its list no sooner
+	renewalsPerTTL      = 3                // of the health check
+	minDeregisterAfter  = time.Minute      // Consul removes a critical service no sooner
 	deregisterAfterTTLs = 10               // times the TTL
-	gatewayCountHold    = 15 * time.Second // for so long fewer gateways are not believed
+	gatewayCountHold    = 15 * time.Second // before fewer gateways are believed
 	deregisterTimeout   = time.Second
 	addressPollInterval = 50 * time.Millisecond // until it is known where the gateway serves
-	firstStatus         = "passing"
+	statusPassing       = "passing"
+	statusWarning       = "warning"
+	checkIDPrefix       = "service:"
 )
 
-// registration is the body of PUT /v1/agent/service/register.
+// registration is the body of PUT /v1/agent/service/register; its field names are the keys.
 type registration struct {
 	ID      string
 	Name    string
@@ -44,104 +47,132 @@
 	DeregisterCriticalServiceAfter string
 }
 
-// register keeps the gateway on the list of gateways until ctx ends, then takes it
-// off. The agent forgets it if it restarts without its data, so a check that is not
-// known is registered anew.
+// checkUpdate is the body of PUT /v1/agent/check/update/CHECK; its field name is the key.
+type checkUpdate struct{ Status string }
+
+// register keeps the gateway registered until ctx ends, then deregisters it. The agent
+// forgets it if it restarts without its data, so a check that it does not know is
+// registered anew.
 func (d *Discovery) register(ctx context.Context, w *watcher) {
-	r := w.cfg.Register
-	for r.Address == "" && ctx.Err() == nil {
-		if at := d.address(); at != "" {
-			own := *r
-			own.Address, r = at, &own
-			break
-		}
-		pause.Sleep(ctx, addressPollInterval)
-	}
-	if ctx.Err() != nil {
+	address, ok := d.waitForAddress(ctx, w.cfg.Register)
+	if !ok {
 		return
 	}
-	host, port, err := net.SplitHostPort(r.Address)
+	r, err := newRegistration(w.cfg.Register, address)
 	if err != nil {
-		w.log.Error("not registered", "cause", err)
+		w.log.Error("gateway registration failed", "cause", err)
 		return
 	}
-	number, _ := strconv.Atoi(port)
-	id := r.ID
-	if id == "" {
-		name, _ := os.Hostname()
-		id = r.Name + "-" + name + "-" + port
-	}
-	body, err := jsoniter.Marshal(registration{
-		ID: id, Name: r.Name, Address: host, Port: number, Meta: map[string]string{"started_ms": strconv.FormatInt(time.Now().UnixMilli(), 10)},
-		Check: ttlCheck{
-			CheckID: "service:" + id, TTL: r.TTL().String(), Status: firstStatus,
-			DeregisterCriticalServiceAfter: max(minDeregisterAfter, deregisterAfterTTLs*r.TTL()).String(),
-		},
-	})
+	body, err := jsoniter.Marshal(r)
 	if err != nil {
-		w.log.Error("not registered", "cause", err)
+		w.log.Error("gateway registration failed", "cause", err)
 		return
 	}
-	listed, failed := false, false
+	registered, failed := false, false
 	for ctx.Err() == nil {
-		if !listed {
-			err = w.client.Put(ctx, "/v1/agent/service/register", body)
-			if listed = err == nil; listed {
-				w.log.Info("registered", "service", r.Name, "gateway", id)
-			}
-		} else {
-			status := "passing"
-			if !d.ready() {
-				status = "warning" // it runs, but has no engine to send to
-			}
-			update, _ := jsoniter.Marshal(map[string]string{"Status": status})
-			err = w.client.Put(ctx, "/v1/agent/check/update/service:"+url.PathEscape(id), update)
-			if s := (*StatusError)(nil); errors.As(err, &s) && (s.Status == http.StatusNotFound || s.Status == http.StatusInternalServerError) {
-				listed = false // the agent knows it no more
-			}
+		if registered {
+			registered, err = d.renew(ctx, w, r.ID)
+		} else if err = w.client.Put(ctx, "/v1/agent/service/register", body); err == nil {
+			registered = true
+			w.log.Info("gateway registered", "service", r.Name, "gateway", r.ID)
 		}
 		if err != nil && !failed && ctx.Err() == nil {
-			w.log.Warn("own registration not renewed", "gateway", id, "cause", err)
+			w.log.Warn("gateway registration not renewed", "gateway", r.ID, "cause", err)
 		}
 		failed = err != nil
-		w.client.Pause(ctx, jitter(r.TTL()/renewalsPerTTL))
+		w.client.Pause(ctx, jitter(w.cfg.Register.TTL()/renewalsPerTTL))
 	}
-	bye, done := context.WithTimeout(context.WithoutCancel(ctx), deregisterTimeout)
-	defer done()
-	if err := w.client.Put(bye, "/v1/agent/service/deregister/"+url.PathEscape(id), nil); err != nil {
-		w.log.Warn("not taken off the list; its check will expire", "gateway", id, "cause", err)
+	w.deregister(ctx, r.ID)
+}
+
+// waitForAddress returns the address to register: the configured one, else where the gateway
+// serves, once it does. It is false if ctx ends first.
+func (d *Discovery) waitForAddress(ctx context.Context, r *config.Register) (address string, ok bool) {
+	for address = r.Address; address == "" && ctx.Err() == nil; {
+		if address = d.address(); address == "" {
+			pause.Sleep(ctx, addressPollInterval)
+		}
 	}
+	return address, ctx.Err() == nil
 }
 
-// watchGateways follows how many gateways are listed. What can't be believed changes nothing.
+func newRegistration(r *config.Register, address string) (registration, error) {
+	host, port, err := net.SplitHostPort(address)
+	if err != nil {
+		return registration{}, err
+	}
+	number, _ := strconv.Atoi(port) // the listener's, or checked with the configuration
+	id := r.ID
+	if id == "" {
+		hostname, _ := os.Hostname()
+		id = r.Name + "-" + hostname + "-" + port
+	}
+	return registration{
+		ID: id, Name: r.Name, Address: host, Port: number,
+		Meta: map[string]string{"started_ms": strconv.FormatInt(time.Now().UnixMilli(), 10)},
+		Check: ttlCheck{
+			CheckID: checkIDPrefix + id, TTL: r.TTL().String(), Status: statusPassing,
+			DeregisterCriticalServiceAfter: max(minDeregisterAfter, deregisterAfterTTLs*r.TTL()).String(),
+		},
+	}, nil
+}
+
+// renew updates the gateway's health check, and reports whether the agent still knows it.
+func (d *Discovery) renew(ctx context.Context, w *watcher, id string) (registered bool, err error) {
+	update := checkUpdate{Status: statusPassing}
+	if !d.ready() {
+		update.Status = statusWarning // it runs, but has no engine to send to
+	}
+	body, err := jsoniter.Marshal(update)
+	if err != nil {
+		return true, err
+	}
+	err = w.client.Put(ctx, "/v1/agent/check/update/"+checkIDPrefix+url.PathEscape(id), body)
+	var status *StatusError
+	forgotten := errors.As(err, &status) && (status.Status == http.StatusNotFound || status.Status == http.StatusInternalServerError)
+	return !forgotten, err
+}
+
+// deregister removes the gateway's registration after ctx has ended.
+func (w *watcher) deregister(ctx context.Context, id string) {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), deregisterTimeout)
+	defer cancel()
+	if err := w.client.Put(ctx, "/v1/agent/service/deregister/"+url.PathEscape(id), nil); err != nil {
+		w.log.Warn("gateway deregistration failed, its check will expire", "gateway", id, "cause", err)
+	}
+}
+
+// watchGateways counts the registered gateways. A doubted view changes nothing.
 func (d *Discovery) watchGateways(ctx context.Context, w *watcher) {
-	peers := roster.NewGatewayCount(1, gatewayCountHold)
-	tell := func(changed bool) {
+	count := roster.NewGatewayCount(1, gatewayCountHold)
+	publish := func(changed bool) {
 		if changed {
-			w.log.Info("gateways that share the engines", "gateways", peers.Count())
-			d.setGateways(peers.Count())
+			w.log.Info("gateway count changed", "gateways", count.Count())
+			d.setGateways(count.Count())
 		}
 	}
-	last, doubted := 0, true
-	s := w.newQuery("/v1/health/service/"+url.PathEscape(w.cfg.Register.Name), nil)
-	w.watch(ctx, s, nil, func(a Answer) error {
-		v, _, err := parseHealth(a.Body, w.zone)
+	doubted := true
+	apply := func(a Answer) error {
+		view, _, err := parseHealth(a.Body, w.zone)
 		if err != nil {
 			return err
 		}
 		doubted = !a.KnownLeader || a.LastContact > w.policy.MaxAge
-		n := 0
-		for _, e := range v.Entries {
+		alive := len(view.Malformed)
+		for _, e := range view.Entries {
 			if e.Mark != roster.Critical {
-				n++
+				alive++
 			}
 		}
-		if last = n + len(v.Malformed); !doubted {
-			tell(peers.Observe(time.Now(), last))
+		if !doubted {
+			publish(count.Observe(time.Now(), alive))
 		}
 		return nil
-	}, func() bool {
-		tell(peers.Tick(time.Now()))
+	}
+	confirm := func() bool {
+		publish(count.Tick(time.Now()))
 		return !doubted
-	}, func(roster.Reason) {})
+	}
+	q := w.newQuery("/v1/health/service/"+url.PathEscape(w.cfg.Register.Name), nil)
+	w.watch(ctx, q, queryHandler{apply: apply, confirm: confirm, doubt: ignore})
 }
--- a/internal/consul/watcher.go
+++ b/internal/consul/watcher.go
@@ -18,18 +18,18 @@
 	"wellgw/internal/pause"
 )
 
-// Stats count what following has cost.
+// Stats count the work of watching.
 type Stats struct {
-	Agent     string `json:"agent"` // that answered last
+	Agent     string `json:"agent"` // that responded last
 	Queries   int    `json:"queries"`
 	Failed    int    `json:"failed"`
 	Bytes     int64  `json:"bytes"`
-	Unchanged int    `json:"unchanged"` // answers with nothing new in them
+	Unchanged int    `json:"unchanged"` // responses without a change
 	Services  int    `json:"services"`
-	Rounds    bool   `json:"rounds"` // services are asked in turn, as there are more than watches
+	Rounds    bool   `json:"rounds"` // services are polled, as there are more than watches
 }
 
-// watcher follows one configuration.
+// watcher watches the services of one configuration.
 type watcher struct {
 	cfg       config.Consul
 	zone      string
@@ -37,18 +37,18 @@
 	client    *Client
 	log       *slog.Logger
 	policy    roster.Policy
-	atStart   bool // the gateway has just begun: what is listed may have run for long
-	slots     chan struct{}
+	atStart   bool          // the gateway has just started: listed engines may have run for long
+	slots     chan struct{} // of polls in flight
 
 	mu          sync.Mutex
 	stats       Stats
 	mode        *watch.PollingMode
-	modeChanged chan struct{} // closed when the way of asking changes
+	modeChanged chan struct{} // closed when the mode changes
 	checks      *watch.CheckTracker
-	pollNow     map[string]chan struct{} // by service
+	pollNow     map[string]chan struct{} // by service: a signal polls it out of turn
 }
 
-// query is one thing that is asked about again and again.
+// query is a query that is repeated, with its backoff after failures.
 type query struct {
 	*watch.Query
 	path    string
@@ -66,9 +66,9 @@
 	return &query{Query: watch.NewQuery(l), path: path, params: params, backoff: b}
 }
 
-// request makes one query. Those in turn take a slot: only so many are open at once.
-func (w *watcher) request(ctx context.Context, s *query, inTurn bool) (Answer, error) {
-	if inTurn {
+// request makes the next request of a query. Polls take a slot, which bounds those in flight.
+func (w *watcher) request(ctx context.Context, q *query, polled bool) (Answer, error) {
+	if polled {
 		select {
 		case w.slots <- struct{}{}:
 			defer func() { <-w.slots }()
@@ -76,8 +76,8 @@
 			return Answer{}, ctx.Err()
 		}
 	}
-	q := s.Next(inTurn)
-	a, err := w.client.Get(ctx, Query{Path: s.path, Params: s.params, Index: q.Index, Wait: q.Wait, Stale: q.Stale})
+	next := q.Next(polled)
+	a, err := w.client.Get(ctx, Query{Path: q.path, Params: q.params, Index: next.Index, Wait: next.Wait, Stale: next.Stale})
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.stats.Queries++
@@ -90,7 +90,7 @@
 	return a, err
 }
 
-// failureOf reads an error, and the wait that the agent asked for.
+// failureOf classifies an error and returns the agent's Retry-After, 0 without one.
 func failureOf(err error) (watch.Failure, time.Duration) {
 	var status *StatusError
 	switch {
@@ -108,71 +108,87 @@
 	return watch.Disconnected, 0
 }
 
-// handleFailure notes that a query failed, and waits as long as is due.
-func (w *watcher) handleFailure(ctx context.Context, s *query, err error, tell func(roster.Reason)) {
-	failure, hint := failureOf(err)
-	v := s.Failed(failure, s.backoff.NextBackOff(), hint)
+// handleFailure records that a request failed, and pauses for as long as is due.
+func (w *watcher) handleFailure(ctx context.Context, q *query, err error, doubt func(roster.Reason)) {
+	failure, retryAfter := failureOf(err)
+	action := q.Failed(failure, q.backoff.NextBackOff(), retryAfter)
 	if ctx.Err() != nil {
 		return
 	}
-	if v.Log {
-		w.log.Warn("query failed", "path", s.path, "reason", string(v.Reason), "cause", err)
+	if action.Log {
+		w.log.Warn("query failed", "path", q.path, "reason", string(action.Reason), "cause", err)
 	}
-	if v.Reason != roster.Trusted {
-		tell(v.Reason)
+	if action.Reason != roster.Trusted {
+		doubt(action.Reason)
 	}
-	if v.Pause > 0 {
-		w.client.Pause(ctx, v.Pause)
+	if action.Pause > 0 {
+		w.client.Pause(ctx, action.Pause)
 	}
 }
 
-// watch asks about a subject until ctx ends and gives what is new to take. next waits
-// for the subject's turn; it is nil where queries block. same tells whether an answer
-// without news may be passed over.
-func (w *watcher) watch(ctx context.Context, s *query, next func() bool, take func(Answer) error, same func() bool, failed func(roster.Reason)) {
+// queryHandler is what a watch does with the responses of a query.
+type queryHandler struct {
+	// nextPoll waits until the query is to be polled, false once it is to end. It is nil
+	// where requests block.
+	nextPoll func() bool
+	// apply processes a response that has changed.
+	apply func(Answer) error
+	// confirm records that a response has not changed, and reports whether that suffices.
+	confirm func() bool
+	// doubt records a reason to doubt the source.
+	doubt func(roster.Reason)
+}
+
+// ignore is a queryHandler.doubt for queries whose failures change nothing.
+func ignore(roster.Reason) {}
+
+// watch repeats a query until ctx ends.
+func (w *watcher) watch(ctx context.Context, q *query, h queryHandler) {
+	polled := h.nextPoll != nil
 	for ctx.Err() == nil {
-		if next != nil && !next() {
+		if polled && !h.nextPoll() {
 			return
 		}
-		a, err := w.request(ctx, s, next != nil)
-		begun := time.Now()
-		answer := watch.Response{Index: a.Index, Checksum: xxhash.Sum64(a.Body), HasLeader: a.KnownLeader, Age: a.LastContact}
-		news := false
+		answer, err := w.request(ctx, q, polled)
+		received := time.Now()
+		response := watch.Response{Index: answer.Index, Checksum: xxhash.Sum64(answer.Body), HasLeader: answer.KnownLeader, Age: answer.LastContact}
+		changed := false
 		if err == nil {
-			news = s.Responded(answer) || !same()
+			changed = q.Responded(response) || !h.confirm()
 		}
 		switch {
 		case err != nil:
-		case !news:
+		case !changed:
 			w.mu.Lock()
 			w.stats.Unchanged++
 			w.mu.Unlock()
 		case ctx.Err() == nil: // a service that has lost its tag must not come back
-			err = take(a)
+			err = h.apply(answer)
 		}
 		if err != nil {
-			w.handleFailure(ctx, s, err, failed)
+			w.handleFailure(ctx, q, err, h.doubt)
 			continue
 		}
-		s.backoff.Reset()
-		if wait := s.Processed(answer, news, time.Since(begun)); wait > 0 && next == nil {
+		q.backoff.Reset()
+		if wait := q.Processed(response, changed, time.Since(received)); wait > 0 && !polled {
 			pause.Sleep(ctx, wait)
 		}
 	}
 }
 
-// run follows the configuration until ctx ends.
+// run watches what the configuration names until ctx ends, and returns when all it started
+// has ended.
 func (w *watcher) run(ctx context.Context) {
 	var group sync.WaitGroup
 	defer group.Wait()
 	ctx, stop := context.WithCancel(ctx)
-	defer stop() // before the wait, lest a fault here should leave the rest running, and nothing said
+	defer stop() // before the wait: a panic here must not hang in it and stay unseen
 	group.Go(func() { w.client.Run(ctx) })
 	if w.cfg.Tag != "" && w.cfg.Service == "" {
 		w.watchCatalog(ctx)
 		return
 	}
 	w.addSource(w.cfg.Service, w.atStart)
-	only := sync.OnceFunc(func() { w.withdrawOthers(w.cfg.Service) })
-	w.watchService(ctx, w.cfg.Service, nil, only)
+	removeOthers := sync.OnceFunc(func() { w.removeOtherServices(w.cfg.Service) })
+	w.watchService(ctx, w.cfg.Service, nil, removeOthers)
 }
