--- a/internal/consul/agents.go
+++ b/internal/consul/agents.go
@@ -12,16 +12,16 @@
 	"wellgw/internal/pause"
 )
 
-// agent is one of the agents. A beat tells whether it lives.
+// agent is one of the agents.
 type agent struct {
 	addr string
 
-	lifetime context.Context // ends when it hangs or fails: so do the queries that wait for it
+	lifetime context.Context // canceled, with the requests to it, when the agent is marked down; guarded by Client.mu
 	cancel   context.CancelFunc
 }
 
-// Run keeps asking agents for a sign of life until ctx ends. A blocking query may
-// be silent for as long as it likes; an agent may not.
+// Run sends heartbeats to all agents until ctx ends, and returns when its goroutines have
+// ended: a blocking query may take long, so that it does not show whether its agent hangs.
 func (c *Client) Run(ctx context.Context) {
 	var group sync.WaitGroup
 	for _, a := range c.agents {
@@ -32,6 +32,7 @@
 	c.heartbeats.CloseIdleConnections()
 }
 
+// monitor sends heartbeats to one agent and marks it up or down.
 func (c *Client) monitor(ctx context.Context, a *agent) {
 	for ctx.Err() == nil {
 		if err := c.heartbeat(ctx, a); ctx.Err() != nil {
@@ -61,64 +62,64 @@
 	}
 	defer resp.Body.Close()
 	_, err = io.Copy(io.Discard, io.LimitReader(resp.Body, maxHeartbeatBody))
-	return err // any answer is a sign of life, a refusal too
+	return err // any response shows that the agent is up, an error status too
 }
 
-// markDown notes that an agent cannot be asked, and ends the queries that wait for it.
+// markDown marks an agent as down and cancels the requests to it.
 func (c *Client) markDown(a *agent, cause error) {
 	c.mu.Lock()
-	lost := c.selection.MarkDown(a.addr)
+	wasUp := c.selection.MarkDown(a.addr)
 	a.cancel()
 	c.mu.Unlock()
-	if lost {
+	if wasUp {
 		c.log.Warn("agent lost", "agent", a.addr, "cause", cause)
 		c.http.CloseIdleConnections()
 	}
 }
 
-// markUp notes that an agent lives, and wakes those that wait for one.
+// markUp marks an agent as up and wakes those that wait for one.
 func (c *Client) markUp(a *agent) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.selection.MarkUp(a.addr) {
 		return
 	}
-	c.log.Info("agent back", "agent", a.addr)
+	c.log.Info("agent recovered", "agent", a.addr)
 	a.lifetime, a.cancel = context.WithCancel(context.Background())
 	close(c.recovered)
 	c.recovered = make(chan struct{})
 }
 
-// selectAgent returns the agent to ask, and what ends when it is lost.
-func (c *Client) selectAgent() (*agent, context.Context, bool) {
+// selectAgent returns the agent to ask and its lifetime; ok is false if all are down.
+func (c *Client) selectAgent() (a *agent, lifetime context.Context, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	name, other, ok := c.selection.Select()
+	name, changed, ok := c.selection.Select()
 	if !ok {
 		return nil, nil, false
 	}
-	if other {
-		c.log.Info("agent in use", "agent", name)
+	if changed {
+		c.log.Info("agent selected", "agent", name)
 	}
-	a := c.agents[name]
+	a = c.agents[name]
 	return a, a.lifetime, true
 }
 
-// Pause waits for d, or less if an agent comes back meanwhile.
+// Pause waits for d, or until an agent recovers.
 func (c *Client) Pause(ctx context.Context, d time.Duration) {
 	c.mu.Lock()
-	back := c.recovered
+	recovered := c.recovered
 	c.mu.Unlock()
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
-	case <-back:
+	case <-recovered:
 	case <-t.C:
 	}
 }
 
-// jitter spreads calls of many gateways over time.
+// jitter draws from d plus or minus a quarter, to spread the requests of many gateways.
 func jitter(d time.Duration) time.Duration {
 	return d*3/4 + rand.N(d/2+1)
 }
--- a/internal/consul/client.go
+++ b/internal/consul/client.go
@@ -1,6 +1,7 @@
-// Package consul follows engines in Consul by its HTTP API: the health of services
-// by blocking queries, and from the catalogue which services carry a tag. It also
-// lists the gateway itself. What is made of the answers is decided in decide/roster.
+// Package consul discovers engines by Consul's HTTP API: it watches the health of services by
+// blocking queries, and in the catalog which services carry a tag. It also registers the
+// gateway itself, and offers key-value entries and sessions. decide/watch decides what is
+// requested next, decide/roster which engines follow from the responses.
 //
 // Source: Consul's HTTP API documentation, "Blocking Queries", "Consistency Modes",
 // "Health", "Catalog", "Agent / Service", "Agent / Check", "Status".
@@ -17,7 +18,6 @@
 	"net/http"
 	"net/url"
 	"strconv"
-	"strings"
 	"sync"
 	"time"
 
@@ -25,38 +25,40 @@
 	"wellgw/internal/config"
 )
 
-// The client's margins.
+// Timeouts and limits of the client.
 const (
-	heartbeatInterval = 800 * time.Millisecond  // between calls that tell whether an agent lives
-	heartbeatTimeout  = 1200 * time.Millisecond // an agent that takes longer hangs
-	requestTimeout    = 5 * time.Second         // a query that does not block, body included
-	blockingSlack     = 2 * time.Second         // past the wait and its sixteenth, for a blocking one
+	heartbeatInterval = 800 * time.Millisecond  // between heartbeats to an agent
+	heartbeatTimeout  = 1200 * time.Millisecond // an agent that takes longer counts as hung
+	requestTimeout    = 5 * time.Second         // of a request that does not block, body included
+	blockingSlack     = 2 * time.Second         // beyond the wait and its sixteenth, for one that blocks
 	connectTimeout    = time.Second
-	bodyStallTimeout  = 1500 * time.Millisecond // for each part of a body
+	bodyStallTimeout  = 1500 * time.Millisecond // for each chunk of a body
 	bodyChunk         = 128 << 10
-	maxRetryAfter     = 30 * time.Second // longest hint of an agent's that is followed
-	maxErrorText      = 200              // of an error's body, for the log
+	maxRetryAfter     = 30 * time.Second // a longer Retry-After is cut to this
+	maxHeartbeatBody  = 4 << 10          // read so that the connection can be used again
+	maxErrorText      = 200              // bytes of an error's body, for the log
 )
 
-// Query is one question to whichever agent answers.
+// Query is a read request to whichever agent is up.
 type Query struct {
 	Path   string
 	Params url.Values
-	Index  uint64        // 0: answer at once
-	Wait   time.Duration // with Index: the longest to wait for something newer
-	Stale  bool          // any server may answer, with a leader or without
+	Index  uint64        // 0: do not block
+	Wait   time.Duration // longest time to block until the index exceeds Index
+	Stale  bool          // any server may answer, even without a leader
 }
 
-// Answer is what an agent said.
+// Answer is an agent's response with its metadata.
 type Answer struct {
 	Body        []byte
 	Index       uint64        // X-Consul-Index
 	LastContact time.Duration // X-Consul-LastContact
-	KnownLeader bool          // X-Consul-KnownLeader; true if it was not told
+	KnownLeader bool          // X-Consul-KnownLeader; true without the header
 	Agent       string
 }
 
-// Client asks the first agent that lives.
+// Client makes requests to the first agent that is up. Run must be called for it to learn
+// which are.
 type Client struct {
 	cfg        config.Consul
 	log        *slog.Logger
@@ -67,12 +69,12 @@
 	mu           sync.Mutex
 	agents       map[string]*agent
 	selection    *watch.Agents
-	recovered    chan struct{} // closed when an agent has come back
+	recovered    chan struct{} // closed, and replaced, when an agent has recovered
 	token        string
-	tokenModTime time.Time // the file's time as it was read
+	tokenModTime time.Time // the token file's when it was read
 }
 
-// NewClient returns a client. Run must be called for it to notice who lives.
+// NewClient returns a client. An error names a file of the configuration that can't be used.
 func NewClient(cfg config.Consul, log *slog.Logger) (*Client, error) {
 	c := &Client{cfg: cfg, log: log, scheme: "http", recovered: make(chan struct{})}
 	dial := &net.Dialer{Timeout: connectTimeout}
@@ -100,9 +102,9 @@
 	return c, nil
 }
 
-// Get asks one question. An error is a *StatusError, or tells that nobody answers.
+// Get makes a read request. An error is a *StatusError, or says why no agent responded.
 func (c *Client) Get(ctx context.Context, q Query) (Answer, error) {
-	span := requestTimeout
+	timeout := requestTimeout
 	params := url.Values{}
 	for k, v := range q.Params {
 		params[k] = v
@@ -113,7 +115,7 @@
 	if q.Index > 0 {
 		params.Set("index", strconv.FormatUint(q.Index, 10))
 		params.Set("wait", strconv.FormatInt(q.Wait.Milliseconds(), 10)+"ms")
-		span = q.Wait + q.Wait/16 + blockingSlack // Consul adds up to a sixteenth, by its documentation
+		timeout = q.Wait + q.Wait/16 + blockingSlack // Consul adds up to a sixteenth, by its documentation
 	}
 	switch {
 	case q.Stale || c.cfg.Consistency == "stale":
@@ -121,7 +123,7 @@
 	case c.cfg.Consistency == "consistent":
 		params.Set("consistent", "")
 	}
-	resp, body, agent, err := c.do(ctx, http.MethodGet, q.Path, params, nil, span)
+	resp, body, agent, err := c.do(ctx, http.MethodGet, q.Path, params, nil, timeout)
 	if err != nil {
 		return Answer{}, err
 	}
@@ -135,7 +137,7 @@
 	return a, nil
 }
 
-// indexOf reads X-Consul-Index, 0 if there is none.
+// indexOf returns X-Consul-Index, 0 without one.
 func indexOf(h http.Header) uint64 {
 	n, err := strconv.ParseUint(h.Get("X-Consul-Index"), 10, 64)
 	if err != nil {
@@ -144,34 +146,29 @@
 	return n
 }
 
-// Put makes a call that changes something at the agent in use.
+// Put makes a write request.
 func (c *Client) Put(ctx context.Context, path string, body []byte) error {
 	_, _, _, err := c.do(ctx, http.MethodPut, path, nil, body, requestTimeout)
 	return err
 }
 
-func (c *Client) do(ctx context.Context, method, path string, params url.Values, body []byte, span time.Duration) (*http.Response, []byte, string, error) {
-	a, epoch, up := c.selectAgent()
+// do makes a request to the agent in use and returns the response, its body and the agent's
+// address. It ends early if the agent is marked down meanwhile.
+func (c *Client) do(ctx context.Context, method, path string, params url.Values, body []byte, timeout time.Duration) (*http.Response, []byte, string, error) {
+	a, lifetime, up := c.selectAgent()
 	if !up {
 		return nil, nil, "", errNoAgent
 	}
-	ctx, cancel := context.WithTimeout(ctx, span)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	defer context.AfterFunc(epoch, cancel)()
-	target := c.scheme + "://" + a.addr + path
-	if len(params) > 0 {
-		target += "?" + params.Encode()
-	}
-	req, err := http.NewRequestWithContext(ctx, method, target, bytes.NewReader(body))
+	defer context.AfterFunc(lifetime, cancel)()
+	req, err := c.newRequest(ctx, method, a.addr, path, params, body)
 	if err != nil {
 		return nil, nil, "", fmt.Errorf("query: %w", err)
 	}
-	if token := c.readToken(); token != "" {
-		req.Header.Set("X-Consul-Token", token)
-	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return nil, nil, "", c.requestError(a, epoch, err)
+		return nil, nil, "", c.requestError(lifetime, a, err)
 	}
 	defer resp.Body.Close()
 	limit := c.cfg.MaxBody()
@@ -181,22 +178,34 @@
 	raw, err := readBody(io.LimitReader(resp.Body, limit+1), cancel)
 	switch {
 	case resp.StatusCode != http.StatusOK:
-		return nil, nil, "", &StatusError{
-			Agent: a.addr, Status: resp.StatusCode, RetryAfter: retryAfter(resp.Header),
-			Text: strings.Join(strings.Fields(string(raw[:min(len(raw), maxErrorText)])), " "), Index: indexOf(resp.Header),
-		}
+		return nil, nil, "", newStatusError(a.addr, resp, raw)
 	case err != nil:
-		return nil, nil, "", c.requestError(a, epoch, err)
+		return nil, nil, "", c.requestError(lifetime, a, err)
 	case int64(len(raw)) > limit:
 		return nil, nil, "", fmt.Errorf("agent %s: %w", a.addr, errTooLong)
 	}
 	return resp, raw, a.addr, nil
 }
 
-// readBody reads to the end as long as the body keeps coming: one that trickles would
-// keep what is new from being asked for. stop ends the reading.
-func readBody(r io.Reader, stop func()) ([]byte, error) {
-	stalled := time.AfterFunc(bodyStallTimeout, stop)
+func (c *Client) newRequest(ctx context.Context, method, addr, path string, params url.Values, body []byte) (*http.Request, error) {
+	target := c.scheme + "://" + addr + path
+	if len(params) > 0 {
+		target += "?" + params.Encode()
+	}
+	req, err := http.NewRequestWithContext(ctx, method, target, bytes.NewReader(body))
+	if err != nil {
+		return nil, err
+	}
+	if token := c.readToken(); token != "" {
+		req.Header.Set("X-Consul-Token", token)
+	}
+	return req, nil
+}
+
+// readBody reads a body that keeps coming. cancel ends the reading of one that stalls, which
+// would delay the next request.
+func readBody(r io.Reader, cancel func()) ([]byte, error) {
+	stalled := time.AfterFunc(bodyStallTimeout, cancel)
 	defer stalled.Stop()
 	var body bytes.Buffer
 	for {
--- a/internal/consul/discovery.go
+++ b/internal/consul/discovery.go
@@ -13,7 +13,7 @@
 	"wellgw/internal/directory"
 )
 
-// Discovery follows Consul, on its own behalf and that of the gateway's own listing.
+// Discovery watches the engines of one configuration at a time and registers the gateway.
 type Discovery struct {
 	zone        string
 	directory   *directory.Directory
@@ -27,35 +27,37 @@
 	cfg     config.Consul
 	client  *Client
 	watcher *watcher
-	restart context.CancelFunc // ends what is under way
+	restart context.CancelFunc // cancels the present watcher; nil before Run
 }
 
-// Policy is the rules' figures as a configuration has them.
+// Policy returns the registry's thresholds as a configuration sets them.
 func Policy(cfg config.Consul) roster.Policy {
 	p := roster.DefaultPolicy()
 	p.HoldTime, p.UnlistedTTL, p.MaxAge = cfg.Hold(), cfg.Unlisted(), cfg.MaxStale()
 	return p
 }
 
-// Options are what a directory is made of.
+// Options configure a Discovery.
 type Options struct {
 	Config      config.Consul
-	Zone        string // of engines that state none
+	Zone        string // of engines without one in their Meta
 	Directory   *directory.Directory
-	SetGateways func(int)   // takes how many gateways share the engines; needs Register
-	Ready       func() bool // whether this gateway can serve
-	// Address is where this gateway serves, once it does; "" before. It is listed if
-	// Register gives no other.
+	SetGateways func(int)   // is called with the number of gateways that share the engines, if Register is set
+	Ready       func() bool // reports whether this gateway can serve
+	// Address returns where this gateway serves, "" before it does. It is registered if
+	// Register sets no other.
 	Address func() string
-	// RunWith works by way of the same client until its context ends; nil for nothing.
+	// RunWith runs beside the watcher, with its client, until its context ends; nil for none.
 	RunWith func(context.Context, *Client)
 	Log     *slog.Logger
 }
 
-// New returns a directory. An error names a file of the configuration that can't
-// be used.
+// New returns a Discovery. An error names a file of the configuration that can't be used.
 func New(opt Options) (*Discovery, error) {
-	d := &Discovery{zone: opt.Zone, directory: opt.Directory, setGateways: opt.SetGateways, ready: opt.Ready, address: opt.Address, runWith: opt.RunWith, log: opt.Log.With("part", "consul")}
+	d := &Discovery{
+		zone: opt.Zone, directory: opt.Directory, setGateways: opt.SetGateways, ready: opt.Ready, address: opt.Address,
+		runWith: opt.RunWith, log: opt.Log.With("part", "consul"),
+	}
 	client, err := NewClient(opt.Config, d.log)
 	if err != nil {
 		return nil, err
@@ -64,9 +66,9 @@
 	return d, nil
 }
 
-// Reconfigure has the directory go on by another configuration, at once, whatever hangs.
-// Engines stay as they were known until the new one has said what holds. The same
-// configuration changes nothing: what its files hold is read as it changes.
+// Reconfigure replaces the configuration at once, whatever requests are under way. Engines
+// stay listed until the new configuration's sources have been observed. An equal
+// configuration changes nothing: its files are read again as they change.
 func (d *Discovery) Reconfigure(cfg config.Consul) error {
 	d.mu.Lock()
 	same := reflect.DeepEqual(cfg, d.cfg)
@@ -87,43 +89,57 @@
 	return nil
 }
 
-// Run follows Consul until ctx ends, and has then taken the gateway off its list.
+// Run watches Consul until ctx ends, and returns when the gateway is deregistered and all that
+// was started has ended.
 func (d *Discovery) Run(ctx context.Context) {
 	cluster := ""
-	for first := true; ctx.Err() == nil; first = false {
-		sub, leave := context.WithCancel(ctx)
-		d.mu.Lock()
-		w := &watcher{
-			cfg: d.cfg, zone: d.zone, directory: d.directory, client: d.client, log: d.log, policy: Policy(d.cfg), atStart: first,
-			slots: make(chan struct{}, d.cfg.Watches()), mode: watch.NewPollingMode(d.cfg.Watches()), modeChanged: make(chan struct{}),
-			checks: watch.NewCheckTracker(), pollNow: map[string]chan struct{}{},
-		}
-		d.watcher, d.restart = w, leave
-		d.mu.Unlock()
-		agents := clusterName(w.cfg)
-		if !first && agents != cluster { // perhaps of another catalogue
-			for _, name := range w.knownServices() {
-				w.directory.With(func(b *roster.Registry, _ time.Time) { b.ResetIndex(source(name)) })
-			}
-		}
-		cluster = agents
-		var group sync.WaitGroup
-		if w.cfg.Register != nil {
-			group.Go(func() { d.register(sub, w) })
-			group.Go(func() { d.watchGateways(sub, w) })
-		}
-		if d.runWith != nil {
-			group.Go(func() { d.runWith(sub, w.client) })
+	for atStart := true; ctx.Err() == nil; atStart = false {
+		sub, cancel := context.WithCancel(ctx)
+		w := d.newWatcher(atStart, cancel)
+		previous := cluster
+		if cluster = clusterName(w.cfg); !atStart && cluster != previous {
+			w.resetIndexes()
 		}
-		func() {
-			defer group.Wait()
-			defer leave()
-			w.run(sub)
-		}()
+		d.runWatcher(sub, cancel, w)
+	}
+}
+
+// newWatcher makes the watcher of the present configuration, which cancel ends.
+func (d *Discovery) newWatcher(atStart bool, cancel context.CancelFunc) *watcher {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.watcher = &watcher{
+		cfg: d.cfg, zone: d.zone, directory: d.directory, client: d.client, log: d.log, policy: Policy(d.cfg), atStart: atStart,
+		slots: make(chan struct{}, d.cfg.Watches()), mode: watch.NewPollingMode(d.cfg.Watches()), modeChanged: make(chan struct{}),
+		checks: watch.NewCheckTracker(), pollNow: map[string]chan struct{}{},
+	}
+	d.restart = cancel
+	return d.watcher
+}
+
+// runWatcher runs a watcher and what goes with it until ctx ends, and awaits their end.
+func (d *Discovery) runWatcher(ctx context.Context, cancel context.CancelFunc, w *watcher) {
+	var group sync.WaitGroup
+	defer group.Wait()
+	defer cancel()
+	if w.cfg.Register != nil {
+		group.Go(func() { d.register(ctx, w) })
+		group.Go(func() { d.watchGateways(ctx, w) })
+	}
+	if d.runWith != nil {
+		group.Go(func() { d.runWith(ctx, w.client) })
+	}
+	w.run(ctx)
+}
+
+// resetIndexes prepares the services for views of perhaps another catalog.
+func (w *watcher) resetIndexes() {
+	for _, name := range w.knownServices() {
+		w.directory.With(func(r *roster.Registry, _ time.Time) { r.ResetIndex(source(name)) })
 	}
 }
 
-// clusterName tells configurations apart that may speak of different catalogues.
+// clusterName differs between configurations whose catalogs may differ.
 func clusterName(cfg config.Consul) string {
 	name := cfg.Datacenter
 	for _, a := range cfg.Agents() {
@@ -132,7 +148,7 @@
 	return name
 }
 
-// Stats returns what following has cost since the configuration was last read.
+// Stats returns the work done since the configuration was last replaced.
 func (d *Discovery) Stats() Stats {
 	d.mu.Lock()
 	w := d.watcher
--- a/internal/consul/parse.go
+++ b/internal/consul/parse.go
@@ -15,9 +15,14 @@
 	"wellgw/internal/config"
 )
 
-const maxHeartbeatBody = 4 << 10
+// What can be wrong with an entry.
+var (
+	errNoServiceID = errors.New("no service id")
+	errBadPort     = errors.New("port out of range")
+	errNoAddress   = errors.New("no address")
+)
 
-// serviceEntry is one line of /v1/health/service/NAME, as far as it is read.
+// serviceEntry is an element of /v1/health/service/NAME, as far as it is read.
 type serviceEntry struct {
 	Node    *nodeInfo    `json:"Node"`
 	Service *serviceInfo `json:"Service"`
@@ -44,9 +49,9 @@
 	ModifyIndex uint64 `json:"ModifyIndex"`
 }
 
-// parseHealth reads a body of /v1/health/service/NAME. Each entry stands for itself:
-// one that makes no sense is named in Unread and spoils no other. Only a body that
-// is no list at all is an error.
+// parseHealth parses a body of /v1/health/service/NAME, and returns the nodes of its entries
+// too. A malformed entry is listed in Malformed and does not affect the others; only a body
+// that is not a list is an error.
 func parseHealth(body []byte, zone string) (v roster.View, nodes []string, err error) {
 	var raw []jsoniter.RawMessage
 	if trimmed := strings.TrimSpace(string(body[:min(len(body), 64)])); !strings.HasPrefix(trimmed, "[") {
@@ -59,8 +64,8 @@
 	for _, line := range raw {
 		e, node, err := parseEntry(line, zone)
 		if err != nil {
-			// An engine that can be named is alone in doubt; else any that is missing may
-			// be the one.
+			// With a readable id only that engine is in doubt; else any missing engine may be
+			// the one.
 			id, mark := parseMarks(line)
 			v.Malformed = append(v.Malformed, id)
 			if id != "" && mark > roster.Clear {
@@ -74,8 +79,8 @@
 		if node != "" {
 			nodes = append(nodes, node)
 		}
-		// The same id on two nodes: an agent that has moved leaves its old entry behind
-		// for a while. The later registration counts, the worse mark holds.
+		// The same id on two nodes: an agent that has moved leaves its old entry behind for a
+		// while. The later registration takes precedence, with the worse mark of the two.
 		if at, twice := listed[e.ID]; twice {
 			mark := max(e.Mark, v.Entries[at].Mark)
 			if e.Registered > v.Entries[at].Registered {
@@ -90,8 +95,7 @@
 	return v, nodes, nil
 }
 
-// parseMarks reads the id and the marks of an entry that otherwise makes no sense, as
-// far as they can be read.
+// parseMarks returns the id and the mark of a malformed entry, as far as they can be read.
 func parseMarks(line []byte) (id string, mark roster.Mark) {
 	var parts struct{ Service, Checks jsoniter.RawMessage }
 	if jsoniter.Unmarshal(line, &parts) != nil {
@@ -108,6 +112,7 @@
 	return named.ID, markOf(checks)
 }
 
+// parseEntry parses one entry and returns its node's name too.
 func parseEntry(line []byte, zone string) (roster.Entry, string, error) {
 	var s serviceEntry
 	if err := jsoniter.Unmarshal(line, &s); err != nil {
@@ -115,19 +120,19 @@
 	}
 	switch {
 	case s.Service == nil || s.Service.ID == "":
-		return roster.Entry{}, "", errors.New("no service id")
+		return roster.Entry{}, "", errNoServiceID
 	case s.Service.Port < 1 || s.Service.Port > 65535:
-		return roster.Entry{}, "", fmt.Errorf("port %d", s.Service.Port)
+		return roster.Entry{}, "", fmt.Errorf("%w: %d", errBadPort, s.Service.Port)
 	}
 	host, node := s.Service.Address, ""
 	if s.Node != nil {
 		node = s.Node.Node
-		if host == "" { // by Consul's documentation the node's address then holds
+		if host == "" { // Consul's documentation then has clients use the node's
 			host = s.Node.Address
 		}
 	}
 	if host == "" {
-		return roster.Entry{}, "", errors.New("no address")
+		return roster.Entry{}, "", errNoAddress
 	}
 	e := roster.Entry{
 		ID: s.Service.ID, Addr: net.JoinHostPort(host, strconv.Itoa(s.Service.Port)),
@@ -138,7 +143,7 @@
 		e.Index = max(e.Index, c.ModifyIndex)
 	}
 	if role := s.Service.Meta["role"]; role != "" {
-		e.Kind = role // one that is unknown is never sent to
+		e.Kind = role // an unknown role gets no requests
 	}
 	if z := s.Service.Meta["zone"]; z != "" {
 		e.Zone = z
@@ -149,8 +154,8 @@
 	return e, node, nil
 }
 
-// markOf reads an engine's checks: a check that fails, or says what is not known,
-// takes it out; maintenance drains it; a warning does not keep it from serving.
+// markOf derives an engine's mark from its checks: a check that fails, or has an unknown
+// status, is critical; maintenance drains it; a warning does not keep it from serving.
 func markOf(checks []check) roster.Mark {
 	m := roster.Clear
 	for _, c := range checks {
@@ -164,8 +169,8 @@
 	return m
 }
 
-// startTime reads when an engine says it started: Meta's started_ms, Unix time in
-// milliseconds, or started, by RFC 3339. What makes no sense counts as not said.
+// startTime returns the start that an engine reports: Meta's started_ms, Unix time in
+// milliseconds, or started, by RFC 3339. It is zero without a valid one.
 func startTime(meta map[string]string) time.Time {
 	if ms, err := strconv.ParseInt(meta["started_ms"], 10, 64); err == nil && ms > 0 {
 		return time.UnixMilli(ms)
@@ -176,7 +181,8 @@
 	return time.Time{}
 }
 
-// parseServices reads a body of /v1/catalog/services.
+// parseServices parses a body of /v1/catalog/services into the services that carry the tag and
+// the others, each in order of name.
 func parseServices(body []byte, tag string) (tagged, others []string, err error) {
 	var services map[string][]string
 	if err := jsoniter.Unmarshal(body, &services); err != nil || services == nil {
--- a/internal/consul/tls.go
+++ b/internal/consul/tls.go
@@ -10,8 +10,12 @@
 	"wellgw/internal/config"
 )
 
-// tlsConfig reads certificates and authorities at every handshake, so that new keys
-// hold from the next connection on. Files that can't be read are an error at once.
+// errNoCertificate is the error for a file of authorities without any.
+var errNoCertificate = errors.New("no certificate in it")
+
+// tlsConfig returns a configuration that reads certificates and authorities at every
+// handshake, so that new keys hold from the next connection on. Files that can't be read are
+// an error at once.
 func tlsConfig(t *config.TLS) (*tls.Config, error) {
 	conf := &tls.Config{MinVersion: tls.VersionTLS12, ServerName: t.ServerName}
 	if t.CertFile != "" {
@@ -32,15 +36,15 @@
 			}
 			pool := x509.NewCertPool()
 			if !pool.AppendCertsFromPEM(pem) {
-				return nil, errors.New("no certificate in it")
+				return nil, errNoCertificate
 			}
 			return pool, nil
 		}
 		if _, err := read(); err != nil {
 			return nil, fmt.Errorf("consul.tls.ca_file: %w", err)
 		}
-		// The library takes authorities once; to have them read anew, its own check
-		// is replaced by the same check against the file as it is now.
+		// crypto/tls takes the authorities once. To have them read at every handshake, its
+		// verification is replaced by the same one against the file's present content.
 		conf.InsecureSkipVerify = true
 		conf.VerifyConnection = func(s tls.ConnectionState) error {
 			roots, err := read()
--- a/internal/consul/token.go
+++ b/internal/consul/token.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// readToken returns the token as the file now has it. A file that can't be read
-// leaves the last one in use: it may be about to be replaced.
+// readToken returns the token in its file, which is read again when its time changes. While the
+// file can't be read the last token stays in use: it may be about to be replaced.
 func (c *Client) readToken() string {
 	if c.cfg.TokenFile == "" {
 		return c.cfg.Token
@@ -21,7 +21,7 @@
 		}
 	}
 	if err != nil && c.token == "" {
-		c.log.Warn("token file", "cause", err)
+		c.log.Warn("token file unreadable", "cause", err)
 		return c.cfg.Token
 	}
 	return c.token
