--- a/cmd/wellgw/platformgateway.go
+++ b/cmd/wellgw/platformgateway.go
@@ -44,7 +44,7 @@
 			if g.retune != nil {
 				g.retune(next)
 			}
-			w.Move(next.Discovery)
+			w.SetAddress(next.Discovery)
 			return nil
 		}
 		tier, err := platformTier(p, c, g.log)
--- a/internal/platform/pauses_test.go
+++ b/internal/platform/pauses_test.go
@@ -11,9 +11,9 @@
 // of a fleet spread out and keep their bounds.
 func TestWatchRetryJitter(t *testing.T) {
 	last := map[time.Duration]bool{}
-	pace := watch.TimingFor(2*time.Second, watchBeat)
+	pace := watch.TimingFor(2*time.Second, heartbeatInterval)
 	for range 80 {
-		b := pauses(pace)
+		b := newBackoff(pace)
 		for n, mean := 0, pace.InitialBackoff; n < 8; n, mean = n+1, min(2*mean, pace.MaxBackoff) {
 			p := b.NextBackOff()
 			if spread := time.Duration(pace.Jitter * float64(mean)); p < mean-spread || p > mean+spread {
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -79,13 +79,13 @@
 // not bring back one that has been forgotten.
 func TestRosterForgetsRemoved(t *testing.T) {
 	r := NewRoster()
-	for n := range int64(5 * keepLeft) {
+	for n := range int64(5 * maxDeparted) {
 		id := fmt.Sprint("e", n)
 		r.Apply(list(2*n+1, false, id+" active 0"))
 		r.Apply(list(2*n+2, false, id+" left 0"))
 	}
-	if len(r.entries) > keepLeft || len(r.left) > keepLeft {
-		t.Errorf("%d entries, %d left", len(r.entries), len(r.left))
+	if len(r.entries) > maxDeparted || len(r.departed) > maxDeparted {
+		t.Errorf("%d entries, %d left", len(r.entries), len(r.departed))
 	}
 	if got := r.Apply(list(1, false, "e0 active 0")); len(got) > 0 {
 		t.Errorf("back: %+v", got)
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -23,29 +23,29 @@
 
 // The watch's margins. A line comes every 2 s at least.
 const (
-	watchBeat = 2 * time.Second
-	askWait   = 4500 * time.Millisecond // for an answer where calls wait in turn
-	maxList   = 4 << 20
-	keepLeft  = 256 // engines that have left are remembered; more would grow with the days
+	heartbeatInterval     = 2 * time.Second
+	queuedResponseTimeout = 4500 * time.Millisecond // for an answer where calls wait in turn
+	maxListBytes          = 4 << 20
+	maxDeparted           = 256 // engines that have left are remembered; more would grow with the days
 )
 
 // Roster holds what discovery has announced. It guards the drain rule: an engine that
 // is leaving or gone stays so, whatever older news comes after.
 type Roster struct {
-	revision  int64
-	entries   map[string]entry
-	left      []string // engines that have left, in the order in which they did
-	forgotten int64    // the newest revision of one that has been forgotten
+	revision          int64
+	entries           map[string]rosterEntry
+	departed          []string // engines that have left, in the order in which they did
+	forgottenRevision int64    // the newest revision of one that has been forgotten
 }
 
-type entry struct {
+type rosterEntry struct {
 	config.ListEntry
 	revision int64
 }
 
 // NewRoster returns an empty roster.
 func NewRoster() *Roster {
-	return &Roster{entries: map[string]entry{}, forgotten: -1} // the first list may be of revision 0
+	return &Roster{entries: map[string]rosterEntry{}, forgottenRevision: -1} // the first list may be of revision 0
 }
 
 // Revision is the newest that has been taken in.
@@ -57,47 +57,47 @@
 // complete list that is not older removes the engines it does not name.
 func (r *Roster) Apply(l config.List) []core.Endpoint {
 	var changed []core.Endpoint
-	take := func(e config.ListEntry) {
+	update := func(e config.ListEntry) {
 		if phaseOf(e.Phase) == routing.PhaseRemoved {
-			r.left = append(r.left, e.ID)
+			r.departed = append(r.departed, e.ID)
 		}
-		r.entries[e.ID] = entry{e, l.Revision}
-		changed = append(changed, member(e))
+		r.entries[e.ID] = rosterEntry{e, l.Revision}
+		changed = append(changed, endpoint(e))
 	}
 	named := map[string]bool{}
 	for _, e := range l.Members {
 		named[e.ID] = true
 		old, known := r.entries[e.ID]
 		worse := phaseOf(e.Phase) > phaseOf(old.Phase) && e.UpSince >= old.UpSince
-		if !known && l.Revision <= r.forgotten { // it may be one of those: they have left
+		if !known && l.Revision <= r.forgottenRevision { // it may be one of those: they have left
 			continue
 		}
 		if !known || l.Revision > old.revision || worse || e.UpSince > old.UpSince {
-			take(e)
+			update(e)
 		}
 	}
 	if l.Complete && l.Revision >= r.revision {
 		for id, e := range r.entries {
 			if !named[id] && phaseOf(e.Phase) != routing.PhaseRemoved {
 				e.Phase = "left"
-				take(e.ListEntry)
+				update(e.ListEntry)
 			}
 		}
 	}
 	r.revision = max(r.revision, l.Revision)
-	r.forget()
+	r.forgetDeparted()
 	return changed
 }
 
-// forget drops those that left longest ago. An older list that names one must not
+// forgetDeparted drops those that left longest ago. An older list that names one must not
 // bring it back: see forgotten.
-func (r *Roster) forget() {
-	for len(r.left) > keepLeft {
-		if e, known := r.entries[r.left[0]]; known && phaseOf(e.Phase) == routing.PhaseRemoved {
-			r.forgotten = max(r.forgotten, e.revision)
-			delete(r.entries, r.left[0])
+func (r *Roster) forgetDeparted() {
+	for len(r.departed) > maxDeparted {
+		if e, known := r.entries[r.departed[0]]; known && phaseOf(e.Phase) == routing.PhaseRemoved {
+			r.forgottenRevision = max(r.forgottenRevision, e.revision)
+			delete(r.entries, r.departed[0])
 		}
-		r.left = slices.Delete(r.left, 0, 1)
+		r.departed = slices.Delete(r.departed, 0, 1)
 	}
 }
 
@@ -112,7 +112,7 @@
 	return routing.PhaseDraining
 }
 
-func member(e config.ListEntry) core.Endpoint {
+func endpoint(e config.ListEntry) core.Endpoint {
 	m := core.Endpoint{
 		EngineInfo: routing.EngineInfo{
 			Name: e.ID, Kind: e.Flavor, Zone: e.Locality, Cell: e.Cell, Weight: e.Size, Phase: phaseOf(e.Phase),
@@ -127,63 +127,63 @@
 
 // Watch follows discovery and tells the core what it learns.
 type Watch struct {
-	tell   func(routing.EngineListScope, []core.Endpoint)
-	log    *slog.Logger
-	roster *Roster
-	wake   chan struct{} // a Subscribe; nil where changes come by themselves
-	moved  chan struct{} // the address has changed
-	pace   watch.Timing
-	client *http.Client
+	publish     func(routing.EngineListScope, []core.Endpoint)
+	log         *slog.Logger
+	roster      *Roster
+	subscribed  chan struct{} // a Subscribe; nil where changes come by themselves
+	addrChanged chan struct{} // the address has changed
+	timing      watch.Timing
+	client      *http.Client
 
-	mu    sync.Mutex
-	addr  string
-	leave context.CancelFunc // ends the watch under way
+	mu           sync.Mutex
+	addr         string
+	cancelStream context.CancelFunc // ends the watch under way
 }
 
 // NewWatch returns a watch on discovery's address. If asked is true it begins
 // only with the first Subscribe. Sends must end so long after a drain was announced as grace
 // says, and what a discovery that was away has to announce counts as announced from when it is back.
 func NewWatch(addr string, asked bool, grace time.Duration, tell func(routing.EngineListScope, []core.Endpoint), log *slog.Logger) *Watch {
-	w := &Watch{addr: addr, tell: tell, log: log, roster: NewRoster(), moved: make(chan struct{}, 1), pace: watch.TimingFor(grace, watchBeat)}
+	w := &Watch{addr: addr, publish: tell, log: log, roster: NewRoster(), addrChanged: make(chan struct{}, 1), timing: watch.TimingFor(grace, heartbeatInterval)}
 	if asked {
-		w.wake = make(chan struct{}, 1)
-		w.pace.ResponseTimeout = askWait
+		w.subscribed = make(chan struct{}, 1)
+		w.timing.ResponseTimeout = queuedResponseTimeout
 	}
-	w.client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true, ResponseHeaderTimeout: w.pace.ResponseTimeout}}
+	w.client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true, ResponseHeaderTimeout: w.timing.ResponseTimeout}}
 	return w
 }
 
 // Subscribe asks for changes from now on.
 func (w *Watch) Subscribe() {
 	select {
-	case w.wake <- struct{}{}:
+	case w.subscribed <- struct{}{}:
 	default: // one is under way, or none is needed
 	}
 }
 
-// Move has the watch go on at another address. What is known stays, drains above
+// SetAddress has the watch go on at another address. What is known stays, drains above
 // all: the new address is asked for what came after it.
-func (w *Watch) Move(addr string) {
+func (w *Watch) SetAddress(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if addr == w.addr {
 		return
 	}
 	w.addr = addr
-	if w.leave != nil {
-		w.leave()
+	if w.cancelStream != nil {
+		w.cancelStream()
 	}
 	select {
-	case w.moved <- struct{}{}:
+	case w.addrChanged <- struct{}{}:
 	default:
 	}
 }
 
-// pauses returns the waits between calls after failures: growing, and drawn at
+// newBackoff returns the waits between calls after failures: growing, and drawn at
 // random about their mean. A fleet of gateways started or refused together must
 // not call again together: in step, their calls would keep an overbooked discovery
 // overbooked, and fixed pauses of a second did exactly that.
-func pauses(p watch.Timing) *backoff.ExponentialBackOff {
+func newBackoff(p watch.Timing) *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
 	b.InitialInterval, b.MaxInterval, b.RandomizationFactor = p.InitialBackoff, p.MaxBackoff, p.Jitter
 	b.Multiplier = 2
@@ -193,69 +193,69 @@
 
 // Run starts from the list as last held and follows the watch until ctx ends.
 func (w *Watch) Run(ctx context.Context, known config.List) {
-	w.tell(routing.EngineListStale, w.roster.Apply(known))
-	wait := pauses(w.pace)
+	w.publish(routing.EngineListStale, w.roster.Apply(known))
+	wait := newBackoff(w.timing)
 	for ctx.Err() == nil {
-		if w.wake != nil {
+		if w.subscribed != nil {
 			select {
 			case <-ctx.Done():
 				return
-			case <-w.wake:
+			case <-w.subscribed:
 			}
 		}
-		lines, err := w.follow(ctx)
+		lines, err := w.stream(ctx)
 		if ctx.Err() != nil {
 			return
 		}
 		w.log.Warn("watch ended", "lines", lines, "cause", err)
-		if lines == 0 && w.wake == nil {
+		if lines == 0 && w.subscribed == nil {
 			// An overbooked discovery refuses watches for long while it still answers
 			// short calls: the whole list holds nothing open.
-			if err := w.list(ctx); err != nil {
+			if err := w.fetchList(ctx); err != nil {
 				w.log.Warn("list failed", "cause", err)
 			}
 		}
-		if w.wake != nil {
-			w.tell(routing.EngineListFailed, nil)
+		if w.subscribed != nil {
+			w.publish(routing.EngineListFailed, nil)
 		}
 		if lines > 0 {
 			wait.Reset()
 		}
 		select {
 		case <-ctx.Done():
-		case <-w.moved:
+		case <-w.addrChanged:
 			wait.Reset()
 		case <-time.After(wait.NextBackOff()):
 		}
 	}
 }
 
-// list asks once for the whole list and tells what changed.
-func (w *Watch) list(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, w.pace.ResponseTimeout)
+// fetchList asks once for the whole list and tells what changed.
+func (w *Watch) fetchList(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, w.timing.ResponseTimeout)
 	defer cancel()
 	w.mu.Lock()
 	addr := w.addr
 	w.mu.Unlock()
 	var l config.List
-	if err := fetch.JSON(ctx, w.client, "http://"+addr+"/v1/servers", maxList, &l); err != nil {
+	if err := fetch.JSON(ctx, w.client, "http://"+addr+"/v1/servers", maxListBytes, &l); err != nil {
 		return fmt.Errorf("list: %w", err)
 	}
 	if changed := w.roster.Apply(l); len(changed) > 0 {
-		w.tell(routing.EngineListDelta, changed)
+		w.publish(routing.EngineListDelta, changed)
 	}
 	return nil
 }
 
-// follow reads one watch to its end and returns how many lists it brought.
-func (w *Watch) follow(ctx context.Context) (lines int, err error) {
+// stream reads one watch to its end and returns how many lists it brought.
+func (w *Watch) stream(ctx context.Context) (lines int, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	silence := time.AfterFunc(max(w.pace.IdleTimeout, w.pace.ResponseTimeout), cancel)
+	silence := time.AfterFunc(max(w.timing.IdleTimeout, w.timing.ResponseTimeout), cancel)
 	defer silence.Stop()
 	w.mu.Lock()
 	addr := w.addr
-	w.leave = cancel
+	w.cancelStream = cancel
 	w.mu.Unlock()
 	url := fmt.Sprintf("http://%s/v1/servers?watch=1&after=%d", addr, w.roster.Revision())
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
@@ -270,9 +270,9 @@
 	if resp.StatusCode != http.StatusOK {
 		return 0, fmt.Errorf("watch: %w", fetch.StatusError{Code: resp.StatusCode})
 	}
-	from := &heard{from: resp.Body, silence: silence, span: w.pace.IdleTimeout}
+	from := &listReader{from: resp.Body, idle: silence, idleTimeout: w.timing.IdleTimeout}
 	for lists := jsoniter.NewDecoder(from); ; {
-		from.left = maxList
+		from.remaining = maxListBytes
 		var l config.List
 		if err := lists.Decode(&l); errors.Is(err, io.EOF) {
 			return lines, io.EOF
@@ -282,27 +282,27 @@
 		lines++
 		// The roster has worked out who is gone, so changes say all there is.
 		if changed := w.roster.Apply(l); len(changed) > 0 || lines == 1 {
-			w.tell(routing.EngineListDelta, changed)
+			w.publish(routing.EngineListDelta, changed)
 		}
 	}
 }
 
-// heard reads a watch. All that comes, an empty line too, is a sign of life.
-type heard struct {
-	from    io.Reader
-	silence *time.Timer
-	span    time.Duration
-	left    int // bytes that the list under way may still have
+// listReader reads a watch. All that comes, an empty line too, is a sign of life.
+type listReader struct {
+	from        io.Reader
+	idle        *time.Timer
+	idleTimeout time.Duration
+	remaining   int // bytes that the list under way may still have
 }
 
-func (h *heard) Read(p []byte) (int, error) {
-	if h.left <= 0 {
+func (h *listReader) Read(p []byte) (int, error) {
+	if h.remaining <= 0 {
 		return 0, fetch.ErrTooLong
 	}
-	n, err := h.from.Read(p[:min(len(p), h.left)])
+	n, err := h.from.Read(p[:min(len(p), h.remaining)])
 	if n > 0 {
-		h.silence.Reset(h.span)
-		h.left -= n
+		h.idle.Reset(h.idleTimeout)
+		h.remaining -= n
 	}
 	return n, err
 }
