--- a/internal/platform/roster.go
+++ b/internal/platform/roster.go
@@ -9,15 +9,20 @@
 	"wellgw/routing"
 )
 
-// Roster holds what discovery has announced. It guards the drain rule: an engine that
-// is leaving or gone stays so, whatever older news comes after.
+// maxDeparted bounds how many engines that have left are remembered, which would otherwise
+// grow without end.
+const maxDeparted = 256
+
+// Roster is the list of engines as discovery has announced it. An engine that is leaving or
+// has left stays so, whatever older lists come after.
 type Roster struct {
 	revision          int64
 	entries           map[string]rosterEntry
-	departed          []string // engines that have left, in the order in which they did
-	forgottenRevision int64    // the newest revision of one that has been forgotten
+	departed          []string // ids of engines that have left, oldest first
+	forgottenRevision int64    // the highest revision of an engine that was forgotten
 }
 
+// rosterEntry is an entry with the revision of the list that it is from.
 type rosterEntry struct {
 	config.ListEntry
 	revision int64
@@ -28,13 +33,13 @@
 	return &Roster{entries: map[string]rosterEntry{}, forgottenRevision: -1} // the first list may be of revision 0
 }
 
-// Revision is the newest that has been taken in.
+// Revision returns the highest revision applied.
 func (r *Roster) Revision() int64 { return r.revision }
 
-// Apply takes a list in and returns the entries that have changed. An entry of a
-// revision no newer than what is known is taken only if it ends an engine's work
-// or tells of a later start: news may cross, and `known` may be old. Only a
-// complete list that is not older removes the engines it does not name.
+// Apply applies a list and returns the engines that have changed. An entry whose revision is
+// not newer is applied only if it drains or removes the engine or has a later start: lists may
+// arrive out of order, and the last known list may be old. Only a complete list that is not
+// older removes the engines that it does not contain.
 func (r *Roster) Apply(l config.List) []core.Endpoint {
 	var changed []core.Endpoint
 	update := func(e config.ListEntry) {
@@ -49,7 +54,7 @@
 		named[e.ID] = true
 		old, known := r.entries[e.ID]
 		worse := phaseOf(e.Phase) > phaseOf(old.Phase) && e.UpSince >= old.UpSince
-		if !known && l.Revision <= r.forgottenRevision { // it may be one of those: they have left
+		if !known && l.Revision <= r.forgottenRevision { // it may be one that has left and was forgotten
 			continue
 		}
 		if !known || l.Revision > old.revision || worse || e.UpSince > old.UpSince {
@@ -69,8 +74,8 @@
 	return changed
 }
 
-// forgetDeparted drops those that left longest ago. An older list that names one must not
-// bring it back: see forgotten.
+// forgetDeparted forgets the engines that left longest ago, beyond maxDeparted. For the sake of
+// forgottenRevision no older list brings one back.
 func (r *Roster) forgetDeparted() {
 	for len(r.departed) > maxDeparted {
 		if e, known := r.entries[r.departed[0]]; known && phaseOf(e.Phase) == routing.PhaseRemoved {
@@ -81,7 +86,7 @@
 	}
 }
 
-// phaseOf reads a phase; one that is unknown is not sent to.
+// phaseOf parses a phase. An engine in an unknown phase gets no new requests.
 func phaseOf(s string) routing.Phase {
 	switch s {
 	case "active":
@@ -92,6 +97,7 @@
 	return routing.PhaseDraining
 }
 
+// endpoint returns an entry in the core's form.
 func endpoint(e config.ListEntry) core.Endpoint {
 	m := core.Endpoint{
 		EngineInfo: routing.EngineInfo{
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -20,35 +20,38 @@
 	"wellgw/routing"
 )
 
-// The watch's margins. A line comes every 2 s at least.
+// Timeouts and limits of the watch.
 const (
-	heartbeatInterval     = 2 * time.Second
-	queuedResponseTimeout = 4500 * time.Millisecond // for an answer where calls wait in turn
+	heartbeatInterval     = 2 * time.Second         // discovery sends a line at least this often
+	queuedResponseTimeout = 4500 * time.Millisecond // where discovery queues requests
 	maxListBytes          = 4 << 20
-	maxDeparted           = 256 // engines that have left are remembered; more would grow with the days
 )
 
-// Watch follows discovery and tells the core what it learns.
+// Watch watches discovery's list of engines and publishes changes to the core.
 type Watch struct {
 	publish     func(routing.EngineListScope, []core.Endpoint)
 	log         *slog.Logger
 	roster      *Roster
-	subscribed  chan struct{} // a Subscribe; nil where changes come by themselves
-	addrChanged chan struct{} // the address has changed
+	subscribed  chan struct{} // signaled by Subscribe; nil if changes come without it
+	addrChanged chan struct{} // signaled when the address has changed
 	timing      watch.Timing
 	client      *http.Client
 
 	mu           sync.Mutex
 	addr         string
-	cancelStream context.CancelFunc // ends the watch under way
+	cancelStream context.CancelFunc // ends the present stream; nil before the first
 }
 
-// NewWatch returns a watch on discovery's address. If asked is true it begins
-// only with the first Subscribe. Sends must end so long after a drain was announced as grace
-// says, and what a discovery that was away has to announce counts as announced from when it is back.
-func NewWatch(addr string, asked bool, grace time.Duration, tell func(routing.EngineListScope, []core.Endpoint), log *slog.Logger) *Watch {
-	w := &Watch{addr: addr, publish: tell, log: log, roster: NewRoster(), addrChanged: make(chan struct{}, 1), timing: watch.TimingFor(grace, heartbeatInterval)}
-	if asked {
+// NewWatch returns a watch on discovery at addr. With mustSubscribe each stream needs a
+// Subscribe first. grace is the time after the announcement of a drain by which requests to
+// the engine must have ended; announcements missed while discovery was down count from its
+// recovery.
+func NewWatch(addr string, mustSubscribe bool, grace time.Duration, publish func(routing.EngineListScope, []core.Endpoint), log *slog.Logger) *Watch {
+	w := &Watch{
+		addr: addr, publish: publish, log: log, roster: NewRoster(), addrChanged: make(chan struct{}, 1),
+		timing: watch.TimingFor(grace, heartbeatInterval),
+	}
+	if mustSubscribe {
 		w.subscribed = make(chan struct{}, 1)
 		w.timing.ResponseTimeout = queuedResponseTimeout
 	}
@@ -56,16 +59,16 @@
 	return w
 }
 
-// Subscribe asks for changes from now on.
+// Subscribe asks for changes from now on. It never blocks.
 func (w *Watch) Subscribe() {
 	select {
 	case w.subscribed <- struct{}{}:
-	default: // one is under way, or none is needed
+	default: // a signal is pending, or none is needed
 	}
 }
 
-// SetAddress has the watch go on at another address. What is known stays, drains above
-// all: the new address is asked for what came after it.
+// SetAddress continues the watch at another address. What is known is kept, drains above all:
+// the new address is asked for changes after the last revision.
 func (w *Watch) SetAddress(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -82,19 +85,18 @@
 	}
 }
 
-// newBackoff returns the waits between calls after failures: growing, and drawn at
-// random about their mean. A fleet of gateways started or refused together must
-// not call again together: in step, their calls would keep an overbooked discovery
-// overbooked, and fixed pauses of a second did exactly that.
-func newBackoff(p watch.Timing) *backoff.ExponentialBackOff {
+// newBackoff returns the exponential backoff between attempts. It has jitter since gateways
+// that were started or rejected together must not retry together: in step, their requests
+// would keep an overloaded discovery overloaded, and fixed pauses of a second did.
+func newBackoff(t watch.Timing) *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
-	b.InitialInterval, b.MaxInterval, b.RandomizationFactor = p.InitialBackoff, p.MaxBackoff, p.Jitter
+	b.InitialInterval, b.MaxInterval, b.RandomizationFactor = t.InitialBackoff, t.MaxBackoff, t.Jitter
 	b.Multiplier = 2
 	b.Reset()
 	return b
 }
 
-// Run starts from the list as last held and follows the watch until ctx ends.
+// Run publishes the last known list and then the changes until ctx ends.
 func (w *Watch) Run(ctx context.Context, known config.List) {
 	w.publish(routing.EngineListStale, w.roster.Apply(known))
 	wait := newBackoff(w.timing)
@@ -112,8 +114,8 @@
 		}
 		w.log.Warn("watch ended", "lines", lines, "cause", err)
 		if lines == 0 && w.subscribed == nil {
-			// An overbooked discovery refuses watches for long while it still answers
-			// short calls: the whole list holds nothing open.
+			// An overloaded discovery rejects watches for long while it still answers short
+			// requests: the complete list holds nothing open.
 			if err := w.fetchList(ctx); err != nil {
 				w.log.Warn("list failed", "cause", err)
 			}
@@ -133,7 +135,7 @@
 	}
 }
 
-// fetchList asks once for the whole list and tells what changed.
+// fetchList requests the complete list once and publishes what has changed.
 func (w *Watch) fetchList(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, w.timing.ResponseTimeout)
 	defer cancel()
@@ -150,12 +152,12 @@
 	return nil
 }
 
-// stream reads one watch to its end and returns how many lists it brought.
+// stream reads one stream of changes to its end and returns how many lists it had.
 func (w *Watch) stream(ctx context.Context) (lines int, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	silence := time.AfterFunc(max(w.timing.IdleTimeout, w.timing.ResponseTimeout), cancel)
-	defer silence.Stop()
+	idle := time.AfterFunc(max(w.timing.IdleTimeout, w.timing.ResponseTimeout), cancel)
+	defer idle.Stop()
 	w.mu.Lock()
 	addr := w.addr
 	w.cancelStream = cancel
@@ -173,9 +175,14 @@
 	if resp.StatusCode != http.StatusOK {
 		return 0, fmt.Errorf("watch: %w", fetch.StatusError{Code: resp.StatusCode})
 	}
-	from := &listReader{from: resp.Body, idle: silence, idleTimeout: w.timing.IdleTimeout}
-	for lists := jsoniter.NewDecoder(from); ; {
-		from.remaining = maxListBytes
+	return w.readLists(&listReader{from: resp.Body, idle: idle, idleTimeout: w.timing.IdleTimeout})
+}
+
+// readLists publishes the changes of each list until the stream ends, and returns how many
+// lists there were.
+func (w *Watch) readLists(r *listReader) (lines int, err error) {
+	for lists := jsoniter.NewDecoder(r); ; {
+		r.remaining = maxListBytes
 		var l config.List
 		if err := lists.Decode(&l); errors.Is(err, io.EOF) {
 			return lines, io.EOF
@@ -183,29 +190,30 @@
 			return lines, fmt.Errorf("watch: %w", err)
 		}
 		lines++
-		// The roster has worked out who is gone, so changes say all there is.
+		// The roster works out which engines have left, so that a delta is complete. The first
+		// list of a stream is published even if it changes nothing.
 		if changed := w.roster.Apply(l); len(changed) > 0 || lines == 1 {
 			w.publish(routing.EngineListDelta, changed)
 		}
 	}
 }
 
-// listReader reads a watch. All that comes, an empty line too, is a sign of life.
+// listReader reads a stream of lists. Any bytes, an empty line too, reset the idle timeout.
 type listReader struct {
 	from        io.Reader
 	idle        *time.Timer
 	idleTimeout time.Duration
-	remaining   int // bytes that the list under way may still have
+	remaining   int // bytes that the present list may still have
 }
 
-func (h *listReader) Read(p []byte) (int, error) {
-	if h.remaining <= 0 {
+func (r *listReader) Read(p []byte) (int, error) {
+	if r.remaining <= 0 {
 		return 0, fetch.ErrTooLong
 	}
-	n, err := h.from.Read(p[:min(len(p), h.remaining)])
+	n, err := r.from.Read(p[:min(len(p), r.remaining)])
 	if n > 0 {
-		h.idle.Reset(h.idleTimeout)
-		h.remaining -= n
+		r.idle.Reset(r.idleTimeout)
+		r.remaining -= n
 	}
 	return n, err
 }
