--- a/decide/roles/rates.go
+++ b/decide/roles/rates.go
@@ -1,78 +1,84 @@
 package roles
 
-import "slices"
+import (
+	"maps"
+	"slices"
+)
 
-// rates are how fast each engine is in each role, as its own account of tokens and
-// slot-seconds tells. An engine is held to be usual until that is known; in a role that
-// it has not had it is held to be as fast, against the others, as in the one it has.
+// rates are how fast each engine is in each role, by the tokens and slot-seconds that it
+// reports. An engine counts as of the median rate until its own is known, and in a role that it
+// has not had as relatively fast as in the one that it has.
 type rates struct {
-	of   map[string]*[2]rate
-	mean [2]float64 // the middle engine's, in tokens a slot-second
+	byEngine map[string]*[2]rate
+	median   [2]float64 // of all engines, by role
 }
 
+// rate is an engine's rate in one role.
 type rate struct {
-	tokens, busy float64 // as last seen
-	perSecond    float64 // smoothed; 0 = not known
+	lastTokens, lastBusySeconds float64 // as of the latest reading
+	perSecond                   float64 // smoothed tokens a slot-second; 0 = unknown
 }
 
-// The figures of rates.
+// The parameters of rates.
 const (
-	rateBusy  = 2.0 // slot-seconds between two readings of a rate
-	rateFade  = 0.2 // of what it was, a reading
-	powerMost = 4.0 // times the middle engine's, past which an account is not believed
+	minBusySeconds  = 2.0 // slot-seconds between two readings
+	rateEWMAWeight  = 0.2 // of a reading
+	maxRelativeRate = 4.0 // times the median; a report beyond that is not believed
 )
 
-// observe takes in the accounts of all engines.
+// observe takes in the reports of all engines.
 func (r *rates) observe(engines []Engine) {
-	if r.of == nil {
-		r.of = map[string]*[2]rate{}
+	if r.byEngine == nil {
+		r.byEngine = map[string]*[2]rate{}
 	}
 	listed := make(map[string]bool, len(engines))
-	var all [2][]float64
+	var known [2][]float64
 	for _, e := range engines {
-		if listed[e.ID] = true; e.Role == Mixed {
+		listed[e.ID] = true
+		if e.Role == Mixed {
 			continue
 		}
-		if r.of[e.ID] == nil {
-			r.of[e.ID] = &[2]rate{}
-		}
-		m := &r.of[e.ID][e.Role]
-		tokens, busy := e.Tokens-m.tokens, e.Busy-m.busy
-		switch {
-		case tokens < 0 || busy < 0: // it has started, or taken its role, anew
-			m.tokens, m.busy = e.Tokens, e.Busy
-		case busy >= rateBusy && !e.Changing && e.pace() == 1: // one that is cold tells nothing
-			follow(&m.perSecond, tokens/busy, rateFade, m.perSecond > 0)
-			m.tokens, m.busy = e.Tokens, e.Busy
-		case e.pace() < 1:
-			m.tokens, m.busy = e.Tokens, e.Busy
+		if r.byEngine[e.ID] == nil {
+			r.byEngine[e.ID] = &[2]rate{}
 		}
-		if m.perSecond > 0 {
-			all[e.Role] = append(all[e.Role], m.perSecond)
+		own := &r.byEngine[e.ID][e.Role]
+		own.observe(e)
+		if own.perSecond > 0 {
+			known[e.Role] = append(known[e.Role], own.perSecond)
 		}
 	}
-	for s, list := range all {
+	for s, list := range known {
 		if len(list) > 0 {
 			slices.Sort(list)
-			r.mean[s] = list[len(list)/2]
+			r.median[s] = list[len(list)/2]
 		}
 	}
-	for id := range r.of {
-		if !listed[id] {
-			delete(r.of, id)
-		}
+	maps.DeleteFunc(r.byEngine, func(id string, _ *[2]rate) bool { return !listed[id] })
+}
+
+// observe takes in an engine's report. The rate of a cold or changing engine is not read.
+func (r *rate) observe(e Engine) {
+	tokens, busy := e.Tokens-r.lastTokens, e.BusySeconds-r.lastBusySeconds
+	restarted := tokens < 0 || busy < 0 // the engine, or its role
+	cold := e.currentWarmth() < 1
+	read := !restarted && busy >= minBusySeconds && !e.Changing && e.currentWarmth() == 1
+	if read {
+		updateEWMA(&r.perSecond, tokens/busy, rateEWMAWeight, r.perSecond > 0)
+	}
+	if restarted || read || cold {
+		r.lastTokens, r.lastBusySeconds = e.Tokens, e.BusySeconds
 	}
 }
 
-// power is an engine's rate in a role against the middle engine's, 1 if it is not known.
-func (r *rates) power(id string, role Role) float64 {
-	m := r.of[id]
-	if m == nil {
+// relative returns an engine's rate in a role over the median, 1 if it is unknown.
+func (r *rates) relative(id string, role Role) float64 {
+	own := r.byEngine[id]
+	if own == nil {
 		return 1
 	}
 	for _, s := range []Role{role, role.Other()} {
-		if m[s].perSecond > 0 && r.mean[s] > 0 {
-			return min(max(m[s].perSecond/r.mean[s], 1/powerMost), powerMost)
+		if own[s].perSecond > 0 && r.median[s] > 0 {
+			return min(max(own[s].perSecond/r.median[s], 1/maxRelativeRate), maxRelativeRate)
 		}
 	}
 	return 1
--- /dev/null
+++ b/internal/core/dispatch.go
@@ -0,0 +1,58 @@
+package core
+
+import "wellgw/routing"
+
+// dispatch gives the router an event and executes the actions that it returns. An action may bring
+// further events at once; these wait in pendingEvents until all actions are executed, as the result
+// of Handle is valid until its next call only.
+func (c *Core) dispatch(event routing.Event) {
+	c.pendingEvents = append(c.pendingEvents, event)
+	if len(c.pendingEvents) > 1 {
+		return // the call further up the stack goes on with it
+	}
+	for len(c.pendingEvents) > 0 {
+		for _, action := range c.router.Handle(c.clock.now(), c.pendingEvents[0]) {
+			c.execute(action)
+		}
+		c.pendingEvents = c.pendingEvents[1:]
+	}
+	c.pendingEvents = nil
+}
+
+// execute carries out an action of the router.
+func (c *Core) execute(action routing.Action) {
+	switch a := action.(type) {
+	case routing.Send:
+		c.startAttempt(a)
+	case routing.Reject:
+		if request := c.requests.byID[a.ID]; c.checks.Hold(request != nil, "a refusal names a request in hand") {
+			c.answer(request, Answer{Verdict: Rejected, RetryAfter: a.RetryAfter, OverQuota: a.OverQuota})
+		}
+	case routing.Fail:
+		if request := c.requests.byID[a.ID]; c.checks.Hold(request != nil, "a failure names a request in hand") {
+			c.answer(request, Answer{Verdict: Failed})
+		}
+	case routing.CancelAttempt:
+		c.cancelAttempt(a)
+	case routing.Release: // follows from the request's ledger; see reconcileHeldState
+	case routing.SetTimer:
+		c.schedule(a.In, routingTimerFired{a.Name})
+	case routing.Probe:
+		c.startProbe(a.Engine)
+	case routing.Subscribe:
+		c.directory.Subscribe()
+	default:
+		c.checks.Hold(false, "every action of the module is known")
+	}
+}
+
+// cancelAttempt ends an attempt, unless its stream has become the answer meanwhile.
+func (c *Core) cancelAttempt(cancel routing.CancelAttempt) {
+	request := c.requests.byID[cancel.ID]
+	if request == nil || cancel.Attempt >= len(request.attempts) {
+		return
+	}
+	if attempt := request.attempts[cancel.Attempt]; request.streaming != attempt {
+		c.endAttempt(request, attempt, Result{Status: routing.StatusCancelled})
+	}
+}
--- a/internal/peers/keyring.go
+++ b/internal/peers/keyring.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"bytes"
-	"crypto/cipher"
 	"crypto/sha256"
 	"encoding/base64"
 	"encoding/hex"
@@ -14,10 +13,10 @@
 	"sync/atomic"
 )
 
-// keySize is what a key must hold, in bytes.
+// keySize is the length of a key, in bytes.
 const keySize = 32
 
-// keyID names a key to those who have it, and tells nothing of it.
+// keyID identifies a key to the gateways that have it; it is part of a hash and reveals nothing.
 type keyID [4]byte
 
 func (id keyID) String() string { return hex.EncodeToString(id[:]) }
@@ -27,16 +26,16 @@
 	value []byte
 }
 
-// Keyring holds the keys of a tier. The first seals; each opens. To rotate without a gap, a
-// new key is put second at every gateway, then first, and the old one is taken out last.
+// Keyring holds the keys of a tier. The first seals; any of them opens. To rotate keys in
+// service, a new key is put second at every gateway, then first, then the old one is removed.
 type Keyring struct {
-	path string
-	keys atomic.Pointer[[]key]
-	text []byte // as last read
+	path     string
+	keys     atomic.Pointer[[]key]
+	lastText []byte // the file as last read
 }
 
 // ReadKeyring reads a file with one key in base64 to a line; lines that begin with # and
-// empty ones are passed over. An error names the line.
+// empty ones are skipped. An error names the line.
 func ReadKeyring(path string) (*Keyring, error) {
 	k := &Keyring{path: path}
 	if _, err := k.Reload(); err != nil {
@@ -45,16 +44,29 @@
 	return k, nil
 }
 
-// Reload reads the file again and tells whether its keys have changed. One that can't be
-// used changes nothing. It is not to be called from two goroutines at once.
+// Reload reads the file again and tells whether its keys have changed. On an error the keys
+// stay as they were. It is not to be called from two goroutines at once.
 func (k *Keyring) Reload() (bool, error) {
 	text, err := os.ReadFile(k.path)
 	if err != nil {
 		return false, fmt.Errorf("key file: %w", err)
 	}
-	if bytes.Equal(text, k.text) {
+	if bytes.Equal(text, k.lastText) {
 		return false, nil
 	}
+	keys, err := parseKeys(text)
+	if err != nil {
+		return false, err
+	}
+	k.lastText = text
+	k.keys.Store(&keys)
+	return true, nil
+}
+
+var errNoKey = errors.New("key file: holds no key")
+
+// parseKeys reads the lines of a key file.
+func parseKeys(text []byte) ([]key, error) {
 	var keys []key
 	scan := bufio.NewScanner(bytes.NewReader(text))
 	for n := 1; scan.Scan(); n++ {
@@ -64,127 +76,32 @@
 		}
 		value, err := base64.StdEncoding.DecodeString(line)
 		if err != nil || len(value) != keySize {
-			return false, fmt.Errorf("key file: line %d: not %d bytes in base64", n, keySize)
+			return nil, fmt.Errorf("key file: line %d: not %d bytes in base64", n, keySize)
 		}
 		sum := sha256.Sum256(append([]byte("wellgw key id "), value...))
 		keys = append(keys, key{id: keyID(sum[:4]), value: value})
 	}
 	if err := scan.Err(); err != nil {
-		return false, fmt.Errorf("key file: %w", err)
+		return nil, fmt.Errorf("key file: %w", err)
 	}
 	if len(keys) == 0 {
-		return false, errors.New("key file: holds no key")
+		return nil, errNoKey
 	}
-	k.text = text
-	k.keys.Store(&keys)
-	return true, nil
+	return keys, nil
 }
 
-// InUse names the key that seals now.
-func (k *Keyring) InUse() string { return (*k.keys.Load())[0].id.String() }
+// sealing returns the key that seals now.
+func (k *Keyring) sealing() key { return (*k.keys.Load())[0] }
 
+// SealingKeyID returns the identifier of the key that seals now.
+func (k *Keyring) SealingKeyID() string { return k.sealing().id.String() }
+
+// find returns a key, nil if the ring does not have it.
 func (k *Keyring) find(id keyID) *key {
-	for i, x := range *k.keys.Load() {
-		if x.id == id {
-			return &(*k.keys.Load())[i]
+	for _, candidate := range *k.keys.Load() {
+		if candidate.id == id {
+			return &candidate
 		}
 	}
 	return nil
 }
-
-// opened are the processes heard of, each with its sealer and the counters that have come.
-// A process whose seal has not held once is not entered, so forgeries fill nothing.
-type opened struct {
-	tier string
-	ring *Keyring
-	from map[opener]*window
-	last uint64 // use of any, to find the least lately used
-}
-
-type opener struct {
-	id keyID
-	process
-}
-
-// window remembers which of the latest counters of a process have come.
-type window struct {
-	aead cipher.AEAD
-	top  uint64
-	seen [windowWords]uint64
-	used uint64
-}
-
-const (
-	windowWords = 16 // of 64 counters each: reordering beyond that is a replay
-	windowSpan  = 64 * windowWords
-	mostHeard   = 1024 // processes remembered
-)
-
-// open returns what a datagram holds. It is for one goroutine.
-func (o *opened) open(b []byte) ([]byte, process, error) {
-	id, p, counter, err := header(b)
-	if err != nil {
-		return nil, p, err
-	}
-	who := opener{id, p}
-	w := o.from[who]
-	k := o.ring.find(id)
-	if k == nil {
-		delete(o.from, who)
-		return nil, p, errKey
-	}
-	fresh := w == nil
-	if fresh {
-		w = &window{}
-		if w.aead, err = sealer(k.value, o.tier, p); err != nil {
-			return nil, p, err
-		}
-	}
-	payload, err := w.aead.Open(nil, nonce(counter), b[headSize:], b[:headSize])
-	if err != nil {
-		return nil, p, errSeal
-	}
-	if !w.first(counter) {
-		return nil, p, errReplay
-	}
-	if fresh {
-		o.evict()
-		o.from[who] = w
-	}
-	o.last++
-	w.used = o.last
-	return payload, p, nil
-}
-
-// evict makes room for one more.
-func (o *opened) evict() {
-	if len(o.from) < mostHeard {
-		return
-	}
-	var oldest opener
-	low := ^uint64(0)
-	for who, w := range o.from {
-		if w.used < low {
-			oldest, low = who, w.used
-		}
-	}
-	delete(o.from, oldest)
-}
-
-// first tells whether a counter comes for the first time, and enters it.
-func (w *window) first(counter uint64) bool {
-	if counter > w.top {
-		for n := w.top + 1; n <= counter && n <= w.top+windowSpan; n++ {
-			w.seen[n/64%windowWords] &^= 1 << (n % 64)
-		}
-		w.top = counter
-	} else if w.top-counter >= windowSpan {
-		return false
-	}
-	at, bit := counter/64%windowWords, uint64(1)<<(counter%64)
-	if w.seen[at]&bit != 0 {
-		return false
-	}
-	w.seen[at] |= bit
-	return true
-}
--- /dev/null
+++ b/routing/quota.go
@@ -0,0 +1,75 @@
+package routing
+
+import "time"
+
+const (
+	quotaShareSlack   = 1.2 // times an even part, as tenants' requests are spread unevenly over gateways
+	quotaBurstSeconds = 2.0 // seconds of quota that may be saved up
+)
+
+// quotas holds this router's part of every tenant's quota. It reads and changes nothing else. Requests
+// take from it on arrival; the number of gateways rescales it.
+type quotas struct {
+	buckets         map[string]*tokenBucket // by tenant; none for a tenant without a quota
+	overQuotaWeight float64                 // priority weight of a request above its quota
+}
+
+// tokenBucket is this router's part of a tenant's quota, in requests and requests a second.
+type tokenBucket struct {
+	rate, tokens float64
+	at           Time // when tokens was brought up to date
+}
+
+func newQuotas(set *Settings) quotas {
+	q := quotas{buckets: map[string]*tokenBucket{}, overQuotaWeight: set.OverQuotaWeight}
+	for _, t := range set.Tenants {
+		if t.Quota > 0 {
+			rate := quotaShareSlack * t.Quota / float64(set.Gateways)
+			q.buckets[t.Name] = &tokenBucket{rate: rate, tokens: max(rate*quotaBurstSeconds, 1)}
+		}
+	}
+	return q
+}
+
+// burst is how many requests may come at once: at least one, however small the quota.
+func (b *tokenBucket) burst() float64 { return max(b.rate*quotaBurstSeconds, 1) }
+
+// take takes a request from its tenant's quota and returns its priority weight: 1 within the quota,
+// overQuotaWeight above it.
+func (q *quotas) take(tenant string, now Time) float64 {
+	b := q.buckets[tenant]
+	if b == nil {
+		return 1
+	}
+	b.tokens = min(b.burst(), b.tokens+b.rate*(now-b.at).Seconds())
+	b.at = now
+	if b.tokens < 1 {
+		return q.overQuotaWeight
+	}
+	b.tokens--
+	return 1
+}
+
+// refillTime is how long it takes until a tenant's quota, which is spent, allows one more request.
+func (q *quotas) refillTime(tenant string) time.Duration {
+	b := q.buckets[tenant]
+	return seconds((1 - b.tokens) / b.rate)
+}
+
+// rescale adapts this router's part to a new number of gateways. What is saved up does not outgrow it.
+func (q *quotas) rescale(from, to int) {
+	for _, b := range q.buckets {
+		b.rate *= float64(from) / float64(to)
+		b.tokens = min(b.tokens, b.burst())
+	}
+}
+
+// status returns how a tenant stands with its quota; false if it has none.
+func (q *quotas) status(tenant string) (QuotaStatus, bool) {
+	b := q.buckets[tenant]
+	if b == nil {
+		return QuotaStatus{}, false
+	}
+	missing := seconds((b.burst() - b.tokens) / b.rate)
+	return QuotaStatus{Burst: b.burst(), Remaining: b.tokens, ResetIn: missing}, true
+}
