--- a/cmd/wellgw/directory.go
+++ b/cmd/wellgw/directory.go
@@ -41,8 +41,8 @@
 type sources struct {
 	*gateway
 	core   *core.Core
-	keeper *directory.Keeper
-	consul *consul.Directory   // nil without Consul
+	keeper *directory.Directory
+	consul *consul.Discovery   // nil without Consul
 	roles  *rolectl.Controller // nil where engines keep their roles
 	tracer *telemetry.Tracer   // nil without traces
 	admin  net.Listener        // nil without one
@@ -56,7 +56,7 @@
 		policy, check = consul.Policy(*o.Consul), o.Consul.CheckPath
 	}
 	s.keeper = directory.New(directory.Options{
-		Policy: policy, Tell: s.core.UpdateEndpoints, Check: directory.Checker(check), StateFile: o.StateFile, Log: s.log,
+		Policy: policy, Publish: s.core.UpdateEndpoints, Probe: directory.NewProbe(check), StateFile: o.StateFile, Log: s.log,
 	})
 	if err := s.tell(o.Admin, o.Listen); err != nil {
 		return err
@@ -82,13 +82,13 @@
 	if o.Consul != nil {
 		var err error
 		s.consul, err = consul.New(consul.Options{
-			Config: *o.Consul, Zone: o.Zone, Keeper: s.keeper, Ready: s.core.Ready, Log: s.log, Address: s.address,
-			Gateways: func(n int) {
+			Config: *o.Consul, Zone: o.Zone, Directory: s.keeper, Ready: s.core.Ready, Log: s.log, Address: s.address,
+			SetGateways: func(n int) {
 				if s.peers == nil { // who talk to each other know better, and sooner
 					s.share(n)
 				}
 			},
-			Beside: func(ctx context.Context, client *consul.Client) {
+			RunWith: func(ctx context.Context, client *consul.Client) {
 				if s.roles != nil {
 					s.roles.Run(ctx, client)
 				}
@@ -98,9 +98,9 @@
 			return err
 		}
 	}
-	directory.File(s.keeper, o)
+	directory.LoadFile(s.keeper, o)
 	s.watched = func(e core.Transport) core.Transport {
-		e = directory.Watched{Transport: e, Broke: s.keeper.Broke}
+		e = directory.ObservedTransport{Transport: e, OnRefused: s.keeper.ConnectionRefused}
 		if s.tracer != nil {
 			e = s.tracer.Engines(e)
 		}
@@ -148,11 +148,11 @@
 // take goes on by a file that was read anew.
 func (s *sources) take(o *config.Operator) error {
 	if s.consul != nil {
-		if err := s.consul.Move(*o.Consul); err != nil {
+		if err := s.consul.Reconfigure(*o.Consul); err != nil {
 			return err
 		}
 	}
-	directory.File(s.keeper, o)
+	directory.LoadFile(s.keeper, o)
 	return nil
 }
 
--- a/decide/roster/services.go
+++ b/decide/roster/services.go
@@ -6,71 +6,63 @@
 	"time"
 )
 
-// Services decides which services of a catalogue are followed, out of views of the
-// catalogue that may be as doubtful as those of engines. The zero value is not
-// usable; see NewServices.
-type Services struct {
-	policy  Policy
-	index   uint64
-	known   map[string]bool
-	trialAt time.Time // since when views are doubted; zero if they are not
+// ServiceTracker decides which services of a catalog are watched, from views of the catalog
+// that are doubted for the same reasons as those of engines. The zero value is not usable;
+// see NewServiceTracker.
+type ServiceTracker struct {
+	policy       Policy
+	index        uint64
+	known        map[string]bool
+	doubtedSince time.Time // zero while views are trusted
 }
 
-// NewServices returns a set that begins with the services named, such as those that
-// an older configuration or the last good view knew.
-func NewServices(p Policy, known []string) *Services {
-	s := &Services{policy: p, known: map[string]bool{}}
+// NewServiceTracker returns a tracker that starts with the services named, such as those of
+// the previous configuration or the last good view.
+func NewServiceTracker(p Policy, known []string) *ServiceTracker {
+	s := &ServiceTracker{policy: p, known: map[string]bool{}}
 	for _, name := range known {
 		s.known[name] = true
 	}
 	return s
 }
 
-// Plan is what a view of the catalogue leads to, each in order of name.
-type Plan struct {
+// ServiceChanges are the changes that a view of the catalog leads to, each in order of name.
+type ServiceChanges struct {
 	Doubt    Reason
-	Begin    []string // services to follow from now on
-	Withdraw []string // they are there without the tag: somebody took it away
-	Vanish   []string // they are not there at all: perhaps a fault of the catalogue
+	Added    []string // to be watched from now on
+	Untagged []string // present without the tag: an operator took it away
+	Vanished []string // absent altogether: perhaps a fault of the catalog
 }
 
-// Observe takes a view in: which services carry the tag, and which do not. A
-// doubted view begins services and ends none until its hold is over.
-func (s *Services) Observe(now time.Time, v View, tagged, others []string) Plan {
-	var p Plan
-	switch {
-	case v.Leaderless:
-		p.Doubt = NoLeader
-	case v.Age > s.policy.MaxAge:
-		p.Doubt = TooOld
-	case v.Index < s.index:
-		p.Doubt = WentBack
-	}
+// Observe takes a view: which services carry the tag, and which do not. A doubted view adds
+// services at once and removes none until its hold has expired.
+func (s *ServiceTracker) Observe(now time.Time, v View, tagged, others []string) ServiceChanges {
+	changes := ServiceChanges{Doubt: v.reasonToDoubt(s.policy.MaxAge, s.index)}
 	for _, name := range tagged {
 		if !s.known[name] {
 			s.known[name] = true
-			p.Begin = append(p.Begin, name)
+			changes.Added = append(changes.Added, name)
 		}
 	}
-	if p.Doubt != Believed {
-		if s.trialAt.IsZero() {
-			s.trialAt = now
+	if changes.Doubt != Trusted {
+		if s.doubtedSince.IsZero() {
+			s.doubtedSince = now
 		}
-		if now.Sub(s.trialAt) < s.policy.Hold {
-			return p
+		if now.Sub(s.doubtedSince) < s.policy.HoldTime {
+			return changes
 		}
 	}
-	s.trialAt, s.index = time.Time{}, v.Index
+	s.doubtedSince, s.index = time.Time{}, v.Index
 	for _, name := range slices.Sorted(maps.Keys(s.known)) {
 		if slices.Contains(tagged, name) {
 			continue
 		}
 		delete(s.known, name)
 		if slices.Contains(others, name) {
-			p.Withdraw = append(p.Withdraw, name)
+			changes.Untagged = append(changes.Untagged, name)
 		} else {
-			p.Vanish = append(p.Vanish, name)
+			changes.Vanished = append(changes.Vanished, name)
 		}
 	}
-	return p
+	return changes
 }
--- /dev/null
+++ b/decide/roster/snapshot.go
@@ -0,0 +1,58 @@
+package roster
+
+import (
+	"cmp"
+	"slices"
+	"time"
+)
+
+// StoredEntry is an entry of the last good view's file; the field names are its keys.
+type StoredEntry struct {
+	Source Source
+	Entry  Entry
+	Born   time.Time // when it was first listed; zero if unknown
+	Seen   time.Time // when a trusted view last had it
+	Begun  time.Time // the start that was published; zero if long ago
+}
+
+// Snapshot returns the last good view, marks included, in order of source and id, and the
+// index that each source has reached.
+func (r *Registry) Snapshot() (entries []StoredEntry, indexes map[Source]uint64) {
+	indexes = map[Source]uint64{}
+	for src, s := range r.sources {
+		indexes[src] = s.index
+		for id, l := range s.listings {
+			if l.missingSince.IsZero() {
+				entries = append(entries, StoredEntry{src, l.Entry, l.firstListed, s.lastSeen(l), r.engines[id].published.Started})
+			}
+		}
+	}
+	slices.SortFunc(entries, func(x, y StoredEntry) int {
+		return cmp.Or(compareSources(x.Source, y.Source), cmp.Compare(x.Entry.ID, y.Entry.ID))
+	})
+	return entries, indexes
+}
+
+// Restore applies the last good view, before any source is observed. Marks take effect; each
+// source is doubted until it is observed, so its engines are probed.
+func (r *Registry) Restore(now time.Time, entries []StoredEntry, indexes map[Source]uint64) {
+	for _, k := range entries {
+		r.AddSource(k.Source, true)
+		s := r.sources[k.Source]
+		if s.listings[k.Entry.ID] != nil {
+			continue
+		}
+		s.observed, s.doubt, s.doubtedSince = true, FromDisk, now
+		s.index = indexes[k.Source]
+		r.upsert(now, s, k.Entry, true)
+		l := s.listings[k.Entry.ID]
+		l.firstListed, l.lastSeen, l.restored = k.Born, k.Seen, true
+		if e := r.engines[k.Entry.ID]; k.Begun.After(e.restartedAt) {
+			e.restartedAt = k.Begun
+		}
+	}
+	if len(entries) > 0 {
+		r.emit(Event{Message: "last good view restored", Reason: FromDisk, Engines: len(entries)})
+	}
+	r.evaluateDirty(now)
+}
--- /dev/null
+++ b/decide/watch/checks.go
@@ -0,0 +1,69 @@
+package watch
+
+import (
+	"maps"
+	"slices"
+)
+
+// Check identifies a failing health check, of one service or, without a service, of a node.
+type Check struct {
+	Node, CheckID, ServiceID, Service string
+}
+
+// CheckTracker decides which services are polled out of turn when health checks change. The
+// zero value is not usable; see NewCheckTracker.
+type CheckTracker struct {
+	failing        map[Check]bool
+	servicesByNode map[string]map[string]bool // services with an engine on a node
+	nodesByService map[string][]string        // the reverse
+}
+
+// NewCheckTracker returns a tracker without failing checks.
+func NewCheckTracker() *CheckTracker {
+	return &CheckTracker{failing: map[Check]bool{}, servicesByNode: map[string]map[string]bool{}, nodesByService: map[string][]string{}}
+}
+
+// SetNodes sets the nodes on which a service has engines; none removes the service.
+func (t *CheckTracker) SetNodes(service string, nodes []string) {
+	for _, n := range t.nodesByService[service] {
+		if delete(t.servicesByNode[n], service); len(t.servicesByNode[n]) == 0 {
+			delete(t.servicesByNode, n)
+		}
+	}
+	if len(nodes) == 0 {
+		delete(t.nodesByService, service)
+		return
+	}
+	t.nodesByService[service] = nodes
+	for _, n := range nodes {
+		if t.servicesByNode[n] == nil {
+			t.servicesByNode[n] = map[string]bool{}
+		}
+		t.servicesByNode[n][service] = true
+	}
+}
+
+// Update replaces the failing checks and returns the services affected by a check that
+// started or stopped failing, in order of name.
+func (t *CheckTracker) Update(failing []Check) []string {
+	now := make(map[Check]bool, len(failing))
+	for _, c := range failing {
+		now[c] = true
+	}
+	affected := map[string]bool{}
+	for _, pair := range [][2]map[Check]bool{{now, t.failing}, {t.failing, now}} {
+		for c := range pair[0] {
+			switch {
+			case pair[1][c]:
+			case c.Service != "":
+				affected[c.Service] = true
+			default: // a check of the whole node
+				for s := range t.servicesByNode[c.Node] {
+					affected[s] = true
+				}
+			}
+		}
+	}
+	t.failing = now
+	return slices.Sorted(maps.Keys(affected))
+}
--- a/internal/consul/client.go
+++ b/internal/consul/client.go
@@ -1,6 +1,7 @@
-// Package consul follows engines in Consul by its HTTP API: the health of services
-// by blocking queries, and from the catalogue which services carry a tag. It also
-// lists the gateway itself. What is made of the answers is decided in decide/roster.
+// Package consul discovers engines by Consul's HTTP API: it watches the health of services by
+// blocking queries, and in the catalog which services carry a tag. It also registers the
+// gateway itself, and offers key-value entries and sessions. decide/watch decides what is
+// requested next, decide/roster which engines follow from the responses.
 //
 // Source: Consul's HTTP API documentation, "Blocking Queries", "Consistency Modes",
 // "Health", "Catalog", "Agent / Service", "Agent / Check", "Status".
@@ -9,113 +10,76 @@
 import (
 	"bytes"
 	"context"
-	"crypto/tls"
-	"crypto/x509"
 	"errors"
 	"fmt"
 	"io"
 	"log/slog"
-	"math/rand/v2"
 	"net"
 	"net/http"
 	"net/url"
-	"os"
 	"strconv"
-	"strings"
 	"sync"
 	"time"
 
 	"wellgw/decide/watch"
 	"wellgw/internal/config"
-	"wellgw/internal/pause"
 )
 
-// The client's margins.
+// Timeouts and limits of the client.
 const (
-	beatEvery   = 800 * time.Millisecond  // between calls that tell whether an agent lives
-	beatWait    = 1200 * time.Millisecond // an agent that takes longer hangs
-	plainWait   = 5 * time.Second         // a query that does not block, body included
-	blockSlack  = 2 * time.Second         // past the wait and its sixteenth, for a blocking one
-	connectWait = time.Second
-	bodyWait    = 1500 * time.Millisecond // for each part of a body
-	bodyPart    = 128 << 10
-	retryMost   = 30 * time.Second // longest hint of an agent's that is followed
-	errorText   = 200              // of an error's body, for the log
+	heartbeatInterval = 800 * time.Millisecond  // between heartbeats to an agent
+	heartbeatTimeout  = 1200 * time.Millisecond // an agent that takes longer counts as hung
+	requestTimeout    = 5 * time.Second         // of a request that does not block, body included
+	blockingSlack     = 2 * time.Second         // beyond the wait and its sixteenth, for one that blocks
+	connectTimeout    = time.Second
+	bodyStallTimeout  = 1500 * time.Millisecond // for each chunk of a body
+	bodyChunk         = 128 << 10
+	maxRetryAfter     = 30 * time.Second // a longer Retry-After is cut to this
+	maxHeartbeatBody  = 4 << 10          // read so that the connection can be used again
+	maxErrorText      = 200              // bytes of an error's body, for the log
 )
 
-// Query is one question to whichever agent answers.
+// Query is a read request to whichever agent is up.
 type Query struct {
 	Path   string
 	Params url.Values
-	Index  uint64        // 0: answer at once
-	Wait   time.Duration // with Index: the longest to wait for something newer
-	Stale  bool          // any server may answer, with a leader or without
+	Index  uint64        // 0: do not block
+	Wait   time.Duration // longest time to block until the index exceeds Index
+	Stale  bool          // any server may answer, even without a leader
 }
 
-// Answer is what an agent said.
+// Answer is an agent's response with its metadata.
 type Answer struct {
 	Body        []byte
 	Index       uint64        // X-Consul-Index
 	LastContact time.Duration // X-Consul-LastContact
-	KnownLeader bool          // X-Consul-KnownLeader; true if it was not told
+	KnownLeader bool          // X-Consul-KnownLeader; true without the header
 	Agent       string
 }
 
-// StatusError is an answer other than 200.
-type StatusError struct {
-	Agent      string
-	Status     int
-	RetryAfter time.Duration // 0 = no advice
-	Text       string
-	Index      uint64 // X-Consul-Index, which comes with a 404 too
-}
-
-func (e *StatusError) Error() string {
-	return fmt.Sprintf("agent %s answered %d: %s", e.Agent, e.Status, e.Text)
-}
-
-// noLeader tells whether the servers had no leader to ask.
-func (e *StatusError) noLeader() bool {
-	return e.Status == http.StatusInternalServerError && strings.Contains(e.Text, "No cluster leader")
-}
-
-var (
-	errHung  = errors.New("the agent hangs")
-	errNone  = errors.New("no agent answers")
-	errBig   = errors.New("the answer is too long")
-	errIndex = errors.New("no X-Consul-Index above 0")
-)
-
-// agent is one of the agents. A beat tells whether it lives.
-type agent struct {
-	addr string
-
-	epoch context.Context // ends when it hangs or fails: so do the queries that wait for it
-	end   context.CancelFunc
-}
-
-// Client asks the first agent that lives.
+// Client makes requests to the first agent that is up. Run must be called for it to learn
+// which are.
 type Client struct {
-	cfg    config.Consul
-	log    *slog.Logger
-	http   *http.Client
-	beats  *http.Client
-	scheme string
+	cfg        config.Consul
+	log        *slog.Logger
+	http       *http.Client
+	heartbeats *http.Client
+	scheme     string
 
-	mu      sync.Mutex
-	agents  map[string]*agent
-	choice  *watch.Agents
-	back    chan struct{} // closed when an agent has come back
-	token   string
-	tokenAt time.Time // the file's time as it was read
+	mu           sync.Mutex
+	agents       map[string]*agent
+	selection    *watch.Agents
+	recovered    chan struct{} // closed, and replaced, when an agent has recovered
+	token        string
+	tokenModTime time.Time // the token file's when it was read
 }
 
-// NewClient returns a client. Run must be called for it to notice who lives.
+// NewClient returns a client. An error names a file of the configuration that can't be used.
 func NewClient(cfg config.Consul, log *slog.Logger) (*Client, error) {
-	c := &Client{cfg: cfg, log: log, scheme: "http", back: make(chan struct{})}
-	dial := &net.Dialer{Timeout: connectWait}
+	c := &Client{cfg: cfg, log: log, scheme: "http", recovered: make(chan struct{})}
+	dial := &net.Dialer{Timeout: connectTimeout}
 	transport := func(idle int) *http.Transport {
-		return &http.Transport{DialContext: dial.DialContext, MaxIdleConnsPerHost: idle, IdleConnTimeout: time.Minute, TLSHandshakeTimeout: connectWait}
+		return &http.Transport{DialContext: dial.DialContext, MaxIdleConnsPerHost: idle, IdleConnTimeout: time.Minute, TLSHandshakeTimeout: connectTimeout}
 	}
 	data, beat := transport(cfg.Watches()), transport(1)
 	if cfg.TLS != nil {
@@ -128,165 +92,19 @@
 			t.TLSClientConfig = conf
 		}
 	}
-	c.http, c.beats = &http.Client{Transport: data}, &http.Client{Transport: beat}
-	c.agents, c.choice = map[string]*agent{}, watch.NewAgents(cfg.Agents())
+	c.http, c.heartbeats = &http.Client{Transport: data}, &http.Client{Transport: beat}
+	c.agents, c.selection = map[string]*agent{}, watch.NewAgents(cfg.Agents())
 	for _, addr := range cfg.Agents() {
 		a := &agent{addr: addr}
-		a.epoch, a.end = context.WithCancel(context.Background())
+		a.lifetime, a.cancel = context.WithCancel(context.Background())
 		c.agents[addr] = a
 	}
 	return c, nil
 }
 
-// tlsConfig reads certificates and authorities at every handshake, so that new keys
-// hold from the next connection on. Files that can't be read are an error at once.
-func tlsConfig(t *config.TLS) (*tls.Config, error) {
-	conf := &tls.Config{MinVersion: tls.VersionTLS12, ServerName: t.ServerName}
-	if t.CertFile != "" {
-		read := func() (*tls.Certificate, error) {
-			cert, err := tls.LoadX509KeyPair(t.CertFile, t.KeyFile)
-			return &cert, err
-		}
-		if _, err := read(); err != nil {
-			return nil, fmt.Errorf("consul.tls.cert_file: %w", err)
-		}
-		conf.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return read() }
-	}
-	if t.CAFile != "" {
-		read := func() (*x509.CertPool, error) {
-			pem, err := os.ReadFile(t.CAFile)
-			if err != nil {
-				return nil, err
-			}
-			pool := x509.NewCertPool()
-			if !pool.AppendCertsFromPEM(pem) {
-				return nil, errors.New("no certificate in it")
-			}
-			return pool, nil
-		}
-		if _, err := read(); err != nil {
-			return nil, fmt.Errorf("consul.tls.ca_file: %w", err)
-		}
-		// The library takes authorities once; to have them read anew, its own check
-		// is replaced by the same check against the file as it is now.
-		conf.InsecureSkipVerify = true
-		conf.VerifyConnection = func(s tls.ConnectionState) error {
-			roots, err := read()
-			if err != nil {
-				return fmt.Errorf("consul.tls.ca_file: %w", err)
-			}
-			opts := x509.VerifyOptions{Roots: roots, DNSName: s.ServerName, Intermediates: x509.NewCertPool()}
-			for _, cert := range s.PeerCertificates[1:] {
-				opts.Intermediates.AddCert(cert)
-			}
-			_, err = s.PeerCertificates[0].Verify(opts)
-			return err
-		}
-	}
-	return conf, nil
-}
-
-// Run keeps asking agents for a sign of life until ctx ends. A blocking query may
-// be silent for as long as it likes; an agent may not.
-func (c *Client) Run(ctx context.Context) {
-	var group sync.WaitGroup
-	for _, a := range c.agents {
-		group.Go(func() { c.watchOver(ctx, a) })
-	}
-	group.Wait()
-	c.http.CloseIdleConnections()
-	c.beats.CloseIdleConnections()
-}
-
-func (c *Client) watchOver(ctx context.Context, a *agent) {
-	for ctx.Err() == nil {
-		if err := c.beat(ctx, a); ctx.Err() != nil {
-			return
-		} else if err != nil {
-			c.down(a, err)
-		} else {
-			c.revive(a)
-		}
-		pause.Sleep(ctx, jitter(beatEvery))
-	}
-}
-
-func (c *Client) beat(ctx context.Context, a *agent) error {
-	ctx, cancel := context.WithTimeout(ctx, beatWait)
-	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.scheme+"://"+a.addr+"/v1/status/leader", nil)
-	if err != nil {
-		return err
-	}
-	resp, err := c.beats.Do(req)
-	if err != nil {
-		if errors.Is(err, context.DeadlineExceeded) {
-			return errHung
-		}
-		return err
-	}
-	defer resp.Body.Close()
-	_, err = io.Copy(io.Discard, io.LimitReader(resp.Body, maxSmall))
-	return err // any answer is a sign of life, a refusal too
-}
-
-// down notes that an agent cannot be asked, and ends the queries that wait for it.
-func (c *Client) down(a *agent, cause error) {
-	c.mu.Lock()
-	lost := c.choice.Lost(a.addr)
-	a.end()
-	c.mu.Unlock()
-	if lost {
-		c.log.Warn("agent lost", "agent", a.addr, "cause", cause)
-		c.http.CloseIdleConnections()
-	}
-}
-
-// revive notes that an agent lives, and wakes those that wait for one.
-func (c *Client) revive(a *agent) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if !c.choice.Back(a.addr) {
-		return
-	}
-	c.log.Info("agent back", "agent", a.addr)
-	a.epoch, a.end = context.WithCancel(context.Background())
-	close(c.back)
-	c.back = make(chan struct{})
-}
-
-// pick returns the agent to ask, and what ends when it is lost.
-func (c *Client) pick() (*agent, context.Context, bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	name, other, ok := c.choice.Pick()
-	if !ok {
-		return nil, nil, false
-	}
-	if other {
-		c.log.Info("agent in use", "agent", name)
-	}
-	a := c.agents[name]
-	return a, a.epoch, true
-}
-
-// Pause waits for d, or less if an agent comes back meanwhile.
-func (c *Client) Pause(ctx context.Context, d time.Duration) {
-	c.mu.Lock()
-	back := c.back
-	c.mu.Unlock()
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-ctx.Done():
-	case <-back:
-	case <-t.C:
-	}
-}
-
-// Get asks one question. An error is a *StatusError, or tells that nobody answers.
+// Get makes a read request. An error is a *StatusError, or says why no agent responded.
 func (c *Client) Get(ctx context.Context, q Query) (Answer, error) {
-	span := plainWait
+	timeout := requestTimeout
 	params := url.Values{}
 	for k, v := range q.Params {
 		params[k] = v
@@ -297,7 +115,7 @@
 	if q.Index > 0 {
 		params.Set("index", strconv.FormatUint(q.Index, 10))
 		params.Set("wait", strconv.FormatInt(q.Wait.Milliseconds(), 10)+"ms")
-		span = q.Wait + q.Wait/16 + blockSlack // Consul adds up to a sixteenth, by its documentation
+		timeout = q.Wait + q.Wait/16 + blockingSlack // Consul adds up to a sixteenth, by its documentation
 	}
 	switch {
 	case q.Stale || c.cfg.Consistency == "stale":
@@ -305,13 +123,13 @@
 	case c.cfg.Consistency == "consistent":
 		params.Set("consistent", "")
 	}
-	resp, body, agent, err := c.do(ctx, http.MethodGet, q.Path, params, nil, span)
+	resp, body, agent, err := c.do(ctx, http.MethodGet, q.Path, params, nil, timeout)
 	if err != nil {
 		return Answer{}, err
 	}
 	a := Answer{Body: body, Agent: agent, KnownLeader: resp.Header.Get("X-Consul-KnownLeader") != "false"}
 	if a.Index = indexOf(resp.Header); a.Index == 0 {
-		return Answer{}, fmt.Errorf("agent %s: %w", agent, errIndex)
+		return Answer{}, fmt.Errorf("agent %s: %w", agent, errNoIndex)
 	}
 	if ms, err := strconv.ParseInt(resp.Header.Get("X-Consul-LastContact"), 10, 64); err == nil && ms > 0 {
 		a.LastContact = time.Duration(ms) * time.Millisecond
@@ -319,7 +137,7 @@
 	return a, nil
 }
 
-// indexOf reads X-Consul-Index, 0 if there is none.
+// indexOf returns X-Consul-Index, 0 without one.
 func indexOf(h http.Header) uint64 {
 	n, err := strconv.ParseUint(h.Get("X-Consul-Index"), 10, 64)
 	if err != nil {
@@ -328,117 +146,75 @@
 	return n
 }
 
-// Put makes a call that changes something at the agent in use.
+// Put makes a write request.
 func (c *Client) Put(ctx context.Context, path string, body []byte) error {
-	_, _, _, err := c.do(ctx, http.MethodPut, path, nil, body, plainWait)
+	_, _, _, err := c.do(ctx, http.MethodPut, path, nil, body, requestTimeout)
 	return err
 }
 
-func (c *Client) do(ctx context.Context, method, path string, params url.Values, body []byte, span time.Duration) (*http.Response, []byte, string, error) {
-	a, epoch, up := c.pick()
+// do makes a request to the agent in use and returns the response, its body and the agent's
+// address. It ends early if the agent is marked down meanwhile.
+func (c *Client) do(ctx context.Context, method, path string, params url.Values, body []byte, timeout time.Duration) (*http.Response, []byte, string, error) {
+	a, lifetime, up := c.selectAgent()
 	if !up {
-		return nil, nil, "", errNone
+		return nil, nil, "", errNoAgent
 	}
-	ctx, cancel := context.WithTimeout(ctx, span)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	defer context.AfterFunc(epoch, cancel)()
-	target := c.scheme + "://" + a.addr + path
-	if len(params) > 0 {
-		target += "?" + params.Encode()
-	}
-	req, err := http.NewRequestWithContext(ctx, method, target, bytes.NewReader(body))
+	defer context.AfterFunc(lifetime, cancel)()
+	req, err := c.newRequest(ctx, method, a.addr, path, params, body)
 	if err != nil {
 		return nil, nil, "", fmt.Errorf("query: %w", err)
 	}
-	if token := c.readToken(); token != "" {
-		req.Header.Set("X-Consul-Token", token)
-	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return nil, nil, "", c.failed(a, epoch, err)
+		return nil, nil, "", c.requestError(lifetime, a, err)
 	}
 	defer resp.Body.Close()
 	limit := c.cfg.MaxBody()
 	if resp.StatusCode != http.StatusOK {
-		limit = errorText
+		limit = maxErrorText
 	}
 	raw, err := readBody(io.LimitReader(resp.Body, limit+1), cancel)
 	switch {
 	case resp.StatusCode != http.StatusOK:
-		return nil, nil, "", &StatusError{
-			Agent: a.addr, Status: resp.StatusCode, RetryAfter: retryAfter(resp.Header),
-			Text: strings.Join(strings.Fields(string(raw[:min(len(raw), errorText)])), " "), Index: indexOf(resp.Header),
-		}
+		return nil, nil, "", newStatusError(a.addr, resp, raw)
 	case err != nil:
-		return nil, nil, "", c.failed(a, epoch, err)
+		return nil, nil, "", c.requestError(lifetime, a, err)
 	case int64(len(raw)) > limit:
-		return nil, nil, "", fmt.Errorf("agent %s: %w", a.addr, errBig)
+		return nil, nil, "", fmt.Errorf("agent %s: %w", a.addr, errTooLong)
 	}
 	return resp, raw, a.addr, nil
 }
 
-// readBody reads to the end as long as the body keeps coming: one that trickles would
-// keep what is new from being asked for. stop ends the reading.
-func readBody(r io.Reader, stop func()) ([]byte, error) {
-	stalled := time.AfterFunc(bodyWait, stop)
+func (c *Client) newRequest(ctx context.Context, method, addr, path string, params url.Values, body []byte) (*http.Request, error) {
+	target := c.scheme + "://" + addr + path
+	if len(params) > 0 {
+		target += "?" + params.Encode()
+	}
+	req, err := http.NewRequestWithContext(ctx, method, target, bytes.NewReader(body))
+	if err != nil {
+		return nil, err
+	}
+	if token := c.readToken(); token != "" {
+		req.Header.Set("X-Consul-Token", token)
+	}
+	return req, nil
+}
+
+// readBody reads a body that keeps coming. cancel ends the reading of one that stalls, which
+// would delay the next request.
+func readBody(r io.Reader, cancel func()) ([]byte, error) {
+	stalled := time.AfterFunc(bodyStallTimeout, cancel)
 	defer stalled.Stop()
 	var body bytes.Buffer
 	for {
-		switch _, err := io.CopyN(&body, r, bodyPart); {
+		switch _, err := io.CopyN(&body, r, bodyChunk); {
 		case errors.Is(err, io.EOF):
 			return body.Bytes(), nil
 		case err != nil:
 			return nil, err
 		}
-		stalled.Reset(bodyWait)
-	}
-}
-
-// failed words a failure. An agent that refuses connections is lost at once; for
-// anything else a beat tells.
-func (c *Client) failed(a *agent, epoch context.Context, err error) error {
-	if op := (*net.OpError)(nil); errors.As(err, &op) && op.Op == "dial" {
-		c.down(a, err)
-	}
-	if epoch.Err() != nil {
-		err = errHung
-	}
-	return fmt.Errorf("agent %s: %w", a.addr, err)
-}
-
-// retryAfter reads an agent's hint in seconds; RFC 9110 allows a date too, which
-// Consul does not use.
-func retryAfter(h http.Header) time.Duration {
-	s, err := strconv.ParseFloat(h.Get("Retry-After"), 64)
-	if err != nil || s <= 0 {
-		return 0
-	}
-	return min(time.Duration(s*float64(time.Second)), retryMost)
-}
-
-// readToken returns the token as the file now has it. A file that can't be read
-// leaves the last one in use: it may be about to be replaced.
-func (c *Client) readToken() string {
-	if c.cfg.TokenFile == "" {
-		return c.cfg.Token
-	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	info, err := os.Stat(c.cfg.TokenFile)
-	if err == nil && !info.ModTime().Equal(c.tokenAt) {
-		var raw []byte
-		if raw, err = os.ReadFile(c.cfg.TokenFile); err == nil {
-			c.token, c.tokenAt = strings.TrimSpace(string(raw)), info.ModTime()
-		}
-	}
-	if err != nil && c.token == "" {
-		c.log.Warn("token file", "cause", err)
-		return c.cfg.Token
+		stalled.Reset(bodyStallTimeout)
 	}
-	return c.token
-}
-
-// jitter spreads calls of many gateways over time.
-func jitter(d time.Duration) time.Duration {
-	return d*3/4 + rand.N(d/2+1)
 }
--- a/internal/consul/consul_test.go
+++ b/internal/consul/consul_test.go
@@ -79,12 +79,12 @@
 	}
 	w.await("a b c!")
 	w.fail(consul.Faults{Hang: true})
-	w.awaitDoubt(roster.Silent)
+	w.awaitDoubt(roster.Unreachable)
 	w.store.Restore(old)
 	w.store.SetCheck(node, "a", "alive", "critical")
 	w.fail(consul.Faults{})
 	w.await("a! b c!") // the new mark counts; the old one is not lifted by a view in doubt
-	w.awaitDoubt(roster.WentBack)
+	w.awaitDoubt(roster.IndexRegressed)
 }
 
 // Hard case: two agents disagree. The one that lags can lift no mark; it can add one.
@@ -100,7 +100,7 @@
 	if err := w.agents[0].Fail(consul.Faults{Refuse: true}); err != nil {
 		t.Fatal(err)
 	}
-	w.awaitDoubt(roster.WentBack)
+	w.awaitDoubt(roster.IndexRegressed)
 	w.stays("a! b c", 200*time.Millisecond)
 	if err := w.agents[1].Fail(consul.Faults{}); err != nil {
 		t.Fatal(err)
@@ -170,19 +170,19 @@
 	w.store.SetCheck(node, "b", "alive", "critical")
 	cfg := w.cfg
 	cfg.Addresses = []string{next.Addr}
-	if err := w.dir.Move(cfg); err != nil {
+	if err := w.dir.Reconfigure(cfg); err != nil {
 		t.Fatal(err)
 	}
 	w.await("a b! c")
 	cfg.Service = "other" // and to another service: what only the old one named goes once the new one has spoken
 	w.list("other", "x", 9200)
-	if err := w.dir.Move(cfg); err != nil {
+	if err := w.dir.Reconfigure(cfg); err != nil {
 		t.Fatal(err)
 	}
 	w.await("x")
 	bad := cfg
 	bad.TLS = &config.TLS{CAFile: "nowhere.pem"}
-	if err := w.dir.Move(bad); err == nil || !strings.Contains(err.Error(), "consul.tls.ca_file") {
+	if err := w.dir.Reconfigure(bad); err == nil || !strings.Contains(err.Error(), "consul.tls.ca_file") {
 		t.Errorf("a file that is not there: %v", err)
 	}
 }
@@ -204,7 +204,7 @@
 			w.fail(consul.Faults{})
 			w.store.SetCheck(node, "a", "alive", "critical")
 			w.await("a! b c")
-			w.awaitDoubt(roster.Believed)
+			w.awaitDoubt(roster.Trusted)
 		})
 	}
 }
@@ -257,10 +257,10 @@
 	w.await("a b c")
 	cfg := w.cfg
 	cfg.TLS = &config.TLS{CAFile: path, ServerName: "elsewhere.test"}
-	if err := w.dir.Move(cfg); err != nil {
+	if err := w.dir.Reconfigure(cfg); err != nil {
 		t.Fatal(err)
 	}
-	w.awaitDoubt(roster.Silent) // another name than the certificate's
+	w.awaitDoubt(roster.Unreachable) // another name than the certificate's
 }
 
 // An answer that is too long is not taken, and removes nobody.
@@ -302,7 +302,7 @@
 		t.Errorf("%d gateways, though one was away for a moment only", n)
 	}
 	w.dir.mu.Lock()
-	w.dir.leave() // as Move would; the listing is taken off and made anew
+	w.dir.restart() // as Move would; the listing is taken off and made anew
 	w.dir.mu.Unlock()
 	enginetest.Eventually(t, "the gateway was taken off", func() bool {
 		gone := 0
--- a/internal/consul/parse.go
+++ b/internal/consul/parse.go
@@ -15,9 +15,14 @@
 	"wellgw/internal/config"
 )
 
-const maxSmall = 4 << 10
+// What can be wrong with an entry.
+var (
+	errNoServiceID = errors.New("no service id")
+	errBadPort     = errors.New("port out of range")
+	errNoAddress   = errors.New("no address")
+)
 
-// serviceEntry is one line of /v1/health/service/NAME, as far as it is read.
+// serviceEntry is an element of /v1/health/service/NAME, as far as it is read.
 type serviceEntry struct {
 	Node    *nodeInfo    `json:"Node"`
 	Service *serviceInfo `json:"Service"`
@@ -44,40 +49,38 @@
 	ModifyIndex uint64 `json:"ModifyIndex"`
 }
 
-var errNoList = errors.New("the body is no list")
-
-// parseHealth reads a body of /v1/health/service/NAME. Each entry stands for itself:
-// one that makes no sense is named in Unread and spoils no other. Only a body that
-// is no list at all is an error.
+// parseHealth parses a body of /v1/health/service/NAME, and returns the nodes of its entries
+// too. A malformed entry is listed in Malformed and does not affect the others; only a body
+// that is not a list is an error.
 func parseHealth(body []byte, zone string) (v roster.View, nodes []string, err error) {
 	var raw []jsoniter.RawMessage
 	if trimmed := strings.TrimSpace(string(body[:min(len(body), 64)])); !strings.HasPrefix(trimmed, "[") {
-		return v, nil, errNoList
+		return v, nil, errNotAList
 	}
 	if err := jsoniter.Unmarshal(body, &raw); err != nil {
-		return v, nil, fmt.Errorf("%w: %w", errNoList, err)
+		return v, nil, fmt.Errorf("%w: %w", errNotAList, err)
 	}
 	listed := map[string]int{}
 	for _, line := range raw {
 		e, node, err := parseEntry(line, zone)
 		if err != nil {
-			// An engine that can be named is alone in doubt; else any that is missing may
-			// be the one.
-			id, mark := salvage(line)
-			v.Unread = append(v.Unread, id)
+			// With a readable id only that engine is in doubt; else any missing engine may be
+			// the one.
+			id, mark := parseMarks(line)
+			v.Malformed = append(v.Malformed, id)
 			if id != "" && mark > roster.Clear {
-				if v.Against == nil {
-					v.Against = map[string]roster.Mark{}
+				if v.MalformedMarks == nil {
+					v.MalformedMarks = map[string]roster.Mark{}
 				}
-				v.Against[id] = max(mark, v.Against[id])
+				v.MalformedMarks[id] = max(mark, v.MalformedMarks[id])
 			}
 			continue
 		}
 		if node != "" {
 			nodes = append(nodes, node)
 		}
-		// The same id on two nodes: an agent that has moved leaves its old entry behind
-		// for a while. The later registration counts, the worse mark holds.
+		// The same id on two nodes: an agent that has moved leaves its old entry behind for a
+		// while. The later registration takes precedence, with the worse mark of the two.
 		if at, twice := listed[e.ID]; twice {
 			mark := max(e.Mark, v.Entries[at].Mark)
 			if e.Registered > v.Entries[at].Registered {
@@ -92,9 +95,8 @@
 	return v, nodes, nil
 }
 
-// salvage reads the id and the marks of an entry that otherwise makes no sense, as
-// far as they can be read.
-func salvage(line []byte) (id string, mark roster.Mark) {
+// parseMarks returns the id and the mark of a malformed entry, as far as they can be read.
+func parseMarks(line []byte) (id string, mark roster.Mark) {
 	var parts struct{ Service, Checks jsoniter.RawMessage }
 	if jsoniter.Unmarshal(line, &parts) != nil {
 		return "", roster.Clear
@@ -110,6 +112,7 @@
 	return named.ID, markOf(checks)
 }
 
+// parseEntry parses one entry and returns its node's name too.
 func parseEntry(line []byte, zone string) (roster.Entry, string, error) {
 	var s serviceEntry
 	if err := jsoniter.Unmarshal(line, &s); err != nil {
@@ -117,30 +120,30 @@
 	}
 	switch {
 	case s.Service == nil || s.Service.ID == "":
-		return roster.Entry{}, "", errors.New("no service id")
+		return roster.Entry{}, "", errNoServiceID
 	case s.Service.Port < 1 || s.Service.Port > 65535:
-		return roster.Entry{}, "", fmt.Errorf("port %d", s.Service.Port)
+		return roster.Entry{}, "", fmt.Errorf("%w: %d", errBadPort, s.Service.Port)
 	}
 	host, node := s.Service.Address, ""
 	if s.Node != nil {
 		node = s.Node.Node
-		if host == "" { // by Consul's documentation the node's address then holds
+		if host == "" { // Consul's documentation then has clients use the node's
 			host = s.Node.Address
 		}
 	}
 	if host == "" {
-		return roster.Entry{}, "", errors.New("no address")
+		return roster.Entry{}, "", errNoAddress
 	}
 	e := roster.Entry{
 		ID: s.Service.ID, Addr: net.JoinHostPort(host, strconv.Itoa(s.Service.Port)),
-		Kind: config.RoleOpenAI, Zone: zone, Mark: markOf(s.Checks), Started: startOf(s.Service.Meta),
+		Kind: config.RoleOpenAI, Zone: zone, Mark: markOf(s.Checks), Started: startTime(s.Service.Meta),
 		Registered: s.Service.CreateIndex, Index: s.Service.ModifyIndex,
 	}
 	for _, c := range s.Checks {
 		e.Index = max(e.Index, c.ModifyIndex)
 	}
 	if role := s.Service.Meta["role"]; role != "" {
-		e.Kind = role // one that is unknown is never sent to
+		e.Kind = role // an unknown role gets no requests
 	}
 	if z := s.Service.Meta["zone"]; z != "" {
 		e.Zone = z
@@ -151,8 +154,8 @@
 	return e, node, nil
 }
 
-// markOf reads an engine's checks: a check that fails, or says what is not known,
-// takes it out; maintenance drains it; a warning does not keep it from serving.
+// markOf derives an engine's mark from its checks: a check that fails, or has an unknown
+// status, is critical; maintenance drains it; a warning does not keep it from serving.
 func markOf(checks []check) roster.Mark {
 	m := roster.Clear
 	for _, c := range checks {
@@ -166,9 +169,9 @@
 	return m
 }
 
-// startOf reads when an engine says it started: Meta's started_ms, Unix time in
-// milliseconds, or started, by RFC 3339. What makes no sense counts as not said.
-func startOf(meta map[string]string) time.Time {
+// startTime returns the start that an engine reports: Meta's started_ms, Unix time in
+// milliseconds, or started, by RFC 3339. It is zero without a valid one.
+func startTime(meta map[string]string) time.Time {
 	if ms, err := strconv.ParseInt(meta["started_ms"], 10, 64); err == nil && ms > 0 {
 		return time.UnixMilli(ms)
 	}
@@ -178,7 +181,8 @@
 	return time.Time{}
 }
 
-// parseServices reads a body of /v1/catalog/services.
+// parseServices parses a body of /v1/catalog/services into the services that carry the tag and
+// the others, each in order of name.
 func parseServices(body []byte, tag string) (tagged, others []string, err error) {
 	var services map[string][]string
 	if err := jsoniter.Unmarshal(body, &services); err != nil || services == nil {
@@ -195,11 +199,3 @@
 	slices.Sort(others)
 	return tagged, others, nil
 }
-
-// criticalCheck is one line of /v1/health/state/critical, as far as it is read.
-type criticalCheck struct {
-	Node        string `json:"Node"`
-	CheckID     string `json:"CheckID"`
-	ServiceID   string `json:"ServiceID"`
-	ServiceName string `json:"ServiceName"`
-}
--- /dev/null
+++ b/internal/consul/tls.go
@@ -0,0 +1,63 @@
+package consul
+
+import (
+	"crypto/tls"
+	"crypto/x509"
+	"errors"
+	"fmt"
+	"os"
+
+	"wellgw/internal/config"
+)
+
+// errNoCertificate is the error for a file of authorities without any.
+var errNoCertificate = errors.New("no certificate in it")
+
+// tlsConfig returns a configuration that reads certificates and authorities at every
+// handshake, so that new keys hold from the next connection on. Files that can't be read are
+// an error at once.
+func tlsConfig(t *config.TLS) (*tls.Config, error) {
+	conf := &tls.Config{MinVersion: tls.VersionTLS12, ServerName: t.ServerName}
+	if t.CertFile != "" {
+		read := func() (*tls.Certificate, error) {
+			cert, err := tls.LoadX509KeyPair(t.CertFile, t.KeyFile)
+			return &cert, err
+		}
+		if _, err := read(); err != nil {
+			return nil, fmt.Errorf("consul.tls.cert_file: %w", err)
+		}
+		conf.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return read() }
+	}
+	if t.CAFile != "" {
+		read := func() (*x509.CertPool, error) {
+			pem, err := os.ReadFile(t.CAFile)
+			if err != nil {
+				return nil, err
+			}
+			pool := x509.NewCertPool()
+			if !pool.AppendCertsFromPEM(pem) {
+				return nil, errNoCertificate
+			}
+			return pool, nil
+		}
+		if _, err := read(); err != nil {
+			return nil, fmt.Errorf("consul.tls.ca_file: %w", err)
+		}
+		// crypto/tls takes the authorities once. To have them read at every handshake, its
+		// verification is replaced by the same one against the file's present content.
+		conf.InsecureSkipVerify = true
+		conf.VerifyConnection = func(s tls.ConnectionState) error {
+			roots, err := read()
+			if err != nil {
+				return fmt.Errorf("consul.tls.ca_file: %w", err)
+			}
+			opts := x509.VerifyOptions{Roots: roots, DNSName: s.ServerName, Intermediates: x509.NewCertPool()}
+			for _, cert := range s.PeerCertificates[1:] {
+				opts.Intermediates.AddCert(cert)
+			}
+			_, err = s.PeerCertificates[0].Verify(opts)
+			return err
+		}
+	}
+	return conf, nil
+}
--- /dev/null
+++ b/internal/directory/file.go
@@ -0,0 +1,29 @@
+package directory
+
+import (
+	"time"
+
+	"wellgw/decide/roster"
+	"wellgw/internal/config"
+)
+
+// LoadFile replaces the engines that the operator's file lists. The file is a source like any
+// other, and is always trusted.
+func LoadFile(d *Directory, o *config.Operator) {
+	source := roster.Source{Origin: roster.File}
+	var view roster.View
+	for _, e := range o.Engines {
+		zone := e.Zone
+		if zone == "" {
+			zone = o.Zone
+		}
+		view.Entries = append(view.Entries, roster.Entry{ID: e.ID, Addr: e.Address, Kind: e.Role, Zone: zone, Cell: e.Cell})
+	}
+	d.With(func(r *roster.Registry, now time.Time) {
+		if len(view.Entries) == 0 { // an operator's decision: rules about losses don't apply
+			r.RemoveSource(now, source, "the file names no engine")
+			return
+		}
+		r.ReplaceSource(now, source, view)
+	})
+}
--- a/internal/directory/golden_test.go
+++ b/internal/directory/golden_test.go
@@ -57,21 +57,21 @@
 	}
 }
 
-// What a keeper shows of engines in each state, in the words that people read.
+// What a directory shows of engines in each state, in the words that people read.
 func TestViewShowsStatesAndReasons(t *testing.T) {
-	k, _, _ := keeper(t, "", func(context.Context, string) roster.Pulse { return roster.Alive })
+	d, _, _ := start(t, "", func(context.Context, string) roster.ProbeResult { return roster.Answered })
 	start := time.Now().Add(-time.Hour)
 	e := func(id string, mark roster.Mark) roster.Entry {
 		return roster.Entry{ID: id, Addr: id + ":1", Kind: "read", Zone: "z", Cell: 1, Mark: mark, Started: start}
 	}
-	k.With(func(b *roster.Book, now time.Time) {
-		b.Observe(now, llm, roster.View{Index: 9, Entries: []roster.Entry{
+	d.With(func(r *roster.Registry, now time.Time) {
+		r.Observe(now, llm, roster.View{Index: 9, Entries: []roster.Entry{
 			e("a", roster.Clear), e("b", roster.Critical), e("c", roster.Maintenance), e("d", roster.Clear), e("e", roster.Clear),
 		}})
-		b.Override(now, map[string]roster.Override{"d": {Hold: true, Why: "changing"}, "e": {Kind: "write", Started: now}})
-		b.Fail(now, llm, roster.Silent)
+		r.Override(now, map[string]roster.Override{"d": {Hold: true, Why: "changing"}, "e": {Kind: "write", Started: now}})
+		r.ObserveFailure(now, llm, roster.Unreachable)
 	})
-	v := k.View()
+	v := d.View()
 	for i := range v.Engines {
 		v.Engines[i].AgeMS, v.Engines[i].UpMS = 0, 0
 	}
@@ -110,7 +110,7 @@
 	x, file := roster.Source{Origin: roster.Catalogue, Name: "x"}, roster.Source{Origin: roster.File}
 	return lastview.View{
 		SavedAt: at,
-		Entries: []roster.Kept{
+		Entries: []roster.StoredEntry{
 			{Source: file, Entry: roster.Entry{ID: "a", Addr: "127.0.0.1:1", Kind: "read", Zone: "z", Cell: 1}, Seen: at},
 			{
 				Source: x, Entry: roster.Entry{ID: "b", Addr: "127.0.0.1:2", Kind: "write", Zone: "y", Cell: 2, Mark: roster.Critical, Started: at, Registered: 3, Index: 4},
@@ -143,7 +143,7 @@
 	}
 }
 
-// A keeper that starts from that file shows what it holds.
+// A directory that starts from that file shows what it holds.
 func TestRestoreFromLastViewFile(t *testing.T) {
 	raw, err := os.ReadFile(filepath.Join("testdata", "lastview"))
 	if err != nil {
@@ -153,9 +153,9 @@
 	if err := os.WriteFile(path, raw, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	k, _, end := keeper(t, path, func(context.Context, string) roster.Pulse { return roster.Unheard })
+	d, _, end := start(t, path, func(context.Context, string) roster.ProbeResult { return roster.NoAnswer })
 	var lines []string
-	for _, e := range k.View().Engines {
+	for _, e := range d.View().Engines {
 		lines = append(lines, strings.Join([]string{e.ID, e.Address, e.Role, e.State, e.Why, e.Confidence, strings.Join(e.Sources, "+")}, "|"))
 	}
 	end()
--- /dev/null
+++ b/internal/directory/snapshot.go
@@ -0,0 +1,77 @@
+package directory
+
+import (
+	"context"
+	"errors"
+	"io/fs"
+	"time"
+
+	"wellgw/decide/roster"
+	"wellgw/internal/lastview"
+)
+
+// restore starts the registry from the last good view on disk, if there is one.
+func (d *Directory) restore() {
+	v, err := lastview.Load(d.opt.StateFile)
+	switch {
+	case errors.Is(err, fs.ErrNotExist):
+		return
+	case errors.Is(err, lastview.ErrDamaged):
+		aside, moved := lastview.SetAside(d.opt.StateFile, time.Now())
+		d.opt.Log.Error("last good view damaged, set aside", "file", aside, "cause", errors.Join(err, moved))
+		return
+	case err != nil:
+		d.opt.Log.Error("last good view unreadable", "file", d.opt.StateFile, "cause", err)
+		return
+	}
+	d.opt.Log.Info("last good view loaded", "file", d.opt.StateFile, "age", time.Since(v.SavedAt).Round(time.Millisecond).String())
+	d.With(func(r *roster.Registry, now time.Time) { r.Restore(now, v.Entries, v.IndexOf()) })
+}
+
+// save writes the last good view while it changes, and once more when ctx ends.
+func (d *Directory) save(ctx context.Context) {
+	if d.opt.StateFile == "" {
+		return
+	}
+	t := time.NewTicker(saveInterval)
+	defer t.Stop()
+	failed, savedAt := false, time.Time{}
+	for ended := false; !ended; {
+		select {
+		case <-ctx.Done():
+			ended = true
+		case <-t.C:
+		}
+		view, due := d.snapshot(savedAt)
+		if !due {
+			continue
+		}
+		savedAt = view.SavedAt
+		err := lastview.Save(d.opt.StateFile, view)
+		if err != nil && !failed { // logged once: a full disk must not fill the log as well
+			d.opt.Log.Error("last good view not saved", "file", d.opt.StateFile, "cause", err)
+		}
+		if failed = err != nil; !failed {
+			d.mu.Lock()
+			d.stats.Saves++
+			d.mu.Unlock()
+		}
+	}
+}
+
+// snapshot returns the last good view if it has changed, or was saved too long ago.
+func (d *Directory) snapshot(savedAt time.Time) (view lastview.View, due bool) {
+	d.mu.Lock()
+	if !d.unsaved && time.Since(savedAt) < maxSnapshotAge {
+		d.mu.Unlock()
+		return lastview.View{}, false
+	}
+	d.unsaved = false
+	entries, indexes := d.registry.Snapshot()
+	d.mu.Unlock()
+	view = lastview.View{SavedAt: time.Now(), Entries: entries}
+	for source, index := range indexes {
+		view.Indexes = append(view.Indexes, lastview.Index{Source: source, Index: index})
+	}
+	return view, true
+}
--- a/internal/lastview/lastview.go
+++ b/internal/lastview/lastview.go
@@ -36,7 +36,7 @@
 // renaming one of these fields changes the file.
 type View struct {
 	SavedAt time.Time
-	Entries []roster.Kept
+	Entries []roster.StoredEntry
 	Indexes []Index
 }
 
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -7,7 +7,6 @@
 	"io"
 	"log/slog"
 	"net/http"
-	"slices"
 	"sync"
 	"time"
 
@@ -21,241 +20,147 @@
 	"wellgw/routing"
 )
 
-// The watch's margins. A line comes every 2 s at least.
+// Timeouts and limits of the watch.
 const (
-	watchBeat = 2 * time.Second
-	askWait   = 4500 * time.Millisecond // for an answer where calls wait in turn
-	maxList   = 4 << 20
-	keepLeft  = 256 // engines that have left are remembered; more would grow with the days
+	heartbeatInterval     = 2 * time.Second         // discovery sends a line at least this often
+	queuedResponseTimeout = 4500 * time.Millisecond // where discovery queues requests
+	maxListBytes          = 4 << 20
 )
 
-// Roster holds what discovery has announced. It guards the drain rule: an engine that
-// is leaving or gone stays so, whatever older news comes after.
-type Roster struct {
-	revision  int64
-	entries   map[string]entry
-	left      []string // engines that have left, in the order in which they did
-	forgotten int64    // the newest revision of one that has been forgotten
-}
-
-type entry struct {
-	config.ListEntry
-	revision int64
-}
-
-// NewRoster returns an empty roster.
-func NewRoster() *Roster {
-	return &Roster{entries: map[string]entry{}, forgotten: -1} // the first list may be of revision 0
-}
-
-// Revision is the newest that has been taken in.
-func (r *Roster) Revision() int64 { return r.revision }
-
-// Apply takes a list in and returns the entries that have changed. An entry of a
-// revision no newer than what is known is taken only if it ends an engine's work
-// or tells of a later start: news may cross, and `known` may be old. Only a
-// complete list that is not older removes the engines it does not name.
-func (r *Roster) Apply(l config.List) []core.Endpoint {
-	var changed []core.Endpoint
-	take := func(e config.ListEntry) {
-		if phaseOf(e.Phase) == routing.PhaseRemoved {
-			r.left = append(r.left, e.ID)
-		}
-		r.entries[e.ID] = entry{e, l.Revision}
-		changed = append(changed, member(e))
-	}
-	named := map[string]bool{}
-	for _, e := range l.Members {
-		named[e.ID] = true
-		old, known := r.entries[e.ID]
-		worse := phaseOf(e.Phase) > phaseOf(old.Phase) && e.UpSince >= old.UpSince
-		if !known && l.Revision <= r.forgotten { // it may be one of those: they have left
-			continue
-		}
-		if !known || l.Revision > old.revision || worse || e.UpSince > old.UpSince {
-			take(e)
-		}
-	}
-	if l.Complete && l.Revision >= r.revision {
-		for id, e := range r.entries {
-			if !named[id] && phaseOf(e.Phase) != routing.PhaseRemoved {
-				e.Phase = "left"
-				take(e.ListEntry)
-			}
-		}
-	}
-	r.revision = max(r.revision, l.Revision)
-	r.forget()
-	return changed
-}
-
-// forget drops those that left longest ago. An older list that names one must not
-// bring it back: see forgotten.
-func (r *Roster) forget() {
-	for len(r.left) > keepLeft {
-		if e, known := r.entries[r.left[0]]; known && phaseOf(e.Phase) == routing.PhaseRemoved {
-			r.forgotten = max(r.forgotten, e.revision)
-			delete(r.entries, r.left[0])
-		}
-		r.left = slices.Delete(r.left, 0, 1)
-	}
-}
-
-// phaseOf reads a phase; one that is unknown is not sent to.
-func phaseOf(s string) routing.Phase {
-	switch s {
-	case "active":
-		return routing.PhaseActive
-	case "left":
-		return routing.PhaseRemoved
-	}
-	return routing.PhaseDraining
-}
-
-func member(e config.ListEntry) core.Endpoint {
-	m := core.Endpoint{
-		EngineInfo: routing.EngineInfo{
-			Name: e.ID, Kind: e.Flavor, Zone: e.Locality, Cell: e.Cell, Weight: e.Size, Phase: phaseOf(e.Phase),
-		},
-		Addr: e.HostPort,
-	}
-	if e.UpSince > 0 {
-		m.StartedAt = time.UnixMilli(e.UpSince)
-	}
-	return m
-}
-
-// Watch follows discovery and tells the core what it learns.
+// Watch watches discovery's list of engines and publishes changes to the core.
 type Watch struct {
-	tell   func(routing.EngineListScope, []core.Endpoint)
-	log    *slog.Logger
-	roster *Roster
-	wake   chan struct{} // a Subscribe; nil where changes come by themselves
-	moved  chan struct{} // the address has changed
-	pace   watch.Pace
-	client *http.Client
-
-	mu    sync.Mutex
-	addr  string
-	leave context.CancelFunc // ends the watch under way
-}
-
-// NewWatch returns a watch on discovery's address. If asked is true it begins
-// only with the first Subscribe. Sends must end so long after a drain was announced as grace
-// says, and what a discovery that was away has to announce counts as announced from when it is back.
-func NewWatch(addr string, asked bool, grace time.Duration, tell func(routing.EngineListScope, []core.Endpoint), log *slog.Logger) *Watch {
-	w := &Watch{addr: addr, tell: tell, log: log, roster: NewRoster(), moved: make(chan struct{}, 1), pace: watch.PaceFor(grace, watchBeat)}
-	if asked {
-		w.wake = make(chan struct{}, 1)
-		w.pace.Answer = askWait
-	}
-	w.client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true, ResponseHeaderTimeout: w.pace.Answer}}
+	publish     func(routing.EngineListScope, []core.Endpoint)
+	log         *slog.Logger
+	roster      *Roster
+	subscribed  chan struct{} // signaled by Subscribe; nil if changes come without it
+	addrChanged chan struct{} // signaled when the address has changed
+	timing      watch.Timing
+	client      *http.Client
+
+	mu           sync.Mutex
+	addr         string
+	cancelStream context.CancelFunc // ends the present stream; nil before the first
+}
+
+// NewWatch returns a watch on discovery at addr. With mustSubscribe each stream needs a
+// Subscribe first. grace is the time after the announcement of a drain by which requests to
+// the engine must have ended; announcements missed while discovery was down count from its
+// recovery.
+func NewWatch(addr string, mustSubscribe bool, grace time.Duration, publish func(routing.EngineListScope, []core.Endpoint), log *slog.Logger) *Watch {
+	w := &Watch{
+		addr: addr, publish: publish, log: log, roster: NewRoster(), addrChanged: make(chan struct{}, 1),
+		timing: watch.TimingFor(grace, heartbeatInterval),
+	}
+	if mustSubscribe {
+		w.subscribed = make(chan struct{}, 1)
+		w.timing.ResponseTimeout = queuedResponseTimeout
+	}
+	w.client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true, ResponseHeaderTimeout: w.timing.ResponseTimeout}}
 	return w
 }
 
-// Subscribe asks for changes from now on.
+// Subscribe asks for changes from now on. It never blocks.
 func (w *Watch) Subscribe() {
 	select {
-	case w.wake <- struct{}{}:
-	default: // one is under way, or none is needed
+	case w.subscribed <- struct{}{}:
+	default: // a signal is pending, or none is needed
 	}
 }
 
-// Move has the watch go on at another address. What is known stays, drains above
-// all: the new address is asked for what came after it.
-func (w *Watch) Move(addr string) {
+// SetAddress continues the watch at another address. What is known is kept, drains above all:
+// the new address is asked for changes after the last revision.
+func (w *Watch) SetAddress(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if addr == w.addr {
 		return
 	}
 	w.addr = addr
-	if w.leave != nil {
-		w.leave()
+	if w.cancelStream != nil {
+		w.cancelStream()
 	}
 	select {
-	case w.moved <- struct{}{}:
+	case w.addrChanged <- struct{}{}:
 	default:
 	}
 }
 
-// pauses returns the waits between calls after failures: growing, and drawn at
-// random about their mean. A fleet of gateways started or refused together must
-// not call again together: in step, their calls would keep an overbooked discovery
-// overbooked, and fixed pauses of a second did exactly that.
-func pauses(p watch.Pace) *backoff.ExponentialBackOff {
+// newBackoff returns the exponential backoff between attempts. It has jitter since gateways
+// that were started or rejected together must not retry together: in step, their requests
+// would keep an overloaded discovery overloaded, and fixed pauses of a second did.
+func newBackoff(t watch.Timing) *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
-	b.InitialInterval, b.MaxInterval, b.RandomizationFactor = p.First, p.Most, p.Spread
+	b.InitialInterval, b.MaxInterval, b.RandomizationFactor = t.InitialBackoff, t.MaxBackoff, t.Jitter
 	b.Multiplier = 2
 	b.Reset()
 	return b
 }
 
-// Run starts from the list as last held and follows the watch until ctx ends.
+// Run publishes the last known list and then the changes until ctx ends.
 func (w *Watch) Run(ctx context.Context, known config.List) {
-	w.tell(routing.EngineListStale, w.roster.Apply(known))
-	wait := pauses(w.pace)
+	w.publish(routing.EngineListStale, w.roster.Apply(known))
+	wait := newBackoff(w.timing)
 	for ctx.Err() == nil {
-		if w.wake != nil {
+		if w.subscribed != nil {
 			select {
 			case <-ctx.Done():
 				return
-			case <-w.wake:
+			case <-w.subscribed:
 			}
 		}
-		lines, err := w.follow(ctx)
+		lines, err := w.stream(ctx)
 		if ctx.Err() != nil {
 			return
 		}
 		w.log.Warn("watch ended", "lines", lines, "cause", err)
-		if lines == 0 && w.wake == nil {
-			// An overbooked discovery refuses watches for long while it still answers
-			// short calls: the whole list holds nothing open.
-			if err := w.list(ctx); err != nil {
+		if lines == 0 && w.subscribed == nil {
+			// An overloaded discovery rejects watches for long while it still answers short
+			// requests: the complete list holds nothing open.
+			if err := w.fetchList(ctx); err != nil {
 				w.log.Warn("list failed", "cause", err)
 			}
 		}
-		if w.wake != nil {
-			w.tell(routing.EngineListFailed, nil)
+		if w.subscribed != nil {
+			w.publish(routing.EngineListFailed, nil)
 		}
 		if lines > 0 {
 			wait.Reset()
 		}
 		select {
 		case <-ctx.Done():
-		case <-w.moved:
+		case <-w.addrChanged:
 			wait.Reset()
 		case <-time.After(wait.NextBackOff()):
 		}
 	}
 }
 
-// list asks once for the whole list and tells what changed.
-func (w *Watch) list(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, w.pace.Answer)
+// fetchList requests the complete list once and publishes what has changed.
+func (w *Watch) fetchList(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, w.timing.ResponseTimeout)
 	defer cancel()
 	w.mu.Lock()
 	addr := w.addr
 	w.mu.Unlock()
 	var l config.List
-	if err := fetch.JSON(ctx, w.client, "http://"+addr+"/v1/servers", maxList, &l); err != nil {
+	if err := fetch.JSON(ctx, w.client, "http://"+addr+"/v1/servers", maxListBytes, &l); err != nil {
 		return fmt.Errorf("list: %w", err)
 	}
 	if changed := w.roster.Apply(l); len(changed) > 0 {
-		w.tell(routing.EngineListDelta, changed)
+		w.publish(routing.EngineListDelta, changed)
 	}
 	return nil
 }
 
-// follow reads one watch to its end and returns how many lists it brought.
-func (w *Watch) follow(ctx context.Context) (lines int, err error) {
+// stream reads one stream of changes to its end and returns how many lists it had.
+func (w *Watch) stream(ctx context.Context) (lines int, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	silence := time.AfterFunc(max(w.pace.Silence, w.pace.Answer), cancel)
-	defer silence.Stop()
+	idle := time.AfterFunc(max(w.timing.IdleTimeout, w.timing.ResponseTimeout), cancel)
+	defer idle.Stop()
 	w.mu.Lock()
 	addr := w.addr
-	w.leave = cancel
+	w.cancelStream = cancel
 	w.mu.Unlock()
 	url := fmt.Sprintf("http://%s/v1/servers?watch=1&after=%d", addr, w.roster.Revision())
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
@@ -270,9 +175,14 @@
 	if resp.StatusCode != http.StatusOK {
 		return 0, fmt.Errorf("watch: %w", fetch.StatusError{Code: resp.StatusCode})
 	}
-	from := &heard{from: resp.Body, silence: silence, span: w.pace.Silence}
-	for lists := jsoniter.NewDecoder(from); ; {
-		from.left = maxList
+	return w.readLists(&listReader{from: resp.Body, idle: idle, idleTimeout: w.timing.IdleTimeout})
+}
+
+// readLists publishes the changes of each list until the stream ends, and returns how many
+// lists there were.
+func (w *Watch) readLists(r *listReader) (lines int, err error) {
+	for lists := jsoniter.NewDecoder(r); ; {
+		r.remaining = maxListBytes
 		var l config.List
 		if err := lists.Decode(&l); errors.Is(err, io.EOF) {
 			return lines, io.EOF
@@ -280,29 +190,30 @@
 			return lines, fmt.Errorf("watch: %w", err)
 		}
 		lines++
-		// The roster has worked out who is gone, so changes say all there is.
+		// The roster works out which engines have left, so that a delta is complete. The first
+		// list of a stream is published even if it changes nothing.
 		if changed := w.roster.Apply(l); len(changed) > 0 || lines == 1 {
-			w.tell(routing.EngineListDelta, changed)
+			w.publish(routing.EngineListDelta, changed)
 		}
 	}
 }
 
-// heard reads a watch. All that comes, an empty line too, is a sign of life.
-type heard struct {
-	from    io.Reader
-	silence *time.Timer
-	span    time.Duration
-	left    int // bytes that the list under way may still have
+// listReader reads a stream of lists. Any bytes, an empty line too, reset the idle timeout.
+type listReader struct {
+	from        io.Reader
+	idle        *time.Timer
+	idleTimeout time.Duration
+	remaining   int // bytes that the present list may still have
 }
 
-func (h *heard) Read(p []byte) (int, error) {
-	if h.left <= 0 {
+func (r *listReader) Read(p []byte) (int, error) {
+	if r.remaining <= 0 {
 		return 0, fetch.ErrTooLong
 	}
-	n, err := h.from.Read(p[:min(len(p), h.left)])
+	n, err := r.from.Read(p[:min(len(p), r.remaining)])
 	if n > 0 {
-		h.silence.Reset(h.span)
-		h.left -= n
+		r.idle.Reset(r.idleTimeout)
+		r.remaining -= n
 	}
 	return n, err
 }
--- a/internal/rolectl/records.go
+++ b/internal/rolectl/records.go
@@ -54,7 +54,7 @@
 // the changes that are new.
 func (c *Controller) applyRecords(ctx context.Context, client *consul.Client, pairs []consul.Pair) {
 	records, overrides := c.parseRecords(pairs)
-	c.opt.Keeper.With(func(b *roster.Book, now time.Time) { b.Override(now, overrides) })
+	c.opt.Keeper.With(func(b *roster.Registry, now time.Time) { b.Override(now, overrides) })
 	c.opt.Keeper.Flush()
 	gateway := c.opt.GatewayName()
 	for _, r := range c.replaceRecords(records) {
