--- a/cmd/wellgw/operate.go
+++ b/cmd/wellgw/operate.go
@@ -84,7 +84,7 @@
 			}
 			r.Retune(names)
 		}
-		life.post(ctx, lifecycle.Retuned{Longest: next.LongestWait()}, "settings")
+		life.post(ctx, lifecycle.SettingsChanged{MaxWait: next.LongestWait()}, "settings")
 		g.log.Info("settings taken", "classes", len(set.Classes), "attempts", set.MaxAttempts)
 	}
 	if g.control != "" {
--- a/cmd/wellgw/serve.go
+++ b/cmd/wellgw/serve.go
@@ -82,7 +82,7 @@
 	clients.Log(g.log)
 	g.clients.Store(clients)
 	go logCounts(ctx, c, clients, checks, g.log)
-	ending := lifecycle.Limits{Longest: g.longest, KillKnown: g.killed, Resume: g.resume, Shared: inherited != nil}
+	ending := lifecycle.Limits{MaxWait: g.longest, KillKnown: g.killed, ClientsResume: g.resume, SharedSocket: inherited != nil}
 	life := newSupervisor(ending, clients, f, c, srv, g.depart, g.log)
 	g.operate(ctx, c, f, life, inherited != nil)
 	srv.ConnState, srv.ConnContext = clients.State, clients.ConnContext
--- a/cmd/wellgw/supervisor.go
+++ b/cmd/wellgw/supervisor.go
@@ -65,7 +65,7 @@
 	alarm := time.NewTimer(time.Hour)
 	defer alarm.Stop()
 	for s.process.State() != lifecycle.Ended {
-		if next := s.process.Next(); !next.IsZero() {
+		if next := s.process.NextTick(); !next.IsZero() {
 			alarm.Reset(time.Until(next))
 		}
 		select {
@@ -86,7 +86,7 @@
 		}
 	}
 	s.log.Info("left", "counts", s.core.Counts(ctx), "closes", s.clients.Closes())
-	if s.process.Lost() {
+	if s.process.LostListener() {
 		return errListenerLost
 	}
 	return nil
@@ -130,15 +130,15 @@
 	switch action {
 	case lifecycle.StopListening:
 		_ = s.clients.Close()
-	case lifecycle.AwaitQuiet:
+	case lifecycle.AwaitClientsIdle:
 		go s.awaitQuiet(ctx)
-	case lifecycle.AwaitIdle:
+	case lifecycle.AwaitAllDone:
 		go s.awaitIdle(ctx)
-	case lifecycle.RefuseWaiting:
+	case lifecycle.RejectWaiting:
 		go s.core.Abandon(false)
 	case lifecycle.FailWaiting:
 		go s.core.Abandon(true)
-	case lifecycle.CutStreams:
+	case lifecycle.AbortStreams:
 		go s.server.Close()
 	case lifecycle.Exit:
 	}
@@ -149,7 +149,7 @@
 	for {
 		quiet := s.core.IdleFor(ctx)
 		if quiet >= quietFor {
-			s.post(ctx, lifecycle.Quieted{}, "clients have noticed")
+			s.post(ctx, lifecycle.ClientsIdle{}, "clients have noticed")
 			return
 		}
 		select {
@@ -177,5 +177,5 @@
 	if s.clients.Wait(ctx) != nil || s.core.Drain(ctx) != nil {
 		return
 	}
-	s.post(ctx, lifecycle.Idle{}, "all has ended")
+	s.post(ctx, lifecycle.AllDone{}, "all has ended")
 }
--- a/decide/lifecycle/golden_test.go
+++ b/decide/lifecycle/golden_test.go
@@ -52,11 +52,11 @@
 	if rng.IntN(2) == 0 { // short waits, where the steps of the end share what time there is
 		longest = func() time.Duration { return time.Duration(1+rng.IntN(4000)) * time.Millisecond }
 	}
-	p := New(Limits{Longest: longest(), KillKnown: bits&1 != 0, Resume: bits&2 != 0, Shared: bits&4 != 0})
+	p := New(Limits{MaxWait: longest(), KillKnown: bits&1 != 0, ClientsResume: bits&2 != 0, SharedSocket: bits&4 != 0})
 	now := time.Duration(0)
 	for range goldenEvents {
 		kind := rng.IntN(16)
-		switch next := since(p.Next()); {
+		switch next := since(p.NextTick()); {
 		case next >= now && rng.IntN(3) == 0: // when the tick is due, to the nanosecond
 			now, kind = next, 15
 		case next > now && rng.IntN(3) == 0: // just before
@@ -70,13 +70,13 @@
 			hashNumbers(sum, int64(a))
 		}
 		s := p.Service()
-		hashNumbers(sum, int64(p.State()), number(p.Lost()), int64(since(p.Next())),
+		hashNumbers(sum, int64(p.State()), number(p.LostListener()), int64(since(p.NextTick())),
 			int64(s.State), number(s.Draining), number(s.Healthy), number(s.Reusable), number(s.Listening),
-			int64(since(s.RequestsUntil)), int64(since(s.AnswersUntil)), number(s.TakesRequest(at(now))))
+			int64(since(s.RequestDeadline)), int64(since(s.AnswerDeadline)), number(s.AcceptsRequest(at(now))))
 		for flags := range 16 {
 			opened := now - time.Duration(rng.IntN(600))*time.Millisecond
-			v, next := s.Connection(at(now), Connection{
-				Opened: at(opened), Answered: flags&1 != 0, InHand: flags&2 != 0, Begun: flags&4 != 0, Arriving: flags&8 != 0,
+			v, next := s.DecideConnection(at(now), Connection{
+				Opened: at(opened), Answered: flags&1 != 0, InFlight: flags&2 != 0, PartialRequest: flags&4 != 0, UnreadBytes: flags&8 != 0,
 			})
 			hashNumbers(sum, int64(v), int64(since(next)))
 		}
@@ -97,11 +97,11 @@
 	case 6:
 		return ListenerLost{}
 	case 7, 8:
-		return Retuned{longest()}
+		return SettingsChanged{longest()}
 	case 9, 10:
-		return Quieted{}
+		return ClientsIdle{}
 	case 11:
-		return Idle{}
+		return AllDone{}
 	}
 	return Tick{}
 }
--- a/decide/lifecycle/lifecycle_test.go
+++ b/decide/lifecycle/lifecycle_test.go
@@ -33,23 +33,23 @@
 		{2 * second, 0, 0, 1600 * time.Millisecond}, {2 * second, second, 0, 600 * time.Millisecond},
 		{2 * second, 4 * second, 0, 1600 * time.Millisecond}, {60 * second, 0, 0, 2600 * time.Millisecond},
 		{60 * second, 4 * second, 0, 2600 * time.Millisecond}, {60 * second, 0, 2 * second, 1600 * time.Millisecond},
-		{2 * second, second, 3 * second, 600 * time.Millisecond}, {300 * time.Millisecond, 0, 0, AcceptFor},
+		{2 * second, second, 3 * second, 600 * time.Millisecond}, {300 * time.Millisecond, 0, 0, AcceptGrace},
 	} {
-		p := New(Limits{Longest: c.first, KillKnown: true, Resume: true})
+		p := New(Limits{MaxWait: c.first, KillKnown: true, ClientsResume: true})
 		if c.before > 0 {
-			p.Handle(at(0), Retuned{c.before})
+			p.Handle(at(0), SettingsChanged{c.before})
 		}
 		p.Handle(at(0), Terminate{})
 		if c.after > 0 {
-			p.Handle(at(0), Retuned{c.after})
+			p.Handle(at(0), SettingsChanged{c.after})
 		}
-		if got := since(p.Next()); got != c.want {
+		if got := since(p.NextTick()); got != c.want {
 			t.Errorf("waits %v, %v, %v: refusals after %v, want %v", c.first, c.before, c.after, got, c.want)
 		}
-		kill := min(c.first, longestWait) + killAfter
+		kill := min(c.first, maxKillWait) + minKillDelay
 		for _, w := range []time.Duration{c.before, c.after} {
 			if w > 0 {
-				kill = min(kill, w+killAfter)
+				kill = min(kill, w+minKillDelay)
 			}
 		}
 		if _, end := runToEnd(t, p); end > kill-killMargin {
@@ -64,7 +64,7 @@
 		if p.State() == Ended {
 			return actions, end
 		}
-		next := p.Next()
+		next := p.NextTick()
 		if next.IsZero() {
 			t.Fatal("a process that ends waits for nothing: ", p.State())
 		}
@@ -83,11 +83,11 @@
 		stop, refuse, exit  time.Duration
 		requestsUntil, cuts time.Duration
 	}{
-		{Limits{Longest: 3 * second, KillKnown: true}, AcceptFor, 3300 * time.Millisecond, 303*second + 500*time.Millisecond, 650 * time.Millisecond, 303 * second},
-		{Limits{Longest: 3 * second}, AcceptFor, 303 * second, 303*second + 500*time.Millisecond, 650 * time.Millisecond, 303 * second},
-		{Limits{Longest: 3 * second, KillKnown: true, Resume: true}, 2600 * time.Millisecond, 2600 * time.Millisecond, 3400 * time.Millisecond, 2750 * time.Millisecond, 2900 * time.Millisecond},
-		{Limits{Longest: 3 * second, KillKnown: true, Shared: true}, 0, 3300 * time.Millisecond, 303*second + 500*time.Millisecond, 150 * time.Millisecond, 303 * second},
-		{Limits{Longest: 3 * second, KillKnown: true, Resume: true, Shared: true}, 0, 2600 * time.Millisecond, 3400 * time.Millisecond, 150 * time.Millisecond, 2900 * time.Millisecond},
+		{Limits{MaxWait: 3 * second, KillKnown: true}, AcceptGrace, 3300 * time.Millisecond, 303*second + 500*time.Millisecond, 650 * time.Millisecond, 303 * second},
+		{Limits{MaxWait: 3 * second}, AcceptGrace, 303 * second, 303*second + 500*time.Millisecond, 650 * time.Millisecond, 303 * second},
+		{Limits{MaxWait: 3 * second, KillKnown: true, ClientsResume: true}, 2600 * time.Millisecond, 2600 * time.Millisecond, 3400 * time.Millisecond, 2750 * time.Millisecond, 2900 * time.Millisecond},
+		{Limits{MaxWait: 3 * second, KillKnown: true, SharedSocket: true}, 0, 3300 * time.Millisecond, 303*second + 500*time.Millisecond, 150 * time.Millisecond, 303 * second},
+		{Limits{MaxWait: 3 * second, KillKnown: true, ClientsResume: true, SharedSocket: true}, 0, 2600 * time.Millisecond, 3400 * time.Millisecond, 150 * time.Millisecond, 2900 * time.Millisecond},
 	} {
 		p := New(c.limits)
 		first, _ := p.Handle(at(0), Terminate{})
@@ -97,16 +97,16 @@
 		}
 		var requests time.Duration
 		for p.State() != Ended {
-			next := p.Next()
+			next := p.NextTick()
 			if s := p.Service(); !s.Reusable && requests == 0 {
-				requests = since(s.RequestsUntil)
+				requests = since(s.RequestDeadline)
 			}
 			more, _ := p.Handle(next, Tick{})
 			for _, a := range more {
 				seen[a] = since(next)
 			}
 		}
-		if seen[StopListening] != c.stop || seen[RefuseWaiting] != c.refuse || seen[CutStreams] != c.cuts || seen[Exit] != c.exit || requests != c.requestsUntil {
+		if seen[StopListening] != c.stop || seen[RejectWaiting] != c.refuse || seen[AbortStreams] != c.cuts || seen[Exit] != c.exit || requests != c.requestsUntil {
 			t.Errorf("%+v: requests until %v, actions %v", c.limits, requests, seen)
 		}
 	}
@@ -114,7 +114,7 @@
 
 // What each state means for clients, and which calls have their way in it.
 func TestServiceByState(t *testing.T) {
-	limits := Limits{Longest: 3 * second, KillKnown: true, Resume: true}
+	limits := Limits{MaxWait: 3 * second, KillKnown: true, ClientsResume: true}
 	for _, c := range []struct {
 		name              string
 		shared            bool
@@ -126,31 +126,31 @@
 		accepted          bool          // of the last event
 	}{
 		{"serving", false, []Event{Tick{}}, Serving, true, true, true, -1, true},
-		{"drain", false, []Event{Drain{}}, Draining, false, false, true, DrainRequests, true},
-		{"drain again", false, []Event{Drain{}, Drain{}}, Draining, false, false, true, DrainRequests, true},
+		{"drain", false, []Event{Drain{}}, Draining, false, false, true, DrainRequestTimeout, true},
+		{"drain again", false, []Event{Drain{}, Drain{}}, Draining, false, false, true, DrainRequestTimeout, true},
 		{"active without a drain", false, []Event{Activate{}}, Serving, true, true, true, -1, true},
 		{"drain and back", false, []Event{Drain{}, Activate{}}, Serving, true, true, true, -1, true},
-		{"hand-over", true, []Event{HandOver{}}, HandedOver, false, false, false, HandOverRequests, true},
-		{"active after a hand-over", true, []Event{Drain{}, HandOver{}, Activate{}}, HandedOver, false, false, false, DrainRequests, false},
+		{"hand-over", true, []Event{HandOver{}}, HandedOver, false, false, false, HandOverRequestTimeout, true},
+		{"active after a hand-over", true, []Event{Drain{}, HandOver{}, Activate{}}, HandedOver, false, false, false, DrainRequestTimeout, false},
 		{"told to end", false, []Event{Terminate{}}, Leaving, true, true, true, -1, true},
-		{"quiet too early", false, []Event{Terminate{}, Quieted{}}, Leaving, true, true, true, -1, true},
-		{"told to end in a drain", false, []Event{Drain{}, Terminate{}}, Leaving, false, false, true, DrainRequests, true},
-		{"drain while it ends", false, []Event{Terminate{}, Drain{}}, Leaving, false, false, true, DrainRequests, true},
-		{"active while it ends", false, []Event{Drain{}, Terminate{}, Activate{}}, Leaving, false, false, true, DrainRequests, false},
-		{"told to end on a shared socket", true, []Event{Terminate{}}, Finishing, false, false, false, LateRequests, true},
-		{"told to end after a hand-over", true, []Event{HandOver{}, Terminate{}}, Finishing, false, false, false, LateRequests, true},
-		{"listener lost", false, []Event{ListenerLost{}}, Finishing, false, false, false, LateRequests, true},
-		{"all has ended", true, []Event{Terminate{}, Idle{}}, Ended, false, false, false, LateRequests, true},
-		{"idle while it serves", false, []Event{Idle{}}, Serving, true, true, true, -1, true},
+		{"quiet too early", false, []Event{Terminate{}, ClientsIdle{}}, Leaving, true, true, true, -1, true},
+		{"told to end in a drain", false, []Event{Drain{}, Terminate{}}, Leaving, false, false, true, DrainRequestTimeout, true},
+		{"drain while it ends", false, []Event{Terminate{}, Drain{}}, Leaving, false, false, true, DrainRequestTimeout, true},
+		{"active while it ends", false, []Event{Drain{}, Terminate{}, Activate{}}, Leaving, false, false, true, DrainRequestTimeout, false},
+		{"told to end on a shared socket", true, []Event{Terminate{}}, Finishing, false, false, false, ShutdownRequestTimeout, true},
+		{"told to end after a hand-over", true, []Event{HandOver{}, Terminate{}}, Finishing, false, false, false, ShutdownRequestTimeout, true},
+		{"listener lost", false, []Event{ListenerLost{}}, Finishing, false, false, false, ShutdownRequestTimeout, true},
+		{"all has ended", true, []Event{Terminate{}, AllDone{}}, Ended, false, false, false, ShutdownRequestTimeout, true},
+		{"idle while it serves", false, []Event{AllDone{}}, Serving, true, true, true, -1, true},
 	} {
-		limits.Shared = c.shared
+		limits.SharedSocket = c.shared
 		p := New(limits)
 		accepted := false
 		for _, e := range c.events {
 			_, accepted = p.Handle(at(0), e)
 		}
 		s := p.Service()
-		if s.State != c.state || s.Healthy != c.healthy || s.Reusable != c.reusable || s.Listening != c.listening || since(s.RequestsUntil) != c.requestsUntil || accepted != c.accepted {
+		if s.State != c.state || s.Healthy != c.healthy || s.Reusable != c.reusable || s.Listening != c.listening || since(s.RequestDeadline) != c.requestsUntil || accepted != c.accepted {
 			t.Errorf("%s: %+v, accepted %v", c.name, s, accepted)
 		}
 	}
@@ -158,32 +158,32 @@
 
 // What becomes of a connection in a drain.
 func TestConnectionInDrain(t *testing.T) {
-	p := New(Limits{Longest: 3 * second})
+	p := New(Limits{MaxWait: 3 * second})
 	p.Handle(at(0), Drain{})
 	s := p.Service()
 	for _, c := range []struct {
 		name string
 		now  time.Duration
 		conn Connection
-		want Verdict
+		want Decision
 		next time.Duration
 	}{
-		{"rests", 0, Connection{Opened: at(-second), Answered: true}, Shut, -1},
-		{"new", 0, Connection{Opened: at(0)}, Keep, NewConnection},
-		{"never used", 0, Connection{Opened: at(-second)}, Shut, -1},
-		{"a request arrives", 0, Connection{Opened: at(-second), Answered: true, Arriving: true}, Keep, arrivingLook},
-		{"a request arrives late", DrainRequests, Connection{Opened: at(-second), Answered: true, Arriving: true}, Shut, -1},
-		{"a request has begun", second, Connection{Opened: at(-second), Begun: true}, Keep, DrainRequests},
-		{"a request is not whole in time", DrainRequests, Connection{Opened: at(-second), Begun: true}, Refuse, -1},
-		{"an answer is under way", 4 * second, Connection{Opened: at(-second), InHand: true, Begun: true}, Keep, 303 * second},
-		{"an answer never ends", 303 * second, Connection{Opened: at(-second), InHand: true}, Cut, -1},
+		{"rests", 0, Connection{Opened: at(-second), Answered: true}, CloseIdle, -1},
+		{"new", 0, Connection{Opened: at(0)}, KeepOpen, FirstByteTimeout},
+		{"never used", 0, Connection{Opened: at(-second)}, CloseIdle, -1},
+		{"a request arrives", 0, Connection{Opened: at(-second), Answered: true, UnreadBytes: true}, KeepOpen, unreadRecheck},
+		{"a request arrives late", DrainRequestTimeout, Connection{Opened: at(-second), Answered: true, UnreadBytes: true}, CloseIdle, -1},
+		{"a request has begun", second, Connection{Opened: at(-second), PartialRequest: true}, KeepOpen, DrainRequestTimeout},
+		{"a request is not whole in time", DrainRequestTimeout, Connection{Opened: at(-second), PartialRequest: true}, RejectRequest, -1},
+		{"an answer is under way", 4 * second, Connection{Opened: at(-second), InFlight: true, PartialRequest: true}, KeepOpen, 303 * second},
+		{"an answer never ends", 303 * second, Connection{Opened: at(-second), InFlight: true}, AbortAnswer, -1},
 	} {
-		got, next := s.Connection(at(c.now), c.conn)
+		got, next := s.DecideConnection(at(c.now), c.conn)
 		if got != c.want || since(next) != c.next {
 			t.Errorf("%s: %v, next %v; want %v, %v", c.name, got, since(next), c.want, c.next)
 		}
 	}
-	if v, next := FullService().Connection(at(0), Connection{Opened: at(-second), Answered: true}); v != Keep || !next.IsZero() {
+	if v, next := FullService().DecideConnection(at(0), Connection{Opened: at(-second), Answered: true}); v != KeepOpen || !next.IsZero() {
 		t.Errorf("a process that serves: %v, %v", v, next)
 	}
 }
@@ -202,9 +202,9 @@
 		case 6:
 			return ListenerLost{}
 		case 7:
-			return Retuned{time.Duration(rapid.IntRange(50, 70_000).Draw(t, "longest ms")) * time.Millisecond}
+			return SettingsChanged{time.Duration(rapid.IntRange(50, 70_000).Draw(t, "longest ms")) * time.Millisecond}
 		case 8:
-			return Quieted{}
+			return ClientsIdle{}
 		}
 		return Tick{}
 	}).Draw(t, "event")
@@ -217,13 +217,13 @@
 func TestBoundsUnderDrawnEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{
-			Longest:   time.Duration(rapid.IntRange(50, 70_000).Draw(t, "longest ms")) * time.Millisecond,
-			KillKnown: rapid.Bool().Draw(t, "kill known"), Resume: rapid.Bool().Draw(t, "resume"), Shared: rapid.Bool().Draw(t, "shared"),
+			MaxWait:   time.Duration(rapid.IntRange(50, 70_000).Draw(t, "longest ms")) * time.Millisecond,
+			KillKnown: rapid.Bool().Draw(t, "kill known"), ClientsResume: rapid.Bool().Draw(t, "resume"), SharedSocket: rapid.Bool().Draw(t, "shared"),
 		}
 		p := New(limits)
 		now := time.Duration(0)
 		told, drained := time.Duration(-1), time.Duration(-1)
-		bound := limits.Longest + AnswerLimit + releaseFor
+		bound := limits.MaxWait + AnswerTimeout + releasePeriod
 		var actions []Action
 		for range rapid.IntRange(1, 30).Draw(t, "events") {
 			event := drawEvent(t)
@@ -231,7 +231,7 @@
 			if p.State() == Ended {
 				break
 			}
-			for next := p.Next(); !next.IsZero() && !next.After(at(now)) && p.State() != Ended; next = p.Next() {
+			for next := p.NextTick(); !next.IsZero() && !next.After(at(now)) && p.State() != Ended; next = p.NextTick() {
 				more, _ := p.Handle(next, Tick{})
 				actions = append(actions, more...)
 			}
@@ -262,11 +262,11 @@
 			if s.Draining != (drained >= 0) || s.Draining && (s.Healthy || s.Reusable) {
 				t.Fatalf("drained at %v: %+v", drained, s)
 			}
-			if s.Draining && (s.RequestsUntil.After(at(drained+DrainRequests)) || s.AnswersUntil.After(at(drained+limits.Longest+AnswerLimit))) {
+			if s.Draining && (s.RequestDeadline.After(at(drained+DrainRequestTimeout)) || s.AnswerDeadline.After(at(drained+limits.MaxWait+AnswerTimeout))) {
 				t.Fatalf("a drain's bounds have moved out: %+v", s)
 			}
-			if p.State() == Serving && !p.Next().IsZero() || p.State() >= Leaving && p.State() < Ended && p.Next().IsZero() {
-				t.Fatalf("state %v waits until %v", p.State(), p.Next())
+			if p.State() == Serving && !p.NextTick().IsZero() || p.State() >= Leaving && p.State() < Ended && p.NextTick().IsZero() {
+				t.Fatalf("state %v waits until %v", p.State(), p.NextTick())
 			}
 			checkConnections(t, s, now)
 		}
@@ -276,7 +276,7 @@
 				if actions = append(actions, more...); end > told+bound {
 					t.Fatalf("told to end at %v, ends at %v", told, end)
 				}
-				if limits.Resume && end > told+min(limits.Longest, longestWait)+killAfter {
+				if limits.ClientsResume && end > told+min(limits.MaxWait, maxKillWait)+minKillDelay {
 					t.Fatalf("told to end at %v, ends at %v, after the kill", told, end)
 				}
 			}
@@ -291,28 +291,28 @@
 	if s.Reusable {
 		return
 	}
-	if s.RequestsUntil.IsZero() || s.AnswersUntil.IsZero() {
+	if s.RequestDeadline.IsZero() || s.AnswerDeadline.IsZero() {
 		t.Fatalf("connections end without a bound: %+v", s)
 	}
 	c := Connection{
 		Opened:   at(now - time.Duration(rapid.IntRange(0, 1000).Draw(t, "age ms"))*time.Millisecond),
-		Answered: rapid.Bool().Draw(t, "answered"), InHand: rapid.Bool().Draw(t, "in hand"),
-		Begun: rapid.Bool().Draw(t, "begun"), Arriving: rapid.Bool().Draw(t, "arriving"),
+		Answered: rapid.Bool().Draw(t, "answered"), InFlight: rapid.Bool().Draw(t, "in hand"),
+		PartialRequest: rapid.Bool().Draw(t, "begun"), UnreadBytes: rapid.Bool().Draw(t, "arriving"),
 	}
-	latest := s.RequestsUntil
-	if c.InHand {
-		latest = s.AnswersUntil
+	latest := s.RequestDeadline
+	if c.InFlight {
+		latest = s.AnswerDeadline
 	}
-	if fresh := c.Opened.Add(NewConnection); latest.Before(fresh) {
+	if fresh := c.Opened.Add(FirstByteTimeout); latest.Before(fresh) {
 		latest = fresh
 	}
 	if latest.Before(at(now)) {
 		latest = at(now)
 	}
 	for moment := at(now); ; {
-		v, next := s.Connection(moment, c)
-		if v != Keep {
-			if v == Shut && (c.InHand || c.Begun) || v == Refuse && c.InHand {
+		v, next := s.DecideConnection(moment, c)
+		if v != KeepOpen {
+			if v == CloseIdle && (c.InFlight || c.PartialRequest) || v == RejectRequest && c.InFlight {
 				t.Fatalf("%+v: %v at %v", c, v, since(moment))
 			}
 			return
@@ -329,11 +329,11 @@
 func checkActions(t *rapid.T, actions []Action) {
 	var last []Action
 	for _, a := range actions {
-		if a == RefuseWaiting || a == FailWaiting || a == CutStreams || a == Exit {
+		if a == RejectWaiting || a == FailWaiting || a == AbortStreams || a == Exit {
 			last = append(last, a)
 		}
 	}
-	if want := []Action{RefuseWaiting, FailWaiting, CutStreams, Exit}; !slices.Equal(last, want) {
+	if want := []Action{RejectWaiting, FailWaiting, AbortStreams, Exit}; !slices.Equal(last, want) {
 		t.Fatalf("actions %v", last)
 	}
 }
--- a/decide/lifecycle/plan.go
+++ b/decide/lifecycle/plan.go
@@ -2,65 +2,65 @@
 
 import "time"
 
-// plan is when a process that ends takes each step. All times follow from when it was told to
+// shutdownPlan is when a process that ends takes each step. All times follow from when it was told to
 // end and from the settings.
-type plan struct {
-	acceptUntil time.Time // new clients keep coming
-	finish      time.Time // at the latest: nothing new is taken
-	refuse      time.Time // requests that wait are refused
-	fail        time.Time // what is unanswered is failed
-	cut         time.Time // streams are cut off
-	end         time.Time // the process exits
+type shutdownPlan struct {
+	acceptUntil   time.Time // new clients keep coming
+	stopAccepting time.Time // at the latest: nothing new is taken
+	rejectWaiting time.Time // requests that wait are refused
+	failWaiting   time.Time // what is unanswered is failed
+	abortStreams  time.Time // streams are cut off
+	exit          time.Time // the process exits
 }
 
-// kill is when SIGKILL may come at the earliest. It goes by the shorter of the waits at the start
+// earliestKill is when SIGKILL may come at the earliest. It goes by the shorter of the waits at the start
 // and now: the platform may not have taken the change.
-func (p *Process) kill() time.Time {
-	return p.endingAt.Add(min(p.first, p.limits.Longest, longestWait) + killAfter)
+func (p *Process) earliestKill() time.Time {
+	return p.terminatedAt.Add(min(p.initialMaxWait, p.limits.MaxWait, maxKillWait) + minKillDelay)
 }
 
-// answerLimit is how long after its connection was to end an answer may go on. It goes by the
+// answerTimeout is how long after its connection was to end an answer may go on. It goes by the
 // settings at the start, so that no later ones move the end out.
-func (p *Process) answerLimit() time.Duration { return p.first + AnswerLimit }
+func (p *Process) answerTimeout() time.Duration { return p.initialMaxWait + AnswerTimeout }
 
-func (p *Process) planEnd() plan {
-	if p.limits.Resume {
-		return p.planCut()
+func (p *Process) planShutdown() shutdownPlan {
+	if p.limits.ClientsResume {
+		return p.planAborting()
 	}
-	return p.planFinish()
+	return p.planFinishing()
 }
 
-// planCut ends a process whose clients ask for the rest of streams elsewhere: it serves on for as
+// planAborting ends a process whose clients ask for the rest of streams elsewhere: it serves on for as
 // long as it may, since the others of a rolling restart may be away, and cuts streams off early
 // enough for their clients to find another and for what engines hold to be released.
-func (p *Process) planCut() plan {
-	kill := p.kill()
-	l := plan{acceptUntil: p.endingAt.Add(AcceptFor), refuse: kill.Add(-beforeKill)}
-	if l.refuse.Before(l.acceptUntil) { // a short wait: the steps share what time there is
-		l.refuse = l.acceptUntil
+func (p *Process) planAborting() shutdownPlan {
+	kill := p.earliestKill()
+	l := shutdownPlan{acceptUntil: p.terminatedAt.Add(AcceptGrace), rejectWaiting: kill.Add(-rejectBeforeKill)}
+	if l.rejectWaiting.Before(l.acceptUntil) { // a short wait: the steps share what time there is
+		l.rejectWaiting = l.acceptUntil
 	}
 	last := kill.Add(-killMargin)
-	left := max(last.Sub(l.refuse), 0)
-	l.fail = l.refuse.Add(min(refuseFor, left*3/10))
-	l.cut = l.fail.Add(min(failFor, left/10))
-	l.end = l.cut.Add(min(releaseFor, max(last.Sub(l.cut), 0)))
-	l.finish = l.refuse
+	left := max(last.Sub(l.rejectWaiting), 0)
+	l.failWaiting = l.rejectWaiting.Add(min(rejectPeriod, left*3/10))
+	l.abortStreams = l.failWaiting.Add(min(failPeriod, left/10))
+	l.exit = l.abortStreams.Add(min(releasePeriod, max(last.Sub(l.abortStreams), 0)))
+	l.stopAccepting = l.rejectWaiting
 	return l
 }
 
-// planFinish ends a process whose streams must not be cut off while their events come: they go
-// on up to the kill, or for answerLimit where no kill comes. What has no answer by shortly before
+// planFinishing ends a process whose streams must not be cut off while their events come: they go
+// on up to the kill, or for answerTimeout where no kill comes. What has no answer by shortly before
 // a kill that is known to come is failed.
-func (p *Process) planFinish() plan {
-	l := plan{acceptUntil: p.endingAt.Add(AcceptFor), cut: p.endingAt.Add(p.answerLimit())}
-	l.finish, l.refuse = l.acceptUntil, l.cut
+func (p *Process) planFinishing() shutdownPlan {
+	l := shutdownPlan{acceptUntil: p.terminatedAt.Add(AcceptGrace), abortStreams: p.terminatedAt.Add(p.answerTimeout())}
+	l.stopAccepting, l.rejectWaiting = l.acceptUntil, l.abortStreams
 	if p.limits.KillKnown {
-		l.refuse = p.kill().Add(-lastFailures)
-		if l.refuse.Before(l.finish) {
-			l.refuse = l.finish
+		l.rejectWaiting = p.earliestKill().Add(-failBeforeKill)
+		if l.rejectWaiting.Before(l.stopAccepting) {
+			l.rejectWaiting = l.stopAccepting
 		}
 	}
-	l.fail = l.refuse
-	l.end = l.cut.Add(releaseFor)
+	l.failWaiting = l.rejectWaiting
+	l.exit = l.abortStreams.Add(releasePeriod)
 	return l
 }
--- a/decide/lifecycle/service.go
+++ b/decide/lifecycle/service.go
@@ -9,11 +9,11 @@
 	Healthy   bool // health checks may say yes
 	Reusable  bool // connections outlive their answers
 	Listening bool
-	// RequestsUntil is when a request has come to its end at the latest; one that is whole later is
-	// refused. AnswersUntil is when a connection with an answer under way is cut. The zero time
+	// RequestDeadline is when a request has come to its end at the latest; one that is whole later is
+	// refused. AnswerDeadline is when a connection with an answer under way is cut. The zero time
 	// stands for no bound. Where connections are not reusable both are set.
-	RequestsUntil time.Time
-	AnswersUntil  time.Time
+	RequestDeadline time.Time
+	AnswerDeadline  time.Time
 }
 
 // FullService is what clients get of a process that serves.
@@ -22,22 +22,22 @@
 // Service returns what clients get now.
 func (p *Process) Service() Service {
 	s := FullService()
-	s.State, s.Draining = p.State(), !p.drainedAt.IsZero()
+	s.State, s.Draining = p.State(), !p.drainingSince.IsZero()
 	if s.Draining {
 		s.Healthy = false
-		s.endConnections(p.drainedAt.Add(DrainRequests), p.drainedAt.Add(p.answerLimit()))
+		s.endConnections(p.drainingSince.Add(DrainRequestTimeout), p.drainingSince.Add(p.answerTimeout()))
 	}
-	if !p.handedAt.IsZero() {
+	if !p.handedOverAt.IsZero() {
 		s.Healthy, s.Listening = false, false
-		s.endConnections(p.handedAt.Add(HandOverRequests), p.handedAt.Add(p.answerLimit()))
+		s.endConnections(p.handedOverAt.Add(HandOverRequestTimeout), p.handedOverAt.Add(p.answerTimeout()))
 	}
 	if p.phase >= Finishing {
 		s.Healthy, s.Listening = false, false
-		requests := p.finishedAt.Add(LateRequests)
-		if p.plan.fail.Before(requests) {
-			requests = p.plan.fail
+		requests := p.finishingSince.Add(ShutdownRequestTimeout)
+		if p.shutdown.failWaiting.Before(requests) {
+			requests = p.shutdown.failWaiting
 		}
-		s.endConnections(requests, p.plan.cut)
+		s.endConnections(requests, p.shutdown.abortStreams)
 	}
 	return s
 }
@@ -45,8 +45,8 @@
 // endConnections has connections end with their answers, within bounds. The earliest hold.
 func (s *Service) endConnections(requests, answers time.Time) {
 	s.Reusable = false
-	s.RequestsUntil = earliest(s.RequestsUntil, requests)
-	s.AnswersUntil = earliest(s.AnswersUntil, answers)
+	s.RequestDeadline = earliest(s.RequestDeadline, requests)
+	s.AnswerDeadline = earliest(s.AnswerDeadline, answers)
 }
 
 // earliest returns the earlier of two times; the zero time stands for never.
@@ -57,7 +57,7 @@
 	return a
 }
 
-// TakesRequest tells whether a request that is whole now is taken.
-func (s Service) TakesRequest(now time.Time) bool {
-	return s.RequestsUntil.IsZero() || now.Before(s.RequestsUntil)
+// AcceptsRequest tells whether a request that is whole now is taken.
+func (s Service) AcceptsRequest(now time.Time) bool {
+	return s.RequestDeadline.IsZero() || now.Before(s.RequestDeadline)
 }
--- a/internal/clientconn/listener.go
+++ b/internal/clientconn/listener.go
@@ -62,7 +62,7 @@
 		l.mu.Unlock()
 		if room {
 			if !l.service.Load().Reusable {
-				l.scheduleSweep(c.opened.Add(lifecycle.NewConnection))
+				l.scheduleSweep(c.opened.Add(lifecycle.FirstByteTimeout))
 			}
 			return c, nil
 		}
--- a/internal/clientconn/listener_test.go
+++ b/internal/clientconn/listener_test.go
@@ -289,7 +289,7 @@
 func shutdown(t *testing.T, l *Listener) error {
 	_ = l.Close()
 	late := time.Now().Add(time.Minute) // no bound of the service is reached
-	l.SetService(lifecycle.Service{RequestsUntil: late, AnswersUntil: late})
+	l.SetService(lifecycle.Service{RequestDeadline: late, AnswerDeadline: late})
 	return l.Wait(t.Context())
 }
 
--- a/internal/clientconn/service.go
+++ b/internal/clientconn/service.go
@@ -8,7 +8,7 @@
 )
 
 // SetService goes by what clients get from now on: connections end, or are kept, by
-// lifecycle.Service.Connection.
+// lifecycle.Service.DecideConnection.
 func (l *Listener) SetService(s lifecycle.Service) {
 	l.service.Store(&s)
 	l.sweep()
@@ -90,49 +90,49 @@
 
 // apply does to the connection what the service says, and returns when it is due again.
 func (c *Conn) apply(s lifecycle.Service, now time.Time) (next time.Time) {
-	verdict, next := c.decide(s, now)
-	switch verdict {
-	case lifecycle.Shut:
+	decision, next := c.decide(s, now)
+	switch decision {
+	case lifecycle.CloseIdle:
 		_ = c.Close()
-	case lifecycle.Refuse:
+	case lifecycle.RejectRequest:
 		c.rejectRequest()
-	case lifecycle.Cut:
+	case lifecycle.AbortAnswer:
 		_ = c.closeNow()
 	}
 	return next
 }
 
-// decide asks the service and notes the verdict in one step, so that nothing is read in between.
-func (c *Conn) decide(s lifecycle.Service, now time.Time) (lifecycle.Verdict, time.Time) {
+// decide asks the service and notes the decision in one step, so that nothing is read in between.
+func (c *Conn) decide(s lifecycle.Service, now time.Time) (lifecycle.Decision, time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closing || c.writeClosed || c.malformed || c.requestExpired {
-		return lifecycle.Keep, time.Time{} // it is about to end by itself
+		return lifecycle.KeepOpen, time.Time{} // it is about to end by itself
 	}
 	state := lifecycle.Connection{
-		Opened: c.opened, Answered: c.answered > 0, InHand: c.frame.complete > c.answered, Begun: !c.frame.betweenRequests(),
+		Opened: c.opened, Answered: c.answered > 0, InFlight: c.frame.complete > c.answered, PartialRequest: !c.frame.betweenRequests(),
 	}
-	verdict, next := s.Connection(now, state)
-	if verdict == lifecycle.Shut {
-		state.Arriving = hasUnreadBytes(c.Conn)
-		verdict, next = s.Connection(now, state)
+	decision, next := s.DecideConnection(now, state)
+	if decision == lifecycle.CloseIdle {
+		state.UnreadBytes = hasUnreadBytes(c.Conn)
+		decision, next = s.DecideConnection(now, state)
 	}
-	switch verdict {
-	case lifecycle.Shut:
+	switch decision {
+	case lifecycle.CloseIdle:
 		c.readClosed = true
 		if c.answered == 0 {
 			c.setReason(ClosedUnused)
 		} else {
 			c.setReason(ClosedIdle)
 		}
-	case lifecycle.Refuse:
+	case lifecycle.RejectRequest:
 		c.setReason(ClosedLate)
 		c.requestExpired = true
-	case lifecycle.Cut:
+	case lifecycle.AbortAnswer:
 		c.setReason(ClosedCut)
 		c.readClosed = true
 	}
-	return verdict, next
+	return decision, next
 }
 
 // rejectRequest responds to a request that was not complete in time. For a body, Read returns the
--- a/internal/openai/front.go
+++ b/internal/openai/front.go
@@ -223,7 +223,7 @@
 	case errors.Is(err, clientconn.ErrTooBig):
 		clientconn.Reject(w, r)
 		apiError{status: http.StatusRequestEntityTooLarge, kind: typeRequest, code: codeTooBig, text: err.Error()}.send(w)
-	case err == nil && !f.service.Load().TakesRequest(time.Now()), errors.Is(err, clientconn.ErrLate):
+	case err == nil && !f.service.Load().AcceptsRequest(time.Now()), errors.Is(err, clientconn.ErrLate):
 		if err == nil {
 			free()
 		}
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -110,7 +110,7 @@
 		return
 	}
 	defer free()
-	if !f.service.Load().TakesRequest(time.Now()) {
+	if !f.service.Load().AcceptsRequest(time.Now()) {
 		f.announceClose(w, r)
 		writeAnswer(w, core.Answer{Verdict: core.Rejected})
 		return
