--- a/decide/lifecycle/process.go
+++ b/decide/lifecycle/process.go
@@ -11,58 +11,6 @@
 
 import "time"
 
-// State is what a process is doing.
-type State uint8
-
-// The states, in the order in which a process can pass through them.
-const (
-	Serving    State = iota
-	Draining         // operators send clients away; `active` ends it
-	HandedOver       // a newer process accepts the clients; what is in hand goes on
-	Leaving          // told to end; its clients have yet to notice and are served as ever
-	Finishing        // told to end; nothing new is taken, what is in hand goes on
-	Rejecting        // requests that wait are refused, so that their clients try elsewhere
-	Failing          // what is still unanswered is failed
-	Releasing        // streams are cut off; what engines hold is released
-	Ended
-)
-
-var stateNames = [...]string{
-	Serving: "serving", Draining: "draining", HandedOver: "handed over", Leaving: "leaving", Finishing: "finishing",
-	Rejecting: "refusing", Failing: "failing", Releasing: "releasing", Ended: "ended",
-}
-
-// String returns the state's name, as logs have it.
-func (s State) String() string { return stateNames[s] }
-
-// Margins of the table.
-const (
-	// DrainRequestTimeout is how long after a drain began a request may come to its end. Operators want
-	// no request carried 4 s after the call that was sent later than 2 s after it.
-	DrainRequestTimeout = 1500 * time.Millisecond
-	// HandOverRequestTimeout is the same after a hand-over: as long as any request may take to come.
-	HandOverRequestTimeout = 2500 * time.Millisecond
-	// ShutdownRequestTimeout is the same after a process that ends has stopped accepting.
-	ShutdownRequestTimeout = 150 * time.Millisecond
-	// AnswerTimeout bounds an answer that is under way when its connection is to end, beyond the
-	// longest wait for its first event.
-	AnswerTimeout = 5 * time.Minute
-	// AcceptGrace is how long after SIGTERM new clients keep coming.
-	AcceptGrace = 500 * time.Millisecond
-	// FirstByteTimeout is how long a new connection may take to bring its first byte.
-	FirstByteTimeout = 300 * time.Millisecond
-
-	minKillDelay     = 700 * time.Millisecond // SIGKILL follows SIGTERM by the longest wait, of
-	maxKillWait      = 3 * time.Second        // maxKillWait at most, and no less than this
-	rejectBeforeKill = 1100 * time.Millisecond
-	killMargin       = 100 * time.Millisecond // left unused before the kill
-	rejectPeriod     = 250 * time.Millisecond // from refusals to failures: engines may be about to answer
-	failPeriod       = 50 * time.Millisecond  // for the last answers to be written
-	releasePeriod    = 500 * time.Millisecond // for releases, the second call included
-	failBeforeKill   = 400 * time.Millisecond // before the kill, where streams go on up to it
-	unreadRecheck    = 20 * time.Millisecond  // until bytes that have arrived are looked for again
-)
-
 // Limits are what the settings say of a process's end.
 type Limits struct {
 	MaxWait       time.Duration // the longest that a client waits for its first event, by the settings in force
@@ -71,60 +19,6 @@
 	SharedSocket  bool          // another process accepts on the same socket
 }
 
-// Event is something that happens to a process.
-type Event interface{ isEvent() }
-
-// Drain says that operators send clients away.
-type Drain struct{}
-
-// Activate says that operators end the drain.
-type Activate struct{}
-
-// HandOver says that a newer process is ready.
-type HandOver struct{}
-
-// Terminate is SIGTERM.
-type Terminate struct{}
-
-// ListenerLost says that clients can't be accepted any more.
-type ListenerLost struct{}
-
-// SettingsChanged says that other settings are in force.
-type SettingsChanged struct{ MaxWait time.Duration }
-
-// ClientsIdle says that no request has come for a while: clients have noticed.
-type ClientsIdle struct{}
-
-// AllDone says that no connection is open, and nothing is in hand or owed.
-type AllDone struct{}
-
-// Tick says that the time which Next named has come.
-type Tick struct{}
-
-func (Drain) isEvent()           {}
-func (Activate) isEvent()        {}
-func (HandOver) isEvent()        {}
-func (Terminate) isEvent()       {}
-func (ListenerLost) isEvent()    {}
-func (SettingsChanged) isEvent() {}
-func (ClientsIdle) isEvent()     {}
-func (AllDone) isEvent()         {}
-func (Tick) isEvent()            {}
-
-// Action is something to be done once.
-type Action uint8
-
-// The actions.
-const (
-	StopListening    Action = iota
-	AwaitClientsIdle        // post ClientsIdle once no request has come for a while
-	AwaitAllDone            // post AllDone once that is so
-	RejectWaiting
-	FailWaiting
-	AbortStreams
-	Exit
-)
-
 // Process is the state of one process. Use New.
 type Process struct {
 	limits         Limits
--- /dev/null
+++ b/decide/lifecycle/state.go
@@ -0,0 +1,25 @@
+package lifecycle
+
+// State is what a process is doing.
+type State uint8
+
+// The states, in the order in which a process can pass through them.
+const (
+	Serving    State = iota
+	Draining         // operators send clients away; `active` ends it
+	HandedOver       // a newer process accepts the clients; what is in hand goes on
+	Leaving          // told to end; its clients have yet to notice and are served as ever
+	Finishing        // told to end; nothing new is taken, what is in hand goes on
+	Rejecting        // requests that wait are refused, so that their clients try elsewhere
+	Failing          // what is still unanswered is failed
+	Releasing        // streams are cut off; what engines hold is released
+	Ended
+)
+
+var stateNames = [...]string{
+	Serving: "serving", Draining: "draining", HandedOver: "handed over", Leaving: "leaving", Finishing: "finishing",
+	Rejecting: "refusing", Failing: "failing", Releasing: "releasing", Ended: "ended",
+}
+
+// String returns the state's name, as logs have it.
+func (s State) String() string { return stateNames[s] }
