--- a/decide/lifecycle/event.go
+++ b/decide/lifecycle/event.go
@@ -11,25 +11,27 @@
 // Activate says that operators end the drain.
 type Activate struct{}
 
-// HandOver says that a newer process is ready.
+// HandOver says that a newer process on the same socket is ready.
 type HandOver struct{}
 
-// Terminate is SIGTERM.
+// Terminate says that the process is told to end, by SIGTERM or an interrupt.
 type Terminate struct{}
 
 // ListenerLost says that clients can't be accepted any more.
 type ListenerLost struct{}
 
-// SettingsChanged says that other settings are in force.
+// SettingsChanged says that other settings are in force; see Limits.MaxWait.
 type SettingsChanged struct{ MaxWait time.Duration }
 
-// ClientsIdle says that no request has come for a while: clients have noticed.
+// ClientsIdle says that no request has come for a while: clients have noticed the shutdown. It
+// answers AwaitClientsIdle.
 type ClientsIdle struct{}
 
-// AllDone says that no connection is open, and nothing is in hand or owed.
+// AllDone says that no connection is open, no request in flight and no release owed to an engine.
+// It answers AwaitAllDone.
 type AllDone struct{}
 
-// Tick says that the time which Next named has come.
+// Tick says that the time which NextTick named has come.
 type Tick struct{}
 
 func (Drain) isEvent()           {}
@@ -42,7 +44,7 @@
 func (AllDone) isEvent()         {}
 func (Tick) isEvent()            {}
 
-// Action is something to be done once.
+// Action is something that the caller of Process.Handle has to do once.
 type Action uint8
 
 // The actions.
@@ -50,8 +52,8 @@
 	StopListening    Action = iota
 	AwaitClientsIdle        // post ClientsIdle once no request has come for a while
 	AwaitAllDone            // post AllDone once that is so
-	RejectWaiting
-	FailWaiting
-	AbortStreams
+	RejectWaiting           // reject the requests that no engine has been sent
+	FailWaiting             // fail those too whose engine may be about to answer
+	AbortStreams            // close every connection, streams included
 	Exit
 )
--- a/decide/lifecycle/lifecycle_test.go
+++ b/decide/lifecycle/lifecycle_test.go
@@ -25,7 +25,7 @@
 
 // A process ends in time for the kill by the settings in force: a reload may have made the
 // longest wait shorter. It never takes more than the first ones gave.
-func TestCutFollowsSettings(t *testing.T) {
+func TestAbortFollowsSettings(t *testing.T) {
 	for _, c := range []struct {
 		first, before, after time.Duration // waits at the start, read anew before and after SIGTERM; 0 for none
 		want                 time.Duration // from SIGTERM to the refusals that come before the cut
@@ -77,7 +77,7 @@
 
 // Only where a kill is known to come is a request given up shortly before it, and only where
 // clients ask for the rest are streams cut off for it.
-func TestEndOfRequestsAndStreams(t *testing.T) {
+func TestShutdownSteps(t *testing.T) {
 	for _, c := range []struct {
 		limits              Limits
 		stop, refuse, exit  time.Duration
@@ -133,7 +133,7 @@
 		{"hand-over", true, []Event{HandOver{}}, HandedOver, false, false, false, HandOverRequestTimeout, true},
 		{"active after a hand-over", true, []Event{Drain{}, HandOver{}, Activate{}}, HandedOver, false, false, false, DrainRequestTimeout, false},
 		{"told to end", false, []Event{Terminate{}}, Leaving, true, true, true, -1, true},
-		{"quiet too early", false, []Event{Terminate{}, ClientsIdle{}}, Leaving, true, true, true, -1, true},
+		{"clients idle too early", false, []Event{Terminate{}, ClientsIdle{}}, Leaving, true, true, true, -1, true},
 		{"told to end in a drain", false, []Event{Drain{}, Terminate{}}, Leaving, false, false, true, DrainRequestTimeout, true},
 		{"drain while it ends", false, []Event{Terminate{}, Drain{}}, Leaving, false, false, true, DrainRequestTimeout, true},
 		{"active while it ends", false, []Event{Drain{}, Terminate{}, Activate{}}, Leaving, false, false, true, DrainRequestTimeout, false},
@@ -141,18 +141,21 @@
 		{"told to end after a hand-over", true, []Event{HandOver{}, Terminate{}}, Finishing, false, false, false, ShutdownRequestTimeout, true},
 		{"listener lost", false, []Event{ListenerLost{}}, Finishing, false, false, false, ShutdownRequestTimeout, true},
 		{"all has ended", true, []Event{Terminate{}, AllDone{}}, Ended, false, false, false, ShutdownRequestTimeout, true},
-		{"idle while it serves", false, []Event{AllDone{}}, Serving, true, true, true, -1, true},
+		{"all done while it serves", false, []Event{AllDone{}}, Serving, true, true, true, -1, true},
 	} {
-		limits.SharedSocket = c.shared
-		p := New(limits)
-		accepted := false
-		for _, e := range c.events {
-			_, accepted = p.Handle(at(0), e)
-		}
-		s := p.Service()
-		if s.State != c.state || s.Healthy != c.healthy || s.Reusable != c.reusable || s.Listening != c.listening || since(s.RequestDeadline) != c.requestsUntil || accepted != c.accepted {
-			t.Errorf("%s: %+v, accepted %v", c.name, s, accepted)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			limits := limits
+			limits.SharedSocket = c.shared
+			p := New(limits)
+			accepted := false
+			for _, e := range c.events {
+				_, accepted = p.Handle(at(0), e)
+			}
+			s := p.Service()
+			if s.State != c.state || s.Healthy != c.healthy || s.Reusable != c.reusable || s.Listening != c.listening || since(s.RequestDeadline) != c.requestsUntil || accepted != c.accepted {
+				t.Errorf("%+v, accepted %v", s, accepted)
+			}
+		})
 	}
 }
 
@@ -178,10 +181,12 @@
 		{"an answer is under way", 4 * second, Connection{Opened: at(-second), InFlight: true, PartialRequest: true}, KeepOpen, 303 * second},
 		{"an answer never ends", 303 * second, Connection{Opened: at(-second), InFlight: true}, AbortAnswer, -1},
 	} {
-		got, next := s.DecideConnection(at(c.now), c.conn)
-		if got != c.want || since(next) != c.next {
-			t.Errorf("%s: %v, next %v; want %v, %v", c.name, got, since(next), c.want, c.next)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			got, next := s.DecideConnection(at(c.now), c.conn)
+			if got != c.want || since(next) != c.next {
+				t.Errorf("%v, next %v; want %v, %v", got, since(next), c.want, c.next)
+			}
+		})
 	}
 	if v, next := FullService().DecideConnection(at(0), Connection{Opened: at(-second), Answered: true}); v != KeepOpen || !next.IsZero() {
 		t.Errorf("a process that serves: %v, %v", v, next)
@@ -222,7 +227,7 @@
 		}
 		p := New(limits)
 		now := time.Duration(0)
-		told, drained := time.Duration(-1), time.Duration(-1)
+		terminated, drained := time.Duration(-1), time.Duration(-1)
 		bound := limits.MaxWait + AnswerTimeout + releasePeriod
 		var actions []Action
 		for range rapid.IntRange(1, 30).Draw(t, "events") {
@@ -241,8 +246,8 @@
 			s := p.Service()
 			switch event.(type) {
 			case Terminate, ListenerLost:
-				if told < 0 {
-					told = now
+				if terminated < 0 {
+					terminated = now
 				}
 			case Drain:
 				if drained < 0 {
@@ -270,14 +275,14 @@
 			}
 			checkConnections(t, s, now)
 		}
-		if told >= 0 {
+		if terminated >= 0 {
 			if p.State() != Ended {
 				more, end := runToEnd(t, p)
-				if actions = append(actions, more...); end > told+bound {
-					t.Fatalf("told to end at %v, ends at %v", told, end)
+				if actions = append(actions, more...); end > terminated+bound {
+					t.Fatalf("told to end at %v, ends at %v", terminated, end)
 				}
-				if limits.ClientsResume && end > told+min(limits.MaxWait, maxKillWait)+minKillDelay {
-					t.Fatalf("told to end at %v, ends at %v, after the kill", told, end)
+				if limits.ClientsResume && end > terminated+min(limits.MaxWait, maxKillWait)+minKillDelay {
+					t.Fatalf("told to end at %v, ends at %v, after the kill", terminated, end)
 				}
 			}
 			checkActions(t, actions)
--- a/decide/lifecycle/process.go
+++ b/decide/lifecycle/process.go
@@ -1,6 +1,6 @@
 // Package lifecycle decides which state a gateway's process is in and what that state means for
 // its clients: whether it is healthy, whether connections outlive their answers, until when a
-// request may come to its end and until when an answer may.
+// request may be completed and until when an answer may go on.
 //
 // A Process is the only owner of these decisions. Drains, signals, the hand-over to a newer
 // process and the loss of the listener are events of one table, in any order and repeated. Every
@@ -16,20 +16,20 @@
 	MaxWait       time.Duration // the longest that a client waits for its first event, by the settings in force
 	KillKnown     bool          // SIGKILL follows SIGTERM by the platform's clock
 	ClientsResume bool          // clients ask for the rest of a stream that is cut off
-	SharedSocket  bool          // another process accepts on the same socket
+	SharedSocket  bool          // another process may accept on the same socket
 }
 
 // Process is the state of one process. Use New.
 type Process struct {
-	limits         Limits
+	limits         Limits        // those in force; a process that ends keeps the shortest wait since
 	initialMaxWait time.Duration // Limits.MaxWait at the start
 	phase          State         // Serving, or a state from Leaving on
-	drainingSince  time.Time     // since when it drains; zero while it does not
+	drainingSince  time.Time     // zero while it does not drain
 	handedOverAt   time.Time     // zero before a hand-over
-	terminatedAt   time.Time     // Terminate or ListenerLost; zero before
-	finishingSince time.Time     // since when nothing new is taken
-	listenerLost   bool          // the listener is
-	shutdown       shutdownPlan
+	terminatedAt   time.Time     // of Terminate or ListenerLost; zero before
+	finishingSince time.Time     // since when nothing new is accepted; zero before
+	listenerLost   bool          // the loss of the listener ended it, not a signal
+	shutdown       shutdownPlan  // set from terminatedAt on
 }
 
 // New returns a process that serves.
@@ -51,19 +51,15 @@
 // LostListener tells whether the process ends because its listener was lost.
 func (p *Process) LostListener() bool { return p.listenerLost }
 
-// Handle takes an event. It returns what is to be done, and whether the event had its way: a
+// Handle decides on an event. It returns what is to be done, and whether the event was accepted: a
 // process that ends or has handed over can't be made active again.
 func (p *Process) Handle(now time.Time, event Event) (actions []Action, accepted bool) {
 	accepted = true
 	switch e := event.(type) {
 	case Drain:
-		if p.drainingSince.IsZero() {
-			p.drainingSince = now
-		}
+		p.drain(now)
 	case Activate:
-		if accepted = p.phase == Serving && p.handedOverAt.IsZero(); accepted {
-			p.drainingSince = time.Time{}
-		}
+		accepted = p.activate()
 	case HandOver:
 		actions = p.handOver(now)
 	case Terminate:
@@ -74,18 +70,28 @@
 	case SettingsChanged:
 		p.changeSettings(e.MaxWait)
 	case ClientsIdle:
-		if p.phase == Leaving && !now.Before(p.shutdown.acceptUntil) {
-			actions = p.startFinishing(now)
-		}
+		actions = p.clientsIdle(now)
 	case AllDone:
-		if p.phase >= Finishing && p.phase < Ended {
-			p.phase = Ended
-			return append(actions, Exit), accepted
-		}
+		actions = p.allDone()
 	}
 	return append(actions, p.advance(now)...), accepted
 }
 
+// drain starts a drain. One that is under way keeps the bounds of its own start.
+func (p *Process) drain(now time.Time) {
+	if p.drainingSince.IsZero() {
+		p.drainingSince = now
+	}
+}
+
+func (p *Process) activate() (accepted bool) {
+	if p.phase != Serving || !p.handedOverAt.IsZero() {
+		return false
+	}
+	p.drainingSince = time.Time{}
+	return true
+}
+
 func (p *Process) handOver(now time.Time) []Action {
 	if !p.handedOverAt.IsZero() || p.phase != Serving {
 		return nil
@@ -94,13 +100,14 @@
 	return []Action{StopListening}
 }
 
+// terminate starts the shutdown. Further signals change nothing.
 func (p *Process) terminate(now time.Time) []Action {
 	if !p.terminatedAt.IsZero() {
 		return nil
 	}
 	p.terminatedAt, p.phase = now, Leaving
 	p.shutdown = p.planShutdown()
-	if p.limits.SharedSocket || p.listenerLost { // others take the clients at once, or none can come
+	if p.limits.SharedSocket || p.listenerLost { // others accept the clients at once, or nobody can
 		return p.startFinishing(now)
 	}
 	if p.limits.ClientsResume {
@@ -109,45 +116,64 @@
 	return nil
 }
 
-// changeSettings goes by other settings. A process that ends keeps to the shortest wait that was in force
-// since: the kill may go by any of them.
-func (p *Process) changeSettings(longest time.Duration) {
+// changeSettings applies other settings. A process that ends keeps to the shortest wait that was
+// in force since: the kill may go by any of them.
+func (p *Process) changeSettings(maxWait time.Duration) {
 	if p.terminatedAt.IsZero() {
-		p.limits.MaxWait = longest
+		p.limits.MaxWait = maxWait
 		return
 	}
-	p.limits.MaxWait = min(p.limits.MaxWait, longest)
+	p.limits.MaxWait = min(p.limits.MaxWait, maxWait)
 	p.shutdown = p.planShutdown()
 }
 
+// clientsIdle ends the wait for clients to notice, but not before AcceptGrace is over.
+func (p *Process) clientsIdle(now time.Time) []Action {
+	if p.phase != Leaving || now.Before(p.shutdown.acceptUntil) {
+		return nil
+	}
+	return p.startFinishing(now)
+}
+
+// allDone ends a process at once that accepts nothing any more.
+func (p *Process) allDone() []Action {
+	if p.phase < Finishing || p.phase == Ended {
+		return nil
+	}
+	p.phase = Ended
+	return []Action{Exit}
+}
+
 func (p *Process) startFinishing(now time.Time) []Action {
 	p.phase, p.finishingSince = Finishing, now
 	return []Action{StopListening, AwaitAllDone}
 }
 
-// advance carries out what the plan has due by now.
+// advance takes the steps of the shutdown that are due by now.
 func (p *Process) advance(now time.Time) (actions []Action) {
-	if p.phase == Leaving && !now.Before(p.shutdown.stopAccepting) {
-		actions = append(actions, p.startFinishing(now)...)
-	}
-	for _, step := range []struct {
-		from, to State
-		at       time.Time
-		action   Action
-	}{
-		{Finishing, Rejecting, p.shutdown.rejectWaiting, RejectWaiting},
-		{Rejecting, Failing, p.shutdown.failWaiting, FailWaiting},
-		{Failing, Releasing, p.shutdown.abortStreams, AbortStreams},
-		{Releasing, Ended, p.shutdown.exit, Exit},
-	} {
-		if p.phase == step.from && !now.Before(step.at) {
-			p.phase = step.to
-			actions = append(actions, step.action)
+	for due := p.NextTick(); !due.IsZero() && !now.Before(due); due = p.NextTick() {
+		if p.phase == Leaving {
+			actions = append(actions, p.startFinishing(now)...)
+			continue
 		}
+		step := shutdownSteps[p.phase]
+		p.phase = step.next
+		actions = append(actions, step.action)
 	}
 	return actions
 }
 
+// shutdownSteps are what follows on the states from Finishing on.
+var shutdownSteps = map[State]struct {
+	next   State
+	action Action
+}{
+	Finishing: {Rejecting, RejectWaiting},
+	Rejecting: {Failing, FailWaiting},
+	Failing:   {Releasing, AbortStreams},
+	Releasing: {Ended, Exit},
+}
+
 // NextTick returns when a Tick is due; the zero time for never.
 func (p *Process) NextTick() time.Time {
 	switch p.phase {
--- a/decide/lifecycle/service.go
+++ b/decide/lifecycle/service.go
@@ -5,13 +5,13 @@
 // Service is what clients get of a process in its state.
 type Service struct {
 	State     State
-	Draining  bool // as well as what State says
+	Draining  bool // as well as what State says: a process that was drained may end or hand over
 	Healthy   bool // health checks may say yes
 	Reusable  bool // connections outlive their answers
 	Listening bool
-	// RequestDeadline is when a request has come to its end at the latest; one that is whole later is
-	// refused. AnswerDeadline is when a connection with an answer under way is cut. The zero time
-	// stands for no bound. Where connections are not reusable both are set.
+	// RequestDeadline is when a request has to be complete; one that is later is rejected.
+	// AnswerDeadline is when a connection with an answer under way is aborted. The zero time stands
+	// for no bound. Where connections are not reusable both are set.
 	RequestDeadline time.Time
 	AnswerDeadline  time.Time
 }
@@ -19,7 +19,7 @@
 // FullService is what clients get of a process that serves.
 func FullService() Service { return Service{Healthy: true, Reusable: true, Listening: true} }
 
-// Service returns what clients get now.
+// Service returns what clients get in the process's state.
 func (p *Process) Service() Service {
 	s := FullService()
 	s.State, s.Draining = p.State(), !p.drainingSince.IsZero()
@@ -33,20 +33,19 @@
 	}
 	if p.phase >= Finishing {
 		s.Healthy, s.Listening = false, false
-		requests := p.finishingSince.Add(ShutdownRequestTimeout)
-		if p.shutdown.failWaiting.Before(requests) {
-			requests = p.shutdown.failWaiting
-		}
-		s.endConnections(requests, p.shutdown.abortStreams)
+		s.endConnections(
+			earliest(p.finishingSince.Add(ShutdownRequestTimeout), p.shutdown.failWaiting),
+			p.shutdown.abortStreams,
+		)
 	}
 	return s
 }
 
-// endConnections has connections end with their answers, within bounds. The earliest hold.
-func (s *Service) endConnections(requests, answers time.Time) {
+// endConnections has connections end with their answers. Of several deadlines the earliest hold.
+func (s *Service) endConnections(requestDeadline, answerDeadline time.Time) {
 	s.Reusable = false
-	s.RequestDeadline = earliest(s.RequestDeadline, requests)
-	s.AnswerDeadline = earliest(s.AnswerDeadline, answers)
+	s.RequestDeadline = earliest(s.RequestDeadline, requestDeadline)
+	s.AnswerDeadline = earliest(s.AnswerDeadline, answerDeadline)
 }
 
 // earliest returns the earlier of two times; the zero time stands for never.
@@ -57,7 +56,7 @@
 	return a
 }
 
-// AcceptsRequest tells whether a request that is whole now is taken.
+// AcceptsRequest tells whether a request that is complete now is accepted.
 func (s Service) AcceptsRequest(now time.Time) bool {
 	return s.RequestDeadline.IsZero() || now.Before(s.RequestDeadline)
 }
