--- a/cmd/wellgw/main.go
+++ b/cmd/wellgw/main.go
@@ -7,25 +7,19 @@
 	"errors"
 	"fmt"
 	"os"
-	"os/signal"
 	"runtime/debug"
-	"syscall"
 
 	jsoniter "github.com/json-iterator/go"
 	"github.com/urfave/cli/v3"
 
 	"wellgw/internal/config"
-	"wellgw/internal/logging"
 )
 
 func main() {
 	app := &cli.Command{
 		Name: "wellgw", Usage: "a gateway between clients and model engines",
 		Commands: []*cli.Command{
-			{Name: "serve", Usage: "serve the platform's clients, or an operator's chat API", Action: serve, Flags: []cli.Flag{
-				&cli.StringFlag{Name: "operator", Usage: "serve the chat API that `FILE` sets up, not the platform"},
-				&cli.BoolFlag{Name: "verbose", Usage: "log every failed attempt"},
-			}},
+			serveCommand(),
 			enginesCommand(),
 			rolesCommand(),
 			peersCommand(),
@@ -42,29 +36,6 @@
 	}
 }
 
-func serve(ctx context.Context, cmd *cli.Command) error {
-	signal.Ignore(syscall.SIGPIPE, syscall.SIGXFSZ) // writes fail with EPIPE and EFBIG; nobody who reads the log, and no full disk, ends the process
-	lines := logging.NewQueue(os.Stderr)
-	defer lines.Close(lastLines)
-	log := logging.New(lines, cmd.Bool("verbose"))
-	if path := cmd.String("operator"); path != "" {
-		o, err := config.ReadOperator(path)
-		if err != nil {
-			return err
-		}
-		return chatGateway(path, o, log).run(ctx)
-	}
-	p, err := config.ReadPlatform(os.Getenv)
-	if err != nil {
-		return err
-	}
-	g, err := platformGateway(p, log)
-	if err != nil {
-		return err
-	}
-	return g.run(ctx)
-}
-
 // check reads a file as serve would. The platform's object is known by its settings.
 func check(_ context.Context, cmd *cli.Command) error {
 	path := cmd.Args().First()
--- a/cmd/wellgw/roll_test.go
+++ b/cmd/wellgw/roll_test.go
@@ -196,7 +196,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if chatGateway("", o, slog.New(slog.DiscardHandler)).killed {
+	if newChatGateway("", o, slog.New(slog.DiscardHandler)).killKnown {
 		t.Error("the chat front gives requests up by the platform's clock")
 	}
 }
--- a/cmd/wellgw/supervisor.go
+++ b/cmd/wellgw/supervisor.go
@@ -7,6 +7,7 @@
 	"log/slog"
 	"net/http"
 	"os"
+	"sync"
 	"time"
 
 	"wellgw/decide/lifecycle"
@@ -15,32 +16,34 @@
 )
 
 // supervisor owns the state of the process: it takes every event that bears on it, has
-// lifecycle.Process decide, and carries out what that says. Nothing else closes the listener,
-// has connections end or gives up requests.
+// lifecycle.Process decide, and carries out the actions that this returns. Nothing else closes the
+// listener, has connections end or gives up requests.
 type supervisor struct {
 	process *lifecycle.Process
 	clients *clientconn.Listener
 	front   front
 	core    *core.Core
 	server  *http.Server
-	depart  func() // tells the other gateways that this one is about to end; nil for none
+	leave   func() // tells the other gateways that this one is about to end; nil for none
 	log     *slog.Logger
 
-	events chan posted
-	ended  chan struct{} // closed at the end of run
+	events chan postedEvent
+	ended  chan struct{}  // closed at the end of run
+	tasks  sync.WaitGroup // goroutines of actions; wait waits for them
 }
 
-// posted is an event with its cause, for the log, and where the answer to it is wanted.
-type posted struct {
+// postedEvent is an event with its cause, for the log, and where the answer to it is wanted.
+type postedEvent struct {
 	event    lifecycle.Event
 	cause    string
-	accepted chan<- bool // nil for nobody waits
+	accepted chan<- bool // nil where nobody waits
 }
 
-func newSupervisor(limits lifecycle.Limits, clients *clientconn.Listener, f front, c *core.Core, server *http.Server, depart func(), log *slog.Logger) *supervisor {
+func newSupervisor(s *server, limits lifecycle.Limits) *supervisor {
 	return &supervisor{
-		process: lifecycle.New(limits), clients: clients, front: f, core: c, server: server, depart: depart, log: log,
-		events: make(chan posted), ended: make(chan struct{}),
+		process: lifecycle.New(limits), clients: s.clients, front: s.front, core: s.core, server: s.httpServer,
+		leave: s.directory.leave, log: s.log,
+		events: make(chan postedEvent), ended: make(chan struct{}),
 	}
 }
 
@@ -48,7 +51,7 @@
 func (s *supervisor) post(ctx context.Context, event lifecycle.Event, cause string) bool {
 	accepted := make(chan bool, 1)
 	select {
-	case s.events <- posted{event, cause, accepted}:
+	case s.events <- postedEvent{event, cause, accepted}:
 		return <-accepted
 	case <-s.ended:
 	case <-ctx.Done():
@@ -58,31 +61,28 @@
 
 var errListenerLost = errors.New("clients can't be accepted any more")
 
-// run decides on events until the process has ended. term brings signals that tell it to, failed
-// the error with which the server stopped accepting.
-func (s *supervisor) run(ctx context.Context, term <-chan os.Signal, failed <-chan error) error {
+// run decides on events until the process has ended. terminate brings signals that tell it to,
+// failed the error with which the server stopped accepting.
+func (s *supervisor) run(ctx context.Context, terminate <-chan os.Signal, failed <-chan error) error {
 	defer close(s.ended)
-	alarm := time.NewTimer(time.Hour)
-	defer alarm.Stop()
+	tick := time.NewTimer(time.Hour) // reset before its first use
+	defer tick.Stop()
 	for s.process.State() != lifecycle.Ended {
 		if next := s.process.NextTick(); !next.IsZero() {
-			alarm.Reset(time.Until(next))
+			tick.Reset(time.Until(next))
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case p := <-s.events:
 			s.handle(ctx, p)
-		case sig := <-term:
-			s.handle(ctx, posted{event: lifecycle.Terminate{}, cause: sig.String()})
+		case sig := <-terminate:
+			s.handle(ctx, postedEvent{event: lifecycle.Terminate{}, cause: sig.String()})
 		case err := <-failed:
 			failed = nil // there is one such error at most
-			if s.process.Service().Listening {
-				s.log.Error("listener lost", "cause", err)
-				s.handle(ctx, posted{event: lifecycle.ListenerLost{}, cause: fmt.Sprint("listener lost: ", err)})
-			}
-		case <-alarm.C:
-			s.handle(ctx, posted{event: lifecycle.Tick{}, cause: "time"})
+			s.handleServeError(ctx, err)
+		case <-tick.C:
+			s.handle(ctx, postedEvent{event: lifecycle.Tick{}, cause: "time"})
 		}
 	}
 	s.log.Info("left", "counts", s.core.Counts(ctx), "closes", s.clients.Closes())
@@ -92,8 +92,18 @@
 	return nil
 }
 
+// handleServeError takes the error that ended accepting. It is expected where the process has
+// stopped listening by itself.
+func (s *supervisor) handleServeError(ctx context.Context, err error) {
+	if !s.process.Service().Listening {
+		return
+	}
+	s.log.Error("listener lost", "cause", err)
+	s.handle(ctx, postedEvent{event: lifecycle.ListenerLost{}, cause: fmt.Sprint("listener lost: ", err)})
+}
+
 // handle has the process decide on one event, and carries the decision out.
-func (s *supervisor) handle(ctx context.Context, p posted) {
+func (s *supervisor) handle(ctx context.Context, p postedEvent) {
 	before := s.process.Service()
 	actions, accepted := s.process.Handle(time.Now(), p.event)
 	after := s.process.Service()
@@ -106,49 +116,63 @@
 		p.accepted <- accepted
 	}
 	for _, action := range actions {
-		s.act(ctx, action)
+		s.execute(ctx, action)
 	}
-	if before.State < lifecycle.Leaving && after.State >= lifecycle.Leaving && s.depart != nil {
-		s.depart()
+	if terminates(before, after) && s.leave != nil {
+		s.leave()
 	}
 }
 
-// logChange writes a change of state and its cause.
+// terminates tells whether the process was told to end between two states of its service.
+func terminates(before, after lifecycle.Service) bool {
+	return before.State < lifecycle.Leaving && after.State >= lifecycle.Leaving
+}
+
+// logChange logs a change of state and its cause.
 func (s *supervisor) logChange(before, after lifecycle.Service, cause string) {
 	s.log.Info("state", "from", before.State, "to", after.State, "cause", cause, "draining", after.Draining,
 		"healthy", after.Healthy, "listening", after.Listening, "reusable", after.Reusable)
 	switch {
-	case before.State < lifecycle.Leaving && after.State >= lifecycle.Leaving:
+	case terminates(before, after):
 		s.log.Info("leaving")
 	case before.State < lifecycle.Releasing && after.State == lifecycle.Releasing:
 		s.log.Warn("time is up")
 	}
 }
 
-// act carries out one action. None of them waits.
-func (s *supervisor) act(ctx context.Context, action lifecycle.Action) {
+// execute carries out one action. None of them waits: what may block runs in a task, so that
+// events are decided on meanwhile.
+func (s *supervisor) execute(ctx context.Context, action lifecycle.Action) {
 	switch action {
 	case lifecycle.StopListening:
 		_ = s.clients.Close()
 	case lifecycle.AwaitClientsIdle:
-		go s.awaitQuiet(ctx)
+		s.tasks.Go(func() { s.awaitClientsIdle(ctx) })
 	case lifecycle.AwaitAllDone:
-		go s.awaitIdle(ctx)
+		s.tasks.Go(func() { s.awaitAllDone(ctx) })
 	case lifecycle.RejectWaiting:
-		go s.core.Abandon(false)
+		s.tasks.Go(func() { s.core.Abandon(false) })
 	case lifecycle.FailWaiting:
-		go s.core.Abandon(true)
+		s.tasks.Go(func() { s.core.Abandon(true) })
 	case lifecycle.AbortStreams:
-		go s.server.Close()
-	case lifecycle.Exit:
+		s.tasks.Go(func() { _ = s.server.Close() })
+	case lifecycle.Exit: // run ends by the state
 	}
 }
 
-// awaitQuiet tells once no request has come, and none has been in hand, for quietFor.
-func (s *supervisor) awaitQuiet(ctx context.Context) {
+// wait waits for the tasks. Each of them ends with the context of run, with run or with the core.
+func (s *supervisor) wait() { s.tasks.Wait() }
+
+// clientsIdlePeriod is how long no request must have come for clients to have noticed the
+// shutdown.
+const clientsIdlePeriod = time.Second
+
+// awaitClientsIdle posts ClientsIdle once no request has come, and none has been in flight, for
+// clientsIdlePeriod.
+func (s *supervisor) awaitClientsIdle(ctx context.Context) {
 	for {
-		quiet := s.core.IdleFor(ctx)
-		if quiet >= quietFor {
+		idle := s.core.IdleFor(ctx)
+		if idle >= clientsIdlePeriod {
 			s.post(ctx, lifecycle.ClientsIdle{}, "clients have noticed")
 			return
 		}
@@ -157,17 +181,17 @@
 			return
 		case <-s.ended:
 			return
-		case <-time.After(quietFor - quiet):
+		case <-time.After(clientsIdlePeriod - idle):
 		}
 	}
 }
 
-// awaitIdle tells once all connections have ended, and then all requests and releases. The state
-// that began the wait bounds it.
-func (s *supervisor) awaitIdle(ctx context.Context) {
+// awaitAllDone posts AllDone once all connections have ended, and then all requests and releases.
+// The state that began the wait bounds it.
+func (s *supervisor) awaitAllDone(ctx context.Context) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	go func() {
+	go func() { // ends with this function, by stop
 		select {
 		case <-s.ended:
 			stop()
--- a/cmd/wellgw/tier.go
+++ b/cmd/wellgw/tier.go
@@ -13,8 +13,8 @@
 	"wellgw/internal/peers"
 )
 
-// join opens what gateways tell each other by, if the file says so.
-func (s *sources) join(o *config.Operator) error {
+// openPeers opens what gateways tell each other by, if the file says so.
+func (s *engineSources) openPeers(o *config.Operator) error {
 	if o.Peers == nil {
 		return nil
 	}
@@ -31,27 +31,23 @@
 		Plain: o.Peers.Protocol == 1, Interval: interval, Timeout: timeout, DeadAfter: dead, Event: event,
 		Listen: o.Peers.Listen, Advertise: o.Peers.Advertise, Name: o.Peers.Name, Tier: o.Peers.Tier, Join: o.Peers.Join, Keys: ring,
 		IncarnationFile: o.Peers.IncarnationFile, Expect: o.Gateways, Log: s.log.With("part", "peers"),
-		Changed: func(v membership.View) { s.share(v.Sharing) },
+		Changed: func(v membership.View) { s.setSharing(v.Sharing) },
 	})
-	if err != nil {
-		return err
-	}
-	s.depart = s.peers.Leave
-	return nil
+	return err
 }
 
 // The platform prices what gateways tell each other: they probe less often there than on
 // machines of the operators' own.
 const (
-	platformProbes = 500 * time.Millisecond
-	platformAnswer = 300 * time.Millisecond
-	platformDead   = 6 * time.Second
+	platformProbeInterval = 500 * time.Millisecond
+	platformProbeTimeout  = 300 * time.Millisecond
+	platformDeadAfter     = 6 * time.Second
 )
 
-// platformTier opens what the platform's gateways tell each other by; nil where they may not,
+// newPlatformTier opens what the platform's gateways tell each other by; nil where they may not,
 // or are not set up to. Each of them knows the others by addresses of its own, so in messages
 // a gateway goes by its number: "0.0.0.0:3".
-func platformTier(p *config.Platform, c *core.Core, log *slog.Logger) (*peers.Peers, error) {
+func newPlatformTier(p *config.Platform, c *core.Core, log *slog.Logger) (*peers.Peers, error) {
 	if !p.Talk() {
 		return nil, nil
 	}
@@ -62,7 +58,7 @@
 	const numbered = "0.0.0.0:"
 	opt := peers.Options{
 		Listen: p.PeerListen, Advertise: numbered + strconv.Itoa(p.Options.Me), Name: p.Name, Tier: "platform", Keys: ring,
-		Interval: platformProbes, Timeout: platformAnswer, DeadAfter: platformDead, Expect: len(p.Peers), Log: log.With("part", "peers"),
+		Interval: platformProbeInterval, Timeout: platformProbeTimeout, DeadAfter: platformDeadAfter, Expect: len(p.Peers), Log: log.With("part", "peers"),
 		Changed: func(v membership.View) { c.SetGateways(min(v.Sharing, max(p.Options.Balancers, 1))) },
 		Route: func(addr string) string {
 			if n, err := strconv.Atoi(strings.TrimPrefix(addr, numbered)); err == nil && n >= 0 && n < len(p.Peers) {
