--- a/cmd/wellgw/moments_test.go
+++ b/cmd/wellgw/moments_test.go
@@ -26,7 +26,7 @@
 		"known":{"revision":1,"complete":true,"members":[
 			{"id":"r1","host_port":%q,"locality":"a","flavor":"r","phase":"active"},
 			{"id":"w1","host_port":%q,"locality":"a","flavor":"w","phase":"active"}]}}`,
-		name, discovery, testSettings, reader.Addr, writer.Addr))
+		name, discovery, settings, reader.Addr, writer.Addr))
 }
 
 // A process that starts is ready by the list as last held, whatever discovery does, and
