--- a/cmd/wellgw/engines.go
+++ b/cmd/wellgw/engines.go
@@ -31,9 +31,9 @@
 	}
 }
 
-// show asks the gateway that a command names for a page and prints it, as JSON if that
-// is wanted.
-func show[T any](ctx context.Context, cmd *cli.Command, path string, print func(io.Writer, T)) error {
+// printPage asks the gateway that a command names for an admin page and prints it by render, or as
+// JSON with --json.
+func printPage[T any](ctx context.Context, cmd *cli.Command, path string, render func(io.Writer, T)) error {
 	addr, err := adminAddress(cmd)
 	if err != nil {
 		return err
@@ -48,11 +48,11 @@
 		e.SetIndent("", "  ")
 		return e.Encode(page)
 	}
-	print(w, page)
+	render(w, page)
 	return nil
 }
 
-// adminAddress returns where the admin listener is that a command names.
+// adminAddress returns the address of the admin listener that a command names.
 func adminAddress(cmd *cli.Command) (string, error) {
 	addr := cmd.String("admin")
 	if path := cmd.Args().First(); addr == "" && path != "" {
@@ -72,41 +72,41 @@
 }
 
 func engines(ctx context.Context, cmd *cli.Command) error {
-	return show(ctx, cmd, admin.EnginesPath, func(w io.Writer, v admin.View) { printView(w, v, cmd.Bool("out")) })
+	return printPage(ctx, cmd, admin.EnginesPath, func(w io.Writer, v admin.View) { printEngines(w, v, cmd.Bool("out")) })
 }
 
-// newTable returns a table that is printed to w.
-func newTable(w io.Writer, head ...any) table.Writer {
+// newTable returns a table that is written to w when it is rendered.
+func newTable(w io.Writer, header ...any) table.Writer {
 	t := table.NewWriter()
 	t.SetOutputMirror(w)
 	t.SetStyle(table.StyleLight)
-	t.AppendHeader(head)
+	t.AppendHeader(header)
 	return t
 }
 
-func printView(w io.Writer, v admin.View, outOnly bool) {
+func printEngines(w io.Writer, v admin.View, outOnly bool) {
 	t := newTable(w, "engine", "address", "role", "zone", "cell", "state", "sure", "seen", "up", "sources", "why")
-	in := 0
+	inService := 0
 	for _, e := range v.Engines {
 		if e.State == "in" {
-			in++
+			inService++
 		}
 		if outOnly && e.State == "in" && e.Confidence == "confirmed" {
 			continue
 		}
-		t.AppendRow(table.Row{e.ID, e.Address, e.Role, e.Zone, e.Cell, e.State, e.Confidence, span(e.AgeMS), span(e.UpMS), sourceList(e.Sources), e.Why})
+		t.AppendRow(table.Row{e.ID, e.Address, e.Role, e.Zone, e.Cell, e.State, e.Confidence, formatMillis(e.AgeMS), formatMillis(e.UpMS), sourceList(e.Sources), e.Why})
 	}
 	t.Render()
-	s := newTable(w, "source", "engines", "index", "believed", "in doubt")
+	sources := newTable(w, "source", "engines", "index", "believed", "in doubt")
 	for _, src := range v.Sources {
 		doubt := ""
 		if src.Doubt != "" {
-			doubt = src.Doubt + " for " + span(src.DoubtMS)
+			doubt = src.Doubt + " for " + formatMillis(src.DoubtMS)
 		}
-		s.AppendRow(table.Row{src.Source, src.Engines, src.Index, span(src.AgeMS) + " ago", doubt})
+		sources.AppendRow(table.Row{src.Source, src.Engines, src.Index, formatMillis(src.AgeMS) + " ago", doubt})
 	}
-	s.Render()
-	fmt.Fprintf(w, "%d of %d engines take new work; %d gateways share them\n", in, len(v.Engines), v.Gateways)
+	sources.Render()
+	fmt.Fprintf(w, "%d of %d engines take new work; %d gateways share them\n", inService, len(v.Engines), v.Gateways)
 	if v.Consul.Agent != "" {
 		fmt.Fprintf(w, "Consul agent %s: %d queries, %d failed, %d without news, %.1f MB\n",
 			v.Consul.Agent, v.Consul.Queries, v.Consul.Failed, v.Consul.Unchanged, float64(v.Consul.Bytes)/1e6)
@@ -120,8 +120,8 @@
 	return fmt.Sprintf("%d sources", len(list))
 }
 
-// span words a time in milliseconds; 0 is one that nobody knows.
-func span(ms int64) string {
+// formatMillis formats a duration in milliseconds; 0 is one that is unknown.
+func formatMillis(ms int64) string {
 	if ms <= 0 {
 		return "-"
 	}
--- a/cmd/wellgw/peers.go
+++ b/cmd/wellgw/peers.go
@@ -19,15 +19,15 @@
 		Name: "peers", Usage: "print the gateways of the tier as a running gateway now sees them",
 		ArgsUsage: "[OPERATOR-FILE]", Flags: adminFlags(),
 		Action: func(ctx context.Context, cmd *cli.Command) error {
-			return show(ctx, cmd, admin.PeersPath, printPeers)
+			return printPage(ctx, cmd, admin.PeersPath, printPeers)
 		},
 	}
 }
 
 func printPeers(w io.Writer, s peers.Status) {
-	t := newTable(w, "gateway", "address", "standing", "since", "incarnation", "heard", "round trip", "remarks")
+	gateways := newTable(w, "gateway", "address", "standing", "since", "incarnation", "heard", "round trip", "remarks")
 	v := s.View
-	t.AppendRow(table.Row{s.Name + " (this one)", s.Listen, v.Self.Status, "", v.Self.Incarnation, "", "", ""})
+	gateways.AppendRow(table.Row{s.Name + " (this one)", s.Listen, v.Self.Status, "", v.Self.Incarnation, "", "", ""})
 	for _, g := range v.Others {
 		remarks := ""
 		if g.Status == membership.Suspect {
@@ -39,9 +39,9 @@
 		if !g.Steady {
 			remarks += "comes and goes "
 		}
-		t.AppendRow(table.Row{g.ID, g.Addr, g.Status, ago(s.Clock, g.Since), g.Incarnation, ago(s.Clock, g.Heard), g.RTT.Round(10 * time.Microsecond), remarks})
+		gateways.AppendRow(table.Row{g.ID, g.Addr, g.Status, formatAgo(s.Clock, g.Since), g.Incarnation, formatAgo(s.Clock, g.Heard), g.RTT.Round(10 * time.Microsecond), remarks})
 	}
-	t.Render()
+	gateways.Render()
 	fmt.Fprintf(w, "tier %s, view %d/%016x, key %s; %d gateways share the engines\n", s.Tier, v.Epoch, v.Digest, s.Key, v.Sharing)
 	if v.Minority {
 		fmt.Fprintln(w, "a minority: those in reach are not more than half of all that may be there")
@@ -59,6 +59,7 @@
 		v.Stats.Probes, v.Stats.Unanswered, v.Stats.Helped, v.Stats.Suspected, v.Stats.Refuted, v.Stats.Died, v.Stats.Pauses)
 }
 
-func ago(clock, at time.Duration) string {
-	return (clock - at).Round(100*time.Millisecond).String() + " ago"
+// formatAgo is how long before now something was, both by the clock of the gateway that was asked.
+func formatAgo(now, at time.Duration) string {
+	return (now - at).Round(100*time.Millisecond).String() + " ago"
 }
--- a/cmd/wellgw/roles.go
+++ b/cmd/wellgw/roles.go
@@ -19,7 +19,7 @@
 		ArgsUsage: "[OPERATOR-FILE]",
 		Flags:     adminFlags(),
 		Action: func(ctx context.Context, cmd *cli.Command) error {
-			return show(ctx, cmd, admin.RolesPath, func(w io.Writer, s rolectl.Status) { printRoles(w, s, time.Now()) })
+			return printPage(ctx, cmd, admin.RolesPath, func(w io.Writer, s rolectl.Status) { printRoles(w, s, time.Now()) })
 		},
 	}
 }
@@ -41,18 +41,18 @@
 	} else {
 		fmt.Fprintln(w, "the plan is its owner's to tell")
 	}
-	t := newTable(w, "engine", "from", "to", "step", "for", "begun", "owner", "fence", "why")
+	changes := newTable(w, "engine", "from", "to", "step", "for", "begun", "owner", "fence", "why")
 	for _, r := range s.Changes {
-		t.AppendRow(table.Row{r.Engine, r.From, r.To, r.Step, now.Sub(r.Since).Round(time.Second), ago(r.Begun), r.Owner, r.Fence, r.Why})
+		changes.AppendRow(table.Row{r.Engine, r.From, r.To, r.Step, now.Sub(r.Since).Round(time.Second), ago(r.Begun), r.Owner, r.Fence, r.Why})
 	}
-	t.Render()
-	e := newTable(w, "when", "engine", "to", "what", "why")
-	for _, x := range s.Ends {
-		what := string(x.Outcome)
+	changes.Render()
+	history := newTable(w, "when", "engine", "to", "what", "why")
+	for _, end := range s.Ends {
+		what := string(end.Outcome)
 		if what == "" {
 			what = "begun"
 		}
-		e.AppendRow(table.Row{ago(x.At), x.Engine, x.To, what, x.Why})
+		history.AppendRow(table.Row{ago(end.At), end.Engine, end.To, what, end.Why})
 	}
-	e.Render()
+	history.Render()
 }
