--- a/cmd/wellgw/chatgateway.go
+++ b/cmd/wellgw/chatgateway.go
@@ -30,7 +30,7 @@
 	path    string
 	started *config.Operator                // the file at the start; what needs a restart is held against it
 	current atomic.Pointer[config.Operator] // the file as last read
-	keys    *idempotency.Store             // set by newDirectory
+	keys    *idempotency.Store              // set by newDirectory
 	sources *engineSources                  // set by newDirectory
 	front   atomic.Pointer[openai.Front]    // set by newFront; others may ask before
 }
--- a/cmd/wellgw/enginesources.go
+++ b/cmd/wellgw/enginesources.go
@@ -87,7 +87,7 @@
 	if s.admin, err = accept.Listen(context.Background(), "tcp", o.Admin.Listen, s.log); err != nil {
 		return fmt.Errorf("admin.listen: %w", err)
 	}
-	s.log.Info("admin", "listen", s.admin.Addr().String())
+	s.log.Info("admin listener open", "listen", s.admin.Addr().String())
 	return nil
 }
 
@@ -180,7 +180,7 @@
 	last, done := context.WithTimeout(context.WithoutCancel(ctx), traceFlushTimeout)
 	defer done()
 	if err := s.tracer.Close(last); err != nil {
-		s.log.Warn("the last spans are not written", "cause", err)
+		s.log.Warn("trace flush failed", "cause", err)
 	}
 }
 
--- a/cmd/wellgw/faults_test.go
+++ b/cmd/wellgw/faults_test.go
@@ -276,7 +276,7 @@
 			for n, call := range c.calls {
 				if call == "SIGTERM" {
 					d.cmd.Process.Signal(syscall.SIGTERM)
-					enginetest.Eventually(t, "it is leaving", func() bool { return len(d.lines.with("leaving")) > 0 })
+					enginetest.Eventually(t, "it is leaving", func() bool { return len(d.lines.with("shutdown started")) > 0 })
 					continue
 				}
 				if a := dial(t, d.control, call); a != c.want[n] {
--- a/cmd/wellgw/harness_test.go
+++ b/cmd/wellgw/harness_test.go
@@ -24,7 +24,7 @@
 
 var listening = regexp.MustCompile(`"listen":"([^"]+)","message":"serving"`)
 
-var adminListening = regexp.MustCompile(`"listen":"([^"]+)","message":"admin"`)
+var adminListening = regexp.MustCompile(`"listen":"([^"]+)","message":"admin listener open"`)
 
 // serving starts the program and waits until it says where it listens.
 func serving(t *testing.T, env []string, args ...string) (*exec.Cmd, string) {
@@ -130,7 +130,7 @@
 	"limits":{"send_cap":4,"cancelling":true,"conn_idle":15000000,"connect_timeout":1000000},
 	"rules":{"answer_slack":16000,"fall":3000000,"fall_multiple":4,"cold_share":0.3,"cold":1000000}}`
 
-var calling = regexp.MustCompile(`"control":"([^"]+)","message":"calls taken"`)
+var calling = regexp.MustCompile(`"control":"([^"]+)","message":"control listener open"`)
 
 // dial makes one operator's call and returns the answer's line.
 func dial(t *testing.T, addr, line string) string {
@@ -170,7 +170,7 @@
 		}
 	}
 	if control == "" {
-		t.Fatal("no call line")
+		t.Fatal("no control listener")
 	}
 	done := make(chan struct{})
 	go func() {
--- a/cmd/wellgw/operatorcontrol.go
+++ b/cmd/wellgw/operatorcontrol.go
@@ -49,10 +49,10 @@
 	handler.Store = ejectionfile.Open(os.TempDir(), s.name)
 	var err error
 	if handler.Process, err = handler.Store.Claim(wallclock.Now(), os.Getpid()); err != nil {
-		s.log.Warn("the start is not written down; a process started later may not be seen to be newer", "cause", err)
+		s.log.Warn("process start not recorded; a process started later may not be recognized as newer", "cause", err)
 	}
 	if s.sharedSocket {
-		handler.OnSuccessorReady = func() { s.supervisor.post(ctx, lifecycle.HandOver{}, "a newer version serves") }
+		handler.OnSuccessorReady = func() { s.supervisor.post(ctx, lifecycle.HandOver{}, "successor ready") }
 	}
 	handler.Load()
 	go handler.Watch(ctx)
@@ -70,12 +70,12 @@
 	for delay := minControlRetry; ctx.Err() == nil; delay = min(2*delay, maxControlRetry) {
 		l, err := accept.Listen(ctx, "tcp4", s.control, s.log)
 		if err == nil {
-			s.log.Info("calls taken", "control", l.Addr().String())
+			s.log.Info("control listener open", "control", l.Addr().String())
 			delay = minControlRetry
 			err = control.Serve(ctx, accept.New(l, s.log), handler.HandleCommand, s.log)
 		}
 		if err != nil {
-			s.log.Error("no call line; opened again", "control", s.control, "cause", err)
+			s.log.Error("control listener failed, retrying", "control", s.control, "cause", err)
 		}
 		pause.Sleep(ctx, delay)
 	}
--- a/cmd/wellgw/platformgateway.go
+++ b/cmd/wellgw/platformgateway.go
@@ -112,12 +112,12 @@
 // whether they can be used.
 func (f *platformGateway) applySettings(ctx context.Context, set routing.Settings, process *supervisor) {
 	if err := f.core.Reconfigure(ctx, set); err != nil {
-		f.gateway.log.Error("settings not taken, the old ones stay", "cause", err)
+		f.gateway.log.Error("settings rejected, keeping previous", "cause", err)
 		return
 	}
 	f.front.Retune(classNames(set.Classes))
 	process.post(ctx, lifecycle.SettingsChanged{MaxWait: f.config.LongestWait()}, "settings")
-	f.gateway.log.Info("settings taken", "classes", len(set.Classes), "attempts", set.MaxAttempts)
+	f.gateway.log.Info("settings applied", "classes", len(set.Classes), "attempts", set.MaxAttempts)
 }
 
 func classNames(classes []routing.Class) []string {
--- a/cmd/wellgw/signals.go
+++ b/cmd/wellgw/signals.go
@@ -36,9 +36,9 @@
 		case <-reload:
 		}
 		if err := s.directory.reload(ctx, s.supervisor); err != nil {
-			s.log.Error("not reloaded, the old configuration stays", "cause", err)
+			s.log.Error("configuration reload failed, keeping previous", "cause", err)
 			continue
 		}
-		s.log.Info("reloaded")
+		s.log.Info("configuration reloaded")
 	}
 }
--- a/cmd/wellgw/supervisor.go
+++ b/cmd/wellgw/supervisor.go
@@ -85,7 +85,7 @@
 			s.handle(ctx, postedEvent{event: lifecycle.Tick{}, cause: "time"})
 		}
 	}
-	s.log.Info("left", "counts", s.core.Counts(ctx), "closes", s.clients.Closes())
+	s.log.Info("shutdown complete", "counts", s.core.Counts(ctx), "closes", s.clients.Closes())
 	if s.process.LostListener() {
 		return errListenerLost
 	}
@@ -134,9 +134,9 @@
 		"healthy", after.Healthy, "listening", after.Listening, "reusable", after.Reusable)
 	switch {
 	case terminates(before, after):
-		s.log.Info("leaving")
+		s.log.Info("shutdown started")
 	case before.State < lifecycle.Releasing && after.State == lifecycle.Releasing:
-		s.log.Warn("time is up")
+		s.log.Warn("shutdown deadline exceeded")
 	}
 }
 
@@ -173,7 +173,7 @@
 	for {
 		idle := s.core.IdleFor(ctx)
 		if idle >= clientsIdlePeriod {
-			s.post(ctx, lifecycle.ClientsIdle{}, "clients have noticed")
+			s.post(ctx, lifecycle.ClientsIdle{}, "clients idle")
 			return
 		}
 		select {
@@ -201,5 +201,5 @@
 	if s.clients.Wait(ctx) != nil || s.core.Drain(ctx) != nil {
 		return
 	}
-	s.post(ctx, lifecycle.AllDone{}, "all has ended")
+	s.post(ctx, lifecycle.AllDone{}, "all done")
 }
--- a/experiments/gateway/gateway.go
+++ b/experiments/gateway/gateway.go
@@ -104,7 +104,7 @@
 			case "serving":
 				g.Addr = l.Text("listen")
 				once()
-			case "admin":
+			case "admin listener open":
 				g.Admin = l.Text("listen")
 			}
 			g.mu.Unlock()
--- a/experiments/soak/process.go
+++ b/experiments/soak/process.go
@@ -141,7 +141,7 @@
 		switch {
 		case line.Message == "serving":
 			p.serving = line.Listen
-		case line.Message == "calls taken":
+		case line.Message == "control listener open":
 			p.control = line.Control
 		case strings.Contains(line.Message, "invariant"):
 			p.broken = scan.Text()
