--- a/cmd/wellgw/drain_test.go
+++ b/cmd/wellgw/drain_test.go
@@ -27,8 +27,8 @@
 // drainClients is how many clients a drained gateway serves.
 const drainClients = 24
 
-// drained is a gateway with one prefill and one decode engine that takes operators' calls.
-type drained struct {
+// testGateway is a gateway with one prefill and one decode engine that takes operators' commands.
+type testGateway struct {
 	t       *testing.T
 	cmd     *exec.Cmd
 	addr    string
@@ -62,27 +62,27 @@
 	return found
 }
 
-// startDrained starts the gateway; writer is the decode engine's script.
-func startDrained(t *testing.T, writer func() string) *drained {
+// startTestGateway starts the gateway; writer is the decode engine's script.
+func startTestGateway(t *testing.T, writer func() string) *testGateway {
 	t.Helper()
-	prefill := enginetest.NewEngine(t, until(read))
-	decode := enginetest.NewEngine(t, until(writer))
-	config := platformFile(t, "n1", "127.0.0.1:1", testSettings, prefill, decode)
+	prefill := enginetest.NewEngine(t, releasedOr(prefillAnswer))
+	decode := enginetest.NewEngine(t, releasedOr(writer))
+	config := platformConfig(t, "n1", "127.0.0.1:1", testSettings, prefill, decode)
 	return startGateway(t, []string{"EDGE_CONFIG=" + config, "EDGE_CONTROL=127.0.0.1:0", "TMPDIR=" + t.TempDir()})
 }
 
 // startGateway starts a gateway that takes calls, and keeps its log.
-func startGateway(t *testing.T, env []string) *drained {
+func startGateway(t *testing.T, env []string) *testGateway {
 	t.Helper()
 	cmd := program(t, env, "serve", "--verbose")
 	errs, log := startLogged(t, cmd)
-	d := &drained{t: t, cmd: cmd, lines: &logLines{}}
+	d := &testGateway{t: t, cmd: cmd, lines: &logLines{}}
 	for (d.addr == "" || d.control == "") && log.Scan() {
 		d.lines.add(log.Text())
-		if m := calling.FindStringSubmatch(log.Text()); m != nil {
+		if m := controlLine.FindStringSubmatch(log.Text()); m != nil {
 			d.control = m[1]
 		}
-		if m := listening.FindStringSubmatch(log.Text()); m != nil {
+		if m := servingLine.FindStringSubmatch(log.Text()); m != nil {
 			d.addr = m[1]
 		}
 	}
@@ -95,18 +95,18 @@
 		}
 		io.Copy(io.Discard, errs)
 	}()
-	healthy(t, "http://"+d.addr)
+	waitHealthy(t, "http://"+d.addr)
 	return d
 }
 
 // request is the text of a client's request with a new id.
-func (d *drained) request() (id, text string) {
+func (d *testGateway) request() (id, text string) {
 	id = fmt.Sprintf("d%d", d.sent.Add(1))
 	return id, fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nX-Request-Id: %s\r\nX-Class: order\r\nX-Key: s\r\nX-Deadline-Ms: 10000\r\nX-Extras: prompt_len=100,max_out=50\r\nContent-Length: 2\r\n\r\n{}", id)
 }
 
 // dial opens a client's connection.
-func (d *drained) dial() net.Conn {
+func (d *testGateway) dial() net.Conn {
 	d.t.Helper()
 	c, err := net.Dial("tcp4", d.addr)
 	if err != nil {
@@ -117,8 +117,8 @@
 	return c
 }
 
-// answer reads one answer: its status and body, 0 where the connection ended without one.
-func answer(in *bufio.Reader) (status int, body string, err error) {
+// readAnswer reads one answer: its status and body, 0 where the connection ended without one.
+func readAnswer(in *bufio.Reader) (status int, body string, err error) {
 	if _, err := in.Peek(1); err != nil {
 		return 0, "", nil
 	}
@@ -133,7 +133,7 @@
 // A connection whose stream began before the drain ends with it: the request that its client
 // sends next, at once, is not taken. Its stream would be carried past the drain's time.
 func TestDrainEndsConnectionsWithTheirAnswer(t *testing.T) {
-	d := startDrained(t, func() string { return enginetest.SlowStream(2, 0, time.Second) })
+	d := startTestGateway(t, func() string { return enginetest.SlowStream(2, 0, time.Second) })
 	c := d.dial()
 	in := bufio.NewReader(c)
 	_, text := d.request()
@@ -141,15 +141,15 @@
 	if _, err := in.Peek(1); err != nil { // the head of the answer has been written
 		t.Fatal(err)
 	}
-	if a := dial(t, d.control, "standby"); a != "YES" {
+	if a := sendCommand(t, d.control, "standby"); a != "YES" {
 		t.Fatalf("standby: %s", a)
 	}
-	if status, body, err := answer(in); status != http.StatusOK || err != nil || !strings.HasSuffix(body, "data: [DONE]\n\n") {
+	if status, body, err := readAnswer(in); status != http.StatusOK || err != nil || !strings.HasSuffix(body, "data: [DONE]\n\n") {
 		t.Fatalf("the stream under way: %d %q %v", status, body, err)
 	}
 	_, text = d.request()
 	io.WriteString(c, text)
-	if status, _, _ := answer(in); status == http.StatusOK {
+	if status, _, _ := readAnswer(in); status == http.StatusOK {
 		t.Error("a request sent after the drain's last answer was served on the same connection")
 	}
 }
@@ -159,7 +159,7 @@
 // every request that was read has its answer. Afterwards `active` brings the service back.
 func TestDrainTakesNoLateRequests(t *testing.T) {
 	var number atomic.Int64
-	d := startDrained(t, func() string {
+	d := startTestGateway(t, func() string {
 		events := 27 // 2.6 s
 		if n := int(number.Add(1)); n <= drainClients {
 			events = 2 + n // so that the long ones don't begin together
@@ -176,31 +176,31 @@
 	enginetest.Eventually(t, "all clients are served", func() bool { return served.Load() >= drainClients })
 	now := time.Now()
 	called.Store(&now)
-	if a := dial(t, d.control, "standby"); a != "YES" {
+	if a := sendCommand(t, d.control, "standby"); a != "YES" {
 		t.Fatalf("standby: %s", a)
 	}
 	clients.Wait()
 	if n := late.Load(); n > 0 {
 		t.Errorf("%d requests served that were sent over %v after the call", n, drainRequestLimit)
 	}
-	if code := health("http://" + d.addr); code != http.StatusServiceUnavailable {
+	if code := healthStatus("http://" + d.addr); code != http.StatusServiceUnavailable {
 		t.Errorf("health in the drain: %d", code)
 	}
-	if a := dial(t, d.control, "active"); a != "YES" {
+	if a := sendCommand(t, d.control, "active"); a != "YES" {
 		t.Fatalf("active: %s", a)
 	}
-	healthy(t, "http://"+d.addr)
+	waitHealthy(t, "http://"+d.addr)
 	c := d.dial()
 	_, text := d.request()
 	io.WriteString(c, text)
-	if status, _, err := answer(bufio.NewReader(c)); status != http.StatusOK || err != nil {
+	if status, _, err := readAnswer(bufio.NewReader(c)); status != http.StatusOK || err != nil {
 		t.Errorf("after the drain: %d %v", status, err)
 	}
 }
 
 // client sends one request after the other on one connection until the gateway ends it. Every
 // third client sends its requests in pieces over 0.9 s.
-func (d *drained) client(n int, stop <-chan struct{}, called *atomic.Pointer[time.Time], served, late *atomic.Int64) {
+func (d *testGateway) client(n int, stop <-chan struct{}, called *atomic.Pointer[time.Time], served, late *atomic.Int64) {
 	c := d.dial()
 	in := bufio.NewReader(c)
 	for {
@@ -219,7 +219,7 @@
 		}
 		sent := time.Now() // of its last byte
 		io.WriteString(c, text)
-		status, body, err := answer(in)
+		status, body, err := readAnswer(in)
 		at := called.Load()
 		switch {
 		case status == http.StatusOK && err == nil && strings.HasSuffix(body, "data: [DONE]\n\n"):
@@ -241,18 +241,18 @@
 // The log tells of each connection why it was closed, how old it was, what it answered and what
 // was left unread, and of each request and attempt, by its id, how it ended.
 func TestLogTellsOfConnectionsAndRequests(t *testing.T) {
-	d := startDrained(t, func() string { return enginetest.Stream(2, 0) })
+	d := startTestGateway(t, func() string { return enginetest.Stream(2, 0) })
 	c := d.dial()
 	in := bufio.NewReader(c)
 	id, text := d.request()
 	io.WriteString(c, text)
-	if status, _, err := answer(in); status != http.StatusOK || err != nil {
+	if status, _, err := readAnswer(in); status != http.StatusOK || err != nil {
 		t.Fatalf("status %d, %v", status, err)
 	}
-	if a := dial(t, d.control, "standby"); a != "YES" {
+	if a := sendCommand(t, d.control, "standby"); a != "YES" {
 		t.Fatalf("standby: %s", a)
 	}
-	if status, _, _ := answer(in); status != 0 {
+	if status, _, _ := readAnswer(in); status != 0 {
 		t.Errorf("an idle connection got %d", status)
 	}
 	closed := func(reason string, answered float64) func() bool {
@@ -287,7 +287,7 @@
 // A request that began to come before the drain and is whole only when no request is taken any
 // more is refused: it was never forwarded, and its client may try elsewhere.
 func TestDrainRefusesRequestCompletedLate(t *testing.T) {
-	d := startDrained(t, func() string { return enginetest.Stream(2, 0) })
+	d := startTestGateway(t, func() string { return enginetest.Stream(2, 0) })
 	for _, c := range []struct {
 		name string
 		cut  func(text string) int // how much comes before the call
@@ -300,18 +300,18 @@
 		at := c.cut(text)
 		io.WriteString(conn, text[:at])
 		time.Sleep(100 * time.Millisecond) // it is read before the call
-		if a := dial(t, d.control, "standby"); a != "YES" {
+		if a := sendCommand(t, d.control, "standby"); a != "YES" {
 			t.Fatalf("standby: %s", a)
 		}
 		time.Sleep(drainRequestLimit) // and goes on no sooner than this
 		io.WriteString(conn, text[at:])
-		if status, body, err := answer(bufio.NewReader(conn)); status != http.StatusServiceUnavailable || err != nil {
+		if status, body, err := readAnswer(bufio.NewReader(conn)); status != http.StatusServiceUnavailable || err != nil {
 			t.Errorf("%s: %s got %d %q %v", c.name, id, status, body, err)
 		}
-		if a := dial(t, d.control, "active"); a != "YES" {
+		if a := sendCommand(t, d.control, "active"); a != "YES" {
 			t.Fatalf("active: %s", a)
 		}
-		healthy(t, "http://"+d.addr)
+		waitHealthy(t, "http://"+d.addr)
 	}
 }
 
@@ -325,9 +325,9 @@
 		t.Fatal(err)
 	}
 	text := strings.NewReplacer("127.0.0.1:8080", "127.0.0.1:0", "127.0.0.1:9001", engine.Addr).Replace(string(raw))
-	cmd, url := serving(t, nil, "serve", "--operator", file(t, text))
-	healthy(t, url)
-	d := &drained{t: t, cmd: cmd, addr: strings.TrimPrefix(url, "http://")}
+	cmd, url := startServing(t, nil, "serve", "--operator", writeConfig(t, text))
+	waitHealthy(t, url)
+	d := &testGateway{t: t, cmd: cmd, addr: strings.TrimPrefix(url, "http://")}
 	const body = `{"model":"order-assistant","stream":true,"messages":[{"role":"user","content":"two bolts"}]}`
 	chat := fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer change-me-counter\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	streaming, cut := d.dial(), d.dial()
@@ -338,14 +338,14 @@
 	}
 	io.WriteString(cut, chat[:len(chat)-1])
 	cmd.Process.Signal(syscall.SIGTERM)
-	if status, _, err := answer(bufio.NewReader(cut)); status != http.StatusServiceUnavailable || err != nil {
+	if status, _, err := readAnswer(bufio.NewReader(cut)); status != http.StatusServiceUnavailable || err != nil {
 		t.Errorf("half a request got %d, %v", status, err)
 	}
-	if status, body, err := answer(in); status != http.StatusOK || err != nil || !strings.HasSuffix(body, "data: [DONE]\n\n") {
+	if status, body, err := readAnswer(in); status != http.StatusOK || err != nil || !strings.HasSuffix(body, "data: [DONE]\n\n") {
 		t.Errorf("the stream under way: %d %q %v", status, body, err)
 	}
 	io.WriteString(streaming, chat)
-	if status, _, _ := answer(in); status != 0 {
+	if status, _, _ := readAnswer(in); status != 0 {
 		t.Errorf("a request after the last answer got %d", status)
 	}
 	if err := cmd.Wait(); err != nil {
@@ -359,7 +359,7 @@
 	for name, begins := range map[string]bool{"before the first answer": false, "during the first answer": true} {
 		t.Run(name, func(t *testing.T) {
 			begun, end := make(chan bool, 4), make(chan bool)
-			d := startDrained(t, func() string {
+			d := startTestGateway(t, func() string {
 				begun <- true
 				if begins {
 					return enginetest.SlowStream(2, 0, time.Second)
@@ -376,17 +376,17 @@
 			if begins {
 				in.Peek(1)
 			}
-			if a := dial(t, d.control, "standby"); a != "YES" {
+			if a := sendCommand(t, d.control, "standby"); a != "YES" {
 				t.Fatalf("standby: %s", a)
 			}
 			close(end)
 			for n := range 2 {
-				status, body, err := answer(in)
+				status, body, err := readAnswer(in)
 				if served := status == http.StatusOK && strings.HasSuffix(body, "data: [DONE]\n\n"); err != nil || !served && status != http.StatusServiceUnavailable {
 					t.Errorf("request %d: %d %q %v", n+1, status, body, err)
 				}
 			}
-			if status, _, _ := answer(in); status != 0 {
+			if status, _, _ := readAnswer(in); status != 0 {
 				t.Errorf("an answer more than requests: %d", status)
 			}
 		})
@@ -396,7 +396,7 @@
 // Half a request that was read with the one before it is refused once that one has been answered,
 // if no request is taken any more by then.
 func TestDrainRefusesHalfOfPipelinedRequest(t *testing.T) {
-	d := startDrained(t, func() string { return enginetest.SlowStream(2, 0, drainRequestLimit) })
+	d := startTestGateway(t, func() string { return enginetest.SlowStream(2, 0, drainRequestLimit) })
 	c := d.dial()
 	in := bufio.NewReader(c)
 	_, first := d.request()
@@ -405,11 +405,11 @@
 	if _, err := in.Peek(1); err != nil {
 		t.Fatal(err)
 	}
-	if a := dial(t, d.control, "standby"); a != "YES" {
+	if a := sendCommand(t, d.control, "standby"); a != "YES" {
 		t.Fatalf("standby: %s", a)
 	}
 	for _, want := range []int{http.StatusOK, http.StatusServiceUnavailable, 0} {
-		if status, _, err := answer(in); status != want || err != nil {
+		if status, _, err := readAnswer(in); status != want || err != nil {
 			t.Errorf("status %d, %v, want %d", status, err, want)
 		}
 	}
--- a/cmd/wellgw/faults_test.go
+++ b/cmd/wellgw/faults_test.go
@@ -18,8 +18,8 @@
 	"wellgw/internal/enginetest"
 )
 
-// limit has the system limit a running program.
-func limit(t *testing.T, cmd *exec.Cmd, resource int, l syscall.Rlimit) {
+// setRlimit sets a resource limit of a running program.
+func setRlimit(t *testing.T, cmd *exec.Cmd, resource int, l syscall.Rlimit) {
 	t.Helper()
 	_, _, errno := syscall.RawSyscall6(syscall.SYS_PRLIMIT64, uintptr(cmd.Process.Pid), uintptr(resource), uintptr(unsafe.Pointer(&l)), 0, 0, 0)
 	if errno != 0 {
@@ -27,8 +27,8 @@
 	}
 }
 
-// allowed is what the system allows a running program.
-func allowed(t *testing.T, cmd *exec.Cmd, resource int) (l syscall.Rlimit) {
+// getRlimit returns a resource limit of a running program.
+func getRlimit(t *testing.T, cmd *exec.Cmd, resource int) (l syscall.Rlimit) {
 	t.Helper()
 	_, _, errno := syscall.RawSyscall6(syscall.SYS_PRLIMIT64, uintptr(cmd.Process.Pid), uintptr(resource), 0, uintptr(unsafe.Pointer(&l)), 0, 0)
 	if errno != 0 {
@@ -37,10 +37,10 @@
 	return l
 }
 
-// ejecting is a gateway of one prefill and two decode engines that keeps ejections in tmp.
-func ejecting(t *testing.T, tmp string, engines [3]*enginetest.Engine) *drained {
+// startEjectionGateway starts a gateway of one prefill and two decode engines that keeps ejections in tmp.
+func startEjectionGateway(t *testing.T, tmp string, engines [3]*enginetest.Engine) *testGateway {
 	t.Helper()
-	config := file(t, fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":%s,
+	config := writeConfig(t, fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":%s,
 		"known":{"revision":1,"complete":true,"members":[
 			{"id":"r1","host_port":%q,"locality":"a","flavor":"r","phase":"active"},
 			{"id":"w1","host_port":%q,"locality":"a","flavor":"w","phase":"active"},
@@ -50,13 +50,13 @@
 }
 
 // ask sends one request on a connection of its own and returns its status.
-func (d *drained) ask() int {
+func (d *testGateway) ask() int {
 	d.t.Helper()
 	c := d.dial()
 	defer c.Close()
 	_, text := d.request()
 	io.WriteString(c, text)
-	status, _, err := answer(bufio.NewReader(c))
+	status, _, err := readAnswer(bufio.NewReader(c))
 	if err != nil {
 		d.t.Error(err)
 	}
@@ -68,11 +68,11 @@
 func TestEjectionIsKeptWhereFileCouldNotBeWritten(t *testing.T) {
 	tmp := t.TempDir()
 	serve := func() string { return enginetest.Stream(2, 0) }
-	engines := [3]*enginetest.Engine{enginetest.NewEngine(t, until(read)), enginetest.NewEngine(t, until(serve)), enginetest.NewEngine(t, until(serve))}
-	d := ejecting(t, tmp, engines)
-	full := allowed(t, d.cmd, syscall.RLIMIT_FSIZE)
-	limit(t, d.cmd, syscall.RLIMIT_FSIZE, syscall.Rlimit{Cur: 0, Max: full.Max})
-	if a := dial(t, d.control, "maint-on w1"); a != "NO" {
+	engines := [3]*enginetest.Engine{enginetest.NewEngine(t, releasedOr(prefillAnswer)), enginetest.NewEngine(t, releasedOr(serve)), enginetest.NewEngine(t, releasedOr(serve))}
+	d := startEjectionGateway(t, tmp, engines)
+	full := getRlimit(t, d.cmd, syscall.RLIMIT_FSIZE)
+	setRlimit(t, d.cmd, syscall.RLIMIT_FSIZE, syscall.Rlimit{Cur: 0, Max: full.Max})
+	if a := sendCommand(t, d.control, "maint-on w1"); a != "NO" {
 		t.Errorf("maint-on that can't be written: %s", a)
 	}
 	before := len(engines[1].Calls(http.MethodPost))
@@ -84,14 +84,14 @@
 	if n := len(engines[1].Calls(http.MethodPost)); n != before {
 		t.Errorf("%d requests to the engine that is out", n-before)
 	}
-	limit(t, d.cmd, syscall.RLIMIT_FSIZE, full)
+	setRlimit(t, d.cmd, syscall.RLIMIT_FSIZE, full)
 	enginetest.Eventually(t, "the ejection is written", func() bool {
 		text, _ := os.ReadFile(filepath.Join(tmp, "wellgw-bans-n1"))
 		return string(text) == "w1\n"
 	})
 	d.cmd.Process.Kill()
 	d.cmd.Wait()
-	next := ejecting(t, tmp, engines)
+	next := startEjectionGateway(t, tmp, engines)
 	for range 10 {
 		if status := next.ask(); status != http.StatusOK {
 			t.Errorf("status %d", status)
@@ -107,9 +107,9 @@
 func TestSpoiltEjectionFilesChangeNothing(t *testing.T) {
 	tmp := t.TempDir()
 	serve := func() string { return enginetest.Stream(2, 0) }
-	engines := [3]*enginetest.Engine{enginetest.NewEngine(t, until(read)), enginetest.NewEngine(t, until(serve)), enginetest.NewEngine(t, until(serve))}
-	d := ejecting(t, tmp, engines)
-	if a := dial(t, d.control, "maint-on w1"); a != "YES" {
+	engines := [3]*enginetest.Engine{enginetest.NewEngine(t, releasedOr(prefillAnswer)), enginetest.NewEngine(t, releasedOr(serve)), enginetest.NewEngine(t, releasedOr(serve))}
+	d := startEjectionGateway(t, tmp, engines)
+	if a := sendCommand(t, d.control, "maint-on w1"); a != "YES" {
 		t.Fatalf("maint-on: %s", a)
 	}
 	path := filepath.Join(tmp, "wellgw-bans-n1")
@@ -143,18 +143,18 @@
 				t.Fatal(err)
 			}
 			socket, addr := clientsSocket(t)
-			prefill := enginetest.NewEngine(t, until(read))
-			decode := enginetest.NewEngine(t, until(func() string { return enginetest.Stream(2, 0) }))
-			config := platformFile(t, "n1", "127.0.0.1:1", testSettings, prefill, decode)
-			_, control, handed := onSocket(t, []string{"EDGE_CONFIG=" + config, "EDGE_CONTROL=127.0.0.1:0", "EDGE_SOCKET_FD=3", "TMPDIR=" + tmp}, socket)
-			enginetest.Eventually(t, "status is yes", func() bool { return dial(t, control, "status") == "YES" })
+			prefill := enginetest.NewEngine(t, releasedOr(prefillAnswer))
+			decode := enginetest.NewEngine(t, releasedOr(func() string { return enginetest.Stream(2, 0) }))
+			config := platformConfig(t, "n1", "127.0.0.1:1", testSettings, prefill, decode)
+			_, control, handed := startOnSocket(t, []string{"EDGE_CONFIG=" + config, "EDGE_CONTROL=127.0.0.1:0", "EDGE_SOCKET_FD=3", "TMPDIR=" + tmp}, socket)
+			enginetest.Eventually(t, "status is yes", func() bool { return sendCommand(t, control, "status") == "YES" })
 			time.Sleep(500 * time.Millisecond) // several looks at the mark
 			select {
 			case <-handed:
 				t.Error("handed over to a process that is no more")
 			default:
 			}
-			healthy(t, "http://"+addr)
+			waitHealthy(t, "http://"+addr)
 		})
 	}
 }
@@ -178,9 +178,9 @@
 // While a program has no descriptors left, nothing ends: clients and operators are served again as
 // soon as there are some.
 func TestServesAfterDescriptorsRanOut(t *testing.T) {
-	d := startDrained(t, func() string { return enginetest.Stream(2, 0) })
-	usual := allowed(t, d.cmd, syscall.RLIMIT_NOFILE)
-	limit(t, d.cmd, syscall.RLIMIT_NOFILE, syscall.Rlimit{Cur: 3, Max: usual.Max})
+	d := startTestGateway(t, func() string { return enginetest.Stream(2, 0) })
+	usual := getRlimit(t, d.cmd, syscall.RLIMIT_NOFILE)
+	setRlimit(t, d.cmd, syscall.RLIMIT_NOFILE, syscall.Rlimit{Cur: 3, Max: usual.Max})
 	var waiting []net.Conn
 	for range 8 { // accept fails for each of these, and for the call
 		waiting = append(waiting, d.dial())
@@ -198,18 +198,18 @@
 		}
 		return len(listeners) == 2
 	})
-	limit(t, d.cmd, syscall.RLIMIT_NOFILE, usual)
+	setRlimit(t, d.cmd, syscall.RLIMIT_NOFILE, usual)
 	call.SetReadDeadline(time.Now().Add(time.Minute)) // a bound for a broken test only
 	if a, err := bufio.NewReader(call).ReadString('\n'); a != "YES\n" {
 		t.Errorf("standby: %q, %v", a, err)
 	}
-	if a := dial(t, d.control, "active"); a != "YES" {
+	if a := sendCommand(t, d.control, "active"); a != "YES" {
 		t.Errorf("active: %s", a)
 	}
 	for _, c := range waiting {
 		c.Close()
 	}
-	healthy(t, "http://"+d.addr)
+	waitHealthy(t, "http://"+d.addr)
 	if status := d.ask(); status != http.StatusOK {
 		t.Errorf("status %d", status)
 	}
@@ -220,18 +220,18 @@
 func TestLostListenerEndsInGoodOrder(t *testing.T) {
 	socket, addr := clientsSocket(t)
 	begun, end := make(chan bool, 1), make(chan bool)
-	prefill := enginetest.NewEngine(t, until(read))
-	decode := enginetest.NewEngine(t, until(func() string {
+	prefill := enginetest.NewEngine(t, releasedOr(prefillAnswer))
+	decode := enginetest.NewEngine(t, releasedOr(func() string {
 		begun <- true
 		<-end
 		return enginetest.Stream(2, 0)
 	}))
-	config := platformFile(t, "n1", "127.0.0.1:1", testSettings, prefill, decode)
-	cmd, control, _ := onSocket(t, []string{"EDGE_CONFIG=" + config, "EDGE_CONTROL=127.0.0.1:0", "EDGE_SOCKET_FD=3", "TMPDIR=" + t.TempDir()}, socket)
-	enginetest.Eventually(t, "status is yes", func() bool { return dial(t, control, "status") == "YES" })
+	config := platformConfig(t, "n1", "127.0.0.1:1", testSettings, prefill, decode)
+	cmd, control, _ := startOnSocket(t, []string{"EDGE_CONFIG=" + config, "EDGE_CONTROL=127.0.0.1:0", "EDGE_SOCKET_FD=3", "TMPDIR=" + t.TempDir()}, socket)
+	enginetest.Eventually(t, "status is yes", func() bool { return sendCommand(t, control, "status") == "YES" })
 	status := make(chan int, 1)
 	go func() {
-		resp, err := http.DefaultClient.Do(post(t, "http://"+addr))
+		resp, err := http.DefaultClient.Do(newRequest(t, "http://"+addr))
 		if err != nil {
 			status <- 0
 			return
@@ -265,7 +265,7 @@
 		{"standby again and again", []string{"standby", "standby", "active", "active", "standby", "SIGTERM", "SIGTERM"}, []string{"YES", "YES", "YES", "YES", "YES", "", ""}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			d := startDrained(t, func() string { return enginetest.SlowStream(2, 0, 4*time.Second) })
+			d := startTestGateway(t, func() string { return enginetest.SlowStream(2, 0, 4*time.Second) })
 			held := d.dial() // the process does not end before the calls are over
 			in := bufio.NewReader(held)
 			_, text := d.request()
@@ -279,14 +279,14 @@
 					enginetest.Eventually(t, "it is leaving", func() bool { return len(d.lines.with("shutdown started")) > 0 })
 					continue
 				}
-				if a := dial(t, d.control, call); a != c.want[n] {
+				if a := sendCommand(t, d.control, call); a != c.want[n] {
 					t.Errorf("%s: %s, want %s", call, a, c.want[n])
 				}
-				if call == "standby" && health("http://"+d.addr) == http.StatusOK {
+				if call == "standby" && healthStatus("http://"+d.addr) == http.StatusOK {
 					t.Error("healthy in a drain")
 				}
 			}
-			if status, _, err := answer(in); status != http.StatusOK || err != nil {
+			if status, _, err := readAnswer(in); status != http.StatusOK || err != nil {
 				t.Errorf("the stream under way: %d %v", status, err)
 			}
 			if err := d.cmd.Wait(); err != nil {
@@ -298,17 +298,17 @@
 
 // A log that nobody reads, or whose reader has gone, holds nothing up and ends nothing.
 func TestLogReaderThatStallsOrGoes(t *testing.T) {
-	prefill := enginetest.NewEngine(t, until(read))
-	decode := enginetest.NewEngine(t, until(func() string { return enginetest.Stream(2, 0) }))
-	cmd := program(t, []string{"EDGE_CONFIG=" + platformFile(t, "n1", "127.0.0.1:1", testSettings, prefill, decode)}, "serve", "--verbose")
+	prefill := enginetest.NewEngine(t, releasedOr(prefillAnswer))
+	decode := enginetest.NewEngine(t, releasedOr(func() string { return enginetest.Stream(2, 0) }))
+	cmd := program(t, []string{"EDGE_CONFIG=" + platformConfig(t, "n1", "127.0.0.1:1", testSettings, prefill, decode)}, "serve", "--verbose")
 	errs, log := startLogged(t, cmd)
-	d := &drained{t: t, cmd: cmd}
+	d := &testGateway{t: t, cmd: cmd}
 	for d.addr == "" && log.Scan() {
-		if m := listening.FindStringSubmatch(log.Text()); m != nil {
+		if m := servingLine.FindStringSubmatch(log.Text()); m != nil {
 			d.addr = m[1]
 		}
 	}
-	healthy(t, "http://"+d.addr)
+	waitHealthy(t, "http://"+d.addr)
 	for range 400 { // a pipe holds 64 KiB; each request logs some 700 bytes
 		if status := d.ask(); status != http.StatusOK {
 			t.Fatalf("status %d while the log is not read", status)
--- a/cmd/wellgw/harness_test.go
+++ b/cmd/wellgw/harness_test.go
@@ -16,20 +16,22 @@
 	"wellgw/internal/enginetest"
 )
 
+// program is a run of the program itself: TestMain starts it where WELLGW_TEST_RUN is set.
 func program(t *testing.T, env []string, args ...string) *exec.Cmd {
+	t.Helper()
 	cmd := exec.CommandContext(t.Context(), os.Args[0], args...)
 	cmd.Env = append(append(os.Environ(), "WELLGW_TEST_RUN=1"), env...)
 	return cmd
 }
 
-var listening = regexp.MustCompile(`"listen":"([^"]+)","message":"serving"`)
+var servingLine = regexp.MustCompile(`"listen":"([^"]+)","message":"serving"`)
 
-var adminListening = regexp.MustCompile(`"listen":"([^"]+)","message":"admin listener open"`)
+var adminLine = regexp.MustCompile(`"listen":"([^"]+)","message":"admin listener open"`)
 
-// serving starts the program and waits until it says where it listens.
-func serving(t *testing.T, env []string, args ...string) (*exec.Cmd, string) {
+// startServing starts the program and waits until it says where it listens.
+func startServing(t *testing.T, env []string, args ...string) (*exec.Cmd, string) {
 	t.Helper()
-	cmd, url, _ := servingWith(t, env, args...)
+	cmd, url, _ := startServingAdmin(t, env, args...)
 	return cmd, url
 }
 
@@ -46,16 +48,16 @@
 	return errs, bufio.NewScanner(errs)
 }
 
-// servingWith also returns where its operators' listener is, if it has one.
-func servingWith(t *testing.T, env []string, args ...string) (cmd *exec.Cmd, url, admin string) {
+// startServingAdmin also returns the address of its admin listener, if it has one.
+func startServingAdmin(t *testing.T, env []string, args ...string) (cmd *exec.Cmd, url, admin string) {
 	t.Helper()
 	cmd = program(t, env, args...)
 	errs, log := startLogged(t, cmd)
 	for log.Scan() {
-		if m := adminListening.FindStringSubmatch(log.Text()); m != nil {
+		if m := adminLine.FindStringSubmatch(log.Text()); m != nil {
 			admin = m[1]
 		}
-		if m := listening.FindStringSubmatch(log.Text()); m != nil {
+		if m := servingLine.FindStringSubmatch(log.Text()); m != nil {
 			go io.Copy(io.Discard, errs)
 			return cmd, "http://" + m[1], admin
 		}
@@ -64,8 +66,8 @@
 	return nil, "", ""
 }
 
-// healthy waits until the program can serve.
-func healthy(t *testing.T, url string) {
+// waitHealthy waits until the program can serve.
+func waitHealthy(t *testing.T, url string) {
 	t.Helper()
 	enginetest.Eventually(t, "healthy", func() bool {
 		resp, err := http.Get(url + "/healthz")
@@ -77,8 +79,8 @@
 	})
 }
 
-// post makes a platform client's request.
-func post(t *testing.T, url string) *http.Request {
+// newRequest makes a platform client's request.
+func newRequest(t *testing.T, url string) *http.Request {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, url+"/v1/chat/completions", strings.NewReader(`{}`))
 	if err != nil {
@@ -90,10 +92,10 @@
 	return req
 }
 
-// askChat asks a gateway that runs by deploy/operator.json for a chat.
-func askChat(t *testing.T, url string) *http.Response {
+// postChat asks a gateway that runs by deploy/operator.json for a chat.
+func postChat(t *testing.T, url string) *http.Response {
 	t.Helper()
-	req := post(t, url)
+	req := newRequest(t, url)
 	req.Body = io.NopCloser(strings.NewReader(`{"model":"order-assistant","messages":[{"role":"user","content":"two bolts"}]}`))
 	req.ContentLength = -1
 	req.Header.Set("Authorization", "Bearer change-me-counter")
@@ -104,8 +106,8 @@
 	return resp
 }
 
-// until answers a release at once and anything else by script.
-func until(script func() string) func(enginetest.Call) string {
+// releasedOr answers a release at once and anything else by script.
+func releasedOr(script func() string) func(enginetest.Call) string {
 	return func(c enginetest.Call) string {
 		if c.Method == http.MethodDelete {
 			return "HTTP/1.1 204 No Content\r\n\r\n"
@@ -114,9 +116,12 @@
 	}
 }
 
-func read() string { return enginetest.Status(202, "", `{"cached_tokens":0}`) }
+// prefillAnswer is what a prefill engine answers once it has read a prompt.
+func prefillAnswer() string { return enginetest.Status(202, "", `{"cached_tokens":0}`) }
 
-func file(t *testing.T, text string) string {
+// writeConfig writes a configuration to a file of its own and returns its path.
+func writeConfig(t *testing.T, text string) string {
+	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -130,10 +135,10 @@
 	"limits":{"send_cap":4,"cancelling":true,"conn_idle":15000000,"connect_timeout":1000000},
 	"rules":{"answer_slack":16000,"fall":3000000,"fall_multiple":4,"cold_share":0.3,"cold":1000000}}`
 
-var calling = regexp.MustCompile(`"control":"([^"]+)","message":"control listener open"`)
+var controlLine = regexp.MustCompile(`"control":"([^"]+)","message":"control listener open"`)
 
-// dial makes one operator's call and returns the answer's line.
-func dial(t *testing.T, addr, line string) string {
+// sendCommand sends one operator's command and returns the line that answers it.
+func sendCommand(t *testing.T, addr, line string) string {
 	t.Helper()
 	conn, err := net.Dial("tcp4", addr)
 	if err != nil {
@@ -146,7 +151,8 @@
 	return strings.TrimSpace(answer)
 }
 
-func health(url string) int {
+// healthStatus is the status of one health check; 0 where there is no answer.
+func healthStatus(url string) int {
 	resp, err := http.Get(url + "/healthz")
 	if err != nil {
 		return 0
@@ -157,15 +163,15 @@
 
 var handing = regexp.MustCompile(`"message":"successor ready, handing over`)
 
-// onSocket starts the program on the clients' socket, as descriptor 3, and
+// startOnSocket starts the program on the clients' socket, as descriptor 3, and
 // returns where it takes calls and a channel closed once it has handed over.
-func onSocket(t *testing.T, env []string, socket *os.File) (cmd *exec.Cmd, control string, handed <-chan struct{}) {
+func startOnSocket(t *testing.T, env []string, socket *os.File) (cmd *exec.Cmd, control string, handed <-chan struct{}) {
 	t.Helper()
 	cmd = program(t, env, "serve")
 	cmd.ExtraFiles = []*os.File{socket}
 	errs, log := startLogged(t, cmd)
 	for control == "" && log.Scan() {
-		if m := calling.FindStringSubmatch(log.Text()); m != nil {
+		if m := controlLine.FindStringSubmatch(log.Text()); m != nil {
 			control = m[1]
 		}
 	}
--- a/cmd/wellgw/main_test.go
+++ b/cmd/wellgw/main_test.go
@@ -38,23 +38,23 @@
 // finishes what it has taken, on a connection that it ends, then exits with 0.
 func TestPlatformFromStartToLeave(t *testing.T) {
 	asked, answer := make(chan bool, 1), make(chan bool)
-	reader := enginetest.NewEngine(t, until(read))
-	writer := enginetest.NewEngine(t, until(func() string {
+	prefill := enginetest.NewEngine(t, releasedOr(prefillAnswer))
+	decode := enginetest.NewEngine(t, releasedOr(func() string {
 		asked <- true
 		<-answer
 		return enginetest.Stream(3, 0)
 	}))
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		fmt.Fprintf(w, `{"revision":2,"complete":true,"members":[{"id":"r1","host_port":%q,"locality":"a","flavor":"r","phase":"active","size":1},{"id":"w1","host_port":%q,"locality":"a","flavor":"w","phase":"active","size":1}]}`+"\n", reader.Addr, writer.Addr)
+		fmt.Fprintf(w, `{"revision":2,"complete":true,"members":[{"id":"r1","host_port":%q,"locality":"a","flavor":"r","phase":"active","size":1},{"id":"w1","host_port":%q,"locality":"a","flavor":"w","phase":"active","size":1}]}`+"\n", prefill.Addr, decode.Addr)
 		w.(http.Flusher).Flush()
 		<-r.Context().Done()
 	}))
 	defer discovery.Close()
 	defer discovery.CloseClientConnections()
-	config := file(t, fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":%q,"seed":"1f","settings":%s}`, discovery.Listener.Addr(), testSettings))
-	cmd, url := serving(t, []string{"EDGE_CONFIG=" + config}, "serve")
-	healthy(t, url)
-	req := post(t, url)
+	config := writeConfig(t, fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":%q,"seed":"1f","settings":%s}`, discovery.Listener.Addr(), testSettings))
+	cmd, url := startServing(t, []string{"EDGE_CONFIG=" + config}, "serve")
+	waitHealthy(t, url)
+	req := newRequest(t, url)
 	type result struct {
 		status int
 		close  bool
@@ -96,17 +96,17 @@
 // Streams that outlast the time before SIGKILL are cut off in good order where
 // clients ask for the rest, so that their states are let go.
 func TestShutdownCutsOffLongStreams(t *testing.T) {
-	reader := enginetest.NewEngine(t, until(read))
-	writer := enginetest.NewEngine(t, until(func() string {
+	prefill := enginetest.NewEngine(t, releasedOr(prefillAnswer))
+	decode := enginetest.NewEngine(t, releasedOr(func() string {
 		return enginetest.StreamHead + enginetest.Chunk("data: x\n\n") + enginetest.Hang
 	}))
-	config := file(t, fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":%s,
+	config := writeConfig(t, fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":%s,
 		"known":{"revision":1,"complete":true,"members":[
 			{"id":"r1","host_port":%q,"locality":"a","flavor":"r","phase":"active"},
 			{"id":"w1","host_port":%q,"locality":"a","flavor":"w","phase":"active"}]}}`,
-		strings.Replace(testSettings, `"pin_limit"`, `"resume":true,"pin_limit"`, 1), reader.Addr, writer.Addr))
-	cmd, url := serving(t, []string{"EDGE_CONFIG=" + config}, "serve")
-	req := post(t, url)
+		strings.Replace(testSettings, `"pin_limit"`, `"resume":true,"pin_limit"`, 1), prefill.Addr, decode.Addr))
+	cmd, url := startServing(t, []string{"EDGE_CONFIG=" + config}, "serve")
+	req := newRequest(t, url)
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		t.Fatal(err)
@@ -131,8 +131,8 @@
 		t.Errorf("exit: %v", err)
 	}
 	// The second call is for an engine that sees the end of the connection late.
-	if n := len(writer.Calls("DELETE")); n < 2 {
-		t.Errorf("%d calls to let go at the writer, want 2", n)
+	if n := len(decode.Calls("DELETE")); n < 2 {
+		t.Errorf("%d releases at the decode engine, want 2", n)
 	}
 }
 
@@ -162,9 +162,9 @@
 	for _, text := range []string{
 		static, list.ReplaceAllString(static, fmt.Sprintf(`"consul": {"address": %q, "service": "llm"}`, consul.Listener.Addr())),
 	} {
-		cmd, url := serving(t, nil, "serve", "--operator", file(t, text))
-		healthy(t, url)
-		resp := askChat(t, url)
+		cmd, url := startServing(t, nil, "serve", "--operator", writeConfig(t, text))
+		waitHealthy(t, url)
+		resp := postChat(t, url)
 		b, err := io.ReadAll(resp.Body)
 		resp.Body.Close()
 		if err != nil || resp.StatusCode != 200 || !strings.Contains(string(b), `"content":"w0 w1 w2 "`) {
@@ -198,8 +198,8 @@
 	text := regexp.MustCompile(`(?s)"engines": \[.*?\]`).ReplaceAllString(string(raw), fmt.Sprintf(
 		`"consul": {"address": %q, "service": "llm", "register": {"name": "wellgw"}}, "state_file": %q, "admin": {"listen": %q}`,
 		agent.Addr, filepath.Join(t.TempDir(), "view"), "127.0.0.1:0"))
-	path := file(t, strings.Replace(text, "127.0.0.1:8080", "127.0.0.1:0", 1))
-	cmd, _, at := servingWith(t, nil, "serve", "--operator", path)
+	path := writeConfig(t, strings.Replace(text, "127.0.0.1:8080", "127.0.0.1:0", 1))
+	cmd, _, at := startServingAdmin(t, nil, "serve", "--operator", path)
 	var out string
 	enginetest.Eventually(t, "both engines are shown", func() bool {
 		b, _ := program(t, nil, "engines", "--admin", at).CombinedOutput()
@@ -232,9 +232,9 @@
 	spans := filepath.Join(t.TempDir(), "spans")
 	text := strings.NewReplacer("127.0.0.1:8080", "127.0.0.1:0", "127.0.0.1:9001", engine.Addr,
 		`"engines":`, fmt.Sprintf(`"admin": {"listen": "127.0.0.1:0", "trace_file": %q}, "engines":`, spans)).Replace(string(raw))
-	cmd, url, at := servingWith(t, nil, "serve", "--operator", file(t, text))
-	healthy(t, url)
-	resp := askChat(t, url)
+	cmd, url, at := startServingAdmin(t, nil, "serve", "--operator", writeConfig(t, text))
+	waitHealthy(t, url)
+	resp := postChat(t, url)
 	io.Copy(io.Discard, resp.Body)
 	resp.Body.Close()
 	if b, err := program(t, nil, "engines", "--admin", at).Output(); err != nil || !strings.Contains(string(b), "1 of 1 engines take new work") {
@@ -261,7 +261,7 @@
 }
 
 func TestCommandLine(t *testing.T) {
-	bad := file(t, `{"listen":"nowhere","contracts":[{"name":"c","effect":"free","aim_ms":1,"deadline_ms":1}]}`)
+	bad := writeConfig(t, `{"listen":"nowhere","contracts":[{"name":"c","effect":"free","aim_ms":1,"deadline_ms":1}]}`)
 	for _, c := range []struct {
 		args []string
 		exit int
@@ -302,12 +302,12 @@
 	}
 	clients.Close() // the program holds the socket now, as on the platform
 	tmp := t.TempDir()
-	config := file(t, fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:1","discovery":%q,"seed":"1f","settings":%s}`, discovery.Listener.Addr(), testSettings))
+	config := writeConfig(t, fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:1","discovery":%q,"seed":"1f","settings":%s}`, discovery.Listener.Addr(), testSettings))
 	env := []string{"EDGE_CONFIG=" + config, "EDGE_CONTROL=127.0.0.1:0", "EDGE_SOCKET_FD=3", "TMPDIR=" + tmp}
-	cmd, control, handed := onSocket(t, env, socket)
+	cmd, control, handed := startOnSocket(t, env, socket)
 	url := "http://" + clients.Addr().String()
-	healthy(t, url)
-	enginetest.Eventually(t, "status is yes", func() bool { return dial(t, control, "status") == "YES" })
+	waitHealthy(t, url)
+	enginetest.Eventually(t, "status is yes", func() bool { return sendCommand(t, control, "status") == "YES" })
 	idle, err := net.Dial("tcp4", clients.Addr().String()) // kept idle from before the drain
 	if err != nil {
 		t.Fatal(err)
@@ -324,7 +324,7 @@
 		{"bogus", "NO"},
 		{"standby", "YES"},
 	} {
-		if got := dial(t, control, c.line); got != c.want {
+		if got := sendCommand(t, control, c.line); got != c.want {
 			t.Errorf("%s: %s, want %s", c.line, got, c.want)
 		}
 	}
@@ -335,23 +335,23 @@
 	if text, err := os.ReadFile(tmp + "/wellgw-bans-n1"); err != nil || string(text) != "w1\n" {
 		t.Errorf("file of ejections: %q %v", text, err)
 	}
-	if code := health(url); code != http.StatusServiceUnavailable {
+	if code := healthStatus(url); code != http.StatusServiceUnavailable {
 		t.Errorf("health in standby: %d", code)
 	}
-	if got := dial(t, control, "active"); got != "YES" {
+	if got := sendCommand(t, control, "active"); got != "YES" {
 		t.Errorf("active: %s", got)
 	}
-	if code := health(url); code != http.StatusOK {
+	if code := healthStatus(url); code != http.StatusOK {
 		t.Errorf("health after the drain: %d", code)
 	}
-	if got := dial(t, control, "maint-off w1"); got != "YES" {
+	if got := sendCommand(t, control, "maint-off w1"); got != "YES" {
 		t.Errorf("maint-off: %s", got)
 	}
 	// A new version on the same socket: once it is ready the old one hands over,
 	// and leaves in good order; the new one serves on.
-	next, nextControl, _ := onSocket(t, env, socket)
+	next, nextControl, _ := startOnSocket(t, env, socket)
 	socket.Close()
-	enginetest.Eventually(t, "the new version is ready", func() bool { return dial(t, nextControl, "status") == "YES" })
+	enginetest.Eventually(t, "the new version is ready", func() bool { return sendCommand(t, nextControl, "status") == "YES" })
 	select {
 	case <-handed:
 	case <-time.After(20 * time.Second): // a bound for a broken test only
@@ -361,7 +361,7 @@
 	if err := cmd.Wait(); err != nil {
 		t.Errorf("exit of the old version: %v", err)
 	}
-	if code := health(url); code != http.StatusOK {
+	if code := healthStatus(url); code != http.StatusOK {
 		t.Errorf("health after the hand-over: %d", code)
 	}
 	next.Process.Signal(syscall.SIGTERM)
--- a/cmd/wellgw/moments_test.go
+++ b/cmd/wellgw/moments_test.go
@@ -20,20 +20,21 @@
 	"wellgw/internal/enginetest"
 )
 
-// platformFile is a gateway's object with one reader and one writer as last known.
-func platformFile(t *testing.T, name, discovery, settings string, reader, writer *enginetest.Engine) string {
-	return file(t, fmt.Sprintf(`{"name":%q,"listen":"127.0.0.1:0","discovery":%q,"settings":%s,
+// platformConfig is a gateway's object with one prefill and one decode engine as last known.
+func platformConfig(t *testing.T, name, discovery, settings string, prefill, decode *enginetest.Engine) string {
+	t.Helper()
+	return writeConfig(t, fmt.Sprintf(`{"name":%q,"listen":"127.0.0.1:0","discovery":%q,"settings":%s,
 		"known":{"revision":1,"complete":true,"members":[
 			{"id":"r1","host_port":%q,"locality":"a","flavor":"r","phase":"active"},
 			{"id":"w1","host_port":%q,"locality":"a","flavor":"w","phase":"active"}]}}`,
-		name, discovery, settings, reader.Addr, writer.Addr))
+		name, discovery, settings, prefill.Addr, decode.Addr))
 }
 
 // A process that starts is ready by the list as last held, whatever discovery does, and
 // serves: none that is up serves nobody.
 func TestReadyWithFailingDiscovery(t *testing.T) {
-	reader := enginetest.NewEngine(t, until(read))
-	writer := enginetest.NewEngine(t, until(func() string { return enginetest.Stream(2, 0) }))
+	prefill := enginetest.NewEngine(t, releasedOr(prefillAnswer))
+	decode := enginetest.NewEngine(t, releasedOr(func() string { return enginetest.Stream(2, 0) }))
 	held := make(chan struct{})
 	server := func(h http.HandlerFunc) string {
 		s := httptest.NewServer(h)
@@ -58,9 +59,9 @@
 		}),
 	} {
 		t.Run(name, func(t *testing.T) {
-			cmd, url := serving(t, []string{"EDGE_CONFIG=" + platformFile(t, "n1", addr, testSettings, reader, writer)}, "serve")
-			healthy(t, url)
-			resp, err := http.DefaultClient.Do(post(t, url))
+			cmd, url := startServing(t, []string{"EDGE_CONFIG=" + platformConfig(t, "n1", addr, testSettings, prefill, decode)}, "serve")
+			waitHealthy(t, url)
+			resp, err := http.DefaultClient.Do(newRequest(t, url))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -77,11 +78,11 @@
 	close(held)
 }
 
-// ranOnce tells which orders an engine got twice.
-func ranOnce(t *testing.T, writer *enginetest.Engine) {
+// checkRanOnce tells which orders an engine got twice.
+func checkRanOnce(t *testing.T, decode *enginetest.Engine) {
 	t.Helper()
 	ran := map[string]int{}
-	for _, call := range writer.Calls(http.MethodPost) {
+	for _, call := range decode.Calls(http.MethodPost) {
 		if ran[call.ID]++; ran[call.ID] == 2 {
 			t.Errorf("%s ran twice", call.ID)
 		}
@@ -92,12 +93,12 @@
 // order gets one final answer, none runs twice, the other gateway's are all served, and
 // once the cut has healed every state that was read and not fetched is let go.
 func TestPartitionBetweenGatewayAndEngines(t *testing.T) {
-	reader := enginetest.NewEngine(t, until(read))
-	writer := enginetest.NewEngine(t, until(func() string { return enginetest.Stream(3, 0) }))
+	prefill := enginetest.NewEngine(t, releasedOr(prefillAnswer))
+	decode := enginetest.NewEngine(t, releasedOr(func() string { return enginetest.Stream(3, 0) }))
 	fabric := faultnet.New(1)
 	t.Cleanup(fabric.Close)
-	fabric.Listens("r", reader.Addr)
-	fabric.Listens("w", writer.Addr)
+	fabric.Listens("r", prefill.Addr)
+	fabric.Listens("w", decode.Addr)
 	set := strings.NewReplacer(`"balancers":1`, `"balancers":2`, `"hard_limit":60000000`, `"hard_limit":4000000`, `"aim":10000000`, `"aim":3000000`).Replace(testSettings)
 	way := func(from, to string) *enginetest.Engine {
 		addr, err := fabric.Dial(from, to)
@@ -106,19 +107,19 @@
 		}
 		return &enginetest.Engine{Addr: addr}
 	}
-	clients := [2]*rollers{{t: t, wait: 4 * time.Second, cut: true}, {t: t, wait: 4 * time.Second}}
+	clients := [2]*rollingClients{{t: t, wait: 4 * time.Second, mayFail: true}, {t: t, wait: 4 * time.Second}}
 	stop := make(chan struct{})
 	var group sync.WaitGroup
 	for g, c := range clients {
 		name := fmt.Sprint("g", g)
-		_, url := serving(t, []string{"EDGE_CONFIG=" + platformFile(t, name, "127.0.0.1:1", set, way(name, "r"), way(name, "w"))}, "serve")
-		healthy(t, url)
+		_, url := startServing(t, []string{"EDGE_CONFIG=" + platformConfig(t, name, "127.0.0.1:1", set, way(name, "r"), way(name, "w"))}, "serve")
+		waitHealthy(t, url)
 		c.addrs = []string{strings.TrimPrefix(url, "http://")}
 		for n := range 4 {
 			group.Go(func() { c.run(4*g+n, stop) })
 		}
 	}
-	more := func(c *rollers, what string) {
+	more := func(c *rollingClients, what string) {
 		t.Helper()
 		seen := c.served.Load()
 		enginetest.Eventually(t, what, func() bool { return c.served.Load() > seen+20 })
@@ -131,7 +132,7 @@
 	}
 	more(clients[0], "requests are under way")
 	rule(faultnet.Rule{Cut: true})
-	ended := func(c *rollers) int64 { return c.failed.Load() + c.refused.Load() }
+	ended := func(c *rollingClients) int64 { return c.failed.Load() + c.refused.Load() }
 	before := ended(clients[0])
 	enginetest.Eventually(t, "one behind the cut has its answer", func() bool { return ended(clients[0]) > before })
 	more(clients[1], "the other gateway serves")
@@ -139,21 +140,21 @@
 	more(clients[0], "served again")
 	close(stop)
 	group.Wait()
-	ranOnce(t, writer)
+	checkRanOnce(t, decode)
 	if n := ended(clients[1]); n > 0 {
 		t.Errorf("%d of the other gateway's requests were not served", n)
 	}
 	served := func(id string) bool {
-		_, one := clients[0].whole.Load(id)
-		_, two := clients[1].whole.Load(id)
+		_, one := clients[0].complete.Load(id)
+		_, two := clients[1].complete.Load(id)
 		return one || two
 	}
 	enginetest.Eventually(t, "all that was read is fetched or let go", func() bool {
 		gone := map[string]bool{}
-		for _, call := range reader.Calls(http.MethodDelete) {
+		for _, call := range prefill.Calls(http.MethodDelete) {
 			gone[path.Base(call.Path)] = true
 		}
-		for _, call := range reader.Calls(http.MethodPost) {
+		for _, call := range prefill.Calls(http.MethodPost) {
 			if !served(call.ID) && !gone[call.ID] {
 				return false
 			}
@@ -167,12 +168,12 @@
 // engine begins to drain meanwhile: each opens a new watch from what it knows, learns of the
 // drain, and sends nothing there any more.
 func TestDiscoverySilentAtThreeGateways(t *testing.T) {
-	gone, stays := enginetest.NewEngine(t, until(read)), enginetest.NewEngine(t, until(read))
-	writer := enginetest.NewEngine(t, until(func() string { return enginetest.Stream(2, 0) }))
+	gone, stays := enginetest.NewEngine(t, releasedOr(prefillAnswer)), enginetest.NewEngine(t, releasedOr(prefillAnswer))
+	decode := enginetest.NewEngine(t, releasedOr(func() string { return enginetest.Stream(2, 0) }))
 	list := func(revision int, phase string) string {
 		return fmt.Sprintf(`{"revision":%d,"complete":true,"members":[{"id":"r1","host_port":%q,"locality":"a","flavor":"r","phase":%q},
 			{"id":"r2","host_port":%q,"locality":"a","flavor":"r","phase":"active"},{"id":"w1","host_port":%q,"locality":"a","flavor":"w","phase":"active"}]}`+"\n",
-			revision, gone.Addr, phase, stays.Addr, writer.Addr)
+			revision, gone.Addr, phase, stays.Addr, decode.Addr)
 	}
 	var first, anew atomic.Int64
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -189,16 +190,16 @@
 	t.Cleanup(func() { discovery.CloseClientConnections(); discovery.Close() })
 	var urls []string
 	for n := range 3 {
-		config := file(t, fmt.Sprintf(`{"name":"n%d","listen":"127.0.0.1:0","discovery":%q,"settings":%s}`,
+		config := writeConfig(t, fmt.Sprintf(`{"name":"n%d","listen":"127.0.0.1:0","discovery":%q,"settings":%s}`,
 			n, discovery.Listener.Addr(), strings.Replace(testSettings, `"balancers":1`, `"balancers":3`, 1)))
-		_, url := serving(t, []string{"EDGE_CONFIG=" + config}, "serve")
-		healthy(t, url)
+		_, url := startServing(t, []string{"EDGE_CONFIG=" + config}, "serve")
+		waitHealthy(t, url)
 		urls = append(urls, url)
 	}
 	ids := 0
 	ask := func(url string) {
 		t.Helper()
-		req := post(t, url)
+		req := newRequest(t, url)
 		ids++
 		req.Header.Set("X-Request-Id", fmt.Sprint("q", ids))
 		req.Header.Set("X-Key", fmt.Sprint("s", ids))
@@ -211,7 +212,7 @@
 			t.Fatalf("status %d, %v", resp.StatusCode, err)
 		}
 	}
-	enginetest.Eventually(t, "both readers are used", func() bool {
+	enginetest.Eventually(t, "both prefill engines are used", func() bool {
 		for _, url := range urls {
 			ask(url)
 		}
@@ -243,8 +244,8 @@
 // to be let go, and for the watch that is opened anew.
 func TestIdleClientsLeaveDescriptorsFree(t *testing.T) {
 	const files = 96
-	reader := enginetest.NewEngine(t, until(read))
-	writer := enginetest.NewEngine(t, until(func() string { return enginetest.Status(500, "", "") })) // so that the state has to be let go
+	prefill := enginetest.NewEngine(t, releasedOr(prefillAnswer))
+	decode := enginetest.NewEngine(t, releasedOr(func() string { return enginetest.Status(500, "", "") })) // so that the state has to be let go
 	var back atomic.Bool
 	var watches atomic.Int64
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -255,14 +256,14 @@
 		<-r.Context().Done()
 	}))
 	t.Cleanup(func() { discovery.CloseClientConnections(); discovery.Close() })
-	config := platformFile(t, "n1", discovery.Listener.Addr().String(), testSettings, reader, writer)
+	config := platformConfig(t, "n1", discovery.Listener.Addr().String(), testSettings, prefill, decode)
 	text, err := os.ReadFile(config)
 	if err != nil {
 		t.Fatal(err)
 	}
-	config = file(t, strings.Replace(string(text), `"name":"n1"`, fmt.Sprintf(`"name":"n1","limits":{"sockets":%d}`, files), 1))
-	_, url := serving(t, []string{"EDGE_CONFIG=" + config, fmt.Sprint("WELLGW_TEST_NOFILE=", files)}, "serve")
-	healthy(t, url)
+	config = writeConfig(t, strings.Replace(string(text), `"name":"n1"`, fmt.Sprintf(`"name":"n1","limits":{"sockets":%d}`, files), 1))
+	_, url := startServing(t, []string{"EDGE_CONFIG=" + config, fmt.Sprint("WELLGW_TEST_NOFILE=", files)}, "serve")
+	waitHealthy(t, url)
 	stop := make(chan struct{})
 	var group sync.WaitGroup
 	defer group.Wait()
@@ -304,7 +305,7 @@
 	enginetest.Eventually(t, "a watch is opened anew", func() bool { return watches.Load() > 0 })
 	answered := 0
 	enginetest.Eventually(t, "ten requests are answered beside them", func() bool {
-		req := post(t, url)
+		req := newRequest(t, url)
 		req.Header.Set("X-Request-Id", fmt.Sprint("q", answered))
 		req.Close = true
 		if resp, err := http.DefaultClient.Do(req); err == nil { // a newcomer may be shut unread
@@ -315,9 +316,9 @@
 	})
 	enginetest.Eventually(t, "what was read for them is let go", func() bool {
 		gone := map[string]bool{}
-		for _, call := range reader.Calls(http.MethodDelete) {
+		for _, call := range prefill.Calls(http.MethodDelete) {
 			gone[path.Base(call.Path)] = true
 		}
-		return len(gone) >= len(reader.Calls(http.MethodPost)) && len(gone) > 0
+		return len(gone) >= len(prefill.Calls(http.MethodPost)) && len(gone) > 0
 	})
 }
--- a/cmd/wellgw/orders_test.go
+++ b/cmd/wellgw/orders_test.go
@@ -11,6 +11,7 @@
 
 	"wellgw/experiments/load"
 	"wellgw/fake/engine"
+	"wellgw/internal/enginetest"
 )
 
 // Three gateways that know nothing of each other, engines from the file, and nothing said of
@@ -27,7 +28,7 @@
 		}
 		engines = append(engines, fmt.Sprintf(`{"id": "e%d", "address": %q, "role": "openai"}`, i, e.Addr()))
 	}
-	text := strings.Replace(operatorFile, `"effect": "free"`, `"effect": "single_shot"`, 1)
+	text := strings.Replace(operatorConfig, `"effect": "free"`, `"effect": "single_shot"`, 1)
 	text = strings.Replace(text, `[{"id": "e", "address": "127.0.0.1:9", "role": "openai"}]`, "["+strings.Join(engines, ",")+"]", 1)
 	p := load.Plan{
 		Name: "o", Key: "k", Models: []load.Model{{Name: "m", Share: 1, Words: 3}}, MaxTokens: 8,
@@ -37,27 +38,24 @@
 	for range 3 {
 		// With a file of their own they trust their memory from the first moment on.
 		own := fmt.Sprintf(`"idempotency": {"file": %q}, "engines":`, filepath.Join(t.TempDir(), "keys.db"))
-		cmd, url := serving(t, nil, "serve", "--operator", file(t, strings.Replace(text, `"engines":`, own, 1)))
+		cmd, url := startServing(t, nil, "serve", "--operator", writeConfig(t, strings.Replace(text, `"engines":`, own, 1)))
 		stop := func(s syscall.Signal) { _ = cmd.Process.Signal(s) }
 		t.Cleanup(func() { stop(syscall.SIGCONT); stop(syscall.SIGKILL); _ = cmd.Wait() })
 		signals = append(signals, stop)
 		p.Targets = append(p.Targets, strings.TrimPrefix(url, "http://"))
-		healthy(t, url)
+		waitHealthy(t, url)
 	}
 	ctx, done := context.WithCancel(t.Context())
 	var rec load.Recorder
 	ended := make(chan struct{})
 	go func() { defer close(ended); load.Run(ctx, p, &rec) }()
-	for len(rec.All()) < 48 {
-		time.Sleep(10 * time.Millisecond)
-	}
+	enginetest.Eventually(t, "orders are under way", func() bool { return len(rec.All()) >= 48 })
 	signals[0](syscall.SIGSTOP) // its clients give up, and go elsewhere
 	time.Sleep(2 * p.Patience)
 	signals[0](syscall.SIGCONT)
 	signals[1](syscall.SIGKILL)
-	for seen := len(rec.All()); len(rec.All()) < seen+48; {
-		time.Sleep(10 * time.Millisecond)
-	}
+	seen := len(rec.All())
+	enginetest.Eventually(t, "orders go on", func() bool { return len(rec.All()) >= seen+48 })
 	done()
 	<-ended
 	unknown := 0
--- a/cmd/wellgw/reload_test.go
+++ b/cmd/wellgw/reload_test.go
@@ -32,9 +32,9 @@
 	old, oldAsked := discovery()
 	next, nextAsked := discovery()
 	text := fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":%q,"settings":%s}`, old, testSettings)
-	config := file(t, text)
-	cmd, url := serving(t, []string{"EDGE_CONFIG=" + config, "EDGE_DISCOVERY=" + old}, "serve")
-	healthy(t, url)
+	config := writeConfig(t, text)
+	cmd, url := startServing(t, []string{"EDGE_CONFIG=" + config, "EDGE_DISCOVERY=" + old}, "serve")
+	waitHealthy(t, url)
 	said := func(asked chan string) string {
 		select {
 		case q := <-asked:
@@ -57,7 +57,7 @@
 	if a, b := said(oldAsked), said(nextAsked); a != "ended" || b != "watch=1&after=2" {
 		t.Errorf("old address: %q; new address: %q", a, b)
 	}
-	healthy(t, url)
+	waitHealthy(t, url)
 	cmd.Process.Signal(syscall.SIGTERM)
 	cmd.Process.Signal(syscall.SIGHUP)
 	if err := cmd.Wait(); err != nil {
@@ -72,8 +72,8 @@
 		t.Fatal(err)
 	}
 	text := strings.Replace(string(raw), "127.0.0.1:8080", "127.0.0.1:0", 1)
-	path := file(t, text)
-	cmd, url := serving(t, nil, "serve", "--operator", path)
+	path := writeConfig(t, text)
+	cmd, url := startServing(t, nil, "serve", "--operator", path)
 	models := func(key string) string {
 		req, _ := http.NewRequestWithContext(t.Context(), http.MethodGet, url+"/v1/models", nil)
 		req.Header.Set("Authorization", "Bearer "+key)
--- a/cmd/wellgw/roll_test.go
+++ b/cmd/wellgw/roll_test.go
@@ -19,30 +19,30 @@
 	"wellgw/internal/enginetest"
 )
 
-// rollers are the clients of a roll. Each keeps a connection for as long as its gateway
+// rollingClients are the clients of a roll. Each keeps a connection for as long as its gateway
 // does, and sends a request once more, elsewhere, only where the connection ended with no
 // byte of an answer.
-type rollers struct {
-	t       *testing.T
-	mu      sync.Mutex
-	addrs   []string
-	refused atomic.Int64
-	served  atomic.Int64
-	again   atomic.Int64
-	failed  atomic.Int64
-	wait    time.Duration // of a client for its first token
-	cut     bool          // engines may be out of reach: what may have run may fail
-	whole   sync.Map
+type rollingClients struct {
+	t        *testing.T
+	mu       sync.Mutex
+	addrs    []string
+	refused  atomic.Int64
+	served   atomic.Int64
+	resent   atomic.Int64
+	failed   atomic.Int64
+	wait     time.Duration // of a client for its first token
+	mayFail  bool          // engines may be out of reach: what may have run may fail
+	complete sync.Map
 }
 
-func (c *rollers) addr(n int) string {
+func (c *rollingClients) addr(n int) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.addrs[n%len(c.addrs)]
 }
 
 // run asks one request after another until stop is closed.
-func (c *rollers) run(n int, stop <-chan struct{}) {
+func (c *rollingClients) run(n int, stop <-chan struct{}) {
 	var conn net.Conn
 	var in *bufio.Reader
 	for k := 0; ; k++ {
@@ -70,7 +70,7 @@
 			if _, err := in.Peek(1); err != nil {
 				conn.Close()
 				conn = nil
-				c.again.Add(1)
+				c.resent.Add(1)
 				continue
 			}
 			resp, err := http.ReadResponse(in, nil)
@@ -82,10 +82,10 @@
 			switch {
 			case resp.StatusCode == http.StatusOK && err == nil && strings.HasSuffix(string(b), "data: [DONE]\n\n"):
 				c.served.Add(1)
-				c.whole.Store(id, true)
+				c.complete.Store(id, true)
 			case resp.StatusCode == http.StatusServiceUnavailable && err == nil:
 				c.refused.Add(1)
-			case c.cut && err == nil && (resp.StatusCode == http.StatusBadGateway || resp.StatusCode == http.StatusGatewayTimeout):
+			case c.mayFail && err == nil && (resp.StatusCode == http.StatusBadGateway || resp.StatusCode == http.StatusGatewayTimeout):
 				c.failed.Add(1)
 			default:
 				c.t.Errorf("%s: status %d, %q, %v", id, resp.StatusCode, b, err)
@@ -105,17 +105,17 @@
 // Where streams go on to the kill, a request whose engine never answers still has its answer
 // before it, and the gateway ends by itself.
 func TestShutdownAnswersBeforeKill(t *testing.T) {
-	reader := enginetest.NewEngine(t, until(read))
+	prefill := enginetest.NewEngine(t, releasedOr(prefillAnswer))
 	out := make(chan bool, 1)
-	writer := enginetest.NewEngine(t, until(func() string {
+	decode := enginetest.NewEngine(t, releasedOr(func() string {
 		out <- true
 		return enginetest.Hang
 	}))
-	cmd, url := serving(t, []string{"EDGE_CONFIG=" + platformFile(t, "n1", "127.0.0.1:1", testSettings, reader, writer)}, "serve")
-	healthy(t, url)
+	cmd, url := startServing(t, []string{"EDGE_CONFIG=" + platformConfig(t, "n1", "127.0.0.1:1", testSettings, prefill, decode)}, "serve")
+	waitHealthy(t, url)
 	status := make(chan int, 1)
 	go func() {
-		resp, err := http.DefaultClient.Do(post(t, url))
+		resp, err := http.DefaultClient.Do(newRequest(t, url))
 		if err != nil {
 			status <- 0
 			return
@@ -139,14 +139,14 @@
 func TestRollingRestartLosesNoRequest(t *testing.T) {
 	for _, resume := range []string{"false", "true"} {
 		t.Run("resume "+resume, func(t *testing.T) {
-			reader := enginetest.NewEngine(t, until(read))
-			writer := enginetest.NewEngine(t, until(func() string { return enginetest.Stream(3, 0) }))
+			prefill := enginetest.NewEngine(t, releasedOr(prefillAnswer))
+			decode := enginetest.NewEngine(t, releasedOr(func() string { return enginetest.Stream(3, 0) }))
 			set := strings.NewReplacer(`"balancers":1`, `"balancers":3`, `"hard_limit":60000000`, `"hard_limit":2000000`, `"aim":10000000`, `"aim":1500000`,
 				`"pin_limit"`, `"resume":`+resume+`,"pin_limit"`).Replace(testSettings)
-			clients := &rollers{t: t, wait: 2 * time.Second}
+			clients := &rollingClients{t: t, wait: 2 * time.Second}
 			start := func(n int) (*exec.Cmd, string) {
-				cmd, url := serving(t, []string{"EDGE_CONFIG=" + platformFile(t, fmt.Sprint("n", n), "127.0.0.1:1", set, reader, writer)}, "serve")
-				healthy(t, url)
+				cmd, url := startServing(t, []string{"EDGE_CONFIG=" + platformConfig(t, fmt.Sprint("n", n), "127.0.0.1:1", set, prefill, decode)}, "serve")
+				waitHealthy(t, url)
 				return cmd, strings.TrimPrefix(url, "http://")
 			}
 			var programs []*exec.Cmd
@@ -175,8 +175,8 @@
 			}
 			close(stop)
 			group.Wait()
-			ranOnce(t, writer)
-			t.Logf("%d served, %d refused, %d sent once more", clients.served.Load(), clients.refused.Load(), clients.again.Load())
+			checkRanOnce(t, decode)
+			t.Logf("%d served, %d refused, %d sent once more", clients.served.Load(), clients.refused.Load(), clients.resent.Load())
 			for _, cmd := range programs {
 				cmd.Process.Signal(syscall.SIGTERM)
 			}
--- a/cmd/wellgw/tier_test.go
+++ b/cmd/wellgw/tier_test.go
@@ -28,20 +28,20 @@
 func TestPausesAndKills(t *testing.T) {
 	t.Parallel()
 	w := newTier(t, []string{"a", "b", "c"}, nil)
-	a, b, c := w.gates["a"], w.gates["b"], w.gates["c"]
-	c.stop(syscall.SIGSTOP)
+	a, b, c := w.gateways["a"], w.gateways["b"], w.gateways["c"]
+	c.signal(syscall.SIGSTOP)
 	time.Sleep(500 * time.Millisecond)
-	c.stop(syscall.SIGCONT)
+	c.signal(syscall.SIGCONT)
 	w.agree("after a short pause")
 
-	c.stop(syscall.SIGSTOP)
-	for _, m := range []*member{a, b} {
+	c.signal(syscall.SIGSTOP)
+	for _, m := range []*tierGateway{a, b} {
 		enginetest.Eventually(t, m.name+" sees the silent one dead", func() bool { return m.holds(t, "c", membership.Dead) })
 	}
 	w.eventually("one that just died still counts, and two of three are a majority", []string{"a", "b"}, func(s peers.Status) bool {
 		return s.View.Sharing == 3 && !s.View.Minority
 	})
-	c.stop(syscall.SIGCONT)
+	c.signal(syscall.SIGCONT)
 	w.agree("after a long pause")
 	if s := c.status(t).View; s.Stats.Pauses == 0 {
 		t.Errorf("the one that was paused has not noticed: %+v", s.Stats)
@@ -64,18 +64,18 @@
 	w := newTier(t, []string{"a", "b", "c", "d"}, nil)
 	before := map[string]uint64{}
 	for _, name := range w.names {
-		before[name] = w.gates[name].status(t).View.Self.Incarnation
+		before[name] = w.gateways[name].status(t).View.Self.Incarnation
 	}
 	for _, name := range w.names {
-		w.gates[name].stop(syscall.SIGKILL)
+		w.gateways[name].signal(syscall.SIGKILL)
 	}
 	for _, name := range w.names {
-		<-w.gates[name].over
+		<-w.gateways[name].exited
 		w.start(name, name, nil)
 	}
 	w.agree("after all were killed")
 	for _, name := range w.names {
-		if got := w.gates[name].status(t).View.Self.Incarnation; got <= before[name] {
+		if got := w.gateways[name].status(t).View.Self.Incarnation; got <= before[name] {
 			t.Errorf("%s is back with incarnation %d, %d before", name, got, before[name])
 		}
 	}
@@ -92,7 +92,7 @@
 			rest, still := w.names[:6-n], w.names[6-n:]
 			stopped := time.Now()
 			for _, name := range still {
-				w.gates[name].stop(syscall.SIGSTOP)
+				w.gateways[name].signal(syscall.SIGSTOP)
 			}
 			w.eventually("they are dead and still count", rest, func(s peers.Status) bool {
 				return alive(s.View) == 5-n && s.View.Sharing == 6 && !s.View.Minority
@@ -100,11 +100,11 @@
 			w.eventually("they count no longer", rest, func(s peers.Status) bool { return s.View.Sharing == 6-n })
 			time.Sleep(time.Until(stopped.Add(30 * time.Second)))
 			for _, name := range still {
-				w.gates[name].stop(syscall.SIGCONT)
+				w.gateways[name].signal(syscall.SIGCONT)
 			}
 			w.agree("after the pause")
 			for _, name := range still {
-				if s := w.gates[name].status(t).View; s.Stats.Pauses == 0 {
+				if s := w.gateways[name].status(t).View; s.Stats.Pauses == 0 {
 					t.Errorf("%s has not noticed its pause: %+v", name, s.Stats)
 				}
 			}
@@ -116,10 +116,10 @@
 func TestPacketLoss(t *testing.T) {
 	t.Parallel()
 	w := newTier(t, []string{"a", "b", "c", "d"}, nil)
-	w.net.All(w.names, faultnet.Rule{Loss: 0.3, Double: 0.1, Jitter: 20 * time.Millisecond})
+	w.faults.All(w.names, faultnet.Rule{Loss: 0.3, Double: 0.1, Jitter: 20 * time.Millisecond})
 	time.Sleep(5 * time.Second)
 	w.agree("under loss")
-	w.gates["d"].kill()
+	w.gateways["d"].kill()
 	w.eventually("the kill is known", w.names[:3], func(s peers.Status) bool { return s.View.Stats.Died > 0 && alive(s.View) == 2 })
 	w.start("d", "d", nil)
 	w.agree("under loss, after a restart")
@@ -134,14 +134,14 @@
 			if from == to {
 				continue
 			}
-			w.net.Set(from, to, faultnet.Rule{Cut: true})
+			w.faults.Set(from, to, faultnet.Rule{Cut: true})
 			enginetest.Eventually(t, fmt.Sprintf("%s knows that only others reach %s", from, to), func() bool {
-				g, known := w.gates[from].of(t, to)
+				g, known := w.gateways[from].viewOf(t, to)
 				return known && g.OneWay && g.Status < membership.Dead
 			})
-			w.net.Set(from, to, faultnet.Rule{})
+			w.faults.Set(from, to, faultnet.Rule{})
 			w.agree("after the cut")
-			enginetest.Eventually(t, "it is direct again", func() bool { g, known := w.gates[from].of(t, to); return known && !g.OneWay })
+			enginetest.Eventually(t, "it is direct again", func() bool { g, known := w.gateways[from].viewOf(t, to); return known && !g.OneWay })
 		}
 	}
 }
@@ -167,16 +167,16 @@
 			}
 			again := []string{"b", c.rest[len(c.rest)-1]}
 			for _, name := range again {
-				w.gates[name].kill()
+				w.gateways[name].kill()
 				w.start(name, name, nil)
 			}
 			w.eventually("it has found its half again", c.some, func(s peers.Status) bool { return alive(s.View) == len(c.some)-1 })
 			w.cut(c.some, c.rest, faultnet.Rule{})
 			w.agree("after the heal")
 			for _, name := range again {
-				self := w.gates[name].status(t).View.Self.Incarnation
+				self := w.gateways[name].status(t).View.Self.Incarnation
 				for _, other := range w.names {
-					if g, known := w.gates[other].of(t, name); other != name && (!known || g.Incarnation != self) {
+					if g, known := w.gateways[other].viewOf(t, name); other != name && (!known || g.Incarnation != self) {
 						t.Errorf("%s holds %s at incarnation %d, it is at %d", other, name, g.Incarnation, self)
 					}
 				}
@@ -200,15 +200,15 @@
 func TestRestartFasterThanDetection(t *testing.T) {
 	t.Parallel()
 	w := newTier(t, []string{"a", "b", "c"}, nil)
-	w.net.Set("b", "a", faultnet.Rule{Delay: 8 * time.Second})
+	w.faults.Set("b", "a", faultnet.Rule{Delay: 8 * time.Second})
 	time.Sleep(500 * time.Millisecond) // some are under way
-	w.gates["b"].kill()
-	w.net.Set("b", "a", faultnet.Rule{})
+	w.gateways["b"].kill()
+	w.faults.Set("b", "a", faultnet.Rule{})
 	w.start("b", "b", nil)
 	w.eventually("what the former life sent is dropped", []string{"a"}, func(s peers.Status) bool { return s.Counts.Former > 0 })
 	w.agree("after the restart")
-	want := w.gates["b"].status(t).View.Self.Incarnation
-	if g, _ := w.gates["a"].of(t, "b"); g.Incarnation != want {
+	want := w.gateways["b"].status(t).View.Self.Incarnation
+	if g, _ := w.gateways["a"].viewOf(t, "b"); g.Incarnation != want {
 		t.Errorf("a holds b at incarnation %d, it is at %d", g.Incarnation, want)
 	}
 }
@@ -218,14 +218,14 @@
 func TestTwoProcessesWithOneName(t *testing.T) {
 	t.Parallel()
 	w := newTier(t, []string{"a", "b", "c"}, nil)
-	former := w.gates["c"]
+	former := w.gateways["c"]
 	w.relay("c again")
 	later := w.start("c again", "c", nil)
 	enginetest.Eventually(t, "the former one is silenced", func() bool { return former.status(t).View.Silenced })
 	for _, name := range []string{"a", "b"} {
 		enginetest.Eventually(t, name+" holds the later one for c", func() bool {
-			g, known := w.gates[name].of(t, "c")
-			return known && g.Status == membership.Alive && g.Addr == w.at["c again"]
+			g, known := w.gateways[name].viewOf(t, "c")
+			return known && g.Status == membership.Alive && g.Addr == w.relays["c again"]
 		})
 	}
 	if later.status(t).View.Silenced {
@@ -251,7 +251,7 @@
 	var storm []*peers.Peers
 	for i := range many {
 		p, err := peers.New(peers.Options{
-			Listen: "127.0.0.1:0", Name: fmt.Sprint("s", i), Tier: "t", Join: []string{w.gates["a"].status(t).Listen}, Keys: ring, Log: slog.New(slog.DiscardHandler),
+			Listen: "127.0.0.1:0", Name: fmt.Sprint("s", i), Tier: "t", Join: []string{w.gateways["a"].status(t).Listen}, Keys: ring, Log: slog.New(slog.DiscardHandler),
 		})
 		if err != nil {
 			t.Fatal(err)
@@ -288,25 +288,25 @@
 func TestKeyRotationDuringPartition(t *testing.T) {
 	t.Parallel()
 	w := newTier(t, []string{"a", "b", "c"}, nil)
-	w.gates["c"].stop(syscall.SIGSTOP)
+	w.gateways["c"].signal(syscall.SIGSTOP)
 	w.eventually("one is dead", []string{"a", "b"}, func(s peers.Status) bool { return alive(s.View) == 1 })
-	inUse := w.gates["a"].status(t).Key
+	inUse := w.gateways["a"].status(t).Key
 	for _, keys := range [][]string{{tierKey(7), tierKey(8)}, {tierKey(8), tierKey(7)}} {
 		for _, name := range []string{"a", "b"} {
-			w.gates[name].setKeys(t, keys...)
+			w.gateways[name].setKeys(t, keys...)
 		}
 		time.Sleep(2500 * time.Millisecond) // they look every 2 s
 	}
 	w.eventually("the new key seals", []string{"a", "b"}, func(s peers.Status) bool { return s.Key != inUse && alive(s.View) == 1 })
-	w.gates["c"].stop(syscall.SIGCONT)
+	w.gateways["c"].signal(syscall.SIGCONT)
 	w.eventually("it can't read the new key", []string{"c"}, func(s peers.Status) bool { return s.Counts.Key > 0 })
-	w.gates["c"].setKeys(t, tierKey(8), tierKey(7))
+	w.gateways["c"].setKeys(t, tierKey(8), tierKey(7))
 	w.agree("once it has the new key")
 	for _, name := range w.names {
-		w.gates[name].setKeys(t, tierKey(8))
+		w.gateways[name].setKeys(t, tierKey(8))
 	}
 	for _, name := range w.names {
-		got := w.gates[name].status(t).Counts.Received
+		got := w.gateways[name].status(t).Counts.Received
 		w.eventually("hears on without the old key", []string{name}, func(s peers.Status) bool { return s.Counts.Received > got+20 })
 	}
 	w.agree("without the old key")
@@ -325,12 +325,12 @@
 	}
 	w := newTier(t, []string{"a", "b", "c"}, old)
 	for _, name := range []string{"c", "a"} {
-		w.gates[name].kill()
+		w.gateways[name].kill()
 		w.eventually("its end is known", []string{"b"}, func(s peers.Status) bool { return alive(s.View) == 1 })
 		w.start(name, name, old)
 		w.agree("after " + name + " was started again")
 	}
-	w.gates["c"].kill()
+	w.gateways["c"].kill()
 	w.start("c", "c", old)
 	w.eventually("drops what it can't read", []string{"a"}, func(s peers.Status) bool { return s.Counts.Version > 0 })
 	w.agree("at the end")
@@ -343,7 +343,7 @@
 	w := newTier(t, []string{"a", "b", "c"}, nil)
 	var mu sync.Mutex
 	var good [][]byte
-	w.net.Tap(func(_, to string, b []byte) {
+	w.faults.Tap(func(_, to string, b []byte) {
 		mu.Lock()
 		defer mu.Unlock()
 		if to == "a" && len(good) < 64 {
@@ -351,7 +351,7 @@
 		}
 	})
 	enginetest.Eventually(t, "some are overheard", func() bool { mu.Lock(); defer mu.Unlock(); return len(good) == 64 })
-	conn, err := net.Dial("udp4", w.gates["a"].status(t).Listen)
+	conn, err := net.Dial("udp4", w.gateways["a"].status(t).Listen)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -369,7 +369,7 @@
 		}
 	}
 	w.eventually("drops what is forged and what has come before", []string{"a"}, func(s peers.Status) bool { return s.Counts.Seal > 100 && s.Counts.Replay > 100 })
-	healthy(t, w.gates["a"].url)
+	waitHealthy(t, w.gateways["a"].url)
 	w.agree("after the flood")
 }
 
@@ -400,7 +400,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		cmd := program(t, []string{"EDGE_CONFIG=" + file(t, config), "EDGE_PEER_KEYS=" + key}, "serve")
+		cmd := program(t, []string{"EDGE_CONFIG=" + writeConfig(t, config), "EDGE_PEER_KEYS=" + key}, "serve")
 		cmd.Stderr = log
 		if err := cmd.Start(); err != nil {
 			t.Fatal(err)
--- a/cmd/wellgw/tierharness_test.go
+++ b/cmd/wellgw/tierharness_test.go
@@ -21,27 +21,27 @@
 	"wellgw/internal/peers"
 )
 
-const operatorFile = `{"listen": "127.0.0.1:0", "zone": "z",
+const operatorConfig = `{"listen": "127.0.0.1:0", "zone": "z",
 	"contracts": [{"name": "c", "effect": "free", "aim_ms": 1000, "deadline_ms": 4000, "worth": 1}],
 	"models": [{"name": "m", "contract": "c"}],
 	"teams": [{"name": "t", "keys": ["k"], "models": ["m"]}],
 	"engines": [{"id": "e", "address": "127.0.0.1:9", "role": "openai"}]}`
 
-// member is one gateway of a tier, a program of its own.
-type member struct {
+// tierGateway is one gateway of a tier, a program of its own.
+type tierGateway struct {
 	name, admin, url, keys string
-	stop                   func(syscall.Signal)
-	over                   chan struct{}
+	signal                 func(syscall.Signal)
+	exited                 chan struct{}
 }
 
 // tier is programs, each behind a relay.
 type tier struct {
-	t     *testing.T
-	dir   string
-	net   *faultnet.Net
-	names []string
-	at    map[string]string // relays
-	gates map[string]*member
+	t        *testing.T
+	dir      string
+	faults   *faultnet.Net
+	names    []string
+	relays   map[string]string // relays
+	gateways map[string]*tierGateway
 }
 
 // newTier starts gateways that join by the first two and waits until they agree. change
@@ -51,8 +51,8 @@
 	if testing.Short() {
 		t.Skip("several programs; the whole run has them")
 	}
-	w := &tier{t: t, dir: t.TempDir(), net: faultnet.New(1), names: names, at: map[string]string{}, gates: map[string]*member{}}
-	t.Cleanup(w.net.Close)
+	w := &tier{t: t, dir: t.TempDir(), faults: faultnet.New(1), names: names, relays: map[string]string{}, gateways: map[string]*tierGateway{}}
+	t.Cleanup(w.faults.Close)
 	for _, name := range names {
 		w.relay(name)
 	}
@@ -65,16 +65,16 @@
 
 func (w *tier) relay(name string) {
 	w.t.Helper()
-	at, err := w.net.Port(name)
+	at, err := w.faults.Port(name)
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	w.at[name] = at
+	w.relays[name] = at
 }
 
 func tierKey(n byte) string { return base64.StdEncoding.EncodeToString(bytes.Repeat([]byte{n}, 32)) }
 
-func (m *member) setKeys(t *testing.T, keys ...string) {
+func (m *tierGateway) setKeys(t *testing.T, keys ...string) {
 	t.Helper()
 	if err := os.WriteFile(m.keys, []byte(strings.Join(keys, "\n")+"\n"), 0o600); err != nil {
 		t.Fatal(err)
@@ -82,15 +82,15 @@
 }
 
 // start begins a program behind the relay place, under a name.
-func (w *tier) start(place, name string, change func(string, map[string]any)) *member {
+func (w *tier) start(place, name string, change func(string, map[string]any)) *tierGateway {
 	w.t.Helper()
-	m := &member{name: name, keys: filepath.Join(w.dir, place+".keys"), over: make(chan struct{})}
+	m := &tierGateway{name: name, keys: filepath.Join(w.dir, place+".keys"), exited: make(chan struct{})}
 	if _, err := os.Stat(m.keys); err != nil {
 		m.setKeys(w.t, tierKey(7))
 	}
 	p := map[string]any{
-		"listen": "127.0.0.1:0", "advertise": w.at[place], "name": name, "tier": "t", "key_file": m.keys,
-		"join": []string{w.at[w.names[0]], w.at[w.names[min(1, len(w.names)-1)]]}, "incarnation_file": filepath.Join(w.dir, place+".incarnation"),
+		"listen": "127.0.0.1:0", "advertise": w.relays[place], "name": name, "tier": "t", "key_file": m.keys,
+		"join": []string{w.relays[w.names[0]], w.relays[w.names[min(1, len(w.names)-1)]]}, "incarnation_file": filepath.Join(w.dir, place+".incarnation"),
 	}
 	if change != nil {
 		change(name, p)
@@ -99,25 +99,25 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	text := strings.Replace(operatorFile, `"engines":`, fmt.Sprintf(`"admin": {"listen": "127.0.0.1:0"}, "peers": %s, "engines":`, raw), 1)
-	cmd, url, at := servingWith(w.t, nil, "serve", "--operator", file(w.t, text))
+	text := strings.Replace(operatorConfig, `"engines":`, fmt.Sprintf(`"admin": {"listen": "127.0.0.1:0"}, "peers": %s, "engines":`, raw), 1)
+	cmd, url, at := startServingAdmin(w.t, nil, "serve", "--operator", writeConfig(w.t, text))
 	m.admin, m.url = at, url
-	m.stop = func(s syscall.Signal) { _ = cmd.Process.Signal(s) }
-	go func() { defer close(m.over); _ = cmd.Wait() }()
-	w.t.Cleanup(func() { m.stop(syscall.SIGCONT); m.kill() })
-	w.gates[place] = m
-	if err := w.net.Behind(place, m.status(w.t).Listen); err != nil {
+	m.signal = func(s syscall.Signal) { _ = cmd.Process.Signal(s) }
+	go func() { defer close(m.exited); _ = cmd.Wait() }()
+	w.t.Cleanup(func() { m.signal(syscall.SIGCONT); m.kill() })
+	w.gateways[place] = m
+	if err := w.faults.Behind(place, m.status(w.t).Listen); err != nil {
 		w.t.Fatal(err)
 	}
 	return m
 }
 
-func (m *member) kill() {
-	m.stop(syscall.SIGKILL)
-	<-m.over
+func (m *tierGateway) kill() {
+	m.signal(syscall.SIGKILL)
+	<-m.exited
 }
 
-func (m *member) status(t *testing.T) (s peers.Status) {
+func (m *tierGateway) status(t *testing.T) (s peers.Status) {
 	t.Helper()
 	ctx, done := context.WithTimeout(t.Context(), 5*time.Second)
 	defer done()
@@ -127,8 +127,8 @@
 	return s
 }
 
-// of is how a gateway holds another.
-func (m *member) of(t *testing.T, name string) (membership.Gateway, bool) {
+// viewOf is how a gateway holds another.
+func (m *tierGateway) viewOf(t *testing.T, name string) (membership.Gateway, bool) {
 	t.Helper()
 	all := m.status(t).View.Others
 	at := slices.IndexFunc(all, func(g membership.Gateway) bool { return g.ID == name })
@@ -138,9 +138,9 @@
 	return all[at], true
 }
 
-func (m *member) holds(t *testing.T, name string, s membership.Status) bool {
+func (m *tierGateway) holds(t *testing.T, name string, s membership.Status) bool {
 	t.Helper()
-	g, known := m.of(t, name)
+	g, known := m.viewOf(t, name)
 	return known && g.Status == s
 }
 
@@ -159,7 +159,7 @@
 	enginetest.Eventually(w.t, when+" all agree", func() bool {
 		var first membership.View
 		for i, name := range w.names {
-			v := w.gates[name].status(w.t).View
+			v := w.gateways[name].status(w.t).View
 			if i == 0 {
 				first = v
 			}
@@ -175,7 +175,7 @@
 func (w *tier) eventually(what string, names []string, is func(peers.Status) bool) {
 	w.t.Helper()
 	for _, name := range names {
-		enginetest.Eventually(w.t, name+": "+what, func() bool { return is(w.gates[name].status(w.t)) })
+		enginetest.Eventually(w.t, name+": "+what, func() bool { return is(w.gateways[name].status(w.t)) })
 	}
 }
 
@@ -183,8 +183,8 @@
 func (w *tier) cut(some, rest []string, r faultnet.Rule) {
 	for _, a := range some {
 		for _, b := range rest {
-			w.net.Set(a, b, r)
-			w.net.Set(b, a, r)
+			w.faults.Set(a, b, r)
+			w.faults.Set(b, a, r)
 		}
 	}
 }
