--- a/cmd/wellgw/chatgateway.go
+++ b/cmd/wellgw/chatgateway.go
@@ -36,97 +36,97 @@
 }
 
 func newChatGateway(path string, o *config.Operator, log *slog.Logger) *gateway {
-	f := &chatGateway{path: path, started: o}
-	f.current.Store(o)
-	g := &gateway{
+	g := &chatGateway{path: path, started: o}
+	g.current.Store(o)
+	base := &gateway{
 		log: log, listen: o.Listen,
 		limits: o.Limits, gcPercent: chatGCPercent, settings: o.Settings(), seed: uint64(time.Now().UnixNano()),
 		coreLimits: core.Limits{ServesAlone: func(kind string) bool { return kind == config.RoleOpenAI }},
 		pool:       upstream.Options{ReadBuffer: chatReadBuffer, StreamSilence: chatStreamSilence},
-		dialect:    f.dialect, newFront: f.newFront, newDirectory: f.newDirectory,
+		dialect:    g.dialect, newFront: g.newFront, newDirectory: g.newDirectory,
 		status: &status{},
 	}
-	g.pool.ConnectTimeout, g.pool.ConnIdle, g.coreLimits.DeadlineSlack = o.Network()
+	base.pool.ConnectTimeout, base.pool.ConnIdle, base.coreLimits.DeadlineSlack = o.Network()
 	for _, c := range o.Contracts {
-		g.maxWait = max(g.maxWait, c.Deadline())
+		base.maxWait = max(base.maxWait, c.Deadline())
 	}
-	f.gateway = g
-	return g
+	g.gateway = base
+	return base
 }
 
-func (f *chatGateway) dialect(kind string) upstream.Dialect {
+func (g *chatGateway) dialect(kind string) upstream.Dialect {
 	if kind == config.RoleOpenAI {
-		return openai.Dialect{Key: f.current.Load().EngineKey}
+		return openai.Dialect{Key: g.current.Load().EngineKey}
 	}
 	return openai.TwoStage{}
 }
 
-func (f *chatGateway) newFront(c *core.Core, bodies *clientconn.Budget) front {
+func (g *chatGateway) newFront(c *core.Core, bodies *clientconn.Budget) front {
 	front := openai.NewFront(openai.Options{
-		Core: c, File: f.started, Bodies: bodies, Keys: f.keys, Held: memoryBytes(f.gateway.limits, streamBufferShare),
-		Others: f.othersMayServe,
+		Core: c, File: g.started, Bodies: bodies, Keys: g.keys, Held: memoryBytes(g.gateway.limits, streamBufferShare),
+		Others: g.othersMayServe,
 	})
-	f.front.Store(front)
+	g.front.Store(front)
 	return front
 }
 
 // othersMayServe tells whether another gateway may serve a request that a client sends again.
-func (f *chatGateway) othersMayServe() bool {
-	o := f.started
+func (g *chatGateway) othersMayServe() bool {
+	o := g.started
 	return deduplication.Topology{
-		StickyKeys: o.Idempotency != nil && o.Idempotency.Sticky, ConfiguredGateways: o.Gateways, PeersEnabled: o.Peers != nil, ObservedGateways: f.gateway.status.sharing(),
+		StickyKeys: o.Idempotency != nil && o.Idempotency.Sticky, ConfiguredGateways: o.Gateways, PeersEnabled: o.Peers != nil, ObservedGateways: g.gateway.status.sharing(),
 	}.AttemptsMayGoElsewhere()
 }
 
 // frontCounts are the front's own counts, beside the core's; nil before there is a front.
-func (f *chatGateway) frontCounts() map[string]int {
-	if front := f.front.Load(); front != nil {
+func (g *chatGateway) frontCounts() map[string]int {
+	if front := g.front.Load(); front != nil {
 		return front.Counts()
 	}
 	return nil
 }
 
 // newDirectory opens the idempotency keys, and what tells of engines.
-func (f *chatGateway) newDirectory(c *core.Core) (engineDirectory, error) {
-	o, file := f.started, ""
+func (g *chatGateway) newDirectory(c *core.Core) (engineDirectory, error) {
+	o, file := g.started, ""
 	if o.Idempotency != nil {
 		file = o.Idempotency.File
 	}
 	var err error
-	if f.keys, err = idempotency.Open(file, o.KeyLimits(), f.gateway.log); err != nil {
+	if g.keys, err = idempotency.Open(file, o.KeyLimits(), g.gateway.log); err != nil {
 		return engineDirectory{}, err
 	}
-	if f.sources, err = newEngineSources(o, f.gateway, c, f.frontCounts); err != nil {
+	if g.sources, err = newEngineSources(o, g.gateway, c, g.frontCounts); err != nil {
 		return engineDirectory{}, err
 	}
-	d := engineDirectory{Directory: f.sources.keeper, run: f.runDirectory, reload: f.reload, observe: f.sources.observe}
-	if f.sources.peers != nil {
-		d.leave = f.sources.peers.Leave
+	d := engineDirectory{Directory: g.sources.keeper, run: g.runDirectory, reload: g.reload, observe: g.sources.observe}
+	if g.sources.peers != nil {
+		d.leave = g.sources.peers.Leave
 	}
 	return d, nil
 }
 
 // runDirectory keeps the idempotency keys and the list of engines until ctx ends.
-func (f *chatGateway) runDirectory(ctx context.Context) {
+func (g *chatGateway) runDirectory(ctx context.Context) {
 	var group sync.WaitGroup
-	group.Go(func() { f.keys.Run(ctx) })
-	f.sources.run(ctx)
+	group.Go(func() { g.keys.Run(ctx) })
+	g.sources.run(ctx)
 	group.Wait()
 }
 
 // reload reads the file again and applies it. The process's state does not depend on it.
-func (f *chatGateway) reload(context.Context, *supervisor) error {
-	next, err := config.ReadOperator(f.path)
+func (g *chatGateway) reload(context.Context, *supervisor) error {
+	next, err := config.ReadOperator(g.path)
 	if err != nil {
 		return err
 	}
-	if err := f.started.Takes(next); err != nil {
+	if err := g.started.Takes(next); err != nil {
 		return err
 	}
-	if err := f.sources.apply(next); err != nil {
+	if err := g.sources.apply(next); err != nil {
 		return err
 	}
-	f.current.Store(next)
-	f.front.Load().Reload(next)
+	g.current.Store(next)
+	g.front.Load().Reload(next)
 	return nil
 }
--- a/cmd/wellgw/listener.go
+++ b/cmd/wellgw/listener.go
@@ -10,6 +10,9 @@
 	"wellgw/internal/accept"
 )
 
+// firstInheritedFD comes after standard input, output and error.
+const firstInheritedFD = 3
+
 // inheritedListener returns the clients' listener that the platform hands down,
 // as the descriptor that EDGE_SOCKET_FD names; nil where there is none.
 func inheritedListener(env func(string) string) (net.Listener, error) {
@@ -18,7 +21,7 @@
 		return nil, nil
 	}
 	fd, err := strconv.Atoi(v)
-	if err != nil || fd < 3 {
+	if err != nil || fd < firstInheritedFD {
 		return nil, fmt.Errorf("EDGE_SOCKET_FD: %q is no descriptor", v)
 	}
 	file := os.NewFile(uintptr(fd), "clients")
--- a/cmd/wellgw/main.go
+++ b/cmd/wellgw/main.go
@@ -36,11 +36,13 @@
 	}
 }
 
+var errNoFile = errors.New("check: name a file")
+
 // check reads a file as serve would. The platform's object is known by its settings.
 func check(_ context.Context, cmd *cli.Command) error {
 	path := cmd.Args().First()
 	if path == "" {
-		return errors.New("check: name a file")
+		return errNoFile
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
--- a/cmd/wellgw/platformgateway.go
+++ b/cmd/wellgw/platformgateway.go
@@ -45,8 +45,8 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &platformGateway{config: p}
-	f.gateway = &gateway{
+	g := &platformGateway{config: p}
+	g.gateway = &gateway{
 		log: log.With("name", p.Name), name: p.Name, listen: p.Listen, control: p.Control,
 		limits: p.Limits, settings: p.Settings(), seed: seed,
 		coreLimits: core.Limits{DeadlineSlack: settings.Micros(p.Options.Rules.AnswerSlack), HeldStateSlack: platformHeldStateSlack},
@@ -55,69 +55,69 @@
 			StreamSilence: platformStreamSilence, Settle: platformSettleTime,
 		},
 		dialect:  func(string) upstream.Dialect { return platform.Dialect{} },
-		newFront: f.newFront, newDirectory: f.newDirectory,
+		newFront: g.newFront, newDirectory: g.newDirectory,
 		maxWait: p.LongestWait(), clientsResume: p.Options.Info.Resume, killKnown: true,
 		status: &status{},
 	}
-	return f.gateway, nil
+	return g.gateway, nil
 }
 
-func (f *platformGateway) newFront(c *core.Core, bodies *clientconn.Budget) front {
-	f.front = platform.NewFront(c, f.gateway.settings.Classes, bodies)
-	return f.front
+func (g *platformGateway) newFront(c *core.Core, bodies *clientconn.Budget) front {
+	g.front = platform.NewFront(c, g.gateway.settings.Classes, bodies)
+	return g.front
 }
 
-func (f *platformGateway) newDirectory(c *core.Core) (engineDirectory, error) {
-	p := f.config
-	f.core = c
-	f.watch = platform.NewWatch(p.Discovery, f.gateway.settings.MustSubscribe, settings.Micros(p.Options.Rules.DrainGrace), c.UpdateEndpoints, f.gateway.log)
+func (g *platformGateway) newDirectory(c *core.Core) (engineDirectory, error) {
+	p := g.config
+	g.core = c
+	g.watch = platform.NewWatch(p.Discovery, g.gateway.settings.MustSubscribe, settings.Micros(p.Options.Rules.DrainGrace), c.UpdateEndpoints, g.gateway.log)
 	var err error
-	if f.tier, err = newPlatformTier(p, c, f.gateway.log); err != nil {
+	if g.tier, err = newPlatformTier(p, c, g.gateway.log); err != nil {
 		return engineDirectory{}, err
 	}
 	d := engineDirectory{
-		Directory: f.watch, reload: f.reload,
-		run: func(ctx context.Context) { f.runDirectory(ctx, p.Known) },
+		Directory: g.watch, reload: g.reload,
+		run: func(ctx context.Context) { g.runDirectory(ctx, p.Known) },
 	}
-	if f.tier != nil {
-		d.leave = f.tier.Leave
+	if g.tier != nil {
+		d.leave = g.tier.Leave
 	}
 	return d, nil
 }
 
 // runDirectory watches discovery, from the engines known at the start on, and speaks with the other
 // gateways, until ctx ends.
-func (f *platformGateway) runDirectory(ctx context.Context, known config.List) {
+func (g *platformGateway) runDirectory(ctx context.Context, known config.List) {
 	var group sync.WaitGroup
-	if f.tier != nil {
-		group.Go(func() { f.tier.Run(ctx) })
+	if g.tier != nil {
+		group.Go(func() { g.tier.Run(ctx) })
 	}
-	f.watch.Run(ctx, known)
+	g.watch.Run(ctx, known)
 	group.Wait()
 }
 
 // reload reads the configuration again, and applies its settings and the address of discovery.
-func (f *platformGateway) reload(ctx context.Context, process *supervisor) error {
-	next, err := f.config.Anew(os.Getenv)
+func (g *platformGateway) reload(ctx context.Context, process *supervisor) error {
+	next, err := g.config.Anew(os.Getenv)
 	if err != nil {
 		return err
 	}
-	f.config = next
-	f.applySettings(ctx, next.Settings(), process)
-	f.watch.Move(next.Discovery)
+	g.config = next
+	g.applySettings(ctx, next.Settings(), process)
+	g.watch.Move(next.Discovery)
 	return nil
 }
 
-// applySettings applies the settings in f.config to all that goes by them; the core decides
+// applySettings applies the settings in g.config to all that goes by them; the core decides
 // whether they can be used.
-func (f *platformGateway) applySettings(ctx context.Context, set routing.Settings, process *supervisor) {
-	if err := f.core.Reconfigure(ctx, set); err != nil {
-		f.gateway.log.Error("settings rejected, keeping previous", "cause", err)
+func (g *platformGateway) applySettings(ctx context.Context, set routing.Settings, process *supervisor) {
+	if err := g.core.Reconfigure(ctx, set); err != nil {
+		g.gateway.log.Error("settings rejected, keeping previous", "cause", err)
 		return
 	}
-	f.front.Retune(classNames(set.Classes))
-	process.post(ctx, lifecycle.SettingsChanged{MaxWait: f.config.LongestWait()}, "settings")
-	f.gateway.log.Info("settings applied", "classes", len(set.Classes), "attempts", set.MaxAttempts)
+	g.front.Retune(classNames(set.Classes))
+	process.post(ctx, lifecycle.SettingsChanged{MaxWait: g.config.LongestWait()}, "settings")
+	g.gateway.log.Info("settings applied", "classes", len(set.Classes), "attempts", set.MaxAttempts)
 }
 
 func classNames(classes []routing.Class) []string {
--- a/cmd/wellgw/supervisor.go
+++ b/cmd/wellgw/supervisor.go
@@ -19,13 +19,13 @@
 // lifecycle.Process decide, and carries out the actions that this returns. Nothing else closes the
 // listener, has connections end or gives up requests.
 type supervisor struct {
-	process *lifecycle.Process
-	clients *clientconn.Listener
-	front   front
-	core    *core.Core
-	server  *http.Server
-	leave   func() // tells the other gateways that this one is about to end; nil for none
-	log     *slog.Logger
+	process    *lifecycle.Process
+	clients    *clientconn.Listener
+	front      front
+	core       *core.Core
+	httpServer *http.Server
+	leave      func() // tells the other gateways that this one is about to end; nil for none
+	log        *slog.Logger
 
 	events chan postedEvent
 	ended  chan struct{}  // closed at the end of run
@@ -41,7 +41,7 @@
 
 func newSupervisor(s *server, limits lifecycle.Limits) *supervisor {
 	return &supervisor{
-		process: lifecycle.New(limits), clients: s.clients, front: s.front, core: s.core, server: s.httpServer,
+		process: lifecycle.New(limits), clients: s.clients, front: s.front, core: s.core, httpServer: s.httpServer,
 		leave: s.directory.leave, log: s.log,
 		events: make(chan postedEvent), ended: make(chan struct{}),
 	}
@@ -155,7 +155,7 @@
 	case lifecycle.FailWaiting:
 		s.tasks.Go(func() { s.core.Abandon(true) })
 	case lifecycle.AbortStreams:
-		s.tasks.Go(func() { _ = s.server.Close() })
+		s.tasks.Go(func() { _ = s.httpServer.Close() })
 	case lifecycle.Exit: // run ends by the state
 	}
 }
--- a/cmd/wellgw/tier.go
+++ b/cmd/wellgw/tier.go
@@ -44,9 +44,27 @@
 	platformDeadAfter     = 6 * time.Second
 )
 
+// platformPeerHost stands for every host in the platform's peer addresses. Each gateway reaches the
+// others by addresses of its own, so in messages a gateway is named by its number: "0.0.0.0:3".
+const platformPeerHost = "0.0.0.0:"
+
+// platformPeerAddress is how other gateways name the one with this number.
+func platformPeerAddress(number int) string { return platformPeerHost + strconv.Itoa(number) }
+
+// platformPeerRoute returns what resolves these names by the addresses that this gateway was given;
+// any other address is taken as it is.
+func platformPeerRoute(addresses []string) func(address string) string {
+	return func(address string) string {
+		n, err := strconv.Atoi(strings.TrimPrefix(address, platformPeerHost))
+		if err != nil || n < 0 || n >= len(addresses) {
+			return address
+		}
+		return addresses[n]
+	}
+}
+
 // newPlatformTier opens what the platform's gateways tell each other by; nil where they may not,
-// or are not set up to. Each of them knows the others by addresses of its own, so in messages
-// a gateway goes by its number: "0.0.0.0:3".
+// or are not set up to.
 func newPlatformTier(p *config.Platform, c *core.Core, log *slog.Logger) (*peers.Peers, error) {
 	if !p.Talk() {
 		return nil, nil
@@ -55,20 +73,14 @@
 	if err != nil {
 		return nil, fmt.Errorf("EDGE_PEER_KEYS: %w", err)
 	}
-	const numbered = "0.0.0.0:"
-	opt := peers.Options{
-		Listen: p.PeerListen, Advertise: numbered + strconv.Itoa(p.Options.Me), Name: p.Name, Tier: "platform", Keys: ring,
+	options := peers.Options{
+		Listen: p.PeerListen, Advertise: platformPeerAddress(p.Options.Me), Name: p.Name, Tier: "platform", Keys: ring,
 		Interval: platformProbeInterval, Timeout: platformProbeTimeout, DeadAfter: platformDeadAfter, Expect: len(p.Peers), Log: log.With("part", "peers"),
 		Changed: func(v membership.View) { c.SetGateways(min(v.Sharing, max(p.Options.Balancers, 1))) },
-		Route: func(addr string) string {
-			if n, err := strconv.Atoi(strings.TrimPrefix(addr, numbered)); err == nil && n >= 0 && n < len(p.Peers) {
-				return p.Peers[n]
-			}
-			return addr
-		},
+		Route:   platformPeerRoute(p.Peers),
 	}
 	for n := range p.Peers {
-		opt.Join = append(opt.Join, numbered+strconv.Itoa(n))
+		options.Join = append(options.Join, platformPeerAddress(n))
 	}
-	return peers.New(opt)
+	return peers.New(options)
 }
