--- a/cmd/wellgw/harness_test.go
+++ b/cmd/wellgw/harness_test.go
@@ -161,7 +161,7 @@
 	return resp.StatusCode
 }
 
-var handing = regexp.MustCompile(`"message":"successor ready, handing over`)
+var handoverLine = regexp.MustCompile(`"message":"successor ready, handing over`)
 
 // startOnSocket starts the program on the clients' socket, as descriptor 3, and
 // returns where it takes calls and a channel closed once it has handed over.
@@ -181,7 +181,7 @@
 	done := make(chan struct{})
 	go func() {
 		for log.Scan() {
-			if handing.MatchString(log.Text()) {
+			if handoverLine.MatchString(log.Text()) {
 				close(done)
 				break
 			}
