--- a/cmd/wellgw/enginesources.go
+++ b/cmd/wellgw/enginesources.go
@@ -102,9 +102,9 @@
 	}
 	var err error
 	s.roles, err = rolectl.New(rolectl.Options{
-		Keeper: s.keeper, Settings: r.Settings(), Limits: r.Limits(), Lease: r.Lease(), Prefix: r.Keys(), DryRun: r.DryRun,
-		Gateway: s.status.address, Gateways: s.status.sharing, Traffic: func() map[string]core.Traffic { return s.core.Traffic(context.Background()) },
-		Engines: setOf(r.PinEngines), Racks: setOf(r.PinRacks), Step: step, Log: s.log,
+		Keeper: s.keeper, Settings: r.Settings(), Limits: r.Limits(), LeaseTTL: r.Lease(), KeyPrefix: r.Keys(), DryRun: r.DryRun,
+		GatewayName: s.status.address, GatewayCount: s.status.sharing, Traffic: func() map[string]core.Traffic { return s.core.Traffic(context.Background()) },
+		PinnedEngines: setOf(r.PinEngines), PinnedRacks: setOf(r.PinRacks), OnStep: step, Log: s.log,
 	})
 	return err
 }
--- a/cmd/wellgw/tier.go
+++ b/cmd/wellgw/tier.go
@@ -28,10 +28,10 @@
 		event = s.tracer.Member
 	}
 	s.peers, err = peers.New(peers.Options{
-		Plain: o.Peers.Protocol == 1, Interval: interval, Timeout: timeout, DeadAfter: dead, Event: event,
+		FirstVersion: o.Peers.Protocol == 1, ProbeInterval: interval, ProbeTimeout: timeout, SuspicionTimeout: dead, OnEvent: event,
 		Listen: o.Peers.Listen, Advertise: o.Peers.Advertise, Name: o.Peers.Name, Tier: o.Peers.Tier, Join: o.Peers.Join, Keys: ring,
-		IncarnationFile: o.Peers.IncarnationFile, Expect: o.Gateways, Log: s.log.With("part", "peers"),
-		Changed: func(v membership.View) { s.setSharing(v.Sharing) },
+		IncarnationFile: o.Peers.IncarnationFile, ExpectedGateways: o.Gateways, Log: s.log.With("part", "peers"),
+		OnViewChange: func(v membership.View) { s.setSharing(v.Sharing) },
 	})
 	return err
 }
@@ -39,9 +39,9 @@
 // The platform prices what gateways tell each other: they probe less often there than on
 // machines of the operators' own.
 const (
-	platformProbeInterval = 500 * time.Millisecond
-	platformProbeTimeout  = 300 * time.Millisecond
-	platformDeadAfter     = 6 * time.Second
+	platformProbeInterval    = 500 * time.Millisecond
+	platformProbeTimeout     = 300 * time.Millisecond
+	platformSuspicionTimeout = 6 * time.Second
 )
 
 // platformPeerHost stands for every host in the platform's peer addresses. Each gateway reaches the
@@ -75,9 +75,9 @@
 	}
 	options := peers.Options{
 		Listen: p.PeerListen, Advertise: platformPeerAddress(p.Options.Me), Name: p.Name, Tier: "platform", Keys: ring,
-		Interval: platformProbeInterval, Timeout: platformProbeTimeout, DeadAfter: platformDeadAfter, Expect: len(p.Peers), Log: log.With("part", "peers"),
-		Changed: func(v membership.View) { c.SetGateways(min(v.Sharing, max(p.Options.Balancers, 1))) },
-		Route:   platformPeerRoute(p.Peers),
+		ProbeInterval: platformProbeInterval, ProbeTimeout: platformProbeTimeout, SuspicionTimeout: platformSuspicionTimeout, ExpectedGateways: len(p.Peers), Log: log.With("part", "peers"),
+		OnViewChange:  func(v membership.View) { c.SetGateways(min(v.Sharing, max(p.Options.Balancers, 1))) },
+		TranslateAddr: platformPeerRoute(p.Peers),
 	}
 	for n := range p.Peers {
 		options.Join = append(options.Join, platformPeerAddress(n))
--- a/cmd/wellgw/tier_test.go
+++ b/cmd/wellgw/tier_test.go
@@ -192,7 +192,7 @@
 	w.cut([]string{"a", "b"}, []string{"c", "d"}, faultnet.Rule{Cut: true})
 	time.Sleep(4 * time.Second) // nearly twice what makes a death
 	w.agree("with a hub between the halves")
-	w.eventually("others vouch", []string{"a", "b", "c", "d"}, func(s peers.Status) bool { return s.View.Stats.Helped > 0 && !s.View.Minority })
+	w.eventually("others vouch", []string{"a", "b", "c", "d"}, func(s peers.Status) bool { return s.View.Stats.IndirectAcks > 0 && !s.View.Minority })
 }
 
 // A gateway is killed and back before anybody has missed it, and what its former life sent
@@ -205,7 +205,7 @@
 	w.gateways["b"].kill()
 	w.faults.Set("b", "a", faultnet.Rule{})
 	w.start("b", "b", nil)
-	w.eventually("what the former life sent is dropped", []string{"a"}, func(s peers.Status) bool { return s.Counts.Former > 0 })
+	w.eventually("what the former life sent is dropped", []string{"a"}, func(s peers.Status) bool { return s.Counts.StaleInstance > 0 })
 	w.agree("after the restart")
 	want := w.gateways["b"].status(t).View.Self.Incarnation
 	if g, _ := w.gateways["a"].viewOf(t, "b"); g.Incarnation != want {
@@ -299,7 +299,7 @@
 	}
 	w.eventually("the new key seals", []string{"a", "b"}, func(s peers.Status) bool { return s.Key != inUse && alive(s.View) == 1 })
 	w.gateways["c"].signal(syscall.SIGCONT)
-	w.eventually("it can't read the new key", []string{"c"}, func(s peers.Status) bool { return s.Counts.Key > 0 })
+	w.eventually("it can't read the new key", []string{"c"}, func(s peers.Status) bool { return s.Counts.UnknownKey > 0 })
 	w.gateways["c"].setKeys(t, tierKey(8), tierKey(7))
 	w.agree("once it has the new key")
 	for _, name := range w.names {
@@ -332,7 +332,7 @@
 	}
 	w.gateways["c"].kill()
 	w.start("c", "c", old)
-	w.eventually("drops what it can't read", []string{"a"}, func(s peers.Status) bool { return s.Counts.Version > 0 })
+	w.eventually("drops what it can't read", []string{"a"}, func(s peers.Status) bool { return s.Counts.UnknownVersion > 0 })
 	w.agree("at the end")
 }
 
@@ -368,7 +368,7 @@
 			t.Fatal(err)
 		}
 	}
-	w.eventually("drops what is forged and what has come before", []string{"a"}, func(s peers.Status) bool { return s.Counts.Seal > 100 && s.Counts.Replay > 100 })
+	w.eventually("drops what is forged and what has come before", []string{"a"}, func(s peers.Status) bool { return s.Counts.BadSeal > 100 && s.Counts.Replayed > 100 })
 	waitHealthy(t, w.gateways["a"].url)
 	w.agree("after the flood")
 }
@@ -412,8 +412,8 @@
 		kill = sync.OnceFunc(func() { _ = cmd.Process.Kill(); _ = cmd.Wait(); log.Close() })
 		t.Cleanup(kill)
 		enginetest.Eventually(t, name+" serves", func() bool { return said(`"message":"serving"`) })
-		if text, _ := os.ReadFile(log.Name()); said(`"message":"peers"`) {
-			listen := regexp.MustCompile(`"listen":"([^"]+)"[^\n]*"message":"peers"`).FindSubmatch(text)
+		if text, _ := os.ReadFile(log.Name()); said(`"message":"tier transport listening"`) {
+			listen := regexp.MustCompile(`"listen":"([^"]+)"[^\n]*"message":"tier transport listening"`).FindSubmatch(text)
 			if err := net.Behind(name, string(listen[1])); err != nil {
 				t.Fatal(err)
 			}
@@ -436,6 +436,6 @@
 	}
 	kills[2]()
 	for i := range names[:2] {
-		enginetest.Eventually(t, names[i]+" sees one die", func() bool { return said[i](`"gateway":"n2"[^\n]*"standing":"dead"`) })
+		enginetest.Eventually(t, names[i]+" sees one die", func() bool { return said[i](`"gateway":"n2"[^\n]*"status":"dead"`) })
 	}
 }
--- a/experiments/rolesrun/rolesrun.go
+++ b/experiments/rolesrun/rolesrun.go
@@ -369,8 +369,8 @@
 				continue
 			}
 			for _, r := range st.Changes {
-				l.changes[r.Engine+r.Begun.String()] = true
-				if hold, _, _ := r.View(); hold {
+				l.changes[r.Engine+r.BegunAt.String()] = true
+				if hold, _, _ := r.EngineView(); hold {
 					holds[r.Engine]++
 				}
 			}
@@ -419,7 +419,7 @@
 			Drain: 8 * time.Second, Cold: 14 * time.Second, ColdShare: coldShare, Seed: opt.Seed + 2,
 		}
 		classes := rolesim.Classes()
-		start, _ := roles.Split(d.Engines, rolesim.Demand(d, classes, 0))
+		start, _ := roles.OptimalSplit(d.Engines, rolesim.Demand(d, classes, 0))
 		add := func(name string, x rolesim.Result) float64 {
 			worst := 1.0
 			for _, p := range x.Phases {
--- a/internal/core/ejection.go
+++ b/internal/core/ejection.go
@@ -2,89 +2,58 @@
 
 import (
 	"context"
-	"time"
+	"log/slog"
 
 	"wellgw/decide/ejection"
-	"wellgw/routing"
 )
 
-// ejectionAnswer is what the core's goroutine says of a call on an engine.
-type ejectionAnswer struct {
-	names []string
-	ok    bool
+// ejectionReply is the answer to a command on an engine.
+type ejectionReply struct {
+	ejected []string
+	ok      bool // the engine has been listed at some time
 }
 
-// Eject takes an operator's call on an engine: out for maint-on, else maint-off.
-// It returns the names out by hand afterwards, and false for a name that was
-// never listed (nothing changes then) or if ctx ends first.
-func (c *Core) Eject(ctx context.Context, name string, out bool) (names []string, ok bool) {
-	a := query(ctx, c, func() ejectionAnswer {
-		ch, ok := c.ejections.SetEjected(name, out, c.now())
-		if ok {
-			c.showEjections(ch)
-		}
-		return ejectionAnswer{c.ejections.Names(), ok}
-	})
-	return a.names, a.ok
+// Eject carries out an operator's command on an engine: maint-on ejects it, maint-off restores it. It
+// returns the engines that are ejected manually afterwards, and false for an engine that was never
+// listed, in which case nothing changes, or if ctx ends first.
+func (c *Core) Eject(ctx context.Context, engine string, eject bool) (ejected []string, ok bool) {
+	reply := make(chan ejectionReply, 1)
+	answer := await(ctx, c, ejectionCommanded{engine, eject, reply}, reply)
+	return answer.ejected, answer.ok
 }
 
-// SetEjected makes names the whole set of engines out by hand, as another process of
-// this gateway has written it.
-func (c *Core) SetEjected(names []string) {
-	c.post(func() { c.showEjections(c.ejections.Replace(names, c.now())) })
-}
-
-// Ejected returns the names of the engines out by hand.
-func (c *Core) Ejected() []string {
-	return query(context.Background(), c, func() []string { return c.ejections.Names() })
+func (c *Core) eject(engine string, eject bool) ejectionReply {
+	change, ok := c.endpoints.ejections.SetEjected(engine, eject, c.clock.now())
+	if ok {
+		c.applyEjections(change)
+	}
+	return ejectionReply{c.endpoints.ejections.Names(), ok}
 }
 
-// now is the module's clock.
-func (c *Core) now() routing.Time { return time.Since(c.origin) }
+// SetEjected replaces the set of engines that are ejected manually by one that another process of this
+// gateway has written.
+func (c *Core) SetEjected(engines []string) { c.post(ejectionsReplaced{engines}) }
 
-// showEjections shows the module the engines whose ejection began or ended.
-func (c *Core) showEjections(ch ejection.Change) {
-	ev := routing.EngineList{Scope: routing.EngineListDelta}
-	for _, names := range [][]string{ch.Ejected, ch.Restored} {
-		for _, n := range names {
-			if m, ok := c.members[n]; ok {
-				ev.Engines = append(ev.Engines, c.ejections.Effective(m.EngineInfo))
-			}
-		}
-	}
-	c.setReady()
-	if len(ev.Engines) > 0 {
-		for _, n := range ch.Ejected {
-			c.log.Info("engine out by hand", "engine", n)
-		}
-		for _, n := range ch.Restored {
-			c.log.Info("engine back by hand", "engine", n)
-		}
-		c.tell(ev)
-	}
+func (c *Core) replaceEjections(engines []string) {
+	c.applyEjections(c.endpoints.ejections.Replace(engines, c.clock.now()))
 }
 
-// setReady tells whether some engine may be sent to.
-func (c *Core) setReady() {
-	on := false
-	for _, m := range c.members {
-		on = on || m.Phase == routing.PhaseActive && !c.ejections.Ejected(m.Name)
-	}
-	c.ready.Store(on)
+// Ejected returns the engines that are ejected manually.
+func (c *Core) Ejected() []string {
+	return runQuery(context.Background(), c, func() []string { return c.endpoints.ejections.Names() })
 }
 
-// Reconfigure gives the module new classes and attempts. Requests in hand keep what
-// they came with. An error names the setting at fault; nothing changes then.
-func (c *Core) Reconfigure(ctx context.Context, set routing.Settings) error {
-	err := query(ctx, c, func() *error {
-		err := c.router.Reconfigure(set.Classes, set.MaxAttempts)
-		if err == nil {
-			c.fig.MaxAttempts = max(c.fig.MaxAttempts, set.MaxAttempts) // a backstop: the module holds each request to its own
-		}
-		return &err
-	})
-	if err == nil {
-		return ctx.Err()
+// applyEjections tells the router of engines whose ejection began or ended, and logs them.
+func (c *Core) applyEjections(change ejection.Change) {
+	list := c.endpoints.ejectionsChanged(change)
+	if len(list.Engines) == 0 {
+		return
+	}
+	for _, name := range change.Ejected {
+		c.log.Info("engine ejected manually", slog.String("engine", name))
+	}
+	for _, name := range change.Restored {
+		c.log.Info("manual ejection ended", slog.String("engine", name))
 	}
-	return *err
+	c.dispatch(list)
 }
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -1,138 +1,149 @@
 package core
 
 import (
+	"context"
+	"log/slog"
 	"sync/atomic"
 	"time"
 
 	"wellgw/routing"
 )
 
-// request is one client's try, kept until it is answered and no attempt is out.
-type request struct {
+// requestState is a request in hand: until it is answered and all of its attempts have ended.
+type requestState struct {
 	Request
-	front     Front
-	deadline  time.Time
-	free      bool // may be repeated at will, by the settings with which it was taken
-	answered  bool // has had its final answer, or its client has gone
-	streaming *attempt
-	stream    Stream
-	attempts  []*attempt
-	out       int            // attempts that have not ended
-	lingering *attempt       // cancelled or timed out, its connection kept open for now
-	cancelled time.Time      // when the connection of an attempt that may be out was closed last
-	held      heldStates     // at engines
-	status    routing.Status // how the latest attempt ended, and why
-	cause     error
-	ran       bool         // an attempt has ended that may have run
-	left      *atomic.Bool // its client has gone, whether or not the core has been told
+	front            Front
+	deadline         time.Time
+	idempotent       bool          // may be repeated at will, by the settings with which it was taken
+	answered         bool          // it has had its final answer, or its client has disconnected
+	streaming        *attemptState // whose stream is the answer, until that ends
+	stream           Stream        // of streaming
+	attempts         []*attemptState
+	activeAttempts   int           // attempts that have not ended
+	lingeringAttempt *attemptState // cancelled or timed out, its connection still open
+	cancelledAt      time.Time     // when an attempt that its engine may have received was closed last
+	held             heldState
+	lastStatus       routing.Status // how the latest attempt ended, and why
+	lastCause        error
+	endedMayHaveRun  bool         // an attempt has ended that may have run
+	clientGone       *atomic.Bool // its client has disconnected; set before the message on that is handled
 }
 
-// submit takes a request into the table and gives it to the module.
-func (c *Core) submit(t *Ticket, in Request, f Front) {
-	// Ids count up and wrap; one that is still in hand is passed over, as a stream
-	// may outlast any number of others.
-	for c.lastID++; c.requests[c.lastID] != nil; c.lastID++ {
-	}
-	in.ID = c.lastID
-	q := &request{Request: in, front: f, deadline: in.Arrived.Add(in.TTL), free: c.router.Idempotent(in.Class), left: &t.left}
-	q.held = newHeldStates(c.heldLimits(in.TTL))
-	t.request = q
-	if c.wires[in.ClientRequestID] {
-		// Engines know a request by its wire id alone: two at once would share
+// submit takes a request into the table and gives it to the router.
+func (c *Core) submit(ticket *Ticket, in Request, front Front) {
+	in.ID = c.requests.newID()
+	request := c.newRequest(in, front, &ticket.gone)
+	ticket.request = request
+	if c.requests.clientRequestIDs[in.ClientRequestID] {
+		// Engines know a request by its client's id alone: two at once would share
 		// attempts and states. The first goes on; the second never ran.
-		q.answered = true
-		c.counts[countDuplicates]++
-		f.Answer(Answer{Verdict: Duplicate, Status: routing.StatusNotSent})
+		request.answered = true
+		c.counters.increment(countDuplicates)
+		front.Answer(Answer{Verdict: Duplicate, Status: routing.StatusNotSent})
 		return
 	}
-	c.requests[q.ID], c.wires[in.ClientRequestID] = q, true
-	c.lastBusy = time.Now()
-	c.counts[countRequests]++
-	c.count(in.Class, func(t *Traffic) { t.Asked++; t.Prompt += in.PromptTokens })
-	c.settling = append(c.settling, q)
-	// The backstop guards against a request that neither the module nor an engine
+	c.requests.add(request)
+	c.counters.increment(countRequests)
+	c.counters.addTraffic(in.Class, func(t *Traffic) { t.Asked++; t.Prompt += in.PromptTokens })
+	c.markChanged(request)
+	// The backstop guards against a request that neither the router nor an engine
 	// ever ends: it is answered inside the slack whatever else happens.
-	c.after(time.Until(q.deadline)+c.fig.DeadlineSlack, func() { c.overdue(q) })
-	in.TTL = time.Until(q.deadline)
-	c.tell(in.Request)
+	c.schedule(time.Until(request.deadline)+c.limits.DeadlineSlack, deadlinePassed{request})
+	in.TTL = time.Until(request.deadline)
+	c.dispatch(in.Request)
+}
+
+func (c *Core) newRequest(in Request, front Front, clientGone *atomic.Bool) *requestState {
+	return &requestState{
+		Request: in, front: front, deadline: in.Arrived.Add(in.TTL), idempotent: c.router.Idempotent(in.Class),
+		clientGone: clientGone, held: newHeldState(c.heldLimits(in.TTL)),
+	}
 }
 
-// answer gives the final answer; a second one is a fault of the module's.
-func (c *Core) answer(q *request, a Answer) {
-	if !c.checks.Hold(!q.answered, "a request gets one final answer") {
+// answer gives a request its final answer; a second one is a fault of the router's.
+func (c *Core) answer(request *requestState, a Answer) {
+	if !c.checks.Hold(!request.answered, "a request gets one final answer") {
 		return
 	}
-	q.answered = true
-	a.Status, a.Cause = q.status, q.cause
+	request.answered = true
+	a.Status, a.Cause = request.lastStatus, request.lastCause
 	if a.Verdict != Streaming {
-		c.withdraw(q)
+		c.withdrawUnwritten(request)
 	}
-	a.MayHaveRun = q.mayRun()
-	if s, has := c.router.QuotaStatus(q.Tenant); has {
-		a.Quota = &s
+	a.MayHaveRun = request.mayHaveRun()
+	if quota, limited := c.router.QuotaStatus(request.Tenant); limited {
+		a.Quota = &quota
 	}
-	c.counts[verdictNames[a.Verdict]]++
-	c.settling = append(c.settling, q)
-	if c.loud {
-		c.log.Debug("request answered", "id", q.ClientRequestID, "class", q.Class, "verdict", string(verdictNames[a.Verdict]), "attempts", len(q.attempts),
-			"age", time.Since(q.Arrived).Round(time.Millisecond), "left", time.Until(q.deadline).Round(time.Millisecond),
-			"status", string(statusNames[a.Status]), "cause", a.Cause)
+	c.counters.increment(verdictNames[a.Verdict])
+	c.markChanged(request)
+	if c.debugLogging {
+		c.logAnswer(request, a)
 	}
-	if a.Verdict == Rejected && !q.free { // it is said never to have run
-		c.afterEnd(q, func() { q.front.Answer(a) })
+	if a.Verdict == Rejected && !request.idempotent { // its client may take it that the request never ran
+		c.afterAttemptClosed(request, answerDue{request.front, a})
 	} else {
-		q.front.Answer(a)
+		request.front.Answer(a)
 	}
 	if c.observer != nil {
-		c.observer.Answered(q.Request, a, string(verdictNames[a.Verdict]))
+		c.observer.Answered(request.Request, a, string(verdictNames[a.Verdict]))
 	}
 }
 
-// gone forgets a request whose client has left.
-func (c *Core) gone(q *request) {
-	if q == nil {
+// logAnswer logs the final answer to a request.
+func (c *Core) logAnswer(request *requestState, a Answer) {
+	c.log.LogAttrs(context.Background(), slog.LevelDebug, "request answered",
+		slog.String("id", request.ClientRequestID),
+		slog.String("class", request.Class),
+		slog.String("verdict", string(verdictNames[a.Verdict])),
+		slog.Int("attempts", len(request.attempts)),
+		slog.Duration("age", time.Since(request.Arrived).Round(time.Millisecond)),
+		slog.Duration("remaining", time.Until(request.deadline).Round(time.Millisecond)),
+		slog.String("status", string(statusNames[a.Status])),
+		slog.Any("cause", a.Cause))
+}
+
+// clientGone ends a request whose client has disconnected.
+func (c *Core) clientGone(request *requestState) {
+	if request == nil {
 		return
 	}
-	if q.streaming != nil { // the answer and the client's leaving have crossed
-		q.stream.Close()
-		c.streamEnded(q, Result{Status: routing.StatusCancelled})
+	if request.streaming != nil { // the answer has crossed with the client's leaving
+		request.stream.Close()
+		c.finishStream(request, Result{Status: routing.StatusCancelled})
 	}
-	if q.answered {
+	if request.answered {
 		return
 	}
-	q.answered = true
-	c.counts[countGone]++
-	c.settling = append(c.settling, q)
-	c.tell(routing.ClientGone{ID: q.ID})
-	c.withdraw(q)
+	request.answered = true
+	c.counters.increment(countGone)
+	c.markChanged(request)
+	c.dispatch(routing.ClientGone{ID: request.ID})
+	c.withdrawUnwritten(request)
 }
 
-// overdue gives a request that neither the module nor an engine has ended its final answer.
-func (c *Core) overdue(q *request) {
-	if q.answered {
+// answerDeadlineExceeded answers a request that neither the router nor an engine has ended in time.
+func (c *Core) answerDeadlineExceeded(request *requestState) {
+	if request.answered {
 		return
 	}
-	c.answer(q, Answer{Verdict: DeadlineExceeded})
-	c.tell(routing.ClientGone{ID: q.ID})
-	for _, at := range q.attempts {
-		c.end(q, at, Result{Status: routing.StatusTimeout})
+	c.answer(request, Answer{Verdict: DeadlineExceeded})
+	c.dispatch(routing.ClientGone{ID: request.ID})
+	for _, attempt := range request.attempts {
+		c.endAttempt(request, attempt, Result{Status: routing.StatusTimeout})
 	}
 }
 
-// forget takes a request that is over off the table. Its held states are released on their own
-// account; see updateHeld.
-func (c *Core) forget(q *request) {
-	if holder := q.held.ledger.Holder(); holder != "" {
-		q.held.holder = holder
+// removeRequest takes a request that is over off the table. What engines hold for it is released all
+// the same; see reconcileHeldState.
+func (c *Core) removeRequest(request *requestState) {
+	if holder := request.held.ledger.StateHolder(); holder != "" {
+		request.held.lastHolder = holder
 	}
-	q.held.ledger.Finish()
-	if c.requests[q.ID] != q {
-		return
+	request.held.ledger.Finish()
+	if c.requests.remove(request) {
+		request.Payload.Body = nil // timers may keep the request itself for a while
 	}
-	delete(c.requests, q.ID)
-	delete(c.wires, q.ClientRequestID)
-	q.Payload.Body = nil // timers may keep q itself for a while
 }
 
-// mayRun tells whether an attempt has been out that is not known to have been turned away.
-func (q *request) mayRun() bool { return q.ran || q.out > 0 }
+// mayHaveRun reports whether an attempt was sent that is not known to have been rejected.
+func (r *requestState) mayHaveRun() bool { return r.endedMayHaveRun || r.activeAttempts > 0 }
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -5,33 +5,36 @@
 	"time"
 )
 
-// timers holds jobs by the time they are due. They can't be taken back: a job
-// that is no longer wanted finds that out itself.
+// timers is a heap of messages by the time when they are due. None is ever stopped. It is owned by the
+// core's goroutine.
 type timers struct{ list timerHeap }
 
 type timer struct {
-	at  time.Time
-	job func()
+	at      time.Time
+	message message
 }
 
-func (t *timers) add(at time.Time, job func()) {
-	heap.Push(&t.list, timer{at: at, job: job})
+func (t *timers) add(at time.Time, m message) {
+	heap.Push(&t.list, timer{at: at, message: m})
 }
 
-// wait is how long it is until the next job is due.
-func (t *timers) wait(now time.Time) time.Duration {
+// untilNext returns the time until the next message is due.
+func (t *timers) untilNext(now time.Time) time.Duration {
 	if len(t.list) == 0 {
-		return time.Hour
+		return idleWait
 	}
 	return max(0, t.list[0].at.Sub(now))
 }
 
-// due takes out the next job that is due, nil if there is none.
-func (t *timers) due(now time.Time) func() {
+// idleWait is the wait with nothing to wait for.
+const idleWait = time.Hour
+
+// popDue takes out the next message that is due, nil if there is none.
+func (t *timers) popDue(now time.Time) message {
 	if len(t.list) == 0 || t.list[0].at.After(now) {
 		return nil
 	}
-	return heap.Pop(&t.list).(timer).job
+	return heap.Pop(&t.list).(timer).message
 }
 
 type timerHeap []timer
@@ -43,7 +46,10 @@
 func (h *timerHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
-	old[len(old)-1] = timer{} // lets the job be collected
+	old[len(old)-1] = timer{} // lets the message be collected
 	*h = old[:len(old)-1]
 	return last
 }
+
+// schedule has a message handled after a time.
+func (c *Core) schedule(d time.Duration, m message) { c.timers.add(time.Now().Add(d), m) }
--- a/internal/rolectl/rolectl_test.go
+++ b/internal/rolectl/rolectl_test.go
@@ -104,10 +104,10 @@
 		}
 	}})
 	opt := Options{
-		Keeper: g.keeper, Settings: roles.DefaultSettings(), Limits: rolechange.DefaultLimits(), Lease: 10 * time.Second, Prefix: "p",
-		Gateway: func() string { return name }, Gateways: func() int { return len(w.gates) }, Traffic: func() map[string]core.Traffic { return nil }, Log: log,
+		Keeper: g.keeper, Settings: roles.DefaultSettings(), Limits: rolechange.DefaultLimits(), LeaseTTL: 10 * time.Second, KeyPrefix: "p",
+		GatewayName: func() string { return name }, GatewayCount: func() int { return len(w.gates) }, Traffic: func() map[string]core.Traffic { return nil }, Log: log,
 	}
-	opt.Limits.Cold = 50 * time.Millisecond
+	opt.Limits.WarmUp = 50 * time.Millisecond
 	if change != nil {
 		change(&opt)
 	}
@@ -126,13 +126,13 @@
 	return g
 }
 
-// leave puts a change into the catalogue as an owner that was killed has left it.
+// leave puts a change into the catalogue as a leader that was killed has left it.
 func (w *world) leave(g *gate, engineID, to string, step rolechange.Step) {
 	w.Helper()
 	e := w.eng[engineID]
 	r := rolechange.Record{
-		Engine: engineID, Addr: e.Addr(), From: w.roles[engineID], To: to, Step: step, Owner: "killed",
-		Begun: time.Now().UTC(), Since: time.Now().UTC(), Flipped: time.Now().UTC(),
+		Engine: engineID, Addr: e.Addr(), From: w.roles[engineID], To: to, Step: step, Leader: "killed",
+		BegunAt: time.Now().UTC(), StepSince: time.Now().UTC(), FlippedAt: time.Now().UTC(),
 	}
 	raw, err := jsoniter.Marshal(r)
 	if err == nil {
@@ -145,15 +145,15 @@
 
 func (w *world) ended(g *gate, id string) rolechange.Outcome {
 	w.Helper()
-	outcome := rolechange.Going
+	outcome := rolechange.InProgress
 	enginetest.Eventually(w.T, "the change of "+id+" ends", func() bool {
 		s := g.Status()
-		for _, e := range s.Ends {
-			if e.Engine == id && e.Outcome != rolechange.Going {
+		for _, e := range s.History {
+			if e.Engine == id && e.Outcome != rolechange.InProgress {
 				outcome = e.Outcome
 			}
 		}
-		return outcome != rolechange.Going && len(s.Changes) == 0
+		return outcome != rolechange.InProgress && len(s.Changes) == 0
 	})
 	return outcome
 }
@@ -166,9 +166,9 @@
 	return known && p != routing.PhaseActive
 }
 
-// Hard case: the owner is killed at every step. The next one finishes what it finds, or
+// Hard case: the leader is killed at every step. The next one finishes what it finds, or
 // takes it back, and every gateway holds meanwhile.
-func TestNewOwnerCompletesChange(t *testing.T) {
+func TestNewLeaderCompletesChange(t *testing.T) {
 	for _, step := range []rolechange.Step{rolechange.Announced, rolechange.Draining, rolechange.Flipping, rolechange.Warming, rolechange.Settled, rolechange.Undoing} {
 		t.Run(string(step), func(t *testing.T) {
 			t.Parallel()
@@ -206,40 +206,40 @@
 	return known && p == routing.PhaseActive
 }
 
-// Hard case: a lease ends in the middle. The owner stops; the other goes on with a
+// Hard case: a lease ends in the middle. The leader stops; the other goes on with a
 // higher fence, and what the first still believes to be its own is refused everywhere.
 func TestLeaseExpiresMidChange(t *testing.T) {
 	w := newWorld(t)
 	one := w.gate("g1", nil)
-	enginetest.Eventually(t, "g1 owns", func() bool { return one.Status().Mine })
+	enginetest.Eventually(t, "g1 leads", func() bool { return one.Status().IsLeader })
 	two := w.gate("g2", nil)
 	lock, _, err := two.client.Read(t.Context(), one.lockKey())
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The owner is cut off, and its session ends.
+	// The leader is cut off, and its session ends.
 	if err := one.agent.Fail(fakeconsul.Faults{Hang: true}); err != nil {
 		t.Fatal(err)
 	}
 	if err := two.client.EndSession(t.Context(), lock.Session); err != nil {
 		t.Fatal(err)
 	}
-	enginetest.Eventually(t, "g2 owns", func() bool { s := two.Status(); return s.Mine && s.Fence > lock.LockIndex })
+	enginetest.Eventually(t, "g2 leads", func() bool { s := two.Status(); return s.IsLeader && s.FencingToken > lock.LockIndex })
 	w.leave(two, "w1", "read", rolechange.Announced)
 	enginetest.Eventually(t, "the engine has been told by g2", func() bool { return w.eng["w1"].RoleNow() == engine.Read })
-	enginetest.Eventually(t, "g1 has stopped", func() bool { return !one.Status().Mine })
+	enginetest.Eventually(t, "g1 has stopped", func() bool { return !one.Status().IsLeader })
 
-	// An owner that was paused for longer than its lease and wakes up does nothing.
-	stale := &owner{Controller: two.Controller, client: two.client, lease: &lease{session: lock.Session, Lease: rolechange.NewLease(lock.LockIndex, time.Second, time.Now().Add(-time.Hour))}}
-	if err := stale.tick(t.Context()); !errors.Is(err, errLost) {
+	// A leader that was paused for longer than its lease and wakes up does nothing.
+	stale := &leader{Controller: two.Controller, client: two.client, lease: &lease{session: lock.Session, Lease: rolechange.NewLease(lock.LockIndex, time.Second, time.Now().Add(-time.Hour))}}
+	if err := stale.tick(t.Context()); !errors.Is(err, errLeaseLost) {
 		t.Errorf("woken up: %v", err)
 	}
 	// Even one that is sure of itself is refused by the engine and by the record.
 	planner, _ := roles.NewPlanner(roles.DefaultSettings())
-	stale = &owner{
+	stale = &leader{
 		Controller: two.Controller, client: two.client, planner: planner, http: &http.Client{Timeout: time.Second},
-		lease:  &lease{session: lock.Session, Lease: rolechange.NewLease(lock.LockIndex, time.Hour, time.Now())},
-		silent: map[string]time.Time{}, replies: map[string]rolechange.Reply{}, reports: map[string]*report{},
+		lease:       &lease{session: lock.Session, Lease: rolechange.NewLease(lock.LockIndex, time.Hour, time.Now())},
+		silentSince: map[string]time.Time{}, replies: map[string]rolechange.Reply{}, reports: map[string]*engineReport{},
 	}
 	view := two.keeper.View().Engines
 	stale.poll(t.Context(), view)
@@ -248,33 +248,33 @@
 	if err := jsoniter.Unmarshal(before.Value, &r); err != nil {
 		t.Fatal(err)
 	}
-	if err := stale.advance(t.Context(), kept{r, before.ModifyIndex}, view); !errors.Is(err, errLost) {
+	if err := stale.advance(t.Context(), storedRecord{r, before.ModifyIndex}, view); !errors.Is(err, errLeaseLost) {
 		t.Errorf("by the record: %v", err)
 	}
-	r.Fence = lock.LockIndex // as it last read it
-	if err := stale.advance(t.Context(), kept{r, before.ModifyIndex}, view); !errors.Is(err, errLost) {
+	r.FencingToken = lock.LockIndex // as it last read it
+	if err := stale.advance(t.Context(), storedRecord{r, before.ModifyIndex}, view); !errors.Is(err, errLeaseLost) {
 		t.Errorf("by the engine: %v", err)
 	}
-	stale.tell(t.Context(), rolechange.Action{Record: rolechange.Record{Engine: "w1", Addr: w.eng["w1"].Addr(), To: "write"}, Tell: rolechange.Drain})
-	if got := stale.replies["w1"]; got != rolechange.Outdated {
-		t.Errorf("the engine took a command of an outdated owner: %v", got)
+	stale.sendCommand(t.Context(), rolechange.Action{Record: rolechange.Record{Engine: "w1", Addr: w.eng["w1"].Addr(), To: "write"}, Command: rolechange.Drain})
+	if got := stale.replies["w1"]; got != rolechange.Fenced {
+		t.Errorf("the engine took a command of an outdated leader: %v", got)
 	}
 }
 
-// Hard case: Consul is away in the middle. Gateways hold on, nobody owns, and the
+// Hard case: Consul is away in the middle. Gateways hold on, nobody leads, and the
 // change ends once it is back.
 func TestConsulUnavailableMidChange(t *testing.T) {
 	w := newWorld(t)
 	g := w.gate("g1", func(o *Options) {
-		o.Limits.See = time.Hour
-		o.Gateways = func() int { return 2 }
+		o.Limits.Confirmation = time.Hour
+		o.GatewayCount = func() int { return 2 }
 	})
 	w.leave(g, "w1", "read", rolechange.Announced)
 	enginetest.Eventually(t, "it is held", func() bool { return g.holds("w1", "write") })
 	if err := g.agent.Fail(fakeconsul.Faults{Refuse: true}); err != nil {
 		t.Fatal(err)
 	}
-	enginetest.Eventually(t, "nobody owns", func() bool { return !g.Status().Mine })
+	enginetest.Eventually(t, "nobody leads", func() bool { return !g.Status().IsLeader })
 	if !g.holds("w1", "write") {
 		t.Error("the engine has new work while the change can't be read")
 	}
@@ -290,10 +290,10 @@
 func TestLateDrainMark(t *testing.T) {
 	w := newWorld(t)
 	g := w.gate("g1", func(o *Options) {
-		o.Limits.See = 1500 * time.Millisecond
-		o.Gateways = func() int { return 2 }
+		o.Limits.Confirmation = 1500 * time.Millisecond
+		o.GatewayCount = func() int { return 2 }
 	})
-	enginetest.Eventually(t, "g1 owns", func() bool { return g.Status().Mine })
+	enginetest.Eventually(t, "g1 leads", func() bool { return g.Status().IsLeader })
 	begun := time.Now()
 	w.leave(g, "w1", "read", rolechange.Announced)
 	enginetest.Eventually(t, "it has its new role", func() bool { return g.takes("w1", "read") })
@@ -318,7 +318,7 @@
 			t.Parallel()
 			w := newWorld(t)
 			g := w.gate("g1", func(o *Options) {
-				o.Limits.Drain, o.Limits.Lost, o.Limits.Cold = 1500*time.Millisecond, 1500*time.Millisecond, time.Minute
+				o.Limits.Draining, o.Limits.EngineSilence, o.Limits.WarmUp = 1500*time.Millisecond, 1500*time.Millisecond, time.Minute
 			})
 			c.spoil(w.eng["w1"])
 			w.leave(g, "w1", "read", rolechange.Announced)
@@ -335,7 +335,7 @@
 // An engine that comes back in its old role is what it says, at once.
 func TestEngineRestartsInOldRole(t *testing.T) {
 	w := newWorld(t)
-	g := w.gate("g1", func(o *Options) { o.Limits.Cold = time.Minute })
+	g := w.gate("g1", func(o *Options) { o.Limits.WarmUp = time.Minute })
 	w.leave(g, "w1", "read", rolechange.Announced)
 	enginetest.Eventually(t, "it has its new role", func() bool { return g.takes("w1", "read") })
 	if err := w.eng["w1"].Restart(false); err != nil {
@@ -354,7 +354,7 @@
 	var all core.Traffic
 	g := w.gate("g1", func(o *Options) {
 		o.DryRun = true
-		o.Settings.FleetPart, o.Settings.Smooth = 1, time.Second
+		o.Settings.MaxFleetShare, o.Settings.DemandTimeConstant = 1, time.Second
 		o.Traffic = func() map[string]core.Traffic { // half of all requests are refused
 			mu.Lock()
 			defer mu.Unlock()
@@ -368,7 +368,7 @@
 	w.eng["w1"].Hold(1)
 	enginetest.Eventually(t, "a change is wanted", func() bool { return g.Status().Plan.Change != nil })
 	s := g.Status()
-	if len(s.Changes) > 0 || len(s.Ends) > 0 || s.Plan.Change.To != roles.Prompt {
+	if len(s.Changes) > 0 || len(s.History) > 0 || s.Plan.Change.To != roles.Prefill {
 		t.Errorf("%+v", s)
 	}
 	pairs, _, err := g.client.List(t.Context(), "p/change/", 0, 0)
--- /dev/null
+++ b/routing/poolstats.go
@@ -0,0 +1,46 @@
+package routing
+
+import "slices"
+
+// poolStats summarises the engines of a role. It holds for one event.
+type poolStats struct {
+	size, warm                            int
+	pace, failureRate, oldestAge, overdue float64 // the failure rate of the better quarter, else medians
+	waitingTokens                         float64 // mean of the reports
+}
+
+// pool summarises a role's engines, once an event at most. The failure rate is that of the better
+// quarter: a common cause shows there too, a few failing engines do not.
+func (r *Router) pool(role Role) *poolStats {
+	stats := &r.pools[role]
+	if stats.size > 0 {
+		return stats
+	}
+	var pace, fail, age, overdue []float64
+	for e := range r.engines.usable(role) {
+		stats.size++
+		if !r.inSlowStart(e) {
+			stats.warm++
+		}
+		fail = append(fail, e.failures.failureRate())
+		age = append(age, e.oldestAge(r.now))
+		overdue = append(overdue, e.overdue(r.now))
+		pace = append(pace, e.pace.current(r.now))
+		stats.waitingTokens += e.report.trustedWaiting(r.now)
+	}
+	stats.waitingTokens /= float64(max(stats.size, 1))
+	stats.pace, stats.oldestAge, stats.overdue = median(pace, 1), median(age, 0), median(overdue, 1)
+	if slices.Sort(fail); len(fail) > 0 {
+		stats.failureRate = fail[len(fail)/4]
+	}
+	return stats
+}
+
+// median returns the middle of the values, or none if there are none.
+func median(values []float64, none float64) float64 {
+	if len(values) == 0 {
+		return none
+	}
+	slices.Sort(values)
+	return values[len(values)/2]
+}
--- /dev/null
+++ b/routing/retry.go
@@ -0,0 +1,48 @@
+package routing
+
+const (
+	retriesPerRequest = 0.25 // attempts that each request adds to the budget
+	maxRetryBudget    = 40.0 // attempts that all routers together may save up: those in flight at a few engines
+)
+
+// retryBudget bounds the further attempts of this router, so that failures do not multiply the load. It
+// reads and changes nothing else. Requests add to it on arrival; retries after failures take from it.
+type retryBudget struct {
+	attempts float64
+}
+
+// newRetryBudget returns one with little in it: all gateways may have restarted.
+func newRetryBudget() retryBudget { return retryBudget{attempts: 1} }
+
+// earn adds a request's part.
+func (b *retryBudget) earn(gateways int) {
+	b.attempts = min(1+maxRetryBudget/float64(gateways), b.attempts+retriesPerRequest)
+}
+
+func (b *retryBudget) empty() bool { return b.attempts < 1 }
+
+func (b *retryBudget) spend() { b.attempts-- }
+
+// retryOrGiveUp decides what follows a failed attempt, within the retry budget: held state goes to
+// another decode engine, anything else is prefilled again.
+func (r *Router) retryOrGiveUp(req *request, s Status) {
+	left := req.maxAttempts - req.attempts
+	spent := left < 1 || left < 2 && req.stateHolder == nil // a prefill and a decode are two
+	late := req.deadline-r.now < minRemainingTime
+	if spent || late || req.effects.forbidsRetry(req.class) || s == StatusNotSent || r.shuttingDown {
+		r.giveUp(req, 0)
+		return
+	}
+	if s != StatusRejected || !r.rateLimits.limited(rateLimitKey(req)) {
+		if r.retries.empty() {
+			r.giveUp(req, r.observedWait())
+			return
+		}
+		r.retries.spend()
+	}
+	if req.stateHolder != nil {
+		r.toDecode(req)
+		return
+	}
+	r.toPrefill(req)
+}
--- /dev/null
+++ b/routing/router.go
@@ -0,0 +1,249 @@
+package routing
+
+import (
+	"maps"
+	"slices"
+	"time"
+)
+
+// Router decides for one gateway. It is not safe for concurrent use.
+type Router struct {
+	set         Settings
+	classes     map[string]*Class
+	kinds       map[string]*Kind
+	maxPriority float64 // highest PriorityWeight of a class
+
+	now     Time
+	actions []Action // of this event
+	draws   draws
+
+	requests map[RequestID]*request
+	held     holdQueue
+	engines  engineTable
+	pools    [RoleMixed + 1]poolStats // for one event; see pool
+	cells    cellPlan
+
+	popularity   prefixPopularity
+	latency      latencyModel
+	throughputs  [RoleMixed + 1]throughput
+	quotas       quotas
+	retries      retryBudget
+	rateLimits   rateLimits
+	subscription subscription
+	meanPrompt   promptMeans
+
+	shuttingDown bool // see ShuttingDown
+	timerSet     bool
+}
+
+// New returns a router for the settings; all its randomness comes from seed. An
+// error names the setting that cannot be used.
+func New(set Settings, seed uint64) (*Router, error) {
+	if err := validate(&set); err != nil {
+		return nil, err
+	}
+	r := &Router{
+		set: set, kinds: map[string]*Kind{}, draws: draws{seed},
+		requests: map[RequestID]*request{}, engines: engineTable{byName: map[string]*engine{}},
+		popularity: prefixPopularity{map[string]float64{}}, quotas: newQuotas(&set), retries: newRetryBudget(),
+		rateLimits: rateLimits{map[string]float64{}}, meanPrompt: promptMeans{map[string]float64{}},
+	}
+	r.indexClasses()
+	for i := range set.Kinds {
+		r.kinds[set.Kinds[i].Name] = &r.set.Kinds[i]
+	}
+	return r, nil
+}
+
+// indexClasses takes the classes of the settings.
+func (r *Router) indexClasses() {
+	r.classes, r.maxPriority = map[string]*Class{}, 0
+	for i := range r.set.Classes {
+		r.classes[r.set.Classes[i].Name] = &r.set.Classes[i]
+		r.maxPriority = max(r.maxPriority, r.set.Classes[i].PriorityWeight, 1e-9)
+	}
+}
+
+// Handle takes one event and returns what to do about it, in order. The result
+// is valid until the next call.
+func (r *Router) Handle(now Time, ev Event) []Action {
+	r.now, r.actions = now, r.actions[:0]
+	clear(r.pools[:])
+	switch event := ev.(type) {
+	case EngineList:
+		r.onEngineList(event)
+	case Request:
+		r.onRequest(event)
+	case FirstToken:
+		r.onFirstToken(event)
+	case Outcome:
+		r.onOutcome(event)
+	case ClientGone:
+		if req := r.requests[event.ID]; req != nil {
+			r.clientGone(req)
+		}
+	case GatewaysChanged:
+		r.onGatewaysChanged(event.Gateways)
+	case ShuttingDown:
+		r.shuttingDown = true
+		r.onShuttingDown(event.Final)
+	case ProbeResult:
+		r.onProbeResult(event)
+	case TimerFired:
+		r.onTick()
+	}
+	if !r.timerSet {
+		r.timerSet = true
+		r.emit(SetTimer{In: r.tick(), Name: "tick"})
+	}
+	return r.actions
+}
+
+func (r *Router) emit(a Action) { r.actions = append(r.actions, a) }
+
+func (r *Router) tick() time.Duration {
+	return max(min(tickInterval, r.set.HeldStateLimit/8), r.set.Tick)
+}
+
+// onTick retries held requests and cancels overdue attempts, for which no event comes.
+func (r *Router) onTick() {
+	r.timerSet = false
+	if r.set.MustSubscribe && r.subscription.due(r.now) {
+		r.subscribe()
+	}
+	for _, req := range r.held.takeAll() {
+		if req.phase == awaitingDecode {
+			r.toDecode(req)
+		} else {
+			r.toPrefill(req)
+		}
+	}
+	for role := RolePrefill; role <= RoleMixed && r.set.CanCancel; role++ {
+		r.cancelOverdue(role)
+	}
+}
+
+func (r *Router) onRequest(event Request) {
+	class := r.classes[event.Class]
+	if r.requests[event.ID] != nil {
+		return
+	}
+	req := &request{
+		Request: event, class: class, maxAttempts: r.set.MaxAttempts,
+		deadline: r.now + event.TTL, phaseSince: r.now,
+	}
+	r.requests[event.ID] = req
+	if class == nil || r.shuttingDown { // what is sent now would only be cancelled
+		r.giveUp(req, 0)
+		return
+	}
+	req.objective = min(r.now+class.firstTokenObjective(event.PromptTokens), req.deadline)
+	share := r.quotas.take(event.Tenant, r.now)
+	if share == 0 { // no priority: come back when the quota allows one more
+		r.reject(req, r.quotas.refillTime(event.Tenant), true)
+		return
+	}
+	req.priority = class.PriorityWeight * share
+	r.retries.earn(r.set.Gateways)
+	r.popularity.count(event.Prefix)
+	r.meanPrompt.observe(event.Class, event.PromptTokens)
+	r.toPrefill(req)
+}
+
+func (r *Router) onFirstToken(event FirstToken) {
+	req := r.requests[event.ID]
+	if req == nil || req.engine == nil || event.Attempt != req.attempts-1 {
+		return
+	}
+	e := req.engine
+	e.heard(r.now)
+	e.succeeded(req.sentAt)
+	req.cancelled = false
+	if req.phase == prefilling {
+		r.recordPrefill(e, req, float64(req.prefillTokens), event.Latency)
+	} else {
+		r.latency.observeFirstToken(e.role(), event.Latency.Seconds(), r.now)
+		e.pace.observe(event.Latency.Seconds()/req.expectedTime.Seconds(), r.now)
+	}
+	r.recordThroughput(e, r.meanPrompt.of(req.Class))
+	r.setPhase(req, streaming, e)
+	req.stateHolder = nil
+}
+
+func (r *Router) onOutcome(event Outcome) {
+	req := r.requests[event.ID]
+	if e := r.engines.byName[event.Engine]; e != nil {
+		e.report.take(event.Report, r.now)
+	}
+	if req == nil || req.engine == nil || event.Attempt != req.attempts-1 {
+		return
+	}
+	e := req.engine
+	r.recordOutcome(e, req, event)
+	if event.Status == StatusPrefilled || event.Status == StatusServed && req.servesWhole {
+		e.cache.record(&req.Request, r.now)
+	}
+	if e.role() != RolePrefill && provesNoEffect(event.Status) {
+		req.effects.undoLatest()
+	}
+	r.attemptEnded(req, event.Status)
+	if event.Status == StatusPrefilled {
+		req.stateHolder = e
+	}
+	switch {
+	case event.Final || req.ended:
+		r.finish(req)
+	case event.Status == StatusPrefilled && req.attempts < req.maxAttempts:
+		r.toDecode(req)
+	default:
+		if event.StateMissing {
+			req.stateHolder = nil
+		}
+		req.lastFailed = e
+		r.retryOrGiveUp(req, event.Status)
+	}
+}
+
+// onShuttingDown gives up what has not begun to be answered, so that clients may try elsewhere. What
+// is in flight at a decode engine may have run, and is answered soon: it is given up with final only.
+func (r *Router) onShuttingDown(final bool) {
+	for _, id := range slices.Sorted(maps.Keys(r.requests)) {
+		if req := r.requests[id]; !req.ended && req.phase != streaming && (final || req.phase != decoding) {
+			if req.engine != nil {
+				r.cancel(req)
+			}
+			r.giveUp(req, 0)
+		}
+	}
+}
+
+// onGatewaysChanged takes the number of gateways that share the engines: this router's part of every
+// quota follows, and so does all that is estimated with that number.
+func (r *Router) onGatewaysChanged(gateways int) {
+	if gateways < 1 || gateways == r.set.Gateways {
+		return
+	}
+	r.quotas.rescale(r.set.Gateways, gateways)
+	r.set.Gateways = gateways
+}
+
+// QuotaStatus returns how a tenant stands with its quota at this router, as of its latest
+// request; false if it has none.
+func (r *Router) QuotaStatus(tenant string) (QuotaStatus, bool) { return r.quotas.status(tenant) }
+
+// Idempotent reports whether requests of a class may be retried at will.
+func (r *Router) Idempotent(class string) bool {
+	c := r.classes[class]
+	return c != nil && c.Effect == EffectIdempotent
+}
+
+// CanPrefill reports whether engines of a kind may read a prompt.
+func (r *Router) CanPrefill(kind string) bool {
+	k := r.kinds[kind]
+	if k == nil {
+		return false
+	}
+	return k.Role == RolePrefill || k.Role == RoleMixed || k.Role == RoleDecode && r.set.DecodePrefills
+}
+
+func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
