--- a/cmd/wellgw/chatgateway.go
+++ b/cmd/wellgw/chatgateway.go
@@ -16,98 +16,117 @@
 	"wellgw/internal/upstream"
 )
 
-func chatGateway(path string, o *config.Operator, log *slog.Logger) *gateway {
-	var now atomic.Pointer[config.Operator] // the file as last read
-	now.Store(o)
-	var f *openai.Front
-	g := &gateway{listen: o.Listen, limits: o.Limits, set: o.Settings(), seed: uint64(time.Now().UnixNano()), log: log}
-	var keys *idempotency.Store
-	var here atomic.Pointer[openai.Front] // for those who may ask before there is one
-	g.counts = func() map[string]int {
-		if f := here.Load(); f != nil {
-			return f.Counts()
-		}
-		return nil
-	}
-	g.front = func(c *core.Core, b *clientconn.Budget) front {
-		f = openai.NewFront(openai.Options{
-			Core: c, File: o, Bodies: b, Keys: keys, Held: int64(heldPart * float64(o.Limits.MemoryMB) * (1 << 20)),
-			Others: func() bool {
-				return deduplication.Topology{
-					StickyKeys: o.Idempotency != nil && o.Idempotency.Sticky, ConfiguredGateways: o.Gateways, PeersEnabled: o.Peers != nil, ObservedGateways: int(g.shared.Load()),
-				}.AttemptsMayGoElsewhere()
-			},
-		})
-		here.Store(f)
-		return f
-	}
-	g.pool.ReadBuffer, g.garbage = chatBuffer, chatGarbage
-	g.figures.ServesAlone = func(kind string) bool { return kind == config.RoleOpenAI }
-	g.pool.StreamSilence = chatSilence
-	g.pool.ConnectTimeout, g.pool.ConnIdle, g.figures.DeadlineSlack = o.Network()
-	g.dialect = func(kind string) upstream.Dialect {
-		if kind == config.RoleOpenAI {
-			return openai.Dialect{Key: now.Load().EngineKey}
-		}
-		return openai.TwoStage{}
+// The chat API's margins.
+const (
+	chatStreamSilence = time.Minute // a model may well think for as long between two events
+	// Where there are hundreds of megabytes, collecting costs more than it brings.
+	chatGCPercent  = 400
+	chatReadBuffer = 16 << 10 // bytes, of a connection to an engine: what has come together is read together
+)
+
+// chatGateway makes the parts of a gateway that are the chat API's own.
+type chatGateway struct {
+	gateway *gateway
+	path    string
+	started *config.Operator                // the file at the start; what needs a restart is held against it
+	current atomic.Pointer[config.Operator] // the file as last read
+	keys    *idempotency.Store              // set by newDirectory
+	sources *engineSources                  // set by newDirectory
+	front   atomic.Pointer[openai.Front]    // set by newFront; others may ask before
+}
+
+func newChatGateway(path string, o *config.Operator, log *slog.Logger) *gateway {
+	g := &chatGateway{path: path, started: o}
+	g.current.Store(o)
+	base := &gateway{
+		log: log, listen: o.Listen,
+		limits: o.Limits, gcPercent: chatGCPercent, settings: o.Settings(), seed: uint64(time.Now().UnixNano()),
+		coreLimits: core.Limits{ServesAlone: func(kind string) bool { return kind == config.RoleOpenAI }},
+		pool:       upstream.Options{ReadBuffer: chatReadBuffer, StreamSilence: chatStreamSilence},
+		dialect:    g.dialect, newFront: g.newFront, newDirectory: g.newDirectory,
+		status: &status{},
 	}
+	base.pool.ConnectTimeout, base.pool.ConnIdle, base.coreLimits.DeadlineSlack = o.Network()
 	for _, c := range o.Contracts {
-		g.longest = max(g.longest, c.Deadline())
+		base.maxWait = max(base.maxWait, c.Deadline())
 	}
-	// anew reads the file again and has list take what it says of engines.
-	anew := func(list func(*config.Operator) error) error {
-		next, err := nextOperator(path, o, list)
-		if err != nil {
-			return err
-		}
-		now.Store(next)
-		f.Reload(next)
-		return nil
+	g.gateway = base
+	return base
+}
+
+func (g *chatGateway) dialect(kind string) upstream.Dialect {
+	if kind == config.RoleOpenAI {
+		return openai.Dialect{Key: g.current.Load().EngineKey}
 	}
-	g.takeEngines(o, anew)
-	g.directory = withKeys(g.directory, func() (*idempotency.Store, error) {
-		file := ""
-		if o.Idempotency != nil {
-			file = o.Idempotency.File
-		}
-		var err error
-		keys, err = idempotency.Open(file, o.KeyLimits(), log)
-		return keys, err
+	return openai.TwoStage{}
+}
+
+func (g *chatGateway) newFront(c *core.Core, bodies *clientconn.Budget) front {
+	front := openai.NewFront(openai.Options{
+		Core: c, File: g.started, Bodies: bodies, Keys: g.keys, Held: memoryBytes(g.gateway.limits, streamBufferShare),
+		Others: g.othersMayServe,
 	})
-	return g
+	g.front.Store(front)
+	return front
 }
 
-// nextOperator reads an operator's file again, and has list take what it says of engines.
-func nextOperator(path string, running *config.Operator, list func(*config.Operator) error) (*config.Operator, error) {
-	next, err := config.ReadOperator(path)
-	if err != nil {
-		return nil, err
+// othersMayServe tells whether another gateway may serve a request that a client sends again.
+func (g *chatGateway) othersMayServe() bool {
+	o := g.started
+	return deduplication.Topology{
+		StickyKeys: o.Idempotency != nil && o.Idempotency.Sticky, ConfiguredGateways: o.Gateways, PeersEnabled: o.Peers != nil, ObservedGateways: g.gateway.status.sharing(),
+	}.AttemptsMayGoElsewhere()
+}
+
+// frontCounts are the front's own counts, beside the core's; nil before there is a front.
+func (g *chatGateway) frontCounts() map[string]int {
+	if front := g.front.Load(); front != nil {
+		return front.Counts()
+	}
+	return nil
+}
+
+// newDirectory opens the idempotency keys, and what tells of engines.
+func (g *chatGateway) newDirectory(c *core.Core) (engineDirectory, error) {
+	o, file := g.started, ""
+	if o.Idempotency != nil {
+		file = o.Idempotency.File
 	}
-	if err := running.Takes(next); err != nil {
-		return nil, err
+	var err error
+	if g.keys, err = idempotency.Open(file, o.KeyLimits(), g.gateway.log); err != nil {
+		return engineDirectory{}, err
 	}
-	if err := list(next); err != nil {
-		return nil, err
+	if g.sources, err = newEngineSources(o, g.gateway, c, g.frontCounts); err != nil {
+		return engineDirectory{}, err
 	}
-	return next, nil
+	d := engineDirectory{Directory: g.sources.directory, run: g.runDirectory, reload: g.reload, observe: g.sources.observe}
+	if g.sources.peers != nil {
+		d.leave = g.sources.peers.Leave
+	}
+	return d, nil
 }
 
-// directoryFunc makes a gateway's directory; see gateway.
-type directoryFunc = func(c *core.Core) (core.Directory, func(context.Context), error)
+// runDirectory keeps the idempotency keys and the list of engines until ctx ends.
+func (g *chatGateway) runDirectory(ctx context.Context) {
+	var group sync.WaitGroup
+	group.Go(func() { g.keys.Run(ctx) })
+	g.sources.run(ctx)
+	group.Wait()
+}
 
-// withKeys opens the keys of orders before a directory, and runs them beside it.
-func withKeys(directory directoryFunc, open func() (*idempotency.Store, error)) directoryFunc {
-	return func(c *core.Core) (core.Directory, func(context.Context), error) {
-		keys, err := open()
-		if err != nil {
-			return nil, nil, err
-		}
-		d, work, err := directory(c)
-		return d, func(ctx context.Context) {
-			var group sync.WaitGroup
-			group.Go(func() { keys.Run(ctx) })
-			work(ctx)
-			group.Wait()
-		}, err
+// reload reads the file again and applies it. The process's state does not depend on it.
+func (g *chatGateway) reload(context.Context, *supervisor) error {
+	next, err := config.ReadOperator(g.path)
+	if err != nil {
+		return err
+	}
+	if err := g.started.Takes(next); err != nil {
+		return err
+	}
+	if err := g.sources.apply(next); err != nil {
+		return err
 	}
+	g.current.Store(next)
+	g.front.Load().Reload(next)
+	return nil
 }
--- a/cmd/wellgw/tier.go
+++ b/cmd/wellgw/tier.go
@@ -13,8 +13,8 @@
 	"wellgw/internal/peers"
 )
 
-// join opens what gateways tell each other by, if the file says so.
-func (s *sources) join(o *config.Operator) error {
+// openPeers opens what gateways tell each other by, if the file says so.
+func (s *engineSources) openPeers(o *config.Operator) error {
 	if o.Peers == nil {
 		return nil
 	}
@@ -31,27 +31,41 @@
 		FirstVersion: o.Peers.Protocol == 1, ProbeInterval: interval, ProbeTimeout: timeout, SuspicionTimeout: dead, OnEvent: event,
 		Listen: o.Peers.Listen, Advertise: o.Peers.Advertise, Name: o.Peers.Name, Tier: o.Peers.Tier, Join: o.Peers.Join, Keys: ring,
 		IncarnationFile: o.Peers.IncarnationFile, ExpectedGateways: o.Gateways, Log: s.log.With("part", "peers"),
-		OnViewChange: func(v membership.View) { s.share(v.Sharing) },
+		OnViewChange: func(v membership.View) { s.setSharing(v.Sharing) },
 	})
-	if err != nil {
-		return err
-	}
-	s.depart = s.peers.Leave
-	return nil
+	return err
 }
 
 // The platform prices what gateways tell each other: they probe less often there than on
 // machines of the operators' own.
 const (
-	platformProbes = 500 * time.Millisecond
-	platformAnswer = 300 * time.Millisecond
-	platformDead   = 6 * time.Second
+	platformProbeInterval    = 500 * time.Millisecond
+	platformProbeTimeout     = 300 * time.Millisecond
+	platformSuspicionTimeout = 6 * time.Second
 )
 
-// platformTier opens what the platform's gateways tell each other by; nil where they may not,
-// or are not set up to. Each of them knows the others by addresses of its own, so in messages
-// a gateway goes by its number: "0.0.0.0:3".
-func platformTier(p *config.Platform, c *core.Core, log *slog.Logger) (*peers.Peers, error) {
+// platformPeerHost stands for every host in the platform's peer addresses. Each gateway reaches the
+// others by addresses of its own, so in messages a gateway is named by its number: "0.0.0.0:3".
+const platformPeerHost = "0.0.0.0:"
+
+// platformPeerAddress is how other gateways name the one with this number.
+func platformPeerAddress(number int) string { return platformPeerHost + strconv.Itoa(number) }
+
+// platformPeerRoute returns what resolves these names by the addresses that this gateway was given;
+// any other address is taken as it is.
+func platformPeerRoute(addresses []string) func(address string) string {
+	return func(address string) string {
+		n, err := strconv.Atoi(strings.TrimPrefix(address, platformPeerHost))
+		if err != nil || n < 0 || n >= len(addresses) {
+			return address
+		}
+		return addresses[n]
+	}
+}
+
+// newPlatformTier opens what the platform's gateways tell each other by; nil where they may not,
+// or are not set up to.
+func newPlatformTier(p *config.Platform, c *core.Core, log *slog.Logger) (*peers.Peers, error) {
 	if !p.Talk() {
 		return nil, nil
 	}
@@ -59,20 +73,14 @@
 	if err != nil {
 		return nil, fmt.Errorf("EDGE_PEER_KEYS: %w", err)
 	}
-	const numbered = "0.0.0.0:"
-	opt := peers.Options{
-		Listen: p.PeerListen, Advertise: numbered + strconv.Itoa(p.Options.Me), Name: p.Name, Tier: "platform", Keys: ring,
-		ProbeInterval: platformProbes, ProbeTimeout: platformAnswer, SuspicionTimeout: platformDead, ExpectedGateways: len(p.Peers), Log: log.With("part", "peers"),
-		OnViewChange: func(v membership.View) { c.SetGateways(min(v.Sharing, max(p.Options.Balancers, 1))) },
-		TranslateAddr: func(addr string) string {
-			if n, err := strconv.Atoi(strings.TrimPrefix(addr, numbered)); err == nil && n >= 0 && n < len(p.Peers) {
-				return p.Peers[n]
-			}
-			return addr
-		},
+	options := peers.Options{
+		Listen: p.PeerListen, Advertise: platformPeerAddress(p.Options.Me), Name: p.Name, Tier: "platform", Keys: ring,
+		ProbeInterval: platformProbeInterval, ProbeTimeout: platformProbeTimeout, SuspicionTimeout: platformSuspicionTimeout, ExpectedGateways: len(p.Peers), Log: log.With("part", "peers"),
+		OnViewChange:  func(v membership.View) { c.SetGateways(min(v.Sharing, max(p.Options.Balancers, 1))) },
+		TranslateAddr: platformPeerRoute(p.Peers),
 	}
 	for n := range p.Peers {
-		opt.Join = append(opt.Join, numbered+strconv.Itoa(n))
+		options.Join = append(options.Join, platformPeerAddress(n))
 	}
-	return peers.New(opt)
+	return peers.New(options)
 }
--- a/decide/lifecycle/service.go
+++ b/decide/lifecycle/service.go
@@ -5,48 +5,47 @@
 // Service is what clients get of a process in its state.
 type Service struct {
 	State     State
-	Draining  bool // as well as what State says
+	Draining  bool // as well as what State says: a process that was drained may end or hand over
 	Healthy   bool // health checks may say yes
 	Reusable  bool // connections outlive their answers
 	Listening bool
-	// RequestsUntil is when a request has come to its end at the latest; one that is whole later is
-	// refused. AnswersUntil is when a connection with an answer under way is cut. The zero time
-	// stands for no bound. Where connections are not reusable both are set.
-	RequestsUntil time.Time
-	AnswersUntil  time.Time
+	// RequestDeadline is when a request has to be complete; one that is later is rejected.
+	// AnswerDeadline is when a connection with an answer under way is aborted. The zero time stands
+	// for no bound. Where connections are not reusable both are set.
+	RequestDeadline time.Time
+	AnswerDeadline  time.Time
 }
 
 // FullService is what clients get of a process that serves.
 func FullService() Service { return Service{Healthy: true, Reusable: true, Listening: true} }
 
-// Service returns what clients get now.
+// Service returns what clients get in the process's state.
 func (p *Process) Service() Service {
 	s := FullService()
-	s.State, s.Draining = p.State(), !p.drainedAt.IsZero()
+	s.State, s.Draining = p.State(), !p.drainingSince.IsZero()
 	if s.Draining {
 		s.Healthy = false
-		s.endConnections(p.drainedAt.Add(DrainRequests), p.drainedAt.Add(p.answerLimit()))
+		s.endConnections(p.drainingSince.Add(DrainRequestTimeout), p.drainingSince.Add(p.answerTimeout()))
 	}
-	if !p.handedAt.IsZero() {
+	if !p.handedOverAt.IsZero() {
 		s.Healthy, s.Listening = false, false
-		s.endConnections(p.handedAt.Add(HandOverRequests), p.handedAt.Add(p.answerLimit()))
+		s.endConnections(p.handedOverAt.Add(HandOverRequestTimeout), p.handedOverAt.Add(p.answerTimeout()))
 	}
 	if p.phase >= Finishing {
 		s.Healthy, s.Listening = false, false
-		requests := p.finishedAt.Add(LateRequests)
-		if p.plan.fail.Before(requests) {
-			requests = p.plan.fail
-		}
-		s.endConnections(requests, p.plan.cut)
+		s.endConnections(
+			earliest(p.finishingSince.Add(ShutdownRequestTimeout), p.shutdown.failWaiting),
+			p.shutdown.abortStreams,
+		)
 	}
 	return s
 }
 
-// endConnections has connections end with their answers, within bounds. The earliest hold.
-func (s *Service) endConnections(requests, answers time.Time) {
+// endConnections has connections end with their answers. Of several deadlines the earliest hold.
+func (s *Service) endConnections(requestDeadline, answerDeadline time.Time) {
 	s.Reusable = false
-	s.RequestsUntil = earliest(s.RequestsUntil, requests)
-	s.AnswersUntil = earliest(s.AnswersUntil, answers)
+	s.RequestDeadline = earliest(s.RequestDeadline, requestDeadline)
+	s.AnswerDeadline = earliest(s.AnswerDeadline, answerDeadline)
 }
 
 // earliest returns the earlier of two times; the zero time stands for never.
@@ -57,7 +56,7 @@
 	return a
 }
 
-// TakesRequest tells whether a request that is whole now is taken.
-func (s Service) TakesRequest(now time.Time) bool {
-	return s.RequestsUntil.IsZero() || now.Before(s.RequestsUntil)
+// AcceptsRequest tells whether a request that is complete now is accepted.
+func (s Service) AcceptsRequest(now time.Time) bool {
+	return s.RequestDeadline.IsZero() || now.Before(s.RequestDeadline)
 }
--- a/internal/rolectl/leader.go
+++ b/internal/rolectl/leader.go
@@ -73,7 +73,7 @@
 	if err := l.renew(ctx); err != nil {
 		return err
 	}
-	view := l.opt.Keeper.View()
+	view := l.opt.Directory.View()
 	l.poll(ctx, view.Engines)
 	records, known := l.recordsByAge()
 	if !known {
--- a/internal/rolectl/records.go
+++ b/internal/rolectl/records.go
@@ -54,8 +54,8 @@
 // the changes that are new.
 func (c *Controller) applyRecords(ctx context.Context, client *consul.Client, pairs []consul.Pair) {
 	records, overrides := c.parseRecords(pairs)
-	c.opt.Keeper.With(func(b *roster.Registry, now time.Time) { b.Override(now, overrides) })
-	c.opt.Keeper.Flush()
+	c.opt.Directory.With(func(b *roster.Registry, now time.Time) { b.Override(now, overrides) })
+	c.opt.Directory.Flush()
 	gateway := c.opt.GatewayName()
 	for _, r := range c.replaceRecords(records) {
 		c.opt.Log.Info("role change observed", "engine", r.Engine, "from", r.From, "to", r.To, "step", string(r.Step))
--- a/internal/rolectl/rolectl.go
+++ b/internal/rolectl/rolectl.go
@@ -29,7 +29,7 @@
 
 // Options are what a controller is made of.
 type Options struct {
-	Keeper        *directory.Directory
+	Directory     *directory.Directory
 	Settings      roles.Settings
 	Limits        rolechange.Limits
 	LeaseTTL      time.Duration
--- a/internal/rolectl/rolectl_test.go
+++ b/internal/rolectl/rolectl_test.go
@@ -104,7 +104,7 @@
 		}
 	}})
 	opt := Options{
-		Keeper: g.keeper, Settings: roles.DefaultSettings(), Limits: rolechange.DefaultLimits(), LeaseTTL: 10 * time.Second, KeyPrefix: "p",
+		Directory: g.keeper, Settings: roles.DefaultSettings(), Limits: rolechange.DefaultLimits(), LeaseTTL: 10 * time.Second, KeyPrefix: "p",
 		GatewayName: func() string { return name }, GatewayCount: func() int { return len(w.gates) }, Traffic: func() map[string]core.Traffic { return nil }, Log: log,
 	}
 	opt.Limits.WarmUp = 50 * time.Millisecond
