--- a/cmd/wellgw/chatgateway.go
+++ b/cmd/wellgw/chatgateway.go
@@ -42,11 +42,11 @@
 		log: log, listen: o.Listen,
 		limits: o.Limits, gcPercent: chatGCPercent, settings: o.Settings(), seed: uint64(time.Now().UnixNano()),
 		coreLimits: core.Limits{ServesAlone: func(kind string) bool { return kind == config.RoleOpenAI }},
-		pool:       upstream.Options{ReadBuffer: chatReadBuffer, StreamSilence: chatStreamSilence},
+		pool:       upstream.Options{ReadBuffer: chatReadBuffer, StreamSilenceTimeout: chatStreamSilence},
 		dialect:    g.dialect, newFront: g.newFront, newDirectory: g.newDirectory,
 		status: &status{},
 	}
-	base.pool.ConnectTimeout, base.pool.ConnIdle, base.coreLimits.DeadlineSlack = o.Network()
+	base.pool.ConnectTimeout, base.pool.ServerIdleTimeout, base.coreLimits.DeadlineSlack = o.Network()
 	for _, c := range o.Contracts {
 		base.maxWait = max(base.maxWait, c.Deadline())
 	}
--- a/cmd/wellgw/platformgateway.go
+++ b/cmd/wellgw/platformgateway.go
@@ -51,8 +51,8 @@
 		limits: p.Limits, settings: p.Settings(), seed: seed,
 		coreLimits: core.Limits{DeadlineSlack: settings.Micros(p.Options.Rules.AnswerSlack), HeldStateSlack: platformHeldStateSlack},
 		pool: upstream.Options{
-			ConnectTimeout: settings.Micros(p.Options.Limits.ConnTimeout), ConnIdle: settings.Micros(p.Options.Limits.ConnIdle),
-			StreamSilence: platformStreamSilence, Settle: platformSettleTime,
+			ConnectTimeout: settings.Micros(p.Options.Limits.ConnTimeout), ServerIdleTimeout: settings.Micros(p.Options.Limits.ConnIdle),
+			StreamSilenceTimeout: platformStreamSilence, ReuseDelay: platformSettleTime,
 		},
 		dialect:  func(string) upstream.Dialect { return platform.Dialect{} },
 		newFront: g.newFront, newDirectory: g.newDirectory,
@@ -115,7 +115,7 @@
 		g.gateway.log.Error("settings rejected, keeping previous", "cause", err)
 		return
 	}
-	g.front.Retune(classNames(set.Classes))
+	g.front.AddClasses(classNames(set.Classes))
 	process.post(ctx, lifecycle.SettingsChanged{MaxWait: g.config.LongestWait()}, "settings")
 	g.gateway.log.Info("settings applied", "classes", len(set.Classes), "attempts", set.MaxAttempts)
 }
--- a/cmd/wellgw/server.go
+++ b/cmd/wellgw/server.go
@@ -95,7 +95,7 @@
 	limits.HeldStateLimit, limits.MaxAttempts, limits.ReachTimeout = s.settings.HeldStateLimit, s.settings.MaxAttempts, options.ConnectTimeout
 	pool := upstream.NewPool(options)
 	directory := &lateDirectory{}
-	transport := &lateTransport{Transport: upstream.NewEngine(pool, s.dialect)}
+	transport := &lateTransport{Transport: upstream.NewClient(pool, s.dialect)}
 	s.core = core.New(router, transport, directory, limits, s.log, s.checks)
 	if s.directory, err = s.newDirectory(s.core); err != nil {
 		return err
--- a/internal/openai/conformance/conformance_test.go
+++ b/internal/openai/conformance/conformance_test.go
@@ -49,7 +49,7 @@
 				t.Fatal(err)
 			}
 			log := slog.New(slog.DiscardHandler)
-			up := upstream.NewEngine(upstream.NewPool(upstream.Options{ConnectTimeout: time.Second, ConnIdle: time.Minute}), func(kind string) upstream.Dialect {
+			up := upstream.NewClient(upstream.NewPool(upstream.Options{ConnectTimeout: time.Second, ServerIdleTimeout: time.Minute}), func(kind string) upstream.Dialect {
 				if kind == config.RoleOpenAI {
 					return openai.Dialect{}
 				}
--- a/internal/openai/dialect.go
+++ b/internal/openai/dialect.go
@@ -38,9 +38,9 @@
 	return upstream.Call{Method: http.MethodPost, Target: a.Payload.Target, Header: header, Body: a.Payload.Body}
 }
 
-// Judge maps an error status to a result. 429 means that a limit was exceeded before any work
+// ParseResponse maps an error status to a result. 429 means that a limit was exceeded before any work
 // began; the header X-Not-Run says that outright.
-func (Dialect) Judge(status int, h http.Header, body []byte) core.Result {
+func (Dialect) ParseResponse(status int, h http.Header, body []byte) core.Result {
 	r := core.Result{Status: routing.StatusError, Cause: &EngineError{Status: status, Body: body}}
 	if status == http.StatusTooManyRequests || h.Get("X-Not-Run") == "1" {
 		r.Status = routing.StatusRejected
@@ -48,8 +48,8 @@
 	return r
 }
 
-// Opens tells whether an event begins an answer; see upstream.Opener.
-func (Dialect) Opens(p core.Payload, data []byte) (bool, error) {
+// StartsAnswer tells whether an event begins an answer; see upstream.Opener.
+func (Dialect) StartsAnswer(p core.Payload, data []byte) (bool, error) {
 	return startsAnswer(data, p.BufferUntilFirstToken)
 }
 
@@ -57,8 +57,8 @@
 // same rule for where an answer begins.
 type TwoStage struct{ platform.Dialect }
 
-// Opens tells whether an event begins an answer; see upstream.Opener.
-func (TwoStage) Opens(p core.Payload, data []byte) (bool, error) {
+// StartsAnswer tells whether an event begins an answer; see upstream.Opener.
+func (TwoStage) StartsAnswer(p core.Payload, data []byte) (bool, error) {
 	return startsAnswer(data, p.BufferUntilFirstToken)
 }
 
--- a/internal/openai/front_test.go
+++ b/internal/openai/front_test.go
@@ -65,8 +65,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	pool := upstream.NewPool(upstream.Options{ConnectTimeout: time.Second, ConnIdle: time.Minute})
-	engine := upstream.NewEngine(pool, func(kind string) upstream.Dialect {
+	pool := upstream.NewPool(upstream.Options{ConnectTimeout: time.Second, ServerIdleTimeout: time.Minute})
+	engine := upstream.NewClient(pool, func(kind string) upstream.Dialect {
 		if kind == config.RoleOpenAI {
 			return Dialect{Key: "secret"}
 		}
--- a/internal/platform/dialect.go
+++ b/internal/platform/dialect.go
@@ -65,9 +65,9 @@
 	return all
 }
 
-// Judge maps statuses by the protocol's table. Only X-Not-Run proves that the engine rejected the
+// ParseResponse maps statuses by the protocol's table. Only X-Not-Run proves that the engine rejected the
 // request: after a bare 503 it may have run.
-func (Dialect) Judge(status int, h http.Header, body []byte) core.Result {
+func (Dialect) ParseResponse(status int, h http.Header, body []byte) core.Result {
 	r := core.Result{Report: loadReport([]byte(h.Get("X-Load")))}
 	notRun := h.Get("X-Not-Run") == "1"
 	switch {
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -48,10 +48,10 @@
 	return f
 }
 
-// Retune has the front take requests of these classes too, from now on. Classes
-// no longer named are still taken: requests that name them may be on the way, and
-// the module keeps their last rules.
-func (f *Front) Retune(classes []string) {
+// AddClasses has the front accept requests of these classes too, from now on. Classes that are no
+// longer named are still accepted: requests that name them may be on the way, and the routing policy
+// keeps their last rules.
+func (f *Front) AddClasses(classes []string) {
 	known := map[string]bool{}
 	for name := range *f.classes.Load() {
 		known[name] = true
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -220,8 +220,8 @@
 	}
 	r, w = enginetest.NewEngine(t, release(reader)), enginetest.NewEngine(t, release(writer))
 	log := slog.New(slog.DiscardHandler)
-	pool := upstream.NewPool(upstream.Options{ConnectTimeout: time.Second, ConnIdle: time.Minute})
-	engine := upstream.NewEngine(pool, func(string) upstream.Dialect { return Dialect{} })
+	pool := upstream.NewPool(upstream.Options{ConnectTimeout: time.Second, ServerIdleTimeout: time.Minute})
+	engine := upstream.NewClient(pool, func(string) upstream.Dialect { return Dialect{} })
 	c = core.New(router, engine, nil, core.Limits{DeadlineSlack: 50 * time.Millisecond, HeldStateLimit: set.HeldStateLimit, MaxAttempts: 4}, log, invariant.New())
 	go c.Run(t.Context())
 	c.UpdateEndpoints(routing.EngineListSnapshot, []core.Endpoint{
--- a/internal/simulator/simulator.go
+++ b/internal/simulator/simulator.go
@@ -158,6 +158,12 @@
 	}
 }
 
+// Errors of malformed input.
+var (
+	errIncompleteTurn = errors.New("a Turn without turn or time")
+	errNoOptions      = errors.New("a Hello without options")
+)
+
 // line takes one line and returns the number of the batch it leaves open.
 func (h *host) line(raw []byte, turn *int64) (*int64, error) {
 	var l inLine
@@ -168,7 +174,7 @@
 	case l.Verb == "Turn" && turn != nil:
 		return nil, fmt.Errorf("a batch begins inside batch %d", *turn)
 	case l.Verb == "Turn" && (l.Turn == nil || l.Time == nil):
-		return nil, errors.New("a Turn without turn or time")
+		return nil, errIncompleteTurn
 	case l.Verb == "Turn":
 		h.now = settings.Micros(*l.Time)
 		return l.Turn, nil
@@ -211,7 +217,7 @@
 func (h *host) start(l *inLine) error {
 	var o settings.Options
 	if len(l.Options) == 0 {
-		return errors.New("a Hello without options")
+		return errNoOptions
 	}
 	if err := json.Unmarshal(l.Options, &o); err != nil {
 		return fmt.Errorf("options: %w", err)
@@ -283,19 +289,7 @@
 	id := routing.RequestID(l.Xid)
 	switch l.Verb {
 	case "Fleet":
-		scope, known := scopes[l.Scope]
-		if !known {
-			return nil, fmt.Errorf("unknown scope %q", l.Scope)
-		}
-		ev := routing.EngineList{Scope: scope}
-		if scope != routing.EngineListFailed {
-			list, given := h.lists[l.List]
-			if !given {
-				return nil, fmt.Errorf("list %d was never given", l.List)
-			}
-			ev.Engines = list
-		}
-		return ev, nil
+		return h.engineList(l)
 	case "Call":
 		return routing.Request{
 			ID: id, Class: l.Lane, Tenant: string(l.Team), Session: string(l.Talk), Prefix: string(l.Prefix),
@@ -334,6 +328,24 @@
 	return nil, fmt.Errorf("unknown event %q", l.Verb)
 }
 
+// engineList decodes a list of engines, or the failure of a call for one.
+func (h *host) engineList(l *inLine) (routing.Event, error) {
+	scope, known := scopes[l.Scope]
+	if !known {
+		return nil, fmt.Errorf("unknown scope %q", l.Scope)
+	}
+	list := routing.EngineList{Scope: scope}
+	if scope == routing.EngineListFailed {
+		return list, nil
+	}
+	engines, given := h.lists[l.List]
+	if !given {
+		return nil, fmt.Errorf("list %d was never given", l.List)
+	}
+	list.Engines = engines
+	return list, nil
+}
+
 func outcome(l *inLine, status routing.Status) routing.Outcome {
 	o := routing.Outcome{
 		ID: routing.RequestID(l.Xid), Attempt: l.Copy, Engine: l.Worker, Status: status,
--- a/internal/upstream/bench_test.go
+++ b/internal/upstream/bench_test.go
@@ -35,7 +35,7 @@
 					go answer(c, events, part)
 				}
 			}()
-			e := upstream.NewEngine(upstream.NewPool(upstream.Options{ConnectTimeout: time.Second, ConnIdle: time.Minute, StreamSilence: 4500 * time.Millisecond}),
+			e := upstream.NewClient(upstream.NewPool(upstream.Options{ConnectTimeout: time.Second, ServerIdleTimeout: time.Minute, StreamSilenceTimeout: 4500 * time.Millisecond}),
 				func(string) upstream.Dialect { return platform.Dialect{} })
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/upstream/engine.go
+++ b/internal/upstream/engine.go
@@ -29,8 +29,8 @@
 type Dialect interface {
 	// Attempt returns the call that makes an attempt.
 	Attempt(core.Attempt) Call
-	// Judge interprets a response that is not a stream.
-	Judge(status int, h http.Header, body []byte) core.Result
+	// ParseResponse interprets a response that is not a stream.
+	ParseResponse(status int, h http.Header, body []byte) core.Result
 	// Tail reads usage figures from the last part of a complete stream into the result.
 	Tail(tail []byte, r *core.Result)
 	// Release returns the call that releases held state, false if the kind has none.
@@ -42,8 +42,8 @@
 // Opener is a Dialect that recognises the event with which an answer begins. Earlier events are
 // held back, so that nothing has reached the client should the attempt fail before that.
 type Opener interface {
-	// Opens reports whether an event with this data begins the answer. An error fails the attempt.
-	Opens(p core.Payload, data []byte) (bool, error)
+	// StartsAnswer reports whether an event with this data begins the answer. An error fails the attempt.
+	StartsAnswer(p core.Payload, data []byte) (bool, error)
 }
 
 // Limits on what is read and waited for.
@@ -58,8 +58,8 @@
 	silenceResolution = 64 // fraction of the silence timeout by which the read deadline may lag behind
 )
 
-// Engine makes attempts over a pool of connections. It is a core.Transport.
-type Engine struct {
+// Client makes attempts over a pool of connections. It is a core.Transport.
+type Client struct {
 	pool    *Pool
 	dialect func(kind string) Dialect
 
@@ -67,10 +67,10 @@
 	releasing map[string]*releaseSlots // by address
 }
 
-// NewEngine returns an Engine over p that uses the dialect which the function returns for each kind
+// NewClient returns a Client over p that uses the dialect which the function returns for each kind
 // of engine.
-func NewEngine(p *Pool, dialect func(kind string) Dialect) *Engine {
-	return &Engine{pool: p, dialect: dialect, releasing: map[string]*releaseSlots{}}
+func NewClient(p *Pool, dialect func(kind string) Dialect) *Client {
+	return &Client{pool: p, dialect: dialect, releasing: map[string]*releaseSlots{}}
 }
 
 // attemptHandle is an attempt in flight. Whoever takes its connection out has to close or pool it.
@@ -145,7 +145,7 @@
 }
 
 // Start begins an attempt; see core.Transport.
-func (e *Engine) Start(a core.Attempt, first func(core.Stream), ended func(core.Result)) core.Handle {
+func (e *Client) Start(a core.Attempt, first func(core.Stream), ended func(core.Result)) core.Handle {
 	ctx, cancel := context.WithTimeout(context.Background(), a.Timeout+leakGuard)
 	t := &attemptHandle{cancel: cancel, pool: e.pool}
 	go func() {
@@ -163,7 +163,7 @@
 var errClientGone = errors.New("the client has left")
 
 // attempt makes an attempt and returns its stream once the answer has begun, otherwise its result.
-func (e *Engine) attempt(ctx context.Context, t *attemptHandle, a core.Attempt) (core.Stream, core.Result) {
+func (e *Client) attempt(ctx context.Context, t *attemptHandle, a core.Attempt) (core.Stream, core.Result) {
 	dialect := e.dialect(a.Endpoint.Kind)
 	until := time.Now().Add(a.Timeout + leakGuard)
 	c, unsent := e.sendAttempt(ctx, t, a, dialect, until)
@@ -186,7 +186,7 @@
 // written completely. An attempt counts once its last byte is written. It is never retried from
 // here, not even after a reset on a pooled connection: only the routing policy knows whether the
 // class allows that.
-func (e *Engine) sendAttempt(ctx context.Context, t *attemptHandle, a core.Attempt, dialect Dialect, until time.Time) (*conn, *core.Result) {
+func (e *Client) sendAttempt(ctx context.Context, t *attemptHandle, a core.Attempt, dialect Dialect, until time.Time) (*conn, *core.Result) {
 	begun := time.Now()
 	c, err := e.pool.get(ctx, a.Endpoint.Addr)
 	if err != nil {
@@ -219,7 +219,7 @@
 func readUnary(t *attemptHandle, dialect Dialect, resp *http.Response) core.Result {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponse))
 	t.endAttempt(err == nil && len(body) < maxResponse && !resp.Close)
-	r := dialect.Judge(resp.StatusCode, resp.Header, body)
+	r := dialect.ParseResponse(resp.StatusCode, resp.Header, body)
 	if r.Cause == nil && r.Status != routing.StatusPrefilled {
 		r.Cause = fmt.Errorf("status %d", resp.StatusCode)
 	}
@@ -295,7 +295,7 @@
 }
 
 // Probe requests a load report; see core.Transport.
-func (e *Engine) Probe(at core.Endpoint, done func(routing.Status, *routing.LoadReport)) {
+func (e *Client) Probe(at core.Endpoint, done func(routing.Status, *routing.LoadReport)) {
 	call, given := e.dialect(at.Kind).Probe()
 	go func() {
 		if !given {
@@ -307,14 +307,14 @@
 			done(routing.StatusConnectFailed, nil)
 			return
 		}
-		r := e.dialect(at.Kind).Judge(resp.StatusCode, resp.Header, body)
+		r := e.dialect(at.Kind).ParseResponse(resp.StatusCode, resp.Header, body)
 		done(r.Status, r.Report)
 	}()
 }
 
 // exchange makes a short call without side effects on a connection that take gets and put gives
 // back.
-func (e *Engine) exchange(addr string, call Call, wait time.Duration, take func(context.Context, string) (*conn, error), put func(*conn)) (*http.Response, []byte, error) {
+func (e *Client) exchange(addr string, call Call, wait time.Duration, take func(context.Context, string) (*conn, error), put func(*conn)) (*http.Response, []byte, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
 	c, err := take(ctx, addr)
@@ -330,7 +330,7 @@
 }
 
 // readResponse reads the response to a short call on its connection, which put gives back.
-func (e *Engine) readResponse(c *conn, wait time.Duration, put func(*conn)) (*http.Response, []byte, error) {
+func (e *Client) readResponse(c *conn, wait time.Duration, put func(*conn)) (*http.Response, []byte, error) {
 	resp, err := readResponseHead(c, time.Now().Add(wait))
 	if err != nil {
 		e.pool.discard(c)
--- a/internal/upstream/errno_test.go
+++ b/internal/upstream/errno_test.go
@@ -54,7 +54,7 @@
 		dials++
 		return dial(dials)
 	}})
-	e := NewEngine(pool, func(string) Dialect { return plainDialect{} })
+	e := NewClient(pool, func(string) Dialect { return plainDialect{} })
 	ended := make(chan core.Result, 1)
 	e.Start(core.Attempt{
 		ClientRequestID: "a", Endpoint: core.Endpoint{Addr: "127.0.0.1:1"}, Timeout: time.Second, Written: func() { written = true },
--- a/internal/upstream/held_test.go
+++ b/internal/upstream/held_test.go
@@ -98,8 +98,8 @@
 	}
 	connect := between(r, 100*time.Millisecond, time.Second)
 	pool := upstream.NewPool(upstream.Options{
-		ConnectTimeout: connect, ConnIdle: 15 * time.Second, MaxConns: 400,
-		StreamSilence: 5 * time.Second, Settle: 30 * time.Millisecond, Dial: s.fleet.dial,
+		ConnectTimeout: connect, ServerIdleTimeout: 15 * time.Second, MaxConns: 400,
+		StreamSilenceTimeout: 5 * time.Second, ReuseDelay: 30 * time.Millisecond, Dial: s.fleet.dial,
 	})
 	process, end := context.WithCancel(t.Context())
 	s.end = end
@@ -111,7 +111,7 @@
 		t.Fatal(err)
 	}
 	figures := core.Limits{DeadlineSlack: 16 * time.Millisecond, HeldStateLimit: set.HeldStateLimit, MaxAttempts: set.MaxAttempts, ReachTimeout: connect}
-	engine := upstream.NewEngine(pool, func(string) upstream.Dialect { return platform.Dialect{} })
+	engine := upstream.NewClient(pool, func(string) upstream.Dialect { return platform.Dialect{} })
 	s.core = core.New(router, engine, still{}, figures, slog.New(slog.DiscardHandler), invariant.New())
 	go s.core.Run(process)
 	s.core.UpdateEndpoints(routing.EngineListSnapshot, s.members)
--- a/internal/upstream/memory_test.go
+++ b/internal/upstream/memory_test.go
@@ -89,7 +89,7 @@
 		members = append(members, core.Endpoint{Addr: name, EngineInfo: routing.EngineInfo{Name: name, Kind: name[:1], Zone: set.Zone, Weight: 1}})
 	}
 	pool := upstream.NewPool(upstream.Options{
-		ConnectTimeout: 250 * time.Millisecond, ConnIdle: 15 * time.Second, MaxConns: 200, StreamSilence: time.Second,
+		ConnectTimeout: 250 * time.Millisecond, ServerIdleTimeout: 15 * time.Second, MaxConns: 200, StreamSilenceTimeout: time.Second,
 		Dial: func(ctx context.Context, _, addr string) (net.Conn, error) { return c.links[addr].dial(ctx) },
 	})
 	go pool.Sweep(t.Context())
@@ -97,7 +97,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	engine := upstream.NewEngine(pool, func(string) upstream.Dialect { return platform.Dialect{} })
+	engine := upstream.NewClient(pool, func(string) upstream.Dialect { return platform.Dialect{} })
 	c.core = core.New(router, engine, still{}, core.Limits{HeldStateLimit: set.HeldStateLimit, MaxAttempts: 4}, slog.New(slog.DiscardHandler), invariant.New())
 	go c.core.Run(t.Context())
 	c.core.UpdateEndpoints(routing.EngineListSnapshot, members)
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -23,12 +23,12 @@
 
 // Options configure a Pool.
 type Options struct {
-	ConnectTimeout time.Duration
-	ConnIdle       time.Duration // engines close idle connections after this at the latest
-	MaxConns       int           // open at once, over all engines
-	StreamSilence  time.Duration // a stream without a byte for this long is aborted
-	ReadBuffer     int           // bytes per connection; 0 = minReadBuffer
-	Settle         time.Duration // delay from a response to the next request on its connection; 0 = none. See get
+	ConnectTimeout       time.Duration
+	ServerIdleTimeout    time.Duration // engines close idle connections after this at the latest
+	MaxConns             int           // open at once, over all engines
+	StreamSilenceTimeout time.Duration // a stream without a byte for this long is aborted
+	ReadBuffer           int           // bytes per connection; 0 = minReadBuffer
+	ReuseDelay           time.Duration // delay from a response to the next request on its connection; 0 = none. See get
 	// Dial opens a connection; nil for the system's own. Tests inject a network with faults.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
@@ -94,7 +94,7 @@
 	if !c.retireAt.IsZero() && now.After(c.retireAt) {
 		return true
 	}
-	return p.opt.ConnIdle > 0 && now.Sub(c.idleSince) > time.Duration(idleFraction*float64(p.opt.ConnIdle))
+	return p.opt.ServerIdleTimeout > 0 && now.Sub(c.idleSince) > time.Duration(idleFraction*float64(p.opt.ServerIdleTimeout))
 }
 
 func (p *Pool) retire(old func(*conn) bool) {
@@ -141,7 +141,7 @@
 	now := time.Now()
 	for at := len(p.idle[addr]) - 1; at >= 0; at-- {
 		c := p.idle[addr][at] // the newest first, so that the others may grow stale and be closed
-		if !c.afterProbe && p.opt.Settle > 0 && now.Sub(c.idleSince) < p.opt.Settle {
+		if !c.afterProbe && p.opt.ReuseDelay > 0 && now.Sub(c.idleSince) < p.opt.ReuseDelay {
 			continue
 		}
 		if p.idle[addr] = slices.Delete(p.idle[addr], at, at+1); len(p.idle[addr]) == 0 {
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -30,7 +30,7 @@
 		{"near the idle limit", func(c *conn) { c.idleSince = time.Now().Add(-31 * time.Second) }, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p := NewPool(Options{ConnectTimeout: time.Second, ConnIdle: time.Minute, MaxConns: 1})
+			p := NewPool(Options{ConnectTimeout: time.Second, ServerIdleTimeout: time.Minute, MaxConns: 1})
 			first, err := p.get(t.Context(), server.Addr)
 			if err != nil {
 				t.Fatal(err)
@@ -57,7 +57,7 @@
 // engine holds. One taken by a request, or that had carried work, lives as any other.
 func TestProbesKeepTheirConnectionsBriefly(t *testing.T) {
 	server := enginetest.NewEngine(t, func(enginetest.Call) string { return enginetest.Cut })
-	p := NewPool(Options{ConnectTimeout: time.Second, ConnIdle: time.Minute})
+	p := NewPool(Options{ConnectTimeout: time.Second, ServerIdleTimeout: time.Minute})
 	get := func() *conn { c, _ := p.get(t.Context(), server.Addr); return c }
 	probed := get()
 	if p.putAfterProbe(probed); probed.retireAt.IsZero() || probed.retireAt.Sub(probed.idleSince) > probeIdleTimeout {
@@ -88,7 +88,7 @@
 	})
 	let := sync.OnceFunc(func() { close(second) })
 	t.Cleanup(let) // before the engine's end, which waits for its script
-	p := NewPool(Options{ConnectTimeout: time.Second, ConnIdle: time.Minute, Settle: time.Minute})
+	p := NewPool(Options{ConnectTimeout: time.Second, ServerIdleTimeout: time.Minute, ReuseDelay: time.Minute})
 	get := func() *conn {
 		t.Helper()
 		c, err := p.get(t.Context(), server.Addr)
@@ -139,7 +139,7 @@
 		return net.Dial(network, addr)
 	}})
 	ended := make(chan core.Result, 1)
-	attempt := NewEngine(p, func(string) Dialect { return nil }).Start(
+	attempt := NewClient(p, func(string) Dialect { return nil }).Start(
 		core.Attempt{Endpoint: core.Endpoint{Addr: server.Addr}, Timeout: time.Minute}, nil, func(r core.Result) { ended <- r })
 	<-dialled
 	attempt.Cancel()
--- a/internal/upstream/reach.go
+++ b/internal/upstream/reach.go
@@ -10,7 +10,7 @@
 
 // Reach checks whether an engine can be reached; see core.Transport. A request that follows soon may
 // use the connection.
-func (e *Engine) Reach(at core.Endpoint, done func(reached bool)) {
+func (e *Client) Reach(at core.Endpoint, done func(reached bool)) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), e.pool.connectTimeout())
 		defer cancel()
--- a/internal/upstream/release.go
+++ b/internal/upstream/release.go
@@ -24,7 +24,7 @@
 
 // release is one release of held state, retried until it is delivered.
 type release struct {
-	engine *Engine
+	engine *Client
 	core.Release
 	call      Call
 	ctx       context.Context
@@ -35,7 +35,7 @@
 // Release releases held state; see core.Transport. The call is idempotent, so it may be retried, and
 // several attempts may be in flight: one that waits for a connection must not delay the next to an
 // engine that has recovered.
-func (e *Engine) Release(r core.Release, done func(error)) (stop func()) {
+func (e *Client) Release(r core.Release, done func(error)) (stop func()) {
 	ctx, cancel := context.WithDeadline(context.Background(), r.Deadline)
 	call, given := e.dialect(r.Endpoint.Kind).Release(r.ClientRequestID)
 	go func() {
@@ -56,7 +56,7 @@
 	releases int
 }
 
-func (e *Engine) acquireSlots(addr string) chan struct{} {
+func (e *Client) acquireSlots(addr string) chan struct{} {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	t := e.releasing[addr]
@@ -68,7 +68,7 @@
 	return t.free
 }
 
-func (e *Engine) dropSlots(addr string) {
+func (e *Client) dropSlots(addr string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	t := e.releasing[addr]
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -40,7 +40,7 @@
 
 // openStream reads a response until the answer begins, and returns the stream from there. An error
 // before that fails the attempt: nothing has reached the client.
-func (e *Engine) openStream(t *attemptHandle, c *conn, resp *http.Response, p core.Payload, dialect Dialect, until time.Time) (core.Stream, core.Result) {
+func (e *Client) openStream(t *attemptHandle, c *conn, resp *http.Response, p core.Payload, dialect Dialect, until time.Time) (core.Stream, core.Result) {
 	s := e.newStream(t, c, resp, p, dialect)
 	c.SetDeadline(until) // an engine may send its head long before the first event
 	s.readLead(p)
@@ -60,10 +60,10 @@
 var errNoEvent = errors.New("stream without an event")
 
 // newStream returns a stream over a response whose head has been read.
-func (e *Engine) newStream(t *attemptHandle, c *conn, resp *http.Response, p core.Payload, dialect Dialect) *stream {
+func (e *Client) newStream(t *attemptHandle, c *conn, resp *http.Response, p core.Payload, dialect Dialect) *stream {
 	s := &stream{
 		attemptHandle: t, conn: c, resp: resp, body: resp.Body, dialect: dialect,
-		silenceTimeout: e.pool.opt.StreamSilence, unary: p.Unary, tailBuffer: tails.Get().(*[]byte),
+		silenceTimeout: e.pool.opt.StreamSilenceTimeout, unary: p.Unary, tailBuffer: tails.Get().(*[]byte),
 	}
 	s.tail = (*s.tailBuffer)[:0]
 	s.opener, _ = dialect.(Opener)
@@ -165,7 +165,7 @@
 				return nil
 			}
 			var err error
-			s.begun, err = s.opener.Opens(payload, e.Data)
+			s.begun, err = s.opener.StartsAnswer(payload, e.Data)
 			return err
 		}
 		err := s.leadScanner.Write(sound, each)
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -17,14 +17,14 @@
 	"wellgw/routing"
 )
 
-func engine(t *testing.T) *upstream.Engine {
-	pool := upstream.NewPool(upstream.Options{ConnectTimeout: time.Second, ConnIdle: time.Minute, MaxConns: 8})
+func engine(t *testing.T) *upstream.Client {
+	pool := upstream.NewPool(upstream.Options{ConnectTimeout: time.Second, ServerIdleTimeout: time.Minute, MaxConns: 8})
 	go pool.Sweep(t.Context())
-	return upstream.NewEngine(pool, func(string) upstream.Dialect { return platform.Dialect{} })
+	return upstream.NewClient(pool, func(string) upstream.Dialect { return platform.Dialect{} })
 }
 
 // attempt makes one attempt and waits for its end; text is what streamed.
-func attempt(e *upstream.Engine, addr string) (text string, r core.Result) {
+func attempt(e *upstream.Client, addr string) (text string, r core.Result) {
 	end := make(chan core.Result, 1)
 	e.Start(core.Attempt{
 		ClientRequestID: "id1", Endpoint: core.Endpoint{Addr: addr}, Timeout: 10 * time.Second,
