--- a/internal/consul/parse.go
+++ b/internal/consul/parse.go
@@ -18,7 +18,7 @@
 // What can be wrong with an entry.
 var (
 	errNoServiceID = errors.New("no service id")
-	errBadPort     = errors.New("port out of range")
+	errInvalidPort = errors.New("port") // followed by the number
 	errNoAddress   = errors.New("no address")
 )
 
@@ -122,7 +122,7 @@
 	case s.Service == nil || s.Service.ID == "":
 		return roster.Entry{}, "", errNoServiceID
 	case s.Service.Port < 1 || s.Service.Port > 65535:
-		return roster.Entry{}, "", fmt.Errorf("%w: %d", errBadPort, s.Service.Port)
+		return roster.Entry{}, "", fmt.Errorf("%w %d", errInvalidPort, s.Service.Port)
 	}
 	host, node := s.Service.Address, ""
 	if s.Node != nil {
