--- a/decide/roster/probes.go
+++ b/decide/roster/probes.go
@@ -95,23 +95,46 @@
 // engines that only a doubted view lists, missing and critical ones; then, at a longer
 // interval, all engines of doubted sources. The rest is due at the next call.
 func (r *Registry) DueProbes(now time.Time, limit int) []Probe {
-	var urgent, routine []*engine
+	probes := r.doubtedProbes(limit)
+	for _, e := range r.enginesToProbe(now) {
+		if len(probes) >= limit {
+			break
+		}
+		e.probedAt = now
+		probes = append(probes, Probe{e.id, e.location.addr})
+	}
+	return probes
+}
+
+// doubtedProbes returns at most limit engines that only a doubted view lists, or lists at another
+// address than one that refuses connections.
+func (r *Registry) doubtedProbes(limit int) []Probe {
 	var probes []Probe
 	for _, s := range r.sources {
-		if s.doubtedView != nil {
-			for _, e := range s.doubtedView.Entries {
-				if (s.listings[e.ID] == nil && r.engines[e.ID] == nil || r.movedFromRefusing(e)) && len(probes) < limit {
-					probes = append(probes, Probe{e.ID, e.Addr})
-				}
+		if s.doubtedView == nil {
+			continue
+		}
+		for _, e := range s.doubtedView.Entries {
+			unlisted := s.listings[e.ID] == nil && r.engines[e.ID] == nil
+			if (unlisted || r.movedFromRefusing(e)) && len(probes) < limit {
+				probes = append(probes, Probe{e.ID, e.Addr})
 			}
 		}
 	}
+	return probes
+}
+
+// enginesToProbe returns the known engines that are due, those in question first, then by the time of
+// their latest probe.
+func (r *Registry) enginesToProbe(now time.Time) []*engine {
+	var urgent, routine []*engine
 	for _, e := range r.engines {
-		if since := now.Sub(e.probedAt); since < r.policy.UrgentProbeInterval {
-			continue
-		} else if r.inQuestion(e) {
+		since := now.Sub(e.probedAt)
+		switch {
+		case since < r.policy.UrgentProbeInterval:
+		case r.inQuestion(e):
 			urgent = append(urgent, e)
-		} else if since >= r.policy.ProbeInterval && r.allSourcesDoubted(e) {
+		case since >= r.policy.ProbeInterval && r.allSourcesDoubted(e):
 			routine = append(routine, e)
 		}
 	}
@@ -120,14 +143,7 @@
 	}
 	slices.SortFunc(urgent, leastRecent)
 	slices.SortFunc(routine, leastRecent)
-	for _, e := range slices.Concat(urgent, routine) {
-		if len(probes) >= limit {
-			break
-		}
-		e.probedAt = now
-		probes = append(probes, Probe{e.id, e.location.addr})
-	}
-	return probes
+	return slices.Concat(urgent, routine)
 }
 
 // inQuestion reports whether an engine may be gone or back, so that probes decide.
--- a/internal/consul/client.go
+++ b/internal/consul/client.go
@@ -123,15 +123,15 @@
 	case c.cfg.Consistency == "consistent":
 		params.Set("consistent", "")
 	}
-	resp, body, agent, err := c.do(ctx, http.MethodGet, q.Path, params, nil, timeout)
+	r, err := c.do(ctx, http.MethodGet, q.Path, params, nil, timeout)
 	if err != nil {
 		return Answer{}, err
 	}
-	a := Answer{Body: body, Agent: agent, KnownLeader: resp.Header.Get("X-Consul-KnownLeader") != "false"}
-	if a.Index = indexOf(resp.Header); a.Index == 0 {
-		return Answer{}, fmt.Errorf("agent %s: %w", agent, errNoIndex)
+	a := Answer{Body: r.body, Agent: r.agent, KnownLeader: r.header.Get("X-Consul-KnownLeader") != "false"}
+	if a.Index = indexOf(r.header); a.Index == 0 {
+		return Answer{}, fmt.Errorf("agent %s: %w", r.agent, errNoIndex)
 	}
-	if ms, err := strconv.ParseInt(resp.Header.Get("X-Consul-LastContact"), 10, 64); err == nil && ms > 0 {
+	if ms, err := strconv.ParseInt(r.header.Get("X-Consul-LastContact"), 10, 64); err == nil && ms > 0 {
 		a.LastContact = time.Duration(ms) * time.Millisecond
 	}
 	return a, nil
@@ -148,27 +148,33 @@
 
 // Put makes a write request.
 func (c *Client) Put(ctx context.Context, path string, body []byte) error {
-	_, _, _, err := c.do(ctx, http.MethodPut, path, nil, body, requestTimeout)
+	_, err := c.do(ctx, http.MethodPut, path, nil, body, requestTimeout)
 	return err
 }
 
-// do makes a request to the agent in use and returns the response, its body and the agent's
-// address. It ends early if the agent is marked down meanwhile.
-func (c *Client) do(ctx context.Context, method, path string, params url.Values, body []byte, timeout time.Duration) (*http.Response, []byte, string, error) {
+// response is an agent's response with status 200.
+type response struct {
+	header http.Header
+	body   []byte
+	agent  string // its address
+}
+
+// do makes a request to the agent in use. It ends early if the agent is marked down meanwhile.
+func (c *Client) do(ctx context.Context, method, path string, params url.Values, body []byte, timeout time.Duration) (response, error) {
 	a, lifetime, up := c.selectAgent()
 	if !up {
-		return nil, nil, "", errNoAgent
+		return response{}, errNoAgent
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	defer context.AfterFunc(lifetime, cancel)()
 	req, err := c.newRequest(ctx, method, a.addr, path, params, body)
 	if err != nil {
-		return nil, nil, "", fmt.Errorf("query: %w", err)
+		return response{}, fmt.Errorf("query: %w", err)
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return nil, nil, "", c.requestError(lifetime, a, err)
+		return response{}, c.requestError(lifetime, a, err)
 	}
 	defer resp.Body.Close()
 	limit := c.cfg.MaxBody()
@@ -178,13 +184,13 @@
 	raw, err := readBody(io.LimitReader(resp.Body, limit+1), cancel)
 	switch {
 	case resp.StatusCode != http.StatusOK:
-		return nil, nil, "", newStatusError(a.addr, resp, raw)
+		return response{}, newStatusError(a.addr, resp, raw)
 	case err != nil:
-		return nil, nil, "", c.requestError(lifetime, a, err)
+		return response{}, c.requestError(lifetime, a, err)
 	case int64(len(raw)) > limit:
-		return nil, nil, "", fmt.Errorf("agent %s: %w", a.addr, errTooLong)
+		return response{}, fmt.Errorf("agent %s: %w", a.addr, errTooLong)
 	}
-	return resp, raw, a.addr, nil
+	return response{header: resp.Header, body: raw, agent: a.addr}, nil
 }
 
 func (c *Client) newRequest(ctx context.Context, method, addr, path string, params url.Values, body []byte) (*http.Request, error) {
--- a/internal/consul/kv.go
+++ b/internal/consul/kv.go
@@ -80,8 +80,8 @@
 
 // applied makes a call whose body in the answer says whether it took effect.
 func (c *Client) applied(ctx context.Context, method, path string, params url.Values, body []byte) (bool, error) {
-	_, raw, _, err := c.do(ctx, method, path, params, body, requestTimeout)
-	return string(raw) == "true" || string(raw) == "true\n", err
+	r, err := c.do(ctx, method, path, params, body, requestTimeout)
+	return string(r.body) == "true" || string(r.body) == "true\n", err
 }
 
 // session is the body of PUT /v1/session/create; its field names are the keys.
@@ -100,13 +100,13 @@
 	if err != nil {
 		return "", fmt.Errorf("session: %w", err)
 	}
-	_, raw, _, err := c.do(ctx, http.MethodPut, "/v1/session/create", nil, body, requestTimeout)
+	r, err := c.do(ctx, http.MethodPut, "/v1/session/create", nil, body, requestTimeout)
 	if err != nil {
 		return "", err
 	}
 	var s struct{ ID string }
-	if err := jsoniter.Unmarshal(raw, &s); err != nil || s.ID == "" {
-		return "", fmt.Errorf("session: %q has no id: %w", raw, err)
+	if err := jsoniter.Unmarshal(r.body, &s); err != nil || s.ID == "" {
+		return "", fmt.Errorf("session: %q has no id: %w", r.body, err)
 	}
 	return s.ID, nil
 }
--- a/internal/consul/tls.go
+++ b/internal/consul/tls.go
@@ -29,35 +29,40 @@
 		conf.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return read() }
 	}
 	if t.CAFile != "" {
-		read := func() (*x509.CertPool, error) {
-			pem, err := os.ReadFile(t.CAFile)
-			if err != nil {
-				return nil, err
-			}
-			pool := x509.NewCertPool()
-			if !pool.AppendCertsFromPEM(pem) {
-				return nil, errNoCertificate
-			}
-			return pool, nil
-		}
-		if _, err := read(); err != nil {
+		if _, err := readAuthorities(t.CAFile); err != nil {
 			return nil, fmt.Errorf("consul.tls.ca_file: %w", err)
 		}
 		// crypto/tls takes the authorities once. To have them read at every handshake, its
 		// verification is replaced by the same one against the file's present content.
 		conf.InsecureSkipVerify = true
-		conf.VerifyConnection = func(s tls.ConnectionState) error {
-			roots, err := read()
-			if err != nil {
-				return fmt.Errorf("consul.tls.ca_file: %w", err)
-			}
-			opts := x509.VerifyOptions{Roots: roots, DNSName: s.ServerName, Intermediates: x509.NewCertPool()}
-			for _, cert := range s.PeerCertificates[1:] {
-				opts.Intermediates.AddCert(cert)
-			}
-			_, err = s.PeerCertificates[0].Verify(opts)
-			return err
-		}
+		conf.VerifyConnection = func(s tls.ConnectionState) error { return verifyServer(s, t.CAFile) }
 	}
 	return conf, nil
 }
+
+// readAuthorities reads a PEM file of certificate authorities.
+func readAuthorities(path string) (*x509.CertPool, error) {
+	pem, err := os.ReadFile(path)
+	if err != nil {
+		return nil, err
+	}
+	pool := x509.NewCertPool()
+	if !pool.AppendCertsFromPEM(pem) {
+		return nil, errNoCertificate
+	}
+	return pool, nil
+}
+
+// verifyServer verifies a server's certificate, as crypto/tls does, by the authorities in a file.
+func verifyServer(s tls.ConnectionState, caFile string) error {
+	roots, err := readAuthorities(caFile)
+	if err != nil {
+		return fmt.Errorf("consul.tls.ca_file: %w", err)
+	}
+	opts := x509.VerifyOptions{Roots: roots, DNSName: s.ServerName, Intermediates: x509.NewCertPool()}
+	for _, cert := range s.PeerCertificates[1:] {
+		opts.Intermediates.AddCert(cert)
+	}
+	_, err = s.PeerCertificates[0].Verify(opts)
+	return err
+}
--- a/internal/peers/datagram.go
+++ b/internal/peers/datagram.go
@@ -80,18 +80,26 @@
 	return aead.Seal(b, nonce(counter), payload, b[:headSize])
 }
 
+// datagramHeader is what stands before the seal.
+type datagramHeader struct {
+	key     keyID
+	sender  process
+	counter uint64
+}
+
 // parseHeader reads the part before the seal, which is not yet proven authentic.
-func parseHeader(b []byte) (id keyID, p process, counter uint64, err error) {
+func parseHeader(b []byte) (h datagramHeader, err error) {
 	if len(b) < 1 || len(b) > MaxMessage {
-		return id, p, 0, errNotADatagram
+		return h, errNotADatagram
 	}
 	if b[0] < oldestVersion || b[0] > latestVersion {
-		return id, p, 0, errUnknownVersion
+		return h, errUnknownVersion
 	}
 	if len(b) < headSize+tagSize {
-		return id, p, 0, errNotADatagram
+		return h, errNotADatagram
 	}
-	copy(id[:], b[1:])
-	p.instance, p.random = binary.BigEndian.Uint64(b[5:]), binary.BigEndian.Uint64(b[13:])
-	return id, p, binary.BigEndian.Uint64(b[21:]), nil
+	copy(h.key[:], b[1:])
+	h.sender.instance, h.sender.random = binary.BigEndian.Uint64(b[5:]), binary.BigEndian.Uint64(b[13:])
+	h.counter = binary.BigEndian.Uint64(b[21:])
+	return h, nil
 }
--- a/internal/peers/opener.go
+++ b/internal/peers/opener.go
@@ -36,13 +36,14 @@
 
 // open returns the payload of a datagram and the process that sealed it.
 func (o *datagramOpener) open(b []byte) ([]byte, process, error) {
-	id, p, counter, err := parseHeader(b)
+	header, err := parseHeader(b)
+	p := header.sender
 	if err != nil {
 		return nil, p, err
 	}
-	sender := senderID{id, p}
+	sender := senderID{header.key, p}
 	w := o.senders[sender]
-	k := o.keyring.find(id)
+	k := o.keyring.find(header.key)
 	if k == nil {
 		delete(o.senders, sender)
 		return nil, p, errUnknownKey
@@ -54,11 +55,11 @@
 			return nil, p, err
 		}
 	}
-	payload, err := w.aead.Open(nil, nonce(counter), b[headSize:], b[:headSize])
+	payload, err := w.aead.Open(nil, nonce(header.counter), b[headSize:], b[:headSize])
 	if err != nil {
 		return nil, p, errBadSeal
 	}
-	if !w.accept(counter) {
+	if !w.accept(header.counter) {
 		return nil, p, errReplayed
 	}
 	if newSender {
--- a/internal/simulator/simulator.go
+++ b/internal/simulator/simulator.go
@@ -140,13 +140,9 @@
 				return fmt.Errorf("line %d: %w", n, err)
 			}
 			if turn == nil {
-				if _, err := w.Write(h.out.Bytes()); err != nil {
+				if err := h.flush(w); err != nil {
 					return err
 				}
-				if err := w.Flush(); err != nil {
-					return err
-				}
-				h.out.Reset()
 			}
 		}
 		if end {
@@ -158,6 +154,15 @@
 	}
 }
 
+// flush writes the reply to a batch.
+func (h *host) flush(w *bufio.Writer) error {
+	if _, err := w.Write(h.out.Bytes()); err != nil {
+		return err
+	}
+	h.out.Reset()
+	return w.Flush()
+}
+
 // Errors of malformed input.
 var (
 	errIncompleteTurn = errors.New("a Turn without turn or time")
