--- a/cmd/wellgw/tier_test.go
+++ b/cmd/wellgw/tier_test.go
@@ -436,6 +436,6 @@
 	}
 	kills[2]()
 	for i := range names[:2] {
-		enginetest.Eventually(t, names[i]+" sees one die", func() bool { return said[i](`"gateway":"n2"[^\n]*"status":"dead"`) })
+		enginetest.Eventually(t, names[i]+" sees one die", func() bool { return said[i](`"gateway":"n2"[^\n]*"member_status":"dead"`) })
 	}
 }
--- a/internal/peers/status.go
+++ b/internal/peers/status.go
@@ -142,7 +142,7 @@
 		if g.Status == membership.Suspect || refuted {
 			continue
 		}
-		p.opt.Log.Info("tier member changed", "gateway", g.ID, "status", e.To, "incarnation", g.Incarnation, "accusers", e.Accusers,
+		p.opt.Log.Info("tier member changed", "gateway", g.ID, "member_status", e.To, "incarnation", g.Incarnation, "accusers", e.Accusers,
 			"silent_ms", e.SilentFor.Milliseconds(), "local_health", e.LocalHealth, "pauses", e.Pauses)
 	}
 }
