--- a/decide/deduplication/golden_test.go
+++ b/decide/deduplication/golden_test.go
@@ -2,54 +2,30 @@
 
 import (
 	"cmp"
-	"crypto/sha256"
-	"encoding/binary"
-	"encoding/hex"
 	"fmt"
-	"hash"
 	"maps"
 	"math/rand/v2"
 	"slices"
 	"testing"
 	"time"
-)
-
-// recorder hashes results by number and by the tests' own strings alone, so that the hash
-// outlives renames in the code.
-type recorder struct{ sum hash.Hash }
-
-func (r recorder) number(values ...int64) {
-	for _, v := range values {
-		r.sum.Write(binary.BigEndian.AppendUint64(nil, uint64(v)))
-	}
-}
 
-func (r recorder) flag(v bool) {
-	if v {
-		r.number(1)
-	} else {
-		r.number(0)
-	}
-}
+	"wellgw/internal/golden"
+)
 
-func (r recorder) text(values ...string) {
-	for _, v := range values {
-		r.number(int64(len(v)))
-		r.sum.Write([]byte(v))
-	}
-}
+// recorder adds entries and keys to golden.Recorder.
+type recorder struct{ golden.Recorder }
 
 func (r recorder) entry(e Entry) {
-	r.text(e.Key.Team, e.Key.Name, e.Digest, e.RequestID, e.ContentType, string(e.Answer))
-	r.flag(e.Answer == nil)
-	r.number(int64(e.State), e.Since.UnixNano())
+	r.Text(e.Key.Team, e.Key.Name, e.Digest, e.RequestID, e.ContentType, string(e.Answer))
+	r.Flag(e.Answer == nil)
+	r.Number(int64(e.State), e.Since.UnixNano())
 }
 
 func (r recorder) keys(keys []Key) {
 	slices.SortFunc(keys, compareKeys) // a table forgets in the order of a map
-	r.number(int64(len(keys)))
+	r.Number(int64(len(keys)))
 	for _, k := range keys {
-		r.text(k.Team, k.Name)
+		r.Text(k.Team, k.Name)
 	}
 }
 
@@ -79,7 +55,7 @@
 func goldenRun(t *testing.T, seed uint64) string {
 	const steps, teams, names = 20_000, 3, 40
 	rng := rand.New(rand.NewPCG(seed, 45))
-	rec := recorder{sha256.New()}
+	rec := recorder{golden.NewRecorder()}
 	limits := DefaultLimits()
 	limits.MaxEntries, limits.MaxEntriesPerTeam = 10+rng.IntN(40), rng.IntN(30)
 	limits.MaxTotalAnswerBytes, limits.MaxAnswerBytes = int64(200+rng.IntN(400)), 40
@@ -109,7 +85,7 @@
 	for step := range steps {
 		now = now.Add(time.Duration(1 + rng.Int64N(int64(4*time.Second))))
 		kind := rng.IntN(40)
-		rec.number(int64(kind))
+		rec.Number(int64(kind))
 		switch {
 		case kind < 20:
 			request := Request{Key: drawKey(), Digest: "d", RequestID: fmt.Sprint("id", step), MayHaveRunElsewhere: rng.IntN(2) == 0}
@@ -120,7 +96,7 @@
 				request.RetryCount = rng.IntN(4)
 			}
 			decision, e := table.Begin(now, request)
-			rec.number(int64(decision))
+			rec.Number(int64(decision))
 			rec.entry(e)
 			if forget(); decision == Run {
 				running[request.Key], stored[request.Key] = request.RequestID, e
@@ -139,7 +115,7 @@
 			outcome := []Outcome{OutcomeNotRun, OutcomeCompleted, OutcomeCompleted, OutcomeCompleted, OutcomeIndeterminate}[rng.IntN(5)]
 			e, kept := table.End(now, k, id, outcome, "text/plain", make([]byte, rng.IntN(60)))
 			rec.entry(e)
-			rec.flag(kept)
+			rec.Flag(kept)
 			if forget(); kept {
 				stored[k] = e
 			}
@@ -164,29 +140,29 @@
 			}
 		}
 		keys, bytes := table.Counts()
-		rec.number(int64(keys), bytes)
+		rec.Number(int64(keys), bytes)
 	}
-	return hex.EncodeToString(rec.sum.Sum(nil))
+	return rec.Hash()
 }
 
 // TestGoldenDecisionsAboutGateways pins who is taken to have been asked before, and how a request
 // has ended, for all that may be known.
 func TestGoldenDecisionsAboutGateways(t *testing.T) {
 	const want = "285231c93e1967c538fb3308137b34b5c85d970d013c7776ecb966c736b84f8a"
-	rec := recorder{sha256.New()}
+	rec := recorder{golden.NewRecorder()}
 	for bits := range 16 {
 		e := Result{Complete: bits&1 > 0, Refused: bits&2 > 0, RejectedByEngine: bits&4 > 0, MayHaveRun: bits&8 > 0}
-		rec.number(int64(e.Outcome()))
+		rec.Number(int64(e.Outcome()))
 	}
 	for said := range 4 {
 		for shown := range 4 {
 			for bits := range 4 {
 				o := Topology{StickyKeys: bits&1 > 0, PeersEnabled: bits&2 > 0, ConfiguredGateways: said, ObservedGateways: shown}
-				rec.flag(o.AttemptsMayGoElsewhere())
+				rec.Flag(o.AttemptsMayGoElsewhere())
 			}
 		}
 	}
-	if got := hex.EncodeToString(rec.sum.Sum(nil)); got != want {
+	if got := rec.Hash(); got != want {
 		t.Errorf("hash %s, want %s", got, want)
 	}
 }
--- a/decide/ejection/golden_test.go
+++ b/decide/ejection/golden_test.go
@@ -1,41 +1,20 @@
 package ejection
 
 import (
-	"crypto/sha256"
-	"encoding/binary"
-	"encoding/hex"
 	"fmt"
-	"hash"
 	"math/rand/v2"
 	"testing"
 
+	"wellgw/internal/golden"
 	"wellgw/routing"
 )
 
-// recorder hashes results by number, length and engine name alone, so that the hash
-// outlives renames in the code.
-type recorder struct{ sum hash.Hash }
-
-func (r recorder) number(values ...int64) {
-	for _, v := range values {
-		r.sum.Write(binary.BigEndian.AppendUint64(nil, uint64(v)))
-	}
-}
-
-func (r recorder) flag(v bool) {
-	if v {
-		r.number(1)
-	} else {
-		r.number(0)
-	}
-}
+// recorder adds sets of engines to golden.Recorder.
+type recorder struct{ golden.Recorder }
 
 func (r recorder) names(names []string) {
-	r.number(int64(len(names)))
-	for _, name := range names {
-		r.number(int64(len(name)))
-		r.sum.Write([]byte(name))
-	}
+	r.Number(int64(len(names)))
+	r.Text(names...)
 }
 
 // TestGoldenResults drives the set with drawn events and compares a hash of all its
@@ -57,14 +36,14 @@
 func goldenRun(seed uint64) string {
 	const steps, engines = 20_000, 12
 	rng := rand.New(rand.NewPCG(seed, 45))
-	rec := recorder{sha256.New()}
+	rec := recorder{golden.NewRecorder()}
 	set := New()
 	now := routing.Time(0)
 	drawName := func() string { return fmt.Sprint("e", rng.IntN(engines)) }
 	for range steps {
 		now += routing.Time(rng.IntN(1000))
 		kind := rng.IntN(8)
-		rec.number(int64(kind), int64(now))
+		rec.Number(int64(kind), int64(now))
 		switch kind {
 		case 0:
 			set.Register(drawName())
@@ -72,7 +51,7 @@
 			change, ok := set.SetEjected(drawName(), rng.IntN(2) == 0, now)
 			rec.names(change.Ejected)
 			rec.names(change.Restored)
-			rec.flag(ok)
+			rec.Flag(ok)
 		case 4:
 			if rng.IntN(4) > 0 {
 				continue
@@ -90,11 +69,11 @@
 				Name: drawName(), Phase: phases[rng.IntN(len(phases))], StartTime: max(0, now-routing.Time(rng.IntN(5000))),
 			})
 			rec.names([]string{shown.Name})
-			rec.number(int64(shown.Phase), int64(shown.StartTime))
+			rec.Number(int64(shown.Phase), int64(shown.StartTime))
 		case 7:
 			name := drawName()
-			rec.flag(set.Registered(name))
-			rec.flag(set.Ejected(name))
+			rec.Flag(set.Registered(name))
+			rec.Flag(set.Ejected(name))
 			rec.names(set.Names())
 		}
 	}
@@ -103,10 +82,10 @@
 		set.Register(fmt.Sprint("n", i))
 	}
 	for i := range engines {
-		rec.flag(set.Registered(fmt.Sprint("e", i)))
+		rec.Flag(set.Registered(fmt.Sprint("e", i)))
 	}
 	for i := range 200 {
-		rec.flag(set.Registered(fmt.Sprint("n", i)))
+		rec.Flag(set.Registered(fmt.Sprint("n", i)))
 	}
-	return hex.EncodeToString(rec.sum.Sum(nil))
+	return rec.Hash()
 }
