--- a/internal/config/error_texts_test.go
+++ b/internal/config/error_texts_test.go
@@ -89,6 +89,10 @@
 	if c.Watches() != 64 || c.MaxBody() != 16<<20 || r.Keys() != "wellgw/roles" {
 		t.Errorf("%d watches, %d bytes, keys below %q", c.Watches(), c.MaxBody(), r.Keys())
 	}
+	// Answers under idempotency keys get a twelfth of the memory.
+	if bytes := (&Operator{Limits: Limits{MemoryMB: 144}}).KeyLimits().MaxTotalAnswerBytes; bytes != 12<<20 {
+		t.Errorf("%d bytes for answers under keys", bytes)
+	}
 	l := Limits{}
 	l.setDefaults()
 	if diff := cmp.Diff(Limits{Cores: 1, MemoryMB: 192, Sockets: 1024}, l); diff != "" {
