--- a/cmd/wellgw/chatgateway.go
+++ b/cmd/wellgw/chatgateway.go
@@ -75,7 +75,7 @@
 	o := g.started
 	return deduplication.Topology{
 		StickyKeys: o.Idempotency != nil && o.Idempotency.Sticky, ConfiguredGateways: o.Gateways, PeersEnabled: o.Peers != nil, ObservedGateways: g.gateway.status.sharing(),
-	}.AttemptsMayGoElsewhere()
+	}.AttemptsMayReachOtherGateways()
 }
 
 // frontCounts are the front's own counts, beside the core's; nil before there is a front.
--- a/cmd/wellgw/platformgateway.go
+++ b/cmd/wellgw/platformgateway.go
@@ -116,7 +116,7 @@
 		return
 	}
 	g.front.AddClasses(classNames(set.Classes))
-	process.post(ctx, lifecycle.SettingsChanged{MaxWait: g.config.LongestWait()}, "settings")
+	process.post(ctx, lifecycle.SettingsChanged{MaxFirstEventWait: g.config.LongestWait()}, "settings")
 	g.gateway.log.Info("settings applied", "classes", len(set.Classes), "attempts", set.MaxAttempts)
 }
 
--- a/cmd/wellgw/server.go
+++ b/cmd/wellgw/server.go
@@ -79,7 +79,7 @@
 	g.status.clients.Store(s.clients)
 	s.httpServer = newHTTPServer(s.front, s.clients, g.log)
 	s.supervisor = newSupervisor(s, lifecycle.Limits{
-		MaxWait: g.maxWait, KillKnown: g.killKnown, ClientsResume: g.clientsResume, SharedSocket: s.sharedSocket,
+		MaxFirstEventWait: g.maxWait, KillExpected: g.killKnown, ClientsResume: g.clientsResume, SharedSocket: s.sharedSocket,
 	})
 	return s, nil
 }
--- a/cmd/wellgw/supervisor.go
+++ b/cmd/wellgw/supervisor.go
@@ -125,13 +125,13 @@
 
 // terminates tells whether the process was told to end between two states of its service.
 func terminates(before, after lifecycle.Service) bool {
-	return before.State < lifecycle.Leaving && after.State >= lifecycle.Leaving
+	return before.State < lifecycle.Terminating && after.State >= lifecycle.Terminating
 }
 
 // logChange logs a change of state and its cause.
 func (s *supervisor) logChange(before, after lifecycle.Service, cause string) {
 	s.log.Info("state", "from", before.State, "to", after.State, "cause", cause, "draining", after.Draining,
-		"healthy", after.Healthy, "listening", after.Listening, "reusable", after.Reusable)
+		"healthy", after.Healthy, "listening", after.Listening, "reusable", after.KeepAlive)
 	switch {
 	case terminates(before, after):
 		s.log.Info("shutdown started")
@@ -148,7 +148,7 @@
 		_ = s.clients.Close()
 	case lifecycle.AwaitClientsIdle:
 		s.tasks.Go(func() { s.awaitClientsIdle(ctx) })
-	case lifecycle.AwaitAllDone:
+	case lifecycle.AwaitWorkCompleted:
 		s.tasks.Go(func() { s.awaitAllDone(ctx) })
 	case lifecycle.RejectWaiting:
 		s.tasks.Go(func() { s.core.Abandon(false) })
@@ -186,7 +186,7 @@
 	}
 }
 
-// awaitAllDone posts AllDone once all connections have ended, and then all requests and releases.
+// awaitAllDone posts WorkCompleted once all connections have ended, and then all requests and releases.
 // The state that began the wait bounds it.
 func (s *supervisor) awaitAllDone(ctx context.Context) {
 	ctx, stop := context.WithCancel(ctx)
@@ -201,5 +201,5 @@
 	if s.clients.Wait(ctx) != nil || s.core.Drain(ctx) != nil {
 		return
 	}
-	s.post(ctx, lifecycle.AllDone{}, "all done")
+	s.post(ctx, lifecycle.WorkCompleted{}, "all done")
 }
--- a/decide/deduplication/golden_test.go
+++ b/decide/deduplication/golden_test.go
@@ -71,7 +71,7 @@
 	stored := map[Key]Entry{} // what a file would hold
 	running := map[Key]string{}
 	forget := func() {
-		dropped := table.TakeRemoved()
+		dropped := table.PopRemoved()
 		rec.keys(dropped)
 		for _, k := range dropped {
 			delete(stored, k)
@@ -88,7 +88,7 @@
 		rec.Number(int64(kind))
 		switch {
 		case kind < 20:
-			request := Request{Key: drawKey(), Digest: "d", RequestID: fmt.Sprint("id", step), MayHaveRunElsewhere: rng.IntN(2) == 0}
+			request := Request{Key: drawKey(), Digest: "d", RequestID: fmt.Sprint("id", step), MayHaveRunOnOtherGateway: rng.IntN(2) == 0}
 			if rng.IntN(10) == 0 {
 				request.Digest = "other"
 			}
@@ -158,7 +158,7 @@
 		for shown := range 4 {
 			for bits := range 4 {
 				o := Topology{StickyKeys: bits&1 > 0, PeersEnabled: bits&2 > 0, ConfiguredGateways: said, ObservedGateways: shown}
-				rec.Flag(o.AttemptsMayGoElsewhere())
+				rec.Flag(o.AttemptsMayReachOtherGateways())
 			}
 		}
 	}
--- a/decide/deduplication/request.go
+++ b/decide/deduplication/request.go
@@ -34,8 +34,8 @@
 	Digest     string
 	RequestID  string
 	RetryCount int // attempts made before, as its client counts them
-	// MayHaveRunElsewhere: earlier attempts may have gone to another gateway, which keeps keys of its own.
-	MayHaveRunElsewhere bool
+	// MayHaveRunOnOtherGateway: earlier attempts may have gone to another gateway, which keeps keys of its own.
+	MayHaveRunOnOtherGateway bool
 }
 
 // Decision is what is to be done with a request.
--- a/decide/deduplication/table.go
+++ b/decide/deduplication/table.go
@@ -19,7 +19,7 @@
 	// until then an unseen key may be one of them.
 	uncertainUntil time.Time
 	refusals       map[string]*refusalHistory // by team
-	removed        []Key                      // see TakeRemoved
+	removed        []Key                      // see PopRemoved
 	failedSearches map[string]time.Time       // by team: when a search for room failed last
 }
 
@@ -83,7 +83,7 @@
 	}
 	// An attempt that is not remembered may have gone to another gateway, or to this one before a
 	// restart. Those that were refused here did not run.
-	if r.RetryCount > t.refusals[r.Key.Team].count(now, r.Key.Name) && (r.MayHaveRunElsewhere || now.Before(t.uncertainUntil)) {
+	if r.RetryCount > t.refusals[r.Key.Team].count(now, r.Key.Name) && (r.MayHaveRunOnOtherGateway || now.Before(t.uncertainUntil)) {
 		return PriorOutcomeUnknown, Entry{Key: r.Key}
 	}
 	if !t.reserveEntry(now, r.Key.Team) {
@@ -139,8 +139,8 @@
 	t.refusals[k.Team].record(now, k.Name)
 }
 
-// TakeRemoved returns the keys removed since its last call, for whoever keeps them on disk.
-func (t *Table) TakeRemoved() []Key {
+// PopRemoved returns the keys removed since its last call, for whoever keeps them on disk.
+func (t *Table) PopRemoved() []Key {
 	removed := t.removed
 	t.removed = nil
 	return removed
--- a/decide/deduplication/table_test.go
+++ b/decide/deduplication/table_test.go
@@ -114,7 +114,7 @@
 			tb := table(t, nil)
 			tb.Restore(t0, nil, c.clean)
 			a := newRequest("a", "k", "d")
-			a.RetryCount, a.MayHaveRunElsewhere = c.retry, c.others
+			a.RetryCount, a.MayHaveRunOnOtherGateway = c.retry, c.others
 			if v, _ := tb.Begin(t0.Add(c.after), a); v != c.want {
 				t.Errorf("%v, want %v", v, c.want)
 			}
@@ -129,7 +129,7 @@
 	tb.Restore(t0, nil, false)
 	try := func(at time.Duration, retry int) Decision {
 		a := newRequest("a", "k", "d")
-		a.RetryCount, a.MayHaveRunElsewhere = retry, true
+		a.RetryCount, a.MayHaveRunOnOtherGateway = retry, true
 		v, _ := tb.Begin(t0.Add(at), a)
 		return v
 	}
@@ -171,7 +171,7 @@
 		"one found by a catalogue, nothing said": {Topology{ObservedGateways: 0}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if c.topology.AttemptsMayGoElsewhere() != c.may {
+			if c.topology.AttemptsMayReachOtherGateways() != c.may {
 				t.Errorf("%v", !c.may)
 			}
 		})
--- a/decide/deduplication/topology.go
+++ b/decide/deduplication/topology.go
@@ -8,10 +8,10 @@
 	ObservedGateways   int  // that share the engines, by membership or the catalogue
 }
 
-// AttemptsMayGoElsewhere reports whether an earlier attempt may have gone to another gateway. Only an
+// AttemptsMayReachOtherGateways reports whether an earlier attempt may have gone to another gateway. Only an
 // operator's statement that there is one gateway, or that keys are sticky, rules it out: a gateway that
 // has just started, is partitioned, or has seen the others fail knows of none, and yet they may have
 // served the key. Peers imply several gateways.
-func (t Topology) AttemptsMayGoElsewhere() bool {
+func (t Topology) AttemptsMayReachOtherGateways() bool {
 	return !t.StickyKeys && (t.ConfiguredGateways != 1 || t.PeersEnabled || t.ObservedGateways > 1)
 }
--- a/decide/ejection/ejection.go
+++ b/decide/ejection/ejection.go
@@ -12,9 +12,9 @@
 	"wellgw/routing"
 )
 
-// MaxRegistered bounds the engine names that are remembered as listed; the oldest are forgotten first.
+// MaxRegisteredNames bounds the engine names that are remembered as listed; the oldest are forgotten first.
 // Engines come under ever new names, so that the set would otherwise grow without bound.
-const MaxRegistered = 1 << 16
+const MaxRegisteredNames = 1 << 16
 
 // Set holds the registered names, the ejected engines, and the ejections that ended. Use New.
 type Set struct {
@@ -43,7 +43,7 @@
 	if s.registered[name] {
 		return
 	}
-	if len(s.registrationOrder) >= MaxRegistered {
+	if len(s.registrationOrder) >= MaxRegisteredNames {
 		delete(s.registered, s.registrationOrder[0])
 		s.registrationOrder = s.registrationOrder[1:]
 	}
@@ -121,11 +121,11 @@
 	return change
 }
 
-// Effective returns the entry that the policy is to see for a listed engine: draining while it is
+// EffectiveInfo returns the entry that the policy is to see for a listed engine: draining while it is
 // ejected. An ejected engine is taken to be restarted before it is restored, so it comes back with a
 // cold cache: a start that the list shows after the ejection began is kept; until there is one, the
 // engine counts as started when it was restored.
-func (s *Set) Effective(engine routing.EngineInfo) routing.EngineInfo {
+func (s *Set) EffectiveInfo(engine routing.EngineInfo) routing.EngineInfo {
 	if s.ejected[engine.Name] {
 		if engine.Phase == routing.PhaseActive {
 			engine.Phase = routing.PhaseDraining
--- a/decide/ejection/ejection_test.go
+++ b/decide/ejection/ejection_test.go
@@ -49,7 +49,7 @@
 			if !slices.Equal(set.Names(), c.out) && len(set.Names())+len(c.out) > 0 {
 				t.Errorf("out %v, want %v", set.Names(), c.out)
 			}
-			s := set.Effective(active("e1", 0))
+			s := set.EffectiveInfo(active("e1", 0))
 			if s.Phase != c.phase || s.StartTime != c.startTime {
 				t.Errorf("shown %+v, want phase %v started %v", s, c.phase, c.startTime)
 			}
@@ -74,7 +74,7 @@
 		set.SetEjected("e1", true, 10)
 		set.SetEjected("e1", false, 20)
 		for i, up := range c.lists {
-			if s := set.Effective(active("e1", up)); s.StartTime != c.want[i] {
+			if s := set.EffectiveInfo(active("e1", up)); s.StartTime != c.want[i] {
 				t.Errorf("%s, look %d: started %v, want %v", c.name, i, s.StartTime, c.want[i])
 			}
 		}
@@ -107,7 +107,7 @@
 					out[n] = o
 				}
 			case 3:
-				s := set.Effective(active(n, 0))
+				s := set.EffectiveInfo(active(n, 0))
 				if (s.Phase == routing.PhaseActive) == out[n] {
 					t.Fatalf("%s shown %v while out is %v", n, s.Phase, out[n])
 				}
--- a/decide/ejection/golden_test.go
+++ b/decide/ejection/golden_test.go
@@ -65,7 +65,7 @@
 			rec.names(change.Restored)
 		case 5, 6:
 			phases := []routing.Phase{routing.PhaseActive, routing.PhaseDraining}
-			shown := set.Effective(routing.EngineInfo{
+			shown := set.EffectiveInfo(routing.EngineInfo{
 				Name: drawName(), Phase: phases[rng.IntN(len(phases))], StartTime: max(0, now-routing.Time(rng.IntN(5000))),
 			})
 			rec.names([]string{shown.Name})
@@ -78,7 +78,7 @@
 		}
 	}
 	// More names than are remembered: the oldest are forgotten first.
-	for i := range MaxRegistered + 100 {
+	for i := range MaxRegisteredNames + 100 {
 		set.Register(fmt.Sprint("n", i))
 	}
 	for i := range engines {
--- a/decide/heldstate/flight.go
+++ b/decide/heldstate/flight.go
@@ -1,22 +1,22 @@
 package heldstate
 
-// Connection is the number of one connection to an engine. A process never gives a number twice, so
+// ConnectionNumber is the number of one connection to an engine. A process never gives a number twice, so
 // that what is known of one connection can't be taken for knowledge of another.
-type Connection uint64
+type ConnectionNumber uint64
 
 // Arrival is the evidence that an attempt has arrived at its engine: the first byte that the engine sent
 // on a connection, and when it came. There is no other kind. What the engine sends on another connection,
 // to a check or to another request, shows that it is up, not that this attempt has reached it: a single
 // connection may be lost on the way while all others work, and shows no error.
 type Arrival struct {
-	Connection Connection
+	Connection ConnectionNumber
 	At         Time
 }
 
 // Flight is an attempt in flight: its last byte has been written and it has neither ended nor, if it was
 // cancelled and its connection is kept open, been closed.
 type Flight struct {
-	Connection Connection
+	Connection ConnectionNumber
 	WrittenAt  Time
 	Arrival    Arrival // zero for none
 }
--- a/decide/heldstate/golden_test.go
+++ b/decide/heldstate/golden_test.go
@@ -114,11 +114,11 @@
 // connection, or with evidence of another connection or from before it was written.
 func drawnFlight(draw *rand.Rand, now Time) Flight {
 	f := Flight{
-		Connection: Connection(1 + draw.IntN(3)),
+		Connection: ConnectionNumber(1 + draw.IntN(3)),
 		WrittenAt:  now - Time(draw.Int64N(int64(min(now, time.Second)))),
 	}
 	if draw.IntN(2) == 0 {
-		f.Arrival = Arrival{Connection: Connection(1 + draw.IntN(3)), At: Time(draw.Int64N(int64(now))) + 1}
+		f.Arrival = Arrival{Connection: ConnectionNumber(1 + draw.IntN(3)), At: Time(draw.Int64N(int64(now))) + 1}
 	}
 	return f
 }
--- a/decide/heldstate/heldstate.go
+++ b/decide/heldstate/heldstate.go
@@ -18,9 +18,9 @@
 
 // Margins of the ledger, which no setting changes.
 const (
-	// CancelTransit is how long an engine may take to learn that an attempt was cancelled. A
+	// MaxCancelDelay is how long an engine may take to learn that an attempt was cancelled. A
 	// release that overtakes the cancel has no effect, so it is sent again after this.
-	CancelTransit = 150 * time.Millisecond
+	MaxCancelDelay = 150 * time.Millisecond
 	// MinReleaseInterval is the least time between two releases at one engine.
 	MinReleaseInterval = 100 * time.Millisecond
 	// maxDrainWait is for how many held-state limits a draining gateway waits for an engine that is
--- a/decide/heldstate/heldstate_test.go
+++ b/decide/heldstate/heldstate_test.go
@@ -191,7 +191,7 @@
 	}
 	l.ReleaseEnded("w", true, 5*time.Second) // out of reach until then
 	at, some := l.NextUpdate()
-	if want := 5*time.Second + CancelTransit; !some || at != want {
+	if want := 5*time.Second + MaxCancelDelay; !some || at != want {
 		t.Fatalf("next at %v, want %v", at, want)
 	}
 	if due := l.ReleasesDue(at); !slices.Contains(due, "r") {
@@ -375,7 +375,7 @@
 		{"a release is in flight", lost(true), 1, true},
 		{"its engine has been out of reach for several held-state limits", lost(true), 1 + maxDrainWait*limits.HeldStateLimit, false},
 		{"the release may have overtaken the cancel", delivered(false, 1), 1, true},
-		{"it was repeated since", delivered(false, 1+CancelTransit), 1 + CancelTransit, false},
+		{"it was repeated since", delivered(false, 1+MaxCancelDelay), 1 + MaxCancelDelay, false},
 		{"the prefill may run on", delivered(true, 1+limits.MaxCancelledPrefill-1), 1 + limits.MaxCancelledPrefill - 1, true},
 		{"the prefill has certainly ended", delivered(true, 1+limits.MaxCancelledPrefill), 1 + limits.MaxCancelledPrefill, false},
 		{"engines of its kind take no releases", func(l *Ledger) { lost(true)(l); l.DropEngine("r") }, 1, false},
--- a/decide/heldstate/schedule.go
+++ b/decide/heldstate/schedule.go
@@ -60,7 +60,7 @@
 		if !other.attemptLost || other.delivered == 0 {
 			continue
 		}
-		if known := other.firstDelivery + CancelTransit; e.lastRelease < known && (!ok || known < at) {
+		if known := other.firstDelivery + MaxCancelDelay; e.lastRelease < known && (!ok || known < at) {
 			at, ok = known, true
 		}
 	}
--- a/decide/lifecycle/connection.go
+++ b/decide/lifecycle/connection.go
@@ -25,7 +25,7 @@
 // DecideConnection decides what becomes of a connection, and when to ask again if it is kept open;
 // the zero time stands for not before the service changes.
 func (s Service) DecideConnection(now time.Time, c Connection) (d Decision, next time.Time) {
-	if s.Reusable {
+	if s.KeepAlive {
 		return KeepOpen, time.Time{}
 	}
 	switch firstByteUntil := c.Opened.Add(FirstByteTimeout); {
--- a/decide/lifecycle/golden_test.go
+++ b/decide/lifecycle/golden_test.go
@@ -11,7 +11,7 @@
 )
 
 // goldenSums are the hashes of all that a Process decides under drawn events, by Limits: bit 0 is
-// KillKnown, bit 1 Resume, bit 2 Shared. They were taken before the names of this package were
+// KillExpected, bit 1 ClientsResume, bit 2 SharedSocket. They were taken before the names of this package were
 // reworked. A change of the hash is a change of behaviour; the numbers of states, actions and
 // verdicts, and the order of these, belong to it.
 var goldenSums = [8]string{
@@ -52,7 +52,7 @@
 	if rng.IntN(2) == 0 { // short waits, where the steps of the end share what time there is
 		longest = func() time.Duration { return time.Duration(1+rng.IntN(4000)) * time.Millisecond }
 	}
-	p := New(Limits{MaxWait: longest(), KillKnown: bits&1 != 0, ClientsResume: bits&2 != 0, SharedSocket: bits&4 != 0})
+	p := New(Limits{MaxFirstEventWait: longest(), KillExpected: bits&1 != 0, ClientsResume: bits&2 != 0, SharedSocket: bits&4 != 0})
 	now := time.Duration(0)
 	for range goldenEvents {
 		kind := rng.IntN(16)
@@ -71,7 +71,7 @@
 		}
 		s := p.Service()
 		hashNumbers(sum, int64(p.State()), number(p.LostListener()), int64(since(p.NextTick())),
-			int64(s.State), number(s.Draining), number(s.Healthy), number(s.Reusable), number(s.Listening),
+			int64(s.State), number(s.Draining), number(s.Healthy), number(s.KeepAlive), number(s.Listening),
 			int64(since(s.RequestDeadline)), int64(since(s.AnswerDeadline)), number(s.AcceptsRequest(at(now))))
 		for flags := range 16 {
 			opened := now - time.Duration(rng.IntN(600))*time.Millisecond
@@ -101,7 +101,7 @@
 	case 9, 10:
 		return ClientsIdle{}
 	case 11:
-		return AllDone{}
+		return WorkCompleted{}
 	}
 	return Tick{}
 }
--- a/decide/lifecycle/lifecycle_test.go
+++ b/decide/lifecycle/lifecycle_test.go
@@ -35,7 +35,7 @@
 		{60 * second, 4 * second, 0, 2600 * time.Millisecond}, {60 * second, 0, 2 * second, 1600 * time.Millisecond},
 		{2 * second, second, 3 * second, 600 * time.Millisecond}, {300 * time.Millisecond, 0, 0, AcceptGrace},
 	} {
-		p := New(Limits{MaxWait: c.first, KillKnown: true, ClientsResume: true})
+		p := New(Limits{MaxFirstEventWait: c.first, KillExpected: true, ClientsResume: true})
 		if c.before > 0 {
 			p.Handle(at(0), SettingsChanged{c.before})
 		}
@@ -83,11 +83,11 @@
 		stop, refuse, exit  time.Duration
 		requestsUntil, cuts time.Duration
 	}{
-		{Limits{MaxWait: 3 * second, KillKnown: true}, AcceptGrace, 3300 * time.Millisecond, 303*second + 500*time.Millisecond, 650 * time.Millisecond, 303 * second},
-		{Limits{MaxWait: 3 * second}, AcceptGrace, 303 * second, 303*second + 500*time.Millisecond, 650 * time.Millisecond, 303 * second},
-		{Limits{MaxWait: 3 * second, KillKnown: true, ClientsResume: true}, 2600 * time.Millisecond, 2600 * time.Millisecond, 3400 * time.Millisecond, 2750 * time.Millisecond, 2900 * time.Millisecond},
-		{Limits{MaxWait: 3 * second, KillKnown: true, SharedSocket: true}, 0, 3300 * time.Millisecond, 303*second + 500*time.Millisecond, 150 * time.Millisecond, 303 * second},
-		{Limits{MaxWait: 3 * second, KillKnown: true, ClientsResume: true, SharedSocket: true}, 0, 2600 * time.Millisecond, 3400 * time.Millisecond, 150 * time.Millisecond, 2900 * time.Millisecond},
+		{Limits{MaxFirstEventWait: 3 * second, KillExpected: true}, AcceptGrace, 3300 * time.Millisecond, 303*second + 500*time.Millisecond, 650 * time.Millisecond, 303 * second},
+		{Limits{MaxFirstEventWait: 3 * second}, AcceptGrace, 303 * second, 303*second + 500*time.Millisecond, 650 * time.Millisecond, 303 * second},
+		{Limits{MaxFirstEventWait: 3 * second, KillExpected: true, ClientsResume: true}, 2600 * time.Millisecond, 2600 * time.Millisecond, 3400 * time.Millisecond, 2750 * time.Millisecond, 2900 * time.Millisecond},
+		{Limits{MaxFirstEventWait: 3 * second, KillExpected: true, SharedSocket: true}, 0, 3300 * time.Millisecond, 303*second + 500*time.Millisecond, 150 * time.Millisecond, 303 * second},
+		{Limits{MaxFirstEventWait: 3 * second, KillExpected: true, ClientsResume: true, SharedSocket: true}, 0, 2600 * time.Millisecond, 3400 * time.Millisecond, 150 * time.Millisecond, 2900 * time.Millisecond},
 	} {
 		p := New(c.limits)
 		first, _ := p.Handle(at(0), Terminate{})
@@ -98,7 +98,7 @@
 		var requests time.Duration
 		for p.State() != Ended {
 			next := p.NextTick()
-			if s := p.Service(); !s.Reusable && requests == 0 {
+			if s := p.Service(); !s.KeepAlive && requests == 0 {
 				requests = since(s.RequestDeadline)
 			}
 			more, _ := p.Handle(next, Tick{})
@@ -114,7 +114,7 @@
 
 // What each state means for clients, and which calls have their way in it.
 func TestServiceByState(t *testing.T) {
-	limits := Limits{MaxWait: 3 * second, KillKnown: true, ClientsResume: true}
+	limits := Limits{MaxFirstEventWait: 3 * second, KillExpected: true, ClientsResume: true}
 	for _, c := range []struct {
 		name              string
 		shared            bool
@@ -132,16 +132,16 @@
 		{"drain and back", false, []Event{Drain{}, Activate{}}, Serving, true, true, true, -1, true},
 		{"hand-over", true, []Event{HandOver{}}, HandedOver, false, false, false, HandOverRequestTimeout, true},
 		{"active after a hand-over", true, []Event{Drain{}, HandOver{}, Activate{}}, HandedOver, false, false, false, DrainRequestTimeout, false},
-		{"told to end", false, []Event{Terminate{}}, Leaving, true, true, true, -1, true},
-		{"clients idle too early", false, []Event{Terminate{}, ClientsIdle{}}, Leaving, true, true, true, -1, true},
-		{"told to end in a drain", false, []Event{Drain{}, Terminate{}}, Leaving, false, false, true, DrainRequestTimeout, true},
-		{"drain while it ends", false, []Event{Terminate{}, Drain{}}, Leaving, false, false, true, DrainRequestTimeout, true},
-		{"active while it ends", false, []Event{Drain{}, Terminate{}, Activate{}}, Leaving, false, false, true, DrainRequestTimeout, false},
+		{"told to end", false, []Event{Terminate{}}, Terminating, true, true, true, -1, true},
+		{"clients idle too early", false, []Event{Terminate{}, ClientsIdle{}}, Terminating, true, true, true, -1, true},
+		{"told to end in a drain", false, []Event{Drain{}, Terminate{}}, Terminating, false, false, true, DrainRequestTimeout, true},
+		{"drain while it ends", false, []Event{Terminate{}, Drain{}}, Terminating, false, false, true, DrainRequestTimeout, true},
+		{"active while it ends", false, []Event{Drain{}, Terminate{}, Activate{}}, Terminating, false, false, true, DrainRequestTimeout, false},
 		{"told to end on a shared socket", true, []Event{Terminate{}}, Finishing, false, false, false, ShutdownRequestTimeout, true},
 		{"told to end after a hand-over", true, []Event{HandOver{}, Terminate{}}, Finishing, false, false, false, ShutdownRequestTimeout, true},
 		{"listener lost", false, []Event{ListenerLost{}}, Finishing, false, false, false, ShutdownRequestTimeout, true},
-		{"all has ended", true, []Event{Terminate{}, AllDone{}}, Ended, false, false, false, ShutdownRequestTimeout, true},
-		{"all done while it serves", false, []Event{AllDone{}}, Serving, true, true, true, -1, true},
+		{"all has ended", true, []Event{Terminate{}, WorkCompleted{}}, Ended, false, false, false, ShutdownRequestTimeout, true},
+		{"all done while it serves", false, []Event{WorkCompleted{}}, Serving, true, true, true, -1, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			limits := limits
@@ -152,7 +152,7 @@
 				_, accepted = p.Handle(at(0), e)
 			}
 			s := p.Service()
-			if s.State != c.state || s.Healthy != c.healthy || s.Reusable != c.reusable || s.Listening != c.listening || since(s.RequestDeadline) != c.requestsUntil || accepted != c.accepted {
+			if s.State != c.state || s.Healthy != c.healthy || s.KeepAlive != c.reusable || s.Listening != c.listening || since(s.RequestDeadline) != c.requestsUntil || accepted != c.accepted {
 				t.Errorf("%+v, accepted %v", s, accepted)
 			}
 		})
@@ -161,7 +161,7 @@
 
 // What becomes of a connection in a drain.
 func TestConnectionInDrain(t *testing.T) {
-	p := New(Limits{MaxWait: 3 * second})
+	p := New(Limits{MaxFirstEventWait: 3 * second})
 	p.Handle(at(0), Drain{})
 	s := p.Service()
 	for _, c := range []struct {
@@ -222,13 +222,13 @@
 func TestBoundsUnderDrawnEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{
-			MaxWait:   time.Duration(rapid.IntRange(50, 70_000).Draw(t, "longest ms")) * time.Millisecond,
-			KillKnown: rapid.Bool().Draw(t, "kill known"), ClientsResume: rapid.Bool().Draw(t, "resume"), SharedSocket: rapid.Bool().Draw(t, "shared"),
+			MaxFirstEventWait: time.Duration(rapid.IntRange(50, 70_000).Draw(t, "longest ms")) * time.Millisecond,
+			KillExpected:      rapid.Bool().Draw(t, "kill known"), ClientsResume: rapid.Bool().Draw(t, "resume"), SharedSocket: rapid.Bool().Draw(t, "shared"),
 		}
 		p := New(limits)
 		now := time.Duration(0)
 		terminated, drained := time.Duration(-1), time.Duration(-1)
-		bound := limits.MaxWait + AnswerTimeout + releasePeriod
+		bound := limits.MaxFirstEventWait + AnswerTimeout + releasePeriod
 		var actions []Action
 		for range rapid.IntRange(1, 30).Draw(t, "events") {
 			event := drawEvent(t)
@@ -264,13 +264,13 @@
 					}
 				}
 			}
-			if s.Draining != (drained >= 0) || s.Draining && (s.Healthy || s.Reusable) {
+			if s.Draining != (drained >= 0) || s.Draining && (s.Healthy || s.KeepAlive) {
 				t.Fatalf("drained at %v: %+v", drained, s)
 			}
-			if s.Draining && (s.RequestDeadline.After(at(drained+DrainRequestTimeout)) || s.AnswerDeadline.After(at(drained+limits.MaxWait+AnswerTimeout))) {
+			if s.Draining && (s.RequestDeadline.After(at(drained+DrainRequestTimeout)) || s.AnswerDeadline.After(at(drained+limits.MaxFirstEventWait+AnswerTimeout))) {
 				t.Fatalf("a drain's bounds have moved out: %+v", s)
 			}
-			if p.State() == Serving && !p.NextTick().IsZero() || p.State() >= Leaving && p.State() < Ended && p.NextTick().IsZero() {
+			if p.State() == Serving && !p.NextTick().IsZero() || p.State() >= Terminating && p.State() < Ended && p.NextTick().IsZero() {
 				t.Fatalf("state %v waits until %v", p.State(), p.NextTick())
 			}
 			checkConnections(t, s, now)
@@ -281,7 +281,7 @@
 				if actions = append(actions, more...); end > terminated+bound {
 					t.Fatalf("told to end at %v, ends at %v", terminated, end)
 				}
-				if limits.ClientsResume && end > terminated+min(limits.MaxWait, maxKillWait)+minKillDelay {
+				if limits.ClientsResume && end > terminated+min(limits.MaxFirstEventWait, maxKillWait)+minKillDelay {
 					t.Fatalf("told to end at %v, ends at %v, after the kill", terminated, end)
 				}
 			}
@@ -293,7 +293,7 @@
 // checkConnections follows drawn connections through a service that does not change: each that is
 // not reusable ends by the service's bounds, whatever its client does.
 func checkConnections(t *rapid.T, s Service, now time.Duration) {
-	if s.Reusable {
+	if s.KeepAlive {
 		return
 	}
 	if s.RequestDeadline.IsZero() || s.AnswerDeadline.IsZero() {
--- a/decide/lifecycle/process.go
+++ b/decide/lifecycle/process.go
@@ -13,16 +13,16 @@
 
 // Limits are what the settings say of a process's end.
 type Limits struct {
-	MaxWait       time.Duration // the longest that a client waits for its first event, by the settings in force
-	KillKnown     bool          // SIGKILL follows SIGTERM by the platform's clock
-	ClientsResume bool          // clients ask for the rest of a stream that is cut off
-	SharedSocket  bool          // another process may accept on the same socket
+	MaxFirstEventWait time.Duration // the longest that a client waits for its first event, by the settings in force
+	KillExpected      bool          // SIGKILL follows SIGTERM by the platform's clock
+	ClientsResume     bool          // clients ask for the rest of a stream that is cut off
+	SharedSocket      bool          // another process may accept on the same socket
 }
 
 // Process is the state of one process. Use New.
 type Process struct {
 	limits         Limits        // those in force; a process that ends keeps the shortest wait since
-	initialMaxWait time.Duration // Limits.MaxWait at the start
+	initialMaxWait time.Duration // Limits.MaxFirstEventWait at the start
 	phase          State         // Serving, or a state from Leaving on
 	drainingSince  time.Time     // zero while it does not drain
 	handedOverAt   time.Time     // zero before a hand-over
@@ -33,7 +33,7 @@
 }
 
 // New returns a process that serves.
-func New(l Limits) *Process { return &Process{limits: l, initialMaxWait: l.MaxWait} }
+func New(l Limits) *Process { return &Process{limits: l, initialMaxWait: l.MaxFirstEventWait} }
 
 // State returns what the process is doing.
 func (p *Process) State() State {
@@ -68,10 +68,10 @@
 		p.listenerLost = p.listenerLost || p.terminatedAt.IsZero()
 		actions = p.terminate(now)
 	case SettingsChanged:
-		p.changeSettings(e.MaxWait)
+		p.changeSettings(e.MaxFirstEventWait)
 	case ClientsIdle:
 		actions = p.clientsIdle(now)
-	case AllDone:
+	case WorkCompleted:
 		actions = p.allDone()
 	}
 	return append(actions, p.advance(now)...), accepted
@@ -105,7 +105,7 @@
 	if !p.terminatedAt.IsZero() {
 		return nil
 	}
-	p.terminatedAt, p.phase = now, Leaving
+	p.terminatedAt, p.phase = now, Terminating
 	p.shutdown = p.planShutdown()
 	if p.limits.SharedSocket || p.listenerLost { // others accept the clients at once, or nobody can
 		return p.startFinishing(now)
@@ -120,16 +120,16 @@
 // in force since: the kill may go by any of them.
 func (p *Process) changeSettings(maxWait time.Duration) {
 	if p.terminatedAt.IsZero() {
-		p.limits.MaxWait = maxWait
+		p.limits.MaxFirstEventWait = maxWait
 		return
 	}
-	p.limits.MaxWait = min(p.limits.MaxWait, maxWait)
+	p.limits.MaxFirstEventWait = min(p.limits.MaxFirstEventWait, maxWait)
 	p.shutdown = p.planShutdown()
 }
 
 // clientsIdle ends the wait for clients to notice, but not before AcceptGrace is over.
 func (p *Process) clientsIdle(now time.Time) []Action {
-	if p.phase != Leaving || now.Before(p.shutdown.acceptUntil) {
+	if p.phase != Terminating || now.Before(p.shutdown.acceptUntil) {
 		return nil
 	}
 	return p.startFinishing(now)
@@ -146,13 +146,13 @@
 
 func (p *Process) startFinishing(now time.Time) []Action {
 	p.phase, p.finishingSince = Finishing, now
-	return []Action{StopListening, AwaitAllDone}
+	return []Action{StopListening, AwaitWorkCompleted}
 }
 
 // advance takes the steps of the shutdown that are due by now.
 func (p *Process) advance(now time.Time) (actions []Action) {
 	for due := p.NextTick(); !due.IsZero() && !now.Before(due); due = p.NextTick() {
-		if p.phase == Leaving {
+		if p.phase == Terminating {
 			actions = append(actions, p.startFinishing(now)...)
 			continue
 		}
@@ -177,7 +177,7 @@
 // NextTick returns when a Tick is due; the zero time for never.
 func (p *Process) NextTick() time.Time {
 	switch p.phase {
-	case Leaving:
+	case Terminating:
 		return p.shutdown.stopAccepting
 	case Finishing:
 		return p.shutdown.rejectWaiting
--- a/decide/lifecycle/service.go
+++ b/decide/lifecycle/service.go
@@ -7,7 +7,7 @@
 	State     State
 	Draining  bool // as well as what State says: a process that was drained may end or hand over
 	Healthy   bool // health checks may say yes
-	Reusable  bool // connections outlive their answers
+	KeepAlive bool // connections outlive their answers
 	Listening bool
 	// RequestDeadline is when a request has to be complete; one that is later is rejected.
 	// AnswerDeadline is when a connection with an answer under way is aborted. The zero time stands
@@ -17,7 +17,7 @@
 }
 
 // FullService is what clients get of a process that serves.
-func FullService() Service { return Service{Healthy: true, Reusable: true, Listening: true} }
+func FullService() Service { return Service{Healthy: true, KeepAlive: true, Listening: true} }
 
 // Service returns what clients get in the process's state.
 func (p *Process) Service() Service {
@@ -43,7 +43,7 @@
 
 // endConnections has connections end with their answers. Of several deadlines the earliest hold.
 func (s *Service) endConnections(requestDeadline, answerDeadline time.Time) {
-	s.Reusable = false
+	s.KeepAlive = false
 	s.RequestDeadline = earliest(s.RequestDeadline, requestDeadline)
 	s.AnswerDeadline = earliest(s.AnswerDeadline, answerDeadline)
 }
--- a/decide/lifecycle/shutdownplan.go
+++ b/decide/lifecycle/shutdownplan.go
@@ -16,7 +16,7 @@
 // earliestKill is when SIGKILL may come at the earliest. It goes by the shorter of the waits at the
 // start and now: the platform may not have applied the change.
 func (p *Process) earliestKill() time.Time {
-	return p.terminatedAt.Add(min(p.initialMaxWait, p.limits.MaxWait, maxKillWait) + minKillDelay)
+	return p.terminatedAt.Add(min(p.initialMaxWait, p.limits.MaxFirstEventWait, maxKillWait) + minKillDelay)
 }
 
 // answerTimeout is how long after its connection was to end an answer may go on. It goes by the
@@ -54,7 +54,7 @@
 func (p *Process) planFinishing() shutdownPlan {
 	plan := shutdownPlan{acceptUntil: p.terminatedAt.Add(AcceptGrace), abortStreams: p.terminatedAt.Add(p.answerTimeout())}
 	plan.stopAccepting, plan.rejectWaiting = plan.acceptUntil, plan.abortStreams
-	if p.limits.KillKnown {
+	if p.limits.KillExpected {
 		plan.rejectWaiting = p.earliestKill().Add(-failBeforeKill)
 		if plan.rejectWaiting.Before(plan.stopAccepting) {
 			plan.rejectWaiting = plan.stopAccepting
--- a/internal/clientconn/conn.go
+++ b/internal/clientconn/conn.go
@@ -208,7 +208,7 @@
 // net/http reads the first byte of the next request while one is in flight: that byte would count as
 // the beginning of a request and keep the connection open beyond the shutdown. The lock is held.
 func (c *Conn) lastRequestInFlight() bool {
-	return !c.listener.service.Load().Reusable && c.frame.complete > c.answered && c.frame.betweenRequests()
+	return !c.listener.service.Load().KeepAlive && c.frame.complete > c.answered && c.frame.betweenRequests()
 }
 
 // trackFrames follows the framing of what has been read. The lock is held.
--- a/internal/clientconn/listener.go
+++ b/internal/clientconn/listener.go
@@ -61,7 +61,7 @@
 		}
 		l.mu.Unlock()
 		if room {
-			if !l.service.Load().Reusable {
+			if !l.service.Load().KeepAlive {
 				l.scheduleSweep(c.opened.Add(lifecycle.FirstByteTimeout))
 			}
 			return c, nil
@@ -111,7 +111,7 @@
 	if !ok || s != http.StateIdle {
 		return
 	}
-	reusable := l.service.Load().Reusable
+	reusable := l.service.Load().KeepAlive
 	switch over := c.requestAnswered(reusable); {
 	case over: // what has arrived meanwhile is not read: its client sends it elsewhere
 		_ = c.Close()
--- a/internal/clientconn/listener_test.go
+++ b/internal/clientconn/listener_test.go
@@ -301,7 +301,7 @@
 	<-waiting
 	done = make(chan error, 1)
 	go func() { done <- shutdown(t, l) }()
-	enginetest.Eventually(t, "the shutdown has begun", func() bool { return !l.service.Load().Reusable })
+	enginetest.Eventually(t, "the shutdown has begun", func() bool { return !l.service.Load().KeepAlive })
 	close(answer)
 	return c, bufio.NewReader(c), done
 }
@@ -352,7 +352,7 @@
 	c := onlyConn(t, l)
 	done := make(chan error, 1)
 	go func() { done <- shutdown(t, l) }()
-	enginetest.Eventually(t, "the shutdown has begun", func() bool { return !l.service.Load().Reusable })
+	enginetest.Eventually(t, "the shutdown has begun", func() bool { return !l.service.Load().KeepAlive })
 	io.WriteString(client, "GET /late HTTP/1.1\r\nHost: x\r\n\r\n")
 	enginetest.Eventually(t, "the late one is there", func() bool { return arrived(c) })
 	close(answer)
@@ -438,7 +438,7 @@
 func TestPipelinedClientLeavingDuringShutdown(t *testing.T) {
 	testPipelinedClientLeaving(t, func(l *Listener) {
 		go shutdown(t, l)
-		enginetest.Eventually(t, "the shutdown has begun", func() bool { return !l.service.Load().Reusable })
+		enginetest.Eventually(t, "the shutdown has begun", func() bool { return !l.service.Load().KeepAlive })
 	})
 }
 
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -52,7 +52,7 @@
 			delete(t.listed, e.Name)
 		}
 		t.ejections.Register(e.Name)
-		list.Engines = append(list.Engines, t.ejections.Effective(e.EngineInfo))
+		list.Engines = append(list.Engines, t.ejections.EffectiveInfo(e.EngineInfo))
 	}
 	t.forgetUnlisted()
 	t.updateReady()
@@ -65,7 +65,7 @@
 	for _, names := range [][]string{change.Ejected, change.Restored} {
 		for _, name := range names {
 			if e, ok := t.listed[name]; ok {
-				list.Engines = append(list.Engines, t.ejections.Effective(e.EngineInfo))
+				list.Engines = append(list.Engines, t.ejections.EffectiveInfo(e.EngineInfo))
 			}
 		}
 	}
--- a/internal/core/fake_test.go
+++ b/internal/core/fake_test.go
@@ -73,7 +73,7 @@
 	f.attempts = append(f.attempts, a.Endpoint.Name)
 	f.mu.Unlock()
 	h := fakeHandle{written: &atomic.Bool{}, firstByte: &atomic.Pointer[FirstByte]{}}
-	connection := heldstate.Connection(f.connections.Add(1))
+	connection := heldstate.ConnectionNumber(f.connections.Add(1))
 	h.cancel = sync.OnceFunc(func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
--- a/internal/core/trace_test.go
+++ b/internal/core/trace_test.go
@@ -50,7 +50,9 @@
 }
 
 // connection is that of the attempt; each has one of its own.
-func (a *tracedAttempt) connection() heldstate.Connection { return heldstate.Connection(a.n + 1) }
+func (a *tracedAttempt) connection() heldstate.ConnectionNumber {
+	return heldstate.ConnectionNumber(a.n + 1)
+}
 
 // answerArrives has the first byte of an answer arrive on the attempt's connection.
 func (a *tracedAttempt) answerArrives() {
--- a/internal/core/transport.go
+++ b/internal/core/transport.go
@@ -47,13 +47,13 @@
 
 // WriteRecord tells which connection a request was written to, and when its last byte was.
 type WriteRecord struct {
-	Connection heldstate.Connection
+	Connection heldstate.ConnectionNumber
 	At         time.Time
 }
 
 // FirstByte tells on which connection an engine's answer to an attempt began to arrive, and when.
 type FirstByte struct {
-	Connection heldstate.Connection
+	Connection heldstate.ConnectionNumber
 	At         time.Time
 }
 
--- a/internal/idempotency/store.go
+++ b/internal/idempotency/store.go
@@ -132,7 +132,7 @@
 // trackRemoved notes the keys that the table has removed for the next flush. An entry that is changed
 // after that is to be noted after it. s.mu is held.
 func (s *Store) trackRemoved() {
-	removed := s.table.TakeRemoved()
+	removed := s.table.PopRemoved()
 	if s.file == nil {
 		return
 	}
--- a/internal/openai/front.go
+++ b/internal/openai/front.go
@@ -147,7 +147,7 @@
 
 // announceClose sets Connection: close if the connection is closed after this answer.
 func (f *Front) announceClose(w http.ResponseWriter, r *http.Request) {
-	if !f.service.Load().Reusable && clientconn.NothingAhead(r.Context()) {
+	if !f.service.Load().KeepAlive && clientconn.NothingAhead(r.Context()) {
 		w.Header().Set("Connection", "close")
 	}
 }
--- a/internal/openai/idempotency.go
+++ b/internal/openai/idempotency.go
@@ -35,7 +35,7 @@
 	sum.Write(body)
 	request := deduplication.Request{Key: deduplication.Key{Team: c.team.Name, Name: name}, Digest: hex.EncodeToString(sum.Sum(nil)), RequestID: c.head.id}
 	request.RetryCount, _ = strconv.Atoi(c.r.Header.Get(retryHeader)) // 0 if it is missing or no number
-	request.MayHaveRunElsewhere = c.hasPeers != nil && c.hasPeers()
+	request.MayHaveRunOnOtherGateway = c.hasPeers != nil && c.hasPeers()
 	decision, entry := c.keys.Begin(request)
 	c.counts.keys[decision].Add(1)
 	switch decision {
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -82,7 +82,7 @@
 
 // announceClose sends Connection: close if the connection ends with this response.
 func (f *Front) announceClose(w http.ResponseWriter, r *http.Request) {
-	if !f.service.Load().Reusable && clientconn.NothingAhead(r.Context()) {
+	if !f.service.Load().KeepAlive && clientconn.NothingAhead(r.Context()) {
 		w.Header().Set("Connection", "close")
 	}
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -57,7 +57,7 @@
 // conn is one connection to an engine.
 type conn struct {
 	net.Conn
-	id         heldstate.Connection
+	id         heldstate.ConnectionNumber
 	in         *limitedReader
 	buffered   *bufio.Reader // over in
 	addr       string
@@ -73,7 +73,7 @@
 	mu     sync.Mutex
 	idle   map[string][]*conn
 	open   int
-	lastID heldstate.Connection
+	lastID heldstate.ConnectionNumber
 }
 
 // NewPool returns an empty pool. Sweep must run for idle connections to be closed in time.
