--- a/decide/resume/answer.go
+++ b/decide/resume/answer.go
@@ -64,9 +64,9 @@
 // it: without it, the answer is complete once each choice has ended.
 func (a *Progress) Complete() bool { return a.streamEnded || a.choiceEnded && a.openChoices == 0 }
 
-// NextAttempt prepares for another engine's stream, which continues the answer or, if the client has been sent
+// PrepareNextAttempt prepares for another engine's stream, which continues the answer or, if the client has been sent
 // nothing, begins it anew.
-func (a *Progress) NextAttempt() {
+func (a *Progress) PrepareNextAttempt() {
 	if a.sentEvents == 0 {
 		*a = Progress{}
 	}
--- a/decide/resume/resume.go
+++ b/decide/resume/resume.go
@@ -11,7 +11,7 @@
 
 // The steps.
 const (
-	GiveUp   Step = iota
+	Abort    Step = iota
 	Restart       // restart from the beginning: the client has been sent nothing
 	Continue      // continue after the last event, with the prompt and the answer so far
 	Finish        // the answer is complete but for the end of its stream: send that, ask no engine
@@ -30,10 +30,10 @@
 
 // Interruption is how an answer's stream broke.
 type Interruption struct {
-	ClientGone    bool          // the client has disconnected, or is cut off
-	EngineError   bool          // the engine itself reported an error
-	Continuations int           // how often the answer has been restarted or continued before
-	Elapsed       time.Duration // since the request arrived
+	ClientDisconnected bool          // the client has disconnected, or is cut off
+	EngineError        bool          // the engine itself reported an error
+	Continuations      int           // how often the answer has been restarted or continued before
+	Elapsed            time.Duration // since the request arrived
 }
 
 // MaxElapsed is how long after a request's arrival its answer may still be restarted or continued.
@@ -42,20 +42,20 @@
 // Decide returns what is to be done.
 func Decide(t Terms, a *Progress, b Interruption) Step {
 	switch {
-	case b.ClientGone:
-		return GiveUp
+	case b.ClientDisconnected:
+		return Abort
 	case a.Complete() && !b.EngineError:
 		return Finish
 	case !t.Repeatable || b.Continuations >= t.MaxContinuations || b.Elapsed >= MaxElapsed:
-		return GiveUp
+		return Abort
 	case a.sentEvents == 0:
 		return Restart
 	case b.EngineError: // the next engine may well report the same error about this request
-		return GiveUp
+		return Abort
 	case !t.Continuable || a.otherContent || a.textEvents == 0:
-		return GiveUp
+		return Abort
 	case t.MaxTokens > 0 && a.textEvents >= t.MaxTokens: // no tokens are left
-		return GiveUp
+		return Abort
 	}
 	return Continue
 }
--- a/decide/resume/resume_test.go
+++ b/decide/resume/resume_test.go
@@ -18,21 +18,21 @@
 		"not said how long":             {func(t *Terms) { t.MaxTokens = 0 }, nil, nil, Continue},
 		"nothing seen":                  {nil, func(a *Progress) { *a = Progress{} }, nil, Restart},
 		"nothing seen, engine's word":   {nil, func(a *Progress) { *a = Progress{} }, func(b *Interruption) { b.EngineError = true }, Restart},
-		"engine's word":                 {nil, nil, func(b *Interruption) { b.EngineError = true }, GiveUp},
-		"calls so far":                  {nil, func(a *Progress) { a.RecordOtherContent() }, nil, GiveUp},
-		"seen, and no text":             {nil, func(a *Progress) { *a = Progress{}; a.RecordSent() }, nil, GiveUp},
-		"no chat":                       {func(t *Terms) { t.Continuable = false }, nil, nil, GiveUp},
-		"all tokens are there":          {func(t *Terms) { t.MaxTokens = 2 }, nil, nil, GiveUp},
-		"often enough":                  {nil, nil, func(b *Interruption) { b.Continuations = 2 }, GiveUp},
-		"not in the contract":           {func(t *Terms) { t.MaxContinuations = 0 }, nil, nil, GiveUp},
-		"must not run twice":            {func(t *Terms) { t.Repeatable = false }, nil, nil, GiveUp},
-		"must not run twice, none seen": {func(t *Terms) { t.Repeatable = false }, func(a *Progress) { *a = Progress{} }, nil, GiveUp},
+		"engine's word":                 {nil, nil, func(b *Interruption) { b.EngineError = true }, Abort},
+		"calls so far":                  {nil, func(a *Progress) { a.RecordOtherContent() }, nil, Abort},
+		"seen, and no text":             {nil, func(a *Progress) { *a = Progress{}; a.RecordSent() }, nil, Abort},
+		"no chat":                       {func(t *Terms) { t.Continuable = false }, nil, nil, Abort},
+		"all tokens are there":          {func(t *Terms) { t.MaxTokens = 2 }, nil, nil, Abort},
+		"often enough":                  {nil, nil, func(b *Interruption) { b.Continuations = 2 }, Abort},
+		"not in the contract":           {func(t *Terms) { t.MaxContinuations = 0 }, nil, nil, Abort},
+		"must not run twice":            {func(t *Terms) { t.Repeatable = false }, nil, nil, Abort},
+		"must not run twice, none seen": {func(t *Terms) { t.Repeatable = false }, func(a *Progress) { *a = Progress{} }, nil, Abort},
 		"ended":                         {nil, func(a *Progress) { a.RecordChoice(0, true) }, nil, Finish},
 		"ended, must not run twice":     {func(t *Terms) { t.Repeatable = false }, func(a *Progress) { a.RecordChoice(0, true) }, nil, Finish},
-		"ended, and then said to fail":  {nil, func(a *Progress) { a.RecordChoice(0, true) }, func(b *Interruption) { b.EngineError = true }, GiveUp},
-		"ended, its client has gone":    {nil, func(a *Progress) { a.RecordChoice(0, true) }, func(b *Interruption) { b.ClientGone = true }, GiveUp},
-		"its client has gone":           {nil, nil, func(b *Interruption) { b.ClientGone = true }, GiveUp},
-		"too late":                      {nil, nil, func(b *Interruption) { b.Elapsed = MaxElapsed }, GiveUp},
+		"ended, and then said to fail":  {nil, func(a *Progress) { a.RecordChoice(0, true) }, func(b *Interruption) { b.EngineError = true }, Abort},
+		"ended, its client has gone":    {nil, func(a *Progress) { a.RecordChoice(0, true) }, func(b *Interruption) { b.ClientDisconnected = true }, Abort},
+		"its client has gone":           {nil, nil, func(b *Interruption) { b.ClientDisconnected = true }, Abort},
+		"too late":                      {nil, nil, func(b *Interruption) { b.Elapsed = MaxElapsed }, Abort},
 	} {
 		terms, a, b := Terms{Repeatable: true, MaxContinuations: 2, MaxTokens: 40, Continuable: true}, &Progress{}, Interruption{Elapsed: time.Second}
 		for range 2 {
@@ -68,8 +68,8 @@
 		"one of two":           {func(a *Progress) { a.RecordChoice(1, false); a.RecordChoice(0, true) }, false},
 		"both":                 {func(a *Progress) { a.RecordChoice(1, false); a.RecordChoice(0, true); a.RecordChoice(1, true) }, true},
 		"the stream's own end": {func(a *Progress) { a.RecordChoice(0, false); a.RecordStreamEnd() }, true},
-		"anew, nothing seen":   {func(a *Progress) { a.RecordChoice(0, true); a.NextAttempt() }, false},
-		"goes on":              {func(a *Progress) { a.RecordChoice(0, true); a.RecordSent(); a.NextAttempt() }, true},
+		"anew, nothing seen":   {func(a *Progress) { a.RecordChoice(0, true); a.PrepareNextAttempt() }, false},
+		"goes on":              {func(a *Progress) { a.RecordChoice(0, true); a.RecordSent(); a.PrepareNextAttempt() }, true},
 	} {
 		a := &Progress{}
 		if c.come(a); a.Complete() != c.want {
@@ -94,19 +94,19 @@
 					a.RecordSent()
 				}
 			}
-			b.ClientGone, b.EngineError = rapid.Bool().Draw(t, "lost"), rapid.Bool().Draw(t, "reported")
+			b.ClientDisconnected, b.EngineError = rapid.Bool().Draw(t, "lost"), rapid.Bool().Draw(t, "reported")
 			switch step := Decide(terms, a, b); step {
 			case Restart, Continue:
-				if !terms.Repeatable || b.ClientGone || b.Continuations >= terms.MaxContinuations {
+				if !terms.Repeatable || b.ClientDisconnected || b.Continuations >= terms.MaxContinuations {
 					t.Fatalf("%v for %+v, %+v", step, terms, b)
 				}
 				if step == Restart && a.SentEvents() > 0 || step == Continue && (a.Complete() || !terms.Continuable) {
 					t.Fatalf("%v after %d events", step, a.SentEvents())
 				}
 				b.Continuations++
-				a.NextAttempt()
+				a.PrepareNextAttempt()
 			case Finish:
-				if !a.Complete() || b.EngineError || b.ClientGone {
+				if !a.Complete() || b.EngineError || b.ClientDisconnected {
 					t.Fatalf("finished: %+v, %+v", a, b)
 				}
 			}
--- a/decide/roster/evaluate.go
+++ b/decide/roster/evaluate.go
@@ -39,9 +39,9 @@
 	r.relocate(e, location{next.Addr, next.Kind})
 	merged := r.merge(e)
 	next.Sources, next.LastSeen, next.Confidence = merged.sources, merged.lastSeen, merged.confidence
-	next.State, next.Why = r.stateOf(now, e, merged)
-	if overridden && over.Hold && next.State == InService {
-		next.State, next.Why = Draining, over.Why
+	next.State, next.StateReason = r.stateOf(now, e, merged)
+	if overridden && over.Drain && next.State == InService {
+		next.State, next.StateReason = Draining, over.StateReason
 	}
 	r.detectRestart(now, e, next.State, moved)
 	if e.isPublished && e.published.Kind != next.Kind { // in another role its caches are cold
@@ -52,7 +52,7 @@
 	}
 	next.Started = e.startTime(merged)
 	if rival := r.rival(e); rival != nil && next.State != OutOfService {
-		next.State, next.Why = Removed, "another id has come at its address: "+rival.id
+		next.State, next.StateReason = Removed, "another id has come at its address: "+rival.id
 	}
 	r.publish(e, next)
 }
@@ -78,7 +78,7 @@
 	r.relocate(e, location{})
 	delete(r.engines, e.id)
 	if e.isPublished {
-		e.published.State, e.published.Why = Removed, "listed no more"
+		e.published.State, e.published.StateReason = Removed, "listed no more"
 		r.changes = append(r.changes, e.published)
 	}
 }
--- a/decide/roster/golden_test.go
+++ b/decide/roster/golden_test.go
@@ -108,7 +108,7 @@
 	t.Helper()
 	for n, list := range [][]Engine{reg.Changes(), reg.Engines()} {
 		for _, e := range list {
-			fmt.Fprintf(w, "engine %d %s %s %s %s %d %d %q %d %d %d %s %q\n", n, e.ID, e.Addr, e.Kind, e.Zone, e.Cell, uint8(e.State), e.Why,
+			fmt.Fprintf(w, "engine %d %s %s %s %s %d %d %q %d %d %d %s %q\n", n, e.ID, e.Addr, e.Kind, e.Zone, e.Cell, uint8(e.State), e.StateReason,
 				stamp(e.Started), stamp(e.LastSeen), uint8(e.Confidence), e.ListedKind, e.Sources)
 		}
 	}
@@ -119,7 +119,7 @@
 	slices.Sort(notes)
 	fmt.Fprintln(w, strings.Join(notes, "\n"))
 	for _, s := range reg.SourceStatuses() {
-		fmt.Fprintf(w, "source %s %q %d %d %d %d\n", s.Source, string(s.Doubt), stamp(s.DoubtedSince), stamp(s.LastTrusted), s.Index, s.Engines)
+		fmt.Fprintf(w, "source %s %q %d %d %d %d\n", s.Source, string(s.DistrustReason), stamp(s.UntrustedSince), stamp(s.LastTrusted), s.Index, s.Engines)
 	}
 	for _, s := range reg.KnownSources() {
 		fmt.Fprintf(w, "known %d %s\n", uint8(s.Origin), s.Name)
@@ -162,19 +162,19 @@
 			}
 		case 20:
 			if r.IntN(3) == 0 {
-				reg.SourceVanished(now, src)
+				reg.MarkSourceMissing(now, src)
 			}
 		case 21:
 			reg.AddSource(src, r.IntN(2) == 0)
 		case 22:
-			reg.Override(now, []map[string]Override{
-				nil, {id: {Hold: true, Why: "changing"}}, {id: {Kind: "write", Started: now.Add(-time.Second)}}, {id: {Hold: true, Kind: "read"}},
+			reg.SetOverrides(now, []map[string]Override{
+				nil, {id: {Drain: true, StateReason: "changing"}}, {id: {Kind: "write", Started: now.Add(-time.Second)}}, {id: {Drain: true, Kind: "read"}},
 			}[r.IntN(4)])
 		case 23:
 			kept, indexes := reg.Snapshot()
 			for _, k := range kept {
 				fmt.Fprintf(h, "kept %d %s %s %s %s %s %d %d %d %d %d %d %d %d\n", uint8(k.Source.Origin), k.Source.Name, k.Entry.ID, k.Entry.Addr, k.Entry.Kind,
-					k.Entry.Zone, k.Entry.Cell, uint8(k.Entry.Mark), stamp(k.Entry.Started), k.Entry.Registered, k.Entry.Index, stamp(k.Born), stamp(k.Seen), stamp(k.Begun))
+					k.Entry.Zone, k.Entry.Cell, uint8(k.Entry.Mark), stamp(k.Entry.Started), k.Entry.Registered, k.Entry.Index, stamp(k.FirstListed), stamp(k.LastSeen), stamp(k.Started))
 			}
 			for _, s := range reg.KnownSources() {
 				fmt.Fprintf(h, "index %d\n", indexes[s])
@@ -223,7 +223,7 @@
 		}
 		v := goldenView(r, index+20)
 		plan := s.Observe(now, v, tagged, others)
-		fmt.Fprintf(h, "%q %q %q %q\n", string(plan.Doubt), plan.Added, plan.Untagged, plan.Vanished)
+		fmt.Fprintf(h, "%q %q %q %q\n", string(plan.DistrustReason), plan.Added, plan.Untagged, plan.Missing)
 		fmt.Fprintln(h, p.Observe(now, r.IntN(6)), p.Count(), p.Tick(now.Add(time.Second)), p.Count())
 	}
 	if got := h.Sum64(); got != goldenServices {
--- a/decide/roster/probes.go
+++ b/decide/roster/probes.go
@@ -88,28 +88,28 @@
 	return known != nil && known.location.addr != e.Addr && known.refusals >= minRefusals
 }
 
-// Probe names an engine to probe.
-type Probe struct{ ID, Addr string }
+// ProbeTarget names an engine to probe.
+type ProbeTarget struct{ ID, Addr string }
 
 // DueProbes returns the engines to probe now, at most limit of them, those in question first:
 // engines that only a doubted view lists, missing and critical ones; then, at a longer
 // interval, all engines of doubted sources. The rest is due at the next call.
-func (r *Registry) DueProbes(now time.Time, limit int) []Probe {
+func (r *Registry) DueProbes(now time.Time, limit int) []ProbeTarget {
 	probes := r.doubtedProbes(limit)
 	for _, e := range r.enginesToProbe(now) {
 		if len(probes) >= limit {
 			break
 		}
 		e.probedAt = now
-		probes = append(probes, Probe{e.id, e.location.addr})
+		probes = append(probes, ProbeTarget{e.id, e.location.addr})
 	}
 	return probes
 }
 
 // doubtedProbes returns at most limit engines that only a doubted view lists, or lists at another
 // address than one that refuses connections.
-func (r *Registry) doubtedProbes(limit int) []Probe {
-	var probes []Probe
+func (r *Registry) doubtedProbes(limit int) []ProbeTarget {
+	var probes []ProbeTarget
 	for _, s := range r.sources {
 		if s.doubtedView == nil {
 			continue
@@ -117,7 +117,7 @@
 		for _, e := range s.doubtedView.Entries {
 			unlisted := s.listings[e.ID] == nil && r.engines[e.ID] == nil
 			if (unlisted || r.movedFromRefusing(e)) && len(probes) < limit {
-				probes = append(probes, Probe{e.ID, e.Addr})
+				probes = append(probes, ProbeTarget{e.ID, e.Addr})
 			}
 		}
 	}
--- a/decide/roster/registry.go
+++ b/decide/roster/registry.go
@@ -85,8 +85,8 @@
 // isMissing reports whether a listing is absent from the latest view, trusted or doubted.
 func (l *listing) isMissing() bool { return !l.missingSince.IsZero() || !l.questionedSince.IsZero() }
 
-// Override replaces all overrides by those given, by engine id.
-func (r *Registry) Override(now time.Time, over map[string]Override) {
+// SetOverrides replaces all overrides by those given, by engine id.
+func (r *Registry) SetOverrides(now time.Time, over map[string]Override) {
 	for id := range r.overrides {
 		r.markDirty(id)
 	}
--- a/decide/roster/reports.go
+++ b/decide/roster/reports.go
@@ -39,12 +39,12 @@
 
 // SourceStatus is the state of one source.
 type SourceStatus struct {
-	Source       string
-	Doubt        Reason
-	DoubtedSince time.Time // zero while trusted
-	LastTrusted  time.Time // when a view was last trusted
-	Index        uint64
-	Engines      int
+	Source         string
+	DistrustReason Reason
+	UntrustedSince time.Time // zero while trusted
+	LastTrusted    time.Time // when a view was last trusted
+	Index          uint64
+	Engines        int
 }
 
 // SourceStatuses returns the state of every source, in order of name.
--- a/decide/roster/rules_test.go
+++ b/decide/roster/rules_test.go
@@ -177,7 +177,7 @@
 			{s, probed(Refused, 2, "a"), "a/ b~/"},
 			{s, func(reg *Registry, now time.Time) { reg.ObserveProbe(now, "a", "x", Answered) }, "a/* b~/"}},
 		"a source that nobody took away": {
-			{0, view(1, "a b!"), "a b!"}, {s, func(reg *Registry, now time.Time) { reg.SourceVanished(now, llm) }, "a/"}, {s, probed(Refused, 2, "a"), ""}},
+			{0, view(1, "a b!"), "a b!"}, {s, func(reg *Registry, now time.Time) { reg.MarkSourceMissing(now, llm) }, "a/"}, {s, probed(Refused, 2, "a"), ""}},
 		"a tag taken away during a drain, and given back": {
 			{0, view(1, "a~ b"), "a~ b"}, {s, func(reg *Registry, now time.Time) { reg.RemoveSource(now, llm, "tag") }, ""},
 			{s, func(reg *Registry, _ time.Time) { reg.AddSource(llm, false) }, ""}, {s, view(5, "a~ b"), "a~* b*"}},
@@ -253,7 +253,7 @@
 func TestEnginesToCheck(t *testing.T) {
 	reg := New(DefaultPolicy())
 	reg.Observe(t0, llm, list(1, "a b! c d e f g h i"))
-	names := func(probes []Probe) string {
+	names := func(probes []ProbeTarget) string {
 		var ids []string
 		for _, p := range probes {
 			ids = append(ids, p.ID)
@@ -337,7 +337,7 @@
 		t.Errorf("%+v", notes)
 	}
 	h := reg.SourceStatuses()
-	if len(h) != 1 || h[0].Doubt != IndexRegressed || h[0].Index != 100 || !h[0].DoubtedSince.Equal(t0.Add(s)) || !slices.Equal([]string{"service llm"}, reg.Engines()[0].Sources) {
+	if len(h) != 1 || h[0].DistrustReason != IndexRegressed || h[0].Index != 100 || !h[0].UntrustedSince.Equal(t0.Add(s)) || !slices.Equal([]string{"service llm"}, reg.Engines()[0].Sources) {
 		t.Errorf("%+v", h)
 	}
 }
@@ -351,13 +351,13 @@
 		tagged, others string
 		want           ServiceChanges
 	}{
-		{0, View{Index: 5, Leaderless: true}, "a", "", ServiceChanges{Doubt: NoLeader, Added: names("a")}},
+		{0, View{Index: 5, Leaderless: true}, "a", "", ServiceChanges{DistrustReason: NoLeader, Added: names("a")}},
 		{s, View{Index: 5}, "a b", "old", ServiceChanges{Added: names("b"), Untagged: names("old")}},
-		{2 * s, View{Index: 3}, "", "", ServiceChanges{Doubt: IndexRegressed}},
-		{3 * s, View{Index: 3}, "c", "a", ServiceChanges{Doubt: IndexRegressed, Added: names("c")}},
-		{33 * s, View{Index: 3}, "c", "a", ServiceChanges{Doubt: IndexRegressed, Untagged: names("a"), Vanished: names("b")}},
+		{2 * s, View{Index: 3}, "", "", ServiceChanges{DistrustReason: IndexRegressed}},
+		{3 * s, View{Index: 3}, "c", "a", ServiceChanges{DistrustReason: IndexRegressed, Added: names("c")}},
+		{33 * s, View{Index: 3}, "c", "a", ServiceChanges{DistrustReason: IndexRegressed, Untagged: names("a"), Missing: names("b")}},
 		{34 * s, View{Index: 4}, "a c", "", ServiceChanges{Added: names("a")}},
-		{35 * s, View{Index: 4, Age: time.Hour}, "", "", ServiceChanges{Doubt: Stale}},
+		{35 * s, View{Index: 4, Age: time.Hour}, "", "", ServiceChanges{DistrustReason: Stale}},
 		{99 * s, View{Index: 6}, "c", "a", ServiceChanges{Untagged: names("a")}},
 	} {
 		if diff := cmp.Diff(c.want, v.Observe(t0.Add(c.at), c.view, names(c.tagged), names(c.others))); diff != "" {
@@ -412,16 +412,16 @@
 			t.Errorf("%s: %+v", step, e)
 		}
 	}
-	reg.Override(now, map[string]Override{"a": {Hold: true, Why: "changing"}, "b": {Hold: true}, "gone": {Hold: true}})
+	reg.SetOverrides(now, map[string]Override{"a": {Drain: true, StateReason: "changing"}, "b": {Drain: true}, "gone": {Drain: true}})
 	at("held", Draining, "openai", false)
 	if e := reg.Engines()[1]; e.State != OutOfService {
 		t.Errorf("a mark is hidden by an override: %+v", e)
 	}
-	reg.Override(now, map[string]Override{"a": {Kind: "write", Started: now}})
+	reg.SetOverrides(now, map[string]Override{"a": {Kind: "write", Started: now}})
 	at("flipped", InService, "write", true)
 	v.Index, v.Entries[0].Kind = 2, "write"
 	reg.Observe(now, llm, v)
-	reg.Override(now, nil)
+	reg.SetOverrides(now, nil)
 	at("listed so", InService, "write", true)
 	now = now.Add(time.Hour)
 	at("later", InService, "write", false)
--- a/decide/roster/services.go
+++ b/decide/roster/services.go
@@ -28,23 +28,23 @@
 
 // ServiceChanges are the changes that a view of the catalog leads to, each in order of name.
 type ServiceChanges struct {
-	Doubt    Reason
-	Added    []string // to be watched from now on
-	Untagged []string // present without the tag: an operator took it away
-	Vanished []string // absent altogether: perhaps a fault of the catalog
+	DistrustReason Reason
+	Added          []string // to be watched from now on
+	Untagged       []string // present without the tag: an operator took it away
+	Missing        []string // absent altogether: perhaps a fault of the catalog
 }
 
 // Observe takes a view: which services carry the tag, and which do not. A doubted view adds
 // services at once and removes none until its hold has expired.
 func (s *ServiceTracker) Observe(now time.Time, v View, tagged, others []string) ServiceChanges {
-	changes := ServiceChanges{Doubt: v.reasonToDoubt(s.policy.MaxAge, s.index)}
+	changes := ServiceChanges{DistrustReason: v.reasonToDoubt(s.policy.MaxAge, s.index)}
 	for _, name := range tagged {
 		if !s.known[name] {
 			s.known[name] = true
 			changes.Added = append(changes.Added, name)
 		}
 	}
-	if changes.Doubt != Trusted {
+	if changes.DistrustReason != Trusted {
 		if s.doubtedSince.IsZero() {
 			s.doubtedSince = now
 		}
@@ -61,7 +61,7 @@
 		if slices.Contains(others, name) {
 			changes.Untagged = append(changes.Untagged, name)
 		} else {
-			changes.Vanished = append(changes.Vanished, name)
+			changes.Missing = append(changes.Missing, name)
 		}
 	}
 	return changes
--- a/decide/roster/snapshot.go
+++ b/decide/roster/snapshot.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// StoredEntry is an entry of the last good view's file; the field names are its keys.
+// StoredEntry is an entry of the last good view's file. The JSON keys are part of the file format.
 type StoredEntry struct {
-	Source Source
-	Entry  Entry
-	Born   time.Time // when it was first listed; zero if unknown
-	Seen   time.Time // when a trusted view last had it
-	Begun  time.Time // the start that was published; zero if long ago
+	Source      Source
+	Entry       Entry
+	FirstListed time.Time `json:"Born"`  // when it was first listed; zero if unknown
+	LastSeen    time.Time `json:"Seen"`  // when a trusted view last listed it
+	Started     time.Time `json:"Begun"` // the published start time; zero if it started long ago
 }
 
 // Snapshot returns the last good view, marks included, in order of source and id, and the
@@ -46,9 +46,9 @@
 		s.index = indexes[k.Source]
 		r.upsert(now, s, k.Entry, true)
 		l := s.listings[k.Entry.ID]
-		l.firstListed, l.lastSeen, l.restored = k.Born, k.Seen, true
-		if e := r.engines[k.Entry.ID]; k.Begun.After(e.restartedAt) {
-			e.restartedAt = k.Begun
+		l.firstListed, l.lastSeen, l.restored = k.FirstListed, k.LastSeen, true
+		if e := r.engines[k.Entry.ID]; k.Started.After(e.restartedAt) {
+			e.restartedAt = k.Started
 		}
 	}
 	if len(entries) > 0 {
--- a/decide/roster/sources.go
+++ b/decide/roster/sources.go
@@ -113,9 +113,9 @@
 	r.evaluateDirty(now)
 }
 
-// SourceVanished handles a source that is missing from the catalog though no operator has
+// MarkSourceMissing handles a source that is missing from the catalog though no operator has
 // withdrawn it: its engines are held and probed, as after a mass loss.
-func (r *Registry) SourceVanished(now time.Time, src Source) {
+func (r *Registry) MarkSourceMissing(now time.Time, src Source) {
 	s := r.sources[src]
 	if s == nil {
 		return
--- a/decide/roster/types.go
+++ b/decide/roster/types.go
@@ -130,7 +130,7 @@
 	ID, Addr, Kind, Zone string
 	Cell                 int
 	State                State
-	Why                  string    // why it is not in service, or why it is held
+	StateReason          string    // why it is not in service, or why it is held
 	Started              time.Time // zero if it is not known to have started of late
 	LastSeen             time.Time // when a trusted view last listed it
 	Confidence           Confidence
@@ -140,10 +140,10 @@
 
 // Override takes precedence over what sources say of an engine while its role changes.
 type Override struct {
-	Hold    bool      // no new requests
-	Kind    string    // its role; "" for the listed one
-	Started time.Time // when it took that role, with cold caches
-	Why     string
+	Drain       bool      // no new requests
+	Kind        string    // its role; "" for the listed one
+	Started     time.Time // when it took that role, with cold caches
+	StateReason string
 }
 
 // Event is a decision to be logged.
--- a/decide/watch/golden_test.go
+++ b/decide/watch/golden_test.go
@@ -34,14 +34,14 @@
 			next := q.Next(r.IntN(4) == 0)
 			fmt.Fprintln(h, "next", next.Index, int64(next.Wait), next.Stale)
 			if r.IntN(3) == 0 {
-				v := q.Failed(Failure(r.IntN(6)), time.Duration(r.IntN(3000))*time.Millisecond, time.Duration(r.IntN(2)*r.IntN(9000))*time.Millisecond)
+				v := q.RecordFailure(Failure(r.IntN(6)), time.Duration(r.IntN(3000))*time.Millisecond, time.Duration(r.IntN(2)*r.IntN(9000))*time.Millisecond)
 				fmt.Fprintf(h, "failed %q %v %d\n", string(v.Reason), v.Log, int64(v.Pause))
 				continue
 			}
-			news := q.Responded(a)
+			news := q.RecordResponse(a)
 			fmt.Fprintln(h, "answered", news)
 			if r.IntN(6) > 0 {
-				fmt.Fprintln(h, "pause", int64(q.Processed(a, news || r.IntN(5) == 0, time.Duration(r.IntN(400))*time.Millisecond)))
+				fmt.Fprintln(h, "pause", int64(q.RecordProcessed(a, news || r.IntN(5) == 0, time.Duration(r.IntN(400))*time.Millisecond)))
 			}
 		}
 	}
@@ -54,7 +54,7 @@
 	h := fnv.New64a()
 	r := rand.New(rand.NewPCG(1, 45))
 	names := []string{"one", "two", "three"}
-	a := NewAgents(names)
+	a := NewAgentSelector(names)
 	for range 5000 {
 		switch name := names[r.IntN(3)]; r.IntN(3) {
 		case 0:
--- a/decide/watch/query.go
+++ b/decide/watch/query.go
@@ -50,12 +50,12 @@
 
 // The failures.
 const (
-	NoAgent      Failure = iota // all agents are down
-	AgentHung                   // the agent was marked down during the request
-	Disconnected                // any other failure of the connection
-	ErrorStatus                 // an error status of the agent
-	NoLeader                    // the servers have no leader
-	Malformed                   // the response can't be read
+	NoAgent           Failure = iota // all agents are down
+	AgentUnresponsive                // the agent was marked down during the request
+	Disconnected                     // any other failure of the connection
+	ErrorStatus                      // an error status of the agent
+	NoLeader                         // the servers have no leader
+	Malformed                        // the response can't be read
 )
 
 // Query is the state of one query that is repeated, such as for the health of one service.
@@ -90,9 +90,9 @@
 	return r
 }
 
-// Responded records a response and reports whether it has to be processed: its body is new,
+// RecordResponse records a response and reports whether it has to be processed: its body is new,
 // or its metadata gives reason to doubt the source.
-func (q *Query) Responded(r Response) (changed bool) {
+func (q *Query) RecordResponse(r Response) (changed bool) {
 	changed = !q.hasChecksum || r.Checksum != q.checksum || r.Index < q.index || !r.HasLeader || r.Age > q.limits.MaxAge
 	q.indexStalled = r.Index == q.index
 	if r.Index < q.index { // Consul's documentation has clients reset the index then
@@ -104,10 +104,10 @@
 	return changed
 }
 
-// Processed records that a response was well formed and how long its processing took, and
+// RecordProcessed records that a response was well formed and how long its processing took, and
 // returns the pause before the next request: neither a list that changes all the time nor a
 // server that ignores the index is asked in a tight loop.
-func (q *Query) Processed(r Response, changed bool, took time.Duration) time.Duration {
+func (q *Query) RecordProcessed(r Response, changed bool, took time.Duration) time.Duration {
 	q.failures, q.allowStale, q.unchanged = 0, !r.HasLeader, !changed
 	if !changed && !q.indexStalled && q.index != 0 {
 		return 0
@@ -122,16 +122,16 @@
 	Pause  time.Duration // before the next request; 0 for none
 }
 
-// Failed records a failure. backoff is the pause by the usual rule, retryAfter the agent's
+// RecordFailure records a failure. backoff is the pause by the usual rule, retryAfter the agent's
 // own, 0 without one.
-func (q *Query) Failed(f Failure, backoff, retryAfter time.Duration) FailureAction {
+func (q *Query) RecordFailure(f Failure, backoff, retryAfter time.Duration) FailureAction {
 	q.index, q.hasChecksum, q.unchanged = 0, false, false // changes may have been missed: ask for the whole list
 	q.failures++
 	action := FailureAction{Pause: max(backoff, retryAfter)}
 	switch f {
 	case NoAgent:
 		action.Pause = q.limits.MaxBackoff // an agent that recovers ends it earlier
-	case AgentHung:
+	case AgentUnresponsive:
 		if q.failures < q.limits.MinFailures {
 			action.Pause = 0 // there may be another agent
 		}
--- a/decide/watch/query_test.go
+++ b/decide/watch/query_test.go
@@ -38,10 +38,10 @@
 		t.Run(name, func(t *testing.T) {
 			q := NewQuery(DefaultLimits())
 			if c.before.Index > 0 {
-				q.Processed(c.before, q.Responded(c.before), 0)
+				q.RecordProcessed(c.before, q.RecordResponse(c.before), 0)
 			}
-			news := q.Responded(c.answer)
-			pause := q.Processed(c.answer, news, time.Millisecond)
+			news := q.RecordResponse(c.answer)
+			pause := q.RecordProcessed(c.answer, news, time.Millisecond)
 			if news != c.news || q.Next(false) != c.next || pause != c.pause {
 				t.Errorf("news %v, next %+v, pause %v", news, q.Next(false), pause)
 			}
@@ -52,7 +52,7 @@
 	}
 	q := NewQuery(DefaultLimits())
 	for took, want := range map[time.Duration]time.Duration{50 * time.Millisecond: 200 * time.Millisecond, s: s} {
-		if got := q.Processed(good(1, 1), true, took); got != want {
+		if got := q.RecordProcessed(good(1, 1), true, took); got != want {
 			t.Errorf("a list that took %v: a pause of %v, want %v", took, got, want)
 		}
 	}
@@ -68,9 +68,9 @@
 		"one that breaks":           {[]Failure{Disconnected}, 0, FailureAction{Pause: s}, false},
 		"two":                       {[]Failure{Disconnected, Disconnected}, 0, FailureAction{roster.Unreachable, true, s}, false},
 		"three: said before":        {[]Failure{Disconnected, Disconnected, Disconnected}, 0, FailureAction{roster.Unreachable, false, s}, false},
-		"a hang, another agent":     {[]Failure{AgentHung}, 0, FailureAction{}, false},
-		"a hang again":              {[]Failure{AgentHung, AgentHung}, 0, FailureAction{roster.Unreachable, true, s}, false},
-		"nobody lives":              {[]Failure{AgentHung, NoAgent}, 0, FailureAction{roster.Unreachable, true, 2 * s}, false},
+		"a hang, another agent":     {[]Failure{AgentUnresponsive}, 0, FailureAction{}, false},
+		"a hang again":              {[]Failure{AgentUnresponsive, AgentUnresponsive}, 0, FailureAction{roster.Unreachable, true, s}, false},
+		"nobody lives":              {[]Failure{AgentUnresponsive, NoAgent}, 0, FailureAction{roster.Unreachable, true, 2 * s}, false},
 		"denied with a hint":        {[]Failure{ErrorStatus}, 7 * s, FailureAction{Pause: 7 * s}, false},
 		"a hint below the back-off": {[]Failure{ErrorStatus}, 1, FailureAction{Pause: s}, false},
 		"no leader":                 {[]Failure{NoLeader}, 0, FailureAction{roster.NoLeader, true, s}, true},
@@ -78,10 +78,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			q := NewQuery(DefaultLimits())
-			q.Processed(good(9, 1), q.Responded(good(9, 1)), 0)
+			q.RecordProcessed(good(9, 1), q.RecordResponse(good(9, 1)), 0)
 			var got FailureAction
 			for _, f := range c.failures {
-				got = q.Failed(f, s, c.hint)
+				got = q.RecordFailure(f, s, c.hint)
 			}
 			if diff := cmp.Diff(c.want, got); diff != "" {
 				t.Errorf("(-want +got):\n%s", diff)
@@ -89,7 +89,7 @@
 			if next := q.Next(false); next.Index != 0 || next.Stale != c.stale {
 				t.Errorf("asked next: %+v", next)
 			}
-			if !q.Responded(good(9, 1)) {
+			if !q.RecordResponse(good(9, 1)) {
 				t.Error("what was missed meanwhile is not looked at")
 			}
 		})
@@ -97,7 +97,7 @@
 }
 
 func TestAgents(t *testing.T) {
-	a := NewAgents(strings.Fields("one two"))
+	a := NewAgentSelector(strings.Fields("one two"))
 	for i, c := range []struct {
 		do, agent string
 		isNew     bool
--- a/internal/consul/catalog.go
+++ b/internal/consul/catalog.go
@@ -49,10 +49,10 @@
 	}
 	view := roster.View{Index: a.Index, Leaderless: !a.KnownLeader, Age: a.LastContact}
 	changes := c.tracker.Observe(time.Now(), view, tagged, others)
-	if changes.Doubt != roster.Trusted {
-		c.log.Warn("catalog doubted", "reason", string(changes.Doubt), "services", len(tagged))
+	if changes.DistrustReason != roster.Trusted {
+		c.log.Warn("catalog doubted", "reason", string(changes.DistrustReason), "services", len(tagged))
 	}
-	c.setServices(len(c.cancels) + len(changes.Added) - len(changes.Untagged) - len(changes.Vanished))
+	c.setServices(len(c.cancels) + len(changes.Added) - len(changes.Untagged) - len(changes.Missing))
 	for _, name := range changes.Added {
 		c.add(ctx, name)
 	}
@@ -60,11 +60,11 @@
 		c.end(name)
 		c.directory.With(func(r *roster.Registry, now time.Time) { r.RemoveSource(now, source(name), "tag removed") })
 	}
-	for _, name := range changes.Vanished {
+	for _, name := range changes.Missing {
 		c.end(name)
-		c.directory.With(func(r *roster.Registry, now time.Time) { r.SourceVanished(now, source(name)) })
+		c.directory.With(func(r *roster.Registry, now time.Time) { r.MarkSourceMissing(now, source(name)) })
 	}
-	c.initial, c.doubted = false, changes.Doubt != roster.Trusted
+	c.initial, c.doubted = false, changes.DistrustReason != roster.Trusted
 	return nil
 }
 
--- a/internal/consul/client.go
+++ b/internal/consul/client.go
@@ -68,7 +68,7 @@
 
 	mu           sync.Mutex
 	agents       map[string]*agent
-	selection    *watch.Agents
+	selection    *watch.AgentSelector
 	recovered    chan struct{} // closed, and replaced, when an agent has recovered
 	token        string
 	tokenModTime time.Time // the token file's when it was read
@@ -93,7 +93,7 @@
 		}
 	}
 	c.http, c.heartbeats = &http.Client{Transport: data}, &http.Client{Transport: beat}
-	c.agents, c.selection = map[string]*agent{}, watch.NewAgents(cfg.Agents())
+	c.agents, c.selection = map[string]*agent{}, watch.NewAgentSelector(cfg.Agents())
 	for _, addr := range cfg.Agents() {
 		a := &agent{addr: addr}
 		a.lifetime, a.cancel = context.WithCancel(context.Background())
--- a/internal/consul/watcher.go
+++ b/internal/consul/watcher.go
@@ -97,7 +97,7 @@
 	case errors.Is(err, errNoAgent):
 		return watch.NoAgent, 0
 	case errors.Is(err, errAgentHung):
-		return watch.AgentHung, 0
+		return watch.AgentUnresponsive, 0
 	case errors.Is(err, errNotAList), errors.Is(err, errTooLong), errors.Is(err, errNoIndex):
 		return watch.Malformed, 0
 	case errors.As(err, &status) && status.isNoLeader():
@@ -111,7 +111,7 @@
 // handleFailure records that a request failed, and pauses for as long as is due.
 func (w *watcher) handleFailure(ctx context.Context, q *query, err error, doubt func(roster.Reason)) {
 	failure, retryAfter := failureOf(err)
-	action := q.Failed(failure, q.backoff.NextBackOff(), retryAfter)
+	action := q.RecordFailure(failure, q.backoff.NextBackOff(), retryAfter)
 	if ctx.Err() != nil {
 		return
 	}
@@ -154,7 +154,7 @@
 		response := watch.Response{Index: answer.Index, Checksum: xxhash.Sum64(answer.Body), HasLeader: answer.KnownLeader, Age: answer.LastContact}
 		changed := false
 		if err == nil {
-			changed = q.Responded(response) || !h.confirm()
+			changed = q.RecordResponse(response) || !h.confirm()
 		}
 		switch {
 		case err != nil:
@@ -170,7 +170,7 @@
 			continue
 		}
 		q.backoff.Reset()
-		if wait := q.Processed(response, changed, time.Since(received)); wait > 0 && !polled {
+		if wait := q.RecordProcessed(response, changed, time.Since(received)); wait > 0 && !polled {
 			pause.Sleep(ctx, wait)
 		}
 	}
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -43,8 +43,8 @@
 	registry   *roster.Registry
 	pending    map[string]roster.Engine // changes to publish, by id
 	lastFlush  time.Time
-	unsaved    bool                  // changes since the last snapshot
-	probing    map[roster.Probe]bool // under way
+	unsaved    bool                        // changes since the last snapshot
+	probing    map[roster.ProbeTarget]bool // under way
 	stats      Stats
 	publishing sync.Mutex // keeps messages to the core in order; taken before mu
 }
@@ -61,7 +61,7 @@
 // file is renamed and logged.
 func New(opt Options) *Directory {
 	d := &Directory{
-		opt: opt, registry: roster.New(opt.Policy), pending: map[string]roster.Engine{}, probing: map[roster.Probe]bool{},
+		opt: opt, registry: roster.New(opt.Policy), pending: map[string]roster.Engine{}, probing: map[roster.ProbeTarget]bool{},
 	}
 	if opt.StateFile != "" {
 		d.restore()
@@ -177,7 +177,7 @@
 }
 
 // tick advances the registry's time and returns the probes to make. None is made twice at once.
-func (d *Directory) tick() (probes []roster.Probe) {
+func (d *Directory) tick() (probes []roster.ProbeTarget) {
 	d.With(func(r *roster.Registry, now time.Time) {
 		r.Tick(now)
 		for _, p := range r.DueProbes(now, maxProbesPerTick) {
@@ -191,7 +191,7 @@
 	return probes
 }
 
-func (d *Directory) probe(ctx context.Context, p roster.Probe) {
+func (d *Directory) probe(ctx context.Context, p roster.ProbeTarget) {
 	result := d.opt.Probe(ctx, p.Addr)
 	d.With(func(r *roster.Registry, now time.Time) {
 		delete(d.probing, p)
--- a/internal/directory/golden_test.go
+++ b/internal/directory/golden_test.go
@@ -68,7 +68,7 @@
 		r.Observe(now, llm, roster.View{Index: 9, Entries: []roster.Entry{
 			e("a", roster.Clear), e("b", roster.Critical), e("c", roster.Maintenance), e("d", roster.Clear), e("e", roster.Clear),
 		}})
-		r.Override(now, map[string]roster.Override{"d": {Hold: true, Why: "changing"}, "e": {Kind: "write", Started: now}})
+		r.SetOverrides(now, map[string]roster.Override{"d": {Drain: true, StateReason: "changing"}, "e": {Kind: "write", Started: now}})
 		r.ObserveFailure(now, llm, roster.Unreachable)
 	})
 	v := d.View()
@@ -111,10 +111,10 @@
 	return lastview.View{
 		SavedAt: at,
 		Entries: []roster.StoredEntry{
-			{Source: file, Entry: roster.Entry{ID: "a", Addr: "127.0.0.1:1", Kind: "read", Zone: "z", Cell: 1}, Seen: at},
+			{Source: file, Entry: roster.Entry{ID: "a", Addr: "127.0.0.1:1", Kind: "read", Zone: "z", Cell: 1}, LastSeen: at},
 			{
 				Source: x, Entry: roster.Entry{ID: "b", Addr: "127.0.0.1:2", Kind: "write", Zone: "y", Cell: 2, Mark: roster.Critical, Started: at, Registered: 3, Index: 4},
-				Born: at.Add(-time.Minute), Seen: at.Add(-time.Second), Begun: at.Add(-time.Hour),
+				FirstListed: at.Add(-time.Minute), LastSeen: at.Add(-time.Second), Started: at.Add(-time.Hour),
 			},
 			{Source: x, Entry: roster.Entry{ID: "c", Addr: "127.0.0.1:3", Kind: "both", Mark: roster.Maintenance}},
 		},
--- a/internal/directory/view.go
+++ b/internal/directory/view.go
@@ -53,7 +53,7 @@
 	v := View{Stats: d.stats, Engines: []Engine{}, Sources: []Source{}}
 	for _, e := range d.registry.Engines() {
 		line := Engine{
-			ID: e.ID, Address: e.Addr, Role: e.Kind, Zone: e.Zone, Cell: e.Cell, State: e.State.String(), Why: e.Why,
+			ID: e.ID, Address: e.Addr, Role: e.Kind, Zone: e.Zone, Cell: e.Cell, State: e.State.String(), Why: e.StateReason,
 			Confidence: e.Confidence.String(), AgeMS: since(e.LastSeen), Sources: e.Sources,
 		}
 		if e.ListedKind != e.Kind {
@@ -65,9 +65,9 @@
 		v.Engines = append(v.Engines, line)
 	}
 	for _, s := range d.registry.SourceStatuses() {
-		line := Source{Source: s.Source, Doubt: string(s.Doubt), AgeMS: since(s.LastTrusted), Index: s.Index, Engines: s.Engines}
-		if s.Doubt != roster.Trusted {
-			line.DoubtMS = since(s.DoubtedSince)
+		line := Source{Source: s.Source, Doubt: string(s.DistrustReason), AgeMS: since(s.LastTrusted), Index: s.Index, Engines: s.Engines}
+		if s.DistrustReason != roster.Trusted {
+			line.DoubtMS = since(s.UntrustedSince)
 		}
 		v.Sources = append(v.Sources, line)
 	}
--- a/internal/lastview/lastview_test.go
+++ b/internal/lastview/lastview_test.go
@@ -17,7 +17,7 @@
 	src := roster.Source{Origin: roster.Catalogue, Name: "llm"}
 	return View{
 		SavedAt: time.Now().Round(0), Indexes: []Index{{src, 7}},
-		Entries: []roster.StoredEntry{{Source: src, Entry: roster.Entry{ID: "a", Addr: "127.0.0.1:1", Mark: roster.Critical, Started: time.Now().Round(0)}, Seen: time.Now().Round(0)}},
+		Entries: []roster.StoredEntry{{Source: src, Entry: roster.Entry{ID: "a", Addr: "127.0.0.1:1", Mark: roster.Critical, Started: time.Now().Round(0)}, LastSeen: time.Now().Round(0)}},
 	}
 }
 
--- a/internal/lastview/stored_test.go
+++ b/internal/lastview/stored_test.go
@@ -23,16 +23,16 @@
 	return View{
 		SavedAt: at(5),
 		Entries: []roster.StoredEntry{
-			{Source: file, Entry: roster.Entry{ID: "f1", Addr: "127.0.0.1:1"}, Seen: at(1)},
+			{Source: file, Entry: roster.Entry{ID: "f1", Addr: "127.0.0.1:1"}, LastSeen: at(1)},
 			{
 				Source: catalogue,
 				Entry: roster.Entry{
 					ID: "a", Addr: "10.0.0.1:8000", Kind: "openai", Zone: "z1", Cell: 3, Mark: roster.Critical,
 					Started: at(2), Registered: 17, Index: 18_446_744_073_709_551_615,
 				},
-				Born: at(3), Seen: at(4), Begun: at(6),
+				FirstListed: at(3), LastSeen: at(4), Started: at(6),
 			},
-			{Source: catalogue, Entry: roster.Entry{ID: "b", Addr: "[::1]:8000", Mark: roster.Maintenance}, Seen: at(7)},
+			{Source: catalogue, Entry: roster.Entry{ID: "b", Addr: "[::1]:8000", Mark: roster.Maintenance}, LastSeen: at(7)},
 		},
 		Indexes: []Index{{catalogue, 42}, {file, 0}},
 	}
@@ -120,7 +120,7 @@
 			g.Entry.ID != w.Entry.ID || g.Entry.Addr != w.Entry.Addr || g.Entry.Kind != w.Entry.Kind || g.Entry.Zone != w.Entry.Zone ||
 			g.Entry.Cell != w.Entry.Cell || g.Entry.Mark != uint8(w.Entry.Mark) || !g.Entry.Started.Equal(w.Entry.Started) ||
 			g.Entry.Registered != w.Entry.Registered || g.Entry.Index != w.Entry.Index ||
-			!g.Born.Equal(w.Born) || !g.Seen.Equal(w.Seen) || !g.Begun.Equal(w.Begun) {
+			!g.Born.Equal(w.FirstListed) || !g.Seen.Equal(w.LastSeen) || !g.Begun.Equal(w.Started) {
 			t.Errorf("entry %d: %+v, want %+v", i, g, w)
 		}
 	}
--- a/internal/openai/call.go
+++ b/internal/openai/call.go
@@ -66,23 +66,23 @@
 		terms.MaxTokens = c.request.shape.maxOutputTokens
 	}
 	step := resume.Decide(terms, c.encoder.progress(), resume.Interruption{
-		ClientGone:  errors.Is(err, streambuffer.ErrClientGone) || errors.Is(err, streambuffer.ErrSlowClient) || c.r.Context().Err() != nil,
-		EngineError: errors.As(err, &reported), Continuations: c.resumptions, Elapsed: time.Since(c.arrived),
+		ClientDisconnected: errors.Is(err, streambuffer.ErrClientGone) || errors.Is(err, streambuffer.ErrSlowClient) || c.r.Context().Err() != nil,
+		EngineError:        errors.As(err, &reported), Continuations: c.resumptions, Elapsed: time.Since(c.arrived),
 	})
 	c.counts.brokenAnswers[step].Add(1)
 	a := c.request
 	switch step {
-	case resume.GiveUp, resume.Finish:
+	case resume.Abort, resume.Finish:
 		return step, nil, nil
 	case resume.Continue:
 		if a, err = c.request.continuation(c.encoder.progress().Text()); err != nil {
-			return resume.GiveUp, nil, nil
+			return resume.Abort, nil, nil
 		}
 	}
 	c.resumptions++
 	answer, ticket, answered := c.submit(a, c.head.id+"-"+strconv.Itoa(c.resumptions))
 	if !answered || answer.Verdict != core.Streaming {
-		return resume.GiveUp, nil, nil
+		return resume.Abort, nil, nil
 	}
 	return step, answer.Stream, ticket
 }
@@ -145,7 +145,7 @@
 	err := streambuffer.Run(c.r.Context(), t, s, pipe, c.bounds)
 	for err != nil {
 		step, next, ticket := c.resumeElsewhere(err)
-		if step == resume.GiveUp {
+		if step == resume.Abort {
 			c.abort(err)
 			return
 		}
--- a/internal/openai/rewriter.go
+++ b/internal/openai/rewriter.go
@@ -39,7 +39,7 @@
 func (r *rewriter) progress() *resume.Progress { return &r.state }
 func (r *rewriter) complete() bool             { return r.state.StreamEnded() }
 func (r *rewriter) discardPartial()            { r.scanner = sse.Scanner{} }
-func (r *rewriter) nextAttempt()               { r.state.NextAttempt() }
+func (r *rewriter) nextAttempt()               { r.state.PrepareNextAttempt() }
 
 // translate adds what the client gets, now that p has come, to dst.
 func (r *rewriter) translate(dst, p []byte) ([]byte, error) {
--- a/internal/rolectl/records.go
+++ b/internal/rolectl/records.go
@@ -54,7 +54,7 @@
 // the changes that are new.
 func (c *Controller) applyRecords(ctx context.Context, client *consul.Client, pairs []consul.Pair) {
 	records, overrides := c.parseRecords(pairs)
-	c.opt.Directory.With(func(b *roster.Registry, now time.Time) { b.Override(now, overrides) })
+	c.opt.Directory.With(func(b *roster.Registry, now time.Time) { b.SetOverrides(now, overrides) })
 	c.opt.Directory.Flush()
 	gateway := c.opt.GatewayName()
 	for _, r := range c.replaceRecords(records) {
@@ -79,7 +79,7 @@
 		}
 		records[r.Engine] = storedRecord{r, p.ModifyIndex}
 		hold, role, cold := r.EngineView()
-		overrides[r.Engine] = roster.Override{Hold: hold, Kind: role, Started: cold, Why: "changes from " + r.From + " to " + r.To + ": " + string(r.Step)}
+		overrides[r.Engine] = roster.Override{Drain: hold, Kind: role, Started: cold, StateReason: "changes from " + r.From + " to " + r.To + ": " + string(r.Step)}
 	}
 	return records, overrides
 }
