--- a/cmd/wellgw/peers.go
+++ b/cmd/wellgw/peers.go
@@ -28,25 +28,25 @@
 	gateways := newTable(w, "gateway", "address", "standing", "since", "incarnation", "heard", "round trip", "remarks")
 	v := s.View
 	gateways.AppendRow(table.Row{s.Name + " (this one)", s.Listen, v.Self.Status, "", v.Self.Incarnation, "", "", ""})
-	for _, g := range v.Others {
+	for _, g := range v.Peers {
 		remarks := ""
 		if g.Status == membership.Suspect {
-			remarks = fmt.Sprintf("%d accuse it; dead in %v ", g.Accusers, g.DeadIn.Round(100*time.Millisecond))
+			remarks = fmt.Sprintf("%d accuse it; dead in %v ", g.SuspectedBy, g.SuspicionExpiresIn.Round(100*time.Millisecond))
 		}
 		if g.OneWay {
 			remarks += "does not answer us, only others "
 		}
-		if !g.Steady {
+		if !g.Stable {
 			remarks += "comes and goes "
 		}
-		gateways.AppendRow(table.Row{g.ID, g.Addr, g.Status, formatAgo(s.Clock, g.Since), g.Incarnation, formatAgo(s.Clock, g.LastHeard), g.RTT.Round(10 * time.Microsecond), remarks})
+		gateways.AppendRow(table.Row{g.ID, g.Addr, g.Status, formatAgo(s.Clock, g.StatusSince), g.Incarnation, formatAgo(s.Clock, g.LastHeard), g.RTT.Round(10 * time.Microsecond), remarks})
 	}
 	gateways.Render()
-	fmt.Fprintf(w, "tier %s, view %d/%016x, key %s; %d gateways share the engines\n", s.Tier, v.Epoch, v.Digest, s.Key, v.Sharing)
+	fmt.Fprintf(w, "tier %s, view %d/%016x, key %s; %d gateways share the engines\n", s.Tier, v.Epoch, v.Digest, s.Key, v.ActiveGateways)
 	if v.Minority {
 		fmt.Fprintln(w, "a minority: those in reach are not more than half of all that may be there")
 	}
-	if v.Silenced {
+	if v.Superseded {
 		fmt.Fprintln(w, "silent: another process goes by this name")
 	}
 	if v.LocalHealth > 0 {
@@ -56,7 +56,7 @@
 	fmt.Fprintf(w, "datagrams: %d sent, %d received; dropped %d short, %d of another version, %d by unknown keys, %d by bad seals, %d replayed, %d unreadable, %d of earlier lives, %d for want of time\n",
 		c.Sent, c.Received, c.NotADatagram, c.UnknownVersion, c.UnknownKey, c.BadSeal, c.Replayed, c.BadPayload, c.StaleInstance, c.QueueFull)
 	fmt.Fprintf(w, "probes: %d, %d unanswered, %d answered by way of others; suspected %d, own refutations %d, deaths %d, own pauses %d\n",
-		v.Stats.Probes, v.Stats.Unanswered, v.Stats.IndirectAcks, v.Stats.Suspected, v.Stats.Refuted, v.Stats.Died, v.Stats.Pauses)
+		v.Stats.Probes, v.Stats.FailedProbes, v.Stats.IndirectAcks, v.Stats.Suspicions, v.Stats.Refutations, v.Stats.Deaths, v.Stats.Pauses)
 }
 
 // formatAgo is how long before now something was, both by the clock of the gateway that was asked.
--- a/cmd/wellgw/roles.go
+++ b/cmd/wellgw/roles.go
@@ -43,7 +43,7 @@
 	}
 	changes := newTable(w, "engine", "from", "to", "step", "for", "begun", "owner", "fence", "why")
 	for _, r := range s.Changes {
-		changes.AppendRow(table.Row{r.Engine, r.From, r.To, r.Step, now.Sub(r.StepSince).Round(time.Second), ago(r.BegunAt), r.Leader, r.FencingToken, r.Reason})
+		changes.AppendRow(table.Row{r.Engine, r.From, r.To, r.Step, now.Sub(r.StepStartedAt).Round(time.Second), ago(r.StartedAt), r.Leader, r.FencingToken, r.Reason})
 	}
 	changes.Render()
 	history := newTable(w, "when", "engine", "to", "what", "why")
--- a/cmd/wellgw/tier.go
+++ b/cmd/wellgw/tier.go
@@ -31,7 +31,7 @@
 		FirstVersion: o.Peers.Protocol == 1, ProbeInterval: interval, ProbeTimeout: timeout, SuspicionTimeout: dead, OnEvent: event,
 		Listen: o.Peers.Listen, Advertise: o.Peers.Advertise, Name: o.Peers.Name, Tier: o.Peers.Tier, Join: o.Peers.Join, Keys: ring,
 		IncarnationFile: o.Peers.IncarnationFile, ExpectedGateways: o.Gateways, Log: s.log.With("part", "peers"),
-		OnViewChange: func(v membership.View) { s.setSharing(v.Sharing) },
+		OnViewChange: func(v membership.View) { s.setSharing(v.ActiveGateways) },
 	})
 	return err
 }
@@ -76,7 +76,7 @@
 	options := peers.Options{
 		Listen: p.PeerListen, Advertise: platformPeerAddress(p.Options.Me), Name: p.Name, Tier: "platform", Keys: ring,
 		ProbeInterval: platformProbeInterval, ProbeTimeout: platformProbeTimeout, SuspicionTimeout: platformSuspicionTimeout, ExpectedGateways: len(p.Peers), Log: log.With("part", "peers"),
-		OnViewChange:  func(v membership.View) { c.SetGateways(min(v.Sharing, max(p.Options.Balancers, 1))) },
+		OnViewChange:  func(v membership.View) { c.SetGateways(min(v.ActiveGateways, max(p.Options.Balancers, 1))) },
 		TranslateAddr: platformPeerRoute(p.Peers),
 	}
 	for n := range p.Peers {
--- a/cmd/wellgw/tier_test.go
+++ b/cmd/wellgw/tier_test.go
@@ -39,7 +39,7 @@
 		enginetest.Eventually(t, m.name+" sees the silent one dead", func() bool { return m.holds(t, "c", membership.Dead) })
 	}
 	w.eventually("one that just died still counts, and two of three are a majority", []string{"a", "b"}, func(s peers.Status) bool {
-		return s.View.Sharing == 3 && !s.View.Minority
+		return s.View.ActiveGateways == 3 && !s.View.Minority
 	})
 	c.signal(syscall.SIGCONT)
 	w.agree("after a long pause")
@@ -50,7 +50,7 @@
 	b.kill()
 	c.kill()
 	w.eventually("knows that it is a minority", []string{"a"}, func(s peers.Status) bool {
-		return s.View.Minority && s.View.Sharing == 3 && s.View.Stats.Died >= 2
+		return s.View.Minority && s.View.ActiveGateways == 3 && s.View.Stats.Deaths >= 2
 	})
 	out, err := program(t, nil, "peers", "--admin", a.admin).Output()
 	if err != nil || !strings.Contains(string(out), "dead") || !strings.Contains(string(out), "a minority") {
@@ -95,9 +95,9 @@
 				w.gateways[name].signal(syscall.SIGSTOP)
 			}
 			w.eventually("they are dead and still count", rest, func(s peers.Status) bool {
-				return alive(s.View) == 5-n && s.View.Sharing == 6 && !s.View.Minority
+				return alive(s.View) == 5-n && s.View.ActiveGateways == 6 && !s.View.Minority
 			})
-			w.eventually("they count no longer", rest, func(s peers.Status) bool { return s.View.Sharing == 6-n })
+			w.eventually("they count no longer", rest, func(s peers.Status) bool { return s.View.ActiveGateways == 6-n })
 			time.Sleep(time.Until(stopped.Add(30 * time.Second)))
 			for _, name := range still {
 				w.gateways[name].signal(syscall.SIGCONT)
@@ -120,7 +120,7 @@
 	time.Sleep(5 * time.Second)
 	w.agree("under loss")
 	w.gateways["d"].kill()
-	w.eventually("the kill is known", w.names[:3], func(s peers.Status) bool { return s.View.Stats.Died > 0 && alive(s.View) == 2 })
+	w.eventually("the kill is known", w.names[:3], func(s peers.Status) bool { return s.View.Stats.Deaths > 0 && alive(s.View) == 2 })
 	w.start("d", "d", nil)
 	w.agree("under loss, after a restart")
 }
@@ -159,7 +159,7 @@
 			t.Parallel()
 			w := newTier(t, all, nil)
 			w.cut(c.some, c.rest, faultnet.Rule{Cut: true})
-			w.eventually("it is a minority and counts all", c.rest, func(s peers.Status) bool { return s.View.Minority && s.View.Sharing == len(all) })
+			w.eventually("it is a minority and counts all", c.rest, func(s peers.Status) bool { return s.View.Minority && s.View.ActiveGateways == len(all) })
 			if len(c.some) > len(c.rest) {
 				w.eventually("it is a majority and counts the dead for a while", c.some, majority)
 			} else {
@@ -221,14 +221,14 @@
 	former := w.gateways["c"]
 	w.relay("c again")
 	later := w.start("c again", "c", nil)
-	enginetest.Eventually(t, "the former one is silenced", func() bool { return former.status(t).View.Silenced })
+	enginetest.Eventually(t, "the former one is silenced", func() bool { return former.status(t).View.Superseded })
 	for _, name := range []string{"a", "b"} {
 		enginetest.Eventually(t, name+" holds the later one for c", func() bool {
 			g, known := w.gateways[name].viewOf(t, "c")
 			return known && g.Status == membership.Alive && g.Addr == w.relays["c again"]
 		})
 	}
-	if later.status(t).View.Silenced {
+	if later.status(t).View.Superseded {
 		t.Error("the later one is silenced too")
 	}
 }
@@ -263,7 +263,7 @@
 	}
 	// Sixty in one process may be slow: a suspect is there too.
 	there := func(v membership.View) (n int) {
-		for _, g := range v.Others {
+		for _, g := range v.Peers {
 			if g.Status < membership.Leaving {
 				n++
 			}
@@ -280,7 +280,7 @@
 	w.eventually("they say that they are leaving", w.names, func(s peers.Status) bool { return alive(s.View) == 2 })
 	done()
 	group.Wait()
-	w.eventually("they are gone, and do not count", w.names, func(s peers.Status) bool { return alive(s.View) == 2 && s.View.Sharing == 3 })
+	w.eventually("they are gone, and do not count", w.names, func(s peers.Status) bool { return alive(s.View) == 2 && s.View.ActiveGateways == 3 })
 }
 
 // Keys are rotated while one of three stands still: the others go on without a gap, and it
--- a/cmd/wellgw/tierharness_test.go
+++ b/cmd/wellgw/tierharness_test.go
@@ -130,7 +130,7 @@
 // viewOf is how a gateway holds another.
 func (m *tierGateway) viewOf(t *testing.T, name string) (membership.Gateway, bool) {
 	t.Helper()
-	all := m.status(t).View.Others
+	all := m.status(t).View.Peers
 	at := slices.IndexFunc(all, func(g membership.Gateway) bool { return g.ID == name })
 	if at < 0 {
 		return membership.Gateway{}, false
@@ -145,7 +145,7 @@
 }
 
 func alive(v membership.View) (n int) {
-	for _, g := range v.Others {
+	for _, g := range v.Peers {
 		if g.Status == membership.Alive {
 			n++
 		}
@@ -191,4 +191,4 @@
 
 func minority(s peers.Status) bool { return s.View.Minority }
 
-func majority(s peers.Status) bool { return s.View.Sharing > 0 && !s.View.Minority }
+func majority(s peers.Status) bool { return s.View.ActiveGateways > 0 && !s.View.Minority }
--- a/decide/membership/config.go
+++ b/decide/membership/config.go
@@ -11,21 +11,21 @@
 	Addr         string
 	Instance     uint64
 	Incarnation  uint64   // above that of any earlier process of this ID, as far as is known
-	Join         []string // addresses to ping until some gateway answers
+	JoinAddrs    []string // addresses to ping until some gateway answers
 	ExpectedSize int      // gateways in the tier according to the operator; 0: unknown
 	Seed         uint64
 	MaxUpdates   int // in one message; 0 = 6
 
-	// Fits returns how many of a message's updates fit into a datagram; nil: all. The
+	// CountFitting returns how many of a message's updates fit into a datagram; nil: all. The
 	// transport drops the rest, the last ones first.
-	Fits func(Message) int
+	CountFitting func(Message) int
 
 	ProbeInterval    time.Duration // between probes; 0 = 100 ms
 	ProbeTimeout     time.Duration // for a direct answer; 0 = 80 ms
 	SuspicionTimeout time.Duration // from the unanswered probe until a suspect is dead; 0 = 2.3 s
 	DeadGrace        time.Duration // for which a dead gateway still counts as sharing the engines; 0 = 15 s
 	ReapAfter        time.Duration // after which a majority removes the dead; 0 = 10 min
-	FirstVersion     bool          // use only the message kinds of the first protocol version: no sync, and no answer to one
+	ProtocolV1Only   bool          // use only the message kinds of the first protocol version: no sync, and no answer to one
 }
 
 func (c *Config) setDefaults() {
--- a/decide/membership/golden_test.go
+++ b/decide/membership/golden_test.go
@@ -58,18 +58,18 @@
 }
 
 func (r recorder) view(v View) {
-	r.numbers(v.Epoch, v.Digest, uint64(v.Sharing), uint64(v.LocalHealth), uint64(len(v.Others)))
+	r.numbers(v.Epoch, v.Digest, uint64(v.ActiveGateways), uint64(v.LocalHealth), uint64(len(v.Peers)))
 	r.update(v.Self)
-	r.flags(v.Minority, v.Silenced)
-	for _, g := range v.Others {
+	r.flags(v.Minority, v.Superseded)
+	for _, g := range v.Peers {
 		r.text(g.ID)
 		r.text(g.Addr)
 		r.text(g.Status.String())
-		r.numbers(g.Incarnation, uint64(g.Status), uint64(g.Since), uint64(g.LastHeard), uint64(g.RTT), uint64(g.Accusers), uint64(g.DeadIn))
-		r.flags(g.OneWay, g.Steady)
+		r.numbers(g.Incarnation, uint64(g.Status), uint64(g.StatusSince), uint64(g.LastHeard), uint64(g.RTT), uint64(g.SuspectedBy), uint64(g.SuspicionExpiresIn))
+		r.flags(g.OneWay, g.Stable)
 	}
 	s := v.Stats
-	r.numbers(s.Syncs, s.Probes, s.Unanswered, s.IndirectAcks, s.Suspected, s.Refuted, s.Died, s.Pauses, s.Namesakes)
+	r.numbers(s.Syncs, s.Probes, s.FailedProbes, s.IndirectAcks, s.Suspicions, s.Refutations, s.Deaths, s.Pauses, s.DuplicateNames)
 }
 
 // parcel is a message under way in the drawn tier.
@@ -94,10 +94,10 @@
 func (d *drawnTier) start(addr, id string, life uint64) {
 	cfg := Config{
 		ID: id, Addr: addr, Instance: life<<32 | uint64(len(d.addrs)), Incarnation: life, Seed: d.rng.Uint64(),
-		Join: []string{"g0:1", "g1:1"}, ExpectedSize: d.rng.IntN(2) * 5, FirstVersion: d.rng.IntN(5) == 0, ReapAfter: 20 * time.Second,
+		JoinAddrs: []string{"g0:1", "g1:1"}, ExpectedSize: d.rng.IntN(2) * 5, ProtocolV1Only: d.rng.IntN(5) == 0, ReapAfter: 20 * time.Second,
 	}
 	if d.rng.IntN(2) == 0 {
-		cfg.Fits = func(m Message) int { return min(len(m.Updates), 3) }
+		cfg.CountFitting = func(m Message) int { return min(len(m.Updates), 3) }
 	}
 	if d.machines[addr] == nil {
 		d.addrs = append(d.addrs, addr)
@@ -197,8 +197,8 @@
 					if m := d.machines[addr]; m != nil {
 						s := m.View().Stats
 						d.view(m.View())
-						all.Syncs, all.IndirectAcks, all.Refuted = max(all.Syncs, s.Syncs), max(all.IndirectAcks, s.IndirectAcks), max(all.Refuted, s.Refuted)
-						all.Died, all.Pauses, all.Namesakes = max(all.Died, s.Died), max(all.Pauses, s.Pauses), max(all.Namesakes, s.Namesakes)
+						all.Syncs, all.IndirectAcks, all.Refutations = max(all.Syncs, s.Syncs), max(all.IndirectAcks, s.IndirectAcks), max(all.Refutations, s.Refutations)
+						all.Deaths, all.Pauses, all.DuplicateNames = max(all.Deaths, s.Deaths), max(all.Pauses, s.Pauses), max(all.DuplicateNames, s.DuplicateNames)
 					}
 				}
 				d.fault()
@@ -208,7 +208,7 @@
 			t.Errorf("seed %d: %#x, want %#x", seed, got, want)
 		}
 	}
-	if all.Syncs == 0 || all.IndirectAcks == 0 || all.Refuted == 0 || all.Died == 0 || all.Pauses == 0 || all.Namesakes == 0 {
+	if all.Syncs == 0 || all.IndirectAcks == 0 || all.Refutations == 0 || all.Deaths == 0 || all.Pauses == 0 || all.DuplicateNames == 0 {
 		t.Errorf("something never happened in the drawn tiers: %+v", all)
 	}
 }
--- a/decide/membership/gossip.go
+++ b/decide/membership/gossip.go
@@ -71,7 +71,7 @@
 		m.send(u.Addr, Message{Kind: Ping, Seq: m.nextSeq()}) // another process of this name, or this gateway's former address
 	}
 	if u.Status != m.self.Status && u.overrides(m.self) || u.Incarnation > m.self.Incarnation {
-		m.stats.Refuted++
+		m.stats.Refutations++
 		m.localHealth = min(maxLocalHealth, m.localHealth+1) // this gateway may have been slow to answer
 		m.self.Incarnation = u.Incarnation + 1
 		m.selfTransmissions = 0
--- a/decide/membership/machine.go
+++ b/decide/membership/machine.go
@@ -96,15 +96,15 @@
 
 // Stats counts what a machine has seen since its start.
 type Stats struct {
-	Syncs        uint64 `json:"Walks"` // begun with gateways whose views differ
-	Probes       uint64
-	Unanswered   uint64 // probes
-	IndirectAcks uint64 `json:"Helped"` // probes answered only by way of other gateways
-	Suspected    uint64 // gateways suspected by this one
-	Refuted      uint64 // suspicions of this gateway
-	Died         uint64
-	Pauses       uint64 // of this process, as late ticks show
-	Namesakes    uint64 // messages of another process with this gateway's name
+	Syncs          uint64 `json:"Walks"` // begun with gateways whose views differ
+	Probes         uint64
+	FailedProbes   uint64 `json:"Unanswered"` // probes
+	IndirectAcks   uint64 `json:"Helped"`     // probes answered only by way of other gateways
+	Suspicions     uint64 `json:"Suspected"`  // gateways suspected by this one
+	Refutations    uint64 `json:"Refuted"`    // suspicions of this gateway
+	Deaths         uint64 `json:"Died"`
+	Pauses         uint64 // of this process, as late ticks show
+	DuplicateNames uint64 `json:"Namesakes"` // messages of another process with this gateway's name
 }
 
 // New returns a machine that knows of no other gateway yet.
--- a/decide/membership/machine_test.go
+++ b/decide/membership/machine_test.go
@@ -70,7 +70,7 @@
 // start begins a process; its address is its name, and it joins by the first of all.
 func (t *tier) start(id string, life uint64) *node {
 	x := &node{id: id, life: life, dead: map[string]Time{}}
-	x.Machine = New(Config{ID: id, Addr: id, Instance: life<<32 | uint64(len(t.names)), Incarnation: life, Seed: t.rng.Uint64(), Join: []string{"g000", "g001"}}, t.now)
+	x.Machine = New(Config{ID: id, Addr: id, Instance: life<<32 | uint64(len(t.names)), Incarnation: life, Seed: t.rng.Uint64(), JoinAddrs: []string{"g000", "g001"}}, t.now)
 	if t.nodes[id] == nil {
 		t.names = append(t.names, id)
 	}
@@ -271,8 +271,8 @@
 			if v.Minority != (i < c.left && c.leftMinor || i >= c.left && c.rightMinor) {
 				t.Errorf("%d of %d: %s holds itself a minority: %v", c.left, n, id, v.Minority)
 			}
-			if v.Minority && v.Sharing != n {
-				t.Errorf("%s in a minority says %d share the engines, of %d", id, v.Sharing, n)
+			if v.Minority && v.ActiveGateways != n {
+				t.Errorf("%s in a minority says %d share the engines, of %d", id, v.ActiveGateways, n)
 			}
 		}
 		late := tier.start("g900", 1) // one half moves on
@@ -306,7 +306,7 @@
 	if bad := tier.falsely(); len(bad) > 0 {
 		t.Errorf("dead falsely: %v", bad)
 	}
-	for _, g := range tier.nodes["g000"].View().Others {
+	for _, g := range tier.nodes["g000"].View().Peers {
 		if g.OneWay != (g.ID == "g001") {
 			t.Errorf("%s one way: %v", g.ID, g.OneWay)
 		}
@@ -351,8 +351,8 @@
 	msg := Message{Kind: Ping, From: "g002", Instance: b.cfg.Instance, Addr: "x"}
 	a.Receive(tier.now, msg)
 	b.Receive(tier.now, Message{Kind: Ping, From: "g002", Instance: a.cfg.Instance, Addr: "g002"})
-	if !a.View().Silenced || b.View().Silenced || a.View().Stats.Namesakes != 1 || len(a.Tick(tier.now+time.Second)) > 0 {
-		t.Errorf("silenced: %v and %v", a.View().Silenced, b.View().Silenced)
+	if !a.View().Superseded || b.View().Superseded || a.View().Stats.DuplicateNames != 1 || len(a.Tick(tier.now+time.Second)) > 0 {
+		t.Errorf("silenced: %v and %v", a.View().Superseded, b.View().Superseded)
 	}
 }
 
@@ -406,14 +406,14 @@
 	x := tier.nodes["g003"]
 	tier.carry(x, x.AnnounceLeaving(tier.now))
 	tier.run(tier.now + time.Second)
-	if v := tier.nodes["g000"].View(); v.Others[2].Status != Leaving || v.Sharing != 4 {
-		t.Errorf("one leaves: %+v, %d share", v.Others[2], v.Sharing)
+	if v := tier.nodes["g000"].View(); v.Peers[2].Status != Leaving || v.ActiveGateways != 4 {
+		t.Errorf("one leaves: %+v, %d share", v.Peers[2], v.ActiveGateways)
 	}
 	tier.carry(x, x.AnnounceLeft(tier.now))
 	x.down = true
 	tier.run(tier.now + 5*time.Second)
-	if v := tier.nodes["g000"].View(); v.Sharing != 3 || v.Stats.Died != 0 {
-		t.Errorf("one has left: %d share, stats %+v", v.Sharing, v.Stats)
+	if v := tier.nodes["g000"].View(); v.ActiveGateways != 3 || v.Stats.Deaths != 0 {
+		t.Errorf("one has left: %d share, stats %+v", v.ActiveGateways, v.Stats)
 	}
 	tier.run(tier.now + time.Minute)
 	if err := tier.agree(); err != nil {
--- a/decide/membership/members.go
+++ b/decide/membership/members.go
@@ -35,7 +35,7 @@
 	case u.Status == Suspect:
 		m.suspect(peer, age, heartbeat)
 	case u.Status == Dead && before != Dead:
-		m.stats.Died++
+		m.stats.Deaths++
 	case u.Status == Alive && before == Dead:
 		peer.flapScore, peer.flapScoreAt = m.decayedFlaps(peer)+1, m.now
 	}
--- a/decide/membership/probe.go
+++ b/decide/membership/probe.go
@@ -61,12 +61,12 @@
 
 // probeFailed ends a probe without an answer: its target is suspected.
 func (m *Machine) probeFailed(p *probe) {
-	m.stats.Unanswered++
+	m.stats.FailedProbes++
 	m.localHealth = min(maxLocalHealth, m.localHealth+1)
 	if p.target.Status != Alive {
 		return
 	}
-	m.stats.Suspected++
+	m.stats.Suspicions++
 	suspicion := p.target.Update
 	suspicion.Status, suspicion.SuspicionAge = Suspect, m.now-p.sentAt
 	m.apply(suspicion)
@@ -139,7 +139,7 @@
 
 // join pings the addresses to join by.
 func (m *Machine) join() {
-	for _, addr := range m.cfg.Join {
+	for _, addr := range m.cfg.JoinAddrs {
 		if addr != m.cfg.Addr {
 			m.send(addr, Message{Kind: Ping, Seq: m.nextSeq()})
 		}
--- a/decide/membership/receive.go
+++ b/decide/membership/receive.go
@@ -88,7 +88,7 @@
 	if msg.Instance == m.cfg.Instance {
 		return // a message of this process that came back
 	}
-	m.stats.Namesakes++
+	m.stats.DuplicateNames++
 	if msg.Instance > m.cfg.Instance && !m.silenced {
 		m.silenced, m.viewChanged = true, true
 	}
--- a/decide/membership/sync.go
+++ b/decide/membership/sync.go
@@ -28,7 +28,7 @@
 		m.differsSince = m.now
 	}
 	newcomer := len(m.byName) < 2*m.cfg.MaxUpdates && m.sync.notBefore == 0 // need not wait
-	if m.cfg.FirstVersion || m.sync.peer != "" || m.now < m.sync.notBefore || m.now-m.differsSince < syncInterval && !newcomer {
+	if m.cfg.ProtocolV1Only || m.sync.peer != "" || m.now < m.sync.notBefore || m.now-m.differsSince < syncInterval && !newcomer {
 		return
 	}
 	m.stats.Syncs++
@@ -60,7 +60,7 @@
 // answerSyncRequest sends the members that follow a name, in a few messages that may each be
 // lost.
 func (m *Machine) answerSyncRequest(msg Message) {
-	if m.cfg.FirstVersion {
+	if m.cfg.ProtocolV1Only {
 		return
 	}
 	at, found := slices.BinarySearchFunc(m.byName, msg.Subject, compareID)
@@ -83,8 +83,8 @@
 	for _, peer := range m.byName[from:min(len(m.byName), from+m.cfg.MaxUpdates)] {
 		reply.Updates, reply.Subject = append(reply.Updates, m.currentUpdate(peer)), peer.ID
 	}
-	if n := len(reply.Updates); n > 0 && m.cfg.Fits != nil {
-		n = max(1, m.cfg.Fits(reply)) // the next reply begins with what is left out here
+	if n := len(reply.Updates); n > 0 && m.cfg.CountFitting != nil {
+		n = max(1, m.cfg.CountFitting(reply)) // the next reply begins with what is left out here
 		reply.Updates, reply.Subject = reply.Updates[:n], reply.Updates[n-1].ID
 	}
 	return reply
--- a/decide/membership/view.go
+++ b/decide/membership/view.go
@@ -4,47 +4,47 @@
 
 // Gateway is a member as a view shows it.
 type Gateway struct {
-	ID, Addr    string
-	Incarnation uint64
-	Status      Status
-	Since       Time          // of its status
-	LastHeard   Time          `json:"Heard"` // the last message from itself
-	RTT         time.Duration // of the latest ping that it answered directly
-	OneWay      bool          // it is heard and others reach it, but this gateway's pings are not answered
-	Steady      bool          // it has not died and come back again and again of late
-	Accusers    int           // of a suspect: gateways that suspect it
-	DeadIn      time.Duration `json:"Due"` // of a suspect: until its suspicion times out
+	ID, Addr           string
+	Incarnation        uint64
+	Status             Status
+	StatusSince        Time          `json:"Since"` // of its status
+	LastHeard          Time          `json:"Heard"` // the last message from itself
+	RTT                time.Duration // of the latest ping that it answered directly
+	OneWay             bool          // it is heard and others reach it, but this gateway's pings are not answered
+	Stable             bool          `json:"Steady"`   // it has not died and come back again and again of late
+	SuspectedBy        int           `json:"Accusers"` // of a suspect: gateways that suspect it
+	SuspicionExpiresIn time.Duration `json:"Due"`      // of a suspect: until its suspicion times out
 }
 
 // View is the tier as one gateway sees it.
 type View struct {
-	Epoch       uint64 // grows with every change; with Digest it tells views apart
-	Digest      uint64 // equal for the same gateways with the same statuses
-	Self        Update
-	Others      []Gateway // by name
-	Sharing     int       // gateways that may use the engines now, this one among them
-	Minority    bool      // the gateways in reach are no quorum: not more than half of all that may run
-	Silenced    bool      // another process has this gateway's name, and stays
-	LocalHealth int       `json:"Health"` // Lifeguard's local health multiplier less one; 0 is healthy
-	Stats       Stats
+	Epoch          uint64 // grows with every change; with Digest it tells views apart
+	Digest         uint64 // equal for the same gateways with the same statuses
+	Self           Update
+	Peers          []Gateway `json:"Others"`  // by name
+	ActiveGateways int       `json:"Sharing"` // gateways that may use the engines now, this one among them
+	Minority       bool      // the gateways in reach are no quorum: not more than half of all that may run
+	Superseded     bool      `json:"Silenced"` // another process has this gateway's name, and stays
+	LocalHealth    int       `json:"Health"`   // Lifeguard's local health multiplier less one; 0 is healthy
+	Stats          Stats
 }
 
 // View returns the present view.
 func (m *Machine) View() View {
 	v := View{
-		Epoch: m.epoch, Digest: m.digest, Self: m.self, Sharing: m.Sharing(), Minority: m.Minority(),
-		Silenced: m.silenced, LocalHealth: m.localHealth, Stats: m.stats,
+		Epoch: m.epoch, Digest: m.digest, Self: m.self, ActiveGateways: m.ActiveGateways(), Minority: m.Minority(),
+		Superseded: m.silenced, LocalHealth: m.localHealth, Stats: m.stats,
 	}
 	for _, peer := range m.byName {
 		g := Gateway{
-			ID: peer.ID, Addr: peer.Addr, Incarnation: peer.Incarnation, Status: peer.Status, Since: peer.statusSince, LastHeard: peer.lastHeard,
-			RTT: peer.rtt, Steady: m.decayedFlaps(peer) < maxSteadyFlaps, Accusers: len(peer.accusers),
+			ID: peer.ID, Addr: peer.Addr, Incarnation: peer.Incarnation, Status: peer.Status, StatusSince: peer.statusSince, LastHeard: peer.lastHeard,
+			RTT: peer.rtt, Stable: m.decayedFlaps(peer) < maxSteadyFlaps, SuspectedBy: len(peer.accusers),
 			OneWay: peer.Status < Dead && peer.everHeard && !peer.ackedDirectly && m.now-peer.lastDirectAck > m.cfg.SuspicionTimeout,
 		}
 		if peer.Status == Suspect {
-			g.DeadIn = max(0, peer.deadAt-m.now)
+			g.SuspicionExpiresIn = max(0, peer.deadAt-m.now)
 		}
-		v.Others = append(v.Others, g)
+		v.Peers = append(v.Peers, g)
 	}
 	return v
 }
@@ -56,10 +56,10 @@
 	return changed
 }
 
-// Sharing returns how many gateways may use the engines now. It errs to more: a suspect counts;
+// ActiveGateways returns how many gateways may use the engines now. It errs to more: a suspect counts;
 // a dead one counts for a while, since it may run on and its requests may still be at the
 // engines; and in a minority all count that have not left, as the others may well be a majority.
-func (m *Machine) Sharing() int {
+func (m *Machine) ActiveGateways() int {
 	n, minority := 1+m.statusCounts[Alive]+m.statusCounts[Suspect]+m.statusCounts[Leaving], m.Minority()
 	for _, peer := range m.notAlive {
 		if peer.Status == Dead && (minority || m.now-peer.statusSince < m.cfg.DeadGrace) {
--- a/decide/rolechange/golden_test.go
+++ b/decide/rolechange/golden_test.go
@@ -10,13 +10,13 @@
 
 // drawnFacts draws what a leader knows, and drawnRecord a record that it may find: the texts
 // are those that stand in stored records.
-func drawnFacts(rng *rand.Rand) Facts {
-	f := Facts{
+func drawnFacts(rng *rand.Rand) Inputs {
+	f := Inputs{
 		Now: t0.Add(time.Duration(rng.IntN(60_000)) * time.Millisecond), Leader: "g1", FencingToken: uint64(4 + rng.IntN(8)/7*rng.IntN(3)),
 		Gateways: rng.IntN(4), Confirmed: rng.IntN(4), Listed: rng.IntN(5) > 0, ListedRole: drawnRole(rng), Reply: Reply(rng.IntN(8) / 7 * rng.IntN(4)),
 	}
 	if rng.IntN(5) == 0 {
-		f.SilentFor = time.Duration(rng.IntN(9000)) * time.Millisecond
+		f.UnresponsiveFor = time.Duration(rng.IntN(9000)) * time.Millisecond
 		return f
 	}
 	f.Report = &Report{
@@ -34,7 +34,7 @@
 	steps := []string{"announced", "draining", "flipping", "warming", "settled", "undoing", "unheard-of"}
 	return Record{
 		Engine: "e", Addr: "a:1", Rack: rng.IntN(3), From: "read", To: "write", Step: Step(steps[rng.IntN(len(steps))]),
-		FencingToken: uint64(4 + rng.IntN(8)/7*(rng.IntN(3)-1)), Leader: "g0", BegunAt: t0, StepSince: t0.Add(time.Duration(rng.IntN(20_000)) * time.Millisecond),
+		FencingToken: uint64(4 + rng.IntN(8)/7*(rng.IntN(3)-1)), Leader: "g0", StartedAt: t0, StepStartedAt: t0.Add(time.Duration(rng.IntN(20_000)) * time.Millisecond),
 		FlippedAt: t0.Add(time.Duration(rng.IntN(20_000)) * time.Millisecond), Reason: "drawn",
 	}
 }
@@ -44,15 +44,15 @@
 func TestGoldenActions(t *testing.T) {
 	for seed, want := range [...]uint64{0x334b5fb29fe49ccb, 0x10a293b5bc81cfa5, 0x20b1cb36260fa660, 0xb33df1df1b2c7731} {
 		rng, sum := rand.New(rand.NewPCG(uint64(seed), 45)), fnv.New64a()
-		limits := DefaultLimits()
+		limits := DefaultTimeouts()
 		for range 20_000 {
 			r, f := drawnRecord(rng), drawnFacts(rng)
 			for range 1 + rng.IntN(4) { // a few steps of one change
 				a := Next(r, f, limits)
 				x := a.Record
-				hold, role, cold := x.EngineView()
+				hold, role, cold := x.Routing()
 				fmt.Fprintln(sum, a.Write, string(a.Command), string(a.Outcome), a.LeaseLost, a.Reason, hold, role, cold.UnixNano(),
-					x.Engine, x.Addr, x.Rack, x.From, x.To, string(x.Step), x.FencingToken, x.Leader, x.BegunAt.UnixNano(), x.StepSince.UnixNano(), x.FlippedAt.UnixNano(), x.Reason)
+					x.Engine, x.Addr, x.Rack, x.From, x.To, string(x.Step), x.FencingToken, x.Leader, x.StartedAt.UnixNano(), x.StepStartedAt.UnixNano(), x.FlippedAt.UnixNano(), x.Reason)
 				r, f = x, drawnFacts(rng)
 			}
 			l := NewLease(rng.Uint64(), time.Duration(rng.IntN(9000))*time.Millisecond, t0)
@@ -69,8 +69,8 @@
 
 // The limits that an operator who gives none gets, in the order of the settings.
 func TestGoldenDefaults(t *testing.T) {
-	l := DefaultLimits()
-	got := [...]time.Duration{l.Confirmation, l.Draining, l.Flipping, l.WarmUp, l.EngineSilence, l.Undoing}
+	l := DefaultTimeouts()
+	got := [...]time.Duration{l.Confirmation, l.Draining, l.Flipping, l.WarmUp, l.EngineUnresponsive, l.RollingBack}
 	if want := [...]time.Duration{4 * s, 30 * s, 5 * s, 14 * s, 6 * s, 10 * s}; got != want {
 		t.Errorf("%v, want %v", got, want)
 	}
--- a/decide/rolechange/lease.go
+++ b/decide/rolechange/lease.go
@@ -34,8 +34,8 @@
 
 // The actions.
 const (
-	LeaveLock     LockAction = iota // another gateway holds it, or this one has no name yet
-	EndOwnSession                   // the session of this gateway's earlier term still holds it
+	SkipLock          LockAction = iota // another gateway holds it, or this one has no name yet
+	DestroyOwnSession                   // the session of this gateway's earlier term still holds it
 	AcquireLock
 )
 
@@ -44,9 +44,9 @@
 func DecideLock(holder, own, gateway string) LockAction {
 	switch {
 	case holder != "" && holder == own:
-		return EndOwnSession
+		return DestroyOwnSession
 	case holder != "" || gateway == "":
-		return LeaveLock
+		return SkipLock
 	}
 	return AcquireLock
 }
--- a/decide/roles/candidate.go
+++ b/decide/roles/candidate.go
@@ -36,7 +36,7 @@
 
 // candidate returns the engine whose change to a role costs least, or why none may change.
 func (p *Planner) candidate(now time.Time, to Role) (*Change, string) {
-	from := to.Other()
+	from := to.Opposite()
 	fleet, racks := &rackCounts{}, map[int]*rackCounts{}
 	for _, e := range p.engines {
 		if racks[e.Rack] == nil {
@@ -45,7 +45,7 @@
 		racks[e.Rack].add(e)
 		fleet.add(e)
 	}
-	if fleet.changing >= maxChanging(p.settings.MaxFleetShare, fleet.engines) {
+	if fleet.changing >= maxChanging(p.settings.MaxFleetFraction, fleet.engines) {
 		return nil, fmt.Sprintf("%d engines of the fleet are in change", fleet.changing)
 	}
 	if fleet.ready[from] <= 1 {
@@ -85,7 +85,7 @@
 		return "those left have refused or failed to change"
 	case !h.changedAt.IsZero() && now.Sub(h.changedAt) < p.settings.MinDwell:
 		return "those left have changed too lately"
-	case rack.changing >= maxChanging(p.settings.MaxRackShare, rack.engines):
+	case rack.changing >= maxChanging(p.settings.MaxRackFraction, rack.engines):
 		return "enough of their rack is in change"
 	case rack.ready[e.Role] <= 1 && rack.ready[to] >= 1:
 		return "the last of their rack stays: its states would have to leave the rack"
--- a/decide/roles/forecast.go
+++ b/decide/roles/forecast.go
@@ -8,7 +8,10 @@
 
 // Forecast is the share of the demand that will be served in time, over the horizon and at its
 // worst.
-type Forecast struct{ Mean, Worst float64 }
+type Forecast struct {
+	Mean float64
+	Min  float64 `json:"Worst"`
+}
 
 // maxUtilization is the utilization of a stage past which requests are late.
 const maxUtilization = 0.9
@@ -41,7 +44,7 @@
 		}
 		one := p.forecast(c, demand, horizon)
 		mean.Mean += one.Mean / cases
-		mean.Worst += one.Worst / cases
+		mean.Min += one.Min / cases
 	}
 	return mean
 }
@@ -50,12 +53,12 @@
 // without one. Changes under way are taken to succeed.
 func (p *Planner) forecast(c *Change, demand [2]float64, horizon time.Duration) Forecast {
 	const step = time.Second
-	f := Forecast{Worst: 1}
+	f := Forecast{Min: 1}
 	sum, n := 0.0, 0
 	for t := time.Duration(0); t == 0 || t < horizon; t += step {
 		served := servedShare(p.capacityAfter(t, c), demand)
 		sum += served
-		f.Worst = min(f.Worst, served)
+		f.Min = min(f.Min, served)
 		n++
 	}
 	f.Mean = sum / float64(max(n, 1))
@@ -68,7 +71,7 @@
 		switch {
 		case e.Role == Mixed || !e.Ready && !e.Changing:
 		case e.Changing: // at an unknown point of its change: taken as halfway through its drain
-			capacity[e.Role.Other()] += p.relativeRate(e, e.Role.Other()) * p.warmthInChange(t+p.settings.DrainTime/2)
+			capacity[e.Role.Opposite()] += p.relativeRate(e, e.Role.Opposite()) * p.warmthInChange(t+p.settings.DrainTime/2)
 		case c != nil && e.ID == c.Engine:
 			capacity[c.To] += p.relativeRate(e, c.To) * p.warmthInChange(t)
 		default:
--- a/decide/roles/golden_test.go
+++ b/decide/roles/golden_test.go
@@ -16,8 +16,8 @@
 	set.MaxPerHour = 1 + rng.IntN(30)
 	set.MinDwell = time.Duration(rng.IntN(90)) * time.Second
 	set.ReversalDelay = time.Duration(rng.IntN(30)) * time.Second
-	set.MaxFleetShare = 0.2 + rng.Float64()*0.5
-	set.MaxRackShare = 0.2 + rng.Float64()*0.5
+	set.MaxFleetFraction = 0.2 + rng.Float64()*0.5
+	set.MaxRackFraction = 0.2 + rng.Float64()*0.5
 	set.MinGain = rng.Float64() * 0.03
 	return set
 }
@@ -48,11 +48,11 @@
 		e := &f.engines[i]
 		if end, on := f.ends[e.ID]; on && now.After(end) {
 			delete(f.ends, e.ID)
-			e.Changing, e.Role, e.Tokens, e.BusySeconds, e.Warmth = false, e.Role.Other(), 0, 0, 0.3
+			e.Changing, e.Role, e.Tokens, e.BusySeconds, e.ThroughputFraction = false, e.Role.Opposite(), 0, 0, 0.3
 		}
-		if e.Warmth > 0 {
-			if e.Warmth += 0.05; e.Warmth >= 1 {
-				e.Warmth = 0
+		if e.ThroughputFraction > 0 {
+			if e.ThroughputFraction += 0.05; e.ThroughputFraction >= 1 {
+				e.ThroughputFraction = 0
 			}
 		}
 		e.Utilization, e.QueueSeconds, e.MemoryUsed = f.rng.Float64(), f.rng.Float64()*3, f.rng.Float64()
@@ -81,7 +81,7 @@
 	fmt.Fprintln(w, p.Reason)
 	for _, x := range []float64{
 		p.Demand[0], p.Demand[1], p.Noise[0], p.Noise[1], p.Capacity[0], p.Capacity[1],
-		p.Before.Mean, p.Before.Worst, p.After.Mean, p.After.Worst,
+		p.WithoutChange.Mean, p.WithoutChange.Min, p.WithChange.Mean, p.WithChange.Min,
 	} {
 		fmt.Fprintf(w, "%.9g ", x)
 	}
@@ -119,7 +119,7 @@
 				continue
 			}
 			changes++
-			p.Begun(now, *c)
+			p.ChangeStarted(now, *c)
 			for i := range f.engines {
 				if f.engines[i].ID == c.Engine {
 					f.engines[i].Changing = true
@@ -127,7 +127,7 @@
 				}
 			}
 			if rng.IntN(6) == 0 {
-				p.Ended(now.Add(time.Second), c.Engine, rng.IntN(2) == 0)
+				p.ChangeEnded(now.Add(time.Second), c.Engine, rng.IntN(2) == 0)
 			}
 		}
 		if got := sum.Sum64(); got != want {
@@ -146,15 +146,15 @@
 	names := []string{"read", "write", "both", ""}
 	for range 20_000 {
 		x := Observation{
-			ID: "e", Rack: rng.IntN(4), InService: rng.IntN(2) == 0, UpFor: time.Duration(rng.IntN(20)) * time.Second, Role: names[rng.IntN(4)], Slots: rng.IntN(9),
+			ID: "e", Rack: rng.IntN(4), InService: rng.IntN(2) == 0, Uptime: time.Duration(rng.IntN(20)) * time.Second, Role: names[rng.IntN(4)], Slots: rng.IntN(9),
 			Running: rng.IntN(12), Queue: rng.IntN(6), MemoryUsed: rng.Float64(), Tokens: rng.Float64() * 1e6, BusySeconds: rng.Float64() * 1e3, Pinned: rng.IntN(2) == 0,
 		}
 		if rng.IntN(3) == 0 {
-			x.Change = &ActiveChange{Hold: rng.IntN(2) == 0, Role: names[rng.IntN(4)], RoleFor: time.Duration(rng.IntN(20)-2) * time.Second}
+			x.Change = &ActiveChange{RoutingPaused: rng.IntN(2) == 0, Role: names[rng.IntN(4)], RoleAge: time.Duration(rng.IntN(20)-2) * time.Second}
 		}
-		e, known := drawnSettings(rng).Assess(x)
+		e, known := drawnSettings(rng).PlannedEngine(x)
 		fmt.Fprintln(sum, known, e.ID, e.Rack, uint8(e.Role), e.Changing, e.Ready, e.Pinned)
-		fmt.Fprintf(sum, "%.9g %.9g %.9g %.9g %.9g %.9g\n", e.Utilization, e.QueueSeconds, e.Warmth, e.MemoryUsed, e.Tokens, e.BusySeconds)
+		fmt.Fprintf(sum, "%.9g %.9g %.9g %.9g %.9g %.9g\n", e.Utilization, e.QueueSeconds, e.ThroughputFraction, e.MemoryUsed, e.Tokens, e.BusySeconds)
 		fmt.Fprintln(sum, fmt.Sprint(OptimalSplit(rng.IntN(20), [2]float64{rng.Float64() * 9, rng.Float64() * 9})))
 	}
 	if got := sum.Sum64(); got != want {
--- a/decide/roles/observation.go
+++ b/decide/roles/observation.go
@@ -8,7 +8,7 @@
 	ID                  string
 	Rack                int
 	InService           bool          // by the roster
-	UpFor               time.Duration // since it started or took its role, by the roster; 0 = long, or unknown
+	Uptime              time.Duration // since it started or took its role, by the roster; 0 = long, or unknown
 	Role                string        // by its own report
 	Slots               int
 	Running, Queue      int // requests; Running includes the queued ones
@@ -20,24 +20,24 @@
 
 // ActiveChange is what the record of a change says of an engine.
 type ActiveChange struct {
-	Hold    bool          // no requests are routed to it
-	Role    string        // its role at the change's present step
-	RoleFor time.Duration // since it has that role, if Hold is false
+	RoutingPaused bool          // no requests are routed to it
+	Role          string        // its role at the change's present step
+	RoleAge       time.Duration // since it has that role, if Hold is false
 }
 
-// Assess returns an engine as the planner takes it, false if it has no part in the plan. The
+// PlannedEngine returns an engine as the planner takes it, false if it has no part in the plan. The
 // record of a change takes precedence over the roster and the engine's report: both may lag
 // behind it, and for an engine counted in neither role another would be changed.
-func (s Settings) Assess(o Observation) (Engine, bool) {
+func (s Settings) PlannedEngine(o Observation) (Engine, bool) {
 	e := Engine{ID: o.ID, Rack: o.Rack, MemoryUsed: o.MemoryUsed, Tokens: o.Tokens, BusySeconds: o.BusySeconds, Ready: o.InService, Pinned: o.Pinned}
-	name, upFor := o.Role, o.UpFor
+	name, upFor := o.Role, o.Uptime
 	if o.Change != nil {
-		name, e.Changing = o.Change.Role, o.Change.Hold
+		name, e.Changing = o.Change.Role, o.Change.RoutingPaused
 		if !e.Changing {
-			e.Ready, upFor = true, max(o.Change.RoleFor, 1)
+			e.Ready, upFor = true, max(o.Change.RoleAge, 1)
 		}
 	}
-	role, known := RoleOf(name)
+	role, known := ParseRole(name)
 	if !known {
 		return Engine{}, false
 	}
@@ -47,7 +47,7 @@
 		e.QueueSeconds = float64(o.Queue) / float64(o.Slots)
 	}
 	if upFor > 0 && upFor < s.WarmUp {
-		e.Warmth = s.warmthAfter(upFor)
+		e.ThroughputFraction = s.warmthAfter(upFor)
 	}
 	return e, true
 }
--- a/decide/roles/plan.go
+++ b/decide/roles/plan.go
@@ -14,12 +14,12 @@
 
 // Plan is what was decided, and why. Pairs are of the prefill and the decode stage, in engines.
 type Plan struct {
-	Change        *Change // nil: none
-	Reason        string
-	Demand        [2]float64
-	Noise         [2]float64 // usual error of the demand
-	Capacity      [2]float64
-	Before, After Forecast // without the change, and with it
+	Change                    *Change // nil: none
+	Reason                    string
+	Demand                    [2]float64
+	Noise                     [2]float64 // usual error of the demand
+	Capacity                  [2]float64
+	WithoutChange, WithChange Forecast // without the change, and with it
 }
 
 // A change in the other direction than the latest one has to gain more for a while: otherwise a
@@ -40,8 +40,8 @@
 func (p *Planner) Plan(now time.Time) Plan {
 	plan := Plan{Demand: p.demand, Noise: p.noise(), Capacity: p.capacity()}
 	horizon := p.phases.remaining(now, p.settings.Horizon)
-	plan.Before = p.expectedForecast(nil, plan.Noise, horizon)
-	plan.After = plan.Before
+	plan.WithoutChange = p.expectedForecast(nil, plan.Noise, horizon)
+	plan.WithChange = plan.WithoutChange
 	if plan.Reason = p.blockedReason(now); plan.Reason != "" {
 		return plan
 	}
@@ -61,10 +61,10 @@
 	if plan.Reason = p.rejectionReason(now, change, plan, after, horizon); plan.Reason != "" {
 		return plan
 	}
-	plan.Change, plan.After = change, after
-	from := to.Other()
+	plan.Change, plan.WithChange = change, after
+	from := to.Opposite()
 	plan.Reason = fmt.Sprintf("%s work needs %.1f of %.1f engines, %s work %.1f of %.1f; service %.3f, with the change %.3f",
-		to, p.demand[to], plan.Capacity[to], from, p.demand[from], plan.Capacity[from], plan.Before.Mean, plan.After.Mean)
+		to, p.demand[to], plan.Capacity[to], from, p.demand[from], plan.Capacity[from], plan.WithoutChange.Mean, plan.WithChange.Mean)
 	return plan
 }
 
@@ -85,14 +85,14 @@
 // rejectionReason returns why a change is not worth its cost, "" if it is.
 func (p *Planner) rejectionReason(now time.Time, c *Change, plan Plan, after Forecast, horizon time.Duration) string {
 	if p.settings.Strategy == Predictive {
-		gain := after.Mean - plan.Before.Mean
+		gain := after.Mean - plan.WithoutChange.Mean
 		lowGain := p.lowGain(c, plan.Noise, horizon)
 		if gain < p.minGain(now, c.To) || lowGain <= 0 {
 			return fmt.Sprintf("a change would gain %.3f, %.3f at the low end of the demand: not beyond the noise", gain, lowGain)
 		}
 	}
-	if after.Worst < plan.Before.Worst-maxDip && after.Worst < serviceFloor {
-		return fmt.Sprintf("its loss would push service down to %.2f meanwhile", after.Worst)
+	if after.Min < plan.WithoutChange.Min-maxDip && after.Min < serviceFloor {
+		return fmt.Sprintf("its loss would push service down to %.2f meanwhile", after.Min)
 	}
 	return ""
 }
@@ -148,7 +148,7 @@
 	if load[Decode] > load[Prefill] {
 		to = Decode
 	}
-	from := to.Other()
+	from := to.Opposite()
 	left := plan.Capacity[from] - 1
 	switch p.settings.Strategy {
 	case Threshold:
@@ -160,7 +160,7 @@
 			return to, "the queues are near enough to each other"
 		}
 	default:
-		if plan.Before.Mean > 1-p.settings.MinGain {
+		if plan.WithoutChange.Mean > 1-p.settings.MinGain {
 			return to, "all that is asked can be served as it is"
 		}
 	}
--- a/decide/roles/planner.go
+++ b/decide/roles/planner.go
@@ -129,15 +129,15 @@
 	return noise
 }
 
-// Begun records that a change was begun, by this leader or an earlier one.
-func (p *Planner) Begun(now time.Time, c Change) {
+// ChangeStarted records that a change was begun, by this leader or an earlier one.
+func (p *Planner) ChangeStarted(now time.Time, c Change) {
 	p.recentStarts = append(p.recentStarts, now)
 	p.lastRole, p.lastStart = c.To, now
 	p.historyOf(c.Engine).changedAt = now
 }
 
-// Ended records how a change has ended, by this leader or an earlier one.
-func (p *Planner) Ended(now time.Time, engine string, done bool) {
+// ChangeEnded records how a change has ended, by this leader or an earlier one.
+func (p *Planner) ChangeEnded(now time.Time, engine string, done bool) {
 	h := p.historyOf(engine)
 	h.changedAt = now
 	if !done {
--- a/decide/roles/rates.go
+++ b/decide/roles/rates.go
@@ -76,7 +76,7 @@
 	if own == nil {
 		return 1
 	}
-	for _, s := range []Role{role, role.Other()} {
+	for _, s := range []Role{role, role.Opposite()} {
 		if own[s].perSecond > 0 && r.median[s] > 0 {
 			return min(max(own[s].perSecond/r.median[s], 1/maxRelativeRate), maxRelativeRate)
 		}
--- a/decide/roles/roles.go
+++ b/decide/roles/roles.go
@@ -15,14 +15,14 @@
 	Mixed
 )
 
-// Other returns the role that an engine would change to.
-func (r Role) Other() Role { return 1 - r }
+// Opposite returns the role that an engine would change to.
+func (r Role) Opposite() Role { return 1 - r }
 
 // String returns the role's name in the engines' protocol and in the catalogue.
 func (r Role) String() string { return [...]string{"read", "write", "both"}[r] }
 
-// RoleOf returns the role of a name, false for one that is never planned with.
-func RoleOf(name string) (Role, bool) {
+// ParseRole returns the role of a name, false for one that is never planned with.
+func ParseRole(name string) (Role, bool) {
 	for _, r := range []Role{Prefill, Decode} {
 		if r.String() == name {
 			return r, true
@@ -33,24 +33,24 @@
 
 // Engine is one engine as it was last observed.
 type Engine struct {
-	ID           string
-	Rack         int
-	Role         Role
-	Utilization  float64 // share of its slots in use
-	QueueSeconds float64 // queued work, in seconds that the engine needs for it when warm
-	Warmth       float64 // share of its warm rate that it has now, as its cache may be cold; 0 = all
-	MemoryUsed   float64 // share of its memory
-	Tokens       float64 // that it has prefilled, or decoded, since it took its role
-	BusySeconds  float64 // slot-seconds that it took for them; 0 if it does not report them
-	Changing     bool    // a change of it is under way
-	Ready        bool    // it answers, and is in service
-	Pinned       bool    // an operator has it keep its role
+	ID                 string
+	Rack               int
+	Role               Role
+	Utilization        float64 // share of its slots in use
+	QueueSeconds       float64 // queued work, in seconds that the engine needs for it when warm
+	ThroughputFraction float64 // share of its warm rate that it has now, as its cache may be cold; 0 = all
+	MemoryUsed         float64 // share of its memory
+	Tokens             float64 // that it has prefilled, or decoded, since it took its role
+	BusySeconds        float64 // slot-seconds that it took for them; 0 if it does not report them
+	Changing           bool    // a change of it is under way
+	Ready              bool    // it answers, and is in service
+	Pinned             bool    // an operator has it keep its role
 }
 
 // currentWarmth returns the share of its warm rate that an engine has now.
 func (e Engine) currentWarmth() float64 {
-	if e.Warmth > 0 {
-		return e.Warmth
+	if e.ThroughputFraction > 0 {
+		return e.ThroughputFraction
 	}
 	return 1
 }
--- a/decide/roles/roles_test.go
+++ b/decide/roles/roles_test.go
@@ -100,7 +100,7 @@
 		"the last of each rack stays":  {8, 2, 0.4, nil, func(l []Engine) { load(l, Prefill, 1, 0); load(l, Decode, 0.1, 0) }, "the last of their rack stays"},
 		"a pin keeps":                  {3, 7, 0.3, nil, func(l []Engine) { busyPrefill(l); pin(l, Decode) }, "pinned"},
 		"enough of the fleet changes":  {3, 7, 0.3, nil, func(l []Engine) { busyPrefill(l); l[8].Changing, l[9].Changing = true, true }, "of the fleet are in change"},
-		"enough of the rack changes":   {3, 7, 0.4, func(s *Settings) { s.MaxFleetShare, s.MaxRackShare = 1, 0.01 }, func(l []Engine) { busyPrefill(l); l[8].Changing, l[9].Changing = true, true }, "of their rack is in change"},
+		"enough of the rack changes":   {3, 7, 0.4, func(s *Settings) { s.MaxFleetFraction, s.MaxRackFraction = 1, 0.01 }, func(l []Engine) { busyPrefill(l); l[8].Changing, l[9].Changing = true, true }, "of their rack is in change"},
 		"those that changed lately":    {3, 7, 0.3, nil, busyPrefill, "too lately"},
 		"those that refused":           {3, 7, 0.3, nil, busyPrefill, "refused or failed"},
 		"mixed engines never change":   {0, 0, 0.3, nil, nil, "no engine is seen"},
@@ -127,9 +127,9 @@
 			for _, e := range list {
 				switch {
 				case strings.Contains(name, "changed lately"):
-					p.Ended(t0, e.ID, true)
+					p.ChangeEnded(t0, e.ID, true)
 				case strings.Contains(name, "refused"):
-					p.Ended(t0.Add(-time.Minute), e.ID, false)
+					p.ChangeEnded(t0.Add(-time.Minute), e.ID, false)
 				}
 			}
 			plan, _ := watch(p, list, c.refused, 40*time.Second)
@@ -218,8 +218,8 @@
 		if n == 10 {
 			list[1].Tokens, list[1].BusySeconds = 0, 0
 		}
-		if list[2].Warmth = 0.3; n > 5 { // warm, and as fast, from then on
-			list[2].Warmth = 0
+		if list[2].ThroughputFraction = 0.3; n > 5 { // warm, and as fast, from then on
+			list[2].ThroughputFraction = 0
 		}
 		r.observe(list)
 	}
@@ -253,7 +253,7 @@
 // A burst of one kind comes just as half a rack drains away from it: what is under way
 // is not counted as lost, and no further engine goes.
 func TestBurstDuringRackDrain(t *testing.T) {
-	p := planner(t, func(s *Settings) { s.MaxFleetShare = 0.5 })
+	p := planner(t, func(s *Settings) { s.MaxFleetFraction = 0.5 })
 	list := fleet(4, 6)
 	load(list, Prefill, 1, 0)
 	load(list, Decode, 0.4, 0)
@@ -270,7 +270,7 @@
 	}
 	for _, i := range []int{4, 6} { // two of the three decode engines of rack 0
 		list[i].Changing = true
-		p.Begun(now, Change{Engine: list[i].ID, From: Decode, To: Prefill})
+		p.ChangeStarted(now, Change{Engine: list[i].ID, From: Decode, To: Prefill})
 	}
 	load(list, Prefill, 0.3, 0)
 	load(list, Decode, 1, 3)
@@ -293,14 +293,14 @@
 		known bool
 	}{
 		"in service":                         {sight(func(*Observation) {}), Engine{ID: "e", Ready: true, Utilization: 0.5, QueueSeconds: 0.25}, true},
-		"cold":                               {sight(func(x *Observation) { x.UpFor = 7 * time.Second }), Engine{ID: "e", Ready: true, Utilization: 0.5, QueueSeconds: 0.25, Warmth: 0.66}, true},
-		"it drains":                          {sight(func(x *Observation) { x.InService, x.Change = false, &ActiveChange{Hold: true, Role: "read"} }), Engine{ID: "e", Changing: true, Utilization: 0.5, QueueSeconds: 0.25}, true},
-		"has flipped, the record has not":    {sight(func(x *Observation) { x.Role, x.Change = "write", &ActiveChange{Hold: true, Role: "read"} }), Engine{ID: "e", Ready: true, Changing: true, Utilization: 0.5, QueueSeconds: 0.25}, true},
-		"the record has, the roster has not": {sight(func(x *Observation) { x.InService, x.Change = false, &ActiveChange{Role: "write"} }), Engine{ID: "e", Role: Decode, Ready: true, Utilization: 0.5, QueueSeconds: 0.25, Warmth: 0.32}, true},
+		"cold":                               {sight(func(x *Observation) { x.Uptime = 7 * time.Second }), Engine{ID: "e", Ready: true, Utilization: 0.5, QueueSeconds: 0.25, ThroughputFraction: 0.66}, true},
+		"it drains":                          {sight(func(x *Observation) { x.InService, x.Change = false, &ActiveChange{RoutingPaused: true, Role: "read"} }), Engine{ID: "e", Changing: true, Utilization: 0.5, QueueSeconds: 0.25}, true},
+		"has flipped, the record has not":    {sight(func(x *Observation) { x.Role, x.Change = "write", &ActiveChange{RoutingPaused: true, Role: "read"} }), Engine{ID: "e", Ready: true, Changing: true, Utilization: 0.5, QueueSeconds: 0.25}, true},
+		"the record has, the roster has not": {sight(func(x *Observation) { x.InService, x.Change = false, &ActiveChange{Role: "write"} }), Engine{ID: "e", Role: Decode, Ready: true, Utilization: 0.5, QueueSeconds: 0.25, ThroughputFraction: 0.32}, true},
 		"another role":                       {sight(func(x *Observation) { x.Role = "both" }), Engine{}, false},
 	} {
-		got, known := set.Assess(c.sight)
-		if got.Warmth = math.Round(got.Warmth*100) / 100; got != c.want || known != c.known {
+		got, known := set.PlannedEngine(c.sight)
+		if got.ThroughputFraction = math.Round(got.ThroughputFraction*100) / 100; got != c.want || known != c.known {
 			t.Errorf("%s: %+v, %v, want %+v", name, got, known, c.want)
 		}
 	}
@@ -319,7 +319,7 @@
 func TestSettingsAreNamed(t *testing.T) {
 	for field, change := range map[string]func(*Settings){
 		"strategy":        func(s *Settings) { s.Strategy = "guess" },
-		"rack_part":       func(s *Settings) { s.MaxRackShare = 0 },
+		"rack_part":       func(s *Settings) { s.MaxRackFraction = 0 },
 		"changes_an_hour": func(s *Settings) { s.MaxPerHour = 0 },
 		"horizon_ms":      func(s *Settings) { s.Horizon = time.Second },
 		"smooth_ms":       func(s *Settings) { s.DemandTimeConstant = 0 },
@@ -360,7 +360,7 @@
 				list[i].Utilization = rapid.Float64Range(0, 1).Draw(t, "util")
 				list[i].QueueSeconds = rapid.Float64Range(0, 3).Draw(t, "queue")
 				if list[i].Changing && rapid.Bool().Draw(t, "ends") {
-					list[i].Changing, list[i].Role, since[list[i].ID] = false, list[i].Role.Other(), now
+					list[i].Changing, list[i].Role, since[list[i].ID] = false, list[i].Role.Opposite(), now
 				}
 			}
 			p.Observe(now, list, all.second(list, rapid.Float64Range(0, 0.9).Draw(t, "refused")))
@@ -393,11 +393,11 @@
 				}
 				e.Changing, since[e.ID] = true, now
 			}
-			if changing+1 > max(1, int(set.MaxFleetShare*float64(movable))) {
+			if changing+1 > max(1, int(set.MaxFleetFraction*float64(movable))) {
 				t.Fatalf("%d in change of %d", changing+1, movable)
 			}
 			begun = append(begun, now)
-			p.Begun(now, *plan.Change)
+			p.ChangeStarted(now, *plan.Change)
 			if n := len(begun); n > set.MaxPerHour && now.Sub(begun[n-1-set.MaxPerHour]) < time.Hour {
 				t.Fatalf("%d changes in an hour", set.MaxPerHour+1)
 			}
--- a/decide/roles/settings.go
+++ b/decide/roles/settings.go
@@ -22,8 +22,8 @@
 	Strategy           Strategy
 	MinDwell           time.Duration // between two changes of one engine
 	ReversalDelay      time.Duration // between a change and one in the other direction
-	MaxRackShare       float64       // of a rack's engines in change at once; one engine always may be
-	MaxFleetShare      float64       // of the fleet's
+	MaxRackFraction    float64       // of a rack's engines in change at once; one engine always may be
+	MaxFleetFraction   float64       // of the fleet's
 	MaxPerHour         int           // changes begun
 	DrainTime          time.Duration // expected
 	WarmUp             time.Duration // from the change until the engine is warm
@@ -38,7 +38,7 @@
 func DefaultSettings() Settings {
 	return Settings{
 		Strategy: Predictive, MinDwell: 90 * time.Second, ReversalDelay: 30 * time.Second,
-		MaxRackShare: 0.34, MaxFleetShare: 0.2, MaxPerHour: 30,
+		MaxRackFraction: 0.34, MaxFleetFraction: 0.2, MaxPerHour: 30,
 		DrainTime: 8 * time.Second, WarmUp: 14 * time.Second, ColdThroughput: 0.32,
 		Horizon: 90 * time.Second, RefusalBackoff: 10 * time.Minute, MinGain: 0.02, DemandTimeConstant: 8 * time.Second,
 	}
@@ -49,7 +49,7 @@
 	switch {
 	case s.Strategy != Threshold && s.Strategy != QueueBalance && s.Strategy != Predictive:
 		return setting.New("strategy", fmt.Sprintf("%q is not threshold, queue-balance or predictive", s.Strategy))
-	case s.MaxRackShare <= 0 || s.MaxRackShare > 1 || s.MaxFleetShare <= 0 || s.MaxFleetShare > 1:
+	case s.MaxRackFraction <= 0 || s.MaxRackFraction > 1 || s.MaxFleetFraction <= 0 || s.MaxFleetFraction > 1:
 		return setting.New("rack_part, fleet_part", "must lie above 0 and not above 1")
 	case s.MaxPerHour < 1:
 		return setting.New("changes_an_hour", "below 1")
--- a/experiments/fleetrun/programs.go
+++ b/experiments/fleetrun/programs.go
@@ -172,7 +172,7 @@
 			var s peers.Status
 			err := t.gates[name].Page(ctx, admin.PeersPath, &s)
 			alive := 1
-			for _, g := range s.View.Others {
+			for _, g := range s.View.Peers {
 				if g.Status == membership.Alive {
 					alive++
 				}
--- a/experiments/membersim/membersim.go
+++ b/experiments/membersim/membersim.go
@@ -70,7 +70,7 @@
 // Start begins a gateway's process; all join by the first two.
 func (t *Tier) Start(id string, life uint64) {
 	x := &node{id: id, life: life, knows: map[string]time.Duration{}}
-	x.Machine = membership.New(membership.Config{ID: id, Addr: id, Instance: life, Incarnation: life, Seed: t.rng.Uint64(), Join: []string{"g000", "g001"}, Fits: t.Fits}, t.Now)
+	x.Machine = membership.New(membership.Config{ID: id, Addr: id, Instance: life, Incarnation: life, Seed: t.rng.Uint64(), JoinAddrs: []string{"g000", "g001"}, CountFitting: t.Fits}, t.Now)
 	if t.nodes[id] == nil {
 		t.Names = append(t.Names, id)
 	}
@@ -122,7 +122,7 @@
 			t.put(item{at: t.Now + tickEvery, to: i.to, life: i.life})
 		}
 		if x.Changed() {
-			for _, g := range x.View().Others {
+			for _, g := range x.View().Peers {
 				if _, known := x.knows[g.ID]; g.Status >= membership.Dead && !known {
 					x.knows[g.ID] = t.Now
 				} else if g.Status < membership.Dead {
@@ -174,7 +174,7 @@
 			first = &v
 		}
 		alive := 1
-		for _, g := range v.Others {
+		for _, g := range v.Peers {
 			if g.Status == membership.Alive {
 				alive++
 			}
--- a/experiments/membersim/membersim_test.go
+++ b/experiments/membersim/membersim_test.go
@@ -81,7 +81,7 @@
 	late := strings.Repeat("w", 24)
 	tier.Start(late, 1)
 	tier.Until(10 * time.Second)
-	if v := tier.nodes[late].View(); len(v.Others) != 42 {
-		t.Errorf("after 10 s the newcomer knows of %d others", len(v.Others))
+	if v := tier.nodes[late].View(); len(v.Peers) != 42 {
+		t.Errorf("after 10 s the newcomer knows of %d others", len(v.Peers))
 	}
 }
--- a/experiments/membersrun/faults.go
+++ b/experiments/membersrun/faults.go
@@ -30,7 +30,7 @@
 				if err != nil {
 					return err
 				}
-				if slices.ContainsFunc(s.View.Others, func(g membership.Gateway) bool { return g.ID == victim && g.Status == membership.Dead }) {
+				if slices.ContainsFunc(s.View.Peers, func(g membership.Gateway) bool { return g.ID == victim && g.Status == membership.Dead }) {
 					knows[name] = time.Since(begun)
 				}
 			}
@@ -69,7 +69,7 @@
 		if err != nil {
 			return 0, err
 		}
-		n += s.View.Stats.Died
+		n += s.View.Stats.Deaths
 	}
 	return n, nil
 }
@@ -172,7 +172,7 @@
 		if err != nil {
 			return err
 		}
-		right = right && s.View.Minority == (i < 4) && s.View.Sharing == len(t.names)
+		right = right && s.View.Minority == (i < 4) && s.View.ActiveGateways == len(t.names)
 	}
 	r.Hold(right, "of 4 and 5 cut apart the 4 know that they are a minority, and all say that nine share", "%v", right)
 	cut(faultnet.Rule{})
@@ -200,7 +200,7 @@
 			if err != nil {
 				return err
 			}
-			if slices.ContainsFunc(s.View.Others, func(g membership.Gateway) bool { return g.ID == to && g.OneWay }) {
+			if slices.ContainsFunc(s.View.Peers, func(g membership.Gateway) bool { return g.ID == to && g.OneWay }) {
 				shown++
 			}
 			t.net.Set(from, to, faultnet.Rule{})
--- a/experiments/membersrun/tier.go
+++ b/experiments/membersrun/tier.go
@@ -112,7 +112,7 @@
 			first = s.View
 		}
 		alive := 1
-		for _, g := range s.View.Others {
+		for _, g := range s.View.Peers {
 			if g.Status == membership.Alive {
 				alive++
 			}
--- a/experiments/rolesim/rolesim.go
+++ b/experiments/rolesim/rolesim.go
@@ -182,11 +182,11 @@
 		if e.Changing {
 			continue
 		}
-		e.Warmth = 1
+		e.ThroughputFraction = 1
 		if age := p.now - e.flipped; age < p.Cold {
-			e.Warmth = p.ColdShare + (1-p.ColdShare)*float64(age)/float64(p.Cold)
+			e.ThroughputFraction = p.ColdShare + (1-p.ColdShare)*float64(age)/float64(p.Cold)
 		}
-		p.power[e.Role] += e.Warmth
+		p.power[e.Role] += e.ThroughputFraction
 		p.serving[e.Role]++
 	}
 }
@@ -327,7 +327,7 @@
 		p.Observe(now, engines, traffic)
 		plan := p.Plan(now)
 		if plan.Change != nil {
-			p.Begun(now, *plan.Change)
+			p.ChangeStarted(now, *plan.Change)
 		}
 		return plan.Change
 	}, nil
@@ -354,7 +354,7 @@
 		}
 		for _, e := range engines {
 			if e.Role == from && !e.Changing {
-				return &roles.Change{Engine: e.ID, From: from, To: from.Other()}
+				return &roles.Change{Engine: e.ID, From: from, To: from.Opposite()}
 			}
 		}
 		return nil
--- a/experiments/rolesrun/rolesrun.go
+++ b/experiments/rolesrun/rolesrun.go
@@ -369,8 +369,8 @@
 				continue
 			}
 			for _, r := range st.Changes {
-				l.changes[r.Engine+r.BegunAt.String()] = true
-				if hold, _, _ := r.EngineView(); hold {
+				l.changes[r.Engine+r.StartedAt.String()] = true
+				if hold, _, _ := r.Routing(); hold {
 					holds[r.Engine]++
 				}
 			}
--- a/internal/config/roles.go
+++ b/internal/config/roles.go
@@ -46,17 +46,17 @@
 		s.MaxPerHour = r.ChangesAnHour
 	}
 	if r.RackPart > 0 {
-		s.MaxRackShare = r.RackPart
+		s.MaxRackFraction = r.RackPart
 	}
 	if r.FleetPart > 0 {
-		s.MaxFleetShare = r.FleetPart
+		s.MaxFleetFraction = r.FleetPart
 	}
 	return s
 }
 
 // Limits returns how long the steps of a change may take.
-func (r *Roles) Limits() rolechange.Limits {
-	l := rolechange.DefaultLimits()
+func (r *Roles) Limits() rolechange.Timeouts {
+	l := rolechange.DefaultTimeouts()
 	l.WarmUp = millis(r.ColdMS, l.WarmUp)
 	return l
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -147,8 +147,8 @@
 		leaveRequests: make(chan struct{}, 1), incarnations: make(chan uint64, 1), statusRequests: make(chan chan Status),
 	}
 	p.machine = membership.New(membership.Config{
-		ID: opt.Name, Addr: advertised, Instance: self.instance, Incarnation: incarnation, Join: join,
-		ExpectedSize: opt.ExpectedGateways, Seed: self.random, Fits: FittingUpdates, FirstVersion: opt.FirstVersion,
+		ID: opt.Name, Addr: advertised, Instance: self.instance, Incarnation: incarnation, JoinAddrs: join,
+		ExpectedSize: opt.ExpectedGateways, Seed: self.random, CountFitting: FittingUpdates, ProtocolV1Only: opt.FirstVersion,
 		ProbeInterval: opt.ProbeInterval, ProbeTimeout: opt.ProbeTimeout, SuspicionTimeout: opt.SuspicionTimeout,
 	}, 0)
 	if unsaved != nil {
@@ -221,7 +221,7 @@
 			}
 		}
 		p.sendAll(out)
-		if p.machine.Changed() || p.hasDead && p.machine.Sharing() != p.sharing {
+		if p.machine.Changed() || p.hasDead && p.machine.ActiveGateways() != p.sharing {
 			p.publish()
 		}
 	}
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -80,7 +80,7 @@
 
 // alive counts the others that a gateway holds for alive.
 func alive(p *Peers) (n int) {
-	for _, g := range p.Status().View.Others {
+	for _, g := range p.Status().View.Peers {
 		if g.Status == membership.Alive {
 			n++
 		}
@@ -95,7 +95,7 @@
 	told := map[int]bool{}
 	a, _ := begin(t, Options{Name: "a", Keys: ring(t, keys), OnViewChange: func(v membership.View) {
 		mu.Lock()
-		told[v.Sharing] = true
+		told[v.ActiveGateways] = true
 		mu.Unlock()
 	}})
 	b, _ := begin(t, Options{Name: "b", Keys: ring(t, keys), Join: []string{a.Addr()}})
@@ -107,7 +107,7 @@
 	first := c.Status().View.Self.Incarnation
 	end()
 	until(t, "the one that left does not count", func() bool {
-		return alive(a) == 1 && alive(b) == 1 && a.Status().View.Sharing == 2 && a.Status().View.Stats.Died == 0
+		return alive(a) == 1 && alive(b) == 1 && a.Status().View.ActiveGateways == 2 && a.Status().View.Stats.Deaths == 0
 	})
 	again, _ := begin(t, Options{Name: "c", Keys: ring(t, keys), Join: []string{b.Addr()}, IncarnationFile: filepath.Join(dir, "incarnation")})
 	until(t, "it is back", func() bool { return alive(a) == 2 && alive(again) == 2 })
@@ -137,7 +137,7 @@
 			until(t, "it hears on", func() bool { return p.Counts().Received > got+3 && both() })
 		}
 	}
-	if n := a.Counts(); n.UnknownKey+n.BadSeal > 0 || a.Status().View.Stats.Died+b.Status().View.Stats.Died > 0 {
+	if n := a.Counts(); n.UnknownKey+n.BadSeal > 0 || a.Status().View.Stats.Deaths+b.Status().View.Stats.Deaths > 0 {
 		t.Errorf("while keys were rotated: %+v", n)
 	}
 	keyFile(t, dir, "b", "no key")
@@ -194,7 +194,7 @@
 		n := a.Counts()
 		return n.Replayed > 0 && n.BadSeal > 0 && n.UnknownVersion > 0 && n.BadPayload > 0 && n.NotADatagram > 0 && n.UnknownKey > 0
 	})
-	if alive(a) != 1 || a.Status().View.Stats.Died > 0 || b.Status().View.Stats.Died > 0 {
+	if alive(a) != 1 || a.Status().View.Stats.Deaths > 0 || b.Status().View.Stats.Deaths > 0 {
 		t.Errorf("under a flood: %d alive, stats %+v", alive(a), a.Status().View.Stats)
 	}
 }
--- a/internal/peers/status.go
+++ b/internal/peers/status.go
@@ -68,8 +68,8 @@
 	s := p.snapshot()
 	v, before := s.View, p.status.Load()
 	p.status.Store(&s)
-	p.sharing = v.Sharing
-	p.hasDead = slices.ContainsFunc(v.Others, func(g membership.Gateway) bool { return g.Status == membership.Dead })
+	p.sharing = v.ActiveGateways
+	p.hasDead = slices.ContainsFunc(v.Peers, func(g membership.Gateway) bool { return g.Status == membership.Dead })
 	if before == nil {
 		return
 	}
@@ -80,7 +80,7 @@
 	if v.Self.Incarnation != before.View.Self.Incarnation {
 		p.queueIncarnation(v.Self.Incarnation)
 	}
-	p.opt.Log.Info("tier view changed", "epoch", v.Epoch, "others", len(v.Others), "sharing", v.Sharing, "minority", v.Minority, "silenced", v.Silenced)
+	p.opt.Log.Info("tier view changed", "epoch", v.Epoch, "others", len(v.Peers), "sharing", v.ActiveGateways, "minority", v.Minority, "silenced", v.Superseded)
 	if p.opt.OnViewChange != nil {
 		p.opt.OnViewChange(v)
 	}
@@ -88,7 +88,7 @@
 
 // sameView tells whether views differ in times and statistics alone.
 func sameView(a, b membership.View) bool {
-	return a.Epoch == b.Epoch && a.Digest == b.Digest && a.Sharing == b.Sharing && a.Minority == b.Minority && a.Silenced == b.Silenced
+	return a.Epoch == b.Epoch && a.Digest == b.Digest && a.ActiveGateways == b.ActiveGateways && a.Minority == b.Minority && a.Superseded == b.Superseded
 }
 
 // queueIncarnation has an incarnation written in place of an older one that still waits. It
@@ -116,19 +116,19 @@
 // reportTransitions passes every change of status to OnEvent, and logs those that are more than
 // a suspicion or its refutation.
 func (p *Peers) reportTransitions(before, now membership.View) {
-	previous := make(map[string]membership.Gateway, len(before.Others))
-	for _, g := range before.Others {
+	previous := make(map[string]membership.Gateway, len(before.Peers))
+	for _, g := range before.Peers {
 		previous[g.ID] = g
 	}
 	clock := time.Since(p.startedAt)
-	for _, g := range now.Others {
+	for _, g := range now.Peers {
 		old, known := previous[g.ID]
 		if known && old.Status == g.Status {
 			continue
 		}
 		e := Event{
-			Gateway: g.ID, To: g.Status.String(), Incarnation: g.Incarnation, Since: p.startedAt.Add(old.Since), SilentFor: clock - g.LastHeard,
-			OneWay: old.OneWay, Accusers: old.Accusers, LocalHealth: now.LocalHealth, Pauses: now.Stats.Pauses,
+			Gateway: g.ID, To: g.Status.String(), Incarnation: g.Incarnation, Since: p.startedAt.Add(old.StatusSince), SilentFor: clock - g.LastHeard,
+			OneWay: old.OneWay, Accusers: old.SuspectedBy, LocalHealth: now.LocalHealth, Pauses: now.Stats.Pauses,
 		}
 		if known {
 			e.From = old.Status.String()
--- a/internal/rolectl/changes.go
+++ b/internal/rolectl/changes.go
@@ -42,8 +42,8 @@
 }
 
 // facts returns what is known for the decision on a change's next step.
-func (l *leader) facts(ctx context.Context, r rolechange.Record, engines []directory.Engine) rolechange.Facts {
-	f := rolechange.Facts{
+func (l *leader) facts(ctx context.Context, r rolechange.Record, engines []directory.Engine) rolechange.Inputs {
+	f := rolechange.Inputs{
 		Now: time.Now(), Leader: l.lease.value.Gateway, FencingToken: l.lease.FencingToken,
 		Gateways: l.opt.GatewayCount(), Reply: l.replies[r.Engine],
 	}
@@ -55,7 +55,7 @@
 	if report := l.reports[r.Engine]; report != nil {
 		f.Report = &report.Report
 	} else if since := l.silentSince[r.Engine]; !since.IsZero() {
-		f.SilentFor = f.Now.Sub(since)
+		f.UnresponsiveFor = f.Now.Sub(since)
 	}
 	if r.Step == rolechange.Announced {
 		f.Confirmed = l.countConfirmations(ctx, r)
@@ -162,7 +162,7 @@
 	now := time.Now()
 	p := l.planner.Plan(now)
 	l.mu.Lock()
-	l.status.Plan = Plan{At: now, Reason: p.Reason, Change: p.Change, Demand: p.Demand, Capacity: p.Capacity, Before: p.Before, After: p.After}
+	l.status.Plan = Plan{At: now, Reason: p.Reason, Change: p.Change, Demand: p.Demand, Capacity: p.Capacity, Before: p.WithoutChange, After: p.WithChange}
 	l.mu.Unlock()
 	if p.Change == nil {
 		return nil
@@ -194,7 +194,7 @@
 	}
 	r := rolechange.Record{
 		Engine: e.ID, Addr: e.Address, Rack: e.Cell, From: p.Change.From.String(), To: p.Change.To.String(), Step: rolechange.Announced,
-		FencingToken: l.lease.FencingToken, Leader: l.lease.value.Gateway, BegunAt: now.UTC(), StepSince: now.UTC(), Reason: p.Reason,
+		FencingToken: l.lease.FencingToken, Leader: l.lease.value.Gateway, StartedAt: now.UTC(), StepStartedAt: now.UTC(), Reason: p.Reason,
 	}
 	if written, err := l.putRecord(ctx, r, modify); err != nil || !written {
 		return err
--- a/internal/rolectl/election.go
+++ b/internal/rolectl/election.go
@@ -60,9 +60,9 @@
 	}
 	gateway := c.opt.GatewayName()
 	switch rolechange.DecideLock(lock.Session, c.lastSession, gateway) {
-	case rolechange.LeaveLock:
+	case rolechange.SkipLock:
 		return nil, nil
-	case rolechange.EndOwnSession:
+	case rolechange.DestroyOwnSession:
 		return nil, client.EndSession(ctx, lock.Session)
 	}
 	requestedAt := time.Now()
--- a/internal/rolectl/engines.go
+++ b/internal/rolectl/engines.go
@@ -49,7 +49,7 @@
 	now, silentBefore := time.Now(), l.silentSince
 	l.silentSince, l.reports = map[string]time.Time{}, map[string]*engineReport{} // engines that are gone are dropped
 	for _, e := range engines {
-		if _, planned := roles.RoleOf(e.Role); !planned || e.State == stateGone {
+		if _, planned := roles.ParseRole(e.Role); !planned || e.State == stateGone {
 			continue
 		}
 		running <- struct{}{}
--- a/internal/rolectl/leader.go
+++ b/internal/rolectl/leader.go
@@ -58,11 +58,11 @@
 // replay has the planner take into account what an earlier leader did, or this one.
 func (l *leader) replay(e HistoryEntry) {
 	if e.Outcome != rolechange.InProgress {
-		l.planner.Ended(e.At, e.Engine, e.Outcome == rolechange.Done)
+		l.planner.ChangeEnded(e.At, e.Engine, e.Outcome == rolechange.Done)
 		return
 	}
-	to, _ := roles.RoleOf(e.To)
-	l.planner.Begun(e.At, roles.Change{Engine: e.Engine, To: to})
+	to, _ := roles.ParseRole(e.To)
+	l.planner.ChangeStarted(e.At, roles.Change{Engine: e.Engine, To: to})
 }
 
 func (l *leader) leaseValid() bool { return l.lease.Valid(time.Now()) }
@@ -111,7 +111,7 @@
 func (l *leader) recordsByAge() ([]storedRecord, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	records := slices.SortedFunc(maps.Values(l.records), func(a, b storedRecord) int { return a.BegunAt.Compare(b.BegunAt) })
+	records := slices.SortedFunc(maps.Values(l.records), func(a, b storedRecord) int { return a.StartedAt.Compare(b.StartedAt) })
 	return records, l.recordsRead
 }
 
@@ -120,8 +120,8 @@
 	now := time.Now()
 	changes := make(map[string]*roles.ActiveChange, len(records))
 	for _, r := range records {
-		hold, role, since := r.EngineView()
-		changes[r.Engine] = &roles.ActiveChange{Hold: hold, Role: role, RoleFor: now.Sub(since)}
+		hold, role, since := r.Routing()
+		changes[r.Engine] = &roles.ActiveChange{RoutingPaused: hold, Role: role, RoleAge: now.Sub(since)}
 	}
 	var seen []roles.Engine
 	for _, e := range engines {
@@ -129,8 +129,8 @@
 		if r == nil {
 			continue
 		}
-		engine, planned := l.opt.Settings.Assess(roles.Observation{
-			ID: e.ID, Rack: e.Cell, InService: e.State == stateInService, UpFor: time.Duration(e.UpMS) * time.Millisecond, Role: r.Role, Slots: r.Slots,
+		engine, planned := l.opt.Settings.PlannedEngine(roles.Observation{
+			ID: e.ID, Rack: e.Cell, InService: e.State == stateInService, Uptime: time.Duration(e.UpMS) * time.Millisecond, Role: r.Role, Slots: r.Slots,
 			Running: r.Running, Queue: r.Queue, MemoryUsed: r.Memory, Tokens: r.Tokens, BusySeconds: r.Busy,
 			Pinned: l.opt.PinnedEngines[e.ID] || l.opt.PinnedRacks[e.Cell], Change: changes[e.ID],
 		})
--- a/internal/rolectl/records.go
+++ b/internal/rolectl/records.go
@@ -24,7 +24,7 @@
 
 // confirmation is the value by which a gateway confirms a change: an engine's next change has
 // another one.
-func confirmation(r rolechange.Record) string { return r.BegunAt.Format(time.RFC3339Nano) }
+func confirmation(r rolechange.Record) string { return r.StartedAt.Format(time.RFC3339Nano) }
 
 // watchRecords applies the records of changes by blocking queries. While they can't be read the
 // last ones stay in force.
@@ -63,7 +63,7 @@
 			continue // the leader waits for a confirmation no longer than a limit
 		}
 		c.mu.Lock()
-		c.confirmed[r.Engine] = r.BegunAt
+		c.confirmed[r.Engine] = r.StartedAt
 		c.mu.Unlock()
 	}
 }
@@ -78,7 +78,7 @@
 			continue
 		}
 		records[r.Engine] = storedRecord{r, p.ModifyIndex}
-		hold, role, cold := r.EngineView()
+		hold, role, cold := r.Routing()
 		overrides[r.Engine] = roster.Override{Hold: hold, Kind: role, Started: cold, Why: "changes from " + r.From + " to " + r.To + ": " + string(r.Step)}
 	}
 	return records, overrides
@@ -96,7 +96,7 @@
 	}
 	var unconfirmed []rolechange.Record
 	for id, r := range records {
-		if !c.confirmed[id].Equal(r.BegunAt) {
+		if !c.confirmed[id].Equal(r.StartedAt) {
 			unconfirmed = append(unconfirmed, r.Record)
 		}
 	}
--- a/internal/rolectl/rolectl.go
+++ b/internal/rolectl/rolectl.go
@@ -31,7 +31,7 @@
 type Options struct {
 	Directory     *directory.Directory
 	Settings      roles.Settings
-	Limits        rolechange.Limits
+	Limits        rolechange.Timeouts
 	LeaseTTL      time.Duration
 	KeyPrefix     string
 	GatewayName   func() string                  // unique in the tier; "" while it is not known
--- a/internal/rolectl/rolectl_test.go
+++ b/internal/rolectl/rolectl_test.go
@@ -104,7 +104,7 @@
 		}
 	}})
 	opt := Options{
-		Directory: g.keeper, Settings: roles.DefaultSettings(), Limits: rolechange.DefaultLimits(), LeaseTTL: 10 * time.Second, KeyPrefix: "p",
+		Directory: g.keeper, Settings: roles.DefaultSettings(), Limits: rolechange.DefaultTimeouts(), LeaseTTL: 10 * time.Second, KeyPrefix: "p",
 		GatewayName: func() string { return name }, GatewayCount: func() int { return len(w.gates) }, Traffic: func() map[string]core.Traffic { return nil }, Log: log,
 	}
 	opt.Limits.WarmUp = 50 * time.Millisecond
@@ -132,7 +132,7 @@
 	e := w.eng[engineID]
 	r := rolechange.Record{
 		Engine: engineID, Addr: e.Addr(), From: w.roles[engineID], To: to, Step: step, Leader: "killed",
-		BegunAt: time.Now().UTC(), StepSince: time.Now().UTC(), FlippedAt: time.Now().UTC(),
+		StartedAt: time.Now().UTC(), StepStartedAt: time.Now().UTC(), FlippedAt: time.Now().UTC(),
 	}
 	raw, err := jsoniter.Marshal(r)
 	if err == nil {
@@ -169,7 +169,7 @@
 // Hard case: the leader is killed at every step. The next one finishes what it finds, or
 // takes it back, and every gateway holds meanwhile.
 func TestNewLeaderCompletesChange(t *testing.T) {
-	for _, step := range []rolechange.Step{rolechange.Announced, rolechange.Draining, rolechange.Flipping, rolechange.Warming, rolechange.Settled, rolechange.Undoing} {
+	for _, step := range []rolechange.Step{rolechange.Announced, rolechange.Draining, rolechange.Flipping, rolechange.Warming, rolechange.Settled, rolechange.RollingBack} {
 		t.Run(string(step), func(t *testing.T) {
 			t.Parallel()
 			w := newWorld(t)
@@ -181,8 +181,8 @@
 			}
 			w.leave(own, "w1", "read", step)
 			want := rolechange.Done
-			if step == rolechange.Undoing {
-				want = rolechange.Undone
+			if step == rolechange.RollingBack {
+				want = rolechange.RolledBack
 			} else {
 				enginetest.Eventually(t, "it has its new role at both gateways", func() bool {
 					return w.eng["w1"].RoleNow() == engine.Read && own.takes("w1", "read") && second.takes("w1", "read")
@@ -309,16 +309,16 @@
 		spoil func(*engine.Engine)
 		want  rolechange.Outcome
 	}{
-		"it refuses":                   {func(e *engine.Engine) { e.Refuse(true) }, rolechange.Undone},
+		"it refuses":                   {func(e *engine.Engine) { e.Refuse(true) }, rolechange.RolledBack},
 		"it dies":                      {func(e *engine.Engine) { e.Crash() }, rolechange.Failed},
 		"it says it is something else": {func(e *engine.Engine) { e.Lie("both") }, rolechange.Failed},
-		"it hangs in its drain":        {func(e *engine.Engine) { e.Hold(1) }, rolechange.Undone},
+		"it hangs in its drain":        {func(e *engine.Engine) { e.Hold(1) }, rolechange.RolledBack},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			w := newWorld(t)
 			g := w.gate("g1", func(o *Options) {
-				o.Limits.Draining, o.Limits.EngineSilence, o.Limits.WarmUp = 1500*time.Millisecond, 1500*time.Millisecond, time.Minute
+				o.Limits.Draining, o.Limits.EngineUnresponsive, o.Limits.WarmUp = 1500*time.Millisecond, 1500*time.Millisecond, time.Minute
 			})
 			c.spoil(w.eng["w1"])
 			w.leave(g, "w1", "read", rolechange.Announced)
@@ -354,7 +354,7 @@
 	var all core.Traffic
 	g := w.gate("g1", func(o *Options) {
 		o.DryRun = true
-		o.Settings.MaxFleetShare, o.Settings.DemandTimeConstant = 1, time.Second
+		o.Settings.MaxFleetFraction, o.Settings.DemandTimeConstant = 1, time.Second
 		o.Traffic = func() map[string]core.Traffic { // half of all requests are refused
 			mu.Lock()
 			defer mu.Unlock()
--- a/internal/rolectl/stored_test.go
+++ b/internal/rolectl/stored_test.go
@@ -37,10 +37,10 @@
 func storedRecords() map[string]rolechange.Record {
 	begun := rolechange.Record{
 		Engine: "w1", Addr: "10.0.0.7:9000", Rack: 3, From: "write", To: "read", Step: rolechange.Step("announced"), FencingToken: 41, Leader: "edge-a",
-		BegunAt: storedAt, StepSince: storedAt, Reason: "read work needs 3.2 of 2.0 engines, \"busy\" & more",
+		StartedAt: storedAt, StepStartedAt: storedAt, Reason: "read work needs 3.2 of 2.0 engines, \"busy\" & more",
 	}
 	warming := begun
-	warming.Engine, warming.Step, warming.StepSince, warming.FlippedAt = "w2", rolechange.Step("warming"), storedAt.Add(9*time.Second), storedAt.Add(9*time.Second)
+	warming.Engine, warming.Step, warming.StepStartedAt, warming.FlippedAt = "w2", rolechange.Step("warming"), storedAt.Add(9*time.Second), storedAt.Add(9*time.Second)
 	return map[string]rolechange.Record{"change-announced.json": begun, "change-warming.json": warming}
 }
 
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -153,7 +153,7 @@
 // accuser, or drops.
 func (c *collector) collectTier(s peers.Status, gauge, count emit) {
 	members := map[[2]string]int{}
-	for _, g := range s.View.Others {
+	for _, g := range s.View.Peers {
 		reach := "direct"
 		if g.OneWay {
 			reach = "one_way"
@@ -166,13 +166,13 @@
 	yes := map[bool]float64{true: 1}
 	v, st, n := s.View, s.View.Stats, s.Counts
 	for of, x := range map[string]float64{
-		"epoch": float64(v.Epoch), "sharing": float64(v.Sharing), "minority": yes[v.Minority], "silenced": yes[v.Silenced], "distrust": float64(v.LocalHealth),
+		"epoch": float64(v.Epoch), "sharing": float64(v.ActiveGateways), "minority": yes[v.Minority], "silenced": yes[v.Superseded], "distrust": float64(v.LocalHealth),
 	} {
 		gauge(c.tier, x, of)
 	}
 	for event, x := range map[string]uint64{
-		"probes": st.Probes, "unanswered": st.Unanswered, "helped": st.IndirectAcks, "suspected": st.Suspected, "refuted": st.Refuted,
-		"died": st.Died, "pauses": st.Pauses, "namesakes": st.Namesakes, "walks": st.Syncs,
+		"probes": st.Probes, "unanswered": st.FailedProbes, "helped": st.IndirectAcks, "suspected": st.Suspicions, "refuted": st.Refutations,
+		"died": st.Deaths, "pauses": st.Pauses, "namesakes": st.DuplicateNames, "walks": st.Syncs,
 	} {
 		count(c.member, float64(x), event)
 	}
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -39,8 +39,8 @@
 	tier := func() peers.Status {
 		return peers.Status{
 			View: membership.View{
-				Epoch: 7, Sharing: 3, Minority: true, Stats: membership.Stats{Died: 2, Pauses: 1},
-				Others: []membership.Gateway{{Status: membership.Dead}, {OneWay: true}},
+				Epoch: 7, ActiveGateways: 3, Minority: true, Stats: membership.Stats{Deaths: 2, Pauses: 1},
+				Peers: []membership.Gateway{{Status: membership.Dead}, {OneWay: true}},
 			},
 			Counts: peers.Counts{Sent: 5, Replayed: 4},
 		}
@@ -82,7 +82,7 @@
 // wrote them.
 func TestTraces(t *testing.T) {
 	var out bytes.Buffer
-	r := rolechange.Record{Engine: "e1", From: "read", To: "write", Step: rolechange.Announced, BegunAt: time.Now(), StepSince: time.Now()}
+	r := rolechange.Record{Engine: "e1", From: "read", To: "write", Step: rolechange.Announced, StartedAt: time.Now(), StepStartedAt: time.Now()}
 	for _, gateway := range []string{"g1", "g2"} { // two owners, one after the other
 		tracer, err := NewTracer(&out, gateway, 1)
 		if err != nil {
--- a/internal/telemetry/trace.go
+++ b/internal/telemetry/trace.go
@@ -121,7 +121,7 @@
 
 // Step writes one step of a change of role that is over.
 func (t *Tracer) Step(r rolechange.Record, to time.Time, why string) {
-	t.span(within("change "+r.Engine+" "+r.BegunAt.UTC().Format(time.RFC3339Nano)), "change of role: "+string(r.Step), r.StepSince, to, "",
+	t.span(within("change "+r.Engine+" "+r.StartedAt.UTC().Format(time.RFC3339Nano)), "change of role: "+string(r.Step), r.StepStartedAt, to, "",
 		attribute.String("engine", r.Engine), attribute.String("from", r.From), attribute.String("to", r.To),
 		attribute.String("owner", r.Leader), attribute.Int64("fence", int64(r.FencingToken)), attribute.String("why", why))
 }
