--- a/routing/admission.go
+++ b/routing/admission.go
@@ -1,14 +1,14 @@
 package routing
 
 const (
-	minAdmissionPart = 0.4 // part of the objective that the wait may take at priority 0
-	maxAdmissionPart = 0.7 // and at the highest priority: estimates are off by about a third
+	minAdmissionFraction = 0.4 // part of the objective that the wait may take at priority 0
+	maxAdmissionFraction = 0.7 // and at the highest priority: estimates are off by about a third
 )
 
 // overloaded reports whether a request is to be rejected at once: after the wait expected for it,
 // seconds, it would come too late, or make requests of higher priority late.
 func (r *Router) overloaded(req *request, wait float64) bool {
-	part := minAdmissionPart + (maxAdmissionPart-minAdmissionPart)*min(1, req.priority/r.maxPriority)
+	part := minAdmissionFraction + (maxAdmissionFraction-minAdmissionFraction)*min(1, req.priority/r.maxPriority)
 	left := req.objective - r.now
 	for i := range r.set.Classes {
 		if c := &r.set.Classes[i]; c.PriorityWeight > req.priority {
--- a/routing/admission_test.go
+++ b/routing/admission_test.go
@@ -7,7 +7,7 @@
 
 func TestFullMixedEngineRefuses(t *testing.T) {
 	r := newTestRouter(t, testSettings(), testEngine("m", "m", 0))
-	r.engines.byName["m"].memory = 1e5 // of two routers each: all of it
+	r.engines.byName["m"].answerMemory = 1e5 // of two routers each: all of it
 	if a := r.Handle(ms, testRequest(1, 500)); !has[Reject](a) {
 		t.Errorf("a mixed engine without memory took a request: %v", a)
 	}
@@ -20,7 +20,7 @@
 		refused bool
 	}{{0.02, false}, {0.3, true}} {
 		r := newTestRouter(t, testSettings(), testEngine("a", "r", 0), testEngine("w", "w", 0))
-		r.engines.byName["w"].memory = 1e5
+		r.engines.byName["w"].answerMemory = 1e5
 		r.latency.roles[RoleDecode].firstTokenSeconds = c.first
 		if a := r.Handle(ms, testRequest(1, 500)); has[Send](a) == c.refused || has[Reject](a) != c.refused {
 			t.Errorf("first tokens within %.2f s: %v", c.first, a)
--- a/routing/answer.go
+++ b/routing/answer.go
@@ -5,8 +5,8 @@
 // minRetryAfter is the shortest Retry-After: clients that come back sooner find the same load.
 const minRetryAfter = 200 * time.Millisecond
 
-// giveUp gives the final answer at once: Reject if the request may be retried, with a wait.
-func (r *Router) giveUp(req *request, wait time.Duration) {
+// rejectOrFail gives the final answer at once: Reject if the request may be retried, with a wait.
+func (r *Router) rejectOrFail(req *request, wait time.Duration) {
 	if req.effects.clientMayRetry(req.class) {
 		r.reject(req, wait, false)
 		return
@@ -21,7 +21,7 @@
 	if wait = min(max(wait, minRetryAfter), r.set.MaxRetryAfter); !r.set.CanRetryAfter {
 		wait = 0
 	}
-	part := 0.5 + 0.5*r.draws.uniform(req.ID, "wait")
+	part := 0.5 + 0.5*r.random.uniform(req.ID, "wait")
 	if overQuota { // sooner would only be rejected again
 		part += 0.5
 	}
--- a/routing/decodeplacement.go
+++ b/routing/decodeplacement.go
@@ -44,7 +44,7 @@
 	for _, c := range plan {
 		lacking += max(0, c.decodeEngines-c.prefillTarget)
 	}
-	at := r.draws.uniform(req.ID, "cell") * c.prefillTarget / (c.prefillTarget - c.decodeEngines) * lacking
+	at := r.random.uniform(req.ID, "cell") * c.prefillTarget / (c.prefillTarget - c.decodeEngines) * lacking
 	for _, to := range plan {
 		if at -= max(0, to.decodeEngines-to.prefillTarget); at < 0 {
 			return to.id
--- a/routing/decodeplacement_test.go
+++ b/routing/decodeplacement_test.go
@@ -33,7 +33,7 @@
 	}
 	engines = append(engines, testEngine("wa0", "w", 1), testEngine("wa1", "w", 1), testEngine("rb0", "r", 2), testEngine("rb1", "r", 2))
 	answers := map[string]int{}
-	for i, r := range fleet(t, 800, testSettings(), engines...) {
+	for i, r := range newTestRouters(t, 800, testSettings(), engines...) {
 		to := sentTo(t, r.Handle(ms, testRequest(RequestID(i), 1000)))
 		answers[sentTo(t, r.Handle(20*ms, prefilledAt(RequestID(i), 0, to, 0)))]++
 	}
--- a/routing/dispatch.go
+++ b/routing/dispatch.go
@@ -7,34 +7,34 @@
 	minRemainingTime = 30 * time.Millisecond // with less time left an attempt is not answered in time
 )
 
-// toPrefill sends a request to the prefill engine that placement chooses, or holds it for a short
+// dispatchPrefill sends a request to the prefill engine that placement chooses, or holds it for a short
 // part of its objective when none is eligible.
-func (r *Router) toPrefill(req *request) {
+func (r *Router) dispatchPrefill(req *request) {
 	e, wait := r.placePrefill(req)
 	if e == nil {
-		r.hold(req, awaitingPrefill)
+		r.enqueue(req, awaitingPrefill)
 		return
 	}
 	if r.overloaded(req, wait) {
-		r.giveUp(req, seconds(wait/2))
+		r.rejectOrFail(req, seconds(wait/2))
 		return
 	}
 	req.hitTokens = r.cachedTokens(req, e)
 	req.prefillTokens = max(req.PromptTokens-req.hitTokens, 1)
-	req.reportedAhead = r.reportedTokens(e)
+	req.reportedTokensAhead = r.reportedTokens(e)
 	// With the reported queue, so that it is not given up early where there is one.
-	req.queuedAhead = r.queuedTokens(e) + r.reportedQueueTokens(e)
-	tokens := req.queuedAhead + float64(req.prefillTokens) + stepOverheadTokens
+	req.queuedTokensAhead = r.queuedTokens(e) + r.reportedQueueTokens(e)
+	tokens := req.queuedTokensAhead + float64(req.prefillTokens) + stepOverheadTokens
 	req.expectedTime = max(minExpectedTime, seconds(tokens*r.latency.secondsPerToken(e.role())))
 	r.send(req, e, prefilling)
 }
 
-// toDecode sends a request whose prompt is read to a decode engine, or holds it well within
+// dispatchDecode sends a request whose prompt is read to a decode engine, or holds it well within
 // HeldStateLimit.
-func (r *Router) toDecode(req *request) {
+func (r *Router) dispatchDecode(req *request) {
 	e := r.placeDecode(req)
 	if e == nil {
-		r.hold(req, awaitingDecode)
+		r.enqueue(req, awaitingDecode)
 		return
 	}
 	req.expectedTime = max(minExpectedTime, seconds(r.latency.typicalSeconds(e.role(), decoding)))
@@ -44,7 +44,7 @@
 func (r *Router) send(req *request, e *engine, p phase) {
 	r.setPhase(req, p, e)
 	req.attempts++
-	req.servesWhole = p == prefilling && e.role() != RolePrefill
+	req.prefillsAndDecodes = p == prefilling && e.role() != RolePrefill
 	req.sentAt, req.cancelled = r.now, false
 	limit := r.attemptTimeout(req)
 	if r.set.CanCancel { // cancelOverdue tells a silent engine from a busy one
--- a/routing/draw.go
+++ b/routing/draw.go
@@ -1,10 +1,10 @@
 package routing
 
-// draws is this router's randomness: draws that repeat from the seed. It changes nothing.
-type draws struct{ seed uint64 }
+// seededRandom is this router's randomness: seededRandom that repeat from the seed. It changes nothing.
+type seededRandom struct{ seed uint64 }
 
 // uniform returns a number in [0,1) that depends on seed, request and salt alone.
-func (d draws) uniform(id RequestID, salt string) float64 {
+func (d seededRandom) uniform(id RequestID, salt string) float64 {
 	x := d.seed ^ uint64(id)*0x9e3779b97f4a7c15
 	for i := 0; i < len(salt); i++ {
 		x = (x ^ uint64(salt[i])) * 0x100000001b3
@@ -14,8 +14,8 @@
 	return float64((x^x>>31)>>11) / (1 << 53)
 }
 
-// hashUnit returns a number in (0,1) that is the same at every router: an FNV-1a hash with a finaliser.
-func hashUnit(text, name string) float64 {
+// hashToUnit returns a number in (0,1) that is the same at every router: an FNV-1a hash with a finaliser.
+func hashToUnit(text, name string) float64 {
 	x := uint64(14695981039346656037)
 	for _, s := range [2]string{text, name} {
 		for i := 0; i < len(s); i++ {
--- a/routing/effects.go
+++ b/routing/effects.go
@@ -20,8 +20,8 @@
 	f.runs = append(f.runs, possibleRun{e.Zone, e.Cell, now})
 }
 
-// undoLatest drops the latest attempt, which has proved not to have run.
-func (f *effectRecord) undoLatest() {
+// removeLatest drops the latest attempt, which has proved not to have run.
+func (f *effectRecord) removeLatest() {
 	if n := len(f.runs); n > 0 {
 		f.runs = f.runs[:n-1]
 	}
--- a/routing/eligibility.go
+++ b/routing/eligibility.go
@@ -21,7 +21,7 @@
 			continue
 		}
 		allowed = append(allowed, e)
-		if e != req.lastFailed && r.trusted(e) {
+		if e != req.lastFailedEngine && r.trusted(e) {
 			healthy = append(healthy, e)
 		}
 	}
--- a/routing/enginetable.go
+++ b/routing/enginetable.go
@@ -60,7 +60,7 @@
 }
 
 func (r *Router) onEngineList(event EngineList) {
-	r.subscription.answered(event.Scope)
+	r.subscription.update(event.Scope)
 	if event.Scope == EngineListStale && r.set.MustSubscribe {
 		r.subscribe()
 	}
--- a/routing/harness_test.go
+++ b/routing/harness_test.go
@@ -80,8 +80,8 @@
 	r.engines.byName[at].cache.sessions[session] = cacheEntry{tokens, r.now}
 }
 
-// fleet makes routers that differ in seed alone.
-func fleet(t *testing.T, n int, set Settings, engines ...EngineInfo) []*Router {
+// newTestRouters makes routers that differ in seed alone.
+func newTestRouters(t *testing.T, n int, set Settings, engines ...EngineInfo) []*Router {
 	t.Helper()
 	set.Gateways = n
 	var all []*Router
--- a/routing/holdqueue.go
+++ b/routing/holdqueue.go
@@ -5,9 +5,9 @@
 )
 
 const (
-	tickInterval        = 50 * time.Millisecond // between looks at held requests and silent attempts
-	maxHoldOfStateLimit = 0.5                   // of HeldStateLimit, for a wait for a decode engine
-	maxHoldOfObjective  = 0.4                   // of the objective, for a wait for a prefill engine
+	tickInterval           = 50 * time.Millisecond // between looks at held requests and silent attempts
+	maxDecodeHoldFraction  = 0.5                   // of HeldStateLimit, for a wait for a decode engine
+	maxPrefillHoldFraction = 0.4                   // of the objective, for a wait for a prefill engine
 )
 
 // holdQueue holds the requests that wait for an engine or a probe, in order of arrival. It reads and
@@ -18,29 +18,29 @@
 
 func (h *holdQueue) add(req *request) { h.requests = append(h.requests, req) }
 
-func (h *holdQueue) remove(req *request) { h.requests = without(h.requests, req) }
+func (h *holdQueue) remove(req *request) { h.requests = removeRequest(h.requests, req) }
 
-// takeAll empties the queue and returns what it held.
-func (h *holdQueue) takeAll() []*request {
+// removeAll empties the queue and returns what it held.
+func (h *holdQueue) removeAll() []*request {
 	all := h.requests
 	h.requests = nil
 	return all
 }
 
-// hold keeps a request for another try at every tick, one whose state is held well within
+// enqueue keeps a request for another try at every tick, one whose state is held well within
 // HeldStateLimit, and gives it up when the next tick would be too late.
-func (r *Router) hold(req *request, p phase) {
+func (r *Router) enqueue(req *request, p phase) {
 	if req.phase != p {
 		r.setPhase(req, p, nil)
 	}
 	// From the latest attempt in flight, however many then had no connection.
-	end := req.lastInFlight + time.Duration(maxHoldOfStateLimit*float64(r.set.HeldStateLimit))
+	end := req.lastInFlightAt + time.Duration(maxDecodeHoldFraction*float64(r.set.HeldStateLimit))
 	if p == awaitingPrefill {
-		end = req.phaseSince + time.Duration(maxHoldOfObjective*float64(req.class.FirstTokenObjective))
+		end = req.phaseSince + time.Duration(maxPrefillHoldFraction*float64(req.class.FirstTokenObjective))
 	}
-	if r.now+r.tick() >= min(end, req.deadline-minRemainingTime) { // the next look would be too late
-		r.giveUp(req, r.observedWait())
+	if r.now+r.tickPeriod() >= min(end, req.deadline-minRemainingTime) { // the next look would be too late
+		r.rejectOrFail(req, r.observedWait())
 		return
 	}
-	r.held.add(req)
+	r.holdQueue.add(req)
 }
--- a/routing/hostile_test.go
+++ b/routing/hostile_test.go
@@ -285,7 +285,7 @@
 
 // checkClosed checks that the router keeps nothing of requests that have ended.
 func (w *hostileWorld) checkClosed() {
-	if len(w.router.requests) != 0 || len(w.router.held.requests) != 0 {
+	if len(w.router.requests) != 0 || len(w.router.holdQueue.requests) != 0 {
 		w.fail("%d requests left behind", len(w.router.requests))
 	}
 	for _, e := range w.router.engines.ordered {
--- a/routing/latency.go
+++ b/routing/latency.go
@@ -109,11 +109,11 @@
 // recordPrefill takes one sample of the time that an engine needs for a prefill into all estimates.
 func (r *Router) recordPrefill(e *engine, req *request, ownTokens float64, took time.Duration) {
 	role, seconds := e.role(), took.Seconds()
-	tokens := req.queuedAhead + ownTokens + stepOverheadTokens
+	tokens := req.queuedTokensAhead + ownTokens + stepOverheadTokens
 	perToken := r.latency.secondsPerToken(role)
 	e.backlog.observe(seconds/perToken-tokens, r.now)
 	e.pace.observe(seconds/tokens/perToken, r.now)
-	r.latency.observePrefill(role, ownTokens+stepOverheadTokens, tokens, req.reportedAhead, seconds)
+	r.latency.observePrefill(role, ownTokens+stepOverheadTokens, tokens, req.reportedTokensAhead, seconds)
 }
 
 // decodeWait is the typical wait for a first token while fresh, in seconds, or the wait at half of the
@@ -128,7 +128,7 @@
 	if p := e.pace.current(r.now) / max(r.pool(e.role()).pace, 0.1); p > slowThreshold {
 		s = p
 	}
-	if overdue := e.overdue(r.now); overdue > overdueRatio && e.silentSince(e.oldestInFlight().sentAt) {
+	if overdue := e.maxAgeRatio(r.now); overdue > overdueRatio && e.noResponseSince(e.oldestInFlight().sentAt) {
 		s = max(s, overdue)
 	}
 	return min(s, maxSlowdown)
--- a/routing/load.go
+++ b/routing/load.go
@@ -107,7 +107,7 @@
 // work.
 func (r *Router) memoryFill(e *engine) float64 {
 	capacity := max(e.kind.Memory, 1)
-	own := e.memory * float64(r.set.Gateways) / capacity
+	own := e.answerMemory * float64(r.set.Gateways) / capacity
 	if e.report.latest.MemoryUsed == nil {
 		return own
 	}
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -45,13 +45,13 @@
 // cause fails all alike, recordResult ejects none and eligible keeps half.
 func (r *Router) recordOutcome(e *engine, req *request, event Outcome) {
 	if event.Status != StatusTimeout && event.Status != StatusCancelled && event.Status != StatusNotSent {
-		e.heard(r.now)
+		e.recordResponse(r.now)
 	}
 	key := rateLimitKey(req)
 	r.rateLimits.observe(key, event.Status == StatusRejected)
 	switch event.Status {
 	case StatusPrefilled:
-		e.succeeded(req.sentAt)
+		e.recordSuccess(req.sentAt)
 		r.recordResult(e, 0, 1)
 		r.recordPrefill(e, req, float64(req.PromptTokens-event.CachedTokens), event.Latency)
 		r.recordThroughput(e, r.meanPrompt.of(req.Class))
@@ -60,7 +60,7 @@
 	case StatusError:
 		r.recordResult(e, 1, 1)
 	case StatusTimeout:
-		if e.silentSince(req.sentAt) { // a busy engine has not failed
+		if e.noResponseSince(req.sentAt) { // a busy engine has not failed
 			r.recordResult(e, 1, 1)
 		}
 	case StatusReset, StatusConnectFailed:
--- a/routing/placement.go
+++ b/routing/placement.go
@@ -96,7 +96,7 @@
 	if e.prefills == 0 && e.role() == RolePrefill && r.reportedQueueTokens(e) < stepOverheadTokens {
 		wait = decodeWait // an idle one is tried
 	}
-	wait = max(wait, e.oldestAge(r.now)) // first come, first served: the oldest shows the least wait
+	wait = max(wait, e.oldestAgeSeconds(r.now)) // first come, first served: the oldest shows the least wait
 	switch {
 	case e.role() == RolePrefill && r.freeDecodeTokens() < r.memoryEstimate(req):
 		wait += memoryShortageWeight * decodeWait // an estimate: the wait seen tells how much it matters
@@ -120,7 +120,7 @@
 	var best *engine
 	var low, tie float64
 	for _, e := range pool {
-		c, t := cost(e), r.draws.uniform(req.ID, e.Name)
+		c, t := cost(e), r.random.uniform(req.ID, e.Name)
 		if best == nil || c < low-1e-12 || c <= low+1e-12 && t < tie {
 			best, low, tie = e, c, t
 		}
--- a/routing/poolstats.go
+++ b/routing/poolstats.go
@@ -23,8 +23,8 @@
 			stats.warm++
 		}
 		fail = append(fail, e.failures.failureRate())
-		age = append(age, e.oldestAge(r.now))
-		overdue = append(overdue, e.overdue(r.now))
+		age = append(age, e.oldestAgeSeconds(r.now))
+		overdue = append(overdue, e.maxAgeRatio(r.now))
 		pace = append(pace, e.pace.current(r.now))
 		stats.waitingTokens += e.report.trustedWaiting(r.now)
 	}
--- a/routing/prefixhomes.go
+++ b/routing/prefixhomes.go
@@ -56,7 +56,7 @@
 	if homes < len(pool) {
 		of := make(map[*engine]float64, len(pool))
 		for _, e := range pool {
-			of[e] = hashUnit(text, e.Name)
+			of[e] = hashToUnit(text, e.Name)
 		}
 		slices.SortFunc(ranked, func(a, b *engine) int { return cmp.Compare(of[a], of[b]) })
 		ranked = ranked[:homes]
@@ -69,7 +69,7 @@
 			c := findCell(plan, e.Cell)
 			weight = e.Weight * c.prefillTarget / c.prefillEngines
 		}
-		if far := -math.Log(hashUnit(cmp.Or(req.Session, text), e.Name)) / max(weight, 1e-9); far < low {
+		if far := -math.Log(hashToUnit(cmp.Or(req.Session, text), e.Name)) / max(weight, 1e-9); far < low {
 			home, low, secondHome, next = e, far, home, low
 		} else if far < next {
 			secondHome, next = e, far
--- a/routing/prefixhomes_test.go
+++ b/routing/prefixhomes_test.go
@@ -17,7 +17,7 @@
 // Each router would learn a kept text anew; they must expect it at the same prefill engine.
 func TestRoutersAgreeOnPrefixHome(t *testing.T) {
 	perText := map[string]map[string]bool{}
-	for i, r := range fleet(t, 60, testSettings(), prefillEngines(20)...) {
+	for i, r := range newTestRouters(t, 60, testSettings(), prefillEngines(20)...) {
 		q := testRequest(RequestID(i), 4000)
 		q.Prefix, q.PrefixLen = fmt.Sprint("p", i%2), 3500
 		to := sentTo(t, r.Handle(ms, q))
@@ -37,7 +37,7 @@
 // rare text more homes, and each home would have to read it first.
 func TestRarePrefixHasTwoHomes(t *testing.T) {
 	at, again := map[string]bool{}, map[string]bool{}
-	for i, r := range fleet(t, 200, testSettings(), prefillEngines(90)...) {
+	for i, r := range newTestRouters(t, 200, testSettings(), prefillEngines(90)...) {
 		q := testRequest(RequestID(i), 4000)
 		q.Prefix, q.PrefixLen, q.Session = "rare", 3500, fmt.Sprint("s", i)
 		at[sentTo(t, r.Handle(ms, q))] = true
--- a/routing/probe.go
+++ b/routing/probe.go
@@ -29,11 +29,11 @@
 // gateways each uses it too seldom to know its queue. The request is held until the engine answers, or
 // for probeTimeout.
 func (r *Router) probeFirst(req *request, pool []*engine, cost func(*engine) float64) bool {
-	if !r.set.CanProbe || r.set.Gateways < manyGateways || req.probed != nil || len(pool) < 2 {
+	if !r.set.CanProbe || r.set.Gateways < manyGateways || req.probedEngine != nil || len(pool) < 2 {
 		return false
 	}
 	e := slices.MinFunc(pool, func(a, b *engine) int { return cmp.Compare(cost(a), cost(b)) })
-	req.probed = e
+	req.probedEngine = e
 	if e.report.age(r.now) < freshReportAge {
 		return false
 	}
@@ -52,11 +52,11 @@
 	}
 	e.report.take(event.Report, r.now)
 	e.probe.answered(r.now)
-	for _, req := range r.held.takeAll() {
-		if req.phase == awaitingPrefill && req.probed != nil && !req.probed.probe.pending(r.now) {
-			r.toPrefill(req)
+	for _, req := range r.holdQueue.removeAll() {
+		if req.phase == awaitingPrefill && req.probedEngine != nil && !req.probedEngine.probe.pending(r.now) {
+			r.dispatchPrefill(req)
 		} else {
-			r.held.add(req)
+			r.holdQueue.add(req)
 		}
 	}
 }
--- a/routing/probe_test.go
+++ b/routing/probe_test.go
@@ -36,7 +36,7 @@
 	}
 	r = newTestRouter(t, set, engines...)
 	r.Handle(time.Second, testRequest(1, 1000))
-	if !has[Send](r.Handle(time.Second+r.tick(), TimerFired{Name: "tick"})) {
+	if !has[Send](r.Handle(time.Second+r.tickPeriod(), TimerFired{Name: "tick"})) {
 		t.Error("a request that waits for a lost probe was not sent at the tick")
 	}
 	// Few routers, no probes allowed, or no text that draws all alike: sent at once.
@@ -71,7 +71,7 @@
 			t.Fatalf("%s: %v, want a probe and no send", name, first)
 		}
 		gone := slices.Clone(r.Handle(time.Second+ms, ClientGone{ID: 1}))
-		then := r.Handle(time.Second+r.tick(), after(first[at].(Probe).Engine))
+		then := r.Handle(time.Second+r.tickPeriod(), after(first[at].(Probe).Engine))
 		if has[Send](gone) || has[Send](then) || len(r.requests) > 0 {
 			t.Errorf("%s: %v, then %v, %d requests left", name, gone, then, len(r.requests))
 		}
--- a/routing/quota.go
+++ b/routing/quota.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	quotaShareSlack   = 1.2 // times an even part, as tenants' requests are spread unevenly over gateways
-	quotaBurstSeconds = 2.0 // seconds of quota that may be saved up
+	quotaImbalanceFactor = 1.2 // times an even part, as tenants' requests are spread unevenly over gateways
+	quotaBurstSeconds    = 2.0 // seconds of quota that may be saved up
 )
 
 // quotas holds this router's part of every tenant's quota. It reads and changes nothing else. Requests
@@ -17,14 +17,14 @@
 // tokenBucket is this router's part of a tenant's quota, in requests and requests a second.
 type tokenBucket struct {
 	rate, tokens float64
-	at           Time // when tokens was brought up to date
+	refilledAt   Time // when tokens was brought up to date
 }
 
 func newQuotas(set *Settings) quotas {
 	q := quotas{buckets: map[string]*tokenBucket{}, overQuotaWeight: set.OverQuotaWeight}
 	for _, t := range set.Tenants {
 		if t.Quota > 0 {
-			rate := quotaShareSlack * t.Quota / float64(set.Gateways)
+			rate := quotaImbalanceFactor * t.Quota / float64(set.Gateways)
 			q.buckets[t.Name] = &tokenBucket{rate: rate, tokens: max(rate*quotaBurstSeconds, 1)}
 		}
 	}
@@ -34,15 +34,15 @@
 // burst is how many requests may come at once: at least one, however small the quota.
 func (b *tokenBucket) burst() float64 { return max(b.rate*quotaBurstSeconds, 1) }
 
-// take takes a request from its tenant's quota and returns its priority weight: 1 within the quota,
+// consume takes a request from its tenant's quota and returns its priority weight: 1 within the quota,
 // overQuotaWeight above it.
-func (q *quotas) take(tenant string, now Time) float64 {
+func (q *quotas) consume(tenant string, now Time) float64 {
 	b := q.buckets[tenant]
 	if b == nil {
 		return 1
 	}
-	b.tokens = min(b.burst(), b.tokens+b.rate*(now-b.at).Seconds())
-	b.at = now
+	b.tokens = min(b.burst(), b.tokens+b.rate*(now-b.refilledAt).Seconds())
+	b.refilledAt = now
 	if b.tokens < 1 {
 		return q.overQuotaWeight
 	}
--- a/routing/ratelimit.go
+++ b/routing/ratelimit.go
@@ -3,16 +3,16 @@
 import "time"
 
 const (
-	rejectionBackoff  = 150 * time.Millisecond // an engine that rejected a request gets no like one
-	rateLimitedShare  = 0.25                   // of attempts rejected, above what full engines bring by chance
-	rateLimitedOthers = 0.2                    // of it for others: in an overload all are rejected alike
-	rateLimitBackoff  = 10 * time.Second       // the same where the engine limits a rate, which lasts
+	rejectionBackoff     = 150 * time.Millisecond // an engine that rejected a request gets no like one
+	rateLimitedThreshold = 0.25                   // of attempts rejected, above what full engines bring
+	rateLimitedPeerRatio = 0.2                    // of it for others: in an overload all are rejected alike
+	rateLimitBackoff     = 10 * time.Second       // the same where the engine limits a rate, which lasts
 )
 
 // rateLimits detects engines that limit the rate of a tenant's class, from the outcomes of attempts. It
 // reads and changes nothing else. The retry decision and the backoff after a rejection ask it.
 type rateLimits struct {
-	rejectedShare map[string]float64 // of attempts, by rateLimitKey
+	rejectedFraction map[string]float64 // of attempts, by rateLimitKey
 }
 
 // rejectionBackoffs tells which requests one engine has lately rejected. It reads and changes nothing
@@ -35,16 +35,16 @@
 	if rejected {
 		sample = 1
 	}
-	l.rejectedShare[key] += (sample - l.rejectedShare[key]) * typicalEWMAWeight
+	l.rejectedFraction[key] += (sample - l.rejectedFraction[key]) * typicalEWMAWeight
 }
 
 // limited reports whether engines reject requests of a key far more often than others: then they have
 // room, and another attempt is cheap. In an overload all are rejected alike. It could do harm where one
 // tenant sends far more than the others.
 func (l *rateLimits) limited(key string) bool {
-	mine := l.rejectedShare[key]
-	for _, others := range l.rejectedShare {
-		if mine > rateLimitedShare && others < rateLimitedOthers*mine {
+	mine := l.rejectedFraction[key]
+	for _, others := range l.rejectedFraction {
+		if mine > rateLimitedThreshold && others < rateLimitedPeerRatio*mine {
 			return true
 		}
 	}
--- a/routing/ratelimit_test.go
+++ b/routing/ratelimit_test.go
@@ -22,7 +22,7 @@
 				r.Handle(now+3*ms, Outcome{ID: id, Attempt: 1, Engine: "w", Status: StatusServed, Final: true})
 				continue
 			}
-			r.retries.attempts = 0
+			r.retryBudget.attempts = 0
 			if has[Send](r.Handle(now+ms, Outcome{ID: id, Engine: to, Status: StatusRejected})) {
 				second++
 				r.Handle(now+2*ms, ClientGone{ID: id})
--- a/routing/request.go
+++ b/routing/request.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// assumedAnswerPart is the part of MaxTokens that an answer takes, when no hint is given.
-const assumedAnswerPart = 0.3
+// assumedAnswerFraction is the part of MaxTokens that an answer takes, when no hint is given.
+const assumedAnswerFraction = 0.3
 
 // phase is where a request is on its way.
 type phase uint8
@@ -26,19 +26,19 @@
 	phase               phase
 	home, secondHome    *engine // where its prefix is expected to be cached
 	engine, stateHolder *engine // with the attempt in flight; which holds the state
-	lastFailed          *engine // the last engine that failed it
+	lastFailedEngine    *engine // the last engine that failed it
 	attempts            int
 	sentAt, phaseSince  Time    // when the attempt left; when the phase began
-	lastInFlight        Time    // when an attempt was last in flight: the wait of held state counts from it
+	lastInFlightAt      Time    // when an attempt was last in flight: the wait of held state counts from it
 	prefillTokens       int     // expected to be read
-	queuedAhead         float64 // tokens queued at the engine before it
-	reportedAhead       float64 // tokens that the engine's report showed waiting
+	queuedTokensAhead   float64 // tokens queued at the engine before it
+	reportedTokensAhead float64 // tokens that the engine's report showed waiting
 	hitTokens           int     // expected to be cached
 	expectedTime        time.Duration
 	ended               bool // answered, or the client has gone
 	cancelled           bool
-	servesWhole         bool    // the attempt prefills and decodes
-	probed              *engine // asked for its load before the first placement
+	prefillsAndDecodes  bool    // the attempt prefills and decodes
+	probedEngine        *engine // asked for its load before the first placement
 	effects             effectRecord
 }
 
@@ -49,7 +49,7 @@
 
 // memoryEstimate estimates the memory that a request takes while it is answered, in tokens.
 func (r *Router) memoryEstimate(req *request) float64 {
-	out := assumedAnswerPart * float64(req.MaxTokens)
+	out := assumedAnswerFraction * float64(req.MaxTokens)
 	if req.DurationHint > 0 && req.class != nil && req.class.TokenIntervalObjective > 0 {
 		out = float64(req.DurationHint) / float64(req.class.TokenIntervalObjective)
 	}
@@ -59,7 +59,7 @@
 // setPhase is the one place where a request changes phase: it keeps the account of
 // what is in flight, queued and held at each engine.
 func (r *Router) setPhase(req *request, p phase, at *engine) {
-	r.account(req, -1)
+	r.updateWorkload(req, -1)
 	if req.engine != nil {
 		req.engine.removeInFlight(req)
 	}
@@ -67,12 +67,12 @@
 	if p == prefilling || p == decoding {
 		at.addInFlight(req)
 	}
-	r.account(req, 1)
+	r.updateWorkload(req, 1)
 }
 
-// account adds a request to the work of its engines, or takes it off, with sign -1: what counts as load
-// and as memory in use.
-func (r *Router) account(req *request, sign int) {
+// updateWorkload adds a request to the work of its engines, or takes it off, with sign -1: what counts as
+// load and as memory in use.
+func (r *Router) updateWorkload(req *request, sign int) {
 	if req.stateHolder != nil && (req.phase == awaitingDecode || req.phase == decoding) {
 		req.stateHolder.addHeldState(sign, float64(req.PromptTokens))
 	}
@@ -94,17 +94,17 @@
 	}
 }
 
-// attemptEnded accounts for the end of a request's attempt. One that had no connection was never in
+// endAttempt accounts for the end of a request's attempt. One that had no connection was never in
 // flight.
-func (r *Router) attemptEnded(req *request, s Status) {
+func (r *Router) endAttempt(req *request, s Status) {
 	r.setPhase(req, awaitingPrefill, nil)
 	if s != StatusConnectFailed {
-		req.lastInFlight = r.now
+		req.lastInFlightAt = r.now
 	}
 }
 
-// clientGone ends a request whose client has gone: at once, or when the attempt in flight has ended.
-func (r *Router) clientGone(req *request) {
+// onClientGone ends a request whose client has gone: at once, or when the attempt in flight has ended.
+func (r *Router) onClientGone(req *request) {
 	if req.engine == nil {
 		r.finish(req)
 		return
@@ -128,6 +128,6 @@
 		r.emit(Release{req.ID})
 	}
 	r.setPhase(req, awaitingPrefill, nil)
-	r.held.remove(req)
+	r.holdQueue.remove(req)
 	delete(r.requests, req.ID)
 }
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -14,35 +14,35 @@
 // newRetryBudget returns one with little in it: all gateways may have restarted.
 func newRetryBudget() retryBudget { return retryBudget{attempts: 1} }
 
-// earn adds a request's part.
-func (b *retryBudget) earn(gateways int) {
+// deposit adds a request's part.
+func (b *retryBudget) deposit(gateways int) {
 	b.attempts = min(1+maxRetryBudget/float64(gateways), b.attempts+retriesPerRequest)
 }
 
 func (b *retryBudget) empty() bool { return b.attempts < 1 }
 
-func (b *retryBudget) spend() { b.attempts-- }
+func (b *retryBudget) withdraw() { b.attempts-- }
 
-// retryOrGiveUp decides what follows a failed attempt, within the retry budget: held state goes to
+// retryIfAllowed decides what follows a failed attempt, within the retry budget: held state goes to
 // another decode engine, anything else is prefilled again.
-func (r *Router) retryOrGiveUp(req *request, s Status) {
+func (r *Router) retryIfAllowed(req *request, s Status) {
 	left := req.maxAttempts - req.attempts
 	spent := left < 1 || left < 2 && req.stateHolder == nil // a prefill and a decode are two
 	late := req.deadline-r.now < minRemainingTime
 	if spent || late || req.effects.forbidsRetry(req.class) || s == StatusNotSent || r.shuttingDown {
-		r.giveUp(req, 0)
+		r.rejectOrFail(req, 0)
 		return
 	}
 	if s != StatusRejected || !r.rateLimits.limited(rateLimitKey(req)) {
-		if r.retries.empty() {
-			r.giveUp(req, r.observedWait())
+		if r.retryBudget.empty() {
+			r.rejectOrFail(req, r.observedWait())
 			return
 		}
-		r.retries.spend()
+		r.retryBudget.withdraw()
 	}
 	if req.stateHolder != nil {
-		r.toDecode(req)
+		r.dispatchDecode(req)
 		return
 	}
-	r.toPrefill(req)
+	r.dispatchPrefill(req)
 }
--- a/routing/retry_test.go
+++ b/routing/retry_test.go
@@ -50,7 +50,7 @@
 				r.Handle(time.Second, testRequest(RequestID(n+1), 100))
 			}
 			at := sentTo(t, r.Handle(1200*ms, testRequest(id, 100)))
-			r.retries.attempts = 0
+			r.retryBudget.attempts = 0
 			for _, a := range r.Handle(2200*ms, Outcome{ID: id, Engine: at, Status: StatusError}) {
 				if f, ok := a.(Reject); ok {
 					all = append(all, f.RetryAfter)
--- a/routing/router.go
+++ b/routing/router.go
@@ -15,19 +15,19 @@
 
 	now     Time
 	actions []Action // of this event
-	draws   draws
+	random  seededRandom
 
-	requests map[RequestID]*request
-	held     holdQueue
-	engines  engineTable
-	pools    [RoleMixed + 1]poolStats // for one event; see pool
-	cells    cellPlan
+	requests  map[RequestID]*request
+	holdQueue holdQueue
+	engines   engineTable
+	pools     [RoleMixed + 1]poolStats // for one event; see pool
+	cells     cellPlan
 
 	popularity   prefixPopularity
 	latency      latencyModel
 	throughputs  [RoleMixed + 1]throughput
 	quotas       quotas
-	retries      retryBudget
+	retryBudget  retryBudget
 	rateLimits   rateLimits
 	subscription subscription
 	meanPrompt   promptMeans
@@ -43,9 +43,9 @@
 		return nil, err
 	}
 	r := &Router{
-		set: set, kinds: map[string]*Kind{}, draws: draws{seed},
+		set: set, kinds: map[string]*Kind{}, random: seededRandom{seed},
 		requests: map[RequestID]*request{}, engines: engineTable{byName: map[string]*engine{}},
-		popularity: prefixPopularity{map[string]float64{}}, quotas: newQuotas(&set), retries: newRetryBudget(),
+		popularity: prefixPopularity{map[string]float64{}}, quotas: newQuotas(&set), retryBudget: newRetryBudget(),
 		rateLimits: rateLimits{map[string]float64{}}, meanPrompt: promptMeans{map[string]float64{}},
 	}
 	r.indexClasses()
@@ -80,7 +80,7 @@
 		r.onOutcome(event)
 	case ClientGone:
 		if req := r.requests[event.ID]; req != nil {
-			r.clientGone(req)
+			r.onClientGone(req)
 		}
 	case GatewaysChanged:
 		r.onGatewaysChanged(event.Gateways)
@@ -94,28 +94,28 @@
 	}
 	if !r.timerSet {
 		r.timerSet = true
-		r.emit(SetTimer{In: r.tick(), Name: "tick"})
+		r.emit(SetTimer{In: r.tickPeriod(), Name: "tick"})
 	}
 	return r.actions
 }
 
 func (r *Router) emit(a Action) { r.actions = append(r.actions, a) }
 
-func (r *Router) tick() time.Duration {
+func (r *Router) tickPeriod() time.Duration {
 	return max(min(tickInterval, r.set.HeldStateLimit/8), r.set.Tick)
 }
 
 // onTick retries held requests and cancels overdue attempts, for which no event comes.
 func (r *Router) onTick() {
 	r.timerSet = false
-	if r.set.MustSubscribe && r.subscription.due(r.now) {
+	if r.set.MustSubscribe && r.subscription.shouldRetry(r.now) {
 		r.subscribe()
 	}
-	for _, req := range r.held.takeAll() {
+	for _, req := range r.holdQueue.removeAll() {
 		if req.phase == awaitingDecode {
-			r.toDecode(req)
+			r.dispatchDecode(req)
 		} else {
-			r.toPrefill(req)
+			r.dispatchPrefill(req)
 		}
 	}
 	for role := RolePrefill; role <= RoleMixed && r.set.CanCancel; role++ {
@@ -134,20 +134,20 @@
 	}
 	r.requests[event.ID] = req
 	if class == nil || r.shuttingDown { // what is sent now would only be cancelled
-		r.giveUp(req, 0)
+		r.rejectOrFail(req, 0)
 		return
 	}
 	req.objective = min(r.now+class.firstTokenObjective(event.PromptTokens), req.deadline)
-	share := r.quotas.take(event.Tenant, r.now)
+	share := r.quotas.consume(event.Tenant, r.now)
 	if share == 0 { // no priority: come back when the quota allows one more
 		r.reject(req, r.quotas.refillTime(event.Tenant), true)
 		return
 	}
 	req.priority = class.PriorityWeight * share
-	r.retries.earn(r.set.Gateways)
+	r.retryBudget.deposit(r.set.Gateways)
 	r.popularity.count(event.Prefix)
 	r.meanPrompt.observe(event.Class, event.PromptTokens)
-	r.toPrefill(req)
+	r.dispatchPrefill(req)
 }
 
 func (r *Router) onFirstToken(event FirstToken) {
@@ -156,8 +156,8 @@
 		return
 	}
 	e := req.engine
-	e.heard(r.now)
-	e.succeeded(req.sentAt)
+	e.recordResponse(r.now)
+	e.recordSuccess(req.sentAt)
 	req.cancelled = false
 	if req.phase == prefilling {
 		r.recordPrefill(e, req, float64(req.prefillTokens), event.Latency)
@@ -180,13 +180,13 @@
 	}
 	e := req.engine
 	r.recordOutcome(e, req, event)
-	if event.Status == StatusPrefilled || event.Status == StatusServed && req.servesWhole {
+	if event.Status == StatusPrefilled || event.Status == StatusServed && req.prefillsAndDecodes {
 		e.cache.record(&req.Request, r.now)
 	}
 	if e.role() != RolePrefill && provesNoEffect(event.Status) {
-		req.effects.undoLatest()
+		req.effects.removeLatest()
 	}
-	r.attemptEnded(req, event.Status)
+	r.endAttempt(req, event.Status)
 	if event.Status == StatusPrefilled {
 		req.stateHolder = e
 	}
@@ -194,13 +194,13 @@
 	case event.Final || req.ended:
 		r.finish(req)
 	case event.Status == StatusPrefilled && req.attempts < req.maxAttempts:
-		r.toDecode(req)
+		r.dispatchDecode(req)
 	default:
 		if event.StateMissing {
 			req.stateHolder = nil
 		}
-		req.lastFailed = e
-		r.retryOrGiveUp(req, event.Status)
+		req.lastFailedEngine = e
+		r.retryIfAllowed(req, event.Status)
 	}
 }
 
@@ -212,7 +212,7 @@
 			if req.engine != nil {
 				r.cancel(req)
 			}
-			r.giveUp(req, 0)
+			r.rejectOrFail(req, 0)
 		}
 	}
 }
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -90,8 +90,8 @@
 		r.set.OverloadMultiple * r.set.SlowStartCapacity
 	if len(e.slowStart.sends) == 0 && limit < tokens {
 		// Each router's windows begin at a time of its own.
-		window := float64(r.now)/float64(r.set.OverloadWindow) + r.draws.uniform(0, e.Name)
-		return r.draws.uniform(RequestID(window), e.Name) < limit/tokens
+		window := float64(r.now)/float64(r.set.OverloadWindow) + r.random.uniform(0, e.Name)
+		return r.random.uniform(RequestID(window), e.Name) < limit/tokens
 	}
 	return e.slowStart.totalWith(tokens) <= limit
 }
--- a/routing/slowstart_fleet_test.go
+++ b/routing/slowstart_fleet_test.go
@@ -90,7 +90,7 @@
 	for i := range coldWarm {
 		engines = append(engines, testEngine(warmName(i), "r", 0))
 	}
-	w.routers = fleet(t, routers, w.set, engines...)
+	w.routers = newTestRouters(t, routers, w.set, engines...)
 	total := 0.0
 	for i := range routers {
 		total += share(i, routers)
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -39,7 +39,7 @@
 	set, now := testSettings(), 20*time.Second
 	cold := testEngine("cold", "r", 0)
 	cold.StartTime = now
-	all := fleet(t, 200, set, testEngine("a", "r", 0), testEngine("b", "r", 0), testEngine("w", "w", 0), cold)
+	all := newTestRouters(t, 200, set, testEngine("a", "r", 0), testEngine("b", "r", 0), testEngine("w", "w", 0), cold)
 	toCold, sends := 0, 0
 	for i, r := range all {
 		r.throughputs[RolePrefill] = throughput{peak: 500 / 2.0, at: now} // half a request of 500 tokens a second
--- a/routing/timeout.go
+++ b/routing/timeout.go
@@ -6,18 +6,18 @@
 )
 
 const (
-	timeoutOverExpected  = 5.0 // an attempt may take this many times the expected time
-	timeoutOverTypical   = 4.0 // and this many times what any takes, as queues are not seen
-	timeoutOverObjective = 0.4 // and at least this part of the objective, so that chance does not exceed it
-	overdueRatio         = 3.0 // an attempt in flight for so many times the expected time may hang
+	timeoutExpectedFactor    = 5.0 // an attempt may take this many times the expected time
+	timeoutTypicalFactor     = 4.0 // and this many times what any takes, as queues are not seen
+	timeoutObjectiveFraction = 0.4 // and at least this part of the objective, so that chance does not exceed it
+	overdueRatio             = 3.0 // an attempt in flight for so many times the expected time may hang
 )
 
 // attemptTimeout is how long an attempt may take before it counts as overdue.
 func (r *Router) attemptTimeout(req *request) time.Duration {
 	typical := r.latency.typicalSeconds(req.engine.role(), req.phase)
-	tail := timeoutOverTypical * float64(seconds(typical))
-	expected := timeoutOverExpected * float64(req.expectedTime)
-	least := timeoutOverObjective * float64(req.class.FirstTokenObjective)
+	tail := timeoutTypicalFactor * float64(seconds(typical))
+	expected := timeoutExpectedFactor * float64(req.expectedTime)
+	least := timeoutObjectiveFraction * float64(req.class.FirstTokenObjective)
 	return time.Duration(max(expected, least, tail))
 }
 
@@ -27,15 +27,16 @@
 func (r *Router) cancelOverdue(role Role) {
 	usual := max(r.pool(role).overdue, 1)
 	for e := range r.engines.usable(role) {
-		late := e.overdue(r.now) >= overdueRatio*usual
+		late := e.maxAgeRatio(r.now) >= overdueRatio*usual
 		for _, req := range slices.Clone(e.inFlight) {
 			age := r.now - req.sentAt
-			busy := !late || !e.silentSince(req.sentAt) && (r.slowdown(e) == 1 || age < req.class.FirstTokenObjective)
-			spent := req.cancelled || r.retries.empty() || req.attempts >= req.maxAttempts
+			busy := !late ||
+				!e.noResponseSince(req.sentAt) && (r.slowdown(e) == 1 || age < req.class.FirstTokenObjective)
+			spent := req.cancelled || r.retryBudget.empty() || req.attempts >= req.maxAttempts
 			if busy && !e.overtaken(req) || spent || age < r.attemptTimeout(req) {
 				continue
 			}
-			if e.silentSince(req.sentAt) {
+			if e.noResponseSince(req.sentAt) {
 				r.recordResult(e, 1, 1)
 			}
 			r.cancel(req)
