--- a/cmd/wellgw/chatgateway.go
+++ b/cmd/wellgw/chatgateway.go
@@ -41,7 +41,7 @@
 	base := &gateway{
 		log: log, listen: o.Listen,
 		limits: o.Limits, gcPercent: chatGCPercent, settings: o.Settings(), seed: uint64(time.Now().UnixNano()),
-		coreLimits: core.Limits{ServesAlone: func(kind string) bool { return kind == config.RoleOpenAI }},
+		coreLimits: core.Limits{IgnoresHeldState: func(kind string) bool { return kind == config.RoleOpenAI }},
 		pool:       upstream.Options{ReadBuffer: chatReadBuffer, StreamSilenceTimeout: chatStreamSilence},
 		dialect:    g.dialect, newFront: g.newFront, newDirectory: g.newDirectory,
 		status: &status{},
--- a/cmd/wellgw/enginesources.go
+++ b/cmd/wellgw/enginesources.go
@@ -75,7 +75,7 @@
 	if s.tracer, err = telemetry.NewTracer(f, o.Listen, o.Admin.Share()); err != nil {
 		return err
 	}
-	s.core.Observe(s.tracer)
+	s.core.SetObserver(s.tracer)
 	return nil
 }
 
--- a/cmd/wellgw/supervisor.go
+++ b/cmd/wellgw/supervisor.go
@@ -151,9 +151,9 @@
 	case lifecycle.AwaitWorkCompleted:
 		s.tasks.Go(func() { s.awaitAllDone(ctx) })
 	case lifecycle.RejectWaiting:
-		s.tasks.Go(func() { s.core.Abandon(false) })
+		s.tasks.Go(func() { s.core.NotifyShutdown(false) })
 	case lifecycle.FailWaiting:
-		s.tasks.Go(func() { s.core.Abandon(true) })
+		s.tasks.Go(func() { s.core.NotifyShutdown(true) })
 	case lifecycle.AbortStreams:
 		s.tasks.Go(func() { _ = s.httpServer.Close() })
 	case lifecycle.Exit: // run ends by the state
--- a/internal/core/api.go
+++ b/internal/core/api.go
@@ -59,9 +59,9 @@
 
 // Limits are the limits that the core itself enforces.
 type Limits struct {
-	DeadlineSlack  time.Duration          // after the deadline, within which an answer still counts
-	HeldStateLimit time.Duration          // longest that state may be held with no attempt in flight
-	HeldStateSlack time.Duration          // by which it may be exceeded, by hold-ups and the release's transit
-	MaxAttempts    int                    // of one request
-	ServesAlone    func(kind string) bool // engines of this kind serve requests on their own and fetch no state; nil: all fetch
+	DeadlineSlack    time.Duration          // after the deadline, within which an answer still counts
+	HeldStateLimit   time.Duration          // longest that state may be held with no attempt in flight
+	HeldStateSlack   time.Duration          // by which it may be exceeded, by hold-ups and the release's transit
+	MaxAttempts      int                    // of one request
+	IgnoresHeldState func(kind string) bool // engines of this kind serve requests on their own and fetch no state; nil: all fetch
 }
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -42,7 +42,7 @@
 		return
 	}
 	c.counters.increment(countAttempts)
-	if request.held.ledger.StateHolder() != "" && c.limits.ServesAlone != nil && c.limits.ServesAlone(endpoint.Kind) {
+	if request.held.ledger.StateHolder() != "" && c.limits.IgnoresHeldState != nil && c.limits.IgnoresHeldState(endpoint.Kind) {
 		request.held.ledger.Detach() // this engine fetches no state that another has prefilled
 		c.markChanged(request)
 	}
@@ -144,8 +144,8 @@
 		request.held.ledger.AnswerCompleted()
 		c.counters.addTraffic(request.Class, func(t *Traffic) {
 			t.Served++
-			t.ServedPrompt += request.PromptTokens
-			t.Output += r.OutputTokens
+			t.ServedPromptTokens += request.PromptTokens
+			t.OutputTokens += r.OutputTokens
 		})
 	}
 	c.endAttempt(request, attempt, r)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// Observe sets the observer of answers. It is to be called before Run.
-func (c *Core) Observe(o Observer) { c.observer = o }
+// SetObserver sets the observer of answers. It is to be called before Run.
+func (c *Core) SetObserver(o Observer) { c.observer = o }
 
 // Run handles messages and timers until ctx ends. After each message it reconciles the requests which
 // that has changed.
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -97,7 +97,7 @@
 			w := make(answerChannel, 1)
 			core.Submit(ask("once", time.Minute), w)
 			enginetest.Eventually(t, "it is in flight at the decode engine", func() bool { all, _, _ := f.counts(); return all == 2 })
-			core.Abandon(false)
+			core.NotifyShutdown(false)
 			if n := core.Counts(t.Context())["open"]; n != 1 || len(w) > 0 {
 				t.Errorf("%d open, %d answers", n, len(w))
 			}
@@ -132,7 +132,7 @@
 				defer f.mu.Unlock()
 				return len(f.attempts) == map[string]int{"r": 1, "w": 2}[kind]
 			})
-			core.Abandon(true)
+			core.NotifyShutdown(true)
 			before, _, _ := f.counts()
 			if a := <-w; a.Verdict != want {
 				t.Errorf("at %s: %+v, want %v", kind, a, want)
--- a/internal/core/counters.go
+++ b/internal/core/counters.go
@@ -35,8 +35,8 @@
 
 // Traffic counts the requests of one class since the start.
 type Traffic struct {
-	Asked, Prompt                int // requests, and their prompt tokens
-	Served, ServedPrompt, Output int // the same of completed requests; tokens of their answers
+	Requests, PromptTokens                   int // requests, and their prompt tokens
+	Served, ServedPromptTokens, OutputTokens int // the same of completed requests; tokens of their answers
 }
 
 // counters is what the core has counted since the start. It is owned by the core's goroutine.
--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -24,10 +24,10 @@
 	}
 }
 
-// Abandon has the router give up every request that still waits, and all that come from now on, as
+// NotifyShutdown has the router give up every request that still waits, and all that come from now on, as
 // the gateway has no time left; if final, also those that a decode engine may be about to answer. The
 // fronts end the streams.
-func (c *Core) Abandon(final bool) { c.post(shutdownBegun{final}) }
+func (c *Core) NotifyShutdown(final bool) { c.post(shutdownBegun{final}) }
 
 // awaitDrained has drained closed once nothing is in hand.
 func (c *Core) awaitDrained(drained chan<- struct{}) {
--- a/internal/core/held_test.go
+++ b/internal/core/held_test.go
@@ -162,7 +162,7 @@
 	w := make(answerChannel, 1)
 	c.Submit(ask("free", time.Minute), w)
 	enginetest.Eventually(t, "a second attempt waits for its connection", func() bool { all, _, _ := f.counts(); return all == 2 })
-	c.Abandon(true)
+	c.NotifyShutdown(true)
 	if a := <-w; a.Status != routing.StatusError || !errors.Is(a.Cause, failed) {
 		t.Errorf("answer %+v, want the first attempt's end", a)
 	}
@@ -187,7 +187,7 @@
 // Engines whose kind takes no releases hold nothing: they are asked once, and a gateway that is
 // drained does not wait for prefills that may run on there.
 func TestEnginesWithoutReleases(t *testing.T) {
-	f := &fakeTransport{script: func(Attempt) (Stream, *Result) { return nil, nil }, releaseErr: ErrNoRelease}
+	f := &fakeTransport{script: func(Attempt) (Stream, *Result) { return nil, nil }, releaseErr: ErrReleaseUnsupported}
 	c := coreWith(t, f, func(s *routing.Settings) { s.HeldStateLimit = 20 * time.Millisecond })
 	if a, _, _ := SubmitAndWait(t.Context(), c, ask("once", 600*time.Millisecond)); a.Verdict != Rejected {
 		t.Fatalf("answer %+v", a)
--- a/internal/core/linger_test.go
+++ b/internal/core/linger_test.go
@@ -17,7 +17,7 @@
 		t.Run(kind, func(t *testing.T) {
 			f := &fakeTransport{script: prefillThen(func() (Stream, *Result) { return nil, nil })}
 			c := newCore(t, f)
-			c.limits.ServesAlone = func(k string) bool { return alone && k == "w" }
+			c.limits.IgnoresHeldState = func(k string) bool { return alone && k == "w" }
 			q := ask("once", 10*time.Second)
 			ticket := c.Submit(q, make(answerChannel, 1))
 			enginetest.Eventually(t, "it is at the decode engine", func() bool {
--- a/internal/core/messages.go
+++ b/internal/core/messages.go
@@ -133,7 +133,7 @@
 
 func (m settingsChanged) handle(c *Core) { m.reply <- c.reconfigure(m.settings) }
 
-// shutdownBegun tells that the gateway is about to end; see Core.Abandon.
+// shutdownBegun tells that the gateway is about to end; see Core.NotifyShutdown.
 type shutdownBegun struct{ final bool }
 
 func (m shutdownBegun) handle(c *Core) { c.dispatch(routing.ShuttingDown{Final: m.final}) }
--- a/internal/core/release.go
+++ b/internal/core/release.go
@@ -20,12 +20,12 @@
 func (c *Core) startRelease(request *requestState, engine string) {
 	c.counters.increment(countReleases)
 	release := Release{
-		Endpoint:           request.held.endpoints[engine],
-		ClientRequestID:    request.ClientRequestID,
-		Alternates:         c.endpoints.othersByLastHeard(engine, maxAlternates),
-		AlternatesAfter:    min(alternatesAfter, c.limits.HeldStateLimit/4),
-		AlternatesInterval: max(c.limits.HeldStateLimit/2, heldstate.MinReleaseInterval),
-		Deadline:           c.clock.at(request.held.ledger.ReleaseDeadline(engine)),
+		Endpoint:          request.held.endpoints[engine],
+		ClientRequestID:   request.ClientRequestID,
+		Alternates:        c.endpoints.othersByLastHeard(engine, maxAlternates),
+		AlternateDelay:    min(alternatesAfter, c.limits.HeldStateLimit/4),
+		AlternateInterval: max(c.limits.HeldStateLimit/2, heldstate.MinReleaseInterval),
+		Deadline:          c.clock.at(request.held.ledger.ReleaseDeadline(engine)),
 	}
 	request.held.stopRelease[engine] = c.transport.Release(release, func(err error) {
 		c.post(releaseEnded{request, engine, err})
@@ -36,7 +36,7 @@
 func (c *Core) recordRelease(request *requestState, engine string, err error) {
 	delete(request.held.stopRelease, engine)
 	c.markChanged(request)
-	if errors.Is(err, ErrNoRelease) {
+	if errors.Is(err, ErrReleaseUnsupported) {
 		request.held.ledger.DropEngine(engine)
 		return
 	}
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -44,7 +44,7 @@
 	}
 	c.requests.add(request)
 	c.counters.increment(countRequests)
-	c.counters.addTraffic(in.Class, func(t *Traffic) { t.Asked++; t.Prompt += in.PromptTokens })
+	c.counters.addTraffic(in.Class, func(t *Traffic) { t.Requests++; t.PromptTokens += in.PromptTokens })
 	c.markChanged(request)
 	// The backstop guards against a request that neither the router nor an engine
 	// ever ends: it is answered inside the slack whatever else happens.
--- a/internal/core/trace_test.go
+++ b/internal/core/trace_test.go
@@ -112,7 +112,7 @@
 	for _, m := range r.Alternates {
 		others = append(others, m.Name)
 	}
-	tr.note("release %d: %s at %s, else %v after %v every %v, until %v", n, r.ClientRequestID, r.Endpoint.Name, others, r.AlternatesAfter, r.AlternatesInterval,
+	tr.note("release %d: %s at %s, else %v after %v every %v, until %v", n, r.ClientRequestID, r.Endpoint.Name, others, r.AlternateDelay, r.AlternateInterval,
 		time.Until(r.Deadline).Round(time.Millisecond))
 	return func() { tr.note("stop release %d", n) }
 }
@@ -323,7 +323,7 @@
 		tr.written(1)
 		tr.end(1, Result{Status: routing.StatusRejected, StateMissing: true})
 		tr.sleep(time.Second)
-		tr.released(0, ErrNoRelease)
+		tr.released(0, ErrReleaseUnsupported)
 	}},
 	{"over its quota", func(s *routing.Settings) { s.Tenants = []routing.Tenant{{Name: "team", Quota: 0.4}} }, func(tr *tracer) {
 		for n := range 12 {
@@ -416,10 +416,10 @@
 		tr.submit("once", "b", time.Minute)
 		tr.read(0)
 		tr.written(2)
-		tr.core.Abandon(false)
+		tr.core.NotifyShutdown(false)
 		synctest.Wait()
 		tr.submit("once", "c", time.Minute)
-		tr.core.Abandon(true)
+		tr.core.NotifyShutdown(true)
 		go func() { tr.note("drained: %v", tr.core.Drain(tr.t.Context())) }()
 		synctest.Wait()
 		for range 3 {
@@ -517,7 +517,7 @@
 	tr := &tracer{t: t, out: out, start: time.Now()}
 	tr.core = New(router, tr, tr, Limits{DeadlineSlack: 50 * time.Millisecond, HeldStateLimit: set.HeldStateLimit, HeldStateSlack: 100 * time.Millisecond, MaxAttempts: set.MaxAttempts},
 		slog.New(slog.NewTextHandler(io.Discard, &slog.HandlerOptions{Level: slog.LevelDebug})), invariant.New())
-	tr.core.Observe(tr)
+	tr.core.SetObserver(tr)
 	go tr.core.Run(t.Context())
 	tr.core.UpdateEndpoints(routing.EngineListSnapshot, []Endpoint{
 		{EngineInfo: routing.EngineInfo{Name: "r1", Kind: "r", Weight: 1}},
@@ -547,7 +547,7 @@
 			traffic := tr.core.Traffic(t.Context())
 			for _, class := range slices.Sorted(maps.Keys(traffic)) {
 				c := traffic[class]
-				fmt.Fprintf(&out, "class %s: %d %d %d %d %d\n", class, c.Asked, c.Prompt, c.Served, c.ServedPrompt, c.Output)
+				fmt.Fprintf(&out, "class %s: %d %d %d %d %d\n", class, c.Requests, c.PromptTokens, c.Served, c.ServedPromptTokens, c.OutputTokens)
 			}
 		})
 	}
--- a/internal/core/transport.go
+++ b/internal/core/transport.go
@@ -76,14 +76,14 @@
 	ClientRequestID string
 	// Alternates are other engines to notify while Endpoint is out of reach: by the platform's
 	// protocol any engine takes a release and passes it to the engine that holds the state.
-	Alternates         []Endpoint
-	AlternatesAfter    time.Duration // after which Alternates are tried
-	AlternatesInterval time.Duration // from one alternate to the next
-	Deadline           time.Time     // after which the release is given up
+	Alternates        []Endpoint
+	AlternateDelay    time.Duration // after which Alternates are tried
+	AlternateInterval time.Duration // from one alternate to the next
+	Deadline          time.Time     // after which the release is given up
 }
 
-// ErrNoRelease is returned for a release at an engine whose kind holds no state.
-var ErrNoRelease = errors.New("engines of this kind take no releases")
+// ErrReleaseUnsupported is returned for a release at an engine whose kind holds no state.
+var ErrReleaseUnsupported = errors.New("engines of this kind take no releases")
 
 // Transport makes attempts at engines. No method blocks; results are reported later, from another
 // goroutine.
--- a/internal/rolectl/leader.go
+++ b/internal/rolectl/leader.go
@@ -141,7 +141,7 @@
 	var traffic []roles.Traffic
 	for class, t := range l.opt.Traffic() {
 		traffic = append(traffic, roles.Traffic{
-			Class: class, Requested: float64(t.Asked), PromptTokens: float64(t.Prompt), Served: float64(t.Served), ServedPromptTokens: float64(t.ServedPrompt), OutputTokens: float64(t.Output),
+			Class: class, Requested: float64(t.Requests), PromptTokens: float64(t.PromptTokens), Served: float64(t.Served), ServedPromptTokens: float64(t.ServedPromptTokens), OutputTokens: float64(t.OutputTokens),
 		})
 	}
 	l.planner.Observe(now, seen, traffic)
--- a/internal/rolectl/rolectl_test.go
+++ b/internal/rolectl/rolectl_test.go
@@ -358,8 +358,8 @@
 		o.Traffic = func() map[string]core.Traffic { // half of all requests are refused
 			mu.Lock()
 			defer mu.Unlock()
-			all.Asked, all.Prompt = all.Asked+100, all.Prompt+100_000
-			all.Served, all.ServedPrompt, all.Output = all.Served+50, all.ServedPrompt+50_000, all.Output+500
+			all.Requests, all.PromptTokens = all.Requests+100, all.PromptTokens+100_000
+			all.Served, all.ServedPromptTokens, all.OutputTokens = all.Served+50, all.ServedPromptTokens+50_000, all.OutputTokens+500
 			return map[string]core.Traffic{"c": all}
 		}
 	})
--- a/internal/upstream/held_test.go
+++ b/internal/upstream/held_test.go
@@ -214,9 +214,9 @@
 		defer stop()
 		time.Sleep(early)
 		s.leaving.Store(true)
-		s.core.Abandon(atOnce)
+		s.core.NotifyShutdown(atOnce)
 		last := time.AfterFunc((kill-early)/2, func() {
-			s.core.Abandon(true)
+			s.core.NotifyShutdown(true)
 			s.cut()
 		})
 		defer last.Stop()
--- a/internal/upstream/release.go
+++ b/internal/upstream/release.go
@@ -43,7 +43,7 @@
 	go func() {
 		defer cancel()
 		if !given {
-			done(core.ErrNoRelease)
+			done(core.ErrReleaseUnsupported)
 			return
 		}
 		job := &release{engine: e, Release: r, call: call, ctx: ctx, delivered: make(chan struct{})}
@@ -179,12 +179,12 @@
 // released if an attempt waited for it, and that attempt may have been cancelled since.
 func (r *release) notifyAlternates() {
 	answered, underway := make(chan int, len(r.Alternates)), make([]atomic.Bool, len(r.Alternates))
-	pause := r.AlternatesAfter
+	pause := r.AlternateDelay
 	for n := 0; len(r.Alternates) > 0 && r.sleep(pause); n++ {
 		pause = alternateInterval
 		select {
 		case n = <-answered: // the alternate that is reachable is notified again
-			if !r.sleep(r.AlternatesInterval) {
+			if !r.sleep(r.AlternateInterval) {
 				return
 			}
 		default:
--- a/internal/upstream/release_test.go
+++ b/internal/upstream/release_test.go
@@ -41,7 +41,7 @@
 	})
 	other := enginetest.NewEngine(t, func(enginetest.Call) string { return letGo })
 	ended, _ := startRelease(t, core.Release{
-		Endpoint: core.Endpoint{Addr: server.Addr}, Alternates: []core.Endpoint{{Addr: other.Addr}}, AlternatesAfter: time.Minute,
+		Endpoint: core.Endpoint{Addr: server.Addr}, Alternates: []core.Endpoint{{Addr: other.Addr}}, AlternateDelay: time.Minute,
 	})
 	if err := <-ended; err != nil {
 		t.Error(err)
@@ -61,7 +61,7 @@
 	second := enginetest.NewEngine(t, func(enginetest.Call) string { return letGo })
 	ended, stop := startRelease(t, core.Release{
 		Endpoint: core.Endpoint{Addr: nobody(t)}, Alternates: []core.Endpoint{{Addr: first.Addr}, {Addr: second.Addr}},
-		AlternatesAfter: time.Millisecond, AlternatesInterval: time.Millisecond,
+		AlternateDelay: time.Millisecond, AlternateInterval: time.Millisecond,
 	})
 	enginetest.Eventually(t, "both are told, and one of them again", func() bool {
 		return len(first.Calls("DELETE")) > 0 && len(second.Calls("DELETE")) > 1
