--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -20,9 +20,9 @@
 	handle        Handle
 }
 
-// cancelTransit is how long an engine may need to learn that an attempt was cancelled. What must not
+// cancelPropagationTime is how long an engine may need to learn that an attempt was cancelled. What must not
 // meet that attempt, such as the next one, waits for it.
-const cancelTransit = 3 * time.Millisecond
+const cancelPropagationTime = 3 * time.Millisecond
 
 // startAttempt sends a request to an engine. An attempt that is not to be sent ends at once.
 func (c *Core) startAttempt(send routing.Send) {
@@ -56,7 +56,7 @@
 
 // addAttempt adds an attempt to a request. The engine's name is set also where it is not listed.
 func (r *requestState) addAttempt(endpoint Endpoint, engine string) *attemptState {
-	attempt := &attemptState{number: len(r.attempts), endpoint: endpoint, startedAt: time.Now(), handle: noHandle{}}
+	attempt := &attemptState{number: len(r.attempts), endpoint: endpoint, startedAt: time.Now(), handle: nopHandle{}}
 	attempt.endpoint.Name = engine
 	r.attempts = append(r.attempts, attempt)
 	r.activeAttempts++
@@ -70,17 +70,17 @@
 		Timeout: timeout, Payload: request.Payload, ClientGone: request.clientGone.Load,
 		Written: func(w WriteRecord) { c.post(attemptWritten{request, attempt, w}) },
 	}
-	if request.lingeringAttempt != nil || request.cancelPause(attempt.startedAt) > 0 {
-		a.Connected = func() { c.awaitPredecessorClosed(request, attempt) }
+	if request.lingeringAttempt != nil || request.remainingCancelPropagation(attempt.startedAt) > 0 {
+		a.Connected = func() { c.closePredecessorAndWait(request, attempt) }
 	}
 	return a
 }
 
-// awaitPredecessorClosed has the previous attempt's connection closed, as the next attempt can be
+// closePredecessorAndWait has the previous attempt's connection closed, as the next attempt can be
 // written now, and returns when the two can't meet at the engine any more. Until now the previous one
 // stayed in flight: the connection of the next might have never come up. It is called by the
 // transport's goroutine of the attempt.
-func (c *Core) awaitPredecessorClosed(request *requestState, attempt *attemptState) {
+func (c *Core) closePredecessorAndWait(request *requestState, attempt *attemptState) {
 	mayWrite := make(chan struct{})
 	c.post(attemptConnected{request, attempt, mayWrite})
 	select {
@@ -89,13 +89,13 @@
 	}
 }
 
-// clearAttempt closes mayWrite once an attempt may be written.
-func (c *Core) clearAttempt(request *requestState, attempt *attemptState, mayWrite chan<- struct{}) {
+// permitWrite closes mayWrite once an attempt may be written.
+func (c *Core) permitWrite(request *requestState, attempt *attemptState, mayWrite chan<- struct{}) {
 	if attempt.ended {
 		close(mayWrite)
 		return
 	}
-	c.afterAttemptClosed(request, attemptCleared{mayWrite})
+	c.afterAttemptClosed(request, writePermitted{mayWrite})
 }
 
 // recordWritten records that an attempt has been written, so that it is in flight.
@@ -117,7 +117,7 @@
 		return
 	}
 	request.streaming, request.stream, attempt.answerStarted = attempt, stream, true
-	c.endpoints.recordHeard(attempt.endpoint.Name)
+	c.endpoints.recordResponse(attempt.endpoint.Name)
 	if holder := request.held.ledger.StateHolder(); holder != "" {
 		c.logStateEnd(request, holder, stateFetched)
 	}
@@ -160,7 +160,7 @@
 	if attempt.ended || request.streaming == attempt {
 		return
 	}
-	attempt.ended, request.lastStatus, request.lastCause = true, r.Status, r.Cause
+	attempt.ended, request.lastAttemptStatus, request.lastAttemptCause = true, r.Status, r.Cause
 	withdrawn := c.closeAttempt(request, attempt, r.Status)
 	request.endedMayHaveRun = request.endedMayHaveRun || !withdrawn && statusMayHaveRun(r.Status)
 	request.activeAttempts--
@@ -232,7 +232,7 @@
 // different connections. Without such an attempt it is handled at once.
 func (c *Core) afterAttemptClosed(request *requestState, next message) {
 	c.closeLingeringAttempt(request)
-	if pause := request.cancelPause(time.Now()); pause > 0 {
+	if pause := request.remainingCancelPropagation(time.Now()); pause > 0 {
 		c.schedule(pause, next)
 		return
 	}
@@ -246,10 +246,10 @@
 	r.cancelledAt = time.Now()
 }
 
-// cancelPause returns how much longer the engine of the latest cancelled attempt may need to learn of
+// remainingCancelPropagation returns how much longer the engine of the latest cancelled attempt may need to learn of
 // the cancel.
-func (r *requestState) cancelPause(now time.Time) time.Duration {
-	return cancelTransit - now.Sub(r.cancelledAt)
+func (r *requestState) remainingCancelPropagation(now time.Time) time.Duration {
+	return cancelPropagationTime - now.Sub(r.cancelledAt)
 }
 
 // withdrawUnwritten ends those attempts of an answered request that are not written yet, also where
@@ -262,11 +262,11 @@
 	}
 }
 
-// noHandle is the handle of an attempt that was never started.
-type noHandle struct{}
+// nopHandle is the handle of an attempt that was never started.
+type nopHandle struct{}
 
-func (noHandle) FirstByte() (FirstByte, bool) { return FirstByte{}, false }
+func (nopHandle) FirstByte() (FirstByte, bool) { return FirstByte{}, false }
 
-func (noHandle) Cancel() {}
+func (nopHandle) Cancel() {}
 
-func (noHandle) Withdraw() bool { return true }
+func (nopHandle) Withdraw() bool { return true }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -56,7 +56,7 @@
 		router: router, transport: transport, directory: directory, limits: limits, checks: checks, clock: clock,
 		log: log, debugLogging: log.Enabled(context.Background(), slog.LevelDebug),
 		queue: make(chan message, queueSize), done: make(chan struct{}),
-		endpoints: newEndpointTable(starttime.Clock{Now: clockOffset, Wall: clock.wall()}),
+		endpoints: newEndpointTable(starttime.Clock{Now: initialRouterTime, Wall: clock.wall()}),
 		requests:  newRequestTable(), unreleased: unreleasedRequests{}, counters: newCounters(),
 	}
 }
@@ -68,7 +68,7 @@
 // that has changed.
 func (c *Core) Run(ctx context.Context) {
 	defer close(c.done)
-	alarm := time.NewTimer(idleWait)
+	alarm := time.NewTimer(maxWait)
 	defer alarm.Stop()
 	for {
 		alarm.Reset(c.timers.untilNext(time.Now()))
@@ -76,17 +76,17 @@
 		case <-ctx.Done():
 			return
 		case m := <-c.queue:
-			c.stalls.running(time.Now())
+			c.stalls.beginRound(time.Now())
 			m.handle(c)
 			c.reconcile()
 		case <-alarm.C:
-			c.stalls.running(time.Now())
+			c.stalls.beginRound(time.Now())
 		}
 		for m := c.timers.popDue(time.Now()); m != nil; m = c.timers.popDue(time.Now()) {
 			m.handle(c)
 			c.reconcile()
 		}
-		c.stalls.done(time.Now())
+		c.stalls.endRound(time.Now())
 	}
 }
 
@@ -110,7 +110,7 @@
 		c.reconcileHeldState(request)
 	}
 	c.unreconciled = nil
-	c.endDrain()
+	c.completeDrain()
 }
 
 // markChanged has a request reconciled once the message in hand has been handled.
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -25,9 +25,9 @@
 		{"an idempotent request that breaks off is retried", "free", func() (Stream, *Result) { return ended(routing.StatusReset) }, Rejected, []string{"r1", "w1", "w1"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			f := &fakeTransport{script: prefillThen(c.decode)}
+			f := &fakeTransport{respond: prefillThenDecode(c.decode)}
 			core := newCore(t, f)
-			a, _, _ := SubmitAndWait(t.Context(), core, ask(c.class, time.Minute))
+			a, _, _ := SubmitAndWait(t.Context(), core, newTestRequest(c.class, time.Minute))
 			if a.Verdict != c.want || a.Verdict == Rejected && a.RetryAfter <= 0 {
 				t.Errorf("answer %+v", a)
 			}
@@ -47,10 +47,10 @@
 // A silent engine must not delay an answer past the deadline, nor may a prefill that was cancelled
 // leave its state.
 func TestSilentEngineEndsAtDeadline(t *testing.T) {
-	f := &fakeTransport{script: func(Attempt) (Stream, *Result) { return nil, nil }}
+	f := &fakeTransport{respond: func(Attempt) (Stream, *Result) { return nil, nil }}
 	core := newCore(t, f)
 	start := time.Now()
-	a, _, _ := SubmitAndWait(t.Context(), core, ask("once", 200*time.Millisecond))
+	a, _, _ := SubmitAndWait(t.Context(), core, newTestRequest("once", 200*time.Millisecond))
 	if took := time.Since(start); took < 100*time.Millisecond || a.Verdict == Streaming {
 		t.Errorf("%+v after %v", a, took)
 	}
@@ -63,11 +63,11 @@
 
 // The backstop answers though the router has lost a request.
 func TestOverdueRequestIsAnswered(t *testing.T) {
-	f := &fakeTransport{script: func(Attempt) (Stream, *Result) { return nil, nil }}
+	f := &fakeTransport{respond: func(Attempt) (Stream, *Result) { return nil, nil }}
 	core := newCore(t, f)
 	w := make(answerChannel, 2)
 	core.post(testMessage(func() {
-		q := &requestState{Request: ask("free", 0), front: w, held: newHeldState(core.heldLimits(time.Second))}
+		q := &requestState{Request: newTestRequest("free", 0), front: w, held: newHeldState(core.heldLimits(time.Second))}
 		core.schedule(0, testMessage(func() { core.answerDeadlineExceeded(q); core.answerDeadlineExceeded(q) }))
 	}))
 	if a := <-w; a.Verdict != DeadlineExceeded {
@@ -84,7 +84,7 @@
 	for _, fails := range []bool{false, true} {
 		t.Run(fmt.Sprint("attempt fails ", fails), func(t *testing.T) {
 			answer := make(chan struct{})
-			f := &fakeTransport{script: func(a Attempt) (Stream, *Result) {
+			f := &fakeTransport{respond: func(a Attempt) (Stream, *Result) {
 				if a.Endpoint.Kind == "r" {
 					return ended(routing.StatusPrefilled)
 				}
@@ -95,7 +95,7 @@
 			}}
 			core := newCore(t, f)
 			w := make(answerChannel, 1)
-			core.Submit(ask("once", time.Minute), w)
+			core.Submit(newTestRequest("once", time.Minute), w)
 			enginetest.Eventually(t, "it is in flight at the decode engine", func() bool { all, _, _ := f.counts(); return all == 2 })
 			core.NotifyShutdown(false)
 			if n := core.Counts(t.Context())["open"]; n != 1 || len(w) > 0 {
@@ -118,7 +118,7 @@
 func TestAbandonRefusesUnstarted(t *testing.T) {
 	for kind, want := range map[string]Verdict{"r": Rejected, "w": Failed} {
 		t.Run(kind, func(t *testing.T) {
-			f := &fakeTransport{script: func(a Attempt) (Stream, *Result) {
+			f := &fakeTransport{respond: func(a Attempt) (Stream, *Result) {
 				if a.Endpoint.Kind == kind { // silent
 					return nil, nil
 				}
@@ -126,7 +126,7 @@
 			}}
 			core := newCore(t, f)
 			w := make(answerChannel, 1)
-			core.Submit(ask("once", 2*time.Second), w)
+			core.Submit(newTestRequest("once", 2*time.Second), w)
 			enginetest.Eventually(t, "the attempt is sent", func() bool {
 				f.mu.Lock()
 				defer f.mu.Unlock()
@@ -137,7 +137,7 @@
 			if a := <-w; a.Verdict != want {
 				t.Errorf("at %s: %+v, want %v", kind, a, want)
 			}
-			if a, _, _ := SubmitAndWait(t.Context(), core, Request{ClientRequestID: "late", Arrived: time.Now(), Request: ask("once", 2*time.Second).Request}); a.Verdict != Rejected {
+			if a, _, _ := SubmitAndWait(t.Context(), core, Request{ClientRequestID: "late", Arrived: time.Now(), Request: newTestRequest("once", 2*time.Second).Request}); a.Verdict != Rejected {
 				t.Errorf("a late one: %+v", a)
 			}
 			if after, _, _ := f.counts(); after != before {
@@ -153,9 +153,9 @@
 // Engines under ever new names leave nothing behind, but what one that has left still
 // holds is released there all the same.
 func TestRemovedEnginesAreForgotten(t *testing.T) {
-	f := &fakeTransport{script: prefillThen(func() (Stream, *Result) { return nil, nil })}
+	f := &fakeTransport{respond: prefillThenDecode(func() (Stream, *Result) { return nil, nil })}
 	core := newCore(t, f)
-	ticket := core.Submit(ask("free", time.Minute), make(answerChannel, 1))
+	ticket := core.Submit(newTestRequest("free", time.Minute), make(answerChannel, 1))
 	f.awaitAttempts(t, 2)
 	for n := range 100 {
 		m := Endpoint{EngineInfo: routing.EngineInfo{Name: fmt.Sprint("e", n), Kind: "r", Weight: 1}}
@@ -176,9 +176,9 @@
 }
 
 func TestClientGoneBeforeTheAnswer(t *testing.T) {
-	f := &fakeTransport{script: prefillThen(func() (Stream, *Result) { return nil, nil })}
+	f := &fakeTransport{respond: prefillThenDecode(func() (Stream, *Result) { return nil, nil })}
 	core := newCore(t, f)
-	ticket := core.Submit(ask("free", time.Minute), make(answerChannel, 1))
+	ticket := core.Submit(newTestRequest("free", time.Minute), make(answerChannel, 1))
 	f.awaitAttempts(t, 2)
 	ticket.ClientGone()
 	if err := core.Drain(t.Context()); err != nil {
@@ -190,10 +190,10 @@
 }
 
 func TestDuplicateWireIDIsRefused(t *testing.T) {
-	f := &fakeTransport{script: func(Attempt) (Stream, *Result) { return nil, nil }}
+	f := &fakeTransport{respond: func(Attempt) (Stream, *Result) { return nil, nil }}
 	core := newCore(t, f)
-	core.Submit(ask("free", time.Minute), make(answerChannel, 1))
-	if a, _, _ := SubmitAndWait(t.Context(), core, ask("free", time.Minute)); a.Verdict != Duplicate || len(f.attempts) > 1 {
+	core.Submit(newTestRequest("free", time.Minute), make(answerChannel, 1))
+	if a, _, _ := SubmitAndWait(t.Context(), core, newTestRequest("free", time.Minute)); a.Verdict != Duplicate || len(f.attempts) > 1 {
 		t.Errorf("%+v; attempts %v", a, f.attempts)
 	}
 }
@@ -236,9 +236,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := &textStream{rest: "data: x\n\n", end: c.end}
-			f := &fakeTransport{script: prefillThen(func() (Stream, *Result) { return s, nil })}
+			f := &fakeTransport{respond: prefillThenDecode(func() (Stream, *Result) { return s, nil })}
 			core := newCore(t, f)
-			a, ticket, _ := SubmitAndWait(t.Context(), core, ask("once", time.Minute))
+			a, ticket, _ := SubmitAndWait(t.Context(), core, newTestRequest("once", time.Minute))
 			got := ""
 			err := ticket.Relay(t.Context(), a.Stream, func(p []byte) error { got += string(p); return c.write })
 			if (err != nil) != c.releases || got != "data: x\n\n" {
@@ -261,9 +261,9 @@
 		routing.StatusRejected: false, routing.StatusConnectFailed: false, routing.StatusError: true, routing.StatusReset: true,
 	} {
 		t.Run(string(statusNames[status]), func(t *testing.T) {
-			f := &fakeTransport{script: prefillThen(func() (Stream, *Result) { return ended(status) })}
+			f := &fakeTransport{respond: prefillThenDecode(func() (Stream, *Result) { return ended(status) })}
 			c := newCore(t, f)
-			a, _, _ := SubmitAndWait(t.Context(), c, ask("once", 300*time.Millisecond))
+			a, _, _ := SubmitAndWait(t.Context(), c, newTestRequest("once", 300*time.Millisecond))
 			if a.Verdict == Streaming || a.MayHaveRun != want {
 				t.Errorf("%s: verdict %s, may have run %v, want %v", statusNames[status], verdictNames[a.Verdict], a.MayHaveRun, want)
 			}
@@ -274,13 +274,13 @@
 // Changes of the number of gateways touch no request in flight.
 func TestRosterChangeKeepsRequests(t *testing.T) {
 	reached, answer := make(chan bool, 1), make(chan bool)
-	f := &fakeTransport{script: prefillThen(func() (Stream, *Result) {
+	f := &fakeTransport{respond: prefillThenDecode(func() (Stream, *Result) {
 		reached <- true
 		<-answer
 		return ended(routing.StatusError)
 	})}
 	c := newCore(t, f)
-	got := submitAsync(t, c, ask("once", time.Minute))
+	got := submitAsync(t, c, newTestRequest("once", time.Minute))
 	<-reached
 	for _, n := range []int{300, 1, 2, 80, 1} {
 		c.SetGateways(n)
@@ -307,11 +307,11 @@
 // An at-most-once request is rejected by the rules of the configuration that it was submitted under,
 // though another has made its class idempotent meanwhile.
 func TestRequestKeepsSettingsAcrossReload(t *testing.T) {
-	f := &fakeTransport{script: func(Attempt) (Stream, *Result) { return nil, nil }, partition: make(chan struct{})}
+	f := &fakeTransport{respond: func(Attempt) (Stream, *Result) { return nil, nil }, partition: make(chan struct{})}
 	defer close(f.partition)
 	core := newCore(t, f)
 	w := make(answerChannel, 1)
-	core.Submit(ask("once", 300*time.Millisecond), w)
+	core.Submit(newTestRequest("once", 300*time.Millisecond), w)
 	enginetest.Eventually(t, "its attempt is sent", func() bool { all, _, _ := f.counts(); return all > 0 })
 	next := testSettings()
 	for i := range next.Classes {
--- a/internal/core/counters.go
+++ b/internal/core/counters.go
@@ -12,11 +12,11 @@
 
 // What is counted beside results and answers.
 const (
-	countOpen           Counter = "open" // requests in hand now
+	countOpenRequests   Counter = "open" // requests in hand now
 	countRequests       Counter = "requests"
 	countAttempts       Counter = "attempts"
 	countDuplicates     Counter = "duplicate id"
-	countGone           Counter = "gone" // clients that disconnected before their answer
+	countClientsGone    Counter = "gone" // clients that disconnected before their answer
 	countReleases       Counter = "releases"
 	countReleasesFailed Counter = "releases failed"
 	countStatesExpired  Counter = "states expired"
@@ -75,7 +75,7 @@
 
 // byName returns a copy of the counters, with the number of requests in hand.
 func (c counters) byName(open int) map[string]int {
-	counts := map[string]int{string(countOpen): open}
+	counts := map[string]int{string(countOpenRequests): open}
 	for counter, n := range c.events {
 		counts[string(counter)] = n
 	}
--- a/internal/core/counters_test.go
+++ b/internal/core/counters_test.go
@@ -9,7 +9,7 @@
 // Counters are known by these names outside: in metrics, on pages and by who searches logs.
 func TestCounterNames(t *testing.T) {
 	got := []Counter{
-		countOpen, countRequests, countAttempts, countDuplicates, countGone,
+		countOpenRequests, countRequests, countAttempts, countDuplicates, countClientsGone,
 		countReleases, countReleasesFailed, countStatesExpired,
 	}
 	got = append(append(got, statusNames[:]...), verdictNames[:]...)
--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -38,12 +38,12 @@
 // pollDrain has the core reconcile, and so check for the end of a drain, until none waits for one.
 func (c *Core) pollDrain() {
 	if len(c.drainWaiters) > 0 {
-		c.schedule(drainPollInterval, drainPolled{})
+		c.schedule(drainPollInterval, drainPollTimerFired{})
 	}
 }
 
-// endDrain lets the waiters go if nothing is in hand.
-func (c *Core) endDrain() {
+// completeDrain lets the waiters go if nothing is in hand.
+func (c *Core) completeDrain() {
 	if len(c.drainWaiters) == 0 || c.requests.len() > 0 || c.unreleased.blockDrain(c.clock.now()) {
 		return
 	}
--- a/internal/core/ejection_test.go
+++ b/internal/core/ejection_test.go
@@ -11,7 +11,7 @@
 // An engine that is ejected manually gets nothing new, whatever the list says, until it is
 // called back; a name never listed is refused.
 func TestManualEjection(t *testing.T) {
-	f := &fakeTransport{script: prefillThen(func() (Stream, *Result) { return ended(routing.StatusError) })}
+	f := &fakeTransport{respond: prefillThenDecode(func() (Stream, *Result) { return ended(routing.StatusError) })}
 	c := newCore(t, f)
 	c.UpdateEndpoints(routing.EngineListDelta, []Endpoint{{EngineInfo: routing.EngineInfo{Name: "w2", Kind: "w", Weight: 1}}})
 	if _, ok := c.Eject(t.Context(), "nobody", true); ok {
@@ -30,7 +30,7 @@
 		{EngineInfo: routing.EngineInfo{Name: "w2", Kind: "w", Weight: 1}},
 	})
 	for range 20 {
-		SubmitAndWait(t.Context(), c, ask("free", time.Minute))
+		SubmitAndWait(t.Context(), c, newTestRequest("free", time.Minute))
 	}
 	if err := c.Drain(t.Context()); err != nil {
 		t.Fatal(err)
@@ -54,7 +54,7 @@
 // New settings bind new requests; a dropped class is still served; a bad set
 // changes nothing.
 func TestRetune(t *testing.T) {
-	f := &fakeTransport{script: prefillThen(func() (Stream, *Result) { return ended(routing.StatusError) })}
+	f := &fakeTransport{respond: prefillThenDecode(func() (Stream, *Result) { return ended(routing.StatusError) })}
 	c := newCore(t, f)
 	bad := routing.Settings{Classes: []routing.Class{{Name: "new", FirstTokenObjective: time.Second}}, MaxAttempts: 0}
 	if err := c.Reconfigure(t.Context(), bad); err == nil {
@@ -68,7 +68,7 @@
 		f.mu.Lock()
 		before := len(f.attempts)
 		f.mu.Unlock()
-		SubmitAndWait(t.Context(), c, ask(class, time.Minute))
+		SubmitAndWait(t.Context(), c, newTestRequest(class, time.Minute))
 		if err := c.Drain(t.Context()); err != nil {
 			t.Fatal(err)
 		}
@@ -84,7 +84,7 @@
 // A step of the wall clock changes nothing for an engine whose start is known, and makes no engine
 // that has just restarted count as long warm.
 func TestStartsUnderWallClockSteps(t *testing.T) {
-	f := &fakeTransport{script: func(Attempt) (Stream, *Result) { return nil, nil }}
+	f := &fakeTransport{respond: func(Attempt) (Stream, *Result) { return nil, nil }}
 	c := newCore(t, f)
 	step := func(d time.Duration) {
 		runQuery(t.Context(), c, func() bool { c.clock.wall = func() time.Time { return time.Now().Add(d).Round(0) }; return true })
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -15,17 +15,17 @@
 // endpointTable is what the core knows of engines: which are listed, which are ejected manually, when
 // they started and when each has last answered. All but ready is owned by the core's goroutine.
 type endpointTable struct {
-	listed    map[string]Endpoint
-	ejections *ejection.Set
-	starts    *starttime.Table
-	lastHeard map[string]time.Time
-	ready     atomic.Bool // some engine may be sent to
+	listed       map[string]Endpoint
+	ejections    *ejection.Set
+	starts       *starttime.Table
+	lastResponse map[string]time.Time
+	ready        atomic.Bool // some engine may be sent to
 }
 
 func newEndpointTable(clock starttime.Clock) *endpointTable {
 	return &endpointTable{
 		listed: map[string]Endpoint{}, ejections: ejection.New(),
-		starts: starttime.New(clock), lastHeard: map[string]time.Time{},
+		starts: starttime.New(clock), lastResponse: map[string]time.Time{},
 	}
 }
 
@@ -54,7 +54,7 @@
 		t.ejections.Register(e.Name)
 		list.Engines = append(list.Engines, t.ejections.EffectiveInfo(e.EngineInfo))
 	}
-	t.forgetUnlisted()
+	t.deleteUnlisted()
 	t.updateReady()
 	return list
 }
@@ -82,22 +82,22 @@
 	t.ready.Store(ready)
 }
 
-// recordHeard records that an engine has answered just now, on whichever connection. It says in which
+// recordResponse records that an engine has answered just now, on whichever connection. It says in which
 // order engines are tried, and nothing about any one call.
-func (t *endpointTable) recordHeard(engine string) { t.lastHeard[engine] = time.Now() }
+func (t *endpointTable) recordResponse(engine string) { t.lastResponse[engine] = time.Now() }
 
-func (t *endpointTable) forgetUnlisted() {
-	maps.DeleteFunc(t.lastHeard, func(name string, _ time.Time) bool {
+func (t *endpointTable) deleteUnlisted() {
+	maps.DeleteFunc(t.lastResponse, func(name string, _ time.Time) bool {
 		_, listed := t.listed[name]
 		return !listed
 	})
 }
 
-// othersByLastHeard returns at most so many other engines than one, those first that were heard
+// alternatesByLastResponse returns at most so many other engines than one, those first that were heard
 // last. It keeps no more than it returns while it goes through the list.
-func (t *endpointTable) othersByLastHeard(engine string, most int) []Endpoint {
+func (t *endpointTable) alternatesByLastResponse(engine string, most int) []Endpoint {
 	latest := func(a, b Endpoint) int {
-		return cmp.Or(t.lastHeard[b.Name].Compare(t.lastHeard[a.Name]), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(t.lastResponse[b.Name].Compare(t.lastResponse[a.Name]), cmp.Compare(a.Name, b.Name))
 	}
 	others := make([]Endpoint, 0, most+1)
 	for name, e := range t.listed {
--- a/internal/core/fake_test.go
+++ b/internal/core/fake_test.go
@@ -16,7 +16,7 @@
 // fakeTransport is an engine pool whose attempts end as the test says.
 type fakeTransport struct {
 	mu            sync.Mutex
-	script        func(a Attempt) (Stream, *Result) // neither: silence
+	respond       func(a Attempt) (Stream, *Result) // neither: silence
 	attempts      []string                          // engines
 	connections   atomic.Uint64                     // opened, one for each attempt
 	closed        int
@@ -25,9 +25,9 @@
 	neverConnects func(a Attempt) bool // if set, tells whose engine no connection comes up to
 	partition     chan struct{}        // if set, no engine is reached by a release before it is closed
 	// releaseErr is how releases end that no partition stops
-	releaseErr  error
-	writtenLate chan struct{} // if set, the core hears that a first attempt is written once it is closed
-	started     []fakeHandle
+	releaseErr        error
+	delayFirstWritten chan struct{} // if set, the core hears that a first attempt is written once it is closed
+	started           []fakeHandle
 }
 
 // handles returns the attempts begun so far.
@@ -37,8 +37,8 @@
 	return append([]fakeHandle(nil), f.started...)
 }
 
-// sinceClose returns the time since an attempt was closed last.
-func (f *fakeTransport) sinceClose() time.Duration {
+// sinceLastClose returns the time since an attempt was closed last.
+func (f *fakeTransport) sinceLastClose() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return time.Since(f.lastClose)
@@ -89,12 +89,12 @@
 				a.Connected()
 			}
 			h.written.Store(true)
-			if f.writtenLate != nil && a.Number == 0 {
-				<-f.writtenLate
+			if f.delayFirstWritten != nil && a.Number == 0 {
+				<-f.delayFirstWritten
 			}
 			a.Written(WriteRecord{Connection: connection, At: time.Now()})
 		}
-		s, r := f.script(a)
+		s, r := f.respond(a)
 		if s == nil && r == nil {
 			return
 		}
@@ -191,16 +191,18 @@
 	}
 }
 
-func newCore(t *testing.T, f *fakeTransport) *Core { return coreWith(t, f, func(*routing.Settings) {}) }
+func newCore(t *testing.T, f *fakeTransport) *Core {
+	return newCoreWithSettings(t, f, func(*routing.Settings) {})
+}
 
-func ask(class string, ttl time.Duration) Request {
+func newTestRequest(class string, ttl time.Duration) Request {
 	return Request{ClientRequestID: "id-" + class, Arrived: time.Now(), Request: routing.Request{Class: class, PromptTokens: 100, MaxTokens: 10, TTL: ttl}}
 }
 
 func ended(s routing.Status) (Stream, *Result) { return nil, &Result{Status: s} }
 
-// prefillThen is a script that completes prefills, and decodes as given.
-func prefillThen(decode func() (Stream, *Result)) func(Attempt) (Stream, *Result) {
+// prefillThenDecode is a script that completes prefills, and decodes as given.
+func prefillThenDecode(decode func() (Stream, *Result)) func(Attempt) (Stream, *Result) {
 	return func(a Attempt) (Stream, *Result) {
 		if a.Endpoint.Kind == "r" {
 			return ended(routing.StatusPrefilled)
--- a/internal/core/held.go
+++ b/internal/core/held.go
@@ -45,8 +45,8 @@
 	flight := c.flight(attempt)
 	switch r.Status {
 	case routing.StatusPrefilled:
-		ledger.PrefillCompleted(engine, c.answeredAt(attempt))
-		c.logHeld(request, attempt)
+		ledger.PrefillCompleted(engine, c.earliestAnswerTime(attempt))
+		c.logStateHeld(request, attempt)
 	case routing.StatusTimeout, routing.StatusCancelled, routing.StatusReset:
 		ledger.AttemptLost(engine, c.router.CanPrefill(attempt.endpoint.Kind))
 	case routing.StatusError:
@@ -57,28 +57,28 @@
 	}
 	switch r.Status {
 	case routing.StatusPrefilled, routing.StatusRejected, routing.StatusError, routing.StatusServed:
-		c.endpoints.recordHeard(engine)
+		c.endpoints.recordResponse(engine)
 	}
 	if attempt.written && r.Status != routing.StatusPrefilled {
-		ledger.FlightEnded(flight, c.answeredAt(attempt))
+		ledger.FlightEnded(flight, c.earliestAnswerTime(attempt))
 	}
 }
 
-// answeredAt returns when an attempt's answer may have come: the process may have been held up before it read
+// earliestAnswerTime returns when an attempt's answer may have come: the process may have been held up before it read
 // that. Without any slack for what is held there is none for hold-ups.
-func (c *Core) answeredAt(attempt *attemptState) heldstate.Time {
+func (c *Core) earliestAnswerTime(attempt *attemptState) heldstate.Time {
 	seen := time.Now()
 	if first, heard := attempt.handle.FirstByte(); heard && !attempt.answerStarted {
 		seen = first.At
 	}
-	return c.clock.of(c.stalls.earliest(seen, min(maxStall, c.limits.HeldStateSlack)))
+	return c.clock.toRouterTime(c.stalls.earliestEventTime(seen, min(maxStall, c.limits.HeldStateSlack)))
 }
 
 // recordLatePrefill records a prefill that completed after its attempt was cancelled, while the
 // attempt's connection was still open.
 func (c *Core) recordLatePrefill(request *requestState, attempt *attemptState) {
 	engine := attempt.endpoint.Name
-	c.endpoints.recordHeard(engine)
+	c.endpoints.recordResponse(engine)
 	if request.lingeringAttempt == attempt {
 		request.lingeringAttempt = nil
 		c.endLingering(request)
@@ -102,7 +102,7 @@
 	if ledger.Expired(now) {
 		c.expireState(request)
 	}
-	c.lingerAfterAnswer(request)
+	c.keepLingering(request)
 	for _, engine := range ledger.ReleasesDue(now) {
 		c.startRelease(request, engine)
 	}
@@ -125,9 +125,9 @@
 // flight describes an attempt that was written. What counts as its arrival is what came on its own
 // connection alone: an engine that answers on others may never have received this one.
 func (c *Core) flight(attempt *attemptState) heldstate.Flight {
-	flight := heldstate.Flight{Connection: attempt.write.Connection, WrittenAt: c.clock.of(attempt.write.At)}
+	flight := heldstate.Flight{Connection: attempt.write.Connection, WrittenAt: c.clock.toRouterTime(attempt.write.At)}
 	if first, heard := attempt.handle.FirstByte(); heard {
-		flight.Arrival = heldstate.Arrival{Connection: first.Connection, At: c.clock.of(first.At)}
+		flight.Arrival = heldstate.Arrival{Connection: first.Connection, At: c.clock.toRouterTime(first.At)}
 	}
 	return flight
 }
@@ -156,10 +156,10 @@
 	if !ok || next <= c.clock.now() { // what was due has just been done
 		return
 	}
-	at := c.clock.at(next)
+	at := c.clock.fromRouterTime(next)
 	if request.held.nextUpdate.After(time.Now()) && !at.Before(request.held.nextUpdate) {
 		return
 	}
 	request.held.nextUpdate = at
-	c.timers.add(at, heldStateDue{request})
+	c.timers.add(at, heldStateTimerFired{request})
 }
--- a/internal/core/held_test.go
+++ b/internal/core/held_test.go
@@ -14,8 +14,8 @@
 	"wellgw/routing"
 )
 
-// coreWith returns a core like newCore's under other settings.
-func coreWith(t *testing.T, f *fakeTransport, change func(*routing.Settings)) *Core {
+// newCoreWithSettings returns a core like newCore's under other settings.
+func newCoreWithSettings(t *testing.T, f *fakeTransport, change func(*routing.Settings)) *Core {
 	set := testSettings()
 	change(&set)
 	router, err := routing.New(set, 1)
@@ -32,8 +32,8 @@
 	return c
 }
 
-// names returns the engines that attempts were begun at.
-func (f *fakeTransport) names() []string {
+// attemptedEngines returns the engines that attempts were begun at.
+func (f *fakeTransport) attemptedEngines() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]string(nil), f.attempts...)
@@ -44,19 +44,19 @@
 // again.
 func TestStateExpiresWhileConnecting(t *testing.T) {
 	f := &fakeTransport{neverConnects: func(a Attempt) bool { return a.Endpoint.Kind == "w" }}
-	f.script = func(a Attempt) (Stream, *Result) {
+	f.respond = func(a Attempt) (Stream, *Result) {
 		if a.Endpoint.Kind == "r" {
 			return ended(routing.StatusPrefilled)
 		}
 		return nil, nil
 	}
-	c := coreWith(t, f, func(s *routing.Settings) { s.HeldStateLimit = 50 * time.Millisecond })
-	ticket := c.Submit(ask("once", time.Minute), make(answerChannel, 1))
+	c := newCoreWithSettings(t, f, func(s *routing.Settings) { s.HeldStateLimit = 50 * time.Millisecond })
+	ticket := c.Submit(newTestRequest("once", time.Minute), make(answerChannel, 1))
 	enginetest.Eventually(t, "the state is released, and prefilled again", func() bool {
 		_, closed, _ := f.counts()
-		return f.hasReleased("r1") && closed >= 2 && len(f.names()) >= 3
+		return f.hasReleased("r1") && closed >= 2 && len(f.attemptedEngines()) >= 3
 	})
-	if diff := cmp.Diff([]string{"r1", "w1", "r1"}, f.names()[:3]); diff != "" {
+	if diff := cmp.Diff([]string{"r1", "w1", "r1"}, f.attemptedEngines()[:3]); diff != "" {
 		t.Errorf("attempts (-want +got):\n%s", diff)
 	}
 	ticket.ClientGone()
@@ -67,9 +67,9 @@
 func TestUnwrittenAttemptWithdrawnWhenClientLeaves(t *testing.T) {
 	for _, may := range []bool{false, true} {
 		t.Run(fmt.Sprint("cancels allowed ", may), func(t *testing.T) {
-			f := &fakeTransport{neverConnects: func(Attempt) bool { return true }, script: func(Attempt) (Stream, *Result) { return nil, nil }}
-			c := coreWith(t, f, func(s *routing.Settings) { s.CanCancel = may })
-			ticket := c.Submit(ask("once", time.Minute), make(answerChannel, 1))
+			f := &fakeTransport{neverConnects: func(Attempt) bool { return true }, respond: func(Attempt) (Stream, *Result) { return nil, nil }}
+			c := newCoreWithSettings(t, f, func(s *routing.Settings) { s.CanCancel = may })
+			ticket := c.Submit(newTestRequest("once", time.Minute), make(answerChannel, 1))
 			enginetest.Eventually(t, "the attempt waits for its connection", func() bool { all, _, _ := f.counts(); return all == 1 })
 			ticket.ClientGone()
 			if err := c.Drain(t.Context()); err != nil {
@@ -85,11 +85,11 @@
 // Nothing is sent for a request whose client has left while it was waiting in the core's own
 // queue, though the message on that is not handled yet.
 func TestNoAttemptAfterClientLeftInQueue(t *testing.T) {
-	f := &fakeTransport{script: func(Attempt) (Stream, *Result) { return nil, nil }}
+	f := &fakeTransport{respond: func(Attempt) (Stream, *Result) { return nil, nil }}
 	c := newCore(t, f)
 	busy := make(chan struct{})
 	c.post(testMessage(func() { <-busy }))
-	ticket := c.Submit(ask("once", time.Minute), make(answerChannel, 1))
+	ticket := c.Submit(newTestRequest("once", time.Minute), make(answerChannel, 1))
 	ticket.ClientGone()
 	close(busy)
 	if err := c.Drain(t.Context()); err != nil {
@@ -104,10 +104,10 @@
 // engine is sent further releases until the prefill must have ended, whatever has become of the
 // request.
 func TestReleaseRepeatedWhileReadMayRun(t *testing.T) {
-	f := &fakeTransport{script: func(Attempt) (Stream, *Result) { return nil, nil }}
-	c := coreWith(t, f, func(s *routing.Settings) { s.HeldStateLimit = 20 * time.Millisecond })
+	f := &fakeTransport{respond: func(Attempt) (Stream, *Result) { return nil, nil }}
+	c := newCoreWithSettings(t, f, func(s *routing.Settings) { s.HeldStateLimit = 20 * time.Millisecond })
 	const wait = 600 * time.Millisecond
-	if a, _, _ := SubmitAndWait(t.Context(), c, ask("once", wait)); a.Verdict != Rejected {
+	if a, _, _ := SubmitAndWait(t.Context(), c, newTestRequest("once", wait)); a.Verdict != Rejected {
 		t.Fatalf("answer %+v", a)
 	}
 	enginetest.Eventually(t, "the prefill engine is sent several releases", func() bool { _, _, released := f.counts(); return released >= 4 })
@@ -119,9 +119,9 @@
 // A decode engine that finds no state says nothing of the prefill engine: it may only have been out of the
 // decode engine's reach. The state is released there all the same.
 func TestStateNotFoundByDecodeIsReleased(t *testing.T) {
-	f := &fakeTransport{script: prefillThen(func() (Stream, *Result) { return nil, &Result{Status: routing.StatusRejected, StateMissing: true} })}
-	c := coreWith(t, f, func(s *routing.Settings) { s.MaxAttempts = 2 })
-	if a, _, _ := SubmitAndWait(t.Context(), c, ask("once", time.Minute)); a.Verdict != Rejected {
+	f := &fakeTransport{respond: prefillThenDecode(func() (Stream, *Result) { return nil, &Result{Status: routing.StatusRejected, StateMissing: true} })}
+	c := newCoreWithSettings(t, f, func(s *routing.Settings) { s.MaxAttempts = 2 })
+	if a, _, _ := SubmitAndWait(t.Context(), c, newTestRequest("once", time.Minute)); a.Verdict != Rejected {
 		t.Fatalf("answer %+v", a)
 	}
 	if err := c.Drain(t.Context()); err != nil {
@@ -134,9 +134,9 @@
 
 // A pin limit as long as can be written is no limit, and hurts nothing.
 func TestHugePinLimit(t *testing.T) {
-	f := &fakeTransport{script: prefillThen(func() (Stream, *Result) { return ended(routing.StatusError) })}
-	c := coreWith(t, f, func(s *routing.Settings) { s.HeldStateLimit = 1<<63 - 1 })
-	if a, _, _ := SubmitAndWait(t.Context(), c, ask("once", time.Minute)); a.Verdict != Failed {
+	f := &fakeTransport{respond: prefillThenDecode(func() (Stream, *Result) { return ended(routing.StatusError) })}
+	c := newCoreWithSettings(t, f, func(s *routing.Settings) { s.HeldStateLimit = 1<<63 - 1 })
+	if a, _, _ := SubmitAndWait(t.Context(), c, newTestRequest("once", time.Minute)); a.Verdict != Failed {
 		t.Fatalf("answer %+v", a)
 	}
 	if err := c.Drain(t.Context()); err != nil {
@@ -152,15 +152,15 @@
 func TestAnswerReportsLastWrittenAttempt(t *testing.T) {
 	f := &fakeTransport{neverConnects: func(a Attempt) bool { return a.Number > 0 }}
 	failed := errors.New("the engine's own error")
-	f.script = func(a Attempt) (Stream, *Result) {
+	f.respond = func(a Attempt) (Stream, *Result) {
 		if a.Number > 0 {
 			return nil, nil
 		}
 		return nil, &Result{Status: routing.StatusError, Cause: failed}
 	}
-	c := coreWith(t, f, func(s *routing.Settings) { s.CanCancel = false })
+	c := newCoreWithSettings(t, f, func(s *routing.Settings) { s.CanCancel = false })
 	w := make(answerChannel, 1)
-	c.Submit(ask("free", time.Minute), w)
+	c.Submit(newTestRequest("free", time.Minute), w)
 	enginetest.Eventually(t, "a second attempt waits for its connection", func() bool { all, _, _ := f.counts(); return all == 2 })
 	c.NotifyShutdown(true)
 	if a := <-w; a.Status != routing.StatusError || !errors.Is(a.Cause, failed) {
@@ -171,9 +171,9 @@
 // A cancelled prefill may run on and leave state at its end. A gateway that drains stays until its
 // engine has been sent the last release.
 func TestDrainWaitsForReadsThatMayRunOn(t *testing.T) {
-	f := &fakeTransport{script: func(Attempt) (Stream, *Result) { return nil, nil }}
-	c := coreWith(t, f, func(s *routing.Settings) { s.HeldStateLimit = 20 * time.Millisecond })
-	if a, _, _ := SubmitAndWait(t.Context(), c, ask("once", 600*time.Millisecond)); a.Verdict != Rejected {
+	f := &fakeTransport{respond: func(Attempt) (Stream, *Result) { return nil, nil }}
+	c := newCoreWithSettings(t, f, func(s *routing.Settings) { s.HeldStateLimit = 20 * time.Millisecond })
+	if a, _, _ := SubmitAndWait(t.Context(), c, newTestRequest("once", 600*time.Millisecond)); a.Verdict != Rejected {
 		t.Fatalf("answer %+v", a)
 	}
 	if err := c.Drain(t.Context()); err != nil {
@@ -187,9 +187,9 @@
 // Engines whose kind takes no releases hold nothing: they are asked once, and a gateway that is
 // drained does not wait for prefills that may run on there.
 func TestEnginesWithoutReleases(t *testing.T) {
-	f := &fakeTransport{script: func(Attempt) (Stream, *Result) { return nil, nil }, releaseErr: ErrReleaseUnsupported}
-	c := coreWith(t, f, func(s *routing.Settings) { s.HeldStateLimit = 20 * time.Millisecond })
-	if a, _, _ := SubmitAndWait(t.Context(), c, ask("once", 600*time.Millisecond)); a.Verdict != Rejected {
+	f := &fakeTransport{respond: func(Attempt) (Stream, *Result) { return nil, nil }, releaseErr: ErrReleaseUnsupported}
+	c := newCoreWithSettings(t, f, func(s *routing.Settings) { s.HeldStateLimit = 20 * time.Millisecond })
+	if a, _, _ := SubmitAndWait(t.Context(), c, newTestRequest("once", 600*time.Millisecond)); a.Verdict != Rejected {
 		t.Fatalf("answer %+v", a)
 	}
 	if err := c.Drain(t.Context()); err != nil {
--- a/internal/core/heldlog.go
+++ b/internal/core/heldlog.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// stateEnd is what ended the time of a state that engines hold for a request.
-type stateEnd string
+// stateEndReason is what ended the time of a state that engines hold for a request.
+type stateEndReason string
 
 // The ends, as they are logged.
 const (
-	stateFetched  stateEnd = "fetched"  // a decode engine's answer has begun
-	stateReleased stateEnd = "released" // a release was delivered
-	stateExpired  stateEnd = "expired"  // it has reached its limit: given up, or released under an attempt
+	stateFetched  stateEndReason = "fetched"  // a decode engine's answer has begun
+	stateReleased stateEndReason = "released" // a release was delivered
+	stateExpired  stateEndReason = "expired"  // it has reached its limit: given up, or released under an attempt
 )
 
 // logWritten logs which connection an attempt was written to.
@@ -29,8 +29,8 @@
 		slog.Duration("age", time.Since(attempt.startedAt).Round(time.Microsecond)))
 }
 
-// logHeld logs that an engine holds state for a request from now on.
-func (c *Core) logHeld(request *requestState, attempt *attemptState) {
+// logStateHeld logs that an engine holds state for a request from now on.
+func (c *Core) logStateHeld(request *requestState, attempt *attemptState) {
 	if !c.debugLogging {
 		return
 	}
@@ -42,7 +42,7 @@
 }
 
 // logStateEnd logs what ended the time of a state, at an engine.
-func (c *Core) logStateEnd(request *requestState, engine string, end stateEnd) {
+func (c *Core) logStateEnd(request *requestState, engine string, end stateEndReason) {
 	if !c.debugLogging {
 		return
 	}
@@ -64,15 +64,15 @@
 	}
 	for _, attempt := range request.attempts {
 		if request.inFlight(attempt) || !attempt.ended {
-			attrs = append(attrs, attempt.logCover())
+			attrs = append(attrs, attempt.waitingAttr())
 		}
 	}
 	c.log.LogAttrs(context.Background(), slog.LevelInfo, "held state at its limit", attrs...)
 }
 
-// logCover describes an attempt that may have been waiting for a state: its connection, and the evidence
+// waitingAttr describes an attempt that may have been waiting for a state: its connection, and the evidence
 // that it has arrived.
-func (a *attemptState) logCover() slog.Attr {
+func (a *attemptState) waitingAttr() slog.Attr {
 	evidence := "none"
 	if first, heard := a.handle.FirstByte(); heard {
 		evidence = "answer after " + first.At.Sub(a.write.At).Round(time.Millisecond).String()
--- a/internal/core/linger.go
+++ b/internal/core/linger.go
@@ -11,10 +11,10 @@
 	maxLingering = 32               // each keeps a connection and a body
 )
 
-// lingerAfterAnswer keeps the connection of a cancelled attempt open once its request is over. State
+// keepLingering keeps the connection of a cancelled attempt open once its request is over. State
 // must not be held for long with no attempt in flight, and an engine behind a network partition can't
 // be sent a release; until that is delivered, the attempt stays in flight. Time and number are bounded.
-func (c *Core) lingerAfterAnswer(request *requestState) {
+func (c *Core) keepLingering(request *requestState) {
 	if request.lingeringAttempt == nil || request.held.lingersAfterAnswer || !request.answered || request.activeAttempts > 0 {
 		return
 	}
@@ -24,12 +24,12 @@
 	}
 	request.held.lingersAfterAnswer = true
 	c.lingeringCount++
-	c.schedule(lingerLimit, lingerLimitReached{request})
+	c.schedule(lingerLimit, lingerTimedOut{request})
 }
 
-// lingerTarget returns the engine whose release ends the lingering: the one that certainly holds state
+// lingerReleaseEngine returns the engine whose release ends the lingering: the one that certainly holds state
 // or, without one, the attempt's own.
-func (r *requestState) lingerTarget() string {
+func (r *requestState) lingerReleaseEngine() string {
 	return cmp.Or(r.held.lastHolder, r.lingeringAttempt.endpoint.Name)
 }
 
--- a/internal/core/linger_test.go
+++ b/internal/core/linger_test.go
@@ -15,10 +15,10 @@
 func TestDetachedStateIsReleased(t *testing.T) {
 	for kind, alone := range map[string]bool{"w": false, "alone": true} {
 		t.Run(kind, func(t *testing.T) {
-			f := &fakeTransport{script: prefillThen(func() (Stream, *Result) { return nil, nil })}
+			f := &fakeTransport{respond: prefillThenDecode(func() (Stream, *Result) { return nil, nil })}
 			c := newCore(t, f)
 			c.limits.IgnoresHeldState = func(k string) bool { return alone && k == "w" }
-			q := ask("once", 10*time.Second)
+			q := newTestRequest("once", 10*time.Second)
 			ticket := c.Submit(q, make(answerChannel, 1))
 			enginetest.Eventually(t, "it is at the decode engine", func() bool {
 				f.mu.Lock()
@@ -36,9 +36,9 @@
 	}
 }
 
-// checkLingering heals the partition before a prefill engine that is sent a release. Until then one
+// checkLingeringUntilRelease heals the partition before a prefill engine that is sent a release. Until then one
 // attempt is open if it is to linger, afterwards none is.
-func checkLingering(t *testing.T, core *Core, f *fakeTransport, lingers bool) {
+func checkLingeringUntilRelease(t *testing.T, core *Core, f *fakeTransport, lingers bool) {
 	t.Helper()
 	enginetest.Eventually(t, "the prefill engine is sent a release", func() bool { return f.hasReleased("r1") })
 	core.Counts(t.Context())
@@ -64,18 +64,18 @@
 		verdict     Verdict
 		lingers     bool
 	}{
-		{"prefilled, and the decode engine is silent", "once", prefillThen(silent), Failed, true},
+		{"prefilled, and the decode engine is silent", "once", prefillThenDecode(silent), Failed, true},
 		{"an idempotent request's prefill engine is silent, and may have prefilled", "free", func(Attempt) (Stream, *Result) { return silent() }, Rejected, true},
 		{"an at-most-once request that is rejected has nothing in flight", "once", func(Attempt) (Stream, *Result) { return silent() }, Rejected, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			f := &fakeTransport{script: c.script, partition: make(chan struct{})}
+			f := &fakeTransport{respond: c.script, partition: make(chan struct{})}
 			core := newCore(t, f)
-			a, _, _ := SubmitAndWait(t.Context(), core, ask(c.class, 300*time.Millisecond))
+			a, _, _ := SubmitAndWait(t.Context(), core, newTestRequest(c.class, 300*time.Millisecond))
 			if a.Verdict != c.verdict {
 				t.Fatalf("answer %+v", a)
 			}
-			checkLingering(t, core, f, c.lingers)
+			checkLingeringUntilRelease(t, core, f, c.lingers)
 		})
 	}
 }
@@ -88,7 +88,7 @@
 	f := &fakeTransport{partition: make(chan struct{})}
 	second := make(chan struct{})
 	f.neverConnects = func(a Attempt) bool { return a.Number >= 2 }
-	f.script = func(a Attempt) (Stream, *Result) {
+	f.respond = func(a Attempt) (Stream, *Result) {
 		switch {
 		case a.Endpoint.Kind == "r":
 			return ended(routing.StatusPrefilled)
@@ -99,7 +99,7 @@
 		return ended(routing.StatusConnectFailed)
 	}
 	core := newCore(t, f)
-	answered := submitAsync(t, core, ask("free", time.Minute))
+	answered := submitAsync(t, core, newTestRequest("free", time.Minute))
 	sent := func(n int) func() bool { return func() bool { all, _, _ := f.counts(); return all == n } }
 	enginetest.Eventually(t, "the decode engine's attempt is sent", sent(2))
 	core.post(testMessage(func() {
@@ -116,18 +116,18 @@
 	if a := <-answered; a.Verdict == Streaming {
 		t.Fatalf("answer %+v", a)
 	}
-	checkLingering(t, core, f, true)
+	checkLingeringUntilRelease(t, core, f, true)
 }
 
 func TestLingeringIsBounded(t *testing.T) {
-	f := &fakeTransport{script: func(Attempt) (Stream, *Result) { return nil, nil }, partition: make(chan struct{})}
+	f := &fakeTransport{respond: func(Attempt) (Stream, *Result) { return nil, nil }, partition: make(chan struct{})}
 	defer close(f.partition)
 	core := newCore(t, f)
 	all, closed := 0, 0
 	for round := 0; all <= maxLingering; round++ { // some are refused as they would wait too long
 		var group sync.WaitGroup
 		for i := range maxLingering {
-			q := ask("free", 300*time.Millisecond)
+			q := newTestRequest("free", 300*time.Millisecond)
 			q.ClientRequestID = fmt.Sprint("id", round, "-", i)
 			group.Go(func() { SubmitAndWait(t.Context(), core, q) })
 		}
@@ -150,10 +150,10 @@
 // further attempt, and the answer that a request never ran. Both travel on other connections than the cancel.
 func TestRefusalWaitsAfterCancel(t *testing.T) {
 	f := &fakeTransport{}
-	f.script = func(Attempt) (Stream, *Result) { return nil, nil }
+	f.respond = func(Attempt) (Stream, *Result) { return nil, nil }
 	core := newCore(t, f)
-	a, _, _ := SubmitAndWait(t.Context(), core, ask("once", 300*time.Millisecond))
-	if d := f.sinceClose(); a.Verdict != Rejected || d < cancelTransit {
+	a, _, _ := SubmitAndWait(t.Context(), core, newTestRequest("once", 300*time.Millisecond))
+	if d := f.sinceLastClose(); a.Verdict != Rejected || d < cancelPropagationTime {
 		t.Errorf("verdict %v, %v after the attempt's end", a.Verdict, d)
 	}
 }
@@ -165,18 +165,18 @@
 		t.Run(fmt.Sprint("known before ", known), func(t *testing.T) {
 			written, after := make(chan struct{}, 8), make(chan time.Duration, 8)
 			f := &fakeTransport{}
-			f.script = func(a Attempt) (Stream, *Result) {
+			f.respond = func(a Attempt) (Stream, *Result) {
 				if a.Number > 0 {
-					after <- f.sinceClose()
+					after <- f.sinceLastClose()
 				}
 				written <- struct{}{}
 				return nil, nil
 			}
 			if !known {
-				f.writtenLate = make(chan struct{})
+				f.delayFirstWritten = make(chan struct{})
 			}
 			core := newCore(t, f)
-			go SubmitAndWait(t.Context(), core, ask("free", time.Minute))
+			go SubmitAndWait(t.Context(), core, newTestRequest("free", time.Minute))
 			if known {
 				<-written // the core's queue has it, before what is posted now
 			} else {
@@ -192,9 +192,9 @@
 			}))
 			if !known {
 				enginetest.Eventually(t, "the first attempt is closed", func() bool { _, closed, _ := f.counts(); return closed == 1 })
-				close(f.writtenLate)
+				close(f.delayFirstWritten)
 			}
-			if d := <-after; d < cancelTransit {
+			if d := <-after; d < cancelPropagationTime {
 				t.Errorf("known before %v: the next attempt is sent %v after the end of the previous one", known, d)
 			}
 		})
@@ -207,12 +207,12 @@
 	read := make(chan struct{})
 	f := &fakeTransport{partition: make(chan struct{})}
 	defer close(f.partition)
-	f.script = func(Attempt) (Stream, *Result) {
+	f.respond = func(Attempt) (Stream, *Result) {
 		<-read
 		return ended(routing.StatusPrefilled)
 	}
 	core := newCore(t, f)
-	if a, _, _ := SubmitAndWait(t.Context(), core, ask("free", 300*time.Millisecond)); a.Verdict != Rejected {
+	if a, _, _ := SubmitAndWait(t.Context(), core, newTestRequest("free", 300*time.Millisecond)); a.Verdict != Rejected {
 		t.Fatalf("answer %+v", a)
 	}
 	calls := func(n int) func() bool { return func() bool { _, _, released := f.counts(); return released == n } }
--- a/internal/core/messages.go
+++ b/internal/core/messages.go
@@ -44,7 +44,7 @@
 	mayWrite chan<- struct{}
 }
 
-func (m attemptConnected) handle(c *Core) { c.clearAttempt(m.request, m.attempt, m.mayWrite) }
+func (m attemptConnected) handle(c *Core) { c.permitWrite(m.request, m.attempt, m.mayWrite) }
 
 // attemptWritten tells that the last byte of an attempt has been written.
 type attemptWritten struct {
@@ -175,30 +175,30 @@
 	c.endAttempt(m.request, m.attempt, Result{Status: routing.StatusTimeout})
 }
 
-// attemptCleared lets an attempt be written; see attemptConnected.
-type attemptCleared struct{ mayWrite chan<- struct{} }
+// writePermitted lets an attempt be written; see attemptConnected.
+type writePermitted struct{ mayWrite chan<- struct{} }
 
-func (m attemptCleared) handle(*Core) { close(m.mayWrite) }
+func (m writePermitted) handle(*Core) { close(m.mayWrite) }
 
-// answerDue delivers an answer that had to wait; see Core.afterAttemptClosed.
-type answerDue struct {
+// delayedAnswer delivers an answer that had to wait; see Core.afterAttemptClosed.
+type delayedAnswer struct {
 	front  Front
 	answer Answer
 }
 
-func (m answerDue) handle(*Core) { m.front.Answer(m.answer) }
+func (m delayedAnswer) handle(*Core) { m.front.Answer(m.answer) }
 
-// heldStateDue tells that the ledger of a request has something due.
-type heldStateDue struct{ request *requestState }
+// heldStateTimerFired tells that the ledger of a request has something due.
+type heldStateTimerFired struct{ request *requestState }
 
-func (m heldStateDue) handle(c *Core) { c.markChanged(m.request) }
+func (m heldStateTimerFired) handle(c *Core) { c.markChanged(m.request) }
 
-// lingerLimitReached tells that an attempt has been kept open as long as it may.
-type lingerLimitReached struct{ request *requestState }
+// lingerTimedOut tells that an attempt has been kept open as long as it may.
+type lingerTimedOut struct{ request *requestState }
 
-func (m lingerLimitReached) handle(c *Core) { c.endLingering(m.request) }
+func (m lingerTimedOut) handle(c *Core) { c.endLingering(m.request) }
 
-// drainPolled has the core check whether a drain has ended.
-type drainPolled struct{}
+// drainPollTimerFired has the core check whether a drain has ended.
+type drainPollTimerFired struct{}
 
-func (drainPolled) handle(c *Core) { c.pollDrain() }
+func (drainPollTimerFired) handle(c *Core) { c.pollDrain() }
--- a/internal/core/release.go
+++ b/internal/core/release.go
@@ -22,10 +22,10 @@
 	release := Release{
 		Endpoint:          request.held.endpoints[engine],
 		ClientRequestID:   request.ClientRequestID,
-		Alternates:        c.endpoints.othersByLastHeard(engine, maxAlternates),
+		Alternates:        c.endpoints.alternatesByLastResponse(engine, maxAlternates),
 		AlternateDelay:    min(alternatesAfter, c.limits.HeldStateLimit/4),
 		AlternateInterval: max(c.limits.HeldStateLimit/2, heldstate.MinReleaseInterval),
-		Deadline:          c.clock.at(request.held.ledger.ReleaseDeadline(engine)),
+		Deadline:          c.clock.fromRouterTime(request.held.ledger.ReleaseDeadline(engine)),
 	}
 	request.held.stopRelease[engine] = c.transport.Release(release, func(err error) {
 		c.post(releaseEnded{request, engine, err})
@@ -48,8 +48,8 @@
 		return
 	}
 	c.logStateEnd(request, engine, stateReleased)
-	c.endpoints.recordHeard(engine)
-	if request.held.lingersAfterAnswer && request.lingeringAttempt != nil && engine == request.lingerTarget() {
+	c.endpoints.recordResponse(engine)
+	if request.held.lingersAfterAnswer && request.lingeringAttempt != nil && engine == request.lingerReleaseEngine() {
 		c.endLingering(request)
 	}
 }
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -12,21 +12,21 @@
 // requestState is a request in hand: until it is answered and all of its attempts have ended.
 type requestState struct {
 	Request
-	front            Front
-	deadline         time.Time
-	idempotent       bool          // may be repeated at will, by the settings with which it was taken
-	answered         bool          // it has had its final answer, or its client has disconnected
-	streaming        *attemptState // whose stream is the answer, until that ends
-	stream           Stream        // of streaming
-	attempts         []*attemptState
-	activeAttempts   int           // attempts that have not ended
-	lingeringAttempt *attemptState // cancelled or timed out, its connection still open
-	cancelledAt      time.Time     // when an attempt that its engine may have received was closed last
-	held             heldState
-	lastStatus       routing.Status // how the latest attempt ended, and why
-	lastCause        error
-	endedMayHaveRun  bool         // an attempt has ended that may have run
-	clientGone       *atomic.Bool // its client has disconnected; set before the message on that is handled
+	front             Front
+	deadline          time.Time
+	idempotent        bool          // may be repeated at will, by the settings with which it was taken
+	answered          bool          // it has had its final answer, or its client has disconnected
+	streaming         *attemptState // whose stream is the answer, until that ends
+	stream            Stream        // of streaming
+	attempts          []*attemptState
+	activeAttempts    int           // attempts that have not ended
+	lingeringAttempt  *attemptState // cancelled or timed out, its connection still open
+	cancelledAt       time.Time     // when an attempt that its engine may have received was closed last
+	held              heldState
+	lastAttemptStatus routing.Status // how the latest attempt ended, and why
+	lastAttemptCause  error
+	endedMayHaveRun   bool         // an attempt has ended that may have run
+	clientGone        *atomic.Bool // its client has disconnected; set before the message on that is handled
 }
 
 // submit takes a request into the table and gives it to the router.
@@ -66,7 +66,7 @@
 		return
 	}
 	request.answered = true
-	a.Status, a.Cause = request.lastStatus, request.lastCause
+	a.Status, a.Cause = request.lastAttemptStatus, request.lastAttemptCause
 	if a.Verdict != Streaming {
 		c.withdrawUnwritten(request)
 	}
@@ -80,7 +80,7 @@
 		c.logAnswer(request, a)
 	}
 	if a.Verdict == Rejected && !request.idempotent { // its client may take it that the request never ran
-		c.afterAttemptClosed(request, answerDue{request.front, a})
+		c.afterAttemptClosed(request, delayedAnswer{request.front, a})
 	} else {
 		request.front.Answer(a)
 	}
@@ -115,7 +115,7 @@
 		return
 	}
 	request.answered = true
-	c.counters.increment(countGone)
+	c.counters.increment(countClientsGone)
 	c.markChanged(request)
 	c.dispatch(routing.ClientGone{ID: request.ID})
 	c.withdrawUnwritten(request)
--- a/internal/core/requesttable.go
+++ b/internal/core/requesttable.go
@@ -12,7 +12,7 @@
 	byID             map[routing.RequestID]*requestState
 	clientRequestIDs map[string]bool
 	lastID           routing.RequestID
-	lastBusy         time.Time // when a request came, or was seen in hand
+	lastActive       time.Time // when a request came, or was seen in hand
 }
 
 func newRequestTable() requestTable {
@@ -31,7 +31,7 @@
 
 func (t *requestTable) add(request *requestState) {
 	t.byID[request.ID], t.clientRequestIDs[request.ClientRequestID] = request, true
-	t.lastBusy = time.Now()
+	t.lastActive = time.Now()
 }
 
 // remove takes a request out, and reports whether it was in hand: one that was never added may
@@ -48,7 +48,7 @@
 // idleFor returns for how long no request has come and none has been seen in hand.
 func (t *requestTable) idleFor() time.Duration {
 	if t.len() > 0 {
-		t.lastBusy = time.Now()
+		t.lastActive = time.Now()
 	}
-	return time.Since(t.lastBusy)
+	return time.Since(t.lastActive)
 }
--- a/internal/core/stall.go
+++ b/internal/core/stall.go
@@ -13,28 +13,28 @@
 // was held up; which of the two can't be told, so that what is seen right after it may be as old as its
 // begin. It is owned by the core's goroutine.
 type stallDetector struct {
-	lastRun  time.Time // when the goroutine ended its latest round
-	from, to time.Time // of the latest pause
+	lastRoundEnd         time.Time // when the goroutine ended its latest round
+	pauseStart, pauseEnd time.Time // of the latest pause
 }
 
-// running records that the core's goroutine begins a round.
-func (d *stallDetector) running(now time.Time) {
-	if now.Sub(d.lastRun) >= minStall {
-		d.from, d.to = d.lastRun, now
+// beginRound records that the core's goroutine begins a round.
+func (d *stallDetector) beginRound(now time.Time) {
+	if now.Sub(d.lastRoundEnd) >= minStall {
+		d.pauseStart, d.pauseEnd = d.lastRoundEnd, now
 	}
 }
 
-// done records that the core's goroutine ends a round.
-func (d *stallDetector) done(now time.Time) { d.lastRun = now }
+// endRound records that the core's goroutine ends a round.
+func (d *stallDetector) endRound(now time.Time) { d.lastRoundEnd = now }
 
-// earliest returns since when something may have been waiting that was seen at a time: right after a pause
+// earliestEventTime returns since when something may have been waiting that was seen at a time: right after a pause
 // since the pause began, but no longer than most.
-func (d *stallDetector) earliest(seen time.Time, most time.Duration) time.Time {
-	if seen.Before(d.from) || seen.After(d.to.Add(minStall)) {
+func (d *stallDetector) earliestEventTime(seen time.Time, most time.Duration) time.Time {
+	if seen.Before(d.pauseStart) || seen.After(d.pauseEnd.Add(minStall)) {
 		return seen
 	}
-	if longest := seen.Add(-most); longest.After(d.from) {
+	if longest := seen.Add(-most); longest.After(d.pauseStart) {
 		return longest
 	}
-	return d.from
+	return d.pauseStart
 }
--- a/internal/core/stall_test.go
+++ b/internal/core/stall_test.go
@@ -24,9 +24,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var d stallDetector
-			d.done(at(c.lastRun))
-			d.running(at(c.running))
-			if got := d.earliest(at(c.seen), maxStall); !got.Equal(at(c.want)) {
+			d.endRound(at(c.lastRun))
+			d.beginRound(at(c.running))
+			if got := d.earliestEventTime(at(c.seen), maxStall); !got.Equal(at(c.want)) {
 				t.Errorf("earliest %v, want %v", got.Sub(start), at(c.want).Sub(start))
 			}
 		})
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -21,13 +21,13 @@
 // untilNext returns the time until the next message is due.
 func (t *timers) untilNext(now time.Time) time.Duration {
 	if len(t.list) == 0 {
-		return idleWait
+		return maxWait
 	}
 	return max(0, t.list[0].at.Sub(now))
 }
 
-// idleWait is the wait with nothing to wait for.
-const idleWait = time.Hour
+// maxWait is the wait with nothing to wait for.
+const maxWait = time.Hour
 
 // popDue takes out the next message that is due, nil if there is none.
 func (t *timers) popDue(now time.Time) message {
--- a/internal/core/trace_test.go
+++ b/internal/core/trace_test.go
@@ -40,13 +40,13 @@
 }
 
 type tracedAttempt struct {
-	tr      *tracer
-	n       int
-	a       Attempt
-	written atomic.Bool
-	heard   atomic.Pointer[FirstByte]
-	first   func(Stream)
-	ended   func(Result)
+	tr        *tracer
+	n         int
+	a         Attempt
+	written   atomic.Bool
+	firstByte atomic.Pointer[FirstByte]
+	first     func(Stream)
+	ended     func(Result)
 }
 
 // connection is that of the attempt; each has one of its own.
@@ -54,77 +54,77 @@
 	return heldstate.ConnectionNumber(a.n + 1)
 }
 
-// answerArrives has the first byte of an answer arrive on the attempt's connection.
-func (a *tracedAttempt) answerArrives() {
-	a.heard.Store(&FirstByte{Connection: a.connection(), At: time.Now()})
+// receiveFirstByte has the first byte of an answer arrive on the attempt's connection.
+func (a *tracedAttempt) receiveFirstByte() {
+	a.firstByte.Store(&FirstByte{Connection: a.connection(), At: time.Now()})
 }
 
 func (a *tracedAttempt) FirstByte() (FirstByte, bool) {
-	if first := a.heard.Load(); first != nil {
+	if first := a.firstByte.Load(); first != nil {
 		return *first, true
 	}
 	return FirstByte{}, false
 }
 
-func (tr *tracer) note(format string, args ...any) {
+func (tr *tracer) record(format string, args ...any) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	fmt.Fprintf(tr.out, "%8.1f "+format+"\n", append([]any{float64(time.Since(tr.start).Microseconds()) / 1000}, args...)...)
 }
 
-// add appends a call to a list and returns its number.
-func add[T any](tr *tracer, list *[]T, call T) int {
+// appendCall appends a call to a list and returns its number.
+func appendCall[T any](tr *tracer, list *[]T, call T) int {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	*list = append(*list, call)
 	return len(*list) - 1
 }
 
-// all returns the calls of a list.
-func all[T any](tr *tracer, list *[]T) []T {
+// snapshot returns the calls of a list.
+func snapshot[T any](tr *tracer, list *[]T) []T {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	return slices.Clone(*list)
 }
 
-// begun returns the attempts begun so far.
-func (tr *tracer) begun() []*tracedAttempt { return all(tr, &tr.attempts) }
+// startedAttempts returns the attempts startedAttempts so far.
+func (tr *tracer) startedAttempts() []*tracedAttempt { return snapshot(tr, &tr.attempts) }
 
-func (a *tracedAttempt) Cancel() { a.tr.note("cancel %d", a.n) }
+func (a *tracedAttempt) Cancel() { a.tr.record("cancel %d", a.n) }
 
 func (a *tracedAttempt) Withdraw() bool {
 	unwritten := !a.written.Load()
-	a.tr.note("withdraw %d: %v", a.n, unwritten)
+	a.tr.record("withdraw %d: %v", a.n, unwritten)
 	return unwritten
 }
 
 func (tr *tracer) Start(a Attempt, first func(Stream), ended func(Result)) Handle {
 	at := &tracedAttempt{tr: tr, a: a, first: first, ended: ended}
-	at.n = add(tr, &tr.attempts, at)
-	tr.note("start %d: %s number %d at %s, limit %v, target %s, waits %v, client gone %v",
+	at.n = appendCall(tr, &tr.attempts, at)
+	tr.record("start %d: %s number %d at %s, limit %v, target %s, waits %v, client gone %v",
 		at.n, a.ClientRequestID, a.Number, a.Endpoint.Name, a.Timeout, a.Payload.Target, a.Connected != nil, a.ClientGone())
 	return at
 }
 
 func (tr *tracer) Release(r Release, done func(error)) (stop func()) {
-	n := add(tr, &tr.releases, done)
+	n := appendCall(tr, &tr.releases, done)
 	var others []string
 	for _, m := range r.Alternates {
 		others = append(others, m.Name)
 	}
-	tr.note("release %d: %s at %s, else %v after %v every %v, until %v", n, r.ClientRequestID, r.Endpoint.Name, others, r.AlternateDelay, r.AlternateInterval,
+	tr.record("release %d: %s at %s, else %v after %v every %v, until %v", n, r.ClientRequestID, r.Endpoint.Name, others, r.AlternateDelay, r.AlternateInterval,
 		time.Until(r.Deadline).Round(time.Millisecond))
-	return func() { tr.note("stop release %d", n) }
+	return func() { tr.record("stop release %d", n) }
 }
 
 func (tr *tracer) Probe(m Endpoint, done func(routing.Status, *routing.LoadReport)) {
-	tr.note("probe %d: %s", add(tr, &tr.probes, done), m.Name)
+	tr.record("probe %d: %s", appendCall(tr, &tr.probes, done), m.Name)
 }
 
-func (tr *tracer) Subscribe() { tr.note("subscribe") }
+func (tr *tracer) Subscribe() { tr.record("subscribe") }
 
 func (tr *tracer) Answered(q Request, a Answer, verdict string) {
-	tr.note("observed %s: %d %q", q.ClientRequestID, a.Verdict, verdict)
+	tr.record("observed %s: %d %q", q.ClientRequestID, a.Verdict, verdict)
 }
 
 type tracedFront struct {
@@ -133,7 +133,7 @@
 }
 
 func (f tracedFront) Answer(a Answer) {
-	f.tr.note("answer %s: %d, status %d, cause %v, retry %v, quota %v, stream %v, may run %v, standing %v", f.name, a.Verdict, a.Status, a.Cause,
+	f.tr.record("answer %s: %d, status %d, cause %v, retry %v, quota %v, stream %v, may run %v, standing %v", f.name, a.Verdict, a.Status, a.Cause,
 		a.RetryAfter, a.OverQuota, a.Stream != nil, a.MayHaveRun, a.Quota != nil)
 }
 
@@ -147,13 +147,13 @@
 
 func (s *tracedStream) Close() error {
 	if s.closes.Add(1); !s.relayed {
-		s.tr.note("close stream %s", s.name)
+		s.tr.record("close stream %s", s.name)
 	}
 	return nil
 }
 
 func (tr *tracer) submit(class, id string, ttl time.Duration) *Ticket {
-	q := ask(class, ttl)
+	q := newTestRequest(class, ttl)
 	q.ClientRequestID, q.Payload.Target = id, "/"+id
 	ticket := tr.core.Submit(q, tracedFront{tr, id})
 	synctest.Wait()
@@ -162,8 +162,8 @@
 
 // written has the core hear that an attempt's last byte is written.
 func (tr *tracer) written(n int) {
-	tr.begun()[n].written.Store(true)
-	tr.begun()[n].a.Written(WriteRecord{Connection: tr.begun()[n].connection(), At: time.Now()})
+	tr.startedAttempts()[n].written.Store(true)
+	tr.startedAttempts()[n].a.Written(WriteRecord{Connection: tr.startedAttempts()[n].connection(), At: time.Now()})
 	synctest.Wait()
 }
 
@@ -171,16 +171,16 @@
 
 func (tr *tracer) end(n int, r Result) {
 	if r.Status != routing.StatusReset && r.Status != routing.StatusConnectFailed {
-		tr.begun()[n].answerArrives()
+		tr.startedAttempts()[n].receiveFirstByte()
 	}
-	tr.begun()[n].ended(r)
+	tr.startedAttempts()[n].ended(r)
 	synctest.Wait()
 }
 
 func (tr *tracer) first(n int) *tracedStream {
 	s := &tracedStream{tr: tr, name: fmt.Sprint(n)}
-	tr.begun()[n].answerArrives()
-	tr.begun()[n].first(s)
+	tr.startedAttempts()[n].receiveFirstByte()
+	tr.startedAttempts()[n].first(s)
 	synctest.Wait()
 	return s
 }
@@ -188,14 +188,14 @@
 // connect has the core hear that an attempt's connection is up, and notes when it may be written.
 func (tr *tracer) connect(n int) {
 	go func() {
-		tr.begun()[n].a.Connected()
-		tr.note("clear %d", n)
+		tr.startedAttempts()[n].a.Connected()
+		tr.record("clear %d", n)
 	}()
 	synctest.Wait()
 }
 
 func (tr *tracer) released(n int, err error) {
-	all(tr, &tr.releases)[n](err)
+	snapshot(tr, &tr.releases)[n](err)
 	synctest.Wait()
 }
 
@@ -204,8 +204,8 @@
 	synctest.Wait()
 }
 
-// read has an attempt written and its read end.
-func (tr *tracer) read(n int) {
+// prefill has an attempt written and its prefill end.
+func (tr *tracer) prefill(n int) {
 	tr.written(n)
 	tr.ended(n, routing.StatusPrefilled)
 }
@@ -221,7 +221,7 @@
 }{
 	{"served", nil, func(tr *tracer) {
 		ticket := tr.submit("free", "a", time.Minute)
-		tr.read(0)
+		tr.prefill(0)
 		tr.written(1)
 		tr.first(1)
 		tr.sleep(50 * time.Millisecond)
@@ -231,7 +231,7 @@
 		tr.submit("free", "a", time.Minute)
 		tr.submit("free", "a", time.Minute).ClientGone()
 		tr.submit("once", "b", time.Minute)
-		tr.read(0)
+		tr.prefill(0)
 		tr.ended(2, routing.StatusError)
 	}},
 	{"gone unwritten", nil, func(tr *tracer) { tr.submit("once", "a", time.Minute).ClientGone() }},
@@ -251,7 +251,7 @@
 	}},
 	{"gone as it streams", nil, func(tr *tracer) {
 		ticket := tr.submit("once", "a", time.Minute)
-		tr.read(0)
+		tr.prefill(0)
 		tr.written(1)
 		tr.first(1)
 		ticket.ClientGone()
@@ -260,7 +260,7 @@
 	}},
 	{"late stream", nil, func(tr *tracer) {
 		ticket := tr.submit("once", "a", time.Minute)
-		tr.read(0)
+		tr.prefill(0)
 		tr.written(1)
 		ticket.ClientGone()
 		synctest.Wait()
@@ -268,7 +268,7 @@
 	}},
 	{"broken stream", nil, func(tr *tracer) {
 		ticket := tr.submit("free", "a", time.Minute)
-		tr.read(0)
+		tr.prefill(0)
 		tr.written(1)
 		tr.first(1)
 		ticket.Finish(Result{Status: routing.StatusReset, Cause: errTraced})
@@ -281,45 +281,45 @@
 			id         string
 			end, write error
 		}{{"whole", io.EOF, nil}, {"broken", errTraced, nil}, {"unwritable", io.EOF, errTraced}} {
-			n := len(tr.begun())
+			n := len(tr.startedAttempts())
 			ticket := tr.submit("free", c.id, time.Minute)
-			tr.read(n)
+			tr.prefill(n)
 			tr.written(n + 1)
 			s := &tracedStream{tr: tr, name: c.id, textStream: textStream{rest: "data: x\n\n", end: c.end}, relayed: true}
-			tr.begun()[n+1].first(s)
+			tr.startedAttempts()[n+1].first(s)
 			synctest.Wait()
-			err := ticket.Relay(tr.t.Context(), s, func(p []byte) error { tr.note("write %q", p); return c.write })
+			err := ticket.Relay(tr.t.Context(), s, func(p []byte) error { tr.record("write %q", p); return c.write })
 			synctest.Wait()
-			tr.note("relayed: %v, closed %d times", err, s.closes.Load())
+			tr.record("relayed: %v, closed %d times", err, s.closes.Load())
 		}
 	}},
 	{"past its deadline", nil, func(tr *tracer) { tr.submit("once", "a", -time.Second) }},
 	{"silent until its deadline", nil, func(tr *tracer) {
 		tr.submit("once", "a", 2*time.Second)
-		tr.read(0)
+		tr.prefill(0)
 		tr.written(1)
 		tr.sleep(3 * time.Second)
-		for n := range all(tr, &tr.releases) {
+		for n := range snapshot(tr, &tr.releases) {
 			tr.released(n, nil)
 		}
 	}},
 	{"retried", nil, func(tr *tracer) {
 		tr.submit("free", "a", time.Minute)
 		for _, s := range []routing.Status{routing.StatusConnectFailed, routing.StatusRejected, routing.StatusError, routing.StatusReset} {
-			tr.written(len(tr.begun()) - 1)
-			tr.ended(len(tr.begun())-1, s)
+			tr.written(len(tr.startedAttempts()) - 1)
+			tr.ended(len(tr.startedAttempts())-1, s)
 			tr.sleep(500 * time.Millisecond)
 		}
 	}},
 	{"an order that fails", nil, func(tr *tracer) {
 		tr.submit("once", "a", time.Minute)
-		tr.read(0)
+		tr.prefill(0)
 		tr.written(1)
 		tr.end(1, Result{Status: routing.StatusReset, Cause: errTraced})
 	}},
 	{"no state", nil, func(tr *tracer) {
 		tr.submit("once", "a", time.Minute)
-		tr.read(0)
+		tr.prefill(0)
 		tr.written(1)
 		tr.end(1, Result{Status: routing.StatusRejected, StateMissing: true})
 		tr.sleep(time.Second)
@@ -327,7 +327,7 @@
 	}},
 	{"over its quota", func(s *routing.Settings) { s.Tenants = []routing.Tenant{{Name: "team", Quota: 0.4}} }, func(tr *tracer) {
 		for n := range 12 {
-			q := ask("free", time.Minute)
+			q := newTestRequest("free", time.Minute)
 			q.ClientRequestID, q.Tenant = fmt.Sprint("a", n), "team"
 			tr.core.Submit(q, tracedFront{tr, q.ClientRequestID})
 			synctest.Wait()
@@ -335,11 +335,11 @@
 	}},
 	{"overtaken", nil, func(tr *tracer) {
 		tr.submit("free", "a", 20*time.Second)
-		tr.read(0)
+		tr.prefill(0)
 		tr.written(1)
 		tr.sleep(15 * time.Second) // the attempt's limit passes, its connection is kept open
-		for n := 2; n < len(tr.begun()); n++ {
-			if tr.begun()[n].a.Connected != nil {
+		for n := 2; n < len(tr.startedAttempts()); n++ {
+			if tr.startedAttempts()[n].a.Connected != nil {
 				tr.connect(n)
 			}
 			tr.sleep(10 * time.Millisecond)
@@ -347,7 +347,7 @@
 		}
 		tr.ended(1, routing.StatusPrefilled)
 		tr.sleep(20 * time.Second)
-		for n := range all(tr, &tr.releases) {
+		for n := range snapshot(tr, &tr.releases) {
 			tr.released(n, nil)
 		}
 	}},
@@ -360,7 +360,7 @@
 	}},
 	{"lingering", nil, func(tr *tracer) {
 		tr.submit("once", "a", 300*time.Millisecond)
-		tr.read(0)
+		tr.prefill(0)
 		tr.written(1)
 		tr.sleep(400 * time.Millisecond)
 		tr.released(0, nil)
@@ -368,62 +368,62 @@
 	}},
 	{"lingering until its limit", nil, func(tr *tracer) {
 		tr.submit("once", "a", 300*time.Millisecond)
-		tr.read(0)
+		tr.prefill(0)
 		tr.written(1)
 		tr.sleep(40 * time.Second)
 	}},
 	{"a state expires", nil, func(tr *tracer) {
 		tr.submit("once", "a", time.Minute)
-		tr.read(0)
+		tr.prefill(0)
 		tr.sleep(2 * time.Second)
-		if len(all(tr, &tr.releases)) > 0 {
+		if len(snapshot(tr, &tr.releases)) > 0 {
 			tr.released(0, nil)
 		}
 	}},
 	{"an attempt is unconfirmed at the limit", nil, func(tr *tracer) {
 		ticket := tr.submit("once", "a", time.Minute)
-		tr.read(0)
+		tr.prefill(0)
 		tr.written(1)
 		tr.sleep(460 * time.Millisecond)
 		tr.sleep(2 * time.Second)
-		tr.note("may run: %v", ticket.MayHaveRun(tr.t.Context()))
+		tr.record("may run: %v", ticket.MayHaveRun(tr.t.Context()))
 		tr.first(1)
 	}},
 	{"engines come and go", nil, func(tr *tracer) {
 		tr.core.SetGateways(3)
 		names, ok := tr.core.Eject(tr.t.Context(), "w1", true)
-		tr.note("eject: %v %v", names, ok)
+		tr.record("eject: %v %v", names, ok)
 		names, ok = tr.core.Eject(tr.t.Context(), "nobody", true)
-		tr.note("eject: %v %v", names, ok)
+		tr.record("eject: %v %v", names, ok)
 		tr.submit("once", "a", time.Minute)
-		tr.read(0)
+		tr.prefill(0)
 		tr.core.SetEjected([]string{"w2"})
 		tr.submit("once", "b", time.Minute)
-		tr.read(len(tr.begun()) - 1)
-		tr.note("ejected %v, ready %v", tr.core.Ejected(), tr.core.Ready())
+		tr.prefill(len(tr.startedAttempts()) - 1)
+		tr.record("ejected %v, ready %v", tr.core.Ejected(), tr.core.Ready())
 		tr.core.UpdateEndpoints(routing.EngineListDelta, []Endpoint{{EngineInfo: routing.EngineInfo{Name: "w1", Kind: "w", Phase: routing.PhaseRemoved}}})
 		tr.core.UpdateEndpoints(routing.EngineListFailed, nil)
 		synctest.Wait()
-		tr.note("ready %v", tr.core.Ready())
+		tr.record("ready %v", tr.core.Ready())
 		tr.core.UpdateEndpoints(routing.EngineListSnapshot, nil)
 		synctest.Wait()
-		tr.note("ready %v", tr.core.Ready())
+		tr.record("ready %v", tr.core.Ready())
 		tr.submit("free", "c", time.Second)
 		tr.sleep(2 * time.Second)
 	}},
 	{"abandoned", nil, func(tr *tracer) {
 		tr.submit("once", "a", time.Minute)
 		tr.submit("once", "b", time.Minute)
-		tr.read(0)
+		tr.prefill(0)
 		tr.written(2)
 		tr.core.NotifyShutdown(false)
 		synctest.Wait()
 		tr.submit("once", "c", time.Minute)
 		tr.core.NotifyShutdown(true)
-		go func() { tr.note("drained: %v", tr.core.Drain(tr.t.Context())) }()
+		go func() { tr.record("drained: %v", tr.core.Drain(tr.t.Context())) }()
 		synctest.Wait()
 		for range 3 {
-			for n := range all(tr, &tr.releases) {
+			for n := range snapshot(tr, &tr.releases) {
 				tr.released(n, nil)
 			}
 			tr.sleep(time.Second)
@@ -433,13 +433,13 @@
 		tr.submit("once", "a", time.Minute)
 		ctx, cancel := context.WithTimeout(tr.t.Context(), time.Second)
 		defer cancel()
-		tr.note("drained: %v", tr.core.Drain(ctx))
+		tr.record("drained: %v", tr.core.Drain(ctx))
 	}},
 	{"probed", nil, func(tr *tracer) {
 		tr.submit("free", "a", 5*time.Second)
 		runQuery(tr.t.Context(), tr.core, func() bool { tr.core.startProbe("r1"); return true })
 		tr.sleep(20 * time.Millisecond)
-		for _, done := range all(tr, &tr.probes) {
+		for _, done := range snapshot(tr, &tr.probes) {
 			done(routing.StatusServed, &routing.LoadReport{})
 		}
 		tr.sleep(time.Second)
@@ -476,7 +476,7 @@
 	}},
 	{"cancelled as it is written", nil, func(tr *tracer) {
 		ticket := tr.submit("once", "a", time.Minute)
-		tr.begun()[0].written.Store(true)
+		tr.startedAttempts()[0].written.Store(true)
 		ticket.ClientGone()
 		synctest.Wait()
 		tr.written(0)
@@ -485,11 +485,11 @@
 	{"settings changed", nil, func(tr *tracer) {
 		set := testSettings()
 		set.MaxAttempts = 0
-		tr.note("refused: %v", tr.core.Reconfigure(tr.t.Context(), set) != nil)
+		tr.record("refused: %v", tr.core.Reconfigure(tr.t.Context(), set) != nil)
 		set.MaxAttempts, set.Classes = 2, set.Classes[:1]
-		tr.note("refused: %v", tr.core.Reconfigure(tr.t.Context(), set) != nil)
+		tr.record("refused: %v", tr.core.Reconfigure(tr.t.Context(), set) != nil)
 		tr.submit("free", "a", time.Minute)
-		tr.read(0)
+		tr.prefill(0)
 		tr.ended(1, routing.StatusError)
 		tr.submit("once", "b", time.Minute)
 	}},
@@ -500,7 +500,7 @@
 		ticket.ClientGone()
 		synctest.Wait()
 		tr.sleep(time.Second)
-		tr.note("idle for %v", tr.core.IdleFor(tr.t.Context()))
+		tr.record("idle for %v", tr.core.IdleFor(tr.t.Context()))
 	}},
 }
 
@@ -580,7 +580,7 @@
 	})
 	b.ReportAllocs()
 	for b.Loop() {
-		a, ticket, _ := SubmitAndWait(b.Context(), c, ask("free", time.Minute))
+		a, ticket, _ := SubmitAndWait(b.Context(), c, newTestRequest("free", time.Minute))
 		if a.Verdict != Streaming {
 			b.Fatalf("%+v", a)
 		}
@@ -600,5 +600,5 @@
 		}
 		first(&textStream{})
 	}()
-	return noHandle{}
+	return nopHandle{}
 }
