--- a/experiments/fleetsim/baseline.go
+++ b/experiments/fleetsim/baseline.go
@@ -116,7 +116,7 @@
 			p.servers[info.Name], p.order = s, append(p.order, s)
 		}
 		s.EngineInfo = info
-		i := slices.IndexFunc(p.set.Kinds, func(k routing.Kind) bool { return k.Name == info.Kind })
+		i := slices.IndexFunc(p.set.Kinds, func(k routing.EngineKind) bool { return k.Name == info.Kind })
 		s.role = p.set.Kinds[i].Role
 	}
 }
--- a/experiments/fleetsim/deployment.go
+++ b/experiments/fleetsim/deployment.go
@@ -32,7 +32,7 @@
 
 // Kind is a kind of engines. Rates are in tokens a second, memory in tokens.
 type Kind struct {
-	routing.Kind
+	routing.EngineKind
 	Slots, Queue int
 	ReadRate     float64
 	Chunk        int           // tokens read in one step of a decode engine
@@ -168,7 +168,7 @@
 		MaxRetryAfter: r.span(500*time.Millisecond, 3*time.Second), MaxAttempts: 3 + r.IntN(4),
 		DecodePrefills: r.chance(0.5), SlowStartPeriod: d.ColdSpan, SlowStartCapacity: d.ColdFrom,
 		OverloadWindow: r.span(2*time.Second, 4*time.Second), OverloadMultiple: r.in(3, 5),
-		HeldStateLimit: r.span(300*time.Millisecond, 700*time.Millisecond), Tick: 2 * time.Millisecond,
+		HeldStateLimit: r.span(300*time.Millisecond, 700*time.Millisecond), TickInterval: 2 * time.Millisecond,
 	}
 	if size != nil {
 		d.pulled()
@@ -177,7 +177,7 @@
 		d.Settings.Classes = append(d.Settings.Classes, c.Class)
 	}
 	for _, k := range d.Kinds {
-		d.Settings.Kinds = append(d.Settings.Kinds, k.Kind)
+		d.Settings.Kinds = append(d.Settings.Kinds, k.EngineKind)
 	}
 	for range 1 + r.IntN(3) {
 		t := Trouble{At: r.span(18*time.Second, 40*time.Second), For: r.span(5*time.Second, 15*time.Second), Part: r.in(0.1, 0.3)}
@@ -243,14 +243,14 @@
 // of the two pools, and the rate by the weaker one.
 func (d *Deployment) drawEngines(r draw) {
 	prefills := Kind{
-		Kind:  routing.Kind{Name: "kind-0", Role: routing.RolePrefill, Memory: math.Round(r.in(1.5e5, 3e5))},
-		Slots: 4 + r.IntN(8), Queue: 20 + r.IntN(40), Step: 10 * time.Millisecond,
+		EngineKind: routing.EngineKind{Name: "kind-0", Role: routing.RolePrefill, Memory: math.Round(r.in(1.5e5, 3e5))},
+		Slots:      4 + r.IntN(8), Queue: 20 + r.IntN(40), Step: 10 * time.Millisecond,
 	}
 	d.Kinds = []Kind{prefills}
 	for i := range 1 + r.IntN(2) {
 		d.Kinds = append(d.Kinds, Kind{
-			Kind:  routing.Kind{Name: fmt.Sprint("kind-", i+1), Role: routing.RoleDecode, Memory: math.Round(r.in(1e5, 2.2e5))},
-			Slots: 50 + r.IntN(70), Queue: 10 + r.IntN(30), ReadRate: r.in(5000, 9000), Chunk: 512 << r.IntN(3),
+			EngineKind: routing.EngineKind{Name: fmt.Sprint("kind-", i+1), Role: routing.RoleDecode, Memory: math.Round(r.in(1e5, 2.2e5))},
+			Slots:      50 + r.IntN(70), Queue: 10 + r.IntN(30), ReadRate: r.in(5000, 9000), Chunk: 512 << r.IntN(3),
 			Step: r.span(9*time.Millisecond, 20*time.Millisecond), PerAnswer: r.span(50*time.Microsecond, 350*time.Microsecond),
 			PerK: r.span(20*time.Microsecond, 80*time.Microsecond),
 		})
--- a/experiments/fleetsim/gateways.go
+++ b/experiments/fleetsim/gateways.go
@@ -44,7 +44,7 @@
 	}
 	switch a := action.(type) {
 	case routing.SetTimer:
-		w.at(w.now+max(a.In, w.deployment.Settings.Tick), func() {
+		w.at(w.now+max(a.After, w.deployment.Settings.TickInterval), func() {
 			if w.now < w.deployment.Length+30*time.Second {
 				w.tell(g, routing.TimerFired{Name: a.Name})
 			}
@@ -69,7 +69,7 @@
 			return
 		}
 		out := t.out
-		w.at(w.now+w.deployment.Settings.Tick, func() { w.finish(out, routing.StatusCancelled) })
+		w.at(w.now+w.deployment.Settings.TickInterval, func() { w.finish(out, routing.StatusCancelled) })
 		w.at(w.now+w.way(g, out.engine), func() { w.withdraw(out) })
 	case routing.Probe:
 		w.probe(g, w.byName[a.Engine])
--- a/experiments/fleetsim/golden_test.go
+++ b/experiments/fleetsim/golden_test.go
@@ -49,7 +49,7 @@
 	case routing.Release:
 		r.put(now, 5, "", int64(a.ID))
 	case routing.SetTimer:
-		r.put(now, 6, a.Name, int64(a.In))
+		r.put(now, 6, a.Name, int64(a.After))
 	case routing.Probe:
 		r.put(now, 7, a.Engine)
 	case routing.Subscribe:
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -310,8 +310,8 @@
 		Zone: o.Zone, Zones: o.Zones, Gateways: max(o.Gateways, 1),
 		CanCancel: true, CanRetryAfter: true, MaxRetryAfter: 30 * time.Second, MaxAttempts: 4,
 		SlowStartPeriod: 14 * time.Second, SlowStartCapacity: 0.3, OverloadWindow: 3 * time.Second, OverloadMultiple: 4,
-		HeldStateLimit: 500 * time.Millisecond, Tick: 4 * time.Millisecond,
-		Kinds: []routing.Kind{
+		HeldStateLimit: 500 * time.Millisecond, TickInterval: 4 * time.Millisecond,
+		Kinds: []routing.EngineKind{
 			{Name: RoleRead, Role: routing.RolePrefill, Memory: o.MemoryTokens},
 			{Name: RoleWrite, Role: routing.RoleDecode, Memory: o.MemoryTokens},
 			{Name: RoleBoth, Role: routing.RoleMixed, Memory: o.MemoryTokens},
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -180,7 +180,7 @@
 func (p *Platform) Settings() routing.Settings {
 	s := p.Options.Settings()
 	s.CanRetryAfter = true
-	s.SendDelay = settings.Micros(p.Options.Limits.ConnTimeout) // a connection may have to be opened first
+	s.MaxSendDelay = settings.Micros(p.Options.Limits.ConnTimeout) // a connection may have to be opened first
 	if s.MaxRetryAfter <= 0 {
 		s.MaxRetryAfter = 2 * time.Second
 	}
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -36,7 +36,7 @@
 		c.cancelAttempt(a)
 	case routing.Release: // follows from the request's ledger; see reconcileHeldState
 	case routing.SetTimer:
-		c.schedule(a.In, routingTimerFired{a.Name})
+		c.schedule(a.After, routingTimerFired{a.Name})
 	case routing.Probe:
 		c.startProbe(a.Engine)
 	case routing.Subscribe:
--- a/internal/core/fake_test.go
+++ b/internal/core/fake_test.go
@@ -186,7 +186,7 @@
 			{Name: "free", FirstTokenObjective: 10 * time.Second, PriorityWeight: 1},
 			{Name: "once", FirstTokenObjective: 10 * time.Second, PriorityWeight: 1, Effect: routing.EffectAtMostOnce},
 		},
-		Kinds:           []routing.Kind{{Name: "r", Role: routing.RolePrefill, Memory: 2e5}, {Name: "w", Role: routing.RoleDecode, Memory: 2e5}},
+		Kinds:           []routing.EngineKind{{Name: "r", Role: routing.RolePrefill, Memory: 2e5}, {Name: "w", Role: routing.RoleDecode, Memory: 2e5}},
 		SlowStartPeriod: time.Second, SlowStartCapacity: 0.3, OverloadWindow: time.Second, OverloadMultiple: 3, HeldStateLimit: 500 * time.Millisecond,
 	}
 }
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -203,7 +203,7 @@
 			{Name: "lookup", FirstTokenObjective: 10 * time.Second, PriorityWeight: 1},
 			{Name: "order", FirstTokenObjective: 10 * time.Second, PriorityWeight: 1, Effect: routing.EffectAtMostOnce},
 		},
-		Kinds:           []routing.Kind{{Name: "r", Role: routing.RolePrefill, Memory: 2e5}, {Name: "w", Role: routing.RoleDecode, Memory: 2e5}},
+		Kinds:           []routing.EngineKind{{Name: "r", Role: routing.RolePrefill, Memory: 2e5}, {Name: "w", Role: routing.RoleDecode, Memory: 2e5}},
 		SlowStartPeriod: time.Second, SlowStartCapacity: 0.3, OverloadWindow: time.Second, OverloadMultiple: 3, HeldStateLimit: 500 * time.Millisecond,
 	}
 	router, err := routing.New(set, 1)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -100,7 +100,7 @@
 		CanCancel: o.Limits.Cancelling, CanRetryAfter: o.Limits.RetryAfter,
 		MaxRetryAfter: Micros(o.Limits.MaxRetryAfter), MaxAttempts: o.Limits.SendCap,
 		SlowStartPeriod: Micros(o.Rules.Cold), SlowStartCapacity: o.Rules.ColdShare, OverloadWindow: Micros(o.Rules.Fall),
-		OverloadMultiple: o.Rules.FallMultiple, HeldStateLimit: Micros(o.Info.PinLimit), Tick: Micros(o.Tick),
+		OverloadMultiple: o.Rules.FallMultiple, HeldStateLimit: Micros(o.Info.PinLimit), TickInterval: Micros(o.Tick),
 		// A probe is worth its price only where its answer tells a queue.
 		CanProbe: o.Limits.Probes && o.Report.Source == "pull" &&
 			(slices.Contains(o.Report.Columns, "queue") || slices.Contains(o.Report.Columns, "x1")),
@@ -118,7 +118,7 @@
 		})
 	}
 	for i, k := range o.Kinds {
-		s.Kinds = append(s.Kinds, routing.Kind{
+		s.Kinds = append(s.Kinds, routing.EngineKind{
 			Name: k, Role: roles[at(o.Info.Duty, i)], Memory: at(o.Info.Tokens, i),
 		})
 	}
--- a/internal/simulator/simulator.go
+++ b/internal/simulator/simulator.go
@@ -379,7 +379,7 @@
 	case routing.Release:
 		l.Verb, l.Xid = "FreeState", id(a.ID)
 	case routing.SetTimer:
-		in := a.In.Microseconds()
+		in := a.After.Microseconds()
 		l.Verb, l.In, l.Mark = "Timer", &in, a.Name
 	case routing.Probe:
 		l.Verb, l.Worker = "AskLoad", a.Engine
--- a/internal/upstream/held_test.go
+++ b/internal/upstream/held_test.go
@@ -63,11 +63,11 @@
 		Zones: []string{"a", "b"}[:1+r.IntN(2)], Gateways: 1 + r.IntN(4), MaxAttempts: 1 + r.IntN(5),
 		CanCancel: r.IntN(4) > 0, CanRetryAfter: true, MaxRetryAfter: time.Second, DecodePrefills: r.IntN(3) == 0,
 		SlowStartPeriod: time.Second, SlowStartCapacity: 0.3, OverloadWindow: time.Second, OverloadMultiple: 3,
-		HeldStateLimit: between(r, 100*time.Millisecond, 2*time.Second), Tick: pick(r, time.Millisecond, 4*time.Millisecond, 20*time.Millisecond),
+		HeldStateLimit: between(r, 100*time.Millisecond, 2*time.Second), TickInterval: pick(r, time.Millisecond, 4*time.Millisecond, 20*time.Millisecond),
 	}
 	set.Zone = set.Zones[0]
 	for _, role := range []routing.Role{routing.RolePrefill, routing.RoleDecode, routing.RoleMixed} {
-		set.Kinds = append(set.Kinds, routing.Kind{Name: kindNames[role], Role: role, Memory: 2e5})
+		set.Kinds = append(set.Kinds, routing.EngineKind{Name: kindNames[role], Role: role, Memory: 2e5})
 	}
 	for i := range 3 {
 		set.Classes = append(set.Classes, routing.Class{
--- a/routing/admission.go
+++ b/routing/admission.go
@@ -24,8 +24,8 @@
 	free := 0.0
 	for _, e := range r.engines.ordered {
 		switch {
-		case e.role() == RoleDecode && e.usable && r.trusted(e):
-			free += max(0, 1-r.memoryFill(e)) * e.kind.Memory
+		case e.role() == RoleDecode && e.usable && r.available(e):
+			free += max(0, 1-r.memoryUsage(e)) * e.kind.Memory
 		case e.role() == RolePrefill:
 			for _, req := range e.inFlight {
 				free -= r.memoryEstimate(req) * float64(r.set.Gateways)
--- a/routing/api.go
+++ b/routing/api.go
@@ -58,8 +58,8 @@
 	DedupWindow              time.Duration // how long engines remember a request to drop its duplicates
 }
 
-// Kind describes one kind of engine.
-type Kind struct {
+// EngineKind describes one kind of engine.
+type EngineKind struct {
 	Name   string
 	Role   Role
 	Memory float64 // tokens; 0 when not told
@@ -84,7 +84,7 @@
 	Zones    []string
 	Gateways int // how many gateways share the engines, each with a router
 	Classes  []Class
-	Kinds    []Kind
+	Kinds    []EngineKind
 	Tenants  []Tenant
 
 	OverQuotaWeight float64       // priority weight of traffic above a quota, as a fraction
@@ -103,10 +103,10 @@
 	// engine fail.
 	OverloadMultiple float64
 	HeldStateLimit   time.Duration // longest that an engine may hold state with no attempt in flight
-	// SendDelay is the longest from a Send to its arrival at the engine. It bounds sends near the
+	// MaxSendDelay is the longest from a Send to its arrival at the engine. It bounds sends near the
 	// end of DedupWindow.
-	SendDelay time.Duration
-	Tick      time.Duration // shortest interval between events
+	MaxSendDelay time.Duration
+	TickInterval time.Duration // shortest interval between events
 }
 
 // Event is an input of a Router.
@@ -287,8 +287,8 @@
 
 // SetTimer asks for a TimerFired event.
 type SetTimer struct {
-	In   time.Duration
-	Name string
+	After time.Duration
+	Name  string
 }
 
 // Probe requests a LoadReport from an engine.
--- a/routing/cellplan.go
+++ b/routing/cellplan.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	maxEvenShare = 1.5 // at most so many times an even share for a prefill engine
+	maxLoadRatio = 1.5 // at most so many times an even share for a prefill engine
 )
 
 // cellCapacity is a cell's part in the plan. All are sums of engines' weights.
 type cellCapacity struct {
-	id                                           int
-	prefillEngines, decodeEngines, prefillTarget float64
+	id                                         int
+	prefillWeight, decodeWeight, prefillTarget float64
 }
 
-// tallyCells adds up the usable engines' weights by cell, in order of cell.
-func tallyCells(engines []*engine) []*cellCapacity {
+// sumCellCapacities adds up the usable engines' weights by cell, in order of cell.
+func sumCellCapacities(engines []*engine) []*cellCapacity {
 	cells := []*cellCapacity{}
 	for _, e := range engines {
 		if !e.usable {
@@ -29,9 +29,9 @@
 		}
 		switch e.role() {
 		case RolePrefill:
-			c.prefillEngines += e.Weight
+			c.prefillWeight += e.Weight
 		case RoleDecode:
-			c.decodeEngines += e.Weight
+			c.decodeWeight += e.Weight
 		}
 	}
 	slices.SortFunc(cells, func(a, b *cellCapacity) int { return cmp.Compare(a.id, b.id) })
@@ -56,24 +56,24 @@
 
 func (p *cellPlan) invalidate() { p.cells = nil }
 
-// plan returns the plan over the engines, made anew if need be.
-func (p *cellPlan) plan(engines []*engine) []*cellCapacity {
+// capacities returns the capacities over the engines, made anew if need be.
+func (p *cellPlan) capacities(engines []*engine) []*cellCapacity {
 	if p.cells != nil {
 		return p.cells
 	}
-	p.cells = tallyCells(engines)
+	p.cells = sumCellCapacities(engines)
 	prefillEngines, decodeEngines, given := 0.0, 0.0, 0.0
 	for _, c := range p.cells {
-		prefillEngines, decodeEngines = prefillEngines+c.prefillEngines, decodeEngines+c.decodeEngines
+		prefillEngines, decodeEngines = prefillEngines+c.prefillWeight, decodeEngines+c.decodeWeight
 	}
-	most := maxEvenShare * decodeEngines / max(prefillEngines, 1e-9) // what a prefill engine may get
+	most := maxLoadRatio * decodeEngines / max(prefillEngines, 1e-9) // what a prefill engine may get
 	for _, c := range p.cells {
-		c.prefillTarget = min(c.decodeEngines, most*c.prefillEngines)
+		c.prefillTarget = min(c.decodeWeight, most*c.prefillWeight)
 		given += c.prefillTarget
 	}
 	rest := max(0, decodeEngines-given) / max(most*prefillEngines-given, 1e-9)
 	for _, c := range p.cells {
-		c.prefillTarget += (most*c.prefillEngines - c.prefillTarget) * rest
+		c.prefillTarget += (most*c.prefillWeight - c.prefillTarget) * rest
 	}
 	return p.cells
 }
--- a/routing/decodeplacement.go
+++ b/routing/decodeplacement.go
@@ -2,8 +2,8 @@
 
 // Shares of an engine's memory in use. The gap between the two keeps answers from moving to and fro.
 const (
-	memoryFull  = 0.95 // above this, an engine in another cell is considered
-	memoryRoomy = 0.75 // below this, an engine has room for work from elsewhere
+	memoryHighWatermark = 0.95 // above this, an engine in another cell is considered
+	memoryLowWatermark  = 0.75 // below this, an engine has room for work from elsewhere
 )
 
 // placeDecode chooses the decode engine with most free memory in the prefill engine's cell. It leaves
@@ -21,12 +21,12 @@
 			far = append(far, e)
 		}
 	}
-	fill := func(e *engine) float64 { return r.memoryFill(e) * r.slowdown(e) }
-	n, f := r.leastCost(req, near, fill), r.leastCost(req, far, fill)
+	fill := func(e *engine) float64 { return r.memoryUsage(e) * r.slowdown(e) }
+	n, f := r.minCostEngine(req, near, fill), r.minCostEngine(req, far, fill)
 	switch {
 	case n == nil && f == nil:
-		return r.leastCost(req, mixed, fill)
-	case n == nil || f != nil && fill(n) > memoryFull && fill(f) < memoryRoomy:
+		return r.minCostEngine(req, mixed, fill)
+	case n == nil || f != nil && fill(n) > memoryHighWatermark && fill(f) < memoryLowWatermark:
 		return f
 	}
 	return n
@@ -35,18 +35,18 @@
 // decodeCell is the prefill engine's cell, or for the part of its prefills that exceeds the capacity
 // of its decode engines a cell with capacity to spare, drawn by how much it has.
 func (r *Router) decodeCell(req *request) int {
-	plan := r.cells.plan(r.engines.ordered)
+	plan := r.cells.capacities(r.engines.ordered)
 	c := findCell(plan, req.stateHolder.Cell)
-	if c == nil || c.prefillTarget <= c.decodeEngines {
+	if c == nil || c.prefillTarget <= c.decodeWeight {
 		return req.stateHolder.Cell
 	}
 	lacking := 0.0
 	for _, c := range plan {
-		lacking += max(0, c.decodeEngines-c.prefillTarget)
+		lacking += max(0, c.decodeWeight-c.prefillTarget)
 	}
-	at := r.draws.uniform(req.ID, "cell") * c.prefillTarget / (c.prefillTarget - c.decodeEngines) * lacking
+	at := r.draws.uniform(req.ID, "cell") * c.prefillTarget / (c.prefillTarget - c.decodeWeight) * lacking
 	for _, to := range plan {
-		if at -= max(0, to.decodeEngines-to.prefillTarget); at < 0 {
+		if at -= max(0, to.decodeWeight-to.prefillTarget); at < 0 {
 			return to.id
 		}
 	}
--- a/routing/decodeplacement_test.go
+++ b/routing/decodeplacement_test.go
@@ -11,7 +11,7 @@
 		testEngine("far", "w", 2), testEngine("b", "r", 2))
 	r.engines.byName["b"].backoffs.until["\x00c"] = time.Minute // the plan is even; only a reads
 	used := 0.5
-	r.engines.byName["near"].report.take(&LoadReport{MemoryUsed: &used}, r.now)
+	r.engines.byName["near"].report.update(&LoadReport{MemoryUsed: &used}, r.now)
 	sentTo(t, r.Handle(ms, testRequest(1, 500)))
 	if to := sentTo(t, r.Handle(20*ms, prefilledAt(1, 0, "a", 0))); to != "near2" {
 		t.Fatalf("went to %s, want the one with most free memory in the cell", to)
--- a/routing/dispatch.go
+++ b/routing/dispatch.go
@@ -21,10 +21,10 @@
 	}
 	req.hitTokens = r.cachedTokens(req, e)
 	req.prefillTokens = max(req.PromptTokens-req.hitTokens, 1)
-	req.reportedAhead = r.reportedTokens(e)
+	req.reportedAhead = r.reportedWaitingTokens(e)
 	// With the reported queue, so that it is not given up early where there is one.
 	req.queuedAhead = r.queuedTokens(e) + r.reportedQueueTokens(e)
-	tokens := req.queuedAhead + float64(req.prefillTokens) + stepOverheadTokens
+	tokens := req.queuedAhead + float64(req.prefillTokens) + prefillOverheadTokens
 	req.expectedTime = max(minExpectedTime, seconds(tokens*r.latency.secondsPerToken(e.role())))
 	r.send(req, e, prefilling)
 }
@@ -37,7 +37,7 @@
 		r.hold(req, awaitingDecode)
 		return
 	}
-	req.expectedTime = max(minExpectedTime, seconds(r.latency.typicalSeconds(e.role(), decoding)))
+	req.expectedTime = max(minExpectedTime, seconds(r.latency.meanSeconds(e.role(), decoding)))
 	r.send(req, e, decoding)
 }
 
@@ -53,7 +53,7 @@
 	if req.attempts >= req.maxAttempts-1 || r.now+limit+minRemainingTime >= req.deadline {
 		limit = req.deadline - r.now
 	}
-	e.slowStart.add(r.now, r.meanPrompt.of(req.Class))
+	e.slowStart.add(r.now, r.meanPrompt.mean(req.Class))
 	if e.role() != RolePrefill {
 		req.effects.add(e, r.now)
 	}
--- a/routing/eligibility.go
+++ b/routing/eligibility.go
@@ -14,14 +14,14 @@
 		role := e.role()
 		wanted := role == RoleMixed || prefill && role == RolePrefill || !prefill && role == RoleDecode
 		rejecting := e.backoffs.active(rateLimitKey(req), r.now)
-		if !wanted || !e.usable || rejecting || !req.effects.allows(req.class, e, r.now, r.set.SendDelay) {
+		if !wanted || !e.usable || rejecting || !req.effects.allows(req.class, e, r.now, r.set.MaxSendDelay) {
 			continue
 		}
-		if !r.slowStartAdmits(e, r.meanPrompt.of(req.Class)) {
+		if !r.slowStartAdmits(e, r.meanPrompt.mean(req.Class)) {
 			continue
 		}
 		allowed = append(allowed, e)
-		if e != req.lastFailed && r.trusted(e) {
+		if e != req.lastFailed && r.available(e) {
 			healthy = append(healthy, e)
 		}
 	}
--- a/routing/engine.go
+++ b/routing/engine.go
@@ -4,30 +4,30 @@
 // methods change.
 type engine struct {
 	EngineInfo
-	kind   *Kind
+	kind   *EngineKind
 	usable bool // active on the engine list, with a known kind and zone
 
-	workload                    // this router's own work there
-	cache     prefixCache       // what it is believed to have cached
-	report    engineReport      // its latest load report
-	probe     probeState        // the latest probe
-	backlog   backlogEstimate   // what other routers have queued there
-	pace      paceEstimate      // its speed against its peers
-	failures  failureRecord     // its failures, and whether it is ejected
-	backoffs  rejectionBackoffs // which requests it has lately rejected
-	slowStart slowStartSends    // what was sent to it lately
+	workload                          // this router's own work there
+	cache        prefixCache          // what it is believed to have cached
+	report       engineReport         // its latest load report
+	probe        probeState           // the latest probe
+	backlog      backlogEstimate      // what other routers have queued there
+	latencyRatio latencyRatioEstimate // its speed against its peers
+	failures     failureRecord        // its failures, and whether it is ejected
+	backoffs     rejectionBackoffs    // which requests it has lately rejected
+	slowStart    slowStartSends       // what was sent to it lately
 }
 
 func newEngine(name string) *engine {
 	return &engine{
-		EngineInfo: EngineInfo{Name: name}, cache: newPrefixCache(), pace: newPaceEstimate(),
+		EngineInfo: EngineInfo{Name: name}, cache: newPrefixCache(), latencyRatio: newLatencyRatioEstimate(),
 		backoffs: rejectionBackoffs{map[string]Time{}},
 	}
 }
 
-// restarted forgets what a new start of the engine undoes.
-func (e *engine) restarted() {
-	e.cache, e.pace, e.failures = newPrefixCache(), newPaceEstimate(), failureRecord{}
+// resetForRestart forgets what a new start of the engine undoes.
+func (e *engine) resetForRestart() {
+	e.cache, e.latencyRatio, e.failures = newPrefixCache(), newLatencyRatioEstimate(), failureRecord{}
 }
 
 func (e *engine) role() Role {
--- a/routing/enginetable.go
+++ b/routing/enginetable.go
@@ -13,8 +13,8 @@
 	ordered []*engine // by name
 }
 
-// named returns the record of an engine, new if need be.
-func (t *engineTable) named(name string) *engine {
+// getOrCreate returns the record of an engine, new if need be.
+func (t *engineTable) getOrCreate(name string) *engine {
 	e := t.byName[name]
 	if e == nil {
 		e = newEngine(name)
@@ -26,8 +26,8 @@
 	return e
 }
 
-// usable calls yield for each usable engine of a role, in order of name.
-func (t *engineTable) usable(role Role) iter.Seq[*engine] {
+// usableByRole calls yield for each usableByRole engine of a role, in order of name.
+func (t *engineTable) usableByRole(role Role) iter.Seq[*engine] {
 	return func(yield func(*engine) bool) {
 		for _, e := range t.ordered {
 			if e.usable && e.role() == role && !yield(e) {
@@ -37,8 +37,8 @@
 	}
 }
 
-// removeMissing marks the engines as removed that a full list does not name.
-func (t *engineTable) removeMissing(listed map[string]bool) {
+// markMissingRemoved marks the engines as removed that a full list does not name.
+func (t *engineTable) markMissingRemoved(listed map[string]bool) {
 	for _, e := range t.ordered {
 		if !listed[e.Name] {
 			e.usable, e.Phase = false, PhaseRemoved
@@ -46,12 +46,12 @@
 	}
 }
 
-// forget drops the engines that have left and of which nothing is left to account for: engines come
+// deleteRemoved drops the engines that have left and of which nothing is left to account for: engines come
 // under ever new names. One that has just been sent work is kept, as it may start again under its name,
 // in slow start, and what was sent then counts.
-func (t *engineTable) forget(now, window Time) {
+func (t *engineTable) deleteRemoved(now, window Time) {
 	t.ordered = slices.DeleteFunc(t.ordered, func(e *engine) bool {
-		if e.Phase != PhaseRemoved || !e.idle() || e.slowStart.recent(now, window) {
+		if e.Phase != PhaseRemoved || !e.idle() || e.slowStart.sentWithin(now, window) {
 			return false
 		}
 		delete(t.byName, e.Name)
@@ -71,17 +71,17 @@
 	}
 	r.cells.invalidate()
 	if event.Scope == EngineListSnapshot || event.Scope == EngineListStale {
-		r.engines.removeMissing(listed)
+		r.engines.markMissingRemoved(listed)
 	}
-	r.engines.forget(r.now, r.set.OverloadWindow)
+	r.engines.deleteRemoved(r.now, r.set.OverloadWindow)
 }
 
 // applyEngineInfo takes an entry of the engine list. A new start empties the cache, and the record of
 // failures with it; a drain or removal stops new sends from this moment on.
 func (r *Router) applyEngineInfo(info EngineInfo) {
-	e := r.engines.named(info.Name)
+	e := r.engines.getOrCreate(info.Name)
 	if e.StartTime != info.StartTime {
-		e.restarted()
+		e.resetForRestart()
 	}
 	info.Weight = cmp.Or(max(info.Weight, 0), 1)
 	e.EngineInfo, e.kind = info, r.kinds[info.Kind]
--- a/routing/example_test.go
+++ b/routing/example_test.go
@@ -11,7 +11,7 @@
 	router, err := routing.New(routing.Settings{
 		Zone: "a", Zones: []string{"a"}, Gateways: 1, MaxAttempts: 4,
 		Classes: []routing.Class{{Name: "chat", FirstTokenObjective: time.Second, PriorityWeight: 1}},
-		Kinds: []routing.Kind{
+		Kinds: []routing.EngineKind{
 			{Name: "prefill", Role: routing.RolePrefill, Memory: 200_000},
 			{Name: "decode", Role: routing.RoleDecode, Memory: 150_000},
 		},
--- a/routing/golden_test.go
+++ b/routing/golden_test.go
@@ -51,7 +51,7 @@
 		[3]string{"f902d5abf5b0c142", "07a457f7976b1b2e", "eedb42e075f3c113"}, 0},
 	{"ten routers, probes", 1.3, "wqm", func(s *routing.Settings) { s.CanProbe, s.Gateways, s.DecodePrefills = true, 10, true },
 		[3]string{"5443f41b255dd6d2", "b79a7b1c7ed35782", "119f7565a1a7174f"}, 0},
-	{"late arrivals", 1, "m", func(s *routing.Settings) { s.SendDelay, s.MaxAttempts = 250*time.Millisecond, 4 },
+	{"late arrivals", 1, "m", func(s *routing.Settings) { s.MaxSendDelay, s.MaxAttempts = 250*time.Millisecond, 4 },
 		[3]string{"7cc54d95aa9d56df", "00d9a58a4b5187ea", "19a977eb8d48c654"}, 0},
 	{"tenants", 1.2, "m", func(s *routing.Settings) {
 		s.Tenants = []routing.Tenant{{Name: "a", Quota: 20}, {Name: "b", Quota: 0.4}, {Name: "c"}}
@@ -99,12 +99,12 @@
 			{Name: "all", FirstTokenObjective: time.Second, PriorityWeight: 2, Effect: routing.EffectDeduplicated, DedupScope: routing.DedupAllEngines, DedupWindow: time.Second},
 			{Name: "once", FirstTokenObjective: time.Second, PriorityWeight: 3, Effect: routing.EffectAtMostOnce},
 		},
-		Kinds: []routing.Kind{
+		Kinds: []routing.EngineKind{
 			{Name: "r", Role: routing.RolePrefill, Memory: 2e5}, {Name: "w", Role: routing.RoleDecode, Memory: 6e4},
 			{Name: "m", Role: routing.RoleMixed, Memory: 5e4}, {Name: "x"},
 		},
 		SlowStartPeriod: 5 * time.Second, SlowStartCapacity: 0.3, OverloadWindow: 2 * time.Second, OverloadMultiple: 3,
-		HeldStateLimit: 500 * ms, Tick: ms,
+		HeldStateLimit: 500 * ms, TickInterval: ms,
 	}
 }
 
@@ -253,7 +253,7 @@
 	for _, c := range append(w.set.Classes, routing.Class{Name: "unknown"}) {
 		w.put(0, flag(w.router.Idempotent(c.Name)))
 	}
-	for _, k := range append(w.set.Kinds, routing.Kind{Name: "unknown"}) {
+	for _, k := range append(w.set.Kinds, routing.EngineKind{Name: "unknown"}) {
 		w.put(0, flag(w.router.CanPrefill(k.Name)))
 	}
 }
@@ -308,7 +308,7 @@
 	case routing.Release:
 		w.put(goldenRelease, int64(a.ID))
 	case routing.SetTimer:
-		w.put(goldenTimer, int64(a.In))
+		w.put(goldenTimer, int64(a.After))
 		w.putName(a.Name)
 	case routing.Probe:
 		w.put(goldenProbe)
@@ -337,7 +337,7 @@
 	switch a := action.(type) {
 	case routing.SetTimer:
 		if w.now < goldenLength+w.c.lull+20*time.Second {
-			w.at(w.now+a.In, func() { w.tell(routing.TimerFired{Name: a.Name}) })
+			w.at(w.now+a.After, func() { w.tell(routing.TimerFired{Name: a.Name}) })
 		}
 	case routing.Send:
 		w.send(a)
--- a/routing/harness_test.go
+++ b/routing/harness_test.go
@@ -17,12 +17,12 @@
 			{Name: "keyed", FirstTokenObjective: time.Second, PriorityWeight: 1, Effect: EffectDeduplicated, DedupScope: DedupCell, DedupWindow: 2 * time.Second},
 			{Name: "once", FirstTokenObjective: time.Second, PriorityWeight: 1, Effect: EffectAtMostOnce},
 		},
-		Kinds: []Kind{
+		Kinds: []EngineKind{
 			{Name: "r", Role: RolePrefill, Memory: 2e5}, {Name: "w", Role: RoleDecode, Memory: 2e5},
 			{Name: "m", Role: RoleMixed, Memory: 2e5},
 		},
 		SlowStartPeriod: 10 * time.Second, SlowStartCapacity: 0.3, OverloadWindow: 2 * time.Second, OverloadMultiple: 3,
-		HeldStateLimit: 500 * ms, Tick: ms,
+		HeldStateLimit: 500 * ms, TickInterval: ms,
 	}
 }
 
--- a/routing/hostile_test.go
+++ b/routing/hostile_test.go
@@ -108,7 +108,7 @@
 		w.actions = append(w.actions, action)
 		switch a := action.(type) {
 		case SetTimer:
-			w.timer = w.now + a.In
+			w.timer = w.now + a.After
 		case Send:
 			w.sent(a)
 		case Reject:
--- a/routing/load_test.go
+++ b/routing/load_test.go
@@ -33,8 +33,8 @@
 	long, short := 40_000.0, 0.0
 	r := newTestRouter(t, testSettings(), testEngine("a", "r", 0), testEngine("b", "r", 0), testEngine("w", "w", 0))
 	a, b := r.engines.byName["a"], r.engines.byName["b"]
-	a.report.take(&LoadReport{WaitingTokens: &long}, r.now)
-	b.report.take(&LoadReport{WaitingTokens: &short}, r.now)
+	a.report.update(&LoadReport{WaitingTokens: &long}, r.now)
+	b.report.update(&LoadReport{WaitingTokens: &short}, r.now)
 	last := r.queuedTokens(a)
 	if last != long || r.queuedTokens(b) != 0 {
 		t.Fatalf("fresh reports of 40000 and 0 tell queues of %.0f and %.0f", last, r.queuedTokens(b))
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -37,8 +37,8 @@
 
 func (f *failureRecord) ejected(now Time) bool { return now < f.ejectedUntil }
 
-// onTrial reports whether an engine was ejected and has not recovered yet.
-func (f *failureRecord) onTrial() bool { return f.ejectionPeriod != 0 }
+// recovering reports whether an engine was ejected and has not recovered yet.
+func (f *failureRecord) recovering() bool { return f.ejectionPeriod != 0 }
 
 // recordOutcome takes every outcome of an attempt into the engine's statistics, so that engines that
 // fail, reset, reject or stay silent are avoided, be it towards this router alone. Where a common
@@ -54,7 +54,7 @@
 		e.succeeded(req.sentAt)
 		r.recordResult(e, 0, 1)
 		r.recordPrefill(e, req, float64(req.PromptTokens-event.CachedTokens), event.Latency)
-		r.recordThroughput(e, r.meanPrompt.of(req.Class))
+		r.recordThroughput(e, r.meanPrompt.mean(req.Class))
 	case StatusServed:
 		r.recordResult(e, 0, 1)
 	case StatusError:
@@ -88,11 +88,11 @@
 	return rate > ejectionThreshold && rate > 2*r.pool(e.role()).failureRate
 }
 
-// trusted reports whether an engine may take ordinary work. An ejected one comes back on trial, with
+// available reports whether an engine may take ordinary work. An ejected one comes back on trial, with
 // one request at a time until its failure rate is below recoveryThreshold.
-func (r *Router) trusted(e *engine) bool {
+func (r *Router) available(e *engine) bool {
 	if e.failures.ejected(r.now) {
 		return false
 	}
-	return !e.failures.onTrial() || len(e.inFlight) == 0
+	return !e.failures.recovering() || len(e.inFlight) == 0
 }
--- a/routing/outlier_test.go
+++ b/routing/outlier_test.go
@@ -12,15 +12,15 @@
 		r.recordResult(r.engines.byName["a"], 1, 1)
 	}
 	w := r.engines.byName["a"]
-	if r.trusted(w) {
+	if r.available(w) {
 		t.Fatal("two failures in a row and still trusted")
 	}
 	r.now += initialEjection
-	if !r.trusted(w) {
+	if !r.available(w) {
 		t.Error("no trial after the ejection")
 	}
 	w.inFlight = append(w.inFlight, &request{})
-	if r.trusted(w) {
+	if r.available(w) {
 		t.Error("a trial is one request at a time")
 	}
 }
@@ -48,7 +48,7 @@
 	for range 3 {
 		r.recordResult(r.engines.byName["r0"], 1, 1)
 	}
-	if r.trusted(r.engines.byName["r0"]) {
+	if r.available(r.engines.byName["r0"]) {
 		t.Error("an engine that fails everything stays in use because other engines are sick too")
 	}
 }
@@ -62,7 +62,7 @@
 	}
 	ejected := 0
 	for _, w := range r.engines.ordered {
-		if !r.trusted(w) {
+		if !r.available(w) {
 			ejected++
 		}
 	}
--- a/routing/placement.go
+++ b/routing/placement.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	hitRateGate          = 0.1 // of the prompt: if no engine has more of it cached, caches do not count
+	hitRateThreshold     = 0.1 // of the prompt: if no engine has more of it cached, caches do not count
 	fairShareMultiple    = 2.0 // times its fair share of active requests that a prefill engine may have
 	runningAnswerWeight  = 0.3 // of a prefill, by which it delays each answer at a mixed engine
 	decodePrefillWeight  = 0.7 // of a prefill at a decode engine, where no other waits
@@ -20,16 +20,17 @@
 func (r *Router) placePrefill(req *request) (*engine, float64) {
 	decodeWait := r.decodeWait()
 	pool := r.eligible(req, true)
-	useCache := r.passesHitRateGate(req, pool)
+	useCache := r.exceedsHitRateThreshold(req, pool)
 	candidates := withinFairShare(pool)
 	if r.set.DecodePrefills {
 		candidates = append(candidates, r.idleDecodeEngines(req)...)
 	}
 	cost := func(e *engine) float64 { return r.prefillCost(req, e, useCache, decodeWait) }
-	if useCache && r.probeFirst(req, candidates, cost) { // cached text draws every router's choice alike
+	// Prompts with cached text make every router choose the same engine.
+	if useCache && r.probeBeforePlacement(req, candidates, cost) {
 		return nil, 0
 	}
-	e := r.leastCost(req, candidates, func(e *engine) float64 {
+	e := r.minCostEngine(req, candidates, func(e *engine) float64 {
 		return cost(e) + r.reportedQueueTokens(e)*r.latency.secondsPerToken(e.role())*r.slowdown(e)/e.Weight
 	})
 	if e == nil {
@@ -38,15 +39,15 @@
 	return e, r.prefillWait(req, e, cost(e), decodeWait)
 }
 
-// passesHitRateGate reports whether caches count for a request: whether any engine of the pool, or the
+// exceedsHitRateThreshold reports whether caches count for a request: whether any engine of the pool, or the
 // prefix's home, has more of the prompt cached than the gate asks. It sets the request's homes.
-func (r *Router) passesHitRateGate(req *request, pool []*engine) bool {
+func (r *Router) exceedsHitRateThreshold(req *request, pool []*engine) bool {
 	req.home, req.secondHome = nil, nil
 	best := 0
 	for _, e := range pool {
 		best = max(best, r.cachedTokens(req, e))
 	}
-	gate := int(hitRateGate * float64(req.PromptTokens))
+	gate := int(hitRateThreshold * float64(req.PromptTokens))
 	if best <= max(gate, req.PrefixLen) { // nothing is known here of the session itself
 		req.home, req.secondHome = r.rankHomes(req, pool)
 		if req.home != nil {
@@ -78,7 +79,7 @@
 	if useCache {
 		hit = r.cachedTokens(req, e)
 	}
-	tokens := r.queuedTokens(e) + prefillTokenWeight*float64(req.PromptTokens-hit) + stepOverheadTokens
+	tokens := r.queuedTokens(e) + prefillTokenWeight*float64(req.PromptTokens-hit) + prefillOverheadTokens
 	cost := tokens * r.latency.secondsPerToken(e.role()) * r.slowdown(e) / e.Weight
 	switch e.role() {
 	case RolePrefill: // its state waits for a decode engine
@@ -93,14 +94,14 @@
 // prefillWait is the wait for which a request may be rejected before it is sent to an engine, in seconds.
 func (r *Router) prefillWait(req *request, e *engine, cost, decodeWait float64) float64 {
 	wait := cost
-	if e.prefills == 0 && e.role() == RolePrefill && r.reportedQueueTokens(e) < stepOverheadTokens {
+	if e.prefills == 0 && e.role() == RolePrefill && r.reportedQueueTokens(e) < prefillOverheadTokens {
 		wait = decodeWait // an idle one is tried
 	}
 	wait = max(wait, e.oldestAge(r.now)) // first come, first served: the oldest shows the least wait
 	switch {
 	case e.role() == RolePrefill && r.freeDecodeTokens() < r.memoryEstimate(req):
 		wait += memoryShortageWeight * decodeWait // an estimate: the wait seen tells how much it matters
-	case e.role() == RoleMixed && r.memoryFill(e)+r.memoryEstimate(req)/max(e.kind.Memory, 1) > 1:
+	case e.role() == RoleMixed && r.memoryUsage(e)+r.memoryEstimate(req)/max(e.kind.Memory, 1) > 1:
 		wait = max(wait, req.class.FirstTokenObjective.Seconds())
 	}
 	return wait
@@ -110,13 +111,13 @@
 // nothing yet. They relieve prefill engines that have a queue; their running answers wait meanwhile.
 func (r *Router) idleDecodeEngines(req *request) []*engine {
 	return slices.DeleteFunc(r.eligible(req, false), func(e *engine) bool {
-		fill := r.memoryFill(e) + r.memoryEstimate(req)/max(e.kind.Memory, 1)
-		return e.role() != RoleDecode || e.prefills > 0 || fill > memoryRoomy
+		fill := r.memoryUsage(e) + r.memoryEstimate(req)/max(e.kind.Memory, 1)
+		return e.role() != RoleDecode || e.prefills > 0 || fill > memoryLowWatermark
 	})
 }
 
-// leastCost returns the engine of least cost; ties go by a draw from request and seed.
-func (r *Router) leastCost(req *request, pool []*engine, cost func(*engine) float64) *engine {
+// minCostEngine returns the engine of least cost; ties go by a draw from request and seed.
+func (r *Router) minCostEngine(req *request, pool []*engine, cost func(*engine) float64) *engine {
 	var best *engine
 	var low, tie float64
 	for _, e := range pool {
--- a/routing/placement_test.go
+++ b/routing/placement_test.go
@@ -137,9 +137,9 @@
 		set := testSettings()
 		set.DecodePrefills = c.allowed
 		r := newTestRouter(t, set, testEngine("a", "r", 0), testEngine("w", "w", 0))
-		r.engines.byName["a"].report.take(&LoadReport{WaitingTokens: &queued}, r.now)
+		r.engines.byName["a"].report.update(&LoadReport{WaitingTokens: &queued}, r.now)
 		if c.memory != nil {
-			r.engines.byName["w"].report.take(&LoadReport{MemoryUsed: c.memory}, r.now)
+			r.engines.byName["w"].report.update(&LoadReport{MemoryUsed: c.memory}, r.now)
 		}
 		if c.first {
 			r.Handle(ms, testRequest(1, 1000))
--- a/routing/poolstats.go
+++ b/routing/poolstats.go
@@ -4,32 +4,32 @@
 
 // poolStats summarises the engines of a role. It holds for one event.
 type poolStats struct {
-	size, warm                            int
-	pace, failureRate, oldestAge, overdue float64 // the failure rate of the better quarter, else medians
-	waitingTokens                         float64 // mean of the reports
+	engines, warmEngines                          int
+	latencyRatio, failureRate, oldestAge, overdue float64 // the failure rate of the better quarter, else medians
+	waitingTokens                                 float64 // mean of the reports
 }
 
 // pool summarises a role's engines, once an event at most. The failure rate is that of the better
 // quarter: a common cause shows there too, a few failing engines do not.
 func (r *Router) pool(role Role) *poolStats {
 	stats := &r.pools[role]
-	if stats.size > 0 {
+	if stats.engines > 0 {
 		return stats
 	}
 	var pace, fail, age, overdue []float64
-	for e := range r.engines.usable(role) {
-		stats.size++
+	for e := range r.engines.usableByRole(role) {
+		stats.engines++
 		if !r.inSlowStart(e) {
-			stats.warm++
+			stats.warmEngines++
 		}
 		fail = append(fail, e.failures.failureRate())
 		age = append(age, e.oldestAge(r.now))
 		overdue = append(overdue, e.overdue(r.now))
-		pace = append(pace, e.pace.current(r.now))
-		stats.waitingTokens += e.report.trustedWaiting(r.now)
+		pace = append(pace, e.latencyRatio.decayed(r.now))
+		stats.waitingTokens += e.report.discountedWaitingTokens(r.now)
 	}
-	stats.waitingTokens /= float64(max(stats.size, 1))
-	stats.pace, stats.oldestAge, stats.overdue = median(pace, 1), median(age, 0), median(overdue, 1)
+	stats.waitingTokens /= float64(max(stats.engines, 1))
+	stats.latencyRatio, stats.oldestAge, stats.overdue = median(pace, 1), median(age, 0), median(overdue, 1)
 	if slices.Sort(fail); len(fail) > 0 {
 		stats.failureRate = fail[len(fail)/4]
 	}
--- a/routing/prefixcache.go
+++ b/routing/prefixcache.go
@@ -26,8 +26,8 @@
 	return prefixCache{sessions: map[string]cacheEntry{}, prefixes: map[string]cacheEntry{}}
 }
 
-// tokens is how many of a request's prompt tokens are believed to be cached.
-func (c *prefixCache) tokens(req *Request, now Time) int {
+// cachedTokens is how many of a request's prompt cachedTokens are believed to be cached.
+func (c *prefixCache) cachedTokens(req *Request, now Time) int {
 	best := 0
 	if entry, ok := c.sessions[req.Session]; ok && req.Session != "" && now-entry.cachedAt < cacheEntryTTL {
 		best = entry.tokens
@@ -57,7 +57,7 @@
 // cachedTokens is how many of a prompt's tokens an engine is believed to have cached: what the index
 // says or, at the prefix's homes, the shared prefix.
 func (r *Router) cachedTokens(req *request, e *engine) int {
-	best := e.cache.tokens(&req.Request, r.now)
+	best := e.cache.cachedTokens(&req.Request, r.now)
 	switch e {
 	case req.home: // perhaps the session's earlier turns too
 		best = max(best, (req.PrefixLen+req.PromptTokens)/2)
--- a/routing/prefixhomes.go
+++ b/routing/prefixhomes.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// share is the part of the requests that begin with a prefix, less what chance may have brought.
-func (p *prefixPopularity) share(prefix string) float64 {
+// fraction is the part of the requests that begin with a prefix, less what chance may have brought.
+func (p *prefixPopularity) fraction(prefix string) float64 {
 	count := p.counts[prefix]
 	sure := count - max(1, 0.7*math.Sqrt(count))
 	return max(0, sure) / max(p.counts[""], minPrefixSamples)
@@ -51,7 +51,7 @@
 		return nil, nil
 	}
 	// One, a second and more for a hot one.
-	homes := 2 + int(r.popularity.share(req.Prefix)*homesPerEngine*float64(len(pool)))
+	homes := 2 + int(r.popularity.fraction(req.Prefix)*homesPerEngine*float64(len(pool)))
 	ranked := slices.Clone(pool)
 	if homes < len(pool) {
 		of := make(map[*engine]float64, len(pool))
@@ -62,12 +62,12 @@
 		ranked = ranked[:homes]
 	}
 	low, next := math.Inf(1), math.Inf(1)
-	plan := r.cells.plan(r.engines.ordered)
+	plan := r.cells.capacities(r.engines.ordered)
 	for _, e := range ranked {
 		weight := e.Weight * mixedEngineWeight
 		if e.role() == RolePrefill {
 			c := findCell(plan, e.Cell)
-			weight = e.Weight * c.prefillTarget / c.prefillEngines
+			weight = e.Weight * c.prefillTarget / c.prefillWeight
 		}
 		if far := -math.Log(hashUnit(cmp.Or(req.Session, text), e.Name)) / max(weight, 1e-9); far < low {
 			home, low, secondHome, next = e, far, home, low
--- a/routing/probe.go
+++ b/routing/probe.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	freshReportAge = 300 * time.Millisecond // a younger report needs no probe
-	probeTimeout   = 40 * time.Millisecond  // after which a probe is not waited for
+	maxFreshReportAge = 300 * time.Millisecond // a younger report needs no probe
+	probeTimeout      = 40 * time.Millisecond  // after which a probe is not waited for
 )
 
 // probeState is the latest probe of one engine. It reads and changes nothing else. Placement sends
@@ -17,28 +17,28 @@
 	sentAt, answeredAt Time
 }
 
-func (p *probeState) sent(now Time)     { p.sentAt = now }
-func (p *probeState) answered(now Time) { p.answeredAt = now }
+func (p *probeState) recordSent(now Time)   { p.sentAt = now }
+func (p *probeState) recordResult(now Time) { p.answeredAt = now }
 
 // pending reports whether a result is still waited for.
 func (p *probeState) pending(now Time) bool {
 	return p.sentAt > p.answeredAt && now-p.sentAt < probeTimeout
 }
 
-// probeFirst probes the likeliest prefill engine, once a request, where its report is old: among many
-// gateways each uses it too seldom to know its queue. The request is held until the engine answers, or
-// for probeTimeout.
-func (r *Router) probeFirst(req *request, pool []*engine, cost func(*engine) float64) bool {
-	if !r.set.CanProbe || r.set.Gateways < manyGateways || req.probed != nil || len(pool) < 2 {
+// probeBeforePlacement probes the prefill engine of least cost, once per request, if its load report is
+// old: one of many gateways uses each engine too seldom to estimate its queue. It reports whether the
+// request is queued until the engine answers, or for probeTimeout at most.
+func (r *Router) probeBeforePlacement(req *request, pool []*engine, cost func(*engine) float64) bool {
+	if !r.set.CanProbe || r.set.Gateways < manyGatewaysThreshold || req.probed != nil || len(pool) < 2 {
 		return false
 	}
 	e := slices.MinFunc(pool, func(a, b *engine) int { return cmp.Compare(cost(a), cost(b)) })
 	req.probed = e
-	if e.report.age(r.now) < freshReportAge {
+	if e.report.age(r.now) < maxFreshReportAge {
 		return false
 	}
 	if !e.probe.pending(r.now) {
-		e.probe.sent(r.now)
+		e.probe.recordSent(r.now)
 		r.emit(Probe{Engine: e.Name})
 	}
 	return true
@@ -50,8 +50,8 @@
 	if e == nil {
 		return
 	}
-	e.report.take(event.Report, r.now)
-	e.probe.answered(r.now)
+	e.report.update(event.Report, r.now)
+	e.probe.recordResult(r.now)
 	for _, req := range r.held.takeAll() {
 		if req.phase == awaitingPrefill && req.probed != nil && !req.probed.probe.pending(r.now) {
 			r.toPrefill(req)
--- a/routing/ratelimit.go
+++ b/routing/ratelimit.go
@@ -35,7 +35,7 @@
 	if rejected {
 		sample = 1
 	}
-	l.rejectedShare[key] += (sample - l.rejectedShare[key]) * typicalEWMAWeight
+	l.rejectedShare[key] += (sample - l.rejectedShare[key]) * meanEWMAWeight
 }
 
 // limited reports whether engines reject requests of a key far more often than others: then they have
--- a/routing/request.go
+++ b/routing/request.go
@@ -83,13 +83,13 @@
 	if req.phase == prefilling {
 		e.addPrefill(sign, float64(req.prefillTokens))
 		if sign > 0 {
-			e.report.addSent(float64(req.prefillTokens), 0)
+			e.report.recordSent(float64(req.prefillTokens), 0)
 		}
 	}
 	if e.role() != RolePrefill {
 		e.addAnswer(sign, r.memoryEstimate(req))
 		if sign > 0 {
-			e.report.addSent(0, r.memoryEstimate(req))
+			e.report.recordSent(0, r.memoryEstimate(req))
 		}
 	}
 }
--- a/routing/router.go
+++ b/routing/router.go
@@ -10,7 +10,7 @@
 type Router struct {
 	set         Settings
 	classes     map[string]*Class
-	kinds       map[string]*Kind
+	kinds       map[string]*EngineKind
 	maxPriority float64 // highest PriorityWeight of a class
 
 	now     Time
@@ -43,7 +43,7 @@
 		return nil, err
 	}
 	r := &Router{
-		set: set, kinds: map[string]*Kind{}, draws: draws{seed},
+		set: set, kinds: map[string]*EngineKind{}, draws: draws{seed},
 		requests: map[RequestID]*request{}, engines: engineTable{byName: map[string]*engine{}},
 		popularity: prefixPopularity{map[string]float64{}}, quotas: newQuotas(&set), retries: newRetryBudget(),
 		rateLimits: rateLimits{map[string]float64{}}, meanPrompt: promptMeans{map[string]float64{}},
@@ -94,7 +94,7 @@
 	}
 	if !r.timerSet {
 		r.timerSet = true
-		r.emit(SetTimer{In: r.tick(), Name: "tick"})
+		r.emit(SetTimer{After: r.tick(), Name: "tick"})
 	}
 	return r.actions
 }
@@ -102,7 +102,7 @@
 func (r *Router) emit(a Action) { r.actions = append(r.actions, a) }
 
 func (r *Router) tick() time.Duration {
-	return max(min(tickInterval, r.set.HeldStateLimit/8), r.set.Tick)
+	return max(min(tickInterval, r.set.HeldStateLimit/8), r.set.TickInterval)
 }
 
 // onTick retries held requests and cancels overdue attempts, for which no event comes.
@@ -163,9 +163,9 @@
 		r.recordPrefill(e, req, float64(req.prefillTokens), event.Latency)
 	} else {
 		r.latency.observeFirstToken(e.role(), event.Latency.Seconds(), r.now)
-		e.pace.observe(event.Latency.Seconds()/req.expectedTime.Seconds(), r.now)
+		e.latencyRatio.observe(event.Latency.Seconds()/req.expectedTime.Seconds(), r.now)
 	}
-	r.recordThroughput(e, r.meanPrompt.of(req.Class))
+	r.recordThroughput(e, r.meanPrompt.mean(req.Class))
 	r.setPhase(req, streaming, e)
 	req.stateHolder = nil
 }
@@ -173,7 +173,7 @@
 func (r *Router) onOutcome(event Outcome) {
 	req := r.requests[event.ID]
 	if e := r.engines.byName[event.Engine]; e != nil {
-		e.report.take(event.Report, r.now)
+		e.report.update(event.Report, r.now)
 	}
 	if req == nil || req.engine == nil || event.Attempt != req.attempts-1 {
 		return
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -14,18 +14,18 @@
 // throughput is what the warm engines of one role do for this router, in tokens a second. It reads and
 // changes nothing else. Finished prefills and first tokens feed it; the slow-start budget asks.
 type throughput struct {
-	sum  float64 // tokens done by warm engines, fading
-	peak float64 // best rate of one engine
-	at   Time    // of the latest sample
+	tokens    float64 // tokens done by warm engines, fading
+	peakRate  float64 // best rate of one engine
+	sampledAt Time    // of the latest sample
 }
 
 // observe takes work done by one of so many warm engines.
 func (t *throughput) observe(tokens float64, warm int, now Time) {
-	elapsed := (now - t.at).Seconds()
-	t.at = now
-	t.sum = t.sum*math.Exp(-elapsed/throughputTimeConstant.Seconds()) + tokens
-	rate := t.sum / throughputTimeConstant.Seconds() / float64(max(warm, 1))
-	t.peak = max(t.peak*math.Exp(-elapsed/peakTimeConstant.Seconds()), rate)
+	elapsed := (now - t.sampledAt).Seconds()
+	t.sampledAt = now
+	t.tokens = t.tokens*math.Exp(-elapsed/throughputTimeConstant.Seconds()) + tokens
+	rate := t.tokens / throughputTimeConstant.Seconds() / float64(max(warm, 1))
+	t.peakRate = max(t.peakRate*math.Exp(-elapsed/peakTimeConstant.Seconds()), rate)
 }
 
 // promptMeans is the mean prompt length of each class, in tokens: what a request of it counts in slow
@@ -35,10 +35,10 @@
 }
 
 func (m *promptMeans) observe(class string, tokens int) {
-	m.tokens[class] += (float64(tokens) - m.tokens[class]) * typicalEWMAWeight
+	m.tokens[class] += (float64(tokens) - m.tokens[class]) * meanEWMAWeight
 }
 
-func (m *promptMeans) of(class string) float64 { return m.tokens[class] }
+func (m *promptMeans) mean(class string) float64 { return m.tokens[class] }
 
 // slowStartSends are this router's sends to one engine within an OverloadWindow. It reads and changes
 // nothing else. Every send feeds it; the slow-start budget and the engine table ask.
@@ -47,7 +47,7 @@
 }
 
 type slowStartSend struct {
-	at     Time
+	sentAt Time
 	tokens float64
 }
 
@@ -57,7 +57,7 @@
 
 // expire drops what was sent before the window.
 func (s *slowStartSends) expire(now, window Time) {
-	for len(s.sends) > 0 && now-s.sends[0].at > window {
+	for len(s.sends) > 0 && now-s.sends[0].sentAt > window {
 		s.sends = s.sends[1:]
 	}
 }
@@ -70,10 +70,10 @@
 	return tokens
 }
 
-// recent reports whether anything was sent within the window.
-func (s *slowStartSends) recent(now, window Time) bool {
+// sentWithin reports whether anything was sent within the window.
+func (s *slowStartSends) sentWithin(now, window Time) bool {
 	n := len(s.sends)
-	return n > 0 && now-s.sends[n-1].at <= window
+	return n > 0 && now-s.sends[n-1].sentAt <= window
 }
 
 // slowStartAdmits bounds this router's sends to an engine in slow start, within any OverloadWindow, by
@@ -86,7 +86,7 @@
 	if !r.inSlowStart(e) {
 		return true
 	}
-	limit := slowStartMargin * r.throughputs[e.role()].peak * r.set.OverloadWindow.Seconds() *
+	limit := slowStartMargin * r.throughputs[e.role()].peakRate * r.set.OverloadWindow.Seconds() *
 		r.set.OverloadMultiple * r.set.SlowStartCapacity
 	if len(e.slowStart.sends) == 0 && limit < tokens {
 		// Each router's windows begin at a time of its own.
@@ -101,7 +101,7 @@
 	if r.inSlowStart(e) {
 		return
 	}
-	r.throughputs[e.role()].observe(tokens, r.pool(e.role()).warm, r.now)
+	r.throughputs[e.role()].observe(tokens, r.pool(e.role()).warmEngines, r.now)
 }
 
 func (r *Router) inSlowStart(e *engine) bool {
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -42,7 +42,7 @@
 	all := fleet(t, 200, set, testEngine("a", "r", 0), testEngine("b", "r", 0), testEngine("w", "w", 0), cold)
 	toCold, sends := 0, 0
 	for i, r := range all {
-		r.throughputs[RolePrefill] = throughput{peak: 500 / 2.0, at: now} // half a request of 500 tokens a second
+		r.throughputs[RolePrefill] = throughput{peakRate: 500 / 2.0, sampledAt: now} // half a request of 500 tokens a second
 		r.meanPrompt.tokens["c"] = 500
 		if sentTo(t, r.Handle(now, testRequest(RequestID(i), 500))) == "cold" {
 			toCold++
@@ -54,7 +54,7 @@
 		t.Errorf("%d of %d first sends went to an engine in slow start, want some but at most %d", toCold, sends, most)
 	}
 	for _, r := range all {
-		r.throughputs[RolePrefill].peak = 0.01 * 500
+		r.throughputs[RolePrefill].peakRate = 0.01 * 500
 		r.engines.byName["cold"].slowStart.sends = nil
 	}
 	toCold = 0
--- a/routing/timeout.go
+++ b/routing/timeout.go
@@ -14,7 +14,7 @@
 
 // attemptTimeout is how long an attempt may take before it counts as overdue.
 func (r *Router) attemptTimeout(req *request) time.Duration {
-	typical := r.latency.typicalSeconds(req.engine.role(), req.phase)
+	typical := r.latency.meanSeconds(req.engine.role(), req.phase)
 	tail := timeoutOverTypical * float64(seconds(typical))
 	expected := timeoutOverExpected * float64(req.expectedTime)
 	least := timeoutOverObjective * float64(req.class.FirstTokenObjective)
@@ -26,7 +26,7 @@
 // only busy.
 func (r *Router) cancelOverdue(role Role) {
 	usual := max(r.pool(role).overdue, 1)
-	for e := range r.engines.usable(role) {
+	for e := range r.engines.usableByRole(role) {
 		late := e.overdue(r.now) >= overdueRatio*usual
 		for _, req := range slices.Clone(e.inFlight) {
 			age := r.now - req.sentAt
