--- a/routing/ratelimit.go
+++ b/routing/ratelimit.go
@@ -35,7 +35,7 @@
 	if rejected {
 		sample = 1
 	}
-	l.rejectedFraction[key] += (sample - l.rejectedFraction[key]) * typicalEWMAWeight
+	l.rejectedFraction[key] += (sample - l.rejectedFraction[key]) * meanEWMAWeight
 }
 
 // limited reports whether engines reject requests of a key far more often than others: then they have
