--- a/decide/roster/apply.go
+++ b/decide/roster/apply.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// heldWhenMissing reports whether a listing lost in a mass loss is held: not if it was
-// marked, whose engine was expected to go, nor if it was last confirmed long ago.
-func (r *Registry) heldWhenMissing(now time.Time, s *sourceState, l *listing) bool {
+// retainedWhenMissing reports whether a listing is retained after a mass loss. A marked listing is not,
+// because its engine was expected to disappear, nor is one that was last confirmed longer than
+// Policy.ConfirmationTTL ago.
+func (r *Registry) retainedWhenMissing(now time.Time, s *sourceState, l *listing) bool {
 	return l.Mark == Clear && now.Sub(s.lastSeen(l)) <= r.policy.ConfirmationTTL
 }
 
-// markMissing holds a listing that is no longer listed.
+// markMissing records that a retained listing is no longer listed by its source.
 func (s *sourceState) markMissing(now time.Time, l *listing) {
 	if l.missingSince.IsZero() {
 		l.missingSince = now
@@ -19,7 +20,7 @@
 	}
 }
 
-// expireMissing removes the listings whose time as unlisted has expired.
+// expireMissing removes the listings that have been missing for Policy.UnlistedTTL.
 func (r *Registry) expireMissing(now time.Time, s *sourceState) {
 	for id, l := range s.listings {
 		if !l.missingSince.IsZero() && now.Sub(l.missingSince) >= r.policy.UnlistedTTL {
@@ -29,28 +30,28 @@
 	}
 }
 
-// apply replaces a source's listings by a view. Engines missing from a trusted view are
-// removed, unless too many are missing at once; a view that is not trusted removes no
-// engine that may be alive.
+// apply replaces a source's listings by a view. Engines missing from a trusted view are removed, except in a
+// mass loss. Engines missing from an untrusted view are retained and probed, except those that
+// retainedWhenMissing excludes.
 func (r *Registry) apply(now time.Time, s *sourceState, v View, trusted bool) {
-	first := !s.observed
+	isFirstView := !s.observed
 	s.observed = true
 	listed := make(map[string]bool, len(v.Entries))
 	for _, e := range v.Entries {
 		listed[e.ID] = true
-		r.upsert(now, s, e, first && s.atStart)
+		r.upsert(now, s, e, isFirstView && s.addedAtStart)
 	}
 	r.applyMalformedMarks(s, v)
-	anyID := slices.Contains(v.Malformed, "")
+	hasUnidentified := slices.Contains(v.Malformed, "")
 	var missing []string
 	for id, l := range s.listings {
-		l.questionedSince = time.Time{}
-		if s.rebased && !listed[id] {
-			l.Registered = 0 // of another catalog history: its next one proves no restart
+		l.absentSince = time.Time{}
+		if s.historyChanged && !listed[id] {
+			l.Registered = 0 // index of another catalog history: a different one later does not prove a restart
 		}
 		switch {
 		case listed[id]:
-		case anyID || slices.Contains(v.Malformed, id): // it may be one of the malformed entries
+		case hasUnidentified || slices.Contains(v.Malformed, id): // it may be one of the malformed entries
 			if !l.malformed {
 				l.malformed = true
 				r.emit(Event{Source: s.id.String(), Engine: id, Message: "malformed entry, holding engine", Reason: Unreadable, Engines: 1, Warn: true})
@@ -60,18 +61,18 @@
 			missing = append(missing, id)
 		}
 	}
-	s.rebased = false
+	s.historyChanged = false
 	slices.Sort(missing)
 	r.handleMissing(now, s, missing, trusted)
 	s.index = max(s.index, v.Index)
 }
 
-// handleMissing removes engines that are no longer listed. A mass loss without marks is more
-// likely a fault of the catalog: those engines are held and probed.
+// handleMissing removes engines that are no longer listed. A mass loss of unmarked engines is more likely to
+// be a fault of the catalog: these engines are retained and probed.
 func (r *Registry) handleMissing(now time.Time, s *sourceState, missing []string, trusted bool) {
 	var unmarked []string
 	for _, id := range missing {
-		if r.heldWhenMissing(now, s, s.listings[id]) {
+		if r.retainedWhenMissing(now, s, s.listings[id]) {
 			unmarked = append(unmarked, id)
 		} else {
 			r.removeListing(s, id)
@@ -93,8 +94,9 @@
 	}
 }
 
-// recordLosses records unmarked losses and reports whether those within the window are a
-// mass loss of the source, or of all: small services may each lose their only engine.
+// recordLosses records losses of unmarked engines and reports whether the losses within Policy.LossWindow
+// amount to a mass loss. It checks the losses over all sources as well as those of the source, because small
+// services may each lose their only engine.
 func (r *Registry) recordLosses(now time.Time, s *sourceState, lost int) (massLoss bool) {
 	expired := func(t time.Time) bool { return now.Sub(t) > r.policy.LossWindow }
 	s.losses, r.losses = slices.DeleteFunc(s.losses, expired), slices.DeleteFunc(r.losses, expired)
@@ -102,11 +104,11 @@
 	for range lost {
 		s.losses, r.losses = append(s.losses, now), append(r.losses, now)
 	}
-	exceeds := func(lost, of int, share float64) bool { return lost > 1 && float64(lost) > share*float64(of) }
+	exceeds := func(lost, of int, fraction float64) bool { return lost > 1 && float64(lost) > fraction*float64(of) }
 	return exceeds(len(s.losses), ofSource, r.policy.MaxSourceLoss) || exceeds(len(r.losses), ofAll, r.policy.MaxTotalLoss)
 }
 
-// applyMalformedMarks applies the marks that could be read from malformed entries.
+// applyMalformedMarks applies the marks that were parsed from malformed entries, if they are more severe.
 func (r *Registry) applyMalformedMarks(s *sourceState, v View) {
 	for id, m := range v.MalformedMarks {
 		if l := s.listings[id]; l != nil && m > l.Mark {
@@ -116,9 +118,9 @@
 	}
 }
 
-// applyDoubted applies what is safe of a doubted view: worse marks. Engines missing from it
-// are in question, and probed.
-func (r *Registry) applyDoubted(now time.Time, s *sourceState, v View) {
+// applyUntrusted applies the safe part of an untrusted view, which is marks of higher severity. Engines
+// missing from the view are probed.
+func (r *Registry) applyUntrusted(now time.Time, s *sourceState, v View) {
 	listed := make(map[string]bool, len(v.Entries))
 	for _, e := range v.Entries {
 		listed[e.ID] = true
@@ -132,15 +134,15 @@
 	for id, l := range s.listings {
 		switch {
 		case listed[id] || anyID || slices.Contains(v.Malformed, id):
-			l.questionedSince = time.Time{}
-		case l.questionedSince.IsZero():
-			l.questionedSince = now
+			l.absentSince = time.Time{}
+		case l.absentSince.IsZero():
+			l.absentSince = now
 		}
 	}
 }
 
-// upsert inserts or updates a source's listing of one engine. preexisting says that the
-// engine may have run since before the gateway started.
+// upsert inserts or updates a source's listing of one engine. preexisting is whether the engine may have
+// been running before the gateway started.
 func (r *Registry) upsert(now time.Time, s *sourceState, e Entry, preexisting bool) {
 	l := s.listings[e.ID]
 	eng := r.engines[e.ID]
@@ -155,8 +157,8 @@
 		}
 		s.listings[e.ID] = l
 		eng.listings[s.id] = l
-	} else if l.Registered != 0 && e.Registered != l.Registered && !s.rebased && !eng.answeredSince(l.missingSince) {
-		eng.restartedAt = now // deregistered and registered anew between two views
+	} else if l.Registered != 0 && e.Registered != l.Registered && !s.historyChanged && !eng.answeredSince(l.missingSince) {
+		eng.restartedAt = now // deregistered and registered again between two views
 	}
 	if !l.missingSince.IsZero() {
 		s.missingCount--
--- a/decide/roster/evaluate.go
+++ b/decide/roster/evaluate.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// answeredSince reports whether an engine answered probes since a time and refused nothing,
-// which proves that it has not restarted.
+// answeredSince reports whether an engine has answered a probe since the given time without refusing any
+// connection, which proves that it has not restarted. It returns false for the zero time.
 func (e *engine) answeredSince(since time.Time) bool {
 	return !since.IsZero() && !e.answeredAt.Before(since) && e.refusedAt.Before(since)
 }
 
-// supersedes reports whether listing x takes precedence over y: the catalog over the file,
-// then the later registration, then the later change.
+// supersedes reports whether listing x takes precedence over y. The order is the catalog over the file, then
+// the higher registration index, then the higher index of the last change.
 func supersedes(x, y *listing, xs, ys Source) bool {
 	return cmp.Or(
 		cmp.Compare(xs.Origin, ys.Origin), cmp.Compare(x.Registered, y.Registered), cmp.Compare(x.Index, y.Index),
@@ -22,8 +22,7 @@
 	) > 0
 }
 
-// evaluate derives an engine's state from its listings, probes and override, and publishes a
-// change.
+// evaluate derives an engine's state from its listings, probes and override, and publishes it if it changed.
 func (r *Registry) evaluate(now time.Time, e *engine) {
 	if len(e.listings) == 0 {
 		r.removeEngine(e)
@@ -31,34 +30,34 @@
 	}
 	r.selectPrimary(e)
 	next := Engine{ID: e.id, Addr: e.primary.Addr, Kind: e.primary.Kind, Zone: e.primary.Zone, Cell: e.primary.Cell, ListedKind: e.primary.Kind}
-	over, overridden := r.overrides[e.id]
-	if over.Kind != "" {
-		next.Kind = over.Kind
+	override, overridden := r.overrides[e.id]
+	if override.Kind != "" {
+		next.Kind = override.Kind
 	}
 	moved := e.isPublished && e.published.Addr != next.Addr
 	r.relocate(e, location{next.Addr, next.Kind})
 	merged := r.merge(e)
 	next.Sources, next.LastSeen, next.Confidence = merged.sources, merged.lastSeen, merged.confidence
 	next.State, next.StateReason = r.stateOf(now, e, merged)
-	if overridden && over.Drain && next.State == InService {
-		next.State, next.StateReason = Draining, over.StateReason
+	if overridden && override.Drain && next.State == InService {
+		next.State, next.StateReason = Draining, override.StateReason
 	}
 	r.detectRestart(now, e, next.State, moved)
-	if e.isPublished && e.published.Kind != next.Kind { // in another role its caches are cold
+	if e.isPublished && e.published.Kind != next.Kind { // after a role change its prefix cache is cold
 		e.roleSince = now
-		if !over.Started.IsZero() {
-			e.roleSince = over.Started
+		if !override.Started.IsZero() {
+			e.roleSince = override.Started
 		}
 	}
 	next.Started = e.startTime(merged)
-	if rival := r.rival(e); rival != nil && next.State != OutOfService {
-		next.State, next.StateReason = Removed, "another id has come at its address: "+rival.id
+	if newer := r.newerAtSameLocation(e); newer != nil && next.State != OutOfService {
+		next.State, next.StateReason = Removed, "another id has come at its address: "+newer.id
 	}
 	r.publish(e, next)
 }
 
-// stateOf returns an engine's state by its sources and probes, and why it is not in service or
-// held.
+// stateOf derives an engine's state from its sources and probes, with the reason if it is not in service or
+// its entry is not confirmed.
 func (r *Registry) stateOf(now time.Time, e *engine, merged mergedListings) (State, string) {
 	switch {
 	case merged.mark == Critical:
@@ -68,12 +67,12 @@
 	case r.isSuspect(now, e):
 		return Suspect, "its sources are silent and it refuses connections"
 	case merged.confidence != Confirmed:
-		return InService, merged.confidence.String() + ": " + r.holdReason(e)
+		return InService, merged.confidence.String() + ": " + r.retentionReason(e)
 	}
 	return InService, ""
 }
 
-// removeEngine removes an engine that no source lists any more.
+// removeEngine removes an engine that no source lists any longer.
 func (r *Registry) removeEngine(e *engine) {
 	r.relocate(e, location{})
 	delete(r.engines, e.id)
@@ -83,7 +82,7 @@
 	}
 }
 
-// selectPrimary selects the listing with precedence.
+// selectPrimary selects the listing that takes precedence over the engine's other listings.
 func (r *Registry) selectPrimary(e *engine) {
 	var src Source
 	e.primary = nil
@@ -94,16 +93,16 @@
 	}
 	if rank := [2]uint64{e.primary.Registered, e.primary.Index}; e.primaryRank != rank {
 		e.primaryRank = rank
-		r.markRivalsDirty(e, e.location)
+		r.markLocationDirty(e, e.location)
 	}
 }
 
-// mergedListings is what all listings of an engine add up to.
+// mergedListings combines all listings of an engine.
 type mergedListings struct {
 	mark          Mark
-	markedBy      string    // the source of the worst mark
+	markedBy      string    // the source of the most severe mark
 	firstListed   time.Time // the earliest over all sources
-	reportedStart time.Time // the latest start that it reports
+	reportedStart time.Time // the latest start time that the engine reports
 	lastSeen      time.Time
 	sources       []string
 	confidence    Confidence
@@ -117,7 +116,7 @@
 		if l.Mark > merged.mark {
 			merged.mark, merged.markedBy = l.Mark, s.String()
 		}
-		if i == 0 || l.firstListed.Before(merged.firstListed) { // the source that has listed it longest knows best
+		if i == 0 || l.firstListed.Before(merged.firstListed) { // the earliest listing is closest to the start
 			merged.firstListed = l.firstListed
 		}
 		if l.Started.After(merged.reportedStart) {
@@ -132,8 +131,8 @@
 	return merged
 }
 
-// startTime returns when an engine last started. What it reports takes precedence over what
-// is inferred.
+// startTime returns when an engine last started or changed its role. A start time that the engine reports
+// takes precedence over an inferred one.
 func (e *engine) startTime(merged mergedListings) time.Time {
 	at := merged.firstListed
 	if e.restartedAt.After(at) {
@@ -152,47 +151,47 @@
 	return slices.SortedFunc(maps.Keys(listings), compareSources)
 }
 
-// confidence ranks the evidence that one listing gives.
+// confidence ranks the evidence that one listing provides.
 func (r *Registry) confidence(s Source, l *listing) Confidence {
 	switch {
 	case l.restored:
 		return Restored
 	case !l.missingSince.IsZero():
 		return Unlisted
-	case l.malformed || r.sources[s].doubt != Trusted:
-		return Held
+	case l.malformed || r.sources[s].distrust != Trusted:
+		return Retained
 	}
 	return Confirmed
 }
 
-// holdReason words why an engine is held: the doubt of its first doubted source.
-func (r *Registry) holdReason(e *engine) string {
+// retentionReason returns why an engine's entry is not confirmed: the reason of its first untrusted source.
+func (r *Registry) retentionReason(e *engine) string {
 	for _, s := range sortedSources(e.listings) {
-		if d := r.sources[s].doubt; d != Trusted {
+		if d := r.sources[s].distrust; d != Trusted {
 			return s.String() + ": " + string(d)
 		}
 	}
 	return "its latest entry is missing or made no sense"
 }
 
-// isSuspect reports whether an engine is taken out of service by probes alone: all its
-// sources have been doubted for longer than the hold, it refuses connections, and another
-// engine of its kind answers, so that a failure of all sources never empties the registry.
+// isSuspect reports whether probes alone take an engine out of service: none of its sources has been trusted
+// for Policy.HoldTime, it refuses connections, and another engine of its kind answers probes. The last
+// condition ensures that a failure of all sources never empties the registry.
 func (r *Registry) isSuspect(now time.Time, e *engine) bool {
-	if e.refusals < minRefusals || !r.allSourcesDoubted(e) || !r.anotherAnswers(now, e) {
+	if e.refusals < minRefusals || !r.allSourcesUntrusted(e) || !r.hasResponsivePeer(now, e) {
 		return false
 	}
 	for s := range e.listings {
-		if now.Sub(r.sources[s].doubtedSince) < r.policy.HoldTime {
+		if now.Sub(r.sources[s].untrustedSince) < r.policy.HoldTime {
 			return false
 		}
 	}
 	return true
 }
 
-// detectRestart tells a flap of a health check from a restart when an engine comes back from
-// OutOfService or Suspect: it has restarted if a connection was refused meanwhile, or if it
-// was down for long and no probe was answered. Another address is another process.
+// detectRestart distinguishes a flapping health check from a restart when an engine recovers from
+// OutOfService or Suspect. The engine has restarted if it refused a connection while it was down, or if it
+// was down for at least Policy.FlapTime and answered no probe. A changed address means another process.
 func (r *Registry) detectRestart(now time.Time, e *engine, next State, moved bool) {
 	previous := e.published.State
 	isDown := func(s State) bool { return s == OutOfService || s == Suspect }
@@ -209,13 +208,13 @@
 	}
 	if isDown(next) && (!e.isPublished || !isDown(previous)) {
 		e.downSince = now
-		if e.refusals > 0 { // it went down before the mark was seen
+		if e.refusals > 0 { // it went down before its mark was observed
 			e.downSince = e.refusedAt
 		}
 	}
 }
 
-// publish adds an engine to the changes if anything that the core gets to know differs.
+// publish adds an engine to the changes if any field that the core uses differs.
 func (r *Registry) publish(e *engine, next Engine) {
 	old := e.published
 	same := e.isPublished && old.Addr == next.Addr && old.Kind == next.Kind && old.Zone == next.Zone &&
@@ -226,7 +225,7 @@
 	}
 }
 
-// evaluateDirty evaluates all engines that are marked dirty, and those that this marks.
+// evaluateDirty evaluates all engines that are marked dirty, including those marked during an evaluation.
 func (r *Registry) evaluateDirty(now time.Time) {
 	for len(r.dirty) > 0 {
 		batch := slices.Sorted(maps.Keys(r.dirty))
--- a/decide/roster/gatewaycount.go
+++ b/decide/roster/gatewaycount.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// GatewayCount smooths how many gateways share the engines. An increase counts at once: each
-// gateway then uses a smaller part of a cold engine's budget, which is safe. A decrease
-// counts once it has lasted for the hold time: a gateway whose health check flapped still
-// sends. The zero value is not usable; see NewGatewayCount.
+// GatewayCount smooths the number of gateways that share the engines. An increase takes effect immediately:
+// each gateway then uses a smaller fraction of a cold engine's budget, which is safe. A decrease takes effect
+// after it has lasted for the hold time, because a gateway whose health check flaps still sends requests. The
+// zero value is not usable; see NewGatewayCount.
 type GatewayCount struct {
 	count      int
 	holdTime   time.Duration
-	lowerCount int // the highest count since it fell; 0 if it has not fallen
+	lowerCount int // the highest count observed since it fell below count; 0 if it has not fallen
 	lowerSince time.Time
 }
 
-// NewGatewayCount starts from the number in the operator's file, at least 1.
-func NewGatewayCount(n int, hold time.Duration) *GatewayCount {
-	return &GatewayCount{count: max(n, 1), holdTime: hold}
+// NewGatewayCount returns a count that starts at n, the number in the operator's file, or at 1 if n is less.
+func NewGatewayCount(n int, holdTime time.Duration) *GatewayCount {
+	return &GatewayCount{count: max(n, 1), holdTime: holdTime}
 }
 
 // Count returns the smoothed number of gateways.
 func (c *GatewayCount) Count() int { return c.count }
 
-// Observe takes a count and reports whether the smoothed one changed. A count of 0 can't be,
-// as this gateway is one, and is ignored.
+// Observe records an observed count and reports whether the smoothed count changed. It ignores 0, which is
+// impossible because this gateway is one of them.
 func (c *GatewayCount) Observe(now time.Time, n int) bool {
 	switch {
 	case n < 1:
@@ -39,7 +39,7 @@
 	return c.Tick(now)
 }
 
-// Tick applies a decrease that has lasted and reports whether the count changed.
+// Tick applies a decrease that has lasted for the hold time and reports whether the count changed.
 func (c *GatewayCount) Tick(now time.Time) bool {
 	if c.lowerCount == 0 || now.Sub(c.lowerSince) < c.holdTime {
 		return false
--- a/decide/roster/golden_test.go
+++ b/decide/roster/golden_test.go
@@ -11,19 +11,19 @@
 	"time"
 )
 
-// goldenDecisions are hashes over all that this package returns for drawn events, by
-// seed. Kinds are hashed as numbers and no Go name is, so that they outlive renames.
+// goldenDecisions are hashes over all results of this package for random events, by seed. Enum values are
+// hashed as numbers and Go names are not hashed, so that renames don't change the hashes.
 var goldenDecisions = map[uint64]uint64{
 	0: 0xac12ef3df8155360, 1: 0xe7e1b5a3f93318f, 2: 0x5a3dcf1cd72403, 3: 0x32557559996ed323,
 	4: 0xe2894f5f700236cf, 5: 0x96e74aee70fb2938, 6: 0xf1190eee3f14dd7a, 7: 0x2a46e37a006ed595,
 }
 
-// goldenServices is the same for the decisions on services and on the number of gateways.
+// goldenServices is the hash over the results of ServiceTracker and GatewayCount for random events.
 const goldenServices = 0xfa5fc4b493479b39
 
-// noteKinds numbers the texts of log lines, which may change while what they speak of
-// does not.
-var noteKinds = []string{
+// eventKinds numbers the messages of events. The hashes contain the number instead of the message, so that a
+// message can be reworded, here and in the code, without changing the hashes.
+var eventKinds = []string{
 	"source removed",
 	"source vanished, holding its engines",
 	"hold expired, doubted view applied",
@@ -36,14 +36,14 @@
 	"unlisted engine does not answer, removed",
 }
 
-func noteKind(t *testing.T, n Event) int {
+func eventKind(t *testing.T, e Event) int {
 	t.Helper()
-	for i, text := range noteKinds {
-		if strings.HasPrefix(n.Message, text) {
+	for i, text := range eventKinds {
+		if strings.HasPrefix(e.Message, text) {
 			return i
 		}
 	}
-	t.Fatalf("a note of no known kind: %+v", n)
+	t.Fatalf("event of unknown kind: %+v", e)
 	return -1
 }
 
@@ -54,16 +54,16 @@
 	return at.UnixNano()
 }
 
-// goldenView draws a view: mostly of the engines that are there, with faults of the
-// catalog now and then.
+// goldenView generates a random view that usually contains most engines and occasionally has a fault of the
+// catalog.
 func goldenView(r *rand.Rand, index uint64) View {
 	v := View{Agent: "one", Index: index}
 	if r.IntN(12) == 0 {
 		v.Index = index / 2
 	}
-	share := []float64{0.97, 0.97, 0.97, 0.5, 0}[r.IntN(5)]
+	listedFraction := []float64{0.97, 0.97, 0.97, 0.5, 0}[r.IntN(5)]
 	for id := range 9 {
-		if r.Float64() >= share {
+		if r.Float64() >= listedFraction {
 			continue
 		}
 		e := Entry{
@@ -103,7 +103,7 @@
 	return v
 }
 
-// writeOutcome words all that is to be seen of a registry.
+// writeOutcome writes everything that a registry reports to its callers. The text is part of the hashes.
 func writeOutcome(t *testing.T, w io.Writer, reg *Registry) {
 	t.Helper()
 	for n, list := range [][]Engine{reg.Changes(), reg.Engines()} {
@@ -112,12 +112,12 @@
 				stamp(e.Started), stamp(e.LastSeen), uint8(e.Confidence), e.ListedKind, e.Sources)
 		}
 	}
-	var notes []string
-	for _, n := range reg.Events() { // sources are gone through in no order
-		notes = append(notes, fmt.Sprintf("note %d %s %s %q %d %v", noteKind(t, n), n.Source, n.Engine, string(n.Reason), n.Engines, n.Warn))
+	var events []string
+	for _, e := range reg.Events() { // sorted below, because sources are visited in random order
+		events = append(events, fmt.Sprintf("note %d %s %s %q %d %v", eventKind(t, e), e.Source, e.Engine, string(e.Reason), e.Engines, e.Warn))
 	}
-	slices.Sort(notes)
-	fmt.Fprintln(w, strings.Join(notes, "\n"))
+	slices.Sort(events)
+	fmt.Fprintln(w, strings.Join(events, "\n"))
 	for _, s := range reg.SourceStatuses() {
 		fmt.Fprintf(w, "source %s %q %d %d %d %d\n", s.Source, string(s.DistrustReason), stamp(s.UntrustedSince), stamp(s.LastTrusted), s.Index, s.Engines)
 	}
@@ -126,8 +126,8 @@
 	}
 }
 
-// playRegistry plays drawn events on a registry and returns the hash of what came of them.
-func playRegistry(t *testing.T, seed uint64, steps int) uint64 {
+// hashRegistryRun applies random events to a registry and returns the hash of the results.
+func hashRegistryRun(t *testing.T, seed uint64, steps int) uint64 {
 	t.Helper()
 	r := rand.New(rand.NewPCG(seed, 45))
 	h := fnv.New64a()
@@ -158,7 +158,7 @@
 			reg.ReplaceSource(now, sources[0], goldenView(r, 0))
 		case 19:
 			if r.IntN(3) == 0 {
-				reg.RemoveSource(now, src, "a test says so")
+				reg.RemoveSource(now, src, "operator")
 			}
 		case 20:
 			if r.IntN(3) == 0 {
@@ -171,17 +171,17 @@
 				nil, {id: {Drain: true, StateReason: "changing"}}, {id: {Kind: "write", Started: now.Add(-time.Second)}}, {id: {Drain: true, Kind: "read"}},
 			}[r.IntN(4)])
 		case 23:
-			kept, indexes := reg.Snapshot()
-			for _, k := range kept {
-				fmt.Fprintf(h, "kept %d %s %s %s %s %s %d %d %d %d %d %d %d %d\n", uint8(k.Source.Origin), k.Source.Name, k.Entry.ID, k.Entry.Addr, k.Entry.Kind,
-					k.Entry.Zone, k.Entry.Cell, uint8(k.Entry.Mark), stamp(k.Entry.Started), k.Entry.Registered, k.Entry.Index, stamp(k.FirstListed), stamp(k.LastSeen), stamp(k.Started))
+			stored, indexes := reg.Snapshot()
+			for _, e := range stored {
+				fmt.Fprintf(h, "kept %d %s %s %s %s %s %d %d %d %d %d %d %d %d\n", uint8(e.Source.Origin), e.Source.Name, e.Entry.ID, e.Entry.Addr, e.Entry.Kind,
+					e.Entry.Zone, e.Entry.Cell, uint8(e.Entry.Mark), stamp(e.Entry.Started), e.Entry.Registered, e.Entry.Index, stamp(e.FirstListed), stamp(e.LastSeen), stamp(e.Started))
 			}
 			for _, s := range reg.KnownSources() {
 				fmt.Fprintf(h, "index %d\n", indexes[s])
 			}
 			if r.IntN(3) == 0 {
 				reg = New(DefaultPolicy())
-				reg.Restore(now, kept, indexes)
+				reg.Restore(now, stored, indexes)
 			}
 		}
 		var probes []string
@@ -198,8 +198,8 @@
 func TestGoldenDecisions(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			if got := playRegistry(t, seed, 3000); got != goldenDecisions[seed] {
-				t.Errorf("%d: %#x, want %#x", seed, got, goldenDecisions[seed])
+			if got := hashRegistryRun(t, seed, 3000); got != goldenDecisions[seed] {
+				t.Errorf("seed %d: hash %#x, want %#x", seed, got, goldenDecisions[seed])
 			}
 		})
 	}
@@ -208,25 +208,25 @@
 func TestGoldenServicesAndGatewayCount(t *testing.T) {
 	r := rand.New(rand.NewPCG(9, 45))
 	h := fnv.New64a()
-	s, p, now := NewServiceTracker(DefaultPolicy(), []string{"s0", "s9"}), NewGatewayCount(2, 10*time.Second), t0
+	services, gateways, now := NewServiceTracker(DefaultPolicy(), []string{"s0", "s9"}), NewGatewayCount(2, 10*time.Second), t0
 	for index := range uint64(5000) {
 		now = now.Add(time.Duration(r.IntN(4000)) * time.Millisecond)
-		var tagged, others []string
+		var tagged, untagged []string
 		for n := range 6 {
 			switch r.IntN(8) {
 			case 0:
 			case 1:
-				others = append(others, fmt.Sprint("s", n))
+				untagged = append(untagged, fmt.Sprint("s", n))
 			default:
 				tagged = append(tagged, fmt.Sprint("s", n))
 			}
 		}
 		v := goldenView(r, index+20)
-		plan := s.Observe(now, v, tagged, others)
-		fmt.Fprintf(h, "%q %q %q %q\n", string(plan.DistrustReason), plan.Added, plan.Untagged, plan.Missing)
-		fmt.Fprintln(h, p.Observe(now, r.IntN(6)), p.Count(), p.Tick(now.Add(time.Second)), p.Count())
+		changes := services.Observe(now, v, tagged, untagged)
+		fmt.Fprintf(h, "%q %q %q %q\n", string(changes.DistrustReason), changes.Added, changes.Untagged, changes.Missing)
+		fmt.Fprintln(h, gateways.Observe(now, r.IntN(6)), gateways.Count(), gateways.Tick(now.Add(time.Second)), gateways.Count())
 	}
 	if got := h.Sum64(); got != goldenServices {
-		t.Errorf("%#x, want %#x", got, uint64(goldenServices))
+		t.Errorf("hash %#x, want %#x", got, uint64(goldenServices))
 	}
 }
--- a/decide/roster/locations.go
+++ b/decide/roster/locations.go
@@ -2,17 +2,17 @@
 
 import "cmp"
 
-// location is where an engine serves and in which role: two roles at one address are no rivals.
+// location is the address and role of an engine. Engines of different roles may share an address.
 type location struct{ addr, kind string }
 
-// relocate moves an engine in the index of locations and marks those that share the old or
-// the new location to be evaluated again.
+// relocate updates an engine in the index of locations and marks the other engines at the old and the new
+// location for re-evaluation.
 func (r *Registry) relocate(e *engine, to location) {
 	if e.location == to {
 		return
 	}
-	r.markRivalsDirty(e, e.location)
-	r.markRivalsDirty(e, to)
+	r.markLocationDirty(e, e.location)
+	r.markLocationDirty(e, to)
 	if e.location != (location{}) {
 		delete(r.byLocation[e.location], e.id)
 		if len(r.byLocation[e.location]) == 0 {
@@ -27,29 +27,29 @@
 	}
 }
 
-// markRivalsDirty has the other engines at a location evaluated again.
-func (r *Registry) markRivalsDirty(e *engine, p location) {
-	for id := range r.byLocation[p] {
+// markLocationDirty marks the engines at a location, other than e, for re-evaluation.
+func (r *Registry) markLocationDirty(e *engine, at location) {
+	for id := range r.byLocation[at] {
 		if id != e.id {
 			r.markDirty(id)
 		}
 	}
 }
 
-// rival returns the engine that was registered later at the same location, nil if there is
-// none. A dead process leaves its entry behind; the process that listens there now must not
-// get the load of two engines.
-func (r *Registry) rival(e *engine) *engine {
-	var best *engine
-	for _, other := range r.byLocation[e.location] {
-		if other == e || other.primary == nil {
+// newerAtSameLocation returns the engine with the highest id of those that were registered later at the same
+// location, or nil. The entry of a process that has ended may remain in the catalog; the process that now
+// listens at its address must not get the load of two engines.
+func (r *Registry) newerAtSameLocation(e *engine) *engine {
+	var newer *engine
+	for _, peer := range r.byLocation[e.location] {
+		if peer == e || peer.primary == nil {
 			continue
 		}
-		order := cmp.Or(cmp.Compare(other.primary.Registered, e.primary.Registered), cmp.Compare(other.primary.Index, e.primary.Index),
-			cmp.Compare(other.id, e.id))
-		if order > 0 && (best == nil || other.id > best.id) {
-			best = other
+		order := cmp.Or(cmp.Compare(peer.primary.Registered, e.primary.Registered), cmp.Compare(peer.primary.Index, e.primary.Index),
+			cmp.Compare(peer.id, e.id))
+		if order > 0 && (newer == nil || peer.id > newer.id) {
+			newer = peer
 		}
 	}
-	return best
+	return newer
 }
--- a/decide/roster/probes.go
+++ b/decide/roster/probes.go
@@ -6,22 +6,23 @@
 	"time"
 )
 
-// ObserveProbe takes the result of a direct probe of an engine at an address, or of an
-// attempt's connection there.
+// ObserveProbe records the result of a direct health probe of an engine at an address, or of an attempt's
+// connection to that address.
 func (r *Registry) ObserveProbe(now time.Time, id, addr string, p ProbeResult) {
 	e := r.engines[id]
-	if e == nil || e.location.addr != addr { // it has moved since the probe began, or only a doubted view has it there
-		r.admitFromDoubted(now, id, addr, p)
+	// The engine's address changed after the probe began, or only an untrusted view lists it there.
+	if e == nil || e.location.addr != addr {
+		r.admitFromUntrusted(now, id, addr, p)
 		r.evaluateDirty(now)
 		return
 	}
 	switch p {
 	case Answered:
 		e.answeredAt, e.refusals, e.unanswered = now, 0, 0
-		if r.answered[e.location.kind] == nil {
-			r.answered[e.location.kind] = map[string]time.Time{}
+		if r.lastAnswered[e.location.kind] == nil {
+			r.lastAnswered[e.location.kind] = map[string]time.Time{}
 		}
-		r.answered[e.location.kind][id] = now
+		r.lastAnswered[e.location.kind][id] = now
 	case Refused:
 		e.refusedAt, e.unanswered = now, 0
 		e.refusals++
@@ -29,10 +30,10 @@
 		e.unanswered++
 	}
 	if p != Answered {
-		delete(r.answered[e.location.kind], id)
+		delete(r.lastAnswered[e.location.kind], id)
 	}
 	for src, l := range e.listings {
-		if l.isMissing() && r.provenDead(now, e) {
+		if l.isMissing() && r.confirmedDown(now, e) {
 			r.emit(Event{Source: src.String(), Engine: id, Message: "unlisted engine does not answer, removed", Engines: 1})
 			r.removeListing(r.sources[src], id)
 		}
@@ -41,37 +42,37 @@
 	r.evaluateDirty(now)
 }
 
-// provenDead reports whether probes alone prove that an engine can't serve. Silence counts
-// only while another engine of its kind answers: else the gateway may be cut off.
-func (r *Registry) provenDead(now time.Time, e *engine) bool {
-	return e.refusals >= minRefusals || e.unanswered >= minUnanswered && r.anotherAnswers(now, e)
+// confirmedDown reports whether probes alone prove that an engine can't serve. Unanswered probes count only
+// while another engine of its kind answers: otherwise the gateway itself may have lost its network.
+func (r *Registry) confirmedDown(now time.Time, e *engine) bool {
+	return e.refusals >= minRefusals || e.unanswered >= minUnanswered && r.hasResponsivePeer(now, e)
 }
 
-// anotherAnswers reports whether another engine of the same kind in service has answered a
-// probe of late, so that the gateway is not cut off.
-func (r *Registry) anotherAnswers(now time.Time, e *engine) bool {
-	for id, at := range r.answered[e.location.kind] {
-		if other := r.engines[id]; other == nil || now.Sub(at) > 2*r.policy.ProbeInterval {
-			delete(r.answered[e.location.kind], id)
-		} else if other != e && other.published.State == InService {
+// hasResponsivePeer reports whether another engine of the same kind that is in service has answered a probe
+// within two probe intervals, which proves that the gateway has a working network.
+func (r *Registry) hasResponsivePeer(now time.Time, e *engine) bool {
+	for id, at := range r.lastAnswered[e.location.kind] {
+		if peer := r.engines[id]; peer == nil || now.Sub(at) > 2*r.policy.ProbeInterval {
+			delete(r.lastAnswered[e.location.kind], id)
+		} else if peer != e && peer.published.State == InService {
 			return true
 		}
 	}
 	return false
 }
 
-// admitFromDoubted admits an engine that answers and that only a doubted view lists, or lists
-// at another address while nothing listens at the held one.
-func (r *Registry) admitFromDoubted(now time.Time, id, addr string, p ProbeResult) {
+// admitFromUntrusted adds an engine that answers probes if only an untrusted view lists it, or lists it at
+// this address while no process listens at its registered one.
+func (r *Registry) admitFromUntrusted(now time.Time, id, addr string, p ProbeResult) {
 	if p != Answered {
 		return
 	}
 	for _, s := range r.sources {
-		if s.doubtedView == nil {
+		if s.deferredView == nil {
 			continue
 		}
-		for _, e := range s.doubtedView.Entries {
-			if l := s.listings[id]; e.ID == id && e.Addr == addr && (l == nil || r.movedFromRefusing(e)) {
+		for _, e := range s.deferredView.Entries {
+			if l := s.listings[id]; e.ID == id && e.Addr == addr && (l == nil || r.movesRefusingEngine(e)) {
 				if l != nil {
 					e.Mark = max(e.Mark, l.Mark)
 				}
@@ -81,21 +82,21 @@
 	}
 }
 
-// movedFromRefusing reports whether an entry has another address for an engine that refuses
-// connections at its present one.
-func (r *Registry) movedFromRefusing(e Entry) bool {
-	known := r.engines[e.ID]
-	return known != nil && known.location.addr != e.Addr && known.refusals >= minRefusals
+// movesRefusingEngine reports whether an entry lists a new address for an engine that refuses connections at
+// its registered address.
+func (r *Registry) movesRefusingEngine(e Entry) bool {
+	registered := r.engines[e.ID]
+	return registered != nil && registered.location.addr != e.Addr && registered.refusals >= minRefusals
 }
 
-// ProbeTarget names an engine to probe.
+// ProbeTarget identifies an engine to probe and its address.
 type ProbeTarget struct{ ID, Addr string }
 
-// DueProbes returns the engines to probe now, at most limit of them, those in question first:
-// engines that only a doubted view lists, missing and critical ones; then, at a longer
-// interval, all engines of doubted sources. The rest is due at the next call.
+// DueProbes returns the engines to probe now, at most limit of them. Engines that only an untrusted view
+// lists come first, then missing, down and restored engines, and then, at the longer Policy.ProbeInterval,
+// all engines without a trusted source. Engines beyond the limit follow in later calls.
 func (r *Registry) DueProbes(now time.Time, limit int) []ProbeTarget {
-	probes := r.doubtedProbes(limit)
+	probes := r.untrustedViewProbes(limit)
 	for _, e := range r.enginesToProbe(now) {
 		if len(probes) >= limit {
 			break
@@ -106,17 +107,17 @@
 	return probes
 }
 
-// doubtedProbes returns at most limit engines that only a doubted view lists, or lists at another
-// address than one that refuses connections.
-func (r *Registry) doubtedProbes(limit int) []ProbeTarget {
+// untrustedViewProbes returns at most limit engines that only an untrusted view lists, or lists at a new
+// address while they refuse connections at their registered one.
+func (r *Registry) untrustedViewProbes(limit int) []ProbeTarget {
 	var probes []ProbeTarget
 	for _, s := range r.sources {
-		if s.doubtedView == nil {
+		if s.deferredView == nil {
 			continue
 		}
-		for _, e := range s.doubtedView.Entries {
+		for _, e := range s.deferredView.Entries {
 			unlisted := s.listings[e.ID] == nil && r.engines[e.ID] == nil
-			if (unlisted || r.movedFromRefusing(e)) && len(probes) < limit {
+			if (unlisted || r.movesRefusingEngine(e)) && len(probes) < limit {
 				probes = append(probes, ProbeTarget{e.ID, e.Addr})
 			}
 		}
@@ -124,17 +125,17 @@
 	return probes
 }
 
-// enginesToProbe returns the known engines that are due, those in question first, then by the time of
-// their latest probe.
+// enginesToProbe returns the registered engines whose probe interval has passed, urgent ones first. Each
+// group is sorted by the time of the latest probe, oldest first.
 func (r *Registry) enginesToProbe(now time.Time) []*engine {
 	var urgent, routine []*engine
 	for _, e := range r.engines {
 		since := now.Sub(e.probedAt)
 		switch {
 		case since < r.policy.UrgentProbeInterval:
-		case r.inQuestion(e):
+		case r.needsUrgentProbe(e):
 			urgent = append(urgent, e)
-		case since >= r.policy.ProbeInterval && r.allSourcesDoubted(e):
+		case since >= r.policy.ProbeInterval && r.allSourcesUntrusted(e):
 			routine = append(routine, e)
 		}
 	}
@@ -146,8 +147,8 @@
 	return slices.Concat(urgent, routine)
 }
 
-// inQuestion reports whether an engine may be gone or back, so that probes decide.
-func (r *Registry) inQuestion(e *engine) bool {
+// needsUrgentProbe reports whether a probe can change an engine's state: it may have ended or recovered.
+func (r *Registry) needsUrgentProbe(e *engine) bool {
 	if e.published.State == OutOfService || e.published.State == Suspect || e.published.Confidence == Restored {
 		return true
 	}
@@ -159,10 +160,10 @@
 	return false
 }
 
-// allSourcesDoubted reports whether no source of an engine is trusted.
-func (r *Registry) allSourcesDoubted(e *engine) bool {
+// allSourcesUntrusted reports whether none of an engine's sources is trusted.
+func (r *Registry) allSourcesUntrusted(e *engine) bool {
 	for src := range e.listings {
-		if r.sources[src].doubt == Trusted {
+		if r.sources[src].distrust == Trusted {
 			return false
 		}
 	}
--- a/decide/roster/property_test.go
+++ b/decide/roster/property_test.go
@@ -102,7 +102,7 @@
 				reg.ObserveProbe(now, fmt.Sprint("e", id), fmt.Sprint("at", id), rapid.SampledFrom([]ProbeResult{Answered, Refused, NoAnswer}).Draw(t, "probe result"))
 			case 5:
 				for src, s := range reg.sources {
-					if s.doubtedView != nil && now.Sub(s.doubtedViewSince) >= p.HoldTime {
+					if s.deferredView != nil && now.Sub(s.deferredSince) >= p.HoldTime {
 						for _, e := range latest[src].Entries {
 							if e.Mark == Clear {
 								delete(marked, mark{src, e.ID})
--- a/decide/roster/reports.go
+++ b/decide/roster/reports.go
@@ -6,53 +6,53 @@
 	"time"
 )
 
-// Changes returns the engines to publish since the last call, in order of id.
+// Changes returns the engines to publish that have changed since the last call, sorted by id.
 func (r *Registry) Changes() []Engine {
-	out := r.changes
+	list := r.changes
 	r.changes = nil
-	slices.SortFunc(out, func(x, y Engine) int { return cmp.Compare(x.ID, y.ID) })
-	return out
+	slices.SortFunc(list, func(x, y Engine) int { return cmp.Compare(x.ID, y.ID) })
+	return list
 }
 
-// Events returns the decisions to log since the last call.
+// Events returns the decisions made since the last call, for the log.
 func (r *Registry) Events() []Event {
-	out := r.events
+	list := r.events
 	r.events = nil
-	return out
+	return list
 }
 
-// Engines returns all engines, in order of id.
+// Engines returns all engines, sorted by id.
 func (r *Registry) Engines() []Engine {
-	out := make([]Engine, 0, len(r.engines))
+	list := make([]Engine, 0, len(r.engines))
 	for _, e := range r.engines {
-		now := e.published
+		published := e.published
 		for src, l := range e.listings {
-			if at := r.sources[src].lastSeen(l); at.After(now.LastSeen) {
-				now.LastSeen = at
+			if at := r.sources[src].lastSeen(l); at.After(published.LastSeen) {
+				published.LastSeen = at
 			}
 		}
-		out = append(out, now)
+		list = append(list, published)
 	}
-	slices.SortFunc(out, func(x, y Engine) int { return cmp.Compare(x.ID, y.ID) })
-	return out
+	slices.SortFunc(list, func(x, y Engine) int { return cmp.Compare(x.ID, y.ID) })
+	return list
 }
 
 // SourceStatus is the state of one source.
 type SourceStatus struct {
 	Source         string
 	DistrustReason Reason
-	UntrustedSince time.Time // zero while trusted
-	LastTrusted    time.Time // when a view was last trusted
+	UntrustedSince time.Time // zero while the source is trusted
+	LastTrusted    time.Time // when a trusted view was last observed or confirmed
 	Index          uint64
 	Engines        int
 }
 
-// SourceStatuses returns the state of every source, in order of name.
+// SourceStatuses returns the state of every source, sorted by name.
 func (r *Registry) SourceStatuses() []SourceStatus {
-	var out []SourceStatus
+	var list []SourceStatus
 	for src, s := range r.sources {
-		out = append(out, SourceStatus{src.String(), s.doubt, s.doubtedSince, s.lastTrusted, s.index, len(s.listings)})
+		list = append(list, SourceStatus{src.String(), s.distrust, s.untrustedSince, s.lastTrusted, s.index, len(s.listings)})
 	}
-	slices.SortFunc(out, func(x, y SourceStatus) int { return cmp.Compare(x.Source, y.Source) })
-	return out
+	slices.SortFunc(list, func(x, y SourceStatus) int { return cmp.Compare(x.Source, y.Source) })
+	return list
 }
--- a/decide/roster/services.go
+++ b/decide/roster/services.go
@@ -6,59 +6,60 @@
 	"time"
 )
 
-// ServiceTracker decides which services of a catalog are watched, from views of the catalog
-// that are doubted for the same reasons as those of engines. The zero value is not usable;
-// see NewServiceTracker.
+// ServiceTracker decides which services of a catalog are watched. The rules for trusting a view of the
+// catalog are those for a view of engines. The zero value is not usable; see NewServiceTracker.
 type ServiceTracker struct {
-	policy       Policy
-	index        uint64
-	known        map[string]bool
-	doubtedSince time.Time // zero while views are trusted
+	policy         Policy
+	index          uint64
+	watched        map[string]bool
+	untrustedSince time.Time // zero while views are trusted
 }
 
-// NewServiceTracker returns a tracker that starts with the services named, such as those of
-// the previous configuration or the last good view.
-func NewServiceTracker(p Policy, known []string) *ServiceTracker {
-	s := &ServiceTracker{policy: p, known: map[string]bool{}}
-	for _, name := range known {
-		s.known[name] = true
+// NewServiceTracker returns a tracker that initially watches the given services, such as those of the
+// previous configuration or of the last good view.
+func NewServiceTracker(p Policy, watched []string) *ServiceTracker {
+	s := &ServiceTracker{policy: p, watched: map[string]bool{}}
+	for _, name := range watched {
+		s.watched[name] = true
 	}
 	return s
 }
 
-// ServiceChanges are the changes that a view of the catalog leads to, each in order of name.
+// ServiceChanges are the changes that result from a view of the catalog. The lists are sorted by name, except
+// for Added, which follows the order of the view.
 type ServiceChanges struct {
 	DistrustReason Reason
-	Added          []string // to be watched from now on
-	Untagged       []string // present without the tag: an operator took it away
-	Missing        []string // absent altogether: perhaps a fault of the catalog
+	Added          []string // services to start watching
+	Untagged       []string // listed without the tag, which an operator has removed
+	Missing        []string // not listed, which may be a fault of the catalog
 }
 
-// Observe takes a view: which services carry the tag, and which do not. A doubted view adds
-// services at once and removes none until its hold has expired.
-func (s *ServiceTracker) Observe(now time.Time, v View, tagged, others []string) ServiceChanges {
-	changes := ServiceChanges{DistrustReason: v.reasonToDoubt(s.policy.MaxAge, s.index)}
+// Observe evaluates a view of the catalog: the services with the tag and those without it. A view that is not
+// trusted adds services immediately and removes services only when views have been untrusted for
+// Policy.HoldTime.
+func (s *ServiceTracker) Observe(now time.Time, v View, tagged, untagged []string) ServiceChanges {
+	changes := ServiceChanges{DistrustReason: v.distrustReason(s.policy.MaxAge, s.index)}
 	for _, name := range tagged {
-		if !s.known[name] {
-			s.known[name] = true
+		if !s.watched[name] {
+			s.watched[name] = true
 			changes.Added = append(changes.Added, name)
 		}
 	}
 	if changes.DistrustReason != Trusted {
-		if s.doubtedSince.IsZero() {
-			s.doubtedSince = now
+		if s.untrustedSince.IsZero() {
+			s.untrustedSince = now
 		}
-		if now.Sub(s.doubtedSince) < s.policy.HoldTime {
+		if now.Sub(s.untrustedSince) < s.policy.HoldTime {
 			return changes
 		}
 	}
-	s.doubtedSince, s.index = time.Time{}, v.Index
-	for _, name := range slices.Sorted(maps.Keys(s.known)) {
+	s.untrustedSince, s.index = time.Time{}, v.Index
+	for _, name := range slices.Sorted(maps.Keys(s.watched)) {
 		if slices.Contains(tagged, name) {
 			continue
 		}
-		delete(s.known, name)
-		if slices.Contains(others, name) {
+		delete(s.watched, name)
+		if slices.Contains(untagged, name) {
 			changes.Untagged = append(changes.Untagged, name)
 		} else {
 			changes.Missing = append(changes.Missing, name)
--- a/decide/roster/snapshot.go
+++ b/decide/roster/snapshot.go
@@ -15,8 +15,8 @@
 	Started     time.Time `json:"Begun"` // the published start time; zero if it started long ago
 }
 
-// Snapshot returns the last good view, marks included, in order of source and id, and the
-// index that each source has reached.
+// Snapshot returns the last good view, including marks, sorted by source and id, and the latest index of each
+// source.
 func (r *Registry) Snapshot() (entries []StoredEntry, indexes map[Source]uint64) {
 	indexes = map[Source]uint64{}
 	for src, s := range r.sources {
@@ -33,22 +33,22 @@
 	return entries, indexes
 }
 
-// Restore applies the last good view, before any source is observed. Marks take effect; each
-// source is doubted until it is observed, so its engines are probed.
+// Restore applies the last good view, before any source is observed. Marks take effect. Each source is
+// untrusted until it is observed, so that its engines are probed.
 func (r *Registry) Restore(now time.Time, entries []StoredEntry, indexes map[Source]uint64) {
-	for _, k := range entries {
-		r.AddSource(k.Source, true)
-		s := r.sources[k.Source]
-		if s.listings[k.Entry.ID] != nil {
+	for _, stored := range entries {
+		r.AddSource(stored.Source, true)
+		s := r.sources[stored.Source]
+		if s.listings[stored.Entry.ID] != nil {
 			continue
 		}
-		s.observed, s.doubt, s.doubtedSince = true, FromDisk, now
-		s.index = indexes[k.Source]
-		r.upsert(now, s, k.Entry, true)
-		l := s.listings[k.Entry.ID]
-		l.firstListed, l.lastSeen, l.restored = k.FirstListed, k.LastSeen, true
-		if e := r.engines[k.Entry.ID]; k.Started.After(e.restartedAt) {
-			e.restartedAt = k.Started
+		s.observed, s.distrust, s.untrustedSince = true, FromDisk, now
+		s.index = indexes[stored.Source]
+		r.upsert(now, s, stored.Entry, true)
+		l := s.listings[stored.Entry.ID]
+		l.firstListed, l.lastSeen, l.restored = stored.FirstListed, stored.LastSeen, true
+		if e := r.engines[stored.Entry.ID]; stored.Started.After(e.restartedAt) {
+			e.restartedAt = stored.Started
 		}
 	}
 	if len(entries) > 0 {
--- a/decide/roster/sources.go
+++ b/decide/roster/sources.go
@@ -7,48 +7,47 @@
 	"time"
 )
 
-// AddSource adds a source before its first view. atStart says that the gateway has just
-// started: engines on the first list may have run for long. Those on the first list of a
-// source added later count as started when they were first seen.
+// AddSource adds a source before its first view. atStart is whether the gateway has just started. If so,
+// engines in the first view may have been running for a long time; otherwise they count as started when they
+// are first listed.
 func (r *Registry) AddSource(src Source, atStart bool) {
 	if r.sources[src] == nil {
-		r.sources[src] = &sourceState{id: src, atStart: atStart, listings: map[string]*listing{}}
+		r.sources[src] = &sourceState{id: src, addedAtStart: atStart, listings: map[string]*listing{}}
 	}
 }
 
-// Observe applies a view, or what is safe to apply of a doubted one, and returns the reason
-// to doubt it.
+// Observe applies a view, or the safe part of an untrusted view, and returns the reason for not trusting it.
 func (r *Registry) Observe(now time.Time, src Source, v View) Reason {
 	r.AddSource(src, true)
 	s := r.sources[src]
-	reason := v.reasonToDoubt(r.policy.MaxAge, s.index)
+	reason := v.distrustReason(r.policy.MaxAge, s.index)
 	switch {
 	case reason == Trusted:
 		r.apply(now, s, v, true)
 		r.markTrusted(now, s)
-	case len(s.listings) == 0: // with nothing known, a doubted view is the best there is
+	case len(s.listings) == 0: // without any listing, an untrusted view is better than none
 		r.apply(now, s, v, false)
-		r.markDoubted(now, s, reason)
+		r.markUntrusted(now, s, reason)
 	default:
-		r.holdBack(now, s, v, reason)
+		r.deferView(now, s, v, reason)
 	}
 	r.evaluateDirty(now)
 	return reason
 }
 
-// holdBack keeps a doubted view to be applied by Tick if no trusted one comes first.
-func (r *Registry) holdBack(now time.Time, s *sourceState, v View, reason Reason) {
-	r.markDoubted(now, s, reason)
-	if s.doubtedView == nil {
-		s.doubtedViewSince = now
+// deferView stores an untrusted view, which Tick applies if no trusted view is observed earlier.
+func (r *Registry) deferView(now time.Time, s *sourceState, v View, reason Reason) {
+	r.markUntrusted(now, s, reason)
+	if s.deferredView == nil {
+		s.deferredSince = now
 	}
-	s.doubtedView = &v
-	s.rebased = s.rebased || reason == IndexRegressed
-	r.applyDoubted(now, s, v)
+	s.deferredView = &v
+	s.historyChanged = s.historyChanged || reason == IndexRegressed
+	r.applyUntrusted(now, s, v)
 }
 
-// reasonToDoubt judges a view by its metadata, against the last index of its source.
-func (v View) reasonToDoubt(maxAge time.Duration, lastIndex uint64) Reason {
+// distrustReason derives from a view's metadata and the last index of its source whether to trust the view.
+func (v View) distrustReason(maxAge time.Duration, lastIndex uint64) Reason {
 	switch {
 	case v.Leaderless:
 		return NoLeader
@@ -60,18 +59,18 @@
 	return Trusted
 }
 
-// Confirm records that a source has repeated its last view and reports whether that
-// suffices: a view of a doubted source has to be observed in full.
+// Confirm records that a source has returned the same view again. It returns false if the view must be passed
+// to Observe instead, because the source is unknown, untrusted or has missing listings.
 func (r *Registry) Confirm(now time.Time, src Source) bool {
 	s := r.sources[src]
-	if s == nil || s.doubt != Trusted || s.missingCount > 0 {
+	if s == nil || s.distrust != Trusted || s.missingCount > 0 {
 		return false
 	}
 	s.lastTrusted = now
 	return true
 }
 
-// KnownSources returns the sources that have listings or were added, in order.
+// KnownSources returns all sources in the registry, sorted by origin and name.
 func (r *Registry) KnownSources() []Source {
 	return slices.SortedFunc(maps.Keys(r.sources), compareSources)
 }
@@ -80,24 +79,24 @@
 	return cmp.Or(cmp.Compare(x.Origin, y.Origin), cmp.Compare(x.Name, y.Name))
 }
 
-// ObserveFailure records that a source could not be read. Its last good view is held;
-// nothing is ever removed because of a failure.
+// ObserveFailure records that a source could not be read. Its last good view is retained: a failure never
+// removes an engine.
 func (r *Registry) ObserveFailure(now time.Time, src Source, reason Reason) {
 	r.AddSource(src, true)
-	r.markDoubted(now, r.sources[src], reason)
+	r.markUntrusted(now, r.sources[src], reason)
 	r.evaluateDirty(now)
 }
 
-// ResetIndex prepares a source for views of another catalog, whose index and registrations
-// can't be compared with those of the present one.
+// ResetIndex prepares a source for views of another catalog, whose indexes can't be compared with those of
+// the previous catalog.
 func (r *Registry) ResetIndex(src Source) {
 	if s := r.sources[src]; s != nil {
-		s.index, s.rebased, s.doubtedView = 0, true, nil
+		s.index, s.historyChanged, s.deferredView = 0, true, nil
 	}
 }
 
-// RemoveSource removes a source that an operator has withdrawn, such as by taking a tag
-// away. Engines that no other source lists are removed at once.
+// RemoveSource removes a source that an operator has withdrawn, for example by removing a tag. Engines that
+// no other source lists are removed immediately.
 func (r *Registry) RemoveSource(now time.Time, src Source, cause string) {
 	s := r.sources[src]
 	if s == nil {
@@ -113,46 +112,46 @@
 	r.evaluateDirty(now)
 }
 
-// MarkSourceMissing handles a source that is missing from the catalog though no operator has
-// withdrawn it: its engines are held and probed, as after a mass loss.
+// MarkSourceMissing records that a source is missing from the catalog although no operator has withdrawn it.
+// Its engines are retained and probed, as after a mass loss.
 func (r *Registry) MarkSourceMissing(now time.Time, src Source) {
 	s := r.sources[src]
 	if s == nil {
 		return
 	}
-	held := 0
+	retained := 0
 	for id, l := range s.listings {
-		if r.heldWhenMissing(now, s, l) {
-			held++
+		if r.retainedWhenMissing(now, s, l) {
+			retained++
 			s.markMissing(now, l)
 			r.markDirty(id)
 		} else {
 			r.removeListing(s, id)
 		}
 	}
-	if s.vanished = true; len(s.listings) == 0 {
+	if s.missing = true; len(s.listings) == 0 {
 		delete(r.sources, src)
 	}
-	if held > 0 {
-		r.emit(Event{Source: src.String(), Message: "source vanished, holding its engines", Engines: held, Warn: true})
+	if retained > 0 {
+		r.emit(Event{Source: src.String(), Message: "source vanished, holding its engines", Engines: retained, Warn: true})
 	}
 	r.evaluateDirty(now)
 }
 
-// Tick applies doubted views whose hold has expired and removes engines whose time as
-// unlisted has expired.
+// Tick applies deferred views after Policy.HoldTime and removes engines that have been unlisted for
+// Policy.UnlistedTTL.
 func (r *Registry) Tick(now time.Time) {
 	for _, s := range r.sources {
-		if s.doubtedView != nil && now.Sub(s.doubtedViewSince) >= r.policy.HoldTime {
-			r.applyHeldBack(now, s)
+		if s.deferredView != nil && now.Sub(s.deferredSince) >= r.policy.HoldTime {
+			r.applyDeferred(now, s)
 		}
 		if s.missingCount > 0 {
 			r.expireMissing(now, s)
 		}
-		if s.vanished && len(s.listings) == 0 {
+		if s.missing && len(s.listings) == 0 {
 			delete(r.sources, s.id)
 		}
-		if s.doubt == Trusted || now.Sub(s.doubtedSince) < r.policy.HoldTime {
+		if s.distrust == Trusted || now.Sub(s.untrustedSince) < r.policy.HoldTime {
 			continue
 		}
 		for id := range s.listings {
@@ -164,25 +163,26 @@
 	r.evaluateDirty(now)
 }
 
-// applyHeldBack applies a doubted view for want of a trusted one. A regressed index is then
-// the new state of the catalog, and trusted; other doubts remain.
-func (r *Registry) applyHeldBack(now time.Time, s *sourceState) {
-	v := *s.doubtedView
-	r.emit(Event{Source: s.id.String(), Message: "hold expired, doubted view applied", Reason: s.doubt, Engines: len(v.Entries), Warn: true})
+// applyDeferred applies a deferred view because no trusted view was observed within Policy.HoldTime. If its
+// index had regressed, the view counts as the new state of the catalog and the source as trusted. Other
+// reasons for not trusting the source remain.
+func (r *Registry) applyDeferred(now time.Time, s *sourceState) {
+	v := *s.deferredView
+	r.emit(Event{Source: s.id.String(), Message: "hold expired, doubted view applied", Reason: s.distrust, Engines: len(v.Entries), Warn: true})
 	r.apply(now, s, v, false)
-	s.index, s.doubtedView = v.Index, nil
-	if s.doubt == IndexRegressed {
+	s.index, s.deferredView = v.Index, nil
+	if s.distrust == IndexRegressed {
 		r.markTrusted(now, s)
 	}
 }
 
-func (r *Registry) markDoubted(now time.Time, s *sourceState, reason Reason) {
-	if s.doubt == Trusted {
-		s.doubtedSince = now
+func (r *Registry) markUntrusted(now time.Time, s *sourceState, reason Reason) {
+	if s.distrust == Trusted {
+		s.untrustedSince = now
 	}
-	if s.doubt != reason {
+	if s.distrust != reason {
 		r.emit(Event{Source: s.id.String(), Message: "source doubted, holding last good view", Reason: reason, Engines: len(s.listings), Warn: true})
-		s.doubt = reason
+		s.distrust = reason
 		for id := range s.listings {
 			r.markDirty(id)
 		}
@@ -190,17 +190,17 @@
 }
 
 func (r *Registry) markTrusted(now time.Time, s *sourceState) {
-	if s.doubt != Trusted {
-		r.emit(Event{Source: s.id.String(), Message: "source trusted again", Reason: s.doubt, Engines: len(s.listings)})
+	if s.distrust != Trusted {
+		r.emit(Event{Source: s.id.String(), Message: "source trusted again", Reason: s.distrust, Engines: len(s.listings)})
 		for id := range s.listings {
 			r.markDirty(id)
 		}
 	}
-	s.doubt, s.doubtedSince, s.lastTrusted, s.doubtedView = Trusted, time.Time{}, now, nil
+	s.distrust, s.untrustedSince, s.lastTrusted, s.deferredView = Trusted, time.Time{}, now, nil
 }
 
-// ReplaceSource applies a view that an operator has written, such as the file's: it is
-// always trusted, and engines missing from it are removed whatever their number.
+// ReplaceSource applies a view that an operator has written, such as the file. It is always trusted, and all
+// engines missing from it are removed, without the checks for a mass loss.
 func (r *Registry) ReplaceSource(now time.Time, src Source, v View) {
 	r.AddSource(src, true)
 	s := r.sources[src]
