--- a/decide/resume/answer.go
+++ b/decide/resume/answer.go
@@ -3,14 +3,14 @@
 // Progress is how far an answer has come, by the events of its stream. The zero value is one that has not
 // begun.
 type Progress struct {
-	choices      map[int]bool // choices that have begun; true: ended
-	openChoices  int          // choices that have begun and not ended
-	choiceEnded  bool         // some choice has ended
-	streamEnded  bool         // the stream's end marker has come
-	sentEvents   int          // events sent to the client
-	text         []byte       // of the first choice
-	textEvents   int          // events with a part of text: about its tokens
-	otherContent bool         // the client was sent something besides text of the first choice
+	choices        map[int]bool // choices that have begun; true: ended
+	openChoices    int          // choices that have begun and not ended
+	anyChoiceEnded bool         // some choice has ended
+	streamEnded    bool         // the stream's end marker has come
+	sentEvents     int          // events sent to the client
+	text           []byte       // of the first choice
+	textEvents     int          // events with a part of text: about its tokens
+	otherContent   bool         // the client was sent something besides text of the first choice
 }
 
 // RecordChoice records an event of a choice, and whether that ended the choice.
@@ -28,7 +28,7 @@
 		a.choices[index] = true
 		a.openChoices--
 	}
-	a.choiceEnded = a.choiceEnded || end
+	a.anyChoiceEnded = a.anyChoiceEnded || end
 }
 
 // RecordStreamEnd records the stream's end marker.
@@ -62,7 +62,7 @@
 
 // Complete reports whether the answer is complete. Engines may omit the stream's end marker, or break before
 // it: without it, the answer is complete once each choice has ended.
-func (a *Progress) Complete() bool { return a.streamEnded || a.choiceEnded && a.openChoices == 0 }
+func (a *Progress) Complete() bool { return a.streamEnded || a.anyChoiceEnded && a.openChoices == 0 }
 
 // PrepareNextAttempt prepares for another engine's stream, which continues the answer or, if the client has been sent
 // nothing, begins it anew.
--- a/decide/roster/property_test.go
+++ b/decide/roster/property_test.go
@@ -12,7 +12,7 @@
 
 var sources = []Source{{File, ""}, {Catalogue, "x"}, {Catalogue, "y"}}
 
-// drawView draws a view of up to six engines, marks and nonsense among them.
+// drawView generates a view of up to six engines, possibly with marks and malformed entries.
 func drawView(t *rapid.T, label string) View {
 	v := View{Index: rapid.Uint64Range(1, 60).Draw(t, label+" index")}
 	for _, id := range rapid.SliceOfNDistinct(rapid.IntRange(0, 5), 0, 6, rapid.ID).Draw(t, label+" ids") {
@@ -23,32 +23,32 @@
 		})
 	}
 	v.Leaderless = rapid.IntRange(0, 5).Draw(t, "leaderless") == 0
-	if rapid.IntRange(0, 5).Draw(t, "lags") == 0 {
+	if rapid.IntRange(0, 5).Draw(t, "stale") == 0 {
 		v.Age = time.Minute
 	}
-	if rapid.IntRange(0, 4).Draw(t, "nonsense") == 0 {
-		v.Malformed = []string{rapid.SampledFrom([]string{"", "e0", "e1"}).Draw(t, "unread")}
+	if rapid.IntRange(0, 4).Draw(t, "malformed") == 0 {
+		v.Malformed = []string{rapid.SampledFrom([]string{"", "e0", "e1"}).Draw(t, "malformed id")}
 	}
 	return v
 }
 
-// A source that can't be read, for however long and whatever checks say meanwhile,
-// never empties a roster that had an engine in it.
-func TestUnreadableSourceKeepsRoster(t *testing.T) {
+// However long a source can't be read, and whatever the results of probes are meanwhile, a registry that had
+// an engine in service still has one.
+func TestUnreadableSourceKeepsEngines(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		reg, now := New(DefaultPolicy()), t0
 		v := drawView(t, "first")
 		v.Leaderless, v.Age = false, 0
 		reg.Observe(now, llm, v)
-		in := func() int {
+		countInService := func() int {
 			return len(slices.DeleteFunc(reg.Engines(), func(e Engine) bool { return e.State != InService }))
 		}
-		if in() == 0 {
+		if countInService() == 0 {
 			return
 		}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 40_000).Draw(t, "ms")) * time.Millisecond)
-			switch rapid.IntRange(0, 2).Draw(t, "what") {
+			switch rapid.IntRange(0, 2).Draw(t, "action") {
 			case 0:
 				reg.ObserveFailure(now, llm, rapid.SampledFrom([]Reason{Unreadable, Unreachable}).Draw(t, "reason"))
 			case 1:
@@ -57,17 +57,16 @@
 			case 2:
 				reg.Tick(now)
 			}
-			if in() == 0 {
-				t.Fatalf("nobody is in: %+v", reg.Engines())
+			if countInService() == 0 {
+				t.Fatalf("no engine is in service: %+v", reg.Engines())
 			}
 		}
 	})
 }
 
-// From the moment a mark is seen, in whatever state its source is, its engine gets
-// no new work until a trusted view of that source, or one whose hold is over, is
-// without the mark.
-func TestNoWorkAfterDrainMark(t *testing.T) {
+// An engine that a source has marked is not in service, whether or not the source is trusted, until a trusted
+// view of that source, or an untrusted one that is applied after the hold time, lists it without the mark.
+func TestMarkedEngineIsNotInService(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := DefaultPolicy()
 		reg, now := New(p), t0
@@ -80,12 +79,12 @@
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 9_000).Draw(t, "ms")) * time.Millisecond)
 			src := rapid.SampledFrom(sources).Draw(t, "source")
-			switch rapid.IntRange(0, 5).Draw(t, "what") {
+			switch rapid.IntRange(0, 5).Draw(t, "action") {
 			case 0, 1, 2:
-				v := drawView(t, "next")
-				sure := reg.Observe(now, src, v) == Trusted
+				v := drawView(t, "view")
+				trusted := reg.Observe(now, src, v) == Trusted
 				latest[src] = v
-				if sure { // its word counts for all it lists; who is gone comes back with no old mark
+				if trusted { // replaces the marks of all engines that it lists
 					for _, e := range v.Entries {
 						delete(marked, mark{src, e.ID})
 					}
@@ -112,28 +111,27 @@
 				}
 				reg.Tick(now)
 			}
-			listed := map[string]Engine{}
+			engines := map[string]Engine{}
 			for _, e := range reg.Engines() {
-				listed[e.ID] = e
+				engines[e.ID] = e
 			}
 			for m := range marked {
-				e, known := listed[m.id]
-				if !known || !slices.Contains(e.Sources, m.src.String()) {
-					delete(marked, m) // gone from that source
+				e, ok := engines[m.id]
+				if !ok || !slices.Contains(e.Sources, m.src.String()) {
+					delete(marked, m) // no longer listed by that source
 					continue
 				}
 				if e.State == InService {
-					t.Fatalf("%v marked %s, which is in: %+v", m.src, m.id, e)
+					t.Fatalf("%v marked %s, which is in service: %+v", m.src, m.id, e)
 				}
 			}
 		}
 	})
 }
 
-// What is made of the sources does not depend on which of them spoke first. One rule
-// is about order by its nature and is off here: losses that are few in each source and
-// many over all are held from the one on that makes them many.
-func TestOrderOfSourcesDoesNotMatter(t *testing.T) {
+// The engines don't depend on the order in which the sources' views arrive. Policy.MaxTotalLoss is disabled,
+// because it depends on the order by design: only the losses that exceed it, and later ones, are retained.
+func TestSourceOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		views := map[Source][]View{}
 		var order []Source
@@ -145,37 +143,37 @@
 		}
 		policy := DefaultPolicy()
 		policy.MaxTotalLoss = 1
-		play := func(order []Source) []Engine {
+		run := func(order []Source) []Engine {
 			reg, next := New(policy), map[Source]int{}
 			for _, src := range order {
 				reg.Observe(t0, src, views[src][next[src]])
 				next[src]++
 			}
-			var all []Engine
+			var engines []Engine
 			for _, e := range reg.Engines() {
-				e.Started = time.Time{} // moves are seen, or not, by who speaks between them
-				all = append(all, e)
+				e.Started = time.Time{} // depends on the order: a change of address may be hidden by another source
+				engines = append(engines, e)
 			}
-			return all
+			return engines
 		}
-		other := rapid.Permutation(order).Draw(t, "order")
-		if diff := cmp.Diff(play(order), play(other)); diff != "" {
-			t.Fatalf("(-one +other):\n%s", diff)
+		permuted := rapid.Permutation(order).Draw(t, "order")
+		if diff := cmp.Diff(run(order), run(permuted)); diff != "" {
+			t.Fatalf("engines depend on the order of sources (-original +permuted):\n%s", diff)
 		}
 	})
 }
 
-// Taking views in one by one and telling changes adds up to the whole.
-func TestChangesAddUp(t *testing.T) {
+// Applying all changes in order yields the same engines as Engines.
+func TestChangesMatchEngines(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		reg, now, known := New(DefaultPolicy()), t0, map[string]Engine{}
+		reg, now, applied := New(DefaultPolicy()), t0, map[string]Engine{}
 		for range rapid.IntRange(1, 20).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 20_000).Draw(t, "ms")) * time.Millisecond)
-			reg.Observe(now, rapid.SampledFrom(sources).Draw(t, "source"), drawView(t, "next"))
+			reg.Observe(now, rapid.SampledFrom(sources).Draw(t, "source"), drawView(t, "view"))
 			reg.Tick(now)
-			apply(known, reg.Changes())
-			if diff := cmp.Diff(facts(reg.Engines()), facts(values(known))); diff != "" {
-				t.Fatalf("(-whole +changes):\n%s", diff)
+			applyChanges(applied, reg.Changes())
+			if diff := cmp.Diff(publishedFields(reg.Engines()), publishedFields(values(applied))); diff != "" {
+				t.Fatalf("changes don't match the engines (-engines +changes):\n%s", diff)
 			}
 		}
 	})
--- a/decide/starttime/starttime.go
+++ b/decide/starttime/starttime.go
@@ -29,9 +29,9 @@
 
 // start is an engine's start.
 type start struct {
-	stamp      time.Time // as stated
-	startedAt  Time      // the stamp on the monotonic clock
-	lastStated Time      // when the stamp was stated last
+	reportedAt   time.Time // as stated
+	startedAt    Time      // the stamp on the monotonic clock
+	lastReported Time      // when the stamp was stated last
 }
 
 // Table remembers the starts of engines by name. Use New.
@@ -49,18 +49,18 @@
 	if stamp.IsZero() {
 		return Unknown
 	}
-	known := t.starts[name]
-	if known != nil && known.stamp.Equal(stamp) {
-		known.lastStated = clock.Now
-		return known.startedAt
+	previous := t.starts[name]
+	if previous != nil && previous.reportedAt.Equal(stamp) {
+		previous.lastReported = clock.Now
+		return previous.startedAt
 	}
 	startedAt := clock.Now - t.minAge(stamp, clock)
-	if known != nil { // it has restarted since its former stamp was last stated
-		startedAt = max(startedAt, known.lastStated)
+	if previous != nil { // it has restarted since its former stamp was last stated
+		startedAt = max(startedAt, previous.lastReported)
 	} else {
-		t.reserve(name)
+		t.addName(name)
 	}
-	t.starts[name] = &start{stamp: stamp, startedAt: startedAt, lastStated: clock.Now}
+	t.starts[name] = &start{reportedAt: stamp, startedAt: startedAt, lastReported: clock.Now}
 	return startedAt
 }
 
@@ -71,8 +71,8 @@
 	return max(0, min(clock.Wall.Sub(stamp), unstepped.Sub(stamp)))
 }
 
-// reserve makes room for a new name.
-func (t *Table) reserve(name string) {
+// addName makes room for a new name.
+func (t *Table) addName(name string) {
 	if len(t.insertionOrder) >= MaxEngines {
 		delete(t.starts, t.insertionOrder[0])
 		t.insertionOrder = t.insertionOrder[1:]
--- a/decide/watch/agents.go
+++ b/decide/watch/agents.go
@@ -4,14 +4,14 @@
 // is. It does not fail back to the preferred one, since every query would start anew. The
 // zero value is not usable; see NewAgentSelector.
 type AgentSelector struct {
-	names   []string // in order of preference
-	down    map[string]bool
-	current string
+	names    []string // in order of preference
+	down     map[string]bool
+	selected string
 }
 
 // NewAgentSelector returns agents that are all assumed to be up.
 func NewAgentSelector(names []string) *AgentSelector {
-	return &AgentSelector{names: names, down: map[string]bool{}, current: names[0]}
+	return &AgentSelector{names: names, down: map[string]bool{}, selected: names[0]}
 }
 
 // MarkDown marks an agent as down and reports whether it was up.
@@ -30,12 +30,12 @@
 
 // Select returns the agent to ask and whether it has changed; ok is false if all are down.
 func (a *AgentSelector) Select() (name string, changed, ok bool) {
-	if !a.down[a.current] {
-		return a.current, false, true
+	if !a.down[a.selected] {
+		return a.selected, false, true
 	}
 	for _, n := range a.names {
 		if !a.down[n] {
-			a.current = n
+			a.selected = n
 			return n, true, true
 		}
 	}
--- a/decide/watch/checks.go
+++ b/decide/watch/checks.go
@@ -46,15 +46,15 @@
 // Update replaces the failing checks and returns the services affected by a check that
 // started or stopped failing, in order of name.
 func (t *CheckTracker) Update(failing []Check) []string {
-	now := make(map[Check]bool, len(failing))
+	updated := make(map[Check]bool, len(failing))
 	for _, c := range failing {
-		now[c] = true
+		updated[c] = true
 	}
 	affected := map[string]bool{}
-	for _, pair := range [][2]map[Check]bool{{now, t.failing}, {t.failing, now}} {
-		for c := range pair[0] {
+	for _, sets := range [][2]map[Check]bool{{updated, t.failing}, {t.failing, updated}} {
+		for c := range sets[0] {
 			switch {
-			case pair[1][c]:
+			case sets[1][c]:
 			case c.Service != "":
 				affected[c.Service] = true
 			default: // a check of the whole node
@@ -64,6 +64,6 @@
 			}
 		}
 	}
-	t.failing = now
+	t.failing = updated
 	return slices.Sorted(maps.Keys(affected))
 }
--- a/decide/watch/polling.go
+++ b/decide/watch/polling.go
@@ -12,21 +12,21 @@
 // PollingMode decides whether each service has a blocking query of its own, or all services
 // are polled in turn because there are more than queries that may be open.
 type PollingMode struct {
-	watches  int
-	services int
-	polling  bool
+	maxQueries int
+	services   int
+	polling    bool
 }
 
 // NewPollingMode returns a decision for a number of queries that may be open at once.
-func NewPollingMode(watches int) *PollingMode {
-	return &PollingMode{watches: max(watches, 2*reservedWatches)}
+func NewPollingMode(maxQueries int) *PollingMode {
+	return &PollingMode{maxQueries: max(maxQueries, 2*reservedWatches)}
 }
 
 // SetServices sets the number of services and reports whether the mode has changed.
 func (p *PollingMode) SetServices(services int) (changed bool) {
 	p.services = services
 	previous := p.polling
-	p.polling = services > p.watches-reservedWatches
+	p.polling = services > p.maxQueries-reservedWatches
 	return p.polling != previous
 }
 
@@ -38,5 +38,5 @@
 
 // Interval returns the time between two polls of one service.
 func (p *PollingMode) Interval() time.Duration {
-	return max(time.Duration(float64(p.services)/(pollsPerWatch*float64(p.watches))*float64(time.Second)), minPollInterval)
+	return max(time.Duration(float64(p.services)/(pollsPerWatch*float64(p.maxQueries))*float64(time.Second)), minPollInterval)
 }
--- a/decide/watch/query.go
+++ b/decide/watch/query.go
@@ -61,14 +61,14 @@
 // Query is the state of one query that is repeated, such as for the health of one service.
 // It is not safe for concurrent use.
 type Query struct {
-	limits       Limits
-	index        uint64
-	checksum     uint64
-	hasChecksum  bool // whether checksum is that of a response
-	allowStale   bool
-	unchanged    bool // the last response had nothing new
-	indexStalled bool // the last response had the index of the one before
-	failures     int  // consecutive
+	limits      Limits
+	index       uint64
+	checksum    uint64
+	hasChecksum bool // whether checksum is that of a response
+	allowStale  bool
+	unchanged   bool // the last response had nothing new
+	sameIndex   bool // the last response had the index of the one before
+	failures    int  // consecutive
 }
 
 // NewQuery returns a query without any response yet.
@@ -94,7 +94,7 @@
 // or its metadata gives reason to doubt the source.
 func (q *Query) RecordResponse(r Response) (changed bool) {
 	changed = !q.hasChecksum || r.Checksum != q.checksum || r.Index < q.index || !r.HasLeader || r.Age > q.limits.MaxAge
-	q.indexStalled = r.Index == q.index
+	q.sameIndex = r.Index == q.index
 	if r.Index < q.index { // Consul's documentation has clients reset the index then
 		q.index = 0
 	} else {
@@ -109,7 +109,7 @@
 // server that ignores the index is asked in a tight loop.
 func (q *Query) RecordProcessed(r Response, changed bool, took time.Duration) time.Duration {
 	q.failures, q.allowStale, q.unchanged = 0, !r.HasLeader, !changed
-	if !changed && !q.indexStalled && q.index != 0 {
+	if !changed && !q.sameIndex && q.index != 0 {
 		return 0
 	}
 	return min(max(q.limits.MinPause, time.Duration(q.limits.PauseFactor)*took), q.limits.MaxPause)
--- a/decide/watch/timing.go
+++ b/decide/watch/timing.go
@@ -14,13 +14,13 @@
 // Shares of the drain grace for a response and for the longest mean backoff. A request made
 // just before the source recovers is lost, so a drain is learned after one of each.
 const (
-	responseShare = 0.25
-	backoffShare  = 0.4
-	defaultGrace  = 2 * time.Second
-	minGrace      = 400 * time.Millisecond
-	maxGrace      = 5 * time.Second
-	backoffJitter = 0.5
-	idleFactor    = 1.3 // times the heartbeat, after which the connection counts as broken
+	responseFraction   = 0.25
+	maxBackoffFraction = 0.4
+	defaultGrace       = 2 * time.Second
+	minGrace           = 400 * time.Millisecond
+	maxGrace           = 5 * time.Second
+	backoffJitter      = 0.5
+	idleFactor         = 1.3 // times the heartbeat, after which the connection counts as broken
 )
 
 // TimingFor returns the timing for a drain grace, the time after the announcement of a drain
@@ -32,10 +32,10 @@
 		grace = defaultGrace
 	}
 	grace = min(max(grace, minGrace), maxGrace)
-	shareOf := func(share float64) time.Duration { return time.Duration(share * float64(grace)) }
+	fractionOf := func(share float64) time.Duration { return time.Duration(share * float64(grace)) }
 	return Timing{
-		ResponseTimeout: shareOf(responseShare), IdleTimeout: time.Duration(idleFactor * float64(heartbeat)),
-		InitialBackoff: min(100*time.Millisecond, shareOf(backoffShare)), MaxBackoff: shareOf(backoffShare), Jitter: backoffJitter,
+		ResponseTimeout: fractionOf(responseFraction), IdleTimeout: time.Duration(idleFactor * float64(heartbeat)),
+		InitialBackoff: min(100*time.Millisecond, fractionOf(maxBackoffFraction)), MaxBackoff: fractionOf(maxBackoffFraction), Jitter: backoffJitter,
 	}
 }
 
