--- a/decide/watch/agents.go
+++ b/decide/watch/agents.go
@@ -1,34 +1,34 @@
 package watch
 
-// AgentSelector selects one of several agents: the current one while it is up, else the first that
-// is. It does not fail back to the preferred one, since every query would start anew. The
-// zero value is not usable; see NewAgentSelector.
+// AgentSelector selects one of several Consul agents: the selected one while it is up, otherwise the first in
+// order of preference that is up. It does not fail back to a preferred agent, because every query would have
+// to restart. The zero value is not usable; see NewAgentSelector.
 type AgentSelector struct {
 	names    []string // in order of preference
 	down     map[string]bool
 	selected string
 }
 
-// NewAgentSelector returns agents that are all assumed to be up.
+// NewAgentSelector returns a selector of the named agents, in order of preference, all assumed to be up.
 func NewAgentSelector(names []string) *AgentSelector {
 	return &AgentSelector{names: names, down: map[string]bool{}, selected: names[0]}
 }
 
 // MarkDown marks an agent as down and reports whether it was up.
 func (a *AgentSelector) MarkDown(name string) bool {
-	was := a.down[name]
+	wasDown := a.down[name]
 	a.down[name] = true
-	return !was
+	return !wasDown
 }
 
 // MarkUp marks an agent as up and reports whether it was down.
 func (a *AgentSelector) MarkUp(name string) bool {
-	was := a.down[name]
+	wasDown := a.down[name]
 	delete(a.down, name)
-	return was
+	return wasDown
 }
 
-// Select returns the agent to ask and whether it has changed; ok is false if all are down.
+// Select returns the agent to query and whether the selection changed. ok is false if all agents are down.
 func (a *AgentSelector) Select() (name string, changed, ok bool) {
 	if !a.down[a.selected] {
 		return a.selected, false, true
--- a/decide/watch/checks.go
+++ b/decide/watch/checks.go
@@ -10,20 +10,20 @@
 	Node, CheckID, ServiceID, Service string
 }
 
-// CheckTracker decides which services are polled out of turn when health checks change. The
-// zero value is not usable; see NewCheckTracker.
+// CheckTracker decides which services are polled immediately, ahead of their interval, because the result of
+// a health check has changed. The zero value is not usable; see NewCheckTracker.
 type CheckTracker struct {
 	failing        map[Check]bool
-	servicesByNode map[string]map[string]bool // services with an engine on a node
-	nodesByService map[string][]string        // the reverse
+	servicesByNode map[string]map[string]bool // names of services with an engine on a node, by node
+	nodesByService map[string][]string        // nodes on which a service has engines, by service
 }
 
-// NewCheckTracker returns a tracker without failing checks.
+// NewCheckTracker returns a tracker without any failing check.
 func NewCheckTracker() *CheckTracker {
 	return &CheckTracker{failing: map[Check]bool{}, servicesByNode: map[string]map[string]bool{}, nodesByService: map[string][]string{}}
 }
 
-// SetNodes sets the nodes on which a service has engines; none removes the service.
+// SetNodes sets the nodes on which a service has engines. An empty list removes the service.
 func (t *CheckTracker) SetNodes(service string, nodes []string) {
 	for _, n := range t.nodesByService[service] {
 		if delete(t.servicesByNode[n], service); len(t.servicesByNode[n]) == 0 {
@@ -43,8 +43,8 @@
 	}
 }
 
-// Update replaces the failing checks and returns the services affected by a check that
-// started or stopped failing, in order of name.
+// Update replaces the failing checks and returns the services affected by a check that started or stopped
+// failing, sorted by name.
 func (t *CheckTracker) Update(failing []Check) []string {
 	updated := make(map[Check]bool, len(failing))
 	for _, c := range failing {
--- a/decide/watch/golden_test.go
+++ b/decide/watch/golden_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// The golden hashes are over all that this package returns for drawn events. Kinds are
-// hashed as numbers and no Go name is, so that they outlive renames.
+// The golden hashes are over all results of this package for random events. Enum values are hashed as numbers
+// and Go names are not hashed, so that renames don't change the hashes.
 const (
 	goldenQueries = 0xd2c083c187dbe8b3
 	goldenAgents  = 0x3281c47505954852
@@ -24,29 +24,29 @@
 		q, index := NewQuery(DefaultLimits()), uint64(5)
 		for range 1000 {
 			index += uint64(r.IntN(3))
-			a := Response{Index: index, Checksum: uint64(r.IntN(3)), HasLeader: r.IntN(8) > 0}
+			response := Response{Index: index, Checksum: uint64(r.IntN(3)), HasLeader: r.IntN(8) > 0}
 			if r.IntN(10) == 0 {
-				a.Index = uint64(r.IntN(int(index)))
+				response.Index = uint64(r.IntN(int(index)))
 			}
 			if r.IntN(10) == 0 {
-				a.Age = time.Duration(r.IntN(30)) * time.Second
+				response.Age = time.Duration(r.IntN(30)) * time.Second
 			}
 			next := q.Next(r.IntN(4) == 0)
 			fmt.Fprintln(h, "next", next.Index, int64(next.Wait), next.Stale)
 			if r.IntN(3) == 0 {
-				v := q.RecordFailure(Failure(r.IntN(6)), time.Duration(r.IntN(3000))*time.Millisecond, time.Duration(r.IntN(2)*r.IntN(9000))*time.Millisecond)
-				fmt.Fprintf(h, "failed %q %v %d\n", string(v.Reason), v.Log, int64(v.Pause))
+				action := q.RecordFailure(Failure(r.IntN(6)), time.Duration(r.IntN(3000))*time.Millisecond, time.Duration(r.IntN(2)*r.IntN(9000))*time.Millisecond)
+				fmt.Fprintf(h, "failed %q %v %d\n", string(action.Reason), action.Log, int64(action.Pause))
 				continue
 			}
-			news := q.RecordResponse(a)
-			fmt.Fprintln(h, "answered", news)
+			changed := q.RecordResponse(response)
+			fmt.Fprintln(h, "answered", changed)
 			if r.IntN(6) > 0 {
-				fmt.Fprintln(h, "pause", int64(q.RecordProcessed(a, news || r.IntN(5) == 0, time.Duration(r.IntN(400))*time.Millisecond)))
+				fmt.Fprintln(h, "pause", int64(q.RecordProcessed(response, changed || r.IntN(5) == 0, time.Duration(r.IntN(400))*time.Millisecond)))
 			}
 		}
 	}
 	if got := h.Sum64(); got != goldenQueries {
-		t.Errorf("%#x, want %#x", got, uint64(goldenQueries))
+		t.Errorf("hash %#x, want %#x", got, uint64(goldenQueries))
 	}
 }
 
@@ -54,20 +54,20 @@
 	h := fnv.New64a()
 	r := rand.New(rand.NewPCG(1, 45))
 	names := []string{"one", "two", "three"}
-	a := NewAgentSelector(names)
+	agents := NewAgentSelector(names)
 	for range 5000 {
 		switch name := names[r.IntN(3)]; r.IntN(3) {
 		case 0:
-			fmt.Fprintln(h, "lost", a.MarkDown(name))
+			fmt.Fprintln(h, "lost", agents.MarkDown(name))
 		case 1:
-			fmt.Fprintln(h, "back", a.MarkUp(name))
+			fmt.Fprintln(h, "back", agents.MarkUp(name))
 		case 2:
-			name, other, ok := a.Select()
-			fmt.Fprintln(h, "pick", name, other, ok)
+			name, changed, ok := agents.Select()
+			fmt.Fprintln(h, "pick", name, changed, ok)
 		}
 	}
 	if got := h.Sum64(); got != goldenAgents {
-		t.Errorf("%#x, want %#x", got, uint64(goldenAgents))
+		t.Errorf("hash %#x, want %#x", got, uint64(goldenAgents))
 	}
 }
 
@@ -97,19 +97,19 @@
 		fmt.Fprintf(h, "wake %q\n", checks.Update(failing))
 	}
 	if got := h.Sum64(); got != goldenPolling {
-		t.Errorf("%#x, want %#x", got, uint64(goldenPolling))
+		t.Errorf("hash %#x, want %#x", got, uint64(goldenPolling))
 	}
 }
 
 func TestGoldenTiming(t *testing.T) {
 	h := fnv.New64a()
 	for grace := -time.Second; grace < 8*time.Second; grace += 37 * time.Millisecond {
-		for _, beat := range []time.Duration{0, time.Second, 2 * time.Second} {
-			p := TimingFor(grace, beat)
+		for _, heartbeat := range []time.Duration{0, time.Second, 2 * time.Second} {
+			p := TimingFor(grace, heartbeat)
 			fmt.Fprintln(h, int64(p.ResponseTimeout), int64(p.IdleTimeout), int64(p.InitialBackoff), int64(p.MaxBackoff), p.Jitter, int64(p.MaxDelay()))
 		}
 	}
 	if got := h.Sum64(); got != goldenTiming {
-		t.Errorf("%#x, want %#x", got, uint64(goldenTiming))
+		t.Errorf("hash %#x, want %#x", got, uint64(goldenTiming))
 	}
 }
--- a/decide/watch/polling.go
+++ b/decide/watch/polling.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// Limits of polling.
+// Limits of blocking queries and polling.
 const (
-	reservedWatches = 2   // for the catalog, and for the failing checks
+	reservedWatches = 2   // queries for the catalog and for the failing checks
 	pollsPerWatch   = 2.0 // services polled per second for each query that may be open
 	minPollInterval = time.Second
 )
 
-// PollingMode decides whether each service has a blocking query of its own, or all services
-// are polled in turn because there are more than queries that may be open.
+// PollingMode decides whether each service is watched by a separate blocking query, or all services are
+// polled round-robin because there are more services than queries that may be open.
 type PollingMode struct {
 	maxQueries int
 	services   int
 	polling    bool
 }
 
-// NewPollingMode returns a decision for a number of queries that may be open at once.
+// NewPollingMode returns the mode for a maximum number of open queries, without any services.
 func NewPollingMode(maxQueries int) *PollingMode {
 	return &PollingMode{maxQueries: max(maxQueries, 2*reservedWatches)}
 }
@@ -30,13 +30,13 @@
 	return p.polling != previous
 }
 
-// Polling reports whether services are polled.
+// Polling reports whether services are polled instead of watched by blocking queries.
 func (p *PollingMode) Polling() bool { return p.polling }
 
 // Services returns the number of services.
 func (p *PollingMode) Services() int { return p.services }
 
-// Interval returns the time between two polls of one service.
+// Interval returns the time between two polls of the same service.
 func (p *PollingMode) Interval() time.Duration {
 	return max(time.Duration(float64(p.services)/(pollsPerWatch*float64(p.maxQueries))*float64(time.Second)), minPollInterval)
 }
--- a/decide/watch/query_test.go
+++ b/decide/watch/query_test.go
@@ -14,110 +14,110 @@
 
 const s = time.Second
 
-func good(index, sum uint64) Response {
-	return Response{Index: index, Checksum: sum, HasLeader: true}
+func validResponse(index, checksum uint64) Response {
+	return Response{Index: index, Checksum: checksum, HasLeader: true}
 }
 
 func TestResponses(t *testing.T) {
-	behind, leaderless := good(5, 1), good(5, 1)
-	behind.Age, leaderless.HasLeader = 11*s, false
+	stale, leaderless := validResponse(5, 1), validResponse(5, 1)
+	stale.Age, leaderless.HasLeader = 11*s, false
 	for name, c := range map[string]struct {
-		before, answer Response
-		news           bool
-		next           Request
-		pause          time.Duration
+		previous, response Response
+		changed            bool
+		next               Request
+		pause              time.Duration
 	}{
-		"the first":               {Response{}, good(5, 1), true, Request{5, s, false}, 100 * time.Millisecond},
-		"a change":                {good(4, 1), good(5, 2), true, Request{5, s, false}, 100 * time.Millisecond},
-		"nothing new":             {good(5, 1), good(6, 1), false, Request{6, 10 * s, false}, 0},
-		"the index is ignored":    {good(5, 1), good(5, 1), false, Request{5, 10 * s, false}, 100 * time.Millisecond},
-		"the index went back":     {good(9, 1), good(5, 1), true, Request{0, s, false}, 100 * time.Millisecond},
-		"a server that is behind": {good(5, 1), behind, true, Request{5, s, false}, 100 * time.Millisecond},
-		"no leader":               {good(5, 1), leaderless, true, Request{5, s, true}, 100 * time.Millisecond},
+		"first response":         {Response{}, validResponse(5, 1), true, Request{5, s, false}, 100 * time.Millisecond},
+		"changed body":           {validResponse(4, 1), validResponse(5, 2), true, Request{5, s, false}, 100 * time.Millisecond},
+		"only the index changed": {validResponse(5, 1), validResponse(6, 1), false, Request{6, 10 * s, false}, 0},
+		"unchanged index":        {validResponse(5, 1), validResponse(5, 1), false, Request{5, 10 * s, false}, 100 * time.Millisecond},
+		"lower index":            {validResponse(9, 1), validResponse(5, 1), true, Request{0, s, false}, 100 * time.Millisecond},
+		"stale server":           {validResponse(5, 1), stale, true, Request{5, s, false}, 100 * time.Millisecond},
+		"no leader":              {validResponse(5, 1), leaderless, true, Request{5, s, true}, 100 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			q := NewQuery(DefaultLimits())
-			if c.before.Index > 0 {
-				q.RecordProcessed(c.before, q.RecordResponse(c.before), 0)
+			if c.previous.Index > 0 {
+				q.RecordProcessed(c.previous, q.RecordResponse(c.previous), 0)
 			}
-			news := q.RecordResponse(c.answer)
-			pause := q.RecordProcessed(c.answer, news, time.Millisecond)
-			if news != c.news || q.Next(false) != c.next || pause != c.pause {
-				t.Errorf("news %v, next %+v, pause %v", news, q.Next(false), pause)
+			changed := q.RecordResponse(c.response)
+			pause := q.RecordProcessed(c.response, changed, time.Millisecond)
+			if changed != c.changed || q.Next(false) != c.next || pause != c.pause {
+				t.Errorf("changed %v, next %+v, pause %v", changed, q.Next(false), pause)
 			}
 			if next := q.Next(true); next.Index != 0 {
-				t.Errorf("in turn: %+v", next)
+				t.Errorf("blocking request while polling: %+v", next)
 			}
 		})
 	}
 	q := NewQuery(DefaultLimits())
 	for took, want := range map[time.Duration]time.Duration{50 * time.Millisecond: 200 * time.Millisecond, s: s} {
-		if got := q.RecordProcessed(good(1, 1), true, took); got != want {
-			t.Errorf("a list that took %v: a pause of %v, want %v", took, got, want)
+		if got := q.RecordProcessed(validResponse(1, 1), true, took); got != want {
+			t.Errorf("pause after a processing time of %v: %v, want %v", took, got, want)
 		}
 	}
 }
 
 func TestFailures(t *testing.T) {
 	for name, c := range map[string]struct {
-		failures []Failure
-		hint     time.Duration
-		want     FailureAction
-		stale    bool
+		failures   []Failure
+		retryAfter time.Duration
+		want       FailureAction
+		stale      bool
 	}{
-		"one that breaks":           {[]Failure{Disconnected}, 0, FailureAction{Pause: s}, false},
-		"two":                       {[]Failure{Disconnected, Disconnected}, 0, FailureAction{roster.Unreachable, true, s}, false},
-		"three: said before":        {[]Failure{Disconnected, Disconnected, Disconnected}, 0, FailureAction{roster.Unreachable, false, s}, false},
-		"a hang, another agent":     {[]Failure{AgentUnresponsive}, 0, FailureAction{}, false},
-		"a hang again":              {[]Failure{AgentUnresponsive, AgentUnresponsive}, 0, FailureAction{roster.Unreachable, true, s}, false},
-		"nobody lives":              {[]Failure{AgentUnresponsive, NoAgent}, 0, FailureAction{roster.Unreachable, true, 2 * s}, false},
-		"denied with a hint":        {[]Failure{ErrorStatus}, 7 * s, FailureAction{Pause: 7 * s}, false},
-		"a hint below the back-off": {[]Failure{ErrorStatus}, 1, FailureAction{Pause: s}, false},
-		"no leader":                 {[]Failure{NoLeader}, 0, FailureAction{roster.NoLeader, true, s}, true},
-		"malformed":                 {[]Failure{Malformed}, 0, FailureAction{roster.Unreadable, true, s}, false},
+		"one broken connection":                    {[]Failure{Disconnected}, 0, FailureAction{Pause: s}, false},
+		"two broken connections":                   {[]Failure{Disconnected, Disconnected}, 0, FailureAction{roster.Unreachable, true, s}, false},
+		"three broken connections are logged once": {[]Failure{Disconnected, Disconnected, Disconnected}, 0, FailureAction{roster.Unreachable, false, s}, false},
+		"unresponsive agent":                       {[]Failure{AgentUnresponsive}, 0, FailureAction{}, false},
+		"unresponsive agent twice":                 {[]Failure{AgentUnresponsive, AgentUnresponsive}, 0, FailureAction{roster.Unreachable, true, s}, false},
+		"all agents down":                          {[]Failure{AgentUnresponsive, NoAgent}, 0, FailureAction{roster.Unreachable, true, 2 * s}, false},
+		"error status with a retry delay":          {[]Failure{ErrorStatus}, 7 * s, FailureAction{Pause: 7 * s}, false},
+		"retry delay below the backoff":            {[]Failure{ErrorStatus}, 1, FailureAction{Pause: s}, false},
+		"no leader":                                {[]Failure{NoLeader}, 0, FailureAction{roster.NoLeader, true, s}, true},
+		"malformed":                                {[]Failure{Malformed}, 0, FailureAction{roster.Unreadable, true, s}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			q := NewQuery(DefaultLimits())
-			q.RecordProcessed(good(9, 1), q.RecordResponse(good(9, 1)), 0)
+			q.RecordProcessed(validResponse(9, 1), q.RecordResponse(validResponse(9, 1)), 0)
 			var got FailureAction
 			for _, f := range c.failures {
-				got = q.RecordFailure(f, s, c.hint)
+				got = q.RecordFailure(f, s, c.retryAfter)
 			}
 			if diff := cmp.Diff(c.want, got); diff != "" {
 				t.Errorf("(-want +got):\n%s", diff)
 			}
 			if next := q.Next(false); next.Index != 0 || next.Stale != c.stale {
-				t.Errorf("asked next: %+v", next)
+				t.Errorf("next request %+v", next)
 			}
-			if !q.RecordResponse(good(9, 1)) {
-				t.Error("what was missed meanwhile is not looked at")
+			if !q.RecordResponse(validResponse(9, 1)) {
+				t.Error("the response after a failure is not processed")
 			}
 		})
 	}
 }
 
 func TestAgents(t *testing.T) {
-	a := NewAgentSelector(strings.Fields("one two"))
+	agents := NewAgentSelector(strings.Fields("one two"))
 	for i, c := range []struct {
-		do, agent string
-		isNew     bool
-		pick      string
-		other     bool
+		call, agent    string
+		stateChanged   bool
+		selected       string
+		selectionMoved bool
 	}{
-		{"", "", false, "one", false}, {"lost", "one", true, "two", true}, {"lost", "one", false, "two", false},
-		{"back", "one", true, "two", false}, // the one in use is kept
-		{"lost", "two", true, "one", true}, {"lost", "one", true, "", false}, {"back", "two", true, "two", true}, {"back", "two", false, "two", false},
+		{"", "", false, "one", false}, {"down", "one", true, "two", true}, {"down", "one", false, "two", false},
+		{"up", "one", true, "two", false}, // no failback to the preferred agent
+		{"down", "two", true, "one", true}, {"down", "one", true, "", false}, {"up", "two", true, "two", true}, {"up", "two", false, "two", false},
 	} {
-		isNew := false
-		switch c.do {
-		case "lost":
-			isNew = a.MarkDown(c.agent)
-		case "back":
-			isNew = a.MarkUp(c.agent)
+		stateChanged := false
+		switch c.call {
+		case "down":
+			stateChanged = agents.MarkDown(c.agent)
+		case "up":
+			stateChanged = agents.MarkUp(c.agent)
 		}
-		pick, other, ok := a.Select()
-		if isNew != c.isNew || pick != c.pick || other != c.other || ok != (c.pick != "") {
-			t.Errorf("step %d: new %v; %q, other %v", i, isNew, pick, other)
+		selected, moved, ok := agents.Select()
+		if stateChanged != c.stateChanged || selected != c.selected || moved != c.selectionMoved || ok != (c.selected != "") {
+			t.Errorf("step %d: state changed %v; selected %q, moved %v", i, stateChanged, selected, moved)
 		}
 	}
 }
@@ -125,12 +125,12 @@
 func TestPollingMode(t *testing.T) {
 	mode := NewPollingMode(64)
 	for _, c := range []struct {
-		services    int
-		changed, on bool
-		round       time.Duration
+		services         int
+		changed, polling bool
+		interval         time.Duration
 	}{{62, false, false, s}, {63, true, true, s}, {2000, false, true, 15625 * time.Millisecond}, {9, true, false, s}} {
-		if got := mode.SetServices(c.services); got != c.changed || mode.Polling() != c.on || mode.Interval() != c.round {
-			t.Errorf("%d services: changed %v, in turn %v, a round of %v", c.services, got, mode.Polling(), mode.Interval())
+		if got := mode.SetServices(c.services); got != c.changed || mode.Polling() != c.polling || mode.Interval() != c.interval {
+			t.Errorf("%d services: changed %v, polling %v, interval %v", c.services, got, mode.Polling(), mode.Interval())
 		}
 	}
 }
@@ -142,7 +142,7 @@
 	parse := func(text string) (list []Check) {
 		for i, word := range strings.Fields(text) {
 			c := Check{CheckID: "c" + strconv.Itoa(i), Service: word}
-			if node, is := strings.CutPrefix(word, "@"); is {
+			if node, ofNode := strings.CutPrefix(word, "@"); ofNode {
 				c = Check{Node: node, CheckID: "serfHealth"}
 			}
 			list = append(list, c)
@@ -153,12 +153,12 @@
 		{"", ""}, {"x", "x"}, {"x", ""}, {"x @n1", "x y"}, {"x", "x y"}, {"", "x"}, {"@n2 @n3", "x"},
 	} {
 		if got := checks.Update(parse(step.failing)); !slices.Equal(got, strings.Fields(step.want)) {
-			t.Errorf("step %d: %v, want %s", i, got, step.want)
+			t.Errorf("step %d: affected services %v, want %s", i, got, step.want)
 		}
 	}
-	checks.SetNodes("x", []string{"n9"}) // it has moved
+	checks.SetNodes("x", []string{"n9"}) // its engines have moved to another node
 	checks.SetNodes("y", nil)
 	if got := checks.Update(nil); len(got) > 0 || len(checks.servicesByNode) != 1 || len(checks.nodesByService) != 1 {
-		t.Errorf("woken: %v; nodes %v", got, checks.servicesByNode)
+		t.Errorf("affected services %v; services by node %v", got, checks.servicesByNode)
 	}
 }
--- a/decide/watch/timing_test.go
+++ b/decide/watch/timing_test.go
@@ -7,8 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever the grace, a source that is back is heard within it, and nothing spins.
-func TestDrainSeenWithinGrace(t *testing.T) {
+// For any drain grace, the response of a source that has recovered arrives within nine tenths of it, and
+// timeouts and backoffs are long enough to prevent a tight loop.
+func TestMaxDelayIsWithinGrace(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		grace := time.Duration(rapid.Int64Range(0, int64(10*time.Second)).Draw(t, "grace"))
 		p := TimingFor(grace, 2*time.Second)
@@ -17,10 +18,10 @@
 			limit = defaultGrace
 		}
 		if limit = max(limit, minGrace); p.MaxDelay() > limit*9/10 {
-			t.Errorf("grace %v: heard after %v at worst", grace, p.MaxDelay())
+			t.Errorf("grace %v: longest delay %v", grace, p.MaxDelay())
 		}
 		if p.ResponseTimeout < 50*time.Millisecond || p.InitialBackoff < 50*time.Millisecond || p.InitialBackoff > p.MaxBackoff || p.IdleTimeout < 2200*time.Millisecond {
-			t.Errorf("grace %v: %+v", grace, p)
+			t.Errorf("grace %v: timing %+v", grace, p)
 		}
 	})
 }
