--- a/decide/setting/setting.go
+++ b/decide/setting/setting.go
@@ -1,13 +1,13 @@
-// Package setting has the error that decision packages return for settings they can't work with.
+// Package setting defines the error that the decision packages return for invalid settings.
 package setting
 
-// Error is a setting that can't be used.
+// Error describes an invalid setting.
 type Error struct {
-	Field   string // as in the file that operators write
+	Field   string // name of the field in the operator's file
 	Problem string
 }
 
 func (e Error) Error() string { return e.Field + ": " + e.Problem }
 
-// New returns the error for a field, or for several that are at odds.
+// New returns the error for an invalid field, or for several fields that contradict each other.
 func New(field, problem string) Error { return Error{Field: field, Problem: problem} }
--- a/decide/starttime/starttime_test.go
+++ b/decide/starttime/starttime_test.go
@@ -8,48 +8,50 @@
 	"pgregory.net/rapid"
 )
 
-// wall is a true time on the machines' wall clock.
+// wall converts a time since the start of the test to the wall clock, without steps.
 func wall(d time.Duration) time.Time { return time.UnixMilli(1_700_000_000_000).Add(d) }
 
 func TestStart(t *testing.T) {
 	const s, hour = time.Second, time.Hour
 	type list struct {
-		at, step, stamp time.Duration // true time, how far the wall clock is off then, what is stated
-		want            Time
+		at            time.Duration // when the list is read
+		step          time.Duration // offset of the wall clock then
+		reportedStart time.Duration
+		want          Time
 	}
 	for name, lists := range map[string][]list{
-		"no step":                         {{100 * s, 0, 98 * s, 98 * s}},
-		"stated again":                    {{100 * s, 0, 98 * s, 98 * s}, {200 * s, 0, 98 * s, 98 * s}},
-		"stated again after a step":       {{100 * s, 0, 98 * s, 98 * s}, {200 * s, hour, 98 * s, 98 * s}, {300 * s, -hour, 98 * s, 98 * s}},
-		"restart after a step forward":    {{100 * s, 0, 50 * s, 50 * s}, {200 * s, hour, 198 * s, 198 * s}},
-		"restart after a step back":       {{100 * s, 0, 50 * s, 50 * s}, {200 * s, -hour, 198 * s, 200 * s}},
-		"new engine after a step forward": {{200 * s, hour, 198 * s, 198 * s}},
-		"stamps by the stepped clock":     {{200 * s, hour, 198*s + hour, 200 * s}},
-		"stamps by one put back":          {{200 * s, -hour, 198*s - hour, 198 * s}},
-		"a stamp of the future":           {{100 * s, 0, 400 * s, 100 * s}, {500 * s, 0, 400 * s, 100 * s}},
-		"restart that seems older":        {{100 * s, 0, 50 * s, 50 * s}, {200 * s, 0, 20 * s, 100 * s}},
+		"no step":                          {{100 * s, 0, 98 * s, 98 * s}},
+		"reported again":                   {{100 * s, 0, 98 * s, 98 * s}, {200 * s, 0, 98 * s, 98 * s}},
+		"reported again after a step":      {{100 * s, 0, 98 * s, 98 * s}, {200 * s, hour, 98 * s, 98 * s}, {300 * s, -hour, 98 * s, 98 * s}},
+		"restart after a step forward":     {{100 * s, 0, 50 * s, 50 * s}, {200 * s, hour, 198 * s, 198 * s}},
+		"restart after a step back":        {{100 * s, 0, 50 * s, 50 * s}, {200 * s, -hour, 198 * s, 200 * s}},
+		"new engine after a step forward":  {{200 * s, hour, 198 * s, 198 * s}},
+		"start by a clock stepped forward": {{200 * s, hour, 198*s + hour, 200 * s}},
+		"start by a clock stepped back":    {{200 * s, -hour, 198*s - hour, 198 * s}},
+		"start in the future":              {{100 * s, 0, 400 * s, 100 * s}, {500 * s, 0, 400 * s, 100 * s}},
+		"restart with an earlier start":    {{100 * s, 0, 50 * s, 50 * s}, {200 * s, 0, 20 * s, 100 * s}},
 	} {
 		table := New(Clock{Now: 0, Wall: wall(0)})
 		for n, l := range lists {
-			got := table.Start("e", wall(l.stamp), Clock{Now: l.at, Wall: wall(l.at + l.step)})
+			got := table.Start("e", wall(l.reportedStart), Clock{Now: l.at, Wall: wall(l.at + l.step)})
 			if got != l.want {
 				t.Errorf("%s, list %d: started at %v, want %v", name, n, got, l.want)
 			}
 		}
 	}
 	if at := New(Clock{}).Start("e", time.Time{}, Clock{Now: time.Hour}); at != Unknown {
-		t.Errorf("no stamp: %v", at)
+		t.Errorf("no reported start: %v", at)
 	}
 }
 
-// Whatever steps the wall clock takes, an engine that restarts is never taken to have started
-// before its former start was last stated, nor after its new one was first read; and no list that
-// states the same moves it.
-func TestStartUnderDrawnSteps(t *testing.T) {
+// For any steps of the wall clock, the start of an engine that restarts is not before its previous start was
+// last reported, nor after its new start was first read. A list that reports the same start again does not
+// change it.
+func TestStartUnderRandomSteps(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := New(Clock{Wall: wall(0)})
-		now, step, stamp := time.Duration(0), time.Duration(0), time.Duration(-time.Minute)
-		last, seen := table.Start("e", wall(stamp), Clock{Now: now, Wall: wall(now)}), now
+		now, step, reportedStart := time.Duration(0), time.Duration(0), time.Duration(-time.Minute)
+		last, lastReported := table.Start("e", wall(reportedStart), Clock{Now: now, Wall: wall(now)}), now
 		for range rapid.IntRange(1, 20).Draw(t, "lists") {
 			now += time.Duration(rapid.IntRange(1, 60_000).Draw(t, "pause ms")) * time.Millisecond
 			if rapid.Bool().Draw(t, "steps") {
@@ -57,21 +59,21 @@
 			}
 			restarted := rapid.Bool().Draw(t, "restarts")
 			if restarted {
-				stamp = now - time.Duration(rapid.IntRange(0, 5000).Draw(t, "age ms"))*time.Millisecond
+				reportedStart = now - time.Duration(rapid.IntRange(0, 5000).Draw(t, "age ms"))*time.Millisecond
 			}
-			stated := wall(stamp)
-			if restarted && rapid.Bool().Draw(t, "stamped by the stepped clock") {
-				stamp += step
-				stated = wall(stamp)
+			reported := wall(reportedStart)
+			if restarted && rapid.Bool().Draw(t, "reported by the stepped clock") {
+				reportedStart += step
+				reported = wall(reportedStart)
 			}
-			got := table.Start("e", stated, Clock{Now: now, Wall: wall(now + step)})
+			got := table.Start("e", reported, Clock{Now: now, Wall: wall(now + step)})
 			if !restarted && got != last {
-				t.Fatalf("stated again: %v, before %v", got, last)
+				t.Fatalf("reported again: start %v, previously %v", got, last)
 			}
-			if got > now || restarted && got != last && got < seen {
-				t.Fatalf("started at %v; last stated before at %v, read at %v", got, seen, now)
+			if got > now || restarted && got != last && got < lastReported {
+				t.Fatalf("start %v; previous start last reported at %v, new one read at %v", got, lastReported, now)
 			}
-			last, seen = got, now
+			last, lastReported = got, now
 		}
 	})
 }
@@ -82,6 +84,6 @@
 		table.Start(strconv.Itoa(n), wall(0), Clock{Now: time.Second, Wall: wall(time.Second)})
 	}
 	if len(table.starts) != MaxEngines || len(table.insertionOrder) != MaxEngines {
-		t.Errorf("%d engines, %d in order", len(table.starts), len(table.insertionOrder))
+		t.Errorf("%d engines, %d names in insertion order", len(table.starts), len(table.insertionOrder))
 	}
 }
