--- a/decide/resume/answer.go
+++ b/decide/resume/answer.go
@@ -1,73 +1,74 @@
 package resume
 
-// Progress is how far an answer has come, by the events of its stream. The zero value is one that has not
-// begun.
+// Progress is the progress of an answer, as recorded from the events of its stream. The zero value is the
+// progress of an answer without any event.
 type Progress struct {
-	choices        map[int]bool // choices that have begun; true: ended
-	openChoices    int          // choices that have begun and not ended
-	anyChoiceEnded bool         // some choice has ended
-	streamEnded    bool         // the stream's end marker has come
-	sentEvents     int          // events sent to the client
-	text           []byte       // of the first choice
-	textEvents     int          // events with a part of text: about its tokens
-	otherContent   bool         // the client was sent something besides text of the first choice
+	choices        map[int]bool // started choices by index; the value is whether the choice has ended
+	openChoices    int          // number of choices that have started and not ended
+	anyChoiceEnded bool         // at least one choice has ended
+	streamEnded    bool         // the stream's end marker has been received
+	sentEvents     int          // number of events sent to the client
+	text           []byte       // text of the first choice so far
+	textEvents     int          // number of events with text, an approximation of the number of tokens
+	otherContent   bool         // the client was sent content other than text of the first choice
 }
 
-// RecordChoice records an event of a choice, and whether that ended the choice.
-func (a *Progress) RecordChoice(index int, end bool) {
-	ended, begun := a.choices[index]
+// RecordChoice records an event of a choice and whether the event ends the choice.
+func (p *Progress) RecordChoice(index int, end bool) {
+	ended, started := p.choices[index]
 	switch {
-	case !begun:
-		if a.choices == nil {
-			a.choices = map[int]bool{}
+	case !started:
+		if p.choices == nil {
+			p.choices = map[int]bool{}
 		}
-		if a.choices[index] = end; !end {
-			a.openChoices++
+		if p.choices[index] = end; !end {
+			p.openChoices++
 		}
 	case end && !ended:
-		a.choices[index] = true
-		a.openChoices--
+		p.choices[index] = true
+		p.openChoices--
 	}
-	a.anyChoiceEnded = a.anyChoiceEnded || end
+	p.anyChoiceEnded = p.anyChoiceEnded || end
 }
 
 // RecordStreamEnd records the stream's end marker.
-func (a *Progress) RecordStreamEnd() { a.streamEnded = true }
+func (p *Progress) RecordStreamEnd() { p.streamEnded = true }
 
-// StreamEnded reports whether the stream's end marker has come.
-func (a *Progress) StreamEnded() bool { return a.streamEnded }
+// StreamEnded reports whether the stream's end marker has been recorded.
+func (p *Progress) StreamEnded() bool { return p.streamEnded }
 
-// RecordSent records that the client has been sent an event. It returns how many were sent before, which is
-// the event's number.
-func (a *Progress) RecordSent() int {
-	a.sentEvents++
-	return a.sentEvents - 1
+// RecordSent records that an event has been sent to the client. It returns the number of events sent before,
+// which is the sequence number of this event.
+func (p *Progress) RecordSent() int {
+	p.sentEvents++
+	return p.sentEvents - 1
 }
 
-// SentEvents returns how many events the client has been sent.
-func (a *Progress) SentEvents() int { return a.sentEvents }
+// SentEvents returns the number of events sent to the client.
+func (p *Progress) SentEvents() int { return p.sentEvents }
 
-// AppendText records a part of the first choice's text.
-func (a *Progress) AppendText(text []byte) {
-	a.text = append(a.text, text...)
-	a.textEvents++
+// AppendText appends text from one event to the text of the first choice.
+func (p *Progress) AppendText(text []byte) {
+	p.text = append(p.text, text...)
+	p.textEvents++
 }
 
-// Text returns the text so far, and in how many events it came: about its tokens.
-func (a *Progress) Text() (text []byte, tokens int) { return a.text, a.textEvents }
+// Text returns the text of the first choice so far and its approximate number of tokens, which is the number
+// of events with text.
+func (p *Progress) Text() (text []byte, tokens int) { return p.text, p.textEvents }
 
-// RecordOtherContent records that the client has been sent what no engine can continue: a tool call, another choice,
-// anything but text.
-func (a *Progress) RecordOtherContent() { a.otherContent = true }
+// RecordOtherContent records that the client has been sent content that no engine can continue, that is
+// anything other than text of the first choice, such as a tool call or another choice.
+func (p *Progress) RecordOtherContent() { p.otherContent = true }
 
-// Complete reports whether the answer is complete. Engines may omit the stream's end marker, or break before
-// it: without it, the answer is complete once each choice has ended.
-func (a *Progress) Complete() bool { return a.streamEnded || a.anyChoiceEnded && a.openChoices == 0 }
+// Complete reports whether the answer is complete. Engines may omit the stream's end marker, or fail before
+// sending it. Without the marker, the answer is complete if every started choice has ended.
+func (p *Progress) Complete() bool { return p.streamEnded || p.anyChoiceEnded && p.openChoices == 0 }
 
-// PrepareNextAttempt prepares for another engine's stream, which continues the answer or, if the client has been sent
-// nothing, begins it anew.
-func (a *Progress) PrepareNextAttempt() {
-	if a.sentEvents == 0 {
-		*a = Progress{}
+// PrepareNextAttempt prepares for the stream of another engine, which continues the answer. If no event has
+// been sent to the client, it resets the progress, because the answer starts from the beginning.
+func (p *Progress) PrepareNextAttempt() {
+	if p.sentEvents == 0 {
+		*p = Progress{}
 	}
 }
--- a/decide/resume/resume.go
+++ b/decide/resume/resume.go
@@ -1,60 +1,60 @@
-// Package resume decides what becomes of an answer whose stream broke after its first token: whether it
-// is complete all the same and, if not, whether its contract allows it to be continued on another engine,
-// and how. It does no I/O and reads no clock. Which engine is asked, and whether the request is admitted,
-// is decided by package routing as for any request.
+// Package resume decides how to proceed with an answer whose stream broke after its first token: whether the
+// answer is nevertheless complete and, if not, whether and how its contract allows it to be continued on
+// another engine. It does no I/O and reads no clock. Package routing selects the engine and decides whether
+// the request is admitted, as for any request.
 package resume
 
 import "time"
 
-// Step is what is to be done.
+// Step is the next step for a broken answer.
 type Step uint8
 
 // The steps.
 const (
-	Abort    Step = iota
-	Restart       // restart from the beginning: the client has been sent nothing
-	Continue      // continue after the last event, with the prompt and the answer so far
-	Finish        // the answer is complete but for the end of its stream: send that, ask no engine
+	Abort    Step = iota // fail the answer
+	Restart              // start again from the beginning: no event has been sent to the client
+	Continue             // continue after the last event: send an engine the prompt and the answer so far
+	Finish               // the answer lacks only the end of its stream: send that, without an attempt
 )
 
-// String returns the step as counts and metrics show it.
+// String returns the name of the step in counts and metrics.
 func (s Step) String() string { return [...]string{"give up", "again", "go on", "finish"}[s] }
 
 // Terms are what an answer's contract and its request allow.
 type Terms struct {
-	Repeatable       bool // the contract lets it run any number of times
-	MaxContinuations int  // times that the contract lets it continue
-	MaxTokens        int  // maximum tokens of the answer; 0: not stated
+	Repeatable       bool // the contract allows the request to run any number of times
+	MaxContinuations int  // restarts and continuations that the contract allows
+	MaxTokens        int  // maximum number of tokens in the answer; 0 if not specified
 	Continuable      bool // engines can continue an answer to this request
 }
 
-// Interruption is how an answer's stream broke.
+// Interruption describes how an answer's stream broke.
 type Interruption struct {
-	ClientDisconnected bool          // the client has disconnected, or is cut off
+	ClientDisconnected bool          // the client has disconnected, or was disconnected as too slow
 	EngineError        bool          // the engine itself reported an error
-	Continuations      int           // how often the answer has been restarted or continued before
-	Elapsed            time.Duration // since the request arrived
+	Continuations      int           // how often the answer has already been restarted or continued
+	Elapsed            time.Duration // time since the request arrived
 }
 
 // MaxElapsed is how long after a request's arrival its answer may still be restarted or continued.
 const MaxElapsed = 10 * time.Minute
 
-// Decide returns what is to be done.
-func Decide(t Terms, a *Progress, b Interruption) Step {
+// Decide returns the next step for an interrupted answer.
+func Decide(terms Terms, progress *Progress, interruption Interruption) Step {
 	switch {
-	case b.ClientDisconnected:
+	case interruption.ClientDisconnected:
 		return Abort
-	case a.Complete() && !b.EngineError:
+	case progress.Complete() && !interruption.EngineError:
 		return Finish
-	case !t.Repeatable || b.Continuations >= t.MaxContinuations || b.Elapsed >= MaxElapsed:
+	case !terms.Repeatable || interruption.Continuations >= terms.MaxContinuations || interruption.Elapsed >= MaxElapsed:
 		return Abort
-	case a.sentEvents == 0:
+	case progress.sentEvents == 0:
 		return Restart
-	case b.EngineError: // the next engine may well report the same error about this request
+	case interruption.EngineError: // another engine is likely to report the same error for this request
 		return Abort
-	case !t.Continuable || a.otherContent || a.textEvents == 0:
+	case !terms.Continuable || progress.otherContent || progress.textEvents == 0:
 		return Abort
-	case t.MaxTokens > 0 && a.textEvents >= t.MaxTokens: // no tokens are left
+	case terms.MaxTokens > 0 && progress.textEvents >= terms.MaxTokens: // maximum length reached
 		return Abort
 	}
 	return Continue
