--- a/decide/roster/rules_test.go
+++ b/decide/roster/rules_test.go
@@ -15,9 +15,9 @@
 	llm = Source{Catalogue, "llm"}
 )
 
-// parseView parses a list of entries. Each has an id, and after it "!" if critical, "~" if in maintenance, ":x"
-// for the address x (by default the id) and "@5" for the registration index 5 (by default 1). "?" is a malformed
-// entry without an id, "?a" one with the id a, and "?a!" one that is also marked critical.
+// parseView parses a list of entries. Each is an id, followed by "!" if critical, "~" if in maintenance, ":x"
+// for the address x (by default the id) and "@5" for the registration index 5 (by default 1). "?" is a
+// malformed entry without an id, "?a" one with the id a, and "?a!" one that is also marked critical.
 func parseView(index uint64, text string) View {
 	v := View{Agent: "one", Index: index}
 	for word := range strings.FieldsSeq(text) {
@@ -47,8 +47,9 @@
 	return v
 }
 
-// describe formats the engines of a registry as ids with suffixes: "~" for draining, "!" for out of service, "?"
-// for suspect, "-" for removed, "/" for an entry that is not confirmed, and "*" for a start within 14 s.
+// describe formats the engines of a registry as ids with suffixes: "~" for draining, "!" for out of service,
+// "?" for suspect, "-" for removed, "/" for an entry that is not confirmed, and "*" for a start less than 14
+// s ago.
 func describe(reg *Registry, now time.Time) string {
 	var words []string
 	for _, e := range reg.Engines() {
@@ -238,7 +239,7 @@
 	down := parseView(2, "a!")
 	down.Entries[0].Started = v.Entries[0].Started
 	reg.Observe(t0.Add(s), llm, down)
-	reg.ObserveProbe(t0.Add(2*s), "a", "a", Refused) // the process was running, for example with a full listen backlog
+	reg.ObserveProbe(t0.Add(2*s), "a", "a", Refused) // for example with a full listen backlog
 	v.Index = 3
 	reg.Observe(t0.Add(9*s), llm, v)
 	if got := reg.Engines()[0].Started; !got.Equal(t0.Add(-time.Hour)) {
@@ -280,8 +281,8 @@
 	}
 }
 
-// A gateway that starts while the catalog is unavailable uses the last good view from disk, including its marks,
-// and replaces it by the first trusted view.
+// A gateway that starts while the catalog is unavailable uses the last good view from disk, including its
+// marks, and replaces it by the first trusted view.
 func TestRestore(t *testing.T) {
 	reg := New(DefaultPolicy())
 	reg.Observe(t0, llm, parseView(100, "a b! c d"))
