--- a/decide/watch/golden_test.go
+++ b/decide/watch/golden_test.go
@@ -105,8 +105,8 @@
 	h := fnv.New64a()
 	for grace := -time.Second; grace < 8*time.Second; grace += 37 * time.Millisecond {
 		for _, heartbeat := range []time.Duration{0, time.Second, 2 * time.Second} {
-			p := TimingFor(grace, heartbeat)
-			fmt.Fprintln(h, int64(p.ResponseTimeout), int64(p.IdleTimeout), int64(p.InitialBackoff), int64(p.MaxBackoff), p.Jitter, int64(p.MaxDelay()))
+			timing := TimingFor(grace, heartbeat)
+			fmt.Fprintln(h, int64(timing.ResponseTimeout), int64(timing.IdleTimeout), int64(timing.InitialBackoff), int64(timing.MaxBackoff), timing.Jitter, int64(timing.MaxDelay()))
 		}
 	}
 	if got := h.Sum64(); got != goldenTiming {
--- a/decide/watch/polling.go
+++ b/decide/watch/polling.go
@@ -4,8 +4,8 @@
 
 // Limits of blocking queries and polling.
 const (
-	reservedWatches = 2   // queries for the catalog and for the failing checks
-	pollsPerWatch   = 2.0 // services polled per second for each query that may be open
+	reservedQueries = 2   // queries for the catalog and for the failing checks
+	pollsPerQuery   = 2.0 // services polled per second for each query that may be open
 	minPollInterval = time.Second
 )
 
@@ -19,14 +19,14 @@
 
 // NewPollingMode returns the mode for a maximum number of open queries, without any services.
 func NewPollingMode(maxQueries int) *PollingMode {
-	return &PollingMode{maxQueries: max(maxQueries, 2*reservedWatches)}
+	return &PollingMode{maxQueries: max(maxQueries, 2*reservedQueries)}
 }
 
 // SetServices sets the number of services and reports whether the mode has changed.
 func (p *PollingMode) SetServices(services int) (changed bool) {
 	p.services = services
 	previous := p.polling
-	p.polling = services > p.maxQueries-reservedWatches
+	p.polling = services > p.maxQueries-reservedQueries
 	return p.polling != previous
 }
 
@@ -38,5 +38,5 @@
 
 // Interval returns the time between two polls of the same service.
 func (p *PollingMode) Interval() time.Duration {
-	return max(time.Duration(float64(p.services)/(pollsPerWatch*float64(p.maxQueries))*float64(time.Second)), minPollInterval)
+	return max(time.Duration(float64(p.services)/(pollsPerQuery*float64(p.maxQueries))*float64(time.Second)), minPollInterval)
 }
--- a/decide/watch/query_test.go
+++ b/decide/watch/query_test.go
@@ -99,10 +99,10 @@
 func TestAgents(t *testing.T) {
 	agents := NewAgentSelector(strings.Fields("one two"))
 	for i, c := range []struct {
-		call, agent    string
-		stateChanged   bool
-		selected       string
-		selectionMoved bool
+		call, agent      string
+		stateChanged     bool
+		selected         string
+		selectionChanged bool
 	}{
 		{"", "", false, "one", false}, {"down", "one", true, "two", true}, {"down", "one", false, "two", false},
 		{"up", "one", true, "two", false}, // no failback to the preferred agent
@@ -115,9 +115,9 @@
 		case "up":
 			stateChanged = agents.MarkUp(c.agent)
 		}
-		selected, moved, ok := agents.Select()
-		if stateChanged != c.stateChanged || selected != c.selected || moved != c.selectionMoved || ok != (c.selected != "") {
-			t.Errorf("step %d: state changed %v; selected %q, moved %v", i, stateChanged, selected, moved)
+		selected, changed, ok := agents.Select()
+		if stateChanged != c.stateChanged || selected != c.selected || changed != c.selectionChanged || ok != (c.selected != "") {
+			t.Errorf("step %d: state changed %v; selected %q, selection changed %v", i, stateChanged, selected, changed)
 		}
 	}
 }
--- a/decide/watch/timing.go
+++ b/decide/watch/timing.go
@@ -33,7 +33,7 @@
 		grace = defaultGrace
 	}
 	grace = min(max(grace, minGrace), maxGrace)
-	fractionOf := func(share float64) time.Duration { return time.Duration(share * float64(grace)) }
+	fractionOf := func(fraction float64) time.Duration { return time.Duration(fraction * float64(grace)) }
 	return Timing{
 		ResponseTimeout: fractionOf(responseFraction), IdleTimeout: time.Duration(idleFactor * float64(heartbeat)),
 		InitialBackoff: min(100*time.Millisecond, fractionOf(maxBackoffFraction)), MaxBackoff: fractionOf(maxBackoffFraction), Jitter: backoffJitter,
--- a/decide/watch/timing_test.go
+++ b/decide/watch/timing_test.go
@@ -12,16 +12,16 @@
 func TestMaxDelayIsWithinGrace(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		grace := time.Duration(rapid.Int64Range(0, int64(10*time.Second)).Draw(t, "grace"))
-		p := TimingFor(grace, 2*time.Second)
+		timing := TimingFor(grace, 2*time.Second)
 		limit := grace
 		if grace == 0 {
 			limit = defaultGrace
 		}
-		if limit = max(limit, minGrace); p.MaxDelay() > limit*9/10 {
-			t.Errorf("grace %v: longest delay %v", grace, p.MaxDelay())
+		if limit = max(limit, minGrace); timing.MaxDelay() > limit*9/10 {
+			t.Errorf("grace %v: longest delay %v", grace, timing.MaxDelay())
 		}
-		if p.ResponseTimeout < 50*time.Millisecond || p.InitialBackoff < 50*time.Millisecond || p.InitialBackoff > p.MaxBackoff || p.IdleTimeout < 2200*time.Millisecond {
-			t.Errorf("grace %v: timing %+v", grace, p)
+		if timing.ResponseTimeout < 50*time.Millisecond || timing.InitialBackoff < 50*time.Millisecond || timing.InitialBackoff > timing.MaxBackoff || timing.IdleTimeout < 2200*time.Millisecond {
+			t.Errorf("grace %v: timing %+v", grace, timing)
 		}
 	})
 }
