--- a/decide/resume/resume.go
+++ b/decide/resume/resume.go
@@ -12,7 +12,7 @@
 // The steps.
 const (
 	Abort    Step = iota // fail the answer
-	Restart              // start again from the beginning: no event has been sent to the client
+	Restart              // restart from the beginning: no event has been sent to the client
 	Continue             // continue after the last event: send an engine the prompt and the answer so far
 	Finish               // the answer lacks only the end of its stream: send that, without an attempt
 )
