--- a/decide/roster/apply.go
+++ b/decide/roster/apply.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// retainedWhenMissing reports whether a listing is retained after a mass loss. A marked listing is not,
-// because its engine was expected to disappear, nor is one that was last confirmed longer than
-// Policy.ConfirmationTTL ago.
+// retainedWhenMissing reports whether a listing may be retained when it is missing from a view. A marked
+// listing may not, because its engine was expected to disappear, nor may one that was last confirmed longer
+// than Policy.ConfirmationTTL ago.
 func (r *Registry) retainedWhenMissing(now time.Time, s *sourceState, l *listing) bool {
 	return l.Mark == Clear && now.Sub(s.lastSeen(l)) <= r.policy.ConfirmationTTL
 }
@@ -130,10 +130,10 @@
 		}
 	}
 	r.applyMalformedMarks(s, v)
-	anyID := slices.Contains(v.Malformed, "")
+	hasUnidentified := slices.Contains(v.Malformed, "")
 	for id, l := range s.listings {
 		switch {
-		case listed[id] || anyID || slices.Contains(v.Malformed, id):
+		case listed[id] || hasUnidentified || slices.Contains(v.Malformed, id):
 			l.absentSince = time.Time{}
 		case l.absentSince.IsZero():
 			l.absentSince = now
--- a/decide/roster/property_test.go
+++ b/decide/roster/property_test.go
@@ -32,8 +32,8 @@
 	return v
 }
 
-// However long a source can't be read, and whatever the results of probes are meanwhile, a registry that had
-// an engine in service still has one.
+// A registry with an engine in service keeps at least one in service while its source can't be read,
+// regardless of the duration and of the results of probes.
 func TestUnreadableSourceKeepsEngines(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		reg, now := New(DefaultPolicy()), t0
--- a/decide/roster/rules_test.go
+++ b/decide/roster/rules_test.go
@@ -48,8 +48,8 @@
 }
 
 // describe formats the engines of a registry as ids with suffixes: "~" for draining, "!" for out of service,
-// "?" for suspect, "-" for removed, "/" for an entry that is not confirmed, and "*" for a start less than 14
-// s ago.
+// "?" for suspect, "-" for removed, "/" for an entry that is not confirmed, and "*" for a start within the
+// last 14 s.
 func describe(reg *Registry, now time.Time) string {
 	var words []string
 	for _, e := range reg.Engines() {
@@ -140,9 +140,9 @@
 			{0, observeUntrusted(9, "a b~", leaderless), "a/ b~/"}, {s, observeView(10, "a b"), "a b"}},
 		"an unreadable view removes no engine": {
 			{0, observeView(1, "a b"), "a b"}, {s, observeFailure(Unreadable), "a/ b/"}, {3600 * s, tick, "a/ b/"}},
-		"a mark in a view with a malformed entry": {
+		"an engine with a malformed entry is retained, marks of other entries apply": {
 			{0, observeView(1, "a b c"), "a b c"}, {s, observeView(2, "a! ?b c"), "a! b/ c"}, {s, observeView(3, "?"), "a!/ b/ c/"}, {s, observeView(4, "a! c"), "a! c"}},
-		"a mark in a malformed entry": {
+		"a mark in a malformed entry takes effect": {
 			{0, observeView(1, "a b c"), "a b c"}, {s, observeView(2, "a ?b! c"), "a b!/ c"}, {s, observeUntrusted(1, "a ?c!", stale), "a/ b!/ c!/"}},
 		"refused connections make an engine of an unreachable source suspect after the hold time, never the last one": {
 			{0, observeView(1, "a b"), "a b"}, {s, observeFailure(Unreachable), "a/ b/"}, {s, observeProbes(Answered, 1, "a"), "a/ b/"}, {s, observeProbes(Refused, 2, "b"), "a/ b/"},
@@ -178,12 +178,12 @@
 			{s, func(reg *Registry, now time.Time) { reg.ObserveProbe(now, "a", "x", Answered) }, "a/ b~/"},
 			{s, observeProbes(Refused, 2, "a"), "a/ b~/"},
 			{s, func(reg *Registry, now time.Time) { reg.ObserveProbe(now, "a", "x", Answered) }, "a/* b~/"}},
-		"a source missing from the catalog": {
+		"engines of a source missing from the catalog are retained, except marked ones": {
 			{0, observeView(1, "a b!"), "a b!"}, {s, func(reg *Registry, now time.Time) { reg.MarkSourceMissing(now, llm) }, "a/"}, {s, observeProbes(Refused, 2, "a"), ""}},
-		"a tag removed during a drain and added again": {
+		"engines of a source removed during a drain and added again are cold": {
 			{0, observeView(1, "a~ b"), "a~ b"}, {s, func(reg *Registry, now time.Time) { reg.RemoveSource(now, llm, "tag") }, ""},
 			{s, func(reg *Registry, _ time.Time) { reg.AddSource(llm, false) }, ""}, {s, observeView(5, "a~ b"), "a~* b*"}},
-		"a reset index for another catalog": {
+		"after a reset index, lower indexes and new registrations are trusted": {
 			{0, observeView(100, "a b c"), "a b c"}, {s, func(reg *Registry, _ time.Time) { reg.ResetIndex(llm) }, "a b c"}, {s, observeView(3, "a@4 b@5 c@6"), "a b c"}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -239,7 +239,8 @@
 	down := parseView(2, "a!")
 	down.Entries[0].Started = v.Entries[0].Started
 	reg.Observe(t0.Add(s), llm, down)
-	reg.ObserveProbe(t0.Add(2*s), "a", "a", Refused) // for example with a full listen backlog
+	// Not a restart: a process with a full listen backlog, for example, also refuses connections.
+	reg.ObserveProbe(t0.Add(2*s), "a", "a", Refused)
 	v.Index = 3
 	reg.Observe(t0.Add(9*s), llm, v)
 	if got := reg.Engines()[0].Started; !got.Equal(t0.Add(-time.Hour)) {
@@ -312,7 +313,7 @@
 }
 
 func TestGatewayCount(t *testing.T) {
-	p, now := NewGatewayCount(2, 10*s), t0
+	gateways, now := NewGatewayCount(2, 10*s), t0
 	for i, c := range []struct {
 		after    time.Duration
 		observed int
@@ -323,8 +324,8 @@
 		{s, 2, false, 4}, {9 * s, 1, false, 4}, {s, 1, true, 2}, {s, 1, false, 2}, {10 * s, 1, true, 1},
 	} {
 		now = now.Add(c.after)
-		if got := p.Observe(now, c.observed); got != c.changed || p.Count() != c.want {
-			t.Errorf("step %d: changed %v, count %d", i, got, p.Count())
+		if got := gateways.Observe(now, c.observed); got != c.changed || gateways.Count() != c.want {
+			t.Errorf("step %d: changed %v, count %d", i, got, gateways.Count())
 		}
 	}
 }
--- a/decide/roster/snapshot.go
+++ b/decide/roster/snapshot.go
@@ -12,7 +12,7 @@
 	Entry       Entry
 	FirstListed time.Time `json:"Born"`  // when it was first listed; zero if unknown
 	LastSeen    time.Time `json:"Seen"`  // when a trusted view last listed it
-	Started     time.Time `json:"Begun"` // the published start time; zero if it started long ago
+	Started     time.Time `json:"Begun"` // the published start time; zero if unknown
 }
 
 // Snapshot returns the last good view, including marks, sorted by source and id, and the latest index of each
--- a/decide/roster/types.go
+++ b/decide/roster/types.go
@@ -131,7 +131,7 @@
 	Cell                 int
 	State                State
 	StateReason          string    // why the engine is not in service, or why its entry is not confirmed
-	Started              time.Time // last known start; zero if unknown
+	Started              time.Time // last known start or role change; zero if unknown
 	LastSeen             time.Time // when a trusted view last listed it
 	Confidence           Confidence
 	ListedKind           string // the role that its sources list, before overrides
@@ -151,7 +151,7 @@
 	Source  string
 	Engine  string // "" if the event concerns several engines
 	Message string
-	Reason  Reason
+	Reason  Reason // why the source is not or was not trusted, if that is the subject
 	Cause   string // the operator's action that caused it; "" if none did
 	Engines int    // number of engines affected
 	Warn    bool
