--- a/decide/heldstate/attempts.go
+++ b/decide/heldstate/attempts.go
@@ -11,10 +11,10 @@
 func (l *Ledger) PrefillCompleted(engine string, answered Time) {
 	l.noAttemptSince = answered
 	e := &engineEntry{}
-	if old := l.entries[engine]; old != nil { // an earlier prefill there may still run on
-		e.attemptLost, e.prefillMayRun = old.attemptLost, old.prefillMayRun
-		if old.releasing { // it must not free this state: see ReleasesToCancel
-			e.releasing, e.dueSince = true, answered
+	if previous := l.entries[engine]; previous != nil { // an earlier prefill there may still run on
+		e.attemptLost, e.prefillMayRun = previous.attemptLost, previous.prefillMayRun
+		if previous.releasing { // it must not free this state: see ReleasesToCancel
+			e.releasing, e.pendingSince = true, answered
 		}
 	}
 	l.entries[engine] = e
@@ -31,7 +31,7 @@
 		e = &engineEntry{}
 		l.entries[engine] = e
 	}
-	e.attemptLost, e.delivered, e.lastRelease, e.lastAttempted = true, 0, 0, 0
+	e.attemptLost, e.deliveredCount, e.lastDeliveredAt, e.lastUncertainAt = true, 0, 0, 0
 	e.prefillMayRun = e.prefillMayRun || prefills
 }
 
@@ -71,13 +71,13 @@
 		return
 	}
 	l.finished, l.stateHolder = true, ""
-	l.resetUndelivered()
+	l.resetUncertainReleases()
 }
 
-// resetUndelivered forgets the releases that were sent while an attempt may have been waiting for the
+// resetUncertainReleases forgets the releases that were sent while an attempt may have been waiting for the
 // state: what they were to release is due at once.
-func (l *Ledger) resetUndelivered() {
+func (l *Ledger) resetUncertainReleases() {
 	for _, e := range l.entries {
-		e.lastAttempted = 0
+		e.lastUncertainAt = 0
 	}
 }
--- a/decide/heldstate/expiry.go
+++ b/decide/heldstate/expiry.go
@@ -5,13 +5,13 @@
 // Parts of the slack that are left for a release that is due: the process may be held up before it writes
 // that, and it has to arrive, if need be by way of another engine.
 const (
-	holdUpReserve  = 150 * time.Millisecond
-	transitReserve = 50 * time.Millisecond
+	stallReserve    = 150 * time.Millisecond
+	deliveryReserve = 50 * time.Millisecond
 )
 
-// stateWait returns for how long state may wait for a decode engine before it is released.
-func (l *Ledger) stateWait() time.Duration {
-	return l.limits.HeldStateLimit + max(0, l.limits.HeldStateSlack-holdUpReserve-transitReserve)
+// maxStateWait returns for how long state may wait for a decode engine before it is released.
+func (l *Ledger) maxStateWait() time.Duration {
+	return l.limits.HeldStateLimit + max(0, l.limits.HeldStateSlack-stallReserve-deliveryReserve)
 }
 
 // expiresAt returns when the waiting state has to be released, unless an attempt is certainly in flight by
@@ -20,7 +20,7 @@
 	if l.stateHolder == "" || l.attemptState == confirmed {
 		return 0, false
 	}
-	return l.noAttemptSince + l.stateWait(), true
+	return l.noAttemptSince + l.maxStateWait(), true
 }
 
 // Expired reports whether state has waited for a decode engine as long as it may.
--- a/decide/heldstate/flight.go
+++ b/decide/heldstate/flight.go
@@ -58,7 +58,7 @@
 		l.noAttemptSince = now
 	}
 	if l.attemptState != noAttempt && state == noAttempt {
-		l.resetUndelivered()
+		l.resetUncertainReleases()
 	}
 	l.attemptState = state
 }
--- a/decide/heldstate/golden_test.go
+++ b/decide/heldstate/golden_test.go
@@ -10,19 +10,19 @@
 	"time"
 )
 
-// golden is the hash over all that ledgers have said under the events of goldenRun. Every value is
+// goldenHash is the hash over all that ledgers have said under the events of goldenRun. Every value is
 // hashed as a number or as an engine's letter, so that it outlives renames.
-const golden = "3b6b03416bfc6f923ef57e76d0de9a38d7b54a18570327396f9eab48e68ea97a"
+const goldenHash = "3b6b03416bfc6f923ef57e76d0de9a38d7b54a18570327396f9eab48e68ea97a"
 
 // goldenRun drives one ledger with events drawn from a seed, and hashes what it says after each.
 func goldenRun(h hash.Hash, seed uint64) {
 	draw := rand.New(rand.NewPCG(seed, 45))
-	span := func(most time.Duration) time.Duration { return time.Duration(draw.Int64N(int64(most))) }
-	lim := Limits{HeldStateLimit: 20*ms + span(time.Second), HeldStateSlack: span(400 * ms), ReleaseTimeout: 5 * time.Second, MaxCancelledPrefill: span(4 * time.Second)}
-	l := New(lim)
+	drawDuration := func(limit time.Duration) time.Duration { return time.Duration(draw.Int64N(int64(limit))) }
+	limits := Limits{HeldStateLimit: 20*ms + drawDuration(time.Second), HeldStateSlack: drawDuration(400 * ms), ReleaseTimeout: 5 * time.Second, MaxCancelledPrefill: drawDuration(4 * time.Second)}
+	l := New(limits)
 	names := []string{"a", "b", "c", "d"}
 	now := Time(ms)
-	flight := map[string]bool{}
+	releasing := map[string]bool{}
 	number := func(b bool) int {
 		if b {
 			return 1
@@ -30,16 +30,16 @@
 		return 0
 	}
 	for range 60 {
-		e := names[draw.IntN(len(names))]
+		engine := names[draw.IntN(len(names))]
 		step := draw.IntN(14)
-		fmt.Fprint(h, seed, now, step, e, ";")
+		fmt.Fprint(h, seed, now, step, engine, ";")
 		switch step {
 		case 0:
-			l.PrefillCompleted(e, now)
+			l.PrefillCompleted(engine, now)
 		case 1:
-			l.AttemptLost(e, draw.IntN(2) == 0)
+			l.AttemptLost(engine, draw.IntN(2) == 0)
 		case 2:
-			l.AttemptFailed(e)
+			l.AttemptFailed(engine)
 		case 3:
 			if draw.IntN(3) == 0 {
 				l.AnswerStarted()
@@ -63,25 +63,25 @@
 		case 8:
 			l.RepeatReleases()
 		case 9:
-			l.FlightEnded(drawnFlight(draw, now), now)
+			l.FlightEnded(drawFlight(draw, now), now)
 		case 10, 11:
 			flights := make([]Flight, draw.IntN(3))
 			for i := range flights {
-				flights[i] = drawnFlight(draw, now)
+				flights[i] = drawFlight(draw, now)
 			}
 			l.SetFlights(flights, now)
 		case 12:
 			if draw.IntN(4) == 0 {
-				delete(flight, e)
-				l.DropEngine(e)
+				delete(releasing, engine)
+				l.DropEngine(engine)
 			}
 		case 13: // engines answer late, or never
 		}
-		for _, over := range l.ReleasesToCancel(now) {
-			fmt.Fprint(h, "s", over, ",")
-			if flight[over] && draw.IntN(2) == 0 {
-				delete(flight, over)
-				l.ReleaseEnded(over, false, now)
+		for _, cancelled := range l.ReleasesToCancel(now) {
+			fmt.Fprint(h, "s", cancelled, ",")
+			if releasing[cancelled] && draw.IntN(2) == 0 {
+				delete(releasing, cancelled)
+				l.ReleaseEnded(cancelled, false, now)
 			}
 		}
 		expired := l.Expired(now)
@@ -90,29 +90,29 @@
 			l.Expire(now)
 		}
 		for _, due := range l.ReleasesDue(now) {
-			flight[due] = true
+			releasing[due] = true
 			fmt.Fprint(h, "d", due, int64(l.ReleaseDeadline(due)), ",")
 		}
 		for _, name := range names {
-			if flight[name] && draw.IntN(3) == 0 {
-				delete(flight, name)
+			if releasing[name] && draw.IntN(3) == 0 {
+				delete(releasing, name)
 				l.ReleaseEnded(name, draw.IntN(3) > 0, now)
 			}
 		}
-		next, some := l.NextUpdate()
-		fmt.Fprintln(h, l.StateHolder(), int64(next), number(some), number(l.Completed()), number(l.BlocksDrain(now)))
+		next, scheduled := l.NextUpdate()
+		fmt.Fprintln(h, l.StateHolder(), int64(next), number(scheduled), number(l.Completed()), number(l.BlocksDrain(now)))
 		switch {
-		case some && next > now && draw.IntN(2) == 0:
+		case scheduled && next > now && draw.IntN(2) == 0:
 			now = next
 		default:
-			now += span(time.Duration(1+draw.IntN(900)) * ms)
+			now += drawDuration(time.Duration(1+draw.IntN(900)) * ms)
 		}
 	}
 }
 
-// drawnFlight draws an attempt that was written before now: with no answer, with one on its own
+// drawFlight draws an attempt that was written before now: with no answer, with one on its own
 // connection, or with evidence of another connection or from before it was written.
-func drawnFlight(draw *rand.Rand, now Time) Flight {
+func drawFlight(draw *rand.Rand, now Time) Flight {
 	f := Flight{
 		Connection: ConnectionNumber(1 + draw.IntN(3)),
 		WrittenAt:  now - Time(draw.Int64N(int64(min(now, time.Second)))),
@@ -128,7 +128,7 @@
 	for seed := range uint64(2000) {
 		goldenRun(h, seed)
 	}
-	if got := hex.EncodeToString(h.Sum(nil)); got != golden {
-		t.Errorf("the ledgers say %s, want %s", got, golden)
+	if got := hex.EncodeToString(h.Sum(nil)); got != goldenHash {
+		t.Errorf("the ledgers say %s, want %s", got, goldenHash)
 	}
 }
--- a/decide/heldstate/heldstate.go
+++ b/decide/heldstate/heldstate.go
@@ -23,11 +23,11 @@
 	MaxCancelDelay = 150 * time.Millisecond
 	// MinReleaseInterval is the least time between two releases at one engine.
 	MinReleaseInterval = 100 * time.Millisecond
-	// maxDrainWait is for how many held-state limits a draining gateway waits for an engine that is
+	// drainWaitFactor is for how many held-state limits a draining gateway waits for an engine that is
 	// out of reach, and minDrainWait for how long at least: network partitions last seconds, however
 	// short the limit is.
-	maxDrainWait = 4
-	minDrainWait = 2 * time.Second
+	drainWaitFactor = 4
+	minDrainWait    = 2 * time.Second
 )
 
 // Limits are the durations a ledger works with. They follow from the settings.
@@ -40,17 +40,17 @@
 
 // engineEntry is what the ledger knows of one engine that may hold state.
 type engineEntry struct {
-	attemptLost   bool // an attempt ended without an answer: there may be no state, or not yet
-	detached      bool // no attempt will fetch the state, and an answer does not release it
-	releaseForced bool // one release is due although an attempt may be in flight
-	prefillMayRun bool // a cancelled prefill may run on: its state may appear after a release
-	dueSince      Time // since when the release is due; 0 while it is not
-	releasing     bool // a release is in flight
-	delivered     int  // releases delivered with no attempt in flight
-	firstDelivery Time // when the first of them was
-	lastRelease   Time // when the latest of them was
-	lastAttempted Time // when the latest was that may have had no effect, as an attempt may have been in flight
-	givenUp       bool // the release was not delivered within ReleaseTimeout
+	attemptLost      bool // an attempt ended without an answer: there may be no state, or not yet
+	detached         bool // no attempt will fetch the state, and an answer does not release it
+	releaseForced    bool // one release is due although an attempt may be in flight
+	prefillMayRun    bool // a cancelled prefill may run on: its state may appear after a release
+	pendingSince     Time // since when the release is due; 0 while it is not
+	releasing        bool // a release is in flight
+	deliveredCount   int  // releases delivered with no attempt in flight
+	firstDeliveredAt Time // when the first of them was
+	lastDeliveredAt  Time // when the latest of them was
+	lastUncertainAt  Time // when the latest was that may have had no effect, as an attempt may have been in flight
+	abandoned        bool // the release was not delivered within ReleaseTimeout
 }
 
 // Ledger records what engines may hold for one request. Use New. It is not safe for concurrent use.
--- a/decide/heldstate/heldstate_test.go
+++ b/decide/heldstate/heldstate_test.go
@@ -11,12 +11,12 @@
 
 const ms = time.Millisecond
 
-// The attempts of these tests: none, one that nothing has come of, one whose engine has answered on the
+// The attempts of these tests: none, one that nothing has come of, one whose engine has confirmedFlights on the
 // attempt's own connection.
 var (
-	noFlights []Flight
-	sent      = []Flight{{Connection: 7, WrittenAt: 1}}
-	answered  = []Flight{{Connection: 7, WrittenAt: 1, Arrival: Arrival{Connection: 7, At: 2}}}
+	noFlights          []Flight
+	unconfirmedFlights = []Flight{{Connection: 7, WrittenAt: 1}}
+	confirmedFlights   = []Flight{{Connection: 7, WrittenAt: 1, Arrival: Arrival{Connection: 7, At: 2}}}
 )
 
 var limits = Limits{HeldStateLimit: 500 * ms, HeldStateSlack: 350 * ms, ReleaseTimeout: 30 * time.Second, MaxCancelledPrefill: 3 * time.Second}
@@ -31,11 +31,11 @@
 		{"state that waits for a decode engine", func(l *Ledger) { l.PrefillCompleted("r", 1) }, nil},
 		{"the request has its answer", func(l *Ledger) { l.PrefillCompleted("r", 1); l.Finish() }, []string{"r"}},
 		{"a prefill that was lost, and nothing is in flight", func(l *Ledger) { l.AttemptLost("r", true) }, []string{"r"}},
-		{"a prefill that was lost, and another attempt is in flight", func(l *Ledger) { l.AttemptLost("r", true); l.SetFlights(answered, 1) }, nil},
-		{"the other attempt may never have arrived", func(l *Ledger) { l.AttemptLost("r", true); l.SetFlights(sent, 1) }, nil},
-		{"and has been in flight for as long as state may wait", func(l *Ledger) { l.AttemptLost("r", true); l.SetFlights(sent, 1-time.Second) }, []string{"r"}},
+		{"a prefill that was lost, and another attempt is in flight", func(l *Ledger) { l.AttemptLost("r", true); l.SetFlights(confirmedFlights, 1) }, nil},
+		{"the other attempt may never have arrived", func(l *Ledger) { l.AttemptLost("r", true); l.SetFlights(unconfirmedFlights, 1) }, nil},
+		{"and has been in flight for as long as state may wait", func(l *Ledger) { l.AttemptLost("r", true); l.SetFlights(unconfirmedFlights, 1-time.Second) }, []string{"r"}},
 		{"a prefill that was lost before, and state waits", func(l *Ledger) { l.AttemptLost("r", true); l.PrefillCompleted("s", 1) }, nil},
-		{"an answer has begun", func(l *Ledger) { l.PrefillCompleted("r", 1); l.AnswerStarted(); l.SetFlights(answered, 1) }, nil},
+		{"an answer has begun", func(l *Ledger) { l.PrefillCompleted("r", 1); l.AnswerStarted(); l.SetFlights(confirmedFlights, 1) }, nil},
 		{"it breaks off", func(l *Ledger) {
 			l.PrefillCompleted("r", 1)
 			l.AnswerStarted()
@@ -44,7 +44,7 @@
 		}, []string{"r"}},
 		{"an answer is complete", func(l *Ledger) { l.PrefillCompleted("r", 1); l.AnswerCompleted(); l.Finish() }, nil},
 		{"an answer is complete, a prefill may run on", func(l *Ledger) { l.AttemptLost("r", true); l.PrefillCompleted("s", 1); l.AnswerCompleted(); l.Finish() }, []string{"r"}},
-		{"the request continues at an engine that fetches nothing", func(l *Ledger) { l.PrefillCompleted("r", 1); l.Detach(); l.SetFlights(answered, 1) }, []string{"r"}},
+		{"the request continues at an engine that fetches nothing", func(l *Ledger) { l.PrefillCompleted("r", 1); l.Detach(); l.SetFlights(confirmedFlights, 1) }, []string{"r"}},
 		{"it answers", func(l *Ledger) { l.PrefillCompleted("r", 1); l.Detach(); l.AnswerCompleted(); l.Finish() }, []string{"r"}},
 		{"a decode engine has found no state", func(l *Ledger) { l.PrefillCompleted("r", 1); l.StateMissing() }, []string{"r"}},
 		{"an engine has failed the attempt", func(l *Ledger) { l.AttemptFailed("r"); l.Finish() }, []string{"r"}},
@@ -80,12 +80,12 @@
 		flights []Flight
 		expires bool
 		holder  string
-	}{{"no attempt", noFlights, true, ""}, {"sent", sent, true, "r"}, {"answered", answered, false, "r"}} {
+	}{{"no attempt", noFlights, true, ""}, {"sent", unconfirmedFlights, true, "r"}, {"answered", confirmedFlights, false, "r"}} {
 		l := New(limits)
 		l.SetFlights(noFlights, 10*ms)
 		l.PrefillCompleted("r", time.Second)
 		l.SetFlights(c.flights, time.Second+ms)
-		at := time.Second + limits.HeldStateLimit + limits.HeldStateSlack - holdUpReserve - transitReserve
+		at := time.Second + limits.HeldStateLimit + limits.HeldStateSlack - stallReserve - deliveryReserve
 		if l.Expired(at - 1) {
 			t.Errorf("%v: expired before its time", c.name)
 		}
@@ -147,8 +147,8 @@
 
 // Whatever the limit, state waits for that and what the slack leaves, which is time enough for an attempt.
 func TestLimitsOfAnyLength(t *testing.T) {
-	const left = 150 * ms
-	for limit, want := range map[time.Duration]time.Duration{0: left, ms: ms + left, time.Hour: time.Hour + left} {
+	const usableSlack = 150 * ms
+	for limit, want := range map[time.Duration]time.Duration{0: usableSlack, ms: ms + usableSlack, time.Hour: time.Hour + usableSlack} {
 		l := New(Limits{HeldStateLimit: limit, HeldStateSlack: 350 * ms})
 		l.SetFlights(noFlights, 1)
 		l.PrefillCompleted("r", 1)
@@ -161,7 +161,7 @@
 // A release in flight is cancelled once an attempt has been written: it could meet the end of the
 // next prefill, whose state it would free.
 func TestReleaseDoesNotMeetNextRead(t *testing.T) {
-	for _, flights := range [][]Flight{sent, answered} {
+	for _, flights := range [][]Flight{unconfirmedFlights, confirmedFlights} {
 		l := New(limits)
 		l.AttemptLost("r", true)
 		l.ReleasesDue(1)
@@ -190,8 +190,8 @@
 		t.Error("completed, though the decode engine has not been reached")
 	}
 	l.ReleaseEnded("w", true, 5*time.Second) // out of reach until then
-	at, some := l.NextUpdate()
-	if want := 5*time.Second + MaxCancelDelay; !some || at != want {
+	at, scheduled := l.NextUpdate()
+	if want := 5*time.Second + MaxCancelDelay; !scheduled || at != want {
 		t.Fatalf("next at %v, want %v", at, want)
 	}
 	if due := l.ReleasesDue(at); !slices.Contains(due, "r") {
@@ -204,40 +204,40 @@
 	}
 }
 
-// world is engines that hold state, as they really are, beside a ledger that has to have them
+// simulation is engines that hold state, as they really are, beside a ledger that has to have them
 // release it.
-type world struct {
+type simulation struct {
 	t           *rapid.T
 	ledger      *Ledger
 	now         Time
-	held        map[string]Time // since when
-	later       map[string]Time // when a prefill that runs on will leave its state
+	heldSince   map[string]Time // since when
+	lateStateAt map[string]Time // when a prefill that runs on will leave its state
 	unreachable map[string]bool
 	releasing   map[string]bool
 	flights     []Flight // as the gateway knows of them
-	lost        bool     // what is in flight never arrives
+	attemptLost bool     // what is in flight never arrives
 }
 
-// out tells whether an attempt has arrived and not ended.
-func (w *world) out() bool { return len(w.flights) > 0 && !w.lost }
+// attemptInFlight tells whether an attempt has arrived and not ended.
+func (w *simulation) attemptInFlight() bool { return len(w.flights) > 0 && !w.attemptLost }
 
 var engines = []string{"a", "b", "c"}
 
-// pass lets time pass in small steps. Releases arrive at engines that can be reached.
-func (w *world) pass(d time.Duration) {
+// advance lets time advance in small steps. Releases arrive at engines that can be reached.
+func (w *simulation) advance(d time.Duration) {
 	for end := w.now + d; w.now < end; w.now += 10 * ms {
-		for e, at := range w.later {
+		for e, at := range w.lateStateAt {
 			if w.now >= at && !w.unreachable[e] {
-				w.held[e] = w.now
-				delete(w.later, e)
+				w.heldSince[e] = w.now
+				delete(w.lateStateAt, e)
 			}
 		}
-		w.act()
-		w.check()
+		w.reconcile()
+		w.checkHeldDurations()
 	}
 }
 
-func (w *world) act() {
+func (w *simulation) reconcile() {
 	w.ledger.SetFlights(w.flights, w.now)
 	if w.ledger.Expired(w.now) {
 		w.ledger.Expire(w.now)
@@ -252,20 +252,20 @@
 	for _, e := range engines {
 		if w.releasing[e] && !w.unreachable[e] {
 			delete(w.releasing, e)
-			if !w.out() || w.ledger.finished {
-				delete(w.held, e)
+			if !w.attemptInFlight() || w.ledger.finished {
+				delete(w.heldSince, e)
 			}
 			w.ledger.ReleaseEnded(e, true, w.now)
 		}
 	}
 }
 
-// check is the rule: nothing is held for longer than the limits while no attempt is in flight, at an
+// checkHeldDurations is the rule: nothing is held for longer than the limits while no attempt is in flight, at an
 // engine that can be reached.
-func (w *world) check() {
-	for e, since := range w.held {
-		if w.out() || w.unreachable[e] {
-			w.held[e] = w.now
+func (w *simulation) checkHeldDurations() {
+	for e, since := range w.heldSince {
+		if w.attemptInFlight() || w.unreachable[e] {
+			w.heldSince[e] = w.now
 			continue
 		}
 		if held := w.now - since; held > limits.HeldStateLimit+limits.HeldStateSlack {
@@ -274,17 +274,17 @@
 	}
 }
 
-// outcome ends the attempt in flight. The time of all that is held counts from the last outcome.
-func (w *world) outcome() {
-	w.flights, w.lost = nil, false
-	for e := range w.held {
-		w.held[e] = w.now
+// endAttempt ends the attempt in flight. The time of all that is held counts from the last endAttempt.
+func (w *simulation) endAttempt() {
+	w.flights, w.attemptLost = nil, false
+	for e := range w.heldSince {
+		w.heldSince[e] = w.now
 	}
 }
 
-// send has an attempt written. It arrives and is answered, or not yet; or it is lost, with its
+// writeAttempt has an attempt written. It arrives and is answered, or not yet; or it is lost, with its
 // connection, while its engine answers on another one.
-func (w *world) send() {
+func (w *simulation) writeAttempt() {
 	f := Flight{Connection: 7, WrittenAt: w.now}
 	lost := false
 	switch rapid.IntRange(0, 2).Draw(w.t, "what becomes of the attempt") {
@@ -294,54 +294,54 @@
 	case 2:
 		f.Arrival, lost = Arrival{Connection: 8, At: w.now}, true
 	}
-	w.flights, w.lost = []Flight{f}, lost
+	w.flights, w.attemptLost = []Flight{f}, lost
 }
 
-// lose ends an attempt without an answer of its engine. The prefill may have ended, or run on.
-func (w *world) lose(e string) {
-	w.outcome()
+// loseAttempt ends an attempt without an answer of its engine. The prefill may have ended, or run on.
+func (w *simulation) loseAttempt(e string) {
+	w.endAttempt()
 	switch rapid.IntRange(0, 2).Draw(w.t, "what the prefill left") {
 	case 0:
-		w.held[e] = w.now
+		w.heldSince[e] = w.now
 	case 1:
-		w.later[e] = w.now + time.Duration(rapid.IntRange(0, int(limits.MaxCancelledPrefill/ms)).Draw(w.t, "prefill runs on, ms"))*ms
+		w.lateStateAt[e] = w.now + time.Duration(rapid.IntRange(0, int(limits.MaxCancelledPrefill/ms)).Draw(w.t, "prefill runs on, ms"))*ms
 	}
 	w.ledger.AttemptLost(e, true)
 }
 
 func TestStatesReleasedWithinLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{t: t, ledger: New(limits), now: ms, held: map[string]Time{}, later: map[string]Time{}, unreachable: map[string]bool{}, releasing: map[string]bool{}}
+		w := &simulation{t: t, ledger: New(limits), now: ms, heldSince: map[string]Time{}, lateStateAt: map[string]Time{}, unreachable: map[string]bool{}, releasing: map[string]bool{}}
 		for range rapid.IntRange(1, 12).Draw(t, "steps") {
 			e := rapid.SampledFrom(engines).Draw(t, "engine")
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0:
-				w.outcome()
-				w.held[e] = w.now
+				w.endAttempt()
+				w.heldSince[e] = w.now
 				w.ledger.PrefillCompleted(e, w.now)
 			case 1:
-				w.lose(e)
+				w.loseAttempt(e)
 			case 2:
-				w.send()
+				w.writeAttempt()
 			case 3:
-				w.outcome()
+				w.endAttempt()
 			case 4:
 				w.unreachable[e] = !w.unreachable[e]
 			case 5:
-				w.flights, w.lost = nil, false
-				clear(w.held)
+				w.flights, w.attemptLost = nil, false
+				clear(w.heldSince)
 				w.ledger.AnswerCompleted()
 			}
-			w.pass(time.Duration(rapid.IntRange(0, 150).Draw(t, "for, in 10 ms")) * 10 * ms)
+			w.advance(time.Duration(rapid.IntRange(0, 150).Draw(t, "for, in 10 ms")) * 10 * ms)
 		}
-		w.flights, w.lost = nil, false
+		w.flights, w.attemptLost = nil, false
 		w.ledger.SetFlights(w.flights, w.now)
 		w.ledger.Finish()
-		w.pass(time.Duration(rapid.IntRange(0, 1000).Draw(t, "after the end, in 10 ms")) * 10 * ms)
+		w.advance(time.Duration(rapid.IntRange(0, 1000).Draw(t, "after the end, in 10 ms")) * 10 * ms)
 		clear(w.unreachable)
-		w.pass(2*limits.MaxCancelledPrefill + limits.ReleaseTimeout)
-		if len(w.held) > 0 || !w.ledger.Completed() {
-			t.Fatalf("at the end: held %v, completed %v", w.held, w.ledger.Completed())
+		w.advance(2*limits.MaxCancelledPrefill + limits.ReleaseTimeout)
+		if len(w.heldSince) > 0 || !w.ledger.Completed() {
+			t.Fatalf("at the end: held %v, completed %v", w.heldSince, w.ledger.Completed())
 		}
 	})
 }
@@ -373,7 +373,7 @@
 	}{
 		{"nothing is held", func(l *Ledger) { l.Finish() }, 1, false},
 		{"a release is in flight", lost(true), 1, true},
-		{"its engine has been out of reach for several held-state limits", lost(true), 1 + maxDrainWait*limits.HeldStateLimit, false},
+		{"its engine has been out of reach for several held-state limits", lost(true), 1 + drainWaitFactor*limits.HeldStateLimit, false},
 		{"the release may have overtaken the cancel", delivered(false, 1), 1, true},
 		{"it was repeated since", delivered(false, 1+MaxCancelDelay), 1 + MaxCancelDelay, false},
 		{"the prefill may run on", delivered(true, 1+limits.MaxCancelledPrefill-1), 1 + limits.MaxCancelledPrefill - 1, true},
--- a/decide/heldstate/releases.go
+++ b/decide/heldstate/releases.go
@@ -11,11 +11,11 @@
 	var due []string
 	for _, name := range slices.Sorted(maps.Keys(l.entries)) {
 		e := l.entries[name]
-		if at, ok := l.nextRelease(e); !ok || at > now {
+		if at, ok := l.nextReleaseAt(e); !ok || at > now {
 			continue
 		}
-		if e.dueSince == 0 {
-			e.dueSince = now
+		if e.pendingSince == 0 {
+			e.pendingSince = now
 		}
 		e.releasing = true
 		due = append(due, name)
@@ -26,7 +26,7 @@
 // ReleaseDeadline returns when the release in flight at an engine is to be given up.
 func (l *Ledger) ReleaseDeadline(engine string) Time {
 	if e := l.entries[engine]; e != nil {
-		return e.dueSince + l.limits.ReleaseTimeout
+		return e.pendingSince + l.limits.ReleaseTimeout
 	}
 	return 0
 }
@@ -40,14 +40,14 @@
 	e.releasing, e.releaseForced = false, false
 	switch {
 	case delivered && !l.finished && l.attemptState != noAttempt:
-		e.lastAttempted = now // an attempt may have been waiting for the state
+		e.lastUncertainAt = now // an attempt may have been waiting for the state
 	case delivered:
-		if e.delivered++; e.delivered == 1 {
-			e.firstDelivery = now
+		if e.deliveredCount++; e.deliveredCount == 1 {
+			e.firstDeliveredAt = now
 		}
-		e.lastRelease = now
-	case now >= e.dueSince+l.limits.ReleaseTimeout:
-		e.givenUp = true
+		e.lastDeliveredAt = now
+	case now >= e.pendingSince+l.limits.ReleaseTimeout:
+		e.abandoned = true
 	}
 }
 
@@ -68,7 +68,7 @@
 // for the state until now, so that no release had an effect.
 func (l *Ledger) RepeatReleases() {
 	for _, e := range l.entries {
-		e.delivered, e.lastRelease, e.lastAttempted = 0, 0, 0
+		e.deliveredCount, e.lastDeliveredAt, e.lastUncertainAt = 0, 0, 0
 	}
 }
 
@@ -87,7 +87,7 @@
 		return false
 	}
 	for _, e := range l.entries {
-		if _, due := l.nextRelease(e); due || e.releasing {
+		if _, due := l.nextReleaseAt(e); due || e.releasing {
 			return false
 		}
 	}
@@ -99,11 +99,11 @@
 // run on and leave state when the gateway has ended. Engines that have been out of reach for
 // maxDrainWait are not waited for.
 func (l *Ledger) BlocksDrain(now Time) bool {
-	wait := max(maxDrainWait*l.limits.HeldStateLimit, minDrainWait)
+	wait := max(drainWaitFactor*l.limits.HeldStateLimit, minDrainWait)
 	for _, e := range l.entries {
-		undelivered := e.delivered == 0 && (e.dueSince == 0 || now < e.dueSince+wait)
-		_, repeated := l.nextRepeat(e)
-		if !e.givenUp && (undelivered || e.delivered > 0 && repeated) {
+		undelivered := e.deliveredCount == 0 && (e.pendingSince == 0 || now < e.pendingSince+wait)
+		_, repeated := l.nextRepeatAt(e)
+		if !e.abandoned && (undelivered || e.deliveredCount > 0 && repeated) {
 			return true
 		}
 	}
--- a/decide/heldstate/schedule.go
+++ b/decide/heldstate/schedule.go
@@ -18,50 +18,50 @@
 	case l.stateHolder != "" || l.attemptState == confirmed:
 		return 0, false
 	case l.attemptState == unconfirmed:
-		return l.noAttemptSince + l.stateWait(), true
+		return l.noAttemptSince + l.maxStateWait(), true
 	}
 	return 0, true
 }
 
-// nextRelease returns when the next release at an engine is due; false if none is.
-func (l *Ledger) nextRelease(e *engineEntry) (at Time, ok bool) {
-	from, ok := l.releasableAt(e)
-	if !ok || e.releasing || e.givenUp {
+// nextReleaseAt returns when the next release at an engine is due; false if none is.
+func (l *Ledger) nextReleaseAt(e *engineEntry) (at Time, ok bool) {
+	earliest, ok := l.releasableAt(e)
+	if !ok || e.releasing || e.abandoned {
 		return 0, false
 	}
 	if e.releaseForced {
-		return from, true
+		return earliest, true
 	}
-	if e.lastAttempted > 0 {
-		from = max(from, e.lastAttempted+l.repeatInterval())
+	if e.lastUncertainAt > 0 {
+		earliest = max(earliest, e.lastUncertainAt+l.repeatInterval())
 	}
-	if e.delivered == 0 {
-		return from, true
+	if e.deliveredCount == 0 {
+		return earliest, true
 	}
-	at, ok = l.nextRepeat(e)
-	return max(from, at), ok
+	at, ok = l.nextRepeatAt(e)
+	return max(earliest, at), ok
 }
 
-// nextRepeat returns when a release that was delivered is due once more; false if it is not.
-func (l *Ledger) nextRepeat(e *engineEntry) (at Time, ok bool) {
-	at, ok = l.afterCancels(e)
-	prefillMayRun := e.prefillMayRun && e.lastRelease < e.firstDelivery+l.limits.MaxCancelledPrefill
-	if repeat := e.lastRelease + l.repeatInterval(); prefillMayRun && (!ok || repeat < at) {
+// nextRepeatAt returns when a release that was delivered is due once more; false if it is not.
+func (l *Ledger) nextRepeatAt(e *engineEntry) (at Time, ok bool) {
+	at, ok = l.repeatAfterCancelAt(e)
+	prefillMayRun := e.prefillMayRun && e.lastDeliveredAt < e.firstDeliveredAt+l.limits.MaxCancelledPrefill
+	if repeat := e.lastDeliveredAt + l.repeatInterval(); prefillMayRun && (!ok || repeat < at) {
 		return repeat, true
 	}
 	return at, ok
 }
 
-// afterCancels returns when a release is due again because the latest may have overtaken the cancel
+// repeatAfterCancelAt returns when a release is due again because the latest may have overtaken the cancel
 // of an attempt at another engine: until that engine knows of it, the attempt waits for the state,
 // and a release does not free it.
-func (l *Ledger) afterCancels(e *engineEntry) (at Time, ok bool) {
-	for _, other := range l.entries {
-		if !other.attemptLost || other.delivered == 0 {
+func (l *Ledger) repeatAfterCancelAt(e *engineEntry) (at Time, ok bool) {
+	for _, cancelled := range l.entries {
+		if !cancelled.attemptLost || cancelled.deliveredCount == 0 {
 			continue
 		}
-		if known := other.firstDelivery + MaxCancelDelay; e.lastRelease < known && (!ok || known < at) {
-			at, ok = known, true
+		if cancelKnownAt := cancelled.firstDeliveredAt + MaxCancelDelay; e.lastDeliveredAt < cancelKnownAt && (!ok || cancelKnownAt < at) {
+			at, ok = cancelKnownAt, true
 		}
 	}
 	return at, ok
@@ -76,11 +76,11 @@
 		}
 	}
 	for _, e := range l.entries {
-		if t, due := l.nextRelease(e); due {
+		if t, due := l.nextReleaseAt(e); due {
 			consider(t)
 		}
 	}
-	if expires, runs := l.expiresAt(); runs {
+	if expires, waiting := l.expiresAt(); waiting {
 		consider(expires)
 	}
 	return at, ok
