--- a/decide/lifecycle/connection.go
+++ b/decide/lifecycle/connection.go
@@ -28,22 +28,22 @@
 	if s.KeepAlive {
 		return KeepOpen, time.Time{}
 	}
-	switch firstByteUntil := c.Opened.Add(FirstByteTimeout); {
+	switch firstByteDeadline := c.Opened.Add(FirstByteTimeout); {
 	case c.InFlight:
 		return keepOpenUntil(now, s.AnswerDeadline, AbortAnswer)
 	case c.PartialRequest:
 		return keepOpenUntil(now, s.RequestDeadline, RejectRequest)
-	case !c.Answered && now.Before(firstByteUntil):
-		return KeepOpen, firstByteUntil
+	case !c.Answered && now.Before(firstByteDeadline):
+		return KeepOpen, firstByteDeadline
 	case c.UnreadBytes && s.AcceptsRequest(now): // it is about to be read
-		return KeepOpen, earliest(now.Add(unreadRecheck), s.RequestDeadline)
+		return KeepOpen, earliest(now.Add(unreadRecheckInterval), s.RequestDeadline)
 	}
 	return CloseIdle, time.Time{}
 }
 
-func keepOpenUntil(now, bound time.Time, then Decision) (Decision, time.Time) {
-	if now.Before(bound) {
-		return KeepOpen, bound
+func keepOpenUntil(now, deadline time.Time, afterDeadline Decision) (Decision, time.Time) {
+	if now.Before(deadline) {
+		return KeepOpen, deadline
 	}
-	return then, time.Time{}
+	return afterDeadline, time.Time{}
 }
--- a/decide/lifecycle/golden_test.go
+++ b/decide/lifecycle/golden_test.go
@@ -48,11 +48,11 @@
 
 // hashProcess drives one process and adds to the hash what it decides.
 func hashProcess(sum hash.Hash, rng *rand.Rand, bits int) {
-	longest := func() time.Duration { return time.Duration(50+rng.IntN(70_000)) * time.Millisecond }
+	drawWait := func() time.Duration { return time.Duration(50+rng.IntN(70_000)) * time.Millisecond }
 	if rng.IntN(2) == 0 { // short waits, where the steps of the end share what time there is
-		longest = func() time.Duration { return time.Duration(1+rng.IntN(4000)) * time.Millisecond }
+		drawWait = func() time.Duration { return time.Duration(1+rng.IntN(4000)) * time.Millisecond }
 	}
-	p := New(Limits{MaxFirstEventWait: longest(), KillExpected: bits&1 != 0, ClientsResume: bits&2 != 0, SharedSocket: bits&4 != 0})
+	p := New(Limits{MaxFirstEventWait: drawWait(), KillExpected: bits&1 != 0, ClientsResume: bits&2 != 0, SharedSocket: bits&4 != 0})
 	now := time.Duration(0)
 	for range goldenEvents {
 		kind := rng.IntN(16)
@@ -64,7 +64,7 @@
 		default:
 			now += time.Duration(rng.IntN(400)) * time.Millisecond
 		}
-		actions, accepted := p.Handle(at(now), goldenEvent(kind, longest))
+		actions, accepted := p.Handle(at(now), goldenEvent(kind, drawWait))
 		hashNumbers(sum, int64(kind), int64(now), number(accepted), int64(len(actions)))
 		for _, a := range actions {
 			hashNumbers(sum, int64(a))
@@ -74,17 +74,17 @@
 			int64(s.State), number(s.Draining), number(s.Healthy), number(s.KeepAlive), number(s.Listening),
 			int64(since(s.RequestDeadline)), int64(since(s.AnswerDeadline)), number(s.AcceptsRequest(at(now))))
 		for flags := range 16 {
-			opened := now - time.Duration(rng.IntN(600))*time.Millisecond
-			v, next := s.DecideConnection(at(now), Connection{
-				Opened: at(opened), Answered: flags&1 != 0, InFlight: flags&2 != 0, PartialRequest: flags&4 != 0, UnreadBytes: flags&8 != 0,
+			openedAt := now - time.Duration(rng.IntN(600))*time.Millisecond
+			decision, next := s.DecideConnection(at(now), Connection{
+				Opened: at(openedAt), Answered: flags&1 != 0, InFlight: flags&2 != 0, PartialRequest: flags&4 != 0, UnreadBytes: flags&8 != 0,
 			})
-			hashNumbers(sum, int64(v), int64(since(next)))
+			hashNumbers(sum, int64(decision), int64(since(next)))
 		}
 	}
 }
 
 // goldenEvent returns the event that a number stands for.
-func goldenEvent(kind int, longest func() time.Duration) Event {
+func goldenEvent(kind int, drawWait func() time.Duration) Event {
 	switch kind {
 	case 0, 1:
 		return Drain{}
@@ -97,7 +97,7 @@
 	case 6:
 		return ListenerLost{}
 	case 7, 8:
-		return SettingsChanged{longest()}
+		return SettingsChanged{drawWait()}
 	case 9, 10:
 		return ClientsIdle{}
 	case 11:
--- a/decide/lifecycle/lifecycle_test.go
+++ b/decide/lifecycle/lifecycle_test.go
@@ -27,33 +27,33 @@
 // longest wait shorter. It never takes more than the first ones gave.
 func TestAbortFollowsSettings(t *testing.T) {
 	for _, c := range []struct {
-		first, before, after time.Duration // waits at the start, read anew before and after SIGTERM; 0 for none
-		want                 time.Duration // from SIGTERM to the refusals that come before the cut
+		initial, beforeTerminate, afterTerminate time.Duration // waits at the start, read anew before and after SIGTERM; 0 for none
+		want                                     time.Duration // from SIGTERM to the refusals that come before the cut
 	}{
 		{2 * second, 0, 0, 1600 * time.Millisecond}, {2 * second, second, 0, 600 * time.Millisecond},
 		{2 * second, 4 * second, 0, 1600 * time.Millisecond}, {60 * second, 0, 0, 2600 * time.Millisecond},
 		{60 * second, 4 * second, 0, 2600 * time.Millisecond}, {60 * second, 0, 2 * second, 1600 * time.Millisecond},
 		{2 * second, second, 3 * second, 600 * time.Millisecond}, {300 * time.Millisecond, 0, 0, AcceptGrace},
 	} {
-		p := New(Limits{MaxFirstEventWait: c.first, KillExpected: true, ClientsResume: true})
-		if c.before > 0 {
-			p.Handle(at(0), SettingsChanged{c.before})
+		p := New(Limits{MaxFirstEventWait: c.initial, KillExpected: true, ClientsResume: true})
+		if c.beforeTerminate > 0 {
+			p.Handle(at(0), SettingsChanged{c.beforeTerminate})
 		}
 		p.Handle(at(0), Terminate{})
-		if c.after > 0 {
-			p.Handle(at(0), SettingsChanged{c.after})
+		if c.afterTerminate > 0 {
+			p.Handle(at(0), SettingsChanged{c.afterTerminate})
 		}
 		if got := since(p.NextTick()); got != c.want {
-			t.Errorf("waits %v, %v, %v: refusals after %v, want %v", c.first, c.before, c.after, got, c.want)
+			t.Errorf("waits %v, %v, %v: refusals after %v, want %v", c.initial, c.beforeTerminate, c.afterTerminate, got, c.want)
 		}
-		kill := min(c.first, maxKillWait) + minKillDelay
-		for _, w := range []time.Duration{c.before, c.after} {
+		kill := min(c.initial, maxKillWait) + minKillDelay
+		for _, w := range []time.Duration{c.beforeTerminate, c.afterTerminate} {
 			if w > 0 {
 				kill = min(kill, w+minKillDelay)
 			}
 		}
 		if _, end := runToEnd(t, p); end > kill-killMargin {
-			t.Errorf("waits %v, %v, %v: ends after %v, killed after %v", c.first, c.before, c.after, end, kill)
+			t.Errorf("waits %v, %v, %v: ends after %v, killed after %v", c.initial, c.beforeTerminate, c.afterTerminate, end, kill)
 		}
 	}
 }
@@ -79,9 +79,9 @@
 // clients ask for the rest are streams cut off for it.
 func TestShutdownSteps(t *testing.T) {
 	for _, c := range []struct {
-		limits              Limits
-		stop, refuse, exit  time.Duration
-		requestsUntil, cuts time.Duration
+		limits                             Limits
+		stopListening, rejectWaiting, exit time.Duration
+		requestDeadline, abortStreams      time.Duration
 	}{
 		{Limits{MaxFirstEventWait: 3 * second, KillExpected: true}, AcceptGrace, 3300 * time.Millisecond, 303*second + 500*time.Millisecond, 650 * time.Millisecond, 303 * second},
 		{Limits{MaxFirstEventWait: 3 * second}, AcceptGrace, 303 * second, 303*second + 500*time.Millisecond, 650 * time.Millisecond, 303 * second},
@@ -90,24 +90,24 @@
 		{Limits{MaxFirstEventWait: 3 * second, KillExpected: true, ClientsResume: true, SharedSocket: true}, 0, 2600 * time.Millisecond, 3400 * time.Millisecond, 150 * time.Millisecond, 2900 * time.Millisecond},
 	} {
 		p := New(c.limits)
-		first, _ := p.Handle(at(0), Terminate{})
-		seen := map[Action]time.Duration{}
-		for _, a := range first {
-			seen[a] = 0
+		initialActions, _ := p.Handle(at(0), Terminate{})
+		actionTimes := map[Action]time.Duration{}
+		for _, a := range initialActions {
+			actionTimes[a] = 0
 		}
-		var requests time.Duration
+		var requestDeadline time.Duration
 		for p.State() != Ended {
 			next := p.NextTick()
-			if s := p.Service(); !s.KeepAlive && requests == 0 {
-				requests = since(s.RequestDeadline)
+			if s := p.Service(); !s.KeepAlive && requestDeadline == 0 {
+				requestDeadline = since(s.RequestDeadline)
 			}
 			more, _ := p.Handle(next, Tick{})
 			for _, a := range more {
-				seen[a] = since(next)
+				actionTimes[a] = since(next)
 			}
 		}
-		if seen[StopListening] != c.stop || seen[RejectWaiting] != c.refuse || seen[AbortStreams] != c.cuts || seen[Exit] != c.exit || requests != c.requestsUntil {
-			t.Errorf("%+v: requests until %v, actions %v", c.limits, requests, seen)
+		if actionTimes[StopListening] != c.stopListening || actionTimes[RejectWaiting] != c.rejectWaiting || actionTimes[AbortStreams] != c.abortStreams || actionTimes[Exit] != c.exit || requestDeadline != c.requestDeadline {
+			t.Errorf("%+v: requests until %v, actions %v", c.limits, requestDeadline, actionTimes)
 		}
 	}
 }
@@ -117,12 +117,12 @@
 	limits := Limits{MaxFirstEventWait: 3 * second, KillExpected: true, ClientsResume: true}
 	for _, c := range []struct {
 		name              string
-		shared            bool
+		sharedSocket      bool
 		events            []Event
 		state             State
 		healthy, reusable bool
 		listening         bool
-		requestsUntil     time.Duration // -1 for no bound
+		requestDeadline   time.Duration // -1 for no bound
 		accepted          bool          // of the last event
 	}{
 		{"serving", false, []Event{Tick{}}, Serving, true, true, true, -1, true},
@@ -145,14 +145,14 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			limits := limits
-			limits.SharedSocket = c.shared
+			limits.SharedSocket = c.sharedSocket
 			p := New(limits)
 			accepted := false
 			for _, e := range c.events {
 				_, accepted = p.Handle(at(0), e)
 			}
 			s := p.Service()
-			if s.State != c.state || s.Healthy != c.healthy || s.KeepAlive != c.reusable || s.Listening != c.listening || since(s.RequestDeadline) != c.requestsUntil || accepted != c.accepted {
+			if s.State != c.state || s.Healthy != c.healthy || s.KeepAlive != c.reusable || s.Listening != c.listening || since(s.RequestDeadline) != c.requestDeadline || accepted != c.accepted {
 				t.Errorf("%+v, accepted %v", s, accepted)
 			}
 		})
@@ -174,7 +174,7 @@
 		{"rests", 0, Connection{Opened: at(-second), Answered: true}, CloseIdle, -1},
 		{"new", 0, Connection{Opened: at(0)}, KeepOpen, FirstByteTimeout},
 		{"never used", 0, Connection{Opened: at(-second)}, CloseIdle, -1},
-		{"a request arrives", 0, Connection{Opened: at(-second), Answered: true, UnreadBytes: true}, KeepOpen, unreadRecheck},
+		{"a request arrives", 0, Connection{Opened: at(-second), Answered: true, UnreadBytes: true}, KeepOpen, unreadRecheckInterval},
 		{"a request arrives late", DrainRequestTimeout, Connection{Opened: at(-second), Answered: true, UnreadBytes: true}, CloseIdle, -1},
 		{"a request has begun", second, Connection{Opened: at(-second), PartialRequest: true}, KeepOpen, DrainRequestTimeout},
 		{"a request is not whole in time", DrainRequestTimeout, Connection{Opened: at(-second), PartialRequest: true}, RejectRequest, -1},
@@ -308,8 +308,8 @@
 	if c.InFlight {
 		latest = s.AnswerDeadline
 	}
-	if fresh := c.Opened.Add(FirstByteTimeout); latest.Before(fresh) {
-		latest = fresh
+	if firstByteDeadline := c.Opened.Add(FirstByteTimeout); latest.Before(firstByteDeadline) {
+		latest = firstByteDeadline
 	}
 	if latest.Before(at(now)) {
 		latest = at(now)
@@ -332,13 +332,13 @@
 // checkActions states that what has no answer is refused, then failed, before streams are cut off,
 // that each is done once, and that the process exits.
 func checkActions(t *rapid.T, actions []Action) {
-	var last []Action
+	var shutdownActions []Action
 	for _, a := range actions {
 		if a == RejectWaiting || a == FailWaiting || a == AbortStreams || a == Exit {
-			last = append(last, a)
+			shutdownActions = append(shutdownActions, a)
 		}
 	}
-	if want := []Action{RejectWaiting, FailWaiting, AbortStreams, Exit}; !slices.Equal(last, want) {
-		t.Fatalf("actions %v", last)
+	if want := []Action{RejectWaiting, FailWaiting, AbortStreams, Exit}; !slices.Equal(shutdownActions, want) {
+		t.Fatalf("actions %v", shutdownActions)
 	}
 }
--- a/decide/lifecycle/process.go
+++ b/decide/lifecycle/process.go
@@ -21,19 +21,21 @@
 
 // Process is the state of one process. Use New.
 type Process struct {
-	limits         Limits        // those in force; a process that ends keeps the shortest wait since
-	initialMaxWait time.Duration // Limits.MaxFirstEventWait at the start
-	phase          State         // Serving, or a state from Leaving on
-	drainingSince  time.Time     // zero while it does not drain
-	handedOverAt   time.Time     // zero before a hand-over
-	terminatedAt   time.Time     // of Terminate or ListenerLost; zero before
-	finishingSince time.Time     // since when nothing new is accepted; zero before
-	listenerLost   bool          // the loss of the listener ended it, not a signal
-	shutdown       shutdownPlan  // set from terminatedAt on
+	limits                   Limits        // those in force; a process that ends keeps the shortest wait since
+	initialMaxFirstEventWait time.Duration // Limits.MaxFirstEventWait at the start
+	phase                    State         // Serving, or a state from Leaving on
+	drainingSince            time.Time     // zero while it does not drain
+	handedOverAt             time.Time     // zero before a hand-over
+	terminatedAt             time.Time     // of Terminate or ListenerLost; zero before
+	finishingSince           time.Time     // since when nothing new is accepted; zero before
+	listenerLost             bool          // the loss of the listener ended it, not a signal
+	shutdown                 shutdownPlan  // set from terminatedAt on
 }
 
 // New returns a process that serves.
-func New(l Limits) *Process { return &Process{limits: l, initialMaxWait: l.MaxFirstEventWait} }
+func New(l Limits) *Process {
+	return &Process{limits: l, initialMaxFirstEventWait: l.MaxFirstEventWait}
+}
 
 // State returns what the process is doing.
 func (p *Process) State() State {
@@ -70,9 +72,9 @@
 	case SettingsChanged:
 		p.changeSettings(e.MaxFirstEventWait)
 	case ClientsIdle:
-		actions = p.clientsIdle(now)
+		actions = p.handleClientsIdle(now)
 	case WorkCompleted:
-		actions = p.allDone()
+		actions = p.handleWorkCompleted()
 	}
 	return append(actions, p.advance(now)...), accepted
 }
@@ -118,25 +120,25 @@
 
 // changeSettings applies other settings. A process that ends keeps to the shortest wait that was
 // in force since: the kill may go by any of them.
-func (p *Process) changeSettings(maxWait time.Duration) {
+func (p *Process) changeSettings(maxFirstEventWait time.Duration) {
 	if p.terminatedAt.IsZero() {
-		p.limits.MaxFirstEventWait = maxWait
+		p.limits.MaxFirstEventWait = maxFirstEventWait
 		return
 	}
-	p.limits.MaxFirstEventWait = min(p.limits.MaxFirstEventWait, maxWait)
+	p.limits.MaxFirstEventWait = min(p.limits.MaxFirstEventWait, maxFirstEventWait)
 	p.shutdown = p.planShutdown()
 }
 
-// clientsIdle ends the wait for clients to notice, but not before AcceptGrace is over.
-func (p *Process) clientsIdle(now time.Time) []Action {
+// handleClientsIdle ends the wait for clients to notice, but not before AcceptGrace is over.
+func (p *Process) handleClientsIdle(now time.Time) []Action {
 	if p.phase != Terminating || now.Before(p.shutdown.acceptUntil) {
 		return nil
 	}
 	return p.startFinishing(now)
 }
 
-// allDone ends a process at once that accepts nothing any more.
-func (p *Process) allDone() []Action {
+// handleWorkCompleted ends a process at once that accepts nothing any more.
+func (p *Process) handleWorkCompleted() []Action {
 	if p.phase < Finishing || p.phase == Ended {
 		return nil
 	}
@@ -151,7 +153,7 @@
 
 // advance takes the steps of the shutdown that are due by now.
 func (p *Process) advance(now time.Time) (actions []Action) {
-	for due := p.NextTick(); !due.IsZero() && !now.Before(due); due = p.NextTick() {
+	for next := p.NextTick(); !next.IsZero() && !now.Before(next); next = p.NextTick() {
 		if p.phase == Terminating {
 			actions = append(actions, p.startFinishing(now)...)
 			continue
--- a/decide/lifecycle/service.go
+++ b/decide/lifecycle/service.go
@@ -25,15 +25,15 @@
 	s.State, s.Draining = p.State(), !p.drainingSince.IsZero()
 	if s.Draining {
 		s.Healthy = false
-		s.endConnections(p.drainingSince.Add(DrainRequestTimeout), p.drainingSince.Add(p.answerTimeout()))
+		s.disableKeepAlive(p.drainingSince.Add(DrainRequestTimeout), p.drainingSince.Add(p.answerTimeout()))
 	}
 	if !p.handedOverAt.IsZero() {
 		s.Healthy, s.Listening = false, false
-		s.endConnections(p.handedOverAt.Add(HandOverRequestTimeout), p.handedOverAt.Add(p.answerTimeout()))
+		s.disableKeepAlive(p.handedOverAt.Add(HandOverRequestTimeout), p.handedOverAt.Add(p.answerTimeout()))
 	}
 	if p.phase >= Finishing {
 		s.Healthy, s.Listening = false, false
-		s.endConnections(
+		s.disableKeepAlive(
 			earliest(p.finishingSince.Add(ShutdownRequestTimeout), p.shutdown.failWaiting),
 			p.shutdown.abortStreams,
 		)
@@ -41,8 +41,8 @@
 	return s
 }
 
-// endConnections has connections end with their answers. Of several deadlines the earliest hold.
-func (s *Service) endConnections(requestDeadline, answerDeadline time.Time) {
+// disableKeepAlive has connections end with their answers. Of several deadlines the earliest hold.
+func (s *Service) disableKeepAlive(requestDeadline, answerDeadline time.Time) {
 	s.KeepAlive = false
 	s.RequestDeadline = earliest(s.RequestDeadline, requestDeadline)
 	s.AnswerDeadline = earliest(s.AnswerDeadline, answerDeadline)
--- a/decide/lifecycle/timing.go
+++ b/decide/lifecycle/timing.go
@@ -20,8 +20,8 @@
 	// FirstByteTimeout is how long a new connection may take to bring its first byte.
 	FirstByteTimeout = 300 * time.Millisecond
 
-	// unreadRecheck is the time until bytes that have arrived are looked for again.
-	unreadRecheck = 20 * time.Millisecond
+	// unreadRecheckInterval is the time until bytes that have arrived are looked for again.
+	unreadRecheckInterval = 20 * time.Millisecond
 )
 
 // When SIGKILL comes, on the platform: the longest wait of clients, or maxKillWait if that is
