--- a/decide/deduplication/eviction.go
+++ b/decide/deduplication/eviction.go
@@ -9,15 +9,15 @@
 // A search for room visits every entry. A team that floods a full table must not cause one with each
 // of its requests.
 const (
-	searchInterval    = time.Second // between failed searches of one team
-	maxFailedSearches = 256         // teams remembered; beyond it all are forgotten
+	evictionRetryInterval = time.Second // between failed searches of one team
+	maxFailedEvictions    = 256         // teams remembered; beyond it all are forgotten
 )
 
 // Parts of the table that one eviction frees, so that the next requests find room without a search.
 const (
-	evictedAnswersPart = 8  // of the answers of the largest team
-	answerBytesPart    = 16 // of the bytes of all answers
-	evictedEntriesPart = 64 // of all entries
+	evictedAnswersDivisor = 8  // of the answers of the largest team
+	freedBytesDivisor     = 16 // of the bytes of all answers
+	evictedEntriesDivisor = 64 // of all entries
 )
 
 // evictAnswers drops answers, oldest first, of the team that has the most bytes of them, until the rest
@@ -25,9 +25,9 @@
 func (t *Table) evictAnswers() {
 	for t.answerBytes > t.limits.MaxTotalAnswerBytes {
 		answered := t.answeredBy(t.teamWithMostAnswerBytes())
-		for _, e := range answered[:max(1, len(answered)/evictedAnswersPart)] {
+		for _, e := range answered[:max(1, len(answered)/evictedAnswersDivisor)] {
 			t.dropAnswer(e)
-			if t.answerBytes <= t.limits.MaxTotalAnswerBytes-t.limits.MaxTotalAnswerBytes/answerBytesPart {
+			if t.answerBytes <= t.limits.MaxTotalAnswerBytes-t.limits.MaxTotalAnswerBytes/freedBytesDivisor {
 				return
 			}
 		}
@@ -66,33 +66,33 @@
 	return cmp.Or(a.Since.Compare(b.Since), cmp.Compare(a.Key.Name, b.Key.Name))
 }
 
-// reserveEntry makes room for one more entry of a team, and reports whether there is any. If need be it
+// ensureCapacity makes room for one more entry of a team, and reports whether there is any. If need be it
 // removes complete entries that are past MinRetention; see removableFor.
-func (t *Table) reserveEntry(now time.Time, team string) bool {
-	if t.hasRoom(team) {
+func (t *Table) ensureCapacity(now time.Time, team string) bool {
+	if t.hasCapacity(team) {
 		return true
 	}
-	if failed, ok := t.failedSearches[team]; ok && now.Sub(failed) < searchInterval && !now.Before(failed) {
+	if failedAt, ok := t.failedEvictions[team]; ok && now.Sub(failedAt) < evictionRetryInterval && !now.Before(failedAt) {
 		return false
 	}
-	if t.Expire(now); t.hasRoom(team) {
+	if t.Expire(now); t.hasCapacity(team) {
 		return true
 	}
 	removable := t.removableFor(team, now)
 	if len(removable) == 0 {
-		if len(t.failedSearches) >= maxFailedSearches {
-			clear(t.failedSearches)
+		if len(t.failedEvictions) >= maxFailedEvictions {
+			clear(t.failedEvictions)
 		}
-		t.failedSearches[team] = now
+		t.failedEvictions[team] = now
 		return false
 	}
-	for _, e := range removable[:max(1, min(len(removable), t.limits.MaxEntries/evictedEntriesPart))] {
+	for _, e := range removable[:max(1, min(len(removable), t.limits.MaxEntries/evictedEntriesDivisor))] {
 		t.remove(e)
 	}
 	return true
 }
 
-func (t *Table) hasRoom(team string) bool {
+func (t *Table) hasCapacity(team string) bool {
 	return !t.atTeamLimit(team) && len(t.entries) < t.limits.MaxEntries
 }
 
--- a/decide/deduplication/golden_test.go
+++ b/decide/deduplication/golden_test.go
@@ -70,10 +70,10 @@
 	table := newTable()
 	stored := map[Key]Entry{} // what a file would hold
 	running := map[Key]string{}
-	forget := func() {
-		dropped := table.PopRemoved()
-		rec.keys(dropped)
-		for _, k := range dropped {
+	applyRemovals := func() {
+		removed := table.PopRemoved()
+		rec.keys(removed)
+		for _, k := range removed {
 			delete(stored, k)
 		}
 	}
@@ -98,7 +98,7 @@
 			decision, e := table.Begin(now, request)
 			rec.Number(int64(decision))
 			rec.entry(e)
-			if forget(); decision == Run {
+			if applyRemovals(); decision == Run {
 				running[request.Key], stored[request.Key] = request.RequestID, e
 			}
 		case kind < 35:
@@ -113,17 +113,17 @@
 				delete(running, k)
 			}
 			outcome := []Outcome{OutcomeNotRun, OutcomeCompleted, OutcomeCompleted, OutcomeCompleted, OutcomeIndeterminate}[rng.IntN(5)]
-			e, kept := table.End(now, k, id, outcome, "text/plain", make([]byte, rng.IntN(60)))
+			e, remembered := table.End(now, k, id, outcome, "text/plain", make([]byte, rng.IntN(60)))
 			rec.entry(e)
-			rec.Flag(kept)
-			if forget(); kept {
+			rec.Flag(remembered)
+			if applyRemovals(); remembered {
 				stored[k] = e
 			}
 		case kind < 37:
 			table.RecordRefusal(now, drawKey())
 		case kind < 39:
 			table.Expire(now)
-			forget()
+			applyRemovals()
 		case rng.IntN(20) == 0: // a restart
 			var entries []Entry
 			for _, k := range slices.SortedFunc(maps.Keys(stored), compareKeys) {
@@ -151,14 +151,14 @@
 	const want = "285231c93e1967c538fb3308137b34b5c85d970d013c7776ecb966c736b84f8a"
 	rec := recorder{golden.NewRecorder()}
 	for bits := range 16 {
-		e := Result{Complete: bits&1 > 0, Refused: bits&2 > 0, RejectedByEngine: bits&4 > 0, MayHaveRun: bits&8 > 0}
-		rec.Number(int64(e.Outcome()))
+		result := Result{Complete: bits&1 > 0, Refused: bits&2 > 0, RejectedByEngine: bits&4 > 0, MayHaveRun: bits&8 > 0}
+		rec.Number(int64(result.Outcome()))
 	}
-	for said := range 4 {
-		for shown := range 4 {
+	for configured := range 4 {
+		for observed := range 4 {
 			for bits := range 4 {
-				o := Topology{StickyKeys: bits&1 > 0, PeersEnabled: bits&2 > 0, ConfiguredGateways: said, ObservedGateways: shown}
-				rec.Flag(o.AttemptsMayReachOtherGateways())
+				topology := Topology{StickyKeys: bits&1 > 0, PeersEnabled: bits&2 > 0, ConfiguredGateways: configured, ObservedGateways: observed}
+				rec.Flag(topology.AttemptsMayReachOtherGateways())
 			}
 		}
 	}
--- a/decide/deduplication/refusals.go
+++ b/decide/deduplication/refusals.go
@@ -12,8 +12,8 @@
 // run: that many retries under the key are safe here. Entries age out by generation. To lose one costs
 // a retry that would have been safe, and nothing else. A nil history is empty.
 type refusalHistory struct {
-	current, previous map[string]int
-	startedAt         time.Time // when current began
+	newer, older   map[string]int
+	newerStartedAt time.Time // when current began
 }
 
 // count returns the refused attempts under a key.
@@ -22,27 +22,27 @@
 		return 0
 	}
 	h.rotate(now)
-	return max(h.current[name], h.previous[name])
+	return max(h.newer[name], h.older[name])
 }
 
 // record adds a refused attempt. A full generation is replaced at once, whatever its age.
 func (h *refusalHistory) record(now time.Time, name string) {
 	refused := h.count(now, name) + 1
-	if len(h.current) >= maxRefusalsPerGeneration {
-		h.previous, h.current = h.current, nil
+	if len(h.newer) >= maxRefusalsPerGeneration {
+		h.older, h.newer = h.newer, nil
 	}
-	if h.current == nil {
-		h.current, h.startedAt = map[string]int{}, now
+	if h.newer == nil {
+		h.newer, h.newerStartedAt = map[string]int{}, now
 	}
-	h.current[name] = refused
+	h.newer[name] = refused
 }
 
 // rotate makes a generation that is old enough the previous one, and drops the previous one.
 func (h *refusalHistory) rotate(now time.Time) {
-	switch age := now.Sub(h.startedAt); {
+	switch age := now.Sub(h.newerStartedAt); {
 	case age >= 2*refusalGenerationAge:
-		h.current, h.previous = nil, nil
+		h.newer, h.older = nil, nil
 	case age >= refusalGenerationAge:
-		h.previous, h.current, h.startedAt = h.current, nil, now
+		h.older, h.newer, h.newerStartedAt = h.newer, nil, now
 	}
 }
--- a/decide/deduplication/table.go
+++ b/decide/deduplication/table.go
@@ -17,10 +17,10 @@
 	answerBytes int64                 // of all answers kept
 	// uncertainUntil is when entries that were lost at the restart would have been removed at the latest:
 	// until then an unseen key may be one of them.
-	uncertainUntil time.Time
-	refusals       map[string]*refusalHistory // by team
-	removed        []Key                      // see PopRemoved
-	failedSearches map[string]time.Time       // by team: when a search for room failed last
+	uncertainUntil  time.Time
+	refusals        map[string]*refusalHistory // by team
+	removed         []Key                      // see PopRemoved
+	failedEvictions map[string]time.Time       // by team: when a search for room failed last
 }
 
 // teamUsage is what one team's entries take.
@@ -35,11 +35,11 @@
 		return nil, err
 	}
 	return &Table{
-		limits:         l,
-		entries:        map[Key]*Entry{},
-		teams:          map[string]*teamUsage{},
-		failedSearches: map[string]time.Time{},
-		refusals:       map[string]*refusalHistory{},
+		limits:          l,
+		entries:         map[Key]*Entry{},
+		teams:           map[string]*teamUsage{},
+		failedEvictions: map[string]time.Time{},
+		refusals:        map[string]*refusalHistory{},
 	}, nil
 }
 
@@ -86,12 +86,12 @@
 	if r.RetryCount > t.refusals[r.Key.Team].count(now, r.Key.Name) && (r.MayHaveRunOnOtherGateway || now.Before(t.uncertainUntil)) {
 		return PriorOutcomeUnknown, Entry{Key: r.Key}
 	}
-	if !t.reserveEntry(now, r.Key.Team) {
+	if !t.ensureCapacity(now, r.Key.Team) {
 		return CapacityExceeded, Entry{Key: r.Key}
 	}
-	begun := Entry{Key: r.Key, Digest: r.Digest, State: StateRunning, Since: now, RequestID: r.RequestID}
-	t.add(begun)
-	return Run, begun
+	entry := Entry{Key: r.Key, Digest: r.Digest, State: StateRunning, Since: now, RequestID: r.RequestID}
+	t.add(entry)
+	return Run, entry
 }
 
 // decideByEntry decides on a request whose key is remembered. It is never Run.
@@ -124,7 +124,7 @@
 		return Entry{}, false
 	case OutcomeCompleted:
 		e.State, e.ContentType = StateComplete, contentType
-		t.keepAnswer(e, answer)
+		t.storeAnswer(e, answer)
 	default:
 		e.State = StateUnknown
 	}
@@ -171,8 +171,8 @@
 	t.removed = append(t.removed, e.Key)
 }
 
-// keepAnswer keeps the answer of a complete entry, if it is neither empty nor too large.
-func (t *Table) keepAnswer(e *Entry, answer []byte) {
+// storeAnswer keeps the answer of a complete entry, if it is neither empty nor too large.
+func (t *Table) storeAnswer(e *Entry, answer []byte) {
 	if len(answer) == 0 || len(answer) > t.limits.MaxAnswerBytes {
 		return
 	}
--- a/decide/deduplication/table_test.go
+++ b/decide/deduplication/table_test.go
@@ -14,7 +14,7 @@
 
 var t0 = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
-func table(t interface {
+func newTestTable(t interface {
 	Helper()
 	Fatal(...any)
 }, change func(*Limits)) *Table {
@@ -37,11 +37,11 @@
 func TestRepeatOutcomes(t *testing.T) {
 	first := newRequest("a", "k", "d")
 	for name, c := range map[string]struct {
-		end    *Outcome
-		answer string
-		again  Request
-		after  time.Duration
-		want   Decision
+		outcome  *Outcome
+		answer   string
+		repeated Request
+		after    time.Duration
+		want     Decision
 	}{
 		"in progress":               {nil, "", first, time.Second, InProgress},
 		"complete":                  {ptr(OutcomeCompleted), "yes", first, time.Second, Replay},
@@ -59,14 +59,14 @@
 		"in progress for a day":     {nil, "", first, 25 * time.Hour, InProgress},
 	} {
 		t.Run(name, func(t *testing.T) {
-			tb := table(t, nil)
+			tb := newTestTable(t, nil)
 			if v, _ := tb.Begin(t0, first); v != Run {
 				t.Fatalf("%v at first", v)
 			}
-			if c.end != nil {
-				tb.End(t0, first.Key, first.RequestID, *c.end, "text/plain", []byte(c.answer))
+			if c.outcome != nil {
+				tb.End(t0, first.Key, first.RequestID, *c.outcome, "text/plain", []byte(c.answer))
 			}
-			v, e := tb.Begin(t0.Add(c.after), c.again)
+			v, e := tb.Begin(t0.Add(c.after), c.repeated)
 			if v != c.want {
 				t.Errorf("%v, want %v", v, c.want)
 			}
@@ -92,11 +92,11 @@
 
 func TestRetriesUnderUnseenKeys(t *testing.T) {
 	for name, c := range map[string]struct {
-		retry  int
-		others bool
-		clean  bool
-		after  time.Duration
-		want   Decision
+		retryCount    int
+		otherGateways bool
+		cleanShutdown bool
+		after         time.Duration
+		want          Decision
 	}{
 		"a first try":                     {0, false, true, 0, Run},
 		"a first try, other gateways":     {0, true, false, 0, Run},
@@ -111,10 +111,10 @@
 		"a retry many times, all is well": {9, false, true, time.Hour, Run},
 	} {
 		t.Run(name, func(t *testing.T) {
-			tb := table(t, nil)
-			tb.Restore(t0, nil, c.clean)
+			tb := newTestTable(t, nil)
+			tb.Restore(t0, nil, c.cleanShutdown)
 			a := newRequest("a", "k", "d")
-			a.RetryCount, a.MayHaveRunOnOtherGateway = c.retry, c.others
+			a.RetryCount, a.MayHaveRunOnOtherGateway = c.retryCount, c.otherGateways
 			if v, _ := tb.Begin(t0.Add(c.after), a); v != c.want {
 				t.Errorf("%v, want %v", v, c.want)
 			}
@@ -125,24 +125,24 @@
 // Attempts that were refused here did not run: so many retries are safe here, whatever other gateways
 // there may be, and not one more.
 func TestRetryAfterRefusal(t *testing.T) {
-	tb := table(t, nil)
+	tb := newTestTable(t, nil)
 	tb.Restore(t0, nil, false)
-	try := func(at time.Duration, retry int) Decision {
+	begin := func(at time.Duration, retry int) Decision {
 		a := newRequest("a", "k", "d")
 		a.RetryCount, a.MayHaveRunOnOtherGateway = retry, true
 		v, _ := tb.Begin(t0.Add(at), a)
 		return v
 	}
 	for n := range 3 {
-		if v := try(time.Duration(n)*time.Second, n); v != Run {
+		if v := begin(time.Duration(n)*time.Second, n); v != Run {
 			t.Fatalf("after %d attempts refused here: %v", n, v)
 		}
 		tb.End(t0, Key{"a", "k"}, newRequest("a", "k", "d").RequestID, OutcomeNotRun, "", nil)
 	}
-	if v := try(time.Minute, 4); v != PriorOutcomeUnknown {
+	if v := begin(time.Minute, 4); v != PriorOutcomeUnknown {
 		t.Errorf("one of four attempts was made elsewhere: %v", v)
 	}
-	if v := try(time.Hour, 3); v != PriorOutcomeUnknown {
+	if v := begin(time.Hour, 3); v != PriorOutcomeUnknown {
 		t.Errorf("an hour later: %v", v)
 	}
 	for i := range 10 * maxRefusalsPerGeneration { // a flood of another team's costs this one nothing
@@ -152,15 +152,15 @@
 	if n := tb.refusals["a"].count(t0.Add(time.Hour), "k2"); n != 1 {
 		t.Errorf("%d refusals remembered", n)
 	}
-	if b := tb.refusals["b"]; len(b.current)+len(b.previous) > 2*maxRefusalsPerGeneration {
-		t.Errorf("%d refused keys remembered", len(b.current)+len(b.previous))
+	if b := tb.refusals["b"]; len(b.newer)+len(b.older) > 2*maxRefusalsPerGeneration {
+		t.Errorf("%d refused keys remembered", len(b.newer)+len(b.older))
 	}
 }
 
 func TestEarlierAttemptAtOtherGateway(t *testing.T) {
 	for name, c := range map[string]struct {
 		topology Topology
-		may      bool
+		want     bool
 	}{
 		"nothing is said":                        {Topology{ObservedGateways: 1}, true},
 		"one gateway, by the file":               {Topology{ConfiguredGateways: 1, ObservedGateways: 1}, false},
@@ -171,15 +171,15 @@
 		"one found by a catalogue, nothing said": {Topology{ObservedGateways: 0}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if c.topology.AttemptsMayReachOtherGateways() != c.may {
-				t.Errorf("%v", !c.may)
+			if c.topology.AttemptsMayReachOtherGateways() != c.want {
+				t.Errorf("%v", !c.want)
 			}
 		})
 	}
 }
 
 func TestRestoreAfterRestart(t *testing.T) {
-	tb := table(t, nil)
+	tb := newTestTable(t, nil)
 	entry := func(k string, s State, age time.Duration, answer string) Entry {
 		return Entry{Key: Key{"a", k}, Digest: "d", State: s, Since: t0.Add(-age), Answer: []byte(answer)}
 	}
@@ -197,8 +197,8 @@
 // A team that floods the table with keys costs another team neither its keys nor its
 // answers, as long as that one has less than its part.
 func TestFloodOfKeysIsBounded(t *testing.T) {
-	tb := table(t, func(l *Limits) { l.MaxEntries, l.MaxTotalAnswerBytes, l.MaxEntriesPerTeam = 100, 1000, 80 })
-	done := func(now time.Time, a Request) Decision {
+	tb := newTestTable(t, func(l *Limits) { l.MaxEntries, l.MaxTotalAnswerBytes, l.MaxEntriesPerTeam = 100, 1000, 80 })
+	runToCompletion := func(now time.Time, a Request) Decision {
 		v, _ := tb.Begin(now, a)
 		if v == Run {
 			tb.End(now, a.Key, a.RequestID, OutcomeCompleted, "", []byte("0123456789"))
@@ -206,12 +206,12 @@
 		return v
 	}
 	for i := range 10 {
-		done(t0, newRequest("quiet", fmt.Sprint(i), "d"))
+		runToCompletion(t0, newRequest("quiet", fmt.Sprint(i), "d"))
 	}
-	full := 0
+	rejected := 0
 	for i := range 1000 {
-		if done(t0.Add(time.Duration(i)*time.Second), newRequest("loud", fmt.Sprint(i), "d")) == CapacityExceeded {
-			full++
+		if runToCompletion(t0.Add(time.Duration(i)*time.Second), newRequest("loud", fmt.Sprint(i), "d")) == CapacityExceeded {
+			rejected++
 		}
 	}
 	for i := range 10 {
@@ -220,11 +220,11 @@
 		}
 	}
 	for i := range 10 { // and there is still room for more
-		if v := done(t0.Add(time.Hour), newRequest("quiet", fmt.Sprint("more", i), "d")); v != Run {
+		if v := runToCompletion(t0.Add(time.Hour), newRequest("quiet", fmt.Sprint("more", i), "d")); v != Run {
 			t.Errorf("the quiet team's new key %d: %v", i, v)
 		}
 	}
-	if full == 0 {
+	if rejected == 0 {
 		t.Error("keys younger than the minimum retention were removed")
 	}
 }
@@ -237,8 +237,8 @@
 		t.Run(field, func(t *testing.T) {
 			l := DefaultLimits()
 			change(&l)
-			var wrong setting.Error
-			if _, err := NewTable(l); !errors.As(err, &wrong) || !strings.Contains(wrong.Field, field) {
+			var settingError setting.Error
+			if _, err := NewTable(l); !errors.As(err, &settingError) || !strings.Contains(settingError.Field, field) {
 				t.Errorf("%v", err)
 			}
 		})
@@ -250,16 +250,16 @@
 // the accounts are right.
 func TestNoKeyRunsTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		tb := table(t, func(l *Limits) {
+		tb := newTestTable(t, func(l *Limits) {
 			l.MaxEntries, l.MaxTotalAnswerBytes, l.MaxAnswerBytes = rapid.IntRange(1, 8).Draw(t, "entries"), int64(rapid.IntRange(0, 60).Draw(t, "bytes")), 20
 			l.Retention, l.MinRetention, l.MaxEntriesPerTeam = time.Hour, 10*time.Minute, rapid.IntRange(0, 8).Draw(t, "of a team")
 		})
-		type ran struct {
-			running bool
-			at      time.Time // when it may have run
+		type execution struct {
+			running      bool
+			mayHaveRunAt time.Time // when it may have run
 		}
-		world := map[Key]*ran{}
-		under := map[Key]string{}
+		model := map[Key]*execution{}
+		runningIDs := map[Key]string{}
 		now, n := t0, 0
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 900).Draw(t, "s")) * time.Second)
@@ -269,42 +269,42 @@
 				n++
 				a := Request{Key: k, Digest: "d", RequestID: fmt.Sprint(n), RetryCount: rapid.IntRange(0, 1).Draw(t, "retry")}
 				v, _ := tb.Begin(now, a)
-				w := world[k]
+				modelled := model[k]
 				if v != Run {
 					continue
 				}
-				if w != nil && w.running {
+				if modelled != nil && modelled.running {
 					t.Fatalf("%v runs twice at once", k)
 				}
-				if w != nil && !w.at.IsZero() && now.Sub(w.at) < 10*time.Minute {
-					t.Fatalf("%v runs again %v after it may have run", k, now.Sub(w.at))
+				if modelled != nil && !modelled.mayHaveRunAt.IsZero() && now.Sub(modelled.mayHaveRunAt) < 10*time.Minute {
+					t.Fatalf("%v runs again %v after it may have run", k, now.Sub(modelled.mayHaveRunAt))
 				}
-				world[k], under[k] = &ran{running: true}, a.RequestID
+				model[k], runningIDs[k] = &execution{running: true}, a.RequestID
 			case 4, 5, 6, 7:
-				id, on := under[k]
-				if !on {
+				id, inProgress := runningIDs[k]
+				if !inProgress {
 					continue
 				}
-				how := rapid.SampledFrom([]Outcome{OutcomeNotRun, OutcomeCompleted, OutcomeIndeterminate}).Draw(t, "how")
-				tb.End(now, k, id, how, "", make([]byte, rapid.IntRange(0, 25).Draw(t, "size")))
-				delete(under, k)
-				if world[k].running = false; how != OutcomeNotRun {
-					world[k].at = now
+				outcome := rapid.SampledFrom([]Outcome{OutcomeNotRun, OutcomeCompleted, OutcomeIndeterminate}).Draw(t, "how")
+				tb.End(now, k, id, outcome, "", make([]byte, rapid.IntRange(0, 25).Draw(t, "size")))
+				delete(runningIDs, k)
+				if model[k].running = false; outcome != OutcomeNotRun {
+					model[k].mayHaveRunAt = now
 				}
 			case 8:
 				tb.Expire(now)
 			default: // the process ends and begins anew
-				var kept []Entry
+				var stored []Entry
 				for _, e := range tb.entries {
-					kept = append(kept, *e)
+					stored = append(stored, *e)
 				}
-				next := table(t, func(l *Limits) { *l = tb.limits })
-				next.Restore(now, kept, true)
-				tb = next
-				for k := range under {
-					world[k].running, world[k].at = false, now
+				restarted := newTestTable(t, func(l *Limits) { *l = tb.limits })
+				restarted.Restore(now, stored, true)
+				tb = restarted
+				for k := range runningIDs {
+					model[k].running, model[k].mayHaveRunAt = false, now
 				}
-				clear(under)
+				clear(runningIDs)
 			}
 			keys, bytes := tb.Counts()
 			sum := int64(0)
