--- a/decide/ejection/ejection_test.go
+++ b/decide/ejection/ejection_test.go
@@ -10,8 +10,8 @@
 	"wellgw/routing"
 )
 
-func active(name string, up routing.Time) routing.EngineInfo {
-	return routing.EngineInfo{Name: name, Phase: routing.PhaseActive, StartTime: up}
+func active(name string, startTime routing.Time) routing.EngineInfo {
+	return routing.EngineInfo{Name: name, Phase: routing.PhaseActive, StartTime: startTime}
 }
 
 func TestCommands(t *testing.T) {
@@ -19,8 +19,8 @@
 	for _, c := range []struct {
 		name      string
 		commands  func(set *Set) bool // returns the last command's answer
-		want      bool
-		out       []string
+		accepted  bool
+		ejected   []string
 		phase     routing.Phase
 		startTime routing.Time
 	}{
@@ -43,15 +43,15 @@
 		t.Run(c.name, func(t *testing.T) {
 			set := New()
 			set.Register("e1")
-			if got := c.commands(set); got != c.want {
-				t.Errorf("answer %v, want %v", got, c.want)
+			if got := c.commands(set); got != c.accepted {
+				t.Errorf("answer %v, want %v", got, c.accepted)
 			}
-			if !slices.Equal(set.Names(), c.out) && len(set.Names())+len(c.out) > 0 {
-				t.Errorf("out %v, want %v", set.Names(), c.out)
+			if !slices.Equal(set.Names(), c.ejected) && len(set.Names())+len(c.ejected) > 0 {
+				t.Errorf("out %v, want %v", set.Names(), c.ejected)
 			}
-			s := set.EffectiveInfo(active("e1", 0))
-			if s.Phase != c.phase || s.StartTime != c.startTime {
-				t.Errorf("shown %+v, want phase %v started %v", s, c.phase, c.startTime)
+			info := set.EffectiveInfo(active("e1", 0))
+			if info.Phase != c.phase || info.StartTime != c.startTime {
+				t.Errorf("shown %+v, want phase %v started %v", info, c.phase, c.startTime)
 			}
 		})
 	}
@@ -61,9 +61,9 @@
 // started when it was restored, until the list shows a later start.
 func TestReturnedEngineIsCold(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		lists []routing.Time // the list's starts, one look after another
-		want  []routing.Time
+		name         string
+		listedStarts []routing.Time // the list's starts, one look after another
+		wantStarts   []routing.Time
 	}{
 		{"no restart seen", []routing.Time{5, 5}, []routing.Time{20, 20}},
 		{"restart seen during the ejection", []routing.Time{15, 5}, []routing.Time{15, 5}},
@@ -73,9 +73,9 @@
 		set.Register("e1")
 		set.SetEjected("e1", true, 10)
 		set.SetEjected("e1", false, 20)
-		for i, up := range c.lists {
-			if s := set.EffectiveInfo(active("e1", up)); s.StartTime != c.want[i] {
-				t.Errorf("%s, look %d: started %v, want %v", c.name, i, s.StartTime, c.want[i])
+		for i, listedStart := range c.listedStarts {
+			if s := set.EffectiveInfo(active("e1", listedStart)); s.StartTime != c.wantStarts[i] {
+				t.Errorf("%s, look %d: started %v, want %v", c.name, i, s.StartTime, c.wantStarts[i])
 			}
 		}
 	}
@@ -87,7 +87,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		set := New()
 		names := []string{"a", "b", "c", "d"}
-		out := map[string]bool{}
+		ejected := map[string]bool{}
 		listed := map[string]bool{}
 		now := routing.Time(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -98,18 +98,18 @@
 				set.Register(n)
 				listed[n] = true
 			case 1, 2:
-				o := rapid.Bool().Draw(t, "out")
-				_, ok := set.SetEjected(n, o, now)
-				if ok != (listed[n] || out[n]) {
+				eject := rapid.Bool().Draw(t, "out")
+				_, ok := set.SetEjected(n, eject, now)
+				if ok != (listed[n] || ejected[n]) {
 					t.Fatalf("command about %s answered %v", n, ok)
 				}
 				if ok {
-					out[n] = o
+					ejected[n] = eject
 				}
 			case 3:
 				s := set.EffectiveInfo(active(n, 0))
-				if (s.Phase == routing.PhaseActive) == out[n] {
-					t.Fatalf("%s shown %v while out is %v", n, s.Phase, out[n])
+				if (s.Phase == routing.PhaseActive) == ejected[n] {
+					t.Fatalf("%s shown %v while out is %v", n, s.Phase, ejected[n])
 				}
 			}
 		}
--- a/decide/ejection/golden_test.go
+++ b/decide/ejection/golden_test.go
@@ -65,11 +65,11 @@
 			rec.names(change.Restored)
 		case 5, 6:
 			phases := []routing.Phase{routing.PhaseActive, routing.PhaseDraining}
-			shown := set.EffectiveInfo(routing.EngineInfo{
+			info := set.EffectiveInfo(routing.EngineInfo{
 				Name: drawName(), Phase: phases[rng.IntN(len(phases))], StartTime: max(0, now-routing.Time(rng.IntN(5000))),
 			})
-			rec.names([]string{shown.Name})
-			rec.Number(int64(shown.Phase), int64(shown.StartTime))
+			rec.names([]string{info.Name})
+			rec.Number(int64(info.Phase), int64(info.StartTime))
 		case 7:
 			name := drawName()
 			rec.Flag(set.Registered(name))
