--- a/decide/heldstate/attempts.go
+++ b/decide/heldstate/attempts.go
@@ -2,18 +2,17 @@
 
 import "maps"
 
-// StateHolder returns the engine whose state waits for an attempt at a decode engine, "" if there is
-// none.
+// StateHolder returns the engine that holds state for a future attempt at a decode engine; "" for none.
 func (l *Ledger) StateHolder() string { return l.stateHolder }
 
-// PrefillCompleted records that an engine has prefilled the prompt, and that its state waits there
-// since its answer came, or may have come.
+// PrefillCompleted records that an engine has prefilled the prompt and holds the resulting state. answered
+// is the earliest time at which its answer may have arrived; the held-state limit runs from that time.
 func (l *Ledger) PrefillCompleted(engine string, answered Time) {
 	l.noAttemptSince = answered
 	e := &engineEntry{}
-	if previous := l.entries[engine]; previous != nil { // an earlier prefill there may still run on
+	if previous := l.entries[engine]; previous != nil { // an earlier prefill at this engine may still run
 		e.attemptLost, e.prefillMayRun = previous.attemptLost, previous.prefillMayRun
-		if previous.releasing { // it must not free this state: see ReleasesToCancel
+		if previous.releasing { // this release must not free the new state: see ReleasesToCancel
 			e.releasing, e.pendingSince = true, answered
 		}
 	}
@@ -23,8 +22,8 @@
 	}
 }
 
-// AttemptLost records that an attempt ended without an answer: it may have left state or, where the
-// engine prefills and runs on, may leave it later.
+// AttemptLost records that an attempt ended without an answer. The engine may hold state for it or, if it
+// prefills and the prefill still runs, may create state later.
 func (l *Ledger) AttemptLost(engine string, prefills bool) {
 	e := l.entries[engine]
 	if e == nil {
@@ -42,18 +41,18 @@
 	}
 }
 
-// AnswerStarted records that an answer has begun, so the state was fetched. Should the answer break
-// off, the engines are sent releases all the same.
+// AnswerStarted records that an answer has begun, which implies that the state was fetched. If the answer is
+// interrupted, the engines are still sent releases.
 func (l *Ledger) AnswerStarted() { l.stateHolder = "" }
 
-// AnswerCompleted records that an answer is complete, upon which engines release all state by
-// themselves. A cancelled prefill that may run on stays recorded, and so does detached state.
+// AnswerCompleted records that an answer is complete. Engines then release all state without a release from
+// the gateway. Detached state and cancelled prefills that may still run remain recorded.
 func (l *Ledger) AnswerCompleted() {
 	l.stateHolder = ""
 	maps.DeleteFunc(l.entries, func(_ string, e *engineEntry) bool { return !e.detached && !e.prefillMayRun })
 }
 
-// Detach has the waiting state released while the request continues at an engine that fetches none.
+// Detach schedules a release of the held state because the request continues at an engine that fetches none.
 func (l *Ledger) Detach() {
 	if e := l.entries[l.stateHolder]; e != nil {
 		e.detached, e.releaseForced = true, true
@@ -61,11 +60,11 @@
 	l.stateHolder = ""
 }
 
-// StateMissing records that a decode engine found no state. The prefill engine may only have been out
-// of the decode engine's reach, so it is sent a release all the same.
+// StateMissing records that a decode engine found no state. The prefill engine may only have been
+// unreachable from the decode engine and may still hold the state, so it is sent a release nevertheless.
 func (l *Ledger) StateMissing() { l.stateHolder = "" }
 
-// Finish records that the request has its final answer: no attempt follows.
+// Finish records that the request has its final answer and that no further attempt follows.
 func (l *Ledger) Finish() {
 	if l.finished {
 		return
@@ -74,8 +73,8 @@
 	l.resetUncertainReleases()
 }
 
-// resetUncertainReleases forgets the releases that were sent while an attempt may have been waiting for the
-// state: what they were to release is due at once.
+// resetUncertainReleases clears the record of releases that were sent while an attempt may have been waiting
+// for the state, so that those releases are repeated without delay.
 func (l *Ledger) resetUncertainReleases() {
 	for _, e := range l.entries {
 		e.lastUncertainAt = 0
--- a/decide/heldstate/golden_test.go
+++ b/decide/heldstate/golden_test.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// goldenHash is the hash over all that ledgers have said under the events of goldenRun. Every value is
-// hashed as a number or as an engine's letter, so that it outlives renames.
+// goldenHash is the hash over all results of the ledgers that goldenRun drives. Each value is hashed as a
+// number or as an engine's letter, so the hash does not depend on Go identifiers.
 const goldenHash = "3b6b03416bfc6f923ef57e76d0de9a38d7b54a18570327396f9eab48e68ea97a"
 
-// goldenRun drives one ledger with events drawn from a seed, and hashes what it says after each.
+// goldenRun drives one ledger with events drawn from a seed and hashes its results after each event.
 func goldenRun(h hash.Hash, seed uint64) {
 	draw := rand.New(rand.NewPCG(seed, 45))
 	drawDuration := func(limit time.Duration) time.Duration { return time.Duration(draw.Int64N(int64(limit))) }
@@ -75,7 +75,7 @@
 				delete(releasing, engine)
 				l.DropEngine(engine)
 			}
-		case 13: // engines answer late, or never
+		case 13: // no event: engines may answer late or never
 		}
 		for _, cancelled := range l.ReleasesToCancel(now) {
 			fmt.Fprint(h, "s", cancelled, ",")
@@ -110,8 +110,8 @@
 	}
 }
 
-// drawFlight draws an attempt that was written before now: with no answer, with one on its own
-// connection, or with evidence of another connection or from before it was written.
+// drawFlight draws an attempt that was written before now: without evidence of its arrival, with evidence
+// from its own connection, or with evidence from another connection or from before it was written.
 func drawFlight(draw *rand.Rand, now Time) Flight {
 	f := Flight{
 		Connection: ConnectionNumber(1 + draw.IntN(3)),
@@ -129,6 +129,6 @@
 		goldenRun(h, seed)
 	}
 	if got := hex.EncodeToString(h.Sum(nil)); got != goldenHash {
-		t.Errorf("the ledgers say %s, want %s", got, goldenHash)
+		t.Errorf("hash of the results is %s, want %s", got, goldenHash)
 	}
 }
--- a/decide/heldstate/heldstate_test.go
+++ b/decide/heldstate/heldstate_test.go
@@ -11,8 +11,8 @@
 
 const ms = time.Millisecond
 
-// The attempts of these tests: none, one that nothing has come of, one whose engine has confirmedFlights on the
-// attempt's own connection.
+// Attempts in flight for these tests: none, one without evidence of its arrival, and one whose engine has
+// answered on the attempt's connection.
 var (
 	noFlights          []Flight
 	unconfirmedFlights = []Flight{{Connection: 7, WrittenAt: 1}}
@@ -27,35 +27,35 @@
 		steps func(*Ledger)
 		want  []string
 	}{
-		{"nothing is held", func(*Ledger) {}, nil},
-		{"state that waits for a decode engine", func(l *Ledger) { l.PrefillCompleted("r", 1) }, nil},
-		{"the request has its answer", func(l *Ledger) { l.PrefillCompleted("r", 1); l.Finish() }, []string{"r"}},
-		{"a prefill that was lost, and nothing is in flight", func(l *Ledger) { l.AttemptLost("r", true) }, []string{"r"}},
-		{"a prefill that was lost, and another attempt is in flight", func(l *Ledger) { l.AttemptLost("r", true); l.SetFlights(confirmedFlights, 1) }, nil},
-		{"the other attempt may never have arrived", func(l *Ledger) { l.AttemptLost("r", true); l.SetFlights(unconfirmedFlights, 1) }, nil},
-		{"and has been in flight for as long as state may wait", func(l *Ledger) { l.AttemptLost("r", true); l.SetFlights(unconfirmedFlights, 1-time.Second) }, []string{"r"}},
-		{"a prefill that was lost before, and state waits", func(l *Ledger) { l.AttemptLost("r", true); l.PrefillCompleted("s", 1) }, nil},
-		{"an answer has begun", func(l *Ledger) { l.PrefillCompleted("r", 1); l.AnswerStarted(); l.SetFlights(confirmedFlights, 1) }, nil},
-		{"it breaks off", func(l *Ledger) {
+		{"no held state", func(*Ledger) {}, nil},
+		{"held state waits for a decode engine", func(l *Ledger) { l.PrefillCompleted("r", 1) }, nil},
+		{"request finished", func(l *Ledger) { l.PrefillCompleted("r", 1); l.Finish() }, []string{"r"}},
+		{"prefill lost, no attempt in flight", func(l *Ledger) { l.AttemptLost("r", true) }, []string{"r"}},
+		{"prefill lost, another attempt confirmed in flight", func(l *Ledger) { l.AttemptLost("r", true); l.SetFlights(confirmedFlights, 1) }, nil},
+		{"prefill lost, another attempt unconfirmed", func(l *Ledger) { l.AttemptLost("r", true); l.SetFlights(unconfirmedFlights, 1) }, nil},
+		{"prefill lost, another attempt unconfirmed past the maximum wait", func(l *Ledger) { l.AttemptLost("r", true); l.SetFlights(unconfirmedFlights, 1-time.Second) }, []string{"r"}},
+		{"prefill lost, held state of a later prefill waits", func(l *Ledger) { l.AttemptLost("r", true); l.PrefillCompleted("s", 1) }, nil},
+		{"answer started", func(l *Ledger) { l.PrefillCompleted("r", 1); l.AnswerStarted(); l.SetFlights(confirmedFlights, 1) }, nil},
+		{"answer interrupted", func(l *Ledger) {
 			l.PrefillCompleted("r", 1)
 			l.AnswerStarted()
 			l.SetFlights(noFlights, 1)
 			l.Finish()
 		}, []string{"r"}},
-		{"an answer is complete", func(l *Ledger) { l.PrefillCompleted("r", 1); l.AnswerCompleted(); l.Finish() }, nil},
-		{"an answer is complete, a prefill may run on", func(l *Ledger) { l.AttemptLost("r", true); l.PrefillCompleted("s", 1); l.AnswerCompleted(); l.Finish() }, []string{"r"}},
-		{"the request continues at an engine that fetches nothing", func(l *Ledger) { l.PrefillCompleted("r", 1); l.Detach(); l.SetFlights(confirmedFlights, 1) }, []string{"r"}},
-		{"it answers", func(l *Ledger) { l.PrefillCompleted("r", 1); l.Detach(); l.AnswerCompleted(); l.Finish() }, []string{"r"}},
-		{"a decode engine has found no state", func(l *Ledger) { l.PrefillCompleted("r", 1); l.StateMissing() }, []string{"r"}},
-		{"an engine has failed the attempt", func(l *Ledger) { l.AttemptFailed("r"); l.Finish() }, []string{"r"}},
-		{"a release is in flight", func(l *Ledger) { l.PrefillCompleted("r", 1); l.Finish(); l.ReleasesDue(1) }, nil},
-		{"it was delivered", func(l *Ledger) {
+		{"answer complete", func(l *Ledger) { l.PrefillCompleted("r", 1); l.AnswerCompleted(); l.Finish() }, nil},
+		{"answer complete, cancelled prefill may still run", func(l *Ledger) { l.AttemptLost("r", true); l.PrefillCompleted("s", 1); l.AnswerCompleted(); l.Finish() }, []string{"r"}},
+		{"state detached, attempt in flight", func(l *Ledger) { l.PrefillCompleted("r", 1); l.Detach(); l.SetFlights(confirmedFlights, 1) }, []string{"r"}},
+		{"state detached, answer complete", func(l *Ledger) { l.PrefillCompleted("r", 1); l.Detach(); l.AnswerCompleted(); l.Finish() }, []string{"r"}},
+		{"decode engine found no state", func(l *Ledger) { l.PrefillCompleted("r", 1); l.StateMissing() }, []string{"r"}},
+		{"attempt failed with an error", func(l *Ledger) { l.AttemptFailed("r"); l.Finish() }, []string{"r"}},
+		{"release in flight", func(l *Ledger) { l.PrefillCompleted("r", 1); l.Finish(); l.ReleasesDue(1) }, nil},
+		{"release delivered", func(l *Ledger) {
 			l.PrefillCompleted("r", 1)
 			l.Finish()
 			l.ReleasesDue(1)
 			l.ReleaseEnded("r", true, 1)
 		}, nil},
-		{"it was cancelled", func(l *Ledger) {
+		{"release cancelled", func(l *Ledger) {
 			l.PrefillCompleted("r", 1)
 			l.Finish()
 			l.ReleasesDue(1)
@@ -72,22 +72,22 @@
 	}
 }
 
-// State waits for a decode engine as long as it may, however many attempts fail meanwhile without
-// having certainly been in flight; then it is released.
-func TestExpire(t *testing.T) {
+// State waits for a decode engine for the maximum wait, regardless of how many unconfirmed attempts fail in
+// that time; then it is released.
+func TestStateExpiresAfterMaxWait(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		flights []Flight
 		expires bool
 		holder  string
-	}{{"no attempt", noFlights, true, ""}, {"sent", unconfirmedFlights, true, "r"}, {"answered", confirmedFlights, false, "r"}} {
+	}{{"no attempt", noFlights, true, ""}, {"unconfirmed attempt", unconfirmedFlights, true, "r"}, {"confirmed attempt", confirmedFlights, false, "r"}} {
 		l := New(limits)
 		l.SetFlights(noFlights, 10*ms)
 		l.PrefillCompleted("r", time.Second)
 		l.SetFlights(c.flights, time.Second+ms)
 		at := time.Second + limits.HeldStateLimit + limits.HeldStateSlack - stallReserve - deliveryReserve
 		if l.Expired(at - 1) {
-			t.Errorf("%v: expired before its time", c.name)
+			t.Errorf("%v: expired before the maximum wait", c.name)
 		}
 		if l.Expired(at) != c.expires {
 			t.Errorf("%v: expired %v, want %v", c.name, !c.expires, c.expires)
@@ -97,7 +97,7 @@
 		}
 		l.Expire(at)
 		if l.StateHolder() != c.holder {
-			t.Errorf("%v: the request continues with the state of %q, want %q", c.name, l.StateHolder(), c.holder)
+			t.Errorf("%v: state holder %q, want %q", c.name, l.StateHolder(), c.holder)
 		}
 		if diff := cmp.Diff([]string{"r"}, l.ReleasesDue(at)); diff != "" {
 			t.Errorf("%v: released at (-want +got):\n%s", c.name, diff)
@@ -105,19 +105,19 @@
 	}
 }
 
-// Nothing that an engine sends on another connection, or sent before an attempt was written, is evidence
-// that the attempt has arrived.
-func TestEvidenceIsOfTheAttemptsOwnConnection(t *testing.T) {
+// Data that an engine sends on another connection, or sent before an attempt was written, is no evidence that
+// the attempt has arrived.
+func TestArrivalRequiresEvidenceOnSameConnection(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		arrival Arrival
 		want    bool
 	}{
 		{"none", Arrival{}, false},
-		{"on its own connection", Arrival{Connection: 7, At: 10}, true},
-		{"on its own connection, later", Arrival{Connection: 7, At: 11}, true},
-		{"on its own connection, before it was written", Arrival{Connection: 7, At: 9}, false},
-		{"on another connection", Arrival{Connection: 8, At: 11}, false},
+		{"same connection, at the time of the write", Arrival{Connection: 7, At: 10}, true},
+		{"same connection, after the write", Arrival{Connection: 7, At: 11}, true},
+		{"same connection, before the write", Arrival{Connection: 7, At: 9}, false},
+		{"another connection", Arrival{Connection: 8, At: 11}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := Flight{Connection: 7, WrittenAt: 10, Arrival: c.arrival}
@@ -128,9 +128,9 @@
 	}
 }
 
-// A release that is in flight when a prefill's answer comes must not free that prefill's state: it is
-// cancelled, and the state has its own full time for releases.
-func TestReleaseInFlightSparesNextState(t *testing.T) {
+// A release in flight when a prefill's answer arrives must not free that prefill's state: it is cancelled,
+// and the release of the new state has the full ReleaseTimeout.
+func TestPrefillCancelsReleaseInFlight(t *testing.T) {
 	l := New(limits)
 	l.AttemptLost("r", true)
 	l.ReleasesDue(1)
@@ -141,32 +141,32 @@
 	l.ReleaseEnded("r", false, time.Minute)
 	l.Finish()
 	if diff := cmp.Diff([]string{"r"}, l.ReleasesDue(time.Minute)); diff != "" {
-		t.Errorf("released at the end (-want +got):\n%s", diff)
+		t.Errorf("released after Finish (-want +got):\n%s", diff)
 	}
 }
 
-// Whatever the limit, state waits for that and what the slack leaves, which is time enough for an attempt.
-func TestLimitsOfAnyLength(t *testing.T) {
+// With any limit, state waits for the limit plus the unreserved slack, which is enough time for an attempt.
+func TestMaxStateWaitForAnyLimit(t *testing.T) {
 	const usableSlack = 150 * ms
 	for limit, want := range map[time.Duration]time.Duration{0: usableSlack, ms: ms + usableSlack, time.Hour: time.Hour + usableSlack} {
 		l := New(Limits{HeldStateLimit: limit, HeldStateSlack: 350 * ms})
 		l.SetFlights(noFlights, 1)
 		l.PrefillCompleted("r", 1)
 		if at, ok := l.NextUpdate(); !ok || at != 1+want {
-			t.Errorf("a limit of %v: expires at %v, want %v", limit, at, 1+want)
+			t.Errorf("limit %v: next update at %v, want %v", limit, at, 1+want)
 		}
 	}
 }
 
-// A release in flight is cancelled once an attempt has been written: it could meet the end of the
-// next prefill, whose state it would free.
-func TestReleaseDoesNotMeetNextRead(t *testing.T) {
+// A release in flight is cancelled once an attempt has been written: the release could arrive when the next
+// prefill ends, and would free its state.
+func TestWrittenAttemptCancelsReleaseInFlight(t *testing.T) {
 	for _, flights := range [][]Flight{unconfirmedFlights, confirmedFlights} {
 		l := New(limits)
 		l.AttemptLost("r", true)
 		l.ReleasesDue(1)
 		if engines := l.ReleasesToCancel(1); len(engines) > 0 {
-			t.Errorf("cancelled at %v with nothing in flight", engines)
+			t.Errorf("cancelled at %v with no attempt in flight", engines)
 		}
 		l.SetFlights(flights, 2)
 		if diff := cmp.Diff([]string{"r"}, l.ReleasesToCancel(2)); diff != "" {
@@ -175,8 +175,8 @@
 	}
 }
 
-// A release that met an attempt at another engine had no effect. It is sent again once that engine
-// must know that the attempt was cancelled.
+// A release has no effect while an attempt at another engine waits for the state. It is repeated once that
+// engine must have processed the cancellation of the attempt.
 func TestReleaseRepeatedAfterCancel(t *testing.T) {
 	l := New(limits)
 	l.PrefillCompleted("r", 1)
@@ -187,15 +187,15 @@
 	}
 	l.ReleaseEnded("r", true, 2*ms)
 	if l.Completed() {
-		t.Error("completed, though the decode engine has not been reached")
+		t.Error("completed before the release was delivered to the decode engine")
 	}
-	l.ReleaseEnded("w", true, 5*time.Second) // out of reach until then
+	l.ReleaseEnded("w", true, 5*time.Second) // unreachable for the first 5 s
 	at, scheduled := l.NextUpdate()
 	if want := 5*time.Second + MaxCancelDelay; !scheduled || at != want {
-		t.Fatalf("next at %v, want %v", at, want)
+		t.Fatalf("next update at %v, want %v", at, want)
 	}
 	if due := l.ReleasesDue(at); !slices.Contains(due, "r") {
-		t.Errorf("released at %v, want the prefill engine again", due)
+		t.Errorf("released at %v, want the prefill engine included", due)
 	}
 	l.ReleaseEnded("r", true, at)
 	l.ReleaseEnded("w", true, at)
@@ -204,150 +204,150 @@
 	}
 }
 
-// simulation is engines that hold state, as they really are, beside a ledger that has to have them
-// release it.
+// simulation models the state that engines hold, and sends them the releases that the ledger under test
+// schedules.
 type simulation struct {
 	t           *rapid.T
 	ledger      *Ledger
 	now         Time
-	heldSince   map[string]Time // since when
-	lateStateAt map[string]Time // when a prefill that runs on will leave its state
+	heldSince   map[string]Time // time since which each engine has held state
+	lateStateAt map[string]Time // time at which a cancelled prefill that still runs creates state
 	unreachable map[string]bool
 	releasing   map[string]bool
-	flights     []Flight // as the gateway knows of them
-	attemptLost bool     // what is in flight never arrives
+	flights     []Flight // as recorded by the gateway
+	attemptLost bool     // the attempt in flight never arrives
 }
 
-// attemptInFlight tells whether an attempt has arrived and not ended.
-func (w *simulation) attemptInFlight() bool { return len(w.flights) > 0 && !w.attemptLost }
+// attemptInFlight reports whether an attempt has arrived and has not ended.
+func (s *simulation) attemptInFlight() bool { return len(s.flights) > 0 && !s.attemptLost }
 
 var engines = []string{"a", "b", "c"}
 
-// advance lets time advance in small steps. Releases arrive at engines that can be reached.
-func (w *simulation) advance(d time.Duration) {
-	for end := w.now + d; w.now < end; w.now += 10 * ms {
-		for e, at := range w.lateStateAt {
-			if w.now >= at && !w.unreachable[e] {
-				w.heldSince[e] = w.now
-				delete(w.lateStateAt, e)
+// advance moves the clock forward in steps of 10 ms. Releases are delivered to reachable engines.
+func (s *simulation) advance(d time.Duration) {
+	for end := s.now + d; s.now < end; s.now += 10 * ms {
+		for e, at := range s.lateStateAt {
+			if s.now >= at && !s.unreachable[e] {
+				s.heldSince[e] = s.now
+				delete(s.lateStateAt, e)
 			}
 		}
-		w.reconcile()
-		w.checkHeldDurations()
+		s.reconcile()
+		s.checkHeldDurations()
 	}
 }
 
-func (w *simulation) reconcile() {
-	w.ledger.SetFlights(w.flights, w.now)
-	if w.ledger.Expired(w.now) {
-		w.ledger.Expire(w.now)
+func (s *simulation) reconcile() {
+	s.ledger.SetFlights(s.flights, s.now)
+	if s.ledger.Expired(s.now) {
+		s.ledger.Expire(s.now)
 	}
-	for _, e := range w.ledger.ReleasesToCancel(w.now) {
-		delete(w.releasing, e)
-		w.ledger.ReleaseEnded(e, false, w.now)
+	for _, e := range s.ledger.ReleasesToCancel(s.now) {
+		delete(s.releasing, e)
+		s.ledger.ReleaseEnded(e, false, s.now)
 	}
-	for _, e := range w.ledger.ReleasesDue(w.now) {
-		w.releasing[e] = true
+	for _, e := range s.ledger.ReleasesDue(s.now) {
+		s.releasing[e] = true
 	}
 	for _, e := range engines {
-		if w.releasing[e] && !w.unreachable[e] {
-			delete(w.releasing, e)
-			if !w.attemptInFlight() || w.ledger.finished {
-				delete(w.heldSince, e)
+		if s.releasing[e] && !s.unreachable[e] {
+			delete(s.releasing, e)
+			if !s.attemptInFlight() || s.ledger.finished {
+				delete(s.heldSince, e)
 			}
-			w.ledger.ReleaseEnded(e, true, w.now)
+			s.ledger.ReleaseEnded(e, true, s.now)
 		}
 	}
 }
 
-// checkHeldDurations is the rule: nothing is held for longer than the limits while no attempt is in flight, at an
-// engine that can be reached.
-func (w *simulation) checkHeldDurations() {
-	for e, since := range w.heldSince {
-		if w.attemptInFlight() || w.unreachable[e] {
-			w.heldSince[e] = w.now
+// checkHeldDurations checks that no reachable engine holds state for longer than the limit plus its slack
+// while no attempt is in flight.
+func (s *simulation) checkHeldDurations() {
+	for e, since := range s.heldSince {
+		if s.attemptInFlight() || s.unreachable[e] {
+			s.heldSince[e] = s.now
 			continue
 		}
-		if held := w.now - since; held > limits.HeldStateLimit+limits.HeldStateSlack {
-			w.t.Fatalf("%s has held a state for %v at %v", e, held, w.now)
+		if held := s.now - since; held > limits.HeldStateLimit+limits.HeldStateSlack {
+			s.t.Fatalf("%s has held state for %v at %v, longer than the limit plus its slack", e, held, s.now)
 		}
 	}
 }
 
-// endAttempt ends the attempt in flight. The time of all that is held counts from the last endAttempt.
-func (w *simulation) endAttempt() {
-	w.flights, w.attemptLost = nil, false
-	for e := range w.heldSince {
-		w.heldSince[e] = w.now
+// endAttempt ends the attempt in flight and restarts the held-state limit at all engines.
+func (s *simulation) endAttempt() {
+	s.flights, s.attemptLost = nil, false
+	for e := range s.heldSince {
+		s.heldSince[e] = s.now
 	}
 }
 
-// writeAttempt has an attempt written. It arrives and is answered, or not yet; or it is lost, with its
-// connection, while its engine answers on another one.
-func (w *simulation) writeAttempt() {
-	f := Flight{Connection: 7, WrittenAt: w.now}
+// writeAttempt simulates the write of an attempt. The attempt arrives and may be answered, or it is lost with
+// its connection while its engine answers on another connection.
+func (s *simulation) writeAttempt() {
+	f := Flight{Connection: 7, WrittenAt: s.now}
 	lost := false
-	switch rapid.IntRange(0, 2).Draw(w.t, "what becomes of the attempt") {
+	switch rapid.IntRange(0, 2).Draw(s.t, "outcome of the attempt") {
 	case 0:
 	case 1:
-		f.Arrival = Arrival{Connection: f.Connection, At: w.now}
+		f.Arrival = Arrival{Connection: f.Connection, At: s.now}
 	case 2:
-		f.Arrival, lost = Arrival{Connection: 8, At: w.now}, true
+		f.Arrival, lost = Arrival{Connection: 8, At: s.now}, true
 	}
-	w.flights, w.attemptLost = []Flight{f}, lost
+	s.flights, s.attemptLost = []Flight{f}, lost
 }
 
-// loseAttempt ends an attempt without an answer of its engine. The prefill may have ended, or run on.
-func (w *simulation) loseAttempt(e string) {
-	w.endAttempt()
-	switch rapid.IntRange(0, 2).Draw(w.t, "what the prefill left") {
+// loseAttempt ends an attempt without an answer. Its prefill may have ended or may still run.
+func (s *simulation) loseAttempt(e string) {
+	s.endAttempt()
+	switch rapid.IntRange(0, 2).Draw(s.t, "state of the lost prefill") {
 	case 0:
-		w.heldSince[e] = w.now
+		s.heldSince[e] = s.now
 	case 1:
-		w.lateStateAt[e] = w.now + time.Duration(rapid.IntRange(0, int(limits.MaxCancelledPrefill/ms)).Draw(w.t, "prefill runs on, ms"))*ms
+		s.lateStateAt[e] = s.now + time.Duration(rapid.IntRange(0, int(limits.MaxCancelledPrefill/ms)).Draw(s.t, "remaining prefill time, ms"))*ms
 	}
-	w.ledger.AttemptLost(e, true)
+	s.ledger.AttemptLost(e, true)
 }
 
 func TestStatesReleasedWithinLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &simulation{t: t, ledger: New(limits), now: ms, heldSince: map[string]Time{}, lateStateAt: map[string]Time{}, unreachable: map[string]bool{}, releasing: map[string]bool{}}
+		s := &simulation{t: t, ledger: New(limits), now: ms, heldSince: map[string]Time{}, lateStateAt: map[string]Time{}, unreachable: map[string]bool{}, releasing: map[string]bool{}}
 		for range rapid.IntRange(1, 12).Draw(t, "steps") {
 			e := rapid.SampledFrom(engines).Draw(t, "engine")
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0:
-				w.endAttempt()
-				w.heldSince[e] = w.now
-				w.ledger.PrefillCompleted(e, w.now)
+				s.endAttempt()
+				s.heldSince[e] = s.now
+				s.ledger.PrefillCompleted(e, s.now)
 			case 1:
-				w.loseAttempt(e)
+				s.loseAttempt(e)
 			case 2:
-				w.writeAttempt()
+				s.writeAttempt()
 			case 3:
-				w.endAttempt()
+				s.endAttempt()
 			case 4:
-				w.unreachable[e] = !w.unreachable[e]
+				s.unreachable[e] = !s.unreachable[e]
 			case 5:
-				w.flights, w.attemptLost = nil, false
-				clear(w.heldSince)
-				w.ledger.AnswerCompleted()
+				s.flights, s.attemptLost = nil, false
+				clear(s.heldSince)
+				s.ledger.AnswerCompleted()
 			}
-			w.advance(time.Duration(rapid.IntRange(0, 150).Draw(t, "for, in 10 ms")) * 10 * ms)
+			s.advance(time.Duration(rapid.IntRange(0, 150).Draw(t, "duration, in 10 ms")) * 10 * ms)
 		}
-		w.flights, w.attemptLost = nil, false
-		w.ledger.SetFlights(w.flights, w.now)
-		w.ledger.Finish()
-		w.advance(time.Duration(rapid.IntRange(0, 1000).Draw(t, "after the end, in 10 ms")) * 10 * ms)
-		clear(w.unreachable)
-		w.advance(2*limits.MaxCancelledPrefill + limits.ReleaseTimeout)
-		if len(w.heldSince) > 0 || !w.ledger.Completed() {
-			t.Fatalf("at the end: held %v, completed %v", w.heldSince, w.ledger.Completed())
+		s.flights, s.attemptLost = nil, false
+		s.ledger.SetFlights(s.flights, s.now)
+		s.ledger.Finish()
+		s.advance(time.Duration(rapid.IntRange(0, 1000).Draw(t, "duration after Finish, in 10 ms")) * 10 * ms)
+		clear(s.unreachable)
+		s.advance(2*limits.MaxCancelledPrefill + limits.ReleaseTimeout)
+		if len(s.heldSince) > 0 || !s.ledger.Completed() {
+			t.Fatalf("after all releases: held %v, completed %v", s.heldSince, s.ledger.Completed())
 		}
 	})
 }
 
-// A draining gateway waits for what only it can still release, but not for engines that have
-// long been out of reach.
+// A draining gateway waits for releases that only it can still send, but not for engines that have been
+// unreachable for longer than the drain wait.
 func TestBlocksDrain(t *testing.T) {
 	lost := func(prefills bool) func(*Ledger) {
 		return func(l *Ledger) {
@@ -371,14 +371,14 @@
 		at    Time
 		want  bool
 	}{
-		{"nothing is held", func(l *Ledger) { l.Finish() }, 1, false},
-		{"a release is in flight", lost(true), 1, true},
-		{"its engine has been out of reach for several held-state limits", lost(true), 1 + drainWaitFactor*limits.HeldStateLimit, false},
-		{"the release may have overtaken the cancel", delivered(false, 1), 1, true},
-		{"it was repeated since", delivered(false, 1+MaxCancelDelay), 1 + MaxCancelDelay, false},
-		{"the prefill may run on", delivered(true, 1+limits.MaxCancelledPrefill-1), 1 + limits.MaxCancelledPrefill - 1, true},
-		{"the prefill has certainly ended", delivered(true, 1+limits.MaxCancelledPrefill), 1 + limits.MaxCancelledPrefill, false},
-		{"engines of its kind take no releases", func(l *Ledger) { lost(true)(l); l.DropEngine("r") }, 1, false},
+		{"no held state", func(l *Ledger) { l.Finish() }, 1, false},
+		{"release in flight", lost(true), 1, true},
+		{"engine unreachable for the drain wait", lost(true), 1 + drainWaitFactor*limits.HeldStateLimit, false},
+		{"release may have arrived before the cancellation", delivered(false, 1), 1, true},
+		{"release repeated after the cancellation", delivered(false, 1+MaxCancelDelay), 1 + MaxCancelDelay, false},
+		{"cancelled prefill may still run", delivered(true, 1+limits.MaxCancelledPrefill-1), 1 + limits.MaxCancelledPrefill - 1, true},
+		{"cancelled prefill past its maximum run time", delivered(true, 1+limits.MaxCancelledPrefill), 1 + limits.MaxCancelledPrefill, false},
+		{"engine's kind accepts no releases", func(l *Ledger) { lost(true)(l); l.DropEngine("r") }, 1, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l := New(limits)
--- a/decide/heldstate/releases.go
+++ b/decide/heldstate/releases.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// ReleasesDue returns the engines that are to be sent a release now, in order of name. The caller
-// reports the end of each release with ReleaseEnded.
+// ReleasesDue returns the engines that must be sent a release now, sorted by name. The caller reports the end
+// of each release with ReleaseEnded.
 func (l *Ledger) ReleasesDue(now Time) []string {
 	var due []string
 	for _, name := range slices.Sorted(maps.Keys(l.entries)) {
@@ -23,7 +23,7 @@
 	return due
 }
 
-// ReleaseDeadline returns when the release in flight at an engine is to be given up.
+// ReleaseDeadline returns the time at which retries of the release in flight at an engine stop.
 func (l *Ledger) ReleaseDeadline(engine string) Time {
 	if e := l.entries[engine]; e != nil {
 		return e.pendingSince + l.limits.ReleaseTimeout
@@ -31,7 +31,7 @@
 	return 0
 }
 
-// ReleaseEnded records how a release ended: delivered, cancelled, or given up in time.
+// ReleaseEnded records that a release ended: it was delivered, cancelled, or abandoned at its deadline.
 func (l *Ledger) ReleaseEnded(engine string, delivered bool, now Time) {
 	e := l.entries[engine]
 	if e == nil || !e.releasing {
@@ -51,8 +51,8 @@
 	}
 }
 
-// ReleasesToCancel returns the engines, in order of name, whose release in flight must not meet an
-// attempt that has just been written: it could free the state of the next prefill.
+// ReleasesToCancel returns the engines, sorted by name, whose release in flight must be cancelled because an
+// attempt has been written: the release could free the state of the next prefill.
 func (l *Ledger) ReleasesToCancel(now Time) []string {
 	var engines []string
 	for name, e := range l.entries {
@@ -64,16 +64,16 @@
 	return engines
 }
 
-// RepeatReleases makes a release due at every engine: an attempt has ended that may have been waiting
-// for the state until now, so that no release had an effect.
+// RepeatReleases schedules another release at every engine that has an entry. It is called when an attempt
+// ends that may have been waiting for the state, because earlier releases then had no effect.
 func (l *Ledger) RepeatReleases() {
 	for _, e := range l.entries {
 		e.deliveredCount, e.lastDeliveredAt, e.lastUncertainAt = 0, 0, 0
 	}
 }
 
-// DropEngine records that an engine holds no state and never will, as engines of its kind take no
-// releases.
+// DropEngine records that an engine neither holds state nor will hold any, because engines of its kind accept
+// no releases.
 func (l *Ledger) DropEngine(engine string) {
 	delete(l.entries, engine)
 	if l.stateHolder == engine {
@@ -81,7 +81,7 @@
 	}
 }
 
-// Completed reports whether the request has its final answer and nothing is left to release.
+// Completed reports whether the request has its final answer and no release is pending or in flight.
 func (l *Ledger) Completed() bool {
 	if !l.finished {
 		return false
@@ -94,10 +94,10 @@
 	return true
 }
 
-// BlocksDrain reports whether a draining gateway has to wait for a release: one that has not been
-// delivered yet, or that has to be repeated, as it may have overtaken a cancel or as a prefill may
-// run on and leave state when the gateway has ended. Engines that have been out of reach for
-// maxDrainWait are not waited for.
+// BlocksDrain reports whether a draining gateway must wait for a release. It waits for a release that has not
+// been delivered, and for one that must be repeated because it may have arrived before a cancellation or
+// because a prefill may still run and create state after the gateway has ended. It does not wait for engines
+// that have been unreachable for drainWaitFactor times the held-state limit, and at least minDrainWait.
 func (l *Ledger) BlocksDrain(now Time) bool {
 	wait := max(drainWaitFactor*l.limits.HeldStateLimit, minDrainWait)
 	for _, e := range l.entries {
--- a/decide/heldstate/schedule.go
+++ b/decide/heldstate/schedule.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// repeatInterval returns the time between two releases at an engine where a prefill may run on.
+// repeatInterval returns the time between two releases at an engine where a prefill may still run.
 func (l *Ledger) repeatInterval() time.Duration {
 	return max(l.limits.HeldStateLimit, MinReleaseInterval)
 }
 
-// releasableAt returns from when on an engine may be sent a release; false if it may not. One release
-// frees all state that no attempt waits for, at whatever engine it is held. So none is sent for what
-// an earlier attempt may have left while state waits for a decode engine, and while an attempt may be
-// in flight none before it has to be.
+// releasableAt returns the earliest time at which an engine may be sent a release; ok is false if it may not
+// be sent one. One release frees all state of the request that no attempt waits for, at any engine. Therefore
+// no release for state of an earlier attempt is sent while state waits for a decode engine, and while an
+// attempt may be in flight none is sent before the maximum wait has elapsed.
 func (l *Ledger) releasableAt(e *engineEntry) (at Time, ok bool) {
 	switch {
 	case l.finished || e.releaseForced:
@@ -23,7 +23,7 @@
 	return 0, true
 }
 
-// nextReleaseAt returns when the next release at an engine is due; false if none is.
+// nextReleaseAt returns the time of the next release at an engine; ok is false if none is scheduled.
 func (l *Ledger) nextReleaseAt(e *engineEntry) (at Time, ok bool) {
 	earliest, ok := l.releasableAt(e)
 	if !ok || e.releasing || e.abandoned {
@@ -42,7 +42,7 @@
 	return max(earliest, at), ok
 }
 
-// nextRepeatAt returns when a release that was delivered is due once more; false if it is not.
+// nextRepeatAt returns when a delivered release must be repeated; ok is false if it need not be.
 func (l *Ledger) nextRepeatAt(e *engineEntry) (at Time, ok bool) {
 	at, ok = l.repeatAfterCancelAt(e)
 	prefillMayRun := e.prefillMayRun && e.lastDeliveredAt < e.firstDeliveredAt+l.limits.MaxCancelledPrefill
@@ -52,23 +52,24 @@
 	return at, ok
 }
 
-// repeatAfterCancelAt returns when a release is due again because the latest may have overtaken the cancel
-// of an attempt at another engine: until that engine knows of it, the attempt waits for the state,
-// and a release does not free it.
+// repeatAfterCancelAt returns when a release must be repeated because the latest one may have arrived before
+// the cancellation of an attempt at another engine. Until that engine processes the cancellation, the attempt
+// waits for the state, and a release does not free it.
 func (l *Ledger) repeatAfterCancelAt(e *engineEntry) (at Time, ok bool) {
 	for _, cancelled := range l.entries {
 		if !cancelled.attemptLost || cancelled.deliveredCount == 0 {
 			continue
 		}
-		if cancelKnownAt := cancelled.firstDeliveredAt + MaxCancelDelay; e.lastDeliveredAt < cancelKnownAt && (!ok || cancelKnownAt < at) {
-			at, ok = cancelKnownAt, true
+		if knownAt := cancelled.firstDeliveredAt + MaxCancelDelay; e.lastDeliveredAt < knownAt &&
+			(!ok || knownAt < at) {
+			at, ok = knownAt, true
 		}
 	}
 	return at, ok
 }
 
-// NextUpdate returns when ReleasesDue or Expired may change by time alone; false if
-// only an event changes them.
+// NextUpdate returns the earliest time at which the results of ReleasesDue or Expired may change without an
+// event; ok is false if only an event can change them.
 func (l *Ledger) NextUpdate() (at Time, ok bool) {
 	consider := func(t Time) {
 		if !ok || t < at {
