--- a/decide/lifecycle/connection.go
+++ b/decide/lifecycle/connection.go
@@ -2,28 +2,30 @@
 
 import "time"
 
-// Connection is the state of a client's connection.
+// Connection is the state of a client connection.
 type Connection struct {
 	Opened         time.Time
 	Answered       bool // at least one request has been answered
-	InFlight       bool // a request has been read whole and has not been answered to its end
-	PartialRequest bool // bytes of a next request have been read
-	UnreadBytes    bool // bytes have arrived at the socket that have not been read
+	InFlight       bool // a request has been read completely and its answer is incomplete
+	PartialRequest bool // bytes of the next request have been read
+	UnreadBytes    bool // the socket has received bytes that have not been read
 }
 
-// Decision is what becomes of a connection.
+// Decision is the action for a connection.
 type Decision uint8
 
 // The decisions.
 const (
-	KeepOpen      Decision = iota
-	CloseIdle              // no request has begun to come; what arrives from now on is not read, and its client may send it elsewhere
-	RejectRequest          // its request was not complete in time
-	AbortAnswer            // its answer took too long
+	KeepOpen Decision = iota
+	// CloseIdle: no request has begun to arrive. Bytes that arrive later are not read, so the client may send
+	// that request to another gateway.
+	CloseIdle
+	RejectRequest // its request was not complete at the deadline
+	AbortAnswer   // its answer exceeded the deadline
 )
 
-// DecideConnection decides what becomes of a connection, and when to ask again if it is kept open;
-// the zero time stands for not before the service changes.
+// DecideConnection returns the decision for a connection and, if it is kept open, when to evaluate it again;
+// the zero time means only after a change of the service.
 func (s Service) DecideConnection(now time.Time, c Connection) (d Decision, next time.Time) {
 	if s.KeepAlive {
 		return KeepOpen, time.Time{}
@@ -35,7 +37,7 @@
 		return keepOpenUntil(now, s.RequestDeadline, RejectRequest)
 	case !c.Answered && now.Before(firstByteDeadline):
 		return KeepOpen, firstByteDeadline
-	case c.UnreadBytes && s.AcceptsRequest(now): // it is about to be read
+	case c.UnreadBytes && s.AcceptsRequest(now): // these bytes are about to be read
 		return KeepOpen, earliest(now.Add(unreadRecheckInterval), s.RequestDeadline)
 	}
 	return CloseIdle, time.Time{}
--- a/decide/lifecycle/event.go
+++ b/decide/lifecycle/event.go
@@ -2,36 +2,36 @@
 
 import "time"
 
-// Event is something that happens to a process.
+// Event is an input of the state machine.
 type Event interface{ isEvent() }
 
-// Drain says that operators send clients away.
+// Drain is the operators' command to direct clients to other gateways.
 type Drain struct{}
 
-// Activate says that operators end the drain.
+// Activate is the operators' command to end the drain.
 type Activate struct{}
 
-// HandOver says that a newer process on the same socket is ready.
+// HandOver reports that a newer process on the same socket is ready.
 type HandOver struct{}
 
-// Terminate says that the process is told to end, by SIGTERM or an interrupt.
+// Terminate reports a request to end the process, by SIGTERM or an interrupt.
 type Terminate struct{}
 
-// ListenerLost says that clients can't be accepted any more.
+// ListenerLost reports that clients can no longer be accepted.
 type ListenerLost struct{}
 
-// SettingsChanged says that other settings are in force; see Limits.MaxFirstEventWait.
+// SettingsChanged reports a change of the settings in force; see Limits.MaxFirstEventWait.
 type SettingsChanged struct{ MaxFirstEventWait time.Duration }
 
-// ClientsIdle says that no request has come for a while: clients have noticed the shutdown. It
-// answers AwaitClientsIdle.
+// ClientsIdle reports that no request has arrived for a while, which shows that clients have noticed the
+// shutdown. It is the response to AwaitClientsIdle.
 type ClientsIdle struct{}
 
-// WorkCompleted says that no connection is open, no request in flight and no release owed to an engine.
-// It answers AwaitWorkCompleted.
+// WorkCompleted reports that no connection is open, no request is in flight and no release to an engine is
+// pending. It is the response to AwaitWorkCompleted.
 type WorkCompleted struct{}
 
-// Tick says that the time which NextTick named has come.
+// Tick reports that the time returned by NextTick has been reached.
 type Tick struct{}
 
 func (Drain) isEvent()           {}
@@ -44,16 +44,16 @@
 func (WorkCompleted) isEvent()   {}
 func (Tick) isEvent()            {}
 
-// Action is something that the caller of Process.Handle has to do once.
+// Action is an operation that the caller of Process.Handle must execute once.
 type Action uint8
 
 // The actions.
 const (
 	StopListening      Action = iota
-	AwaitClientsIdle          // post ClientsIdle once no request has come for a while
-	AwaitWorkCompleted        // post WorkCompleted once that is so
-	RejectWaiting             // reject the requests that no engine has been sent
-	FailWaiting               // fail those too whose engine may be about to answer
-	AbortStreams              // close every connection, streams included
+	AwaitClientsIdle          // post ClientsIdle once no request has arrived for a while
+	AwaitWorkCompleted        // post WorkCompleted once its conditions hold
+	RejectWaiting             // reject the requests that have not been sent to an engine
+	FailWaiting               // also fail the requests whose engine may be about to answer
+	AbortStreams              // close every connection, including streams
 	Exit
 )
--- a/decide/lifecycle/golden_test.go
+++ b/decide/lifecycle/golden_test.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// goldenSums are the hashes of all that a Process decides under drawn events, by Limits: bit 0 is
-// KillExpected, bit 1 ClientsResume, bit 2 SharedSocket. They were taken before the names of this package were
-// reworked. A change of the hash is a change of behaviour; the numbers of states, actions and
-// verdicts, and the order of these, belong to it.
+// goldenSums are hashes over the decisions of a Process for events drawn from fixed seeds, one hash for each
+// Limits: bit 0 is KillExpected, bit 1 ClientsResume, bit 2 SharedSocket. They were recorded before the names
+// of this package were changed. A different hash means that the behaviour changed; the numeric values of
+// states, actions and decisions, and their order, are part of that behaviour.
 var goldenSums = [8]string{
 	"d53817c8fa47972b6dd1a38737b95afb",
 	"1921a3fc854795e23aeddbb7cbde1c1c",
@@ -30,8 +30,8 @@
 	goldenEvents = 60  // per seed
 )
 
-// TestGoldenDecisions drives processes with events drawn from fixed seeds, at times before, at and
-// after those that Next names, and compares hashes over the decisions.
+// TestGoldenDecisions sends events drawn from fixed seeds to processes, at times before, at and after those
+// that NextTick returns, and compares hashes over the decisions.
 func TestGoldenDecisions(t *testing.T) {
 	for bits, want := range goldenSums {
 		t.Run(fmt.Sprintf("limits %03b", bits), func(t *testing.T) {
@@ -46,10 +46,10 @@
 	}
 }
 
-// hashProcess drives one process and adds to the hash what it decides.
+// hashProcess sends events to one process and adds its decisions to the hash.
 func hashProcess(sum hash.Hash, rng *rand.Rand, bits int) {
 	drawWait := func() time.Duration { return time.Duration(50+rng.IntN(70_000)) * time.Millisecond }
-	if rng.IntN(2) == 0 { // short waits, where the steps of the end share what time there is
+	if rng.IntN(2) == 0 { // short waits, for which the shutdown steps share the available time
 		drawWait = func() time.Duration { return time.Duration(1+rng.IntN(4000)) * time.Millisecond }
 	}
 	p := New(Limits{MaxFirstEventWait: drawWait(), KillExpected: bits&1 != 0, ClientsResume: bits&2 != 0, SharedSocket: bits&4 != 0})
@@ -57,9 +57,9 @@
 	for range goldenEvents {
 		kind := rng.IntN(16)
 		switch next := since(p.NextTick()); {
-		case next >= now && rng.IntN(3) == 0: // when the tick is due, to the nanosecond
+		case next >= now && rng.IntN(3) == 0: // exactly at the time of the tick
 			now, kind = next, 15
-		case next > now && rng.IntN(3) == 0: // just before
+		case next > now && rng.IntN(3) == 0: // 1 ns before the tick
 			now, kind = next-1, 15
 		default:
 			now += time.Duration(rng.IntN(400)) * time.Millisecond
@@ -83,7 +83,7 @@
 	}
 }
 
-// goldenEvent returns the event that a number stands for.
+// goldenEvent returns the event for a drawn number.
 func goldenEvent(kind int, drawWait func() time.Duration) Event {
 	switch kind {
 	case 0, 1:
@@ -119,11 +119,11 @@
 	return 0
 }
 
-// The states' names are values in logs, and are searched for there.
+// The names of the states are log values that operators search for.
 func TestStateStrings(t *testing.T) {
 	for n, want := range []string{"serving", "draining", "handed over", "leaving", "finishing", "refusing", "failing", "releasing", "ended"} {
 		if got := State(n).String(); got != want {
-			t.Errorf("state %d is %q, want %q", n, got, want)
+			t.Errorf("state %d: name %q, want %q", n, got, want)
 		}
 	}
 }
--- a/decide/lifecycle/lifecycle_test.go
+++ b/decide/lifecycle/lifecycle_test.go
@@ -12,10 +12,10 @@
 
 const second = time.Second
 
-// at is a time on the tests' clock.
+// at returns the time that lies d after the tests' origin.
 func at(d time.Duration) time.Time { return origin.Add(d) }
 
-// since is the opposite; -1 for the zero time.
+// since returns the offset of t from the tests' origin; -1 for the zero time.
 func since(t time.Time) time.Duration {
 	if t.IsZero() {
 		return -1
@@ -23,12 +23,13 @@
 	return t.Sub(origin)
 }
 
-// A process ends in time for the kill by the settings in force: a reload may have made the
-// longest wait shorter. It never takes more than the first ones gave.
-func TestAbortFollowsSettings(t *testing.T) {
+// A process ends before the kill under the settings in force, even if a reload has shortened the maximum
+// wait. A longer wait does not extend the shutdown beyond the settings at the start.
+func TestShutdownFollowsSettings(t *testing.T) {
 	for _, c := range []struct {
-		initial, beforeTerminate, afterTerminate time.Duration // waits at the start, read anew before and after SIGTERM; 0 for none
-		want                                     time.Duration // from SIGTERM to the refusals that come before the cut
+		// Maximum waits at the start, and after reloads before and after SIGTERM; 0 for no reload.
+		initial, beforeTerminate, afterTerminate time.Duration
+		want                                     time.Duration // from SIGTERM to the rejections that precede the aborts
 	}{
 		{2 * second, 0, 0, 1600 * time.Millisecond}, {2 * second, second, 0, 600 * time.Millisecond},
 		{2 * second, 4 * second, 0, 1600 * time.Millisecond}, {60 * second, 0, 0, 2600 * time.Millisecond},
@@ -44,7 +45,7 @@
 			p.Handle(at(0), SettingsChanged{c.afterTerminate})
 		}
 		if got := since(p.NextTick()); got != c.want {
-			t.Errorf("waits %v, %v, %v: refusals after %v, want %v", c.initial, c.beforeTerminate, c.afterTerminate, got, c.want)
+			t.Errorf("waits %v, %v, %v: rejections after %v, want %v", c.initial, c.beforeTerminate, c.afterTerminate, got, c.want)
 		}
 		kill := min(c.initial, maxKillWait) + minKillDelay
 		for _, w := range []time.Duration{c.beforeTerminate, c.afterTerminate} {
@@ -53,12 +54,12 @@
 			}
 		}
 		if _, end := runToEnd(t, p); end > kill-killMargin {
-			t.Errorf("waits %v, %v, %v: ends after %v, killed after %v", c.initial, c.beforeTerminate, c.afterTerminate, end, kill)
+			t.Errorf("waits %v, %v, %v: ends after %v, kill expected after %v", c.initial, c.beforeTerminate, c.afterTerminate, end, kill)
 		}
 	}
 }
 
-// runToEnd gives a process nothing but ticks, and returns its actions and when it ended.
+// runToEnd delivers only ticks to a process, and returns its actions and when it ended.
 func runToEnd(t interface{ Fatal(...any) }, p *Process) (actions []Action, end time.Duration) {
 	for range 20 {
 		if p.State() == Ended {
@@ -66,17 +67,17 @@
 		}
 		next := p.NextTick()
 		if next.IsZero() {
-			t.Fatal("a process that ends waits for nothing: ", p.State())
+			t.Fatal("no tick scheduled before the state ended: state ", p.State())
 		}
 		more, _ := p.Handle(next, Tick{})
 		actions, end = append(actions, more...), since(next)
 	}
-	t.Fatal("a process that ends takes over 20 steps")
+	t.Fatal("process has not ended after 20 steps")
 	return nil, 0
 }
 
-// Only where a kill is known to come is a request given up shortly before it, and only where
-// clients ask for the rest are streams cut off for it.
+// Requests are rejected shortly before the kill only if a kill is expected, and streams are aborted before it
+// only if clients resume them.
 func TestShutdownSteps(t *testing.T) {
 	for _, c := range []struct {
 		limits                             Limits
@@ -107,41 +108,41 @@
 			}
 		}
 		if actionTimes[StopListening] != c.stopListening || actionTimes[RejectWaiting] != c.rejectWaiting || actionTimes[AbortStreams] != c.abortStreams || actionTimes[Exit] != c.exit || requestDeadline != c.requestDeadline {
-			t.Errorf("%+v: requests until %v, actions %v", c.limits, requestDeadline, actionTimes)
+			t.Errorf("%+v: request deadline %v, action times %v", c.limits, requestDeadline, actionTimes)
 		}
 	}
 }
 
-// What each state means for clients, and which calls have their way in it.
+// The service in each state, and whether the last event is accepted.
 func TestServiceByState(t *testing.T) {
 	limits := Limits{MaxFirstEventWait: 3 * second, KillExpected: true, ClientsResume: true}
 	for _, c := range []struct {
-		name              string
-		sharedSocket      bool
-		events            []Event
-		state             State
-		healthy, reusable bool
-		listening         bool
-		requestDeadline   time.Duration // -1 for no bound
-		accepted          bool          // of the last event
+		name               string
+		sharedSocket       bool
+		events             []Event
+		state              State
+		healthy, keepAlive bool
+		listening          bool
+		requestDeadline    time.Duration // -1 for no deadline
+		accepted           bool          // of the last event
 	}{
 		{"serving", false, []Event{Tick{}}, Serving, true, true, true, -1, true},
 		{"drain", false, []Event{Drain{}}, Draining, false, false, true, DrainRequestTimeout, true},
-		{"drain again", false, []Event{Drain{}, Drain{}}, Draining, false, false, true, DrainRequestTimeout, true},
-		{"active without a drain", false, []Event{Activate{}}, Serving, true, true, true, -1, true},
-		{"drain and back", false, []Event{Drain{}, Activate{}}, Serving, true, true, true, -1, true},
+		{"repeated drain", false, []Event{Drain{}, Drain{}}, Draining, false, false, true, DrainRequestTimeout, true},
+		{"activate without a drain", false, []Event{Activate{}}, Serving, true, true, true, -1, true},
+		{"drain and activate", false, []Event{Drain{}, Activate{}}, Serving, true, true, true, -1, true},
 		{"hand-over", true, []Event{HandOver{}}, HandedOver, false, false, false, HandOverRequestTimeout, true},
-		{"active after a hand-over", true, []Event{Drain{}, HandOver{}, Activate{}}, HandedOver, false, false, false, DrainRequestTimeout, false},
-		{"told to end", false, []Event{Terminate{}}, Terminating, true, true, true, -1, true},
-		{"clients idle too early", false, []Event{Terminate{}, ClientsIdle{}}, Terminating, true, true, true, -1, true},
-		{"told to end in a drain", false, []Event{Drain{}, Terminate{}}, Terminating, false, false, true, DrainRequestTimeout, true},
-		{"drain while it ends", false, []Event{Terminate{}, Drain{}}, Terminating, false, false, true, DrainRequestTimeout, true},
-		{"active while it ends", false, []Event{Drain{}, Terminate{}, Activate{}}, Terminating, false, false, true, DrainRequestTimeout, false},
-		{"told to end on a shared socket", true, []Event{Terminate{}}, Finishing, false, false, false, ShutdownRequestTimeout, true},
-		{"told to end after a hand-over", true, []Event{HandOver{}, Terminate{}}, Finishing, false, false, false, ShutdownRequestTimeout, true},
+		{"activate after a hand-over", true, []Event{Drain{}, HandOver{}, Activate{}}, HandedOver, false, false, false, DrainRequestTimeout, false},
+		{"terminate", false, []Event{Terminate{}}, Terminating, true, true, true, -1, true},
+		{"clients idle before AcceptGrace elapsed", false, []Event{Terminate{}, ClientsIdle{}}, Terminating, true, true, true, -1, true},
+		{"terminate in a drain", false, []Event{Drain{}, Terminate{}}, Terminating, false, false, true, DrainRequestTimeout, true},
+		{"drain after terminate", false, []Event{Terminate{}, Drain{}}, Terminating, false, false, true, DrainRequestTimeout, true},
+		{"activate after terminate", false, []Event{Drain{}, Terminate{}, Activate{}}, Terminating, false, false, true, DrainRequestTimeout, false},
+		{"terminate on a shared socket", true, []Event{Terminate{}}, Finishing, false, false, false, ShutdownRequestTimeout, true},
+		{"terminate after a hand-over", true, []Event{HandOver{}, Terminate{}}, Finishing, false, false, false, ShutdownRequestTimeout, true},
 		{"listener lost", false, []Event{ListenerLost{}}, Finishing, false, false, false, ShutdownRequestTimeout, true},
-		{"all has ended", true, []Event{Terminate{}, WorkCompleted{}}, Ended, false, false, false, ShutdownRequestTimeout, true},
-		{"all done while it serves", false, []Event{WorkCompleted{}}, Serving, true, true, true, -1, true},
+		{"work completed after terminate", true, []Event{Terminate{}, WorkCompleted{}}, Ended, false, false, false, ShutdownRequestTimeout, true},
+		{"work completed while serving", false, []Event{WorkCompleted{}}, Serving, true, true, true, -1, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			limits := limits
@@ -152,14 +153,14 @@
 				_, accepted = p.Handle(at(0), e)
 			}
 			s := p.Service()
-			if s.State != c.state || s.Healthy != c.healthy || s.KeepAlive != c.reusable || s.Listening != c.listening || since(s.RequestDeadline) != c.requestDeadline || accepted != c.accepted {
+			if s.State != c.state || s.Healthy != c.healthy || s.KeepAlive != c.keepAlive || s.Listening != c.listening || since(s.RequestDeadline) != c.requestDeadline || accepted != c.accepted {
 				t.Errorf("%+v, accepted %v", s, accepted)
 			}
 		})
 	}
 }
 
-// What becomes of a connection in a drain.
+// The decision for a connection during a drain.
 func TestConnectionInDrain(t *testing.T) {
 	p := New(Limits{MaxFirstEventWait: 3 * second})
 	p.Handle(at(0), Drain{})
@@ -171,25 +172,25 @@
 		want Decision
 		next time.Duration
 	}{
-		{"rests", 0, Connection{Opened: at(-second), Answered: true}, CloseIdle, -1},
+		{"idle", 0, Connection{Opened: at(-second), Answered: true}, CloseIdle, -1},
 		{"new", 0, Connection{Opened: at(0)}, KeepOpen, FirstByteTimeout},
-		{"never used", 0, Connection{Opened: at(-second)}, CloseIdle, -1},
-		{"a request arrives", 0, Connection{Opened: at(-second), Answered: true, UnreadBytes: true}, KeepOpen, unreadRecheckInterval},
-		{"a request arrives late", DrainRequestTimeout, Connection{Opened: at(-second), Answered: true, UnreadBytes: true}, CloseIdle, -1},
-		{"a request has begun", second, Connection{Opened: at(-second), PartialRequest: true}, KeepOpen, DrainRequestTimeout},
-		{"a request is not whole in time", DrainRequestTimeout, Connection{Opened: at(-second), PartialRequest: true}, RejectRequest, -1},
-		{"an answer is under way", 4 * second, Connection{Opened: at(-second), InFlight: true, PartialRequest: true}, KeepOpen, 303 * second},
-		{"an answer never ends", 303 * second, Connection{Opened: at(-second), InFlight: true}, AbortAnswer, -1},
+		{"unused past FirstByteTimeout", 0, Connection{Opened: at(-second)}, CloseIdle, -1},
+		{"unread bytes", 0, Connection{Opened: at(-second), Answered: true, UnreadBytes: true}, KeepOpen, unreadRecheckInterval},
+		{"unread bytes after the request deadline", DrainRequestTimeout, Connection{Opened: at(-second), Answered: true, UnreadBytes: true}, CloseIdle, -1},
+		{"partial request", second, Connection{Opened: at(-second), PartialRequest: true}, KeepOpen, DrainRequestTimeout},
+		{"partial request at the request deadline", DrainRequestTimeout, Connection{Opened: at(-second), PartialRequest: true}, RejectRequest, -1},
+		{"answer in progress", 4 * second, Connection{Opened: at(-second), InFlight: true, PartialRequest: true}, KeepOpen, 303 * second},
+		{"answer incomplete at the answer deadline", 303 * second, Connection{Opened: at(-second), InFlight: true}, AbortAnswer, -1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			got, next := s.DecideConnection(at(c.now), c.conn)
 			if got != c.want || since(next) != c.next {
-				t.Errorf("%v, next %v; want %v, %v", got, since(next), c.want, c.next)
+				t.Errorf("decision %v, next %v; want %v, %v", got, since(next), c.want, c.next)
 			}
 		})
 	}
-	if v, next := FullService().DecideConnection(at(0), Connection{Opened: at(-second), Answered: true}); v != KeepOpen || !next.IsZero() {
-		t.Errorf("a process that serves: %v, %v", v, next)
+	if decision, next := FullService().DecideConnection(at(0), Connection{Opened: at(-second), Answered: true}); decision != KeepOpen || !next.IsZero() {
+		t.Errorf("full service: decision %v, next %v", decision, next)
 	}
 }
 
@@ -207,7 +208,7 @@
 		case 6:
 			return ListenerLost{}
 		case 7:
-			return SettingsChanged{time.Duration(rapid.IntRange(50, 70_000).Draw(t, "longest ms")) * time.Millisecond}
+			return SettingsChanged{time.Duration(rapid.IntRange(50, 70_000).Draw(t, "max first event wait ms")) * time.Millisecond}
 		case 8:
 			return ClientsIdle{}
 		}
@@ -215,20 +216,20 @@
 	}).Draw(t, "event")
 }
 
-// Whatever happens, in any order and repeated: a process that was told to end ends within its
-// bound, before the kill where streams may be cut off; a drain's bounds are those of its call;
-// `active` brings the whole service back at once, or is refused; and connections end in every
-// state in which they are not reusable.
+// For any sequence of events: a terminated process ends within its time limit, and before the kill if streams
+// may be aborted; the deadlines of a drain depend only on the time of its command; Activate either restores
+// the full service immediately or is rejected; and connections end in every state in which they are not kept
+// alive.
 func TestBoundsUnderDrawnEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{
-			MaxFirstEventWait: time.Duration(rapid.IntRange(50, 70_000).Draw(t, "longest ms")) * time.Millisecond,
-			KillExpected:      rapid.Bool().Draw(t, "kill known"), ClientsResume: rapid.Bool().Draw(t, "resume"), SharedSocket: rapid.Bool().Draw(t, "shared"),
+			MaxFirstEventWait: time.Duration(rapid.IntRange(50, 70_000).Draw(t, "max first event wait ms")) * time.Millisecond,
+			KillExpected:      rapid.Bool().Draw(t, "kill expected"), ClientsResume: rapid.Bool().Draw(t, "resume"), SharedSocket: rapid.Bool().Draw(t, "shared"),
 		}
 		p := New(limits)
 		now := time.Duration(0)
 		terminated, drained := time.Duration(-1), time.Duration(-1)
-		bound := limits.MaxFirstEventWait + AnswerTimeout + releasePeriod
+		maxShutdown := limits.MaxFirstEventWait + AnswerTimeout + releasePeriod
 		var actions []Action
 		for range rapid.IntRange(1, 30).Draw(t, "events") {
 			event := drawEvent(t)
@@ -255,12 +256,12 @@
 				}
 			case Activate:
 				if accepted != (before < HandedOver) {
-					t.Fatalf("active in state %v: accepted %v", before, accepted)
+					t.Fatalf("activate in state %v: accepted %v", before, accepted)
 				}
 				if accepted {
 					drained = -1
 					if want := FullService(); s != want {
-						t.Fatalf("active leaves %+v", s)
+						t.Fatalf("service after activate: %+v", s)
 					}
 				}
 			}
@@ -268,21 +269,21 @@
 				t.Fatalf("drained at %v: %+v", drained, s)
 			}
 			if s.Draining && (s.RequestDeadline.After(at(drained+DrainRequestTimeout)) || s.AnswerDeadline.After(at(drained+limits.MaxFirstEventWait+AnswerTimeout))) {
-				t.Fatalf("a drain's bounds have moved out: %+v", s)
+				t.Fatalf("the deadlines of a drain were extended: %+v", s)
 			}
 			if p.State() == Serving && !p.NextTick().IsZero() || p.State() >= Terminating && p.State() < Ended && p.NextTick().IsZero() {
-				t.Fatalf("state %v waits until %v", p.State(), p.NextTick())
+				t.Fatalf("state %v: next tick at %v", p.State(), p.NextTick())
 			}
 			checkConnections(t, s, now)
 		}
 		if terminated >= 0 {
 			if p.State() != Ended {
 				more, end := runToEnd(t, p)
-				if actions = append(actions, more...); end > terminated+bound {
-					t.Fatalf("told to end at %v, ends at %v", terminated, end)
+				if actions = append(actions, more...); end > terminated+maxShutdown {
+					t.Fatalf("terminated at %v, ends at %v, after its time limit", terminated, end)
 				}
 				if limits.ClientsResume && end > terminated+min(limits.MaxFirstEventWait, maxKillWait)+minKillDelay {
-					t.Fatalf("told to end at %v, ends at %v, after the kill", terminated, end)
+					t.Fatalf("terminated at %v, ends at %v, after the kill", terminated, end)
 				}
 			}
 			checkActions(t, actions)
@@ -290,19 +291,19 @@
 	})
 }
 
-// checkConnections follows drawn connections through a service that does not change: each that is
-// not reusable ends by the service's bounds, whatever its client does.
+// checkConnections evaluates drawn connections under a constant service: each connection that is not kept
+// alive ends by the service's deadlines, regardless of its client.
 func checkConnections(t *rapid.T, s Service, now time.Duration) {
 	if s.KeepAlive {
 		return
 	}
 	if s.RequestDeadline.IsZero() || s.AnswerDeadline.IsZero() {
-		t.Fatalf("connections end without a bound: %+v", s)
+		t.Fatalf("connections are not kept alive but have no deadline: %+v", s)
 	}
 	c := Connection{
 		Opened:   at(now - time.Duration(rapid.IntRange(0, 1000).Draw(t, "age ms"))*time.Millisecond),
-		Answered: rapid.Bool().Draw(t, "answered"), InFlight: rapid.Bool().Draw(t, "in hand"),
-		PartialRequest: rapid.Bool().Draw(t, "begun"), UnreadBytes: rapid.Bool().Draw(t, "arriving"),
+		Answered: rapid.Bool().Draw(t, "answered"), InFlight: rapid.Bool().Draw(t, "in flight"),
+		PartialRequest: rapid.Bool().Draw(t, "partial request"), UnreadBytes: rapid.Bool().Draw(t, "unread bytes"),
 	}
 	latest := s.RequestDeadline
 	if c.InFlight {
@@ -315,22 +316,22 @@
 		latest = at(now)
 	}
 	for moment := at(now); ; {
-		v, next := s.DecideConnection(moment, c)
-		if v != KeepOpen {
-			if v == CloseIdle && (c.InFlight || c.PartialRequest) || v == RejectRequest && c.InFlight {
-				t.Fatalf("%+v: %v at %v", c, v, since(moment))
+		decision, next := s.DecideConnection(moment, c)
+		if decision != KeepOpen {
+			if decision == CloseIdle && (c.InFlight || c.PartialRequest) || decision == RejectRequest && c.InFlight {
+				t.Fatalf("%+v: decision %v at %v, with a request incomplete or in flight", c, decision, since(moment))
 			}
 			return
 		}
 		if !next.After(moment) || next.After(latest) {
-			t.Fatalf("%+v is kept at %v until %v, its bound is %v", c, since(moment), since(next), since(latest))
+			t.Fatalf("%+v is kept open at %v until %v, its deadline is %v", c, since(moment), since(next), since(latest))
 		}
 		moment = next
 	}
 }
 
-// checkActions states that what has no answer is refused, then failed, before streams are cut off,
-// that each is done once, and that the process exits.
+// checkActions checks that requests without an answer are rejected and then failed before streams are
+// aborted, that each action occurs once, and that the process exits.
 func checkActions(t *rapid.T, actions []Action) {
 	var shutdownActions []Action
 	for _, a := range actions {
@@ -339,6 +340,6 @@
 		}
 	}
 	if want := []Action{RejectWaiting, FailWaiting, AbortStreams, Exit}; !slices.Equal(shutdownActions, want) {
-		t.Fatalf("actions %v", shutdownActions)
+		t.Fatalf("shutdown actions %v, not in the expected order", shutdownActions)
 	}
 }
--- a/decide/lifecycle/process.go
+++ b/decide/lifecycle/process.go
@@ -1,43 +1,43 @@
-// Package lifecycle decides which state a gateway's process is in and what that state means for
-// its clients: whether it is healthy, whether connections outlive their answers, until when a
-// request may be completed and until when an answer may go on.
+// Package lifecycle decides the state of a gateway's process and the effect of that state on clients: whether
+// the process is healthy, whether connections are kept alive after an answer, and the deadlines for
+// completing requests and answers.
 //
-// A Process is the only owner of these decisions. Drains, signals, the hand-over to a newer
-// process and the loss of the listener are events of one table, in any order and repeated. Every
-// state but Serving sets bounds of its own, which follow from the event alone: no client, engine
-// or later event moves them out. The package does no I/O, reads no clock and starts nothing; the
-// caller's times must come from one monotonic clock.
+// Only a Process makes these decisions. Drains, signals, the hand-over to a newer process and the loss of the
+// listener are events of one state machine, which accepts them in any order and repeatedly. Each state other
+// than Serving sets deadlines that depend only on the event that caused it: no client, engine or later event
+// extends them. The package does no I/O, reads no clock and starts nothing; the caller's times must come from
+// one monotonic clock.
 package lifecycle
 
 import "time"
 
-// Limits are what the settings say of a process's end.
+// Limits are the settings that determine how a process shuts down.
 type Limits struct {
-	MaxFirstEventWait time.Duration // the longest that a client waits for its first event, by the settings in force
-	KillExpected      bool          // SIGKILL follows SIGTERM by the platform's clock
-	ClientsResume     bool          // clients ask for the rest of a stream that is cut off
+	MaxFirstEventWait time.Duration // maximum wait of a client for its first event, by the settings in force
+	KillExpected      bool          // the platform sends SIGKILL at a known time after SIGTERM
+	ClientsResume     bool          // clients request the remainder of an aborted stream
 	SharedSocket      bool          // another process may accept on the same socket
 }
 
-// Process is the state of one process. Use New.
+// Process is the state machine of one process. Use New.
 type Process struct {
-	limits                   Limits        // those in force; a process that ends keeps the shortest wait since
+	limits                   Limits        // in force; MaxFirstEventWait is their minimum once terminated
 	initialMaxFirstEventWait time.Duration // Limits.MaxFirstEventWait at the start
-	phase                    State         // Serving, or a state from Leaving on
-	drainingSince            time.Time     // zero while it does not drain
+	phase                    State         // Serving, or a state from Terminating on
+	drainingSince            time.Time     // zero while the process does not drain
 	handedOverAt             time.Time     // zero before a hand-over
-	terminatedAt             time.Time     // of Terminate or ListenerLost; zero before
-	finishingSince           time.Time     // since when nothing new is accepted; zero before
-	listenerLost             bool          // the loss of the listener ended it, not a signal
-	shutdown                 shutdownPlan  // set from terminatedAt on
+	terminatedAt             time.Time     // time of Terminate or ListenerLost; zero before
+	finishingSince           time.Time     // time from which nothing new is accepted; zero before
+	listenerLost             bool          // the process terminates because of the listener's loss, not a signal
+	shutdown                 shutdownPlan  // set once terminatedAt is set
 }
 
-// New returns a process that serves.
+// New returns a process in the state Serving.
 func New(l Limits) *Process {
 	return &Process{limits: l, initialMaxFirstEventWait: l.MaxFirstEventWait}
 }
 
-// State returns what the process is doing.
+// State returns the current state.
 func (p *Process) State() State {
 	switch {
 	case p.phase != Serving:
@@ -50,11 +50,11 @@
 	return Serving
 }
 
-// LostListener tells whether the process ends because its listener was lost.
+// LostListener reports whether the process terminates because its listener was lost.
 func (p *Process) LostListener() bool { return p.listenerLost }
 
-// Handle decides on an event. It returns what is to be done, and whether the event was accepted: a
-// process that ends or has handed over can't be made active again.
+// Handle processes an event. It returns the actions that the caller must execute, and whether the event was
+// accepted: Activate is rejected after a termination or hand-over.
 func (p *Process) Handle(now time.Time, event Event) (actions []Action, accepted bool) {
 	accepted = true
 	switch e := event.(type) {
@@ -79,7 +79,7 @@
 	return append(actions, p.advance(now)...), accepted
 }
 
-// drain starts a drain. One that is under way keeps the bounds of its own start.
+// drain starts a drain. A drain in progress keeps its original deadlines.
 func (p *Process) drain(now time.Time) {
 	if p.drainingSince.IsZero() {
 		p.drainingSince = now
@@ -102,14 +102,15 @@
 	return []Action{StopListening}
 }
 
-// terminate starts the shutdown. Further signals change nothing.
+// terminate starts the shutdown. Further termination events change nothing.
 func (p *Process) terminate(now time.Time) []Action {
 	if !p.terminatedAt.IsZero() {
 		return nil
 	}
 	p.terminatedAt, p.phase = now, Terminating
 	p.shutdown = p.planShutdown()
-	if p.limits.SharedSocket || p.listenerLost { // others accept the clients at once, or nobody can
+	// Other processes accept new clients immediately, or accepting is impossible.
+	if p.limits.SharedSocket || p.listenerLost {
 		return p.startFinishing(now)
 	}
 	if p.limits.ClientsResume {
@@ -118,8 +119,8 @@
 	return nil
 }
 
-// changeSettings applies other settings. A process that ends keeps to the shortest wait that was
-// in force since: the kill may go by any of them.
+// changeSettings applies new settings. A terminating process uses the shortest wait that has been in force
+// since its termination, because the platform may time the kill by any of them.
 func (p *Process) changeSettings(maxFirstEventWait time.Duration) {
 	if p.terminatedAt.IsZero() {
 		p.limits.MaxFirstEventWait = maxFirstEventWait
@@ -129,7 +130,7 @@
 	p.shutdown = p.planShutdown()
 }
 
-// handleClientsIdle ends the wait for clients to notice, but not before AcceptGrace is over.
+// handleClientsIdle stops accepting once clients have noticed the shutdown, but only after AcceptGrace.
 func (p *Process) handleClientsIdle(now time.Time) []Action {
 	if p.phase != Terminating || now.Before(p.shutdown.acceptUntil) {
 		return nil
@@ -137,7 +138,7 @@
 	return p.startFinishing(now)
 }
 
-// handleWorkCompleted ends a process at once that accepts nothing any more.
+// handleWorkCompleted ends a process that no longer accepts anything, without waiting for the next step.
 func (p *Process) handleWorkCompleted() []Action {
 	if p.phase < Finishing || p.phase == Ended {
 		return nil
@@ -151,7 +152,7 @@
 	return []Action{StopListening, AwaitWorkCompleted}
 }
 
-// advance takes the steps of the shutdown that are due by now.
+// advance executes all steps of the shutdown whose time has been reached.
 func (p *Process) advance(now time.Time) (actions []Action) {
 	for next := p.NextTick(); !next.IsZero() && !now.Before(next); next = p.NextTick() {
 		if p.phase == Terminating {
@@ -165,7 +166,7 @@
 	return actions
 }
 
-// shutdownSteps are what follows on the states from Finishing on.
+// shutdownSteps lists the next state and its action for each state from Finishing on.
 var shutdownSteps = map[State]struct {
 	next   State
 	action Action
@@ -176,7 +177,7 @@
 	Releasing: {Ended, Exit},
 }
 
-// NextTick returns when a Tick is due; the zero time for never.
+// NextTick returns when a Tick must be delivered; the zero time for never.
 func (p *Process) NextTick() time.Time {
 	switch p.phase {
 	case Terminating:
--- a/decide/lifecycle/service.go
+++ b/decide/lifecycle/service.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// Service is what clients get of a process in its state.
+// Service describes how a process treats its clients in a given state.
 type Service struct {
 	State     State
-	Draining  bool // as well as what State says: a process that was drained may end or hand over
-	Healthy   bool // health checks may say yes
-	KeepAlive bool // connections outlive their answers
+	Draining  bool // independent of State: a draining process may also terminate or hand over
+	Healthy   bool // health checks may succeed
+	KeepAlive bool // connections remain open after an answer
 	Listening bool
-	// RequestDeadline is when a request has to be complete; one that is later is rejected.
-	// AnswerDeadline is when a connection with an answer under way is aborted. The zero time stands
-	// for no bound. Where connections are not reusable both are set.
+	// RequestDeadline is the time by which a request must be complete; a later request is rejected.
+	// AnswerDeadline is when a connection with an incomplete answer is aborted. The zero time means no
+	// deadline. Both are set if KeepAlive is false.
 	RequestDeadline time.Time
 	AnswerDeadline  time.Time
 }
 
-// FullService is what clients get of a process that serves.
+// FullService returns the service of a process in the state Serving.
 func FullService() Service { return Service{Healthy: true, KeepAlive: true, Listening: true} }
 
-// Service returns what clients get in the process's state.
+// Service returns the service for the process's state.
 func (p *Process) Service() Service {
 	s := FullService()
 	s.State, s.Draining = p.State(), !p.drainingSince.IsZero()
@@ -41,14 +41,14 @@
 	return s
 }
 
-// disableKeepAlive has connections end with their answers. Of several deadlines the earliest hold.
+// disableKeepAlive makes connections close after their answers. Of several deadlines, the earliest applies.
 func (s *Service) disableKeepAlive(requestDeadline, answerDeadline time.Time) {
 	s.KeepAlive = false
 	s.RequestDeadline = earliest(s.RequestDeadline, requestDeadline)
 	s.AnswerDeadline = earliest(s.AnswerDeadline, answerDeadline)
 }
 
-// earliest returns the earlier of two times; the zero time stands for never.
+// earliest returns the earlier of two times; the zero time means never.
 func earliest(a, b time.Time) time.Time {
 	if a.IsZero() || !b.IsZero() && b.Before(a) {
 		return b
@@ -56,7 +56,7 @@
 	return a
 }
 
-// AcceptsRequest tells whether a request that is complete now is accepted.
+// AcceptsRequest reports whether a request that is complete now is accepted.
 func (s Service) AcceptsRequest(now time.Time) bool {
 	return s.RequestDeadline.IsZero() || now.Before(s.RequestDeadline)
 }
--- a/decide/lifecycle/shutdownplan.go
+++ b/decide/lifecycle/shutdownplan.go
@@ -2,25 +2,26 @@
 
 import "time"
 
-// shutdownPlan is when a process that ends takes each step. All times follow from when it was told
-// to end and from the settings.
+// shutdownPlan lists the times at which a terminating process takes each step. All times are derived from the
+// time of the termination and from the settings.
 type shutdownPlan struct {
-	acceptUntil   time.Time // at the earliest: until then new clients are accepted
-	stopAccepting time.Time // at the latest: from then on nothing new is accepted
-	rejectWaiting time.Time // requests that wait are rejected
-	failWaiting   time.Time // what is unanswered is failed
-	abortStreams  time.Time // streams are cut off
+	acceptUntil   time.Time // earliest end of accepting: new clients are accepted until then
+	stopAccepting time.Time // latest end of accepting: nothing new is accepted afterwards
+	rejectWaiting time.Time // waiting requests are rejected
+	failWaiting   time.Time // requests without an answer are failed
+	abortStreams  time.Time // streams are aborted
 	exit          time.Time // the process exits
 }
 
-// earliestKill is when SIGKILL may come at the earliest. It goes by the shorter of the waits at the
-// start and now: the platform may not have applied the change.
+// earliestKill returns the earliest possible time of SIGKILL. It uses the shorter of the waits at the start
+// and now, because the platform may not have applied a change of settings.
 func (p *Process) earliestKill() time.Time {
-	return p.terminatedAt.Add(min(p.initialMaxFirstEventWait, p.limits.MaxFirstEventWait, maxKillWait) + minKillDelay)
+	return p.terminatedAt.Add(
+		min(p.initialMaxFirstEventWait, p.limits.MaxFirstEventWait, maxKillWait) + minKillDelay)
 }
 
-// answerTimeout is how long after its connection was to end an answer may go on. It goes by the
-// settings at the start, so that no later ones move the end out.
+// answerTimeout returns how long an answer may continue after its connection is no longer kept alive. It uses
+// the settings at the start, so that later settings can't extend it.
 func (p *Process) answerTimeout() time.Duration { return p.initialMaxFirstEventWait + AnswerTimeout }
 
 func (p *Process) planShutdown() shutdownPlan {
@@ -30,13 +31,16 @@
 	return p.planStreamCompletion()
 }
 
-// planStreamAborts ends a process whose clients ask for the rest of streams elsewhere: it serves on for
-// as long as it may, since the others of a rolling restart may be away, and cuts streams off early
-// enough for their clients to find another and for what engines hold to be released.
+// planStreamAborts plans the shutdown of a process whose clients resume aborted streams at another process.
+// The process serves for as long as possible, since the other processes of a rolling restart may be
+// unavailable. It aborts streams early enough for their clients to find another process and for the state
+// that engines hold to be released.
 func (p *Process) planStreamAborts() shutdownPlan {
 	earliestKill := p.earliestKill()
-	plan := shutdownPlan{acceptUntil: p.terminatedAt.Add(AcceptGrace), rejectWaiting: earliestKill.Add(-rejectBeforeKill)}
-	if plan.rejectWaiting.Before(plan.acceptUntil) { // a short wait: the steps share what time there is
+	plan := shutdownPlan{
+		acceptUntil: p.terminatedAt.Add(AcceptGrace), rejectWaiting: earliestKill.Add(-rejectBeforeKill),
+	}
+	if plan.rejectWaiting.Before(plan.acceptUntil) { // a short wait: the steps share the available time
 		plan.rejectWaiting = plan.acceptUntil
 	}
 	plan.stopAccepting = plan.rejectWaiting
@@ -48,11 +52,13 @@
 	return plan
 }
 
-// planStreamCompletion ends a process whose streams must not be cut off while their events come: they go
-// on up to the kill, or for answerTimeout where no kill comes. What has no answer by shortly before
-// a kill that is known to come is failed.
+// planStreamCompletion plans the shutdown of a process whose streams must not be aborted while their events
+// arrive: they continue up to the kill, or for answerTimeout if there is no kill. Requests without an answer
+// shortly before an expected kill are failed.
 func (p *Process) planStreamCompletion() shutdownPlan {
-	plan := shutdownPlan{acceptUntil: p.terminatedAt.Add(AcceptGrace), abortStreams: p.terminatedAt.Add(p.answerTimeout())}
+	plan := shutdownPlan{
+		acceptUntil: p.terminatedAt.Add(AcceptGrace), abortStreams: p.terminatedAt.Add(p.answerTimeout()),
+	}
 	plan.stopAccepting, plan.rejectWaiting = plan.acceptUntil, plan.abortStreams
 	if p.limits.KillExpected {
 		plan.rejectWaiting = p.earliestKill().Add(-failBeforeKill)
--- a/decide/lifecycle/state.go
+++ b/decide/lifecycle/state.go
@@ -1,26 +1,26 @@
 package lifecycle
 
-// State is what a process is doing.
+// State is the phase of a process's life cycle.
 type State uint8
 
-// The states, in the order in which a process can pass through them.
+// The states, in the order in which a process can reach them.
 const (
 	Serving     State = iota
-	Draining          // operators send clients away; Activate ends it
-	HandedOver        // a newer process accepts the clients; requests in flight go on
-	Terminating       // told to end; its clients have yet to notice and are served as before
-	Finishing         // told to end; nothing new is accepted, requests in flight go on
-	Rejecting         // requests that wait are rejected, so that their clients try elsewhere
-	Failing           // what is still unanswered is failed
-	Releasing         // streams are cut off; what engines hold for them is released
+	Draining          // operators direct clients to other gateways; Activate ends the drain
+	HandedOver        // a newer process accepts new clients; requests in flight continue
+	Terminating       // termination was requested; clients have not noticed yet and are served as before
+	Finishing         // termination was requested; nothing new is accepted, requests in flight continue
+	Rejecting         // waiting requests are rejected, so that their clients retry at another gateway
+	Failing           // requests without an answer are failed
+	Releasing         // streams are aborted; the state that engines hold for them is released
 	Ended
 )
 
-// stateNames are values in logs, where people search for them.
+// stateNames are log values that operators search for.
 var stateNames = [...]string{
-	Serving: "serving", Draining: "draining", HandedOver: "handed over", Terminating: "leaving", Finishing: "finishing",
-	Rejecting: "refusing", Failing: "failing", Releasing: "releasing", Ended: "ended",
+	Serving: "serving", Draining: "draining", HandedOver: "handed over", Terminating: "leaving",
+	Finishing: "finishing", Rejecting: "refusing", Failing: "failing", Releasing: "releasing", Ended: "ended",
 }
 
-// String returns the state's name, as logs have it.
+// String returns the state's name as used in logs.
 func (s State) String() string { return stateNames[s] }
