--- a/decide/deduplication/eviction.go
+++ b/decide/deduplication/eviction.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// A search for room visits every entry. A team that floods a full table must not cause one with each
-// of its requests.
+// An eviction visits every entry. A team that sends many requests while the table is full must not cause an
+// eviction for each of them.
 const (
-	evictionRetryInterval = time.Second // between failed searches of one team
-	maxFailedEvictions    = 256         // teams remembered; beyond it all are forgotten
+	evictionRetryInterval = time.Second // minimum interval after a failed eviction of one team
+	maxFailedEvictions    = 256         // number of teams recorded; when it is reached, all are cleared
 )
 
-// Parts of the table that one eviction frees, so that the next requests find room without a search.
+// Fractions of the table, as divisors, that one eviction frees, so that later requests need no eviction.
 const (
-	evictedAnswersDivisor = 8  // of the answers of the largest team
-	freedBytesDivisor     = 16 // of the bytes of all answers
+	evictedAnswersDivisor = 8  // of the answers of the team with the most answer bytes
+	freedBytesDivisor     = 16 // of the total answer bytes
 	evictedEntriesDivisor = 64 // of all entries
 )
 
-// evictAnswers drops answers, oldest first, of the team that has the most bytes of them, until the rest
-// fits. Their entries stay, so that their requests are not run again.
+// evictAnswers drops the oldest answers of the team with the most answer bytes until the remaining answers
+// fit. The entries remain, so their requests are not run again.
 func (t *Table) evictAnswers() {
 	for t.answerBytes > t.limits.MaxTotalAnswerBytes {
 		answered := t.answeredBy(t.teamWithMostAnswerBytes())
@@ -34,7 +34,7 @@
 	}
 }
 
-// teamWithMostAnswerBytes breaks ties by name.
+// teamWithMostAnswerBytes returns the team with the most answer bytes; of equal teams, the first by name.
 func (t *Table) teamWithMostAnswerBytes() string {
 	largest := ""
 	for name, usage := range t.teams {
@@ -61,18 +61,19 @@
 	return answered
 }
 
-// compareAge orders entries oldest first, by name where they are of one age.
+// compareAge orders entries by age, oldest first, and entries of equal age by name.
 func compareAge(a, b *Entry) int {
 	return cmp.Or(a.Since.Compare(b.Since), cmp.Compare(a.Key.Name, b.Key.Name))
 }
 
-// ensureCapacity makes room for one more entry of a team, and reports whether there is any. If need be it
-// removes complete entries that are past MinRetention; see removableFor.
+// ensureCapacity reports whether one more entry of a team can be added. If necessary, it removes complete
+// entries that are past MinRetention; see removableFor.
 func (t *Table) ensureCapacity(now time.Time, team string) bool {
 	if t.hasCapacity(team) {
 		return true
 	}
-	if failedAt, ok := t.failedEvictions[team]; ok && now.Sub(failedAt) < evictionRetryInterval && !now.Before(failedAt) {
+	if failedAt, ok := t.failedEvictions[team]; ok && now.Sub(failedAt) < evictionRetryInterval &&
+		!now.Before(failedAt) {
 		return false
 	}
 	if t.Expire(now); t.hasCapacity(team) {
@@ -101,9 +102,9 @@
 	return t.limits.MaxEntriesPerTeam > 0 && usage != nil && usage.entries >= t.limits.MaxEntriesPerTeam
 }
 
-// removableFor returns the complete entries past MinRetention that may be removed for an entry of a
-// team, oldest first: its own and, unless it is at its own limit, those of teams over their fair share
-// of the table. A team that floods the table so costs no other its keys.
+// removableFor returns the complete entries past MinRetention that may be removed in favour of an entry of a
+// team, oldest first: the team's own entries and, unless the team is at its own limit, those of teams above
+// their fair share of the table. A team that floods the table therefore can't displace other teams' keys.
 func (t *Table) removableFor(team string, now time.Time) []*Entry {
 	teams := len(t.teams)
 	if t.teams[team] == nil {
@@ -122,7 +123,7 @@
 	return removable
 }
 
-// Expire removes entries past their retention. One in progress has none.
+// Expire removes entries past their retention. An entry in progress does not expire.
 func (t *Table) Expire(now time.Time) {
 	for _, e := range t.entries {
 		if t.expired(e, now) {
--- a/decide/deduplication/golden_test.go
+++ b/decide/deduplication/golden_test.go
@@ -22,7 +22,7 @@
 }
 
 func (r recorder) keys(keys []Key) {
-	slices.SortFunc(keys, compareKeys) // a table forgets in the order of a map
+	slices.SortFunc(keys, compareKeys) // a table returns removed keys in map order
 	r.Number(int64(len(keys)))
 	for _, k := range keys {
 		r.Text(k.Team, k.Name)
@@ -33,8 +33,8 @@
 	return cmp.Or(cmp.Compare(a.Team, b.Team), cmp.Compare(a.Name, b.Name))
 }
 
-// TestGoldenResults drives the table with drawn events and compares a hash of all its
-// results with the one recorded before the code's names were changed.
+// TestGoldenResults sends drawn events to the table and compares a hash of all its results with the one
+// recorded before the code's names were changed.
 func TestGoldenResults(t *testing.T) {
 	for seed, want := range map[uint64]string{
 		1: "85bc1960c0c71ad8b0a931727988eccf6efdfdf203b03b24607c365dd753e751",
@@ -50,8 +50,8 @@
 	}
 }
 
-// goldenRun draws limits so small that each of them is met. Times differ at every step, so that
-// no choice between equals is left to the order of a map.
+// goldenRun draws limits so small that each of them is reached. Times differ at every step, so that no choice
+// between equal entries depends on the iteration order of a map.
 func goldenRun(t *testing.T, seed uint64) string {
 	const steps, teams, names = 20_000, 3, 40
 	rng := rand.New(rand.NewPCG(seed, 45))
@@ -68,7 +68,7 @@
 		return table
 	}
 	table := newTable()
-	stored := map[Key]Entry{} // what a file would hold
+	stored := map[Key]Entry{} // simulates the entries stored on disk
 	running := map[Key]string{}
 	applyRemovals := func() {
 		removed := table.PopRemoved()
@@ -132,7 +132,7 @@
 			table = newTable()
 			table.Restore(now, entries, rng.IntN(2) == 0)
 			clear(running)
-			for i := range entries { // what ran has been cut off
+			for i := range entries { // running requests were interrupted
 				if e := &entries[i]; e.State == StateRunning {
 					e.State, e.Since, e.Answer = StateUnknown, now, nil
 					stored[e.Key] = *e
@@ -145,8 +145,8 @@
 	return rec.Hash()
 }
 
-// TestGoldenDecisionsAboutGateways pins who is taken to have been asked before, and how a request
-// has ended, for all that may be known.
+// TestGoldenDecisionsAboutGateways covers every combination of a Result and of a Topology: the outcome of a
+// request, and whether an earlier attempt may have reached another gateway.
 func TestGoldenDecisionsAboutGateways(t *testing.T) {
 	const want = "285231c93e1967c538fb3308137b34b5c85d970d013c7776ecb966c736b84f8a"
 	rec := recorder{golden.NewRecorder()}
@@ -167,7 +167,7 @@
 	}
 }
 
-// TestTextsOfStatesAndDecisions pins texts that metrics and counts show.
+// TestTextsOfStatesAndDecisions checks texts that are shown in metrics and counts.
 func TestTextsOfStatesAndDecisions(t *testing.T) {
 	for v, want := range []string{"run", "under way", "replay", "not kept", "reused", "lost", "full"} {
 		if got := Decision(v).String(); got != want {
@@ -181,7 +181,7 @@
 	}
 }
 
-// TestTextsOfLimitErrors pins what an operator reads about a setting.
+// TestTextsOfLimitErrors checks the error messages about settings.
 func TestTextsOfLimitErrors(t *testing.T) {
 	for _, c := range []struct {
 		change func(*Limits)
--- a/decide/deduplication/limits.go
+++ b/decide/deduplication/limits.go
@@ -6,20 +6,20 @@
 	"wellgw/decide/setting"
 )
 
-// Limits bound what a Table remembers, and for how long.
+// Limits are the capacity and retention limits of a Table.
 type Limits struct {
 	MaxEntries          int
-	MaxEntriesPerTeam   int           // 0: as many as MaxEntries
-	MaxTotalAnswerBytes int64         // of all answers together
-	MaxAnswerBytes      int           // a larger answer is not kept
-	Retention           time.Duration // an entry is removed this long after its request ended
-	MinRetention        time.Duration // and never sooner than this, whatever room is needed
-	// UncertaintyPeriod is how long after a restart that may have lost entries a retry under an unseen
-	// key is not run.
+	MaxEntriesPerTeam   int           // 0: no limit below MaxEntries
+	MaxTotalAnswerBytes int64         // total size of all answers
+	MaxAnswerBytes      int           // a larger answer is not stored
+	Retention           time.Duration // time from the end of a request to the removal of its entry
+	MinRetention        time.Duration // minimum retention, even if capacity is exhausted
+	// UncertaintyPeriod is the time after a restart that may have lost entries in which a retry with an
+	// unseen key is not run.
 	UncertaintyPeriod time.Duration
 }
 
-// DefaultLimits returns the limits for settings that an operator leaves out.
+// DefaultLimits returns the limits for settings that the operator does not specify.
 func DefaultLimits() Limits {
 	return Limits{
 		MaxEntries: 20_000, MaxTotalAnswerBytes: 16 << 20, MaxAnswerBytes: 256 << 10,
@@ -27,7 +27,7 @@
 	}
 }
 
-// Validate returns an error that names the setting at fault, as operators know it.
+// Validate returns an error that names the invalid setting as it is spelt in the operator's file.
 func (l Limits) Validate() error {
 	switch {
 	case l.MaxEntries < 1:
--- a/decide/deduplication/refusals.go
+++ b/decide/deduplication/refusals.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// Bounds of the history of refused attempts.
+// Limits of the history of refused attempts.
 const (
-	maxRefusalsPerGeneration = 1024             // keys of a team; two generations are kept
-	refusalGenerationAge     = 10 * time.Minute // clients give up sooner
+	maxRefusalsPerGeneration = 1024             // keys of a team; two generations are stored
+	refusalGenerationAge     = 10 * time.Minute // clients stop retrying earlier
 )
 
-// refusalHistory counts, by key of one team, the attempts that this gateway refused and that so did not
-// run: that many retries under the key are safe here. Entries age out by generation. To lose one costs
-// a retry that would have been safe, and nothing else. A nil history is empty.
+// refusalHistory counts, for each key of one team, the attempts that this gateway refused and that therefore
+// did not run: the same number of retries with the key can safely run. Entries expire by generation. The only
+// effect of a lost entry is that a safe retry is not run. A nil history is empty.
 type refusalHistory struct {
 	newer, older   map[string]int
-	newerStartedAt time.Time // when current began
+	newerStartedAt time.Time // start of the newer generation
 }
 
-// count returns the refused attempts under a key.
+// count returns the number of refused attempts with a key.
 func (h *refusalHistory) count(now time.Time, name string) int {
 	if h == nil {
 		return 0
@@ -25,7 +25,7 @@
 	return max(h.newer[name], h.older[name])
 }
 
-// record adds a refused attempt. A full generation is replaced at once, whatever its age.
+// record adds a refused attempt. A full generation is replaced immediately, regardless of its age.
 func (h *refusalHistory) record(now time.Time, name string) {
 	refused := h.count(now, name) + 1
 	if len(h.newer) >= maxRefusalsPerGeneration {
@@ -37,7 +37,7 @@
 	h.newer[name] = refused
 }
 
-// rotate makes a generation that is old enough the previous one, and drops the previous one.
+// rotate replaces the older generation with the newer one when the latter has reached its maximum age.
 func (h *refusalHistory) rotate(now time.Time) {
 	switch age := now.Sub(h.newerStartedAt); {
 	case age >= 2*refusalGenerationAge:
--- a/decide/deduplication/table.go
+++ b/decide/deduplication/table.go
@@ -1,35 +1,35 @@
-// Package deduplication decides what becomes of a request under an idempotency key (IETF
-// draft-ietf-httpapi-idempotency-key-header), so that a request which its client sends again is not run
-// again. It does no I/O and reads no clock.
+// Package deduplication decides how to handle a request with an idempotency key (IETF
+// draft-ietf-httpapi-idempotency-key-header), so that a request that its client retries is not run a second
+// time. It does no I/O and reads no clock.
 //
-// Its invariant: a key under which a request may have run is not run again while it is remembered, and
-// it is remembered for at least Limits.MinRetention. When there is no room to remember one more key,
-// the request is not run.
+// Its invariant: a key under which a request may have run is not run again while the key is remembered, and
+// it is remembered for at least Limits.MinRetention. If there is no capacity to remember another key, the
+// request is not run.
 package deduplication
 
 import "time"
 
-// Table remembers keys. It is not safe for concurrent use.
+// Table stores the remembered keys. It is not safe for concurrent use.
 type Table struct {
 	limits      Limits
 	entries     map[Key]*Entry
-	teams       map[string]*teamUsage // of teams that have entries
-	answerBytes int64                 // of all answers kept
-	// uncertainUntil is when entries that were lost at the restart would have been removed at the latest:
-	// until then an unseen key may be one of them.
+	teams       map[string]*teamUsage // teams that have entries
+	answerBytes int64                 // total size of all stored answers
+	// uncertainUntil is the latest time at which entries that were lost in the restart would have been
+	// removed. Until then, an unseen key may be one of them.
 	uncertainUntil  time.Time
 	refusals        map[string]*refusalHistory // by team
 	removed         []Key                      // see PopRemoved
-	failedEvictions map[string]time.Time       // by team: when a search for room failed last
+	failedEvictions map[string]time.Time       // by team: time of the latest failed eviction
 }
 
-// teamUsage is what one team's entries take.
+// teamUsage is the capacity used by one team's entries.
 type teamUsage struct {
 	entries     int
 	answerBytes int64
 }
 
-// NewTable returns an empty table. An error names the limit that is invalid.
+// NewTable returns an empty table. It returns an error that names the limit if one is invalid.
 func NewTable(l Limits) (*Table, error) {
 	if err := l.Validate(); err != nil {
 		return nil, err
@@ -43,8 +43,8 @@
 	}, nil
 }
 
-// Restore adds what an earlier process remembered. Requests that ran then were interrupted. clean says
-// that the process was shut down in good order, so that no entry is missing.
+// Restore adds the entries of an earlier process. Requests that were running then were interrupted. clean
+// reports whether that process was shut down cleanly, so that no entry is missing.
 func (t *Table) Restore(now time.Time, entries []Entry, clean bool) {
 	if !clean {
 		t.uncertainUntil = now.Add(t.limits.UncertaintyPeriod)
@@ -59,7 +59,7 @@
 	if e.State == StateRunning {
 		e.State, e.Since, e.Answer = StateUnknown, now, nil
 	}
-	if e.Since.After(now) { // the clock was stepped back
+	if e.Since.After(now) { // the clock was set back
 		e.Since = now
 	}
 	if now.Sub(e.Since) >= t.limits.Retention || t.entries[e.Key] != nil {
@@ -71,7 +71,7 @@
 	t.add(e)
 }
 
-// Begin decides on a request. After Run the request is in progress, until End.
+// Begin decides on a request. After the decision Run, the request is in progress until End is called.
 func (t *Table) Begin(now time.Time, r Request) (Decision, Entry) {
 	e := t.entries[r.Key]
 	if e != nil && t.expired(e, now) {
@@ -81,9 +81,10 @@
 	if e != nil {
 		return decideByEntry(e, r), *e
 	}
-	// An attempt that is not remembered may have gone to another gateway, or to this one before a
-	// restart. Those that were refused here did not run.
-	if r.RetryCount > t.refusals[r.Key.Team].count(now, r.Key.Name) && (r.MayHaveRunOnOtherGateway || now.Before(t.uncertainUntil)) {
+	// An unremembered attempt may have been sent to another gateway, or to this one before a restart.
+	// Attempts that this gateway refused did not run.
+	if r.RetryCount > t.refusals[r.Key.Team].count(now, r.Key.Name) &&
+		(r.MayHaveRunOnOtherGateway || now.Before(t.uncertainUntil)) {
 		return PriorOutcomeUnknown, Entry{Key: r.Key}
 	}
 	if !t.ensureCapacity(now, r.Key.Team) {
@@ -94,7 +95,7 @@
 	return Run, entry
 }
 
-// decideByEntry decides on a request whose key is remembered. It is never Run.
+// decideByEntry decides on a request whose key is remembered. It never returns Run.
 func decideByEntry(e *Entry, r Request) Decision {
 	switch {
 	case e.Digest != r.Digest:
@@ -109,9 +110,11 @@
 	return Replay
 }
 
-// End records how a request ended that Begin decided to run; requestID is the one it began with. It
-// returns the entry, or false if none is left.
-func (t *Table) End(now time.Time, k Key, requestID string, outcome Outcome, contentType string, answer []byte) (Entry, bool) {
+// End records the outcome of a request that Begin decided to run; requestID is the ID passed to Begin. It
+// returns the entry, or false if the entry was removed or does not match.
+func (t *Table) End(
+	now time.Time, k Key, requestID string, outcome Outcome, contentType string, answer []byte,
+) (Entry, bool) {
 	e := t.entries[k]
 	if e == nil || e.RequestID != requestID || e.State != StateRunning {
 		return Entry{}, false
@@ -139,14 +142,14 @@
 	t.refusals[k.Team].record(now, k.Name)
 }
 
-// PopRemoved returns the keys removed since its last call, for whoever keeps them on disk.
+// PopRemoved returns the keys removed since the previous call, so that the caller can remove them from disk.
 func (t *Table) PopRemoved() []Key {
 	removed := t.removed
 	t.removed = nil
 	return removed
 }
 
-// Counts returns how many keys are remembered, and the bytes of their answers.
+// Counts returns the number of remembered keys and the total size of their answers in bytes.
 func (t *Table) Counts() (keys int, bytes int64) { return len(t.entries), t.answerBytes }
 
 func (t *Table) add(e Entry) {
@@ -171,7 +174,7 @@
 	t.removed = append(t.removed, e.Key)
 }
 
-// storeAnswer keeps the answer of a complete entry, if it is neither empty nor too large.
+// storeAnswer stores the answer of a complete entry unless it is empty or too large.
 func (t *Table) storeAnswer(e *Entry, answer []byte) {
 	if len(answer) == 0 || len(answer) > t.limits.MaxAnswerBytes {
 		return
--- a/decide/deduplication/table_test.go
+++ b/decide/deduplication/table_test.go
@@ -43,35 +43,35 @@
 		after    time.Duration
 		want     Decision
 	}{
-		"in progress":               {nil, "", first, time.Second, InProgress},
-		"complete":                  {ptr(OutcomeCompleted), "yes", first, time.Second, Replay},
-		"complete, nothing kept":    {ptr(OutcomeCompleted), "", first, time.Second, AnswerUnavailable},
-		"complete, too large":       {ptr(OutcomeCompleted), strings.Repeat("x", 300<<10), first, time.Second, AnswerUnavailable},
-		"broken":                    {ptr(OutcomeIndeterminate), "", first, time.Second, PriorOutcomeUnknown},
-		"refused":                   {ptr(OutcomeNotRun), "", first, time.Second, Run},
-		"another body":              {ptr(OutcomeCompleted), "yes", newRequest("a", "k", "other"), time.Second, KeyReused},
-		"another body, in progress": {nil, "", newRequest("a", "k", "other"), time.Second, KeyReused},
-		"another body, broken":      {ptr(OutcomeIndeterminate), "", newRequest("a", "k", "other"), time.Second, KeyReused},
-		"the same text, other key":  {ptr(OutcomeCompleted), "yes", newRequest("a", "k2", "d"), time.Second, Run},
-		"another team's key":        {ptr(OutcomeCompleted), "yes", newRequest("b", "k", "d"), time.Second, Run},
-		"past its age":              {ptr(OutcomeCompleted), "yes", first, 25 * time.Hour, Run},
-		"broken, past its age":      {ptr(OutcomeIndeterminate), "", first, 25 * time.Hour, Run},
-		"in progress for a day":     {nil, "", first, 25 * time.Hour, InProgress},
+		"in progress":                       {nil, "", first, time.Second, InProgress},
+		"complete":                          {ptr(OutcomeCompleted), "yes", first, time.Second, Replay},
+		"complete, answer empty":            {ptr(OutcomeCompleted), "", first, time.Second, AnswerUnavailable},
+		"complete, answer too large":        {ptr(OutcomeCompleted), strings.Repeat("x", 300<<10), first, time.Second, AnswerUnavailable},
+		"indeterminate":                     {ptr(OutcomeIndeterminate), "", first, time.Second, PriorOutcomeUnknown},
+		"refused":                           {ptr(OutcomeNotRun), "", first, time.Second, Run},
+		"different body":                    {ptr(OutcomeCompleted), "yes", newRequest("a", "k", "other"), time.Second, KeyReused},
+		"different body, in progress":       {nil, "", newRequest("a", "k", "other"), time.Second, KeyReused},
+		"different body, indeterminate":     {ptr(OutcomeIndeterminate), "", newRequest("a", "k", "other"), time.Second, KeyReused},
+		"same body, different key":          {ptr(OutcomeCompleted), "yes", newRequest("a", "k2", "d"), time.Second, Run},
+		"same key, different team":          {ptr(OutcomeCompleted), "yes", newRequest("b", "k", "d"), time.Second, Run},
+		"past its retention":                {ptr(OutcomeCompleted), "yes", first, 25 * time.Hour, Run},
+		"indeterminate, past its retention": {ptr(OutcomeIndeterminate), "", first, 25 * time.Hour, Run},
+		"in progress for a day":             {nil, "", first, 25 * time.Hour, InProgress},
 	} {
 		t.Run(name, func(t *testing.T) {
 			tb := newTestTable(t, nil)
-			if v, _ := tb.Begin(t0, first); v != Run {
-				t.Fatalf("%v at first", v)
+			if decision, _ := tb.Begin(t0, first); decision != Run {
+				t.Fatalf("first decision %v, want %v", decision, Run)
 			}
 			if c.outcome != nil {
 				tb.End(t0, first.Key, first.RequestID, *c.outcome, "text/plain", []byte(c.answer))
 			}
-			v, e := tb.Begin(t0.Add(c.after), c.repeated)
-			if v != c.want {
-				t.Errorf("%v, want %v", v, c.want)
+			decision, e := tb.Begin(t0.Add(c.after), c.repeated)
+			if decision != c.want {
+				t.Errorf("decision %v, want %v", decision, c.want)
 			}
-			if v == Replay && (string(e.Answer) != c.answer || e.ContentType != "text/plain") {
-				t.Errorf("%+v", e)
+			if decision == Replay && (string(e.Answer) != c.answer || e.ContentType != "text/plain") {
+				t.Errorf("replayed entry %+v, want answer %q", e, c.answer)
 			}
 		})
 	}
@@ -79,13 +79,13 @@
 
 func ptr(o Outcome) *Outcome { return &o }
 
-func TestEndings(t *testing.T) {
-	for e, want := range map[Result]Outcome{
+func TestResultOutcome(t *testing.T) {
+	for result, want := range map[Result]Outcome{
 		{}: OutcomeNotRun, {MayHaveRun: true}: OutcomeIndeterminate, {MayHaveRun: true, Refused: true}: OutcomeNotRun, {MayHaveRun: true, RejectedByEngine: true}: OutcomeNotRun,
 		{Complete: true}: OutcomeCompleted, {Complete: true, MayHaveRun: true}: OutcomeCompleted,
 	} {
-		if got := e.Outcome(); got != want {
-			t.Errorf("%+v: %v, want %v", e, got, want)
+		if got := result.Outcome(); got != want {
+			t.Errorf("%+v: outcome %v, want %v", result, got, want)
 		}
 	}
 }
@@ -98,81 +98,81 @@
 		after         time.Duration
 		want          Decision
 	}{
-		"a first try":                     {0, false, true, 0, Run},
-		"a first try, other gateways":     {0, true, false, 0, Run},
-		"a retry, nothing is lost":        {1, false, true, 0, Run},
-		"a retry, other gateways":         {1, true, true, 0, PriorOutcomeUnknown},
-		"a retry after a crash":           {2, false, false, time.Minute, PriorOutcomeUnknown},
-		"a retry long after a crash":      {2, false, false, time.Hour, Run},
-		"a first try just after a crash":  {0, false, false, 0, Run},
-		"a retry, others, after long":     {1, true, false, time.Hour, PriorOutcomeUnknown},
-		"a retry just as the doubts end":  {1, false, false, 10 * time.Minute, Run},
-		"a retry just before they end":    {1, false, false, 10*time.Minute - 1, PriorOutcomeUnknown},
-		"a retry many times, all is well": {9, false, true, time.Hour, Run},
+		"first attempt": {0, false, true, 0, Run},
+		"first attempt, other gateways, unclean shutdown":         {0, true, false, 0, Run},
+		"retry, clean shutdown":                                   {1, false, true, 0, Run},
+		"retry, clean shutdown, other gateways":                   {1, true, true, 0, PriorOutcomeUnknown},
+		"retry within the uncertainty period":                     {2, false, false, time.Minute, PriorOutcomeUnknown},
+		"retry long after the uncertainty period":                 {2, false, false, time.Hour, Run},
+		"first attempt within the uncertainty period":             {0, false, false, 0, Run},
+		"retry long after the uncertainty period, other gateways": {1, true, false, time.Hour, PriorOutcomeUnknown},
+		"retry at the end of the uncertainty period":              {1, false, false, 10 * time.Minute, Run},
+		"retry 1 ns before the end of the uncertainty period":     {1, false, false, 10*time.Minute - 1, PriorOutcomeUnknown},
+		"retry count 9, clean shutdown":                           {9, false, true, time.Hour, Run},
 	} {
 		t.Run(name, func(t *testing.T) {
 			tb := newTestTable(t, nil)
 			tb.Restore(t0, nil, c.cleanShutdown)
-			a := newRequest("a", "k", "d")
-			a.RetryCount, a.MayHaveRunOnOtherGateway = c.retryCount, c.otherGateways
-			if v, _ := tb.Begin(t0.Add(c.after), a); v != c.want {
-				t.Errorf("%v, want %v", v, c.want)
+			request := newRequest("a", "k", "d")
+			request.RetryCount, request.MayHaveRunOnOtherGateway = c.retryCount, c.otherGateways
+			if decision, _ := tb.Begin(t0.Add(c.after), request); decision != c.want {
+				t.Errorf("decision %v, want %v", decision, c.want)
 			}
 		})
 	}
 }
 
-// Attempts that were refused here did not run: so many retries are safe here, whatever other gateways
-// there may be, and not one more.
+// Attempts that this gateway refused did not run. Therefore as many retries, and no more, are safe here, even
+// if other gateways exist.
 func TestRetryAfterRefusal(t *testing.T) {
 	tb := newTestTable(t, nil)
 	tb.Restore(t0, nil, false)
 	begin := func(at time.Duration, retry int) Decision {
-		a := newRequest("a", "k", "d")
-		a.RetryCount, a.MayHaveRunOnOtherGateway = retry, true
-		v, _ := tb.Begin(t0.Add(at), a)
-		return v
+		request := newRequest("a", "k", "d")
+		request.RetryCount, request.MayHaveRunOnOtherGateway = retry, true
+		decision, _ := tb.Begin(t0.Add(at), request)
+		return decision
 	}
 	for n := range 3 {
-		if v := begin(time.Duration(n)*time.Second, n); v != Run {
-			t.Fatalf("after %d attempts refused here: %v", n, v)
+		if decision := begin(time.Duration(n)*time.Second, n); decision != Run {
+			t.Fatalf("after %d refused attempts: decision %v", n, decision)
 		}
 		tb.End(t0, Key{"a", "k"}, newRequest("a", "k", "d").RequestID, OutcomeNotRun, "", nil)
 	}
-	if v := begin(time.Minute, 4); v != PriorOutcomeUnknown {
-		t.Errorf("one of four attempts was made elsewhere: %v", v)
+	if decision := begin(time.Minute, 4); decision != PriorOutcomeUnknown {
+		t.Errorf("3 refusals, retry count 4: decision %v", decision)
 	}
-	if v := begin(time.Hour, 3); v != PriorOutcomeUnknown {
-		t.Errorf("an hour later: %v", v)
+	if decision := begin(time.Hour, 3); decision != PriorOutcomeUnknown {
+		t.Errorf("an hour after the refusals: decision %v", decision)
 	}
-	for i := range 10 * maxRefusalsPerGeneration { // a flood of another team's costs this one nothing
+	for i := range 10 * maxRefusalsPerGeneration { // another team's refusals must not displace this team's
 		tb.RecordRefusal(t0.Add(time.Hour), Key{"b", fmt.Sprint(i)})
 	}
 	tb.RecordRefusal(t0.Add(time.Hour), Key{"a", "k2"})
 	if n := tb.refusals["a"].count(t0.Add(time.Hour), "k2"); n != 1 {
-		t.Errorf("%d refusals remembered", n)
+		t.Errorf("%d refusals recorded, want 1", n)
 	}
 	if b := tb.refusals["b"]; len(b.newer)+len(b.older) > 2*maxRefusalsPerGeneration {
-		t.Errorf("%d refused keys remembered", len(b.newer)+len(b.older))
+		t.Errorf("%d refused keys recorded, above the limit", len(b.newer)+len(b.older))
 	}
 }
 
-func TestEarlierAttemptAtOtherGateway(t *testing.T) {
+func TestAttemptsMayReachOtherGateways(t *testing.T) {
 	for name, c := range map[string]struct {
 		topology Topology
 		want     bool
 	}{
-		"nothing is said":                        {Topology{ObservedGateways: 1}, true},
-		"one gateway, by the file":               {Topology{ConfiguredGateways: 1, ObservedGateways: 1}, false},
-		"one by the file, others listed":         {Topology{ConfiguredGateways: 1, ObservedGateways: 2}, true},
-		"three by the file":                      {Topology{ConfiguredGateways: 3, ObservedGateways: 3}, true},
-		"gateways talk, and none is there yet":   {Topology{ConfiguredGateways: 1, PeersEnabled: true, ObservedGateways: 1}, true},
-		"keys stick":                             {Topology{StickyKeys: true, ConfiguredGateways: 3, PeersEnabled: true, ObservedGateways: 3}, false},
-		"one found by a catalogue, nothing said": {Topology{ObservedGateways: 0}, true},
+		"nothing configured":                              {Topology{ObservedGateways: 1}, true},
+		"one gateway configured":                          {Topology{ConfiguredGateways: 1, ObservedGateways: 1}, false},
+		"one configured, two observed":                    {Topology{ConfiguredGateways: 1, ObservedGateways: 2}, true},
+		"three configured":                                {Topology{ConfiguredGateways: 3, ObservedGateways: 3}, true},
+		"one configured, peers enabled, no peer observed": {Topology{ConfiguredGateways: 1, PeersEnabled: true, ObservedGateways: 1}, true},
+		"sticky keys":                                     {Topology{StickyKeys: true, ConfiguredGateways: 3, PeersEnabled: true, ObservedGateways: 3}, false},
+		"nothing configured or observed":                  {Topology{ObservedGateways: 0}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if c.topology.AttemptsMayReachOtherGateways() != c.want {
-				t.Errorf("%v", !c.want)
+				t.Errorf("attempts may reach other gateways: %v, want %v", !c.want, c.want)
 			}
 		})
 	}
@@ -188,40 +188,40 @@
 		entry("ahead", StateComplete, -time.Hour, "yes"), entry("done", StateUnknown, time.Hour, ""),
 	}, true)
 	for k, want := range map[string]Decision{"ran": PriorOutcomeUnknown, "done": Replay, "old": Run, "ahead": Replay} {
-		if v, _ := tb.Begin(t0, newRequest("a", k, "d")); v != want {
-			t.Errorf("%s: %v, want %v", k, v, want)
+		if decision, _ := tb.Begin(t0, newRequest("a", k, "d")); decision != want {
+			t.Errorf("%s: decision %v, want %v", k, decision, want)
 		}
 	}
 }
 
-// A team that floods the table with keys costs another team neither its keys nor its
-// answers, as long as that one has less than its part.
+// A team that floods the table with keys displaces neither the keys nor the answers of another team that is
+// below its fair share.
 func TestFloodOfKeysIsBounded(t *testing.T) {
 	tb := newTestTable(t, func(l *Limits) { l.MaxEntries, l.MaxTotalAnswerBytes, l.MaxEntriesPerTeam = 100, 1000, 80 })
-	runToCompletion := func(now time.Time, a Request) Decision {
-		v, _ := tb.Begin(now, a)
-		if v == Run {
-			tb.End(now, a.Key, a.RequestID, OutcomeCompleted, "", []byte("0123456789"))
+	runToCompletion := func(now time.Time, request Request) Decision {
+		decision, _ := tb.Begin(now, request)
+		if decision == Run {
+			tb.End(now, request.Key, request.RequestID, OutcomeCompleted, "", []byte("0123456789"))
 		}
-		return v
+		return decision
 	}
 	for i := range 10 {
-		runToCompletion(t0, newRequest("quiet", fmt.Sprint(i), "d"))
+		runToCompletion(t0, newRequest("light", fmt.Sprint(i), "d"))
 	}
 	rejected := 0
 	for i := range 1000 {
-		if runToCompletion(t0.Add(time.Duration(i)*time.Second), newRequest("loud", fmt.Sprint(i), "d")) == CapacityExceeded {
+		if runToCompletion(t0.Add(time.Duration(i)*time.Second), newRequest("flooding", fmt.Sprint(i), "d")) == CapacityExceeded {
 			rejected++
 		}
 	}
 	for i := range 10 {
-		if v, _ := tb.Begin(t0.Add(time.Hour), newRequest("quiet", fmt.Sprint(i), "d")); v != Replay {
-			t.Errorf("the quiet team's %d: %v", i, v)
+		if decision, _ := tb.Begin(t0.Add(time.Hour), newRequest("light", fmt.Sprint(i), "d")); decision != Replay {
+			t.Errorf("light team, key %d: decision %v", i, decision)
 		}
 	}
-	for i := range 10 { // and there is still room for more
-		if v := runToCompletion(t0.Add(time.Hour), newRequest("quiet", fmt.Sprint("more", i), "d")); v != Run {
-			t.Errorf("the quiet team's new key %d: %v", i, v)
+	for i := range 10 { // capacity for new keys remains
+		if decision := runToCompletion(t0.Add(time.Hour), newRequest("light", fmt.Sprint("new", i), "d")); decision != Run {
+			t.Errorf("light team, new key %d: decision %v", i, decision)
 		}
 	}
 	if rejected == 0 {
@@ -229,7 +229,7 @@
 	}
 }
 
-func TestLimitsAreNamed(t *testing.T) {
+func TestInvalidLimitNamesSetting(t *testing.T) {
 	for field, change := range map[string]func(*Limits){
 		"keys": func(l *Limits) { l.MaxEntries = 0 }, "answer_bytes": func(l *Limits) { l.MaxTotalAnswerBytes = -1 },
 		"age_ms": func(l *Limits) { l.Retention = l.MinRetention - 1 }, "least_ms": func(l *Limits) { l.MinRetention = 0 },
@@ -239,53 +239,53 @@
 			change(&l)
 			var settingError setting.Error
 			if _, err := NewTable(l); !errors.As(err, &settingError) || !strings.Contains(settingError.Field, field) {
-				t.Errorf("%v", err)
+				t.Errorf("error %v does not name the setting", err)
 			}
 		})
 	}
 }
 
-// Whatever comes in whatever order: what may have run under a key does not run again
-// before its minimum retention, two never run at once, bounds are kept, and
-// the accounts are right.
+// For any sequence of operations: a key under which a request may have run is not run again before its
+// minimum retention, two requests with one key never run concurrently, limits are observed, and the counts
+// are correct.
 func TestNoKeyRunsTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tb := newTestTable(t, func(l *Limits) {
 			l.MaxEntries, l.MaxTotalAnswerBytes, l.MaxAnswerBytes = rapid.IntRange(1, 8).Draw(t, "entries"), int64(rapid.IntRange(0, 60).Draw(t, "bytes")), 20
-			l.Retention, l.MinRetention, l.MaxEntriesPerTeam = time.Hour, 10*time.Minute, rapid.IntRange(0, 8).Draw(t, "of a team")
+			l.Retention, l.MinRetention, l.MaxEntriesPerTeam = time.Hour, 10*time.Minute, rapid.IntRange(0, 8).Draw(t, "entries per team")
 		})
 		type execution struct {
 			running      bool
-			mayHaveRunAt time.Time // when it may have run
+			mayHaveRunAt time.Time // latest time at which a request may have run
 		}
 		model := map[Key]*execution{}
 		runningIDs := map[Key]string{}
 		now, n := t0, 0
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
-			now = now.Add(time.Duration(rapid.IntRange(0, 900).Draw(t, "s")) * time.Second)
+			now = now.Add(time.Duration(rapid.IntRange(0, 900).Draw(t, "seconds")) * time.Second)
 			k := Key{rapid.SampledFrom([]string{"a", "b"}).Draw(t, "team"), fmt.Sprint(rapid.IntRange(0, 6).Draw(t, "key"))}
-			switch rapid.IntRange(0, 9).Draw(t, "what") {
+			switch rapid.IntRange(0, 9).Draw(t, "operation") {
 			case 0, 1, 2, 3:
 				n++
-				a := Request{Key: k, Digest: "d", RequestID: fmt.Sprint(n), RetryCount: rapid.IntRange(0, 1).Draw(t, "retry")}
-				v, _ := tb.Begin(now, a)
+				request := Request{Key: k, Digest: "d", RequestID: fmt.Sprint(n), RetryCount: rapid.IntRange(0, 1).Draw(t, "retry")}
+				decision, _ := tb.Begin(now, request)
 				modelled := model[k]
-				if v != Run {
+				if decision != Run {
 					continue
 				}
 				if modelled != nil && modelled.running {
-					t.Fatalf("%v runs twice at once", k)
+					t.Fatalf("%v runs twice concurrently", k)
 				}
 				if modelled != nil && !modelled.mayHaveRunAt.IsZero() && now.Sub(modelled.mayHaveRunAt) < 10*time.Minute {
 					t.Fatalf("%v runs again %v after it may have run", k, now.Sub(modelled.mayHaveRunAt))
 				}
-				model[k], runningIDs[k] = &execution{running: true}, a.RequestID
+				model[k], runningIDs[k] = &execution{running: true}, request.RequestID
 			case 4, 5, 6, 7:
 				id, inProgress := runningIDs[k]
 				if !inProgress {
 					continue
 				}
-				outcome := rapid.SampledFrom([]Outcome{OutcomeNotRun, OutcomeCompleted, OutcomeIndeterminate}).Draw(t, "how")
+				outcome := rapid.SampledFrom([]Outcome{OutcomeNotRun, OutcomeCompleted, OutcomeIndeterminate}).Draw(t, "outcome")
 				tb.End(now, k, id, outcome, "", make([]byte, rapid.IntRange(0, 25).Draw(t, "size")))
 				delete(runningIDs, k)
 				if model[k].running = false; outcome != OutcomeNotRun {
@@ -293,7 +293,7 @@
 				}
 			case 8:
 				tb.Expire(now)
-			default: // the process ends and begins anew
+			default: // restart of the process
 				var stored []Entry
 				for _, e := range tb.entries {
 					stored = append(stored, *e)
@@ -312,7 +312,7 @@
 				sum += int64(len(e.Answer))
 			}
 			if keys > tb.limits.MaxEntries || bytes > tb.limits.MaxTotalAnswerBytes || bytes != sum {
-				t.Fatalf("%d keys, %d bytes, by count %d", keys, bytes, sum)
+				t.Fatalf("%d keys, %d answer bytes counted, %d stored", keys, bytes, sum)
 			}
 		}
 	})
