--- a/decide/ejection/ejection.go
+++ b/decide/ejection/ejection.go
@@ -1,6 +1,6 @@
-// Package ejection keeps the set of engines that operators have ejected manually, and decides what the
-// routing policy is shown of them: an ejected engine is draining whatever the engine list says, and a
-// restored one has a cold cache from that moment on.
+// Package ejection maintains the set of engines that operators have ejected manually, and decides how these
+// engines appear to the routing policy: an ejected engine is draining regardless of the engine list, and a
+// restored engine has a cold cache from the time of its restoration.
 //
 // It does no I/O and reads no clock: times are arguments, on the policy's clock.
 package ejection
@@ -12,20 +12,20 @@
 	"wellgw/routing"
 )
 
-// MaxRegisteredNames bounds the engine names that are remembered as listed; the oldest are forgotten first.
-// Engines come under ever new names, so that the set would otherwise grow without bound.
+// MaxRegisteredNames limits the number of engine names that are remembered as listed; the oldest names are
+// removed first. New engines have new names, so the set would otherwise grow without limit.
 const MaxRegisteredNames = 1 << 16
 
-// Set holds the registered names, the ejected engines, and the ejections that ended. Use New.
+// Set stores the registered names, the ejected engines, and the ended ejections. Use New.
 type Set struct {
 	registered        map[string]bool
 	registrationOrder []string // the keys of registered, oldest first
 	ejected           map[string]bool
-	ejectedAt         map[string]routing.Time // when each ejection in force began
-	restored          map[string]restoration  // ended ejections whose engine has not been seen to restart
+	ejectedAt         map[string]routing.Time // start of each ejection in force
+	restored          map[string]restoration  // ended ejections whose engine has not been observed to restart
 }
 
-// restoration is an ejection that ended.
+// restoration is an ended ejection.
 type restoration struct{ ejectedAt, restoredAt routing.Time }
 
 // New returns an empty set.
@@ -38,7 +38,7 @@
 	}
 }
 
-// Register records that an engine list has had this name.
+// Register records that an engine list has contained this name.
 func (s *Set) Register(name string) {
 	if s.registered[name] {
 		return
@@ -51,7 +51,7 @@
 	s.registrationOrder = append(s.registrationOrder, name)
 }
 
-// Registered reports whether an engine list has had this name.
+// Registered reports whether an engine list has contained this name.
 func (s *Set) Registered(name string) bool { return s.registered[name] }
 
 // Ejected reports whether an engine is ejected.
@@ -74,7 +74,7 @@
 }
 
 // SetEjected ejects an engine, or restores it if eject is false. It returns false, and changes nothing,
-// for a name that is neither registered nor ejected. To repeat a command is no error.
+// for a name that is neither registered nor ejected. Repeated commands succeed and change nothing.
 func (s *Set) SetEjected(name string, eject bool, now routing.Time) (Change, bool) {
 	if !s.registered[name] && !s.ejected[name] {
 		return Change{}, false
@@ -88,8 +88,8 @@
 	return s.apply(next, now), true
 }
 
-// Replace makes names the whole set of ejected engines, as another process of the same gateway has
-// written it. The names need not be registered.
+// Replace replaces the set of ejected engines with names, which another process of the same gateway has
+// written. The names need not be registered.
 func (s *Set) Replace(names []string, now routing.Time) Change {
 	next := map[string]bool{}
 	for _, name := range names {
@@ -98,7 +98,7 @@
 	return s.apply(next, now)
 }
 
-// apply makes next the set of ejected engines.
+// apply replaces the set of ejected engines with next.
 func (s *Set) apply(next map[string]bool, now routing.Time) Change {
 	var change Change
 	for name := range next {
@@ -121,10 +121,10 @@
 	return change
 }
 
-// EffectiveInfo returns the entry that the policy is to see for a listed engine: draining while it is
-// ejected. An ejected engine is taken to be restarted before it is restored, so it comes back with a
-// cold cache: a start that the list shows after the ejection began is kept; until there is one, the
-// engine counts as started when it was restored.
+// EffectiveInfo returns a listed engine's information as the policy must see it. An ejected engine is shown as
+// draining. An ejected engine is assumed to restart before it is restored, so a restored engine has a cold
+// cache: a listed start time after the start of the ejection is retained; until the list has one, the time of
+// the restoration is shown as the start time.
 func (s *Set) EffectiveInfo(engine routing.EngineInfo) routing.EngineInfo {
 	if s.ejected[engine.Name] {
 		if engine.Phase == routing.PhaseActive {
--- a/decide/ejection/golden_test.go
+++ b/decide/ejection/golden_test.go
@@ -17,8 +17,8 @@
 	r.Text(names...)
 }
 
-// TestGoldenResults drives the set with drawn events and compares a hash of all its
-// results with the one recorded before the code's names were changed.
+// TestGoldenResults sends drawn events to the set and compares a hash of all its results with the one
+// recorded before the code's names were changed.
 func TestGoldenResults(t *testing.T) {
 	for seed, want := range map[uint64]string{
 		1: "3801168aaf7f8fee970050c155c4c6dadd6ffa2561f019a36c1753e8df40d5cb",
@@ -77,7 +77,7 @@
 			rec.names(set.Names())
 		}
 	}
-	// More names than are remembered: the oldest are forgotten first.
+	// Register more names than the limit: the oldest are removed first.
 	for i := range MaxRegisteredNames + 100 {
 		set.Register(fmt.Sprint("n", i))
 	}
