--- a/decide/heldstate/attempts.go
+++ b/decide/heldstate/attempts.go
@@ -5,15 +5,15 @@
 // StateHolder returns the engine that holds state for a future attempt at a decode engine; "" for none.
 func (l *Ledger) StateHolder() string { return l.stateHolder }
 
-// PrefillCompleted records that an engine has prefilled the prompt and holds the resulting state. answered
-// is the earliest time at which its answer may have arrived; the held-state limit runs from that time.
-func (l *Ledger) PrefillCompleted(engine string, answered Time) {
-	l.noAttemptSince = answered
+// PrefillCompleted records that an engine has prefilled the prompt and holds the resulting state.
+// answeredAt is the earliest time at which its answer may have arrived; the held-state limit runs from then.
+func (l *Ledger) PrefillCompleted(engine string, answeredAt Time) {
+	l.noAttemptSince = answeredAt
 	e := &engineEntry{}
 	if previous := l.entries[engine]; previous != nil { // an earlier prefill at this engine may still run
 		e.attemptLost, e.prefillMayRun = previous.attemptLost, previous.prefillMayRun
 		if previous.releasing { // this release must not free the new state: see ReleasesToCancel
-			e.releasing, e.pendingSince = true, answered
+			e.releasing, e.pendingSince = true, answeredAt
 		}
 	}
 	l.entries[engine] = e
--- a/decide/heldstate/heldstate.go
+++ b/decide/heldstate/heldstate.go
@@ -32,10 +32,11 @@
 
 // Limits are the durations that a ledger works with. They are derived from the settings.
 type Limits struct {
-	HeldStateLimit      time.Duration // maximum time for which state may be held with no attempt in flight
-	HeldStateSlack      time.Duration // tolerated excess, for process stalls and release delivery
-	ReleaseTimeout      time.Duration // time for which a release is retried at an unreachable engine
-	MaxCancelledPrefill time.Duration // maximum run time of a prefill after its cancellation
+	HeldStateLimit time.Duration // maximum time for which state may be held with no attempt in flight
+	HeldStateSlack time.Duration // tolerated excess, for process stalls and release delivery
+	ReleaseTimeout time.Duration // time for which a release is retried at an unreachable engine
+	// MaxCancelledPrefill is the maximum run time of a prefill after its engine has processed the cancellation.
+	MaxCancelledPrefill time.Duration
 }
 
 // engineEntry records what the ledger knows about one engine that may hold state.
--- a/decide/heldstate/releases.go
+++ b/decide/heldstate/releases.go
@@ -64,7 +64,7 @@
 	return engines
 }
 
-// RepeatReleases schedules another release at every engine that has an entry. It is called when an attempt
+// RepeatReleases schedules another release at every engine that may hold state. It is called when an attempt
 // ends that may have been waiting for the state, because earlier releases then had no effect.
 func (l *Ledger) RepeatReleases() {
 	for _, e := range l.entries {
--- a/decide/heldstate/schedule.go
+++ b/decide/heldstate/schedule.go
@@ -60,9 +60,9 @@
 		if !cancelled.attemptLost || cancelled.deliveredCount == 0 {
 			continue
 		}
-		if knownAt := cancelled.firstDeliveredAt + MaxCancelDelay; e.lastDeliveredAt < knownAt &&
-			(!ok || knownAt < at) {
-			at, ok = knownAt, true
+		if processedAt := cancelled.firstDeliveredAt + MaxCancelDelay; e.lastDeliveredAt < processedAt &&
+			(!ok || processedAt < at) {
+			at, ok = processedAt, true
 		}
 	}
 	return at, ok
