--- a/decide/lifecycle/lifecycle_test.go
+++ b/decide/lifecycle/lifecycle_test.go
@@ -69,8 +69,8 @@
 		if next.IsZero() {
 			t.Fatal("no tick scheduled before the state ended: state ", p.State())
 		}
-		more, _ := p.Handle(next, Tick{})
-		actions, end = append(actions, more...), since(next)
+		newActions, _ := p.Handle(next, Tick{})
+		actions, end = append(actions, newActions...), since(next)
 	}
 	t.Fatal("process has not ended after 20 steps")
 	return nil, 0
@@ -102,8 +102,8 @@
 			if s := p.Service(); !s.KeepAlive && requestDeadline == 0 {
 				requestDeadline = since(s.RequestDeadline)
 			}
-			more, _ := p.Handle(next, Tick{})
-			for _, a := range more {
+			newActions, _ := p.Handle(next, Tick{})
+			for _, a := range newActions {
 				actionTimes[a] = since(next)
 			}
 		}
@@ -238,12 +238,12 @@
 				break
 			}
 			for next := p.NextTick(); !next.IsZero() && !next.After(at(now)) && p.State() != Ended; next = p.NextTick() {
-				more, _ := p.Handle(next, Tick{})
-				actions = append(actions, more...)
+				newActions, _ := p.Handle(next, Tick{})
+				actions = append(actions, newActions...)
 			}
 			before := p.State()
-			more, accepted := p.Handle(at(now), event)
-			actions = append(actions, more...)
+			newActions, accepted := p.Handle(at(now), event)
+			actions = append(actions, newActions...)
 			s := p.Service()
 			switch event.(type) {
 			case Terminate, ListenerLost:
@@ -278,8 +278,8 @@
 		}
 		if terminated >= 0 {
 			if p.State() != Ended {
-				more, end := runToEnd(t, p)
-				if actions = append(actions, more...); end > terminated+maxShutdown {
+				newActions, end := runToEnd(t, p)
+				if actions = append(actions, newActions...); end > terminated+maxShutdown {
 					t.Fatalf("terminated at %v, ends at %v, after its time limit", terminated, end)
 				}
 				if limits.ClientsResume && end > terminated+min(limits.MaxFirstEventWait, maxKillWait)+minKillDelay {
--- a/decide/lifecycle/timing.go
+++ b/decide/lifecycle/timing.go
@@ -7,7 +7,7 @@
 	// DrainRequestTimeout is the time after the start of a drain within which a request may be completed.
 	// Operators require that, 4 s after the command, no request is served that was sent more than 2 s after it.
 	DrainRequestTimeout = 1500 * time.Millisecond
-	// HandOverRequestTimeout is the same after a hand-over. It is the maximum transfer time of a request.
+	// HandOverRequestTimeout is the same after a hand-over: the maximum time that a request may take to arrive.
 	HandOverRequestTimeout = 2500 * time.Millisecond
 	// ShutdownRequestTimeout is the same after a terminating process has stopped accepting.
 	ShutdownRequestTimeout = 150 * time.Millisecond
@@ -34,12 +34,15 @@
 
 // Durations of the shutdown steps before the kill.
 const (
-	// rejectBeforeKill is the time from the first rejections to the kill if clients resume streams elsewhere.
+	// rejectBeforeKill is the time from the first rejections to the kill if clients resume streams at
+	// another process.
 	rejectBeforeKill = 1100 * time.Millisecond
 	// failBeforeKill is the same if streams continue up to the kill.
 	failBeforeKill = 400 * time.Millisecond
 
-	rejectPeriod  = 250 * time.Millisecond // from rejections to failures: engines may be about to answer
-	failPeriod    = 50 * time.Millisecond  // time for writing the last answers
-	releasePeriod = 500 * time.Millisecond // time for releases at engines, including the second call
+	rejectPeriod = 250 * time.Millisecond // from rejections to failures: engines may be about to answer
+	failPeriod   = 50 * time.Millisecond  // time for writing the last answers
+	// releasePeriod is the time for releases at engines, including a second release for engines that detect
+	// the end of a connection late.
+	releasePeriod = 500 * time.Millisecond
 )
