--- a/decide/deduplication/limits.go
+++ b/decide/deduplication/limits.go
@@ -9,7 +9,7 @@
 // Limits are the capacity and retention limits of a Table.
 type Limits struct {
 	MaxEntries          int
-	MaxEntriesPerTeam   int           // 0: no limit below MaxEntries
+	MaxEntriesPerTeam   int           // 0: MaxEntries applies
 	MaxTotalAnswerBytes int64         // total size of all answers
 	MaxAnswerBytes      int           // a larger answer is not stored
 	Retention           time.Duration // time from the end of a request to the removal of its entry
