--- a/decide/ejection/ejection.go
+++ b/decide/ejection/ejection.go
@@ -121,10 +121,10 @@
 	return change
 }
 
-// EffectiveInfo returns a listed engine's information as the policy must see it. An ejected engine is shown as
-// draining. An ejected engine is assumed to restart before it is restored, so a restored engine has a cold
-// cache: a listed start time after the start of the ejection is retained; until the list has one, the time of
-// the restoration is shown as the start time.
+// EffectiveInfo returns a listed engine's information for the policy. An ejected engine is shown as draining.
+// An ejected engine is assumed to restart before it is restored, so a restored engine has a cold cache: a
+// listed start time after the start of the ejection is retained; until the list has one, the time of the
+// restoration is used as the start time.
 func (s *Set) EffectiveInfo(engine routing.EngineInfo) routing.EngineInfo {
 	if s.ejected[engine.Name] {
 		if engine.Phase == routing.PhaseActive {
