--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -27,7 +27,7 @@
 // startAttempt sends a request to an engine. An attempt that is not to be sent ends at once.
 func (c *Core) startAttempt(send routing.Send) {
 	request := c.requests.byID[send.ID]
-	if !c.checks.Hold(request != nil && !request.answered, "a send is for a request that awaits its answer") {
+	if !c.checks.Assert(request != nil && !request.answered, "a send is for a request that awaits its answer") {
 		return
 	}
 	endpoint, listed := c.endpoints.listed[send.Engine]
@@ -37,7 +37,7 @@
 		timeout = min(timeout, send.Timeout)
 	}
 	notSent := timeout <= 0 || len(request.attempts) > c.limits.MaxAttempts || request.clientGone.Load()
-	if notSent || !c.checks.Hold(listed && endpoint.Phase == routing.PhaseActive, "a send goes to an engine on the list") {
+	if notSent || !c.checks.Assert(listed && endpoint.Phase == routing.PhaseActive, "a send goes to an engine on the list") {
 		c.endAttempt(request, attempt, Result{Status: routing.StatusNotSent})
 		return
 	}
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -25,11 +25,11 @@
 	case routing.Send:
 		c.startAttempt(a)
 	case routing.Reject:
-		if request := c.requests.byID[a.ID]; c.checks.Hold(request != nil, "a refusal names a request in hand") {
+		if request := c.requests.byID[a.ID]; c.checks.Assert(request != nil, "a refusal names a request in hand") {
 			c.answer(request, Answer{Verdict: Rejected, RetryAfter: a.RetryAfter, OverQuota: a.OverQuota})
 		}
 	case routing.Fail:
-		if request := c.requests.byID[a.ID]; c.checks.Hold(request != nil, "a failure names a request in hand") {
+		if request := c.requests.byID[a.ID]; c.checks.Assert(request != nil, "a failure names a request in hand") {
 			c.answer(request, Answer{Verdict: Failed})
 		}
 	case routing.CancelAttempt:
@@ -42,7 +42,7 @@
 	case routing.Subscribe:
 		c.directory.Subscribe()
 	default:
-		c.checks.Hold(false, "every action of the module is known")
+		c.checks.Assert(false, "every action of the module is known")
 	}
 }
 
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -121,7 +121,7 @@
 // startProbe requests a load report from an engine.
 func (c *Core) startProbe(engine string) {
 	endpoint, listed := c.endpoints.listed[engine]
-	if !c.checks.Hold(listed, "a probe goes to a known engine") {
+	if !c.checks.Assert(listed, "a probe goes to a known engine") {
 		return
 	}
 	sentAt := time.Now()
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -62,7 +62,7 @@
 
 // answer gives a request its final answer; a second one is a fault of the router's.
 func (c *Core) answer(request *requestState, a Answer) {
-	if !c.checks.Hold(!request.answered, "a request gets one final answer") {
+	if !c.checks.Assert(!request.answered, "a request gets one final answer") {
 		return
 	}
 	request.answered = true
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -18,9 +18,9 @@
 // New returns an empty set of counts.
 func New() *Checks { return &Checks{broken: map[string]int{}} }
 
-// Hold states that ok is true. It returns ok, so that a release build can also
+// Assert states that ok is true. It returns ok, so that a release build can also
 // step round what a broken statement would have led to.
-func (c *Checks) Hold(ok bool, what string) bool {
+func (c *Checks) Assert(ok bool, what string) bool {
 	if ok {
 		return true
 	}
@@ -33,8 +33,8 @@
 	return false
 }
 
-// Broken returns one line for each statement that has been broken, in order.
-func (c *Checks) Broken() []string {
+// Violations returns one line for each statement that has been broken, in order.
+func (c *Checks) Violations() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	lines := make([]string, 0, len(c.broken))
@@ -47,7 +47,7 @@
 
 // Log writes the counts, if there are any.
 func (c *Checks) Log(log *slog.Logger) {
-	if lines := c.Broken(); len(lines) > 0 {
+	if lines := c.Violations(); len(lines) > 0 {
 		log.Error("invariants broken", "counts", lines)
 	}
 }
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -9,7 +9,7 @@
 // Broken statements are counted, or panic in a debug build.
 func TestHold(t *testing.T) {
 	c := New()
-	if !c.Hold(true, "a") || len(c.Broken()) > 0 {
+	if !c.Assert(true, "a") || len(c.Violations()) > 0 {
 		t.Error("a statement that holds is held to be broken")
 	}
 	defer func() {
@@ -18,11 +18,11 @@
 		}
 	}()
 	for _, what := range []string{"b", "a", "b"} {
-		if c.Hold(false, what) {
+		if c.Assert(false, what) {
 			t.Error("a broken statement is held to hold")
 		}
 	}
-	if diff := cmp.Diff([]string{"a: 1", "b: 2"}, c.Broken()); diff != "" {
+	if diff := cmp.Diff([]string{"a: 1", "b: 2"}, c.Violations()); diff != "" {
 		t.Errorf("(-want +got):\n%s", diff)
 	}
 }
