--- a/decide/ejection/golden_test.go
+++ b/decide/ejection/golden_test.go
@@ -17,8 +17,8 @@
 	r.Text(names...)
 }
 
-// TestGoldenResults drives the set with drawn events and compares a hash of all its
-// results with the one recorded before the code's names were changed.
+// TestGoldenResults sends drawn events to the set and compares a hash of all its results with the one
+// recorded before the code's names were changed.
 func TestGoldenResults(t *testing.T) {
 	for seed, want := range map[uint64]string{
 		1: "3801168aaf7f8fee970050c155c4c6dadd6ffa2561f019a36c1753e8df40d5cb",
@@ -65,11 +65,11 @@
 			rec.names(change.Restored)
 		case 5, 6:
 			phases := []routing.Phase{routing.PhaseActive, routing.PhaseDraining}
-			shown := set.EffectiveInfo(routing.EngineInfo{
+			info := set.EffectiveInfo(routing.EngineInfo{
 				Name: drawName(), Phase: phases[rng.IntN(len(phases))], StartTime: max(0, now-routing.Time(rng.IntN(5000))),
 			})
-			rec.names([]string{shown.Name})
-			rec.Number(int64(shown.Phase), int64(shown.StartTime))
+			rec.names([]string{info.Name})
+			rec.Number(int64(info.Phase), int64(info.StartTime))
 		case 7:
 			name := drawName()
 			rec.Flag(set.Registered(name))
@@ -77,7 +77,7 @@
 			rec.names(set.Names())
 		}
 	}
-	// More names than are remembered: the oldest are forgotten first.
+	// Register more names than the limit: the oldest are removed first.
 	for i := range MaxRegisteredNames + 100 {
 		set.Register(fmt.Sprint("n", i))
 	}
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -25,24 +25,24 @@
 	case routing.Send:
 		c.startAttempt(a)
 	case routing.Reject:
-		if request := c.requests.byID[a.ID]; c.checks.Hold(request != nil, "a refusal names a request in hand") {
+		if request := c.requests.byID[a.ID]; c.checks.Assert(request != nil, "a refusal names a request in hand") {
 			c.answer(request, Answer{Verdict: Rejected, RetryAfter: a.RetryAfter, OverQuota: a.OverQuota})
 		}
 	case routing.Fail:
-		if request := c.requests.byID[a.ID]; c.checks.Hold(request != nil, "a failure names a request in hand") {
+		if request := c.requests.byID[a.ID]; c.checks.Assert(request != nil, "a failure names a request in hand") {
 			c.answer(request, Answer{Verdict: Failed})
 		}
 	case routing.CancelAttempt:
 		c.cancelAttempt(a)
 	case routing.Release: // follows from the request's ledger; see reconcileHeldState
 	case routing.SetTimer:
-		c.schedule(a.In, routingTimerFired{a.Name})
+		c.schedule(a.After, routingTimerFired{a.Name})
 	case routing.Probe:
 		c.startProbe(a.Engine)
 	case routing.Subscribe:
 		c.directory.Subscribe()
 	default:
-		c.checks.Hold(false, "every action of the module is known")
+		c.checks.Assert(false, "every action of the module is known")
 	}
 }
 
