--- a/internal/core/api.go
+++ b/internal/core/api.go
@@ -6,21 +6,21 @@
 	"wellgw/routing"
 )
 
-// Request is a client's request as its front read it.
+// Request is a client's request as parsed by its front.
 type Request struct {
-	routing.Request        // the core fills in ID; TTL counts from Arrived
-	ClientRequestID string // by which the client and the engines know it
+	routing.Request        // the core sets ID; TTL counts from Arrived
+	ClientRequestID string // the id that the client and the engines use
 	Arrived         time.Time
 	Payload         Payload
 }
 
-// Payload is the part of a request that is forwarded to engines. The core does not read it.
+// Payload is the part of a request that is forwarded to engines. The core does not interpret it.
 type Payload struct {
 	Method, Target        string
 	Body                  []byte
-	Header                [][2]string // of the client, forwarded to the engine
-	Unary                 bool        // the answer is one body, not an event stream
-	BufferUntilFirstToken bool        // events before the first token may be held back until it comes
+	Header                [][2]string // of the client's request
+	Unary                 bool        // the response is one body, not an event stream
+	BufferUntilFirstToken bool        // events before the first token may be buffered until it arrives
 }
 
 // Verdict is the kind of final answer that a request gets.
@@ -28,26 +28,26 @@
 
 // The final answers.
 const (
-	Rejected         Verdict = iota // it had no effect or may be retried harmlessly
-	Failed                          // it may have run
-	DeadlineExceeded                // failed by the core itself: its deadline has passed, or the gateway shuts down
-	Duplicate                       // never begun: a request with that id is in flight
+	Rejected         Verdict = iota // the request had no effect, or a retry is safe
+	Failed                          // the request may have run
+	DeadlineExceeded                // failed by the core: the deadline has passed, or the gateway shuts down
+	Duplicate                       // not started: a request with the same client request id is in flight
 	Streaming                       // the events of one attempt follow
 )
 
-// Answer is the one final answer to a request.
+// Answer is the final answer to a request; there is exactly one.
 type Answer struct {
 	Verdict    Verdict
 	RetryAfter time.Duration        // with Rejected; 0 = none
-	OverQuota  bool                 // with Rejected: the tenant's quota is spent
+	OverQuota  bool                 // with Rejected: the tenant's quota is exhausted
 	Stream     Stream               // with Streaming; the front must call Ticket.Relay or Ticket.Finish
-	Status     routing.Status       // otherwise: how the latest attempt ended
-	Cause      error                // and why, as far as its engine reported
+	Status     routing.Status       // with the other verdicts: status of the latest attempt
+	Cause      error                // cause of Status, if the engine reported one
 	Quota      *routing.QuotaStatus // of the tenant; nil without a quota
 	MayHaveRun bool                 // an attempt was sent that is not known to have been rejected
 }
 
-// Front takes the one final answer to a request. Answer must not block.
+// Front receives the final answer to a request. Answer must not block.
 type Front interface {
 	Answer(Answer)
 }
@@ -57,11 +57,11 @@
 	Answered(request Request, answer Answer, verdict string)
 }
 
-// Limits are the limits that the core itself enforces.
+// Limits are the limits that the core enforces.
 type Limits struct {
-	DeadlineSlack    time.Duration          // after the deadline, within which an answer still counts
-	HeldStateLimit   time.Duration          // longest that state may be held with no attempt in flight
-	HeldStateSlack   time.Duration          // by which it may be exceeded, by hold-ups and the release's transit
-	MaxAttempts      int                    // of one request
-	IgnoresHeldState func(kind string) bool // engines of this kind serve requests on their own and fetch no state; nil: all fetch
+	DeadlineSlack    time.Duration          // an answer up to this long after the deadline is still in time
+	HeldStateLimit   time.Duration          // max time for which state may be held with no attempt in flight
+	HeldStateSlack   time.Duration          // excess over HeldStateLimit allowed for stalls and the transit of a release
+	MaxAttempts      int                    // per request
+	IgnoresHeldState func(kind string) bool // engines of this kind prefill and decode by themselves and fetch no held state; nil: all kinds fetch it
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,9 +1,9 @@
-// Package core carries requests from a front to the engines that the routing policy names, and
-// their outcomes back. It knows no protocol: fronts submit requests and take answers, a Transport
-// makes attempts at engines and reports their results.
+// Package core forwards requests from a front to the engines that the routing policy selects, and
+// reports the outcomes to both. It is independent of protocols: fronts submit requests and receive
+// answers, a Transport makes attempts at engines and reports their results.
 //
-// One goroutine, that of Core.Run, owns the router and all state of requests. All others reach it
-// through one queue of messages, and it never waits for I/O.
+// One goroutine, that of Core.Run, owns the router and the state of all requests. Other goroutines
+// communicate with it through one message queue, and it never blocks on I/O.
 package core
 
 import (
@@ -16,12 +16,12 @@
 	"wellgw/routing"
 )
 
-// queueSize is how many messages may wait for the core. Beyond that senders block until it has
-// caught up; the core itself waits for none of them.
+// queueSize is the capacity of the message queue. Senders block while it is full; the core never
+// waits for a sender.
 const queueSize = 4096
 
-// Core owns one Router and all requests in hand: those that are not answered or have an attempt that
-// has not ended.
+// Core owns one Router and all open requests: those that are not answered or have an attempt that has
+// not ended.
 type Core struct {
 	router       *routing.Router
 	transport    Transport
@@ -29,27 +29,27 @@
 	observer     Observer // nil for none
 	limits       Limits
 	log          *slog.Logger
-	debugLogging bool // the log takes level debug
+	debugLogging bool // the log's level includes debug
 	checks       *invariant.Checks
 	clock        clock
 
 	queue     chan message
-	done      chan struct{} // closed when Run has ended
+	done      chan struct{} // closed when Run returns
 	endpoints *endpointTable
 
 	// Owned by the goroutine of Run.
 	requests       requestTable
-	unreconciled   []*requestState // in which the message in hand has changed something
+	unreconciled   []*requestState // changed by the message that is being handled
 	unreleased     unreleasedRequests
-	lingeringCount int             // lingering attempts of requests that are over; see keepLingering
-	pendingEvents  []routing.Event // for the router, from the actions that it asked for last
+	lingeringCount int             // lingering attempts of completed requests; see keepLingering
+	pendingEvents  []routing.Event // for the router, from executing its latest actions
 	timers         timers
 	stalls         stallDetector
 	counters       counters
-	drainWaiters   []chan<- struct{} // closed once nothing is in hand
+	drainWaiters   []chan<- struct{} // closed when the core is drained
 }
 
-// New returns a core with a router of its own. It works while Run does.
+// New returns a core that owns router. It handles requests while Run is running.
 func New(router *routing.Router, transport Transport, directory Directory, limits Limits, log *slog.Logger, checks *invariant.Checks) *Core {
 	clock := newClock()
 	return &Core{
@@ -61,17 +61,17 @@
 	}
 }
 
-// SetObserver sets the observer of answers. It is to be called before Run.
+// SetObserver sets the observer of answers. It must be called before Run.
 func (c *Core) SetObserver(o Observer) { c.observer = o }
 
-// Run handles messages and timers until ctx ends. After each message it reconciles the requests which
-// that has changed.
+// Run handles messages and timers until ctx is done. After each message it reconciles the requests that
+// the message has changed.
 func (c *Core) Run(ctx context.Context) {
 	defer close(c.done)
-	alarm := time.NewTimer(maxWait)
-	defer alarm.Stop()
+	wakeup := time.NewTimer(maxWait)
+	defer wakeup.Stop()
 	for {
-		alarm.Reset(c.timers.untilNext(time.Now()))
+		wakeup.Reset(c.timers.untilNext(time.Now()))
 		select {
 		case <-ctx.Done():
 			return
@@ -79,7 +79,7 @@
 			c.stalls.beginRound(time.Now())
 			m.handle(c)
 			c.reconcile()
-		case <-alarm.C:
+		case <-wakeup.C:
 			c.stalls.beginRound(time.Now())
 		}
 		for m := c.timers.popDue(time.Now()); m != nil; m = c.timers.popDue(time.Now()) {
@@ -90,7 +90,7 @@
 	}
 }
 
-// post puts a message into the queue; after Run has ended it is dropped.
+// post adds a message to the queue. Messages are dropped after Run has returned.
 func (c *Core) post(m message) {
 	select {
 	case c.queue <- m:
@@ -98,8 +98,8 @@
 	}
 }
 
-// reconcile brings the requests that have changed up to date: state that engines hold is released, and
-// requests that are over leave the table.
+// reconcile processes the requests that have changed: it starts due releases of the state that engines
+// hold, and removes completed requests from the table.
 func (c *Core) reconcile() {
 	for len(c.unreconciled) > 0 {
 		request := c.unreconciled[0]
@@ -113,7 +113,7 @@
 	c.completeDrain()
 }
 
-// markChanged has a request reconciled once the message in hand has been handled.
+// markChanged schedules a request for reconciliation after the current message has been handled.
 func (c *Core) markChanged(request *requestState) {
 	c.unreconciled = append(c.unreconciled, request)
 }
--- a/internal/core/messages.go
+++ b/internal/core/messages.go
@@ -6,14 +6,14 @@
 	"wellgw/routing"
 )
 
-// message is an event for the goroutine that owns the core: from the queue, where fronts, engines,
-// directories and operators put it, or from a timer. Every kind of event is a type of its own here;
-// its handle method is the only place where it takes effect.
+// message is an event for the core's goroutine, from the queue or from a timer. Fronts, the transport,
+// directories and operators' commands add messages to the queue. Each kind of event has its own type in
+// this file, whose handle method is the only place where the event takes effect.
 type message interface{ handle(c *Core) }
 
-// Of fronts.
+// Messages from fronts.
 
-// requestSubmitted brings a request that a front has taken from a client.
+// requestSubmitted carries a request that a front has received from a client.
 type requestSubmitted struct {
 	ticket  *Ticket
 	request Request
@@ -22,12 +22,12 @@
 
 func (m requestSubmitted) handle(c *Core) { c.submit(m.ticket, m.request, m.front) }
 
-// clientGone tells that the client of a request has disconnected.
+// clientGone reports that the client of a request has disconnected.
 type clientGone struct{ ticket *Ticket }
 
 func (m clientGone) handle(c *Core) { c.clientGone(m.ticket.request) }
 
-// streamEnded tells how the stream of a Streaming answer ended.
+// streamEnded reports how the stream of a Streaming answer ended.
 type streamEnded struct {
 	ticket *Ticket
 	result Result
@@ -35,9 +35,10 @@
 
 func (m streamEnded) handle(c *Core) { c.finishStream(m.ticket.request, m.result) }
 
-// Of attempts. Handlers ignore most messages on one that has ended meanwhile.
+// Messages about attempts. Handlers ignore most messages about an attempt that has already ended.
 
-// attemptConnected asks when an attempt whose connection is up may be written: mayWrite is closed then.
+// attemptConnected reports that an attempt has a connection. mayWrite is closed when the attempt may be
+// written.
 type attemptConnected struct {
 	request  *requestState
 	attempt  *attemptState
@@ -46,7 +47,7 @@
 
 func (m attemptConnected) handle(c *Core) { c.permitWrite(m.request, m.attempt, m.mayWrite) }
 
-// attemptWritten tells that the last byte of an attempt has been written.
+// attemptWritten reports that the last byte of an attempt has been written.
 type attemptWritten struct {
 	request *requestState
 	attempt *attemptState
@@ -55,7 +56,7 @@
 
 func (m attemptWritten) handle(c *Core) { c.recordWritten(m.request, m.attempt, m.write) }
 
-// streamOpened brings the answer of an attempt, from its first event on.
+// streamOpened carries the event stream of an attempt's answer; its first event has arrived.
 type streamOpened struct {
 	request *requestState
 	attempt *attemptState
@@ -64,7 +65,7 @@
 
 func (m streamOpened) handle(c *Core) { c.openStream(m.request, m.attempt, m.stream) }
 
-// attemptEnded tells how an attempt without a stream ended.
+// attemptEnded reports how an attempt without a stream ended.
 type attemptEnded struct {
 	request *requestState
 	attempt *attemptState
@@ -73,9 +74,9 @@
 
 func (m attemptEnded) handle(c *Core) { c.endAttempt(m.request, m.attempt, m.result) }
 
-// Of engines and directories.
+// Messages about engines, from the transport and directories.
 
-// releaseEnded tells how a release at an engine ended.
+// releaseEnded reports how a release at an engine ended.
 type releaseEnded struct {
 	request *requestState
 	engine  string
@@ -84,7 +85,7 @@
 
 func (m releaseEnded) handle(c *Core) { c.recordRelease(m.request, m.engine, m.err) }
 
-// probeAnswered brings the result of a probe.
+// probeAnswered carries the result of a probe.
 type probeAnswered struct {
 	engine string
 	sentAt time.Time
@@ -96,7 +97,7 @@
 	c.dispatch(routing.ProbeResult{Engine: m.engine, Status: m.status, Latency: time.Since(m.sentAt), Report: m.report})
 }
 
-// engineListUpdated brings what a directory has learned.
+// engineListUpdated carries an update of the engine list from a directory.
 type engineListUpdated struct {
 	scope     routing.EngineListScope
 	endpoints []Endpoint
@@ -104,14 +105,14 @@
 
 func (m engineListUpdated) handle(c *Core) { c.updateEndpoints(m.scope, m.endpoints) }
 
-// gatewaysCounted brings the number of gateways that share the engines.
+// gatewaysCounted carries the number of gateways that share the engines.
 type gatewaysCounted struct{ gateways int }
 
 func (m gatewaysCounted) handle(c *Core) { c.dispatch(routing.GatewaysChanged{Gateways: m.gateways}) }
 
-// Of operators and of the process.
+// Messages from operators and from the process.
 
-// ejectionCommanded is an operator's command on one engine.
+// ejectionCommanded is an operator's command to eject or restore one engine.
 type ejectionCommanded struct {
 	engine string
 	eject  bool
@@ -120,12 +121,12 @@
 
 func (m ejectionCommanded) handle(c *Core) { m.reply <- c.eject(m.engine, m.eject) }
 
-// ejectionsReplaced brings the whole set of engines that are ejected manually.
+// ejectionsReplaced carries the complete set of manually ejected engines.
 type ejectionsReplaced struct{ engines []string }
 
 func (m ejectionsReplaced) handle(c *Core) { c.replaceEjections(m.engines) }
 
-// settingsChanged brings new settings for the router.
+// settingsChanged carries new settings for the router.
 type settingsChanged struct {
 	settings routing.Settings
 	reply    chan<- error
@@ -133,19 +134,19 @@
 
 func (m settingsChanged) handle(c *Core) { m.reply <- c.reconfigure(m.settings) }
 
-// shutdownBegun tells that the gateway is about to end; see Core.NotifyShutdown.
+// shutdownBegun reports that the gateway shuts down; see Core.NotifyShutdown.
 type shutdownBegun struct{ final bool }
 
 func (m shutdownBegun) handle(c *Core) { c.dispatch(routing.ShuttingDown{Final: m.final}) }
 
-// drainRequested asks for drained to be closed once the core is drained.
+// drainRequested requests that drained be closed once the core is drained.
 type drainRequested struct{ drained chan<- struct{} }
 
 func (m drainRequested) handle(c *Core) { c.awaitDrained(m.drained) }
 
-// query reads the core's state in its goroutine. It is one generic type with a closure, where others
-// are a type each: a question is asked in one place only, its answer is read best next to it, and none
-// changes what the core does.
+// query reads the core's state in its goroutine. It is one generic type with a closure, unlike the other
+// messages: each query has a single caller, its code is easiest to read there, and no query changes the
+// core's state.
 type query[T any] struct {
 	answer func() T
 	reply  chan<- T
@@ -153,19 +154,20 @@
 
 func (m query[T]) handle(*Core) { m.reply <- m.answer() }
 
-// Of timers. These are never stopped, so each handler checks whether its message still matters.
+// Messages from timers. Timers are never stopped, so each handler checks whether its message still
+// applies.
 
-// routingTimerFired tells that a timer of the router is due.
+// routingTimerFired reports that a timer of the router has expired.
 type routingTimerFired struct{ name string }
 
 func (m routingTimerFired) handle(c *Core) { c.dispatch(routing.TimerFired{Name: m.name}) }
 
-// deadlinePassed tells that a request should have been answered by now, the slack included.
+// deadlinePassed reports that the deadline of a request and the slack after it have passed.
 type deadlinePassed struct{ request *requestState }
 
 func (m deadlinePassed) handle(c *Core) { c.answerDeadlineExceeded(m.request) }
 
-// attemptTimedOut tells that the timeout of an attempt is over.
+// attemptTimedOut reports that the timeout of an attempt has expired.
 type attemptTimedOut struct {
 	request *requestState
 	attempt *attemptState
@@ -175,12 +177,12 @@
 	c.endAttempt(m.request, m.attempt, Result{Status: routing.StatusTimeout})
 }
 
-// writePermitted lets an attempt be written; see attemptConnected.
+// writePermitted permits writing an attempt; see attemptConnected.
 type writePermitted struct{ mayWrite chan<- struct{} }
 
 func (m writePermitted) handle(*Core) { close(m.mayWrite) }
 
-// delayedAnswer delivers an answer that had to wait; see Core.afterAttemptClosed.
+// delayedAnswer delivers an answer that was delayed; see Core.afterAttemptClosed.
 type delayedAnswer struct {
 	front  Front
 	answer Answer
@@ -188,17 +190,17 @@
 
 func (m delayedAnswer) handle(*Core) { m.front.Answer(m.answer) }
 
-// heldStateTimerFired tells that the ledger of a request has something due.
+// heldStateTimerFired reports that the ledger of a request may have an action due.
 type heldStateTimerFired struct{ request *requestState }
 
 func (m heldStateTimerFired) handle(c *Core) { c.markChanged(m.request) }
 
-// lingerTimedOut tells that an attempt has been kept open as long as it may.
+// lingerTimedOut reports that an attempt has lingered for lingerLimit.
 type lingerTimedOut struct{ request *requestState }
 
 func (m lingerTimedOut) handle(c *Core) { c.endLingering(m.request) }
 
-// drainPollTimerFired has the core check whether a drain has ended.
+// drainPollTimerFired triggers a check whether the drain has completed.
 type drainPollTimerFired struct{}
 
 func (drainPollTimerFired) handle(c *Core) { c.pollDrain() }
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -9,34 +9,34 @@
 	"wellgw/routing"
 )
 
-// requestState is a request in hand: until it is answered and all of its attempts have ended.
+// requestState is an open request: one that is not answered or has an attempt that has not ended.
 type requestState struct {
 	Request
 	front             Front
 	deadline          time.Time
-	idempotent        bool          // may be repeated at will, by the settings with which it was taken
-	answered          bool          // it has had its final answer, or its client has disconnected
-	streaming         *attemptState // whose stream is the answer, until that ends
-	stream            Stream        // of streaming
+	idempotent        bool          // retries are safe, by the settings at submission
+	answered          bool          // the final answer was given, or the client has disconnected
+	streaming         *attemptState // the attempt whose stream is being relayed; nil before and after
+	stream            Stream        // the stream of streaming
 	attempts          []*attemptState
 	activeAttempts    int           // attempts that have not ended
-	lingeringAttempt  *attemptState // cancelled or timed out, its connection still open
-	cancelledAt       time.Time     // when an attempt that its engine may have received was closed last
+	lingeringAttempt  *attemptState // cancelled or timed out, but its connection is still open
+	cancelledAt       time.Time     // when an attempt that its engine may have received was last closed
 	held              heldState
-	lastAttemptStatus routing.Status // how the latest attempt ended, and why
+	lastAttemptStatus routing.Status // of the attempt that ended last
 	lastAttemptCause  error
 	endedMayHaveRun   bool         // an attempt has ended that may have run
-	clientGone        *atomic.Bool // its client has disconnected; set before the message on that is handled
+	clientGone        *atomic.Bool // the client has disconnected; set before the clientGone message is handled
 }
 
-// submit takes a request into the table and gives it to the router.
-func (c *Core) submit(ticket *Ticket, in Request, front Front) {
-	in.ID = c.requests.newID()
-	request := c.newRequest(in, front, &ticket.gone)
+// submit adds a request to the table and passes it to the router.
+func (c *Core) submit(ticket *Ticket, submitted Request, front Front) {
+	submitted.ID = c.requests.newID()
+	request := c.newRequest(submitted, front, &ticket.gone)
 	ticket.request = request
-	if c.requests.clientRequestIDs[in.ClientRequestID] {
-		// Engines know a request by its client's id alone: two at once would share
-		// attempts and states. The first goes on; the second never ran.
+	if c.requests.clientRequestIDs[submitted.ClientRequestID] {
+		// Engines identify a request by its client request id alone: two concurrent requests with
+		// the same id would share attempts and held state. The first continues; the second never ran.
 		request.answered = true
 		c.counters.increment(countDuplicates)
 		front.Answer(Answer{Verdict: Duplicate, Status: routing.StatusNotSent})
@@ -44,23 +44,24 @@
 	}
 	c.requests.add(request)
 	c.counters.increment(countRequests)
-	c.counters.addTraffic(in.Class, func(t *Traffic) { t.Requests++; t.PromptTokens += in.PromptTokens })
+	c.counters.addTraffic(submitted.Class, func(t *Traffic) { t.Requests++; t.PromptTokens += submitted.PromptTokens })
 	c.markChanged(request)
-	// The backstop guards against a request that neither the router nor an engine
-	// ever ends: it is answered inside the slack whatever else happens.
+	// A safeguard for a request that neither the router nor an engine ends: it is answered when the
+	// slack after the deadline ends.
 	c.schedule(time.Until(request.deadline)+c.limits.DeadlineSlack, deadlinePassed{request})
-	in.TTL = time.Until(request.deadline)
-	c.dispatch(in.Request)
+	submitted.TTL = time.Until(request.deadline)
+	c.dispatch(submitted.Request)
 }
 
-func (c *Core) newRequest(in Request, front Front, clientGone *atomic.Bool) *requestState {
+func (c *Core) newRequest(submitted Request, front Front, clientGone *atomic.Bool) *requestState {
 	return &requestState{
-		Request: in, front: front, deadline: in.Arrived.Add(in.TTL), idempotent: c.router.Idempotent(in.Class),
-		clientGone: clientGone, held: newHeldState(c.heldLimits(in.TTL)),
+		Request: submitted, front: front, deadline: submitted.Arrived.Add(submitted.TTL),
+		idempotent: c.router.Idempotent(submitted.Class),
+		clientGone: clientGone, held: newHeldState(c.heldLimits(submitted.TTL)),
 	}
 }
 
-// answer gives a request its final answer; a second one is a fault of the router's.
+// answer delivers a request's final answer. A second answer is a bug in the router, and is dropped.
 func (c *Core) answer(request *requestState, a Answer) {
 	if !c.checks.Assert(!request.answered, "a request gets one final answer") {
 		return
@@ -79,7 +80,7 @@
 	if c.debugLogging {
 		c.logAnswer(request, a)
 	}
-	if a.Verdict == Rejected && !request.idempotent { // its client may take it that the request never ran
+	if a.Verdict == Rejected && !request.idempotent { // the client may rely on the request never having run
 		c.afterAttemptClosed(request, delayedAnswer{request.front, a})
 	} else {
 		request.front.Answer(a)
@@ -107,7 +108,7 @@
 	if request == nil {
 		return
 	}
-	if request.streaming != nil { // the answer has crossed with the client's leaving
+	if request.streaming != nil { // the stream was opened before the disconnect was handled
 		request.stream.Close()
 		c.finishStream(request, Result{Status: routing.StatusCancelled})
 	}
@@ -121,7 +122,8 @@
 	c.withdrawUnwritten(request)
 }
 
-// answerDeadlineExceeded answers a request that neither the router nor an engine has ended in time.
+// answerDeadlineExceeded answers a request that neither the router nor an engine ended before the
+// deadline.
 func (c *Core) answerDeadlineExceeded(request *requestState) {
 	if request.answered {
 		return
@@ -133,15 +135,15 @@
 	}
 }
 
-// removeRequest takes a request that is over off the table. What engines hold for it is released all
-// the same; see reconcileHeldState.
+// removeRequest removes a completed request from the table. The state that engines hold for it is still
+// released; see reconcileHeldState.
 func (c *Core) removeRequest(request *requestState) {
 	if holder := request.held.ledger.StateHolder(); holder != "" {
 		request.held.lastHolder = holder
 	}
 	request.held.ledger.Finish()
 	if c.requests.remove(request) {
-		request.Payload.Body = nil // timers may keep the request itself for a while
+		request.Payload.Body = nil // timers may still refer to the request
 	}
 }
 
--- a/internal/core/requesttable.go
+++ b/internal/core/requesttable.go
@@ -6,13 +6,13 @@
 	"wellgw/routing"
 )
 
-// requestTable holds the requests in hand, and knows for how long there have been none. It is owned
-// by the core's goroutine.
+// requestTable holds the open requests and measures for how long there have been none. It is owned by
+// the core's goroutine.
 type requestTable struct {
 	byID             map[routing.RequestID]*requestState
 	clientRequestIDs map[string]bool
 	lastID           routing.RequestID
-	lastActive       time.Time // when a request came, or was seen in hand
+	lastActive       time.Time // when a request was added, or idleFor last found one open
 }
 
 func newRequestTable() requestTable {
@@ -21,8 +21,8 @@
 
 func (t *requestTable) len() int { return len(t.byID) }
 
-// newID returns an id for a request. Ids count up and wrap; one that is still in hand is passed
-// over, as a stream may outlast any number of others.
+// newID returns an unused id. Ids count up and wrap around; those of open requests are skipped, as a long
+// stream may still be open when its id is reached again.
 func (t *requestTable) newID() routing.RequestID {
 	for t.lastID++; t.byID[t.lastID] != nil; t.lastID++ {
 	}
@@ -34,8 +34,8 @@
 	t.lastActive = time.Now()
 }
 
-// remove takes a request out, and reports whether it was in hand: one that was never added may
-// bear the id of another.
+// remove removes a request and reports whether it was in the table. A request that was never added (a
+// duplicate) may have the same id as an open one, which stays.
 func (t *requestTable) remove(request *requestState) bool {
 	if t.byID[request.ID] != request {
 		return false
@@ -45,7 +45,7 @@
 	return true
 }
 
-// idleFor returns for how long no request has come and none has been seen in hand.
+// idleFor returns the time since a request was last added or found open by this method.
 func (t *requestTable) idleFor() time.Duration {
 	if t.len() > 0 {
 		t.lastActive = time.Now()
--- a/internal/core/ticket.go
+++ b/internal/core/ticket.go
@@ -8,7 +8,7 @@
 )
 
 // Submit hands a request to the core, which calls front.Answer exactly once unless Ticket.ClientGone is
-// called first. The ticket identifies the request from then on.
+// called first. The returned ticket identifies the request.
 func (c *Core) Submit(request Request, front Front) *Ticket {
 	t := &Ticket{core: c}
 	c.post(requestSubmitted{t, request, front})
@@ -22,27 +22,27 @@
 	gone    atomic.Bool   // the client has disconnected
 }
 
-// ClientGone reports that the client has disconnected before its answer. No attempt begins from
-// then on, however long the core's queue is.
+// ClientGone reports that the client has disconnected before its answer. No attempt is started after
+// the call, even while the message about it waits in the core's queue.
 func (t *Ticket) ClientGone() {
 	t.gone.Store(true)
 	t.core.post(clientGone{t})
 }
 
 // Finish reports how the stream of a Streaming answer ended. Relay calls it; a front that reads the
-// stream by itself must call it once, after Stream.Close or the stream's end.
+// stream without Relay must call it once, after Stream.Close or the stream's end.
 func (t *Ticket) Finish(r Result) { t.core.post(streamEnded{t, r}) }
 
 // MayHaveRun reports whether an attempt was sent that is not known to have been rejected; true if
 // the core has ended.
 func (t *Ticket) MayHaveRun(ctx context.Context) bool {
-	never := runQuery(ctx, t.core, func() bool { return t.request != nil && !t.request.mayHaveRun() })
-	return !never
+	notRun := runQuery(ctx, t.core, func() bool { return t.request != nil && !t.request.mayHaveRun() })
+	return !notRun
 }
 
 // Relay forwards a stream's events to write until it ends, and reports the end to the core. It
-// returns nil only if the stream was forwarded completely. When ctx ends, the client has
-// disconnected: the attempt is closed at once, even while no event comes.
+// returns nil only if the stream was forwarded completely. ctx is done when the client has disconnected:
+// the attempt is then closed immediately, even if no event arrives.
 func (t *Ticket) Relay(ctx context.Context, s Stream, write func([]byte) error) error {
 	stop := context.AfterFunc(ctx, func() { s.Close() })
 	defer stop()
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// timers is a heap of messages by the time when they are due. None is ever stopped. It is owned by the
-// core's goroutine.
+// timers is a heap of messages, ordered by the time when each is due. Timers can't be stopped. It is
+// owned by the core's goroutine.
 type timers struct{ list timerHeap }
 
 type timer struct {
@@ -18,7 +18,7 @@
 	heap.Push(&t.list, timer{at: at, message: m})
 }
 
-// untilNext returns the time until the next message is due.
+// untilNext returns the time until the next message is due, maxWait if there is none.
 func (t *timers) untilNext(now time.Time) time.Duration {
 	if len(t.list) == 0 {
 		return maxWait
@@ -26,10 +26,10 @@
 	return max(0, t.list[0].at.Sub(now))
 }
 
-// maxWait is the wait with nothing to wait for.
+// maxWait is the wait while no timer is set.
 const maxWait = time.Hour
 
-// popDue takes out the next message that is due, nil if there is none.
+// popDue removes and returns the next message that is due, nil if there is none.
 func (t *timers) popDue(now time.Time) message {
 	if len(t.list) == 0 || t.list[0].at.After(now) {
 		return nil
@@ -46,10 +46,10 @@
 func (h *timerHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
-	old[len(old)-1] = timer{} // lets the message be collected
+	old[len(old)-1] = timer{} // so that the message can be garbage collected
 	*h = old[:len(old)-1]
 	return last
 }
 
-// schedule has a message handled after a time.
+// schedule sets a timer that handles a message after d.
 func (c *Core) schedule(d time.Duration, m message) { c.timers.add(time.Now().Add(d), m) }
--- a/internal/core/transport.go
+++ b/internal/core/transport.go
@@ -8,13 +8,13 @@
 	"wellgw/routing"
 )
 
-// Stream is the answer of an attempt from its first event on.
+// Stream is the event stream of an attempt's answer.
 type Stream interface {
-	// Read returns events as they come, io.EOF after the last chunk only.
+	// Read returns events as they arrive. It returns io.EOF only after the last chunk.
 	Read(p []byte) (int, error)
 	// Result returns how the attempt ended; it is valid once Read has returned an error.
 	Result() Result
-	// Close abandons the rest. It may be called at any time, and more than once.
+	// Close stops reading and closes the attempt. It may be called at any time, and more than once.
 	Close() error
 }
 
@@ -22,8 +22,8 @@
 type Result struct {
 	Status       routing.Status
 	CachedTokens int  // prompt tokens found in the prefix cache
-	OutputTokens int  // of the answer; 0 if the engine did not report them
-	StateMissing bool // with StatusRejected: there was no state to fetch
+	OutputTokens int  // generated for the answer; 0 if the engine did not report them
+	StateMissing bool // with StatusRejected: the engine found no state to fetch
 	Report       *routing.LoadReport
 	Cause        error // for the log
 }
@@ -33,67 +33,66 @@
 	ClientRequestID string
 	Number          int
 	Endpoint        Endpoint
-	Timeout         time.Duration // for which the gateway waits
+	Timeout         time.Duration // for which the gateway waits for the answer
 	Payload         Payload
-	// Connected is called once there is a connection and before anything is written to
-	// it, which waits for its return; nil for nothing to wait for.
+	// Connected is called after the connection is established. The attempt is written only after it
+	// has returned. nil if the attempt may be written immediately.
 	Connected func()
-	// Written is called once the last byte has been written.
+	// Written is called after the last byte has been written.
 	Written func(WriteRecord)
 	// ClientGone reports whether the client has disconnected. It is checked right before the first
-	// byte is written; if so, nothing is written and the attempt ends as StatusNotSent.
+	// byte is written; if it returns true, nothing is written and the attempt ends with StatusNotSent.
 	ClientGone func() bool
 }
 
-// WriteRecord tells which connection a request was written to, and when its last byte was.
+// WriteRecord records which connection an attempt was written to, and when its last byte was written.
 type WriteRecord struct {
 	Connection heldstate.ConnectionNumber
 	At         time.Time
 }
 
-// FirstByte tells on which connection an engine's answer to an attempt began to arrive, and when.
+// FirstByte records on which connection an engine's answer to an attempt began to arrive, and when.
 type FirstByte struct {
 	Connection heldstate.ConnectionNumber
 	At         time.Time
 }
 
-// Handle is an attempt under way.
+// Handle controls a started attempt.
 type Handle interface {
-	// FirstByte returns when the first byte arrived on the attempt's own connection after the
-	// attempt was written; false while none has. It may be called at any time, also after the end.
+	// FirstByte returns when the first byte arrived on the attempt's own connection after the attempt
+	// was written; false if none has arrived. It may be called at any time, also after the attempt's end.
 	FirstByte() (FirstByte, bool)
 
-	// Cancel abandons the attempt and closes its connection at once. It may be called more than once.
+	// Cancel abandons the attempt and closes its connection immediately. It may be called more than once.
 	Cancel()
-	// Withdraw does the same if nothing has been written yet, and reports whether that is so;
-	// otherwise it does nothing.
+	// Withdraw cancels the attempt if nothing of it has been written yet, and reports whether it did.
 	Withdraw() bool
 }
 
-// Release is the request to an engine to release all state that it holds for a client's request.
+// Release is a request to an engine to release all state that it holds for a client's request.
 type Release struct {
 	Endpoint        Endpoint
 	ClientRequestID string
-	// Alternates are other engines to notify while Endpoint is out of reach: by the platform's
-	// protocol any engine takes a release and passes it to the engine that holds the state.
+	// Alternates are other engines to send the release to while Endpoint is unreachable: by the
+	// platform's protocol any engine accepts a release and relays it to the engine that holds the state.
 	Alternates        []Endpoint
-	AlternateDelay    time.Duration // after which Alternates are tried
-	AlternateInterval time.Duration // from one alternate to the next
-	Deadline          time.Time     // after which the release is given up
+	AlternateDelay    time.Duration // before the first of Alternates is tried
+	AlternateInterval time.Duration // between two alternates
+	Deadline          time.Time     // when the release ends as failed
 }
 
-// ErrReleaseUnsupported is returned for a release at an engine whose kind holds no state.
-var ErrReleaseUnsupported = errors.New("engines of this kind take no releases")
+// ErrReleaseUnsupported is the result of a release at an engine whose kind holds no state.
+var ErrReleaseUnsupported = errors.New("engines of this kind do not support releases")
 
-// Transport makes attempts at engines. No method blocks; results are reported later, from another
-// goroutine.
+// Transport makes attempts at engines. No method blocks; results are reported asynchronously from
+// another goroutine.
 type Transport interface {
-	// Start sends the request. One of first and ended is called once: first when
-	// events begin to come, ended when the attempt is over without any.
+	// Start sends an attempt. Exactly one of first and ended is called, once: first when the first event
+	// arrives, ended when the attempt ends without any event.
 	Start(a Attempt, first func(Stream), ended func(Result)) Handle
-	// Release has an engine release held state, with retries until it has answered, the deadline
-	// has passed or stop is called. done is called once, with nil if the engine answered, and with
-	// ErrNoRelease if engines of its kind hold no state.
+	// Release sends an engine a release, with retries until the engine has answered, the deadline has
+	// passed or stop is called. done is called once, with nil if the engine answered, and with
+	// ErrReleaseUnsupported if engines of its kind hold no state.
 	Release(r Release, done func(error)) (stop func())
 	// Probe requests a load report from an engine.
 	Probe(at Endpoint, done func(routing.Status, *routing.LoadReport))
@@ -101,7 +100,7 @@
 
 // Directory provides the list of engines, through Core.UpdateEndpoints.
 type Directory interface {
-	// Subscribe asks for changes from now on, where they are delivered only on request.
+	// Subscribe requests delivery of changes, for directories that deliver them only to subscribers.
 	Subscribe()
 }
 
@@ -109,5 +108,5 @@
 type Endpoint struct {
 	routing.EngineInfo
 	Addr      string
-	StartedAt time.Time // last start; zero means long ago
+	StartedAt time.Time // when the engine last started; zero means long ago
 }
