--- a/internal/core/api.go
+++ b/internal/core/api.go
@@ -59,9 +59,16 @@
 
 // Limits are the limits that the core enforces.
 type Limits struct {
-	DeadlineSlack    time.Duration          // an answer up to this long after the deadline is still in time
-	HeldStateLimit   time.Duration          // max time for which state may be held with no attempt in flight
-	HeldStateSlack   time.Duration          // excess over HeldStateLimit allowed for stalls and the transit of a release
-	MaxAttempts      int                    // per request
-	IgnoresHeldState func(kind string) bool // engines of this kind prefill and decode by themselves and fetch no held state; nil: all kinds fetch it
+	// DeadlineSlack is how long after its deadline an answer is still in time.
+	DeadlineSlack time.Duration
+	// HeldStateLimit is the max time for which state may be held with no attempt in flight.
+	HeldStateLimit time.Duration
+	// HeldStateSlack is by how much HeldStateLimit may be exceeded because of stalls of the process and the
+	// transit of a release.
+	HeldStateSlack time.Duration
+	// MaxAttempts is the max number of attempts per request.
+	MaxAttempts int
+	// IgnoresHeldState reports whether engines of a kind prefill and decode by themselves and fetch no held
+	// state; nil if engines of all kinds fetch it.
+	IgnoresHeldState func(kind string) bool
 }
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -20,14 +20,16 @@
 	handle        Handle
 }
 
-// cancelPropagationTime is how long an engine may need to learn that an attempt was cancelled. What must not
-// meet that attempt, such as the next one, waits for it.
+// cancelPropagationTime is the time allowed for a cancel (the close of an attempt's connection) to reach
+// the engine. The next attempt and other messages that must not overlap the cancelled attempt at the engine
+// are delayed by it.
 const cancelPropagationTime = 3 * time.Millisecond
 
-// startAttempt sends a request to an engine. An attempt that is not to be sent ends at once.
+// startAttempt sends a request to an engine. An attempt that must not be sent ends immediately, as
+// StatusNotSent.
 func (c *Core) startAttempt(send routing.Send) {
 	request := c.requests.byID[send.ID]
-	if !c.checks.Assert(request != nil && !request.answered, "a send is for a request that awaits its answer") {
+	if !c.checks.Assert(request != nil && !request.answered, "a send is for an open request without an answer") {
 		return
 	}
 	endpoint, listed := c.endpoints.listed[send.Engine]
@@ -37,13 +39,13 @@
 		timeout = min(timeout, send.Timeout)
 	}
 	notSent := timeout <= 0 || len(request.attempts) > c.limits.MaxAttempts || request.clientGone.Load()
-	if notSent || !c.checks.Assert(listed && endpoint.Phase == routing.PhaseActive, "a send goes to an engine on the list") {
+	if notSent || !c.checks.Assert(listed && endpoint.Phase == routing.PhaseActive, "a send is for a listed, active engine") {
 		c.endAttempt(request, attempt, Result{Status: routing.StatusNotSent})
 		return
 	}
 	c.counters.increment(countAttempts)
 	if request.held.ledger.StateHolder() != "" && c.limits.IgnoresHeldState != nil && c.limits.IgnoresHeldState(endpoint.Kind) {
-		request.held.ledger.Detach() // this engine fetches no state that another has prefilled
+		request.held.ledger.Detach() // this engine does not fetch the state of another engine's prefill
 		c.markChanged(request)
 	}
 	c.schedule(timeout, attemptTimedOut{request, attempt})
@@ -54,7 +56,7 @@
 	)
 }
 
-// addAttempt adds an attempt to a request. The engine's name is set also where it is not listed.
+// addAttempt adds an attempt to a request. The endpoint's name is set even if the engine is not listed.
 func (r *requestState) addAttempt(endpoint Endpoint, engine string) *attemptState {
 	attempt := &attemptState{number: len(r.attempts), endpoint: endpoint, startedAt: time.Now(), handle: nopHandle{}}
 	attempt.endpoint.Name = engine
@@ -63,7 +65,7 @@
 	return attempt
 }
 
-// describeAttempt returns what the transport needs for an attempt.
+// describeAttempt returns the description of an attempt for the transport.
 func (c *Core) describeAttempt(request *requestState, attempt *attemptState, timeout time.Duration) Attempt {
 	a := Attempt{
 		ClientRequestID: request.ClientRequestID, Number: attempt.number, Endpoint: attempt.endpoint,
@@ -76,10 +78,10 @@
 	return a
 }
 
-// closePredecessorAndWait has the previous attempt's connection closed, as the next attempt can be
-// written now, and returns when the two can't meet at the engine any more. Until now the previous one
-// stayed in flight: the connection of the next might have never come up. It is called by the
-// transport's goroutine of the attempt.
+// closePredecessorAndWait closes the connection of the previous attempt and returns when the two attempts
+// can no longer overlap at the engine. It is called after the next attempt's connection is established:
+// until then the previous attempt stays in flight, as connecting might fail. The caller is the transport's
+// goroutine of the attempt.
 func (c *Core) closePredecessorAndWait(request *requestState, attempt *attemptState) {
 	mayWrite := make(chan struct{})
 	c.post(attemptConnected{request, attempt, mayWrite})
@@ -89,7 +91,7 @@
 	}
 }
 
-// permitWrite closes mayWrite once an attempt may be written.
+// permitWrite closes mayWrite when an attempt may be written.
 func (c *Core) permitWrite(request *requestState, attempt *attemptState, mayWrite chan<- struct{}) {
 	if attempt.ended {
 		close(mayWrite)
@@ -98,7 +100,7 @@
 	c.afterAttemptClosed(request, writePermitted{mayWrite})
 }
 
-// recordWritten records that an attempt has been written, so that it is in flight.
+// recordWritten records that an attempt has been written and so is in flight.
 func (c *Core) recordWritten(request *requestState, attempt *attemptState, write WriteRecord) {
 	if attempt.ended {
 		return
@@ -108,7 +110,7 @@
 	c.markChanged(request)
 }
 
-// openStream answers a request with an attempt's stream, if its client still waits for one, and
+// openStream answers a request with an attempt's stream, unless the request is already answered, and
 // cancels the other attempts.
 func (c *Core) openStream(request *requestState, attempt *attemptState, stream Stream) {
 	if attempt.ended || request.answered {
@@ -151,8 +153,8 @@
 	c.endAttempt(request, attempt, r)
 }
 
-// endAttempt closes an attempt and reports its result to the router, once. One that is streaming ends
-// by finishStream alone.
+// endAttempt closes an attempt and reports its result to the router, once. An attempt whose stream is
+// being relayed is ended by finishStream only.
 func (c *Core) endAttempt(request *requestState, attempt *attemptState, r Result) {
 	if attempt.ended && r.Status == routing.StatusPrefilled {
 		c.recordLatePrefill(request, attempt)
@@ -196,9 +198,9 @@
 		slog.Any("cause", r.Cause))
 }
 
-// closeAttempt closes an attempt that has ended. One that was abandoned after it had been written
-// lingers instead: its connection stays open for a while, so that it counts as in flight. It reports
-// whether the attempt was abandoned before anything of it was written.
+// closeAttempt closes an attempt that has ended. An attempt that was cancelled or timed out after it had
+// been written lingers instead: its connection stays open for a bounded time, so it counts as in flight.
+// closeAttempt reports whether the attempt was withdrawn before anything of it was written.
 func (c *Core) closeAttempt(request *requestState, attempt *attemptState, status routing.Status) (withdrawn bool) {
 	abandoned := status == routing.StatusCancelled || status == routing.StatusTimeout
 	switch {
@@ -212,12 +214,12 @@
 	case attempt.handle.Withdraw():
 		return true
 	}
-	// It is being written, or it has been and attemptWritten is still in the queue.
+	// It is being written, or it has been written and attemptWritten is still in the queue.
 	request.closeCancelled(attempt)
 	return false
 }
 
-// statusMayHaveRun reports whether an attempt that was written and ended so may have run: it was not
+// statusMayHaveRun reports whether a written attempt that ended with this status may have run: it was not
 // rejected, and did more than prefill.
 func statusMayHaveRun(status routing.Status) bool {
 	switch status {
@@ -227,33 +229,34 @@
 	return true
 }
 
-// afterAttemptClosed closes the connection of an attempt that lingers, and has a message handled that
-// must not take effect before its engine can have learned of the cancel, since the two travel on
-// different connections. Without such an attempt it is handled at once.
+// afterAttemptClosed closes the connection of a request's lingering attempt and handles next after
+// cancelPropagationTime. next must not take effect before the cancel has reached the engine, and the two
+// travel on different connections. If no attempt was cancelled within that time, next is handled
+// immediately.
 func (c *Core) afterAttemptClosed(request *requestState, next message) {
 	c.closeLingeringAttempt(request)
-	if pause := request.remainingCancelPropagation(time.Now()); pause > 0 {
-		c.schedule(pause, next)
+	if remaining := request.remainingCancelPropagation(time.Now()); remaining > 0 {
+		c.schedule(remaining, next)
 		return
 	}
 	next.handle(c)
 }
 
-// closeCancelled closes the connection of an attempt that its engine may have received, or be about
-// to receive.
+// closeCancelled closes the connection of an attempt that its engine may have received or may still
+// receive.
 func (r *requestState) closeCancelled(attempt *attemptState) {
 	attempt.handle.Cancel()
 	r.cancelledAt = time.Now()
 }
 
-// remainingCancelPropagation returns how much longer the engine of the latest cancelled attempt may need to learn of
-// the cancel.
+// remainingCancelPropagation returns the remaining time that the latest cancel may need to reach its
+// engine; zero or less if there is none.
 func (r *requestState) remainingCancelPropagation(now time.Time) time.Duration {
 	return cancelPropagationTime - now.Sub(r.cancelledAt)
 }
 
-// withdrawUnwritten ends those attempts of an answered request that are not written yet, also where
-// the settings allow no cancel: nothing has been sent that could be cancelled.
+// withdrawUnwritten ends the attempts of an answered request that are not written yet, even if the
+// settings disable cancels: nothing has been sent that could be cancelled.
 func (c *Core) withdrawUnwritten(request *requestState) {
 	for _, attempt := range request.attempts {
 		if !attempt.ended && !attempt.written && attempt.handle.Withdraw() {
--- a/internal/core/await.go
+++ b/internal/core/await.go
@@ -2,14 +2,14 @@
 
 import "context"
 
-// answerChannel is a Front for a caller that waits for the answer. It needs room for one.
+// answerChannel is a Front for a caller that waits for the answer. Its capacity must be at least 1.
 type answerChannel chan Answer
 
-// Answer never blocks: there is room for the one answer.
+// Answer does not block: the channel's buffer has capacity for the only answer.
 func (c answerChannel) Answer(a Answer) { c <- a }
 
-// SubmitAndWait submits a request and waits for its answer. If ctx ends first, the client has
-// disconnected: the core learns of it, and the last result is false.
+// SubmitAndWait submits a request and waits for its answer. If ctx is done first, it reports to the core
+// that the client has disconnected and returns false as the last result.
 func SubmitAndWait(ctx context.Context, c *Core, request Request) (Answer, *Ticket, bool) {
 	answers := make(answerChannel, 1)
 	ticket := c.Submit(request, answers)
--- a/internal/core/counters.go
+++ b/internal/core/counters.go
@@ -6,13 +6,13 @@
 	"wellgw/routing"
 )
 
-// Counter names something that the core counts. Results of attempts and final answers are counted
-// under their names, too. The names are shown to operators and stay as they are.
+// Counter is the name of a counter. Results of attempts and final answers have counters too, under the
+// names below. The names are shown to operators and must not change.
 type Counter string
 
-// What is counted beside results and answers.
+// The counters other than those of results and answers.
 const (
-	countOpenRequests   Counter = "open" // requests in hand now
+	countOpenRequests   Counter = "open" // the number of open requests now
 	countRequests       Counter = "requests"
 	countAttempts       Counter = "attempts"
 	countDuplicates     Counter = "duplicate id"
@@ -30,16 +30,16 @@
 
 var verdictNames = [...]Counter{Rejected: "refused", Failed: "failed", DeadlineExceeded: "overdue", Duplicate: "duplicate", Streaming: "serving"}
 
-// maxTrafficClasses bounds the classes that are counted: clients may name any.
+// maxTrafficClasses bounds the classes that are counted, since a client's request may name any class.
 const maxTrafficClasses = 64
 
-// Traffic counts the requests of one class since the start.
+// Traffic counts the requests of one class since the process started.
 type Traffic struct {
-	Requests, PromptTokens                   int // requests, and their prompt tokens
-	Served, ServedPromptTokens, OutputTokens int // the same of completed requests; tokens of their answers
+	Requests, PromptTokens                   int // submitted requests and their prompt tokens
+	Served, ServedPromptTokens, OutputTokens int // the same of completed requests, and tokens of their answers
 }
 
-// counters is what the core has counted since the start. It is owned by the core's goroutine.
+// counters holds the core's counters since the process started. It is owned by the core's goroutine.
 type counters struct {
 	events  map[Counter]int
 	traffic map[string]*Traffic // by class
@@ -51,7 +51,7 @@
 
 func (c counters) increment(counter Counter) { c.events[counter]++ }
 
-// addTraffic has add update the traffic of a class.
+// addTraffic calls add to update the traffic of a class. Classes beyond maxTrafficClasses are ignored.
 func (c counters) addTraffic(class string, add func(*Traffic)) {
 	t := c.traffic[class]
 	if t == nil {
@@ -64,7 +64,7 @@
 	add(t)
 }
 
-// byClass returns a copy of the traffic.
+// byClass returns a copy of the traffic counts.
 func (c counters) byClass() map[string]Traffic {
 	traffic := make(map[string]Traffic, len(c.traffic))
 	for class, t := range c.traffic {
@@ -73,7 +73,7 @@
 	return traffic
 }
 
-// byName returns a copy of the counters, with the number of requests in hand.
+// byName returns a copy of the counters, including the number of open requests.
 func (c counters) byName(open int) map[string]int {
 	counts := map[string]int{string(countOpenRequests): open}
 	for counter, n := range c.events {
@@ -82,12 +82,12 @@
 	return counts
 }
 
-// Traffic returns what has been asked and served, by class.
+// Traffic returns the counts of submitted and served requests by class.
 func (c *Core) Traffic(ctx context.Context) map[string]Traffic {
 	return runQuery(ctx, c, c.counters.byClass)
 }
 
-// Counts returns how often each result and answer came, for the log.
+// Counts returns all counters by name, for the log and the admin view.
 func (c *Core) Counts(ctx context.Context) map[string]int {
 	return runQuery(ctx, c, func() map[string]int { return c.counters.byName(c.requests.len()) })
 }
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -2,13 +2,13 @@
 
 import "wellgw/routing"
 
-// dispatch gives the router an event and executes the actions that it returns. An action may bring
-// further events at once; these wait in pendingEvents until all actions are executed, as the result
-// of Handle is valid until its next call only.
+// dispatch passes an event to the router and executes the actions that it returns. Executing an action may
+// dispatch further events. These are queued in pendingEvents until all actions are executed, because the
+// result of Handle is valid only until its next call.
 func (c *Core) dispatch(event routing.Event) {
 	c.pendingEvents = append(c.pendingEvents, event)
 	if len(c.pendingEvents) > 1 {
-		return // the call further up the stack goes on with it
+		return // the outer call of dispatch handles it
 	}
 	for len(c.pendingEvents) > 0 {
 		for _, action := range c.router.Handle(c.clock.now(), c.pendingEvents[0]) {
@@ -25,16 +25,16 @@
 	case routing.Send:
 		c.startAttempt(a)
 	case routing.Reject:
-		if request := c.requests.byID[a.ID]; c.checks.Assert(request != nil, "a refusal names a request in hand") {
+		if request := c.requests.byID[a.ID]; c.checks.Assert(request != nil, "a rejection is for an open request") {
 			c.answer(request, Answer{Verdict: Rejected, RetryAfter: a.RetryAfter, OverQuota: a.OverQuota})
 		}
 	case routing.Fail:
-		if request := c.requests.byID[a.ID]; c.checks.Assert(request != nil, "a failure names a request in hand") {
+		if request := c.requests.byID[a.ID]; c.checks.Assert(request != nil, "a failure is for an open request") {
 			c.answer(request, Answer{Verdict: Failed})
 		}
 	case routing.CancelAttempt:
 		c.cancelAttempt(a)
-	case routing.Release: // follows from the request's ledger; see reconcileHeldState
+	case routing.Release: // the request's ledger starts releases; see reconcileHeldState
 	case routing.SetTimer:
 		c.schedule(a.After, routingTimerFired{a.Name})
 	case routing.Probe:
@@ -42,11 +42,11 @@
 	case routing.Subscribe:
 		c.directory.Subscribe()
 	default:
-		c.checks.Assert(false, "every action of the module is known")
+		c.checks.Assert(false, "the core handles every type of action")
 	}
 }
 
-// cancelAttempt ends an attempt, unless its stream has become the answer meanwhile.
+// cancelAttempt ends an attempt, unless its stream is the answer by now.
 func (c *Core) cancelAttempt(cancel routing.CancelAttempt) {
 	request := c.requests.byID[cancel.ID]
 	if request == nil || cancel.Attempt >= len(request.attempts) {
--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// drainPollInterval is the time between two checks whether a drain has ended: releases cease to block
-// it by time alone.
+// drainPollInterval is the interval at which the core checks whether a drain has completed. Polling is
+// needed because a release may stop blocking the drain without any message, by the passing of time.
 const drainPollInterval = 20 * time.Millisecond
 
-// Drain waits until no request is in hand and no release blocks the end of the gateway, or until the
-// core has ended.
+// Drain waits until no request is open and no release blocks the gateway's shutdown, or until Run has
+// returned.
 func (c *Core) Drain(ctx context.Context) error {
 	drained := make(chan struct{})
 	c.post(drainRequested{drained})
@@ -24,25 +24,26 @@
 	}
 }
 
-// NotifyShutdown has the router give up every request that still waits, and all that come from now on, as
-// the gateway has no time left; if final, also those that a decode engine may be about to answer. The
-// fronts end the streams.
+// NotifyShutdown makes the router answer all waiting and future requests with a rejection or a failure, since
+// the gateway is about to exit; if final, also the requests in flight at a decode engine. The fronts end
+// the streams.
 func (c *Core) NotifyShutdown(final bool) { c.post(shutdownBegun{final}) }
 
-// awaitDrained has drained closed once nothing is in hand.
+// awaitDrained registers a channel that is closed when the core is drained.
 func (c *Core) awaitDrained(drained chan<- struct{}) {
 	c.drainWaiters = append(c.drainWaiters, drained)
 	c.pollDrain()
 }
 
-// pollDrain has the core reconcile, and so check for the end of a drain, until none waits for one.
+// pollDrain schedules the next check for the end of a drain while any caller waits for it. The check is
+// part of reconcile, which runs after every message.
 func (c *Core) pollDrain() {
 	if len(c.drainWaiters) > 0 {
 		c.schedule(drainPollInterval, drainPollTimerFired{})
 	}
 }
 
-// completeDrain lets the waiters go if nothing is in hand.
+// completeDrain notifies the callers that wait for a drain if it has completed.
 func (c *Core) completeDrain() {
 	if len(c.drainWaiters) == 0 || c.requests.len() > 0 || c.unreleased.blockDrain(c.clock.now()) {
 		return
--- a/internal/core/ejection.go
+++ b/internal/core/ejection.go
@@ -7,15 +7,15 @@
 	"wellgw/decide/ejection"
 )
 
-// ejectionReply is the answer to a command on an engine.
+// ejectionReply is the result of a command on an engine.
 type ejectionReply struct {
 	ejected []string
-	ok      bool // the engine has been listed at some time
+	ok      bool // the engine is or was listed
 }
 
-// Eject carries out an operator's command on an engine: maint-on ejects it, maint-off restores it. It
-// returns the engines that are ejected manually afterwards, and false for an engine that was never
-// listed, in which case nothing changes, or if ctx ends first.
+// Eject executes an operator's command on an engine: maint-on ejects it, maint-off restores it. It
+// returns the engines that are ejected manually afterwards. ok is false for an engine that was never
+// listed, in which case nothing changes, or if ctx is done first.
 func (c *Core) Eject(ctx context.Context, engine string, eject bool) (ejected []string, ok bool) {
 	reply := make(chan ejectionReply, 1)
 	answer := await(ctx, c, ejectionCommanded{engine, eject, reply}, reply)
@@ -30,8 +30,8 @@
 	return ejectionReply{c.endpoints.ejections.Names(), ok}
 }
 
-// SetEjected replaces the set of engines that are ejected manually by one that another process of this
-// gateway has written.
+// SetEjected replaces the set of manually ejected engines with one that another process of this gateway
+// has written.
 func (c *Core) SetEjected(engines []string) { c.post(ejectionsReplaced{engines}) }
 
 func (c *Core) replaceEjections(engines []string) {
@@ -43,7 +43,7 @@
 	return runQuery(context.Background(), c, func() []string { return c.endpoints.ejections.Names() })
 }
 
-// applyEjections tells the router of engines whose ejection began or ended, and logs them.
+// applyEjections passes changes of ejections to the router and logs them.
 func (c *Core) applyEjections(change ejection.Change) {
 	list := c.endpoints.ejectionsChanged(change)
 	if len(list.Engines) == 0 {
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -12,14 +12,14 @@
 	"wellgw/routing"
 )
 
-// endpointTable is what the core knows of engines: which are listed, which are ejected manually, when
-// they started and when each has last answered. All but ready is owned by the core's goroutine.
+// endpointTable holds the core's data about engines: which are listed, which are ejected manually, when each
+// started and when each last answered. All fields except ready are owned by the core's goroutine.
 type endpointTable struct {
 	listed       map[string]Endpoint
 	ejections    *ejection.Set
 	starts       *starttime.Table
 	lastResponse map[string]time.Time
-	ready        atomic.Bool // some engine may be sent to
+	ready        atomic.Bool // at least one engine accepts requests
 }
 
 func newEndpointTable(clock starttime.Clock) *endpointTable {
@@ -29,7 +29,7 @@
 	}
 }
 
-// UpdateEndpoints takes over what a directory has learned.
+// UpdateEndpoints applies an update of the engine list from a directory.
 func (c *Core) UpdateEndpoints(scope routing.EngineListScope, endpoints []Endpoint) {
 	c.post(engineListUpdated{scope, endpoints})
 }
@@ -38,9 +38,9 @@
 	c.dispatch(c.endpoints.update(scope, endpoints, starttime.Clock{Now: c.clock.now(), Wall: c.clock.wall()}))
 }
 
-// update takes over a list and returns the router's event on it. Engines that are not listed any more
-// are forgotten, as new ones come under ever new names; a release at one of them goes by the copy of
-// its entry that the request keeps.
+// update applies an engine list and returns the router's event for it. Data about engines that are no longer
+// listed is deleted, since new engines get new names and the table would grow without bound. A release at
+// an engine that is no longer listed uses the copy of its entry in the request's heldState.
 func (t *endpointTable) update(scope routing.EngineListScope, endpoints []Endpoint, clock starttime.Clock) routing.EngineList {
 	list := routing.EngineList{Scope: scope}
 	if scope == routing.EngineListSnapshot || scope == routing.EngineListStale {
@@ -59,7 +59,7 @@
 	return list
 }
 
-// ejectionsChanged returns the router's event on a change of ejections.
+// ejectionsChanged returns the router's event for a change of ejections.
 func (t *endpointTable) ejectionsChanged(change ejection.Change) routing.EngineList {
 	list := routing.EngineList{Scope: routing.EngineListDelta}
 	for _, names := range [][]string{change.Ejected, change.Restored} {
@@ -73,7 +73,7 @@
 	return list
 }
 
-// updateReady sets whether some engine may be sent to.
+// updateReady sets ready.
 func (t *endpointTable) updateReady() {
 	ready := false
 	for _, e := range t.listed {
@@ -82,8 +82,8 @@
 	t.ready.Store(ready)
 }
 
-// recordResponse records that an engine has answered just now, on whichever connection. It says in which
-// order engines are tried, and nothing about any one call.
+// recordResponse records that an engine has answered just now, on any connection. The time only orders the
+// alternates of a release; it is no evidence that a particular attempt has arrived.
 func (t *endpointTable) recordResponse(engine string) { t.lastResponse[engine] = time.Now() }
 
 func (t *endpointTable) deleteUnlisted() {
@@ -93,35 +93,35 @@
 	})
 }
 
-// alternatesByLastResponse returns at most so many other engines than one, those first that were heard
-// last. It keeps no more than it returns while it goes through the list.
-func (t *endpointTable) alternatesByLastResponse(engine string, most int) []Endpoint {
-	latest := func(a, b Endpoint) int {
+// alternatesByLastResponse returns up to limit engines other than engine, those with the most recent
+// response first. Its memory use is bounded by limit, not by the number of listed engines.
+func (t *endpointTable) alternatesByLastResponse(engine string, limit int) []Endpoint {
+	byRecency := func(a, b Endpoint) int {
 		return cmp.Or(t.lastResponse[b.Name].Compare(t.lastResponse[a.Name]), cmp.Compare(a.Name, b.Name))
 	}
-	others := make([]Endpoint, 0, most+1)
+	alternates := make([]Endpoint, 0, limit+1)
 	for name, e := range t.listed {
-		full := len(others) == most
-		if name == engine || full && latest(others[most-1], e) < 0 {
+		full := len(alternates) == limit
+		if name == engine || full && byRecency(alternates[limit-1], e) < 0 {
 			continue
 		}
-		index, _ := slices.BinarySearchFunc(others, e, latest)
-		others = slices.Insert(others, index, e)
-		others = others[:min(len(others), most)]
+		index, _ := slices.BinarySearchFunc(alternates, e, byRecency)
+		alternates = slices.Insert(alternates, index, e)
+		alternates = alternates[:min(len(alternates), limit)]
 	}
-	return others
+	return alternates
 }
 
-// Ready reports whether there is an engine to send to.
+// Ready reports whether at least one engine accepts requests.
 func (c *Core) Ready() bool { return c.endpoints.ready.Load() }
 
-// SetGateways tells how many gateways share the engines from now on.
+// SetGateways sets the number of gateways that share the engines.
 func (c *Core) SetGateways(n int) { c.post(gatewaysCounted{n}) }
 
 // startProbe requests a load report from an engine.
 func (c *Core) startProbe(engine string) {
 	endpoint, listed := c.endpoints.listed[engine]
-	if !c.checks.Assert(listed, "a probe goes to a known engine") {
+	if !c.checks.Assert(listed, "a probe is for a listed engine") {
 		return
 	}
 	sentAt := time.Now()
--- a/internal/core/held.go
+++ b/internal/core/held.go
@@ -7,30 +7,30 @@
 	"wellgw/routing"
 )
 
-// Bounds of the ledgers, beside the core's limits.
+// Limits of the ledgers in addition to the configured ones.
 const (
-	releaseTimeout      = 30 * time.Second // for which a release is retried at an engine out of reach
-	maxHeldStateLimit   = time.Hour        // a longer limit is treated as this
-	maxCancelledPrefill = 15 * time.Second // within which a cancelled prefill has ended
+	releaseTimeout      = 30 * time.Second // for which a release is retried at an unreachable engine
+	maxHeldStateLimit   = time.Hour        // upper bound of the configured HeldStateLimit
+	maxCancelledPrefill = 15 * time.Second // a cancelled prefill has ended after this time
 )
 
-// heldState is what engines may hold for one request, and the releases in flight.
+// heldState tracks the state that engines may hold for one request, and the releases in flight.
 type heldState struct {
 	ledger             *heldstate.Ledger
-	endpoints          map[string]Endpoint // the engines that the ledger names, as they were listed
-	lastHolder         string              // the engine whose state waited when the request ended; "" for none
-	stopRelease        map[string]func()   // of the releases in flight, by engine
-	nextUpdate         time.Time           // when a timer is set for the ledger
-	flights            []heldstate.Flight  // of the latest reconciliation; reused
-	lingersAfterAnswer bool                // an attempt is kept open after the request has ended; see lingerAfterAnswer
+	endpoints          map[string]Endpoint // the engines of the ledger, as they were listed
+	lastHolder         string              // the engine whose state waited at the request's end; "" for none
+	stopRelease        map[string]func()   // stops a release in flight; by engine
+	nextUpdate         time.Time           // when the ledger's timer expires
+	flights            []heldstate.Flight  // result buffer of flightsOf
+	lingersAfterAnswer bool                // an attempt lingers although the request has ended; see keepLingering
 }
 
 func newHeldState(limits heldstate.Limits) heldState {
 	return heldState{ledger: heldstate.New(limits), endpoints: map[string]Endpoint{}, stopRelease: map[string]func(){}}
 }
 
-// heldLimits returns the limits of a request's ledger. Engines are told for how long the client waits,
-// so that a cancelled prefill does not run on for longer.
+// heldLimits returns the limits of a request's ledger. wait is the time until the request's deadline: it is
+// sent to engines, so a cancelled prefill does not continue beyond it.
 func (c *Core) heldLimits(wait time.Duration) heldstate.Limits {
 	return heldstate.Limits{
 		HeldStateLimit: min(c.limits.HeldStateLimit, maxHeldStateLimit), HeldStateSlack: c.limits.HeldStateSlack,
@@ -38,7 +38,7 @@
 	}
 }
 
-// recordHeldState records what state an attempt that has ended may have left at its engine.
+// recordHeldState records the state that an ended attempt may have left at its engine.
 func (c *Core) recordHeldState(request *requestState, attempt *attemptState, r Result) {
 	ledger, engine := request.held.ledger, attempt.endpoint.Name
 	request.held.endpoints[engine] = attempt.endpoint
@@ -64,14 +64,15 @@
 	}
 }
 
-// earliestAnswerTime returns when an attempt's answer may have come: the process may have been held up before it read
-// that. Without any slack for what is held there is none for hold-ups.
+// earliestAnswerTime returns the earliest time at which an attempt's answer may have arrived: the process may
+// have stalled before reading it. The correction for stalls is bounded by HeldStateSlack and is 0 if that
+// is 0.
 func (c *Core) earliestAnswerTime(attempt *attemptState) heldstate.Time {
-	seen := time.Now()
-	if first, heard := attempt.handle.FirstByte(); heard && !attempt.answerStarted {
-		seen = first.At
+	observedAt := time.Now()
+	if first, arrived := attempt.handle.FirstByte(); arrived && !attempt.answerStarted {
+		observedAt = first.At
 	}
-	return c.clock.toRouterTime(c.stalls.earliestEventTime(seen, min(maxStall, c.limits.HeldStateSlack)))
+	return c.clock.toRouterTime(c.stalls.earliestEventTime(observedAt, min(maxStall, c.limits.HeldStateSlack)))
 }
 
 // recordLatePrefill records a prefill that completed after its attempt was cancelled, while the
@@ -86,13 +87,13 @@
 	request.held.endpoints[engine] = attempt.endpoint
 	request.held.ledger.AttemptLost(engine, false)
 	if stop := request.held.stopRelease[engine]; stop != nil {
-		stop() // the next release goes by the connection that brought the answer, and arrives sooner
+		stop() // the next release uses the connection that the answer arrived on, and so arrives sooner
 	}
 	c.markChanged(request)
 }
 
-// reconcileHeldState does what is due for the state that engines hold for a request, and sets a timer
-// for what is due next.
+// reconcileHeldState starts and stops releases for the state that engines hold for a request as its ledger
+// requires, and sets a timer for the ledger's next update.
 func (c *Core) reconcileHeldState(request *requestState) {
 	now, ledger := c.clock.now(), request.held.ledger
 	ledger.SetFlights(c.flightsOf(request), now)
@@ -110,7 +111,8 @@
 	c.scheduleHeldState(request)
 }
 
-// flightsOf returns the attempts of a request that are in flight. The result is valid until the next call.
+// flightsOf returns the attempts of a request that are in flight. The result is valid until the next call
+// for the same request.
 func (c *Core) flightsOf(request *requestState) []heldstate.Flight {
 	flights := request.held.flights[:0]
 	for _, attempt := range request.attempts {
@@ -122,11 +124,11 @@
 	return flights
 }
 
-// flight describes an attempt that was written. What counts as its arrival is what came on its own
-// connection alone: an engine that answers on others may never have received this one.
+// flight describes an attempt that was written. Only data received on the attempt's own connection is
+// evidence of its arrival: an engine that answers on other connections may never have received this attempt.
 func (c *Core) flight(attempt *attemptState) heldstate.Flight {
 	flight := heldstate.Flight{Connection: attempt.write.Connection, WrittenAt: c.clock.toRouterTime(attempt.write.At)}
-	if first, heard := attempt.handle.FirstByte(); heard {
+	if first, arrived := attempt.handle.FirstByte(); arrived {
 		flight.Arrival = heldstate.Arrival{Connection: first.Connection, At: c.clock.toRouterTime(first.At)}
 	}
 	return flight
@@ -137,8 +139,9 @@
 	return attempt.written && (!attempt.ended || attempt == r.lingeringAttempt)
 }
 
-// expireState gives up state that has waited too long for a decode engine: an attempt whose connection
-// does not come up must not keep it. The router has the prompt prefilled again if there is time.
+// expireState releases state that has waited for a decode engine up to its limit, and withdraws the unwritten
+// attempts: an attempt whose connection is never established must not extend the time for which state is
+// held. The router starts another prefill if the deadline permits.
 func (c *Core) expireState(request *requestState) {
 	c.counters.increment(countStatesExpired)
 	c.logExpired(request)
@@ -150,10 +153,10 @@
 	}
 }
 
-// scheduleHeldState sets a timer for when the ledger changes by time alone, unless one is due before.
+// scheduleHeldState sets a timer for the ledger's next time-based update, unless an earlier one is set.
 func (c *Core) scheduleHeldState(request *requestState) {
 	next, ok := request.held.ledger.NextUpdate()
-	if !ok || next <= c.clock.now() { // what was due has just been done
+	if !ok || next <= c.clock.now() { // due actions have just been executed
 		return
 	}
 	at := c.clock.fromRouterTime(next)
--- a/internal/core/heldlog.go
+++ b/internal/core/heldlog.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// stateEndReason is what ended the time of a state that engines hold for a request.
+// stateEndReason is the reason why an engine no longer has to hold state for a request.
 type stateEndReason string
 
-// The ends, as they are logged.
+// The reasons as they are logged.
 const (
-	stateFetched  stateEndReason = "fetched"  // a decode engine's answer has begun
+	stateFetched  stateEndReason = "fetched"  // a decode engine's answer has started
 	stateReleased stateEndReason = "released" // a release was delivered
-	stateExpired  stateEndReason = "expired"  // it has reached its limit: given up, or released under an attempt
+	stateExpired  stateEndReason = "expired"  // the limit was reached; also if an attempt may be in flight
 )
 
 // logWritten logs which connection an attempt was written to.
@@ -29,7 +29,7 @@
 		slog.Duration("age", time.Since(attempt.startedAt).Round(time.Microsecond)))
 }
 
-// logStateHeld logs that an engine holds state for a request from now on.
+// logStateHeld logs that an engine has begun to hold state for a request.
 func (c *Core) logStateHeld(request *requestState, attempt *attemptState) {
 	if !c.debugLogging {
 		return
@@ -41,7 +41,7 @@
 		slog.Duration("limit", c.limits.HeldStateLimit))
 }
 
-// logStateEnd logs what ended the time of a state, at an engine.
+// logStateEnd logs why an engine no longer has to hold state for a request.
 func (c *Core) logStateEnd(request *requestState, engine string, end stateEndReason) {
 	if !c.debugLogging {
 		return
@@ -52,8 +52,8 @@
 		slog.String("reason", string(end)))
 }
 
-// logExpired logs, for operators too, that a state has reached its limit: which attempts were in flight,
-// on which connections, and what had been heard on these.
+// logExpired logs that a state has reached its limit. The line at level info is for operators: it lists the
+// attempts in flight or not ended, their connections and the evidence of their arrival.
 func (c *Core) logExpired(request *requestState) {
 	holder := request.held.ledger.StateHolder()
 	c.logStateEnd(request, holder, stateExpired)
@@ -70,11 +70,11 @@
 	c.log.LogAttrs(context.Background(), slog.LevelInfo, "held state at its limit", attrs...)
 }
 
-// waitingAttr describes an attempt that may have been waiting for a state: its connection, and the evidence
-// that it has arrived.
+// waitingAttr describes an attempt that may have been waiting for the state: its connection, and the evidence
+// that it has arrived at its engine.
 func (a *attemptState) waitingAttr() slog.Attr {
 	evidence := "none"
-	if first, heard := a.handle.FirstByte(); heard {
+	if first, arrived := a.handle.FirstByte(); arrived {
 		evidence = "answer after " + first.At.Sub(a.write.At).Round(time.Millisecond).String()
 	}
 	return slog.Group("cover",
--- a/internal/core/linger.go
+++ b/internal/core/linger.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// Bounds of lingering attempts of requests that are over.
+// Bounds of lingering attempts of completed requests.
 const (
-	lingerLimit  = 15 * time.Second // network partitions seldom last longer
-	maxLingering = 32               // each keeps a connection and a body
+	lingerLimit  = 15 * time.Second // longer network partitions are rare
+	maxLingering = 32               // each occupies a connection and the memory of a request body
 )
 
-// keepLingering keeps the connection of a cancelled attempt open once its request is over. State
-// must not be held for long with no attempt in flight, and an engine behind a network partition can't
-// be sent a release; until that is delivered, the attempt stays in flight. Time and number are bounded.
+// keepLingering keeps the connection of a cancelled attempt open after its request has completed. State must
+// not be held beyond its limit with no attempt in flight, and a release can't reach an engine behind a
+// network partition, so the attempt stays in flight until the release is delivered. The time is bounded by
+// lingerLimit and the number of such attempts by maxLingering.
 func (c *Core) keepLingering(request *requestState) {
 	if request.lingeringAttempt == nil || request.held.lingersAfterAnswer || !request.answered || request.activeAttempts > 0 {
 		return
@@ -27,14 +28,14 @@
 	c.schedule(lingerLimit, lingerTimedOut{request})
 }
 
-// lingerReleaseEngine returns the engine whose release ends the lingering: the one that certainly holds state
-// or, without one, the attempt's own.
+// lingerReleaseEngine returns the engine whose release ends the lingering: the engine that certainly holds
+// state or, if there is none, the attempt's own.
 func (r *requestState) lingerReleaseEngine() string {
 	return cmp.Or(r.held.lastHolder, r.lingeringAttempt.endpoint.Name)
 }
 
-// endLingering closes the connection of the attempt that was kept open. Releases that arrived
-// before may have had no effect, as the attempt was still waiting for the state.
+// endLingering closes the connection of a completed request's lingering attempt and repeats the releases:
+// those that arrived earlier may have had no effect, as the attempt was still waiting for the state.
 func (c *Core) endLingering(request *requestState) {
 	if !request.held.lingersAfterAnswer {
 		return
@@ -49,7 +50,7 @@
 	c.markChanged(request)
 }
 
-// closeLingeringAttempt closes the connection of an attempt that lingers, if there is one.
+// closeLingeringAttempt closes the connection of a request's lingering attempt, if there is one.
 func (c *Core) closeLingeringAttempt(request *requestState) {
 	if request.lingeringAttempt != nil {
 		request.closeCancelled(request.lingeringAttempt)
--- a/internal/core/reconfigure.go
+++ b/internal/core/reconfigure.go
@@ -6,8 +6,8 @@
 	"wellgw/routing"
 )
 
-// Reconfigure gives the router new classes and a new number of attempts. Requests in hand keep theirs.
-// An error names the setting at fault; nothing changes then.
+// Reconfigure sets the router's classes and maximum number of attempts. Open requests keep their former
+// settings. On an error, which names the invalid setting, nothing changes.
 func (c *Core) Reconfigure(ctx context.Context, settings routing.Settings) error {
 	reply := make(chan error, 1)
 	c.post(settingsChanged{settings, reply})
@@ -20,8 +20,8 @@
 	return ctx.Err()
 }
 
-// reconfigure only ever raises the core's own limit on attempts: that is a backstop, as the router
-// holds each request to the number that it came with.
+// reconfigure never lowers the core's own limit on attempts. That limit is only a safeguard: the router
+// limits each request to the number of attempts that was configured when it was submitted.
 func (c *Core) reconfigure(settings routing.Settings) error {
 	if err := c.router.Reconfigure(settings.Classes, settings.MaxAttempts); err != nil {
 		return err
--- a/internal/core/release.go
+++ b/internal/core/release.go
@@ -10,20 +10,20 @@
 	"wellgw/routing"
 )
 
-// Bounds of the engines that a release is sent to while the holder of the state is out of reach.
+// Bounds of sending a release to alternates while the engine that holds the state is unreachable.
 const (
-	maxAlternates   = 8                      // for one release
-	alternatesAfter = 100 * time.Millisecond // for which only the holder is tried, or a quarter of the limit
+	maxAlternates     = 8                      // per release
+	maxAlternateDelay = 100 * time.Millisecond // before the first alternate; at most a quarter of HeldStateLimit
 )
 
-// startRelease sends an engine a release for what it holds for a request.
+// startRelease starts a release of the state that an engine holds for a request.
 func (c *Core) startRelease(request *requestState, engine string) {
 	c.counters.increment(countReleases)
 	release := Release{
 		Endpoint:          request.held.endpoints[engine],
 		ClientRequestID:   request.ClientRequestID,
 		Alternates:        c.endpoints.alternatesByLastResponse(engine, maxAlternates),
-		AlternateDelay:    min(alternatesAfter, c.limits.HeldStateLimit/4),
+		AlternateDelay:    min(maxAlternateDelay, c.limits.HeldStateLimit/4),
 		AlternateInterval: max(c.limits.HeldStateLimit/2, heldstate.MinReleaseInterval),
 		Deadline:          c.clock.fromRouterTime(request.held.ledger.ReleaseDeadline(engine)),
 	}
@@ -54,10 +54,10 @@
 	}
 }
 
-// unreleasedRequests are the requests that are answered and for which engines may still hold state.
+// unreleasedRequests is the set of answered requests for which engines may still hold state.
 type unreleasedRequests map[*requestState]bool
 
-// track adds a request, or takes it out once its ledger has nothing left to release.
+// track adds an answered request, and removes it once its ledger has nothing more to release.
 func (u unreleasedRequests) track(request *requestState) {
 	if request.held.ledger.Completed() {
 		delete(u, request)
@@ -66,7 +66,7 @@
 	}
 }
 
-// blockDrain reports whether a draining gateway has to wait for a release.
+// blockDrain reports whether a draining gateway must wait for a release.
 func (u unreleasedRequests) blockDrain(now routing.Time) bool {
 	for request := range u {
 		if request.held.ledger.BlocksDrain(now) {
--- a/internal/core/stall.go
+++ b/internal/core/stall.go
@@ -2,39 +2,40 @@
 
 import "time"
 
-// maxStall is for how long the process may be held up, by a busy machine or a stop signal, between what
-// happens and its own clock. A longer pause of the core was idleness.
+// maxStall is the longest stall of the process, caused by a busy machine or a stop signal, that delays the
+// observation of an event. A longer pause of the core's goroutine means that it was idle.
 const maxStall = 150 * time.Millisecond
 
-// minStall is the shortest pause that is noted: the core runs more often than that while it is busy.
+// minStall is the shortest pause that is recorded. A busy core runs more often than that.
 const minStall = 2 * time.Millisecond
 
-// stallDetector notes the latest pause of the core's goroutine. In a pause the core was idle, or the process
-// was held up; which of the two can't be told, so that what is seen right after it may be as old as its
-// begin. It is owned by the core's goroutine.
+// stallDetector records the latest pause of the core's goroutine. During a pause the core was idle or the
+// process was stalled. The two can't be distinguished, so an event observed right after a pause may have
+// occurred as early as the start of the pause. stallDetector is owned by the core's goroutine.
 type stallDetector struct {
-	lastRoundEnd         time.Time // when the goroutine ended its latest round
+	lastRoundEnd         time.Time // when the goroutine completed its latest round
 	pauseStart, pauseEnd time.Time // of the latest pause
 }
 
-// beginRound records that the core's goroutine begins a round.
+// beginRound records that the core's goroutine starts to handle messages.
 func (d *stallDetector) beginRound(now time.Time) {
 	if now.Sub(d.lastRoundEnd) >= minStall {
 		d.pauseStart, d.pauseEnd = d.lastRoundEnd, now
 	}
 }
 
-// endRound records that the core's goroutine ends a round.
+// endRound records that the core's goroutine has handled all due messages.
 func (d *stallDetector) endRound(now time.Time) { d.lastRoundEnd = now }
 
-// earliestEventTime returns since when something may have been waiting that was seen at a time: right after a pause
-// since the pause began, but no longer than most.
-func (d *stallDetector) earliestEventTime(seen time.Time, most time.Duration) time.Time {
-	if seen.Before(d.pauseStart) || seen.After(d.pauseEnd.Add(minStall)) {
-		return seen
+// earliestEventTime returns the earliest time at which an event may have occurred that was observed at
+// observedAt: if that was right after a pause, the start of the pause, but at most maxAge before
+// observedAt; otherwise observedAt.
+func (d *stallDetector) earliestEventTime(observedAt time.Time, maxAge time.Duration) time.Time {
+	if observedAt.Before(d.pauseStart) || observedAt.After(d.pauseEnd.Add(minStall)) {
+		return observedAt
 	}
-	if longest := seen.Add(-most); longest.After(d.pauseStart) {
-		return longest
+	if oldest := observedAt.Add(-maxAge); oldest.After(d.pauseStart) {
+		return oldest
 	}
 	return d.pauseStart
 }
