--- a/internal/core/clock.go
+++ b/internal/core/clock.go
@@ -14,7 +14,7 @@
 // sets. It does not change after newClock.
 type clock struct {
 	origin time.Time        // monotonic
-	wall   func() time.Time // the wall clock, which may be stepped: only to compare with time stamps of other hosts
+	wall   func() time.Time // the wall clock, which may be stepped: only for time stamps of other hosts
 }
 
 func newClock() clock {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,6 +1,6 @@
-// Package core forwards requests from a front to the engines that the routing policy selects, and
-// reports the outcomes to both. It is independent of protocols: fronts submit requests and receive
-// answers, a Transport makes attempts at engines and reports their results.
+// Package core forwards requests from fronts to the engines that the routing policy selects, and returns
+// the answers to the fronts. It is independent of protocols: fronts submit requests and receive answers, a
+// Transport makes attempts at engines and reports their results.
 //
 // One goroutine, that of Core.Run, owns the router and the state of all requests. Other goroutines
 // communicate with it through one message queue, and it never blocks on I/O.
--- a/internal/core/counters_test.go
+++ b/internal/core/counters_test.go
@@ -6,7 +6,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Counters are known by these names outside: in metrics, on pages and by who searches logs.
+// The names of counters must not change: metrics, documentation and log searches use them.
 func TestCounterNames(t *testing.T) {
 	got := []Counter{
 		countOpenRequests, countRequests, countAttempts, countDuplicates, countClientsGone,
--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -27,7 +27,7 @@
 // NotifyShutdown makes the router answer all waiting and future requests with a rejection or a failure, since
 // the gateway is about to exit; if final, also the requests in flight at a decode engine. The fronts end
 // the streams.
-func (c *Core) NotifyShutdown(final bool) { c.post(shutdownBegun{final}) }
+func (c *Core) NotifyShutdown(final bool) { c.post(shutdownStarted{final}) }
 
 // awaitDrained registers a channel that is closed when the core is drained.
 func (c *Core) awaitDrained(drained chan<- struct{}) {
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -116,7 +116,7 @@
 func (c *Core) Ready() bool { return c.endpoints.ready.Load() }
 
 // SetGateways sets the number of gateways that share the engines.
-func (c *Core) SetGateways(n int) { c.post(gatewaysCounted{n}) }
+func (c *Core) SetGateways(n int) { c.post(gatewayCountChanged{n}) }
 
 // startProbe requests a load report from an engine.
 func (c *Core) startProbe(engine string) {
--- a/internal/core/fake_test.go
+++ b/internal/core/fake_test.go
@@ -13,38 +13,38 @@
 	"wellgw/routing"
 )
 
-// fakeTransport is an engine pool whose attempts end as the test says.
+// fakeTransport is a transport and directory whose attempts end as the test configures.
 type fakeTransport struct {
 	mu            sync.Mutex
-	respond       func(a Attempt) (Stream, *Result) // neither: silence
-	attempts      []string                          // engines
-	connections   atomic.Uint64                     // opened, one for each attempt
+	respond       func(a Attempt) (Stream, *Result) // neither result: no answer
+	attempts      []string                          // the engines of the started attempts
+	connections   atomic.Uint64                     // number of connections, one per attempt
 	closed        int
-	lastClose     time.Time // when an attempt was closed last
+	lastClose     time.Time // when an attempt was last closed
 	released      []string
-	neverConnects func(a Attempt) bool // if set, tells whose engine no connection comes up to
-	partition     chan struct{}        // if set, no engine is reached by a release before it is closed
-	// releaseErr is how releases end that no partition stops
+	neverConnects func(a Attempt) bool // if set, reports whether an attempt's connection is never established
+	partition     chan struct{}        // if set, no release reaches an engine until the channel is closed
+	// releaseErr is the result of releases that reach their engine.
 	releaseErr        error
-	delayFirstWritten chan struct{} // if set, the core hears that a first attempt is written once it is closed
+	delayFirstWritten chan struct{} // if set, Written is called for attempt 0 only after the channel is closed
 	started           []fakeHandle
 }
 
-// handles returns the attempts begun so far.
+// handles returns the attempts started so far.
 func (f *fakeTransport) handles() []fakeHandle {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]fakeHandle(nil), f.started...)
 }
 
-// sinceLastClose returns the time since an attempt was closed last.
+// sinceLastClose returns the time since an attempt was last closed.
 func (f *fakeTransport) sinceLastClose() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return time.Since(f.lastClose)
 }
 
-// fakeHandle is an attempt of a fake.
+// fakeHandle is an attempt of a fakeTransport.
 type fakeHandle struct {
 	cancel    func()
 	written   *atomic.Bool
@@ -120,10 +120,10 @@
 			select {
 			case <-f.partition:
 			case <-stopped:
-				done(errors.New("stopped"))
+				done(errors.New("release stopped"))
 				return
 			case <-time.After(time.Until(r.Deadline)):
-				done(errors.New("not reached"))
+				done(errors.New("engine not reached"))
 				return
 			}
 		}
@@ -132,7 +132,7 @@
 	return sync.OnceFunc(func() { close(stopped) })
 }
 
-// counts returns how many attempts were made and closed, and how many releases.
+// counts returns the numbers of started attempts, closed attempts and started releases.
 func (f *fakeTransport) counts() (attempts, closed, released int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -146,33 +146,33 @@
 func (f *fakeTransport) hasReleased(engine string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, s := range f.released {
-		if s == engine {
+	for _, name := range f.released {
+		if name == engine {
 			return true
 		}
 	}
 	return false
 }
 
-// testMessage has a test do something in the core's goroutine.
+// testMessage runs a test's function in the core's goroutine.
 type testMessage func()
 
 func (m testMessage) handle(*Core) { m() }
 
-// submitAsync makes a request and returns where its answer will come.
-func submitAsync(t *testing.T, c *Core, q Request) <-chan Answer {
+// submitAsync submits a request and returns the channel that receives its answer.
+func submitAsync(t *testing.T, c *Core, request Request) <-chan Answer {
 	answer := make(chan Answer, 1)
 	go func() {
-		a, _, _ := SubmitAndWait(t.Context(), c, q)
+		a, _, _ := SubmitAndWait(t.Context(), c, request)
 		answer <- a
 	}()
 	return answer
 }
 
-// awaitAttempts waits until so many attempts have been made.
+// awaitAttempts waits until n attempts have been started.
 func (f *fakeTransport) awaitAttempts(t *testing.T, n int) {
 	t.Helper()
-	enginetest.Eventually(t, fmt.Sprint(n, " attempts are made"), func() bool {
+	enginetest.Eventually(t, fmt.Sprint(n, " attempts are started"), func() bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		return len(f.attempts) == n
@@ -199,13 +199,13 @@
 	return Request{ClientRequestID: "id-" + class, Arrived: time.Now(), Request: routing.Request{Class: class, PromptTokens: 100, MaxTokens: 10, TTL: ttl}}
 }
 
-func ended(s routing.Status) (Stream, *Result) { return nil, &Result{Status: s} }
+func attemptResult(s routing.Status) (Stream, *Result) { return nil, &Result{Status: s} }
 
-// prefillThenDecode is a script that completes prefills, and decodes as given.
+// prefillThenDecode returns a respond function that completes prefills and answers decodes with decode.
 func prefillThenDecode(decode func() (Stream, *Result)) func(Attempt) (Stream, *Result) {
 	return func(a Attempt) (Stream, *Result) {
 		if a.Endpoint.Kind == "r" {
-			return ended(routing.StatusPrefilled)
+			return attemptResult(routing.StatusPrefilled)
 		}
 		return decode()
 	}
--- a/internal/core/held.go
+++ b/internal/core/held.go
@@ -10,8 +10,8 @@
 // Limits of the ledgers in addition to the configured ones.
 const (
 	releaseTimeout      = 30 * time.Second // for which a release is retried at an unreachable engine
-	maxHeldStateLimit   = time.Hour        // upper bound of the configured HeldStateLimit
-	maxCancelledPrefill = 15 * time.Second // a cancelled prefill has ended after this time
+	maxHeldStateLimit   = time.Hour        // a longer HeldStateLimit is reduced to this
+	maxCancelledPrefill = 15 * time.Second // max time after which a cancelled prefill has ended
 )
 
 // heldState tracks the state that engines may hold for one request, and the releases in flight.
@@ -22,7 +22,7 @@
 	stopRelease        map[string]func()   // stops a release in flight; by engine
 	nextUpdate         time.Time           // when the ledger's timer expires
 	flights            []heldstate.Flight  // result buffer of flightsOf
-	lingersAfterAnswer bool                // an attempt lingers although the request has ended; see keepLingering
+	lingersAfterAnswer bool                // an attempt lingers after the request's end; see keepLingering
 }
 
 func newHeldState(limits heldstate.Limits) heldState {
--- a/internal/core/held_test.go
+++ b/internal/core/held_test.go
@@ -14,15 +14,15 @@
 	"wellgw/routing"
 )
 
-// newCoreWithSettings returns a core like newCore's under other settings.
+// newCoreWithSettings returns a running core with r1 and w1 listed, and testSettings modified by change.
 func newCoreWithSettings(t *testing.T, f *fakeTransport, change func(*routing.Settings)) *Core {
-	set := testSettings()
-	change(&set)
-	router, err := routing.New(set, 1)
+	settings := testSettings()
+	change(&settings)
+	router, err := routing.New(settings, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := New(router, f, f, Limits{DeadlineSlack: 50 * time.Millisecond, HeldStateLimit: set.HeldStateLimit, MaxAttempts: set.MaxAttempts},
+	c := New(router, f, f, Limits{DeadlineSlack: 50 * time.Millisecond, HeldStateLimit: settings.HeldStateLimit, MaxAttempts: settings.MaxAttempts},
 		slog.New(slog.DiscardHandler), invariant.New())
 	go c.Run(t.Context())
 	c.UpdateEndpoints(routing.EngineListSnapshot, []Endpoint{
@@ -32,27 +32,26 @@
 	return c
 }
 
-// attemptedEngines returns the engines that attempts were begun at.
+// attemptedEngines returns the engine of each attempt, in order.
 func (f *fakeTransport) attemptedEngines() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]string(nil), f.attempts...)
 }
 
-// A prompt is prefilled, and the connection to its decode engine does not come up. Once the state has
-// waited for as long as it may it is released, the attempt is withdrawn, and the prompt is prefilled
-// again.
+// If the connection to the decode engine is not established after a prefill, the state is released at its
+// limit, the attempt is withdrawn, and the prompt is prefilled again.
 func TestStateExpiresWhileConnecting(t *testing.T) {
 	f := &fakeTransport{neverConnects: func(a Attempt) bool { return a.Endpoint.Kind == "w" }}
 	f.respond = func(a Attempt) (Stream, *Result) {
 		if a.Endpoint.Kind == "r" {
-			return ended(routing.StatusPrefilled)
+			return attemptResult(routing.StatusPrefilled)
 		}
 		return nil, nil
 	}
 	c := newCoreWithSettings(t, f, func(s *routing.Settings) { s.HeldStateLimit = 50 * time.Millisecond })
 	ticket := c.Submit(newTestRequest("once", time.Minute), make(answerChannel, 1))
-	enginetest.Eventually(t, "the state is released, and prefilled again", func() bool {
+	enginetest.Eventually(t, "the state is released, and the prompt is prefilled again", func() bool {
 		_, closed, _ := f.counts()
 		return f.hasReleased("r1") && closed >= 2 && len(f.attemptedEngines()) >= 3
 	})
@@ -62,62 +61,62 @@
 	ticket.ClientGone()
 }
 
-// An attempt that waits for its connection is withdrawn when the client disconnects, also where
-// the settings allow no cancel: nothing has been sent that could be cancelled.
-func TestUnwrittenAttemptWithdrawnWhenClientLeaves(t *testing.T) {
-	for _, may := range []bool{false, true} {
-		t.Run(fmt.Sprint("cancels allowed ", may), func(t *testing.T) {
+// An attempt that waits for its connection is withdrawn when the client disconnects, even if the settings
+// disable cancels: nothing has been sent that could be cancelled.
+func TestUnwrittenAttemptWithdrawnWhenClientDisconnects(t *testing.T) {
+	for _, canCancel := range []bool{false, true} {
+		t.Run(fmt.Sprint("cancels allowed ", canCancel), func(t *testing.T) {
 			f := &fakeTransport{neverConnects: func(Attempt) bool { return true }, respond: func(Attempt) (Stream, *Result) { return nil, nil }}
-			c := newCoreWithSettings(t, f, func(s *routing.Settings) { s.CanCancel = may })
+			c := newCoreWithSettings(t, f, func(s *routing.Settings) { s.CanCancel = canCancel })
 			ticket := c.Submit(newTestRequest("once", time.Minute), make(answerChannel, 1))
-			enginetest.Eventually(t, "the attempt waits for its connection", func() bool { all, _, _ := f.counts(); return all == 1 })
+			enginetest.Eventually(t, "the attempt waits for its connection", func() bool { attempts, _, _ := f.counts(); return attempts == 1 })
 			ticket.ClientGone()
 			if err := c.Drain(t.Context()); err != nil {
 				t.Fatal(err)
 			}
-			if all, closed, released := f.counts(); closed != all || released > 0 {
-				t.Errorf("cancels allowed %v: %d of %d attempts are withdrawn, %d releases for what was never written", may, closed, all, released)
+			if attempts, closed, released := f.counts(); closed != attempts || released > 0 {
+				t.Errorf("cancels allowed %v: %d of %d attempts withdrawn, %d releases for unwritten attempts", canCancel, closed, attempts, released)
 			}
 		})
 	}
 }
 
-// Nothing is sent for a request whose client has left while it was waiting in the core's own
-// queue, though the message on that is not handled yet.
-func TestNoAttemptAfterClientLeftInQueue(t *testing.T) {
+// No attempt is sent for a request whose client disconnected while the request waited in the core's queue,
+// even though the message about the disconnect is handled after the request.
+func TestNoAttemptAfterClientDisconnectsInQueue(t *testing.T) {
 	f := &fakeTransport{respond: func(Attempt) (Stream, *Result) { return nil, nil }}
 	c := newCore(t, f)
-	busy := make(chan struct{})
-	c.post(testMessage(func() { <-busy }))
+	unblock := make(chan struct{})
+	c.post(testMessage(func() { <-unblock }))
 	ticket := c.Submit(newTestRequest("once", time.Minute), make(answerChannel, 1))
 	ticket.ClientGone()
-	close(busy)
+	close(unblock)
 	if err := c.Drain(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	if all, _, _ := f.counts(); all > 0 {
-		t.Errorf("%d attempts for a client that has left", all)
+	if attempts, _, _ := f.counts(); attempts > 0 {
+		t.Errorf("%d attempts for a client that has disconnected", attempts)
 	}
 }
 
-// A cancelled prefill may complete after its release, where a cancel does not stop what runs. Its
-// engine is sent further releases until the prefill must have ended, whatever has become of the
-// request.
-func TestReleaseRepeatedWhileReadMayRun(t *testing.T) {
+// A cancelled prefill may complete after its release, since a cancel does not stop a running prefill at every
+// engine. The engine is sent further releases until the prefill must have ended, even though the request is
+// already answered.
+func TestReleaseRepeatedWhilePrefillMayRun(t *testing.T) {
 	f := &fakeTransport{respond: func(Attempt) (Stream, *Result) { return nil, nil }}
 	c := newCoreWithSettings(t, f, func(s *routing.Settings) { s.HeldStateLimit = 20 * time.Millisecond })
-	const wait = 600 * time.Millisecond
-	if a, _, _ := SubmitAndWait(t.Context(), c, newTestRequest("once", wait)); a.Verdict != Rejected {
+	const ttl = 600 * time.Millisecond
+	if a, _, _ := SubmitAndWait(t.Context(), c, newTestRequest("once", ttl)); a.Verdict != Rejected {
 		t.Fatalf("answer %+v", a)
 	}
 	enginetest.Eventually(t, "the prefill engine is sent several releases", func() bool { _, _, released := f.counts(); return released >= 4 })
-	enginetest.Eventually(t, "nothing is left to release", func() bool {
+	enginetest.Eventually(t, "all releases are complete", func() bool {
 		return runQuery(t.Context(), c, func() bool { return len(c.unreleased) == 0 })
 	})
 }
 
-// A decode engine that finds no state says nothing of the prefill engine: it may only have been out of the
-// decode engine's reach. The state is released there all the same.
+// If a decode engine finds no state, the prefill engine may still hold it: the decode engine may have been
+// unable to reach the prefill engine. The state is released there nevertheless.
 func TestStateNotFoundByDecodeIsReleased(t *testing.T) {
 	f := &fakeTransport{respond: prefillThenDecode(func() (Stream, *Result) { return nil, &Result{Status: routing.StatusRejected, StateMissing: true} })}
 	c := newCoreWithSettings(t, f, func(s *routing.Settings) { s.MaxAttempts = 2 })
@@ -132,9 +131,9 @@
 	}
 }
 
-// A pin limit as long as can be written is no limit, and hurts nothing.
-func TestHugePinLimit(t *testing.T) {
-	f := &fakeTransport{respond: prefillThenDecode(func() (Stream, *Result) { return ended(routing.StatusError) })}
+// The maximal value of HeldStateLimit is valid, and state is released as with a shorter limit.
+func TestMaximalHeldStateLimit(t *testing.T) {
+	f := &fakeTransport{respond: prefillThenDecode(func() (Stream, *Result) { return attemptResult(routing.StatusError) })}
 	c := newCoreWithSettings(t, f, func(s *routing.Settings) { s.HeldStateLimit = 1<<63 - 1 })
 	if a, _, _ := SubmitAndWait(t.Context(), c, newTestRequest("once", time.Minute)); a.Verdict != Failed {
 		t.Fatalf("answer %+v", a)
@@ -147,30 +146,30 @@
 	}
 }
 
-// The answer tells how the latest attempt ended at an engine, not that another, whose
-// connection was not up yet, was withdrawn for it.
+// The answer reports the end of the latest attempt that was written. It does not report a later attempt that
+// was withdrawn for this answer while it waited for its connection.
 func TestAnswerReportsLastWrittenAttempt(t *testing.T) {
 	f := &fakeTransport{neverConnects: func(a Attempt) bool { return a.Number > 0 }}
-	failed := errors.New("the engine's own error")
+	engineErr := errors.New("engine error")
 	f.respond = func(a Attempt) (Stream, *Result) {
 		if a.Number > 0 {
 			return nil, nil
 		}
-		return nil, &Result{Status: routing.StatusError, Cause: failed}
+		return nil, &Result{Status: routing.StatusError, Cause: engineErr}
 	}
 	c := newCoreWithSettings(t, f, func(s *routing.Settings) { s.CanCancel = false })
-	w := make(answerChannel, 1)
-	c.Submit(newTestRequest("free", time.Minute), w)
-	enginetest.Eventually(t, "a second attempt waits for its connection", func() bool { all, _, _ := f.counts(); return all == 2 })
+	answers := make(answerChannel, 1)
+	c.Submit(newTestRequest("free", time.Minute), answers)
+	enginetest.Eventually(t, "a second attempt waits for its connection", func() bool { attempts, _, _ := f.counts(); return attempts == 2 })
 	c.NotifyShutdown(true)
-	if a := <-w; a.Status != routing.StatusError || !errors.Is(a.Cause, failed) {
-		t.Errorf("answer %+v, want the first attempt's end", a)
+	if a := <-answers; a.Status != routing.StatusError || !errors.Is(a.Cause, engineErr) {
+		t.Errorf("answer %+v, want the first attempt's status and cause", a)
 	}
 }
 
-// A cancelled prefill may run on and leave state at its end. A gateway that drains stays until its
-// engine has been sent the last release.
-func TestDrainWaitsForReadsThatMayRunOn(t *testing.T) {
+// A cancelled prefill may continue and create state when it completes. A draining gateway waits until the
+// engine has been sent the last release for it.
+func TestDrainWaitsForCancelledPrefills(t *testing.T) {
 	f := &fakeTransport{respond: func(Attempt) (Stream, *Result) { return nil, nil }}
 	c := newCoreWithSettings(t, f, func(s *routing.Settings) { s.HeldStateLimit = 20 * time.Millisecond })
 	if a, _, _ := SubmitAndWait(t.Context(), c, newTestRequest("once", 600*time.Millisecond)); a.Verdict != Rejected {
@@ -179,13 +178,13 @@
 	if err := c.Drain(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	if left := runQuery(t.Context(), c, func() int { return len(c.unreleased) }); left > 0 {
-		t.Errorf("the gateway has ended, and its prefill may run on")
+	if unreleased := runQuery(t.Context(), c, func() int { return len(c.unreleased) }); unreleased > 0 {
+		t.Errorf("the drain completed although a cancelled prefill may still be running")
 	}
 }
 
-// Engines whose kind takes no releases hold nothing: they are asked once, and a gateway that is
-// drained does not wait for prefills that may run on there.
+// Engines whose kind does not support releases hold no state: they are sent one release per attempt, and a
+// draining gateway does not wait for cancelled prefills that may still be running there.
 func TestEnginesWithoutReleases(t *testing.T) {
 	f := &fakeTransport{respond: func(Attempt) (Stream, *Result) { return nil, nil }, releaseErr: ErrReleaseUnsupported}
 	c := newCoreWithSettings(t, f, func(s *routing.Settings) { s.HeldStateLimit = 20 * time.Millisecond })
@@ -196,6 +195,6 @@
 		t.Fatal(err)
 	}
 	if attempts, _, released := f.counts(); released != attempts {
-		t.Errorf("%d releases after %d attempts", released, attempts)
+		t.Errorf("%d releases after %d attempts, want one per attempt", released, attempts)
 	}
 }
--- a/internal/core/linger_test.go
+++ b/internal/core/linger_test.go
@@ -10,66 +10,66 @@
 	"wellgw/routing"
 )
 
-// State of a request that then goes to an engine which fetches none is released as the request is
-// sent there, and the request may have run from then on.
+// When a request with held state is sent to an engine that fetches no state, its state is released, and the
+// request may have run as soon as that attempt is sent.
 func TestDetachedStateIsReleased(t *testing.T) {
-	for kind, alone := range map[string]bool{"w": false, "alone": true} {
-		t.Run(kind, func(t *testing.T) {
+	for name, ignores := range map[string]bool{"fetches held state": false, "ignores held state": true} {
+		t.Run(name, func(t *testing.T) {
 			f := &fakeTransport{respond: prefillThenDecode(func() (Stream, *Result) { return nil, nil })}
 			c := newCore(t, f)
-			c.limits.IgnoresHeldState = func(k string) bool { return alone && k == "w" }
-			q := newTestRequest("once", 10*time.Second)
-			ticket := c.Submit(q, make(answerChannel, 1))
-			enginetest.Eventually(t, "it is at the decode engine", func() bool {
+			c.limits.IgnoresHeldState = func(k string) bool { return ignores && k == "w" }
+			request := newTestRequest("once", 10*time.Second)
+			ticket := c.Submit(request, make(answerChannel, 1))
+			enginetest.Eventually(t, "the attempt at the decode engine is started", func() bool {
 				f.mu.Lock()
 				defer f.mu.Unlock()
 				return len(f.attempts) == 2
 			})
-			if !ticket.MayHaveRun(t.Context()) { // also waits until the send is through
-				t.Error("a request with an attempt in flight may have run")
+			if !ticket.MayHaveRun(t.Context()) { // the query also waits until the core has handled the send
+				t.Error("MayHaveRun is false with an attempt in flight")
 			}
-			if got := f.hasReleased("r1"); got != alone {
-				t.Errorf("%s: released at the prefill engine: %v, want %v", kind, got, alone)
+			if got := f.hasReleased("r1"); got != ignores {
+				t.Errorf("%s: released at the prefill engine: %v, want %v", name, got, ignores)
 			}
 			ticket.ClientGone()
 		})
 	}
 }
 
-// checkLingeringUntilRelease heals the partition before a prefill engine that is sent a release. Until then one
-// attempt is open if it is to linger, afterwards none is.
+// checkLingeringUntilRelease ends the partition of a prefill engine after a release to it has started. If
+// lingers, one attempt must be open until the release is delivered; afterwards none.
 func checkLingeringUntilRelease(t *testing.T, core *Core, f *fakeTransport, lingers bool) {
 	t.Helper()
 	enginetest.Eventually(t, "the prefill engine is sent a release", func() bool { return f.hasReleased("r1") })
 	core.Counts(t.Context())
-	if all, closed, _ := f.counts(); (closed == all-1) != lingers {
-		t.Errorf("%d of %d attempts are closed before the prefill engine is reached", closed, all)
+	if attempts, closed, _ := f.counts(); (closed == attempts-1) != lingers {
+		t.Errorf("%d of %d attempts closed before the release is delivered", closed, attempts)
 	}
 	close(f.partition)
 	if err := core.Drain(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	if all, closed, _ := f.counts(); closed < all {
-		t.Errorf("%d of %d attempts are closed after it has released the state", closed, all)
+	if attempts, closed, _ := f.counts(); closed < attempts {
+		t.Errorf("%d of %d attempts closed after the release is delivered", closed, attempts)
 	}
 }
 
-// The engine that holds state is behind a network partition: the attempt that was cancelled lingers
-// until that engine has been sent a release, and its client has had its answer at once.
+// While the engine that holds state is behind a network partition, a cancelled attempt lingers until a
+// release is delivered to that engine. The client's answer does not wait for the release.
 func TestAttemptLingersUntilRelease(t *testing.T) {
-	silent := func() (Stream, *Result) { return nil, nil }
+	noAnswer := func() (Stream, *Result) { return nil, nil }
 	for _, c := range []struct {
 		name, class string
-		script      func(Attempt) (Stream, *Result)
+		respond     func(Attempt) (Stream, *Result)
 		verdict     Verdict
 		lingers     bool
 	}{
-		{"prefilled, and the decode engine is silent", "once", prefillThenDecode(silent), Failed, true},
-		{"an idempotent request's prefill engine is silent, and may have prefilled", "free", func(Attempt) (Stream, *Result) { return silent() }, Rejected, true},
-		{"an at-most-once request that is rejected has nothing in flight", "once", func(Attempt) (Stream, *Result) { return silent() }, Rejected, false},
+		{"prefilled, and the decode engine is unresponsive", "once", prefillThenDecode(noAnswer), Failed, true},
+		{"the prefill engine of an idempotent request is unresponsive, and may have prefilled", "free", func(Attempt) (Stream, *Result) { return noAnswer() }, Rejected, true},
+		{"an at-most-once request that is rejected has no attempt in flight", "once", func(Attempt) (Stream, *Result) { return noAnswer() }, Rejected, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			f := &fakeTransport{respond: c.script, partition: make(chan struct{})}
+			f := &fakeTransport{respond: c.respond, partition: make(chan struct{})}
 			core := newCore(t, f)
 			a, _, _ := SubmitAndWait(t.Context(), core, newTestRequest(c.class, 300*time.Millisecond))
 			if a.Verdict != c.verdict {
@@ -80,89 +80,91 @@
 	}
 }
 
-// Attempts that cover what is held are bounded: each keeps a connection. A gateway that
-// leaves waits no longer for them than for other releases.
-// An attempt at a silent decode engine is cancelled, and the next one's connection never comes up: the
-// cancelled one lingers until that would have been there, and after.
+// An attempt at an unresponsive decode engine times out, and connecting the next attempt fails. The first one
+// lingers while the next is connecting, and also after that has failed.
 func TestLingeringSurvivesFailedConnect(t *testing.T) {
 	f := &fakeTransport{partition: make(chan struct{})}
-	second := make(chan struct{})
+	failConnect := make(chan struct{})
 	f.neverConnects = func(a Attempt) bool { return a.Number >= 2 }
 	f.respond = func(a Attempt) (Stream, *Result) {
 		switch {
 		case a.Endpoint.Kind == "r":
-			return ended(routing.StatusPrefilled)
+			return attemptResult(routing.StatusPrefilled)
 		case a.Number == 1:
 			return nil, nil
 		}
-		<-second
-		return ended(routing.StatusConnectFailed)
+		<-failConnect
+		return attemptResult(routing.StatusConnectFailed)
 	}
 	core := newCore(t, f)
 	answered := submitAsync(t, core, newTestRequest("free", time.Minute))
-	sent := func(n int) func() bool { return func() bool { all, _, _ := f.counts(); return all == n } }
-	enginetest.Eventually(t, "the decode engine's attempt is sent", sent(2))
+	sent := func(n int) func() bool { return func() bool { attempts, _, _ := f.counts(); return attempts == n } }
+	enginetest.Eventually(t, "the attempt at the decode engine is sent", sent(2))
 	core.post(testMessage(func() {
-		for _, q := range core.requests.byID {
-			core.endAttempt(q, q.attempts[1], Result{Status: routing.StatusTimeout})
+		for _, request := range core.requests.byID {
+			core.endAttempt(request, request.attempts[1], Result{Status: routing.StatusTimeout})
 		}
 	}))
-	enginetest.Eventually(t, "the next one is begun", sent(3))
+	enginetest.Eventually(t, "the next attempt is started", sent(3))
 	core.Counts(t.Context())
-	if _, closed, _ := f.counts(); closed != 1 { // the prefill, which ended by itself
-		t.Errorf("%d attempts are closed before the next has a connection, want 1", closed)
+	if _, closed, _ := f.counts(); closed != 1 { // the prefill, which completed
+		t.Errorf("%d attempts closed before the next one has a connection, want 1", closed)
 	}
-	close(second)
+	close(failConnect)
 	if a := <-answered; a.Verdict == Streaming {
 		t.Fatalf("answer %+v", a)
 	}
 	checkLingeringUntilRelease(t, core, f, true)
 }
 
+// The number of lingering attempts of completed requests is bounded, as each occupies a connection. A
+// draining gateway waits no longer for them than for other releases.
 func TestLingeringIsBounded(t *testing.T) {
 	f := &fakeTransport{respond: func(Attempt) (Stream, *Result) { return nil, nil }, partition: make(chan struct{})}
 	defer close(f.partition)
 	core := newCore(t, f)
-	all, closed := 0, 0
-	for round := 0; all <= maxLingering; round++ { // some are refused as they would wait too long
+	attempts, closed := 0, 0
+	for round := 0; attempts <= maxLingering; round++ { // the router rejects some because of their expected wait
 		var group sync.WaitGroup
 		for i := range maxLingering {
-			q := newTestRequest("free", 300*time.Millisecond)
-			q.ClientRequestID = fmt.Sprint("id", round, "-", i)
-			group.Go(func() { SubmitAndWait(t.Context(), core, q) })
+			request := newTestRequest("free", 300*time.Millisecond)
+			request.ClientRequestID = fmt.Sprint("id", round, "-", i)
+			group.Go(func() { SubmitAndWait(t.Context(), core, request) })
 		}
 		group.Wait()
-		core.Counts(t.Context()) // what has been answered is settled
-		all, closed, _ = f.counts()
+		core.Counts(t.Context()) // returns after the answered requests have been reconciled
+		attempts, closed, _ = f.counts()
 	}
-	if all-closed != maxLingering {
-		t.Errorf("%d of %d attempts are still open, want %d", all-closed, all, maxLingering)
+	if attempts-closed != maxLingering {
+		t.Errorf("%d of %d attempts are still open, want %d", attempts-closed, attempts, maxLingering)
 	}
 	if err := core.Drain(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	if _, closed, _ = f.counts(); all-closed != maxLingering {
-		t.Errorf("the core has waited until only %d attempts cover what is held", all-closed)
+	if _, closed, _ = f.counts(); attempts-closed != maxLingering {
+		t.Errorf("the drain waited until only %d attempts were lingering", attempts-closed)
 	}
 }
 
-// What must not meet an attempt waits until its engine can have learned of its end: a
-// further attempt, and the answer that a request never ran. Both travel on other connections than the cancel.
-func TestRefusalWaitsAfterCancel(t *testing.T) {
+// The rejection of an at-most-once request, which means that the request never ran, is delayed until the
+// cancel of its attempt can have reached the engine: the answer and the cancel travel on different
+// connections.
+func TestRejectionWaitsAfterCancel(t *testing.T) {
 	f := &fakeTransport{}
 	f.respond = func(Attempt) (Stream, *Result) { return nil, nil }
 	core := newCore(t, f)
 	a, _, _ := SubmitAndWait(t.Context(), core, newTestRequest("once", 300*time.Millisecond))
 	if d := f.sinceLastClose(); a.Verdict != Rejected || d < cancelPropagationTime {
-		t.Errorf("verdict %v, %v after the attempt's end", a.Verdict, d)
+		t.Errorf("verdict %v %v after the attempt was closed, want Rejected after at least %v", a.Verdict, d, cancelPropagationTime)
 	}
 }
 
-// The same for a further attempt after one that was cancelled, whether the core knows that it has
-// been written before its cancel or only afterwards.
-func TestNextAttemptWaitsAfterACancel(t *testing.T) {
-	for _, known := range []bool{true, false} {
-		t.Run(fmt.Sprint("known before ", known), func(t *testing.T) {
+// An attempt that follows a cancelled one is delayed until the cancel can have reached the engine, whether
+// the core handles the cancelled attempt's attemptWritten message before the cancel or after it. The attempt
+// and the cancel travel on different connections.
+func TestNextAttemptWaitsAfterCancel(t *testing.T) {
+	for _, writtenFirst := range []bool{true, false} {
+		t.Run(fmt.Sprint("written message before the cancel ", writtenFirst), func(t *testing.T) {
 			written, after := make(chan struct{}, 8), make(chan time.Duration, 8)
 			f := &fakeTransport{}
 			f.respond = func(a Attempt) (Stream, *Result) {
@@ -172,51 +174,52 @@
 				written <- struct{}{}
 				return nil, nil
 			}
-			if !known {
+			if !writtenFirst {
 				f.delayFirstWritten = make(chan struct{})
 			}
 			core := newCore(t, f)
 			go SubmitAndWait(t.Context(), core, newTestRequest("free", time.Minute))
-			if known {
-				<-written // the core's queue has it, before what is posted now
+			if writtenFirst {
+				<-written // attemptWritten is in the core's queue before the message posted below
 			} else {
-				enginetest.Eventually(t, "its first attempt is written", func() bool {
+				enginetest.Eventually(t, "the first attempt is written", func() bool {
 					handles := f.handles()
 					return len(handles) == 1 && handles[0].written.Load()
 				})
 			}
 			core.post(testMessage(func() {
-				for _, q := range core.requests.byID {
-					core.endAttempt(q, q.attempts[0], Result{Status: routing.StatusCancelled})
+				for _, request := range core.requests.byID {
+					core.endAttempt(request, request.attempts[0], Result{Status: routing.StatusCancelled})
 				}
 			}))
-			if !known {
+			if !writtenFirst {
 				enginetest.Eventually(t, "the first attempt is closed", func() bool { _, closed, _ := f.counts(); return closed == 1 })
 				close(f.delayFirstWritten)
 			}
 			if d := <-after; d < cancelPropagationTime {
-				t.Errorf("known before %v: the next attempt is sent %v after the end of the previous one", known, d)
+				t.Errorf("written message before the cancel %v: next attempt sent %v after the cancel, want at least %v",
+					writtenFirst, d, cancelPropagationTime)
 			}
 		})
 	}
 }
 
-// A prefill that completes while its attempt lingers leaves state with no attempt in flight: it is
-// released at once, whatever becomes of the release that waits for a connection.
+// A prefill that completes while its attempt lingers creates state with no attempt in flight. The state is
+// released immediately, even while an earlier release still waits for a connection.
 func TestPrefillCompletedWhileLingeringIsReleased(t *testing.T) {
-	read := make(chan struct{})
+	completePrefill := make(chan struct{})
 	f := &fakeTransport{partition: make(chan struct{})}
 	defer close(f.partition)
 	f.respond = func(Attempt) (Stream, *Result) {
-		<-read
-		return ended(routing.StatusPrefilled)
+		<-completePrefill
+		return attemptResult(routing.StatusPrefilled)
 	}
 	core := newCore(t, f)
 	if a, _, _ := SubmitAndWait(t.Context(), core, newTestRequest("free", 300*time.Millisecond)); a.Verdict != Rejected {
 		t.Fatalf("answer %+v", a)
 	}
-	calls := func(n int) func() bool { return func() bool { _, _, released := f.counts(); return released == n } }
-	enginetest.Eventually(t, "the release that waits for a connection", calls(1))
-	close(read)
-	enginetest.Eventually(t, "a release for the state of the prefill", calls(2))
+	releases := func(n int) func() bool { return func() bool { _, _, released := f.counts(); return released == n } }
+	enginetest.Eventually(t, "the first release waits for a connection", releases(1))
+	close(completePrefill)
+	enginetest.Eventually(t, "a second release is started for the completed prefill", releases(2))
 }
--- a/internal/core/messages.go
+++ b/internal/core/messages.go
@@ -105,10 +105,12 @@
 
 func (m engineListUpdated) handle(c *Core) { c.updateEndpoints(m.scope, m.endpoints) }
 
-// gatewaysCounted carries the number of gateways that share the engines.
-type gatewaysCounted struct{ gateways int }
+// gatewayCountChanged carries the number of gateways that share the engines.
+type gatewayCountChanged struct{ gateways int }
 
-func (m gatewaysCounted) handle(c *Core) { c.dispatch(routing.GatewaysChanged{Gateways: m.gateways}) }
+func (m gatewayCountChanged) handle(c *Core) {
+	c.dispatch(routing.GatewaysChanged{Gateways: m.gateways})
+}
 
 // Messages from operators and from the process.
 
@@ -134,10 +136,10 @@
 
 func (m settingsChanged) handle(c *Core) { m.reply <- c.reconfigure(m.settings) }
 
-// shutdownBegun reports that the gateway shuts down; see Core.NotifyShutdown.
-type shutdownBegun struct{ final bool }
+// shutdownStarted reports that the gateway shuts down; see Core.NotifyShutdown.
+type shutdownStarted struct{ final bool }
 
-func (m shutdownBegun) handle(c *Core) { c.dispatch(routing.ShuttingDown{Final: m.final}) }
+func (m shutdownStarted) handle(c *Core) { c.dispatch(routing.ShuttingDown{Final: m.final}) }
 
 // drainRequested requests that drained be closed once the core is drained.
 type drainRequested struct{ drained chan<- struct{} }
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -122,8 +122,8 @@
 	c.withdrawUnwritten(request)
 }
 
-// answerDeadlineExceeded answers a request that neither the router nor an engine ended before the
-// deadline.
+// answerDeadlineExceeded answers a request that neither the router nor an engine has ended when the slack
+// after its deadline ends.
 func (c *Core) answerDeadlineExceeded(request *requestState) {
 	if request.answered {
 		return
--- a/internal/core/trace_test.go
+++ b/internal/core/trace_test.go
@@ -24,10 +24,10 @@
 	"wellgw/routing"
 )
 
-var updateTrace = flag.Bool("update-trace", false, "write testdata/trace.txt anew")
+var updateTrace = flag.Bool("update-trace", false, "rewrite testdata/trace.txt")
 
-// tracer is an engine pool, a directory, fronts and an observer that write down, with the time, all
-// that they are told by a core. What they say to it is the scenario's.
+// tracer is the transport, the directory, the fronts and the observer of a core. It records every call by the
+// core with its time. A scenario decides what is reported to the core.
 type tracer struct {
 	t        *testing.T
 	core     *Core
@@ -41,20 +41,20 @@
 
 type tracedAttempt struct {
 	tr        *tracer
-	n         int
-	a         Attempt
+	index     int
+	attempt   Attempt
 	written   atomic.Bool
 	firstByte atomic.Pointer[FirstByte]
 	first     func(Stream)
 	ended     func(Result)
 }
 
-// connection is that of the attempt; each has one of its own.
+// connection returns the number of the attempt's connection. Each attempt has a separate one.
 func (a *tracedAttempt) connection() heldstate.ConnectionNumber {
-	return heldstate.ConnectionNumber(a.n + 1)
+	return heldstate.ConnectionNumber(a.index + 1)
 }
 
-// receiveFirstByte has the first byte of an answer arrive on the attempt's connection.
+// receiveFirstByte records that the first byte of an answer has arrived on the attempt's connection.
 func (a *tracedAttempt) receiveFirstByte() {
 	a.firstByte.Store(&FirstByte{Connection: a.connection(), At: time.Now()})
 }
@@ -80,51 +80,51 @@
 	return len(*list) - 1
 }
 
-// snapshot returns the calls of a list.
+// snapshot returns a copy of a list of calls.
 func snapshot[T any](tr *tracer, list *[]T) []T {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	return slices.Clone(*list)
 }
 
-// startedAttempts returns the attempts startedAttempts so far.
+// startedAttempts returns the attempts that have been started so far.
 func (tr *tracer) startedAttempts() []*tracedAttempt { return snapshot(tr, &tr.attempts) }
 
-func (a *tracedAttempt) Cancel() { a.tr.record("cancel %d", a.n) }
+func (a *tracedAttempt) Cancel() { a.tr.record("cancel %d", a.index) }
 
 func (a *tracedAttempt) Withdraw() bool {
 	unwritten := !a.written.Load()
-	a.tr.record("withdraw %d: %v", a.n, unwritten)
+	a.tr.record("withdraw %d: %v", a.index, unwritten)
 	return unwritten
 }
 
 func (tr *tracer) Start(a Attempt, first func(Stream), ended func(Result)) Handle {
-	at := &tracedAttempt{tr: tr, a: a, first: first, ended: ended}
-	at.n = appendCall(tr, &tr.attempts, at)
+	traced := &tracedAttempt{tr: tr, attempt: a, first: first, ended: ended}
+	traced.index = appendCall(tr, &tr.attempts, traced)
 	tr.record("start %d: %s number %d at %s, limit %v, target %s, waits %v, client gone %v",
-		at.n, a.ClientRequestID, a.Number, a.Endpoint.Name, a.Timeout, a.Payload.Target, a.Connected != nil, a.ClientGone())
-	return at
+		traced.index, a.ClientRequestID, a.Number, a.Endpoint.Name, a.Timeout, a.Payload.Target, a.Connected != nil, a.ClientGone())
+	return traced
 }
 
 func (tr *tracer) Release(r Release, done func(error)) (stop func()) {
 	n := appendCall(tr, &tr.releases, done)
-	var others []string
-	for _, m := range r.Alternates {
-		others = append(others, m.Name)
+	var alternates []string
+	for _, endpoint := range r.Alternates {
+		alternates = append(alternates, endpoint.Name)
 	}
-	tr.record("release %d: %s at %s, else %v after %v every %v, until %v", n, r.ClientRequestID, r.Endpoint.Name, others, r.AlternateDelay, r.AlternateInterval,
+	tr.record("release %d: %s at %s, else %v after %v every %v, until %v", n, r.ClientRequestID, r.Endpoint.Name, alternates, r.AlternateDelay, r.AlternateInterval,
 		time.Until(r.Deadline).Round(time.Millisecond))
 	return func() { tr.record("stop release %d", n) }
 }
 
-func (tr *tracer) Probe(m Endpoint, done func(routing.Status, *routing.LoadReport)) {
-	tr.record("probe %d: %s", appendCall(tr, &tr.probes, done), m.Name)
+func (tr *tracer) Probe(endpoint Endpoint, done func(routing.Status, *routing.LoadReport)) {
+	tr.record("probe %d: %s", appendCall(tr, &tr.probes, done), endpoint.Name)
 }
 
 func (tr *tracer) Subscribe() { tr.record("subscribe") }
 
-func (tr *tracer) Answered(q Request, a Answer, verdict string) {
-	tr.record("observed %s: %d %q", q.ClientRequestID, a.Verdict, verdict)
+func (tr *tracer) Answered(request Request, a Answer, verdict string) {
+	tr.record("observed %s: %d %q", request.ClientRequestID, a.Verdict, verdict)
 }
 
 type tracedFront struct {
@@ -141,33 +141,35 @@
 	tr   *tracer
 	name string
 	textStream
-	relayed bool // closed by a front at a time of its own, beside the core
-	closes  atomic.Int32
+	// closedByFront is set if the front's goroutine closes the stream. That is not recorded, since its order
+	// relative to the core's calls varies.
+	closedByFront bool
+	closes        atomic.Int32
 }
 
 func (s *tracedStream) Close() error {
-	if s.closes.Add(1); !s.relayed {
+	if s.closes.Add(1); !s.closedByFront {
 		s.tr.record("close stream %s", s.name)
 	}
 	return nil
 }
 
 func (tr *tracer) submit(class, id string, ttl time.Duration) *Ticket {
-	q := newTestRequest(class, ttl)
-	q.ClientRequestID, q.Payload.Target = id, "/"+id
-	ticket := tr.core.Submit(q, tracedFront{tr, id})
+	request := newTestRequest(class, ttl)
+	request.ClientRequestID, request.Payload.Target = id, "/"+id
+	ticket := tr.core.Submit(request, tracedFront{tr, id})
 	synctest.Wait()
 	return ticket
 }
 
-// written has the core hear that an attempt's last byte is written.
-func (tr *tracer) written(n int) {
+// markWritten reports to the core that an attempt's last byte is written.
+func (tr *tracer) markWritten(n int) {
 	tr.startedAttempts()[n].written.Store(true)
-	tr.startedAttempts()[n].a.Written(WriteRecord{Connection: tr.startedAttempts()[n].connection(), At: time.Now()})
+	tr.startedAttempts()[n].attempt.Written(WriteRecord{Connection: tr.startedAttempts()[n].connection(), At: time.Now()})
 	synctest.Wait()
 }
 
-func (tr *tracer) ended(n int, s routing.Status) { tr.end(n, Result{Status: s}) }
+func (tr *tracer) endWithStatus(n int, s routing.Status) { tr.end(n, Result{Status: s}) }
 
 func (tr *tracer) end(n int, r Result) {
 	if r.Status != routing.StatusReset && r.Status != routing.StatusConnectFailed {
@@ -177,7 +179,7 @@
 	synctest.Wait()
 }
 
-func (tr *tracer) first(n int) *tracedStream {
+func (tr *tracer) openStream(n int) *tracedStream {
 	s := &tracedStream{tr: tr, name: fmt.Sprint(n)}
 	tr.startedAttempts()[n].receiveFirstByte()
 	tr.startedAttempts()[n].first(s)
@@ -185,16 +187,16 @@
 	return s
 }
 
-// connect has the core hear that an attempt's connection is up, and notes when it may be written.
+// connect reports to the core that an attempt has a connection, and records when it may be written.
 func (tr *tracer) connect(n int) {
 	go func() {
-		tr.startedAttempts()[n].a.Connected()
+		tr.startedAttempts()[n].attempt.Connected()
 		tr.record("clear %d", n)
 	}()
 	synctest.Wait()
 }
 
-func (tr *tracer) released(n int, err error) {
+func (tr *tracer) endRelease(n int, err error) {
 	snapshot(tr, &tr.releases)[n](err)
 	synctest.Wait()
 }
@@ -204,16 +206,16 @@
 	synctest.Wait()
 }
 
-// prefill has an attempt written and its prefill end.
+// prefill reports to the core that an attempt is written and that its prefill is completed.
 func (tr *tracer) prefill(n int) {
-	tr.written(n)
-	tr.ended(n, routing.StatusPrefilled)
+	tr.markWritten(n)
+	tr.endWithStatus(n, routing.StatusPrefilled)
 }
 
 var errTraced = errors.New("traced")
 
-// scenarios are what a core is put through. Engines r1 and r2 are prefill engines, w1 and w2 decode
-// engines.
+// scenarios drive a core and the events that it receives. Engines r1 and r2 are prefill engines, w1 and w2
+// decode engines. The names are recorded in testdata/trace.txt.
 var scenarios = []struct {
 	name   string
 	change func(*routing.Settings)
@@ -222,8 +224,8 @@
 	{"served", nil, func(tr *tracer) {
 		ticket := tr.submit("free", "a", time.Minute)
 		tr.prefill(0)
-		tr.written(1)
-		tr.first(1)
+		tr.markWritten(1)
+		tr.openStream(1)
 		tr.sleep(50 * time.Millisecond)
 		ticket.Finish(Result{Status: routing.StatusServed, OutputTokens: 7, CachedTokens: 3})
 	}},
@@ -232,28 +234,28 @@
 		tr.submit("free", "a", time.Minute).ClientGone()
 		tr.submit("once", "b", time.Minute)
 		tr.prefill(0)
-		tr.ended(2, routing.StatusError)
+		tr.endWithStatus(2, routing.StatusError)
 	}},
 	{"gone unwritten", nil, func(tr *tracer) { tr.submit("once", "a", time.Minute).ClientGone() }},
 	{"gone written", nil, func(tr *tracer) {
 		ticket := tr.submit("once", "a", time.Minute)
-		tr.written(0)
+		tr.markWritten(0)
 		ticket.ClientGone()
 		tr.sleep(time.Second)
-		tr.released(0, nil)
+		tr.endRelease(0, nil)
 	}},
 	{"gone written, no cancel", func(s *routing.Settings) { s.CanCancel = false }, func(tr *tracer) {
 		ticket := tr.submit("once", "a", time.Minute)
-		tr.written(0)
+		tr.markWritten(0)
 		ticket.ClientGone()
 		tr.sleep(time.Second)
-		tr.ended(0, routing.StatusPrefilled)
+		tr.endWithStatus(0, routing.StatusPrefilled)
 	}},
 	{"gone as it streams", nil, func(tr *tracer) {
 		ticket := tr.submit("once", "a", time.Minute)
 		tr.prefill(0)
-		tr.written(1)
-		tr.first(1)
+		tr.markWritten(1)
+		tr.openStream(1)
 		ticket.ClientGone()
 		synctest.Wait()
 		ticket.Finish(Result{Status: routing.StatusCancelled})
@@ -261,20 +263,20 @@
 	{"late stream", nil, func(tr *tracer) {
 		ticket := tr.submit("once", "a", time.Minute)
 		tr.prefill(0)
-		tr.written(1)
+		tr.markWritten(1)
 		ticket.ClientGone()
 		synctest.Wait()
-		tr.first(1)
+		tr.openStream(1)
 	}},
 	{"broken stream", nil, func(tr *tracer) {
 		ticket := tr.submit("free", "a", time.Minute)
 		tr.prefill(0)
-		tr.written(1)
-		tr.first(1)
+		tr.markWritten(1)
+		tr.openStream(1)
 		ticket.Finish(Result{Status: routing.StatusReset, Cause: errTraced})
 		synctest.Wait()
-		tr.released(0, nil)
-		tr.released(1, errTraced)
+		tr.endRelease(0, nil)
+		tr.endRelease(1, errTraced)
 	}},
 	{"relayed", nil, func(tr *tracer) {
 		for _, c := range []struct {
@@ -284,8 +286,8 @@
 			n := len(tr.startedAttempts())
 			ticket := tr.submit("free", c.id, time.Minute)
 			tr.prefill(n)
-			tr.written(n + 1)
-			s := &tracedStream{tr: tr, name: c.id, textStream: textStream{rest: "data: x\n\n", end: c.end}, relayed: true}
+			tr.markWritten(n + 1)
+			s := &tracedStream{tr: tr, name: c.id, textStream: textStream{unread: "data: x\n\n", end: c.end}, closedByFront: true}
 			tr.startedAttempts()[n+1].first(s)
 			synctest.Wait()
 			err := ticket.Relay(tr.t.Context(), s, func(p []byte) error { tr.record("write %q", p); return c.write })
@@ -297,79 +299,79 @@
 	{"silent until its deadline", nil, func(tr *tracer) {
 		tr.submit("once", "a", 2*time.Second)
 		tr.prefill(0)
-		tr.written(1)
+		tr.markWritten(1)
 		tr.sleep(3 * time.Second)
 		for n := range snapshot(tr, &tr.releases) {
-			tr.released(n, nil)
+			tr.endRelease(n, nil)
 		}
 	}},
 	{"retried", nil, func(tr *tracer) {
 		tr.submit("free", "a", time.Minute)
 		for _, s := range []routing.Status{routing.StatusConnectFailed, routing.StatusRejected, routing.StatusError, routing.StatusReset} {
-			tr.written(len(tr.startedAttempts()) - 1)
-			tr.ended(len(tr.startedAttempts())-1, s)
+			tr.markWritten(len(tr.startedAttempts()) - 1)
+			tr.endWithStatus(len(tr.startedAttempts())-1, s)
 			tr.sleep(500 * time.Millisecond)
 		}
 	}},
 	{"an order that fails", nil, func(tr *tracer) {
 		tr.submit("once", "a", time.Minute)
 		tr.prefill(0)
-		tr.written(1)
+		tr.markWritten(1)
 		tr.end(1, Result{Status: routing.StatusReset, Cause: errTraced})
 	}},
 	{"no state", nil, func(tr *tracer) {
 		tr.submit("once", "a", time.Minute)
 		tr.prefill(0)
-		tr.written(1)
+		tr.markWritten(1)
 		tr.end(1, Result{Status: routing.StatusRejected, StateMissing: true})
 		tr.sleep(time.Second)
-		tr.released(0, ErrReleaseUnsupported)
+		tr.endRelease(0, ErrReleaseUnsupported)
 	}},
 	{"over its quota", func(s *routing.Settings) { s.Tenants = []routing.Tenant{{Name: "team", Quota: 0.4}} }, func(tr *tracer) {
 		for n := range 12 {
-			q := newTestRequest("free", time.Minute)
-			q.ClientRequestID, q.Tenant = fmt.Sprint("a", n), "team"
-			tr.core.Submit(q, tracedFront{tr, q.ClientRequestID})
+			request := newTestRequest("free", time.Minute)
+			request.ClientRequestID, request.Tenant = fmt.Sprint("a", n), "team"
+			tr.core.Submit(request, tracedFront{tr, request.ClientRequestID})
 			synctest.Wait()
 		}
 	}},
 	{"overtaken", nil, func(tr *tracer) {
 		tr.submit("free", "a", 20*time.Second)
 		tr.prefill(0)
-		tr.written(1)
-		tr.sleep(15 * time.Second) // the attempt's limit passes, its connection is kept open
+		tr.markWritten(1)
+		tr.sleep(15 * time.Second) // the attempt times out, and its connection lingers
 		for n := 2; n < len(tr.startedAttempts()); n++ {
-			if tr.startedAttempts()[n].a.Connected != nil {
+			if tr.startedAttempts()[n].attempt.Connected != nil {
 				tr.connect(n)
 			}
 			tr.sleep(10 * time.Millisecond)
-			tr.written(n)
+			tr.markWritten(n)
 		}
-		tr.ended(1, routing.StatusPrefilled)
+		tr.endWithStatus(1, routing.StatusPrefilled)
 		tr.sleep(20 * time.Second)
 		for n := range snapshot(tr, &tr.releases) {
-			tr.released(n, nil)
+			tr.endRelease(n, nil)
 		}
 	}},
 	{"read after its cancel", nil, func(tr *tracer) {
 		tr.submit("free", "a", 300*time.Millisecond)
-		tr.written(0)
+		tr.markWritten(0)
 		tr.sleep(time.Second)
-		tr.ended(0, routing.StatusPrefilled)
+		tr.endWithStatus(0, routing.StatusPrefilled)
 		tr.sleep(time.Second)
 	}},
 	{"lingering", nil, func(tr *tracer) {
 		tr.submit("once", "a", 300*time.Millisecond)
 		tr.prefill(0)
-		tr.written(1)
+		tr.markWritten(1)
 		tr.sleep(400 * time.Millisecond)
-		tr.released(0, nil)
+		tr.endRelease(0, nil)
 		tr.sleep(20 * time.Second)
 	}},
 	{"lingering until its limit", nil, func(tr *tracer) {
 		tr.submit("once", "a", 300*time.Millisecond)
 		tr.prefill(0)
-		tr.written(1)
+		tr.markWritten(1)
 		tr.sleep(40 * time.Second)
 	}},
 	{"a state expires", nil, func(tr *tracer) {
@@ -377,17 +379,17 @@
 		tr.prefill(0)
 		tr.sleep(2 * time.Second)
 		if len(snapshot(tr, &tr.releases)) > 0 {
-			tr.released(0, nil)
+			tr.endRelease(0, nil)
 		}
 	}},
 	{"an attempt is unconfirmed at the limit", nil, func(tr *tracer) {
 		ticket := tr.submit("once", "a", time.Minute)
 		tr.prefill(0)
-		tr.written(1)
+		tr.markWritten(1)
 		tr.sleep(460 * time.Millisecond)
 		tr.sleep(2 * time.Second)
 		tr.record("may run: %v", ticket.MayHaveRun(tr.t.Context()))
-		tr.first(1)
+		tr.openStream(1)
 	}},
 	{"engines come and go", nil, func(tr *tracer) {
 		tr.core.SetGateways(3)
@@ -415,7 +417,7 @@
 		tr.submit("once", "a", time.Minute)
 		tr.submit("once", "b", time.Minute)
 		tr.prefill(0)
-		tr.written(2)
+		tr.markWritten(2)
 		tr.core.NotifyShutdown(false)
 		synctest.Wait()
 		tr.submit("once", "c", time.Minute)
@@ -424,7 +426,7 @@
 		synctest.Wait()
 		for range 3 {
 			for n := range snapshot(tr, &tr.releases) {
-				tr.released(n, nil)
+				tr.endRelease(n, nil)
 			}
 			tr.sleep(time.Second)
 		}
@@ -450,10 +452,10 @@
 	}},
 	{"overdue", nil, func(tr *tracer) {
 		tr.submit("free", "a", 5*time.Second)
-		tr.written(0)
+		tr.markWritten(0)
 		runQuery(tr.t.Context(), tr.core, func() bool {
-			for _, q := range tr.core.requests.byID {
-				tr.core.answerDeadlineExceeded(q)
+			for _, request := range tr.core.requests.byID {
+				tr.core.answerDeadlineExceeded(request)
 			}
 			return true
 		})
@@ -461,17 +463,17 @@
 	}},
 	{"next one waits for the end of the last", nil, func(tr *tracer) {
 		tr.submit("free", "a", 5*time.Second)
-		tr.written(0)
-		tr.ended(0, routing.StatusTimeout)
+		tr.markWritten(0)
+		tr.endWithStatus(0, routing.StatusTimeout)
 		tr.sleep(10 * time.Millisecond)
 		tr.connect(1)
 		tr.sleep(10 * time.Millisecond)
-		tr.written(1)
+		tr.markWritten(1)
 		tr.sleep(10 * time.Second)
 	}},
 	{"refusal waits for the end of the last", nil, func(tr *tracer) {
 		tr.submit("once", "a", 300*time.Millisecond)
-		tr.written(0)
+		tr.markWritten(0)
 		tr.sleep(time.Second)
 	}},
 	{"cancelled as it is written", nil, func(tr *tracer) {
@@ -479,8 +481,8 @@
 		tr.startedAttempts()[0].written.Store(true)
 		ticket.ClientGone()
 		synctest.Wait()
-		tr.written(0)
-		tr.ended(0, routing.StatusReset)
+		tr.markWritten(0)
+		tr.endWithStatus(0, routing.StatusReset)
 	}},
 	{"settings changed", nil, func(tr *tracer) {
 		set := testSettings()
@@ -490,7 +492,7 @@
 		tr.record("refused: %v", tr.core.Reconfigure(tr.t.Context(), set) != nil)
 		tr.submit("free", "a", time.Minute)
 		tr.prefill(0)
-		tr.ended(1, routing.StatusError)
+		tr.endWithStatus(1, routing.StatusError)
 		tr.submit("once", "b", time.Minute)
 	}},
 	{"idle", nil, func(tr *tracer) {
@@ -504,7 +506,7 @@
 	}},
 }
 
-// newTracer returns a tracer with a core that runs, and the engines listed.
+// newTracer returns a tracer with a running core and four listed engines.
 func newTracer(t *testing.T, out *strings.Builder, change func(*routing.Settings)) *tracer {
 	set := testSettings()
 	if change != nil {
@@ -529,8 +531,8 @@
 	return tr
 }
 
-// TestTrace pins what engines, directory, fronts and observer see of a core in each scenario, in
-// which order and when, and what it has counted at the end.
+// TestTrace compares, for each scenario, the core's calls of its transport, directory, fronts and observer,
+// their order and times, and the counters at the end with testdata/trace.txt.
 func TestTrace(t *testing.T) {
 	const file = "testdata/trace.txt"
 	var out strings.Builder
@@ -565,14 +567,14 @@
 	}
 }
 
-// BenchmarkRequestServed takes requests through the core: read, written, streamed and served.
+// BenchmarkRequestServed measures the core's work for a request that is prefilled, decoded and served.
 func BenchmarkRequestServed(b *testing.B) {
 	router, err := routing.New(testSettings(), 1)
 	if err != nil {
 		b.Fatal(err)
 	}
-	e := &servingEngine{}
-	c := New(router, e, e, Limits{DeadlineSlack: 50 * time.Millisecond, HeldStateLimit: time.Second, MaxAttempts: 4}, slog.New(slog.DiscardHandler), invariant.New())
+	engine := &servingEngine{}
+	c := New(router, engine, engine, Limits{DeadlineSlack: 50 * time.Millisecond, HeldStateLimit: time.Second, MaxAttempts: 4}, slog.New(slog.DiscardHandler), invariant.New())
 	go c.Run(b.Context())
 	c.UpdateEndpoints(routing.EngineListSnapshot, []Endpoint{
 		{EngineInfo: routing.EngineInfo{Name: "r1", Kind: "r", Weight: 1}},
@@ -588,7 +590,7 @@
 	}
 }
 
-// servingEngine serves all, at once.
+// servingEngine is a transport that completes every attempt immediately.
 type servingEngine struct{ fakeTransport }
 
 func (*servingEngine) Start(a Attempt, first func(Stream), ended func(Result)) Handle {
