--- a/decide/membership/golden_test.go
+++ b/decide/membership/golden_test.go
@@ -36,7 +36,7 @@
 	r.numbers(u.Incarnation, uint64(u.Status), uint64(u.SuspicionAge), uint64(u.Heartbeat))
 }
 
-func (r recorder) send(s Outgoing) {
+func (r recorder) outgoing(s Outgoing) {
 	r.text(s.To)
 	r.text(s.From)
 	r.text(s.Addr)
@@ -72,28 +72,28 @@
 	r.numbers(s.Syncs, s.Probes, s.FailedProbes, s.IndirectAcks, s.Suspicions, s.Refutations, s.Deaths, s.Pauses, s.DuplicateNames)
 }
 
-// parcel is a message under way in the drawn tier.
-type parcel struct {
+// inFlightMessage is a message under way in the drawn tier.
+type inFlightMessage struct {
 	at  Time
 	to  string
 	msg Message
 }
 
-// drawnTier is a tier under faults that are all drawn from one seed.
-type drawnTier struct {
+// randomTier is a tier under faults that are all drawn from one seed.
+type randomTier struct {
 	recorder
-	rng      *rand.Rand
-	now      Time
-	machines map[string]*Machine
-	addrs    []string
-	away     map[string]Time // paused until
-	under    []parcel
-	cut      [2]string // messages from the one to the other are lost
+	rng         *rand.Rand
+	now         Time
+	machines    map[string]*Machine
+	addrs       []string
+	pausedUntil map[string]Time // paused until
+	inFlight    []inFlightMessage
+	blockedLink [2]string // messages from the one to the other are lost
 }
 
-func (d *drawnTier) start(addr, id string, life uint64) {
+func (d *randomTier) start(addr, id string, generation uint64) {
 	cfg := Config{
-		ID: id, Addr: addr, Instance: life<<32 | uint64(len(d.addrs)), Incarnation: life, Seed: d.rng.Uint64(),
+		ID: id, Addr: addr, Instance: generation<<32 | uint64(len(d.addrs)), Incarnation: generation, Seed: d.rng.Uint64(),
 		JoinAddrs: []string{"g0:1", "g1:1"}, ExpectedSize: d.rng.IntN(2) * 5, ProtocolV1Only: d.rng.IntN(5) == 0, ReapAfter: 20 * time.Second,
 	}
 	if d.rng.IntN(2) == 0 {
@@ -106,65 +106,65 @@
 	d.view(d.machines[addr].View())
 }
 
-// carry records what a machine sends and sets it under way, with loss, delay and repetition.
-func (d *drawnTier) carry(from string, out []Outgoing) {
+// transmit records what a machine sends and sets it under way, with loss, delay and repetition.
+func (d *randomTier) transmit(from string, out []Outgoing) {
 	for _, s := range out {
-		d.send(s)
-		if d.machines[s.To] == nil || d.rng.IntN(8) == 0 || d.cut == [2]string{from, s.To} {
+		d.outgoing(s)
+		if d.machines[s.To] == nil || d.rng.IntN(8) == 0 || d.blockedLink == [2]string{from, s.To} {
 			continue
 		}
 		msg := s.Message
 		msg.Updates = slices.Clone(msg.Updates)
 		for range 1 + d.rng.IntN(12)/11 {
-			d.under = append(d.under, parcel{d.now + time.Duration(d.rng.IntN(25))*time.Millisecond, s.To, msg})
+			d.inFlight = append(d.inFlight, inFlightMessage{d.now + time.Duration(d.rng.IntN(25))*time.Millisecond, s.To, msg})
 		}
 	}
 }
 
 // step plays 20 ms: one machine after the other takes what has arrived, then its tick.
-func (d *drawnTier) step() {
+func (d *randomTier) step() {
 	d.now += 20 * time.Millisecond
 	for _, addr := range d.addrs {
 		m := d.machines[addr]
-		if m == nil || d.now < d.away[addr] {
+		if m == nil || d.now < d.pausedUntil[addr] {
 			continue
 		}
-		under := d.under
-		d.under = nil
-		for _, p := range under {
+		inFlight := d.inFlight
+		d.inFlight = nil
+		for _, p := range inFlight {
 			switch {
 			case p.to != addr || p.at > d.now:
-				d.under = append(d.under, p)
+				d.inFlight = append(d.inFlight, p)
 			case d.rng.IntN(200) == 0:
-				d.carry(addr, m.ReceiveStale(d.now, p.msg))
+				d.transmit(addr, m.ReceiveStale(d.now, p.msg))
 			default:
-				d.carry(addr, m.Receive(d.now, p.msg))
+				d.transmit(addr, m.Receive(d.now, p.msg))
 			}
 		}
-		d.carry(addr, m.Tick(d.now))
+		d.transmit(addr, m.Tick(d.now))
 		d.flags(m.Changed())
 	}
 }
 
-// fault draws one fault, or a departure, a restart or a second process of a name.
-func (d *drawnTier) fault() {
+// injectFault draws one injectFault, or a departure, a restart or a second process of a name.
+func (d *randomTier) injectFault() {
 	addr := d.addrs[d.rng.IntN(len(d.addrs))]
 	other := d.addrs[d.rng.IntN(len(d.addrs))]
 	m := d.machines[addr]
 	switch d.rng.IntN(7) {
 	case 0, 1:
-		d.away[addr] = d.now + time.Duration(d.rng.IntN(6000))*time.Millisecond
+		d.pausedUntil[addr] = d.now + time.Duration(d.rng.IntN(6000))*time.Millisecond
 	case 2:
-		d.cut = [2]string{addr, other}
+		d.blockedLink = [2]string{addr, other}
 	case 3:
-		d.cut = [2]string{}
+		d.blockedLink = [2]string{}
 	case 4:
 		if m != nil {
-			d.carry(addr, m.AnnounceLeaving(d.now))
+			d.transmit(addr, m.AnnounceLeaving(d.now))
 		}
 	case 5:
 		if m != nil {
-			d.carry(addr, m.AnnounceLeft(d.now))
+			d.transmit(addr, m.AnnounceLeft(d.now))
 			d.machines[addr] = nil
 		} else {
 			d.start(addr, addr[:2], 2+d.rng.Uint64N(4))
@@ -178,15 +178,15 @@
 }
 
 // What machines send and show under drawn faults is what it was when the sums were taken.
-func TestGoldenTiers(t *testing.T) {
-	var all Stats
+func TestGoldenRandomTiers(t *testing.T) {
+	var maxStats Stats
 	for seed, want := range [...]uint64{
 		0x866154c189e3de1, 0xce6d50dd51d7b598, 0xc6a9f29113c4c511, 0xca2619445de9659e,
 		0x4f72b299d59d58ed, 0x24e53511e5f7cbbb, 0xc73bf447832226ed, 0x53d6fa2900db87f1,
 	} {
-		d := &drawnTier{
+		d := &randomTier{
 			recorder: recorder{fnv.New64a()}, rng: rand.New(rand.NewPCG(uint64(seed), 45)),
-			machines: map[string]*Machine{}, away: map[string]Time{},
+			machines: map[string]*Machine{}, pausedUntil: map[string]Time{},
 		}
 		for i := range 6 {
 			d.start(fmt.Sprintf("g%d:1", i), fmt.Sprintf("g%d", i), 1)
@@ -197,18 +197,18 @@
 					if m := d.machines[addr]; m != nil {
 						s := m.View().Stats
 						d.view(m.View())
-						all.Syncs, all.IndirectAcks, all.Refutations = max(all.Syncs, s.Syncs), max(all.IndirectAcks, s.IndirectAcks), max(all.Refutations, s.Refutations)
-						all.Deaths, all.Pauses, all.DuplicateNames = max(all.Deaths, s.Deaths), max(all.Pauses, s.Pauses), max(all.DuplicateNames, s.DuplicateNames)
+						maxStats.Syncs, maxStats.IndirectAcks, maxStats.Refutations = max(maxStats.Syncs, s.Syncs), max(maxStats.IndirectAcks, s.IndirectAcks), max(maxStats.Refutations, s.Refutations)
+						maxStats.Deaths, maxStats.Pauses, maxStats.DuplicateNames = max(maxStats.Deaths, s.Deaths), max(maxStats.Pauses, s.Pauses), max(maxStats.DuplicateNames, s.DuplicateNames)
 					}
 				}
-				d.fault()
+				d.injectFault()
 			}
 		}
 		if got := d.Sum64(); got != want {
 			t.Errorf("seed %d: %#x, want %#x", seed, got, want)
 		}
 	}
-	if all.Syncs == 0 || all.IndirectAcks == 0 || all.Refutations == 0 || all.Deaths == 0 || all.Pauses == 0 || all.DuplicateNames == 0 {
-		t.Errorf("something never happened in the drawn tiers: %+v", all)
+	if maxStats.Syncs == 0 || maxStats.IndirectAcks == 0 || maxStats.Refutations == 0 || maxStats.Deaths == 0 || maxStats.Pauses == 0 || maxStats.DuplicateNames == 0 {
+		t.Errorf("something never happened in the drawn tiers: %+v", maxStats)
 	}
 }
--- a/decide/membership/gossip.go
+++ b/decide/membership/gossip.go
@@ -34,16 +34,16 @@
 		}
 	}
 	m.gossip = slices.DeleteFunc(m.gossip, func(peer *member) bool {
-		peer.inGossip = peer.transmissions < limit
-		return !peer.inGossip
+		peer.gossipQueued = peer.transmissions < limit
+		return !peer.gossipQueued
 	})
 }
 
 // queueGossip has a member's latest update passed on.
 func (m *Machine) queueGossip(peer *member) {
 	peer.transmissions = 0
-	if !peer.inGossip {
-		peer.inGossip = true
+	if !peer.gossipQueued {
+		peer.gossipQueued = true
 		m.gossip = append(m.gossip, peer)
 	}
 }
@@ -56,18 +56,18 @@
 	}
 	known := m.members[u.ID]
 	if known != nil && u.Status == Suspect && known.Status == Suspect && u.Incarnation == known.Incarnation {
-		known.accusers[from] = true
+		known.suspectedBy[from] = true
 		m.adjustSuspicion(known, u.Heartbeat, u.SuspicionAge)
 		return
 	}
-	m.apply(u)
+	m.applyUpdate(u)
 }
 
 // receiveOwnUpdate takes an update about this gateway: it refutes one that is wrong, and pings
 // the address of one that is elsewhere.
 func (m *Machine) receiveOwnUpdate(u Update) {
-	if u.Addr != "" && u.Addr != m.cfg.Addr && u.Status == Alive && m.now >= m.nextNamesakeAt {
-		m.nextNamesakeAt = m.now + namesakeInterval
+	if u.Addr != "" && u.Addr != m.cfg.Addr && u.Status == Alive && m.now >= m.nextDuplicateCheckAt {
+		m.nextDuplicateCheckAt = m.now + duplicateCheckInterval
 		m.send(u.Addr, Message{Kind: Ping, Seq: m.nextSeq()}) // another process of this name, or this gateway's former address
 	}
 	if u.Status != m.self.Status && u.overrides(m.self) || u.Incarnation > m.self.Incarnation {
--- a/decide/membership/machine.go
+++ b/decide/membership/machine.go
@@ -21,20 +21,20 @@
 
 // The parameters of the protocol that no operator sets.
 const (
-	indirectProbers  = 3                      // gateways that a PingReq goes to
-	maxLocalHealth   = 6                      // Lifeguard's upper bound of the local health multiplier, less one
-	retransmitFactor = 3.0                    // times log2(n+1) that an update is passed on
-	minPause         = 100 * time.Millisecond // a tick later than that means that this process was paused
-	deadProbeEvery   = 8                      // probe rounds, of which one also probes a dead gateway, so that partitions merge
-	rejoinEvery      = 5                      // probe rounds a known gateway between pings of the addresses to join by
-	maxSteadyFlaps   = 2.0                    // decayed returns from death, past which a gateway is not steady
-	flapHalfLife     = time.Minute
-	heartbeatUnit    = 10 * time.Millisecond
-	namesakeInterval = time.Second            // between pings that look for another process of a name
-	syncMessages     = 8                      // messages that answer one SyncRequest
-	syncTimeout      = 500 * time.Millisecond // for the next reply of a sync
-	syncAttempts     = 3                      // requests for the same part before a sync is given up
-	syncInterval     = time.Second            // views differ for so long before a sync, and between syncs
+	indirectProbers        = 3                      // gateways that a PingReq goes to
+	maxLocalHealth         = 6                      // Lifeguard's upper bound of the local health multiplier, less one
+	retransmitFactor       = 3.0                    // times log2(n+1) that an update is passed on
+	minPause               = 100 * time.Millisecond // a tick later than that means that this process was paused
+	deadProbeRounds        = 8                      // probe rounds, of which one also probes a dead gateway, so that partitions merge
+	rejoinRoundsPerMember  = 5                      // probe rounds a known gateway between pings of the addresses to join by
+	maxStableFlapScore     = 2.0                    // decayed returns from death, past which a gateway is not steady
+	flapHalfLife           = time.Minute
+	heartbeatUnit          = 10 * time.Millisecond
+	duplicateCheckInterval = time.Second            // between pings that look for another process of a name
+	syncRepliesPerRequest  = 8                      // messages that answer one SyncRequest
+	syncTimeout            = 500 * time.Millisecond // for the next reply of a sync
+	syncAttempts           = 3                      // requests for the same part before a sync is given up
+	syncInterval           = time.Second            // views differ for so long before a sync, and between syncs
 )
 
 // member is what a machine knows of another gateway.
@@ -51,23 +51,23 @@
 	flapScoreAt   Time
 	heartbeat     uint32 // the latest that any gateway has heard in this incarnation
 	transmissions int    // times that its latest update has been passed on
-	inGossip      bool
+	gossipQueued  bool
 	digestPart    uint64
-	accusers      map[string]bool
+	suspectedBy   map[string]bool
 }
 
 // Machine is one gateway's view of the tier.
 type Machine struct {
-	cfg   Config
-	rng   *rand.Rand
-	now   Time
-	out   []Outgoing // what the present call returns
-	stats Stats
+	cfg      Config
+	rng      *rand.Rand
+	now      Time
+	outgoing []Outgoing // what the present call returns
+	stats    Stats
 
-	self              Update
-	selfTransmissions int  // times that self has been passed on
-	silenced          bool // another process has this name, and is to stay
-	nextNamesakeAt    Time // no ping that looks for another process of a name before
+	self                 Update
+	selfTransmissions    int  // times that self has been passed on
+	superseded           bool // another process has this name, and is to stay
+	nextDuplicateCheckAt Time // no ping that looks for another process of a name before
 
 	members      map[string]*member
 	byName       []*member // all of them, sorted
@@ -89,9 +89,9 @@
 	selfDigestPart uint64
 	viewChanged    bool // since the last call of Changed
 
-	sync         syncState
-	pushCursors  map[string]uint32 // by the gateway whose view differs: where pushView goes on
-	differsSince Time              // since when views received have differed; -1: the latest did not
+	sync             syncState
+	pushCursors      map[string]uint32 // by the gateway whose view differs: where pushView goes on
+	viewsDifferSince Time              // since when views received have differed; -1: the latest did not
 }
 
 // Stats counts what a machine has seen since its start.
@@ -113,7 +113,7 @@
 	m := &Machine{
 		cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Instance)), now: now, members: map[string]*member{},
 		self:        Update{ID: cfg.ID, Addr: cfg.Addr, Incarnation: cfg.Incarnation, Status: Alive},
-		nextProbeAt: now, pushCursors: map[string]uint32{}, differsSince: -1,
+		nextProbeAt: now, pushCursors: map[string]uint32{}, viewsDifferSince: -1,
 	}
 	m.updateDigest()
 	m.epoch, m.viewChanged = 1, false
@@ -123,24 +123,24 @@
 // Tick does what is due. It is to be called every fifth of a probe interval or so; a call that
 // comes far later means that this process was paused or that its clock jumped.
 func (m *Machine) Tick(now Time) []Outgoing {
-	m.begin(now)
-	if m.silenced {
+	m.beginCall(now)
+	if m.superseded {
 		return nil
 	}
-	m.expire()
-	m.reap()
+	m.expireMembers()
+	m.reapMembers()
 	m.checkProbes()
 	m.checkSync()
 	if m.now >= m.nextProbeAt {
 		m.nextProbeAt = m.now + m.cfg.ProbeInterval
 		m.probeNext()
 	}
-	return m.out
+	return m.outgoing
 }
 
-// begin starts a call: nothing to send yet, and the clock as given.
-func (m *Machine) begin(now Time) {
-	m.out = m.out[:0]
+// beginCall starts a call: nothing to send yet, and the clock as given.
+func (m *Machine) beginCall(now Time) {
+	m.outgoing = m.outgoing[:0]
 	m.advanceClock(now)
 }
 
@@ -176,13 +176,13 @@
 func (m *Machine) AnnounceLeft(now Time) []Outgoing { return m.announce(now, Left) }
 
 func (m *Machine) announce(now Time, s Status) []Outgoing {
-	m.begin(now)
+	m.beginCall(now)
 	m.self.Status, m.selfTransmissions = s, 0
 	m.updateDigest()
 	for _, peer := range m.randomAlive(nil) {
 		m.send(peer.Addr, Message{Kind: Ping, Seq: m.nextSeq()})
 	}
-	return m.out
+	return m.outgoing
 }
 
 // send queues a message with the updates that its receiver should know. Those on the members
@@ -197,7 +197,7 @@
 	}
 	msg.Updates = msg.Updates[:min(len(msg.Updates), m.cfg.MaxUpdates)]
 	m.addGossip(&msg)
-	m.out = append(m.out, Outgoing{To: to, Message: msg})
+	m.outgoing = append(m.outgoing, Outgoing{To: to, Message: msg})
 }
 
 func (m *Machine) nextSeq() uint32 {
--- a/decide/membership/members.go
+++ b/decide/membership/members.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// apply enters an update if it overrides what is known.
-func (m *Machine) apply(u Update) {
+// applyUpdate enters an update if it overrides what is known.
+func (m *Machine) applyUpdate(u Update) {
 	peer := m.members[u.ID]
 	if peer == nil {
 		if u.Status >= Dead || u.Addr == "" {
 			return // a gateway that was never known need not be known as dead
 		}
-		peer = m.add(u)
+		peer = m.addMember(u)
 	} else if !u.overrides(peer.Update) {
 		return
 	}
@@ -33,17 +33,17 @@
 	m.digest ^= peer.digestPart
 	switch {
 	case u.Status == Suspect:
-		m.suspect(peer, age, heartbeat)
+		m.startSuspicion(peer, age, heartbeat)
 	case u.Status == Dead && before != Dead:
 		m.stats.Deaths++
 	case u.Status == Alive && before == Dead:
-		peer.flapScore, peer.flapScoreAt = m.decayedFlaps(peer)+1, m.now
+		peer.flapScore, peer.flapScoreAt = m.decayedFlapScore(peer)+1, m.now
 	}
 	m.updateDigest()
 }
 
-// add enters a member that was not known, as alive.
-func (m *Machine) add(u Update) *member {
+// addMember enters a member that was not known, as alive.
+func (m *Machine) addMember(u Update) *member {
 	peer := &member{Update: Update{ID: u.ID, Addr: u.Addr, Incarnation: u.Incarnation, Status: Alive}, statusSince: m.now, lastHeard: m.now}
 	m.members[u.ID] = peer
 	at, _ := slices.BinarySearchFunc(m.byName, u.ID, compareID)
@@ -71,10 +71,10 @@
 
 func compareID(peer *member, id string) int { return cmp.Compare(peer.ID, id) }
 
-// suspect begins a suspicion whose probe went unanswered an age ago. The suspect may have been
+// startSuspicion begins a suspicion whose probe went unanswered an age ago. The startSuspicion may have been
 // heard since: then the suspicion runs from there, unless it rests on a later heartbeat.
-func (m *Machine) suspect(peer *member, age time.Duration, heartbeat uint32) {
-	peer.accusers = map[string]bool{}
+func (m *Machine) startSuspicion(peer *member, age time.Duration, heartbeat uint32) {
+	peer.suspectedBy = map[string]bool{}
 	if peer.everHeard && heartbeat <= peer.heartbeat {
 		age = min(age, m.now-peer.lastHeard)
 	}
@@ -102,25 +102,25 @@
 	}
 }
 
-// expire declares suspects dead whose suspicion has timed out, and takes members that are
+// expireMembers declares suspects dead whose suspicion has timed out, and takes members that are
 // leaving and silent as having left. Neither status takes a member out of notAlive.
-func (m *Machine) expire() {
+func (m *Machine) expireMembers() {
 	for _, peer := range m.notAlive {
 		ended := peer.Update
 		if peer.Status == Suspect && m.now >= peer.deadAt {
 			ended.Status = Dead
-			m.apply(ended)
+			m.applyUpdate(ended)
 		}
 		if peer.Status == Leaving && m.now-max(peer.lastHeard, peer.statusSince) > m.cfg.SuspicionTimeout {
 			ended.Status = Left
-			m.apply(ended)
+			m.applyUpdate(ended)
 		}
 	}
 }
 
-// reap removes those that have left, and the dead after a long time unless this gateway is in
+// reapMembers removes those that have left, and the dead after a long time unless this gateway is in
 // a minority: one that forgot the others would take itself for the whole tier.
-func (m *Machine) reap() {
+func (m *Machine) reapMembers() {
 	for _, peer := range slices.Clone(m.notAlive) {
 		left := peer.Status == Left && m.now-peer.statusSince > m.cfg.DeadGrace
 		dead := peer.Status == Dead && m.now-peer.statusSince > m.cfg.ReapAfter && !m.Minority()
@@ -131,15 +131,15 @@
 		delete(m.pushCursors, peer.ID)
 		m.statusCounts[peer.Status]--
 		m.digest ^= peer.digestPart
-		same := func(other *member) bool { return other == peer }
-		m.byName = slices.DeleteFunc(m.byName, same)
-		m.notAlive = slices.DeleteFunc(m.notAlive, same)
-		m.gossip = slices.DeleteFunc(m.gossip, same)
+		isReaped := func(other *member) bool { return other == peer }
+		m.byName = slices.DeleteFunc(m.byName, isReaped)
+		m.notAlive = slices.DeleteFunc(m.notAlive, isReaped)
+		m.gossip = slices.DeleteFunc(m.gossip, isReaped)
 		m.updateDigest()
 	}
 }
 
-// decayedFlaps returns a member's returns from death, each halved by every flapHalfLife since.
-func (m *Machine) decayedFlaps(peer *member) float64 {
+// decayedFlapScore returns a member's returns from death, each halved by every flapHalfLife since.
+func (m *Machine) decayedFlapScore(peer *member) float64 {
 	return peer.flapScore * math.Exp2(-(m.now-peer.flapScoreAt).Seconds()/flapHalfLife.Seconds())
 }
--- a/decide/membership/model_test.go
+++ b/decide/membership/model_test.go
@@ -14,76 +14,76 @@
 //   - within 5 s of the last fault all hold one view.
 func TestSmallTiersExhaustively(t *testing.T) {
 	const (
-		settled = 3 * time.Second
-		while   = 500 * ms
+		settled     = 3 * time.Second
+		faultWindow = 500 * ms
 	)
 	base := func() *tier {
 		w := newTier(1, 3)
 		w.run(settled)
-		if err := w.agree(); err != nil {
+		if err := w.checkAgreement(); err != nil {
 			t.Fatalf("before any fault: %v", err)
 		}
 		return w
 	}
-	plain := base()
-	before := plain.sent
-	plain.run(settled + while)
-	messages := plain.sent - before
-	worlds, states := 0, 0
+	faultFree := base()
+	before := faultFree.sent
+	faultFree.run(settled + faultWindow)
+	messages := faultFree.sent - before
+	runs, states := 0, 0
 	for restart := -1; restart < 8; restart++ {
 		for _, fault := range []string{"lost", "doubled", "late"} {
 			for at := 0; at < messages; at++ {
 				w := base()
-				w.tamper(before+at+1, fault)
-				seen := map[string]uint64{}
-				again := settled + time.Duration(restart)*while/8
-				for end := settled + while + 5*time.Second; w.now < end; {
+				w.injectMessageFault(before+at+1, fault)
+				maxIncarnations := map[string]uint64{}
+				restartAt := settled + time.Duration(restart)*faultWindow/8
+				for end := settled + faultWindow + 5*time.Second; w.now < end; {
 					w.run(w.now + 50*ms)
-					if restart >= 0 && w.now >= again && w.nodes["g001"].life == 1 {
+					if restart >= 0 && w.now >= restartAt && w.nodes["g001"].generation == 1 {
 						w.start("g001", 2)
 					}
 					states++
 					for _, id := range w.names {
 						for _, x := range w.nodes[id].byName {
-							key := fmt.Sprint(id, w.nodes[id].life, x.ID)
-							if x.Incarnation < seen[key] {
+							key := fmt.Sprint(id, w.nodes[id].generation, x.ID)
+							if x.Incarnation < maxIncarnations[key] {
 								t.Fatalf("message %d %s, restart %d: %s takes %s back to incarnation %d", at, fault, restart, id, x.ID, x.Incarnation)
 							}
-							seen[key] = x.Incarnation
+							maxIncarnations[key] = x.Incarnation
 						}
 					}
-					if bad := w.falsely(); len(bad) > 0 {
+					if bad := w.falseDeaths(); len(bad) > 0 {
 						t.Fatalf("message %d %s, restart %d: dead falsely: %v", at, fault, restart, bad)
 					}
 				}
-				if err := w.agree(); err != nil {
+				if err := w.checkAgreement(); err != nil {
 					t.Fatalf("message %d %s, restart %d: %v", at, fault, restart, err)
 				}
-				worlds++
+				runs++
 			}
 		}
 	}
-	t.Logf("%d worlds, %d states looked at, %d messages each", worlds, states, messages)
-	if worlds < 1000 {
-		t.Errorf("only %d worlds", worlds)
+	t.Logf("%d worlds, %d states looked at, %d messages each", runs, states, messages)
+	if runs < 1000 {
+		t.Errorf("only %d worlds", runs)
 	}
 }
 
-// tamper has the n-th message sent lost, doubled or held back.
-func (t *tier) tamper(n int, how string) {
+// injectMessageFault has the n-th message sent lost, doubled or held back.
+func (t *tier) injectMessageFault(n int, fault string) {
 	done := false
-	t.fails = func(string, string) bool {
+	t.drops = func(string, string) bool {
 		if t.sent != n || done {
 			return false
 		}
 		done = true
-		switch how {
+		switch fault {
 		case "lost":
 			return true
 		case "late":
-			t.late = 700 * ms
+			t.delayNext = 700 * ms
 		case "doubled":
-			t.twice = true
+			t.duplicateNext = true
 		}
 		return false
 	}
--- a/decide/membership/probe.go
+++ b/decide/membership/probe.go
@@ -69,8 +69,8 @@
 	m.stats.Suspicions++
 	suspicion := p.target.Update
 	suspicion.Status, suspicion.SuspicionAge = Suspect, m.now-p.sentAt
-	m.apply(suspicion)
-	p.target.accusers = map[string]bool{m.cfg.ID: true}
+	m.applyUpdate(suspicion)
+	p.target.suspectedBy = map[string]bool{m.cfg.ID: true}
 }
 
 // checkProbes sends the PingReqs that are due and ends the probes that have timed out.
@@ -105,13 +105,13 @@
 }
 
 // randomAlive returns up to indirectProbers members that are alive, other than one.
-func (m *Machine) randomAlive(except *member) []*member {
+func (m *Machine) randomAlive(exclude *member) []*member {
 	var pool []*member
 	for range 4 * indirectProbers { // draws may meet members that are not alive, or twice
 		if len(m.byName) == 0 || len(pool) == indirectProbers {
 			break
 		}
-		if peer := m.byName[m.rng.IntN(len(m.byName))]; peer != except && peer.Status == Alive && !slices.Contains(pool, peer) {
+		if peer := m.byName[m.rng.IntN(len(m.byName))]; peer != exclude && peer.Status == Alive && !slices.Contains(pool, peer) {
 			pool = append(pool, peer)
 		}
 	}
@@ -128,17 +128,17 @@
 		}
 	}
 	known := m.statusCounts[Alive]+m.statusCounts[Suspect]+m.statusCounts[Leaving] > 0
-	if !known || m.probeRounds%(rejoinEvery*len(m.byName)+1) == 0 {
-		m.join()
+	if !known || m.probeRounds%(rejoinRoundsPerMember*len(m.byName)+1) == 0 {
+		m.pingJoinAddrs()
 	}
-	if m.probeRounds%deadProbeEvery == 0 {
+	if m.probeRounds%deadProbeRounds == 0 {
 		m.probeDead()
 	}
 	m.probeFromRing()
 }
 
-// join pings the addresses to join by.
-func (m *Machine) join() {
+// pingJoinAddrs pings the addresses to pingJoinAddrs by.
+func (m *Machine) pingJoinAddrs() {
 	for _, addr := range m.cfg.JoinAddrs {
 		if addr != m.cfg.Addr {
 			m.send(addr, Message{Kind: Ping, Seq: m.nextSeq()})
--- a/decide/membership/receive.go
+++ b/decide/membership/receive.go
@@ -4,15 +4,15 @@
 
 // Receive takes a message and returns what is to be sent.
 func (m *Machine) Receive(now Time, msg Message) []Outgoing {
-	m.begin(now)
+	m.beginCall(now)
 	if msg.From == m.cfg.ID {
-		m.receiveNamesake(msg)
+		m.receiveFromDuplicate(msg)
 	}
-	if m.silenced {
+	if m.superseded {
 		return nil
 	}
 	if msg.From == m.cfg.ID {
-		return m.out
+		return m.outgoing
 	}
 	for _, u := range msg.Updates {
 		m.receiveUpdate(msg.From, u)
@@ -21,7 +21,7 @@
 	if sender == nil { // its own update was not among those: an answer will hold it
 		m.send(msg.Addr, Message{Kind: Ping, Seq: m.nextSeq()})
 	} else {
-		m.noteHeard(sender, msg.Heartbeat)
+		m.recordContact(sender, msg.Heartbeat)
 	}
 	switch msg.Kind {
 	case Ping:
@@ -37,12 +37,12 @@
 	}
 	m.adoptEpoch(msg)
 	m.startSync(msg)
-	return m.out
+	return m.outgoing
 }
 
-// noteHeard takes a message from a member as a sign of life. A member that is held for dead
+// recordContact takes a message from a member as a sign of life. A member that is held for dead
 // or left is told so, and refutes by raising its incarnation.
-func (m *Machine) noteHeard(sender *member, heartbeat uint32) {
+func (m *Machine) recordContact(sender *member, heartbeat uint32) {
 	sender.lastHeard, sender.everHeard = m.now, true
 	if sender.Status == Suspect {
 		m.adjustSuspicion(sender, heartbeat, 0)
@@ -75,22 +75,22 @@
 		}
 	}
 	if msg.Digest != m.digest && sender != nil && m.rng.IntN(2) == 0 {
-		more := Message{Kind: Ping, Seq: m.nextSeq()}
-		m.pushView(msg, &more)
-		m.send(msg.Addr, more)
+		ping := Message{Kind: Ping, Seq: m.nextSeq()}
+		m.pushView(msg, &ping)
+		m.send(msg.Addr, ping)
 	}
 }
 
-// receiveNamesake takes a message from another process with this gateway's name. The process
+// receiveFromDuplicate takes a message from another process with this gateway's name. The process
 // with the higher instance stays; the other one goes silent, since each would refute what the
 // other says for ever.
-func (m *Machine) receiveNamesake(msg Message) {
+func (m *Machine) receiveFromDuplicate(msg Message) {
 	if msg.Instance == m.cfg.Instance {
 		return // a message of this process that came back
 	}
 	m.stats.DuplicateNames++
-	if msg.Instance > m.cfg.Instance && !m.silenced {
-		m.silenced, m.viewChanged = true, true
+	if msg.Instance > m.cfg.Instance && !m.superseded {
+		m.superseded, m.viewChanged = true, true
 	}
 	if msg.Instance < m.cfg.Instance && msg.Kind == Ping {
 		m.send(msg.Addr, Message{Kind: Ack, Seq: msg.Seq}) // by which it learns of the higher instance
@@ -101,12 +101,12 @@
 // content is ignored, but if it comes from another address than the name has now, both may
 // still run: the earlier process is told the address of the later one.
 func (m *Machine) ReceiveStale(now Time, msg Message) []Outgoing {
-	m.begin(now)
+	m.beginCall(now)
 	latest := m.members[msg.From]
-	if m.silenced || latest == nil || latest.Addr == msg.Addr || now < m.nextNamesakeAt {
+	if m.superseded || latest == nil || latest.Addr == msg.Addr || now < m.nextDuplicateCheckAt {
 		return nil
 	}
-	m.nextNamesakeAt = now + namesakeInterval
+	m.nextDuplicateCheckAt = now + duplicateCheckInterval
 	m.send(msg.Addr, Message{Kind: Ping, Seq: m.nextSeq(), Updates: []Update{latest.Update}})
-	return m.out
+	return m.outgoing
 }
--- a/decide/membership/sync.go
+++ b/decide/membership/sync.go
@@ -11,7 +11,7 @@
 	peer      string // "" for none under way
 	seq       uint32
 	cursor    string // the last name received
-	received  int    // replies
+	replies   int    // replies
 	attempts  int    // requests since the last reply
 	deadline  Time   // for the next reply
 	notBefore Time   // no other sync before
@@ -21,14 +21,14 @@
 // gossip alone does not make them equal. One sync is under way at a time.
 func (m *Machine) startSync(msg Message) {
 	if msg.Digest == m.digest {
-		m.differsSince = -1
+		m.viewsDifferSince = -1
 		return
 	}
-	if m.differsSince < 0 {
-		m.differsSince = m.now
+	if m.viewsDifferSince < 0 {
+		m.viewsDifferSince = m.now
 	}
-	newcomer := len(m.byName) < 2*m.cfg.MaxUpdates && m.sync.notBefore == 0 // need not wait
-	if m.cfg.ProtocolV1Only || m.sync.peer != "" || m.now < m.sync.notBefore || m.now-m.differsSince < syncInterval && !newcomer {
+	newMember := len(m.byName) < 2*m.cfg.MaxUpdates && m.sync.notBefore == 0 // need not wait
+	if m.cfg.ProtocolV1Only || m.sync.peer != "" || m.now < m.sync.notBefore || m.now-m.viewsDifferSince < syncInterval && !newMember {
 		return
 	}
 	m.stats.Syncs++
@@ -67,7 +67,7 @@
 	if found {
 		at++
 	}
-	for range syncMessages {
+	for range syncRepliesPerRequest {
 		reply := m.syncReply(msg.Seq, at)
 		at += len(reply.Updates)
 		m.send(msg.Addr, reply)
@@ -101,8 +101,8 @@
 		return
 	}
 	m.sync.cursor, m.sync.attempts = max(m.sync.cursor, msg.Subject), 0
-	m.sync.received++
-	if m.sync.received%syncMessages == 0 {
+	m.sync.replies++
+	if m.sync.replies%syncRepliesPerRequest == 0 {
 		m.requestSync(msg.Addr)
 	}
 }
--- a/decide/membership/view.go
+++ b/decide/membership/view.go
@@ -33,12 +33,12 @@
 func (m *Machine) View() View {
 	v := View{
 		Epoch: m.epoch, Digest: m.digest, Self: m.self, ActiveGateways: m.ActiveGateways(), Minority: m.Minority(),
-		Superseded: m.silenced, LocalHealth: m.localHealth, Stats: m.stats,
+		Superseded: m.superseded, LocalHealth: m.localHealth, Stats: m.stats,
 	}
 	for _, peer := range m.byName {
 		g := Gateway{
 			ID: peer.ID, Addr: peer.Addr, Incarnation: peer.Incarnation, Status: peer.Status, StatusSince: peer.statusSince, LastHeard: peer.lastHeard,
-			RTT: peer.rtt, Stable: m.decayedFlaps(peer) < maxSteadyFlaps, SuspectedBy: len(peer.accusers),
+			RTT: peer.rtt, Stable: m.decayedFlapScore(peer) < maxStableFlapScore, SuspectedBy: len(peer.suspectedBy),
 			OneWay: peer.Status < Dead && peer.everHeard && !peer.ackedDirectly && m.now-peer.lastDirectAck > m.cfg.SuspicionTimeout,
 		}
 		if peer.Status == Suspect {
--- a/decide/rolechange/golden_test.go
+++ b/decide/rolechange/golden_test.go
@@ -8,29 +8,29 @@
 	"time"
 )
 
-// drawnFacts draws what a leader knows, and drawnRecord a record that it may find: the texts
+// randomInputs draws what a leader knows, and drawnRecord a record that it may find: the texts
 // are those that stand in stored records.
-func drawnFacts(rng *rand.Rand) Inputs {
+func randomInputs(rng *rand.Rand) Inputs {
 	f := Inputs{
 		Now: t0.Add(time.Duration(rng.IntN(60_000)) * time.Millisecond), Leader: "g1", FencingToken: uint64(4 + rng.IntN(8)/7*rng.IntN(3)),
-		Gateways: rng.IntN(4), Confirmed: rng.IntN(4), Listed: rng.IntN(5) > 0, ListedRole: drawnRole(rng), Reply: Reply(rng.IntN(8) / 7 * rng.IntN(4)),
+		Gateways: rng.IntN(4), Confirmed: rng.IntN(4), Listed: rng.IntN(5) > 0, ListedRole: randomRole(rng), Reply: Reply(rng.IntN(8) / 7 * rng.IntN(4)),
 	}
 	if rng.IntN(5) == 0 {
 		f.UnresponsiveFor = time.Duration(rng.IntN(9000)) * time.Millisecond
 		return f
 	}
 	f.Report = &Report{
-		Role: drawnRole(rng), Draining: rng.IntN(2) == 0, Running: rng.IntN(2), HeldStates: rng.IntN(4) / 3,
+		Role: randomRole(rng), Draining: rng.IntN(2) == 0, Running: rng.IntN(2), HeldStates: rng.IntN(4) / 3,
 		FencingToken: uint64(3 + rng.IntN(8)/7*rng.IntN(4)), StartedAt: t0,
 	}
 	return f
 }
 
-func drawnRole(rng *rand.Rand) string {
+func randomRole(rng *rand.Rand) string {
 	return []string{"read", "write", "read", "write", "read", "write", "both"}[rng.IntN(7)]
 }
 
-func drawnRecord(rng *rand.Rand) Record {
+func randomRecord(rng *rand.Rand) Record {
 	steps := []string{"announced", "draining", "flipping", "warming", "settled", "undoing", "unheard-of"}
 	return Record{
 		Engine: "e", Addr: "a:1", Rack: rng.IntN(3), From: "read", To: "write", Step: Step(steps[rng.IntN(len(steps))]),
@@ -46,14 +46,14 @@
 		rng, sum := rand.New(rand.NewPCG(uint64(seed), 45)), fnv.New64a()
 		limits := DefaultTimeouts()
 		for range 20_000 {
-			r, f := drawnRecord(rng), drawnFacts(rng)
+			r, f := randomRecord(rng), randomInputs(rng)
 			for range 1 + rng.IntN(4) { // a few steps of one change
 				a := Next(r, f, limits)
 				x := a.Record
 				hold, role, cold := x.Routing()
 				fmt.Fprintln(sum, a.Write, string(a.Command), string(a.Outcome), a.LeaseLost, a.Reason, hold, role, cold.UnixNano(),
 					x.Engine, x.Addr, x.Rack, x.From, x.To, string(x.Step), x.FencingToken, x.Leader, x.StartedAt.UnixNano(), x.StepStartedAt.UnixNano(), x.FlippedAt.UnixNano(), x.Reason)
-				r, f = x, drawnFacts(rng)
+				r, f = x, randomInputs(rng)
 			}
 			l := NewLease(rng.Uint64(), time.Duration(rng.IntN(9000))*time.Millisecond, t0)
 			l.Renewed(t0.Add(time.Duration(rng.IntN(4000)-2000) * time.Millisecond))
--- a/decide/rolechange/lease.go
+++ b/decide/rolechange/lease.go
@@ -11,8 +11,8 @@
 	renewedAt    time.Time
 }
 
-// validPart is the part of its TTL, one in so many, for which a lease is acted on.
-const validPart = 3
+// validDivisor is the part of its TTL, one in so many, for which a lease is acted on.
+const validDivisor = 3
 
 // NewLease returns a lease that was requested at a time.
 func NewLease(token uint64, ttl time.Duration, requestedAt time.Time) *Lease {
@@ -27,7 +27,7 @@
 }
 
 // Valid tells whether the lease may be acted on.
-func (l *Lease) Valid(now time.Time) bool { return now.Sub(l.renewedAt) < l.ttl/validPart }
+func (l *Lease) Valid(now time.Time) bool { return now.Sub(l.renewedAt) < l.ttl/validDivisor }
 
 // LockAction is what a gateway does about the lock that leaders hold.
 type LockAction uint8
--- a/decide/rolechange/record.go
+++ b/decide/rolechange/record.go
@@ -34,7 +34,7 @@
 
 // Routing returns how gateways route to the engine while the record stands: whether they
 // hold new requests back, its role, and since when it has been cold in it.
-func (r Record) Routing() (hold bool, role string, cold time.Time) {
+func (r Record) Routing() (paused bool, role string, coldSince time.Time) {
 	switch r.Step {
 	case Warming, Settled:
 		return false, r.To, r.FlippedAt
--- a/decide/rolechange/rolechange.go
+++ b/decide/rolechange/rolechange.go
@@ -102,118 +102,118 @@
 		return Action{Write: true, Record: r, Reason: "taken over from its last owner"}
 	}
 	if !f.Listed && f.UnresponsiveFor >= l.EngineUnresponsive {
-		return finish(r, Failed, "the engine is gone")
+		return endChange(r, Failed, "the engine is gone")
 	}
 	if f.Report == nil {
-		return withoutReport(r, f, l)
+		return decideWithoutReport(r, f, l)
 	}
 	if f.Report.Role != r.From && f.Report.Role != r.To {
-		return finish(r, Failed, "the engine says that it is "+f.Report.Role+", which is neither what it was nor what it is to be")
+		return endChange(r, Failed, "the engine says that it is "+f.Report.Role+", which is neither what it was nor what it is to be")
 	}
 	inStep := f.Now.Sub(r.StepStartedAt)
 	switch r.Step {
 	case Announced:
-		return announced(r, f, l, inStep)
+		return decideAnnounced(r, f, l, inStep)
 	case Draining:
-		return draining(r, f, l, inStep)
+		return decideDraining(r, f, l, inStep)
 	case Flipping:
-		return flipping(r, f, l, inStep)
+		return decideFlipping(r, f, l, inStep)
 	case Warming, Settled:
-		return inNewRole(r, f, l)
+		return decideInNewRole(r, f, l)
 	case RollingBack:
-		return undoing(r, f, l, inStep)
+		return decideRollingBack(r, f, l, inStep)
 	}
-	return finish(r, Failed, "a step that is not known: "+string(r.Step))
+	return endChange(r, Failed, "a step that is not known: "+string(r.Step))
 }
 
-// withoutReport decides while the engine does not answer.
-func withoutReport(r Record, f Inputs, l Timeouts) Action {
+// decideWithoutReport decides while the engine does not answer.
+func decideWithoutReport(r Record, f Inputs, l Timeouts) Action {
 	if f.UnresponsiveFor < l.EngineUnresponsive {
 		return Action{Record: r, Reason: "the engine does not answer"}
 	}
 	switch r.Step {
 	case Announced, Draining:
 		// Its role has not changed: should it come back, it is as it was.
-		return finish(r, Failed, "the engine does not answer")
+		return endChange(r, Failed, "the engine does not answer")
 	case RollingBack:
-		return finish(r, Failed, "the engine does not answer; it was to stay as it is")
+		return endChange(r, Failed, "the engine does not answer; it was to stay as it is")
 	}
 	// It may have flipped: its role is known once it answers, or no source lists it.
 	return Action{Record: r, Reason: "waiting for the engine to answer"}
 }
 
-// announced waits until the gateways have confirmed the change.
-func announced(r Record, f Inputs, l Timeouts, inStep time.Duration) Action {
+// decideAnnounced waits until the gateways have confirmed the change.
+func decideAnnounced(r Record, f Inputs, l Timeouts, inStep time.Duration) Action {
 	switch {
 	case f.Report.Role == r.To:
-		return flipped(r, f)
+		return startWarming(r, f)
 	case f.Confirmed >= f.Gateways:
-		return moveTo(r, f, Draining, "all gateways have seen it")
+		return startStep(r, f, Draining, "all gateways have seen it")
 	case inStep >= l.Confirmation:
-		return moveTo(r, f, Draining, "not all gateways have said that they saw it; the engine turns their work away")
+		return startStep(r, f, Draining, "not all gateways have said that they saw it; the engine turns their work away")
 	}
 	return Action{Record: r, Reason: "gateways are to see it"}
 }
 
-// draining has the engine drain, and waits until it is empty.
-func draining(r Record, f Inputs, l Timeouts, inStep time.Duration) Action {
+// decideDraining has the engine drain, and waits until it is empty.
+func decideDraining(r Record, f Inputs, l Timeouts, inStep time.Duration) Action {
 	switch {
 	case f.Report.Role == r.To:
-		return flipped(r, f)
+		return startWarming(r, f)
 	case f.Reply == Refused:
-		return moveTo(r, f, RollingBack, "the engine refused to drain")
+		return startStep(r, f, RollingBack, "the engine refused to drain")
 	case f.Report.Draining && f.Report.Running == 0 && f.Report.HeldStates == 0:
-		return moveTo(r, f, Flipping, "it is empty")
+		return startStep(r, f, Flipping, "it is empty")
 	case inStep >= l.Draining:
-		return moveTo(r, f, RollingBack, "its drain hangs")
+		return startStep(r, f, RollingBack, "its drain hangs")
 	}
 	return Action{Record: r, Command: Drain, Reason: "its running work ends"}
 }
 
-// flipping has the engine take its new role.
-func flipping(r Record, f Inputs, l Timeouts, inStep time.Duration) Action {
+// decideFlipping has the engine take its new role.
+func decideFlipping(r Record, f Inputs, l Timeouts, inStep time.Duration) Action {
 	switch {
 	case f.Report.Role == r.To:
-		return flipped(r, f)
+		return startWarming(r, f)
 	case f.Reply == Refused:
-		return moveTo(r, f, RollingBack, "the engine refused its new role")
+		return startStep(r, f, RollingBack, "the engine refused its new role")
 	case !f.Report.Draining: // it has restarted, or never got the command
-		return moveTo(r, f, Draining, "it does not drain any more")
+		return startStep(r, f, Draining, "it does not drain any more")
 	case inStep >= l.Flipping:
-		return moveTo(r, f, RollingBack, "it did not take its new role")
+		return startStep(r, f, RollingBack, "it did not take its new role")
 	}
 	return Action{Record: r, Command: Flip, Reason: "it is to take its new role"}
 }
 
-// inNewRole waits until the engine is warm and the catalogue names its new role.
-func inNewRole(r Record, f Inputs, l Timeouts) Action {
+// decideInNewRole waits until the engine is warm and the catalogue names its new role.
+func decideInNewRole(r Record, f Inputs, l Timeouts) Action {
 	if f.Report.Role == r.From { // it may have restarted, with the role of its configuration
-		return finish(r, Failed, "it came back in its old role")
+		return endChange(r, Failed, "it came back in its old role")
 	}
 	switch {
 	case r.Step == Warming && f.Now.Sub(r.FlippedAt) >= l.WarmUp:
-		return moveTo(r, f, Settled, "it is warm")
+		return startStep(r, f, Settled, "it is warm")
 	case r.Step == Settled && f.ListedRole == r.To:
-		return finish(r, Done, "the catalogue says the same")
+		return endChange(r, Done, "the catalogue says the same")
 	}
 	return Action{Record: r, Reason: "in its new role"}
 }
 
-// undoing ends the drain of an engine that keeps its role.
-func undoing(r Record, f Inputs, l Timeouts, inStep time.Duration) Action {
+// decideRollingBack ends the drain of an engine that keeps its role.
+func decideRollingBack(r Record, f Inputs, l Timeouts, inStep time.Duration) Action {
 	switch {
 	case f.Report.Role == r.To: // the flip came through after all
-		return flipped(r, f)
+		return startWarming(r, f)
 	case !f.Report.Draining:
-		return finish(r, RolledBack, "it stays as it was")
+		return endChange(r, RolledBack, "it stays as it was")
 	case inStep >= l.RollingBack:
-		return finish(r, Failed, "it does not end its drain")
+		return endChange(r, Failed, "it does not end its drain")
 	}
 	return Action{Record: r, Command: Cancel, Reason: "it is to stay as it was"}
 }
 
-// moveTo writes a step and sends the command that it begins with.
-func moveTo(r Record, f Inputs, to Step, reason string) Action {
+// startStep writes a step and sends the command that it begins with.
+func startStep(r Record, f Inputs, to Step, reason string) Action {
 	r.Step, r.StepStartedAt, r.Reason = to, f.Now, reason
 	a := Action{Write: true, Record: r, Reason: reason}
 	switch to {
@@ -227,14 +227,14 @@
 	return a
 }
 
-// flipped moves on once the engine reports its new role; it is cold from now on at the latest.
-func flipped(r Record, f Inputs) Action {
+// startWarming moves on once the engine reports its new role; it is cold from now on at the latest.
+func startWarming(r Record, f Inputs) Action {
 	r.FlippedAt = f.Now
-	return moveTo(r, f, Warming, "it has taken its new role")
+	return startStep(r, f, Warming, "it has taken its new role")
 }
 
-// finish ends the change.
-func finish(r Record, o Outcome, reason string) Action {
+// endChange ends the change.
+func endChange(r Record, o Outcome, reason string) Action {
 	r.Reason = reason
 	return Action{Record: r, Outcome: o, Reason: reason}
 }
--- a/decide/roles/candidate.go
+++ b/decide/roles/candidate.go
@@ -12,13 +12,13 @@
 	utilizationWeight = 0.3 // of the work to drain
 )
 
-// rackCounts counts the engines of a rack, or of the fleet, without the mixed ones.
-type rackCounts struct {
+// engineCounts counts the engines of a rack, or of the fleet, without the mixed ones.
+type engineCounts struct {
 	engines, changing int
 	ready             [2]int // in service and not in change, by role
 }
 
-func (c *rackCounts) add(e Engine) {
+func (c *engineCounts) add(e Engine) {
 	if e.Changing {
 		c.changing++
 	}
@@ -32,15 +32,15 @@
 }
 
 // maxChanging returns how many of so many engines may be in change at once.
-func maxChanging(share float64, engines int) int { return max(1, int(share*float64(engines))) }
+func maxChanging(fraction float64, engines int) int { return max(1, int(fraction*float64(engines))) }
 
 // candidate returns the engine whose change to a role costs least, or why none may change.
 func (p *Planner) candidate(now time.Time, to Role) (*Change, string) {
 	from := to.Opposite()
-	fleet, racks := &rackCounts{}, map[int]*rackCounts{}
+	fleet, racks := &engineCounts{}, map[int]*engineCounts{}
 	for _, e := range p.engines {
 		if racks[e.Rack] == nil {
-			racks[e.Rack] = &rackCounts{}
+			racks[e.Rack] = &engineCounts{}
 		}
 		racks[e.Rack].add(e)
 		fleet.add(e)
@@ -59,8 +59,8 @@
 			continue
 		}
 		rack := racks[e.Rack]
-		if why := p.exclusionReason(now, e, rack, to); why != "" {
-			reason = why
+		if exclusion := p.exclusionReason(now, e, rack, to); exclusion != "" {
+			reason = exclusion
 			continue
 		}
 		cost := p.changeCost(e, rack, to)
@@ -75,7 +75,7 @@
 }
 
 // exclusionReason returns why an engine in service may not change to a role, "" if it may.
-func (p *Planner) exclusionReason(now time.Time, e Engine, rack *rackCounts, to Role) string {
+func (p *Planner) exclusionReason(now time.Time, e Engine, rack *engineCounts, to Role) string {
 	if e.Pinned {
 		return "pinned by an operator"
 	}
@@ -95,7 +95,7 @@
 
 // changeCost ranks candidates: first the rack with most of the present role and least of the
 // wanted one, then the engine that is better at the new role, then the one with least to drain.
-func (p *Planner) changeCost(e Engine, rack *rackCounts, to Role) float64 {
+func (p *Planner) changeCost(e Engine, rack *engineCounts, to Role) float64 {
 	from := e.Role
 	return float64(rack.ready[to]) - float64(rack.ready[from]) + (p.relativeRate(e, from)-p.relativeRate(e, to))*rateWeight + e.Utilization*utilizationWeight
 }
--- a/decide/roles/demand.go
+++ b/decide/roles/demand.go
@@ -24,14 +24,14 @@
 // served. The rate of each class follows fast, that of all requests slowly: the mix is what
 // swings, the total mostly noise.
 type demandEstimator struct {
-	timeConstant time.Duration // of the classes' rates
-	classes      map[string]*classDemand
-	rate         float64       // requests a second, of all classes
-	busy         [2]float64    // engines at work, by stage
-	tokens       [2]float64    // tokens served a second, by stage
-	observedFor  time.Duration // since the first output token
-	previous     map[string]Traffic
-	learnedFor   time.Duration
+	timeConstant  time.Duration // of the classes' rates
+	classes       map[string]*classDemand
+	rate          float64       // requests a second, of all classes
+	busy          [2]float64    // engines at work, by stage
+	tokens        [2]float64    // tokens served a second, by stage
+	observedFor   time.Duration // since the first output token
+	previous      map[string]Traffic
+	calibratedFor time.Duration
 }
 
 // classDemand is the smoothed demand of one class.
@@ -43,9 +43,9 @@
 
 // The time constants of other values, in that of the classes' rates.
 const (
-	rateTimeConstants     = 3
-	learnTimeConstants    = 8
-	minLearnTimeConstants = 2 // of learning, before the estimate is used
+	rateTimeConstants           = 3
+	calibrationTimeConstants    = 8
+	minCalibrationTimeConstants = 2 // of learning, before the estimate is used
 )
 
 // ewmaWeight returns the weight of a value observed for a span in a mean with a time constant.
@@ -89,12 +89,12 @@
 	if d.observedFor >= d.timeConstant {
 		// Engines are busy with a request from its start, but it counts as served at its end:
 		// while the first ones are under way the work of a token would come out too high.
-		weight := ewmaWeight(span, learnTimeConstants*d.timeConstant)
+		weight := ewmaWeight(span, calibrationTimeConstants*d.timeConstant)
 		for s := range served {
 			d.busy[s] += (busy[s] - d.busy[s]) * weight
 			d.tokens[s] += (served[s] - d.tokens[s]) * weight
 		}
-		d.learnedFor += span
+		d.calibratedFor += span
 	}
 	return d.estimate()
 }
@@ -138,14 +138,14 @@
 	for _, class := range d.classes {
 		sum += class.rate
 	}
-	if d.learnedFor < minLearnTimeConstants*d.timeConstant || sum <= 0 || d.tokens[Prefill] <= 0 || d.tokens[Decode] <= 0 {
+	if d.calibratedFor < minCalibrationTimeConstants*d.timeConstant || sum <= 0 || d.tokens[Prefill] <= 0 || d.tokens[Decode] <= 0 {
 		return [2]float64{}, false
 	}
 	var demand [2]float64
 	for _, class := range d.classes {
-		share := class.rate / sum
-		demand[Prefill] += share * class.prompt
-		demand[Decode] += share * class.output
+		fraction := class.rate / sum
+		demand[Prefill] += fraction * class.prompt
+		demand[Decode] += fraction * class.output
 	}
 	for s := range demand {
 		demand[s] *= d.rate * d.busy[s] / d.tokens[s]
--- a/decide/roles/forecast.go
+++ b/decide/roles/forecast.go
@@ -16,8 +16,8 @@
 // maxUtilization is the utilization of a stage past which requests are late.
 const maxUtilization = 0.9
 
-// servedShare returns the share of a demand that a capacity serves in time.
-func servedShare(capacity, demand [2]float64) float64 {
+// servedFraction returns the share of a demand that a capacity serves in time.
+func servedFraction(capacity, demand [2]float64) float64 {
 	served := 1.0
 	for s := range capacity {
 		if demand[s] > 0 {
@@ -42,9 +42,9 @@
 				demand[s] = max(0, demand[s]-noise[s])
 			}
 		}
-		one := p.forecast(c, demand, horizon)
-		mean.Mean += one.Mean / cases
-		mean.Min += one.Min / cases
+		sample := p.forecast(c, demand, horizon)
+		mean.Mean += sample.Mean / cases
+		mean.Min += sample.Min / cases
 	}
 	return mean
 }
@@ -56,7 +56,7 @@
 	f := Forecast{Min: 1}
 	sum, n := 0.0, 0
 	for t := time.Duration(0); t == 0 || t < horizon; t += step {
-		served := servedShare(p.capacityAfter(t, c), demand)
+		served := servedFraction(p.capacityAfter(t, c), demand)
 		sum += served
 		f.Min = min(f.Min, served)
 		n++
@@ -71,9 +71,9 @@
 		switch {
 		case e.Role == Mixed || !e.Ready && !e.Changing:
 		case e.Changing: // at an unknown point of its change: taken as halfway through its drain
-			capacity[e.Role.Opposite()] += p.relativeRate(e, e.Role.Opposite()) * p.warmthInChange(t+p.settings.DrainTime/2)
+			capacity[e.Role.Opposite()] += p.relativeRate(e, e.Role.Opposite()) * p.throughputInChange(t+p.settings.DrainTime/2)
 		case c != nil && e.ID == c.Engine:
-			capacity[c.To] += p.relativeRate(e, c.To) * p.warmthInChange(t)
+			capacity[c.To] += p.relativeRate(e, c.To) * p.throughputInChange(t)
 		default:
 			capacity[e.Role] += p.relativeRate(e, e.Role)
 		}
@@ -81,9 +81,9 @@
 	return capacity
 }
 
-// warmthInChange returns the share of its warm rate that an engine has in its new role a time
+// throughputInChange returns the share of its warm rate that an engine has in its new role a time
 // after its change began.
-func (p *Planner) warmthInChange(t time.Duration) float64 {
+func (p *Planner) throughputInChange(t time.Duration) float64 {
 	t -= p.settings.DrainTime
 	switch {
 	case t < 0:
@@ -91,7 +91,7 @@
 	case t >= p.settings.WarmUp:
 		return 1
 	}
-	return p.settings.warmthAfter(t)
+	return p.settings.warmUpThroughput(t)
 }
 
 // OptimalSplit returns how many engines each stage should have to serve a demand best, for a
--- a/decide/roles/golden_test.go
+++ b/decide/roles/golden_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// drawnSettings draws settings of every strategy.
-func drawnSettings(rng *rand.Rand) Settings {
+// randomSettings draws settings of every strategy.
+func randomSettings(rng *rand.Rand) Settings {
 	set := DefaultSettings()
 	set.Strategy = Strategy([]string{"threshold", "queue-balance", "predictive", "predictive"}[rng.IntN(4)])
 	set.MaxPerHour = 1 + rng.IntN(30)
@@ -22,16 +22,16 @@
 	return set
 }
 
-// drawnFleet is engines of three racks whose work and changes are drawn.
-type drawnFleet struct {
-	rng     *rand.Rand
-	engines []Engine
-	asked   [2]Traffic // two classes: a sum over more would depend on a map's order
-	ends    map[string]time.Time
+// randomFleet is engines of three racks whose work and changes are drawn.
+type randomFleet struct {
+	rng        *rand.Rand
+	engines    []Engine
+	traffic    [2]Traffic // two classes: a sum over more would depend on a map's order
+	changeEnds map[string]time.Time
 }
 
-func newDrawnFleet(rng *rand.Rand) *drawnFleet {
-	f := &drawnFleet{rng: rng, asked: [2]Traffic{{Class: "chat"}, {Class: "batch"}}, ends: map[string]time.Time{}}
+func newRandomFleet(rng *rand.Rand) *randomFleet {
+	f := &randomFleet{rng: rng, traffic: [2]Traffic{{Class: "chat"}, {Class: "batch"}}, changeEnds: map[string]time.Time{}}
 	for i := range 6 + rng.IntN(12) {
 		e := Engine{ID: fmt.Sprintf("e%02d", i), Rack: rng.IntN(3), Role: Role(rng.IntN(2)), Ready: true, Pinned: rng.IntN(9) == 0}
 		if rng.IntN(12) == 0 {
@@ -42,12 +42,12 @@
 	return f
 }
 
-// second draws what the fleet does in a second: answer is the part of the second stage.
-func (f *drawnFleet) second(now time.Time, answer float64) []Traffic {
+// advanceSecond draws what the fleet does in a advanceSecond: answer is the part of the advanceSecond stage.
+func (f *randomFleet) advanceSecond(now time.Time, decodeFraction float64) []Traffic {
 	for i := range f.engines {
 		e := &f.engines[i]
-		if end, on := f.ends[e.ID]; on && now.After(end) {
-			delete(f.ends, e.ID)
+		if end, on := f.changeEnds[e.ID]; on && now.After(end) {
+			delete(f.changeEnds, e.ID)
 			e.Changing, e.Role, e.Tokens, e.BusySeconds, e.ThroughputFraction = false, e.Role.Opposite(), 0, 0, 0.3
 		}
 		if e.ThroughputFraction > 0 {
@@ -56,22 +56,22 @@
 			}
 		}
 		e.Utilization, e.QueueSeconds, e.MemoryUsed = f.rng.Float64(), f.rng.Float64()*3, f.rng.Float64()
-		if part := [...]float64{1 - answer, answer, 0.5}[e.Role]; part > 0.5 {
+		if stageFraction := [...]float64{1 - decodeFraction, decodeFraction, 0.5}[e.Role]; stageFraction > 0.5 {
 			e.Utilization = min(1, e.Utilization+0.6)
 		}
 		e.BusySeconds += e.Utilization * 4
 		e.Tokens += e.Utilization * 4 * (500 + 1000*f.rng.Float64())
 		e.Ready = f.rng.IntN(40) > 0
 	}
-	for i := range f.asked {
-		t := &f.asked[i]
+	for i := range f.traffic {
+		t := &f.traffic[i]
 		n := float64(f.rng.IntN(30))
 		served := n * (0.6 + 0.4*f.rng.Float64())
 		t.Requested, t.Served = t.Requested+n, t.Served+served
-		t.PromptTokens, t.ServedPromptTokens = t.PromptTokens+n*900*(1-answer), t.ServedPromptTokens+served*900*(1-answer)
-		t.OutputTokens += served * 200 * answer
+		t.PromptTokens, t.ServedPromptTokens = t.PromptTokens+n*900*(1-decodeFraction), t.ServedPromptTokens+served*900*(1-decodeFraction)
+		t.OutputTokens += served * 200 * decodeFraction
 	}
-	return f.asked[:]
+	return f.traffic[:]
 }
 
 func writePlan(w io.Writer, p Plan) {
@@ -97,21 +97,21 @@
 		0xb037c565254469c1, 0x69d38a9fd63cde2b, 0xb3b17dd5867f6acb, 0xf8a058c55b2525fc,
 	} {
 		rng, sum := rand.New(rand.NewPCG(uint64(seed), 45)), fnv.New64a()
-		p, err := NewPlanner(drawnSettings(rng))
+		p, err := NewPlanner(randomSettings(rng))
 		if err != nil {
 			t.Fatal(err)
 		}
-		f := newDrawnFleet(rng)
-		now, answer := t0, 0.5
+		f := newRandomFleet(rng)
+		now, decodeFraction := t0, 0.5
 		for n := range 1200 {
 			now = now.Add(time.Second)
 			if n%(15+seed) == 0 {
-				answer = [...]float64{0.15, 0.85}[n/(15+seed)%2]
+				decodeFraction = [...]float64{0.15, 0.85}[n/(15+seed)%2]
 			}
 			if n%200 == 199 { // an engine goes, for good
 				f.engines = f.engines[:max(4, len(f.engines)-1)]
 			}
-			p.Observe(now, f.engines, f.second(now, answer))
+			p.Observe(now, f.engines, f.advanceSecond(now, decodeFraction))
 			plan := p.Plan(now)
 			writePlan(sum, plan)
 			c := plan.Change
@@ -123,7 +123,7 @@
 			for i := range f.engines {
 				if f.engines[i].ID == c.Engine {
 					f.engines[i].Changing = true
-					f.ends[c.Engine] = now.Add(time.Duration(5+rng.IntN(20)) * time.Second)
+					f.changeEnds[c.Engine] = now.Add(time.Duration(5+rng.IntN(20)) * time.Second)
 				}
 			}
 			if rng.IntN(6) == 0 {
@@ -140,7 +140,7 @@
 }
 
 // What is made of drawn sights, and how engines are split, is what it was.
-func TestGoldenSights(t *testing.T) {
+func TestGoldenPlannedEngines(t *testing.T) {
 	const want = uint64(0x13dd97c8251bb52c)
 	rng, sum := rand.New(rand.NewPCG(1, 45)), fnv.New64a()
 	names := []string{"read", "write", "both", ""}
@@ -152,7 +152,7 @@
 		if rng.IntN(3) == 0 {
 			x.Change = &ActiveChange{RoutingPaused: rng.IntN(2) == 0, Role: names[rng.IntN(4)], RoleAge: time.Duration(rng.IntN(20)-2) * time.Second}
 		}
-		e, known := drawnSettings(rng).PlannedEngine(x)
+		e, known := randomSettings(rng).PlannedEngine(x)
 		fmt.Fprintln(sum, known, e.ID, e.Rack, uint8(e.Role), e.Changing, e.Ready, e.Pinned)
 		fmt.Fprintf(sum, "%.9g %.9g %.9g %.9g %.9g %.9g\n", e.Utilization, e.QueueSeconds, e.ThroughputFraction, e.MemoryUsed, e.Tokens, e.BusySeconds)
 		fmt.Fprintln(sum, fmt.Sprint(OptimalSplit(rng.IntN(20), [2]float64{rng.Float64() * 9, rng.Float64() * 9})))
--- a/decide/roles/observation.go
+++ b/decide/roles/observation.go
@@ -47,7 +47,7 @@
 		e.QueueSeconds = float64(o.Queue) / float64(o.Slots)
 	}
 	if upFor > 0 && upFor < s.WarmUp {
-		e.ThroughputFraction = s.warmthAfter(upFor)
+		e.ThroughputFraction = s.warmUpThroughput(upFor)
 	}
 	return e, true
 }
--- a/decide/roles/plan.go
+++ b/decide/roles/plan.go
@@ -29,10 +29,10 @@
 	reversalHorizons   = 2 // horizons for which the factor holds
 )
 
-// A change may lower service for a while by maxDip, or more as long as it stays above serviceFloor.
+// A change may lower service for a while by maxServiceDrop, or more as long as it stays above acceptableService.
 const (
-	maxDip       = 0.05
-	serviceFloor = 0.97
+	maxServiceDrop    = 0.05
+	acceptableService = 0.97
 )
 
 // Plan decides on the next change. At most one is wanted at a time; the forecast counts changes
@@ -49,7 +49,7 @@
 	if to, plan.Reason = p.bottleneck(plan); plan.Reason != "" {
 		return plan
 	}
-	if p.lastRole != to && now.Sub(p.lastStart) < p.settings.ReversalDelay && !p.lastStart.IsZero() {
+	if p.lastTargetRole != to && now.Sub(p.lastStartAt) < p.settings.ReversalDelay && !p.lastStartAt.IsZero() {
 		plan.Reason = "the latest change went the other way and has yet to settle"
 		return plan
 	}
@@ -86,19 +86,19 @@
 func (p *Planner) rejectionReason(now time.Time, c *Change, plan Plan, after Forecast, horizon time.Duration) string {
 	if p.settings.Strategy == Predictive {
 		gain := after.Mean - plan.WithoutChange.Mean
-		lowGain := p.lowGain(c, plan.Noise, horizon)
-		if gain < p.minGain(now, c.To) || lowGain <= 0 {
-			return fmt.Sprintf("a change would gain %.3f, %.3f at the low end of the demand: not beyond the noise", gain, lowGain)
+		pessimisticGain := p.pessimisticGain(c, plan.Noise, horizon)
+		if gain < p.minGain(now, c.To) || pessimisticGain <= 0 {
+			return fmt.Sprintf("a change would gain %.3f, %.3f at the low end of the demand: not beyond the noise", gain, pessimisticGain)
 		}
 	}
-	if after.Min < plan.WithoutChange.Min-maxDip && after.Min < serviceFloor {
+	if after.Min < plan.WithoutChange.Min-maxServiceDrop && after.Min < acceptableService {
 		return fmt.Sprintf("its loss would push service down to %.2f meanwhile", after.Min)
 	}
 	return ""
 }
 
-// lowGain returns a change's gain if the demand is wrong by its usual error, against the change.
-func (p *Planner) lowGain(c *Change, noise [2]float64, horizon time.Duration) float64 {
+// pessimisticGain returns a change's gain if the demand is wrong by its usual error, against the change.
+func (p *Planner) pessimisticGain(c *Change, noise [2]float64, horizon time.Duration) float64 {
 	low := p.demand
 	low[c.To] = max(0, low[c.To]-noise[c.To])
 	low[c.From] += noise[c.From]
@@ -107,7 +107,7 @@
 
 // minGain returns the gain that a change to a role must have.
 func (p *Planner) minGain(now time.Time, to Role) float64 {
-	if p.lastRole != to && !p.lastStart.IsZero() && now.Sub(p.lastStart) < reversalHorizons*p.settings.Horizon {
+	if p.lastTargetRole != to && !p.lastStartAt.IsZero() && now.Sub(p.lastStartAt) < reversalHorizons*p.settings.Horizon {
 		return p.settings.MinGain * reversalGainFactor
 	}
 	return p.settings.MinGain
@@ -128,7 +128,7 @@
 const (
 	busyThreshold   = 0.85 // load above which a stage is busy
 	idleThreshold   = 0.7  // load up to which the other stage can give an engine
-	queueLead       = 0.5  // in load and seconds of queue, by which one stage must exceed the other
+	minLoadLead     = 0.5  // in load and seconds of queue, by which one stage must exceed the other
 	maxQueueSeconds = 4.0  // of one engine that count
 	minCapacity     = 1e-9 // in place of none, as a divisor
 )
@@ -149,14 +149,14 @@
 		to = Decode
 	}
 	from := to.Opposite()
-	left := plan.Capacity[from] - 1
+	reducedCapacity := plan.Capacity[from] - 1
 	switch p.settings.Strategy {
 	case Threshold:
-		if load[to] < busyThreshold || left <= 0 || plan.Demand[from]/left > idleThreshold {
+		if load[to] < busyThreshold || reducedCapacity <= 0 || plan.Demand[from]/reducedCapacity > idleThreshold {
 			return to, "no stage is busy while the other is not"
 		}
 	case QueueBalance:
-		if queue[to]+load[to]-queue[from]-load[from] < queueLead || left <= 0 {
+		if queue[to]+load[to]-queue[from]-load[from] < minLoadLead || reducedCapacity <= 0 {
 			return to, "the queues are near enough to each other"
 		}
 	default:
--- a/decide/roles/planner.go
+++ b/decide/roles/planner.go
@@ -23,9 +23,9 @@
 	meanError       [2]float64 // of meanDemand, smoothed, with its sign
 	meanSquareError [2]float64
 
-	recentStarts []time.Time // of changes in the last hour
-	lastRole     Role        // to which the latest change was
-	lastStart    time.Time   // of the latest change
+	recentStarts   []time.Time // of changes in the last hour
+	lastTargetRole Role        // to which the latest change was
+	lastStartAt    time.Time   // of the latest change
 }
 
 // NewPlanner returns a planner. An error names the setting that can't be used.
@@ -92,13 +92,13 @@
 	for _, e := range engines {
 		h := p.historyOf(e.ID)
 		ended := h.changing && !e.Changing
-		unseen := !h.observedAt.IsZero() && h.role != e.Role // a change that began and ended between two observations
-		if ended || unseen {
+		missedChange := !h.observedAt.IsZero() && h.role != e.Role // a change that began and ended between two observations
+		if ended || missedChange {
 			h.changedAt = now
 		}
 		h.observedAt, h.changing, h.role = now, e.Changing, e.Role
 		if e.Role != Mixed && (e.Ready || e.Changing) { // one that drains still works
-			busy[e.Role] += p.relativeRate(e, e.Role) * e.currentWarmth() * max(e.Utilization, e.MemoryUsed*memoryWeight)
+			busy[e.Role] += p.relativeRate(e, e.Role) * e.currentThroughput() * max(e.Utilization, e.MemoryUsed*memoryWeight)
 		}
 	}
 	return busy
@@ -132,7 +132,7 @@
 // ChangeStarted records that a change was begun, by this leader or an earlier one.
 func (p *Planner) ChangeStarted(now time.Time, c Change) {
 	p.recentStarts = append(p.recentStarts, now)
-	p.lastRole, p.lastStart = c.To, now
+	p.lastTargetRole, p.lastStartAt = c.To, now
 	p.historyOf(c.Engine).changedAt = now
 }
 
--- a/decide/roles/rates.go
+++ b/decide/roles/rates.go
@@ -16,7 +16,7 @@
 // rate is an engine's rate in one role.
 type rate struct {
 	lastTokens, lastBusySeconds float64 // as of the latest reading
-	perSecond                   float64 // smoothed tokens a slot-second; 0 = unknown
+	tokensPerSlotSecond         float64 // smoothed tokens a slot-second; 0 = unknown
 }
 
 // The parameters of rates.
@@ -43,8 +43,8 @@
 		}
 		own := &r.byEngine[e.ID][e.Role]
 		own.observe(e)
-		if own.perSecond > 0 {
-			known[e.Role] = append(known[e.Role], own.perSecond)
+		if own.tokensPerSlotSecond > 0 {
+			known[e.Role] = append(known[e.Role], own.tokensPerSlotSecond)
 		}
 	}
 	for s, list := range known {
@@ -60,12 +60,12 @@
 func (r *rate) observe(e Engine) {
 	tokens, busy := e.Tokens-r.lastTokens, e.BusySeconds-r.lastBusySeconds
 	restarted := tokens < 0 || busy < 0 // the engine, or its role
-	cold := e.currentWarmth() < 1
-	read := !restarted && busy >= minBusySeconds && !e.Changing && e.currentWarmth() == 1
-	if read {
-		updateEWMA(&r.perSecond, tokens/busy, rateEWMAWeight, r.perSecond > 0)
+	cold := e.currentThroughput() < 1
+	usable := !restarted && busy >= minBusySeconds && !e.Changing && e.currentThroughput() == 1
+	if usable {
+		updateEWMA(&r.tokensPerSlotSecond, tokens/busy, rateEWMAWeight, r.tokensPerSlotSecond > 0)
 	}
-	if restarted || read || cold {
+	if restarted || usable || cold {
 		r.lastTokens, r.lastBusySeconds = e.Tokens, e.BusySeconds
 	}
 }
@@ -77,8 +77,8 @@
 		return 1
 	}
 	for _, s := range []Role{role, role.Opposite()} {
-		if own[s].perSecond > 0 && r.median[s] > 0 {
-			return min(max(own[s].perSecond/r.median[s], 1/maxRelativeRate), maxRelativeRate)
+		if own[s].tokensPerSlotSecond > 0 && r.median[s] > 0 {
+			return min(max(own[s].tokensPerSlotSecond/r.median[s], 1/maxRelativeRate), maxRelativeRate)
 		}
 	}
 	return 1
--- a/decide/roles/roles.go
+++ b/decide/roles/roles.go
@@ -47,8 +47,8 @@
 	Pinned             bool    // an operator has it keep its role
 }
 
-// currentWarmth returns the share of its warm rate that an engine has now.
-func (e Engine) currentWarmth() float64 {
+// currentThroughput returns the share of its warm rate that an engine has now.
+func (e Engine) currentThroughput() float64 {
 	if e.ThroughputFraction > 0 {
 		return e.ThroughputFraction
 	}
--- a/decide/roles/roles_test.go
+++ b/decide/roles/roles_test.go
@@ -27,7 +27,7 @@
 	return list
 }
 
-func load(list []Engine, role Role, util, queue float64) {
+func setLoad(list []Engine, role Role, util, queue float64) {
 	for i := range list {
 		if list[i].Role == role {
 			list[i].Utilization, list[i].QueueSeconds = util, queue
@@ -35,7 +35,7 @@
 	}
 }
 
-func planner(t testing.TB, change func(*Settings)) *Planner {
+func newTestPlanner(t testing.TB, change func(*Settings)) *Planner {
 	t.Helper()
 	set := DefaultSettings()
 	if change != nil {
@@ -48,13 +48,13 @@
 	return p
 }
 
-// total is what has been asked and served of one class.
-type total struct{ Traffic }
+// trafficTotals is what has been asked and served of one class.
+type trafficTotals struct{ Traffic }
 
-// second adds what is asked and served in a second, of which a share is refused, while
+// addSecond adds what is asked and served in a addSecond, of which a share is refused, while
 // engines are as busy as they are.
-func (all *total) second(list []Engine, refused float64) []Traffic {
-	t := Traffic{Requested: 10, Served: 10 * (1 - refused)}
+func (all *trafficTotals) addSecond(list []Engine, rejected float64) []Traffic {
+	t := Traffic{Requested: 10, Served: 10 * (1 - rejected)}
 	for _, e := range list {
 		switch busy := 1000 * max(e.Utilization, e.MemoryUsed*memoryWeight); e.Role {
 		case Prefill:
@@ -63,55 +63,55 @@
 			t.OutputTokens += busy
 		}
 	}
-	t.PromptTokens = t.ServedPromptTokens / (1 - refused)
+	t.PromptTokens = t.ServedPromptTokens / (1 - rejected)
 	all.add(t)
 	return []Traffic{all.Traffic}
 }
 
-func (all *total) add(t Traffic) {
+func (all *trafficTotals) add(t Traffic) {
 	all.Class = "c"
 	all.Requested, all.PromptTokens, all.Served = all.Requested+t.Requested, all.PromptTokens+t.PromptTokens, all.Served+t.Served
 	all.ServedPromptTokens, all.OutputTokens = all.ServedPromptTokens+t.ServedPromptTokens, all.OutputTokens+t.OutputTokens
 }
 
-// watch has a planner see a fleet for a while and returns its plan.
-func watch(p *Planner, list []Engine, refused float64, span time.Duration) (Plan, time.Time) {
-	now, all := t0, &total{}
+// observeAndPlan has a planner see a fleet for a while and returns its plan.
+func observeAndPlan(p *Planner, list []Engine, rejected float64, span time.Duration) (Plan, time.Time) {
+	now, all := t0, &trafficTotals{}
 	for ; now.Sub(t0) < span; now = now.Add(time.Second) {
-		p.Observe(now, list, all.second(list, refused))
+		p.Observe(now, list, all.addSecond(list, rejected))
 	}
 	return p.Plan(now), now
 }
 
 func TestPlans(t *testing.T) {
-	busyPrefill := func(list []Engine) { load(list, Prefill, 1, 0); load(list, Decode, 0.3, 0) }
+	busyPrefill := func(list []Engine) { setLoad(list, Prefill, 1, 0); setLoad(list, Decode, 0.3, 0) }
 	for name, c := range map[string]struct {
 		prefill, decode int
-		refused         float64
+		rejected        float64
 		set             func(*Settings)
 		change          func([]Engine)
 		want            string // the engine's role to be, and part of the reason
 	}{
-		"all is well":                  {4, 6, 0, nil, func(l []Engine) { load(l, Prefill, 0.6, 0); load(l, Decode, 0.7, 0) }, "can be served as it is"},
+		"all is well":                  {4, 6, 0, nil, func(l []Engine) { setLoad(l, Prefill, 0.6, 0); setLoad(l, Decode, 0.7, 0) }, "can be served as it is"},
 		"prompts are rejected":         {3, 7, 0.3, nil, busyPrefill, "read: read work needs"},
-		"outputs are rejected":         {6, 4, 0.3, nil, func(l []Engine) { load(l, Prefill, 0.3, 0); load(l, Decode, 1, 0) }, "write: write work needs"},
-		"both are short of engines":    {5, 5, 0.4, nil, func(l []Engine) { load(l, Prefill, 1, 0); load(l, Decode, 1, 0) }, "not beyond the noise"},
-		"the last of a role stays":     {9, 1, 0.4, nil, func(l []Engine) { load(l, Prefill, 1, 0); load(l, Decode, 0.1, 0) }, "the last engine of write work stays"},
-		"the last of each rack stays":  {8, 2, 0.4, nil, func(l []Engine) { load(l, Prefill, 1, 0); load(l, Decode, 0.1, 0) }, "the last of their rack stays"},
+		"outputs are rejected":         {6, 4, 0.3, nil, func(l []Engine) { setLoad(l, Prefill, 0.3, 0); setLoad(l, Decode, 1, 0) }, "write: write work needs"},
+		"both are short of engines":    {5, 5, 0.4, nil, func(l []Engine) { setLoad(l, Prefill, 1, 0); setLoad(l, Decode, 1, 0) }, "not beyond the noise"},
+		"the last of a role stays":     {9, 1, 0.4, nil, func(l []Engine) { setLoad(l, Prefill, 1, 0); setLoad(l, Decode, 0.1, 0) }, "the last engine of write work stays"},
+		"the last of each rack stays":  {8, 2, 0.4, nil, func(l []Engine) { setLoad(l, Prefill, 1, 0); setLoad(l, Decode, 0.1, 0) }, "the last of their rack stays"},
 		"a pin keeps":                  {3, 7, 0.3, nil, func(l []Engine) { busyPrefill(l); pin(l, Decode) }, "pinned"},
 		"enough of the fleet changes":  {3, 7, 0.3, nil, func(l []Engine) { busyPrefill(l); l[8].Changing, l[9].Changing = true, true }, "of the fleet are in change"},
 		"enough of the rack changes":   {3, 7, 0.4, func(s *Settings) { s.MaxFleetFraction, s.MaxRackFraction = 1, 0.01 }, func(l []Engine) { busyPrefill(l); l[8].Changing, l[9].Changing = true, true }, "of their rack is in change"},
 		"those that changed lately":    {3, 7, 0.3, nil, busyPrefill, "too lately"},
 		"those that refused":           {3, 7, 0.3, nil, busyPrefill, "refused or failed"},
 		"mixed engines never change":   {0, 0, 0.3, nil, nil, "no engine is seen"},
-		"a loss that would hurt more":  {3, 4, 0.2, nil, func(l []Engine) { load(l, Prefill, 1, 0); load(l, Decode, 0.85, 0) }, "not beyond the noise"},
+		"a loss that would hurt more":  {3, 4, 0.2, nil, func(l []Engine) { setLoad(l, Prefill, 1, 0); setLoad(l, Decode, 0.85, 0) }, "not beyond the noise"},
 		"threshold, one stage is busy": {3, 7, 0, func(s *Settings) { s.Strategy = Threshold }, busyPrefill, "read: read work needs"},
-		"threshold, neither is":        {3, 7, 0, func(s *Settings) { s.Strategy = Threshold }, func(l []Engine) { load(l, Prefill, 0.8, 0); load(l, Decode, 0.1, 0) }, "no stage is busy"},
-		"queue balance":                {3, 7, 0, func(s *Settings) { s.Strategy = QueueBalance }, func(l []Engine) { busyPrefill(l); load(l, Prefill, 1, 3) }, "read: read work needs"},
-		"queues that are near":         {3, 7, 0, func(s *Settings) { s.Strategy = QueueBalance }, func(l []Engine) { load(l, Prefill, 0.5, 0); load(l, Decode, 0.5, 0) }, "near enough"},
+		"threshold, neither is":        {3, 7, 0, func(s *Settings) { s.Strategy = Threshold }, func(l []Engine) { setLoad(l, Prefill, 0.8, 0); setLoad(l, Decode, 0.1, 0) }, "no stage is busy"},
+		"queue balance":                {3, 7, 0, func(s *Settings) { s.Strategy = QueueBalance }, func(l []Engine) { busyPrefill(l); setLoad(l, Prefill, 1, 3) }, "read: read work needs"},
+		"queues that are near":         {3, 7, 0, func(s *Settings) { s.Strategy = QueueBalance }, func(l []Engine) { setLoad(l, Prefill, 0.5, 0); setLoad(l, Decode, 0.5, 0) }, "near enough"},
 		"a memory that is full counts": {6, 4, 0.2, nil, func(l []Engine) {
-			load(l, Prefill, 0.3, 0)
-			each(l, func(e *Engine) {
+			setLoad(l, Prefill, 0.3, 0)
+			updateAll(l, func(e *Engine) {
 				if e.Role == Decode {
 					e.Utilization, e.MemoryUsed = 0.5, 1
 				}
@@ -123,7 +123,7 @@
 			if c.change != nil {
 				c.change(list)
 			}
-			p := planner(t, c.set)
+			p := newTestPlanner(t, c.set)
 			for _, e := range list {
 				switch {
 				case strings.Contains(name, "changed lately"):
@@ -132,7 +132,7 @@
 					p.ChangeEnded(t0.Add(-time.Minute), e.ID, false)
 				}
 			}
-			plan, _ := watch(p, list, c.refused, 40*time.Second)
+			plan, _ := observeAndPlan(p, list, c.rejected, 40*time.Second)
 			got := plan.Reason
 			if plan.Change != nil {
 				got = plan.Change.To.String() + ": " + got
@@ -146,26 +146,26 @@
 
 // A swing is known from what is asked within a few seconds, though the engines of the
 // stage that rises can do no more and those behind it are let do less.
-func TestDemandCountsRequested(t *testing.T) {
+func TestDemandIncludesRejectedRequests(t *testing.T) {
 	d := demandEstimator{timeConstant: 8 * time.Second}
-	var lookup, order total
-	ask := func(lookups, orders, readBusy, writeBusy, served float64) [2]float64 {
-		lookup.add(Traffic{"", lookups, lookups * 200, lookups * served, lookups * served * 200, lookups * served * 100})
-		order.add(Traffic{"", orders, orders * 1000, orders * served, orders * served * 1000, orders * served * 20})
-		order.Class = "order"
-		got, _ := d.observe(time.Second, []Traffic{lookup.Traffic, order.Traffic}, [2]float64{readBusy, writeBusy})
+	var lookupTotals, orderTotals trafficTotals
+	observe := func(lookups, orders, readBusy, writeBusy, served float64) [2]float64 {
+		lookupTotals.add(Traffic{"", lookups, lookups * 200, lookups * served, lookups * served * 200, lookups * served * 100})
+		orderTotals.add(Traffic{"", orders, orders * 1000, orders * served, orders * served * 1000, orders * served * 20})
+		orderTotals.Class = "order"
+		got, _ := d.observe(time.Second, []Traffic{lookupTotals.Traffic, orderTotals.Traffic}, [2]float64{readBusy, writeBusy})
 		return got
 	}
 	// 1,000 prompt tokens a second, or 100 of an answer, are an engine's work.
 	var got [2]float64
 	for range 60 {
-		got = ask(8, 2, 3.6, 8.4, 1)
+		got = observe(8, 2, 3.6, 8.4, 1)
 	}
 	if math.Abs(got[Prefill]-3.6) > 0.1 || math.Abs(got[Decode]-8.4) > 0.1 {
 		t.Errorf("at rest: %v", got)
 	}
 	for range 20 { // half is turned away: 8,400 prompt tokens are asked for, 4,200 are read
-		got = ask(2, 8, 4.2, 1.8, 0.5)
+		got = observe(2, 8, 4.2, 1.8, 0.5)
 	}
 	if math.Abs(got[Prefill]-8.4) > 0.9 || math.Abs(got[Decode]-3.6) > 0.9 {
 		t.Errorf("20 s after a swing: %v", got)
@@ -179,8 +179,8 @@
 // longer than usual, or has not turned often enough, is expected to stay.
 func TestPhases(t *testing.T) {
 	var p mixPhases
-	now, most := t0, 90*time.Second
-	lean := func(decode float64, seconds int) {
+	now, limit := t0, 90*time.Second
+	observeMix := func(decode float64, seconds int) {
 		for range seconds {
 			now = now.Add(time.Second)
 			p.observe(now, [2]float64{10 - decode, decode})
@@ -188,19 +188,19 @@
 	}
 	check := func(what string, low, high time.Duration) {
 		t.Helper()
-		if got := p.remaining(now, most); got < low || got > high {
+		if got := p.remaining(now, limit); got < low || got > high {
 			t.Errorf("%s: %v, want %v to %v", what, got, low, high)
 		}
 	}
-	lean(5, 10)
-	check("nothing is known", most, most)
+	observeMix(5, 10)
+	check("nothing is known", limit, limit)
 	for i := range 6 {
-		lean([]float64{3, 7}[i%2], 12)
+		observeMix([]float64{3, 7}[i%2], 12)
 	}
-	lean(3, 4)
+	observeMix(3, 4)
 	check("after 4 s of 12", 7*time.Second, 9*time.Second)
-	lean(3, 20)
-	check("it has stayed", most, most)
+	observeMix(3, 20)
+	check("it has stayed", limit, limit)
 	p.observe(now, [2]float64{})
 }
 
@@ -239,12 +239,12 @@
 
 // A mixed engine keeps its place whatever is asked for; beside the only one of a rack the
 // last of a role may not go either.
-func TestLastMixedEngineOfRack(t *testing.T) {
+func TestMixedEngineDoesNotReplaceLastOfRole(t *testing.T) {
 	list := fleet(2, 2) // one of each in both racks
 	list = append(list, Engine{ID: "m", Rack: 0, Role: Mixed, Ready: true, Utilization: 1})
-	load(list, Prefill, 1, 0)
-	load(list, Decode, 0.1, 0)
-	plan, _ := watch(planner(t, nil), list, 0.4, 40*time.Second)
+	setLoad(list, Prefill, 1, 0)
+	setLoad(list, Decode, 0.1, 0)
+	plan, _ := observeAndPlan(newTestPlanner(t, nil), list, 0.4, 40*time.Second)
 	if plan.Change != nil || !strings.Contains(plan.Reason, "the last of their rack stays") {
 		t.Errorf("%+v", plan)
 	}
@@ -253,53 +253,53 @@
 // A burst of one kind comes just as half a rack drains away from it: what is under way
 // is not counted as lost, and no further engine goes.
 func TestBurstDuringRackDrain(t *testing.T) {
-	p := planner(t, func(s *Settings) { s.MaxFleetFraction = 0.5 })
+	p := newTestPlanner(t, func(s *Settings) { s.MaxFleetFraction = 0.5 })
 	list := fleet(4, 6)
-	load(list, Prefill, 1, 0)
-	load(list, Decode, 0.4, 0)
-	now, all := t0, &total{}
-	see := func(seconds int, refused float64) Plan {
+	setLoad(list, Prefill, 1, 0)
+	setLoad(list, Decode, 0.4, 0)
+	now, all := t0, &trafficTotals{}
+	observeAndPlan := func(seconds int, refused float64) Plan {
 		for range seconds {
 			now = now.Add(time.Second)
-			p.Observe(now, list, all.second(list, refused))
+			p.Observe(now, list, all.addSecond(list, refused))
 		}
 		return p.Plan(now)
 	}
-	if plan := see(40, 0.2); plan.Change == nil || plan.Change.To != Prefill {
+	if plan := observeAndPlan(40, 0.2); plan.Change == nil || plan.Change.To != Prefill {
 		t.Fatalf("%+v", plan)
 	}
 	for _, i := range []int{4, 6} { // two of the three decode engines of rack 0
 		list[i].Changing = true
 		p.ChangeStarted(now, Change{Engine: list[i].ID, From: Decode, To: Prefill})
 	}
-	load(list, Prefill, 0.3, 0)
-	load(list, Decode, 1, 3)
-	if plan := see(20, 0.4); plan.Change != nil && plan.Change.To == Prefill {
+	setLoad(list, Prefill, 0.3, 0)
+	setLoad(list, Decode, 1, 3)
+	if plan := observeAndPlan(20, 0.4); plan.Change != nil && plan.Change.To == Prefill {
 		t.Errorf("one more is taken from the kind that is asked for: %+v", plan)
 	}
 }
 
 // What is made of an engine whose roster, own word and record of a change disagree.
-func TestAssess(t *testing.T) {
+func TestPlannedEngine(t *testing.T) {
 	set := DefaultSettings()
-	sight := func(change func(*Observation)) Observation {
+	newObservation := func(change func(*Observation)) Observation {
 		x := Observation{ID: "e", InService: true, Role: "read", Slots: 4, Running: 3, Queue: 1}
 		change(&x)
 		return x
 	}
 	for name, c := range map[string]struct {
-		sight Observation
-		want  Engine
-		known bool
+		observation Observation
+		want        Engine
+		known       bool
 	}{
-		"in service":                         {sight(func(*Observation) {}), Engine{ID: "e", Ready: true, Utilization: 0.5, QueueSeconds: 0.25}, true},
-		"cold":                               {sight(func(x *Observation) { x.Uptime = 7 * time.Second }), Engine{ID: "e", Ready: true, Utilization: 0.5, QueueSeconds: 0.25, ThroughputFraction: 0.66}, true},
-		"it drains":                          {sight(func(x *Observation) { x.InService, x.Change = false, &ActiveChange{RoutingPaused: true, Role: "read"} }), Engine{ID: "e", Changing: true, Utilization: 0.5, QueueSeconds: 0.25}, true},
-		"has flipped, the record has not":    {sight(func(x *Observation) { x.Role, x.Change = "write", &ActiveChange{RoutingPaused: true, Role: "read"} }), Engine{ID: "e", Ready: true, Changing: true, Utilization: 0.5, QueueSeconds: 0.25}, true},
-		"the record has, the roster has not": {sight(func(x *Observation) { x.InService, x.Change = false, &ActiveChange{Role: "write"} }), Engine{ID: "e", Role: Decode, Ready: true, Utilization: 0.5, QueueSeconds: 0.25, ThroughputFraction: 0.32}, true},
-		"another role":                       {sight(func(x *Observation) { x.Role = "both" }), Engine{}, false},
+		"in service":                         {newObservation(func(*Observation) {}), Engine{ID: "e", Ready: true, Utilization: 0.5, QueueSeconds: 0.25}, true},
+		"cold":                               {newObservation(func(x *Observation) { x.Uptime = 7 * time.Second }), Engine{ID: "e", Ready: true, Utilization: 0.5, QueueSeconds: 0.25, ThroughputFraction: 0.66}, true},
+		"it drains":                          {newObservation(func(x *Observation) { x.InService, x.Change = false, &ActiveChange{RoutingPaused: true, Role: "read"} }), Engine{ID: "e", Changing: true, Utilization: 0.5, QueueSeconds: 0.25}, true},
+		"has flipped, the record has not":    {newObservation(func(x *Observation) { x.Role, x.Change = "write", &ActiveChange{RoutingPaused: true, Role: "read"} }), Engine{ID: "e", Ready: true, Changing: true, Utilization: 0.5, QueueSeconds: 0.25}, true},
+		"the record has, the roster has not": {newObservation(func(x *Observation) { x.InService, x.Change = false, &ActiveChange{Role: "write"} }), Engine{ID: "e", Role: Decode, Ready: true, Utilization: 0.5, QueueSeconds: 0.25, ThroughputFraction: 0.32}, true},
+		"another role":                       {newObservation(func(x *Observation) { x.Role = "both" }), Engine{}, false},
 	} {
-		got, known := set.PlannedEngine(c.sight)
+		got, known := set.PlannedEngine(c.observation)
 		if got.ThroughputFraction = math.Round(got.ThroughputFraction*100) / 100; got != c.want || known != c.known {
 			t.Errorf("%s: %+v, %v, want %+v", name, got, known, c.want)
 		}
@@ -307,16 +307,16 @@
 }
 
 func pin(list []Engine, r Role) {
-	each(list, func(e *Engine) { e.Pinned = e.Pinned || e.Role == r })
+	updateAll(list, func(e *Engine) { e.Pinned = e.Pinned || e.Role == r })
 }
 
-func each(list []Engine, do func(*Engine)) {
+func updateAll(list []Engine, do func(*Engine)) {
 	for i := range list {
 		do(&list[i])
 	}
 }
 
-func TestSettingsAreNamed(t *testing.T) {
+func TestValidateNamesField(t *testing.T) {
 	for field, change := range map[string]func(*Settings){
 		"strategy":        func(s *Settings) { s.Strategy = "guess" },
 		"rack_part":       func(s *Settings) { s.MaxRackFraction = 0 },
@@ -326,8 +326,8 @@
 	} {
 		set := DefaultSettings()
 		change(&set)
-		var wrong setting.Error
-		if _, err := NewPlanner(set); !errors.As(err, &wrong) || !strings.Contains(wrong.Field, field) {
+		var fieldError setting.Error
+		if _, err := NewPlanner(set); !errors.As(err, &fieldError) || !strings.Contains(fieldError.Field, field) {
 			t.Errorf("%s: %v", field, err)
 		}
 	}
@@ -335,7 +335,7 @@
 
 // Whatever is seen, a plan never takes the last engine of a role, one that is pinned,
 // mixed, in change or has changed lately, nor more than may change at once or in an hour.
-func TestGuardsHold(t *testing.T) {
+func TestPlansRespectLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := DefaultSettings()
 		set.Strategy = rapid.SampledFrom([]Strategy{Threshold, QueueBalance, Predictive}).Draw(t, "strategy")
@@ -352,18 +352,18 @@
 			}
 		}
 		var begun []time.Time
-		since := map[string]time.Time{}
-		now, all := t0, &total{}
+		changedAt := map[string]time.Time{}
+		now, all := t0, &trafficTotals{}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(1, 60).Draw(t, "s")) * time.Second)
 			for i := range list {
 				list[i].Utilization = rapid.Float64Range(0, 1).Draw(t, "util")
 				list[i].QueueSeconds = rapid.Float64Range(0, 3).Draw(t, "queue")
 				if list[i].Changing && rapid.Bool().Draw(t, "ends") {
-					list[i].Changing, list[i].Role, since[list[i].ID] = false, list[i].Role.Opposite(), now
+					list[i].Changing, list[i].Role, changedAt[list[i].ID] = false, list[i].Role.Opposite(), now
 				}
 			}
-			p.Observe(now, list, all.second(list, rapid.Float64Range(0, 0.9).Draw(t, "refused")))
+			p.Observe(now, list, all.addSecond(list, rapid.Float64Range(0, 0.9).Draw(t, "refused")))
 			plan := p.Plan(now)
 			if plan.Change == nil {
 				if plan.Reason == "" {
@@ -371,13 +371,13 @@
 				}
 				continue
 			}
-			left, changing, movable := 0, 0, 0
+			sameRole, changing, changeable := 0, 0, 0
 			for _, e := range list {
 				if e.Role == plan.Change.From && !e.Changing {
-					left++
+					sameRole++
 				}
 				if e.Role != Mixed {
-					movable++
+					changeable++
 				}
 				if e.Changing {
 					changing++
@@ -388,13 +388,13 @@
 				if e.ID != plan.Change.Engine {
 					continue
 				}
-				if e.Pinned || e.Changing || e.Role != plan.Change.From || left < 2 || !since[e.ID].IsZero() && now.Sub(since[e.ID]) < set.MinDwell {
-					t.Fatalf("%+v was chosen, %d of its role", *e, left)
+				if e.Pinned || e.Changing || e.Role != plan.Change.From || sameRole < 2 || !changedAt[e.ID].IsZero() && now.Sub(changedAt[e.ID]) < set.MinDwell {
+					t.Fatalf("%+v was chosen, %d of its role", *e, sameRole)
 				}
-				e.Changing, since[e.ID] = true, now
+				e.Changing, changedAt[e.ID] = true, now
 			}
-			if changing+1 > max(1, int(set.MaxFleetFraction*float64(movable))) {
-				t.Fatalf("%d in change of %d", changing+1, movable)
+			if changing+1 > max(1, int(set.MaxFleetFraction*float64(changeable))) {
+				t.Fatalf("%d in change of %d", changing+1, changeable)
 			}
 			begun = append(begun, now)
 			p.ChangeStarted(now, *plan.Change)
--- a/decide/roles/settings.go
+++ b/decide/roles/settings.go
@@ -61,8 +61,8 @@
 	return nil
 }
 
-// warmthAfter returns the share of its warm rate that an engine has a time after it took its
+// warmUpThroughput returns the share of its warm rate that an engine has a time after it took its
 // role, if that is within WarmUp.
-func (s Settings) warmthAfter(t time.Duration) float64 {
+func (s Settings) warmUpThroughput(t time.Duration) float64 {
 	return s.ColdThroughput + (1-s.ColdThroughput)*float64(t)/float64(s.WarmUp)
 }
