--- a/internal/core/fake_test.go
+++ b/internal/core/fake_test.go
@@ -73,7 +73,7 @@
 	f.attempts = append(f.attempts, a.Endpoint.Name)
 	f.mu.Unlock()
 	h := fakeHandle{written: &atomic.Bool{}, firstByte: &atomic.Pointer[FirstByte]{}}
-	connection := heldstate.Connection(f.connections.Add(1))
+	connection := heldstate.ConnectionNumber(f.connections.Add(1))
 	h.cancel = sync.OnceFunc(func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
@@ -186,7 +186,7 @@
 			{Name: "free", FirstTokenObjective: 10 * time.Second, PriorityWeight: 1},
 			{Name: "once", FirstTokenObjective: 10 * time.Second, PriorityWeight: 1, Effect: routing.EffectAtMostOnce},
 		},
-		Kinds:           []routing.Kind{{Name: "r", Role: routing.RolePrefill, Memory: 2e5}, {Name: "w", Role: routing.RoleDecode, Memory: 2e5}},
+		Kinds:           []routing.EngineKind{{Name: "r", Role: routing.RolePrefill, Memory: 2e5}, {Name: "w", Role: routing.RoleDecode, Memory: 2e5}},
 		SlowStartPeriod: time.Second, SlowStartCapacity: 0.3, OverloadWindow: time.Second, OverloadMultiple: 3, HeldStateLimit: 500 * time.Millisecond,
 	}
 }
--- a/routing/decodeplacement_test.go
+++ b/routing/decodeplacement_test.go
@@ -11,7 +11,7 @@
 		testEngine("far", "w", 2), testEngine("b", "r", 2))
 	r.engines.byName["b"].backoffs.until["\x00c"] = time.Minute // the plan is even; only a reads
 	used := 0.5
-	r.engines.byName["near"].report.take(&LoadReport{MemoryUsed: &used}, r.now)
+	r.engines.byName["near"].report.update(&LoadReport{MemoryUsed: &used}, r.now)
 	sentTo(t, r.Handle(ms, testRequest(1, 500)))
 	if to := sentTo(t, r.Handle(20*ms, prefilledAt(1, 0, "a", 0))); to != "near2" {
 		t.Fatalf("went to %s, want the one with most free memory in the cell", to)
@@ -33,7 +33,7 @@
 	}
 	engines = append(engines, testEngine("wa0", "w", 1), testEngine("wa1", "w", 1), testEngine("rb0", "r", 2), testEngine("rb1", "r", 2))
 	answers := map[string]int{}
-	for i, r := range fleet(t, 800, testSettings(), engines...) {
+	for i, r := range newTestRouters(t, 800, testSettings(), engines...) {
 		to := sentTo(t, r.Handle(ms, testRequest(RequestID(i), 1000)))
 		answers[sentTo(t, r.Handle(20*ms, prefilledAt(RequestID(i), 0, to, 0)))]++
 	}
