--- a/decide/rolechange/golden_test.go
+++ b/decide/rolechange/golden_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// randomInputs draws what a leader knows, and drawnRecord a record that it may find: the texts
-// are those that stand in stored records.
+// randomInputs returns random inputs of a leader, and randomRecord a random record; both use the
+// strings of stored records.
 func randomInputs(rng *rand.Rand) Inputs {
 	f := Inputs{
 		Now: t0.Add(time.Duration(rng.IntN(60_000)) * time.Millisecond), Leader: "g1", FencingToken: uint64(4 + rng.IntN(8)/7*rng.IntN(3)),
@@ -39,15 +39,15 @@
 	}
 }
 
-// What is decided on drawn records and facts is what it was when the sums were taken. What is
-// hashed has no name of a Go type or field, so that the sums outlive renames.
+// TestGoldenActions compares the actions for random records and inputs with recorded hashes. No
+// name of a Go type or field is hashed, so that the hashes remain valid after renames.
 func TestGoldenActions(t *testing.T) {
 	for seed, want := range [...]uint64{0x334b5fb29fe49ccb, 0x10a293b5bc81cfa5, 0x20b1cb36260fa660, 0xb33df1df1b2c7731} {
 		rng, sum := rand.New(rand.NewPCG(uint64(seed), 45)), fnv.New64a()
 		limits := DefaultTimeouts()
 		for range 20_000 {
 			r, f := randomRecord(rng), randomInputs(rng)
-			for range 1 + rng.IntN(4) { // a few steps of one change
+			for range 1 + rng.IntN(4) { // consecutive decisions of one change
 				a := Next(r, f, limits)
 				x := a.Record
 				hold, role, cold := x.Routing()
@@ -58,8 +58,8 @@
 			l := NewLease(rng.Uint64(), time.Duration(rng.IntN(9000))*time.Millisecond, t0)
 			l.Renewed(t0.Add(time.Duration(rng.IntN(4000)-2000) * time.Millisecond))
 			sessions := []string{"", "s1", "s2"}
-			bid := DecideLock(sessions[rng.IntN(3)], sessions[rng.IntN(3)], []string{"", "g1"}[rng.IntN(2)])
-			fmt.Fprintln(sum, l.FencingToken, l.Valid(t0.Add(time.Duration(rng.IntN(6000))*time.Millisecond)), uint8(bid))
+			action := DecideLock(sessions[rng.IntN(3)], sessions[rng.IntN(3)], []string{"", "g1"}[rng.IntN(2)])
+			fmt.Fprintln(sum, l.FencingToken, l.Valid(t0.Add(time.Duration(rng.IntN(6000))*time.Millisecond)), uint8(action))
 		}
 		if got := sum.Sum64(); got != want {
 			t.Errorf("seed %d: %#x, want %#x", seed, got, want)
@@ -67,7 +67,7 @@
 	}
 }
 
-// The limits that an operator who gives none gets, in the order of the settings.
+// TestGoldenDefaults checks the timeouts for an operator who sets none, in the order of the settings.
 func TestGoldenDefaults(t *testing.T) {
 	l := DefaultTimeouts()
 	got := [...]time.Duration{l.Confirmation, l.Draining, l.Flipping, l.WarmUp, l.EngineUnresponsive, l.RollingBack}
--- a/decide/rolechange/record.go
+++ b/decide/rolechange/record.go
@@ -2,21 +2,22 @@
 
 import "time"
 
-// Step is how far a change has come. The values are stored in records.
+// Step is the current step of a role change. The values are stored in records.
 type Step string
 
 // The steps. Gateways route no new requests to the engine from Announced to Flipping, and in
-// RollingBack; from Warming on they take it as an engine of its new role, cold since FlippedAt.
+// RollingBack. In Warming and Settled they route to it in its new role, with a cache that has been
+// cold since FlippedAt.
 const (
-	Announced   Step = "announced" // until the gateways have confirmed it
+	Announced   Step = "announced" // waits until the gateways have confirmed the record
 	Draining    Step = "draining"  // the engine completes its requests of the old role
-	Flipping    Step = "flipping"  // the engine is told to take its new role
+	Flipping    Step = "flipping"  // the engine receives the command to switch to its new role
 	Warming     Step = "warming"   // the engine has its new role, and a cold cache
-	Settled     Step = "settled"   // in service; the record stands until the catalogue says the same
-	RollingBack Step = "undoing"   // the engine is to keep its old role
+	Settled     Step = "settled"   // in service; the record remains until the catalogue lists the new role
+	RollingBack Step = "undoing"   // the engine receives the command to cancel its drain and keep its old role
 )
 
-// Record is a change as it is stored, in JSON.
+// Record is a role change as it is stored, in JSON.
 type Record struct {
 	Engine        string    `json:"engine"`
 	Addr          string    `json:"addr"`
@@ -28,12 +29,12 @@
 	Leader        string    `json:"owner"`
 	StartedAt     time.Time `json:"begun"`
 	StepStartedAt time.Time `json:"since"`
-	FlippedAt     time.Time `json:"flipped,omitempty"` // when the engine was seen in its new role
+	FlippedAt     time.Time `json:"flipped,omitempty"` // when the engine first reported its new role
 	Reason        string    `json:"why"`
 }
 
-// Routing returns how gateways route to the engine while the record stands: whether they
-// hold new requests back, its role, and since when it has been cold in it.
+// Routing returns how gateways route to the engine while the record exists: whether they route no
+// new requests to it, its role, and since when its cache has been cold in that role.
 func (r Record) Routing() (paused bool, role string, coldSince time.Time) {
 	switch r.Step {
 	case Warming, Settled:
--- a/decide/rolechange/rolechange.go
+++ b/decide/rolechange/rolechange.go
@@ -1,17 +1,17 @@
-// Package rolechange decides on the next step of an engine's change of role. A change is a
-// stored record that outlives its leader; Next says what the present leader is to do with it.
+// Package rolechange decides the next step of an engine's role change. A change is a stored record
+// that outlives the leader that started it; Next returns the action of the present leader.
 // The package does no I/O and reads no clock.
 package rolechange
 
 import "time"
 
-// Report is what an engine reports of itself.
+// Report is the state that an engine reports.
 type Report struct {
 	Role         string    `json:"role"`
 	Draining     bool      `json:"draining"`
 	Running      int       `json:"running"` // requests, queued ones included
 	HeldStates   int       `json:"held"`    // prefill states that no decode engine has fetched yet
-	FencingToken uint64    `json:"fence"`   // the highest that it has been given
+	FencingToken uint64    `json:"fence"`   // the highest that it has received
 	StartedAt    time.Time `json:"started"`
 }
 
@@ -20,37 +20,37 @@
 
 // The replies.
 const (
-	NoReply Reply = iota // no command was sent, or no answer came
+	NoReply Reply = iota // no command was sent, or no answer was received
 	Accepted
-	Fenced  // it has been given a higher fencing token
+	Fenced  // it has received a higher fencing token
 	Refused // for another reason
 )
 
-// Inputs are what the leader knows as it decides.
+// Inputs are the observations on which Next decides.
 type Inputs struct {
 	Now             time.Time
 	Leader          string
 	FencingToken    uint64
 	Gateways        int           // in the tier
-	Confirmed       int           // gateways that route by the record
+	Confirmed       int           // gateways that apply the record to their routing
 	Report          *Report       // nil if the engine did not answer
 	UnresponsiveFor time.Duration // time without an answer
-	Listed          bool          // some source still lists the engine
-	ListedRole      string        // the role that the sources state
+	Listed          bool          // at least one source still lists the engine
+	ListedRole      string        // according to the sources
 	Reply           Reply
 }
 
-// Timeouts are how long each step may take.
+// Timeouts limit the duration of each step.
 type Timeouts struct {
-	Confirmation       time.Duration // by all gateways; after that the engine drains without it
+	Confirmation       time.Duration // by all gateways; after it the engine drains without confirmation by all
 	Draining           time.Duration
 	Flipping           time.Duration
 	WarmUp             time.Duration
-	EngineUnresponsive time.Duration // after which the change is given up
+	EngineUnresponsive time.Duration // without an answer, after which the change is abandoned
 	RollingBack        time.Duration
 }
 
-// DefaultTimeouts returns the limits for an operator who sets none.
+// DefaultTimeouts returns the timeouts for an operator who sets none.
 func DefaultTimeouts() Timeouts {
 	return Timeouts{
 		Confirmation: 4 * time.Second, Draining: 30 * time.Second, Flipping: 5 * time.Second,
@@ -58,15 +58,15 @@
 	}
 }
 
-// Command is what the engine is to do. The values are those of its protocol.
+// Command is a command to the engine. The values are those of the engine protocol.
 type Command string
 
 // The commands of docs/engine-roles.md.
 const (
 	NoCommand Command = ""
-	Drain     Command = "drain"  // take no new requests
-	Flip      Command = "flip"   // take the new role
-	Cancel    Command = "cancel" // keep the old role
+	Drain     Command = "drain"  // reject new requests
+	Flip      Command = "flip"   // switch to the new role
+	Cancel    Command = "cancel" // end the drain and keep the old role
 )
 
 // Outcome is how a change ended. The values are stored in the lock's history.
@@ -80,25 +80,26 @@
 	Failed     Outcome = "failed"
 )
 
-// Action is what the leader does next, in this order: it writes the record if Write is set, or
-// deletes it if Outcome is not InProgress; then it sends the engine the command.
+// Action is the next action of the leader, in this order: it writes the record if Write is set, or
+// deletes it if Outcome is not InProgress; then it sends the command to the engine.
 type Action struct {
 	Write     bool
 	Record    Record
 	Command   Command
 	Outcome   Outcome
-	LeaseLost bool // another leader has a higher fencing token: nothing may be written or sent
+	LeaseLost bool // another leader has a higher fencing token: this one must not write or send
 	Reason    string
 }
 
-// Next decides on the next action. It depends on the record and the facts alone, so that a
-// leader that was killed at any point is followed by one that goes on from what it finds.
+// Next returns the next action. It depends only on its arguments, so that after a leader is killed
+// at any point, its successor can continue from the stored record.
 func Next(r Record, f Inputs, l Timeouts) Action {
 	if r.FencingToken > f.FencingToken || f.Reply == Fenced || f.Report != nil && f.Report.FencingToken > f.FencingToken {
 		return Action{Record: r, LeaseLost: true, Reason: "another owner has a newer lease"}
 	}
-	if r.FencingToken < f.FencingToken { // of an earlier leader: taken over
-		r.FencingToken, r.Leader, r.StepStartedAt = f.FencingToken, f.Leader, f.Now // the step's limit runs anew, as no leader saw to it meanwhile
+	if r.FencingToken < f.FencingToken { // written by an earlier leader
+		// The step's timeout restarts, since no leader advanced the change in the meantime.
+		r.FencingToken, r.Leader, r.StepStartedAt = f.FencingToken, f.Leader, f.Now
 		return Action{Write: true, Record: r, Reason: "taken over from its last owner"}
 	}
 	if !f.Listed && f.UnresponsiveFor >= l.EngineUnresponsive {
@@ -126,23 +127,23 @@
 	return endChange(r, Failed, "a step that is not known: "+string(r.Step))
 }
 
-// decideWithoutReport decides while the engine does not answer.
+// decideWithoutReport returns the action while the engine does not answer.
 func decideWithoutReport(r Record, f Inputs, l Timeouts) Action {
 	if f.UnresponsiveFor < l.EngineUnresponsive {
 		return Action{Record: r, Reason: "the engine does not answer"}
 	}
 	switch r.Step {
 	case Announced, Draining:
-		// Its role has not changed: should it come back, it is as it was.
+		// Its role has not changed: if it recovers, it still has its old role.
 		return endChange(r, Failed, "the engine does not answer")
 	case RollingBack:
 		return endChange(r, Failed, "the engine does not answer; it was to stay as it is")
 	}
-	// It may have flipped: its role is known once it answers, or no source lists it.
+	// It may have switched its role: wait until it answers or no source lists it any longer.
 	return Action{Record: r, Reason: "waiting for the engine to answer"}
 }
 
-// decideAnnounced waits until the gateways have confirmed the change.
+// decideAnnounced waits until all gateways have confirmed the record, or until the timeout.
 func decideAnnounced(r Record, f Inputs, l Timeouts, inStep time.Duration) Action {
 	switch {
 	case f.Report.Role == r.To:
@@ -155,7 +156,7 @@
 	return Action{Record: r, Reason: "gateways are to see it"}
 }
 
-// decideDraining has the engine drain, and waits until it is empty.
+// decideDraining sends the drain command and waits until the engine is empty.
 func decideDraining(r Record, f Inputs, l Timeouts, inStep time.Duration) Action {
 	switch {
 	case f.Report.Role == r.To:
@@ -170,14 +171,14 @@
 	return Action{Record: r, Command: Drain, Reason: "its running work ends"}
 }
 
-// decideFlipping has the engine take its new role.
+// decideFlipping sends the command to switch to the new role and waits until the engine reports it.
 func decideFlipping(r Record, f Inputs, l Timeouts, inStep time.Duration) Action {
 	switch {
 	case f.Report.Role == r.To:
 		return startWarming(r, f)
 	case f.Reply == Refused:
 		return startStep(r, f, RollingBack, "the engine refused its new role")
-	case !f.Report.Draining: // it has restarted, or never got the command
+	case !f.Report.Draining: // it has restarted, or never received the drain command
 		return startStep(r, f, Draining, "it does not drain any more")
 	case inStep >= l.Flipping:
 		return startStep(r, f, RollingBack, "it did not take its new role")
@@ -185,7 +186,7 @@
 	return Action{Record: r, Command: Flip, Reason: "it is to take its new role"}
 }
 
-// decideInNewRole waits until the engine is warm and the catalogue names its new role.
+// decideInNewRole waits until the engine is warm and the sources list its new role.
 func decideInNewRole(r Record, f Inputs, l Timeouts) Action {
 	if f.Report.Role == r.From { // it may have restarted, with the role of its configuration
 		return endChange(r, Failed, "it came back in its old role")
@@ -199,10 +200,10 @@
 	return Action{Record: r, Reason: "in its new role"}
 }
 
-// decideRollingBack ends the drain of an engine that keeps its role.
+// decideRollingBack sends the cancel command until the engine has ended its drain.
 func decideRollingBack(r Record, f Inputs, l Timeouts, inStep time.Duration) Action {
 	switch {
-	case f.Report.Role == r.To: // the flip came through after all
+	case f.Report.Role == r.To: // the flip command took effect late
 		return startWarming(r, f)
 	case !f.Report.Draining:
 		return endChange(r, RolledBack, "it stays as it was")
@@ -212,7 +213,7 @@
 	return Action{Record: r, Command: Cancel, Reason: "it is to stay as it was"}
 }
 
-// startStep writes a step and sends the command that it begins with.
+// startStep returns the action that writes a step and sends the first command of that step.
 func startStep(r Record, f Inputs, to Step, reason string) Action {
 	r.Step, r.StepStartedAt, r.Reason = to, f.Now, reason
 	a := Action{Write: true, Record: r, Reason: reason}
@@ -227,13 +228,14 @@
 	return a
 }
 
-// startWarming moves on once the engine reports its new role; it is cold from now on at the latest.
+// startWarming starts the warm-up of an engine that reports its new role. The present time is used
+// as the start of the warm-up, although the engine may have switched earlier.
 func startWarming(r Record, f Inputs) Action {
 	r.FlippedAt = f.Now
 	return startStep(r, f, Warming, "it has taken its new role")
 }
 
-// endChange ends the change.
+// endChange returns the action that deletes the record with an outcome.
 func endChange(r Record, o Outcome, reason string) Action {
 	r.Reason = reason
 	return Action{Record: r, Outcome: o, Reason: reason}
