--- a/decide/roles/candidate.go
+++ b/decide/roles/candidate.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// The weights of what a change costs, beside one for each engine by which a rack has more of the
-// wanted role than of the other.
+// The weights in the cost of a change. The weight of each engine by which the target role outnumbers
+// the present role in the rack is 1.
 const (
-	rateWeight        = 2.0 // of the rate lost by the change
-	utilizationWeight = 0.3 // of the work to drain
+	rateWeight        = 2.0 // of the relative rate that the engine loses by the change
+	utilizationWeight = 0.3 // of the utilization, as the work that must drain
 )
 
-// engineCounts counts the engines of a rack, or of the fleet, without the mixed ones.
+// engineCounts counts the prefill and decode engines of a rack or of the fleet.
 type engineCounts struct {
 	engines, changing int
-	ready             [2]int // in service and not in change, by role
+	ready             [2]int // in service and not changing, by role
 }
 
 func (c *engineCounts) add(e Engine) {
@@ -31,10 +31,10 @@
 	}
 }
 
-// maxChanging returns how many of so many engines may be in change at once.
+// maxChanging returns how many of a number of engines may change at the same time, at least one.
 func maxChanging(fraction float64, engines int) int { return max(1, int(fraction*float64(engines))) }
 
-// candidate returns the engine whose change to a role costs least, or why none may change.
+// candidate returns the change to a role with the lowest cost, or the reason why no engine may change.
 func (p *Planner) candidate(now time.Time, to Role) (*Change, string) {
 	from := to.Opposite()
 	fleet, racks := &engineCounts{}, map[int]*engineCounts{}
@@ -74,7 +74,7 @@
 	return &Change{Engine: best.ID, Rack: best.Rack, From: from, To: to}, ""
 }
 
-// exclusionReason returns why an engine in service may not change to a role, "" if it may.
+// exclusionReason returns the reason why an engine in service may not change to a role, "" if it may.
 func (p *Planner) exclusionReason(now time.Time, e Engine, rack *engineCounts, to Role) string {
 	if e.Pinned {
 		return "pinned by an operator"
@@ -93,8 +93,9 @@
 	return ""
 }
 
-// changeCost ranks candidates: first the rack with most of the present role and least of the
-// wanted one, then the engine that is better at the new role, then the one with least to drain.
+// changeCost returns the cost by which candidates are ranked. The most important term is the excess
+// of the target role over the present role in the rack, then the relative rate that the engine loses
+// by the change, then the work that it must drain.
 func (p *Planner) changeCost(e Engine, rack *engineCounts, to Role) float64 {
 	from := e.Role
 	return float64(rack.ready[to]) - float64(rack.ready[from]) + (p.relativeRate(e, from)-p.relativeRate(e, to))*rateWeight + e.Utilization*utilizationWeight
--- a/decide/roles/demand.go
+++ b/decide/roles/demand.go
@@ -5,30 +5,29 @@
 	"time"
 )
 
-// Traffic is the totals of one class of requests since some start, at the gateways that are
-// sampled.
+// Traffic is the cumulative totals of one class of requests at the sampled gateways.
 type Traffic struct {
 	Class              string
 	Requested          float64 // requests, rejected ones included
-	PromptTokens       float64 // of these
-	Served             float64 // requests that were served completely
-	ServedPromptTokens float64 // of these
-	OutputTokens       float64 // of these
+	PromptTokens       float64 // of the requested ones
+	Served             float64 // completely served requests
+	ServedPromptTokens float64 // of the served ones
+	OutputTokens       float64 // of the served ones
 }
 
 // demandEstimator estimates the work that clients request of both stages, whether or not it is
-// served. The load of engines alone would mislead: after a swing of the mix it is too high for
-// the stage that rises, by its backlog, and too low for the stage behind it.
+// served. The utilization of engines would be a biased estimate: after a shift of the mix it is too
+// high for the stage with rising demand, by its backlog, and too low for the stage after it.
 //
-// The work of a token is learned from how many engines were busy while so many tokens were
-// served. The rate of each class follows fast, that of all requests slowly: the mix is what
-// swings, the total mostly noise.
+// The work per token is the ratio of busy engines to tokens served per second. The rate of each
+// class is smoothed with a short time constant and the total rate with a longer one: the mix shifts
+// quickly, whereas variations of the total are mostly noise.
 type demandEstimator struct {
 	timeConstant  time.Duration // of the classes' rates
 	classes       map[string]*classDemand
-	rate          float64       // requests a second, of all classes
-	busy          [2]float64    // engines at work, by stage
-	tokens        [2]float64    // tokens served a second, by stage
+	rate          float64       // requests per second, of all classes
+	busy          [2]float64    // busy engines, by stage
+	tokens        [2]float64    // tokens served per second, by stage
 	observedFor   time.Duration // since the first output token
 	previous      map[string]Traffic
 	calibratedFor time.Duration
@@ -36,25 +35,25 @@
 
 // classDemand is the smoothed demand of one class.
 type classDemand struct {
-	rate           float64 // requests a second
-	prompt, output float64 // tokens a request
-	known          bool    // a request has been served
+	rate           float64 // requests per second
+	prompt, output float64 // tokens per request
+	known          bool    // at least one request has been served
 }
 
-// The time constants of other values, in that of the classes' rates.
+// Time constants and durations, as multiples of the time constant of the classes' rates.
 const (
 	rateTimeConstants           = 3
 	calibrationTimeConstants    = 8
-	minCalibrationTimeConstants = 2 // of learning, before the estimate is used
+	minCalibrationTimeConstants = 2 // of calibration, before the estimate is used
 )
 
-// ewmaWeight returns the weight of a value observed for a span in a mean with a time constant.
+// ewmaWeight returns the weight of a value that was observed for a span in a mean with a time constant.
 func ewmaWeight(span, timeConstant time.Duration) float64 {
 	return 1 - math.Exp(-span.Seconds()/timeConstant.Seconds())
 }
 
-// deltas returns what has been added to the totals since the last call: nothing at the first
-// call, and for a class whose totals have been reset.
+// deltas returns the increase of the totals since the previous call. The first call returns none, and
+// a class whose totals were reset is omitted.
 func (d *demandEstimator) deltas(totals []Traffic) []Traffic {
 	previous := d.previous
 	d.previous = make(map[string]Traffic, len(totals))
@@ -75,8 +74,8 @@
 	return out
 }
 
-// observe takes in the totals at the end of a span and the engines that were busy at each stage.
-// It returns the demand at both stages in engines, false while it is unknown.
+// observe updates the estimate with the totals at the end of a span and the number of busy engines at
+// each stage. It returns the demand at both stages in engines, and false while it is unknown.
 func (d *demandEstimator) observe(span time.Duration, totals []Traffic, busy [2]float64) ([2]float64, bool) {
 	traffic := d.deltas(totals)
 	if span <= 0 || len(traffic) == 0 {
@@ -87,8 +86,8 @@
 		d.observedFor += span
 	}
 	if d.observedFor >= d.timeConstant {
-		// Engines are busy with a request from its start, but it counts as served at its end:
-		// while the first ones are under way the work of a token would come out too high.
+		// Engines are busy with a request from its start, but its tokens are counted at its end:
+		// while the first requests are in flight, the estimated work per token would be too high.
 		weight := ewmaWeight(span, calibrationTimeConstants*d.timeConstant)
 		for s := range served {
 			d.busy[s] += (busy[s] - d.busy[s]) * weight
@@ -99,7 +98,7 @@
 	return d.estimate()
 }
 
-// observeTraffic updates the rates and the tokens of a request, and returns the tokens served a
+// observeTraffic updates the rates and the tokens per request, and returns the tokens served per
 // second at each stage.
 func (d *demandEstimator) observeTraffic(span time.Duration, traffic []Traffic) (served [2]float64) {
 	if d.classes == nil {
@@ -107,7 +106,7 @@
 	}
 	fast, slow := ewmaWeight(span, d.timeConstant), ewmaWeight(span, rateTimeConstants*d.timeConstant)
 	if d.observedFor < d.timeConstant {
-		slow = ewmaWeight(span, d.observedFor+span) // a mean of all that was observed so far
+		slow = ewmaWeight(span, d.observedFor+span) // the mean of all observations so far
 	}
 	requested := 0.0
 	for _, t := range traffic {
@@ -132,7 +131,7 @@
 	return served
 }
 
-// estimate returns the demand at both stages in engines, false while it is unknown.
+// estimate returns the demand at both stages in engines, and false while it is unknown.
 func (d *demandEstimator) estimate() ([2]float64, bool) {
 	sum := 0.0
 	for _, class := range d.classes {
@@ -153,7 +152,7 @@
 	return demand, true
 }
 
-// updateEWMA moves a mean towards a value by a weight; the first value is taken as the mean.
+// updateEWMA updates an exponentially weighted mean; the first value sets the mean.
 func updateEWMA(mean *float64, value, weight float64, known bool) {
 	if !known && *mean == 0 {
 		weight = 1
--- a/decide/roles/forecast.go
+++ b/decide/roles/forecast.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// Forecast is the share of the demand that will be served in time, over the horizon and at its
-// worst.
+// Forecast is the fraction of the demand that will be served in time: its mean over the horizon, and
+// its minimum.
 type Forecast struct {
 	Mean float64
 	Min  float64 `json:"Worst"`
 }
 
-// maxUtilization is the utilization of a stage past which requests are late.
+// maxUtilization is the utilization of a stage above which requests are late.
 const maxUtilization = 0.9
 
-// servedFraction returns the share of a demand that a capacity serves in time.
+// servedFraction returns the fraction of a demand that a capacity serves in time.
 func servedFraction(capacity, demand [2]float64) float64 {
 	served := 1.0
 	for s := range capacity {
@@ -27,9 +27,10 @@
 	return served
 }
 
-// expectedForecast averages the forecast over the usual errors of the demand at both stages.
-// Service falls beyond the capacity and gains nothing below it: by the mean demand alone a split
-// that is just enough for one stage would look as good as one with a margin.
+// expectedForecast averages the forecast over demand that is higher and lower by its standard deviation,
+// at both stages. Demand above the capacity lowers service, while demand below it gains nothing: by
+// the mean demand alone, a split that barely suffices for one stage would rate as high as one with a
+// margin.
 func (p *Planner) expectedForecast(c *Change, noise [2]float64, horizon time.Duration) Forecast {
 	const cases = 4 // higher or lower demand at either stage
 	var mean Forecast
@@ -49,8 +50,8 @@
 	return mean
 }
 
-// forecast returns the service over a horizon under a demand, with a change or, if c is nil,
-// without one. Changes under way are taken to succeed.
+// forecast returns the forecast over a horizon for a demand, with the change c or, if c is nil,
+// without one. It assumes that changes in progress succeed.
 func (p *Planner) forecast(c *Change, demand [2]float64, horizon time.Duration) Forecast {
 	const step = time.Second
 	f := Forecast{Min: 1}
@@ -65,12 +66,12 @@
 	return f
 }
 
-// capacityAfter returns the capacity by stage a time after a change began, nil for none.
+// capacityAfter returns the capacity by stage at time t after the start of the change c, nil for none.
 func (p *Planner) capacityAfter(t time.Duration, c *Change) (capacity [2]float64) {
 	for _, e := range p.engines {
 		switch {
 		case e.Role == Mixed || !e.Ready && !e.Changing:
-		case e.Changing: // at an unknown point of its change: taken as halfway through its drain
+		case e.Changing: // the progress of its change is unknown: assume half of its drain
 			capacity[e.Role.Opposite()] += p.relativeRate(e, e.Role.Opposite()) * p.throughputInChange(t+p.settings.DrainTime/2)
 		case c != nil && e.ID == c.Engine:
 			capacity[c.To] += p.relativeRate(e, c.To) * p.throughputInChange(t)
@@ -81,8 +82,8 @@
 	return capacity
 }
 
-// throughputInChange returns the share of its warm rate that an engine has in its new role a time
-// after its change began.
+// throughputInChange returns the fraction of its warm throughput that an engine has in its new role at
+// time t after the start of its change.
 func (p *Planner) throughputInChange(t time.Duration) float64 {
 	t -= p.settings.DrainTime
 	switch {
@@ -94,12 +95,12 @@
 	return p.settings.warmUpThroughput(t)
 }
 
-// OptimalSplit returns how many engines each stage should have to serve a demand best, for a
-// fixed split or to compare plans with: it weighs all splits of so many engines.
+// OptimalSplit returns the number of engines of each stage with the lowest maximum of demand per
+// engine, for a fixed split or as a reference for plans. It evaluates all splits.
 func OptimalSplit(engines int, demand [2]float64) (prefill, decode int) {
 	type split struct {
 		prefill int
-		worst   float64 // demand an engine, at the stage where it is higher
+		maxLoad float64 // demand per engine, at the stage where it is higher
 	}
 	var all []split
 	for n := 1; n < engines; n++ {
@@ -108,6 +109,6 @@
 	if len(all) == 0 {
 		return engines, 0
 	}
-	best := slices.MinFunc(all, func(a, b split) int { return cmp.Compare(a.worst, b.worst) })
+	best := slices.MinFunc(all, func(a, b split) int { return cmp.Compare(a.maxLoad, b.maxLoad) })
 	return best.prefill, engines - best.prefill
 }
--- a/decide/roles/golden_test.go
+++ b/decide/roles/golden_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// randomSettings draws settings of every strategy.
+// randomSettings returns random settings with any of the strategies.
 func randomSettings(rng *rand.Rand) Settings {
 	set := DefaultSettings()
 	set.Strategy = Strategy([]string{"threshold", "queue-balance", "predictive", "predictive"}[rng.IntN(4)])
@@ -22,11 +22,11 @@
 	return set
 }
 
-// randomFleet is engines of three racks whose work and changes are drawn.
+// randomFleet is a fleet in three racks with random load and random role changes.
 type randomFleet struct {
 	rng        *rand.Rand
 	engines    []Engine
-	traffic    [2]Traffic // two classes: a sum over more would depend on a map's order
+	traffic    [2]Traffic // two classes: a sum over more would depend on the iteration order of a map
 	changeEnds map[string]time.Time
 }
 
@@ -42,7 +42,8 @@
 	return f
 }
 
-// advanceSecond draws what the fleet does in a advanceSecond: answer is the part of the advanceSecond stage.
+// advanceSecond advances the fleet by one second of random load, of which decodeFraction is decode
+// work, and returns the totals of traffic.
 func (f *randomFleet) advanceSecond(now time.Time, decodeFraction float64) []Traffic {
 	for i := range f.engines {
 		e := &f.engines[i]
@@ -88,8 +89,8 @@
 	fmt.Fprintln(w)
 }
 
-// What is planned for drawn fleets is what it was when the sums were taken. What is hashed has
-// no name of a Go type or field, so that the sums outlive renames.
+// TestGoldenPlans compares the plans for random fleets with recorded hashes. No name of a Go type or
+// field is hashed, so that the hashes remain valid after renames.
 func TestGoldenPlans(t *testing.T) {
 	changes := 0
 	for seed, want := range [...]uint64{
@@ -108,7 +109,7 @@
 			if n%(15+seed) == 0 {
 				decodeFraction = [...]float64{0.15, 0.85}[n/(15+seed)%2]
 			}
-			if n%200 == 199 { // an engine goes, for good
+			if n%200 == 199 { // remove an engine permanently
 				f.engines = f.engines[:max(4, len(f.engines)-1)]
 			}
 			p.Observe(now, f.engines, f.advanceSecond(now, decodeFraction))
@@ -139,7 +140,8 @@
 	}
 }
 
-// What is made of drawn sights, and how engines are split, is what it was.
+// TestGoldenPlannedEngines compares the planner's inputs for random observations, and optimal splits,
+// with recorded hashes.
 func TestGoldenPlannedEngines(t *testing.T) {
 	const want = uint64(0x13dd97c8251bb52c)
 	rng, sum := rand.New(rand.NewPCG(1, 45)), fnv.New64a()
--- a/decide/roles/observation.go
+++ b/decide/roles/observation.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// Observation is what is known of an engine at one time: from the roster, from its own report,
-// and from the record of a change of it.
+// Observation combines the state of an engine at one time from the roster, from its own report, and
+// from the record of its role change.
 type Observation struct {
 	ID                  string
 	Rack                int
-	InService           bool          // by the roster
-	Uptime              time.Duration // since it started or took its role, by the roster; 0 = long, or unknown
-	Role                string        // by its own report
+	InService           bool          // according to the roster
+	Uptime              time.Duration // since its start or role change, from the roster; 0 = long, or unknown
+	Role                string        // according to its own report
 	Slots               int
 	Running, Queue      int // requests; Running includes the queued ones
 	MemoryUsed          float64
 	Tokens, BusySeconds float64
 	Pinned              bool
-	Change              *ActiveChange // nil without one
+	Change              *ActiveChange // nil if it has no change record
 }
 
-// ActiveChange is what the record of a change says of an engine.
+// ActiveChange is the state of an engine according to the record of its role change.
 type ActiveChange struct {
 	RoutingPaused bool          // no requests are routed to it
-	Role          string        // its role at the change's present step
-	RoleAge       time.Duration // since it has that role, if Hold is false
+	Role          string        // its role at the current step of the change
+	RoleAge       time.Duration // time since it switched to Role; set only if RoutingPaused is false
 }
 
-// PlannedEngine returns an engine as the planner takes it, false if it has no part in the plan. The
-// record of a change takes precedence over the roster and the engine's report: both may lag
-// behind it, and for an engine counted in neither role another would be changed.
+// PlannedEngine returns the planner's input for an engine, and false if its role is not planned. The
+// record of a change takes precedence over the roster and the engine's report: both may lag behind
+// it, and an engine that is counted in neither role would cause the change of another engine.
 func (s Settings) PlannedEngine(o Observation) (Engine, bool) {
 	e := Engine{ID: o.ID, Rack: o.Rack, MemoryUsed: o.MemoryUsed, Tokens: o.Tokens, BusySeconds: o.BusySeconds, Ready: o.InService, Pinned: o.Pinned}
 	name, upFor := o.Role, o.Uptime
--- a/decide/roles/phases.go
+++ b/decide/roles/phases.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// mixPhases estimates how long the mix of demand leans to one stage before it leans to the
-// other. A change that takes effect after the mix has turned back is worse than none.
+// mixPhases estimates the duration of a phase, in which the mix of demand is shifted from its mean
+// towards one stage. A change that takes effect after the mix has shifted back is worse than none.
 type mixPhases struct {
-	meanDecodeFraction float64 // of all demand, by meanMixTimeConstant
-	direction          int     // 1 while the mix leans to decode, -1 to prefill, 0 while unknown
+	meanDecodeFraction float64 // of the total demand, smoothed with meanMixTimeConstant
+	direction          int     // 1 while the mix is shifted to decode, -1 to prefill, 0 before the first shift
 	since              time.Time
-	expectedLength     time.Duration // of a phase
-	completed          int
+	expectedLength     time.Duration // of a phase, smoothed
+	completed          int           // phases
 	observedAt         time.Time
 }
 
-// The parameters of phases.
+// The parameters of mixPhases.
 const (
-	shiftThreshold      = 0.04 // distance from the mean from which on the mix leans
+	shiftThreshold      = 0.04 // minimum distance of a shifted mix from the mean
 	meanMixTimeConstant = 10 * time.Minute
-	minCompletedPhases  = 3   // before the typical length counts
-	lastPhaseWeight     = 0.5 // in the typical length
-	overduePhaseFactor  = 1.5 // times the typical length, after which a phase counts as of unknown length
+	minCompletedPhases  = 3   // before the expected length is used
+	lastPhaseWeight     = 0.5 // weight of the latest phase in the expected length
+	overduePhaseFactor  = 1.5 // in expected lengths; a longer phase counts as one of unknown length
 )
 
-// observe takes in the demand in engines at a time.
+// observe updates the estimate with the demand, in engines, at a time.
 func (p *mixPhases) observe(now time.Time, demand [2]float64) {
 	sum := demand[Prefill] + demand[Decode]
 	if sum <= 0 {
@@ -56,8 +56,8 @@
 	p.direction, p.since = direction, now
 }
 
-// remaining returns how much longer the present phase is expected to last, at most limit, and
-// limit if that is unknown.
+// remaining returns the expected remaining duration of the current phase, at most limit, and limit if
+// it is unknown.
 func (p *mixPhases) remaining(now time.Time, limit time.Duration) time.Duration {
 	if p.completed < minCompletedPhases {
 		return limit
--- a/decide/roles/plan.go
+++ b/decide/roles/plan.go
@@ -5,38 +5,39 @@
 	"time"
 )
 
-// Change is one change that is wanted.
+// Change is a planned role change of one engine.
 type Change struct {
 	Engine   string
 	Rack     int
 	From, To Role
 }
 
-// Plan is what was decided, and why. Pairs are of the prefill and the decode stage, in engines.
+// Plan is a decision and its reason. Arrays are indexed by stage, and their values are in engines.
 type Plan struct {
-	Change                    *Change // nil: none
+	Change                    *Change // nil if no change is planned
 	Reason                    string
 	Demand                    [2]float64
-	Noise                     [2]float64 // usual error of the demand
+	Noise                     [2]float64 // standard deviation of the demand
 	Capacity                  [2]float64
 	WithoutChange, WithChange Forecast // without the change, and with it
 }
 
-// A change in the other direction than the latest one has to gain more for a while: otherwise a
-// mix between two splits would have an engine change to and fro with the noise.
+// A change that reverses the direction of the latest one must gain more for some time: otherwise an
+// engine would change back and forth with the noise when the mix lies between two splits.
 const (
 	reversalGainFactor = 4.0
-	reversalHorizons   = 2 // horizons for which the factor holds
+	reversalHorizons   = 2 // horizons during which the factor applies
 )
 
-// A change may lower service for a while by maxServiceDrop, or more as long as it stays above acceptableService.
+// A change may temporarily lower the served fraction of demand by maxServiceDrop, or by more as long
+// as the fraction is at least acceptableService.
 const (
 	maxServiceDrop    = 0.05
 	acceptableService = 0.97
 )
 
-// Plan decides on the next change. At most one is wanted at a time; the forecast counts changes
-// under way as done.
+// Plan returns the next change, at most one per call. The forecast assumes that changes in progress
+// succeed.
 func (p *Planner) Plan(now time.Time) Plan {
 	plan := Plan{Demand: p.demand, Noise: p.noise(), Capacity: p.capacity()}
 	horizon := p.phases.remaining(now, p.settings.Horizon)
@@ -68,7 +69,7 @@
 	return plan
 }
 
-// blockedReason returns why no change is planned at all, "" if one may be.
+// blockedReason returns the reason why no change may be planned at present, "" if one may.
 func (p *Planner) blockedReason(now time.Time) string {
 	if len(p.engines) == 0 {
 		return "no engine is seen"
@@ -82,7 +83,7 @@
 	return ""
 }
 
-// rejectionReason returns why a change is not worth its cost, "" if it is.
+// rejectionReason returns the reason why a change is not worth its cost, "" if it is.
 func (p *Planner) rejectionReason(now time.Time, c *Change, plan Plan, after Forecast, horizon time.Duration) string {
 	if p.settings.Strategy == Predictive {
 		gain := after.Mean - plan.WithoutChange.Mean
@@ -97,7 +98,8 @@
 	return ""
 }
 
-// pessimisticGain returns a change's gain if the demand is wrong by its usual error, against the change.
+// pessimisticGain returns the gain of a change if the demand differs by its standard deviation in the
+// direction that is unfavourable for the change.
 func (p *Planner) pessimisticGain(c *Change, noise [2]float64, horizon time.Duration) float64 {
 	low := p.demand
 	low[c.To] = max(0, low[c.To]-noise[c.To])
@@ -105,7 +107,7 @@
 	return p.forecast(c, low, horizon).Mean - p.forecast(nil, low, horizon).Mean
 }
 
-// minGain returns the gain that a change to a role must have.
+// minGain returns the minimum gain of a change to a role.
 func (p *Planner) minGain(now time.Time, to Role) float64 {
 	if p.lastTargetRole != to && !p.lastStartAt.IsZero() && now.Sub(p.lastStartAt) < reversalHorizons*p.settings.Horizon {
 		return p.settings.MinGain * reversalGainFactor
@@ -113,7 +115,7 @@
 	return p.settings.MinGain
 }
 
-// capacity returns what the engines in service can do, by stage.
+// capacity returns the capacity of the engines in service, by stage.
 func (p *Planner) capacity() [2]float64 {
 	var c [2]float64
 	for _, e := range p.engines {
@@ -124,16 +126,16 @@
 	return c
 }
 
-// The parameters of the two simpler strategies.
+// The parameters of Threshold and QueueBalance.
 const (
-	busyThreshold   = 0.85 // load above which a stage is busy
-	idleThreshold   = 0.7  // load up to which the other stage can give an engine
-	minLoadLead     = 0.5  // in load and seconds of queue, by which one stage must exceed the other
-	maxQueueSeconds = 4.0  // of one engine that count
-	minCapacity     = 1e-9 // in place of none, as a divisor
+	busyThreshold   = 0.85 // load from which a stage is busy
+	idleThreshold   = 0.7  // maximum load of the other stage, once it has one engine fewer
+	minLoadLead     = 0.5  // in load plus seconds of queue, by which one stage must exceed the other
+	maxQueueSeconds = 4.0  // of one engine; more is not counted
+	minCapacity     = 1e-9 // avoids a division by zero
 )
 
-// bottleneck returns the stage that should get an engine, or why none should.
+// bottleneck returns the stage that should get an engine, or the reason why none should.
 func (p *Planner) bottleneck(plan Plan) (Role, string) {
 	var load, queue [2]float64
 	for s := range load {
--- a/decide/roles/planner.go
+++ b/decide/roles/planner.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Planner follows the demand and decides on changes. It is not safe for concurrent use.
+// Planner estimates the demand and plans role changes. It is not safe for concurrent use.
 type Planner struct {
 	settings   Settings
 	observedAt time.Time
@@ -20,15 +20,15 @@
 	demand          [2]float64
 	demandKnown     bool
 	meanDemand      [2]float64 // smoothed
-	meanError       [2]float64 // of meanDemand, smoothed, with its sign
+	meanError       [2]float64 // signed error of meanDemand, smoothed
 	meanSquareError [2]float64
 
 	recentStarts   []time.Time // of changes in the last hour
-	lastTargetRole Role        // to which the latest change was
+	lastTargetRole Role        // of the latest change
 	lastStartAt    time.Time   // of the latest change
 }
 
-// NewPlanner returns a planner. An error names the setting that can't be used.
+// NewPlanner returns a planner. An error names the invalid setting.
 func NewPlanner(s Settings) (*Planner, error) {
 	if err := s.Validate(); err != nil {
 		return nil, err
@@ -36,17 +36,17 @@
 	return &Planner{settings: s, estimator: demandEstimator{timeConstant: s.DemandTimeConstant}, histories: map[string]*history{}}, nil
 }
 
-// relativeRate returns what an engine can do in a role, in engines of the median rate.
+// relativeRate returns an engine's rate in a role as a multiple of the median rate.
 func (p *Planner) relativeRate(e Engine, r Role) float64 {
 	if e.Role == Mixed {
-		return 0 // the stages are planned without the engines that do both
+		return 0 // mixed engines are not planned
 	}
 	return p.rates.relative(e.ID, r)
 }
 
-// history is what is remembered of an engine.
+// history is the record of earlier changes and observations of an engine.
 type history struct {
-	changedAt     time.Time // its latest change, failed or not
+	changedAt     time.Time // start or end of its latest change, successful or failed
 	excludedUntil time.Time // after a failed change
 	observedAt    time.Time
 	changing      bool // as last observed
@@ -62,11 +62,11 @@
 	return h
 }
 
-// memoryWeight is how much a full memory counts as a full engine: past it requests are rejected
-// though slots are free.
+// memoryWeight is the utilization that full memory is equivalent to: an engine with full memory
+// rejects requests even when slots are free.
 const memoryWeight = 0.95
 
-// Observe takes in the present state of the engines and the totals of traffic by class.
+// Observe updates the planner with the current state of the engines and the totals of traffic by class.
 func (p *Planner) Observe(now time.Time, engines []Engine, traffic []Traffic) {
 	busy := p.observeEngines(now, engines)
 	span := now.Sub(p.observedAt)
@@ -86,18 +86,19 @@
 	})
 }
 
-// observeEngines updates rates and histories, and returns the engines at work by stage.
+// observeEngines updates rates and histories, and returns the number of busy engines by stage.
 func (p *Planner) observeEngines(now time.Time, engines []Engine) (busy [2]float64) {
 	p.rates.observe(engines)
 	for _, e := range engines {
 		h := p.historyOf(e.ID)
 		ended := h.changing && !e.Changing
-		missedChange := !h.observedAt.IsZero() && h.role != e.Role // a change that began and ended between two observations
+		// A change that started and ended between two observations.
+		missedChange := !h.observedAt.IsZero() && h.role != e.Role
 		if ended || missedChange {
 			h.changedAt = now
 		}
 		h.observedAt, h.changing, h.role = now, e.Changing, e.Role
-		if e.Role != Mixed && (e.Ready || e.Changing) { // one that drains still works
+		if e.Role != Mixed && (e.Ready || e.Changing) { // a draining engine still serves requests
 			busy[e.Role] += p.relativeRate(e, e.Role) * e.currentThroughput() * max(e.Utilization, e.MemoryUsed*memoryWeight)
 		}
 	}
@@ -120,8 +121,8 @@
 	p.phases.observe(now, demand)
 }
 
-// noise returns the usual error of the demand. An error of one sign again and again is a trend
-// and does not count.
+// noise returns the standard deviation of the demand. Persistent errors of one sign are a trend, not noise,
+// and are subtracted.
 func (p *Planner) noise() (noise [2]float64) {
 	for s := range noise {
 		noise[s] = math.Sqrt(max(0, p.meanSquareError[s]-p.meanError[s]*p.meanError[s]))
@@ -129,14 +130,14 @@
 	return noise
 }
 
-// ChangeStarted records that a change was begun, by this leader or an earlier one.
+// ChangeStarted records the start of a change, by this leader or an earlier one.
 func (p *Planner) ChangeStarted(now time.Time, c Change) {
 	p.recentStarts = append(p.recentStarts, now)
 	p.lastTargetRole, p.lastStartAt = c.To, now
 	p.historyOf(c.Engine).changedAt = now
 }
 
-// ChangeEnded records how a change has ended, by this leader or an earlier one.
+// ChangeEnded records the end of a change, by this leader or an earlier one.
 func (p *Planner) ChangeEnded(now time.Time, engine string, done bool) {
 	h := p.historyOf(engine)
 	h.changedAt = now
@@ -145,7 +146,7 @@
 	}
 }
 
-// startsLastHour returns how many changes were begun in the last hour.
+// startsLastHour returns the number of changes that were started in the last hour.
 func (p *Planner) startsLastHour(now time.Time) int {
 	p.recentStarts = slices.DeleteFunc(p.recentStarts, func(t time.Time) bool { return now.Sub(t) >= time.Hour })
 	return len(p.recentStarts)
--- a/decide/roles/rates.go
+++ b/decide/roles/rates.go
@@ -5,28 +5,28 @@
 	"slices"
 )
 
-// rates are how fast each engine is in each role, by the tokens and slot-seconds that it
-// reports. An engine counts as of the median rate until its own is known, and in a role that it
-// has not had as relatively fast as in the one that it has.
+// rates measures the rate of each engine in each role from the tokens and slot-seconds that it
+// reports. An engine counts as one of the median rate until its own rate is known. In a role without
+// a measurement, its rate relative to the median is assumed to equal that of its other role.
 type rates struct {
 	byEngine map[string]*[2]rate
 	median   [2]float64 // of all engines, by role
 }
 
-// rate is an engine's rate in one role.
+// rate is the measured rate of one engine in one role.
 type rate struct {
-	lastTokens, lastBusySeconds float64 // as of the latest reading
-	tokensPerSlotSecond         float64 // smoothed tokens a slot-second; 0 = unknown
+	lastTokens, lastBusySeconds float64 // at the latest measurement
+	tokensPerSlotSecond         float64 // smoothed; 0 = unknown
 }
 
 // The parameters of rates.
 const (
-	minBusySeconds  = 2.0 // slot-seconds between two readings
-	rateEWMAWeight  = 0.2 // of a reading
-	maxRelativeRate = 4.0 // times the median; a report beyond that is not believed
+	minBusySeconds  = 2.0 // minimum slot-seconds between two measurements
+	rateEWMAWeight  = 0.2 // weight of a new measurement
+	maxRelativeRate = 4.0 // times the median; higher values are clamped, as are those below its inverse
 )
 
-// observe takes in the reports of all engines.
+// observe updates the rates with the reports of all engines.
 func (r *rates) observe(engines []Engine) {
 	if r.byEngine == nil {
 		r.byEngine = map[string]*[2]rate{}
@@ -56,10 +56,10 @@
 	maps.DeleteFunc(r.byEngine, func(id string, _ *[2]rate) bool { return !listed[id] })
 }
 
-// observe takes in an engine's report. The rate of a cold or changing engine is not read.
+// observe updates the rate with an engine's report. A cold or changing engine is not measured.
 func (r *rate) observe(e Engine) {
 	tokens, busy := e.Tokens-r.lastTokens, e.BusySeconds-r.lastBusySeconds
-	restarted := tokens < 0 || busy < 0 // the engine, or its role
+	restarted := tokens < 0 || busy < 0 // the engine restarted, or its role changed
 	cold := e.currentThroughput() < 1
 	usable := !restarted && busy >= minBusySeconds && !e.Changing && e.currentThroughput() == 1
 	if usable {
@@ -70,7 +70,7 @@
 	}
 }
 
-// relative returns an engine's rate in a role over the median, 1 if it is unknown.
+// relative returns the ratio of an engine's rate in a role to the median, 1 if it is unknown.
 func (r *rates) relative(id string, role Role) float64 {
 	own := r.byEngine[id]
 	if own == nil {
--- a/decide/roles/roles_test.go
+++ b/decide/roles/roles_test.go
@@ -14,7 +14,7 @@
 
 var t0 = time.Date(2026, 1, 2, 0, 0, 0, 0, time.UTC)
 
-// fleet returns so many prefill and decode engines over two racks, all idle.
+// fleet returns idle prefill and decode engines, alternating between two racks.
 func fleet(prefill, decode int) []Engine {
 	var list []Engine
 	for i := range prefill + decode {
@@ -48,11 +48,11 @@
 	return p
 }
 
-// trafficTotals is what has been asked and served of one class.
+// trafficTotals accumulates the traffic of one class.
 type trafficTotals struct{ Traffic }
 
-// addSecond adds what is asked and served in a addSecond, of which a share is refused, while
-// engines are as busy as they are.
+// addSecond adds the traffic of one second, of which a fraction is rejected, while the engines serve
+// tokens in proportion to their utilization, and returns the totals.
 func (all *trafficTotals) addSecond(list []Engine, rejected float64) []Traffic {
 	t := Traffic{Requested: 10, Served: 10 * (1 - rejected)}
 	for _, e := range list {
@@ -74,7 +74,7 @@
 	all.ServedPromptTokens, all.OutputTokens = all.ServedPromptTokens+t.ServedPromptTokens, all.OutputTokens+t.OutputTokens
 }
 
-// observeAndPlan has a planner see a fleet for a while and returns its plan.
+// observeAndPlan calls Observe once per second for a span and returns the plan and its time.
 func observeAndPlan(p *Planner, list []Engine, rejected float64, span time.Duration) (Plan, time.Time) {
 	now, all := t0, &trafficTotals{}
 	for ; now.Sub(t0) < span; now = now.Add(time.Second) {
@@ -90,26 +90,26 @@
 		rejected        float64
 		set             func(*Settings)
 		change          func([]Engine)
-		want            string // the engine's role to be, and part of the reason
+		want            string // the engine's new role, if any, and part of the reason
 	}{
-		"all is well":                  {4, 6, 0, nil, func(l []Engine) { setLoad(l, Prefill, 0.6, 0); setLoad(l, Decode, 0.7, 0) }, "can be served as it is"},
-		"prompts are rejected":         {3, 7, 0.3, nil, busyPrefill, "read: read work needs"},
-		"outputs are rejected":         {6, 4, 0.3, nil, func(l []Engine) { setLoad(l, Prefill, 0.3, 0); setLoad(l, Decode, 1, 0) }, "write: write work needs"},
-		"both are short of engines":    {5, 5, 0.4, nil, func(l []Engine) { setLoad(l, Prefill, 1, 0); setLoad(l, Decode, 1, 0) }, "not beyond the noise"},
-		"the last of a role stays":     {9, 1, 0.4, nil, func(l []Engine) { setLoad(l, Prefill, 1, 0); setLoad(l, Decode, 0.1, 0) }, "the last engine of write work stays"},
-		"the last of each rack stays":  {8, 2, 0.4, nil, func(l []Engine) { setLoad(l, Prefill, 1, 0); setLoad(l, Decode, 0.1, 0) }, "the last of their rack stays"},
-		"a pin keeps":                  {3, 7, 0.3, nil, func(l []Engine) { busyPrefill(l); pin(l, Decode) }, "pinned"},
-		"enough of the fleet changes":  {3, 7, 0.3, nil, func(l []Engine) { busyPrefill(l); l[8].Changing, l[9].Changing = true, true }, "of the fleet are in change"},
-		"enough of the rack changes":   {3, 7, 0.4, func(s *Settings) { s.MaxFleetFraction, s.MaxRackFraction = 1, 0.01 }, func(l []Engine) { busyPrefill(l); l[8].Changing, l[9].Changing = true, true }, "of their rack is in change"},
-		"those that changed lately":    {3, 7, 0.3, nil, busyPrefill, "too lately"},
-		"those that refused":           {3, 7, 0.3, nil, busyPrefill, "refused or failed"},
-		"mixed engines never change":   {0, 0, 0.3, nil, nil, "no engine is seen"},
-		"a loss that would hurt more":  {3, 4, 0.2, nil, func(l []Engine) { setLoad(l, Prefill, 1, 0); setLoad(l, Decode, 0.85, 0) }, "not beyond the noise"},
-		"threshold, one stage is busy": {3, 7, 0, func(s *Settings) { s.Strategy = Threshold }, busyPrefill, "read: read work needs"},
-		"threshold, neither is":        {3, 7, 0, func(s *Settings) { s.Strategy = Threshold }, func(l []Engine) { setLoad(l, Prefill, 0.8, 0); setLoad(l, Decode, 0.1, 0) }, "no stage is busy"},
-		"queue balance":                {3, 7, 0, func(s *Settings) { s.Strategy = QueueBalance }, func(l []Engine) { busyPrefill(l); setLoad(l, Prefill, 1, 3) }, "read: read work needs"},
-		"queues that are near":         {3, 7, 0, func(s *Settings) { s.Strategy = QueueBalance }, func(l []Engine) { setLoad(l, Prefill, 0.5, 0); setLoad(l, Decode, 0.5, 0) }, "near enough"},
-		"a memory that is full counts": {6, 4, 0.2, nil, func(l []Engine) {
+		"capacity suffices":                  {4, 6, 0, nil, func(l []Engine) { setLoad(l, Prefill, 0.6, 0); setLoad(l, Decode, 0.7, 0) }, "can be served as it is"},
+		"prefill is overloaded":              {3, 7, 0.3, nil, busyPrefill, "read: read work needs"},
+		"decode is overloaded":               {6, 4, 0.3, nil, func(l []Engine) { setLoad(l, Prefill, 0.3, 0); setLoad(l, Decode, 1, 0) }, "write: write work needs"},
+		"both stages are overloaded":         {5, 5, 0.4, nil, func(l []Engine) { setLoad(l, Prefill, 1, 0); setLoad(l, Decode, 1, 0) }, "not beyond the noise"},
+		"last engine of a role":              {9, 1, 0.4, nil, func(l []Engine) { setLoad(l, Prefill, 1, 0); setLoad(l, Decode, 0.1, 0) }, "the last engine of write work stays"},
+		"last engine of a role in each rack": {8, 2, 0.4, nil, func(l []Engine) { setLoad(l, Prefill, 1, 0); setLoad(l, Decode, 0.1, 0) }, "the last of their rack stays"},
+		"pinned":                             {3, 7, 0.3, nil, func(l []Engine) { busyPrefill(l); pin(l, Decode) }, "pinned"},
+		"fleet limit reached":                {3, 7, 0.3, nil, func(l []Engine) { busyPrefill(l); l[8].Changing, l[9].Changing = true, true }, "of the fleet are in change"},
+		"rack limit reached":                 {3, 7, 0.4, func(s *Settings) { s.MaxFleetFraction, s.MaxRackFraction = 1, 0.01 }, func(l []Engine) { busyPrefill(l); l[8].Changing, l[9].Changing = true, true }, "of their rack is in change"},
+		"changed lately":                     {3, 7, 0.3, nil, busyPrefill, "too lately"},
+		"refused":                            {3, 7, 0.3, nil, busyPrefill, "refused or failed"},
+		"no engines":                         {0, 0, 0.3, nil, nil, "no engine is seen"},
+		"loss exceeds gain":                  {3, 4, 0.2, nil, func(l []Engine) { setLoad(l, Prefill, 1, 0); setLoad(l, Decode, 0.85, 0) }, "not beyond the noise"},
+		"threshold, one stage busy":          {3, 7, 0, func(s *Settings) { s.Strategy = Threshold }, busyPrefill, "read: read work needs"},
+		"threshold, no stage busy":           {3, 7, 0, func(s *Settings) { s.Strategy = Threshold }, func(l []Engine) { setLoad(l, Prefill, 0.8, 0); setLoad(l, Decode, 0.1, 0) }, "no stage is busy"},
+		"queue balance, queues differ":       {3, 7, 0, func(s *Settings) { s.Strategy = QueueBalance }, func(l []Engine) { busyPrefill(l); setLoad(l, Prefill, 1, 3) }, "read: read work needs"},
+		"queue balance, queues similar":      {3, 7, 0, func(s *Settings) { s.Strategy = QueueBalance }, func(l []Engine) { setLoad(l, Prefill, 0.5, 0); setLoad(l, Decode, 0.5, 0) }, "near enough"},
+		"decode memory is full": {6, 4, 0.2, nil, func(l []Engine) {
 			setLoad(l, Prefill, 0.3, 0)
 			updateAll(l, func(e *Engine) {
 				if e.Role == Decode {
@@ -144,8 +144,9 @@
 	}
 }
 
-// A swing is known from what is asked within a few seconds, though the engines of the
-// stage that rises can do no more and those behind it are let do less.
+// TestDemandIncludesRejectedRequests checks that the estimate follows a shift of the mix within 20 s
+// although the overloaded prefill stage rejects half of the requests, so that its engines show only
+// the served half of the demand and decode engines receive less work.
 func TestDemandIncludesRejectedRequests(t *testing.T) {
 	d := demandEstimator{timeConstant: 8 * time.Second}
 	var lookupTotals, orderTotals trafficTotals
@@ -156,27 +157,27 @@
 		got, _ := d.observe(time.Second, []Traffic{lookupTotals.Traffic, orderTotals.Traffic}, [2]float64{readBusy, writeBusy})
 		return got
 	}
-	// 1,000 prompt tokens a second, or 100 of an answer, are an engine's work.
+	// One engine prefills 1,000 prompt tokens or decodes 100 output tokens per second.
 	var got [2]float64
 	for range 60 {
 		got = observe(8, 2, 3.6, 8.4, 1)
 	}
 	if math.Abs(got[Prefill]-3.6) > 0.1 || math.Abs(got[Decode]-8.4) > 0.1 {
-		t.Errorf("at rest: %v", got)
+		t.Errorf("before the shift: demand %v, want 3.6 and 8.4", got)
 	}
-	for range 20 { // half is turned away: 8,400 prompt tokens are asked for, 4,200 are read
+	for range 20 { // half is rejected: 8,400 prompt tokens are requested, 4,200 are prefilled
 		got = observe(2, 8, 4.2, 1.8, 0.5)
 	}
 	if math.Abs(got[Prefill]-8.4) > 0.9 || math.Abs(got[Decode]-3.6) > 0.9 {
-		t.Errorf("20 s after a swing: %v", got)
+		t.Errorf("20 s after the shift: demand %v, want 8.4 and 3.6", got)
 	}
 	if _, known := (&demandEstimator{timeConstant: time.Second}).observe(time.Second, nil, [2]float64{}); known {
-		t.Error("a demand is known from nothing")
+		t.Error("demand known without traffic")
 	}
 }
 
-// A mix that has turned every 12 s is expected to turn again; one that has stayed for
-// longer than usual, or has not turned often enough, is expected to stay.
+// TestPhases checks that a mix with phases of 12 s is expected to shift again after 12 s, whereas the
+// remaining duration is unknown in a longer phase and before enough phases have completed.
 func TestPhases(t *testing.T) {
 	var p mixPhases
 	now, limit := t0, 90*time.Second
@@ -189,23 +190,23 @@
 	check := func(what string, low, high time.Duration) {
 		t.Helper()
 		if got := p.remaining(now, limit); got < low || got > high {
-			t.Errorf("%s: %v, want %v to %v", what, got, low, high)
+			t.Errorf("%s: %v remaining, want %v to %v", what, got, low, high)
 		}
 	}
 	observeMix(5, 10)
-	check("nothing is known", limit, limit)
+	check("no phase completed", limit, limit)
 	for i := range 6 {
 		observeMix([]float64{3, 7}[i%2], 12)
 	}
 	observeMix(3, 4)
-	check("after 4 s of 12", 7*time.Second, 9*time.Second)
+	check("4 s into a phase", 7*time.Second, 9*time.Second)
 	observeMix(3, 20)
-	check("it has stayed", limit, limit)
+	check("phase longer than expected", limit, limit)
 	p.observe(now, [2]float64{})
 }
 
-// Rates are read from engines' own accounts: the slow one counts for less, one that is
-// cold or has begun anew tells nothing.
+// TestRates checks that rates follow the engines' reports: a slow engine has a low rate, and the rate
+// of one that is cold or has restarted is not measured.
 func TestRates(t *testing.T) {
 	var r rates
 	list := fleet(3, 2)
@@ -214,31 +215,31 @@
 			list[i].BusySeconds += 3
 			list[i].Tokens += 3000
 		}
-		list[0].Tokens -= 2000 // a third as fast
+		list[0].Tokens -= 2000 // one third of the rate
 		if n == 10 {
 			list[1].Tokens, list[1].BusySeconds = 0, 0
 		}
-		if list[2].ThroughputFraction = 0.3; n > 5 { // warm, and as fast, from then on
+		if list[2].ThroughputFraction = 0.3; n > 5 { // warm, with the same rate as the others
 			list[2].ThroughputFraction = 0
 		}
 		r.observe(list)
 	}
-	for id, want := range map[string]float64{"a": 1. / 3, "b": 1, "c": 1, "d": 1, "nobody": 1} {
+	for id, want := range map[string]float64{"a": 1. / 3, "b": 1, "c": 1, "d": 1, "unknown": 1} {
 		if got := r.relative(id, Prefill); math.Abs(got-want) > 0.02 {
-			t.Errorf("%s: %v, want %v", id, got, want)
+			t.Errorf("%s: relative rate %v, want %v", id, got, want)
 		}
 	}
 	if got := r.relative("a", Decode); math.Abs(got-1./3) > 0.02 {
-		t.Errorf("in a role that it has not had: %v", got)
+		t.Errorf("role without a measurement: relative rate %v, want 1/3", got)
 	}
 	r.observe(list[1:])
 	if len(r.byEngine) != 4 {
-		t.Error("one that has gone is not forgotten")
+		t.Error("rate of a removed engine was not deleted")
 	}
 }
 
-// A mixed engine keeps its place whatever is asked for; beside the only one of a rack the
-// last of a role may not go either.
+// TestMixedEngineDoesNotReplaceLastOfRole checks that a mixed engine never changes, and that a rack
+// with a mixed engine must still keep its last engine of each role.
 func TestMixedEngineDoesNotReplaceLastOfRole(t *testing.T) {
 	list := fleet(2, 2) // one of each in both racks
 	list = append(list, Engine{ID: "m", Rack: 0, Role: Mixed, Ready: true, Utilization: 1})
@@ -250,18 +251,18 @@
 	}
 }
 
-// A burst of one kind comes just as half a rack drains away from it: what is under way
-// is not counted as lost, and no further engine goes.
+// TestBurstDuringRackDrain checks a burst of decode work while two of the three decode engines of a
+// rack are draining to become prefill engines: no further decode engine may change.
 func TestBurstDuringRackDrain(t *testing.T) {
 	p := newTestPlanner(t, func(s *Settings) { s.MaxFleetFraction = 0.5 })
 	list := fleet(4, 6)
 	setLoad(list, Prefill, 1, 0)
 	setLoad(list, Decode, 0.4, 0)
 	now, all := t0, &trafficTotals{}
-	observeAndPlan := func(seconds int, refused float64) Plan {
+	observeAndPlan := func(seconds int, rejected float64) Plan {
 		for range seconds {
 			now = now.Add(time.Second)
-			p.Observe(now, list, all.addSecond(list, refused))
+			p.Observe(now, list, all.addSecond(list, rejected))
 		}
 		return p.Plan(now)
 	}
@@ -275,11 +276,12 @@
 	setLoad(list, Prefill, 0.3, 0)
 	setLoad(list, Decode, 1, 3)
 	if plan := observeAndPlan(20, 0.4); plan.Change != nil && plan.Change.To == Prefill {
-		t.Errorf("one more is taken from the kind that is asked for: %+v", plan)
+		t.Errorf("another decode engine changes during a burst of decode work: %+v", plan)
 	}
 }
 
-// What is made of an engine whose roster, own word and record of a change disagree.
+// TestPlannedEngine checks the planner's input for an engine whose roster, report and change record
+// disagree.
 func TestPlannedEngine(t *testing.T) {
 	set := DefaultSettings()
 	newObservation := func(change func(*Observation)) Observation {
@@ -294,10 +296,10 @@
 	}{
 		"in service":                         {newObservation(func(*Observation) {}), Engine{ID: "e", Ready: true, Utilization: 0.5, QueueSeconds: 0.25}, true},
 		"cold":                               {newObservation(func(x *Observation) { x.Uptime = 7 * time.Second }), Engine{ID: "e", Ready: true, Utilization: 0.5, QueueSeconds: 0.25, ThroughputFraction: 0.66}, true},
-		"it drains":                          {newObservation(func(x *Observation) { x.InService, x.Change = false, &ActiveChange{RoutingPaused: true, Role: "read"} }), Engine{ID: "e", Changing: true, Utilization: 0.5, QueueSeconds: 0.25}, true},
-		"has flipped, the record has not":    {newObservation(func(x *Observation) { x.Role, x.Change = "write", &ActiveChange{RoutingPaused: true, Role: "read"} }), Engine{ID: "e", Ready: true, Changing: true, Utilization: 0.5, QueueSeconds: 0.25}, true},
-		"the record has, the roster has not": {newObservation(func(x *Observation) { x.InService, x.Change = false, &ActiveChange{Role: "write"} }), Engine{ID: "e", Role: Decode, Ready: true, Utilization: 0.5, QueueSeconds: 0.25, ThroughputFraction: 0.32}, true},
-		"another role":                       {newObservation(func(x *Observation) { x.Role = "both" }), Engine{}, false},
+		"draining":                           {newObservation(func(x *Observation) { x.InService, x.Change = false, &ActiveChange{RoutingPaused: true, Role: "read"} }), Engine{ID: "e", Changing: true, Utilization: 0.5, QueueSeconds: 0.25}, true},
+		"new role reported but not recorded": {newObservation(func(x *Observation) { x.Role, x.Change = "write", &ActiveChange{RoutingPaused: true, Role: "read"} }), Engine{ID: "e", Ready: true, Changing: true, Utilization: 0.5, QueueSeconds: 0.25}, true},
+		"new role recorded but not in the roster": {newObservation(func(x *Observation) { x.InService, x.Change = false, &ActiveChange{Role: "write"} }), Engine{ID: "e", Role: Decode, Ready: true, Utilization: 0.5, QueueSeconds: 0.25, ThroughputFraction: 0.32}, true},
+		"unplanned role": {newObservation(func(x *Observation) { x.Role = "both" }), Engine{}, false},
 	} {
 		got, known := set.PlannedEngine(c.observation)
 		if got.ThroughputFraction = math.Round(got.ThroughputFraction*100) / 100; got != c.want || known != c.known {
@@ -318,7 +320,7 @@
 
 func TestValidateNamesField(t *testing.T) {
 	for field, change := range map[string]func(*Settings){
-		"strategy":        func(s *Settings) { s.Strategy = "guess" },
+		"strategy":        func(s *Settings) { s.Strategy = "unknown" },
 		"rack_part":       func(s *Settings) { s.MaxRackFraction = 0 },
 		"changes_an_hour": func(s *Settings) { s.MaxPerHour = 0 },
 		"horizon_ms":      func(s *Settings) { s.Horizon = time.Second },
@@ -333,13 +335,14 @@
 	}
 }
 
-// Whatever is seen, a plan never takes the last engine of a role, one that is pinned,
-// mixed, in change or has changed lately, nor more than may change at once or in an hour.
+// TestPlansRespectLimits checks under random observations that a plan never changes the last engine of
+// a role or one that is pinned, mixed, changing or changed less than MinDwell ago, and that it never
+// exceeds the limits on simultaneous changes and on changes per hour.
 func TestPlansRespectLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := DefaultSettings()
 		set.Strategy = rapid.SampledFrom([]Strategy{Threshold, QueueBalance, Predictive}).Draw(t, "strategy")
-		set.MaxPerHour = rapid.IntRange(1, 6).Draw(t, "an hour")
+		set.MaxPerHour = rapid.IntRange(1, 6).Draw(t, "max per hour")
 		p, err := NewPlanner(set)
 		if err != nil {
 			t.Fatal(err)
@@ -355,7 +358,7 @@
 		changedAt := map[string]time.Time{}
 		now, all := t0, &trafficTotals{}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			now = now.Add(time.Duration(rapid.IntRange(1, 60).Draw(t, "s")) * time.Second)
+			now = now.Add(time.Duration(rapid.IntRange(1, 60).Draw(t, "seconds")) * time.Second)
 			for i := range list {
 				list[i].Utilization = rapid.Float64Range(0, 1).Draw(t, "util")
 				list[i].QueueSeconds = rapid.Float64Range(0, 3).Draw(t, "queue")
@@ -363,11 +366,11 @@
 					list[i].Changing, list[i].Role, changedAt[list[i].ID] = false, list[i].Role.Opposite(), now
 				}
 			}
-			p.Observe(now, list, all.addSecond(list, rapid.Float64Range(0, 0.9).Draw(t, "refused")))
+			p.Observe(now, list, all.addSecond(list, rapid.Float64Range(0, 0.9).Draw(t, "rejected")))
 			plan := p.Plan(now)
 			if plan.Change == nil {
 				if plan.Reason == "" {
-					t.Fatal("nothing is done and nothing said")
+					t.Fatal("no change and no reason")
 				}
 				continue
 			}
@@ -389,17 +392,17 @@
 					continue
 				}
 				if e.Pinned || e.Changing || e.Role != plan.Change.From || sameRole < 2 || !changedAt[e.ID].IsZero() && now.Sub(changedAt[e.ID]) < set.MinDwell {
-					t.Fatalf("%+v was chosen, %d of its role", *e, sameRole)
+					t.Fatalf("%+v was chosen, with %d engines of its role", *e, sameRole)
 				}
 				e.Changing, changedAt[e.ID] = true, now
 			}
 			if changing+1 > max(1, int(set.MaxFleetFraction*float64(changeable))) {
-				t.Fatalf("%d in change of %d", changing+1, changeable)
+				t.Fatalf("%d of %d engines are changing", changing+1, changeable)
 			}
 			begun = append(begun, now)
 			p.ChangeStarted(now, *plan.Change)
 			if n := len(begun); n > set.MaxPerHour && now.Sub(begun[n-1-set.MaxPerHour]) < time.Hour {
-				t.Fatalf("%d changes in an hour", set.MaxPerHour+1)
+				t.Fatalf("%d changes within an hour", set.MaxPerHour+1)
 			}
 		}
 	})
--- a/decide/roles/settings.go
+++ b/decide/roles/settings.go
@@ -7,31 +7,31 @@
 	"wellgw/decide/setting"
 )
 
-// Strategy is a way to decide. The values are those of the settings document.
+// Strategy is the rule by which changes are planned. The values are those of the settings document.
 type Strategy string
 
 // The strategies.
 const (
-	Threshold    Strategy = "threshold"     // one stage is busy and the other is not
-	QueueBalance Strategy = "queue-balance" // as in max-weight scheduling: the longer queue gets the engine
-	Predictive   Strategy = "predictive"    // the forecast with the change is better than without
+	Threshold    Strategy = "threshold"     // change when one stage is busy and the other is not
+	QueueBalance Strategy = "queue-balance" // max-weight scheduling: the longer queue gets the engine
+	Predictive   Strategy = "predictive"    // change when the forecast with the change is better than without
 )
 
-// Settings are the parameters of the decisions that operators may set.
+// Settings are the parameters that operators may set.
 type Settings struct {
 	Strategy           Strategy
 	MinDwell           time.Duration // between two changes of one engine
 	ReversalDelay      time.Duration // between a change and one in the other direction
-	MaxRackFraction    float64       // of a rack's engines in change at once; one engine always may be
-	MaxFleetFraction   float64       // of the fleet's
-	MaxPerHour         int           // changes begun
-	DrainTime          time.Duration // expected
-	WarmUp             time.Duration // from the change until the engine is warm
-	ColdThroughput     float64       // share of its warm rate that an engine has at the start
+	MaxRackFraction    float64       // of a rack's engines that may change at the same time, at least one
+	MaxFleetFraction   float64       // of the fleet's engines that may change at the same time, at least one
+	MaxPerHour         int           // changes started
+	DrainTime          time.Duration // expected duration of a drain
+	WarmUp             time.Duration // from the switch to the new role until the engine is warm
+	ColdThroughput     float64       // fraction of the warm throughput at the start of the warm-up
 	Horizon            time.Duration // of the forecast
-	RefusalBackoff     time.Duration // for which an engine whose change failed is not changed
-	MinGain            float64       // in service that is worth a change
-	DemandTimeConstant time.Duration // of the smoothed demand
+	RefusalBackoff     time.Duration // for which an engine is excluded after its change failed
+	MinGain            float64       // minimum increase of the served fraction of demand that justifies a change
+	DemandTimeConstant time.Duration // of the smoothing of demand
 }
 
 // DefaultSettings returns the settings for an operator who sets none.
@@ -44,7 +44,7 @@
 	}
 }
 
-// Validate returns an error that names the field of the settings document that is wrong.
+// Validate returns an error that names the invalid field of the settings document.
 func (s Settings) Validate() error {
 	switch {
 	case s.Strategy != Threshold && s.Strategy != QueueBalance && s.Strategy != Predictive:
@@ -61,8 +61,8 @@
 	return nil
 }
 
-// warmUpThroughput returns the share of its warm rate that an engine has a time after it took its
-// role, if that is within WarmUp.
+// warmUpThroughput returns the fraction of its warm throughput that an engine has at time t after it
+// switched to its role. t must be below WarmUp.
 func (s Settings) warmUpThroughput(t time.Duration) float64 {
 	return s.ColdThroughput + (1-s.ColdThroughput)*float64(t)/float64(s.WarmUp)
 }
