--- a/decide/membership/config.go
+++ b/decide/membership/config.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// Config is what a machine is given at its start.
+// Config is the configuration of a Machine.
 type Config struct {
 	ID           string
 	Addr         string
 	Instance     uint64
-	Incarnation  uint64   // above that of any earlier process of this ID, as far as is known
-	JoinAddrs    []string // addresses to ping until some gateway answers
-	ExpectedSize int      // gateways in the tier according to the operator; 0: unknown
+	Incarnation  uint64   // above that of every known earlier process with this ID
+	JoinAddrs    []string // addresses to ping until a gateway answers
+	ExpectedSize int      // gateways in the tier as configured by the operator; 0: unknown
 	Seed         uint64
-	MaxUpdates   int // in one message; 0 = 6
+	MaxUpdates   int // per message; 0 = 6
 
 	// CountFitting returns how many of a message's updates fit into a datagram; nil: all. The
-	// transport drops the rest, the last ones first.
+	// transport drops the updates beyond that number from the end.
 	CountFitting func(Message) int
 
 	ProbeInterval    time.Duration // between probes; 0 = 100 ms
-	ProbeTimeout     time.Duration // for a direct answer; 0 = 80 ms
-	SuspicionTimeout time.Duration // from the unanswered probe until a suspect is dead; 0 = 2.3 s
-	DeadGrace        time.Duration // for which a dead gateway still counts as sharing the engines; 0 = 15 s
-	ReapAfter        time.Duration // after which a majority removes the dead; 0 = 10 min
-	ProtocolV1Only   bool          // use only the message kinds of the first protocol version: no sync, and no answer to one
+	ProbeTimeout     time.Duration // for a direct answer to a ping; 0 = 80 ms
+	SuspicionTimeout time.Duration // from the unanswered probe until the suspect is declared dead; 0 = 2.3 s
+	DeadGrace        time.Duration // for which a dead gateway still counts as active; 0 = 15 s
+	ReapAfter        time.Duration // after which dead members are removed, except in a minority; 0 = 10 min
+	ProtocolV1Only   bool          // use only the message kinds of protocol version 1: no sync
 }
 
 func (c *Config) setDefaults() {
--- a/decide/membership/gossip.go
+++ b/decide/membership/gossip.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// currentUpdate returns a member's update, with the present age of a suspicion.
+// currentUpdate returns a member's update, with the current age of a suspicion.
 func (m *Machine) currentUpdate(peer *member) Update {
 	u := peer.Update
 	if u.Status == Suspect {
@@ -15,8 +15,8 @@
 	return u
 }
 
-// addGossip fills a message with the updates that have been passed on least often, this
-// gateway's own first.
+// addGossip fills a message with the updates that have been transmitted least often, starting with
+// this gateway's own.
 func (m *Machine) addGossip(msg *Message) {
 	limit := int(math.Ceil(retransmitFactor * math.Log2(float64(len(m.byName)+2))))
 	if m.selfTransmissions < limit && len(msg.Updates) < m.cfg.MaxUpdates {
@@ -39,7 +39,7 @@
 	})
 }
 
-// queueGossip has a member's latest update passed on.
+// queueGossip queues a member's latest update for transmission to other gateways.
 func (m *Machine) queueGossip(peer *member) {
 	peer.transmissions = 0
 	if !peer.gossipQueued {
@@ -48,7 +48,7 @@
 	}
 }
 
-// receiveUpdate takes an update that a gateway has passed on.
+// receiveUpdate processes an update that was received from a gateway.
 func (m *Machine) receiveUpdate(from string, u Update) {
 	if u.ID == m.cfg.ID {
 		m.receiveOwnUpdate(u)
@@ -63,16 +63,17 @@
 	m.applyUpdate(u)
 }
 
-// receiveOwnUpdate takes an update about this gateway: it refutes one that is wrong, and pings
-// the address of one that is elsewhere.
+// receiveOwnUpdate processes an update about this gateway: it refutes a wrong status, and pings an
+// address that is not its own.
 func (m *Machine) receiveOwnUpdate(u Update) {
 	if u.Addr != "" && u.Addr != m.cfg.Addr && u.Status == Alive && m.now >= m.nextDuplicateCheckAt {
 		m.nextDuplicateCheckAt = m.now + duplicateCheckInterval
-		m.send(u.Addr, Message{Kind: Ping, Seq: m.nextSeq()}) // another process of this name, or this gateway's former address
+		// The address is that of another process with this name, or a former one of this gateway.
+		m.send(u.Addr, Message{Kind: Ping, Seq: m.nextSeq()})
 	}
 	if u.Status != m.self.Status && u.overrides(m.self) || u.Incarnation > m.self.Incarnation {
 		m.stats.Refutations++
-		m.localHealth = min(maxLocalHealth, m.localHealth+1) // this gateway may have been slow to answer
+		m.localHealth = min(maxLocalHealth, m.localHealth+1) // this gateway may have answered too slowly
 		m.self.Incarnation = u.Incarnation + 1
 		m.selfTransmissions = 0
 		m.updateDigest()
--- a/decide/membership/machine.go
+++ b/decide/membership/machine.go
@@ -1,17 +1,17 @@
-// Package membership decides who is in a tier of gateways: who is alive, suspected,
-// leaving or dead, how many share the engines, and whether the reachable ones are a majority.
+// Package membership maintains the membership of a tier of gateways: which members are alive,
+// suspected, leaving or dead, how many use the engines, and whether the reachable ones are a majority.
 //
-// It follows SWIM (Das, Gupta, Motivala 2002) with the extensions of Lifeguard (Dadgar,
-// Phillips, Currey 2018): a gateway with a poor local health gives others more time, and a
-// suspect is told of the suspicion so that it can refute. It departs from both in three
-// points. A suspicion runs from the moment that a probe went unanswered, at whichever gateway
-// it is held, so that all declare a death at about the same time. A gateway that has been
-// paused moves all its deadlines by the pause before it suspects any other. And a minority
-// keeps counting the dead.
+// It implements SWIM (Das, Gupta, Motivala 2002) with the extensions of Lifeguard (Dadgar,
+// Phillips, Currey 2018): a gateway with poor local health uses longer timeouts, and a suspect
+// receives the suspicion so that it can refute it. It differs from both in three respects:
+//   - The timeout of a suspicion starts when the unanswered probe was sent, at every gateway that
+//     receives the suspicion, so that all of them declare the death at about the same time.
+//   - A gateway that was paused moves all its deadlines by the pause before it suspects a member.
+//   - A gateway in a minority continues to count dead members.
 //
-// The package does no I/O, starts no goroutine and reads no clock: times are passed in as spans
-// since any origin, messages as values, and what is to be sent is returned. A Machine is not
-// safe for concurrent use.
+// The package does no I/O, starts no goroutine and reads no clock: times are passed in as durations
+// since an arbitrary origin, messages as values, and outgoing messages are returned. A Machine is
+// not safe for concurrent use.
 package membership
 
 import (
@@ -19,38 +19,38 @@
 	"time"
 )
 
-// The parameters of the protocol that no operator sets.
+// The parameters of the protocol that are not configurable.
 const (
-	indirectProbers        = 3                      // gateways that a PingReq goes to
-	maxLocalHealth         = 6                      // Lifeguard's upper bound of the local health multiplier, less one
-	retransmitFactor       = 3.0                    // times log2(n+1) that an update is passed on
-	minPause               = 100 * time.Millisecond // a tick later than that means that this process was paused
-	deadProbeRounds        = 8                      // probe rounds, of which one also probes a dead gateway, so that partitions merge
-	rejoinRoundsPerMember  = 5                      // probe rounds a known gateway between pings of the addresses to join by
-	maxStableFlapScore     = 2.0                    // decayed returns from death, past which a gateway is not steady
+	indirectProbers        = 3                      // gateways to which a PingReq is sent
+	maxLocalHealth         = 6                      // maximum of Lifeguard's local health multiplier, minus one
+	retransmitFactor       = 3.0                    // times log2(n+1): transmissions of an update
+	minPause               = 100 * time.Millisecond // minimum gap between calls that counts as a pause
+	deadProbeRounds        = 8                      // rounds between probes of dead gateways, to merge partitions
+	rejoinRoundsPerMember  = 5                      // rounds per known gateway between pings of JoinAddrs
+	maxStableFlapScore     = 2.0                    // flap score from which a gateway is not stable
 	flapHalfLife           = time.Minute
 	heartbeatUnit          = 10 * time.Millisecond
-	duplicateCheckInterval = time.Second            // between pings that look for another process of a name
-	syncRepliesPerRequest  = 8                      // messages that answer one SyncRequest
+	duplicateCheckInterval = time.Second            // between pings to a possible duplicate of this name
+	syncRepliesPerRequest  = 8                      // maximum number of replies to one SyncRequest
 	syncTimeout            = 500 * time.Millisecond // for the next reply of a sync
-	syncAttempts           = 3                      // requests for the same part before a sync is given up
-	syncInterval           = time.Second            // views differ for so long before a sync, and between syncs
+	syncAttempts           = 3                      // for one part before a sync is abandoned
+	syncInterval           = time.Second            // for which views differ before a sync; also between syncs
 )
 
-// member is what a machine knows of another gateway.
+// member is the state of another gateway.
 type member struct {
 	Update
 	statusSince   Time
-	deadAt        Time // a suspect's: when its suspicion times out
-	lastHeard     Time // the last message from itself
+	deadAt        Time // when the suspicion of a suspect times out
+	lastHeard     Time // time of the latest message from the gateway itself
 	lastDirectAck Time
-	ackedDirectly bool // the latest probe that was answered was answered without a PingReq
+	ackedDirectly bool // the latest answered probe was answered without a PingReq
 	everHeard     bool
 	rtt           time.Duration
-	flapScore     float64 // returns from death, as of flapScoreAt; decays with flapHalfLife
+	flapScore     float64 // times back alive after death, at flapScoreAt; decays with flapHalfLife
 	flapScoreAt   Time
-	heartbeat     uint32 // the latest that any gateway has heard in this incarnation
-	transmissions int    // times that its latest update has been passed on
+	heartbeat     uint32 // the latest that any gateway has received in this incarnation
+	transmissions int    // of its latest update
 	gossipQueued  bool
 	digestPart    uint64
 	suspectedBy   map[string]bool
@@ -61,21 +61,21 @@
 	cfg      Config
 	rng      *rand.Rand
 	now      Time
-	outgoing []Outgoing // what the present call returns
+	outgoing []Outgoing // messages that the current call returns
 	stats    Stats
 
 	self                 Update
-	selfTransmissions    int  // times that self has been passed on
-	superseded           bool // another process has this name, and is to stay
-	nextDuplicateCheckAt Time // no ping that looks for another process of a name before
+	selfTransmissions    int  // of self
+	superseded           bool // a process with a higher instance uses this name
+	nextDuplicateCheckAt Time // earliest time of the next ping that detects another process with the same name
 
 	members      map[string]*member
-	byName       []*member // all of them, sorted
-	notAlive     []*member // those with another status than Alive, sorted by name
-	gossip       []*member // those whose latest update is still passed on
+	byName       []*member // all members, sorted by name
+	notAlive     []*member // members with a status other than Alive, sorted by name
+	gossip       []*member // members whose latest update is still transmitted
 	statusCounts [Left + 1]int
 
-	localHealth int // Lifeguard's local health multiplier less one: 0 is healthy
+	localHealth int // Lifeguard's local health multiplier minus one: 0 is healthy
 	probeRing   []*member
 	probeRounds int
 	nextProbeAt Time
@@ -85,29 +85,29 @@
 
 	epoch          uint64
 	digest         uint64
-	epochDigest    uint64 // the digest to which the epoch belongs
+	epochDigest    uint64 // the digest for which the epoch was set
 	selfDigestPart uint64
 	viewChanged    bool // since the last call of Changed
 
 	sync             syncState
-	pushCursors      map[string]uint32 // by the gateway whose view differs: where pushView goes on
-	viewsDifferSince Time              // since when views received have differed; -1: the latest did not
+	pushCursors      map[string]uint32 // by gateway whose view differs: the index at which pushView continues
+	viewsDifferSince Time              // when received views began to differ; -1: the latest was equal
 }
 
-// Stats counts what a machine has seen since its start.
+// Stats counts the events of a machine since its start.
 type Stats struct {
-	Syncs          uint64 `json:"Walks"` // begun with gateways whose views differ
+	Syncs          uint64 `json:"Walks"` // started with gateways whose views differ
 	Probes         uint64
 	FailedProbes   uint64 `json:"Unanswered"` // probes
-	IndirectAcks   uint64 `json:"Helped"`     // probes answered only by way of other gateways
-	Suspicions     uint64 `json:"Suspected"`  // gateways suspected by this one
-	Refutations    uint64 `json:"Refuted"`    // suspicions of this gateway
+	IndirectAcks   uint64 `json:"Helped"`     // probes answered only through other gateways
+	Suspicions     uint64 `json:"Suspected"`  // of other gateways by this one
+	Refutations    uint64 `json:"Refuted"`    // of suspicions of this gateway
 	Deaths         uint64 `json:"Died"`
-	Pauses         uint64 // of this process, as late ticks show
-	DuplicateNames uint64 `json:"Namesakes"` // messages of another process with this gateway's name
+	Pauses         uint64 // of this process, detected by late ticks
+	DuplicateNames uint64 `json:"Namesakes"` // messages from another process with this gateway's name
 }
 
-// New returns a machine that knows of no other gateway yet.
+// New returns a machine without other members.
 func New(cfg Config, now Time) *Machine {
 	cfg.setDefaults()
 	m := &Machine{
@@ -120,8 +120,8 @@
 	return m
 }
 
-// Tick does what is due. It is to be called every fifth of a probe interval or so; a call that
-// comes far later means that this process was paused or that its clock jumped.
+// Tick applies timeouts and sends probes. It must be called about five times per probe interval; a
+// much later call means that this process was paused or that its clock jumped.
 func (m *Machine) Tick(now Time) []Outgoing {
 	m.beginCall(now)
 	if m.superseded {
@@ -138,15 +138,15 @@
 	return m.outgoing
 }
 
-// beginCall starts a call: nothing to send yet, and the clock as given.
+// beginCall clears the outgoing messages and advances the clock.
 func (m *Machine) beginCall(now Time) {
 	m.outgoing = m.outgoing[:0]
 	m.advanceClock(now)
 }
 
-// advanceClock moves the clock; one that goes back stands still. A late tick is a pause of this
-// process: nothing could be heard meanwhile, so every deadline moves by the pause, and local
-// health falls.
+// advanceClock advances the clock and ignores a clock that runs backwards. A late tick indicates a
+// pause of this process: it could not receive messages during it, so every deadline moves by the
+// pause, and local health gets worse.
 func (m *Machine) advanceClock(now Time) {
 	gap := now - m.now
 	if gap <= 0 {
@@ -164,15 +164,15 @@
 		peer.lastHeard += gap
 	}
 	m.sync.deadline += gap
-	m.nextProbeAt = m.now + m.cfg.ProbeTimeout // what waits in the socket is read before the next probe
+	m.nextProbeAt = m.now + m.cfg.ProbeTimeout // messages queued in the socket are read before the next probe
 }
 
-// AnnounceLeaving announces to a few gateways that this one is about to end; the messages
-// until its end pass it on.
+// AnnounceLeaving sends a few gateways the update that this one is about to stop; later messages
+// repeat it.
 func (m *Machine) AnnounceLeaving(now Time) []Outgoing { return m.announce(now, Leaving) }
 
-// AnnounceLeft announces that this gateway has ended. What it returns is to be sent before the
-// process exits.
+// AnnounceLeft sends a few gateways the update that this one has stopped. The returned messages must
+// be sent before the process exits.
 func (m *Machine) AnnounceLeft(now Time) []Outgoing { return m.announce(now, Left) }
 
 func (m *Machine) announce(now Time, s Status) []Outgoing {
@@ -185,8 +185,8 @@
 	return m.outgoing
 }
 
-// send queues a message with the updates that its receiver should know. Those on the members
-// in about come first unless they are alive, so that a suspect can refute; nil ones are skipped.
+// send queues a message with gossip. Updates on the members in about are added first unless they are
+// alive, so that a suspect can refute; nil members are skipped.
 func (m *Machine) send(to string, msg Message, about ...*member) {
 	msg.From, msg.Instance, msg.Addr = m.cfg.ID, m.cfg.Instance, m.cfg.Addr
 	msg.Epoch, msg.Digest, msg.Heartbeat = m.epoch, m.digest, uint32(m.now/heartbeatUnit)+1
--- a/decide/membership/members.go
+++ b/decide/membership/members.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// applyUpdate enters an update if it overrides what is known.
+// applyUpdate stores an update if it overrides the member's latest one.
 func (m *Machine) applyUpdate(u Update) {
 	peer := m.members[u.ID]
 	if peer == nil {
 		if u.Status >= Dead || u.Addr == "" {
-			return // a gateway that was never known need not be known as dead
+			return // no need to add an unknown gateway as dead
 		}
 		peer = m.addMember(u)
 	} else if !u.overrides(peer.Update) {
@@ -22,7 +22,7 @@
 	u.Addr = cmp.Or(u.Addr, peer.Addr)
 	age, heartbeat := u.SuspicionAge, u.Heartbeat
 	u.SuspicionAge, u.Heartbeat = 0, 0
-	if u.Incarnation > peer.Incarnation { // a new process may count its heartbeats from 1 again
+	if u.Incarnation > peer.Incarnation { // the heartbeats of a new process may restart from 1
 		peer.heartbeat = 0
 	}
 	peer.Update, m.viewChanged = u, true
@@ -42,7 +42,7 @@
 	m.updateDigest()
 }
 
-// addMember enters a member that was not known, as alive.
+// addMember adds an unknown member as alive.
 func (m *Machine) addMember(u Update) *member {
 	peer := &member{Update: Update{ID: u.ID, Addr: u.Addr, Incarnation: u.Incarnation, Status: Alive}, statusSince: m.now, lastHeard: m.now}
 	m.members[u.ID] = peer
@@ -53,7 +53,7 @@
 	return peer
 }
 
-// countStatus keeps the counts and notAlive in step with a member's new status.
+// countStatus updates the counts and notAlive for a member's new status.
 func (m *Machine) countStatus(peer *member, before Status) {
 	if peer.Status != before {
 		peer.statusSince = m.now
@@ -71,8 +71,9 @@
 
 func compareID(peer *member, id string) int { return cmp.Compare(peer.ID, id) }
 
-// startSuspicion begins a suspicion whose probe went unanswered an age ago. The startSuspicion may have been
-// heard since: then the suspicion runs from there, unless it rests on a later heartbeat.
+// startSuspicion starts a suspicion whose unanswered probe was sent an age ago. If this gateway has
+// received a message from the suspect since then, the timeout starts at that message, unless the
+// suspicion is based on a later heartbeat.
 func (m *Machine) startSuspicion(peer *member, age time.Duration, heartbeat uint32) {
 	peer.suspectedBy = map[string]bool{}
 	if peer.everHeard && heartbeat <= peer.heartbeat {
@@ -82,12 +83,12 @@
 	peer.deadAt = m.now + max(0, m.cfg.SuspicionTimeout-age)
 }
 
-// adjustSuspicion moves a suspect's deadline: some gateway heard the heartbeat an age ago. The
-// latest heartbeat holds; otherwise a suspect that is paused just after it had answered an
-// accusation would have less time to refute the next. For one heartbeat the highest age
-// holds: each hop lowers an age by the message's delay, and by the lowest no gateway would
-// ever be dead where delays are long. An age without a heartbeat moves the deadline only while
-// no heartbeat is known.
+// adjustSuspicion moves a suspect's deadline according to a heartbeat that a gateway received an age
+// ago. The latest heartbeat takes precedence; otherwise a suspect that is paused just after it refuted
+// a suspicion would have less time to refute the next one. For one heartbeat the highest age takes
+// precedence: each hop lowers the age by the message's delay, so that with the lowest age no gateway
+// would ever be declared dead when delays are long. An age without a heartbeat moves the deadline
+// only while no heartbeat is known.
 func (m *Machine) adjustSuspicion(peer *member, heartbeat uint32, age time.Duration) {
 	deadAt := m.now + max(0, m.cfg.SuspicionTimeout-age)
 	switch {
@@ -95,15 +96,15 @@
 	case heartbeat == peer.heartbeat && heartbeat > 0:
 		peer.deadAt = min(peer.deadAt, deadAt)
 	default:
-		if deadAt > peer.deadAt+minPause { // enough for the others to be told again
+		if deadAt > peer.deadAt+minPause { // a difference that is worth transmitting again
 			m.queueGossip(peer)
 		}
 		peer.heartbeat, peer.deadAt = heartbeat, max(peer.deadAt, deadAt)
 	}
 }
 
-// expireMembers declares suspects dead whose suspicion has timed out, and takes members that are
-// leaving and silent as having left. Neither status takes a member out of notAlive.
+// expireMembers declares suspects dead whose suspicion has timed out, and sets leaving members that
+// are unresponsive to Left. A member remains in notAlive with either status.
 func (m *Machine) expireMembers() {
 	for _, peer := range m.notAlive {
 		ended := peer.Update
@@ -118,8 +119,8 @@
 	}
 }
 
-// reapMembers removes those that have left, and the dead after a long time unless this gateway is in
-// a minority: one that forgot the others would take itself for the whole tier.
+// reapMembers removes members that have left and, after ReapAfter, dead ones. A gateway in a minority
+// does not remove dead members: without them it would count itself as a majority.
 func (m *Machine) reapMembers() {
 	for _, peer := range slices.Clone(m.notAlive) {
 		left := peer.Status == Left && m.now-peer.statusSince > m.cfg.DeadGrace
@@ -139,7 +140,7 @@
 	}
 }
 
-// decayedFlapScore returns a member's returns from death, each halved by every flapHalfLife since.
+// decayedFlapScore returns how often a member was alive again after death, halved every flapHalfLife.
 func (m *Machine) decayedFlapScore(peer *member) float64 {
 	return peer.flapScore * math.Exp2(-(m.now-peer.flapScoreAt).Seconds()/flapHalfLife.Seconds())
 }
--- a/decide/membership/message.go
+++ b/decide/membership/message.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Time is a point on the caller's clock, as the span since an origin of its choice.
+// Time is a time on the caller's clock, as the duration since an arbitrary origin.
 type Time = time.Duration
 
-// Status is the state of a gateway as another one sees it.
+// Status is the state of a gateway in the view of another one.
 type Status uint8
 
 // The statuses, in the order in which they override each other within one incarnation.
 const (
 	Alive   Status = iota
-	Suspect        // a probe of it went unanswered; it may refute
-	Leaving        // has announced its end and takes no new requests
-	Dead           // the suspicion timeout has passed
-	Left           // ended in good order
+	Suspect        // did not answer a probe; it may refute the suspicion
+	Leaving        // has announced that it will stop, and accepts no new requests
+	Dead           // its suspicion has timed out
+	Left           // stopped gracefully
 )
 
 // String returns the status in lower case.
@@ -25,50 +25,52 @@
 	return [...]string{"alive", "suspect", "leaving", "dead", "left"}[min(s, Left)]
 }
 
-// Update is the gossip about one gateway. Of two updates on one gateway the one with the
-// higher incarnation holds, then the one with the higher status: so updates may arrive in
+// Update is the gossip about one gateway. Of two updates on one gateway, the one with the higher
+// incarnation takes precedence, then the one with the higher status: updates may therefore arrive in
 // any order and more than once.
 type Update struct {
 	ID           string
-	Addr         string // where it is reached; may be empty in updates on the dead
-	Incarnation  uint64 // only the gateway itself raises it
+	Addr         string // its network address; may be empty in updates on dead gateways
+	Incarnation  uint64 // increased only by the gateway itself
 	Status       Status
-	SuspicionAge time.Duration `json:"Age"`  // of a suspicion: since the unanswered probe was sent, or Heartbeat was heard
-	Heartbeat    uint32        `json:"Beat"` // of a suspicion: the suspect's latest heartbeat that any gateway has heard; 0: unknown
+	SuspicionAge time.Duration `json:"Age"`  // of a suspicion: since the unanswered probe, or since Heartbeat
+	Heartbeat    uint32        `json:"Beat"` // of a suspicion: the suspect's latest known heartbeat; 0: unknown
 }
 
-// overrides tells whether u takes precedence over v.
+// overrides reports whether u takes precedence over v.
 func (u Update) overrides(v Update) bool {
 	return cmp.Or(cmp.Compare(u.Incarnation, v.Incarnation), cmp.Compare(u.Status, v.Status)) > 0
 }
 
-// Kind is the kind of a message. The numbers are part of the datagrams' form.
+// Kind is the kind of a message. The numbers are part of the datagram format.
 type Kind uint8
 
-// The kinds of message. The first version of the protocol knows those up to PingReq.
+// The kinds of messages. Version 1 of the protocol has those up to PingReq.
 const (
 	Ping        Kind = iota
 	Ack              // answers a Ping
-	PingReq          // asks for a ping of a third gateway on the sender's behalf: SWIM's indirect probe
-	SyncRequest      // asks for the part of the receiver's view that follows a name
-	SyncReply        // a piece of that part, up to the name in Subject; an empty name ends the sync
+	PingReq          // requests a ping of a third gateway on the sender's behalf: SWIM's indirect probe
+	SyncRequest      // requests the part of the receiver's view that follows a name
+	SyncReply        // a section of that part, up to the name in Subject; an empty name ends the sync
 )
 
-// Message is what gateways send each other.
+// Message is a message between gateways.
 type Message struct {
-	Kind      Kind
-	From      string
-	Instance  uint64 // of the sending process: two processes with one name differ in it
-	Addr      string // of the sender
-	Seq       uint32 // of the ping that this is, answers or asks for
-	Subject   string // PingReq: whom to ping; Ack: for whom it answers, if not the sender; SyncRequest, SyncReply: the last name covered
+	Kind     Kind
+	From     string
+	Instance uint64 // of the sending process: unique among processes with the same name
+	Addr     string // of the sender
+	Seq      uint32 // of the ping that this message is, answers or requests
+	// Subject is the target's name in a PingReq, the name of the pinged gateway in an Ack if it is
+	// not the sender, and the last name covered in a SyncRequest or SyncReply.
+	Subject   string
 	Epoch     uint64
 	Digest    uint64 // of the sender's view
-	Heartbeat uint32 // the sender's own clock in heartbeatUnit, from 1 on; 0: unknown
+	Heartbeat uint32 // the sender's own clock in units of heartbeatUnit, starting at 1; 0: unknown
 	Updates   []Update
 }
 
-// Outgoing is a message and the address it goes to.
+// Outgoing is a message and its destination address.
 type Outgoing struct {
 	To string
 	Message
--- a/decide/membership/probe.go
+++ b/decide/membership/probe.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// probe is a ping of this gateway that waits for its answer.
+// probe is a ping by this gateway that awaits an answer.
 type probe struct {
 	seq        uint32
 	target     *member
 	sentAt     Time
-	indirectAt Time // when others are asked to ping the target
+	indirectAt Time // when PingReqs are sent
 	deadline   Time
-	indirect   bool // others have been asked
+	indirect   bool // PingReqs have been sent
 	acked      bool
 }
 
@@ -20,20 +20,20 @@
 type forwardedPing struct {
 	seq        uint32 // of this gateway's ping
 	requestSeq uint32 // of the PingReq
-	requester  string // its address
+	requester  string // address of the sender of the PingReq
 	target     string
 	deadline   Time
 }
 
-// forwardTimeouts is how many probe timeouts an answer to a forwarded ping is waited for.
+// forwardTimeouts is the timeout of a forwarded ping, in probe timeouts.
 const forwardTimeouts = 4
 
-// ackTimeout is how long a direct answer may take, longer the worse the local health is.
+// ackTimeout returns the timeout of a direct answer, which increases as the local health gets worse.
 func (m *Machine) ackTimeout() time.Duration {
 	return m.cfg.ProbeTimeout * time.Duration(1+m.localHealth)
 }
 
-// probeDeadline is the part of a probe's time, in ack timeouts, after which it has failed.
+// probeDeadline is the time, in ack timeouts, after which a probe has failed.
 const probeDeadline = 3
 
 func (m *Machine) sendProbe(target *member) {
@@ -46,7 +46,7 @@
 	m.send(target.Addr, Message{Kind: Ping, Seq: p.seq}, target)
 }
 
-// probeAcked ends a probe with an answer, direct or by way of another gateway.
+// probeAcked completes a probe that was answered, directly or through another gateway.
 func (m *Machine) probeAcked(p *probe, direct bool) {
 	p.acked = true
 	m.localHealth = max(0, m.localHealth-1)
@@ -59,7 +59,7 @@
 	p.target.rtt = m.now - p.sentAt
 }
 
-// probeFailed ends a probe without an answer: its target is suspected.
+// probeFailed completes a probe without an answer: its target becomes a suspect.
 func (m *Machine) probeFailed(p *probe) {
 	m.stats.FailedProbes++
 	m.localHealth = min(maxLocalHealth, m.localHealth+1)
@@ -73,7 +73,7 @@
 	p.target.suspectedBy = map[string]bool{m.cfg.ID: true}
 }
 
-// checkProbes sends the PingReqs that are due and ends the probes that have timed out.
+// checkProbes sends PingReqs for probes without a direct answer and completes those that timed out.
 func (m *Machine) checkProbes() {
 	m.forwarded = slices.DeleteFunc(m.forwarded, func(f forwardedPing) bool { return m.now > f.deadline })
 	for _, p := range m.probes {
@@ -104,10 +104,10 @@
 	m.send(target.Addr, Message{Kind: Ping, Seq: f.seq}, target)
 }
 
-// randomAlive returns up to indirectProbers members that are alive, other than one.
+// randomAlive returns up to indirectProbers random members that are alive, without exclude.
 func (m *Machine) randomAlive(exclude *member) []*member {
 	var pool []*member
-	for range 4 * indirectProbers { // draws may meet members that are not alive, or twice
+	for range 4 * indirectProbers { // a draw may yield a member that is not alive or was already drawn
 		if len(m.byName) == 0 || len(pool) == indirectProbers {
 			break
 		}
@@ -118,8 +118,9 @@
 	return pool
 }
 
-// probeNext does one round: it probes every suspect, since each answer may refute, and the
-// next member of the ring; now and then also a dead one and the addresses to join by.
+// probeNext runs one probe round: it probes every suspect, since each answer may refute the
+// suspicion, and the next member of the ring; at longer intervals also a dead member and the join
+// addresses.
 func (m *Machine) probeNext() {
 	m.probeRounds++
 	for _, peer := range m.notAlive {
@@ -137,7 +138,7 @@
 	m.probeFromRing()
 }
 
-// pingJoinAddrs pings the addresses to pingJoinAddrs by.
+// pingJoinAddrs pings the join addresses.
 func (m *Machine) pingJoinAddrs() {
 	for _, addr := range m.cfg.JoinAddrs {
 		if addr != m.cfg.Addr {
@@ -146,8 +147,8 @@
 	}
 }
 
-// probeDead probes one dead member, drawn evenly: both sides of a healed partition hold the
-// other for dead, and would never meet again without it.
+// probeDead probes one dead member, chosen uniformly at random: after a partition has healed, each
+// side has the members of the other as dead, and would never contact them without this probe.
 func (m *Machine) probeDead() {
 	dead := m.statusCounts[Dead]
 	if dead == 0 {
@@ -165,8 +166,8 @@
 	}
 }
 
-// probeFromRing probes the next member that is alive or leaving. The ring is shuffled anew
-// once all have been probed, which bounds the time until any one is.
+// probeFromRing probes the next member that is alive or leaving. The ring is shuffled again after all
+// members have been probed, which bounds the time between two probes of a member.
 func (m *Machine) probeFromRing() {
 	for range len(m.byName) + 1 {
 		if len(m.probeRing) == 0 {
--- a/decide/membership/receive.go
+++ b/decide/membership/receive.go
@@ -2,7 +2,7 @@
 
 import "cmp"
 
-// Receive takes a message and returns what is to be sent.
+// Receive processes a message and returns the messages to send.
 func (m *Machine) Receive(now Time, msg Message) []Outgoing {
 	m.beginCall(now)
 	if msg.From == m.cfg.ID {
@@ -18,7 +18,7 @@
 		m.receiveUpdate(msg.From, u)
 	}
 	sender := m.members[msg.From]
-	if sender == nil { // its own update was not among those: an answer will hold it
+	if sender == nil { // unknown, and its own update was missing: its answer will contain it
 		m.send(msg.Addr, Message{Kind: Ping, Seq: m.nextSeq()})
 	} else {
 		m.recordContact(sender, msg.Heartbeat)
@@ -40,8 +40,8 @@
 	return m.outgoing
 }
 
-// recordContact takes a message from a member as a sign of life. A member that is held for dead
-// or left is told so, and refutes by raising its incarnation.
+// recordContact records that a message was received from a member. A member with status Dead or Left
+// is sent that status, so that it refutes it with a higher incarnation.
 func (m *Machine) recordContact(sender *member, heartbeat uint32) {
 	sender.lastHeard, sender.everHeard = m.now, true
 	if sender.Status == Suspect {
@@ -53,15 +53,15 @@
 	}
 }
 
-// receivePing answers a ping; sender is nil for one that is not a member.
+// receivePing answers a ping; sender is nil if it is not a member.
 func (m *Machine) receivePing(sender *member, msg Message) {
 	answer := Message{Kind: Ack, Seq: msg.Seq}
 	m.pushView(msg, &answer)
 	m.send(msg.Addr, answer, sender)
 }
 
-// receiveAck takes an answer to a ping of this gateway, or passes it to the gateway that the
-// ping was made for.
+// receiveAck processes an answer to a ping by this gateway, or forwards it to the gateway that
+// requested the ping.
 func (m *Machine) receiveAck(sender *member, msg Message) {
 	for _, f := range m.forwarded {
 		if f.seq == msg.Seq && f.target == msg.From {
@@ -81,25 +81,24 @@
 	}
 }
 
-// receiveFromDuplicate takes a message from another process with this gateway's name. The process
-// with the higher instance stays; the other one goes silent, since each would refute what the
-// other says for ever.
+// receiveFromDuplicate processes a message from another process with this gateway's name. The process
+// with the lower instance stops sending, since the two would refute each other's updates endlessly.
 func (m *Machine) receiveFromDuplicate(msg Message) {
 	if msg.Instance == m.cfg.Instance {
-		return // a message of this process that came back
+		return // a message of this process that was sent back to it
 	}
 	m.stats.DuplicateNames++
 	if msg.Instance > m.cfg.Instance && !m.superseded {
 		m.superseded, m.viewChanged = true, true
 	}
 	if msg.Instance < m.cfg.Instance && msg.Kind == Ping {
-		m.send(msg.Addr, Message{Kind: Ack, Seq: msg.Seq}) // by which it learns of the higher instance
+		m.send(msg.Addr, Message{Kind: Ack, Seq: msg.Seq}) // the answer contains the higher instance
 	}
 }
 
-// ReceiveStale takes a message from an earlier process of a name than the latest one heard. Its
-// content is ignored, but if it comes from another address than the name has now, both may
-// still run: the earlier process is told the address of the later one.
+// ReceiveStale processes a message from a process that was replaced by a later one with the same name.
+// Its content is ignored. If its address differs from that of the later process, both may still be
+// running: the earlier process is sent the update with the address of the later one.
 func (m *Machine) ReceiveStale(now Time, msg Message) []Outgoing {
 	m.beginCall(now)
 	latest := m.members[msg.From]
--- a/decide/membership/sync.go
+++ b/decide/membership/sync.go
@@ -5,20 +5,20 @@
 	"slices"
 )
 
-// syncState is an anti-entropy exchange: this gateway reads the view of another one whose
-// digest differs, a part at a time.
+// syncState is the state of an anti-entropy sync, in which this gateway requests the view of another
+// one whose digest differs, one part at a time.
 type syncState struct {
-	peer      string // "" for none under way
+	peer      string // "" if no sync is in progress
 	seq       uint32
 	cursor    string // the last name received
-	replies   int    // replies
+	replies   int    // received
 	attempts  int    // requests since the last reply
 	deadline  Time   // for the next reply
-	notBefore Time   // no other sync before
+	notBefore Time   // earliest time of the next sync
 }
 
-// startSync begins a sync with the sender of a message if views have differed for so long that
-// gossip alone does not make them equal. One sync is under way at a time.
+// startSync starts a sync with the sender of a message if the views have differed for longer than
+// gossip needs to make them equal. Only one sync is in progress at a time.
 func (m *Machine) startSync(msg Message) {
 	if msg.Digest == m.digest {
 		m.viewsDifferSince = -1
@@ -27,7 +27,7 @@
 	if m.viewsDifferSince < 0 {
 		m.viewsDifferSince = m.now
 	}
-	newMember := len(m.byName) < 2*m.cfg.MaxUpdates && m.sync.notBefore == 0 // need not wait
+	newMember := len(m.byName) < 2*m.cfg.MaxUpdates && m.sync.notBefore == 0 // syncs without delay
 	if m.cfg.ProtocolV1Only || m.sync.peer != "" || m.now < m.sync.notBefore || m.now-m.viewsDifferSince < syncInterval && !newMember {
 		return
 	}
@@ -36,14 +36,14 @@
 	m.requestSync(msg.Addr)
 }
 
-// requestSync asks for the part of the view that follows the cursor.
+// requestSync requests the part of the view that follows the cursor.
 func (m *Machine) requestSync(addr string) {
 	m.sync.seq, m.sync.deadline = m.nextSeq(), m.now+syncTimeout
 	m.send(addr, Message{Kind: SyncRequest, Seq: m.sync.seq, Subject: m.sync.cursor})
 }
 
-// checkSync asks again if replies have not come in time, and ends a sync after some attempts.
-// Replies that are lost before others came are left to the next sync.
+// checkSync repeats the request if replies have timed out, and ends the sync after syncAttempts.
+// A lost reply that was followed by others is not requested again; the next sync covers it.
 func (m *Machine) checkSync() {
 	if m.sync.peer == "" || m.now < m.sync.deadline {
 		return
@@ -57,8 +57,8 @@
 	m.requestSync(peer.Addr)
 }
 
-// answerSyncRequest sends the members that follow a name, in a few messages that may each be
-// lost.
+// answerSyncRequest sends the members that follow a name in up to syncRepliesPerRequest messages, each
+// of which may be lost.
 func (m *Machine) answerSyncRequest(msg Message) {
 	if m.cfg.ProtocolV1Only {
 		return
@@ -77,26 +77,26 @@
 	}
 }
 
-// syncReply returns a reply with as many members, from an index on, as fit.
+// syncReply returns a reply with as many members as fit, starting at an index.
 func (m *Machine) syncReply(seq uint32, from int) Message {
 	reply := Message{Kind: SyncReply, Seq: seq, From: m.cfg.ID, Addr: m.cfg.Addr, Epoch: m.epoch, Digest: m.digest, Heartbeat: math.MaxUint32}
 	for _, peer := range m.byName[from:min(len(m.byName), from+m.cfg.MaxUpdates)] {
 		reply.Updates, reply.Subject = append(reply.Updates, m.currentUpdate(peer)), peer.ID
 	}
 	if n := len(reply.Updates); n > 0 && m.cfg.CountFitting != nil {
-		n = max(1, m.cfg.CountFitting(reply)) // the next reply begins with what is left out here
+		n = max(1, m.cfg.CountFitting(reply)) // the next reply starts with the first member omitted here
 		reply.Updates, reply.Subject = reply.Updates[:n], reply.Updates[n-1].ID
 	}
 	return reply
 }
 
-// receiveSyncReply notes a reply, whose updates have been taken as any others, and asks for the
-// next part when the last reply of this one has come.
+// receiveSyncReply records a reply, whose updates Receive has already processed, and requests the next
+// part when all replies of the current one have been received.
 func (m *Machine) receiveSyncReply(msg Message) {
 	if msg.From != m.sync.peer || msg.Seq != m.sync.seq {
 		return
 	}
-	if msg.Subject == "" || msg.Digest == m.digest { // the end, or the views are equal
+	if msg.Subject == "" || msg.Digest == m.digest { // end of the view, or the views are equal
 		m.sync.peer = ""
 		return
 	}
@@ -107,13 +107,13 @@
 	}
 }
 
-// pushView adds the next part of this gateway's view to a message to one whose view differs.
+// pushView adds the next part of this gateway's view to a message to a gateway whose view differs.
 func (m *Machine) pushView(received Message, answer *Message) {
 	if received.Digest == m.digest || len(m.byName) == 0 {
 		return
 	}
 	at, known := m.pushCursors[received.From]
-	if !known { // a random start, or all would push the same part to a newcomer
+	if !known { // a random start: otherwise all gateways would push the same part to a new member
 		at = m.rng.Uint32()
 	}
 	answer.Updates = append(answer.Updates, m.self)
--- a/decide/membership/view.go
+++ b/decide/membership/view.go
@@ -2,34 +2,34 @@
 
 import "time"
 
-// Gateway is a member as a view shows it.
+// Gateway is a member in a View.
 type Gateway struct {
 	ID, Addr           string
 	Incarnation        uint64
 	Status             Status
-	StatusSince        Time          `json:"Since"` // of its status
-	LastHeard          Time          `json:"Heard"` // the last message from itself
-	RTT                time.Duration // of the latest ping that it answered directly
-	OneWay             bool          // it is heard and others reach it, but this gateway's pings are not answered
-	Stable             bool          `json:"Steady"`   // it has not died and come back again and again of late
-	SuspectedBy        int           `json:"Accusers"` // of a suspect: gateways that suspect it
+	StatusSince        Time          `json:"Since"`
+	LastHeard          Time          `json:"Heard"` // time of the latest message from the gateway itself
+	RTT                time.Duration // of the latest ping with a direct answer
+	OneWay             bool          // its messages arrive, but only other gateways get answers to pings
+	Stable             bool          `json:"Steady"`   // has not repeatedly returned from death recently
+	SuspectedBy        int           `json:"Accusers"` // of a suspect: number of gateways that suspect it
 	SuspicionExpiresIn time.Duration `json:"Due"`      // of a suspect: until its suspicion times out
 }
 
-// View is the tier as one gateway sees it.
+// View is one gateway's view of the tier.
 type View struct {
-	Epoch          uint64 // grows with every change; with Digest it tells views apart
+	Epoch          uint64 // increases with every change; identifies a view together with Digest
 	Digest         uint64 // equal for the same gateways with the same statuses
 	Self           Update
-	Peers          []Gateway `json:"Others"`  // by name
-	ActiveGateways int       `json:"Sharing"` // gateways that may use the engines now, this one among them
-	Minority       bool      // the gateways in reach are no quorum: not more than half of all that may run
-	Superseded     bool      `json:"Silenced"` // another process has this gateway's name, and stays
-	LocalHealth    int       `json:"Health"`   // Lifeguard's local health multiplier less one; 0 is healthy
+	Peers          []Gateway `json:"Others"`  // sorted by name
+	ActiveGateways int       `json:"Sharing"` // gateways that may be using the engines, including this one
+	Minority       bool      // no quorum: the alive gateways are not more than half of all that may be running
+	Superseded     bool      `json:"Silenced"` // a process with a higher instance uses this gateway's name
+	LocalHealth    int       `json:"Health"`   // Lifeguard's local health multiplier minus one; 0 is healthy
 	Stats          Stats
 }
 
-// View returns the present view.
+// View returns the current view.
 func (m *Machine) View() View {
 	v := View{
 		Epoch: m.epoch, Digest: m.digest, Self: m.self, ActiveGateways: m.ActiveGateways(), Minority: m.Minority(),
@@ -49,16 +49,17 @@
 	return v
 }
 
-// Changed tells whether anything but times has changed since the last call.
+// Changed reports whether the view has changed, other than in times, since the previous call.
 func (m *Machine) Changed() bool {
 	changed := m.viewChanged
 	m.viewChanged = false
 	return changed
 }
 
-// ActiveGateways returns how many gateways may use the engines now. It errs to more: a suspect counts;
-// a dead one counts for a while, since it may run on and its requests may still be at the
-// engines; and in a minority all count that have not left, as the others may well be a majority.
+// ActiveGateways returns how many gateways may be using the engines. It rather overestimates: a
+// suspect counts; a dead one counts for DeadGrace, since it may still be running and its requests may
+// still be at the engines; and in a minority all gateways count that have not left, as the
+// unreachable ones may be a majority.
 func (m *Machine) ActiveGateways() int {
 	n, minority := 1+m.statusCounts[Alive]+m.statusCounts[Suspect]+m.statusCounts[Leaving], m.Minority()
 	for _, peer := range m.notAlive {
@@ -72,16 +73,16 @@
 	return n
 }
 
-// Minority tells whether the gateways alive are no quorum, that is not more than half of all
-// that may run: each half of a tier is a minority. Until a gateway has found as many as the
-// operator expects it takes itself for one of a minority, too.
+// Minority reports whether the alive gateways are no quorum, that is, not more than half of all that
+// may be running: each half of a tier is a minority. A gateway is also in a minority until it has
+// found more than half of ExpectedSize.
 func (m *Machine) Minority() bool {
 	alive := 1 + m.statusCounts[Alive] + m.statusCounts[Leaving]
 	return 2*alive <= max(alive+m.statusCounts[Suspect]+m.statusCounts[Dead], m.cfg.ExpectedSize)
 }
 
-// The constants of FNV-1a, and two odd factors that spread an incarnation and a status over all
-// bits. Digests are compared between gateways of all versions: none of these may change.
+// The constants of FNV-1a, and two odd factors that distribute an incarnation and a status over all
+// bits. Digests are compared between gateways of all versions: these constants must not change.
 const (
 	fnvOffset         = 14695981039346656037
 	fnvPrime          = 0x100000001b3
@@ -89,8 +90,8 @@
 	statusFactor      = 0xbf58476d1ce4e5b9
 )
 
-// digestPart returns a gateway's part of the digest. It leaves out suspicions, which come and
-// go, and gateways that have left, which some remove before others.
+// digestPart returns a gateway's part of the digest. It ignores suspicions, which are transient, and
+// gateways that have left, which members remove at different times.
 func (u Update) digestPart() uint64 {
 	status := u.Status
 	switch status {
@@ -108,7 +109,7 @@
 	return h ^ h>>29
 }
 
-// updateDigest takes this gateway's own part anew and raises the epoch if the digest has changed.
+// updateDigest recomputes this gateway's own part and increases the epoch if the digest has changed.
 func (m *Machine) updateDigest() {
 	m.digest ^= m.selfDigestPart
 	m.selfDigestPart = m.self.digestPart()
@@ -119,9 +120,9 @@
 	}
 }
 
-// adoptEpoch takes over a higher epoch. Equal views end with equal epochs; views that the sides
-// of a partition have formed may have one epoch but differ in their digests, and once merged
-// have an epoch above both.
+// adoptEpoch adopts a higher epoch, so that gateways with equal views converge to equal epochs. The
+// views of two sides of a partition may have the same epoch with different digests; the merged view
+// has a higher epoch than both.
 func (m *Machine) adoptEpoch(msg Message) {
 	if msg.Epoch > m.epoch {
 		m.epoch, m.viewChanged = msg.Epoch, true
