--- a/decide/membership/golden_test.go
+++ b/decide/membership/golden_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// recorder hashes what machines return: numbers and texts in a fixed order, with no name of a
-// Go type or field, so that the sums outlive renames.
+// recorder hashes the outputs of machines: numbers and strings in a fixed order, without names of Go
+// types or fields, so that the hashes remain valid after renames.
 type recorder struct {
 	hash.Hash64
 }
@@ -72,23 +72,23 @@
 	r.numbers(s.Syncs, s.Probes, s.FailedProbes, s.IndirectAcks, s.Suspicions, s.Refutations, s.Deaths, s.Pauses, s.DuplicateNames)
 }
 
-// inFlightMessage is a message under way in the drawn tier.
+// inFlightMessage is a message on the network of a randomTier.
 type inFlightMessage struct {
 	at  Time
 	to  string
 	msg Message
 }
 
-// randomTier is a tier under faults that are all drawn from one seed.
+// randomTier is a tier under random faults from one seed.
 type randomTier struct {
 	recorder
 	rng         *rand.Rand
 	now         Time
 	machines    map[string]*Machine
 	addrs       []string
-	pausedUntil map[string]Time // paused until
+	pausedUntil map[string]Time // by address
 	inFlight    []inFlightMessage
-	blockedLink [2]string // messages from the one to the other are lost
+	blockedLink [2]string // sender and receiver whose messages are lost
 }
 
 func (d *randomTier) start(addr, id string, generation uint64) {
@@ -106,7 +106,8 @@
 	d.view(d.machines[addr].View())
 }
 
-// transmit records what a machine sends and sets it under way, with loss, delay and repetition.
+// transmit records the messages of a machine and puts them on the network, with loss, delay and
+// duplication.
 func (d *randomTier) transmit(from string, out []Outgoing) {
 	for _, s := range out {
 		d.outgoing(s)
@@ -121,7 +122,7 @@
 	}
 }
 
-// step plays 20 ms: one machine after the other takes what has arrived, then its tick.
+// step advances the tier by 20 ms: each machine receives the messages that have arrived, then ticks.
 func (d *randomTier) step() {
 	d.now += 20 * time.Millisecond
 	for _, addr := range d.addrs {
@@ -146,7 +147,8 @@
 	}
 }
 
-// injectFault draws one injectFault, or a departure, a restart or a second process of a name.
+// injectFault starts or ends a random fault, announces a departure, stops or restarts a machine, or
+// starts a second process with the same name.
 func (d *randomTier) injectFault() {
 	addr := d.addrs[d.rng.IntN(len(d.addrs))]
 	other := d.addrs[d.rng.IntN(len(d.addrs))]
@@ -177,7 +179,7 @@
 	}
 }
 
-// What machines send and show under drawn faults is what it was when the sums were taken.
+// TestGoldenRandomTiers compares messages and views under random faults with recorded hashes.
 func TestGoldenRandomTiers(t *testing.T) {
 	var maxStats Stats
 	for seed, want := range [...]uint64{
@@ -209,6 +211,6 @@
 		}
 	}
 	if maxStats.Syncs == 0 || maxStats.IndirectAcks == 0 || maxStats.Refutations == 0 || maxStats.Deaths == 0 || maxStats.Pauses == 0 || maxStats.DuplicateNames == 0 {
-		t.Errorf("something never happened in the drawn tiers: %+v", maxStats)
+		t.Errorf("an event type never occurred in the random tiers: %+v", maxStats)
 	}
 }
--- a/decide/membership/machine.go
+++ b/decide/membership/machine.go
@@ -25,7 +25,7 @@
 	maxLocalHealth         = 6                      // maximum of Lifeguard's local health multiplier, minus one
 	retransmitFactor       = 3.0                    // times log2(n+1): transmissions of an update
 	minPause               = 100 * time.Millisecond // minimum gap between calls that counts as a pause
-	deadProbeRounds        = 8                      // rounds between probes of dead gateways, to merge partitions
+	deadProbeRounds        = 8                      // rounds per probe of a dead gateway, to merge partitions
 	rejoinRoundsPerMember  = 5                      // rounds per known gateway between pings of JoinAddrs
 	maxStableFlapScore     = 2.0                    // flap score from which a gateway is not stable
 	flapHalfLife           = time.Minute
--- a/decide/membership/machine_test.go
+++ b/decide/membership/machine_test.go
@@ -17,7 +17,7 @@
 	tick = 20 * ms
 )
 
-// tier is gateways on a network in virtual time.
+// tier simulates gateways on a network in virtual time.
 type tier struct {
 	now           Time
 	queue         deliveries
@@ -25,19 +25,19 @@
 	rng           *rand.Rand
 	nodes         map[string]*node
 	names         []string
-	drops         func(from, to string) bool // a message is lost
+	drops         func(from, to string) bool // reports whether a message is lost
 	sent          int
-	delayNext     time.Duration // by which the next message comes late
-	duplicateNext bool          // whether it comes twice
+	delayNext     time.Duration // extra latency of the next message
+	duplicateNext bool          // whether the next message is delivered twice
 }
 
 type node struct {
 	*Machine
 	id          string
 	generation  uint64
-	pausedUntil Time // until
+	pausedUntil Time
 	down        bool
-	inbox       []Message // while paused
+	inbox       []Message // received while paused
 	deadSince   map[string]Time
 }
 
@@ -45,7 +45,7 @@
 	at         Time
 	order      int
 	to         string
-	generation uint64 // of the sender
+	generation uint64 // of the process whose tick this is; 0 for a message
 	msg        *Message
 }
 
@@ -67,7 +67,7 @@
 	return t
 }
 
-// start begins a process; its address is its name, and it joins by the first of all.
+// start starts a process; its address is its name, and it joins through the first two gateways.
 func (t *tier) start(id string, generation uint64) *node {
 	x := &node{id: id, generation: generation, deadSince: map[string]Time{}}
 	x.Machine = New(Config{ID: id, Addr: id, Instance: generation<<32 | uint64(len(t.names)), Incarnation: generation, Seed: t.rng.Uint64(), JoinAddrs: []string{"g000", "g001"}}, t.now)
@@ -101,7 +101,7 @@
 	}
 }
 
-// run plays until a time.
+// run advances the tier to a time.
 func (t *tier) run(until Time) {
 	for len(t.queue) > 0 && t.queue[0].at <= until {
 		l := heap.Pop(&t.queue).(delivery)
@@ -109,7 +109,7 @@
 		x := t.nodes[l.to]
 		switch {
 		case x.down:
-		case l.msg == nil && l.generation != x.generation: // a tick of an earlier life
+		case l.msg == nil && l.generation != x.generation: // a tick of an earlier process
 		case t.now < x.pausedUntil:
 			if l.msg != nil {
 				x.inbox = append(x.inbox, *l.msg)
@@ -137,7 +137,7 @@
 	t.now = until
 }
 
-// checkAgreement tells whether all that run hold one view, in which all that run are alive.
+// checkAgreement returns an error unless all running gateways have the same view, with all of them alive.
 func (t *tier) checkAgreement() error {
 	var first *node
 	for _, id := range t.names {
@@ -147,11 +147,11 @@
 		}
 		first = cmp.Or(first, x)
 		if x.digest != first.digest || x.epoch != first.epoch {
-			return fmt.Errorf("%s and %s hold views %d/%x and %d/%x", first.id, id, first.epoch, first.digest, x.epoch, x.digest)
+			return fmt.Errorf("views of %s and %s differ: %d/%x and %d/%x", first.id, id, first.epoch, first.digest, x.epoch, x.digest)
 		}
 		for _, other := range t.names {
 			if y := x.members[other]; other != id && !t.nodes[other].down && (y == nil || y.Status != Alive) {
-				return fmt.Errorf("%s does not hold %s for alive", id, other)
+				return fmt.Errorf("%s does not have %s as alive", id, other)
 			}
 		}
 	}
@@ -183,7 +183,7 @@
 			if x := tier.nodes[id]; !x.down {
 				at, known := x.deadSince["g004"]
 				if !known {
-					t.Fatalf("seed %d: %s does not know of the kill", seed, id)
+					t.Fatalf("seed %d: %s did not detect the death", seed, id)
 				}
 				detectionTimes = append(detectionTimes, at-killed)
 			}
@@ -191,16 +191,16 @@
 	}
 	slices.Sort(detectionTimes)
 	if p99 := detectionTimes[len(detectionTimes)*99/100]; p99 > 3*time.Second || detectionTimes[0] < 2*time.Second {
-		t.Errorf("known after %v to %v, p99 %v", detectionTimes[0], detectionTimes[len(detectionTimes)-1], p99)
+		t.Errorf("death detected after %v to %v, p99 %v", detectionTimes[0], detectionTimes[len(detectionTimes)-1], p99)
 	}
 }
 
-// falseDeaths counts who of those that run is dead to somebody.
+// falseDeaths lists the running gateways that another running gateway has declared dead.
 func (t *tier) falseDeaths() (out []string) {
 	for _, id := range t.names {
 		for other, at := range t.nodes[id].deadSince {
 			if !t.nodes[id].down && !t.nodes[other].down {
-				out = append(out, fmt.Sprintf("%s to %s at %v", other, id, at))
+				out = append(out, fmt.Sprintf("%s declared dead by %s at %v", other, id, at))
 			}
 		}
 	}
@@ -214,7 +214,7 @@
 		faults := rand.New(rand.NewPCG(seed, 77))
 		cut := map[string]bool{}
 		tier.drops = func(from, to string) bool { return cut[from+to] || faults.Float64() < 0.3 }
-		for range 12 { // again and again somebody is paused for up to 2 s and somebody is not heard by another
+		for range 12 { // in each round, block one link and pause one gateway for up to 2 s
 			clear(cut)
 			a, b := tier.names[faults.IntN(9)], tier.names[faults.IntN(9)]
 			cut[a+b] = true
@@ -222,7 +222,7 @@
 			x.pausedUntil = max(x.pausedUntil, tier.now+1500*ms+time.Duration(faults.Int64N(int64(500*ms))))
 			tier.run(tier.now + 2500*ms)
 			if bad := tier.falseDeaths(); len(bad) > 0 {
-				t.Fatalf("seed %d: dead falsely: %v", seed, bad)
+				t.Fatalf("seed %d: false deaths: %v", seed, bad)
 			}
 		}
 		tier.drops = func(string, string) bool { return false }
@@ -237,18 +237,18 @@
 	x.pausedUntil = tier.now + 30*time.Second
 	tier.run(tier.now + 10*time.Second)
 	if got := tier.nodes["g000"].members["g002"].Status; got != Dead {
-		t.Fatalf("silent for 10 s and held for %v", got)
+		t.Fatalf("status %v after 10 s without messages, want dead", got)
 	}
 	before := x.self.Incarnation
 	tier.run(x.pausedUntil + 50*ms)
-	for _, y := range x.byName { // it has been away itself, and must not judge others by that
+	for _, y := range x.byName { // no suspicion may result from its own pause
 		if y.Status != Alive {
-			t.Errorf("back from a pause it holds %s for %v", y.ID, y.Status)
+			t.Errorf("after its own pause it has %s as %v, want alive", y.ID, y.Status)
 		}
 	}
 	tier.requireAgreement(t, 5*time.Second, "after the pause")
 	if x.self.Incarnation <= before || x.View().Stats.Pauses == 0 {
-		t.Errorf("back with incarnation %d, %d before; stats %+v", x.self.Incarnation, before, x.View().Stats)
+		t.Errorf("incarnation %d after the pause, %d before; stats %+v", x.self.Incarnation, before, x.View().Stats)
 	}
 }
 
@@ -269,24 +269,25 @@
 		for i, id := range tier.names {
 			v := tier.nodes[id].View()
 			if v.Minority != (i < c.leftSize && c.leftMinority || i >= c.leftSize && c.rightMinority) {
-				t.Errorf("%d of %d: %s holds itself a minority: %v", c.leftSize, n, id, v.Minority)
+				t.Errorf("partition of %d of %d: %s reports minority %v", c.leftSize, n, id, v.Minority)
 			}
 			if v.Minority && v.ActiveGateways != n {
-				t.Errorf("%s in a minority says %d share the engines, of %d", id, v.ActiveGateways, n)
+				t.Errorf("%s in a minority counts %d active gateways, want %d", id, v.ActiveGateways, n)
 			}
 		}
-		joined := tier.start("g900", 1) // one half moves on
+		joined := tier.start("g900", 1) // changes the view of one side only
 		tier.run(tier.now + 3*time.Second)
 		epochBefore := tier.nodes["g000"].epoch
 		tier.drops = func(string, string) bool { return false }
 		tier.requireAgreement(t, 5*time.Second, "after the heal")
 		if joined.epoch <= epochBefore {
-			t.Errorf("merged at epoch %d, %d before", joined.epoch, epochBefore)
+			t.Errorf("epoch %d after the merge, %d before", joined.epoch, epochBefore)
 		}
 	}
 }
 
-// A hub that alone reaches both halves keeps all of them alive.
+// TestPartitionBridgedByOneMember checks that no gateway is declared dead while one member reaches
+// both sides of a partition.
 func TestPartitionBridgedByOneMember(t *testing.T) {
 	tier := newTier(5, 5)
 	tier.requireAgreement(t, 10*time.Second, "join")
@@ -294,7 +295,7 @@
 	tier.drops = func(a, b string) bool { return a != "g004" && b != "g004" && side(a) != side(b) }
 	tier.run(tier.now + 30*time.Second)
 	if bad := tier.falseDeaths(); len(bad) > 0 {
-		t.Errorf("dead falsely: %v", bad)
+		t.Errorf("false deaths: %v", bad)
 	}
 }
 
@@ -304,11 +305,11 @@
 	tier.drops = func(a, b string) bool { return a == "g000" && b == "g001" }
 	tier.run(tier.now + 20*time.Second)
 	if bad := tier.falseDeaths(); len(bad) > 0 {
-		t.Errorf("dead falsely: %v", bad)
+		t.Errorf("false deaths: %v", bad)
 	}
 	for _, g := range tier.nodes["g000"].View().Peers {
 		if g.OneWay != (g.ID == "g001") {
-			t.Errorf("%s one way: %v", g.ID, g.OneWay)
+			t.Errorf("%s: OneWay is %v", g.ID, g.OneWay)
 		}
 	}
 }
@@ -324,11 +325,12 @@
 	tier.transmit(old, []Outgoing{{To: "g000", Message: Message{Kind: Ack, From: "g003", Instance: old.cfg.Instance, Addr: "g003", Updates: []Update{old.self}}}})
 	tier.requireAgreement(t, 5*time.Second, "after the restart")
 	if got := tier.nodes["g000"].members["g003"].Incarnation; got < 2 {
-		t.Errorf("after a restart it is held at incarnation %d", got)
+		t.Errorf("incarnation %d after the restart, want at least 2", got)
 	}
 }
 
-// Where what was written down is lost and the clock went back, the tier knows better.
+// TestIncarnationRecoversFromTierAfterRestart checks that a gateway restarted with a low incarnation,
+// as when its stored one is lost and its clock went back, exceeds the one that the tier knows.
 func TestIncarnationRecoversFromTierAfterRestart(t *testing.T) {
 	tier := newTier(12, 4)
 	tier.nodes["g003"].self.Incarnation = 500
@@ -338,7 +340,7 @@
 	tier.start("g003", 3)
 	tier.requireAgreement(t, 5*time.Second, "after the restart")
 	if got := tier.nodes["g001"].members["g003"].Incarnation; got <= 500 {
-		t.Errorf("incarnation went back to %d", got)
+		t.Errorf("incarnation %d after the restart, want above 500", got)
 	}
 }
 
@@ -352,7 +354,7 @@
 	a.Receive(tier.now, msg)
 	b.Receive(tier.now, Message{Kind: Ping, From: "g002", Instance: a.cfg.Instance, Addr: "g002"})
 	if !a.View().Superseded || b.View().Superseded || a.View().Stats.DuplicateNames != 1 || len(a.Tick(tier.now+time.Second)) > 0 {
-		t.Errorf("silenced: %v and %v", a.View().Superseded, b.View().Superseded)
+		t.Errorf("superseded: %v and %v, want true and false", a.View().Superseded, b.View().Superseded)
 	}
 }
 
@@ -364,13 +366,14 @@
 		x.Tick(tier.now + jump)
 		for _, y := range x.byName {
 			if y.Status != Alive {
-				t.Errorf("a jump of %v: %s is held for %v", jump, y.ID, y.Status)
+				t.Errorf("clock jump of %v: status of %s is %v, want alive", jump, y.ID, y.Status)
 			}
 		}
 	}
 }
 
-// A suspicion does not run on while we are paused: the suspect could not be heard.
+// TestOwnPauseExtendsDeadlines checks that a pause of this process does not count towards a suspicion,
+// since no message from the suspect could be received during it.
 func TestOwnPauseExtendsDeadlines(t *testing.T) {
 	m := New(Config{ID: "a", Addr: "a"}, 0)
 	m.applyUpdate(Update{ID: "b", Addr: "b"})
@@ -380,14 +383,14 @@
 		want Status
 	}{{50 * ms, Suspect}, {10 * time.Second, Suspect}, {11 * time.Second, Suspect}, {13 * time.Second, Suspect}} {
 		if m.Tick(c.at); m.members["b"].Status != c.want {
-			t.Errorf("at %v it is held for %v", c.at, m.members["b"].Status)
+			t.Errorf("status at %v is %v", c.at, m.members["b"].Status)
 		}
 	}
 	for at := 13 * time.Second; at < 16*time.Second; at += tick {
 		m.Tick(at)
 	}
 	if got := m.members["b"].Status; got != Dead {
-		t.Errorf("3 s later, with no pause, it is held for %v", got)
+		t.Errorf("status %v after 3 s without a pause, want dead", got)
 	}
 }
 
@@ -407,13 +410,13 @@
 	tier.transmit(x, x.AnnounceLeaving(tier.now))
 	tier.run(tier.now + time.Second)
 	if v := tier.nodes["g000"].View(); v.Peers[2].Status != Leaving || v.ActiveGateways != 4 {
-		t.Errorf("one leaves: %+v, %d share", v.Peers[2], v.ActiveGateways)
+		t.Errorf("while leaving: %+v, %d active gateways", v.Peers[2], v.ActiveGateways)
 	}
 	tier.transmit(x, x.AnnounceLeft(tier.now))
 	x.down = true
 	tier.run(tier.now + 5*time.Second)
 	if v := tier.nodes["g000"].View(); v.ActiveGateways != 3 || v.Stats.Deaths != 0 {
-		t.Errorf("one has left: %d share, stats %+v", v.ActiveGateways, v.Stats)
+		t.Errorf("after leaving: %d active gateways, stats %+v", v.ActiveGateways, v.Stats)
 	}
 	tier.run(tier.now + time.Minute)
 	if err := tier.checkAgreement(); err != nil {
@@ -421,7 +424,8 @@
 	}
 }
 
-// Updates merge to one state in whatever order and however often they come.
+// TestUpdatesMergeInAnyOrder checks that updates result in the same state in any order and with
+// duplicates.
 func TestUpdatesMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		update := rapid.Custom(func(t *rapid.T) Update {
@@ -439,26 +443,28 @@
 		want := applyAll(all)
 		permuted := rapid.Permutation(append(slices.Clone(all), all...)).Draw(t, "order")
 		if got := applyAll(permuted); got != want {
-			t.Fatalf("%+v, in another order %+v", want, got)
+			t.Fatalf("%+v; in another order %+v", want, got)
 		}
 	})
 }
 
-// An accusation may be older than what we have heard of the accused since: it then runs from
-// what was heard, and of two accusations the younger holds. On nine programs under loss, an
-// accusation half a second old when a pause began made a pause of 1.8 s a death to all.
+// TestSuspicionStartsAtLastMessage checks the start of the suspicion timeout. A message from the
+// suspect that is later than the unanswered probe restarts the timeout, and of two suspicions the one
+// with the later probe takes precedence. Without these rules, in a run of nine processes under message
+// loss, a suspicion that was 0.5 s old at the start of a 1.8 s pause led all of them to declare the
+// paused one dead.
 func TestSuspicionStartsAtLastMessage(t *testing.T) {
 	for _, c := range []struct {
 		name      string
-		messageAt Time // of b itself
+		messageAt Time // of the latest message from b
 		firstAge  time.Duration
-		secondAge time.Duration // age of a second accusation; 0: none
+		secondAge time.Duration // age of a second suspicion; 0: none
 		deadAt    Time
 	}{
-		{"not heard since", 100 * ms, 800 * ms, 0, 1000*ms + 1500*ms},
-		{"heard since", 900 * ms, 800 * ms, 0, 900*ms + 2300*ms},
-		{"accused again later", 100 * ms, 800 * ms, 200 * ms, 1000*ms + 2100*ms},
-		{"accused again earlier", 100 * ms, 200 * ms, 800 * ms, 1000*ms + 2100*ms},
+		{"no later message", 100 * ms, 800 * ms, 0, 1000*ms + 1500*ms},
+		{"later message", 900 * ms, 800 * ms, 0, 900*ms + 2300*ms},
+		{"second suspicion with a later probe", 100 * ms, 800 * ms, 200 * ms, 1000*ms + 2100*ms},
+		{"second suspicion with an earlier probe", 100 * ms, 200 * ms, 800 * ms, 1000*ms + 2100*ms},
 	} {
 		m := New(Config{ID: "a", Addr: "a"}, 0)
 		m.applyUpdate(Update{ID: "b", Addr: "b"})
@@ -479,7 +485,7 @@
 			}
 		}
 		if died < c.deadAt || died > c.deadAt+2*tick {
-			t.Errorf("%s: dead at %v, want %v", c.name, died, c.deadAt)
+			t.Errorf("%s: declared dead at %v, want %v", c.name, died, c.deadAt)
 		}
 	}
 }
--- a/decide/membership/model_test.go
+++ b/decide/membership/model_test.go
@@ -6,12 +6,13 @@
 	"time"
 )
 
-// Three gateways that agree; then, at every point of the next while, one message is lost,
-// doubled or comes late, with and without a restart at every point. Each world is played
-// to its end, with what must hold:
-//   - whoever runs is dead to nobody (no silence here lasts as long as a death takes);
-//   - no incarnation that a gateway holds of another goes back;
-//   - within 5 s of the last fault all hold one view.
+// TestSmallTiersExhaustively simulates three gateways with the same view. In each run one message of
+// the fault window is lost, duplicated or delayed, without a restart or with one at each of eight
+// times. It checks for every message, fault and restart:
+//   - no running gateway is declared dead, since no gateway is unresponsive for as long as the
+//     suspicion timeout;
+//   - the incarnation of a member in the view of another gateway never decreases;
+//   - all gateways have the same view 5 s after the end of the fault window.
 func TestSmallTiersExhaustively(t *testing.T) {
 	const (
 		settled     = 3 * time.Second
@@ -31,7 +32,7 @@
 	messages := faultFree.sent - before
 	runs, states := 0, 0
 	for restart := -1; restart < 8; restart++ {
-		for _, fault := range []string{"lost", "doubled", "late"} {
+		for _, fault := range []string{"lost", "duplicated", "delayed"} {
 			for at := 0; at < messages; at++ {
 				w := base()
 				w.injectMessageFault(before+at+1, fault)
@@ -47,13 +48,13 @@
 						for _, x := range w.nodes[id].byName {
 							key := fmt.Sprint(id, w.nodes[id].generation, x.ID)
 							if x.Incarnation < maxIncarnations[key] {
-								t.Fatalf("message %d %s, restart %d: %s takes %s back to incarnation %d", at, fault, restart, id, x.ID, x.Incarnation)
+								t.Fatalf("message %d %s, restart %d: %s lowers the incarnation of %s to %d", at, fault, restart, id, x.ID, x.Incarnation)
 							}
 							maxIncarnations[key] = x.Incarnation
 						}
 					}
 					if bad := w.falseDeaths(); len(bad) > 0 {
-						t.Fatalf("message %d %s, restart %d: dead falsely: %v", at, fault, restart, bad)
+						t.Fatalf("message %d %s, restart %d: false deaths: %v", at, fault, restart, bad)
 					}
 				}
 				if err := w.checkAgreement(); err != nil {
@@ -63,13 +64,13 @@
 			}
 		}
 	}
-	t.Logf("%d worlds, %d states looked at, %d messages each", runs, states, messages)
+	t.Logf("%d runs, %d states checked, %d messages each", runs, states, messages)
 	if runs < 1000 {
-		t.Errorf("only %d worlds", runs)
+		t.Errorf("only %d runs, want at least 1000", runs)
 	}
 }
 
-// injectMessageFault has the n-th message sent lost, doubled or held back.
+// injectMessageFault loses, duplicates or delays the n-th message sent.
 func (t *tier) injectMessageFault(n int, fault string) {
 	done := false
 	t.drops = func(string, string) bool {
@@ -80,9 +81,9 @@
 		switch fault {
 		case "lost":
 			return true
-		case "late":
+		case "delayed":
 			t.delayNext = 700 * ms
-		case "doubled":
+		case "duplicated":
 			t.duplicateNext = true
 		}
 		return false
