--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -44,7 +44,7 @@
 	}
 	c.requests.add(request)
 	c.counters.increment(countRequests)
-	c.counters.addTraffic(in.Class, func(t *Traffic) { t.Asked++; t.Prompt += in.PromptTokens })
+	c.counters.addTraffic(in.Class, func(t *Traffic) { t.Requests++; t.PromptTokens += in.PromptTokens })
 	c.markChanged(request)
 	// The backstop guards against a request that neither the router nor an engine
 	// ever ends: it is answered inside the slack whatever else happens.
@@ -62,7 +62,7 @@
 
 // answer gives a request its final answer; a second one is a fault of the router's.
 func (c *Core) answer(request *requestState, a Answer) {
-	if !c.checks.Hold(!request.answered, "a request gets one final answer") {
+	if !c.checks.Assert(!request.answered, "a request gets one final answer") {
 		return
 	}
 	request.answered = true
