--- a/decide/membership/gossip.go
+++ b/decide/membership/gossip.go
@@ -23,7 +23,9 @@
 		m.selfTransmissions++
 		msg.Updates = append(msg.Updates, m.self)
 	}
-	slices.SortStableFunc(m.gossip, func(a, b *member) int { return cmp.Compare(a.transmissions, b.transmissions) })
+	slices.SortStableFunc(m.gossip, func(a, b *member) int {
+		return cmp.Compare(a.transmissions, b.transmissions)
+	})
 	for _, peer := range m.gossip {
 		if len(msg.Updates) >= m.cfg.MaxUpdates {
 			break
--- a/decide/membership/machine.go
+++ b/decide/membership/machine.go
@@ -40,20 +40,20 @@
 // member is the state of another gateway.
 type member struct {
 	Update
-	statusSince   Time
-	deadAt        Time // when the suspicion of a suspect times out
-	lastHeard     Time // time of the latest message from the gateway itself
-	lastDirectAck Time
-	ackedDirectly bool // the latest answered probe was answered without a PingReq
-	everHeard     bool
-	rtt           time.Duration
-	flapScore     float64 // times back alive after death, at flapScoreAt; decays with flapHalfLife
-	flapScoreAt   Time
-	heartbeat     uint32 // the latest that any gateway has received in this incarnation
-	transmissions int    // of its latest update
-	gossipQueued  bool
-	digestPart    uint64
-	suspectedBy   map[string]bool
+	statusSince     Time
+	deadAt          Time // when the suspicion of a suspect times out
+	lastMessageAt   Time // time of the latest message from the gateway itself
+	lastDirectAck   Time
+	ackedDirectly   bool // the latest answered probe was answered without a PingReq
+	messageReceived bool
+	rtt             time.Duration
+	flapScore       float64 // times back alive after death, at flapScoreAt; decays with flapHalfLife
+	flapScoreAt     Time
+	heartbeat       uint32 // the latest that any gateway has received in this incarnation
+	transmissions   int    // of its latest update
+	gossipQueued    bool
+	digestPart      uint64
+	suspectedBy     map[string]bool // names of the gateways that suspect it
 }
 
 // Machine is one gateway's view of the tier.
@@ -98,7 +98,7 @@
 type Stats struct {
 	Syncs          uint64 `json:"Walks"` // started with gateways whose views differ
 	Probes         uint64
-	FailedProbes   uint64 `json:"Unanswered"` // probes
+	FailedProbes   uint64 `json:"Unanswered"` // probes without an answer
 	IndirectAcks   uint64 `json:"Helped"`     // probes answered only through other gateways
 	Suspicions     uint64 `json:"Suspected"`  // of other gateways by this one
 	Refutations    uint64 `json:"Refuted"`    // of suspicions of this gateway
@@ -161,7 +161,7 @@
 	m.probes, m.forwarded = nil, nil
 	for _, peer := range m.byName {
 		peer.deadAt += gap
-		peer.lastHeard += gap
+		peer.lastMessageAt += gap
 	}
 	m.sync.deadline += gap
 	m.nextProbeAt = m.now + m.cfg.ProbeTimeout // messages queued in the socket are read before the next probe
--- a/decide/membership/members.go
+++ b/decide/membership/members.go
@@ -44,7 +44,10 @@
 
 // addMember adds an unknown member as alive.
 func (m *Machine) addMember(u Update) *member {
-	peer := &member{Update: Update{ID: u.ID, Addr: u.Addr, Incarnation: u.Incarnation, Status: Alive}, statusSince: m.now, lastHeard: m.now}
+	peer := &member{
+		Update:      Update{ID: u.ID, Addr: u.Addr, Incarnation: u.Incarnation, Status: Alive},
+		statusSince: m.now, lastMessageAt: m.now,
+	}
 	m.members[u.ID] = peer
 	at, _ := slices.BinarySearchFunc(m.byName, u.ID, compareID)
 	m.byName = slices.Insert(m.byName, at, peer)
@@ -76,8 +79,8 @@
 // suspicion is based on a later heartbeat.
 func (m *Machine) startSuspicion(peer *member, age time.Duration, heartbeat uint32) {
 	peer.suspectedBy = map[string]bool{}
-	if peer.everHeard && heartbeat <= peer.heartbeat {
-		age = min(age, m.now-peer.lastHeard)
+	if peer.messageReceived && heartbeat <= peer.heartbeat {
+		age = min(age, m.now-peer.lastMessageAt)
 	}
 	peer.heartbeat = max(peer.heartbeat, heartbeat)
 	peer.deadAt = m.now + max(0, m.cfg.SuspicionTimeout-age)
@@ -112,7 +115,7 @@
 			ended.Status = Dead
 			m.applyUpdate(ended)
 		}
-		if peer.Status == Leaving && m.now-max(peer.lastHeard, peer.statusSince) > m.cfg.SuspicionTimeout {
+		if peer.Status == Leaving && m.now-max(peer.lastMessageAt, peer.statusSince) > m.cfg.SuspicionTimeout {
 			ended.Status = Left
 			m.applyUpdate(ended)
 		}
--- a/decide/membership/probe.go
+++ b/decide/membership/probe.go
@@ -25,22 +25,22 @@
 	deadline   Time
 }
 
-// forwardTimeouts is the timeout of a forwarded ping, in probe timeouts.
-const forwardTimeouts = 4
+// probeTimeoutsPerForward is the timeout of a forwarded ping, in probe timeouts.
+const probeTimeoutsPerForward = 4
 
 // ackTimeout returns the timeout of a direct answer, which increases as the local health gets worse.
 func (m *Machine) ackTimeout() time.Duration {
 	return m.cfg.ProbeTimeout * time.Duration(1+m.localHealth)
 }
 
-// probeDeadline is the time, in ack timeouts, after which a probe has failed.
-const probeDeadline = 3
+// ackTimeoutsPerProbe is the number of ack timeouts after which a probe has failed.
+const ackTimeoutsPerProbe = 3
 
 func (m *Machine) sendProbe(target *member) {
 	m.stats.Probes++
 	p := &probe{
 		seq: m.nextSeq(), target: target, sentAt: m.now,
-		indirectAt: m.now + m.ackTimeout(), deadline: m.now + probeDeadline*m.ackTimeout(),
+		indirectAt: m.now + m.ackTimeout(), deadline: m.now + ackTimeoutsPerProbe*m.ackTimeout(),
 	}
 	m.probes = append(m.probes, p)
 	m.send(target.Addr, Message{Kind: Ping, Seq: p.seq}, target)
@@ -98,7 +98,7 @@
 	}
 	f := forwardedPing{
 		seq: m.nextSeq(), requestSeq: msg.Seq, requester: msg.Addr, target: msg.Subject,
-		deadline: m.now + forwardTimeouts*m.cfg.ProbeTimeout,
+		deadline: m.now + probeTimeoutsPerForward*m.cfg.ProbeTimeout,
 	}
 	m.forwarded = append(m.forwarded, f)
 	m.send(target.Addr, Message{Kind: Ping, Seq: f.seq}, target)
@@ -106,16 +106,17 @@
 
 // randomAlive returns up to indirectProbers random members that are alive, without exclude.
 func (m *Machine) randomAlive(exclude *member) []*member {
-	var pool []*member
+	var chosen []*member
 	for range 4 * indirectProbers { // a draw may yield a member that is not alive or was already drawn
-		if len(m.byName) == 0 || len(pool) == indirectProbers {
+		if len(m.byName) == 0 || len(chosen) == indirectProbers {
 			break
 		}
-		if peer := m.byName[m.rng.IntN(len(m.byName))]; peer != exclude && peer.Status == Alive && !slices.Contains(pool, peer) {
-			pool = append(pool, peer)
+		if peer := m.byName[m.rng.IntN(len(m.byName))]; peer != exclude &&
+			peer.Status == Alive && !slices.Contains(chosen, peer) {
+			chosen = append(chosen, peer)
 		}
 	}
-	return pool
+	return chosen
 }
 
 // probeNext runs one probe round: it probes every suspect, since each answer may refute the
@@ -172,7 +173,9 @@
 	for range len(m.byName) + 1 {
 		if len(m.probeRing) == 0 {
 			m.probeRing = slices.Clone(m.byName)
-			m.rng.Shuffle(len(m.probeRing), func(i, j int) { m.probeRing[i], m.probeRing[j] = m.probeRing[j], m.probeRing[i] })
+			m.rng.Shuffle(len(m.probeRing), func(i, j int) {
+				m.probeRing[i], m.probeRing[j] = m.probeRing[j], m.probeRing[i]
+			})
 		}
 		if len(m.probeRing) == 0 {
 			return
--- a/decide/membership/receive.go
+++ b/decide/membership/receive.go
@@ -43,7 +43,7 @@
 // recordContact records that a message was received from a member. A member with status Dead or Left
 // is sent that status, so that it refutes it with a higher incarnation.
 func (m *Machine) recordContact(sender *member, heartbeat uint32) {
-	sender.lastHeard, sender.everHeard = m.now, true
+	sender.lastMessageAt, sender.messageReceived = m.now, true
 	if sender.Status == Suspect {
 		m.adjustSuspicion(sender, heartbeat, 0)
 	}
--- a/decide/membership/sync.go
+++ b/decide/membership/sync.go
@@ -28,7 +28,8 @@
 		m.viewsDifferSince = m.now
 	}
 	newMember := len(m.byName) < 2*m.cfg.MaxUpdates && m.sync.notBefore == 0 // syncs without delay
-	if m.cfg.ProtocolV1Only || m.sync.peer != "" || m.now < m.sync.notBefore || m.now-m.viewsDifferSince < syncInterval && !newMember {
+	if m.cfg.ProtocolV1Only || m.sync.peer != "" || m.now < m.sync.notBefore ||
+		m.now-m.viewsDifferSince < syncInterval && !newMember {
 		return
 	}
 	m.stats.Syncs++
@@ -79,7 +80,10 @@
 
 // syncReply returns a reply with as many members as fit, starting at an index.
 func (m *Machine) syncReply(seq uint32, from int) Message {
-	reply := Message{Kind: SyncReply, Seq: seq, From: m.cfg.ID, Addr: m.cfg.Addr, Epoch: m.epoch, Digest: m.digest, Heartbeat: math.MaxUint32}
+	reply := Message{
+		Kind: SyncReply, Seq: seq, From: m.cfg.ID, Addr: m.cfg.Addr, Epoch: m.epoch, Digest: m.digest,
+		Heartbeat: math.MaxUint32,
+	}
 	for _, peer := range m.byName[from:min(len(m.byName), from+m.cfg.MaxUpdates)] {
 		reply.Updates, reply.Subject = append(reply.Updates, m.currentUpdate(peer)), peer.ID
 	}
--- a/decide/membership/view.go
+++ b/decide/membership/view.go
@@ -37,9 +37,11 @@
 	}
 	for _, peer := range m.byName {
 		g := Gateway{
-			ID: peer.ID, Addr: peer.Addr, Incarnation: peer.Incarnation, Status: peer.Status, StatusSince: peer.statusSince, LastHeard: peer.lastHeard,
+			ID: peer.ID, Addr: peer.Addr, Incarnation: peer.Incarnation, Status: peer.Status,
+			StatusSince: peer.statusSince, LastHeard: peer.lastMessageAt,
 			RTT: peer.rtt, Stable: m.decayedFlapScore(peer) < maxStableFlapScore, SuspectedBy: len(peer.suspectedBy),
-			OneWay: peer.Status < Dead && peer.everHeard && !peer.ackedDirectly && m.now-peer.lastDirectAck > m.cfg.SuspicionTimeout,
+			OneWay: peer.Status < Dead && peer.messageReceived && !peer.ackedDirectly &&
+				m.now-peer.lastDirectAck > m.cfg.SuspicionTimeout,
 		}
 		if peer.Status == Suspect {
 			g.SuspicionExpiresIn = max(0, peer.deadAt-m.now)
--- a/decide/rolechange/golden_test.go
+++ b/decide/rolechange/golden_test.go
@@ -50,8 +50,8 @@
 			for range 1 + rng.IntN(4) { // consecutive decisions of one change
 				a := Next(r, f, limits)
 				x := a.Record
-				hold, role, cold := x.Routing()
-				fmt.Fprintln(sum, a.Write, string(a.Command), string(a.Outcome), a.LeaseLost, a.Reason, hold, role, cold.UnixNano(),
+				paused, role, coldSince := x.Routing()
+				fmt.Fprintln(sum, a.Write, string(a.Command), string(a.Outcome), a.LeaseLost, a.Reason, paused, role, coldSince.UnixNano(),
 					x.Engine, x.Addr, x.Rack, x.From, x.To, string(x.Step), x.FencingToken, x.Leader, x.StartedAt.UnixNano(), x.StepStartedAt.UnixNano(), x.FlippedAt.UnixNano(), x.Reason)
 				r, f = x, randomInputs(rng)
 			}
--- a/decide/rolechange/rolechange.go
+++ b/decide/rolechange/rolechange.go
@@ -94,7 +94,8 @@
 // Next returns the next action. It depends only on its arguments, so that after a leader is killed
 // at any point, its successor can continue from the stored record.
 func Next(r Record, f Inputs, l Timeouts) Action {
-	if r.FencingToken > f.FencingToken || f.Reply == Fenced || f.Report != nil && f.Report.FencingToken > f.FencingToken {
+	if r.FencingToken > f.FencingToken || f.Reply == Fenced ||
+		f.Report != nil && f.Report.FencingToken > f.FencingToken {
 		return Action{Record: r, LeaseLost: true, Reason: "another owner has a newer lease"}
 	}
 	if r.FencingToken < f.FencingToken { // written by an earlier leader
--- a/decide/rolechange/rolechange_test.go
+++ b/decide/rolechange/rolechange_test.go
@@ -145,17 +145,17 @@
 		r, now := newRecord(Announced), t0
 		for range 60 {
 			now = now.Add(time.Duration(rapid.IntRange(1, 9000).Draw(t, "ms")) * time.Millisecond)
-			f := Inputs{Now: now, Leader: "g1", FencingToken: 5, Gateways: 2, Confirmed: rapid.IntRange(0, 2).Draw(t, "seen"), Listed: rapid.Bool().Draw(t, "listed")}
+			f := Inputs{Now: now, Leader: "g1", FencingToken: 5, Gateways: 2, Confirmed: rapid.IntRange(0, 2).Draw(t, "confirmed"), Listed: rapid.Bool().Draw(t, "listed")}
 			if rapid.IntRange(0, 3).Draw(t, "answers") > 0 {
 				f.Report = &Report{Role: "read", Draining: rapid.Bool().Draw(t, "draining"), Running: rapid.IntRange(0, 1).Draw(t, "running"), HeldStates: rapid.IntRange(0, 1).Draw(t, "held")}
 			} else {
-				f.UnresponsiveFor = time.Duration(rapid.IntRange(0, 9).Draw(t, "silent")) * s
+				f.UnresponsiveFor = time.Duration(rapid.IntRange(0, 9).Draw(t, "unresponsive")) * s
 			}
 			a := Next(r, f, DefaultTimeouts())
 			if a.Command == Flip && r.Step == Draining && (f.Report.Running > 0 || f.Report.HeldStates > 0 || !f.Report.Draining) {
 				t.Fatalf("flip command sent to an engine that was not empty: %+v", f.Report)
 			}
-			if hold, role, _ := a.Record.Routing(); a.Outcome == InProgress && (!hold || role != "read") {
+			if paused, role, _ := a.Record.Routing(); a.Outcome == InProgress && (!paused || role != "read") {
 				t.Fatalf("gateways route new requests to the engine in step %s", a.Record.Step)
 			}
 			if a.Outcome != InProgress {
--- a/decide/roles/candidate.go
+++ b/decide/roles/candidate.go
@@ -98,5 +98,6 @@
 // by the change, then the work that it must drain.
 func (p *Planner) changeCost(e Engine, rack *engineCounts, to Role) float64 {
 	from := e.Role
-	return float64(rack.ready[to]) - float64(rack.ready[from]) + (p.relativeRate(e, from)-p.relativeRate(e, to))*rateWeight + e.Utilization*utilizationWeight
+	return float64(rack.ready[to]) - float64(rack.ready[from]) +
+		(p.relativeRate(e, from)-p.relativeRate(e, to))*rateWeight + e.Utilization*utilizationWeight
 }
--- a/decide/roles/demand.go
+++ b/decide/roles/demand.go
@@ -137,7 +137,8 @@
 	for _, class := range d.classes {
 		sum += class.rate
 	}
-	if d.calibratedFor < minCalibrationTimeConstants*d.timeConstant || sum <= 0 || d.tokens[Prefill] <= 0 || d.tokens[Decode] <= 0 {
+	if d.calibratedFor < minCalibrationTimeConstants*d.timeConstant || sum <= 0 ||
+		d.tokens[Prefill] <= 0 || d.tokens[Decode] <= 0 {
 		return [2]float64{}, false
 	}
 	var demand [2]float64
--- a/decide/roles/forecast.go
+++ b/decide/roles/forecast.go
@@ -27,10 +27,10 @@
 	return served
 }
 
-// expectedForecast averages the forecast over demand that is higher and lower by its standard deviation,
-// at both stages. Demand above the capacity lowers service, while demand below it gains nothing: by
-// the mean demand alone, a split that barely suffices for one stage would rate as high as one with a
-// margin.
+// expectedForecast averages the forecast over demand that is higher and lower by its standard
+// deviation, at both stages. Demand above the capacity lowers the served fraction, while demand below
+// it does not raise it: by the mean demand alone, a split that barely suffices for one stage would
+// rate as high as one with a margin.
 func (p *Planner) expectedForecast(c *Change, noise [2]float64, horizon time.Duration) Forecast {
 	const cases = 4 // higher or lower demand at either stage
 	var mean Forecast
@@ -72,7 +72,8 @@
 		switch {
 		case e.Role == Mixed || !e.Ready && !e.Changing:
 		case e.Changing: // the progress of its change is unknown: assume half of its drain
-			capacity[e.Role.Opposite()] += p.relativeRate(e, e.Role.Opposite()) * p.throughputInChange(t+p.settings.DrainTime/2)
+			capacity[e.Role.Opposite()] += p.relativeRate(e, e.Role.Opposite()) *
+				p.throughputInChange(t+p.settings.DrainTime/2)
 		case c != nil && e.ID == c.Engine:
 			capacity[c.To] += p.relativeRate(e, c.To) * p.throughputInChange(t)
 		default:
--- a/decide/roles/observation.go
+++ b/decide/roles/observation.go
@@ -29,7 +29,10 @@
 // record of a change takes precedence over the roster and the engine's report: both may lag behind
 // it, and an engine that is counted in neither role would cause the change of another engine.
 func (s Settings) PlannedEngine(o Observation) (Engine, bool) {
-	e := Engine{ID: o.ID, Rack: o.Rack, MemoryUsed: o.MemoryUsed, Tokens: o.Tokens, BusySeconds: o.BusySeconds, Ready: o.InService, Pinned: o.Pinned}
+	e := Engine{
+		ID: o.ID, Rack: o.Rack, MemoryUsed: o.MemoryUsed, Tokens: o.Tokens, BusySeconds: o.BusySeconds,
+		Ready: o.InService, Pinned: o.Pinned,
+	}
 	name, upFor := o.Role, o.Uptime
 	if o.Change != nil {
 		name, e.Changing = o.Change.Role, o.Change.RoutingPaused
--- a/decide/roles/phases.go
+++ b/decide/roles/phases.go
@@ -32,7 +32,8 @@
 	if p.observedAt.IsZero() {
 		p.meanDecodeFraction = decodeFraction
 	} else {
-		p.meanDecodeFraction += (decodeFraction - p.meanDecodeFraction) * ewmaWeight(now.Sub(p.observedAt), meanMixTimeConstant)
+		p.meanDecodeFraction += (decodeFraction - p.meanDecodeFraction) *
+			ewmaWeight(now.Sub(p.observedAt), meanMixTimeConstant)
 	}
 	p.observedAt = now
 	direction := 0
--- a/decide/roles/plan.go
+++ b/decide/roles/plan.go
@@ -19,7 +19,7 @@
 	Demand                    [2]float64
 	Noise                     [2]float64 // standard deviation of the demand
 	Capacity                  [2]float64
-	WithoutChange, WithChange Forecast // without the change, and with it
+	WithoutChange, WithChange Forecast // served fraction of the demand
 }
 
 // A change that reverses the direction of the latest one must gain more for some time: otherwise an
@@ -65,7 +65,8 @@
 	plan.Change, plan.WithChange = change, after
 	from := to.Opposite()
 	plan.Reason = fmt.Sprintf("%s work needs %.1f of %.1f engines, %s work %.1f of %.1f; service %.3f, with the change %.3f",
-		to, p.demand[to], plan.Capacity[to], from, p.demand[from], plan.Capacity[from], plan.WithoutChange.Mean, plan.WithChange.Mean)
+		to, p.demand[to], plan.Capacity[to], from, p.demand[from], plan.Capacity[from],
+		plan.WithoutChange.Mean, plan.WithChange.Mean)
 	return plan
 }
 
@@ -89,7 +90,8 @@
 		gain := after.Mean - plan.WithoutChange.Mean
 		pessimisticGain := p.pessimisticGain(c, plan.Noise, horizon)
 		if gain < p.minGain(now, c.To) || pessimisticGain <= 0 {
-			return fmt.Sprintf("a change would gain %.3f, %.3f at the low end of the demand: not beyond the noise", gain, pessimisticGain)
+			return fmt.Sprintf("a change would gain %.3f, %.3f at the low end of the demand: not beyond the noise",
+				gain, pessimisticGain)
 		}
 	}
 	if after.Min < plan.WithoutChange.Min-maxServiceDrop && after.Min < acceptableService {
@@ -109,7 +111,8 @@
 
 // minGain returns the minimum gain of a change to a role.
 func (p *Planner) minGain(now time.Time, to Role) float64 {
-	if p.lastTargetRole != to && !p.lastStartAt.IsZero() && now.Sub(p.lastStartAt) < reversalHorizons*p.settings.Horizon {
+	if p.lastTargetRole != to && !p.lastStartAt.IsZero() &&
+		now.Sub(p.lastStartAt) < reversalHorizons*p.settings.Horizon {
 		return p.settings.MinGain * reversalGainFactor
 	}
 	return p.settings.MinGain
--- a/decide/roles/planner.go
+++ b/decide/roles/planner.go
@@ -33,7 +33,10 @@
 	if err := s.Validate(); err != nil {
 		return nil, err
 	}
-	return &Planner{settings: s, estimator: demandEstimator{timeConstant: s.DemandTimeConstant}, histories: map[string]*history{}}, nil
+	return &Planner{
+		settings: s, estimator: demandEstimator{timeConstant: s.DemandTimeConstant},
+		histories: map[string]*history{},
+	}, nil
 }
 
 // relativeRate returns an engine's rate in a role as a multiple of the median rate.
@@ -99,7 +102,8 @@
 		}
 		h.observedAt, h.changing, h.role = now, e.Changing, e.Role
 		if e.Role != Mixed && (e.Ready || e.Changing) { // a draining engine still serves requests
-			busy[e.Role] += p.relativeRate(e, e.Role) * e.currentThroughput() * max(e.Utilization, e.MemoryUsed*memoryWeight)
+			busy[e.Role] += p.relativeRate(e, e.Role) * e.currentThroughput() *
+				max(e.Utilization, e.MemoryUsed*memoryWeight)
 		}
 	}
 	return busy
@@ -121,8 +125,8 @@
 	p.phases.observe(now, demand)
 }
 
-// noise returns the standard deviation of the demand. Persistent errors of one sign are a trend, not noise,
-// and are subtracted.
+// noise returns the standard deviation of the demand. Persistent errors of one sign are a trend, not
+// noise, and are subtracted.
 func (p *Planner) noise() (noise [2]float64) {
 	for s := range noise {
 		noise[s] = math.Sqrt(max(0, p.meanSquareError[s]-p.meanError[s]*p.meanError[s]))
--- a/decide/roles/rates.go
+++ b/decide/roles/rates.go
@@ -41,10 +41,10 @@
 		if r.byEngine[e.ID] == nil {
 			r.byEngine[e.ID] = &[2]rate{}
 		}
-		own := &r.byEngine[e.ID][e.Role]
-		own.observe(e)
-		if own.tokensPerSlotSecond > 0 {
-			known[e.Role] = append(known[e.Role], own.tokensPerSlotSecond)
+		engineRate := &r.byEngine[e.ID][e.Role]
+		engineRate.observe(e)
+		if engineRate.tokensPerSlotSecond > 0 {
+			known[e.Role] = append(known[e.Role], engineRate.tokensPerSlotSecond)
 		}
 	}
 	for s, list := range known {
@@ -72,13 +72,13 @@
 
 // relative returns the ratio of an engine's rate in a role to the median, 1 if it is unknown.
 func (r *rates) relative(id string, role Role) float64 {
-	own := r.byEngine[id]
-	if own == nil {
+	engineRates := r.byEngine[id]
+	if engineRates == nil {
 		return 1
 	}
 	for _, s := range []Role{role, role.Opposite()} {
-		if own[s].tokensPerSlotSecond > 0 && r.median[s] > 0 {
-			return min(max(own[s].tokensPerSlotSecond/r.median[s], 1/maxRelativeRate), maxRelativeRate)
+		if engineRates[s].tokensPerSlotSecond > 0 && r.median[s] > 0 {
+			return min(max(engineRates[s].tokensPerSlotSecond/r.median[s], 1/maxRelativeRate), maxRelativeRate)
 		}
 	}
 	return 1
--- a/decide/roles/settings.go
+++ b/decide/roles/settings.go
@@ -40,7 +40,8 @@
 		Strategy: Predictive, MinDwell: 90 * time.Second, ReversalDelay: 30 * time.Second,
 		MaxRackFraction: 0.34, MaxFleetFraction: 0.2, MaxPerHour: 30,
 		DrainTime: 8 * time.Second, WarmUp: 14 * time.Second, ColdThroughput: 0.32,
-		Horizon: 90 * time.Second, RefusalBackoff: 10 * time.Minute, MinGain: 0.02, DemandTimeConstant: 8 * time.Second,
+		Horizon: 90 * time.Second, RefusalBackoff: 10 * time.Minute,
+		MinGain: 0.02, DemandTimeConstant: 8 * time.Second,
 	}
 }
 
