--- a/decide/membership/machine_test.go
+++ b/decide/membership/machine_test.go
@@ -212,12 +212,12 @@
 		tier := newTier(seed, 9)
 		tier.requireAgreement(t, 10*time.Second, "join")
 		faults := rand.New(rand.NewPCG(seed, 77))
-		cut := map[string]bool{}
-		tier.drops = func(from, to string) bool { return cut[from+to] || faults.Float64() < 0.3 }
+		blocked := map[string]bool{}
+		tier.drops = func(from, to string) bool { return blocked[from+to] || faults.Float64() < 0.3 }
 		for range 12 { // in each round, block one link and pause one gateway for up to 2 s
-			clear(cut)
+			clear(blocked)
 			a, b := tier.names[faults.IntN(9)], tier.names[faults.IntN(9)]
-			cut[a+b] = true
+			blocked[a+b] = true
 			x := tier.nodes[tier.names[faults.IntN(9)]]
 			x.pausedUntil = max(x.pausedUntil, tier.now+1500*ms+time.Duration(faults.Int64N(int64(500*ms))))
 			tier.run(tier.now + 2500*ms)
--- a/decide/rolechange/rolechange.go
+++ b/decide/rolechange/rolechange.go
@@ -42,7 +42,7 @@
 
 // Timeouts limit the duration of each step.
 type Timeouts struct {
-	Confirmation       time.Duration // by all gateways; after it the engine drains without confirmation by all
+	Confirmation       time.Duration // of the record by all gateways; then the engine drains anyway
 	Draining           time.Duration
 	Flipping           time.Duration
 	WarmUp             time.Duration
--- a/decide/roles/roles_test.go
+++ b/decide/roles/roles_test.go
@@ -354,7 +354,7 @@
 				list[i].Role = Mixed
 			}
 		}
-		var begun []time.Time
+		var starts []time.Time
 		changedAt := map[string]time.Time{}
 		now, all := t0, &trafficTotals{}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -399,9 +399,9 @@
 			if changing+1 > max(1, int(set.MaxFleetFraction*float64(changeable))) {
 				t.Fatalf("%d of %d engines are changing", changing+1, changeable)
 			}
-			begun = append(begun, now)
+			starts = append(starts, now)
 			p.ChangeStarted(now, *plan.Change)
-			if n := len(begun); n > set.MaxPerHour && now.Sub(begun[n-1-set.MaxPerHour]) < time.Hour {
+			if n := len(starts); n > set.MaxPerHour && now.Sub(starts[n-1-set.MaxPerHour]) < time.Hour {
 				t.Fatalf("%d changes within an hour", set.MaxPerHour+1)
 			}
 		}
