--- a/routing/admission.go
+++ b/routing/admission.go
@@ -1,25 +1,30 @@
 package routing
 
 const (
-	minAdmissionFraction = 0.4 // part of the objective that the wait may take at priority 0
-	maxAdmissionFraction = 0.7 // and at the highest priority: estimates are off by about a third
+	// minAdmissionFraction is the fraction of the time to the objective that the expected wait of a request
+	// of priority 0 may use.
+	minAdmissionFraction = 0.4
+	// maxAdmissionFraction is the same for the highest priority. It allows for estimates of the wait that are
+	// off by about a third.
+	maxAdmissionFraction = 0.7
 )
 
-// overloaded reports whether a request is to be rejected at once: after the wait expected for it,
-// seconds, it would come too late, or make requests of higher priority late.
+// overloaded reports whether a request must be rejected before it is sent: given its expected wait, in
+// seconds, it would miss its objective or make requests of higher priority miss theirs.
 func (r *Router) overloaded(req *request, wait float64) bool {
-	part := minAdmissionFraction + (maxAdmissionFraction-minAdmissionFraction)*min(1, req.priority/r.maxPriority)
-	left := req.objective - r.now
+	fraction := minAdmissionFraction +
+		(maxAdmissionFraction-minAdmissionFraction)*min(1, req.priority/r.maxPriority)
+	remaining := req.objective - r.now
 	for i := range r.set.Classes {
 		if c := &r.set.Classes[i]; c.PriorityWeight > req.priority {
-			left = min(left, c.firstTokenObjective(req.PromptTokens))
+			remaining = min(remaining, c.firstTokenObjective(req.PromptTokens))
 		}
 	}
-	return wait > part*left.Seconds()
+	return wait > fraction*remaining.Seconds()
 }
 
-// freeDecodeTokens estimates the free memory of the decode engines, in tokens, less what the
-// prefills in flight will need there.
+// freeDecodeTokens estimates the free memory of the decode engines, in tokens, minus the memory that the
+// prefills in flight will need on them.
 func (r *Router) freeDecodeTokens() float64 {
 	free := 0.0
 	for _, e := range r.engines.ordered {
--- a/routing/dispatch.go
+++ b/routing/dispatch.go
@@ -3,12 +3,12 @@
 import "time"
 
 const (
-	minExpectedTime  = 30 * time.Millisecond // expectations below this are noise
-	minRemainingTime = 30 * time.Millisecond // with less time left an attempt is not answered in time
+	minExpectedTime  = 30 * time.Millisecond // shorter expected times are within the noise
+	minRemainingTime = 30 * time.Millisecond // an attempt with less time before the deadline would miss it
 )
 
-// dispatchPrefill sends a request to the prefill engine that placement chooses, or holds it for a short
-// part of its objective when none is eligible.
+// dispatchPrefill sends a request to the prefill engine that placement chooses. If none is eligible, it
+// queues the request for at most maxPrefillHoldFraction of its first-token objective.
 func (r *Router) dispatchPrefill(req *request) {
 	e, wait := r.placePrefill(req)
 	if e == nil {
@@ -22,15 +22,15 @@
 	req.hitTokens = r.cachedTokens(req, e)
 	req.prefillTokens = max(req.PromptTokens-req.hitTokens, 1)
 	req.reportedTokensAhead = r.reportedTokens(e)
-	// With the reported queue, so that it is not given up early where there is one.
+	// Includes the reported queue, so that the attempt is not cancelled early where one exists.
 	req.queuedTokensAhead = r.queuedTokens(e) + r.reportedQueueTokens(e)
 	tokens := req.queuedTokensAhead + float64(req.prefillTokens) + stepOverheadTokens
 	req.expectedTime = max(minExpectedTime, seconds(tokens*r.latency.secondsPerToken(e.role())))
 	r.send(req, e, prefilling)
 }
 
-// dispatchDecode sends a request whose prompt is read to a decode engine, or holds it well within
-// HeldStateLimit.
+// dispatchDecode sends a prefilled request to a decode engine. If none is eligible, it queues the request
+// for at most maxDecodeHoldFraction of HeldStateLimit.
 func (r *Router) dispatchDecode(req *request) {
 	e := r.placeDecode(req)
 	if e == nil {
@@ -41,13 +41,14 @@
 	r.send(req, e, decoding)
 }
 
+// send sends a request to an engine for a phase and sets the attempt's timeout.
 func (r *Router) send(req *request, e *engine, p phase) {
 	r.setPhase(req, p, e)
 	req.attempts++
 	req.prefillsAndDecodes = p == prefilling && e.role() != RolePrefill
 	req.sentAt, req.cancelled = r.now, false
 	limit := r.attemptTimeout(req)
-	if r.set.CanCancel { // cancelOverdue tells a silent engine from a busy one
+	if r.set.CanCancel { // cancelOverdue distinguishes unresponsive from busy engines and cancels earlier
 		limit = max(2*limit, 2*req.class.FirstTokenObjective)
 	}
 	if req.attempts >= req.maxAttempts-1 || r.now+limit+minRemainingTime >= req.deadline {
--- a/routing/draw.go
+++ b/routing/draw.go
@@ -1,9 +1,9 @@
 package routing
 
-// seededRandom is this router's randomness: seededRandom that repeat from the seed. It changes nothing.
+// seededRandom is this router's source of randomness. It is stateless: a seed always gives the same numbers.
 type seededRandom struct{ seed uint64 }
 
-// uniform returns a number in [0,1) that depends on seed, request and salt alone.
+// uniform returns a number in [0,1) that depends only on the seed, the request ID and the salt.
 func (d seededRandom) uniform(id RequestID, salt string) float64 {
 	x := d.seed ^ uint64(id)*0x9e3779b97f4a7c15
 	for i := 0; i < len(salt); i++ {
@@ -14,7 +14,7 @@
 	return float64((x^x>>31)>>11) / (1 << 53)
 }
 
-// hashToUnit returns a number in (0,1) that is the same at every router: an FNV-1a hash with a finaliser.
+// hashToUnit returns a number in (0,1) that is the same in every router: an FNV-1a hash with a finalizer.
 func hashToUnit(text, name string) float64 {
 	x := uint64(14695981039346656037)
 	for _, s := range [2]string{text, name} {
--- a/routing/holdqueue.go
+++ b/routing/holdqueue.go
@@ -5,13 +5,17 @@
 )
 
 const (
-	tickInterval           = 50 * time.Millisecond // between looks at held requests and silent attempts
-	maxDecodeHoldFraction  = 0.5                   // of HeldStateLimit, for a wait for a decode engine
-	maxPrefillHoldFraction = 0.4                   // of the objective, for a wait for a prefill engine
+	// tickInterval is the interval between checks of queued requests and of attempts that may hang.
+	tickInterval = 50 * time.Millisecond
+	// maxDecodeHoldFraction limits queueing for a decode engine, as a fraction of HeldStateLimit.
+	maxDecodeHoldFraction = 0.5
+	// maxPrefillHoldFraction limits queueing for a prefill engine, as a fraction of FirstTokenObjective.
+	maxPrefillHoldFraction = 0.4
 )
 
-// holdQueue holds the requests that wait for an engine or a probe, in order of arrival. It reads and
-// changes nothing else. The router takes all out, places what it can and adds the rest again.
+// holdQueue is the queue of requests that wait for an eligible engine or a probe result, in the order in
+// which they were added. It reads and changes no other state. The router removes all requests, dispatches
+// those that it can and adds the remaining ones again.
 type holdQueue struct {
 	requests []*request
 }
@@ -20,25 +24,26 @@
 
 func (h *holdQueue) remove(req *request) { h.requests = removeRequest(h.requests, req) }
 
-// removeAll empties the queue and returns what it held.
+// removeAll empties the queue and returns its requests.
 func (h *holdQueue) removeAll() []*request {
 	all := h.requests
 	h.requests = nil
 	return all
 }
 
-// enqueue keeps a request for another try at every tick, one whose state is held well within
-// HeldStateLimit, and gives it up when the next tick would be too late.
+// enqueue queues a request, which is dispatched again at every tick. It rejects or fails the request if the
+// next tick would exceed the time limit for queueing, which is well within HeldStateLimit for a request
+// with held state.
 func (r *Router) enqueue(req *request, p phase) {
 	if req.phase != p {
 		r.setPhase(req, p, nil)
 	}
-	// From the latest attempt in flight, however many then had no connection.
-	end := req.lastInFlightAt + time.Duration(maxDecodeHoldFraction*float64(r.set.HeldStateLimit))
+	// Counted from the latest attempt in flight; later attempts that got no connection don't extend it.
+	limit := req.lastInFlightAt + time.Duration(maxDecodeHoldFraction*float64(r.set.HeldStateLimit))
 	if p == awaitingPrefill {
-		end = req.phaseSince + time.Duration(maxPrefillHoldFraction*float64(req.class.FirstTokenObjective))
+		limit = req.phaseSince + time.Duration(maxPrefillHoldFraction*float64(req.class.FirstTokenObjective))
 	}
-	if r.now+r.tickPeriod() >= min(end, req.deadline-minRemainingTime) { // the next look would be too late
+	if r.now+r.tickPeriod() >= min(limit, req.deadline-minRemainingTime) { // the next tick would be too late
 		r.rejectOrFail(req, r.observedWait())
 		return
 	}
--- a/routing/quota.go
+++ b/routing/quota.go
@@ -3,21 +3,21 @@
 import "time"
 
 const (
-	quotaImbalanceFactor = 1.2 // times an even part, as tenants' requests are spread unevenly over gateways
-	quotaBurstSeconds    = 2.0 // seconds of quota that may be saved up
+	quotaImbalanceFactor = 1.2 // times an even split, as tenants' requests are spread unevenly over gateways
+	quotaBurstSeconds    = 2.0 // seconds of quota that may accumulate
 )
 
-// quotas holds this router's part of every tenant's quota. It reads and changes nothing else. Requests
-// take from it on arrival; the number of gateways rescales it.
+// quotas is this router's fraction of every tenant's quota. It reads and changes no other state. Arriving
+// requests consume it; a change of the number of gateways rescales it.
 type quotas struct {
-	buckets         map[string]*tokenBucket // by tenant; none for a tenant without a quota
+	buckets         map[string]*tokenBucket // by tenant; a tenant without a quota has no entry
 	overQuotaWeight float64                 // priority weight of a request above its quota
 }
 
-// tokenBucket is this router's part of a tenant's quota, in requests and requests a second.
+// tokenBucket is this router's fraction of a tenant's quota, in requests and requests per second.
 type tokenBucket struct {
 	rate, tokens float64
-	refilledAt   Time // when tokens was brought up to date
+	refilledAt   Time // when tokens was last refilled
 }
 
 func newQuotas(set *Settings) quotas {
@@ -31,10 +31,10 @@
 	return q
 }
 
-// burst is how many requests may come at once: at least one, however small the quota.
+// burst is the capacity of the bucket, in requests: at least one, even for a very small quota.
 func (b *tokenBucket) burst() float64 { return max(b.rate*quotaBurstSeconds, 1) }
 
-// consume takes a request from its tenant's quota and returns its priority weight: 1 within the quota,
+// consume counts a request against its tenant's quota and returns its priority weight: 1 within the quota,
 // overQuotaWeight above it.
 func (q *quotas) consume(tenant string, now Time) float64 {
 	b := q.buckets[tenant]
@@ -50,13 +50,14 @@
 	return 1
 }
 
-// refillTime is how long it takes until a tenant's quota, which is spent, allows one more request.
+// refillTime is the time until the exhausted quota of a tenant allows another request.
 func (q *quotas) refillTime(tenant string) time.Duration {
 	b := q.buckets[tenant]
 	return seconds((1 - b.tokens) / b.rate)
 }
 
-// rescale adapts this router's part to a new number of gateways. What is saved up does not outgrow it.
+// rescale adapts this router's fraction of every quota to a new number of gateways. It caps accumulated
+// tokens at the new burst.
 func (q *quotas) rescale(from, to int) {
 	for _, b := range q.buckets {
 		b.rate *= float64(from) / float64(to)
@@ -64,12 +65,12 @@
 	}
 }
 
-// status returns how a tenant stands with its quota; false if it has none.
+// status returns the state of a tenant's quota; false if it has none.
 func (q *quotas) status(tenant string) (QuotaStatus, bool) {
 	b := q.buckets[tenant]
 	if b == nil {
 		return QuotaStatus{}, false
 	}
-	missing := seconds((b.burst() - b.tokens) / b.rate)
-	return QuotaStatus{Burst: b.burst(), Remaining: b.tokens, ResetIn: missing}, true
+	resetIn := seconds((b.burst() - b.tokens) / b.rate)
+	return QuotaStatus{Burst: b.burst(), Remaining: b.tokens, ResetIn: resetIn}, true
 }
--- a/routing/request.go
+++ b/routing/request.go
@@ -2,62 +2,62 @@
 
 import "time"
 
-// assumedAnswerFraction is the part of MaxTokens that an answer takes, when no hint is given.
+// assumedAnswerFraction is the assumed length of an answer as a fraction of MaxTokens, without DurationHint.
 const assumedAnswerFraction = 0.3
 
-// phase is where a request is on its way.
+// phase is the processing phase of a request.
 type phase uint8
 
 const (
-	awaitingPrefill phase = iota // no attempt in flight, no state held
-	prefilling                   // in flight at a prefill engine, or as a whole at another
-	awaitingDecode               // no attempt in flight, a prefill engine holds the state
+	awaitingPrefill phase = iota // no attempt in flight, no held state
+	prefilling                   // in flight at a prefill engine, or at another that prefills and decodes it
+	awaitingDecode               // no attempt in flight, held state at a prefill engine
 	decoding                     // in flight at a decode engine
-	streaming                    // the answer has begun
+	streaming                    // the answer has started
 )
 
-// request is a client's request. It is kept until its attempts have ended.
+// request is a client's request. The router keeps it until all its attempts have ended.
 type request struct {
 	Request
 	class               *Class
-	maxAttempts         int     // attempts allowed, as the settings said at its arrival
-	priority            float64 // of the class, lower beyond the tenant's quota
+	maxAttempts         int     // of the settings at its arrival
+	priority            float64 // priority weight of the class, reduced above the tenant's quota
 	deadline, objective Time
 	phase               phase
-	home, secondHome    *engine // where its prefix is expected to be cached
-	engine, stateHolder *engine // with the attempt in flight; which holds the state
-	lastFailedEngine    *engine // the last engine that failed it
+	home, secondHome    *engine // prefix homes, where its prefix is expected to be cached
+	engine, stateHolder *engine // with the attempt in flight; with the held state
+	lastFailedEngine    *engine // engine of the latest failed attempt
 	attempts            int
-	sentAt, phaseSince  Time    // when the attempt left; when the phase began
-	lastInFlightAt      Time    // when an attempt was last in flight: the wait of held state counts from it
-	prefillTokens       int     // expected to be read
-	queuedTokensAhead   float64 // tokens queued at the engine before it
-	reportedTokensAhead float64 // tokens that the engine's report showed waiting
-	hitTokens           int     // expected to be cached
+	sentAt, phaseSince  Time    // start of the latest attempt; start of the phase
+	lastInFlightAt      Time    // when an attempt was last in flight; queueing with held state counts from it
+	prefillTokens       int     // tokens expected to be prefilled
+	queuedTokensAhead   float64 // tokens queued ahead of it at the engine
+	reportedTokensAhead float64 // waiting tokens in the engine's load report
+	hitTokens           int     // cached tokens expected at the engine
 	expectedTime        time.Duration
-	ended               bool // answered, or the client has gone
+	ended               bool // finally answered, or the client has disconnected
 	cancelled           bool
-	prefillsAndDecodes  bool    // the attempt prefills and decodes
-	probedEngine        *engine // asked for its load before the first placement
+	prefillsAndDecodes  bool    // the attempt runs both phases at one engine
+	probedEngine        *engine // engine probed before the first placement
 	effects             effectRecord
 }
 
-// firstTokenObjective is the time to the first token after a prompt of so many tokens.
+// firstTokenObjective is the objective for the time to first token, given the prompt's length in tokens.
 func (c *Class) firstTokenObjective(prompt int) time.Duration {
 	return c.FirstTokenObjective + time.Duration(prompt)*c.FirstTokenPerPromptToken
 }
 
-// memoryEstimate estimates the memory that a request takes while it is answered, in tokens.
+// memoryEstimate estimates the memory that a request uses while its answer is generated, in tokens.
 func (r *Router) memoryEstimate(req *request) float64 {
-	out := assumedAnswerFraction * float64(req.MaxTokens)
+	answerTokens := assumedAnswerFraction * float64(req.MaxTokens)
 	if req.DurationHint > 0 && req.class != nil && req.class.TokenIntervalObjective > 0 {
-		out = float64(req.DurationHint) / float64(req.class.TokenIntervalObjective)
+		answerTokens = float64(req.DurationHint) / float64(req.class.TokenIntervalObjective)
 	}
-	return float64(req.PromptTokens) + out
+	return float64(req.PromptTokens) + answerTokens
 }
 
-// setPhase is the one place where a request changes phase: it keeps the account of
-// what is in flight, queued and held at each engine.
+// setPhase changes the phase of a request. All changes of phase use it, so that the work in flight and the
+// held state that are counted per engine stay consistent.
 func (r *Router) setPhase(req *request, p phase, at *engine) {
 	r.updateWorkload(req, -1)
 	if req.engine != nil {
@@ -70,8 +70,8 @@
 	r.updateWorkload(req, 1)
 }
 
-// updateWorkload adds a request to the work of its engines, or takes it off, with sign -1: what counts as
-// load and as memory in use.
+// updateWorkload adds a request to the workload of its engines, or subtracts it with sign -1: the tokens to
+// prefill, the held state and the memory in use.
 func (r *Router) updateWorkload(req *request, sign int) {
 	if req.stateHolder != nil && (req.phase == awaitingDecode || req.phase == decoding) {
 		req.stateHolder.addHeldState(sign, float64(req.PromptTokens))
@@ -94,7 +94,7 @@
 	}
 }
 
-// endAttempt accounts for the end of a request's attempt. One that had no connection was never in
+// endAttempt updates a request after its attempt has ended. An attempt without a connection was never in
 // flight.
 func (r *Router) endAttempt(req *request, s Status) {
 	r.setPhase(req, awaitingPrefill, nil)
@@ -103,7 +103,7 @@
 	}
 }
 
-// onClientGone ends a request whose client has gone: at once, or when the attempt in flight has ended.
+// onClientGone ends the request of a disconnected client: immediately, or when the attempt in flight ends.
 func (r *Router) onClientGone(req *request) {
 	if req.engine == nil {
 		r.finish(req)
@@ -115,6 +115,7 @@
 	}
 }
 
+// cancel cancels the attempt in flight of a request, if the settings allow it.
 func (r *Router) cancel(req *request) {
 	if r.set.CanCancel && !req.cancelled {
 		req.cancelled = true
@@ -122,7 +123,7 @@
 	}
 }
 
-// finish forgets a request with no attempt in flight and releases the state held for it.
+// finish deletes a request that has no attempt in flight and releases its held state.
 func (r *Router) finish(req *request) {
 	if req.stateHolder != nil {
 		r.emit(Release{req.ID})
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -1,20 +1,20 @@
 package routing
 
 const (
-	retriesPerRequest = 0.25 // attempts that each request adds to the budget
-	maxRetryBudget    = 40.0 // attempts that all routers together may save up: those in flight at a few engines
+	retriesPerRequest = 0.25 // attempts that each arriving request adds to the budget
+	maxRetryBudget    = 40.0 // capacity over all gateways, in attempts: those in flight at a few engines
 )
 
-// retryBudget bounds the further attempts of this router, so that failures do not multiply the load. It
-// reads and changes nothing else. Requests add to it on arrival; retries after failures take from it.
+// retryBudget limits the retries of this router, so that failures do not multiply the load. It reads and
+// changes no other state. Arriving requests deposit to it; retries after failures withdraw from it.
 type retryBudget struct {
 	attempts float64
 }
 
-// newRetryBudget returns one with little in it: all gateways may have restarted.
+// newRetryBudget returns a budget of a single attempt, since all gateways may have restarted simultaneously.
 func newRetryBudget() retryBudget { return retryBudget{attempts: 1} }
 
-// deposit adds a request's part.
+// deposit adds the fraction of an attempt that one request contributes.
 func (b *retryBudget) deposit(gateways int) {
 	b.attempts = min(1+maxRetryBudget/float64(gateways), b.attempts+retriesPerRequest)
 }
@@ -23,13 +23,14 @@
 
 func (b *retryBudget) withdraw() { b.attempts-- }
 
-// retryIfAllowed decides what follows a failed attempt, within the retry budget: held state goes to
-// another decode engine, anything else is prefilled again.
+// retryIfAllowed retries a request after a failed attempt if its effect, its deadline and the retry budget
+// permit it: at another decode engine if it has held state, otherwise with a new prefill. If not, it rejects
+// or fails the request.
 func (r *Router) retryIfAllowed(req *request, s Status) {
-	left := req.maxAttempts - req.attempts
-	spent := left < 1 || left < 2 && req.stateHolder == nil // a prefill and a decode are two
+	remaining := req.maxAttempts - req.attempts
+	exhausted := remaining < 1 || remaining < 2 && req.stateHolder == nil // prefill and decode need one each
 	late := req.deadline-r.now < minRemainingTime
-	if spent || late || req.effects.forbidsRetry(req.class) || s == StatusNotSent || r.shuttingDown {
+	if exhausted || late || req.effects.forbidsRetry(req.class) || s == StatusNotSent || r.shuttingDown {
 		r.rejectOrFail(req, 0)
 		return
 	}
--- a/routing/router.go
+++ b/routing/router.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Router decides for one gateway. It is not safe for concurrent use.
+// Router makes the routing decisions of one gateway. It is not safe for concurrent use.
 type Router struct {
 	set         Settings
 	classes     map[string]*Class
@@ -14,13 +14,13 @@
 	maxPriority float64 // highest PriorityWeight of a class
 
 	now     Time
-	actions []Action // of this event
+	actions []Action // results of the current event
 	random  seededRandom
 
 	requests  map[RequestID]*request
 	holdQueue holdQueue
 	engines   engineTable
-	pools     [RoleMixed + 1]poolStats // for one event; see pool
+	pools     [RoleMixed + 1]poolStats // valid for the current event; see pool
 	cells     cellPlan
 
 	popularity   prefixPopularity
@@ -36,8 +36,8 @@
 	timerSet     bool
 }
 
-// New returns a router for the settings; all its randomness comes from seed. An
-// error names the setting that cannot be used.
+// New returns a router with the given settings; all its randomness derives from seed. An error names the
+// invalid setting.
 func New(set Settings, seed uint64) (*Router, error) {
 	if err := validate(&set); err != nil {
 		return nil, err
@@ -55,7 +55,7 @@
 	return r, nil
 }
 
-// indexClasses takes the classes of the settings.
+// indexClasses rebuilds the index of the classes, and the highest priority, from the settings.
 func (r *Router) indexClasses() {
 	r.classes, r.maxPriority = map[string]*Class{}, 0
 	for i := range r.set.Classes {
@@ -64,8 +64,8 @@
 	}
 }
 
-// Handle takes one event and returns what to do about it, in order. The result
-// is valid until the next call.
+// Handle processes one event and returns the resulting actions in order. The result is valid until the next
+// call.
 func (r *Router) Handle(now Time, ev Event) []Action {
 	r.now, r.actions = now, r.actions[:0]
 	clear(r.pools[:])
@@ -101,11 +101,12 @@
 
 func (r *Router) emit(a Action) { r.actions = append(r.actions, a) }
 
+// tickPeriod is tickInterval, or an eighth of HeldStateLimit if that is shorter, but at least Settings.Tick.
 func (r *Router) tickPeriod() time.Duration {
 	return max(min(tickInterval, r.set.HeldStateLimit/8), r.set.Tick)
 }
 
-// onTick retries held requests and cancels overdue attempts, for which no event comes.
+// onTick dispatches queued requests and cancels overdue attempts, neither of which another event triggers.
 func (r *Router) onTick() {
 	r.timerSet = false
 	if r.set.MustSubscribe && r.subscription.shouldRetry(r.now) {
@@ -133,17 +134,17 @@
 		deadline: r.now + event.TTL, phaseSince: r.now,
 	}
 	r.requests[event.ID] = req
-	if class == nil || r.shuttingDown { // what is sent now would only be cancelled
+	if class == nil || r.shuttingDown { // shutdown would cancel any attempt sent now
 		r.rejectOrFail(req, 0)
 		return
 	}
 	req.objective = min(r.now+class.firstTokenObjective(event.PromptTokens), req.deadline)
-	share := r.quotas.consume(event.Tenant, r.now)
-	if share == 0 { // no priority: come back when the quota allows one more
+	weight := r.quotas.consume(event.Tenant, r.now)
+	if weight == 0 { // no priority: the client may retry when the quota allows another request
 		r.reject(req, r.quotas.refillTime(event.Tenant), true)
 		return
 	}
-	req.priority = class.PriorityWeight * share
+	req.priority = class.PriorityWeight * weight
 	r.retryBudget.deposit(r.set.Gateways)
 	r.popularity.count(event.Prefix)
 	r.meanPrompt.observe(event.Class, event.PromptTokens)
@@ -204,8 +205,9 @@
 	}
 }
 
-// onShuttingDown gives up what has not begun to be answered, so that clients may try elsewhere. What
-// is in flight at a decode engine may have run, and is answered soon: it is given up with final only.
+// onShuttingDown rejects or fails the requests whose answers have not started, so that clients can retry at
+// another gateway. Those in flight at a decode engine may have run and are answered soon: they are ended
+// only with final.
 func (r *Router) onShuttingDown(final bool) {
 	for _, id := range slices.Sorted(maps.Keys(r.requests)) {
 		if req := r.requests[id]; !req.ended && req.phase != streaming && (final || req.phase != decoding) {
@@ -217,8 +219,8 @@
 	}
 }
 
-// onGatewaysChanged takes the number of gateways that share the engines: this router's part of every
-// quota follows, and so does all that is estimated with that number.
+// onGatewaysChanged updates the number of gateways that share the engines. This router's fraction of every
+// quota changes with it, as do all estimates that use the number.
 func (r *Router) onGatewaysChanged(gateways int) {
 	if gateways < 1 || gateways == r.set.Gateways {
 		return
@@ -227,17 +229,17 @@
 	r.set.Gateways = gateways
 }
 
-// QuotaStatus returns how a tenant stands with its quota at this router, as of its latest
-// request; false if it has none.
+// QuotaStatus returns the state of a tenant's quota at this router as of the tenant's latest request; false
+// if it has no quota.
 func (r *Router) QuotaStatus(tenant string) (QuotaStatus, bool) { return r.quotas.status(tenant) }
 
-// Idempotent reports whether requests of a class may be retried at will.
+// Idempotent reports whether requests of a class may be retried without restriction.
 func (r *Router) Idempotent(class string) bool {
 	c := r.classes[class]
 	return c != nil && c.Effect == EffectIdempotent
 }
 
-// CanPrefill reports whether engines of a kind may read a prompt.
+// CanPrefill reports whether engines of a kind may prefill a prompt.
 func (r *Router) CanPrefill(kind string) bool {
 	k := r.kinds[kind]
 	if k == nil {
--- a/routing/subscription.go
+++ b/routing/subscription.go
@@ -2,26 +2,27 @@
 
 import "time"
 
-// subscribeRetryInterval is the time between calls to a service discovery that fails.
+// subscribeRetryInterval is the minimum interval between calls to service discovery while they fail.
 const subscribeRetryInterval = time.Second
 
-// subscription is the call to service discovery for changes of the engine list, where the settings ask
-// for one. It reads and changes nothing else. The engine list and the tick feed it.
+// subscription is the state of the call to service discovery for changes of the engine list, if the settings
+// require one. It reads and changes no other state. Engine list events and ticks update it.
 type subscription struct {
-	active   bool // and has not failed since
+	active   bool // called, and not failed since
 	calledAt Time
 }
 
-// update takes what came of the call.
+// update records the result of the call by the scope of the engine list.
 func (s *subscription) update(scope EngineListScope) {
 	s.active = scope != EngineListFailed && s.active
 }
 
-// shouldRetry reports whether a call is to be made again.
+// shouldRetry reports whether the call must be repeated now.
 func (s *subscription) shouldRetry(now Time) bool {
 	return !s.active && now-s.calledAt >= subscribeRetryInterval
 }
 
+// subscribe calls service discovery.
 func (r *Router) subscribe() {
 	r.subscription = subscription{active: true, calledAt: r.now}
 	r.emit(Subscribe{})
--- a/routing/timeout.go
+++ b/routing/timeout.go
@@ -6,34 +6,40 @@
 )
 
 const (
-	timeoutExpectedFactor    = 5.0 // an attempt may take this many times the expected time
-	timeoutTypicalFactor     = 4.0 // and this many times what any takes, as queues are not seen
-	timeoutObjectiveFraction = 0.4 // and at least this part of the objective, so that chance does not exceed it
-	overdueRatio             = 3.0 // an attempt in flight for so many times the expected time may hang
+	// timeoutExpectedFactor is the attempt timeout as a multiple of the expected time.
+	timeoutExpectedFactor = 5.0
+	// timeoutTypicalFactor is the minimum of the timeout as a multiple of the typical time of any attempt, as
+	// the queues at engines are not visible.
+	timeoutTypicalFactor = 4.0
+	// timeoutObjectiveFraction is the minimum of the timeout as a fraction of the objective, so that normal
+	// variation of the latency does not exceed it.
+	timeoutObjectiveFraction = 0.4
+	// overdueRatio is the multiple of its expected time after which an attempt in flight may hang.
+	overdueRatio = 3.0
 )
 
-// attemptTimeout is how long an attempt may take before it counts as overdue.
+// attemptTimeout is the duration after which an attempt counts as overdue.
 func (r *Router) attemptTimeout(req *request) time.Duration {
 	typical := r.latency.typicalSeconds(req.engine.role(), req.phase)
-	tail := timeoutTypicalFactor * float64(seconds(typical))
-	expected := timeoutExpectedFactor * float64(req.expectedTime)
-	least := timeoutObjectiveFraction * float64(req.class.FirstTokenObjective)
-	return time.Duration(max(expected, least, tail))
+	typicalLimit := timeoutTypicalFactor * float64(seconds(typical))
+	expectedLimit := timeoutExpectedFactor * float64(req.expectedTime)
+	minLimit := timeoutObjectiveFraction * float64(req.class.FirstTokenObjective)
+	return time.Duration(max(expectedLimit, minLimit, typicalLimit))
 }
 
-// cancelOverdue cancels attempts that are overdue while the peers' are not, or that later ones have
-// overtaken: they hang. For an engine not heard from since, that counts as a failure; else it is
-// only busy.
+// cancelOverdue cancels attempts that hang: those that are overdue while their peers' are not, and those that
+// a later attempt has overtaken. If the engine has not responded since the attempt was sent, this counts as a
+// failure; otherwise the engine is only busy.
 func (r *Router) cancelOverdue(role Role) {
-	usual := max(r.pool(role).overdue, 1)
+	typicalOverdue := max(r.pool(role).overdue, 1)
 	for e := range r.engines.usable(role) {
-		late := e.maxAgeRatio(r.now) >= overdueRatio*usual
+		overdue := e.maxAgeRatio(r.now) >= overdueRatio*typicalOverdue
 		for _, req := range slices.Clone(e.inFlight) {
 			age := r.now - req.sentAt
-			busy := !late ||
+			busy := !overdue ||
 				!e.noResponseSince(req.sentAt) && (r.slowdown(e) == 1 || age < req.class.FirstTokenObjective)
-			spent := req.cancelled || r.retryBudget.empty() || req.attempts >= req.maxAttempts
-			if busy && !e.overtaken(req) || spent || age < r.attemptTimeout(req) {
+			exempt := req.cancelled || r.retryBudget.empty() || req.attempts >= req.maxAttempts
+			if busy && !e.overtaken(req) || exempt || age < r.attemptTimeout(req) {
 				continue
 			}
 			if e.noResponseSince(req.sentAt) {
--- a/routing/workload.go
+++ b/routing/workload.go
@@ -2,17 +2,17 @@
 
 import "slices"
 
-// workload is this router's own work at one engine. It reads the requests in flight and changes nothing
-// else. Router.setPhase is the only caller that changes it; placement, timeouts and the statistics of
-// the pool ask.
+// workload is this router's own work at one engine. It reads the requests in flight and changes no other
+// state. Router.setPhase is the only caller that changes the work; placement, timeouts and pool statistics
+// read it.
 type workload struct {
 	prefills, heldStates, answers int
-	prefillTokens                 float64    // of the prompts that are being read
-	heldTokens                    float64    // of the prompts whose state is held
-	answerMemory                  float64    // tokens that the answers are estimated to take
+	prefillTokens                 float64    // of prompts in prefill
+	heldTokens                    float64    // of prompts with held state
+	answerMemory                  float64    // estimated tokens of the answers
 	inFlight                      []*request // without a first token, oldest first
-	lastResponseAt                Time       // the last sign of life
-	latestSuccessSentAt           Time       // when the latest attempt was sent that has succeeded
+	lastResponseAt                Time       // when the engine last responded
+	latestSuccessSentAt           Time       // when the latest successful attempt was sent
 }
 
 func (l *workload) addInFlight(req *request) { l.inFlight = append(l.inFlight, req) }
@@ -34,28 +34,28 @@
 	l.answerMemory += float64(sign) * memory
 }
 
-// idle reports whether there is nothing left to account for.
+// idle reports whether this router has no work at the engine.
 func (l *workload) idle() bool { return len(l.inFlight) == 0 && l.prefills+l.heldStates+l.answers <= 0 }
 
-// activeRequests is what counts for the fair share.
+// activeRequests is the number of requests that count for the fair share.
 func (l *workload) activeRequests() int { return l.prefills + l.heldStates }
 
-// recordResponse takes a sign of life.
+// recordResponse records that the engine responded.
 func (l *workload) recordResponse(now Time) { l.lastResponseAt = now }
 
-// recordSuccess takes the success of an attempt that was sent at a time.
+// recordSuccess records the success of an attempt that was sent at sentAt.
 func (l *workload) recordSuccess(sentAt Time) {
 	l.latestSuccessSentAt = max(l.latestSuccessSentAt, sentAt)
 }
 
-// noResponseSince reports whether nothing was heard after a time.
+// noResponseSince reports whether the engine has not responded after t.
 func (l *workload) noResponseSince(t Time) bool { return l.lastResponseAt <= t }
 
-// overtaken reports whether an attempt sent later than one has succeeded.
+// overtaken reports whether an attempt sent later than that of req has succeeded.
 func (l *workload) overtaken(req *request) bool { return req.sentAt < l.latestSuccessSentAt }
 
-// oldestInFlight is the oldest attempt in flight that no later one has overtaken. One that was
-// overtaken hangs for a reason of its own and tells nothing of the queue.
+// oldestInFlight is the oldest attempt in flight that no later one has overtaken. An overtaken attempt hangs
+// for reasons other than the queue, so its age does not measure the queue.
 func (l *workload) oldestInFlight() *request {
 	for _, req := range l.inFlight {
 		if !l.overtaken(req) {
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// maxAgeRatio is how many times its expected time the oldest attempt has been in flight.
+// maxAgeRatio is the age of the oldest attempt in flight as a multiple of its expected time.
 func (l *workload) maxAgeRatio(now Time) float64 {
 	if req := l.oldestInFlight(); req != nil {
 		return float64(now-req.sentAt) / float64(req.expectedTime)
@@ -73,7 +73,7 @@
 	return 0
 }
 
-// oldestAgeSeconds is how many seconds the oldest attempt has been in flight.
+// oldestAgeSeconds is the age of the oldest attempt in flight, in seconds.
 func (l *workload) oldestAgeSeconds(now Time) float64 {
 	if req := l.oldestInFlight(); req != nil {
 		return (now - req.sentAt).Seconds()
@@ -81,7 +81,7 @@
 	return 0
 }
 
-// removeRequest returns the list less one request.
+// removeRequest returns the list without the request.
 func removeRequest(list []*request, req *request) []*request {
 	if i := slices.Index(list, req); i >= 0 {
 		return slices.Delete(list, i, i+1)
