--- a/routing/admission_test.go
+++ b/routing/admission_test.go
@@ -5,44 +5,48 @@
 	"time"
 )
 
-func TestFullMixedEngineRefuses(t *testing.T) {
+func TestMixedEngineWithoutMemoryRejects(t *testing.T) {
 	r := newTestRouter(t, testSettings(), testEngine("m", "m", 0))
-	r.engines.byName["m"].answerMemory = 1e5 // of two routers each: all of it
+	r.engines.byName["m"].answerMemory = 1e5 // tokens used by each of two gateways: all of the engine's memory
 	if a := r.Handle(ms, testRequest(1, 500)); !has[Reject](a) {
-		t.Errorf("a mixed engine without memory took a request: %v", a)
+		t.Errorf("a request to a mixed engine without free memory was not rejected: %v", a)
 	}
 }
 
-// Memory that seems short turns a request away only where answers are seen to wait for it.
-func TestFullDecodeEnginesRefuseBeforeRead(t *testing.T) {
+// A shortage of decode memory is only an estimate: it leads to rejections only if the observed wait for
+// decode engines is long as well.
+func TestFullDecodeEnginesRejectBeforePrefill(t *testing.T) {
 	for _, c := range []struct {
-		first   float64 // seconds to the first token, as usual
-		refused bool
+		firstTokenSeconds float64 // typical at decode engines
+		rejected          bool
 	}{{0.02, false}, {0.3, true}} {
 		r := newTestRouter(t, testSettings(), testEngine("a", "r", 0), testEngine("w", "w", 0))
 		r.engines.byName["w"].answerMemory = 1e5
-		r.latency.roles[RoleDecode].firstTokenSeconds = c.first
-		if a := r.Handle(ms, testRequest(1, 500)); has[Send](a) == c.refused || has[Reject](a) != c.refused {
-			t.Errorf("first tokens within %.2f s: %v", c.first, a)
+		r.latency.roles[RoleDecode].firstTokenSeconds = c.firstTokenSeconds
+		if a := r.Handle(ms, testRequest(1, 500)); has[Send](a) == c.rejected || has[Reject](a) != c.rejected {
+			t.Errorf("typical time to first token of %.2f s: %v", c.firstTokenSeconds, a)
 		}
 	}
 }
 
-// Under one wait for all, work of less worth is turned away before it makes work of more
-// worth late, though its own aim is far; with no worthier work about it is not.
-func TestLessWorthyWorkYields(t *testing.T) {
+// With the same expected wait for all classes, a request is rejected before it makes a class of higher
+// priority miss its objective, even though its own objective is distant. Without such a class it is sent.
+func TestLowerPriorityIsRejectedFirst(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		gain    float64 // of the class with the near aim
-		refused bool
-	}{{"worthier", 3, true}, {"worth less", 1, false}} {
+		name           string
+		priorityWeight float64 // of the class with the short objective
+		rejected       bool
+	}{{"higher priority", 3, true}, {"lower priority", 1, false}} {
 		set := testSettings()
-		set.Classes = []Class{{Name: "near", FirstTokenObjective: time.Second, PriorityWeight: c.gain}, {Name: "c", FirstTokenObjective: 4 * time.Second, PriorityWeight: 2}}
+		set.Classes = []Class{
+			{Name: "short", FirstTokenObjective: time.Second, PriorityWeight: c.priorityWeight},
+			{Name: "c", FirstTokenObjective: 4 * time.Second, PriorityWeight: 2},
+		}
 		r := newTestRouter(t, set, testEngine("a", "r", 0), testEngine("w", "w", 0))
-		r.latency.roles[RoleDecode].firstTokenSeconds = 1.5 // every state waits so long for its decode engine
+		r.latency.roles[RoleDecode].firstTokenSeconds = 1.5 // expected wait of every held state
 		r.latency.roles[RoleDecode].firstTokenAt = 0
-		if a := r.Handle(ms, testRequest(1, 500)); has[Reject](a) != c.refused {
-			t.Errorf("%s: %v", c.name, a)
+		if a := r.Handle(ms, testRequest(1, 500)); has[Reject](a) != c.rejected {
+			t.Errorf("short objective with %s: %v", c.name, a)
 		}
 	}
 }
--- a/routing/example_test.go
+++ b/routing/example_test.go
@@ -15,7 +15,8 @@
 			{Name: "prefill", Role: routing.RolePrefill, Memory: 200_000},
 			{Name: "decode", Role: routing.RoleDecode, Memory: 150_000},
 		},
-		SlowStartPeriod: 10 * time.Second, SlowStartCapacity: 0.3, OverloadWindow: 2 * time.Second, OverloadMultiple: 3,
+		SlowStartPeriod: 10 * time.Second, SlowStartCapacity: 0.3,
+		OverloadWindow: 2 * time.Second, OverloadMultiple: 3,
 		HeldStateLimit: 500 * time.Millisecond,
 	}, 42)
 	if err != nil {
--- a/routing/harness_test.go
+++ b/routing/harness_test.go
@@ -14,14 +14,18 @@
 		MaxRetryAfter: time.Second,
 		Classes: []Class{
 			{Name: "c", FirstTokenObjective: time.Second, TokenIntervalObjective: 50 * ms, PriorityWeight: 1},
-			{Name: "keyed", FirstTokenObjective: time.Second, PriorityWeight: 1, Effect: EffectDeduplicated, DedupScope: DedupCell, DedupWindow: 2 * time.Second},
+			{
+				Name: "keyed", FirstTokenObjective: time.Second, PriorityWeight: 1, Effect: EffectDeduplicated,
+				DedupScope: DedupCell, DedupWindow: 2 * time.Second,
+			},
 			{Name: "once", FirstTokenObjective: time.Second, PriorityWeight: 1, Effect: EffectAtMostOnce},
 		},
 		Kinds: []Kind{
 			{Name: "r", Role: RolePrefill, Memory: 2e5}, {Name: "w", Role: RoleDecode, Memory: 2e5},
 			{Name: "m", Role: RoleMixed, Memory: 2e5},
 		},
-		SlowStartPeriod: 10 * time.Second, SlowStartCapacity: 0.3, OverloadWindow: 2 * time.Second, OverloadMultiple: 3,
+		SlowStartPeriod: 10 * time.Second, SlowStartCapacity: 0.3,
+		OverloadWindow: 2 * time.Second, OverloadMultiple: 3,
 		HeldStateLimit: 500 * ms, Tick: ms,
 	}
 }
@@ -41,27 +45,30 @@
 }
 
 func testRequest(id RequestID, prompt int) Request {
-	return Request{ID: id, Class: "c", Session: fmt.Sprint("s", id), PromptTokens: prompt, MaxTokens: 100, TTL: 5 * time.Second}
+	return Request{
+		ID: id, Class: "c", Session: fmt.Sprint("s", id), PromptTokens: prompt, MaxTokens: 100, TTL: 5 * time.Second,
+	}
 }
 
-// sentTo returns the only engine that the actions send a request to.
+// sentTo returns the engine of the only Send among the actions.
 func sentTo(t *testing.T, actions []Action) string {
 	t.Helper()
-	to := ""
+	engine := ""
 	for _, a := range actions {
 		if s, ok := a.(Send); ok {
-			if to != "" {
-				t.Fatal("two sends at once")
+			if engine != "" {
+				t.Fatal("more than one Send")
 			}
-			to = s.Engine
+			engine = s.Engine
 		}
 	}
-	if to == "" {
-		t.Fatalf("nothing sent: %v", actions)
+	if engine == "" {
+		t.Fatalf("no Send among the actions: %v", actions)
 	}
-	return to
+	return engine
 }
 
+// has reports whether the actions contain one of type A.
 func has[A Action](actions []Action) bool {
 	for _, a := range actions {
 		if _, ok := a.(A); ok {
@@ -71,27 +78,31 @@
 	return false
 }
 
-func prefilledAt(id RequestID, attempt int, at string, kept int) Outcome {
-	return Outcome{ID: id, Attempt: attempt, Engine: at, Status: StatusPrefilled, Latency: 20 * ms, CachedTokens: kept}
+// prefilledAt returns the outcome of a prefill that found cachedTokens tokens in the engine's prefix cache.
+func prefilledAt(id RequestID, attempt int, engine string, cachedTokens int) Outcome {
+	return Outcome{
+		ID: id, Attempt: attempt, Engine: engine, Status: StatusPrefilled, Latency: 20 * ms,
+		CachedTokens: cachedTokens,
+	}
 }
 
-// cacheSession makes a prefill engine known to hold tokens of a session.
-func cacheSession(r *Router, at, session string, tokens int) {
-	r.engines.byName[at].cache.sessions[session] = cacheEntry{tokens, r.now}
+// cacheSession records tokens of a session as cached at a prefill engine.
+func cacheSession(r *Router, engine, session string, tokens int) {
+	r.engines.byName[engine].cache.sessions[session] = cacheEntry{tokens, r.now}
 }
 
-// newTestRouters makes routers that differ in seed alone.
+// newTestRouters returns n routers that differ only in their seeds.
 func newTestRouters(t *testing.T, n int, set Settings, engines ...EngineInfo) []*Router {
 	t.Helper()
 	set.Gateways = n
-	var all []*Router
+	var routers []*Router
 	for seed := range n {
 		r, err := New(set, uint64(seed))
 		if err != nil {
 			t.Fatal(err)
 		}
 		r.Handle(0, EngineList{Scope: EngineListStale, Engines: engines})
-		all = append(all, r)
+		routers = append(routers, r)
 	}
-	return all
+	return routers
 }
--- a/routing/request_bench_test.go
+++ b/routing/request_bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// BenchmarkRequest plays whole requests over pools of growing size.
+// BenchmarkRequest measures complete requests, of four events each, with pools of 40 and 110 engines.
 func BenchmarkRequest(b *testing.B) {
 	for _, n := range []int{40, 110} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -16,22 +16,22 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			var servers []EngineInfo
+			var engines []EngineInfo
 			for i := range n {
-				servers = append(servers, testEngine(fmt.Sprint("s", i), []string{"r", "w"}[i%2], i/6))
+				engines = append(engines, testEngine(fmt.Sprint("s", i), []string{"r", "w"}[i%2], i/6))
 			}
-			r.Handle(0, EngineList{Scope: EngineListSnapshot, Engines: servers})
+			r.Handle(0, EngineList{Scope: EngineListSnapshot, Engines: engines})
 			for i := range b.N {
-				id, now, to := RequestID(i), time.Duration(i)*time.Second, ""
-				for _, e := range []func() Event{
+				id, now, engine := RequestID(i), time.Duration(i)*time.Second, ""
+				for _, event := range []func() Event{
 					func() Event { return testRequest(id, 3000) },
-					func() Event { return prefilledAt(id, 0, to, 0) },
-					func() Event { return FirstToken{ID: id, Attempt: 1, Engine: to, Latency: ms} },
-					func() Event { return Outcome{ID: id, Attempt: 1, Engine: to, Status: StatusServed, Final: true} },
+					func() Event { return prefilledAt(id, 0, engine, 0) },
+					func() Event { return FirstToken{ID: id, Attempt: 1, Engine: engine, Latency: ms} },
+					func() Event { return Outcome{ID: id, Attempt: 1, Engine: engine, Status: StatusServed, Final: true} },
 				} {
-					for _, a := range r.Handle(now, e()) {
+					for _, a := range r.Handle(now, event()) {
 						if s, ok := a.(Send); ok {
-							to = s.Engine
+							engine = s.Engine
 						}
 					}
 				}
