--- a/routing/admission_test.go
+++ b/routing/admission_test.go
@@ -30,7 +30,7 @@
 }
 
 // With the same expected wait for all classes, a request is rejected before it makes a class of higher
-// priority miss its objective, even though its own objective is distant. Without such a class it is sent.
+// priority miss its objective, even if it would meet its own, longer one. Without such a class it is sent.
 func TestLowerPriorityIsRejectedFirst(t *testing.T) {
 	for _, c := range []struct {
 		name           string
--- a/routing/answer.go
+++ b/routing/answer.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// minRetryAfter is the shortest Retry-After: a client that retries sooner meets the same load.
+// minRetryAfter is the shortest Retry-After: a client that retries sooner encounters the same load.
 const minRetryAfter = 200 * time.Millisecond
 
 // rejectOrFail ends a request without a further attempt: with Reject, and the wait as Retry-After, if its
@@ -31,8 +31,8 @@
 	r.finish(req)
 }
 
-// observedWait is the sum of the median waits observed at the prefill and at the decode engines. It serves
-// as Retry-After for clients that should retry.
+// observedWait is the median age of the oldest attempts at the prefill engines plus the wait for a first
+// token at the decode engines. It serves as Retry-After for clients that should retry.
 func (r *Router) observedWait() time.Duration {
 	return seconds(r.pool(RolePrefill).oldestAge + r.decodeWait())
 }
--- a/routing/dispatch.go
+++ b/routing/dispatch.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	minExpectedTime  = 30 * time.Millisecond // shorter expected times are within the noise
+	minExpectedTime  = 30 * time.Millisecond // shorter estimates are within the measurement noise
 	minRemainingTime = 30 * time.Millisecond // an attempt with less time before the deadline would miss it
 )
 
@@ -47,16 +47,16 @@
 	req.attempts++
 	req.prefillsAndDecodes = p == prefilling && e.role() != RolePrefill
 	req.sentAt, req.cancelled = r.now, false
-	limit := r.attemptTimeout(req)
+	timeout := r.attemptTimeout(req)
 	if r.set.CanCancel { // cancelOverdue distinguishes unresponsive from busy engines and cancels earlier
-		limit = max(2*limit, 2*req.class.FirstTokenObjective)
+		timeout = max(2*timeout, 2*req.class.FirstTokenObjective)
 	}
-	if req.attempts >= req.maxAttempts-1 || r.now+limit+minRemainingTime >= req.deadline {
-		limit = req.deadline - r.now
+	if req.attempts >= req.maxAttempts-1 || r.now+timeout+minRemainingTime >= req.deadline {
+		timeout = req.deadline - r.now
 	}
 	e.slowStart.add(r.now, r.meanPrompt.of(req.Class))
 	if e.role() != RolePrefill {
 		req.effects.add(e, r.now)
 	}
-	r.emit(Send{ID: req.ID, Engine: e.Name, Timeout: limit})
+	r.emit(Send{ID: req.ID, Engine: e.Name, Timeout: timeout})
 }
--- a/routing/draw.go
+++ b/routing/draw.go
@@ -4,8 +4,8 @@
 type seededRandom struct{ seed uint64 }
 
 // uniform returns a number in [0,1) that depends only on the seed, the request ID and the salt.
-func (d seededRandom) uniform(id RequestID, salt string) float64 {
-	x := d.seed ^ uint64(id)*0x9e3779b97f4a7c15
+func (s seededRandom) uniform(id RequestID, salt string) float64 {
+	x := s.seed ^ uint64(id)*0x9e3779b97f4a7c15
 	for i := 0; i < len(salt); i++ {
 		x = (x ^ uint64(salt[i])) * 0x100000001b3
 	}
--- a/routing/effects.go
+++ b/routing/effects.go
@@ -10,9 +10,9 @@
 
 // possibleRun is an attempt that may have run on its engine.
 type possibleRun struct {
-	zone string
-	cell int
-	sent Time
+	zone   string
+	cell   int
+	sentAt Time
 }
 
 // add records an attempt that is being sent to a decode or mixed engine.
@@ -20,7 +20,7 @@
 	f.runs = append(f.runs, possibleRun{e.Zone, e.Cell, now})
 }
 
-// removeLatest removes the latest attempt after its outcome proved that it did not run.
+// removeLatest removes the latest attempt after its outcome proved that it had no effect.
 func (f *effectRecord) removeLatest() {
 	if n := len(f.runs); n > 0 {
 		f.runs = f.runs[:n-1]
@@ -37,7 +37,7 @@
 	for _, run := range f.runs {
 		switch {
 		case class.Effect == EffectAtMostOnce,
-			now+delay-run.sent >= class.DedupWindow, // it may arrive after the window
+			now+delay-run.sentAt >= class.DedupWindow, // it may arrive after the window
 			class.DedupScope == DedupZone && run.zone != e.Zone,
 			class.DedupScope == DedupCell && run.cell != e.Cell:
 			return false
--- a/routing/latency.go
+++ b/routing/latency.go
@@ -128,7 +128,7 @@
 	if p := e.pace.current(r.now) / max(r.pool(e.role()).pace, 0.1); p > slowThreshold {
 		s = p
 	}
-	if overdue := e.maxAgeRatio(r.now); overdue > overdueRatio && e.noResponseSince(e.oldestInFlight().sentAt) {
+	if overdue := e.ageRatio(r.now); overdue > overdueRatio && e.noResponseSince(e.oldestInFlight().sentAt) {
 		s = max(s, overdue)
 	}
 	return min(s, maxSlowdown)
--- a/routing/poolstats.go
+++ b/routing/poolstats.go
@@ -24,7 +24,7 @@
 		}
 		fail = append(fail, e.failures.failureRate())
 		age = append(age, e.oldestAgeSeconds(r.now))
-		overdue = append(overdue, e.maxAgeRatio(r.now))
+		overdue = append(overdue, e.ageRatio(r.now))
 		pace = append(pace, e.pace.current(r.now))
 		stats.waitingTokens += e.report.trustedWaiting(r.now)
 	}
--- a/routing/quota_test.go
+++ b/routing/quota_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A request above the quota is rejected if OverQuotaWeight is 0. It used to get only a lower priority, so
-// that an idle pool served all excess requests.
+// A request above the quota is rejected if OverQuotaWeight is 0. Guards against only lowering
+// its priority, with which an idle pool serves all excess requests.
 func TestExhaustedQuotaRejectsWithRetryAfter(t *testing.T) {
 	set := testSettings()
 	set.Gateways, set.Tenants = 1, []Tenant{{Name: "team", Quota: 0.4}}
--- a/routing/ratelimit.go
+++ b/routing/ratelimit.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	// rejectionBackoff is how long an engine that rejected a request receives no similar one.
+	// rejectionBackoff is how long an engine that rejected a request receives no other with its rateLimitKey.
 	rejectionBackoff = 150 * time.Millisecond
 	// rateLimitedThreshold is the fraction of attempts rejected above which a key may be rate limited. It
 	// exceeds what full engines reject by chance.
@@ -31,8 +31,8 @@
 
 func (b *rejectionBackoffs) active(key string, now Time) bool { return b.until[key] > now }
 
-// rateLimitKey identifies the tenant and class whose rate an engine may limit. No name contains the
-// separator byte, so that different names never give the same key.
+// rateLimitKey identifies the tenant and class whose rate an engine may limit. No name contains the separator
+// byte, so different pairs of names never give the same key.
 func rateLimitKey(req *request) string { return req.Tenant + "\x00" + req.Request.Class }
 
 // observe records whether an attempt with a key was rejected.
@@ -46,7 +46,7 @@
 
 // limited reports whether engines reject requests with a key far more often than those with another key.
 // The engines then have free capacity, and another attempt is cheap; in an overload all keys are rejected
-// alike. It may be harmful if one tenant sends far more than the others.
+// alike. The rule may be harmful if one tenant sends far more than the others.
 func (l *rateLimits) limited(key string) bool {
 	rate := l.rejectedFraction[key]
 	for _, peerRate := range l.rejectedFraction {
--- a/routing/ratelimit_test.go
+++ b/routing/ratelimit_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// Different tenants and classes never share statistics, even if the concatenations of their names are equal.
+// Different pairs of tenant and class never share statistics, even if names contain a separator such as "|".
 func TestRateLimitKeysAreUnique(t *testing.T) {
 	one := &request{Request: Request{Tenant: "a|b", Class: "c"}}
 	other := &request{Request: Request{Tenant: "a", Class: "b|c"}}
--- a/routing/request.go
+++ b/routing/request.go
@@ -25,7 +25,7 @@
 	deadline, objective Time
 	phase               phase
 	home, secondHome    *engine // prefix homes, where its prefix is expected to be cached
-	engine, stateHolder *engine // with the attempt in flight; with the held state
+	engine, stateHolder *engine // engine of the attempt in flight; engine of the held state
 	lastFailedEngine    *engine // engine of the latest failed attempt
 	attempts            int
 	sentAt, phaseSince  Time    // start of the latest attempt; start of the phase
@@ -58,14 +58,14 @@
 
 // setPhase changes the phase of a request. All changes of phase use it, so that the work in flight and the
 // held state that are counted per engine stay consistent.
-func (r *Router) setPhase(req *request, p phase, at *engine) {
+func (r *Router) setPhase(req *request, p phase, e *engine) {
 	r.updateWorkload(req, -1)
 	if req.engine != nil {
 		req.engine.removeInFlight(req)
 	}
-	req.phase, req.engine, req.phaseSince = p, at, r.now
+	req.phase, req.engine, req.phaseSince = p, e, r.now
 	if p == prefilling || p == decoding {
-		at.addInFlight(req)
+		e.addInFlight(req)
 	}
 	r.updateWorkload(req, 1)
 }
--- a/routing/retry_test.go
+++ b/routing/retry_test.go
@@ -34,7 +34,7 @@
 			Name: "g", FirstTokenObjective: time.Second, Effect: EffectDeduplicated, DedupScope: DedupAllEngines,
 			DedupWindow: time.Second,
 		}
-		effects := effectRecord{[]possibleRun{{sent: 0}}}
+		effects := effectRecord{[]possibleRun{{sentAt: 0}}}
 		if got := effects.allows(class, &engine{}, c.at, c.delay); got != c.allowed {
 			t.Errorf("delay %v, %v after the first attempt: allowed %v", c.delay, c.at, got)
 		}
--- a/routing/router.go
+++ b/routing/router.go
@@ -106,7 +106,7 @@
 	return max(min(tickInterval, r.set.HeldStateLimit/8), r.set.Tick)
 }
 
-// onTick dispatches queued requests and cancels overdue attempts, neither of which another event triggers.
+// onTick dispatches queued requests again and cancels overdue attempts, as no events report either.
 func (r *Router) onTick() {
 	r.timerSet = false
 	if r.set.MustSubscribe && r.subscription.shouldRetry(r.now) {
@@ -206,8 +206,8 @@
 }
 
 // onShuttingDown rejects or fails the requests whose answers have not started, so that clients can retry at
-// another gateway. Those in flight at a decode engine may have run and are answered soon: they are ended
-// only with final.
+// another gateway. Those in flight at a decode engine may have run and are answered soon: they are
+// rejected or failed only if final is set.
 func (r *Router) onShuttingDown(final bool) {
 	for _, id := range slices.Sorted(maps.Keys(r.requests)) {
 		if req := r.requests[id]; !req.ended && req.phase != streaming && (final || req.phase != decoding) {
--- a/routing/subscription.go
+++ b/routing/subscription.go
@@ -12,12 +12,12 @@
 	calledAt Time
 }
 
-// update records the result of the call by the scope of the engine list.
+// update records whether the call failed, from the scope of an engine list event.
 func (s *subscription) update(scope EngineListScope) {
 	s.active = scope != EngineListFailed && s.active
 }
 
-// shouldRetry reports whether the call must be repeated now.
+// shouldRetry reports whether service discovery must be called again.
 func (s *subscription) shouldRetry(now Time) bool {
 	return !s.active && now-s.calledAt >= subscribeRetryInterval
 }
--- a/routing/timeout.go
+++ b/routing/timeout.go
@@ -8,8 +8,8 @@
 const (
 	// timeoutExpectedFactor is the attempt timeout as a multiple of the expected time.
 	timeoutExpectedFactor = 5.0
-	// timeoutTypicalFactor is the minimum of the timeout as a multiple of the typical time of any attempt, as
-	// the queues at engines are not visible.
+	// timeoutTypicalFactor is the minimum of the timeout as a multiple of the typical time of attempts, since
+	// the router does not see the queues at engines.
 	timeoutTypicalFactor = 4.0
 	// timeoutObjectiveFraction is the minimum of the timeout as a fraction of the objective, so that normal
 	// variation of the latency does not exceed it.
@@ -31,9 +31,9 @@
 // a later attempt has overtaken. If the engine has not responded since the attempt was sent, this counts as a
 // failure; otherwise the engine is only busy.
 func (r *Router) cancelOverdue(role Role) {
-	typicalOverdue := max(r.pool(role).overdue, 1)
+	medianOverdue := max(r.pool(role).overdue, 1)
 	for e := range r.engines.usable(role) {
-		overdue := e.maxAgeRatio(r.now) >= overdueRatio*typicalOverdue
+		overdue := e.ageRatio(r.now) >= overdueRatio*medianOverdue
 		for _, req := range slices.Clone(e.inFlight) {
 			age := r.now - req.sentAt
 			busy := !overdue ||
--- a/routing/workload.go
+++ b/routing/workload.go
@@ -9,8 +9,8 @@
 	prefills, heldStates, answers int
 	prefillTokens                 float64    // of prompts in prefill
 	heldTokens                    float64    // of prompts with held state
-	answerMemory                  float64    // estimated tokens of the answers
-	inFlight                      []*request // without a first token, oldest first
+	answerMemory                  float64    // estimated memory of the answers and their prompts, in tokens
+	inFlight                      []*request // attempts without a first token, oldest first
 	lastResponseAt                Time       // when the engine last responded
 	latestSuccessSentAt           Time       // when the latest successful attempt was sent
 }
@@ -65,8 +65,8 @@
 	return nil
 }
 
-// maxAgeRatio is the age of the oldest attempt in flight as a multiple of its expected time.
-func (l *workload) maxAgeRatio(now Time) float64 {
+// ageRatio is the age of the oldest attempt in flight as a multiple of its expected time.
+func (l *workload) ageRatio(now Time) float64 {
 	if req := l.oldestInFlight(); req != nil {
 		return float64(now-req.sentAt) / float64(req.expectedTime)
 	}
