--- a/routing/admission_test.go
+++ b/routing/admission_test.go
@@ -17,14 +17,14 @@
 // decode engines is long as well.
 func TestFullDecodeEnginesRejectBeforePrefill(t *testing.T) {
 	for _, c := range []struct {
-		firstTokenSeconds float64 // typical at decode engines
+		firstTokenSeconds float64 // mean at decode engines
 		rejected          bool
 	}{{0.02, false}, {0.3, true}} {
 		r := newTestRouter(t, testSettings(), testEngine("a", "r", 0), testEngine("w", "w", 0))
 		r.engines.byName["w"].answerMemory = 1e5
 		r.latency.roles[RoleDecode].firstTokenSeconds = c.firstTokenSeconds
 		if a := r.Handle(ms, testRequest(1, 500)); has[Send](a) == c.rejected || has[Reject](a) != c.rejected {
-			t.Errorf("typical time to first token of %.2f s: %v", c.firstTokenSeconds, a)
+			t.Errorf("mean time to first token of %.2f s: %v", c.firstTokenSeconds, a)
 		}
 	}
 }
--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -69,7 +69,8 @@
 		}
 		recordSends(i%overlap, router.Handle(now, routing.Request{
 			ID: routing.RequestID(i), Class: "chat", Session: sessions[i*7%len(sessions)],
-			Prefix: prefixes[i%len(prefixes)], PrefixLen: 1000, PromptTokens: 3000, MaxTokens: 300, TTL: 5 * time.Second,
+			Prefix: prefixes[i%len(prefixes)], PrefixLen: 1000,
+			PromptTokens: 3000, MaxTokens: 300, TTL: 5 * time.Second,
 		}))
 		if i%3 == 0 {
 			router.Handle(now, routing.TimerFired{Name: "tick"})
--- a/routing/dispatch.go
+++ b/routing/dispatch.go
@@ -21,10 +21,10 @@
 	}
 	req.hitTokens = r.cachedTokens(req, e)
 	req.prefillTokens = max(req.PromptTokens-req.hitTokens, 1)
-	req.reportedTokensAhead = r.reportedTokens(e)
+	req.reportedTokensAhead = r.reportedWaitingTokens(e)
 	// Includes the reported queue, so that the attempt is not cancelled early where one exists.
 	req.queuedTokensAhead = r.queuedTokens(e) + r.reportedQueueTokens(e)
-	tokens := req.queuedTokensAhead + float64(req.prefillTokens) + stepOverheadTokens
+	tokens := req.queuedTokensAhead + float64(req.prefillTokens) + prefillOverheadTokens
 	req.expectedTime = max(minExpectedTime, seconds(tokens*r.latency.secondsPerToken(e.role())))
 	r.send(req, e, prefilling)
 }
@@ -37,7 +37,7 @@
 		r.enqueue(req, awaitingDecode)
 		return
 	}
-	req.expectedTime = max(minExpectedTime, seconds(r.latency.typicalSeconds(e.role(), decoding)))
+	req.expectedTime = max(minExpectedTime, seconds(r.latency.meanSeconds(e.role(), decoding)))
 	r.send(req, e, decoding)
 }
 
@@ -54,7 +54,7 @@
 	if req.attempts >= req.maxAttempts-1 || r.now+timeout+minRemainingTime >= req.deadline {
 		timeout = req.deadline - r.now
 	}
-	e.slowStart.add(r.now, r.meanPrompt.of(req.Class))
+	e.slowStart.add(r.now, r.meanPrompt.mean(req.Class))
 	if e.role() != RolePrefill {
 		req.effects.add(e, r.now)
 	}
--- a/routing/golden_test.go
+++ b/routing/golden_test.go
@@ -41,7 +41,8 @@
 		[3]string{"9b04cbd72b83e4f4", "5da3ed1e5efe5184", "c7d2577839e616af"}, 0},
 	{"no cancellation", 1, "m", func(s *routing.Settings) { s.CanCancel, s.CanRetryAfter = false, false },
 		[3]string{"140889576f62a14b", "da7d88da3ad09154", "0501c93ed8a95b43"}, 0},
-	{"decode engines prefill", 1.4, "wm", func(s *routing.Settings) { s.DecodePrefills, s.MaxAttempts = true, 3 },
+	{"decode engines prefill", 1.4, "wm",
+		func(s *routing.Settings) { s.DecodePrefills, s.MaxAttempts = true, 3 },
 		[3]string{"d285a9a1bfb30876", "66b4a00f6f065c34", "920da7bb21a2379d"}, 0},
 	{"must subscribe", 0.9, "w", func(s *routing.Settings) { s.MustSubscribe, s.Gateways = true, 1 },
 		[3]string{"ccb7e5a057dcc2c8", "ba0f905dab1eba37", "b00dbd602985378d"}, 0},
@@ -52,7 +53,7 @@
 	{"ten gateways, probes", 1.3, "wqm",
 		func(s *routing.Settings) { s.CanProbe, s.Gateways, s.DecodePrefills = true, 10, true },
 		[3]string{"5443f41b255dd6d2", "b79a7b1c7ed35782", "119f7565a1a7174f"}, 0},
-	{"send delay", 1, "m", func(s *routing.Settings) { s.SendDelay, s.MaxAttempts = 250*time.Millisecond, 4 },
+	{"send delay", 1, "m", func(s *routing.Settings) { s.MaxSendDelay, s.MaxAttempts = 250*time.Millisecond, 4 },
 		[3]string{"7cc54d95aa9d56df", "00d9a58a4b5187ea", "19a977eb8d48c654"}, 0},
 	{"tenants", 1.2, "m", func(s *routing.Settings) {
 		s.Tenants = []routing.Tenant{{Name: "a", Quota: 20}, {Name: "b", Quota: 0.4}, {Name: "c"}}
@@ -114,13 +115,13 @@
 			},
 			{Name: "once", FirstTokenObjective: time.Second, PriorityWeight: 3, Effect: routing.EffectAtMostOnce},
 		},
-		Kinds: []routing.Kind{
+		Kinds: []routing.EngineKind{
 			{Name: "r", Role: routing.RolePrefill, Memory: 2e5}, {Name: "w", Role: routing.RoleDecode, Memory: 6e4},
 			{Name: "m", Role: routing.RoleMixed, Memory: 5e4}, {Name: "x"},
 		},
 		SlowStartPeriod: 5 * time.Second, SlowStartCapacity: 0.3,
 		OverloadWindow: 2 * time.Second, OverloadMultiple: 3,
-		HeldStateLimit: 500 * ms, Tick: ms,
+		HeldStateLimit: 500 * ms, TickInterval: ms,
 	}
 }
 
@@ -273,7 +274,7 @@
 	for _, c := range append(g.set.Classes, routing.Class{Name: "unknown"}) {
 		g.hashValues(0, toInt(g.router.Idempotent(c.Name)))
 	}
-	for _, k := range append(g.set.Kinds, routing.Kind{Name: "unknown"}) {
+	for _, k := range append(g.set.Kinds, routing.EngineKind{Name: "unknown"}) {
 		g.hashValues(0, toInt(g.router.CanPrefill(k.Name)))
 	}
 }
@@ -331,7 +332,7 @@
 	case routing.Release:
 		g.hashValues(goldenRelease, int64(a.ID))
 	case routing.SetTimer:
-		g.hashValues(goldenTimer, int64(a.In))
+		g.hashValues(goldenTimer, int64(a.After))
 		g.hashName(a.Name)
 	case routing.Probe:
 		g.hashValues(goldenProbe)
@@ -362,7 +363,7 @@
 	switch a := action.(type) {
 	case routing.SetTimer:
 		if g.now < goldenDuration+g.testCase.pause+20*time.Second {
-			g.schedule(g.now+a.In, func() { g.handle(routing.TimerFired{Name: a.Name}) })
+			g.schedule(g.now+a.After, func() { g.handle(routing.TimerFired{Name: a.Name}) })
 		}
 	case routing.Send:
 		g.send(a)
--- a/routing/harness_test.go
+++ b/routing/harness_test.go
@@ -20,13 +20,13 @@
 			},
 			{Name: "once", FirstTokenObjective: time.Second, PriorityWeight: 1, Effect: EffectAtMostOnce},
 		},
-		Kinds: []Kind{
+		Kinds: []EngineKind{
 			{Name: "r", Role: RolePrefill, Memory: 2e5}, {Name: "w", Role: RoleDecode, Memory: 2e5},
 			{Name: "m", Role: RoleMixed, Memory: 2e5},
 		},
 		SlowStartPeriod: 10 * time.Second, SlowStartCapacity: 0.3,
 		OverloadWindow: 2 * time.Second, OverloadMultiple: 3,
-		HeldStateLimit: 500 * ms, Tick: ms,
+		HeldStateLimit: 500 * ms, TickInterval: ms,
 	}
 }
 
@@ -46,7 +46,8 @@
 
 func testRequest(id RequestID, prompt int) Request {
 	return Request{
-		ID: id, Class: "c", Session: fmt.Sprint("s", id), PromptTokens: prompt, MaxTokens: 100, TTL: 5 * time.Second,
+		ID: id, Class: "c", Session: fmt.Sprint("s", id), PromptTokens: prompt, MaxTokens: 100,
+		TTL: 5 * time.Second,
 	}
 }
 
--- a/routing/holdqueue.go
+++ b/routing/holdqueue.go
@@ -5,8 +5,9 @@
 )
 
 const (
-	// tickInterval is the interval between checks of queued requests and of attempts that may hang.
-	tickInterval = 50 * time.Millisecond
+	// defaultTickInterval is the default interval between checks of queued requests and of attempts that may
+	// hang.
+	defaultTickInterval = 50 * time.Millisecond
 	// maxDecodeHoldFraction limits queueing for a decode engine, as a fraction of HeldStateLimit.
 	maxDecodeHoldFraction = 0.5
 	// maxPrefillHoldFraction limits queueing for a prefill engine, as a fraction of FirstTokenObjective.
--- a/routing/timeout.go
+++ b/routing/timeout.go
@@ -8,9 +8,9 @@
 const (
 	// timeoutExpectedFactor is the attempt timeout as a multiple of the expected time.
 	timeoutExpectedFactor = 5.0
-	// timeoutTypicalFactor is the minimum of the timeout as a multiple of the typical time of attempts, since
+	// timeoutMeanFactor is the minimum of the timeout as a multiple of the mean time of attempts, since
 	// the router does not see the queues at engines.
-	timeoutTypicalFactor = 4.0
+	timeoutMeanFactor = 4.0
 	// timeoutObjectiveFraction is the minimum of the timeout as a fraction of the objective, so that normal
 	// variation of the latency does not exceed it.
 	timeoutObjectiveFraction = 0.4
@@ -20,11 +20,11 @@
 
 // attemptTimeout is the duration after which an attempt counts as overdue.
 func (r *Router) attemptTimeout(req *request) time.Duration {
-	typical := r.latency.typicalSeconds(req.engine.role(), req.phase)
-	typicalLimit := timeoutTypicalFactor * float64(seconds(typical))
+	mean := r.latency.meanSeconds(req.engine.role(), req.phase)
+	meanLimit := timeoutMeanFactor * float64(seconds(mean))
 	expectedLimit := timeoutExpectedFactor * float64(req.expectedTime)
 	minLimit := timeoutObjectiveFraction * float64(req.class.FirstTokenObjective)
-	return time.Duration(max(expectedLimit, minLimit, typicalLimit))
+	return time.Duration(max(expectedLimit, minLimit, meanLimit))
 }
 
 // cancelOverdue cancels attempts that hang: those that are overdue while their peers' are not, and those that
@@ -32,7 +32,7 @@
 // failure; otherwise the engine is only busy.
 func (r *Router) cancelOverdue(role Role) {
 	medianOverdue := max(r.pool(role).overdue, 1)
-	for e := range r.engines.usable(role) {
+	for e := range r.engines.usableByRole(role) {
 		overdue := e.ageRatio(r.now) >= overdueRatio*medianOverdue
 		for _, req := range slices.Clone(e.inFlight) {
 			age := r.now - req.sentAt
