--- a/decide/membership/gossip.go
+++ b/decide/membership/gossip.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// currentUpdate returns a member's update, with the present age of a suspicion.
+// currentUpdate returns a member's update, with the current age of a suspicion.
 func (m *Machine) currentUpdate(peer *member) Update {
 	u := peer.Update
 	if u.Status == Suspect {
@@ -15,15 +15,17 @@
 	return u
 }
 
-// addGossip fills a message with the updates that have been passed on least often, this
-// gateway's own first.
+// addGossip fills a message with the updates that have been transmitted least often, starting with
+// this gateway's own.
 func (m *Machine) addGossip(msg *Message) {
 	limit := int(math.Ceil(retransmitFactor * math.Log2(float64(len(m.byName)+2))))
 	if m.selfTransmissions < limit && len(msg.Updates) < m.cfg.MaxUpdates {
 		m.selfTransmissions++
 		msg.Updates = append(msg.Updates, m.self)
 	}
-	slices.SortStableFunc(m.gossip, func(a, b *member) int { return cmp.Compare(a.transmissions, b.transmissions) })
+	slices.SortStableFunc(m.gossip, func(a, b *member) int {
+		return cmp.Compare(a.transmissions, b.transmissions)
+	})
 	for _, peer := range m.gossip {
 		if len(msg.Updates) >= m.cfg.MaxUpdates {
 			break
@@ -34,21 +36,21 @@
 		}
 	}
 	m.gossip = slices.DeleteFunc(m.gossip, func(peer *member) bool {
-		peer.inGossip = peer.transmissions < limit
-		return !peer.inGossip
+		peer.gossipQueued = peer.transmissions < limit
+		return !peer.gossipQueued
 	})
 }
 
-// queueGossip has a member's latest update passed on.
+// queueGossip queues a member's latest update for transmission to other gateways.
 func (m *Machine) queueGossip(peer *member) {
 	peer.transmissions = 0
-	if !peer.inGossip {
-		peer.inGossip = true
+	if !peer.gossipQueued {
+		peer.gossipQueued = true
 		m.gossip = append(m.gossip, peer)
 	}
 }
 
-// receiveUpdate takes an update that a gateway has passed on.
+// receiveUpdate processes an update that was received from a gateway.
 func (m *Machine) receiveUpdate(from string, u Update) {
 	if u.ID == m.cfg.ID {
 		m.receiveOwnUpdate(u)
@@ -56,23 +58,24 @@
 	}
 	known := m.members[u.ID]
 	if known != nil && u.Status == Suspect && known.Status == Suspect && u.Incarnation == known.Incarnation {
-		known.accusers[from] = true
+		known.suspectedBy[from] = true
 		m.adjustSuspicion(known, u.Heartbeat, u.SuspicionAge)
 		return
 	}
-	m.apply(u)
+	m.applyUpdate(u)
 }
 
-// receiveOwnUpdate takes an update about this gateway: it refutes one that is wrong, and pings
-// the address of one that is elsewhere.
+// receiveOwnUpdate processes an update about this gateway: it refutes a wrong status, and pings an
+// address that is not its own.
 func (m *Machine) receiveOwnUpdate(u Update) {
-	if u.Addr != "" && u.Addr != m.cfg.Addr && u.Status == Alive && m.now >= m.nextNamesakeAt {
-		m.nextNamesakeAt = m.now + namesakeInterval
-		m.send(u.Addr, Message{Kind: Ping, Seq: m.nextSeq()}) // another process of this name, or this gateway's former address
+	if u.Addr != "" && u.Addr != m.cfg.Addr && u.Status == Alive && m.now >= m.nextDuplicateCheckAt {
+		m.nextDuplicateCheckAt = m.now + duplicateCheckInterval
+		// The address is that of another process with this name, or a former one of this gateway.
+		m.send(u.Addr, Message{Kind: Ping, Seq: m.nextSeq()})
 	}
 	if u.Status != m.self.Status && u.overrides(m.self) || u.Incarnation > m.self.Incarnation {
 		m.stats.Refutations++
-		m.localHealth = min(maxLocalHealth, m.localHealth+1) // this gateway may have been slow to answer
+		m.localHealth = min(maxLocalHealth, m.localHealth+1) // this gateway may have answered too slowly
 		m.self.Incarnation = u.Incarnation + 1
 		m.selfTransmissions = 0
 		m.updateDigest()
