--- a/decide/membership/probe.go
+++ b/decide/membership/probe.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// probe is a ping of this gateway that waits for its answer.
+// probe is a ping by this gateway that awaits an answer.
 type probe struct {
 	seq        uint32
 	target     *member
 	sentAt     Time
-	indirectAt Time // when others are asked to ping the target
+	indirectAt Time // when PingReqs are sent
 	deadline   Time
-	indirect   bool // others have been asked
+	indirect   bool // PingReqs have been sent
 	acked      bool
 }
 
@@ -20,33 +20,33 @@
 type forwardedPing struct {
 	seq        uint32 // of this gateway's ping
 	requestSeq uint32 // of the PingReq
-	requester  string // its address
+	requester  string // address of the sender of the PingReq
 	target     string
 	deadline   Time
 }
 
-// forwardTimeouts is how many probe timeouts an answer to a forwarded ping is waited for.
-const forwardTimeouts = 4
+// probeTimeoutsPerForward is the timeout of a forwarded ping, in probe timeouts.
+const probeTimeoutsPerForward = 4
 
-// ackTimeout is how long a direct answer may take, longer the worse the local health is.
+// ackTimeout returns the timeout of a direct answer, which increases as the local health gets worse.
 func (m *Machine) ackTimeout() time.Duration {
 	return m.cfg.ProbeTimeout * time.Duration(1+m.localHealth)
 }
 
-// probeDeadline is the part of a probe's time, in ack timeouts, after which it has failed.
-const probeDeadline = 3
+// ackTimeoutsPerProbe is the number of ack timeouts after which a probe has failed.
+const ackTimeoutsPerProbe = 3
 
 func (m *Machine) sendProbe(target *member) {
 	m.stats.Probes++
 	p := &probe{
 		seq: m.nextSeq(), target: target, sentAt: m.now,
-		indirectAt: m.now + m.ackTimeout(), deadline: m.now + probeDeadline*m.ackTimeout(),
+		indirectAt: m.now + m.ackTimeout(), deadline: m.now + ackTimeoutsPerProbe*m.ackTimeout(),
 	}
 	m.probes = append(m.probes, p)
 	m.send(target.Addr, Message{Kind: Ping, Seq: p.seq}, target)
 }
 
-// probeAcked ends a probe with an answer, direct or by way of another gateway.
+// probeAcked completes a probe that was answered, directly or through another gateway.
 func (m *Machine) probeAcked(p *probe, direct bool) {
 	p.acked = true
 	m.localHealth = max(0, m.localHealth-1)
@@ -59,7 +59,7 @@
 	p.target.rtt = m.now - p.sentAt
 }
 
-// probeFailed ends a probe without an answer: its target is suspected.
+// probeFailed completes a probe without an answer: its target becomes a suspect.
 func (m *Machine) probeFailed(p *probe) {
 	m.stats.FailedProbes++
 	m.localHealth = min(maxLocalHealth, m.localHealth+1)
@@ -69,11 +69,11 @@
 	m.stats.Suspicions++
 	suspicion := p.target.Update
 	suspicion.Status, suspicion.SuspicionAge = Suspect, m.now-p.sentAt
-	m.apply(suspicion)
-	p.target.accusers = map[string]bool{m.cfg.ID: true}
+	m.applyUpdate(suspicion)
+	p.target.suspectedBy = map[string]bool{m.cfg.ID: true}
 }
 
-// checkProbes sends the PingReqs that are due and ends the probes that have timed out.
+// checkProbes sends PingReqs for probes without a direct answer and completes those that timed out.
 func (m *Machine) checkProbes() {
 	m.forwarded = slices.DeleteFunc(m.forwarded, func(f forwardedPing) bool { return m.now > f.deadline })
 	for _, p := range m.probes {
@@ -98,28 +98,30 @@
 	}
 	f := forwardedPing{
 		seq: m.nextSeq(), requestSeq: msg.Seq, requester: msg.Addr, target: msg.Subject,
-		deadline: m.now + forwardTimeouts*m.cfg.ProbeTimeout,
+		deadline: m.now + probeTimeoutsPerForward*m.cfg.ProbeTimeout,
 	}
 	m.forwarded = append(m.forwarded, f)
 	m.send(target.Addr, Message{Kind: Ping, Seq: f.seq}, target)
 }
 
-// randomAlive returns up to indirectProbers members that are alive, other than one.
-func (m *Machine) randomAlive(except *member) []*member {
-	var pool []*member
-	for range 4 * indirectProbers { // draws may meet members that are not alive, or twice
-		if len(m.byName) == 0 || len(pool) == indirectProbers {
+// randomAlive returns up to indirectProbers random members that are alive, without exclude.
+func (m *Machine) randomAlive(exclude *member) []*member {
+	var chosen []*member
+	for range 4 * indirectProbers { // a draw may yield a member that is not alive or was already drawn
+		if len(m.byName) == 0 || len(chosen) == indirectProbers {
 			break
 		}
-		if peer := m.byName[m.rng.IntN(len(m.byName))]; peer != except && peer.Status == Alive && !slices.Contains(pool, peer) {
-			pool = append(pool, peer)
+		if peer := m.byName[m.rng.IntN(len(m.byName))]; peer != exclude &&
+			peer.Status == Alive && !slices.Contains(chosen, peer) {
+			chosen = append(chosen, peer)
 		}
 	}
-	return pool
+	return chosen
 }
 
-// probeNext does one round: it probes every suspect, since each answer may refute, and the
-// next member of the ring; now and then also a dead one and the addresses to join by.
+// probeNext runs one probe round: it probes every suspect, since each answer may refute the
+// suspicion, and the next member of the ring; at longer intervals also a dead member and the join
+// addresses.
 func (m *Machine) probeNext() {
 	m.probeRounds++
 	for _, peer := range m.notAlive {
@@ -128,17 +130,17 @@
 		}
 	}
 	known := m.statusCounts[Alive]+m.statusCounts[Suspect]+m.statusCounts[Leaving] > 0
-	if !known || m.probeRounds%(rejoinEvery*len(m.byName)+1) == 0 {
-		m.join()
+	if !known || m.probeRounds%(rejoinRoundsPerMember*len(m.byName)+1) == 0 {
+		m.pingJoinAddrs()
 	}
-	if m.probeRounds%deadProbeEvery == 0 {
+	if m.probeRounds%deadProbeRounds == 0 {
 		m.probeDead()
 	}
 	m.probeFromRing()
 }
 
-// join pings the addresses to join by.
-func (m *Machine) join() {
+// pingJoinAddrs pings the join addresses.
+func (m *Machine) pingJoinAddrs() {
 	for _, addr := range m.cfg.JoinAddrs {
 		if addr != m.cfg.Addr {
 			m.send(addr, Message{Kind: Ping, Seq: m.nextSeq()})
@@ -146,8 +148,8 @@
 	}
 }
 
-// probeDead probes one dead member, drawn evenly: both sides of a healed partition hold the
-// other for dead, and would never meet again without it.
+// probeDead probes one dead member, chosen uniformly at random: after a partition has healed, each
+// side has the members of the other as dead, and would never contact them without this probe.
 func (m *Machine) probeDead() {
 	dead := m.statusCounts[Dead]
 	if dead == 0 {
@@ -165,13 +167,15 @@
 	}
 }
 
-// probeFromRing probes the next member that is alive or leaving. The ring is shuffled anew
-// once all have been probed, which bounds the time until any one is.
+// probeFromRing probes the next member that is alive or leaving. The ring is shuffled again after all
+// members have been probed, which bounds the time between two probes of a member.
 func (m *Machine) probeFromRing() {
 	for range len(m.byName) + 1 {
 		if len(m.probeRing) == 0 {
 			m.probeRing = slices.Clone(m.byName)
-			m.rng.Shuffle(len(m.probeRing), func(i, j int) { m.probeRing[i], m.probeRing[j] = m.probeRing[j], m.probeRing[i] })
+			m.rng.Shuffle(len(m.probeRing), func(i, j int) {
+				m.probeRing[i], m.probeRing[j] = m.probeRing[j], m.probeRing[i]
+			})
 		}
 		if len(m.probeRing) == 0 {
 			return
--- a/decide/roles/candidate.go
+++ b/decide/roles/candidate.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// The weights of what a change costs, beside one for each engine by which a rack has more of the
-// wanted role than of the other.
+// The weights in the cost of a change. The weight of each engine by which the target role outnumbers
+// the present role in the rack is 1.
 const (
-	rateWeight        = 2.0 // of the rate lost by the change
-	utilizationWeight = 0.3 // of the work to drain
+	rateWeight        = 2.0 // of the relative rate that the engine loses by the change
+	utilizationWeight = 0.3 // of the utilization, as the work that must drain
 )
 
-// rackCounts counts the engines of a rack, or of the fleet, without the mixed ones.
-type rackCounts struct {
+// engineCounts counts the prefill and decode engines of a rack or of the fleet.
+type engineCounts struct {
 	engines, changing int
-	ready             [2]int // in service and not in change, by role
+	ready             [2]int // in service and not changing, by role
 }
 
-func (c *rackCounts) add(e Engine) {
+func (c *engineCounts) add(e Engine) {
 	if e.Changing {
 		c.changing++
 	}
@@ -31,16 +31,16 @@
 	}
 }
 
-// maxChanging returns how many of so many engines may be in change at once.
-func maxChanging(share float64, engines int) int { return max(1, int(share*float64(engines))) }
+// maxChanging returns how many of a number of engines may change at the same time, at least one.
+func maxChanging(fraction float64, engines int) int { return max(1, int(fraction*float64(engines))) }
 
-// candidate returns the engine whose change to a role costs least, or why none may change.
+// candidate returns the change to a role with the lowest cost, or the reason why no engine may change.
 func (p *Planner) candidate(now time.Time, to Role) (*Change, string) {
 	from := to.Opposite()
-	fleet, racks := &rackCounts{}, map[int]*rackCounts{}
+	fleet, racks := &engineCounts{}, map[int]*engineCounts{}
 	for _, e := range p.engines {
 		if racks[e.Rack] == nil {
-			racks[e.Rack] = &rackCounts{}
+			racks[e.Rack] = &engineCounts{}
 		}
 		racks[e.Rack].add(e)
 		fleet.add(e)
@@ -59,8 +59,8 @@
 			continue
 		}
 		rack := racks[e.Rack]
-		if why := p.exclusionReason(now, e, rack, to); why != "" {
-			reason = why
+		if exclusion := p.exclusionReason(now, e, rack, to); exclusion != "" {
+			reason = exclusion
 			continue
 		}
 		cost := p.changeCost(e, rack, to)
@@ -74,8 +74,8 @@
 	return &Change{Engine: best.ID, Rack: best.Rack, From: from, To: to}, ""
 }
 
-// exclusionReason returns why an engine in service may not change to a role, "" if it may.
-func (p *Planner) exclusionReason(now time.Time, e Engine, rack *rackCounts, to Role) string {
+// exclusionReason returns the reason why an engine in service may not change to a role, "" if it may.
+func (p *Planner) exclusionReason(now time.Time, e Engine, rack *engineCounts, to Role) string {
 	if e.Pinned {
 		return "pinned by an operator"
 	}
@@ -93,9 +93,11 @@
 	return ""
 }
 
-// changeCost ranks candidates: first the rack with most of the present role and least of the
-// wanted one, then the engine that is better at the new role, then the one with least to drain.
-func (p *Planner) changeCost(e Engine, rack *rackCounts, to Role) float64 {
+// changeCost returns the cost by which candidates are ranked. The most important term is the excess
+// of the target role over the present role in the rack, then the relative rate that the engine loses
+// by the change, then the work that it must drain.
+func (p *Planner) changeCost(e Engine, rack *engineCounts, to Role) float64 {
 	from := e.Role
-	return float64(rack.ready[to]) - float64(rack.ready[from]) + (p.relativeRate(e, from)-p.relativeRate(e, to))*rateWeight + e.Utilization*utilizationWeight
+	return float64(rack.ready[to]) - float64(rack.ready[from]) +
+		(p.relativeRate(e, from)-p.relativeRate(e, to))*rateWeight + e.Utilization*utilizationWeight
 }
