--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -51,8 +51,8 @@
 	core := newCore(t, f)
 	start := time.Now()
 	a, _, _ := SubmitAndWait(t.Context(), core, newTestRequest("once", 200*time.Millisecond))
-	if took := time.Since(start); took < 100*time.Millisecond || a.Verdict == Streaming {
-		t.Errorf("answer %+v after %v, want no stream and at least 100ms", a, took)
+	if elapsed := time.Since(start); elapsed < 100*time.Millisecond || a.Verdict == Streaming {
+		t.Errorf("answer %+v after %v, want no stream and at least 100ms", a, elapsed)
 	}
 	enginetest.Eventually(t, "the attempt is closed and its state released", func() bool {
 		f.mu.Lock()
--- a/internal/core/heldlog.go
+++ b/internal/core/heldlog.go
@@ -13,7 +13,7 @@
 const (
 	stateFetched  stateEndReason = "fetched"  // a decode engine's answer has started
 	stateReleased stateEndReason = "released" // a release was delivered
-	stateExpired  stateEndReason = "expired"  // the limit was reached, whether or not an attempt may be in flight
+	stateExpired  stateEndReason = "expired"  // the limit was reached; an attempt may be in flight
 )
 
 // logWritten logs which connection an attempt was written to.
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -32,7 +32,7 @@
 // submit adds a request to the table and passes it to the router.
 func (c *Core) submit(ticket *Ticket, submitted Request, front Front) {
 	submitted.ID = c.requests.newID()
-	request := c.newRequest(submitted, front, &ticket.gone)
+	request := c.newRequest(submitted, front, &ticket.clientGone)
 	ticket.request = request
 	if c.requests.clientRequestIDs[submitted.ClientRequestID] {
 		// Engines identify a request by its client request id alone: two concurrent requests with
--- a/internal/core/ticket.go
+++ b/internal/core/ticket.go
@@ -17,15 +17,15 @@
 
 // Ticket identifies a submitted request.
 type Ticket struct {
-	core    *Core
-	request *requestState // owned by the core's goroutine
-	gone    atomic.Bool   // the client has disconnected
+	core       *Core
+	request    *requestState // owned by the core's goroutine
+	clientGone atomic.Bool   // the client has disconnected
 }
 
 // ClientGone reports that the client has disconnected before its answer. No attempt is started after
 // the call, even while the message about it waits in the core's queue.
 func (t *Ticket) ClientGone() {
-	t.gone.Store(true)
+	t.clientGone.Store(true)
 	t.core.post(clientGone{t})
 }
 
