--- a/decide/heldstate/releases.go
+++ b/decide/heldstate/releases.go
@@ -5,17 +5,17 @@
 	"slices"
 )
 
-// ReleasesDue returns the engines that are to be sent a release now, in order of name. The caller
-// reports the end of each release with ReleaseEnded.
+// ReleasesDue returns the engines that must be sent a release now, sorted by name. The caller reports the end
+// of each release with ReleaseEnded.
 func (l *Ledger) ReleasesDue(now Time) []string {
 	var due []string
 	for _, name := range slices.Sorted(maps.Keys(l.entries)) {
 		e := l.entries[name]
-		if at, ok := l.nextRelease(e); !ok || at > now {
+		if at, ok := l.nextReleaseAt(e); !ok || at > now {
 			continue
 		}
-		if e.dueSince == 0 {
-			e.dueSince = now
+		if e.pendingSince == 0 {
+			e.pendingSince = now
 		}
 		e.releasing = true
 		due = append(due, name)
@@ -23,15 +23,15 @@
 	return due
 }
 
-// ReleaseDeadline returns when the release in flight at an engine is to be given up.
+// ReleaseDeadline returns the time at which retries of the release in flight at an engine stop.
 func (l *Ledger) ReleaseDeadline(engine string) Time {
 	if e := l.entries[engine]; e != nil {
-		return e.dueSince + l.limits.ReleaseTimeout
+		return e.pendingSince + l.limits.ReleaseTimeout
 	}
 	return 0
 }
 
-// ReleaseEnded records how a release ended: delivered, cancelled, or given up in time.
+// ReleaseEnded records that a release ended: it was delivered, cancelled, or abandoned at its deadline.
 func (l *Ledger) ReleaseEnded(engine string, delivered bool, now Time) {
 	e := l.entries[engine]
 	if e == nil || !e.releasing {
@@ -40,19 +40,19 @@
 	e.releasing, e.releaseForced = false, false
 	switch {
 	case delivered && !l.finished && l.attemptState != noAttempt:
-		e.lastAttempted = now // an attempt may have been waiting for the state
+		e.lastUncertainAt = now // an attempt may have been waiting for the state
 	case delivered:
-		if e.delivered++; e.delivered == 1 {
-			e.firstDelivery = now
+		if e.deliveredCount++; e.deliveredCount == 1 {
+			e.firstDeliveredAt = now
 		}
-		e.lastRelease = now
-	case now >= e.dueSince+l.limits.ReleaseTimeout:
-		e.givenUp = true
+		e.lastDeliveredAt = now
+	case now >= e.pendingSince+l.limits.ReleaseTimeout:
+		e.abandoned = true
 	}
 }
 
-// ReleasesToCancel returns the engines, in order of name, whose release in flight must not meet an
-// attempt that has just been written: it could free the state of the next prefill.
+// ReleasesToCancel returns the engines, sorted by name, whose release in flight must be cancelled because an
+// attempt has been written: the release could free the state of the next prefill.
 func (l *Ledger) ReleasesToCancel(now Time) []string {
 	var engines []string
 	for name, e := range l.entries {
@@ -64,16 +64,16 @@
 	return engines
 }
 
-// RepeatReleases makes a release due at every engine: an attempt has ended that may have been waiting
-// for the state until now, so that no release had an effect.
+// RepeatReleases schedules another release at every engine that may hold state. It is called when an attempt
+// ends that may have been waiting for the state, because earlier releases then had no effect.
 func (l *Ledger) RepeatReleases() {
 	for _, e := range l.entries {
-		e.delivered, e.lastRelease, e.lastAttempted = 0, 0, 0
+		e.deliveredCount, e.lastDeliveredAt, e.lastUncertainAt = 0, 0, 0
 	}
 }
 
-// DropEngine records that an engine holds no state and never will, as engines of its kind take no
-// releases.
+// DropEngine records that an engine neither holds state nor will hold any, because engines of its kind accept
+// no releases.
 func (l *Ledger) DropEngine(engine string) {
 	delete(l.entries, engine)
 	if l.stateHolder == engine {
@@ -81,29 +81,29 @@
 	}
 }
 
-// Completed reports whether the request has its final answer and nothing is left to release.
+// Completed reports whether the request has its final answer and no release is pending or in flight.
 func (l *Ledger) Completed() bool {
 	if !l.finished {
 		return false
 	}
 	for _, e := range l.entries {
-		if _, due := l.nextRelease(e); due || e.releasing {
+		if _, due := l.nextReleaseAt(e); due || e.releasing {
 			return false
 		}
 	}
 	return true
 }
 
-// BlocksDrain reports whether a draining gateway has to wait for a release: one that has not been
-// delivered yet, or that has to be repeated, as it may have overtaken a cancel or as a prefill may
-// run on and leave state when the gateway has ended. Engines that have been out of reach for
-// maxDrainWait are not waited for.
+// BlocksDrain reports whether a draining gateway must wait for a release. It waits for a release that has not
+// been delivered, and for one that must be repeated because it may have arrived before a cancellation or
+// because a prefill may still run and create state after the gateway has ended. It does not wait for engines
+// that have been unreachable for drainWaitFactor times the held-state limit, and at least minDrainWait.
 func (l *Ledger) BlocksDrain(now Time) bool {
-	wait := max(maxDrainWait*l.limits.HeldStateLimit, minDrainWait)
+	wait := max(drainWaitFactor*l.limits.HeldStateLimit, minDrainWait)
 	for _, e := range l.entries {
-		undelivered := e.delivered == 0 && (e.dueSince == 0 || now < e.dueSince+wait)
-		_, repeated := l.nextRepeat(e)
-		if !e.givenUp && (undelivered || e.delivered > 0 && repeated) {
+		undelivered := e.deliveredCount == 0 && (e.pendingSince == 0 || now < e.pendingSince+wait)
+		_, repeated := l.nextRepeatAt(e)
+		if !e.abandoned && (undelivered || e.deliveredCount > 0 && repeated) {
 			return true
 		}
 	}
