--- a/internal/faultinject/inject.go
+++ b/internal/faultinject/inject.go
@@ -1,7 +1,7 @@
 //go:build faultinject
 
-// Package faultinject lets system calls fail and the wall clock step, as Linux documents, by a
-// schedule that follows from a seed.
+// Package faultinject makes system calls fail and the wall clock step, in ways that Linux
+// documents, by a schedule that is derived from a seed.
 package faultinject
 
 import (
@@ -19,22 +19,23 @@
 )
 
 // Variable is the environment variable that holds a Schedule as JSON.
-const Variable = "WELLGW_FAULTS"
+const EnvVar = "WELLGW_FAULTS"
 
-// Schedule is what is to fail. Times are milliseconds since the start of the process.
+// Schedule configures the faults. Times are in milliseconds since the start of the process.
 type Schedule struct {
-	Seed    uint64  `json:"seed"`
-	Accept  float64 `json:"accept"`  // the part of accepts that fail
-	Connect float64 `json:"connect"` // of connects
-	Read    float64 `json:"read"`    // of reads of clients that are interrupted or short
-	Break   float64 `json:"break"`   // of reads of engines that end with an error of the network
-	Files   []Span  `json:"files"`   // in which files can't be written
-	Steps   []Step  `json:"steps"`   // of the wall clock
-	Kill    int     `json:"kill"`    // the process is killed in the middle of this file's write; 0 for none
-}
-
-// Span is a stretch of time with an error.
-type Span struct {
+	Seed    uint64        `json:"seed"`
+	Accept  float64       `json:"accept"`  // fraction of accepts that fail
+	Connect float64       `json:"connect"` // fraction of connects that fail
+	Read    float64       `json:"read"`    // fraction of reads from clients that are interrupted or short
+	Break   float64       `json:"break"`   // fraction of reads from engines that fail with a network error
+	Files   []FaultWindow `json:"files"`   // periods in which files can't be written
+	Steps   []Step        `json:"steps"`   // steps of the wall clock
+	// Number of the file write in the middle of which the process is killed; 0 for none.
+	Kill int `json:"kill"`
+}
+
+// FaultWindow is a period of time in which file operations fail with an error.
+type FaultWindow struct {
 	From  int64         `json:"from"`
 	To    int64         `json:"to"`
 	Errno syscall.Errno `json:"errno"`
@@ -50,38 +51,38 @@
 type DialFunc = func(ctx context.Context, network, address string) (net.Conn, error)
 
 var (
-	begun    = time.Now()
-	schedule = load()
+	started  = time.Now()
+	schedule = loadSchedule()
 	mu       sync.Mutex
 	random   = rand.New(rand.NewPCG(schedule.Seed, 1))
 	writes   int
 )
 
-func load() (s Schedule) {
-	text := os.Getenv(Variable)
-	if text == "" {
+func loadSchedule() (s Schedule) {
+	value := os.Getenv(EnvVar)
+	if value == "" {
 		return s
 	}
-	if err := json.Unmarshal([]byte(text), &s); err != nil {
-		panic(fmt.Sprintf("%s: %v", Variable, err))
+	if err := json.Unmarshal([]byte(value), &s); err != nil {
+		panic(fmt.Sprintf("%s: %v", EnvVar, err))
 	}
 	return s
 }
 
-// happens tells whether something of this probability happens now.
-func happens(part float64) bool {
+// drawFault returns true with the given probability.
+func drawFault(probability float64) bool {
 	mu.Lock()
 	defer mu.Unlock()
-	return part > 0 && random.Float64() < part
+	return probability > 0 && random.Float64() < probability
 }
 
-func pick(some []syscall.Errno) syscall.Errno {
+func pickErrno(errnos []syscall.Errno) syscall.Errno {
 	mu.Lock()
 	defer mu.Unlock()
-	return some[random.IntN(len(some))]
+	return errnos[random.IntN(len(errnos))]
 }
 
-func failure(op string, errno syscall.Errno) error {
+func netError(op string, errno syscall.Errno) error {
 	return &net.OpError{Op: op, Net: "tcp", Err: os.NewSyscallError(op, errno)}
 }
 
@@ -90,10 +91,10 @@
 // Listener returns a listener whose Accept may fail.
 func Listener(l net.Listener) net.Listener { return listener{l} }
 
-// Accept fails at times. The connection that waits is taken by a later call.
+// Accept fails at random. A later call accepts the pending connection.
 func (l listener) Accept() (net.Conn, error) {
-	if happens(schedule.Accept) {
-		return nil, failure("accept", pick([]syscall.Errno{
+	if drawFault(schedule.Accept) {
+		return nil, netError("accept", pickErrno([]syscall.Errno{
 			syscall.ECONNABORTED, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.EPERM, syscall.ENETDOWN,
 		}))
 	}
@@ -102,8 +103,8 @@
 
 // Dial opens a connection, which may fail.
 func Dial(ctx context.Context, network, address string, dial DialFunc) (net.Conn, error) {
-	if happens(schedule.Connect) {
-		return nil, failure("connect", pick([]syscall.Errno{
+	if drawFault(schedule.Connect) {
+		return nil, netError("connect", pickErrno([]syscall.Errno{
 			syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ENOBUFS, syscall.ENFILE, syscall.EHOSTUNREACH, syscall.ETIMEDOUT,
 		}))
 	}
@@ -114,26 +115,27 @@
 	return &conn{c}, nil
 }
 
-// conn is a connection to an engine whose reads may end with an error of the network.
+// conn is a connection to an engine whose reads may fail with a network error.
 type conn struct{ net.Conn }
 
 func (c *conn) Read(p []byte) (int, error) {
-	if happens(schedule.Break) {
+	if drawFault(schedule.Break) {
 		c.Conn.Close()
-		return 0, failure("read", pick([]syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET}))
+		return 0, netError("read", pickErrno([]syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET}))
 	}
 	return c.Conn.Read(p)
 }
 
-// SyscallConn gives the descriptor, as *net.TCPConn does.
+// SyscallConn returns access to the file descriptor, as *net.TCPConn does.
 func (c *conn) SyscallConn() (syscall.RawConn, error) {
 	return c.Conn.(syscall.Conn).SyscallConn()
 }
 
-// Read reads from a descriptor; it may be interrupted or bring less than there is.
+// Read reads from a file descriptor. It may be interrupted or return fewer bytes than are
+// available.
 func Read(fd int, p []byte) (int, error) {
-	if happens(schedule.Read) {
-		if happens(0.5) {
+	if drawFault(schedule.Read) {
+		if drawFault(0.5) {
 			return -1, syscall.EINTR
 		}
 		p = p[:min(len(p), 1)]
@@ -141,9 +143,9 @@
 	return syscall.Read(fd, p)
 }
 
-// fileError is the error that files give now.
+// fileError returns the error with which file operations fail now, nil for none.
 func fileError() error {
-	now := time.Since(begun).Milliseconds()
+	now := time.Since(started).Milliseconds()
 	for _, s := range schedule.Files {
 		if now >= s.From && now < s.To {
 			return s.Errno
@@ -164,15 +166,16 @@
 	return r.Reader.Read(p)
 }
 
-// BeforeWrite is called before a file is replaced; an error stands for one of open, write, fsync or rename.
-func BeforeWrite(path string, text []byte) error {
+// BeforeWrite is called before a file is replaced. Its error simulates a failed open, write, fsync
+// or rename.
+func BeforeWrite(path string, data []byte) error {
 	mu.Lock()
 	writes++
 	kill := writes == schedule.Kill
 	mu.Unlock()
 	if kill {
-		half := filepath.Join(filepath.Dir(path), "."+filepath.Base(path)+"1")
-		_ = os.WriteFile(half, text[:len(text)/2], 0o600)
+		partial := filepath.Join(filepath.Dir(path), "."+filepath.Base(path)+"1")
+		_ = os.WriteFile(partial, data[:len(data)/2], 0o600)
 		_ = syscall.Kill(os.Getpid(), syscall.SIGKILL)
 	}
 	if err := fileError(); err != nil {
@@ -181,12 +184,12 @@
 	return nil
 }
 
-// WallClock returns the time on the wall clock, which may be stepped.
+// WallClock returns the wall clock time, to which steps may be applied.
 func WallClock() time.Time {
 	now := time.Now()
-	since := now.Sub(begun).Milliseconds()
+	elapsed := now.Sub(started).Milliseconds()
 	for _, s := range schedule.Steps {
-		if since >= s.At {
+		if elapsed >= s.At {
 			now = now.Add(time.Duration(s.By) * time.Millisecond)
 		}
 	}
--- a/internal/faultinject/release.go
+++ b/internal/faultinject/release.go
@@ -1,8 +1,8 @@
 //go:build !faultinject
 
-// Package faultinject lets system calls fail and the wall clock step, as Linux documents, in builds
-// with the tag faultinject. In any other build each function does only what its name says; CI checks
-// that the release holds none of the rest.
+// Package faultinject makes system calls fail and the wall clock step, in ways that Linux
+// documents, in builds with the tag faultinject. In other builds each function only forwards to the
+// real operation; CI checks that the release binary contains no other code of this package.
 package faultinject
 
 import (
@@ -24,14 +24,16 @@
 	return dial(ctx, network, address)
 }
 
-// Read reads from a descriptor; it may be interrupted or bring less than there is.
+// Read reads from a file descriptor. It may be interrupted or return fewer bytes than are
+// available.
 func Read(fd int, p []byte) (int, error) { return syscall.Read(fd, p) }
 
 // Reader returns a reader of a file whose reads may fail.
 func Reader(r io.Reader) io.Reader { return r }
 
-// BeforeWrite is called before a file is replaced; an error stands for one of open, write, fsync or rename.
+// BeforeWrite is called before a file is replaced. Its error simulates a failed open, write, fsync
+// or rename.
 func BeforeWrite(string, []byte) error { return nil }
 
-// WallClock returns the time on the wall clock, which may be stepped.
+// WallClock returns the wall clock time, to which steps may be applied.
 func WallClock() time.Time { return time.Now() }
