--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits for a time that a context may cut short.
+// Package pause provides a sleep that a context can end.
 package pause
 
 import (
