--- a/internal/upstream/bench_test.go
+++ b/internal/upstream/bench_test.go
@@ -15,11 +15,11 @@
 	"wellgw/internal/upstream"
 )
 
-// BenchmarkPlatformStream makes attempts at an engine of the platform that answers with 40
-// events, together or one by one.
+// BenchmarkPlatformStream makes attempts at an engine with the platform dialect that sends 40
+// events, in one write or in one write per event.
 func BenchmarkPlatformStream(b *testing.B) {
 	const events = 40
-	for name, part := range map[string]int{"together": events, "one by one": 1} {
+	for name, eventsPerWrite := range map[string]int{"one write": events, "one write per event": 1} {
 		b.Run(name, func(b *testing.B) {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
@@ -32,22 +32,22 @@
 					if err != nil {
 						return
 					}
-					go answer(c, events, part)
+					go serveStream(c, events, eventsPerWrite)
 				}
 			}()
-			e := upstream.NewClient(upstream.NewPool(upstream.Options{ConnectTimeout: time.Second, ServerIdleTimeout: time.Minute, StreamSilenceTimeout: 4500 * time.Millisecond}),
+			client := upstream.NewClient(upstream.NewPool(upstream.Options{ConnectTimeout: time.Second, ServerIdleTimeout: time.Minute, StreamSilenceTimeout: 4500 * time.Millisecond}),
 				func(string) upstream.Dialect { return platform.Dialect{} })
 			b.ReportAllocs()
 			for b.Loop() {
-				end := make(chan core.Result, 1)
-				e.Start(core.Attempt{
+				ended := make(chan core.Result, 1)
+				client.Start(core.Attempt{
 					ClientRequestID: "id1", Endpoint: core.Endpoint{Addr: l.Addr().String()}, Timeout: 10 * time.Second,
 					Payload: core.Payload{Method: "POST", Target: "/v1/chat/completions", Body: []byte(`{"a":1}`)},
 				}, func(s core.Stream) {
 					_, _ = io.Copy(io.Discard, s)
-					end <- s.Result()
-				}, func(r core.Result) { end <- r })
-				if r := <-end; r.OutputTokens != events {
+					ended <- s.Result()
+				}, func(r core.Result) { ended <- r })
+				if r := <-ended; r.OutputTokens != events {
 					b.Fatalf("%+v", r)
 				}
 			}
@@ -55,11 +55,11 @@
 	}
 }
 
-func answer(c net.Conn, events, part int) {
+func serveStream(c net.Conn, events, eventsPerWrite int) {
 	defer c.Close()
-	in := bufio.NewReader(c)
+	reader := bufio.NewReader(c)
 	for {
-		r, err := http.ReadRequest(in)
+		r, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
@@ -68,7 +68,7 @@
 		out.WriteString("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n")
 		chunk := func(s string) { fmt.Fprintf(&out, "%x\r\n%s\r\n", len(s), s) }
 		for i := range events {
-			if chunk(`data: {"choices":[{"index":0,"delta":{"content":"word "},"finish_reason":null}]}` + "\n\n"); (i+1)%part == 0 && part < events {
+			if chunk(`data: {"choices":[{"index":0,"delta":{"content":"word "},"finish_reason":null}]}` + "\n\n"); (i+1)%eventsPerWrite == 0 && eventsPerWrite < events {
 				_, _ = io.WriteString(c, out.String())
 				out.Reset()
 			}
--- a/internal/upstream/chunked.go
+++ b/internal/upstream/chunked.go
@@ -9,18 +9,18 @@
 	"strings"
 )
 
-// chunked reads a chunked body and returns what has arrived at once. The library's reader waits for
-// the rest of a chunk that has begun, and so would hold back an event that has arrived while the
-// next one stalls.
+// chunked decodes a chunked body. Read returns the bytes that have arrived. The reader of net/http
+// waits for the remainder of a chunk that has begun, and so would delay an event that has arrived
+// while the next one stalls.
 type chunked struct {
-	from       *bufio.Reader
-	remaining  int64 // bytes of the current chunk
-	lineEndDue bool  // a chunk has been read, and the line end after it has not
-	err        error
+	reader         *bufio.Reader
+	remaining      int64 // bytes of the chunk that is being read
+	lineEndPending bool  // a chunk has been read, but not the line end after it
+	err            error
 }
 
-// Limits of a chunk. An engine that declares gigabytes is broken, and its bytes would be forwarded
-// for as long as they come.
+// Limits of a chunk. An engine that declares a chunk of gigabytes is broken, and all bytes that it
+// sends would be forwarded as part of that chunk.
 const (
 	maxChunk    = 1 << 20
 	maxChunkHex = 8
@@ -29,57 +29,57 @@
 var errMalformedChunk = errors.New("malformed chunk")
 
 func (c *chunked) Read(p []byte) (int, error) {
-	all := 0
+	total := 0
 	for {
 		if c.err == nil && c.remaining == 0 {
 			c.err = c.nextChunk()
 		}
 		if c.err != nil || len(p) == 0 {
-			if all > 0 {
-				return all, nil // the next call returns the error
+			if total > 0 {
+				return total, nil // the next call returns the error
 			}
 			return 0, c.err
 		}
-		n, err := c.from.Read(p[:min(int64(len(p)), c.remaining)])
+		n, err := c.reader.Read(p[:min(int64(len(p)), c.remaining)])
 		if c.remaining -= int64(n); errors.Is(err, io.EOF) {
 			err = io.ErrUnexpectedEOF
 		}
 		c.err = err
-		if all += n; err != nil {
-			return all, err
+		if total += n; err != nil {
+			return total, err
 		}
 		if p = p[n:]; len(p) == 0 || !c.moreBuffered() {
-			return all, nil
+			return total, nil
 		}
 	}
 }
 
-// moreBuffered reports whether more of the body can be read without blocking: the rest of a chunk,
-// or the next one's size and a part of it.
+// moreBuffered reports whether more of the body can be read without blocking: the remainder of a
+// chunk, or the size of the next chunk and a part of its data.
 func (c *chunked) moreBuffered() bool {
-	have := c.from.Buffered()
-	if c.remaining > 0 || have == 0 {
-		return have > 0
+	available := c.reader.Buffered()
+	if c.remaining > 0 || available == 0 {
+		return available > 0
 	}
-	const size = len("\r\n") + maxChunkHex + len("\r\n")
-	ahead, err := c.from.Peek(min(have, size))
+	const maxSizeLine = len("\r\n") + maxChunkHex + len("\r\n")
+	next, err := c.reader.Peek(min(available, maxSizeLine))
 	if err != nil {
 		return false
 	}
-	_, ahead, ended := bytes.Cut(ahead, lineFeed)
-	if !ended {
+	_, next, found := bytes.Cut(next, lineFeed)
+	if !found {
 		return false
 	}
-	number, _, whole := bytes.Cut(ahead, lineFeed)
-	// The last chunk has a trailer, which may not have arrived.
-	return whole && len(number) > 0 && number[0] != '0'
+	digits, _, complete := bytes.Cut(next, lineFeed)
+	// The last chunk is followed by a trailer, which may not have arrived.
+	return complete && len(digits) > 0 && digits[0] != '0'
 }
 
 var lineFeed = []byte("\n")
 
-// nextChunk reads up to the next chunk's bytes; it returns io.EOF after the last chunk only.
+// nextChunk reads up to the data of the next chunk. It returns io.EOF after the last chunk only.
 func (c *chunked) nextChunk() error {
-	if c.lineEndDue {
+	if c.lineEndPending {
 		if line, err := c.readLine(); err != nil || line != "" {
 			return errors.Join(err, errMalformedChunk)
 		}
@@ -95,7 +95,7 @@
 		return errMalformedChunk
 	}
 	c.remaining = int64(n)
-	if c.lineEndDue = true; c.remaining > 0 {
+	if c.lineEndPending = true; c.remaining > 0 {
 		return nil
 	}
 	for { // the trailer
@@ -108,7 +108,7 @@
 }
 
 func (c *chunked) readLine() (string, error) {
-	raw, err := c.from.ReadSlice('\n')
+	raw, err := c.reader.ReadSlice('\n')
 	if errors.Is(err, io.EOF) {
 		err = io.ErrUnexpectedEOF
 	}
--- a/internal/upstream/chunked_fuzz_test.go
+++ b/internal/upstream/chunked_fuzz_test.go
@@ -9,13 +9,13 @@
 	"testing"
 )
 
-// parts gives a text out in parts of a length.
-type parts struct {
+// fragmentReader returns at most size bytes of a text per read.
+type fragmentReader struct {
 	text []byte
 	size int
 }
 
-func (p *parts) Read(b []byte) (int, error) {
+func (p *fragmentReader) Read(b []byte) (int, error) {
 	if len(p.text) == 0 {
 		return 0, io.EOF
 	}
@@ -24,8 +24,9 @@
 	return n, nil
 }
 
-// FuzzChunked holds the framing of answers against the library's reader: what is accepted
-// whole is what that makes of it, and however the bytes come, the result is the same.
+// FuzzChunked compares the chunked decoder with that of net/http. Every body that it accepts must
+// decode to the same bytes where net/http accepts it too, and the result must not depend on how the
+// bytes are split into reads.
 func FuzzChunked(f *testing.F) {
 	for _, s := range []string{
 		"5\r\nhello\r\n0\r\n\r\n", "5;x=y\r\nhello\r\n3\r\nyou\r\n0\r\nTrailer: x\r\n\r\n", "0\r\n\r\n", "zz\r\n", "5\r\nhel", "5\r\nhelloXX3\r\nyou\r\n0\r\n\r\n",
@@ -36,22 +37,22 @@
 	}
 	f.Fuzz(func(t *testing.T, text []byte, size int) {
 		read := func(size int) ([]byte, error) {
-			return io.ReadAll(&chunked{from: bufio.NewReader(&parts{text: text, size: size})})
+			return io.ReadAll(&chunked{reader: bufio.NewReader(&fragmentReader{text: text, size: size})})
 		}
 		got, err := read(1 + size&63)
-		all, allErr := read(1 << 20)
-		if !bytes.Equal(got, all) || (err == nil) != (allErr == nil) {
-			t.Fatalf("%q: %q, %v in parts; %q, %v at once", text, got, err, all, allErr)
+		unsplit, unsplitErr := read(1 << 20)
+		if !bytes.Equal(got, unsplit) || (err == nil) != (unsplitErr == nil) {
+			t.Fatalf("%q: %q, %v in fragments; %q, %v in one read", text, got, err, unsplit, unsplitErr)
 		}
 		if err != nil {
 			if errors.Is(err, io.EOF) {
-				t.Fatalf("%q: a broken body looks whole", text)
+				t.Fatalf("%q: a broken body ends with io.EOF, as a complete one does", text)
 			}
 			return
 		}
-		want, wrong := io.ReadAll(httputil.NewChunkedReader(bytes.NewReader(text)))
-		if wrong == nil && !bytes.Equal(got, want) {
-			t.Fatalf("%q: %q, the library reads %q", text, got, want)
+		want, libraryErr := io.ReadAll(httputil.NewChunkedReader(bytes.NewReader(text)))
+		if libraryErr == nil && !bytes.Equal(got, want) {
+			t.Fatalf("%q: %q, net/http reads %q", text, got, want)
 		}
 	})
 }
--- a/internal/upstream/engine.go
+++ b/internal/upstream/engine.go
@@ -41,22 +41,26 @@
 }
 
 // Opener is a Dialect that recognises the event with which an answer begins. Earlier events are
-// held back, so that nothing has reached the client should the attempt fail before that.
+// buffered, so that nothing has reached the client if the attempt fails before that event.
 type Opener interface {
-	// StartsAnswer reports whether an event with this data begins the answer. An error fails the attempt.
+	// StartsAnswer reports whether an event with this data begins the answer. An error fails the
+	// attempt.
 	StartsAnswer(p core.Payload, data []byte) (bool, error)
 }
 
-// Limits on what is read and waited for.
+// Limits on the size of responses and the time to read them.
 const (
-	maxHead           = 64 << 10 // bytes of a response head, with the part of the body that arrives with it
-	maxResponse       = 64 << 10 // bytes of a response that is not a stream
-	tailSize          = 4 << 10
-	headTimeout       = time.Second      // for the rest of a response head that has begun, and for a short body
-	lastChunkTimeout  = time.Second      // from the last event to the last chunk
-	leakGuard         = 20 * time.Second // beyond an attempt's timeout: a lingering attempt stays open, and one that nobody cancels ends
-	probeTimeout      = time.Second
-	silenceResolution = 64 // fraction of the silence timeout by which the read deadline may lag behind
+	maxHead          = 64 << 10 // bytes of a response head, with the part of the body that arrives with it
+	maxResponse      = 64 << 10 // bytes of a response that is not a stream
+	tailSize         = 4 << 10
+	headTimeout      = time.Second // to read a response head after its first byte, and to read a short body
+	lastChunkTimeout = time.Second // from the last event to the last chunk
+	// Time after an attempt's timeout for which a lingering attempt may stay open, and after which an
+	// attempt that is never cancelled ends.
+	attemptGracePeriod = 20 * time.Second
+	probeTimeout       = time.Second
+	// The read deadline may be early by the silence timeout divided by this.
+	readDeadlineResolution = 64
 )
 
 // Client makes attempts over a pool of connections. It is a core.Transport.
@@ -64,17 +68,17 @@
 	pool    *Pool
 	dialect func(kind string) Dialect
 
-	mu        sync.Mutex
-	releasing map[string]*releaseSlots // by address
+	mu           sync.Mutex
+	releaseSlots map[string]*releaseSlots // by address
 }
 
-// NewClient returns a Client over p that uses the dialect which the function returns for each kind
-// of engine.
+// NewClient returns a Client over p. The function returns the dialect of each kind of engine.
 func NewClient(p *Pool, dialect func(kind string) Dialect) *Client {
-	return &Client{pool: p, dialect: dialect, releasing: map[string]*releaseSlots{}}
+	return &Client{pool: p, dialect: dialect, releaseSlots: map[string]*releaseSlots{}}
 }
 
-// attemptHandle is an attempt in flight. Whoever takes its connection out has to close or pool it.
+// attemptHandle is an attempt in flight. The function that clears conn must close or pool the
+// connection.
 type attemptHandle struct {
 	mu      sync.Mutex
 	conn    *conn
@@ -83,7 +87,7 @@
 	cancel  context.CancelFunc
 	pool    *Pool
 
-	firstByte atomic.Pointer[core.FirstByte] // nil until one has arrived
+	firstByte atomic.Pointer[core.FirstByte] // nil until a byte has arrived
 }
 
 // FirstByte implements core.Handle.
@@ -95,12 +99,12 @@
 	return *first, true
 }
 
-// recordFirstByte records that the answer to the attempt has begun to arrive on its connection.
+// recordFirstByte records that the response to the attempt has begun to arrive on its connection.
 func (t *attemptHandle) recordFirstByte(c *conn) {
 	t.firstByte.CompareAndSwap(nil, &core.FirstByte{Connection: c.id, At: time.Now()})
 }
 
-// setConn records the connection in use; false if the attempt has been cancelled.
+// setConn records the connection in use. It returns false if the attempt has been cancelled.
 func (t *attemptHandle) setConn(c *conn) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -108,8 +112,8 @@
 	return !t.closed
 }
 
-// beginWrite records that the first byte is about to be written; false if the attempt has been
-// cancelled.
+// beginWrite records that the first byte is about to be written. It returns false if the attempt
+// has been cancelled.
 func (t *attemptHandle) beginWrite() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -132,7 +136,7 @@
 	return !writing
 }
 
-// abort cancels the attempt. Closing its connection is what notifies the engine.
+// abort cancels the attempt. The engine notices the cancellation by the close of the connection.
 func (t *attemptHandle) abort() {
 	t.mu.Lock()
 	c := t.conn
@@ -144,8 +148,8 @@
 	}
 }
 
-// endAttempt ends the attempt; its connection is pooled if the response was read to its end. After
-// abort there is none.
+// endAttempt ends the attempt. With reuse, its connection returns to the pool; otherwise it is
+// closed. After abort there is no connection.
 func (t *attemptHandle) endAttempt(reuse bool) {
 	t.mu.Lock()
 	c := t.conn
@@ -161,12 +165,12 @@
 	}
 }
 
-// Start begins an attempt; see core.Transport.
-func (e *Client) Start(a core.Attempt, first func(core.Stream), ended func(core.Result)) core.Handle {
-	ctx, cancel := context.WithTimeout(context.Background(), a.Timeout+leakGuard)
-	t := &attemptHandle{cancel: cancel, pool: e.pool}
+// Start starts an attempt; see core.Transport.
+func (client *Client) Start(a core.Attempt, first func(core.Stream), ended func(core.Result)) core.Handle {
+	ctx, cancel := context.WithTimeout(context.Background(), a.Timeout+attemptGracePeriod)
+	t := &attemptHandle{cancel: cancel, pool: client.pool}
 	go func() {
-		s, r := e.attempt(ctx, t, a)
+		s, r := client.attempt(ctx, t, a)
 		if s != nil {
 			first(s)
 			return
@@ -176,19 +180,20 @@
 	return t
 }
 
-// errClientGone is the cause of an attempt that was not made.
-var errClientGone = errors.New("the client has left")
+// errClientGone is the cause of an attempt that was not sent because its client had disconnected.
+var errClientGone = errors.New("the client has disconnected")
 
-// attempt makes an attempt and returns its stream once the answer has begun, otherwise its result.
-func (e *Client) attempt(ctx context.Context, t *attemptHandle, a core.Attempt) (core.Stream, core.Result) {
-	dialect := e.dialect(a.Endpoint.Kind)
-	until := time.Now().Add(a.Timeout + leakGuard)
-	c, unsent := e.sendAttempt(ctx, t, a, dialect, until)
-	if unsent != nil {
+// attempt makes an attempt. It returns the stream once the answer has begun, or the result if there
+// is no stream.
+func (client *Client) attempt(ctx context.Context, t *attemptHandle, a core.Attempt) (core.Stream, core.Result) {
+	dialect := client.dialect(a.Endpoint.Kind)
+	deadline := time.Now().Add(a.Timeout + attemptGracePeriod)
+	c, failure := client.sendAttempt(ctx, t, a, dialect, deadline)
+	if failure != nil {
 		t.endAttempt(false)
-		return nil, *unsent
+		return nil, *failure
 	}
-	resp, err := readResponseHead(c, until, func() { t.recordFirstByte(c) })
+	resp, err := readResponseHead(c, deadline, func() { t.recordFirstByte(c) })
 	if err != nil {
 		t.endAttempt(false)
 		return nil, core.Result{Status: failureStatus(err), Cause: err}
@@ -196,20 +201,22 @@
 	if resp.StatusCode != http.StatusOK {
 		return nil, readUnary(t, dialect, resp)
 	}
-	return e.openStream(t, c, resp, a.Payload, dialect, until)
+	return client.openStream(t, c, resp, a.Payload, dialect, deadline)
 }
 
-// sendAttempt gets a connection and writes the request to it. A result means that it was not
-// written completely. An attempt counts once its last byte is written. It is never retried from
-// here, not even after a reset on a pooled connection: only the routing policy knows whether the
-// class allows that.
-func (e *Client) sendAttempt(ctx context.Context, t *attemptHandle, a core.Attempt, dialect Dialect, until time.Time) (*conn, *core.Result) {
-	begun := time.Now()
-	c, err := e.pool.get(ctx, a.Endpoint.Addr)
+// sendAttempt gets a connection and writes the request to it. It returns a result only if the
+// request was not written completely. An attempt counts once its last byte is written. This
+// function never retries it, not even after a reset on a pooled connection: only the routing policy
+// knows whether the class allows a retry.
+func (client *Client) sendAttempt(
+	ctx context.Context, t *attemptHandle, a core.Attempt, dialect Dialect, deadline time.Time,
+) (*conn, *core.Result) {
+	started := time.Now()
+	c, err := client.pool.get(ctx, a.Endpoint.Addr)
 	if err != nil {
 		return nil, &core.Result{Status: routing.StatusConnectFailed, Cause: err}
 	}
-	if !t.setConn(c) { // the caller closes it
+	if !t.setConn(c) { // the caller closes c
 		return nil, &core.Result{Status: routing.StatusCancelled, Cause: context.Canceled}
 	}
 	if a.Connected != nil {
@@ -221,8 +228,8 @@
 	if !t.beginWrite() {
 		return nil, &core.Result{Status: routing.StatusCancelled, Cause: context.Canceled}
 	}
-	c.SetDeadline(until)
-	a.Timeout -= time.Since(begun) // the engine is sent the remaining time
+	c.SetDeadline(deadline)
+	a.Timeout -= time.Since(started) // the engine receives the remaining time
 	if err := writeCall(c, dialect.Attempt(a)); err != nil {
 		return nil, &core.Result{Status: routing.StatusConnectFailed, Cause: err}
 	}
@@ -243,27 +250,28 @@
 	return r
 }
 
-// leadSize is the buffer in which a stream is read until its answer begins, in bytes.
-const leadSize = 4 << 10
+// preambleSize is the size of the buffer for reads before the answer begins, in bytes.
+const preambleSize = 4 << 10
 
 var (
-	leads = sync.Pool{New: func() any { return new([leadSize]byte) }}
-	tails = sync.Pool{New: func() any { b := make([]byte, 0, 2*tailSize); return &b }}
+	preambleBuffers = sync.Pool{New: func() any { return new([preambleSize]byte) }}
+	tailBuffers     = sync.Pool{New: func() any { b := make([]byte, 0, 2*tailSize); return &b }}
 )
 
-// failureStatus tells a broken connection from a malformed or truncated response, whose engine is
-// up and has run the request. ETIMEDOUT is a broken connection; a deadline of our own is not.
+// failureStatus distinguishes a broken connection from a malformed or truncated response, whose
+// engine is up and has run the request. ETIMEDOUT is a broken connection; an expired deadline of
+// the gateway is not.
 func failureStatus(err error) routing.Status {
-	ended := errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
-	op := (*net.OpError)(nil)
-	if ended || errors.As(err, &op) && !errors.Is(err, os.ErrDeadlineExceeded) {
+	eof := errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
+	opErr := (*net.OpError)(nil)
+	if eof || errors.As(err, &opErr) && !errors.Is(err, os.ErrDeadlineExceeded) {
 		return routing.StatusReset
 	}
 	return routing.StatusError
 }
 
-// writeCall writes a call in one piece, without copying its body. It fails only if the last byte
-// was not written.
+// writeCall writes a call with one vectored write, which does not copy its body. It returns an
+// error only if the last byte was not written.
 func writeCall(c *conn, call Call) error {
 	var head bytes.Buffer
 	head.WriteString(call.Method + " " + call.Target + " HTTP/1.1\r\nHost: " + c.addr + "\r\n")
@@ -274,33 +282,33 @@
 		head.WriteString("Content-Length: " + strconv.Itoa(len(call.Body)) + "\r\n")
 	}
 	head.WriteString("\r\n")
-	all := net.Buffers{head.Bytes(), call.Body}
+	buffers := net.Buffers{head.Bytes(), call.Body}
 	size := int64(head.Len() + len(call.Body))
-	if n, err := all.WriteTo(c.Conn); n < size {
+	if n, err := buffers.WriteTo(c.Conn); n < size {
 		return err
 	}
 	return nil
 }
 
-var errNotHTTP = errors.New("what came is no HTTP answer")
+var errNotHTTP = errors.New("not an HTTP/1 response")
 
-// readResponseHead reads a response head, past any interim ones. It waits for each to begin until a
-// deadline, and only headTimeout for the rest of one that has begun: a head that does not end would
-// keep the request waiting although nothing more will come. It calls begun when the first byte of each
-// head has arrived; nil for nothing to call.
-func readResponseHead(c *conn, until time.Time, begun func()) (*http.Response, error) {
-	c.in.remaining = maxHead
-	defer func() { c.in.remaining = math.MaxInt64 }()
+// readResponseHead reads a response head and skips interim (1xx) ones. It waits until the deadline
+// for the first byte of each head, then at most headTimeout for the remainder: an engine that sends
+// an unterminated head would otherwise block the request until its deadline. It calls onFirstByte,
+// unless nil, when the first byte of each head has arrived.
+func readResponseHead(c *conn, deadline time.Time, onFirstByte func()) (*http.Response, error) {
+	c.reader.remaining = maxHead
+	defer func() { c.reader.remaining = math.MaxInt64 }()
 	for {
-		c.SetReadDeadline(until)
+		c.SetReadDeadline(deadline)
 		if _, err := c.buffered.Peek(1); err != nil {
 			return nil, err
 		}
-		if begun != nil {
-			begun()
+		if onFirstByte != nil {
+			onFirstByte()
 		}
-		if span := time.Now().Add(headTimeout); span.Before(until) {
-			c.SetReadDeadline(span)
+		if headDeadline := time.Now().Add(headTimeout); headDeadline.Before(deadline) {
+			c.SetReadDeadline(headDeadline)
 		}
 		const version = "HTTP/1."
 		if p, err := c.buffered.Peek(len(version)); err != nil {
@@ -316,50 +324,52 @@
 }
 
 // Probe requests a load report; see core.Transport.
-func (e *Client) Probe(at core.Endpoint, done func(routing.Status, *routing.LoadReport)) {
-	call, given := e.dialect(at.Kind).Probe()
+func (client *Client) Probe(endpoint core.Endpoint, done func(routing.Status, *routing.LoadReport)) {
+	call, supported := client.dialect(endpoint.Kind).Probe()
 	go func() {
-		if !given {
+		if !supported {
 			done(routing.StatusNotSent, nil)
 			return
 		}
-		resp, body, err := e.exchange(at.Addr, call, probeTimeout, e.pool.get, e.pool.putAfterProbe)
+		resp, body, err := client.exchange(endpoint.Addr, call, probeTimeout, client.pool.get, client.pool.putAfterProbe)
 		if err != nil {
 			done(routing.StatusConnectFailed, nil)
 			return
 		}
-		r := e.dialect(at.Kind).ParseResponse(resp.StatusCode, resp.Header, body)
+		r := client.dialect(endpoint.Kind).ParseResponse(resp.StatusCode, resp.Header, body)
 		done(r.Status, r.Report)
 	}()
 }
 
-// exchange makes a short call without side effects on a connection that take gets and put gives
-// back.
-func (e *Client) exchange(addr string, call Call, wait time.Duration, take func(context.Context, string) (*conn, error), put func(*conn)) (*http.Response, []byte, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), wait)
+// exchange makes a short call without side effects on a connection from get, and returns the
+// connection with put.
+func (client *Client) exchange(
+	addr string, call Call, timeout time.Duration, get func(context.Context, string) (*conn, error), put func(*conn),
+) (*http.Response, []byte, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	c, err := take(ctx, addr)
+	c, err := get(ctx, addr)
 	if err != nil {
 		return nil, nil, err
 	}
-	c.SetDeadline(time.Now().Add(wait))
+	c.SetDeadline(time.Now().Add(timeout))
 	if err := writeCall(c, call); err != nil {
-		e.pool.discard(c, closedFailed)
+		client.pool.discard(c, closedFailed)
 		return nil, nil, fmt.Errorf("write: %w", err)
 	}
-	return e.readResponse(c, wait, put)
+	return client.readResponse(c, timeout, put)
 }
 
-// readResponse reads the response to a short call on its connection, which put gives back.
-func (e *Client) readResponse(c *conn, wait time.Duration, put func(*conn)) (*http.Response, []byte, error) {
-	resp, err := readResponseHead(c, time.Now().Add(wait), nil)
+// readResponse reads the response to a short call, and returns the connection with put.
+func (client *Client) readResponse(c *conn, timeout time.Duration, put func(*conn)) (*http.Response, []byte, error) {
+	resp, err := readResponseHead(c, time.Now().Add(timeout), nil)
 	if err != nil {
-		e.pool.discard(c, closedFailed)
+		client.pool.discard(c, closedFailed)
 		return nil, nil, fmt.Errorf("read: %w", err)
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponse))
 	if err != nil || len(body) == maxResponse || resp.Close {
-		e.pool.discard(c, closedFailed)
+		client.pool.discard(c, closedFailed)
 		return resp, body, err
 	}
 	put(c)
--- a/internal/upstream/held_test.go
+++ b/internal/upstream/held_test.go
@@ -22,48 +22,48 @@
 	"wellgw/routing"
 )
 
-// heldSeeds is how many scenarios the suite plays. HELD_SEED plays one, with its steps, and
-// HELD_SEEDS so many.
-const heldSeeds = 150
+// scenarioCount is the number of scenarios that the test runs. HELD_SEED selects one, and logs its
+// steps; HELD_SEEDS sets another number.
+const scenarioCount = 150
 
-// heldEnd is how long after the last request and fault a scenario goes on: cuts have healed,
-// and whatever is still held then is held for good.
-const heldEnd = 40 * time.Second
+// settleTime is how long a scenario continues after the last request and fault: cuts have healed,
+// and state that is still held then is never released.
+const settleTime = 40 * time.Second
 
-// answerSlack is how long after a client's time its answer may come and still count.
+// answerSlack is how long after the client's timeout an answer may still arrive.
 const answerSlack = 50 * time.Millisecond
 
-// scenario is one drawn deployment with its clients and faults.
+// scenario is a random deployment with its clients and faults.
 type scenario struct {
-	random   *rand.Rand
-	fleet    *simFleet
-	core     *core.Core
-	settings routing.Settings
-	members  []core.Endpoint
-	clients  sync.WaitGroup
-	end      context.CancelFunc // of the process: the core and the pool
-	resumes  bool               // clients ask for the rest of a stream that broke
-	leaving  atomic.Bool        // it takes no more, as it has been told to end
-	streams  context.Context    // ends when the process cuts off what streams
-	cut      context.CancelFunc // ends streams
-	gone     chan struct{}      // closed once it has ended; nil if it is not told to
+	random        *rand.Rand
+	fleet         *simFleet
+	core          *core.Core
+	settings      routing.Settings
+	endpoints     []core.Endpoint
+	clients       sync.WaitGroup
+	stopProcess   context.CancelFunc // stops the process: the core and the pool
+	clientsResume bool               // clients request the remainder of a broken stream
+	draining      atomic.Bool        // the process accepts no more requests, as it shuts down
+	streams       context.Context    // ends when the process aborts open streams
+	abortStreams  context.CancelFunc // ends streams
+	exited        chan struct{}      // closed once the process has exited
 }
 
-func pick[T any](r *rand.Rand, of ...T) T { return of[r.IntN(len(of))] }
+func pickOne[T any](r *rand.Rand, values ...T) T { return values[r.IntN(len(values))] }
 
-// between draws a span.
-func between(r *rand.Rand, least, most time.Duration) time.Duration {
-	return least + time.Duration(r.Int64N(int64(most-least)+1))
+// randomDuration returns a random duration from low to high.
+func randomDuration(r *rand.Rand, low, high time.Duration) time.Duration {
+	return low + time.Duration(r.Int64N(int64(high-low)+1))
 }
 
-// drawSettings draws another customer's settings.
-func drawSettings(r *rand.Rand) routing.Settings {
+// randomSettings returns random settings.
+func randomSettings(r *rand.Rand) routing.Settings {
 	effects := []routing.Effect{routing.EffectIdempotent, routing.EffectDeduplicated, routing.EffectAtMostOnce}
 	set := routing.Settings{
 		Zones: []string{"a", "b"}[:1+r.IntN(2)], Gateways: 1 + r.IntN(4), MaxAttempts: 1 + r.IntN(5),
 		CanCancel: r.IntN(4) > 0, CanRetryAfter: true, MaxRetryAfter: time.Second, DecodePrefills: r.IntN(3) == 0,
 		SlowStartPeriod: time.Second, SlowStartCapacity: 0.3, OverloadWindow: time.Second, OverloadMultiple: 3,
-		HeldStateLimit: between(r, 100*time.Millisecond, 2*time.Second), TickInterval: pick(r, time.Millisecond, 4*time.Millisecond, 20*time.Millisecond),
+		HeldStateLimit: randomDuration(r, 100*time.Millisecond, 2*time.Second), TickInterval: pickOne(r, time.Millisecond, 4*time.Millisecond, 20*time.Millisecond),
 	}
 	set.Zone = set.Zones[0]
 	for _, role := range []routing.Role{routing.RolePrefill, routing.RoleDecode, routing.RoleMixed} {
@@ -71,20 +71,20 @@
 	}
 	for i := range 3 {
 		set.Classes = append(set.Classes, routing.Class{
-			Name: fmt.Sprint("c", i), FirstTokenObjective: between(r, 500*time.Millisecond, 3*time.Second), PriorityWeight: 1,
-			Effect: effects[i], DedupScope: pick(r, routing.DedupAllEngines, routing.DedupZone, routing.DedupCell), DedupWindow: between(r, time.Second, 5*time.Second),
+			Name: fmt.Sprint("c", i), FirstTokenObjective: randomDuration(r, 500*time.Millisecond, 3*time.Second), PriorityWeight: 1,
+			Effect: effects[i], DedupScope: pickOne(r, routing.DedupAllEngines, routing.DedupZone, routing.DedupCell), DedupWindow: randomDuration(r, time.Second, 5*time.Second),
 		})
 	}
 	return set
 }
 
-// newScenario draws a deployment and starts a gateway's core and pool before it.
+// newScenario creates a random deployment and starts the core and the pool of a gateway.
 func newScenario(t *testing.T, seed uint64) *scenario {
 	r := rand.New(rand.NewPCG(seed, 0))
-	set := drawSettings(r)
+	set := randomSettings(r)
 	s := &scenario{random: r, settings: set, fleet: newSimFleet(simRules{
-		pinLimit: set.HeldStateLimit, anywhere: r.IntN(2) == 0, stopsWork: r.IntN(2) == 0, learnsLate: r.IntN(2) == 0,
-		ownRead: set.DecodePrefills, readersLast: between(r, 20*time.Millisecond, 600*time.Millisecond),
+		pinLimit: set.HeldStateLimit, releaseAnywhere: r.IntN(2) == 0, cancelStopsWork: r.IntN(2) == 0, endsWhenNoticed: r.IntN(2) == 0,
+		decodePrefills: set.DecodePrefills, maxPrefillTime: randomDuration(r, 20*time.Millisecond, 600*time.Millisecond),
 	}, seed)}
 	for i := range 2 + r.IntN(5) {
 		s.add(routing.RolePrefill, i)
@@ -97,32 +97,32 @@
 			s.add(routing.RoleMixed, i)
 		}
 	}
-	connect := between(r, 100*time.Millisecond, time.Second)
+	connect := randomDuration(r, 100*time.Millisecond, time.Second)
 	pool := upstream.NewPool(upstream.Options{
 		ConnectTimeout: connect, ServerIdleTimeout: 15 * time.Second, MaxConns: 400,
 		StreamSilenceTimeout: 5 * time.Second, ReuseDelay: 30 * time.Millisecond, Dial: s.fleet.dial,
 	})
-	process, end := context.WithCancel(t.Context())
-	s.end = end
-	s.streams, s.cut = context.WithCancel(t.Context())
-	s.resumes = r.IntN(2) == 0
+	process, stopProcess := context.WithCancel(t.Context())
+	s.stopProcess = stopProcess
+	s.streams, s.abortStreams = context.WithCancel(t.Context())
+	s.clientsResume = r.IntN(2) == 0
 	go pool.Sweep(process)
 	router, err := routing.New(set, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	figures := core.Limits{DeadlineSlack: 16 * time.Millisecond, HeldStateLimit: set.HeldStateLimit, HeldStateSlack: releaseSlack, MaxAttempts: set.MaxAttempts}
-	engine := upstream.NewClient(pool, func(string) upstream.Dialect { return platform.Dialect{} })
-	s.core = core.New(router, engine, still{}, figures, s.log(t), invariant.New())
+	limits := core.Limits{DeadlineSlack: 16 * time.Millisecond, HeldStateLimit: set.HeldStateLimit, HeldStateSlack: releaseSlack, MaxAttempts: set.MaxAttempts}
+	client := upstream.NewClient(pool, func(string) upstream.Dialect { return platform.Dialect{} })
+	s.core = core.New(router, client, staticDirectory{}, limits, s.log(t), invariant.New())
 	go s.core.Run(process)
-	s.core.UpdateEndpoints(routing.EngineListSnapshot, s.members)
-	s.fleet.step("settings %+v, rules %+v, clients resume: %v", set, s.fleet.rules, s.resumes)
+	s.core.UpdateEndpoints(routing.EngineListSnapshot, s.endpoints)
+	s.fleet.step("settings %+v, rules %+v, clients resume: %v", set, s.fleet.rules, s.clientsResume)
 	return s
 }
 
-// log returns the core's log, which goes among the steps where one scenario is played alone.
+// log returns the log of the core, which is part of the steps if a single scenario runs.
 func (s *scenario) log(t *testing.T) *slog.Logger {
-	if number(t, "HELD_SEED") == 0 {
+	if envNumber(t, "HELD_SEED") == 0 {
 		return slog.New(slog.DiscardHandler)
 	}
 	return slog.New(slog.NewTextHandler(stepWriter{s.fleet}, &slog.HandlerOptions{Level: slog.LevelDebug, ReplaceAttr: func(groups []string, a slog.Attr) slog.Attr {
@@ -133,7 +133,7 @@
 	}}))
 }
 
-// stepWriter makes steps of a log's lines.
+// stepWriter records the lines of a log as steps.
 type stepWriter struct{ fleet *simFleet }
 
 func (w stepWriter) Write(line []byte) (int, error) {
@@ -148,49 +148,49 @@
 	kind := kindNames[role]
 	name := fmt.Sprint(kind, n)
 	zone := n % len(s.settings.Zones)
-	s.fleet.add(name, role, 200*time.Microsecond+time.Duration(zone)*between(s.random, time.Millisecond, 3*time.Millisecond))
-	s.members = append(s.members, core.Endpoint{Addr: name, EngineInfo: routing.EngineInfo{
+	s.fleet.add(name, role, 200*time.Microsecond+time.Duration(zone)*randomDuration(s.random, time.Millisecond, 3*time.Millisecond))
+	s.endpoints = append(s.endpoints, core.Endpoint{Addr: name, EngineInfo: routing.EngineInfo{
 		Name: name, Kind: kind, Zone: s.settings.Zones[zone], Cell: n % 3, Weight: 1,
 	}})
 }
 
-// still is a directory that tells nothing by itself.
-type still struct{}
+// staticDirectory is a directory that sends no updates.
+type staticDirectory struct{}
 
-func (still) Subscribe() {}
+func (staticDirectory) Subscribe() {}
 
-// play runs clients and faults and waits until all has come to rest.
-func (s *scenario) play(t *testing.T) {
-	asks := 25 + s.random.IntN(25)
-	s.planReloads(t, asks)
-	s.planEnd(t, asks)
-	for n := range asks {
-		time.Sleep(between(s.random, 0, 150*time.Millisecond))
+// run runs clients and faults and waits until all attempts, faults and releases have ended.
+func (s *scenario) run(t *testing.T) {
+	requests := 25 + s.random.IntN(25)
+	s.planReloads(t, requests)
+	s.planShutdown(t, requests)
+	for n := range requests {
+		time.Sleep(randomDuration(s.random, 0, 150*time.Millisecond))
 		if s.random.IntN(5) == 0 {
-			s.fault()
+			s.injectFault()
 		}
-		if !s.leaving.Load() {
-			s.ask(t.Context(), n)
+		if !s.draining.Load() {
+			s.runClient(t.Context(), n)
 		}
 	}
 	s.clients.Wait()
-	time.Sleep(heldEnd)
-	if s.leaving.Load() {
-		<-s.gone
+	time.Sleep(settleTime)
+	if s.draining.Load() {
+		<-s.exited
 	}
 }
 
-// planReloads has the settings in force replaced, as SIGHUP does, when requests reach stages.
-func (s *scenario) planReloads(t *testing.T, asks int) {
+// planReloads replaces the settings, as SIGHUP does, when requests reach random stages.
+func (s *scenario) planReloads(t *testing.T, requests int) {
 	for range s.random.IntN(3) {
 		next := s.settings
 		next.MaxAttempts = 1 + s.random.IntN(5)
 		next.Classes = slices.Clone(next.Classes)
 		for i := range next.Classes {
-			next.Classes[i].Effect = pick(s.random, routing.EffectIdempotent, routing.EffectDeduplicated, routing.EffectAtMostOnce)
+			next.Classes[i].Effect = pickOne(s.random, routing.EffectIdempotent, routing.EffectDeduplicated, routing.EffectAtMostOnce)
 		}
-		s.fleet.on(trigger{stage: pick(s.random, stages...), skip: s.random.IntN(asks), run: func() {
-			s.fleet.step("settings are replaced")
+		s.fleet.addTrigger(trigger{stage: pickOne(s.random, stages...), skip: s.random.IntN(requests), run: func() {
+			s.fleet.step("the settings are replaced")
 			if err := s.core.Reconfigure(t.Context(), next); err != nil {
 				t.Error(err)
 			}
@@ -198,128 +198,130 @@
 	}
 }
 
-// planEnd has the process told to end, in half of the scenarios, when a request reaches a stage.
-func (s *scenario) planEnd(t *testing.T, asks int) {
-	s.gone = make(chan struct{})
+// planShutdown shuts the process down, in half of the scenarios, when a request reaches a random
+// stage.
+func (s *scenario) planShutdown(t *testing.T, requests int) {
+	s.exited = make(chan struct{})
 	if s.random.IntN(2) == 0 {
 		return
 	}
-	early, atOnce := between(s.random, 0, time.Second), s.random.IntN(2) == 0
-	kill := early + between(s.random, time.Second, 4*time.Second)
-	s.fleet.on(trigger{stage: pick(s.random, stages...), skip: s.random.IntN(asks), run: func() {
-		defer close(s.gone)
-		s.fleet.step("the gateway is told to end, gives up after %v, is killed after %v", early, kill)
-		s.leaving.Store(!s.resumes) // where clients resume, all is served as ever for a while
-		process, stop := context.WithTimeout(t.Context(), kill)
+	abandonDelay, abandonNow := randomDuration(s.random, 0, time.Second), s.random.IntN(2) == 0
+	killDelay := abandonDelay + randomDuration(s.random, time.Second, 4*time.Second)
+	s.fleet.addTrigger(trigger{stage: pickOne(s.random, stages...), skip: s.random.IntN(requests), run: func() {
+		defer close(s.exited)
+		s.fleet.step("the gateway shuts down, abandons requests after %v, is killed after %v", abandonDelay, killDelay)
+		s.draining.Store(!s.clientsResume) // if clients resume, all requests are still served for a while
+		process, stop := context.WithTimeout(t.Context(), killDelay)
 		defer stop()
-		time.Sleep(early)
-		s.leaving.Store(true)
-		s.core.Abandon(atOnce)
-		last := time.AfterFunc((kill-early)/2, func() {
+		time.Sleep(abandonDelay)
+		s.draining.Store(true)
+		s.core.Abandon(abandonNow)
+		last := time.AfterFunc((killDelay-abandonDelay)/2, func() {
 			s.core.Abandon(true)
-			s.cut()
+			s.abortStreams()
 		})
 		defer last.Stop()
 		killed := s.core.Drain(process) != nil
-		s.end()
-		s.fleet.processEnds(killed)
+		s.stopProcess()
+		s.fleet.processExited(killed)
 	}})
 }
 
-// Clients that ask for the rest of a stream that broke come again so soon, and so often.
+// Maximum delay before a client requests the remainder of a broken stream, and how often it may do
+// so.
 const (
-	resumeWithin = 250 * time.Millisecond
-	resumeMost   = 3
+	maxResumeDelay = 250 * time.Millisecond
+	maxResumes     = 3
 )
 
-// visit is what one client does: its request, when it leaves, and when it comes again where
-// clients ask for the rest of a stream.
-type visit struct {
-	request core.Request
-	stay    time.Duration // from when the request comes; the rest of a stream is waited for whole
-	leaveAt stage         // "" for none
-	pauses  []time.Duration
+// simClient is the behaviour of one client: its request, when it disconnects, and when it requests
+// the remainder of a broken stream.
+type simClient struct {
+	request      core.Request
+	timeout      time.Duration // from the arrival of the request; requests for a remainder use the full TTL
+	disconnectAt stage         // "" for none
+	resumeDelays []time.Duration
 }
 
-// drawVisit draws a client; some leave early, some of these in the middle of their stream.
-func (s *scenario) drawVisit(n int) visit {
-	wait := between(s.random, 300*time.Millisecond, 5*time.Second)
-	v := visit{stay: wait}
+// randomClient returns a random client; some disconnect early, some of these during their stream.
+func (s *scenario) randomClient(n int) simClient {
+	wait := randomDuration(s.random, 300*time.Millisecond, 5*time.Second)
+	client := simClient{timeout: wait}
 	switch s.random.IntN(8) {
 	case 0:
-		v.stay = between(s.random, 0, wait)
+		client.timeout = randomDuration(s.random, 0, wait)
 	case 1, 2:
-		v.leaveAt = pick(s.random, stages...)
+		client.disconnectAt = pickOne(s.random, stages...)
 	}
-	v.request = core.Request{ClientRequestID: fmt.Sprint("q", n), Payload: core.Payload{Method: "POST", Target: "/v1/chat/completions", Body: []byte("{}")}}
-	v.request.Request = routing.Request{Class: fmt.Sprint("c", s.random.IntN(3)), Session: fmt.Sprint(s.random.IntN(5)), PromptTokens: 100, MaxTokens: 10, TTL: wait}
-	if s.resumes {
-		for range s.random.IntN(resumeMost + 1) {
-			v.pauses = append(v.pauses, between(s.random, 0, resumeWithin))
+	client.request = core.Request{ClientRequestID: fmt.Sprint("q", n), Payload: core.Payload{Method: "POST", Target: "/v1/chat/completions", Body: []byte("{}")}}
+	client.request.Request = routing.Request{Class: fmt.Sprint("c", s.random.IntN(3)), Session: fmt.Sprint(s.random.IntN(5)), PromptTokens: 100, MaxTokens: 10, TTL: wait}
+	if s.clientsResume {
+		for range s.random.IntN(maxResumes + 1) {
+			client.resumeDelays = append(client.resumeDelays, randomDuration(s.random, 0, maxResumeDelay))
 		}
 	}
-	return v
+	return client
 }
 
-// ask has one client make a request and, where clients do so, ask for the rest of its stream
-// as often as that breaks.
-func (s *scenario) ask(ctx context.Context, n int) {
-	v := s.drawVisit(n)
+// runClient runs one client: its request and, if clients resume, requests for the remainder of its
+// stream as often as that breaks.
+func (s *scenario) runClient(ctx context.Context, n int) {
+	client := s.randomClient(n)
 	s.clients.Go(func() {
-		q := v.request
-		broke := s.try(ctx, q, v.stay, v.leaveAt)
-		for again, pause := range v.pauses {
-			time.Sleep(pause)
-			if !broke || s.leaving.Load() {
+		q := client.request
+		broken := s.runRequest(ctx, q, client.timeout, client.disconnectAt)
+		for i, delay := range client.resumeDelays {
+			time.Sleep(delay)
+			if !broken || s.draining.Load() {
 				return
 			}
-			q.ClientRequestID = fmt.Sprint(v.request.ClientRequestID, "-", again+1)
+			q.ClientRequestID = fmt.Sprint(client.request.ClientRequestID, "-", i+1)
 			q.Reconnect = true
-			broke = s.try(ctx, q, q.TTL, "")
+			broken = s.runRequest(ctx, q, q.TTL, "")
 		}
 	})
 }
 
-// try has a client make one request and tells whether it ended with its stream broken, or left
-// by the client.
-func (s *scenario) try(ctx context.Context, q core.Request, stay time.Duration, leaveAt stage) (broke bool) {
-	mine, leave := context.WithTimeout(ctx, stay)
-	defer leave()
-	stop := context.AfterFunc(s.streams, leave)
+// runRequest makes one request. It reports whether the stream broke, or the client disconnected
+// during it.
+func (s *scenario) runRequest(ctx context.Context, q core.Request, timeout time.Duration, disconnectAt stage) (broken bool) {
+	clientCtx, disconnect := context.WithTimeout(ctx, timeout)
+	defer disconnect()
+	stop := context.AfterFunc(s.streams, disconnect)
 	defer stop()
-	s.fleet.step("%s class %s comes, waits %v of %v", q.ClientRequestID, q.Class, stay, q.TTL)
-	if leaveAt != "" {
-		s.fleet.on(trigger{id: q.ClientRequestID, stage: leaveAt, run: leave})
+	s.fleet.step("%s class %s arrives, waits %v of %v", q.ClientRequestID, q.Class, timeout, q.TTL)
+	if disconnectAt != "" {
+		s.fleet.addTrigger(trigger{id: q.ClientRequestID, stage: disconnectAt, run: disconnect})
 	}
 	q.Arrived = time.Now()
-	s.fleet.account(q.ClientRequestID, func(r *record) { r.due = q.Arrived.Add(q.TTL) })
-	a, ticket, here := core.SubmitAndWait(mine, s.core, q)
-	s.fleet.step("%s answered: %v, verdict %v", q.ClientRequestID, here, a.Verdict)
-	s.fleet.account(q.ClientRequestID, func(r *record) { r.left = time.Now() })
-	if late := time.Since(q.Arrived) - q.TTL; late > answerSlack {
-		s.fleet.fail("%s had no answer for %v after its time", q.ClientRequestID, late)
+	s.fleet.updateRecord(q.ClientRequestID, func(r *requestRecord) { r.deadline = q.Arrived.Add(q.TTL) })
+	a, ticket, answered := core.SubmitAndWait(clientCtx, s.core, q)
+	s.fleet.step("%s answered: %v, verdict %v", q.ClientRequestID, answered, a.Verdict)
+	s.fleet.updateRecord(q.ClientRequestID, func(r *requestRecord) { r.clientGoneAt = time.Now() })
+	if excess := time.Since(q.Arrived) - q.TTL; excess > answerSlack {
+		s.fleet.addViolation("%s had no answer for %v after its timeout", q.ClientRequestID, excess)
 	}
-	if !here || a.Verdict != core.Streaming {
+	if !answered || a.Verdict != core.Streaming {
 		return false
 	}
-	stopNote := context.AfterFunc(mine, func() {
-		s.fleet.account(q.ClientRequestID, func(r *record) { r.streamLeft = time.Now() })
+	stopRecording := context.AfterFunc(clientCtx, func() {
+		s.fleet.updateRecord(q.ClientRequestID, func(r *requestRecord) { r.streamAbortedAt = time.Now() })
 	})
-	defer stopNote()
-	return ticket.Relay(mine, a.Stream, func([]byte) error { return nil }) != nil
+	defer stopRecording()
+	return ticket.Relay(clientCtx, a.Stream, func([]byte) error { return nil }) != nil
 }
 
-// fault does something to an engine or its network, and mends it later.
-func (s *scenario) fault() {
-	name := pick(s.random, s.members...).Name
-	last := between(s.random, 200*time.Millisecond, 6*time.Second)
+// injectFault applies a random fault to an engine or its network, and ends it later.
+func (s *scenario) injectFault() {
+	name := pickOne(s.random, s.endpoints...).Name
+	last := randomDuration(s.random, 200*time.Millisecond, 6*time.Second)
 	broken := s.random.IntN(2) == 0
 	switch s.random.IntN(10) {
 	case 0, 1:
 		names := []string{name}
-		if s.random.IntN(2) == 0 { // a zone, or a role
+		if s.random.IntN(2) == 0 { // a random subset, such as a zone or all engines of a role
 			names = nil
-			for _, m := range s.members {
+			for _, m := range s.endpoints {
 				if s.random.IntN(2) == 0 {
 					names = append(names, m.Name)
 				}
@@ -329,94 +331,94 @@
 			s.partition(name, last, broken)
 		}
 	case 2:
-		s.fleet.network(name, "refused", func(l *simLink) { l.change(func() { l.refused = true }); l.reset() })
+		s.fleet.changeNetwork(name, "refused", func(l *simLink) { l.change(func() { l.refused = true }); l.reset() })
 		time.AfterFunc(last, func() {
-			s.fleet.network(name, "taken again", func(l *simLink) { l.change(func() { l.refused = false }) })
+			s.fleet.changeNetwork(name, "accepted again", func(l *simLink) { l.change(func() { l.refused = false }) })
 		})
 	case 3:
-		s.fleet.network(name, "reset", func(l *simLink) { l.reset() })
+		s.fleet.changeNetwork(name, "reset", func(l *simLink) { l.reset() })
 	case 4:
-		late := between(s.random, 50*time.Millisecond, time.Second)
-		s.fleet.network(name, fmt.Sprint("late by ", late), func(l *simLink) { l.change(func() { l.late = late }) })
+		connectDelay := randomDuration(s.random, 50*time.Millisecond, time.Second)
+		s.fleet.changeNetwork(name, fmt.Sprint("connect delay ", connectDelay), func(l *simLink) { l.change(func() { l.connectDelay = connectDelay }) })
 		time.AfterFunc(last, func() {
-			s.fleet.network(name, "in time", func(l *simLink) { l.change(func() { l.late = 0 }) })
+			s.fleet.changeNetwork(name, "no connect delay", func(l *simLink) { l.change(func() { l.connectDelay = 0 }) })
 		})
 	case 5:
 		s.fleet.restart(name)
 	case 6, 7:
 		s.loseConnections(name, last)
 	case 8:
-		s.fleet.network(name, "all open connections lost", func(l *simLink) { l.loseAll() })
+		s.fleet.changeNetwork(name, "all open connections lost", func(l *simLink) { l.loseAll() })
 	case 9:
-		s.holdUp(between(s.random, 100*time.Millisecond, mostHeldUp))
+		s.stall(randomDuration(s.random, 100*time.Millisecond, maxStall))
 	}
 }
 
-// holdUp holds the gateway's process up: its connections, and its core, which delivers an answer that takes
-// as long.
-func (s *scenario) holdUp(span time.Duration) {
-	if !s.fleet.holdUp(span) {
+// stall stalls the gateway's process: its connections, and its core, by an answer whose delivery
+// takes as long.
+func (s *scenario) stall(duration time.Duration) {
+	if !s.fleet.stall(duration) {
 		return
 	}
-	s.core.Submit(core.Request{ClientRequestID: "held up", Arrived: time.Now()}, sleepingFront(span))
+	s.core.Submit(core.Request{ClientRequestID: "held up", Arrived: time.Now()}, slowFront(duration))
 }
 
-// sleepingFront is a front that takes a while over an answer, and keeps the core waiting.
-type sleepingFront time.Duration
+// slowFront is a front that blocks the core for a while with the delivery of an answer.
+type slowFront time.Duration
 
-func (f sleepingFront) Answer(core.Answer) { time.Sleep(time.Duration(f)) }
+func (f slowFront) Answer(core.Answer) { time.Sleep(time.Duration(f)) }
 
-// mostConnections is more than a gateway ever has open to one engine here.
-const mostConnections = 1000
+// maxConnections exceeds the number of connections that a gateway here ever has open to one engine.
+const maxConnections = 1000
 
-// mostHeldUp is for how long a process may be held up between its clock and a write.
-const mostHeldUp = 150 * time.Millisecond
+// maxStall is how long a process may be stalled between its check of the time and a write.
+const maxStall = 150 * time.Millisecond
 
-// loseConnections loses single connections to an engine for a while, one after the other.
+// loseConnections loses single connections to an engine for a duration, one after the other.
 func (s *scenario) loseConnections(name string, last time.Duration) {
-	both, pause := s.random.IntN(3) > 0, between(s.random, 20*time.Millisecond, 200*time.Millisecond)
+	both, delay := s.random.IntN(3) > 0, randomDuration(s.random, 20*time.Millisecond, 200*time.Millisecond)
 	end := time.Now().Add(last)
 	go func() {
 		for time.Now().Before(end) && s.streams.Err() == nil {
-			drawn := s.fleet.chance(mostConnections)
-			s.fleet.network(name, "a connection lost", func(l *simLink) { l.lose(drawn, both) })
-			time.Sleep(pause)
+			random := s.fleet.randomN(maxConnections)
+			s.fleet.changeNetwork(name, "a connection lost", func(l *simLink) { l.lose(random, both) })
+			time.Sleep(delay)
 		}
 	}()
 }
 
 func (s *scenario) partition(name string, last time.Duration, broken bool) {
-	s.fleet.network(name, "cut", func(l *simLink) { l.change(func() { l.cut = true }) })
+	s.fleet.changeNetwork(name, "cut", func(l *simLink) { l.change(func() { l.cut = true }) })
 	time.AfterFunc(last, func() {
-		s.fleet.network(name, fmt.Sprint("healed, connections broken: ", broken), func(l *simLink) {
+		s.fleet.changeNetwork(name, fmt.Sprint("healed, connections broken: ", broken), func(l *simLink) {
 			if broken {
 				l.reset()
 			}
-			l.change(func() { l.cut, l.healed = false, time.Now() })
+			l.change(func() { l.cut, l.healedAt = false, time.Now() })
 		})
 	})
 }
 
-// While none of a request's attempts is out, what is held for it at an engine is taken or
-// let go within the pin limit and the slack of the protocol page: under any customer's
-// settings, and whatever engines, connections and clients do meanwhile.
-func TestHeldStatesUnderDrawnFaults(t *testing.T) {
-	first, last := uint64(1), uint64(heldSeeds)
-	if n := number(t, "HELD_SEEDS"); n > 0 {
+// While none of a request's attempts is in flight, its held state is fetched or released within the
+// pin limit and the slack of the protocol page: under random settings and faults of engines,
+// connections and clients.
+func TestHeldStatesUnderRandomFaults(t *testing.T) {
+	first, last := uint64(1), uint64(scenarioCount)
+	if n := envNumber(t, "HELD_SEEDS"); n > 0 {
 		last = n
 	}
-	if n := number(t, "HELD_SEED"); n > 0 {
+	if n := envNumber(t, "HELD_SEED"); n > 0 {
 		first, last = n, n
 	}
 	for seed := first; seed <= last; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { playHeld(t, seed, first == last) })
+			synctest.Test(t, func(t *testing.T) { runScenario(t, seed, first == last) })
 		})
 	}
 }
 
-// number reads a number from the environment, 0 if it is not there.
-func number(t *testing.T, name string) uint64 {
+// envNumber reads a number from the environment, 0 if the variable is not set.
+func envNumber(t *testing.T, name string) uint64 {
 	v := os.Getenv(name)
 	if v == "" {
 		return 0
@@ -428,14 +430,14 @@
 	return n
 }
 
-func playHeld(t *testing.T, seed uint64, steps bool) {
+func runScenario(t *testing.T, seed uint64, steps bool) {
 	s := newScenario(t, seed)
-	s.play(t)
-	bad := s.fleet.verdict()
-	for _, what := range bad {
-		t.Error(what)
+	s.run(t)
+	violations := s.fleet.allViolations()
+	for _, violation := range violations {
+		t.Error(violation)
 	}
-	if len(bad) > 0 || steps {
+	if len(violations) > 0 || steps {
 		for _, step := range s.fleet.steps {
 			t.Log(step)
 		}
--- a/internal/upstream/linefilter.go
+++ b/internal/upstream/linefilter.go
@@ -9,77 +9,78 @@
 // maxEventLine is the longest line of a stream, in bytes.
 const maxEventLine = 256 << 10
 
-var errNotEventStream = errors.New("what came is no line of an event stream")
+var errNotEventStream = errors.New("not a line of an event stream")
 
-// lineFilter passes the lines that an event stream may hold, unchanged, and stops at anything else.
-// It guards against an engine, or broken framing, that puts other bytes in the place of events.
+// lineFilter passes lines that are valid in an event stream, unchanged, and fails at any other. It
+// guards against an engine, or broken framing, that sends other bytes in place of events.
 type lineFilter struct {
-	partialLine   []byte // of a line that has not ended
+	partialLine   []byte // a line without its end
 	eventSeen     bool   // a complete event with data has passed
-	dataSeen      bool   // a data line of the current event has passed
+	dataSeen      bool   // a data line of the incomplete event has passed
 	firstLineDone bool   // only the first line may begin with a byte order mark
 }
 
 var byteOrderMark = []byte("\xEF\xBB\xBF")
 
-// filter returns what may be forwarded now that p has arrived. The result is valid until the next
-// call.
-func (s *lineFilter) filter(p []byte) ([]byte, error) {
-	if len(s.partialLine) > 0 {
-		s.partialLine = append(s.partialLine, p...)
-		p = s.partialLine
+// filter returns the bytes that may be forwarded after the arrival of p. The result is valid until
+// the next call.
+func (f *lineFilter) filter(p []byte) ([]byte, error) {
+	if len(f.partialLine) > 0 {
+		f.partialLine = append(f.partialLine, p...)
+		p = f.partialLine
 	}
-	sound := 0
+	validSize := 0
 	for line := range bytes.Lines(p) {
 		size := len(line)
-		if !s.firstLineDone {
+		if !f.firstLineDone {
 			if size <= len(byteOrderMark) && bytes.HasPrefix(byteOrderMark, line) {
 				break
 			}
 			line = bytes.TrimPrefix(line, byteOrderMark)
 		}
-		if !s.validPrefix(line) {
-			return p[:sound], errNotEventStream
+		if !f.validPrefix(line) {
+			return p[:validSize], errNotEventStream
 		}
 		if line[len(line)-1] != '\n' {
 			break
 		}
-		s.trackEvent(line)
-		s.firstLineDone = true
-		sound += size
+		f.trackEvent(line)
+		f.firstLineDone = true
+		validSize += size
 	}
-	if sound == len(p) {
-		s.partialLine = s.partialLine[:0]
+	if validSize == len(p) {
+		f.partialLine = f.partialLine[:0]
 		return p, nil
 	}
-	if len(p)-sound > maxEventLine {
-		return p[:sound], errNotEventStream
+	if len(p)-validSize > maxEventLine {
+		return p[:validSize], errNotEventStream
 	}
-	s.partialLine = slices.Clone(p[sound:])
-	return p[:sound], nil
+	f.partialLine = slices.Clone(p[validSize:])
+	return p[:validSize], nil
 }
 
-// trackEvent records where events end: an empty line ends one. A client cannot use a part of one.
-func (s *lineFilter) trackEvent(line []byte) {
+// trackEvent records where events end: an empty line ends one. A client cannot use a part of an
+// event.
+func (f *lineFilter) trackEvent(line []byte) {
 	if len(bytes.TrimRight(line, "\r\n")) > 0 {
-		s.dataSeen = s.dataSeen || bytes.HasPrefix(line, []byte("data:"))
+		f.dataSeen = f.dataSeen || bytes.HasPrefix(line, []byte("data:"))
 		return
 	}
-	s.eventSeen = s.eventSeen || s.dataSeen
-	s.dataSeen = false
+	f.eventSeen = f.eventSeen || f.dataSeen
+	f.dataSeen = false
 }
 
-// flush returns a last line without a line end. If the stream is complete, its end also ends the
-// event.
-func (s *lineFilter) flush(complete bool) []byte {
-	rest := s.partialLine
-	s.partialLine = nil
-	s.eventSeen = s.eventSeen || complete && (s.dataSeen || bytes.HasPrefix(rest, []byte("data:")))
-	return rest
+// flush returns a last line without a line end. If the stream is complete, its end also completes
+// the event.
+func (f *lineFilter) flush(complete bool) []byte {
+	last := f.partialLine
+	f.partialLine = nil
+	f.eventSeen = f.eventSeen || complete && (f.dataSeen || bytes.HasPrefix(last, []byte("data:")))
+	return last
 }
 
 // validPrefix reports whether a line, or the beginning of one, may occur in an event stream.
-func (s *lineFilter) validPrefix(line []byte) bool {
+func (f *lineFilter) validPrefix(line []byte) bool {
 	if line[0] == ':' || line[0] == '\r' || line[0] == '\n' {
 		return true
 	}
--- a/internal/upstream/memory_test.go
+++ b/internal/upstream/memory_test.go
@@ -23,44 +23,44 @@
 	"wellgw/routing"
 )
 
-// memorySlack is how much more may be live after many requests than after some: what maps
-// and pools keep of their size.
-const memorySlack = 256 << 10
+// memoryTolerance is the allowed growth of the live heap between the two measurements: maps and
+// pools do not shrink.
+const memoryTolerance = 256 << 10
 
-// crowd is a gateway's core and pool before engines that keep no account.
-type crowd struct {
-	core  *core.Core
-	links map[string]*simLink
-	next  int
+// memoryFixture is a gateway's core and pool with engines that record nothing.
+type memoryFixture struct {
+	core     *core.Core
+	links    map[string]*simLink
+	requests int
 }
 
-// careless answers every request of a connection in one of many ways.
-func careless(random func(int) int, reads bool) func(net.Conn) {
-	return func(nc net.Conn) {
-		defer nc.Close()
-		r := bufio.NewReader(nc)
+// randomEngine serves connections with a random response to each request.
+func randomEngine(intN func(int) int, prefills bool) func(net.Conn) {
+	return func(conn net.Conn) {
+		defer conn.Close()
+		r := bufio.NewReader(conn)
 		for {
-			req, err := http.ReadRequest(r)
+			request, err := http.ReadRequest(r)
 			if err != nil {
 				return
 			}
-			_, _ = io.Copy(io.Discard, req.Body)
-			text := "HTTP/1.1 204 No Content\r\n\r\n"
-			if req.Method == http.MethodPost {
-				text = carelessAnswer(random(10), reads)
+			_, _ = io.Copy(io.Discard, request.Body)
+			response := "HTTP/1.1 204 No Content\r\n\r\n"
+			if request.Method == http.MethodPost {
+				response = randomResponse(intN(10), prefills)
 			}
-			if text == enginetest.Hang {
+			if response == enginetest.Hang {
 				_, _ = io.Copy(io.Discard, r)
 				return
 			}
-			if _, err := io.WriteString(nc, text); err != nil || text == "" {
+			if _, err := io.WriteString(conn, response); err != nil || response == "" {
 				return
 			}
 		}
 	}
 }
 
-func carelessAnswer(kind int, reads bool) string {
+func randomResponse(kind int, prefills bool) string {
 	switch {
 	case kind == 0:
 		return enginetest.Hang
@@ -68,7 +68,7 @@
 		return ""
 	case kind == 2:
 		return enginetest.Status(503, "X-Not-Run: 1\r\n", "")
-	case reads:
+	case prefills:
 		return enginetest.Status(202, "", `{"cached_tokens":0}`)
 	case kind == 3:
 		return enginetest.StreamHead + enginetest.Chunk("data: x\n\n")
@@ -76,17 +76,17 @@
 	return enginetest.Stream(2, 0)
 }
 
-func newCrowd(t *testing.T) *crowd {
-	c := &crowd{links: map[string]*simLink{}}
+func newMemoryFixture(t *testing.T) *memoryFixture {
+	c := &memoryFixture{links: map[string]*simLink{}}
 	var mu sync.Mutex
 	rng := rand.New(rand.NewPCG(4, 2))
-	random := func(n int) int { mu.Lock(); defer mu.Unlock(); return rng.IntN(n) }
-	set := drawSettings(rand.New(rand.NewPCG(1, 0)))
+	intN := func(n int) int { mu.Lock(); defer mu.Unlock(); return rng.IntN(n) }
+	set := randomSettings(rand.New(rand.NewPCG(1, 0)))
 	set.MaxAttempts = 4
-	var members []core.Endpoint
+	var endpoints []core.Endpoint
 	for _, name := range []string{"r0", "r1", "w0", "w1"} {
-		c.links[name] = newSimLink(time.Millisecond, careless(random, name[0] == 'r'), func() {})
-		members = append(members, core.Endpoint{Addr: name, EngineInfo: routing.EngineInfo{Name: name, Kind: name[:1], Zone: set.Zone, Weight: 1}})
+		c.links[name] = newSimLink(time.Millisecond, randomEngine(intN, name[0] == 'r'), func() {})
+		endpoints = append(endpoints, core.Endpoint{Addr: name, EngineInfo: routing.EngineInfo{Name: name, Kind: name[:1], Zone: set.Zone, Weight: 1}})
 	}
 	pool := upstream.NewPool(upstream.Options{
 		ConnectTimeout: 250 * time.Millisecond, ServerIdleTimeout: 15 * time.Second, MaxConns: 200, StreamSilenceTimeout: time.Second,
@@ -97,28 +97,29 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	engine := upstream.NewClient(pool, func(string) upstream.Dialect { return platform.Dialect{} })
-	c.core = core.New(router, engine, still{}, core.Limits{HeldStateLimit: set.HeldStateLimit, MaxAttempts: 4}, slog.New(slog.DiscardHandler), invariant.New())
+	client := upstream.NewClient(pool, func(string) upstream.Dialect { return platform.Dialect{} })
+	c.core = core.New(router, client, staticDirectory{}, core.Limits{HeldStateLimit: set.HeldStateLimit, MaxAttempts: 4}, slog.New(slog.DiscardHandler), invariant.New())
 	go c.core.Run(t.Context())
-	c.core.UpdateEndpoints(routing.EngineListSnapshot, members)
+	c.core.UpdateEndpoints(routing.EngineListSnapshot, endpoints)
 	return c
 }
 
-// ask makes requests, a fifth of whose clients leave early, and waits for long after the last.
-func (c *crowd) ask(t *testing.T, n int) {
+// runRequests makes n requests, a fifth of whose clients disconnect early, and waits a minute after
+// the last.
+func (c *memoryFixture) runRequests(t *testing.T, n int) {
 	var clients sync.WaitGroup
 	for range n {
-		c.next++
-		q := core.Request{ClientRequestID: fmt.Sprint("q", c.next), Arrived: time.Now(), Payload: core.Payload{Method: "POST", Target: "/v1/chat/completions", Body: make([]byte, 1<<10)}}
-		q.Request = routing.Request{Class: fmt.Sprint("c", c.next%3), Session: fmt.Sprint(c.next % 50), PromptTokens: 100, MaxTokens: 10, TTL: 2 * time.Second}
-		stay := q.TTL
-		if c.next%5 == 0 {
-			stay = time.Duration(c.next%40) * time.Millisecond
+		c.requests++
+		request := core.Request{ClientRequestID: fmt.Sprint("q", c.requests), Arrived: time.Now(), Payload: core.Payload{Method: "POST", Target: "/v1/chat/completions", Body: make([]byte, 1<<10)}}
+		request.Request = routing.Request{Class: fmt.Sprint("c", c.requests%3), Session: fmt.Sprint(c.requests % 50), PromptTokens: 100, MaxTokens: 10, TTL: 2 * time.Second}
+		timeout := request.TTL
+		if c.requests%5 == 0 {
+			timeout = time.Duration(c.requests%40) * time.Millisecond
 		}
 		clients.Go(func() {
-			ctx, leave := context.WithTimeout(t.Context(), stay)
-			defer leave()
-			if a, ticket, here := core.SubmitAndWait(ctx, c.core, q); here && a.Verdict == core.Streaming {
+			ctx, cancel := context.WithTimeout(t.Context(), timeout)
+			defer cancel()
+			if a, ticket, answered := core.SubmitAndWait(ctx, c.core, request); answered && a.Verdict == core.Streaming {
 				_ = ticket.Relay(ctx, a.Stream, func([]byte) error { return nil })
 			}
 		})
@@ -128,31 +129,31 @@
 	time.Sleep(time.Minute)
 }
 
-// live returns the bytes of the heap in use, and how many goroutines there are.
-func live() (heap uint64, goroutines int) {
+// memoryInUse returns the bytes of live heap and the number of goroutines.
+func memoryInUse() (heap uint64, goroutines int) {
 	runtime.GC()
-	runtime.GC() // what pools keep takes two
+	runtime.GC() // entries of a sync.Pool are freed by the second collection
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return m.HeapAlloc, runtime.NumGoroutine()
 }
 
-// Requests that are over leave nothing behind: not those that were served, turned away,
-// broken off or left, nor their connections, timers and releases.
+// Finished requests leave no memory or goroutines in use, whether they were served, rejected,
+// broken or abandoned by their clients; nor do their connections, timers and releases.
 func TestMemoryIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCrowd(t)
-		c.ask(t, 500)
-		heap, goroutines := live()
-		c.ask(t, 5000)
-		after, left := live()
-		if after > heap+memorySlack {
-			t.Errorf("%d KiB are live after ten times as many requests, %d before", after>>10, heap>>10)
+		c := newMemoryFixture(t)
+		c.runRequests(t, 500)
+		heap, goroutines := memoryInUse()
+		c.runRequests(t, 5000)
+		heapAfter, goroutinesAfter := memoryInUse()
+		if heapAfter > heap+memoryTolerance {
+			t.Errorf("live heap %d KiB after ten times as many requests, %d KiB before", heapAfter>>10, heap>>10)
 		}
-		if left > goroutines {
-			t.Errorf("%d goroutines after ten times as many requests, %d before", left, goroutines)
+		if goroutinesAfter > goroutines {
+			t.Errorf("%d goroutines after ten times as many requests, %d before", goroutinesAfter, goroutines)
 		}
-		t.Logf("%d and %d KiB, %d and %d goroutines", heap>>10, after>>10, goroutines, left)
+		t.Logf("%d and %d KiB, %d and %d goroutines", heap>>10, heapAfter>>10, goroutines, goroutinesAfter)
 		for _, l := range c.links {
 			l.reset()
 		}
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,6 +1,6 @@
-// Package upstream speaks HTTP/1.1 to engines on plain connections: it pools them, makes attempts,
-// releases held state and requests load reports. A Dialect defines the calls and reads the
-// responses.
+// Package upstream is an HTTP/1.1 client for engines over plain TCP connections: it pools
+// connections, makes attempts, releases held state and requests load reports. A Dialect builds the
+// calls and parses the responses.
 package upstream
 
 import (
@@ -28,43 +28,43 @@
 type Options struct {
 	ConnectTimeout       time.Duration
 	ServerIdleTimeout    time.Duration // engines close idle connections after this at the latest
-	MaxConns             int           // open at once, over all engines
-	StreamSilenceTimeout time.Duration // a stream without a byte for this long is aborted
+	MaxConns             int           // maximum open connections, over all engines
+	StreamSilenceTimeout time.Duration // a stream that receives no byte for this long is aborted
 	ReadBuffer           int           // bytes per connection; 0 = minReadBuffer
-	ReuseDelay           time.Duration // delay from a response to the next request on its connection; 0 = none. See get
-	// Dial opens a connection; nil for the system's own. Tests inject a network with faults.
+	ReuseDelay           time.Duration // from a response to the next request on its connection; 0 = none. See get
+	// Dial opens a connection; nil for net.Dialer. Tests inject a network with faults.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	Log  *slog.Logger // takes a line for each connection that is closed, at level debug; nil for none
+	Log  *slog.Logger // logs each closed connection at level debug; nil for no log
 }
 
-// The pool's margins.
+// Timeouts and limits of the pool.
 const (
-	idleFraction           = 0.5                    // of ConnIdle, after which an idle connection is closed
-	probeIdleTimeout       = 300 * time.Millisecond // a connection opened for a probe waits this long for a request
-	sweepEvery             = 200 * time.Millisecond // between checks of idle connections
+	idleFraction           = 0.5                    // of ServerIdleTimeout; idle connections are closed after it
+	probeIdleTimeout       = 300 * time.Millisecond // idle timeout of a connection that was opened for a probe
+	sweepInterval          = 200 * time.Millisecond // between checks of idle connections
 	minReadBuffer          = 4 << 10
-	connectTimeoutFraction = 0.95 // of the connect timeout, so that ours expires first
+	connectTimeoutFraction = 0.95 // of the connect timeout, so that the gateway's own timeout expires first
 
-	initialReconnectBackoff = 5 * time.Millisecond   // after a connect that failed on this machine; doubles
-	maxReconnectTime        = 150 * time.Millisecond // total time for such retries
+	initialReconnectBackoff = 5 * time.Millisecond   // after a transient local failure; doubles
+	maxReconnectTime        = 150 * time.Millisecond // limit on the total time of these retries
 )
 
 var (
 	errPoolExhausted = errors.New("all connections are in use")
-	errHeadTooLong   = errors.New("an answer's head is too long")
+	errHeadTooLong   = errors.New("response head is too long")
 )
 
 // conn is one connection to an engine.
 type conn struct {
 	net.Conn
 	id         heldstate.ConnectionNumber
-	in         *limitedReader
-	buffered   *bufio.Reader // over in
+	reader     *limitedReader
+	buffered   *bufio.Reader // over reader
 	addr       string
 	idleSince  time.Time // start of its idle time
-	retireAt   time.Time // if set, it is closed when idle after this
+	retireAt   time.Time // if set, the connection is closed when it is idle after this time
 	reused     bool      // it has carried an exchange before
-	afterProbe bool      // its last response was a probe's, which is never sent twice
+	afterProbe bool      // its last response was to a probe, which engines never send twice
 }
 
 // Pool keeps idle connections to engines.
@@ -76,12 +76,12 @@
 	lastID heldstate.ConnectionNumber
 }
 
-// NewPool returns an empty pool. Sweep must run for idle connections to be closed in time.
+// NewPool returns an empty pool. Idle connections are closed only while Sweep runs.
 func NewPool(opt Options) *Pool { return &Pool{opt: opt, idle: map[string][]*conn{}} }
 
 // Sweep closes stale idle connections until ctx ends, then all idle ones.
 func (p *Pool) Sweep(ctx context.Context) {
-	t := time.NewTicker(sweepEvery)
+	t := time.NewTicker(sweepInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -103,85 +103,85 @@
 	return p.opt.ServerIdleTimeout > 0 && now.Sub(c.idleSince) > time.Duration(idleFraction*float64(p.opt.ServerIdleTimeout))
 }
 
-// unusable returns why an idle connection can't carry a request any more, "" if it can.
+// unusable returns why an idle connection can no longer carry a request, "" if it can.
 func (p *Pool) unusable(c *conn, now time.Time) closeReason {
 	switch {
 	case p.stale(c, now):
 		return closedStale
-	case !openAndQuiet(c.Conn):
+	case !openAndEmpty(c.Conn):
 		return closedByEngine
 	}
 	return ""
 }
 
-// retire closes the idle connections for which reason returns one.
-func (p *Pool) retire(reason func(*conn) closeReason) {
+// retire closes the idle connections for which check returns a reason.
+func (p *Pool) retire(check func(*conn) closeReason) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for addr, list := range p.idle {
-		kept := list[:0]
-		for _, c := range list {
-			if why := reason(c); why != "" {
-				p.closeLocked(c, why)
+	for addr, conns := range p.idle {
+		remaining := conns[:0]
+		for _, c := range conns {
+			if reason := check(c); reason != "" {
+				p.closeLocked(c, reason)
 				continue
 			}
-			kept = append(kept, c)
+			remaining = append(remaining, c)
 		}
-		clear(list[len(kept):])
-		if p.idle[addr] = kept; len(kept) == 0 {
+		clear(conns[len(remaining):])
+		if p.idle[addr] = remaining; len(remaining) == 0 {
 			delete(p.idle, addr)
 		}
 	}
 }
 
-// get returns an idle connection that its engine has not closed, or a new one. One that had its
-// response within Options.Settle is passed over: the engine may send that response a second time,
-// which could not be told from the response to the next request.
+// get returns an idle connection that its engine has not closed, or a new one. It skips a
+// connection whose last response arrived within Options.ReuseDelay: the engine may send that
+// response a second time, which could not be distinguished from the response to the next request.
 func (p *Pool) get(ctx context.Context, addr string) (*conn, error) {
 	return p.getWithTimeout(ctx, addr, p.connectTimeout())
 }
 
-// connectTimeout returns the timeout for opening a connection for an attempt.
+// connectTimeout returns the timeout of a connect for an attempt.
 func (p *Pool) connectTimeout() time.Duration {
 	return time.Duration(connectTimeoutFraction * float64(p.opt.ConnectTimeout))
 }
 
-// getForRelease is get with no timeout but ctx for a new connection.
+// getForRelease is get with ctx as the only timeout of a new connection.
 func (p *Pool) getForRelease(ctx context.Context, addr string) (*conn, error) {
 	return p.getWithTimeout(ctx, addr, 0)
 }
 
-// dialNew opens a connection without regard to idle ones, until ctx ends.
+// dialNew opens a connection even if idle ones exist, with ctx as the only timeout.
 func (p *Pool) dialNew(ctx context.Context, addr string) (*conn, error) {
 	p.mu.Lock()
 	return p.dial(ctx, addr, 0)
 }
 
-// getWithTimeout is get with a timeout of its own for a new connection; 0 leaves it to ctx.
+// getWithTimeout is get with a timeout for a new connection; 0 for the deadline of ctx alone.
 func (p *Pool) getWithTimeout(ctx context.Context, addr string, timeout time.Duration) (*conn, error) {
 	p.mu.Lock()
 	now := time.Now()
-	for at := len(p.idle[addr]) - 1; at >= 0; at-- {
-		c := p.idle[addr][at] // the newest first, so that the others may grow stale and be closed
+	for i := len(p.idle[addr]) - 1; i >= 0; i-- {
+		c := p.idle[addr][i] // newest first, so that older ones become stale and are closed
 		if !c.afterProbe && p.opt.ReuseDelay > 0 && now.Sub(c.idleSince) < p.opt.ReuseDelay {
 			continue
 		}
-		if p.idle[addr] = slices.Delete(p.idle[addr], at, at+1); len(p.idle[addr]) == 0 {
+		if p.idle[addr] = slices.Delete(p.idle[addr], i, i+1); len(p.idle[addr]) == 0 {
 			delete(p.idle, addr)
 		}
-		why := p.unusable(c, now)
-		if why == "" {
+		reason := p.unusable(c, now)
+		if reason == "" {
 			p.mu.Unlock()
-			c.retireAt = time.Time{} // in use: pooled as any other from now on
+			c.retireAt = time.Time{} // in use now, so a later idle period has no special timeout
 			return c, nil
 		}
-		p.closeLocked(c, why)
+		p.closeLocked(c, reason)
 	}
 	return p.dial(ctx, addr, timeout)
 }
 
-// dial opens a connection within a timeout, 0 for ctx's alone. It is called with the lock held and
-// unlocks it.
+// dial opens a connection within a timeout, 0 for the deadline of ctx alone. The caller holds the
+// lock; dial unlocks it.
 func (p *Pool) dial(ctx context.Context, addr string, timeout time.Duration) (*conn, error) {
 	if p.opt.MaxConns > 0 && p.open >= p.opt.MaxConns && !p.evict() {
 		p.mu.Unlock()
@@ -198,25 +198,26 @@
 		p.mu.Unlock()
 		return nil, fmt.Errorf("connect to %s: %w", addr, err)
 	}
-	in := &limitedReader{from: nc, remaining: math.MaxInt64, opened: time.Now()}
-	return &conn{Conn: nc, id: id, in: in, buffered: bufio.NewReaderSize(in, max(p.opt.ReadBuffer, minReadBuffer)), addr: addr}, nil
+	reader := &limitedReader{source: nc, remaining: math.MaxInt64, opened: time.Now()}
+	return &conn{Conn: nc, id: id, reader: reader, buffered: bufio.NewReaderSize(reader, max(p.opt.ReadBuffer, minReadBuffer)), addr: addr}, nil
 }
 
-// connect opens a connection. A transient failure of this machine, such as a lack of free ports,
-// says nothing about the engine and is retried for up to maxReconnectTime: nothing has been written.
+// connect opens a connection. A transient local failure, such as a lack of free ports, is no
+// evidence about the engine. It is retried for up to maxReconnectTime, which is safe because
+// nothing has been written.
 func (p *Pool) connect(ctx context.Context, addr string, timeout time.Duration) (net.Conn, error) {
 	if timeout > 0 {
 		var done context.CancelFunc
 		ctx, done = context.WithTimeout(ctx, timeout)
 		defer done()
 	}
-	begun := time.Now()
-	for wait := initialReconnectBackoff; ; wait *= 2 {
+	started := time.Now()
+	for backoff := initialReconnectBackoff; ; backoff *= 2 {
 		nc, err := p.dialOnce(ctx, addr)
-		if err == nil || !isTransient(err) || time.Since(begun)+wait > maxReconnectTime {
+		if err == nil || !isTransient(err) || time.Since(started)+backoff > maxReconnectTime {
 			return nc, err
 		}
-		if pause.Sleep(ctx, wait); ctx.Err() != nil {
+		if pause.Sleep(ctx, backoff); ctx.Err() != nil {
 			return nil, err
 		}
 	}
@@ -230,8 +231,8 @@
 	return faultinject.Dial(ctx, "tcp", addr, d.DialContext)
 }
 
-// isTransient reports whether a connect failed for lack of a resource of this machine, or of a route
-// from it, that may be available a moment later.
+// isTransient reports whether a connect failed for lack of a local resource or route that may
+// become available shortly.
 func isTransient(err error) bool {
 	for _, errno := range []syscall.Errno{
 		syscall.EADDRNOTAVAIL, syscall.EAGAIN, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
@@ -244,41 +245,42 @@
 	return false
 }
 
-// limitedReader fails once remaining bytes have been read. The library would read a head of any length.
+// limitedReader fails once remaining bytes have been read. http.ReadResponse alone would read a
+// head of any length.
 type limitedReader struct {
-	from      io.Reader
+	source    io.Reader
 	remaining int64
 	opened    time.Time
-	firstRead atomic.Int64 // when the first byte of all was read, in nanoseconds since opened; 0 for never
-	lastRead  atomic.Int64 // when the latest was
+	firstRead atomic.Int64 // when the first byte was read, in nanoseconds since opened; 0 for never
+	lastRead  atomic.Int64 // when the latest byte was read, likewise
 }
 
 func (b *limitedReader) Read(p []byte) (int, error) {
 	if b.remaining <= 0 {
 		return 0, errHeadTooLong
 	}
-	n, err := b.from.Read(p[:min(int64(len(p)), b.remaining)])
+	n, err := b.source.Read(p[:min(int64(len(p)), b.remaining)])
 	b.remaining -= int64(n)
 	b.recordRead(n)
 	return n, err
 }
 
-// evict closes an idle connection of any engine to free a slot. The lock is held.
+// evict closes an idle connection of any engine to free a slot. The caller holds the lock.
 func (p *Pool) evict() bool {
-	for addr, list := range p.idle {
-		if len(list) > 0 {
-			p.closeLocked(list[0], closedEvicted)
-			p.idle[addr] = list[1:]
+	for addr, conns := range p.idle {
+		if len(conns) > 0 {
+			p.closeLocked(conns[0], closedEvicted)
+			p.idle[addr] = conns[1:]
 			return true
 		}
 	}
 	return false
 }
 
-// putAfterProbe pools a connection after a call without side effects, such as a probe. If it was
-// opened for that call, it is kept for probeIdleTimeout only, for the request that the probe
-// preceded: with many gateways, the connections of all probes would fill the few that an engine
-// accepts.
+// putAfterProbe pools a connection after a call without side effects, such as a probe. A connection
+// that was opened for that call stays idle for at most probeIdleTimeout, which is enough for the
+// request that the probe preceded: with many gateways, the connections of all probes would exhaust
+// the few that an engine accepts.
 func (p *Pool) putAfterProbe(c *conn) {
 	if !c.reused {
 		c.retireAt = time.Now().Add(probeIdleTimeout)
@@ -295,8 +297,9 @@
 
 func (p *Pool) putIdle(c *conn) {
 	c.reused = true
-	// Bytes beyond the response, such as a second one, would be taken for the next response. Bytes
-	// that have arrived and are not buffered yet are checked for when the connection is reused.
+	// Bytes after the response, such as a second response, would be read as the next response.
+	// Bytes that have arrived and are not buffered yet are checked for when the connection is
+	// reused.
 	if c.buffered.Buffered() > 0 || c.SetDeadline(time.Time{}) != nil {
 		p.discard(c, closedUnusable)
 		return
@@ -308,25 +311,25 @@
 }
 
 // discard closes a connection that is in use.
-func (p *Pool) discard(c *conn, why closeReason) {
+func (p *Pool) discard(c *conn, reason closeReason) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.closeLocked(c, why)
+	p.closeLocked(c, reason)
 }
 
-// closeLocked closes a connection. The lock is held.
-func (p *Pool) closeLocked(c *conn, why closeReason) {
+// closeLocked closes a connection. The caller holds the lock.
+func (p *Pool) closeLocked(c *conn, reason closeReason) {
 	c.Close()
 	p.open--
-	p.logClosed(c, why)
+	p.logClosed(c, reason)
 }
 
-// openAndQuiet reports whether a connection is open with nothing to read. One that its engine has
-// closed, or has sent unexpected bytes on, is not reused.
-func openAndQuiet(nc net.Conn) bool {
+// openAndEmpty reports whether a connection is open with nothing to read. A connection that its
+// engine has closed, or on which it has sent unexpected bytes, is not reused.
+func openAndEmpty(nc net.Conn) bool {
 	var b [1]byte
 	sc, ok := nc.(syscall.Conn)
-	if !ok { // not a system connection: read without blocking
+	if !ok { // not backed by a socket: read without blocking
 		if nc.SetReadDeadline(time.Now()) != nil {
 			return false
 		}
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -12,20 +12,20 @@
 	"wellgw/internal/enginetest"
 )
 
-// A connection that its engine has closed, or may close at any moment, would end
-// the next request in a reset, and a place-order in a failure.
+// A request on a connection that its engine has closed, or may close at any moment, would end in a
+// reset, and a request that must not run twice would fail.
 func TestStaleConnectionsAreNotUsed(t *testing.T) {
 	server := enginetest.NewEngine(t, func(enginetest.Call) string { return enginetest.Cut })
 	for _, c := range []struct {
-		name   string
-		spoil  func(*conn)
-		reused bool
+		name    string
+		prepare func(*conn)
+		reused  bool
 	}{
 		{"fresh", func(*conn) {}, true},
 		{"idle for a moment", func(c *conn) { c.idleSince = time.Now().Add(-time.Second) }, true},
 		{"closed by the engine", func(c *conn) {
 			c.Write([]byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"))
-			enginetest.Eventually(t, "the close arrives", func() bool { return !openAndQuiet(c.Conn) })
+			enginetest.Eventually(t, "the close arrives", func() bool { return !openAndEmpty(c.Conn) })
 		}, false},
 		{"near the idle limit", func(c *conn) { c.idleSince = time.Now().Add(-31 * time.Second) }, false},
 	} {
@@ -36,7 +36,7 @@
 				t.Fatal(err)
 			}
 			p.put(first)
-			c.spoil(first)
+			c.prepare(first)
 			second, err := p.get(t.Context(), server.Addr)
 			if err != nil {
 				t.Fatal(err)
@@ -45,49 +45,49 @@
 				t.Errorf("reused: %v", second == first)
 			}
 			if _, err := p.get(t.Context(), server.Addr); err != errPoolExhausted {
-				t.Errorf("a connection past the limit: %v", err)
+				t.Errorf("a connection beyond the limit: %v", err)
 			}
 			p.discard(second, closedAbandoned)
 		})
 	}
 }
 
-// A connection opened for a probe waits briefly for the request that the probe came
-// before, then is retired, so that many gateways' probes do not fill the few that an
-// engine holds. One taken by a request, or that had carried work, lives as any other.
-func TestProbesKeepTheirConnectionsBriefly(t *testing.T) {
+// A connection that was opened for a probe stays idle only briefly for the request that the probe
+// preceded, then is closed, so that the probes of many gateways do not exhaust the connections of
+// an engine. A connection that has served a request has the normal idle timeout.
+func TestProbeConnectionsAreRetired(t *testing.T) {
 	server := enginetest.NewEngine(t, func(enginetest.Call) string { return enginetest.Cut })
 	p := NewPool(Options{ConnectTimeout: time.Second, ServerIdleTimeout: time.Minute})
 	get := func() *conn { c, _ := p.get(t.Context(), server.Addr); return c }
 	probed := get()
 	if p.putAfterProbe(probed); probed.retireAt.IsZero() || probed.retireAt.Sub(probed.idleSince) > probeIdleTimeout {
-		t.Fatalf("a probe's new connection is kept until %v, idle since %v", probed.retireAt, probed.idleSince)
+		t.Fatalf("the new connection of a probe retires at %v, idle since %v", probed.retireAt, probed.idleSince)
 	}
-	probed.retireAt = time.Now().Add(-time.Millisecond) // its moment has passed
+	probed.retireAt = time.Now().Add(-time.Millisecond) // its idle timeout has expired
 	p.retire(func(c *conn) closeReason { return p.unusable(c, time.Now()) })
-	taken := get()
-	if p.putAfterProbe(taken); taken == probed || get() != taken || !taken.retireAt.IsZero() {
-		t.Errorf("kept past its moment %v, or retired though a request took it (%v)", taken == probed, taken.retireAt)
+	next := get()
+	if p.putAfterProbe(next); next == probed || get() != next || !next.retireAt.IsZero() {
+		t.Errorf("pooled after its idle timeout: %v, or retired at %v although a request used it", next == probed, next.retireAt)
 	}
-	p.put(taken)
-	if p.putAfterProbe(get()); !taken.retireAt.IsZero() {
-		t.Errorf("a connection that had carried work is retired at %v", taken.retireAt)
+	p.put(next)
+	if p.putAfterProbe(get()); !next.retireAt.IsZero() {
+		t.Errorf("a connection that had served a request is retired at %v", next.retireAt)
 	}
 }
 
-// A second answer may come when its connection is idle again, or carries the next request
-// already: then nothing tells it from that one's. So the next request goes another way while
-// one may still come, and never on a connection on which one has.
-func TestNoReuseBeforeSettle(t *testing.T) {
-	second := make(chan struct{})
+// An engine may send a response twice. If the second copy arrives while its connection carries the
+// next request, it cannot be distinguished from the response to that request. So a connection is
+// not reused within ReuseDelay, and never after unexpected bytes have arrived on it.
+func TestReuseDelay(t *testing.T) {
+	duplicateMaySend := make(chan struct{})
 	server := enginetest.NewEngine(t, func(c enginetest.Call) string {
-		if c.Number == 2 { // a call of the same connection, that stands for what its engine does later
-			<-second
+		if c.Number == 2 { // the response to a second call stands for the duplicate
+			<-duplicateMaySend
 		}
 		return enginetest.Status(202, "", "{}")
 	})
-	let := sync.OnceFunc(func() { close(second) })
-	t.Cleanup(let) // before the engine's end, which waits for its script
+	sendDuplicate := sync.OnceFunc(func() { close(duplicateMaySend) })
+	t.Cleanup(sendDuplicate) // before the engine is closed, which waits for its script
 	p := NewPool(Options{ConnectTimeout: time.Second, ServerIdleTimeout: time.Minute, ReuseDelay: time.Minute})
 	get := func() *conn {
 		t.Helper()
@@ -97,9 +97,9 @@
 		}
 		return c
 	}
-	ask := Call{Method: "POST", Target: "/"}
+	call := Call{Method: "POST", Target: "/"}
 	first := get()
-	if err := writeCall(first, ask); err != nil {
+	if err := writeCall(first, call); err != nil {
 		t.Fatal(err)
 	}
 	if resp, err := readResponseHead(first, time.Now().Add(time.Minute), nil); err != nil || resp.StatusCode != 202 {
@@ -107,35 +107,37 @@
 	} else if _, err := io.ReadAll(resp.Body); err != nil {
 		t.Fatal(err)
 	}
-	if err := writeCall(first, ask); err != nil { // brings the answer that nobody asked for, once it is let go
+	// The second request stands for a duplicate of the first response, sent once duplicateMaySend is closed.
+	if err := writeCall(first, call); err != nil {
 		t.Fatal(err)
 	}
 	p.put(first)
 	other := get()
 	if other == first {
-		t.Fatal("the next request would be written before the second answer has come")
+		t.Fatal("the next request would be written before the duplicate response has arrived")
 	}
 	p.put(other)
-	let()
-	enginetest.Eventually(t, "the second answer comes", func() bool { return !openAndQuiet(first.Conn) })
-	first.idleSince = first.idleSince.Add(-time.Minute) // it has settled
+	sendDuplicate()
+	enginetest.Eventually(t, "the duplicate response arrives", func() bool { return !openAndEmpty(first.Conn) })
+	first.idleSince = first.idleSince.Add(-time.Minute) // its reuse delay has passed
 	other.idleSince = first.idleSince.Add(-time.Millisecond)
 	if c := get(); c == first {
-		t.Error("the next request would be written after the second answer")
+		t.Error("the next request would be written after the duplicate response")
 	}
 	if p.open > 2 {
-		t.Errorf("%d connections open: the spoilt one is kept", p.open)
+		t.Errorf("%d connections open: the one with unexpected bytes was not closed", p.open)
 	}
 }
 
-// An attempt that is cancelled while its connection comes up gives that connection back to
-// the count of open ones once, not twice: the bound on connections would grow with each.
+// An attempt that is cancelled while its connection is being established decrements the count of
+// open connections once, not twice: otherwise each such attempt would raise the limit on
+// connections.
 func TestCancelledAttemptCountsConnectionOnce(t *testing.T) {
 	server := enginetest.NewEngine(t, func(enginetest.Call) string { return enginetest.Hang })
-	dialled, goOn := make(chan struct{}), make(chan struct{})
+	dialled, finishDial := make(chan struct{}), make(chan struct{})
 	p := NewPool(Options{Dial: func(_ context.Context, network, addr string) (net.Conn, error) {
 		close(dialled)
-		<-goOn // a connection that comes up just as it is given up
+		<-finishDial // the dial succeeds just after the attempt is cancelled
 		return net.Dial(network, addr)
 	}})
 	ended := make(chan core.Result, 1)
@@ -143,7 +145,7 @@
 		core.Attempt{Endpoint: core.Endpoint{Addr: server.Addr}, Timeout: time.Minute}, nil, func(r core.Result) { ended <- r })
 	<-dialled
 	attempt.Cancel()
-	close(goOn)
+	close(finishDial)
 	<-ended
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/upstream/release.go
+++ b/internal/upstream/release.go
@@ -12,42 +12,44 @@
 
 // Limits of one release.
 const (
-	initialReleaseBackoff  = 50 * time.Millisecond   // between attempts; doubles
-	maxReleaseBackoff      = 250 * time.Millisecond  // largest backoff
-	unansweredDelay        = 60 * time.Millisecond   // longest that an unanswered attempt delays the next
-	releaseConnectTimeout  = 1200 * time.Millisecond // some connections are established late
-	releaseResponseTimeout = 300 * time.Millisecond  // for the response, once connected
-	releaseConcurrency     = 4                       // attempts that begin at one engine within slotTimeout, over all releases
-	slotTimeout            = 250 * time.Millisecond  // for which a connection that does not come up keeps others waiting
-	alternateInterval      = 30 * time.Millisecond   // from one alternate to the next: longer than a round trip
+	initialReleaseBackoff = 50 * time.Millisecond // between attempts; doubles
+	maxReleaseBackoff     = 250 * time.Millisecond
+	// Maximum delay of the next attempt by one that has no response yet.
+	unansweredDelay        = 60 * time.Millisecond
+	releaseConnectTimeout  = 1200 * time.Millisecond // some connections take this long to be established
+	releaseResponseTimeout = 300 * time.Millisecond  // for the response, from the write on
+	releaseConcurrency     = 4                       // attempts at one engine that hold a slot, over all releases
+	// Maximum time for which a connect that does not complete occupies a slot.
+	slotTimeout       = 250 * time.Millisecond
+	alternateInterval = 30 * time.Millisecond // from one alternate to the next: longer than a round trip
 )
 
-var errStopped = errors.New("stopped")
+var errReleaseStopped = errors.New("stopped")
 
 // release is one release of held state, retried until it is delivered.
 type release struct {
-	engine *Client
+	client *Client
 	core.Release
 	call      Call
 	ctx       context.Context
-	delivered chan struct{} // closed once Endpoint has answered
+	delivered chan struct{} // closed once Endpoint has responded
 	once      sync.Once
 }
 
-// Release releases held state; see core.Transport. The call is idempotent, so it may be retried, and
-// several attempts may be in flight: one that waits for a connection must not delay the next to an
-// engine that has recovered.
-func (e *Client) Release(r core.Release, done func(error)) (stop func()) {
+// Release releases held state; see core.Transport. The call is idempotent, so it may be retried,
+// and several attempts may be in flight: one that waits for a connection must not delay the next,
+// as the engine may have recovered.
+func (client *Client) Release(r core.Release, done func(error)) (stop func()) {
 	ctx, cancel := context.WithDeadline(context.Background(), r.Deadline)
-	call, given := e.dialect(r.Endpoint.Kind).Release(r.ClientRequestID)
+	call, supported := client.dialect(r.Endpoint.Kind).Release(r.ClientRequestID)
 	go func() {
 		defer cancel()
-		if !given {
+		if !supported {
 			done(core.ErrNoRelease)
 			return
 		}
-		job := &release{engine: e, Release: r, call: call, ctx: ctx, delivered: make(chan struct{})}
-		done(job.run())
+		task := &release{client: client, Release: r, call: call, ctx: ctx, delivered: make(chan struct{})}
+		done(task.run())
 	}()
 	return cancel
 }
@@ -58,63 +60,63 @@
 	releases int
 }
 
-func (e *Client) acquireSlots(addr string) chan struct{} {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	t := e.releasing[addr]
-	if t == nil {
-		t = &releaseSlots{free: make(chan struct{}, releaseConcurrency)}
-		e.releasing[addr] = t
+func (client *Client) acquireSlots(addr string) chan struct{} {
+	client.mu.Lock()
+	defer client.mu.Unlock()
+	slots := client.releaseSlots[addr]
+	if slots == nil {
+		slots = &releaseSlots{free: make(chan struct{}, releaseConcurrency)}
+		client.releaseSlots[addr] = slots
 	}
-	t.releases++
-	return t.free
+	slots.releases++
+	return slots.free
 }
 
-func (e *Client) dropSlots(addr string) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	t := e.releasing[addr]
-	if t.releases--; t.releases == 0 {
-		delete(e.releasing, addr)
+func (client *Client) returnSlots(addr string) {
+	client.mu.Lock()
+	defer client.mu.Unlock()
+	slots := client.releaseSlots[addr]
+	if slots.releases--; slots.releases == 0 {
+		delete(client.releaseSlots, addr)
 	}
 }
 
-// run makes attempts until the engine has answered, or the release ends.
+// run makes attempts until the engine has responded, or the release ends.
 func (r *release) run() error {
 	go r.notifyAlternates()
-	take := takeConn(r.engine.pool.getForRelease)
-	for pause := initialReleaseBackoff; ; pause = min(2*pause, maxReleaseBackoff) {
+	acquire := acquireConn(r.client.pool.getForRelease)
+	for delay := initialReleaseBackoff; ; delay = min(2*delay, maxReleaseBackoff) {
 		next := make(chan struct{})
-		go r.attempt(next, take)
-		take = r.engine.pool.dialNew // pooled connections may all be lost, as the one before seems to be
-		if !r.wait(next) || !r.sleep(pause) {
+		go r.attempt(next, acquire)
+		acquire = r.client.pool.dialNew // pooled connections may all be lost if the previous one is
+		if !r.wait(next) || !r.sleep(delay) {
 			return r.outcome()
 		}
 	}
 }
 
-// outcome returns how the release has ended.
+// outcome returns nil if the release was delivered.
 func (r *release) outcome() error {
 	select {
 	case <-r.delivered:
 		return nil
 	default:
-		return errStopped
+		return errReleaseStopped
 	}
 }
 
-// wait waits for a channel to close; false if the release ends before.
-func (r *release) wait(event <-chan struct{}) bool {
+// wait waits for a channel to close. It returns false if the release ends first.
+func (r *release) wait(done <-chan struct{}) bool {
 	select {
 	case <-r.delivered:
 	case <-r.ctx.Done():
-	case <-event:
+	case <-done:
 		return true
 	}
 	return false
 }
 
-// sleep waits for a duration; false if the release ends before.
+// sleep waits for a duration. It returns false if the release ends first.
 func (r *release) sleep(d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -127,82 +129,84 @@
 	return false
 }
 
-// attempt sends the release once. It closes next when another attempt may begin: at its own end, or
-// after unansweredDelay.
-func (r *release) attempt(next chan<- struct{}, take takeConn) {
-	again := sync.OnceFunc(func() { close(next) })
-	defer again()
-	late := time.AfterFunc(unansweredDelay, again)
-	defer late.Stop()
-	if r.send(r.Endpoint.Addr, r.call, take) == nil {
+// attempt sends the release once. It closes next when another attempt may begin: at the end of this
+// one, or after unansweredDelay.
+func (r *release) attempt(next chan<- struct{}, acquire acquireConn) {
+	allowNext := sync.OnceFunc(func() { close(next) })
+	defer allowNext()
+	timer := time.AfterFunc(unansweredDelay, allowNext)
+	defer timer.Stop()
+	if r.send(r.Endpoint.Addr, r.call, acquire) == nil {
 		r.once.Do(func() { close(r.delivered) })
 	}
 }
 
-// takeConn takes or opens a connection to an address.
-type takeConn func(ctx context.Context, addr string) (*conn, error)
+// acquireConn returns a pooled or new connection to an address.
+type acquireConn func(ctx context.Context, addr string) (*conn, error)
 
-// send makes the call once, within a slot of the address, on a connection that take returns.
-func (r *release) send(addr string, call Call, take takeConn) error {
-	turn := r.engine.acquireSlots(addr)
-	defer r.engine.dropSlots(addr)
+// send makes the call once, within a slot of the address, on a connection from acquire.
+func (r *release) send(addr string, call Call, acquire acquireConn) error {
+	slots := r.client.acquireSlots(addr)
+	defer r.client.returnSlots(addr)
 	select {
-	case turn <- struct{}{}:
+	case slots <- struct{}{}:
 	case <-r.ctx.Done():
-		return errStopped
+		return errReleaseStopped
 	}
-	leave := sync.OnceFunc(func() { <-turn })
-	defer leave()
-	defer time.AfterFunc(slotTimeout, leave).Stop()
+	freeSlot := sync.OnceFunc(func() { <-slots })
+	defer freeSlot()
+	defer time.AfterFunc(slotTimeout, freeSlot).Stop()
 	ctx, done := context.WithTimeout(r.ctx, releaseConnectTimeout)
 	defer done()
-	c, err := take(ctx, addr)
+	c, err := acquire(ctx, addr)
 	if err != nil {
 		return err
 	}
 	if r.ctx.Err() != nil {
-		r.engine.pool.put(c)
-		return errStopped
+		r.client.pool.put(c)
+		return errReleaseStopped
 	}
 	c.SetDeadline(time.Now().Add(releaseResponseTimeout))
 	if err := writeCall(c, call); err != nil {
-		r.engine.pool.discard(c, closedFailed)
+		r.client.pool.discard(c, closedFailed)
 		return err
 	}
-	leave() // the call is written: an engine that does not answer must not keep others waiting
-	_, _, err = r.engine.readResponse(c, releaseResponseTimeout, r.engine.pool.put)
+	freeSlot() // the call is written: an unresponsive engine must not block other releases
+	_, _, err = r.client.readResponse(c, releaseResponseTimeout, r.client.pool.put)
 	return err
 }
 
-// notifyAlternates sends the release to the alternates while the engine itself has not answered. The
-// next one is sent while the one before is still in flight. They are repeated: the state was not
-// released if an attempt waited for it, and that attempt may have been cancelled since.
+// notifyAlternates sends the release to the alternates while the engine itself has not responded.
+// The next alternate is notified while the previous call may still be in flight. Notifications
+// repeat: an engine does not release state for which an attempt waits, and that attempt may have
+// been cancelled since.
 func (r *release) notifyAlternates() {
-	answered, underway := make(chan int, len(r.Alternates)), make([]atomic.Bool, len(r.Alternates))
-	pause := r.AlternatesAfter
-	for n := 0; len(r.Alternates) > 0 && r.sleep(pause); n++ {
-		pause = alternateInterval
+	answered, inFlight := make(chan int, len(r.Alternates)), make([]atomic.Bool, len(r.Alternates))
+	delay := r.AlternatesAfter
+	for n := 0; len(r.Alternates) > 0 && r.sleep(delay); n++ {
+		delay = alternateInterval
 		select {
-		case n = <-answered: // the alternate that is reachable is notified again
+		case n = <-answered: // the reachable alternate is notified again
 			if !r.sleep(r.AlternatesInterval) {
 				return
 			}
 		default:
 		}
-		if which := n % len(r.Alternates); underway[which].CompareAndSwap(false, true) {
+		if index := n % len(r.Alternates); inFlight[index].CompareAndSwap(false, true) {
 			go func() {
-				defer underway[which].Store(false)
-				r.notifyAlternate(which, answered)
+				defer inFlight[index].Store(false)
+				r.notifyAlternate(index, answered)
 			}()
 		}
 	}
 }
 
-// notifyAlternate sends the release to one alternate, and reports its number if it has answered.
+// notifyAlternate sends the release to one alternate, and sends the alternate's index to answered
+// if it has responded.
 func (r *release) notifyAlternate(n int, answered chan<- int) {
-	m := r.Alternates[n]
-	call, given := r.engine.dialect(m.Kind).Release(r.ClientRequestID)
-	if !given || r.sendTwice(m.Addr, call) != nil {
+	alternate := r.Alternates[n]
+	call, supported := r.client.dialect(alternate.Kind).Release(r.ClientRequestID)
+	if !supported || r.sendWithFallback(alternate.Addr, call) != nil {
 		return
 	}
 	select {
@@ -211,21 +215,22 @@
 	}
 }
 
-// sendTwice makes the call on a pooled connection and, if that brings no answer soon, on a new one: the
-// pooled one may be lost though its engine can be reached.
-func (r *release) sendTwice(addr string, call Call) error {
+// sendWithFallback makes the call on a pooled connection and, if there is no response within
+// unansweredDelay, on a new one: the pooled connection may be lost although its engine is
+// reachable.
+func (r *release) sendWithFallback(addr string, call Call) error {
 	answered := make(chan error, 1)
-	go func() { answered <- r.send(addr, call, r.engine.pool.getForRelease) }()
-	late := time.NewTimer(unansweredDelay)
-	defer late.Stop()
+	go func() { answered <- r.send(addr, call, r.client.pool.getForRelease) }()
+	timer := time.NewTimer(unansweredDelay)
+	defer timer.Stop()
 	select {
 	case err := <-answered:
 		if err == nil {
 			return nil
 		}
-	case <-late.C:
+	case <-timer.C:
 	case <-r.ctx.Done():
-		return errStopped
+		return errReleaseStopped
 	}
-	return r.send(addr, call, r.engine.pool.dialNew)
+	return r.send(addr, call, r.client.pool.dialNew)
 }
--- a/internal/upstream/simengine_test.go
+++ b/internal/upstream/simengine_test.go
@@ -12,6 +12,7 @@
 	"wellgw/routing"
 )
 
+// simEngine is a simulated engine.
 type simEngine struct {
 	fleet *simFleet
 	name  string
@@ -19,18 +20,18 @@
 	link  *simLink
 }
 
-// serve answers the requests of one connection, one after the other.
+// serve handles the requests of one connection, one after the other.
 func (e *simEngine) serve(nc net.Conn) {
 	c := nc.(*simConn)
 	defer c.Close()
-	requests, learned := make(chan *http.Request), make(chan struct{})
-	go listen(c, requests, learned)
+	requests, clientClosed := make(chan *http.Request), make(chan struct{})
+	go readRequests(c, requests, clientClosed)
 	for {
 		select {
-		case <-learned:
+		case <-clientClosed:
 			return
 		case req := <-requests:
-			if !e.answer(c, req, learned) {
+			if !e.answer(c, req, clientClosed) {
 				c.abort()
 				return
 			}
@@ -38,13 +39,13 @@
 	}
 }
 
-// listen reads a connection's requests and closes learned at its end: how an engine comes to
-// know of a cancel.
-func listen(c *simConn, requests chan<- *http.Request, learned chan<- struct{}) {
-	defer close(learned)
-	r := bufio.NewReader(c)
+// readRequests reads the requests of a connection and closes clientClosed at its end, by which the
+// engine notices a cancellation.
+func readRequests(c *simConn, requests chan<- *http.Request, clientClosed chan<- struct{}) {
+	defer close(clientClosed)
+	reader := bufio.NewReader(c)
 	for {
-		req, err := http.ReadRequest(r)
+		req, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
@@ -55,19 +56,19 @@
 	}
 }
 
-// answer answers one request; false if the connection breaks.
-func (e *simEngine) answer(c *simConn, req *http.Request, learned <-chan struct{}) bool {
+// answer handles one request. It returns false if the connection breaks.
+func (e *simEngine) answer(c *simConn, req *http.Request, clientClosed <-chan struct{}) bool {
 	if req.Method != http.MethodDelete {
 		ms, _ := strconv.Atoi(req.Header.Get("X-Deadline-Ms"))
-		t := &turn{
-			engine: e, conn: c, id: req.Header.Get("X-Request-Id"), learned: learned,
-			told: time.Duration(ms) * time.Millisecond, sent: c.lastSent(),
+		t := &simAttempt{
+			engine: e, conn: c, id: req.Header.Get("X-Request-Id"), clientClosed: clientClosed,
+			timeout: time.Duration(ms) * time.Millisecond, writtenAt: c.lastSentAt(),
 		}
-		return t.play()
+		return t.run()
 	}
 	e.release(strings.TrimPrefix(req.URL.Path, "/bootstrap/rooms/"))
-	if e.fleet.chance(12) == 0 { // a call counts once it has arrived, answered or not
-		<-learned
+	if e.fleet.randomN(12) == 0 { // a release counts once it has arrived, with or without a response
+		<-clientClosed
 		return false
 	}
 	_, err := io.WriteString(c, "HTTP/1.1 204 No Content\r\n\r\n")
@@ -75,18 +76,18 @@
 }
 
 func (e *simEngine) release(id string) {
-	e.fleet.account(id, func(r *record) {
+	e.fleet.updateRecord(id, func(r *requestRecord) {
 		e.fleet.releases++
 		switch {
-		case r.waits > 0:
-			e.fleet.note("%s release at %s, an attempt waits for the state", id, e.name)
-		case e.fleet.rules.anywhere:
-			e.fleet.note("%s release at %s", id, e.name)
-			clear(r.held)
+		case r.waiting > 0:
+			e.fleet.logStepLocked("%s release at %s, an attempt waits for the state", id, e.name)
+		case e.fleet.rules.releaseAnywhere:
+			e.fleet.logStepLocked("%s release at %s", id, e.name)
+			clear(r.heldAt)
 		default:
-			e.fleet.note("%s release at %s", id, e.name)
-			delete(r.held, e.name)
+			e.fleet.logStepLocked("%s release at %s", id, e.name)
+			delete(r.heldAt, e.name)
 		}
-		e.fleet.reached(id, stageReleased)
+		e.fleet.runTriggers(id, stageReleased)
 	})
 }
--- a/internal/upstream/simfleet_test.go
+++ b/internal/upstream/simfleet_test.go
@@ -11,63 +11,64 @@
 	"wellgw/routing"
 )
 
-// releaseSlack is what the protocol page adds to the pin limit: 50 ms for every rule on
-// sockets, and 300 ms for what is held.
+// releaseSlack is what the protocol page adds to the pin limit: 50 ms of slack for rules on
+// sockets, and 300 ms for held state.
 const releaseSlack = 350 * time.Millisecond
 
-// simRules are the readings of the protocol page and the habits of engines under which a
-// scenario is played. The gateway has to keep the rule under all of them.
+// simRules are the engine behaviours of a scenario that the protocol page permits. The gateway must
+// keep the rules under all of them.
 type simRules struct {
-	pinLimit    time.Duration
-	anywhere    bool // a release at any engine lets go of all; else only at the engine that holds
-	stopsWork   bool // an engine that learns of a cancel stops the read that runs
-	ownRead     bool // writers read a prompt whose state is gone
-	learnsLate  bool // an attempt is out until its engine has learned of its end
-	readersLast time.Duration
+	pinLimit time.Duration
+	// A release at any engine releases all state of the request; otherwise only the state of that engine.
+	releaseAnywhere bool
+	cancelStopsWork bool // an engine that notices a cancellation stops the prefill in progress
+	decodePrefills  bool // decode engines prefill a prompt whose state is missing
+	endsWhenNoticed bool // an attempt counts as in flight until its engine has noticed its end
+	maxPrefillTime  time.Duration
 }
 
-// simFleet is the engines of one scenario and the account of what they hold.
+// simFleet is the engines of one scenario, and a record of the state that they hold.
 type simFleet struct {
 	rules   simRules
 	links   map[string]*simLink
 	engines map[string]*simEngine
 
-	mu       sync.Mutex
-	random   *rand.Rand
-	begun    time.Time
-	records  map[string]*record
-	broken   []string
-	steps    []string
-	releases int
-	triggers []*trigger
-	resumes  time.Time // until then the gateway's process is held up
-	ended    time.Time // when the gateway's process did; zero before
-	killed   bool      // its time was up
+	mu           sync.Mutex
+	random       *rand.Rand
+	started      time.Time
+	records      map[string]*requestRecord
+	violations   []string
+	steps        []string
+	releases     int
+	triggers     []*trigger
+	stalledUntil time.Time // until when the gateway's process is stalled
+	exitedAt     time.Time // when the gateway's process exited; zero before
+	killed       bool      // it was killed at the end of its shutdown timeout
 }
 
-// record is what is out and held for one request.
-type record struct {
-	due   time.Time       // until when the client waits; zero before it has come
-	left  time.Time       // when it has gone, or has had its answer; zero before
-	out   int             // attempts whose last byte has arrived and which have not ended
-	waits int             // of these, attempts at writers that wait for the state
-	held  map[string]bool // engines that hold a state
-	since time.Time       // nothing has been out since, while something is held; zero if not so
+// requestRecord is the attempts in flight and the held state of one request.
+type requestRecord struct {
+	deadline     time.Time       // until when the client waits; zero before its request
+	clientGoneAt time.Time       // when the client disconnected or got its answer; zero before
+	inFlight     int             // attempts whose last byte has arrived and which have not ended
+	waiting      int             // of these, attempts at decode engines that wait for the state
+	heldAt       map[string]bool // engines that hold a state
+	heldSince    time.Time       // since when state is held with no attempt in flight; zero if that is not so
 
-	streamLeft time.Time // when the client left in the middle of its stream; zero if it has not
+	streamAbortedAt time.Time // when the client disconnected during its stream; zero if it has not
 }
 
 func newSimFleet(rules simRules, seed uint64) *simFleet {
 	return &simFleet{
 		rules: rules, links: map[string]*simLink{}, engines: map[string]*simEngine{},
-		random: rand.New(rand.NewPCG(seed, 1)), begun: time.Now(), records: map[string]*record{},
+		random: rand.New(rand.NewPCG(seed, 1)), started: time.Now(), records: map[string]*requestRecord{},
 	}
 }
 
-// add places an engine at a distance.
+// add adds an engine with a one-way network delay.
 func (f *simFleet) add(name string, role routing.Role, delay time.Duration) {
 	e := &simEngine{fleet: f, name: name, role: role}
-	e.link = newSimLink(delay, e.serve, f.waitHeldUp)
+	e.link = newSimLink(delay, e.serve, f.waitStalled)
 	f.links[name], f.engines[name] = e.link, e
 }
 
@@ -77,111 +78,113 @@
 		return nil, errUnknownAddress
 	}
 	f.mu.Lock()
-	f.reached("", stageDialing)
+	f.runTriggers("", stageDialing)
 	f.mu.Unlock()
 	return link.dial(ctx)
 }
 
-// holdUp holds the gateway's process up, as a busy machine or a stop signal does: nothing that it has
-// read or is about to write goes on before the end. It reports whether it does: two in a row would be one
-// that is longer.
-func (f *simFleet) holdUp(span time.Duration) bool {
+// stall stalls the gateway's process, as a busy machine or SIGSTOP does: reads and writes do not
+// return before the end. It returns false, and does nothing, shortly after another stall: two in a
+// row would form one that exceeds maxStall.
+func (f *simFleet) stall(duration time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if time.Since(f.resumes) < mostHeldUp {
+	if time.Since(f.stalledUntil) < maxStall {
 		return false
 	}
-	f.note("the gateway is held up for %v", span)
-	f.resumes = time.Now().Add(span)
+	f.logStepLocked("the gateway is stalled for %v", duration)
+	f.stalledUntil = time.Now().Add(duration)
 	return true
 }
 
-// heldUpSince tells whether the gateway's process was held up at any time since t. The lock is held.
-func (f *simFleet) heldUpSince(t time.Time) bool { return f.resumes.After(t) }
+// stalledSince reports whether the gateway's process was stalled at any time since t. The caller
+// holds the lock.
+func (f *simFleet) stalledSince(t time.Time) bool { return f.stalledUntil.After(t) }
 
-func (f *simFleet) waitHeldUp() {
+func (f *simFleet) waitStalled() {
 	f.mu.Lock()
-	wait := time.Until(f.resumes)
+	wait := time.Until(f.stalledUntil)
 	f.mu.Unlock()
 	if wait > 0 {
 		time.Sleep(wait)
 	}
 }
 
-// note keeps a step, for a seed that fails.
-func (f *simFleet) note(format string, args ...any) {
-	f.steps = append(f.steps, fmt.Sprintf("%9v ", time.Since(f.begun))+fmt.Sprintf(format, args...))
+// logStepLocked records a step, which is logged for a seed that fails. The caller holds the lock.
+func (f *simFleet) logStepLocked(format string, args ...any) {
+	f.steps = append(f.steps, fmt.Sprintf("%9v ", time.Since(f.started))+fmt.Sprintf(format, args...))
 }
 
 func (f *simFleet) step(format string, args ...any) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.note(format, args...)
+	f.logStepLocked(format, args...)
 }
 
-// account changes a request's record and follows the rule: while none of its attempts is
-// out, what is held for it is taken or let go within the pin limit and the slack.
-func (f *simFleet) account(id string, change func(*record)) {
+// updateRecord changes the record of a request and checks the rule: while none of its attempts is
+// in flight, its held state is fetched or released within the pin limit and releaseSlack.
+func (f *simFleet) updateRecord(id string, change func(*requestRecord)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	r := f.records[id]
 	if r == nil {
-		r = &record{held: map[string]bool{}}
+		r = &requestRecord{heldAt: map[string]bool{}}
 		f.records[id] = r
 	}
-	before := r.since
+	previousSince := r.heldSince
 	change(r)
-	f.review(id, r, before)
+	f.checkHeldTime(id, r, previousSince)
 }
 
-// review notes since when something is held with nothing out. The lock is held.
-func (f *simFleet) review(id string, r *record, before time.Time) {
+// checkHeldTime updates heldSince, and adds a violation if a period that ends was too long. The
+// caller holds the lock.
+func (f *simFleet) checkHeldTime(id string, r *requestRecord, previousSince time.Time) {
 	now := time.Now()
-	idle := r.out == 0 && len(r.held) > 0 && f.reachable(r)
+	idle := r.inFlight == 0 && len(r.heldAt) > 0 && f.reachable(r)
 	switch {
 	case !idle:
-		r.since = time.Time{}
-	case r.since.IsZero():
-		r.since = now
+		r.heldSince = time.Time{}
+	case r.heldSince.IsZero():
+		r.heldSince = now
 	}
-	if held := now.Sub(before); !before.IsZero() && r.since != before && held > f.rules.pinLimit+releaseSlack {
-		f.note("%s BROKEN: held for %v", id, held)
-		f.broken = append(f.broken, fmt.Sprintf("%s was held for %v with nothing out, the limit is %v", id, held, f.rules.pinLimit+releaseSlack))
+	if duration := now.Sub(previousSince); !previousSince.IsZero() && r.heldSince != previousSince && duration > f.rules.pinLimit+releaseSlack {
+		f.logStepLocked("%s VIOLATION: held for %v", id, duration)
+		f.violations = append(f.violations, fmt.Sprintf("%s was held for %v with no attempt in flight, the limit is %v", id, duration, f.rules.pinLimit+releaseSlack))
 	}
 }
 
-// reachable tells whether a release can reach an engine that counts. Without a way to one
-// the time stands still where a release must reach the holder itself.
-func (f *simFleet) reachable(r *record) bool {
+// reachable reports whether a release can reach an engine that accepts it. While it can't, the time
+// that a state is held is not counted.
+func (f *simFleet) reachable(r *requestRecord) bool {
 	for name, link := range f.links {
-		if (f.rules.anywhere || r.held[name]) && link.up() {
+		if (f.rules.releaseAnywhere || r.heldAt[name]) && link.up() {
 			return true
 		}
 	}
 	return false
 }
 
-// network applies a fault, or ends it, and reviews what is held.
-func (f *simFleet) network(name, what string, alter func(*simLink)) {
+// changeNetwork applies or ends a network fault, and checks all held state.
+func (f *simFleet) changeNetwork(name, what string, change func(*simLink)) {
 	f.step("network to %s: %s", name, what)
-	alter(f.links[name])
+	change(f.links[name])
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for id, r := range f.records {
-		before := r.since
-		if before.IsZero() || !f.reachable(r) {
-			r.since = time.Time{}
+		previousSince := r.heldSince
+		if previousSince.IsZero() || !f.reachable(r) {
+			r.heldSince = time.Time{}
 		}
-		f.review(id, r, before)
+		f.checkHeldTime(id, r, previousSince)
 	}
 }
 
-// restart ends an engine's process: its connections break, and what it held is gone.
+// restart restarts the process of an engine: its connections break, and its held state is lost.
 func (f *simFleet) restart(name string) {
 	f.step("%s restarts", name)
 	f.links[name].reset()
 	for id := range f.ids() {
-		f.account(id, func(r *record) { delete(r.held, name) })
+		f.updateRecord(id, func(r *requestRecord) { delete(r.heldAt, name) })
 	}
 }
 
@@ -195,31 +198,31 @@
 	return ids
 }
 
-// fail notes that something else was broken.
-func (f *simFleet) fail(format string, args ...any) {
+// addViolation records the violation of another rule.
+func (f *simFleet) addViolation(format string, args ...any) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.broken = append(f.broken, fmt.Sprintf(format, args...))
+	f.violations = append(f.violations, fmt.Sprintf(format, args...))
 }
 
-// verdict returns what was broken, and what is still held or out.
-func (f *simFleet) verdict() []string {
+// allViolations returns the recorded violations, and state and attempts that remain at the end.
+func (f *simFleet) allViolations() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	bad := append([]string(nil), f.broken...)
+	violations := append([]string(nil), f.violations...)
 	for id, r := range f.records {
-		if len(r.held) > 0 {
-			bad = append(bad, fmt.Sprintf("%s is held to the end at %v, %d attempts out", id, r.held, r.out))
+		if len(r.heldAt) > 0 {
+			violations = append(violations, fmt.Sprintf("%s is still held at %v at the end, %d attempts in flight", id, r.heldAt, r.inFlight))
 		}
-		if r.out > 0 {
-			bad = append(bad, fmt.Sprintf("%s has %d attempts out to the end", id, r.out))
+		if r.inFlight > 0 {
+			violations = append(violations, fmt.Sprintf("%s has %d attempts in flight at the end", id, r.inFlight))
 		}
 	}
-	return bad
+	return violations
 }
 
-// chance draws a number below n.
-func (f *simFleet) chance(n int) int {
+// randomN returns a random number below n.
+func (f *simFleet) randomN(n int) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.random.IntN(n)
--- a/internal/upstream/simnet_test.go
+++ b/internal/upstream/simnet_test.go
@@ -13,41 +13,41 @@
 	"time"
 )
 
-// simLink is the way between the gateway and one engine, in memory and, under synctest, in
-// virtual time. All its connections share its faults.
+// simLink is the network between the gateway and one engine, in memory and, under synctest, in
+// virtual time. Faults apply to all its connections.
 type simLink struct {
-	mu      sync.Mutex
-	changed chan struct{} // closed and replaced whenever something happens
-	delay   time.Duration // one way
-	cut     bool          // nothing passes, and new connections do not come up
-	healed  time.Time     // when the latest cut ended
-	refused bool          // new connections are refused
-	late    time.Duration // a new connection comes up after this
-	accept  func(net.Conn)
-	conns   map[*simConn]bool // the gateway's ends
-	opened  int               // connections so far
-	heldUp  func()            // waits while the gateway's process is held up
+	mu           sync.Mutex
+	changed      chan struct{} // closed and replaced on every change
+	delay        time.Duration // one way
+	cut          bool          // no data passes, and connects do not complete
+	healedAt     time.Time     // when the latest cut ended
+	refused      bool          // new connections are refused
+	connectDelay time.Duration // delay of a connect
+	accept       func(net.Conn)
+	conns        map[*simConn]bool // the gateway's ends of the connections
+	opened       int               // number of connections so far
+	waitStalled  func()            // waits while the gateway's process is stalled
 }
 
-func newSimLink(delay time.Duration, accept func(net.Conn), heldUp func()) *simLink {
-	return &simLink{changed: make(chan struct{}), delay: delay, accept: accept, conns: map[*simConn]bool{}, heldUp: heldUp}
+func newSimLink(delay time.Duration, accept func(net.Conn), waitStalled func()) *simLink {
+	return &simLink{changed: make(chan struct{}), delay: delay, accept: accept, conns: map[*simConn]bool{}, waitStalled: waitStalled}
 }
 
-// change alters the link under its lock and wakes all who wait for something on it.
-func (l *simLink) change(alter func()) {
+// change updates the link under its lock and wakes all goroutines that wait for a change.
+func (l *simLink) change(update func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	alter()
+	update()
 	l.wake()
 }
 
-// wake tells all who wait to look again. The lock is held.
+// wake wakes all goroutines that wait for a change. The caller holds the lock.
 func (l *simLink) wake() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-// reset breaks every connection of the link. What an engine was told before stays told.
+// reset breaks every connection of the link. Data that an engine has read before remains read.
 func (l *simLink) reset() {
 	l.change(func() {
 		for c := range l.conns {
@@ -57,10 +57,10 @@
 	})
 }
 
-// lose loses one open connection, chosen by a number that was drawn: what the gateway sends on it never arrives and, if
-// both, nor does what its engine sends. It reports whether there was one.
-func (l *simLink) lose(drawn int, both bool) bool {
-	lost := false
+// lose loses one open connection, selected by a random number: data from the gateway never arrives
+// on it and, with both, nor does data from its engine. It reports whether there was one.
+func (l *simLink) lose(random int, both bool) bool {
+	found := false
 	l.change(func() {
 		var open []*simConn
 		for c := range l.conns {
@@ -72,13 +72,13 @@
 			return
 		}
 		slices.SortFunc(open, func(a, b *simConn) int { return cmp.Compare(a.number, b.number) })
-		one := open[drawn%len(open)]
-		one.lost, one.peer.lost, lost = true, both, true
+		chosen := open[random%len(open)]
+		chosen.lost, chosen.peer.lost, found = true, both, true
 	})
-	return lost
+	return found
 }
 
-// loseAll loses every open connection both ways, as when a machine vanishes and is back.
+// loseAll loses every open connection in both directions, as when a machine fails and returns.
 func (l *simLink) loseAll() {
 	l.change(func() {
 		for c := range l.conns {
@@ -87,28 +87,28 @@
 	})
 }
 
-// lateMost is how late a new connection may come up for its engine to count as reached: a
-// later one takes most of what the rule leaves for a release.
-const lateMost = releaseSlack / 3
+// maxConnectDelay is the longest connect delay at which an engine counts as reachable: a longer one
+// uses most of releaseSlack.
+const maxConnectDelay = releaseSlack / 3
 
-// up tells whether the gateway reaches the engine.
+// up reports whether the gateway can reach the engine.
 func (l *simLink) up() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return !l.cut && !l.refused && l.late <= lateMost
+	return !l.cut && !l.refused && l.connectDelay <= maxConnectDelay
 }
 
-// cutSince tells whether the way has been cut at any time since t.
+// cutSince reports whether the link was cut at any time since t.
 func (l *simLink) cutSince(t time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.cut || l.healed.After(t)
+	return l.cut || l.healedAt.After(t)
 }
 
-// dial opens a connection as a gateway does.
+// dial opens a connection from the gateway.
 func (l *simLink) dial(ctx context.Context) (net.Conn, error) {
 	l.mu.Lock()
-	ready := time.Now().Add(2*l.delay + l.late)
+	ready := time.Now().Add(2*l.delay + l.connectDelay)
 	for {
 		if l.refused {
 			l.mu.Unlock()
@@ -120,7 +120,7 @@
 		changed := l.changed
 		l.mu.Unlock()
 		wait := time.NewTimer(max(time.Until(ready), 0))
-		if !time.Now().Before(ready) { // it is the cut that is waited for
+		if !time.Now().Before(ready) { // wait for the end of the cut
 			wait.Reset(time.Hour)
 		}
 		select {
@@ -134,7 +134,7 @@
 		l.mu.Lock()
 	}
 	l.opened++
-	near, far := &simConn{link: l, number: l.opened, near: true}, &simConn{link: l}
+	near, far := &simConn{link: l, number: l.opened, gatewayEnd: true}, &simConn{link: l}
 	near.peer, far.peer = far, near
 	l.conns[near] = true
 	l.mu.Unlock()
@@ -142,49 +142,50 @@
 	return near, nil
 }
 
-// segment is what one write, or the end of the sending, brings to the other side.
+// segment is the data of one write, or the end of the stream of data, as the other end receives it.
 type segment struct {
 	at   time.Time
 	data []byte
 	end  bool
 }
 
-// simConn is one end of a connection. The link's lock guards it.
+// simConn is one end of a connection. The lock of the link guards it.
 type simConn struct {
-	link     *simLink
-	number   int  // of the gateway's end, in order of opening
-	near     bool // it is the gateway's end
-	peer     *simConn
-	inbox    []segment
-	broken   bool // reset
-	closed   bool
-	heardEnd bool      // the end of the other side's sending has been read
-	answered bool      // an engine's end: its answer has been written whole
-	lost     bool      // what this end sends never arrives, and its end is not noticed; no error shows
-	sent     time.Time // when the other side wrote what was read last
-	deadline time.Time // for reading; writes never wait
+	link            *simLink
+	number          int  // of the gateway's end, in order of opening
+	gatewayEnd      bool // this is the gateway's end
+	peer            *simConn
+	inbox           []segment
+	broken          bool // reset
+	closed          bool
+	eofRead         bool      // the end of the other side's data has been read
+	responseWritten bool      // at an engine's end: its response has been written completely
+	lost            bool      // data from this end never arrives, nor does its close; no error shows
+	lastSentTime    time.Time // when the other side wrote the data that was read last
+	deadline        time.Time // for reads; writes never block
 }
 
 func (c *simConn) Read(p []byte) (int, error) {
-	checked := c.checksOnly()
+	nonBlocking := c.readsWithoutBlocking()
 	n, err := c.read(p)
-	if !checked {
-		c.waitHeldUp()
+	if !nonBlocking {
+		c.waitStalled()
 	}
 	return n, err
 }
 
-// checksOnly tells whether a read does not wait: the pool's check of an idle connection, under its lock.
-func (c *simConn) checksOnly() bool {
+// readsWithoutBlocking reports whether a read does not block: the pool's check of an idle
+// connection, under the pool's lock.
+func (c *simConn) readsWithoutBlocking() bool {
 	c.link.mu.Lock()
 	defer c.link.mu.Unlock()
 	return !c.deadline.IsZero() && !time.Now().Before(c.deadline)
 }
 
-// waitHeldUp waits while the process that has this end is held up.
-func (c *simConn) waitHeldUp() {
-	if c.near {
-		c.link.heldUp()
+// waitStalled waits while the process at this end is stalled.
+func (c *simConn) waitStalled() {
+	if c.gatewayEnd {
+		c.link.waitStalled()
 	}
 }
 
@@ -202,21 +203,21 @@
 		}
 		until := c.deadline
 		if len(c.inbox) > 0 && !c.link.cut {
-			head := &c.inbox[0]
+			first := &c.inbox[0]
 			switch {
-			case head.at.After(now):
-				if until.IsZero() || head.at.Before(until) {
-					until = head.at
+			case first.at.After(now):
+				if until.IsZero() || first.at.Before(until) {
+					until = first.at
 				}
-			case head.end:
-				c.heardEnd = true
+			case first.end:
+				c.eofRead = true
 				c.link.wake()
 				c.link.mu.Unlock()
 				return 0, io.EOF
 			default:
-				n := copy(p, head.data)
-				c.sent = head.at.Add(-c.link.delay)
-				if head.data = head.data[n:]; len(head.data) == 0 {
+				n := copy(p, first.data)
+				c.lastSentTime = first.at.Add(-c.link.delay)
+				if first.data = first.data[n:]; len(first.data) == 0 {
 					c.inbox = c.inbox[1:]
 				}
 				c.link.mu.Unlock()
@@ -242,15 +243,15 @@
 	}
 }
 
-// lastSent is when the other side wrote what was read last.
-func (c *simConn) lastSent() time.Time {
+// lastSentAt returns when the other side wrote the data that was read last.
+func (c *simConn) lastSentAt() time.Time {
 	c.link.mu.Lock()
 	defer c.link.mu.Unlock()
-	return c.sent
+	return c.lastSentTime
 }
 
 func (c *simConn) Write(p []byte) (int, error) {
-	c.waitHeldUp()
+	c.waitStalled()
 	c.link.mu.Lock()
 	defer c.link.mu.Unlock()
 	switch {
@@ -273,7 +274,7 @@
 		return net.ErrClosed
 	}
 	c.closed = true
-	if !c.lost { // a lost one is kept, for the other end to learn of it when all links are reset
+	if !c.lost { // a lost connection stays in the link, so that the other end sees the reset of all links
 		c.peer.inbox = append(c.peer.inbox, segment{at: time.Now().Add(c.link.delay), end: true})
 		delete(c.link.conns, c)
 	}
@@ -303,43 +304,44 @@
 func (simAddr) Network() string  { return "sim" }
 func (a simAddr) String() string { return string(a) }
 
-var errUnknownAddress = errors.New("no such engine")
+var errUnknownAddress = errors.New("unknown engine address")
 
-// abort resets the connection, as a process does that ends.
+// abort resets the connection, as a process does that exits.
 func (c *simConn) abort() {
 	c.link.change(func() {
-		if c.lost { // the gateway does not learn of it
+		if c.lost { // the gateway does not notice
 			return
 		}
-		if !c.peer.closed && !c.drained() {
+		if !c.peer.closed && !c.unreadResponse() {
 			c.broken, c.peer.broken = true, true
 		}
 		delete(c.link.conns, c.peer)
 	})
 }
 
-// drained tells whether the gateway has an answer that it has yet to read; a reset would
-// lose it. The lock is held.
-func (c *simConn) drained() bool { return len(c.peer.inbox) > 0 }
+// unreadResponse reports whether the gateway has data to read, which a reset would discard. The
+// caller holds the lock.
+func (c *simConn) unreadResponse() bool { return len(c.peer.inbox) > 0 }
 
-// told tells whether an engine has been told that its client has ended. The lock is held.
-func (c *simConn) told() bool { return c.heardEnd || c.closed }
+// closeNoticed reports whether an engine has noticed that its client has closed the connection. The
+// caller holds the lock.
+func (c *simConn) closeNoticed() bool { return c.eofRead || c.closed }
 
-// until waits for something of the connection.
-func (c *simConn) until(is func() bool) {
+// waitFor waits for a condition of the connection.
+func (c *simConn) waitFor(condition func() bool) {
 	for {
 		c.link.mu.Lock()
-		now, changed := is(), c.link.changed
+		met, changed := condition(), c.link.changed
 		c.link.mu.Unlock()
-		if now {
+		if met {
 			return
 		}
 		<-changed
 	}
 }
 
-// unheard tells whether an engine hears nothing of its client any more.
-func (c *simConn) unheard() bool {
+// peerLost reports whether data from the gateway no longer arrives at the engine.
+func (c *simConn) peerLost() bool {
 	c.link.mu.Lock()
 	defer c.link.mu.Unlock()
 	return c.peer.lost
--- a/internal/upstream/simstage_test.go
+++ b/internal/upstream/simstage_test.go
@@ -2,66 +2,66 @@
 
 import "time"
 
-// stage is a point in the course of a request at which a scenario may have something happen.
+// stage is a point in the course of a request at which a scenario may trigger an event.
 type stage string
 
 const (
-	stageDialing  stage = "a connection is opened"
-	stageReading  stage = "a prefill engine has the request"
-	stageHeld     stage = "its state is held"
-	stageRead     stage = "its read has been answered"
-	stageWaiting  stage = "a decode engine has the request"
-	stageStream   stage = "its answer has begun"
-	stageReleased stage = "a release has arrived"
+	stageDialing   stage = "a connection is opened"
+	stagePrefill   stage = "a prefill engine has the request"
+	stageHeld      stage = "its state is held"
+	stagePrefilled stage = "its prefill has been answered"
+	stageDecode    stage = "a decode engine has the request"
+	stageStream    stage = "its answer has begun"
+	stageReleased  stage = "a release has arrived"
 )
 
-var stages = []stage{stageDialing, stageReading, stageHeld, stageRead, stageWaiting, stageStream, stageReleased}
+var stages = []stage{stageDialing, stagePrefill, stageHeld, stagePrefilled, stageDecode, stageStream, stageReleased}
 
-// trigger runs a function, once, when a request reaches a stage.
+// trigger runs a function once when a request reaches a stage.
 type trigger struct {
 	id    string // of the request; "" for any
 	stage stage
-	skip  int // so many times it is passed over
+	skip  int // number of matches to skip first
 	run   func()
 }
 
-// on adds a trigger.
-func (f *simFleet) on(t trigger) {
+// addTrigger adds a trigger.
+func (f *simFleet) addTrigger(t trigger) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.triggers = append(f.triggers, &t)
 }
 
-// reached runs the triggers of a stage. The lock is held.
-func (f *simFleet) reached(id string, at stage) {
-	rest := f.triggers[:0]
+// runTriggers runs the triggers of a stage. The caller holds the lock.
+func (f *simFleet) runTriggers(id string, at stage) {
+	remaining := f.triggers[:0]
 	for _, t := range f.triggers {
-		met := t.stage == at && (t.id == "" || t.id == id || id == "")
+		matches := t.stage == at && (t.id == "" || t.id == id || id == "")
 		switch {
-		case met && t.skip > 0:
+		case matches && t.skip > 0:
 			t.skip--
-			rest = append(rest, t)
-		case met:
-			f.note("%s: %s", id, at)
+			remaining = append(remaining, t)
+		case matches:
+			f.logStepLocked("%s: %s", id, at)
 			go t.run()
 		default:
-			rest = append(rest, t)
+			remaining = append(remaining, t)
 		}
 	}
-	f.triggers = rest
+	f.triggers = remaining
 }
 
-// processEnds records that the gateway's process has ended. What was held out of its reach,
-// and what a read leaves that ends afterwards, nobody can release.
-func (f *simFleet) processEnds(killed bool) {
+// processExited records that the gateway's process has exited, and excludes the state that it can't
+// release: state at engines that it could not reach, and all state if it was killed.
+func (f *simFleet) processExited(killed bool) {
 	f.mu.Lock()
-	f.note("the gateway's process has ended, killed: %v", killed)
-	f.ended, f.killed = time.Now(), killed
+	f.logStepLocked("the gateway's process has exited, killed: %v", killed)
+	f.exitedAt, f.killed = time.Now(), killed
 	for _, r := range f.records {
-		if len(r.held) > 0 && (killed || !f.reachable(r)) {
-			f.note("out of reach to the end: %v", r.held)
-			clear(r.held)
-			r.since = time.Time{}
+		if len(r.heldAt) > 0 && (killed || !f.reachable(r)) {
+			f.logStepLocked("unreachable at the exit: %v", r.heldAt)
+			clear(r.heldAt)
+			r.heldSince = time.Time{}
 		}
 	}
 	f.mu.Unlock()
@@ -70,11 +70,12 @@
 	}
 }
 
-// readAfterEnd records a read that ends once the gateway's process has. It is a fault where
-// the process had time left to wait for it. The lock is held.
-func (f *simFleet) readAfterEnd(id, engine string) {
-	f.note("%s is read at %s once the gateway has ended", id, engine)
+// prefillAfterExit records a prefill that ends after the gateway's process exited. This violates
+// the rules unless the process was killed, as it had to wait for the prefill. The caller holds the
+// lock.
+func (f *simFleet) prefillAfterExit(id, engine string) {
+	f.logStepLocked("%s is prefilled at %s after the exit of the gateway", id, engine)
 	if !f.killed {
-		f.broken = append(f.broken, id+" was read at "+engine+" once the gateway had ended of itself")
+		f.violations = append(f.violations, id+" was prefilled at "+engine+" after the gateway exited without being killed")
 	}
 }
--- a/internal/upstream/simturn_test.go
+++ b/internal/upstream/simturn_test.go
@@ -9,244 +9,250 @@
 	"wellgw/routing"
 )
 
-// turn is one attempt at an engine.
-type turn struct {
-	engine  *simEngine
-	conn    *simConn
-	id      string
-	learned <-chan struct{} // closed once the engine knows that its client has ended
-	waits   bool            // for the state; guarded by the fleet's lock
-	told    time.Duration   // how long the gateway said that it waits
-	sent    time.Time       // when the request was written
+// simAttempt is one attempt at an engine.
+type simAttempt struct {
+	engine        *simEngine
+	conn          *simConn
+	id            string
+	clientClosed  <-chan struct{} // closed once the engine has noticed that its client closed the connection
+	waitsForState bool            // it waits for the state; guarded by the fleet's lock
+	timeout       time.Duration   // the timeout that the gateway sent
+	writtenAt     time.Time       // when the request was written
 }
 
-// The protocol page's slack for what an attempt may meet.
+// The slack that the protocol page allows.
 const (
-	toldSlack = 150 * time.Millisecond // over what the client has left
-	leftSlack = 100 * time.Millisecond // from the client's close to an attempt that begins
-	cutSlack  = 200 * time.Millisecond // from the client's close to the end of its stream at the engine
+	// Of the sent timeout over the time for which the client still waits.
+	timeoutSlack    = 150 * time.Millisecond
+	disconnectSlack = 100 * time.Millisecond // from the client's close to the start of an attempt
+	cancelSlack     = 200 * time.Millisecond // from the client's close to the end of its stream at the engine
 )
 
-// judge checks an attempt that begins: the time it was told, and that its client still waits.
-// What was written before the client left and held up by a cut could not be called back. The
-// lock is held.
-func (f *simFleet) judge(t *turn, r *record) {
-	if left := r.due.Sub(t.sent); t.told > max(left, 0)+toldSlack {
-		f.broken = append(f.broken, fmt.Sprintf("%s at %s was told %v, its client had %v left", t.id, t.engine.name, t.told, left))
+// checkStart checks the timeout of an attempt that starts, and that its client still waits. An
+// attempt that a cut delayed counts from the time when it was written, as it could not be
+// withdrawn. The caller holds the lock.
+func (f *simFleet) checkStart(t *simAttempt, r *requestRecord) {
+	if remaining := r.deadline.Sub(t.writtenAt); t.timeout > max(remaining, 0)+timeoutSlack {
+		f.violations = append(f.violations, fmt.Sprintf("%s at %s received a timeout of %v, its client waits %v longer", t.id, t.engine.name, t.timeout, remaining))
 	}
-	slack := leftSlack
-	if f.heldUpSince(r.left) { // between the look at the client and the write, which nothing can call back
-		slack += mostHeldUp
+	slack := disconnectSlack
+	if f.stalledSince(r.clientGoneAt) {
+		// The stall may fall between the check of the client and the write; a written request can't be withdrawn.
+		slack += maxStall
 	}
-	if late := t.sent.Sub(r.left); !r.left.IsZero() && late > slack {
-		f.broken = append(f.broken, fmt.Sprintf("%s at %s was written %v after its client had left", t.id, t.engine.name, late))
+	if delay := t.writtenAt.Sub(r.clientGoneAt); !r.clientGoneAt.IsZero() && delay > slack {
+		f.violations = append(f.violations, fmt.Sprintf("%s at %s was written %v after its client had disconnected", t.id, t.engine.name, delay))
 	}
 }
 
-// judgeEnd checks that a stream whose client has left is given up at its engine, unless a cut
-// kept the engine from learning of it. The lock is held.
-func (f *simFleet) judgeEnd(t *turn, r *record) {
-	if r.streamLeft.IsZero() || t.conn.link.cutSince(r.streamLeft) || t.conn.unheard() {
+// checkEnd checks that a stream whose client has disconnected ends at its engine in time, unless a
+// cut or a lost connection kept the engine from noticing the close. The caller holds the lock.
+func (f *simFleet) checkEnd(t *simAttempt, r *requestRecord) {
+	if r.streamAbortedAt.IsZero() || t.conn.link.cutSince(r.streamAbortedAt) || t.conn.peerLost() {
 		return
 	}
-	if late := time.Since(r.streamLeft); late > cutSlack {
-		f.broken = append(f.broken, fmt.Sprintf("%s went on at %s for %v after its client had left", t.id, t.engine.name, late))
+	if delay := time.Since(r.streamAbortedAt); delay > cancelSlack {
+		f.violations = append(f.violations, fmt.Sprintf("%s continued at %s for %v after its client had disconnected", t.id, t.engine.name, delay))
 	}
 }
 
-// play carries an attempt out as chance has it; false if the connection breaks with it.
-func (t *turn) play() bool {
+// run handles an attempt with random outcomes. It returns false if the connection breaks.
+func (t *simAttempt) run() bool {
 	f := t.engine.fleet
-	t.conn.link.change(func() { t.conn.answered = false })
-	fetches := t.engine.role != routing.RolePrefill // a mixed one without a state does the whole itself
-	f.account(t.id, func(r *record) {
-		r.out++
-		f.note("%s attempt at %s", t.id, t.engine.name)
-		f.judge(t, r)
-		if fetches {
-			f.reached(t.id, stageWaiting)
+	t.conn.link.change(func() { t.conn.responseWritten = false })
+	decodes := t.engine.role != routing.RolePrefill // a mixed engine without a state prefills and decodes
+	f.updateRecord(t.id, func(r *requestRecord) {
+		r.inFlight++
+		f.logStepLocked("%s attempt at %s", t.id, t.engine.name)
+		f.checkStart(t, r)
+		if decodes {
+			f.runTriggers(t.id, stageDecode)
 		} else {
-			f.reached(t.id, stageReading)
+			f.runTriggers(t.id, stagePrefill)
 		}
 	})
-	over := make(chan struct{})
-	go t.watch(over)
-	good := false
-	if fetches {
-		good = t.write()
+	ended := make(chan struct{})
+	go t.awaitEnd(ended)
+	ok := false
+	if decodes {
+		ok = t.decode()
 	} else {
-		good = t.read()
+		ok = t.prefill()
 	}
-	if !good {
+	if !ok {
 		t.conn.abort()
 	}
-	t.conn.link.change(func() { t.conn.answered = true })
-	<-over
-	return good
+	t.conn.link.change(func() { t.conn.responseWritten = true })
+	<-ended
+	return ok
 }
 
-// watch follows the attempt to its end: its answer was read by the gateway, its connection
-// is closed or broken or, where that is what counts, its engine has learned of it. An answer that is
-// lost with its connection ends no attempt.
-func (t *turn) watch(over chan<- struct{}) {
+// awaitEnd waits for the end of the attempt: the gateway has read its response, the connection is
+// closed or broken or, with endsWhenNoticed, the engine has noticed the close. A response that is
+// lost with its connection does not end the attempt.
+func (t *simAttempt) awaitEnd(ended chan<- struct{}) {
 	f, c := t.engine.fleet, t.conn
-	defer close(over)
-	c.until(func() bool {
+	defer close(ended)
+	c.waitFor(func() bool {
 		if c.lost {
 			return c.broken || c.peer.closed
 		}
-		read := c.answered && len(c.peer.inbox) == 0
-		if f.rules.learnsLate {
-			return read || c.broken || c.told() || c.peer.lost && c.peer.closed // of which it never learns
+		responseRead := c.responseWritten && len(c.peer.inbox) == 0
+		if f.rules.endsWhenNoticed {
+			// With c.peer.lost, the engine never notices the close.
+			return responseRead || c.broken || c.closeNoticed() || c.peer.lost && c.peer.closed
 		}
-		return read || c.broken || c.peer.closed
+		return responseRead || c.broken || c.peer.closed
 	})
-	f.account(t.id, func(r *record) {
-		r.out--
+	f.updateRecord(t.id, func(r *requestRecord) {
+		r.inFlight--
 		t.stopWaiting(r)
-		f.judgeEnd(t, r)
-		f.note("%s attempt at %s is over", t.id, t.engine.name)
+		f.checkEnd(t, r)
+		f.logStepLocked("%s attempt at %s has ended", t.id, t.engine.name)
 	})
 }
 
-// spend lets time pass; false if the engine learns meanwhile that nobody waits and stops.
-func (t *turn) spend(d time.Duration, stops bool) bool {
+// sleep waits for a duration. With stops, it returns false if the engine notices a close by the
+// client before.
+func (t *simAttempt) sleep(d time.Duration, stops bool) bool {
 	wait := time.NewTimer(d)
 	defer wait.Stop()
-	learned := t.learned
+	clientClosed := t.clientClosed
 	if !stops {
-		learned = nil
+		clientClosed = nil
 	}
 	select {
 	case <-wait.C:
 		return true
-	case <-learned:
+	case <-clientClosed:
 		return false
 	}
 }
 
-func (t *turn) say(text string) bool {
+func (t *simAttempt) send(text string) bool {
 	_, err := io.WriteString(t.conn, text)
 	return err == nil
 }
 
-func (t *turn) read() bool {
+func (t *simAttempt) prefill() bool {
 	f, e := t.engine.fleet, t.engine
-	kind := f.chance(20)
-	took := time.Duration(1+f.chance(60)) * f.rules.readersLast / 60
+	kind := f.randomN(20)
+	duration := time.Duration(1+f.randomN(60)) * f.rules.maxPrefillTime / 60
 	switch kind {
 	case 0:
-		return t.say(enginetest.Status(500, "", ""))
+		return t.send(enginetest.Status(500, "", ""))
 	case 1:
-		return t.say(enginetest.Status(503, "X-Not-Run: 1\r\n", ""))
-	case 2: // hangs before the read's end
-		<-t.learned
+		return t.send(enginetest.Status(503, "X-Not-Run: 1\r\n", ""))
+	case 2: // no response before the end of the prefill
+		<-t.clientClosed
 		return false
-	case 3: // breaks before the read's end
-		return !t.spend(took/2, true) && false
+	case 3: // breaks before the end of the prefill
+		return !t.sleep(duration/2, true) && false
 	}
-	if !t.spend(took, f.rules.stopsWork) {
+	if !t.sleep(duration, f.rules.cancelStopsWork) {
 		return false
 	}
-	f.account(t.id, func(r *record) {
-		if !f.ended.IsZero() {
-			f.readAfterEnd(t.id, e.name)
+	f.updateRecord(t.id, func(r *requestRecord) {
+		if !f.exitedAt.IsZero() {
+			f.prefillAfterExit(t.id, e.name)
 			return
 		}
-		r.held[e.name] = true
-		f.note("%s is read and held at %s", t.id, e.name)
-		f.reached(t.id, stageHeld)
+		r.heldAt[e.name] = true
+		f.logStepLocked("%s is prefilled and held at %s", t.id, e.name)
+		f.runTriggers(t.id, stageHeld)
 	})
 	switch kind {
-	case 4: // its answer never comes
-		<-t.learned
+	case 4: // its response never arrives
+		<-t.clientClosed
 		return false
-	case 5: // its connection breaks just then
+	case 5: // its connection breaks at this moment
 		return false
 	}
-	if !t.say(enginetest.Status(202, "", `{"cached_tokens":0}`)) {
+	if !t.send(enginetest.Status(202, "", `{"cached_tokens":0}`)) {
 		return false
 	}
-	f.account(t.id, func(*record) { f.reached(t.id, stageRead) })
+	f.updateRecord(t.id, func(*requestRecord) { f.runTriggers(t.id, stagePrefilled) })
 	return true
 }
 
-func (t *turn) write() bool {
+func (t *simAttempt) decode() bool {
 	f, e := t.engine.fleet, t.engine
-	has := false
-	f.account(t.id, func(r *record) {
-		if has = len(r.held) > 0; has {
-			t.waits = true
-			r.waits++
+	stateHeld := false
+	f.updateRecord(t.id, func(r *requestRecord) {
+		if stateHeld = len(r.heldAt) > 0; stateHeld {
+			t.waitsForState = true
+			r.waiting++
 		}
 	})
-	if !has && !f.rules.ownRead && e.role != routing.RoleMixed {
-		return t.say(enginetest.Status(410, "X-Not-Run: 1\r\n", ""))
+	if !stateHeld && !f.rules.decodePrefills && e.role != routing.RoleMixed {
+		return t.send(enginetest.Status(410, "X-Not-Run: 1\r\n", ""))
 	}
-	kind := f.chance(16)
-	fetched := t.wait(kind, time.Duration(1+f.chance(80))*time.Millisecond)
-	f.account(t.id, func(r *record) {
+	kind := f.randomN(16)
+	fetched := t.waitForState(kind, time.Duration(1+f.randomN(80))*time.Millisecond)
+	f.updateRecord(t.id, func(r *requestRecord) {
 		t.stopWaiting(r)
 		if fetched {
-			clear(r.held)
-			f.note("%s state taken by %s", t.id, e.name)
+			clear(r.heldAt)
+			f.logStepLocked("%s state fetched by %s", t.id, e.name)
 		}
 	})
 	if !fetched {
-		return t.refuse(kind)
+		return t.fail(kind)
 	}
-	lasts := streamShort
-	if f.chance(4) == 0 {
-		lasts = time.Duration(f.chance(streamLongMost)) * time.Millisecond
+	duration := shortStream
+	if f.randomN(4) == 0 {
+		duration = time.Duration(f.randomN(maxStreamMS)) * time.Millisecond
 	}
-	return t.stream(lasts, f.chance(12) == 0)
+	return t.stream(duration, f.randomN(12) == 0)
 }
 
-// wait is an attempt's time in a writer's queue; true if the state is then fetched.
-func (t *turn) wait(kind int, took time.Duration) bool {
+// waitForState simulates the time of an attempt in the queue of a decode engine. It returns true if
+// the state is then fetched.
+func (t *simAttempt) waitForState(kind int, duration time.Duration) bool {
 	switch kind {
-	case 0, 1: // hangs, or its machine is silent
-		<-t.learned
+	case 0, 1: // the engine hangs, or its machine is unresponsive
+		<-t.clientClosed
 		return false
 	case 2, 3, 4:
-		t.spend(took, true)
+		t.sleep(duration, true)
 		return false
 	}
-	return t.spend(took, true)
+	return t.sleep(duration, true)
 }
 
 // stopWaiting ends the attempt's wait for the state.
-func (t *turn) stopWaiting(r *record) {
-	if t.waits {
-		t.waits = false
-		r.waits--
+func (t *simAttempt) stopWaiting(r *requestRecord) {
+	if t.waitsForState {
+		t.waitsForState = false
+		r.waiting--
 	}
 }
 
-func (t *turn) refuse(kind int) bool {
+func (t *simAttempt) fail(kind int) bool {
 	switch kind {
 	case 2:
-		return t.say(enginetest.Status(500, "", ""))
+		return t.send(enginetest.Status(500, "", ""))
 	case 3:
-		return t.say(enginetest.Status(503, "X-Not-Run: 1\r\n", ""))
+		return t.send(enginetest.Status(503, "X-Not-Run: 1\r\n", ""))
 	}
 	return false
 }
 
-// How long an answer streams: as a rule, and in milliseconds at most.
+// Duration of most streams, and maximum duration of the others in milliseconds.
 const (
-	streamShort    = 20 * time.Millisecond
-	streamLongMost = 2000
+	shortStream = 20 * time.Millisecond
+	maxStreamMS = 2000
 )
 
-// stream answers in events over a time; breaks tells whether the connection does after the first.
-func (t *turn) stream(lasts time.Duration, breaks bool) bool {
-	if !t.say(enginetest.StreamHead + enginetest.Chunk("data: x\n\n")) {
+// stream sends events over a duration. With breakEarly, the connection breaks before the last
+// event.
+func (t *simAttempt) stream(duration time.Duration, breakEarly bool) bool {
+	if !t.send(enginetest.StreamHead + enginetest.Chunk("data: x\n\n")) {
 		return false
 	}
-	t.engine.fleet.account(t.id, func(*record) { t.engine.fleet.reached(t.id, stageStream) })
-	if !t.spend(lasts, true) || breaks {
+	t.engine.fleet.updateRecord(t.id, func(*requestRecord) { t.engine.fleet.runTriggers(t.id, stageStream) })
+	if !t.sleep(duration, true) || breakEarly {
 		return false
 	}
-	return t.say(enginetest.Chunk("data: [DONE]\n\n") + "0\r\n\r\n")
+	return t.send(enginetest.Chunk("data: [DONE]\n\n") + "0\r\n\r\n")
 }
--- a/internal/upstream/unzip.go
+++ b/internal/upstream/unzip.go
@@ -5,26 +5,27 @@
 	"io"
 )
 
-// unzipped is a body that an engine has compressed (RFC 9110, 8.4.1.3). Its head is read
-// with its first byte, as the body may begin long after the answer's head.
-type unzipped struct {
-	from io.Reader
-	zip  *gzip.Reader
+// gzipBody is a response body that an engine has compressed (RFC 9110, 8.4.1.3). The gzip header is
+// read with the first byte of the body, as the body may begin long after the response head.
+type gzipBody struct {
+	source io.Reader
+	reader *gzip.Reader
 }
 
-func (u *unzipped) Read(p []byte) (int, error) {
-	if u.zip == nil {
-		z, err := gzip.NewReader(u.from)
+func (b *gzipBody) Read(p []byte) (int, error) {
+	if b.reader == nil {
+		r, err := gzip.NewReader(b.source)
 		if err != nil {
 			return 0, err
 		}
-		u.zip = z
+		b.reader = r
 	}
-	n, err := u.zip.Read(p)
+	n, err := b.reader.Read(p)
 	if err == io.EOF {
-		// The framing has to end as well, lest the next answer begin with its end.
-		var one [1]byte
-		if more, ferr := u.from.Read(one[:]); more > 0 || ferr != io.EOF {
+		// The framing must end here as well: bytes after the gzip data would be read as part of the
+		// next response.
+		var next [1]byte
+		if extra, sourceErr := b.source.Read(next[:]); extra > 0 || sourceErr != io.EOF {
 			return n, errNotEventStream
 		}
 	}
--- a/internal/upstream/usage.go
+++ b/internal/upstream/usage.go
@@ -6,7 +6,7 @@
 	jsoniter "github.com/json-iterator/go"
 )
 
-// usage is what a stream's last events say of the work.
+// usage holds the token counts of an event of a stream.
 type usage struct {
 	Prompt     int `json:"prompt_tokens"`
 	Completion int `json:"completion_tokens"`
@@ -15,27 +15,27 @@
 	} `json:"prompt_tokens_details"`
 }
 
-var usageName = []byte(`"usage"`)
+var usageKey = []byte(`"usage"`)
 
-// Usage returns how many prompt tokens a stream says were found kept, and how many
-// tokens it says its answer has, going by the last usage in it; 0 if it says nothing.
-func Usage(events []byte) (kept, output int) {
+// Usage returns the number of prompt tokens found in the prefix cache and the number of output
+// tokens, from the last event with usage figures in a part of a stream; 0 if there is none.
+func Usage(events []byte) (cached, output int) {
 	for {
-		at := bytes.LastIndex(events, usageName)
-		if at < 0 {
+		nameAt := bytes.LastIndex(events, usageKey)
+		if nameAt < 0 {
 			return 0, 0
 		}
-		begin := bytes.LastIndexByte(events[:at], '\n') + 1
-		line := events[begin:]
+		start := bytes.LastIndexByte(events[:nameAt], '\n') + 1
+		line := events[start:]
 		if end := bytes.IndexByte(line, '\n'); end >= 0 {
 			line = line[:end]
 		}
 		var event struct {
 			Usage *usage `json:"usage"`
 		}
-		if data, is := bytes.CutPrefix(line, []byte("data:")); is && jsoniter.Unmarshal(data, &event) == nil && event.Usage != nil {
+		if data, ok := bytes.CutPrefix(line, []byte("data:")); ok && jsoniter.Unmarshal(data, &event) == nil && event.Usage != nil {
 			return max(0, event.Usage.Details.Cached), max(0, event.Usage.Completion)
 		}
-		events = events[:begin]
+		events = events[:start]
 	}
 }
