--- a/internal/upstream/held_test.go
+++ b/internal/upstream/held_test.go
@@ -215,9 +215,9 @@
 		defer stop()
 		time.Sleep(abandonDelay)
 		s.draining.Store(true)
-		s.core.Abandon(abandonNow)
+		s.core.NotifyShutdown(abandonNow)
 		last := time.AfterFunc((killDelay-abandonDelay)/2, func() {
-			s.core.Abandon(true)
+			s.core.NotifyShutdown(true)
 			s.abortStreams()
 		})
 		defer last.Stop()
--- a/internal/upstream/release.go
+++ b/internal/upstream/release.go
@@ -45,7 +45,7 @@
 	go func() {
 		defer cancel()
 		if !supported {
-			done(core.ErrNoRelease)
+			done(core.ErrReleaseUnsupported)
 			return
 		}
 		task := &release{client: client, Release: r, call: call, ctx: ctx, delivered: make(chan struct{})}
@@ -182,12 +182,12 @@
 // been cancelled since.
 func (r *release) notifyAlternates() {
 	answered, inFlight := make(chan int, len(r.Alternates)), make([]atomic.Bool, len(r.Alternates))
-	delay := r.AlternatesAfter
+	delay := r.AlternateDelay
 	for n := 0; len(r.Alternates) > 0 && r.sleep(delay); n++ {
 		delay = alternateInterval
 		select {
 		case n = <-answered: // the reachable alternate is notified again
-			if !r.sleep(r.AlternatesInterval) {
+			if !r.sleep(r.AlternateInterval) {
 				return
 			}
 		default:
--- a/internal/upstream/release_test.go
+++ b/internal/upstream/release_test.go
@@ -32,7 +32,7 @@
 }
 
 // A release is retried until its engine has responded. Alternates are not notified if that happens
-// before AlternatesAfter.
+// before AlternateDelay.
 func TestReleaseRetriesUntilAnswered(t *testing.T) {
 	server := enginetest.NewEngine(t, func(c enginetest.Call) string {
 		if c.Number < 3 {
@@ -42,7 +42,7 @@
 	})
 	alternate := enginetest.NewEngine(t, func(enginetest.Call) string { return releasedResponse })
 	ended, _ := startRelease(t, core.Release{
-		Endpoint: core.Endpoint{Addr: server.Addr}, Alternates: []core.Endpoint{{Addr: alternate.Addr}}, AlternatesAfter: time.Minute,
+		Endpoint: core.Endpoint{Addr: server.Addr}, Alternates: []core.Endpoint{{Addr: alternate.Addr}}, AlternateDelay: time.Minute,
 	})
 	if err := <-ended; err != nil {
 		t.Error(err)
@@ -63,7 +63,7 @@
 	second := enginetest.NewEngine(t, func(enginetest.Call) string { return releasedResponse })
 	ended, stop := startRelease(t, core.Release{
 		Endpoint: core.Endpoint{Addr: unusedAddress(t)}, Alternates: []core.Endpoint{{Addr: first.Addr}, {Addr: second.Addr}},
-		AlternatesAfter: time.Millisecond, AlternatesInterval: time.Millisecond,
+		AlternateDelay: time.Millisecond, AlternateInterval: time.Millisecond,
 	})
 	enginetest.Eventually(t, "both alternates are notified, and one of them again", func() bool {
 		return len(first.Calls("DELETE")) > 0 && len(second.Calls("DELETE")) > 1
