--- a/internal/upstream/engine.go
+++ b/internal/upstream/engine.go
@@ -59,7 +59,7 @@
 	// attempt that is never cancelled ends.
 	attemptGracePeriod = 20 * time.Second
 	probeTimeout       = time.Second
-	// The read deadline may be early by the silence timeout divided by this.
+	// The read deadline may be early by up to the silence timeout divided by this number.
 	readDeadlineResolution = 64
 )
 
--- a/internal/upstream/held_test.go
+++ b/internal/upstream/held_test.go
@@ -43,10 +43,10 @@
 	clients       sync.WaitGroup
 	stopProcess   context.CancelFunc // stops the process: the core and the pool
 	clientsResume bool               // clients request the remainder of a broken stream
-	draining      atomic.Bool        // the process accepts no more requests, as it shuts down
+	draining      atomic.Bool        // the process rejects new requests, as it shuts down
 	streams       context.Context    // ends when the process aborts open streams
-	abortStreams  context.CancelFunc // ends streams
-	exited        chan struct{}      // closed once the process has exited
+	abortStreams  context.CancelFunc // aborts open streams
+	exited        chan struct{}      // closed once the process has exited, if planShutdown has scheduled that
 }
 
 func pickOne[T any](r *rand.Rand, values ...T) T { return values[r.IntN(len(values))] }
@@ -59,32 +59,32 @@
 // randomSettings returns random settings.
 func randomSettings(r *rand.Rand) routing.Settings {
 	effects := []routing.Effect{routing.EffectIdempotent, routing.EffectDeduplicated, routing.EffectAtMostOnce}
-	set := routing.Settings{
+	settings := routing.Settings{
 		Zones: []string{"a", "b"}[:1+r.IntN(2)], Gateways: 1 + r.IntN(4), MaxAttempts: 1 + r.IntN(5),
 		CanCancel: r.IntN(4) > 0, CanRetryAfter: true, MaxRetryAfter: time.Second, DecodePrefills: r.IntN(3) == 0,
 		SlowStartPeriod: time.Second, SlowStartCapacity: 0.3, OverloadWindow: time.Second, OverloadMultiple: 3,
 		HeldStateLimit: randomDuration(r, 100*time.Millisecond, 2*time.Second), TickInterval: pickOne(r, time.Millisecond, 4*time.Millisecond, 20*time.Millisecond),
 	}
-	set.Zone = set.Zones[0]
+	settings.Zone = settings.Zones[0]
 	for _, role := range []routing.Role{routing.RolePrefill, routing.RoleDecode, routing.RoleMixed} {
-		set.Kinds = append(set.Kinds, routing.EngineKind{Name: kindNames[role], Role: role, Memory: 2e5})
+		settings.Kinds = append(settings.Kinds, routing.EngineKind{Name: kindNames[role], Role: role, Memory: 2e5})
 	}
 	for i := range 3 {
-		set.Classes = append(set.Classes, routing.Class{
+		settings.Classes = append(settings.Classes, routing.Class{
 			Name: fmt.Sprint("c", i), FirstTokenObjective: randomDuration(r, 500*time.Millisecond, 3*time.Second), PriorityWeight: 1,
 			Effect: effects[i], DedupScope: pickOne(r, routing.DedupAllEngines, routing.DedupZone, routing.DedupCell), DedupWindow: randomDuration(r, time.Second, 5*time.Second),
 		})
 	}
-	return set
+	return settings
 }
 
 // newScenario creates a random deployment and starts the core and the pool of a gateway.
 func newScenario(t *testing.T, seed uint64) *scenario {
 	r := rand.New(rand.NewPCG(seed, 0))
-	set := randomSettings(r)
-	s := &scenario{random: r, settings: set, fleet: newSimFleet(simRules{
-		pinLimit: set.HeldStateLimit, releaseAnywhere: r.IntN(2) == 0, cancelStopsWork: r.IntN(2) == 0, endsWhenNoticed: r.IntN(2) == 0,
-		decodePrefills: set.DecodePrefills, maxPrefillTime: randomDuration(r, 20*time.Millisecond, 600*time.Millisecond),
+	settings := randomSettings(r)
+	s := &scenario{random: r, settings: settings, fleet: newSimFleet(simRules{
+		pinLimit: settings.HeldStateLimit, releaseAnywhere: r.IntN(2) == 0, cancelStopsWork: r.IntN(2) == 0, endsWhenNoticed: r.IntN(2) == 0,
+		decodePrefills: settings.DecodePrefills, maxPrefillTime: randomDuration(r, 20*time.Millisecond, 600*time.Millisecond),
 	}, seed)}
 	for i := range 2 + r.IntN(5) {
 		s.add(routing.RolePrefill, i)
@@ -107,16 +107,16 @@
 	s.streams, s.abortStreams = context.WithCancel(t.Context())
 	s.clientsResume = r.IntN(2) == 0
 	go pool.Sweep(process)
-	router, err := routing.New(set, seed)
+	router, err := routing.New(settings, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	limits := core.Limits{DeadlineSlack: 16 * time.Millisecond, HeldStateLimit: set.HeldStateLimit, HeldStateSlack: releaseSlack, MaxAttempts: set.MaxAttempts}
+	limits := core.Limits{DeadlineSlack: 16 * time.Millisecond, HeldStateLimit: settings.HeldStateLimit, HeldStateSlack: releaseSlack, MaxAttempts: settings.MaxAttempts}
 	client := upstream.NewClient(pool, func(string) upstream.Dialect { return platform.Dialect{} })
 	s.core = core.New(router, client, staticDirectory{}, limits, s.log(t), invariant.New())
 	go s.core.Run(process)
 	s.core.UpdateEndpoints(routing.EngineListSnapshot, s.endpoints)
-	s.fleet.step("settings %+v, rules %+v, clients resume: %v", set, s.fleet.rules, s.clientsResume)
+	s.fleet.step("settings %+v, rules %+v, clients resume: %v", settings, s.fleet.rules, s.clientsResume)
 	return s
 }
 
@@ -205,18 +205,18 @@
 	if s.random.IntN(2) == 0 {
 		return
 	}
-	abandonDelay, abandonNow := randomDuration(s.random, 0, time.Second), s.random.IntN(2) == 0
-	killDelay := abandonDelay + randomDuration(s.random, time.Second, 4*time.Second)
+	shutdownDelay, final := randomDuration(s.random, 0, time.Second), s.random.IntN(2) == 0
+	killDelay := shutdownDelay + randomDuration(s.random, time.Second, 4*time.Second)
 	s.fleet.addTrigger(trigger{stage: pickOne(s.random, stages...), skip: s.random.IntN(requests), run: func() {
 		defer close(s.exited)
-		s.fleet.step("the gateway shuts down, abandons requests after %v, is killed after %v", abandonDelay, killDelay)
-		s.draining.Store(!s.clientsResume) // if clients resume, all requests are still served for a while
+		s.fleet.step("the gateway drains, rejects waiting requests after %v, is killed after %v", shutdownDelay, killDelay)
+		s.draining.Store(!s.clientsResume) // if clients resume, requests are accepted until shutdownDelay has passed
 		process, stop := context.WithTimeout(t.Context(), killDelay)
 		defer stop()
-		time.Sleep(abandonDelay)
+		time.Sleep(shutdownDelay)
 		s.draining.Store(true)
-		s.core.NotifyShutdown(abandonNow)
-		last := time.AfterFunc((killDelay-abandonDelay)/2, func() {
+		s.core.NotifyShutdown(final)
+		last := time.AfterFunc((killDelay-shutdownDelay)/2, func() {
 			s.core.NotifyShutdown(true)
 			s.abortStreams()
 		})
@@ -321,9 +321,9 @@
 		names := []string{name}
 		if s.random.IntN(2) == 0 { // a random subset, such as a zone or all engines of a role
 			names = nil
-			for _, m := range s.endpoints {
+			for _, endpoint := range s.endpoints {
 				if s.random.IntN(2) == 0 {
-					names = append(names, m.Name)
+					names = append(names, endpoint.Name)
 				}
 			}
 		}
--- a/internal/upstream/memory_test.go
+++ b/internal/upstream/memory_test.go
@@ -81,24 +81,24 @@
 	var mu sync.Mutex
 	rng := rand.New(rand.NewPCG(4, 2))
 	intN := func(n int) int { mu.Lock(); defer mu.Unlock(); return rng.IntN(n) }
-	set := randomSettings(rand.New(rand.NewPCG(1, 0)))
-	set.MaxAttempts = 4
+	settings := randomSettings(rand.New(rand.NewPCG(1, 0)))
+	settings.MaxAttempts = 4
 	var endpoints []core.Endpoint
 	for _, name := range []string{"r0", "r1", "w0", "w1"} {
 		c.links[name] = newSimLink(time.Millisecond, randomEngine(intN, name[0] == 'r'), func() {})
-		endpoints = append(endpoints, core.Endpoint{Addr: name, EngineInfo: routing.EngineInfo{Name: name, Kind: name[:1], Zone: set.Zone, Weight: 1}})
+		endpoints = append(endpoints, core.Endpoint{Addr: name, EngineInfo: routing.EngineInfo{Name: name, Kind: name[:1], Zone: settings.Zone, Weight: 1}})
 	}
 	pool := upstream.NewPool(upstream.Options{
 		ConnectTimeout: 250 * time.Millisecond, ServerIdleTimeout: 15 * time.Second, MaxConns: 200, StreamSilenceTimeout: time.Second,
 		Dial: func(ctx context.Context, _, addr string) (net.Conn, error) { return c.links[addr].dial(ctx) },
 	})
 	go pool.Sweep(t.Context())
-	router, err := routing.New(set, 1)
+	router, err := routing.New(settings, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	client := upstream.NewClient(pool, func(string) upstream.Dialect { return platform.Dialect{} })
-	c.core = core.New(router, client, staticDirectory{}, core.Limits{HeldStateLimit: set.HeldStateLimit, MaxAttempts: 4}, slog.New(slog.DiscardHandler), invariant.New())
+	c.core = core.New(router, client, staticDirectory{}, core.Limits{HeldStateLimit: settings.HeldStateLimit, MaxAttempts: 4}, slog.New(slog.DiscardHandler), invariant.New())
 	go c.core.Run(t.Context())
 	c.core.UpdateEndpoints(routing.EngineListSnapshot, endpoints)
 	return c
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -112,15 +112,15 @@
 		t.Fatal(err)
 	}
 	p.put(first)
-	other := get()
-	if other == first {
+	second := get()
+	if second == first {
 		t.Fatal("the next request would be written before the duplicate response has arrived")
 	}
-	p.put(other)
+	p.put(second)
 	sendDuplicate()
 	enginetest.Eventually(t, "the duplicate response arrives", func() bool { return !openAndEmpty(first.Conn) })
 	first.idleSince = first.idleSince.Add(-time.Minute) // its reuse delay has passed
-	other.idleSince = first.idleSince.Add(-time.Millisecond)
+	second.idleSince = first.idleSince.Add(-time.Millisecond)
 	if c := get(); c == first {
 		t.Error("the next request would be written after the duplicate response")
 	}
--- a/internal/upstream/simfleet_test.go
+++ b/internal/upstream/simfleet_test.go
@@ -16,7 +16,7 @@
 const releaseSlack = 350 * time.Millisecond
 
 // simRules are the engine behaviours of a scenario that the protocol page permits. The gateway must
-// keep the rules under all of them.
+// obey the rules under all of them.
 type simRules struct {
 	pinLimit time.Duration
 	// A release at any engine releases all state of the request; otherwise only the state of that engine.
@@ -27,7 +27,7 @@
 	maxPrefillTime  time.Duration
 }
 
-// simFleet is the engines of one scenario, and a record of the state that they hold.
+// simFleet contains the engines of one scenario, and a record of the state that they hold.
 type simFleet struct {
 	rules   simRules
 	links   map[string]*simLink
@@ -41,19 +41,19 @@
 	steps        []string
 	releases     int
 	triggers     []*trigger
-	stalledUntil time.Time // until when the gateway's process is stalled
+	stalledUntil time.Time // end of the latest stall of the gateway's process
 	exitedAt     time.Time // when the gateway's process exited; zero before
 	killed       bool      // it was killed at the end of its shutdown timeout
 }
 
-// requestRecord is the attempts in flight and the held state of one request.
+// requestRecord contains the attempts in flight and the held state of one request.
 type requestRecord struct {
-	deadline     time.Time       // until when the client waits; zero before its request
+	deadline     time.Time       // end of the time for which the client waits; zero before its request
 	clientGoneAt time.Time       // when the client disconnected or got its answer; zero before
 	inFlight     int             // attempts whose last byte has arrived and which have not ended
 	waiting      int             // of these, attempts at decode engines that wait for the state
 	heldAt       map[string]bool // engines that hold a state
-	heldSince    time.Time       // since when state is held with no attempt in flight; zero if that is not so
+	heldSince    time.Time       // start of the time with held state and no attempt in flight; zero if that is not so
 
 	streamAbortedAt time.Time // when the client disconnected during its stream; zero if it has not
 }
--- a/internal/upstream/simstage_test.go
+++ b/internal/upstream/simstage_test.go
@@ -70,9 +70,9 @@
 	}
 }
 
-// prefillAfterExit records a prefill that ends after the gateway's process exited. This violates
-// the rules unless the process was killed, as it had to wait for the prefill. The caller holds the
-// lock.
+// prefillAfterExit records a prefill that ends after the gateway's process exited, when its state
+// can no longer be released. This violates the rules unless the process was killed, as it had to
+// wait for the prefill. The caller holds the lock.
 func (f *simFleet) prefillAfterExit(id, engine string) {
 	f.logStepLocked("%s is prefilled at %s after the exit of the gateway", id, engine)
 	if !f.killed {
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -99,7 +99,7 @@
 		}
 		s.setReadDeadline()
 		valid := s.readValid(p)
-		// The valid bytes usually are in p already, and copy has nothing to move.
+		// In most cases the valid bytes are in p already, so that copy moves nothing.
 		n := copy(p, valid)
 		if s.pending = append(s.pending[:0], valid[n:]...); n > 0 {
 			return n, nil
