--- a/internal/faultinject/inject.go
+++ b/internal/faultinject/inject.go
@@ -18,7 +18,7 @@
 	"time"
 )
 
-// Variable is the environment variable that holds a Schedule as JSON.
+// EnvVar is the environment variable that contains a Schedule as JSON.
 const EnvVar = "WELLGW_FAULTS"
 
 // Schedule configures the faults. Times are in milliseconds since the start of the process.
@@ -28,7 +28,7 @@
 	Connect float64       `json:"connect"` // fraction of connects that fail
 	Read    float64       `json:"read"`    // fraction of reads from clients that are interrupted or short
 	Break   float64       `json:"break"`   // fraction of reads from engines that fail with a network error
-	Files   []FaultWindow `json:"files"`   // periods in which files can't be written
+	Files   []FaultWindow `json:"files"`   // periods in which files can't be written and, with EIO, not read
 	Steps   []Step        `json:"steps"`   // steps of the wall clock
 	// Number of the file write in the middle of which the process is killed; 0 for none.
 	Kill int `json:"kill"`
--- a/internal/upstream/bench_test.go
+++ b/internal/upstream/bench_test.go
@@ -64,19 +64,19 @@
 			return
 		}
 		_, _ = io.Copy(io.Discard, r.Body)
-		var out strings.Builder
-		out.WriteString("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n")
-		chunk := func(s string) { fmt.Fprintf(&out, "%x\r\n%s\r\n", len(s), s) }
+		var response strings.Builder
+		response.WriteString("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n")
+		chunk := func(s string) { fmt.Fprintf(&response, "%x\r\n%s\r\n", len(s), s) }
 		for i := range events {
 			if chunk(`data: {"choices":[{"index":0,"delta":{"content":"word "},"finish_reason":null}]}` + "\n\n"); (i+1)%eventsPerWrite == 0 && eventsPerWrite < events {
-				_, _ = io.WriteString(c, out.String())
-				out.Reset()
+				_, _ = io.WriteString(c, response.String())
+				response.Reset()
 			}
 		}
 		chunk(fmt.Sprintf(`data: {"choices":[],"usage":{"prompt_tokens":9,"completion_tokens":%d}}`, events) + "\n\n")
 		chunk("data: [DONE]\n\n")
-		out.WriteString("0\r\n\r\n")
-		if _, err := io.WriteString(c, out.String()); err != nil {
+		response.WriteString("0\r\n\r\n")
+		if _, err := io.WriteString(c, response.String()); err != nil {
 			return
 		}
 	}
--- a/internal/upstream/held_test.go
+++ b/internal/upstream/held_test.go
@@ -216,11 +216,11 @@
 		time.Sleep(shutdownDelay)
 		s.draining.Store(true)
 		s.core.NotifyShutdown(final)
-		last := time.AfterFunc((killDelay-shutdownDelay)/2, func() {
+		abortTimer := time.AfterFunc((killDelay-shutdownDelay)/2, func() {
 			s.core.NotifyShutdown(true)
 			s.abortStreams()
 		})
-		defer last.Stop()
+		defer abortTimer.Stop()
 		killed := s.core.Drain(process) != nil
 		s.stopProcess()
 		s.fleet.processExited(killed)
@@ -314,8 +314,8 @@
 // injectFault applies a random fault to an engine or its network, and ends it later.
 func (s *scenario) injectFault() {
 	name := pickOne(s.random, s.endpoints...).Name
-	last := randomDuration(s.random, 200*time.Millisecond, 6*time.Second)
-	broken := s.random.IntN(2) == 0
+	duration := randomDuration(s.random, 200*time.Millisecond, 6*time.Second)
+	resetConns := s.random.IntN(2) == 0
 	switch s.random.IntN(10) {
 	case 0, 1:
 		names := []string{name}
@@ -328,11 +328,11 @@
 			}
 		}
 		for _, name := range names {
-			s.partition(name, last, broken)
+			s.partition(name, duration, resetConns)
 		}
 	case 2:
 		s.fleet.changeNetwork(name, "refused", func(l *simLink) { l.change(func() { l.refused = true }); l.reset() })
-		time.AfterFunc(last, func() {
+		time.AfterFunc(duration, func() {
 			s.fleet.changeNetwork(name, "accepted again", func(l *simLink) { l.change(func() { l.refused = false }) })
 		})
 	case 3:
@@ -340,13 +340,13 @@
 	case 4:
 		connectDelay := randomDuration(s.random, 50*time.Millisecond, time.Second)
 		s.fleet.changeNetwork(name, fmt.Sprint("connect delay ", connectDelay), func(l *simLink) { l.change(func() { l.connectDelay = connectDelay }) })
-		time.AfterFunc(last, func() {
+		time.AfterFunc(duration, func() {
 			s.fleet.changeNetwork(name, "no connect delay", func(l *simLink) { l.change(func() { l.connectDelay = 0 }) })
 		})
 	case 5:
 		s.fleet.restart(name)
 	case 6, 7:
-		s.loseConnections(name, last)
+		s.loseConnections(name, duration)
 	case 8:
 		s.fleet.changeNetwork(name, "all open connections lost", func(l *simLink) { l.loseAll() })
 	case 9:
@@ -375,9 +375,9 @@
 const maxStall = 150 * time.Millisecond
 
 // loseConnections loses single connections to an engine for a duration, one after the other.
-func (s *scenario) loseConnections(name string, last time.Duration) {
+func (s *scenario) loseConnections(name string, duration time.Duration) {
 	both, delay := s.random.IntN(3) > 0, randomDuration(s.random, 20*time.Millisecond, 200*time.Millisecond)
-	end := time.Now().Add(last)
+	end := time.Now().Add(duration)
 	go func() {
 		for time.Now().Before(end) && s.streams.Err() == nil {
 			random := s.fleet.randomN(maxConnections)
@@ -387,11 +387,11 @@
 	}()
 }
 
-func (s *scenario) partition(name string, last time.Duration, broken bool) {
+func (s *scenario) partition(name string, duration time.Duration, resetConns bool) {
 	s.fleet.changeNetwork(name, "cut", func(l *simLink) { l.change(func() { l.cut = true }) })
-	time.AfterFunc(last, func() {
-		s.fleet.changeNetwork(name, fmt.Sprint("healed, connections broken: ", broken), func(l *simLink) {
-			if broken {
+	time.AfterFunc(duration, func() {
+		s.fleet.changeNetwork(name, fmt.Sprint("healed, connections reset: ", resetConns), func(l *simLink) {
+			if resetConns {
 				l.reset()
 			}
 			l.change(func() { l.cut, l.healedAt = false, time.Now() })
--- a/internal/upstream/release.go
+++ b/internal/upstream/release.go
@@ -88,7 +88,7 @@
 	for delay := initialReleaseBackoff; ; delay = min(2*delay, maxReleaseBackoff) {
 		next := make(chan struct{})
 		go r.attempt(next, acquire)
-		acquire = r.client.pool.dialNew // pooled connections may all be lost if the previous one is
+		acquire = r.client.pool.dialNew // all pooled connections may be lost if the previous one is lost
 		if !r.wait(next) || !r.sleep(delay) {
 			return r.outcome()
 		}
--- a/internal/upstream/unzip.go
+++ b/internal/upstream/unzip.go
@@ -22,8 +22,8 @@
 	}
 	n, err := b.reader.Read(p)
 	if err == io.EOF {
-		// The framing must end here as well: bytes after the gzip data would be read as part of the
-		// next response.
+		// The framing must end here as well. Its unread end would be read as the beginning of the next
+		// response.
 		var next [1]byte
 		if extra, sourceErr := b.source.Read(next[:]); extra > 0 || sourceErr != io.EOF {
 			return n, errNotEventStream
