--- a/routing/eligibility.go
+++ b/routing/eligibility.go
@@ -21,7 +21,7 @@
 			continue
 		}
 		allowed = append(allowed, e)
-		if e != req.lastFailed && r.available(e) {
+		if e != req.lastFailedEngine && r.available(e) {
 			healthy = append(healthy, e)
 		}
 	}
--- a/routing/probe.go
+++ b/routing/probe.go
@@ -29,11 +29,11 @@
 // old: one of many gateways uses each engine too seldom to estimate its queue. It reports whether the
 // request is queued until the engine answers, or for probeTimeout at most.
 func (r *Router) probeBeforePlacement(req *request, pool []*engine, cost func(*engine) float64) bool {
-	if !r.set.CanProbe || r.set.Gateways < manyGatewaysThreshold || req.probed != nil || len(pool) < 2 {
+	if !r.set.CanProbe || r.set.Gateways < manyGatewaysThreshold || req.probedEngine != nil || len(pool) < 2 {
 		return false
 	}
 	e := slices.MinFunc(pool, func(a, b *engine) int { return cmp.Compare(cost(a), cost(b)) })
-	req.probed = e
+	req.probedEngine = e
 	if e.report.age(r.now) < maxFreshReportAge {
 		return false
 	}
@@ -52,11 +52,11 @@
 	}
 	e.report.update(event.Report, r.now)
 	e.probe.recordResult(r.now)
-	for _, req := range r.held.takeAll() {
-		if req.phase == awaitingPrefill && req.probed != nil && !req.probed.probe.pending(r.now) {
-			r.toPrefill(req)
+	for _, req := range r.holdQueue.removeAll() {
+		if req.phase == awaitingPrefill && req.probedEngine != nil && !req.probedEngine.probe.pending(r.now) {
+			r.dispatchPrefill(req)
 		} else {
-			r.held.add(req)
+			r.holdQueue.add(req)
 		}
 	}
 }
