--- a/routing/api.go
+++ b/routing/api.go
@@ -1,10 +1,11 @@
-// Package routing decides, for one gateway of a two-stage model service, which prefill engine
-// reads a prompt, which decode engine streams the answer, and which requests are rejected.
+// Package routing implements the routing decisions of one gateway in front of a disaggregated model
+// service: which prefill engine processes a prompt, which decode engine streams the answer, and which
+// requests are rejected.
 //
-// A Router takes events and returns actions. It does no I/O, reads no clock and starts nothing:
-// the caller owns it, supplies the time and carries the actions out.
+// A Router receives events and returns actions. It does no I/O, reads no clock and starts no goroutines:
+// its caller supplies the time and carries out the actions.
 //
-// This file is the whole interface: settings, events and actions.
+// This file defines the interface of the package: settings, events and actions.
 package routing
 
 import "time"
@@ -12,28 +13,28 @@
 // Time is a point on the router's monotonic clock, as the duration since an arbitrary origin.
 type Time = time.Duration
 
-// RequestID names a request; the caller chooses it.
+// RequestID identifies a request. The caller assigns it.
 type RequestID uint32
 
-// Role says what a kind of engine does.
+// Role is the stage of a request that an engine kind serves.
 type Role uint8
 
-// The roles of an engine kind. A kind with RoleNone is never sent to.
+// The roles of an engine kind. Engines with RoleNone receive no requests.
 const (
 	RoleNone    Role = iota
-	RolePrefill      // reads prompts and keeps the read state until it is fetched
-	RoleDecode       // fetches read states and streams answers
-	RoleMixed        // does either, or serves a request on its own
+	RolePrefill      // prefills prompts and holds the resulting state until a decode engine fetches it
+	RoleDecode       // fetches held state and streams answers
+	RoleMixed        // prefills, decodes, or does both for one request
 )
 
-// Effect says what running a request of a class twice may do.
+// Effect states whether a request of a class may be executed more than once.
 type Effect uint8
 
-// The effects a class may have.
+// The effects of a class.
 const (
-	EffectIdempotent   Effect = iota // may be retried at will
-	EffectDeduplicated               // engines drop duplicates within DedupScope and DedupWindow
-	EffectAtMostOnce                 // must not run twice
+	EffectIdempotent   Effect = iota // may be executed any number of times
+	EffectDeduplicated               // engines within DedupScope drop duplicates for DedupWindow
+	EffectAtMostOnce                 // must not be executed twice
 )
 
 // DedupScope is the set of engines among which duplicates of an EffectDeduplicated request are dropped.
@@ -46,76 +47,76 @@
 	DedupCell
 )
 
-// Class describes one class of requests.
+// Class configures one class of requests.
 type Class struct {
 	Name                     string
-	FirstTokenObjective      time.Duration // time to first token for full credit
+	FirstTokenObjective      time.Duration // objective for the time to first token
 	FirstTokenPerPromptToken time.Duration // added to FirstTokenObjective for each prompt token
-	TokenIntervalObjective   time.Duration // objective for the interval between tokens
-	PriorityWeight           float64       // of one request against those of other classes
+	TokenIntervalObjective   time.Duration // objective for the time between tokens
+	PriorityWeight           float64       // relative to the other classes
 	Effect                   Effect
 	DedupScope               DedupScope
-	DedupWindow              time.Duration // how long engines remember a request to drop its duplicates
+	DedupWindow              time.Duration // how long engines drop duplicates of a request
 }
 
-// EngineKind describes one kind of engine.
+// EngineKind configures one kind of engine.
 type EngineKind struct {
 	Name   string
 	Role   Role
-	Memory float64 // tokens; 0 when not told
+	Memory float64 // in tokens; 0 if unknown
 }
 
-// Tenant describes a customer's quota.
+// Tenant configures the quota of one tenant.
 type Tenant struct {
 	Name  string
-	Quota float64 // requests per second, over all gateways
+	Quota float64 // requests per second, summed over all gateways
 }
 
-// QuotaStatus is how a tenant stands with its quota, in requests.
+// QuotaStatus is the use that a tenant has made of its quota, in requests.
 type QuotaStatus struct {
-	Burst     float64       // requests that may come at once
-	Remaining float64       // of Burst
-	ResetIn   time.Duration // until Remaining equals Burst again
+	Burst     float64       // maximum number of requests in a burst
+	Remaining float64       // requests left of Burst
+	ResetIn   time.Duration // until Remaining reaches Burst without further requests
 }
 
-// Settings are the parameters of a router.
+// Settings configures a Router.
 type Settings struct {
 	Zone     string
 	Zones    []string
-	Gateways int // how many gateways share the engines, each with a router
+	Gateways int // number of gateways that share the engines; each runs one router
 	Classes  []Class
 	Kinds    []EngineKind
 	Tenants  []Tenant
 
-	OverQuotaWeight float64       // priority weight of traffic above a quota, as a fraction
-	MustSubscribe   bool          // the engine list is delivered only on request
-	CanCancel       bool          // CancelAttempt is allowed
-	CanRetryAfter   bool          // Reject may carry a Retry-After
-	MaxRetryAfter   time.Duration // longest Retry-After that clients honour
-	MaxAttempts     int           // attempts per request
-	CanProbe        bool          // Probe is allowed, and its report tells an engine's queue
-	DecodePrefills  bool          // a decode engine that gets a request with no state reads its prompt itself
-
-	SlowStartPeriod   time.Duration // an engine is warm this long after its start
-	SlowStartCapacity float64       // of an engine that has just started, as a fraction of its full capacity
-	OverloadWindow    time.Duration // over which the load of an engine in slow start is counted
-	// OverloadMultiple is how many times its present capacity, within OverloadWindow, makes such an
-	// engine fail.
+	OverQuotaWeight float64       // factor on the priority weight of requests above their tenant's quota
+	MustSubscribe   bool          // the engine list is delivered only after Subscribe
+	CanCancel       bool          // CancelAttempt is supported
+	CanRetryAfter   bool          // Reject may set RetryAfter
+	MaxRetryAfter   time.Duration // longest RetryAfter that clients honour
+	MaxAttempts     int           // maximum number of attempts per request
+	CanProbe        bool          // Probe is supported and its report contains the queue of the engine
+	DecodePrefills  bool          // a decode engine prefills the prompt of a request without held state
+
+	SlowStartPeriod   time.Duration // time after its start during which an engine is in slow start
+	SlowStartCapacity float64       // capacity in slow start, as a fraction of the full capacity
+	OverloadWindow    time.Duration // window over which the load of an engine in slow start is summed
+	// OverloadMultiple is the load within OverloadWindow at which an engine in slow start fails, as a
+	// multiple of its capacity in slow start.
 	OverloadMultiple float64
-	HeldStateLimit   time.Duration // longest that an engine may hold state with no attempt in flight
-	// MaxSendDelay is the longest from a Send to its arrival at the engine. It bounds sends near the
-	// end of DedupWindow.
+	HeldStateLimit   time.Duration // maximum time that an engine may hold state while no attempt is in flight
+	// MaxSendDelay is the maximum time from a Send to the arrival of the attempt at the engine. An attempt
+	// that could arrive after the end of DedupWindow is not sent.
 	MaxSendDelay time.Duration
-	TickInterval time.Duration // shortest interval between events
+	TickInterval time.Duration // minimum interval of timers
 }
 
-// Event is an input of a Router.
+// Event is an input to a Router.
 type Event interface{ isEvent() }
 
-// Action is an output of a Router, to be carried out by its caller.
+// Action is an output of a Router that its caller carries out.
 type Action interface{ isAction() }
 
-// Phase is an engine's state on the engine list.
+// Phase is the lifecycle state of an engine on the engine list.
 type Phase uint8
 
 // The phases of an engine.
@@ -125,87 +126,87 @@
 	PhaseRemoved
 )
 
-// EngineInfo is an engine's entry on the engine list.
+// EngineInfo is the entry of an engine on the engine list.
 type EngineInfo struct {
 	Name, Kind, Zone string
 	Cell             int
-	Weight           float64 // size against others of its role
-	StartTime        Time    // last start; 0 means long ago
+	Weight           float64 // capacity relative to other engines of its role
+	StartTime        Time    // most recent start; 0 means that it is long past
 	Phase            Phase
 }
 
-// EngineListScope says what an EngineList event holds.
+// EngineListScope is the extent of an EngineList event.
 type EngineListScope uint8
 
 // The scopes of an EngineList event.
 const (
 	EngineListDelta EngineListScope = iota
 	EngineListSnapshot
-	EngineListStale  // the full list as it was last known, possibly stale
-	EngineListFailed // a call failed; no entries
+	EngineListStale  // the complete list from the last successful update, possibly outdated
+	EngineListFailed // the request to service discovery failed; no entries
 )
 
-// EngineList reports engines as service discovery knows them.
+// EngineList reports the engines from service discovery.
 type EngineList struct {
 	Scope   EngineListScope
 	Engines []EngineInfo
 }
 
-// Request is a client's request, which needs exactly one final answer.
+// Request is the request of a client. It must get exactly one final answer.
 type Request struct {
 	ID           RequestID
 	Class        string
 	Tenant       string
 	Session      string // "" = none
-	Prefix       string // names the prompt prefix shared with other sessions; "" = none
+	Prefix       string // identifies a prompt prefix that several sessions share; "" = none
 	PrefixLen    int    // tokens
 	PromptTokens int
-	MaxTokens    int           // upper bound on the answer
-	DurationHint time.Duration // rough duration of the answer at TokenIntervalObjective; 0 = none
-	TTL          time.Duration // until the client gives up
-	Retry        bool          // the client marks it as a retry
-	Reconnect    bool          // the client resumes a broken or migrated stream
+	MaxTokens    int           // upper bound on the tokens of the answer
+	DurationHint time.Duration // estimated duration of the answer at TokenIntervalObjective; 0 = none
+	TTL          time.Duration // time until the client's deadline
+	Retry        bool          // marked by the client as a retry
+	Reconnect    bool          // resumes an interrupted or migrated stream
 }
 
-// LoadReport is what an engine reports of its load; nil fields were not reported.
+// LoadReport is a load report of an engine. Nil fields were not reported.
 type LoadReport struct {
 	Latency       *time.Duration // recent service time
 	MemoryUsed    *float64       // fraction of memory in use
-	WaitingTokens *float64       // prompt tokens that wait for their prefill or for their state to be fetched
-	QueueLength   *float64       // requests that wait
+	WaitingTokens *float64       // prompt tokens that wait for prefill, or whose state waits for a decode engine
+	QueueLength   *float64       // waiting requests
 	Utilization   *float64       // fraction of slots in use
 }
 
-// Status is how an attempt or probe ended.
+// Status is the result of an attempt or probe.
 type Status uint8
 
 // The statuses of an Outcome.
 const (
 	StatusServed        Status = iota
-	StatusPrefilled            // the prompt is read and its state waits at the prefill engine
-	StatusError                // the engine failed it; it may have run
-	StatusRejected             // rejected by the engine; it never ran
-	StatusTimeout              // no answer in time; it may have run
-	StatusConnectFailed        // no connection; it never ran
-	StatusReset                // the connection broke; it may have run
-	StatusCancelled            // cancelled by the gateway; it may have run
-	StatusNotSent              // never sent
+	StatusPrefilled            // prefill completed; the prefill engine holds the state
+	StatusError                // failed by the engine; it may have been executed
+	StatusRejected             // rejected by the engine; it was not executed
+	StatusTimeout              // no answer within the timeout; it may have been executed
+	StatusConnectFailed        // no connection; it was not executed
+	StatusReset                // the connection was closed or reset; it may have been executed
+	StatusCancelled            // cancelled by the gateway; it may have been executed
+	StatusNotSent              // not sent
 )
 
-// Outcome reports how an attempt ended.
+// Outcome reports the end of an attempt.
 type Outcome struct {
 	ID           RequestID
 	Attempt      int
 	Engine       string
 	Status       Status
 	Latency      time.Duration
-	Final        bool // the request has its final answer
-	CachedTokens int  // prompt tokens found in the prefix cache, with StatusPrefilled and StatusServed
-	StateMissing bool // with StatusRejected: there was no state to fetch
+	Final        bool // the client has received its final answer
+	CachedTokens int  // prompt tokens found in the prefix cache, for StatusPrefilled and StatusServed
+	StateMissing bool // for StatusRejected: the prefill engine no longer had the state
 	Report       *LoadReport
 }
 
-// FirstToken reports that an attempt's answer has begun to stream.
+// FirstToken reports the first token of an attempt's answer.
 type FirstToken struct {
 	ID      RequestID
 	Attempt int
@@ -213,21 +214,21 @@
 	Latency time.Duration
 }
 
-// ClientGone reports that the client has disconnected or its deadline has passed.
+// ClientGone reports that the client has disconnected or that its deadline has passed.
 type ClientGone struct{ ID RequestID }
 
-// GatewaysChanged reports how many gateways share the engines from now on.
+// GatewaysChanged reports a new number of gateways that share the engines.
 type GatewaysChanged struct{ Gateways int }
 
-// ShuttingDown reports that the gateway is about to exit: no attempt begins and new requests are
-// rejected. Requests in flight at a decode engine may be about to be answered: they are given up
-// with Final only.
+// ShuttingDown reports that the gateway is shutting down: the router starts no attempts and rejects new
+// requests. Requests in flight at a decode engine may be answered soon and are abandoned only if Final is
+// set.
 type ShuttingDown struct{ Final bool }
 
-// TimerFired reports that a timer is due.
+// TimerFired reports that a timer has expired.
 type TimerFired struct{ Name string }
 
-// ProbeResult answers a Probe.
+// ProbeResult reports the result of a Probe.
 type ProbeResult struct {
 	Engine  string
 	Status  Status
@@ -235,13 +236,13 @@
 	Report  *LoadReport
 }
 
-// ReservationResult reports whether a decode slot was reserved ahead of a prefill.
+// ReservationResult reports whether a decode slot was reserved before a prefill.
 type ReservationResult struct {
 	ID      RequestID
 	Granted bool
 }
 
-// PeerMessage is a payload from another router.
+// PeerMessage is a message from another router.
 type PeerMessage struct {
 	From    int
 	Payload []byte
@@ -259,33 +260,33 @@
 func (ReservationResult) isEvent() {}
 func (PeerMessage) isEvent()       {}
 
-// Send makes an attempt at an engine. A Timeout of 0 lasts until the client gives up.
+// Send starts an attempt at an engine. With a Timeout of 0 only the client's deadline bounds it.
 type Send struct {
 	ID      RequestID
 	Engine  string
 	Timeout time.Duration
 }
 
-// Reject is a final answer: the request had no effect or may be retried harmlessly.
+// Reject is a final answer: the request had no effect or is safe to retry.
 type Reject struct {
 	ID         RequestID
 	RetryAfter time.Duration // 0 = none
-	OverQuota  bool          // the tenant's quota is spent
+	OverQuota  bool          // the tenant has exhausted its quota
 }
 
-// Fail is a final answer that says nothing about effects: the request may have run.
+// Fail is a final answer for a request that may have been executed.
 type Fail struct{ ID RequestID }
 
-// CancelAttempt stops waiting for an attempt.
+// CancelAttempt cancels an attempt in flight.
 type CancelAttempt struct {
 	ID      RequestID
 	Attempt int
 }
 
-// Release releases all state that engines hold for a request and that no attempt waits for.
+// Release releases the state that engines hold for a request and that no attempt is going to fetch.
 type Release struct{ ID RequestID }
 
-// SetTimer asks for a TimerFired event.
+// SetTimer requests a TimerFired event.
 type SetTimer struct {
 	After time.Duration
 	Name  string
@@ -294,7 +295,7 @@
 // Probe requests a LoadReport from an engine.
 type Probe struct{ Engine string }
 
-// Subscribe asks service discovery for changes from now on.
+// Subscribe requests updates of the engine list from service discovery.
 type Subscribe struct{}
 
 func (Send) isAction()          {}
--- a/routing/cellplan.go
+++ b/routing/cellplan.go
@@ -6,16 +6,16 @@
 )
 
 const (
-	maxLoadRatio = 1.5 // at most so many times an even share for a prefill engine
+	maxLoadRatio = 1.5 // upper bound on the load of a prefill engine, as a multiple of an even distribution
 )
 
-// cellCapacity is a cell's part in the plan. All are sums of engines' weights.
+// cellCapacity is the capacity of a cell. All amounts are sums of engine weights.
 type cellCapacity struct {
 	id                                         int
 	prefillWeight, decodeWeight, prefillTarget float64
 }
 
-// sumCellCapacities adds up the usable engines' weights by cell, in order of cell.
+// sumCellCapacities sums the weights of the usable engines by cell, sorted by cell.
 func sumCellCapacities(engines []*engine) []*cellCapacity {
 	cells := []*cellCapacity{}
 	for _, e := range engines {
@@ -38,7 +38,7 @@
 	return cells
 }
 
-// findCell returns the cell with an id, nil if there is none.
+// findCell returns the cell with the given id, or nil.
 func findCell(cells []*cellCapacity, id int) *cellCapacity {
 	if i := slices.IndexFunc(cells, func(c *cellCapacity) bool { return c.id == id }); i >= 0 {
 		return cells[i]
@@ -46,34 +46,34 @@
 	return nil
 }
 
-// cellPlan spreads prefills over the cells by the capacity of their decode engines, but gives no
-// prefill engine more than maxEvenShare times an even share. What a cell prefills beyond the
-// capacity of its decode engines is decoded in other cells. It reads the engines' weights and changes
-// nothing else. Prefix homes and decode placement ask; a change of the engine list invalidates it.
+// cellPlan distributes prefills over the cells in proportion to the capacity of their decode engines, but
+// assigns no prefill engine more than maxLoadRatio times an even load. Prefills of a cell beyond the
+// capacity of its decode engines are decoded in other cells. The plan depends on engine weights only.
+// Prefix homes and decode placement use it; a change of the engine list invalidates it.
 type cellPlan struct {
-	cells []*cellCapacity // in order of cell; nil when the engine list has changed
+	cells []*cellCapacity // sorted by cell; nil if not computed since the last change of the engine list
 }
 
 func (p *cellPlan) invalidate() { p.cells = nil }
 
-// capacities returns the capacities over the engines, made anew if need be.
+// capacities returns the plan for the engines and computes it if necessary.
 func (p *cellPlan) capacities(engines []*engine) []*cellCapacity {
 	if p.cells != nil {
 		return p.cells
 	}
 	p.cells = sumCellCapacities(engines)
-	prefillEngines, decodeEngines, given := 0.0, 0.0, 0.0
+	prefillWeight, decodeWeight, assigned := 0.0, 0.0, 0.0
 	for _, c := range p.cells {
-		prefillEngines, decodeEngines = prefillEngines+c.prefillWeight, decodeEngines+c.decodeWeight
+		prefillWeight, decodeWeight = prefillWeight+c.prefillWeight, decodeWeight+c.decodeWeight
 	}
-	most := maxLoadRatio * decodeEngines / max(prefillEngines, 1e-9) // what a prefill engine may get
+	maxLoad := maxLoadRatio * decodeWeight / max(prefillWeight, 1e-9) // of a prefill engine, per weight
 	for _, c := range p.cells {
-		c.prefillTarget = min(c.decodeWeight, most*c.prefillWeight)
-		given += c.prefillTarget
+		c.prefillTarget = min(c.decodeWeight, maxLoad*c.prefillWeight)
+		assigned += c.prefillTarget
 	}
-	rest := max(0, decodeEngines-given) / max(most*prefillEngines-given, 1e-9)
+	fraction := max(0, decodeWeight-assigned) / max(maxLoad*prefillWeight-assigned, 1e-9)
 	for _, c := range p.cells {
-		c.prefillTarget += (most*c.prefillWeight - c.prefillTarget) * rest
+		c.prefillTarget += (maxLoad*c.prefillWeight - c.prefillTarget) * fraction
 	}
 	return p.cells
 }
--- a/routing/decodeplacement.go
+++ b/routing/decodeplacement.go
@@ -1,50 +1,54 @@
 package routing
 
-// Shares of an engine's memory in use. The gap between the two keeps answers from moving to and fro.
+// Thresholds for the fraction of an engine's memory in use. The gap between them prevents placement from
+// oscillating between cells.
 const (
-	memoryHighWatermark = 0.95 // above this, an engine in another cell is considered
-	memoryLowWatermark  = 0.75 // below this, an engine has room for work from elsewhere
+	memoryHighWatermark = 0.95 // above it, engines in other cells are considered
+	memoryLowWatermark  = 0.75 // below it, an engine accepts requests from other cells
 )
 
-// placeDecode chooses the decode engine with most free memory in the prefill engine's cell. It leaves
-// the cell only when no engine there is eligible, or all are full while another cell has room.
+// placeDecode chooses the decode engine with the lowest memory usage in the cell of the prefill engine. It
+// chooses an engine in another cell only if the cell has no eligible engine, or if all its engines are
+// above memoryHighWatermark while an engine in another cell is below memoryLowWatermark. Mixed engines
+// are the last choice.
 func (r *Router) placeDecode(req *request) *engine {
-	var near, far, mixed []*engine
+	var local, remote, mixed []*engine
 	cell := r.decodeCell(req)
 	for _, e := range r.eligible(req, false) {
 		switch {
 		case e.role() == RoleMixed:
 			mixed = append(mixed, e)
 		case e.Cell == cell:
-			near = append(near, e)
+			local = append(local, e)
 		default:
-			far = append(far, e)
+			remote = append(remote, e)
 		}
 	}
-	fill := func(e *engine) float64 { return r.memoryUsage(e) * r.slowdown(e) }
-	n, f := r.minCostEngine(req, near, fill), r.minCostEngine(req, far, fill)
+	usage := func(e *engine) float64 { return r.memoryUsage(e) * r.slowdown(e) }
+	l, f := r.minCostEngine(req, local, usage), r.minCostEngine(req, remote, usage)
 	switch {
-	case n == nil && f == nil:
-		return r.minCostEngine(req, mixed, fill)
-	case n == nil || f != nil && fill(n) > memoryHighWatermark && fill(f) < memoryLowWatermark:
+	case l == nil && f == nil:
+		return r.minCostEngine(req, mixed, usage)
+	case l == nil || f != nil && usage(l) > memoryHighWatermark && usage(f) < memoryLowWatermark:
 		return f
 	}
-	return n
+	return l
 }
 
-// decodeCell is the prefill engine's cell, or for the part of its prefills that exceeds the capacity
-// of its decode engines a cell with capacity to spare, drawn by how much it has.
+// decodeCell returns the cell in which to decode a request: the cell of the prefill engine, or for the
+// fraction of its prefills that exceeds the capacity of its decode engines another cell, drawn with a
+// probability proportional to the unused decode capacity there.
 func (r *Router) decodeCell(req *request) int {
 	plan := r.cells.capacities(r.engines.ordered)
 	c := findCell(plan, req.stateHolder.Cell)
 	if c == nil || c.prefillTarget <= c.decodeWeight {
 		return req.stateHolder.Cell
 	}
-	lacking := 0.0
+	unused := 0.0
 	for _, c := range plan {
-		lacking += max(0, c.decodeWeight-c.prefillTarget)
+		unused += max(0, c.decodeWeight-c.prefillTarget)
 	}
-	at := r.random.uniform(req.ID, "cell") * c.prefillTarget / (c.prefillTarget - c.decodeWeight) * lacking
+	at := r.random.uniform(req.ID, "cell") * c.prefillTarget / (c.prefillTarget - c.decodeWeight) * unused
 	for _, to := range plan {
 		if at -= max(0, to.decodeWeight-to.prefillTarget); at < 0 {
 			return to.id
--- a/routing/eligibility.go
+++ b/routing/eligibility.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// eligible lists the engines that the guards admit for a prefill, or else for a decode: those on the
-// list that do not reject the like of it, whose effect and slow-start budget allow it, and that are
-// not ejected.
+// eligible returns the engines that may receive a prefill, or a decode if prefill is false: usable engines
+// of a suitable role that are not in backoff for the rate limit key of the request, to which the effect
+// of its class and the slow-start budget allow a send, and that are not ejected.
 func (r *Router) eligible(req *request, prefill bool) []*engine {
 	var allowed, healthy []*engine
 	for _, e := range r.engines.ordered {
 		role := e.role()
-		wanted := role == RoleMixed || prefill && role == RolePrefill || !prefill && role == RoleDecode
+		suitable := role == RoleMixed || prefill && role == RolePrefill || !prefill && role == RoleDecode
 		rejecting := e.backoffs.active(rateLimitKey(req), r.now)
-		if !wanted || !e.usable || rejecting || !req.effects.allows(req.class, e, r.now, r.set.MaxSendDelay) {
+		if !suitable || !e.usable || rejecting || !req.effects.allows(req.class, e, r.now, r.set.MaxSendDelay) {
 			continue
 		}
 		if !r.slowStartAdmits(e, r.meanPrompt.mean(req.Class)) {
@@ -25,14 +25,15 @@
 			healthy = append(healthy, e)
 		}
 	}
-	// At least half of those allowed stay in use, the least failing first: a common cause fails all.
-	if short := (len(allowed)+1)/2 - len(healthy); short > 0 {
+	// At least half of the allowed engines remain eligible, ordered by failure rate: failures with a common
+	// cause affect all engines.
+	if missing := (len(allowed)+1)/2 - len(healthy); missing > 0 {
 		isHealthy := func(e *engine) bool { return slices.Contains(healthy, e) }
-		rest := slices.DeleteFunc(slices.Clone(allowed), isHealthy)
-		slices.SortStableFunc(rest, func(a, b *engine) int {
+		unhealthy := slices.DeleteFunc(slices.Clone(allowed), isHealthy)
+		slices.SortStableFunc(unhealthy, func(a, b *engine) int {
 			return cmp.Compare(a.failures.failureRate(), b.failures.failureRate())
 		})
-		healthy = append(healthy, rest[:short]...)
+		healthy = append(healthy, unhealthy[:missing]...)
 	}
 	return healthy
 }
--- a/routing/engine.go
+++ b/routing/engine.go
@@ -1,21 +1,21 @@
 package routing
 
-// engine is what this router knows of an engine. Each part is a type of its own, which only its own
-// methods change.
+// engine is the state that this router records of one engine. Each component is a type that only its own
+// methods modify.
 type engine struct {
 	EngineInfo
 	kind   *EngineKind
-	usable bool // active on the engine list, with a known kind and zone
+	usable bool // active on the engine list, of a known kind and in a configured zone
 
-	workload                          // this router's own work there
-	cache        prefixCache          // what it is believed to have cached
-	report       engineReport         // its latest load report
-	probe        probeState           // the latest probe
-	backlog      backlogEstimate      // what other routers have queued there
-	latencyRatio latencyRatioEstimate // its speed against its peers
-	failures     failureRecord        // its failures, and whether it is ejected
-	backoffs     rejectionBackoffs    // which requests it has lately rejected
-	slowStart    slowStartSends       // what was sent to it lately
+	workload                          // prefills, answers and held state of this router at the engine
+	cache        prefixCache          // estimated contents of its prefix cache
+	report       engineReport         // its most recent load report
+	probe        probeState           // its most recent probe
+	backlog      backlogEstimate      // tokens that other routers have queued there
+	latencyRatio latencyRatioEstimate // its time per token relative to its peers
+	failures     failureRecord        // its failure rate and outlier ejection
+	backoffs     rejectionBackoffs    // rate limit keys that it has recently rejected
+	slowStart    slowStartSends       // recent sends, for the slow-start budget
 }
 
 func newEngine(name string) *engine {
@@ -25,7 +25,7 @@
 	}
 }
 
-// resetForRestart forgets what a new start of the engine undoes.
+// resetForRestart discards state that a restart of the engine invalidates.
 func (e *engine) resetForRestart() {
 	e.cache, e.latencyRatio, e.failures = newPrefixCache(), newLatencyRatioEstimate(), failureRecord{}
 }
--- a/routing/enginetable.go
+++ b/routing/enginetable.go
@@ -6,14 +6,14 @@
 	"slices"
 )
 
-// engineTable holds the engines that this router knows, in order of name. It reads and changes the
-// engines. The engine list fills it; whatever ranks engines goes through it.
+// engineTable is the set of known engines. Updates of the engine list add and remove engines; placement
+// iterates over them in order of name.
 type engineTable struct {
 	byName  map[string]*engine
-	ordered []*engine // by name
+	ordered []*engine // sorted by name
 }
 
-// getOrCreate returns the record of an engine, new if need be.
+// getOrCreate returns the engine with the given name and creates it if it does not exist.
 func (t *engineTable) getOrCreate(name string) *engine {
 	e := t.byName[name]
 	if e == nil {
@@ -26,7 +26,7 @@
 	return e
 }
 
-// usableByRole calls yield for each usableByRole engine of a role, in order of name.
+// usableByRole iterates over the usable engines of a role, sorted by name.
 func (t *engineTable) usableByRole(role Role) iter.Seq[*engine] {
 	return func(yield func(*engine) bool) {
 		for _, e := range t.ordered {
@@ -37,7 +37,7 @@
 	}
 }
 
-// markMissingRemoved marks the engines as removed that a full list does not name.
+// markMissingRemoved marks the engines that a complete engine list does not contain as removed.
 func (t *engineTable) markMissingRemoved(listed map[string]bool) {
 	for _, e := range t.ordered {
 		if !listed[e.Name] {
@@ -46,9 +46,9 @@
 	}
 }
 
-// deleteRemoved drops the engines that have left and of which nothing is left to account for: engines come
-// under ever new names. One that has just been sent work is kept, as it may start again under its name,
-// in slow start, and what was sent then counts.
+// deleteRemoved deletes removed engines that have no work of this router, since every new engine may have a
+// new name and the table would grow without bound. An engine to which requests were sent within the
+// window is retained: it may restart under the same name, and these requests count in its slow start.
 func (t *engineTable) deleteRemoved(now, window Time) {
 	t.ordered = slices.DeleteFunc(t.ordered, func(e *engine) bool {
 		if e.Phase != PhaseRemoved || !e.idle() || e.slowStart.sentWithin(now, window) {
@@ -76,8 +76,8 @@
 	r.engines.deleteRemoved(r.now, r.set.OverloadWindow)
 }
 
-// applyEngineInfo takes an entry of the engine list. A new start empties the cache, and the record of
-// failures with it; a drain or removal stops new sends from this moment on.
+// applyEngineInfo applies an entry of the engine list. A changed start time resets the cache index, the
+// latency ratio and the failure record; draining or removal stops new sends immediately.
 func (r *Router) applyEngineInfo(info EngineInfo) {
 	e := r.engines.getOrCreate(info.Name)
 	if e.StartTime != info.StartTime {
--- a/routing/enginetable_test.go
+++ b/routing/enginetable_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Engines under ever new names leave nothing behind; one whose attempt is out is kept
-// until it has ended, and until what was sent to it no longer counts.
-func TestRemovedEnginesAreForgotten(t *testing.T) {
+// The table must not grow without bound when every new engine has a new name. A removed engine is retained
+// while an attempt is in flight there and until OverloadWindow has passed since the last send.
+func TestRemovedEnginesAreDeleted(t *testing.T) {
 	set := testSettings()
 	r := newTestRouter(t, set, testEngine("r1", "r", 0), testEngine("w1", "w", 0))
 	r.Handle(time.Second, testRequest(1, 100))
@@ -23,46 +23,47 @@
 	for _, c := range []struct {
 		at   Time
 		ev   Event
-		kept int
+		want int
 	}{
 		{time.Second, full, 2}, {later, full, 2},
 		{later, Outcome{ID: 1, Engine: "r1", Status: StatusReset}, 2}, {later, full, 1},
 	} {
-		if r.Handle(c.at, c.ev); len(r.engines.byName) != c.kept || len(r.engines.ordered) != c.kept {
-			t.Errorf("after %+v at %v: %d and %d engines, want %d", c.ev, c.at, len(r.engines.byName), len(r.engines.ordered), c.kept)
+		if r.Handle(c.at, c.ev); len(r.engines.byName) != c.want || len(r.engines.ordered) != c.want {
+			t.Errorf("after %+v at %v: %d engines by name and %d in order, want %d",
+				c.ev, c.at, len(r.engines.byName), len(r.engines.ordered), c.want)
 		}
 	}
 }
 
-func TestUnknownThingsAreIgnored(t *testing.T) {
+func TestEventsForUnknownIDsAndNamesAreIgnored(t *testing.T) {
 	r := newTestRouter(t, testSettings(), testEngine("x", "nonesuch", 0), EngineInfo{Name: "v", Kind: "r", Zone: "nowhere"})
 	for _, ev := range []Event{
 		Outcome{ID: 9, Engine: "q"}, FirstToken{ID: 9}, ClientGone{ID: 9}, ProbeResult{Engine: "q"},
 		ReservationResult{ID: 9}, PeerMessage{}, TimerFired{Name: "other"}, EngineList{Scope: EngineListFailed},
 	} {
 		if a := r.Handle(ms, ev); has[Send](a) {
-			t.Errorf("%T led to a send", ev)
+			t.Errorf("%T for an unknown request or engine caused a send", ev)
 		}
 	}
 	if a := r.Handle(ms, testRequest(1, 100)); has[Send](a) {
-		t.Error("an engine of unknown kind or zone was sent to")
+		t.Error("a request was sent to an engine of an unknown kind or zone")
 	}
 	bad := testRequest(2, 100)
 	bad.Class = "nonesuch"
 	if a := r.Handle(ms, bad); !has[Reject](a) {
-		t.Error("a request of unknown class got no answer")
+		t.Error("a request of an unknown class was not rejected")
 	}
 }
 
-func TestSubscribesAgainAfterAFailure(t *testing.T) {
+func TestSubscribeIsRetriedAfterFailure(t *testing.T) {
 	set := testSettings()
 	set.MustSubscribe = true
 	r, _ := New(set, 1)
 	if a := r.Handle(0, EngineList{Scope: EngineListStale}); !has[Subscribe](a) {
-		t.Fatal("no subscription at the start")
+		t.Fatal("no Subscribe after a stale engine list")
 	}
 	r.Handle(ms, EngineList{Scope: EngineListFailed})
 	if a := r.Handle(2*time.Second, TimerFired{Name: "tick"}); !has[Subscribe](a) {
-		t.Error("no further call after a failed one")
+		t.Error("Subscribe was not retried after a failed engine list")
 	}
 }
--- a/routing/latency.go
+++ b/routing/latency.go
@@ -7,46 +7,47 @@
 )
 
 const (
-	defaultSecondsPerToken = 1e-4            // before the first prefill has ended
-	prefillOverheadTokens  = 300.0           // what a prefill costs in tokens, however short it is
-	meanEWMAWeight         = 0.1             // weight of one sample in the typical figures
-	maxSampleRatio         = 3.0             // a sample counts as at most this many times the typical
-	decodeWaitHalfLife     = time.Second     // of the typical decode wait, while no answer begins
-	slowdownThreshold      = 1.8             // a pace within this of the peers' median is chance, not slowness
-	maxSlowdown            = 20.0            // bounds what one sample can do
-	latencyRatioEWMAWeight = 0.25            // weight of one pace sample
-	latencyRatioHalfLife   = 5 * time.Second // a pace with no fresh sample halves its excess in this time
+	defaultSecondsPerToken = 1e-4            // until the first prefill has completed
+	prefillOverheadTokens  = 300.0           // fixed cost of a prefill, in tokens
+	meanEWMAWeight         = 0.1             // weight of one sample in the means of this package
+	maxSampleRatio         = 3.0             // a sample counts as at most this multiple of the mean
+	decodeWaitHalfLife     = time.Second     // of the decode wait while no first tokens arrive
+	slowdownThreshold      = 1.8             // lower ratios to the median of the peers are random variation
+	maxSlowdown            = 20.0            // upper bound, which limits the effect of one sample
+	latencyRatioEWMAWeight = 0.25            // weight of one sample of the latency ratio
+	latencyRatioHalfLife   = 5 * time.Second // without new samples the deviation from 1 halves in this time
 )
 
-// latencyModel is what is typical of the engines of each role. It reads and changes nothing else.
-// Finished prefills and first tokens feed it; placement, timeouts and load estimation ask.
+// latencyModel keeps mean latencies of the engines of each role, from finished prefills and first tokens.
+// Placement, timeouts and load estimation use it.
 type latencyModel struct {
 	roles [RoleMixed + 1]roleLatency
 }
 
-// roleLatency is what is typical of the engines of one role.
+// roleLatency holds the mean latencies of the engines of one role.
 type roleLatency struct {
-	prefillSeconds, prefillTokens float64 // of a prefill, with what was queued ahead of it
-	firstTokenSeconds             float64 // of a decode engine
-	firstTokenAt                  Time    // of the latest sample of it
+	prefillSeconds, prefillTokens float64 // of a prefill, including the queue ahead of it
+	firstTokenSeconds             float64 // time to the first token at a decode engine
+	firstTokenAt                  Time    // time of the latest sample of firstTokenSeconds
 	reportRegression              reportRegression
 }
 
-// observePrefill takes one prefill: its own tokens, those with the queue ahead of it, those of the queue
-// that a report had shown, and its time.
+// observePrefill adds a sample of one prefill. own counts the tokens of the prefill, tokens includes the
+// queue ahead of it, and reported counts the tokens of that queue according to the load report.
 func (m *latencyModel) observePrefill(role Role, own, tokens, reported, seconds float64) {
 	m.roles[role].reportRegression.observe(reported, own, seconds)
 	updateMean(&m.roles[role].prefillSeconds, seconds)
 	updateMean(&m.roles[role].prefillTokens, tokens)
 }
 
-// observeFirstToken takes the time of one first token at an engine that decodes.
+// observeFirstToken adds a sample of the time to first token at an engine that decodes.
 func (m *latencyModel) observeFirstToken(role Role, seconds float64, now Time) {
 	updateMean(&m.roles[role].firstTokenSeconds, seconds)
 	m.roles[role].firstTokenAt = now
 }
 
-// secondsPerToken is the typical time for a token; an untried role counts as quick as another.
+// secondsPerToken is the mean prefill time per token. For a role without samples it is that of prefill
+// engines, or else that of mixed engines.
 func (m *latencyModel) secondsPerToken(role Role) float64 {
 	for _, l := range []*roleLatency{&m.roles[role], &m.roles[RolePrefill], &m.roles[RoleMixed]} {
 		if l.prefillTokens > 0 {
@@ -56,15 +57,15 @@
 	return defaultSecondsPerToken
 }
 
-// meanPrefillTokens is how many tokens a typical prefill has, with the queue ahead of it.
+// meanPrefillTokens is the mean number of tokens of a prefill, including the queue ahead of it.
 func (m *latencyModel) meanPrefillTokens(role Role) float64 { return m.roles[role].prefillTokens }
 
-// reportedTokenWeight is what a token that a report shows waiting counts against one to prefill.
+// reportedTokenWeight is the weight of a waiting token in a load report, relative to a token to prefill.
 func (m *latencyModel) reportedTokenWeight(role Role) float64 {
 	return m.roles[role].reportRegression.tokenWeight()
 }
 
-// meanSeconds is the typical time of an attempt in a phase.
+// meanSeconds is the mean duration of an attempt in a phase.
 func (m *latencyModel) meanSeconds(role Role, p phase) float64 {
 	if p == decoding {
 		return m.roles[role].firstTokenSeconds
@@ -72,22 +73,22 @@
 	return m.roles[role].prefillSeconds
 }
 
-// decodeWait is the typical time to a first token at the decode engines, in seconds. It fades while no
-// answer begins.
+// decodeWait is the mean time to first token at the decode engines, in seconds. It decays while no first
+// tokens arrive.
 func (m *latencyModel) decodeWait(now Time) float64 {
 	l := &m.roles[RoleDecode]
 	return l.firstTokenSeconds * math.Exp2(-(now-l.firstTokenAt).Seconds()/decodeWaitHalfLife.Seconds())
 }
 
-// updateMean takes a sample into a typical figure.
-func updateMean(typical *float64, sample float64) {
-	*typical = cmp.Or(*typical, sample)
-	// Bounded: one slow engine is not the pool.
-	*typical += (min(sample, maxSampleRatio**typical) - *typical) * meanEWMAWeight
+// updateMean adds a sample to an exponentially weighted mean.
+func updateMean(mean *float64, sample float64) {
+	*mean = cmp.Or(*mean, sample)
+	// The cap prevents one slow engine from dominating the mean of the pool.
+	*mean += (min(sample, maxSampleRatio**mean) - *mean) * meanEWMAWeight
 }
 
-// latencyRatioEstimate is an engine's time per token against the typical of its role. It reads and changes
-// nothing else. Finished prefills and first tokens feed it; the slowdown of an engine asks.
+// latencyRatioEstimate is the time per token of an engine, relative to the mean of its role. Finished
+// prefills and first tokens add samples; Router.slowdown uses it.
 type latencyRatioEstimate struct {
 	ratio     float64 // at the latest sample
 	sampledAt Time
@@ -101,12 +102,12 @@
 	p.sampledAt = now
 }
 
-// decayed is the pace as of now, back towards 1 with time.
+// decayed is the ratio now. It decays towards 1 while no samples are added.
 func (p *latencyRatioEstimate) decayed(now Time) float64 {
 	return 1 + (p.ratio-1)*math.Exp2(-(now-p.sampledAt).Seconds()/latencyRatioHalfLife.Seconds())
 }
 
-// recordPrefill takes one sample of the time that an engine needs for a prefill into all estimates.
+// recordPrefill adds the duration of a prefill at an engine to all estimates.
 func (r *Router) recordPrefill(e *engine, req *request, ownTokens float64, took time.Duration) {
 	role, seconds := e.role(), took.Seconds()
 	tokens := req.queuedTokensAhead + ownTokens + prefillOverheadTokens
@@ -116,17 +117,18 @@
 	r.latency.observePrefill(role, ownTokens+prefillOverheadTokens, tokens, req.reportedTokensAhead, seconds)
 }
 
-// decodeWait is the typical wait for a first token while fresh, in seconds, or the wait at half of the
-// decode engines now.
+// decodeWait is the expected wait for a first token, in seconds: the larger of the decayed mean and the
+// median age of the oldest attempts in flight at the decode engines.
 func (r *Router) decodeWait() float64 {
 	return max(r.latency.decodeWait(r.now), r.pool(RoleDecode).oldestAge)
 }
 
-// slowdown is how many times slower than its peers an engine is, 1 if it is not clear.
+// slowdown is the latency of an engine as a multiple of that of its peers, or 1 if it is not significantly
+// higher.
 func (r *Router) slowdown(e *engine) float64 {
 	s := 1.0
-	if p := e.latencyRatio.decayed(r.now) / max(r.pool(e.role()).latencyRatio, 0.1); p > slowdownThreshold {
-		s = p
+	if ratio := e.latencyRatio.decayed(r.now) / max(r.pool(e.role()).latencyRatio, 0.1); ratio > slowdownThreshold {
+		s = ratio
 	}
 	if overdue := e.maxAgeRatio(r.now); overdue > overdueRatio && e.noResponseSince(e.oldestInFlight().sentAt) {
 		s = max(s, overdue)
--- a/routing/load.go
+++ b/routing/load.go
@@ -6,35 +6,34 @@
 )
 
 const (
-	heldStateWeight       = 0.2             // of a prompt token to prefill; held state takes memory and a port
-	manyGatewaysThreshold = 10              // among fewer, own load tells the queue and latencies add but noise
-	backlogEWMAWeight     = 0.5             // weight of one prefill: two in a row are rare
-	backlogHalfLife       = 8 * time.Second // about as long as a session lasts
-	reportHalfLife        = time.Second     // in which a report loses half of its weight
+	heldStateWeight       = 0.2             // relative to a token to prefill; held state occupies memory and a port
+	manyGatewaysThreshold = 10              // below it, own load reflects the queue better than latencies do
+	backlogEWMAWeight     = 0.5             // weight of one prefill; high, as consecutive ones are rare
+	backlogHalfLife       = 8 * time.Second // about the duration of a session
+	reportHalfLife        = time.Second     // time in which the confidence in a report halves
 )
 
-// engineReport is the latest load report of one engine, and what this router has sent there since. It
-// reads and changes nothing else. Outcomes and probes feed it, and so does every send; load estimation
-// asks.
+// engineReport is the latest load report of an engine and the work that this router has sent to the engine
+// since then. Reports arrive with outcomes and probe results; load estimation uses them.
 type engineReport struct {
 	latest                           LoadReport
 	receivedAt                       Time
-	memorySentSince, tokensSentSince float64 // memory, and tokens to prefill, sent since
+	memorySentSince, tokensSentSince float64 // memory and tokens to prefill of requests sent after the report
 }
 
-// update takes a report, if there is one.
+// update replaces the report and resets the counts of sent work. It ignores a nil report.
 func (p *engineReport) update(report *LoadReport, now Time) {
 	if report != nil {
 		*p = engineReport{latest: *report, receivedAt: now}
 	}
 }
 
-// confidence is how far the report is still believed, from 1 to 0.
+// confidence is the weight of the report: 1 on receipt, halved every reportHalfLife.
 func (p *engineReport) confidence(now Time) float64 {
 	return math.Exp2(-(now - p.receivedAt).Seconds() / reportHalfLife.Seconds())
 }
 
-// age is how long ago it came.
+// age is the time since the report was received.
 func (p *engineReport) age(now Time) time.Duration { return now - p.receivedAt }
 
 // discountedWaitingTokens is the reported number of waiting tokens times the confidence in the report; 0 if
@@ -46,56 +45,58 @@
 	return *p.latest.WaitingTokens * p.confidence(now)
 }
 
-// recordSent takes what was sent: tokens to prefill, and memory.
+// recordSent adds sent work: tokens to prefill and memory.
 func (p *engineReport) recordSent(tokens, memory float64) {
 	p.tokensSentSince += tokens
 	p.memorySentSince += memory
 }
 
-// backlogEstimate is how many tokens more, or fewer, than typical a prefill has lately waited for at an
-// engine beside this router's own: what the other routers have sent there. It reads and changes
-// nothing else. Finished prefills feed it; load estimation asks.
+// backlogEstimate estimates the queue at an engine from requests of other routers: the tokens that recent
+// prefills waited for in addition to those of this router, relative to the mean, so that it can be
+// negative. Finished prefills add samples; load estimation uses it.
 type backlogEstimate struct {
 	tokens    float64 // at the latest sample
 	sampledAt Time
 }
 
 func (b *backlogEstimate) observe(tokens float64, now Time) {
-	current := b.decayed(now)
-	b.tokens, b.sampledAt = current+(tokens-current)*backlogEWMAWeight, now
+	decayed := b.decayed(now)
+	b.tokens, b.sampledAt = decayed+(tokens-decayed)*backlogEWMAWeight, now
 }
 
-// decayed is the estimate as of now; it fades.
+// decayed is the estimate now. It decays towards 0 while no samples are added.
 func (b *backlogEstimate) decayed(now Time) float64 {
 	return b.tokens * math.Exp2(-(now-b.sampledAt).Seconds()/backlogHalfLife.Seconds())
 }
 
-// queuedTokens is the load ahead of a new prefill, in tokens: this router's own or, if more, what was
-// reported and sent since. As a report ages, the peers' mean takes the place of what it said.
+// queuedTokens is the load ahead of a new prefill, in tokens: that of this router or, if larger, the
+// reported load plus the tokens sent since the report. As a report ages, the mean of the peers' reports
+// replaces it. Without reports, the backlog estimate is added if there are many gateways.
 func (r *Router) queuedTokens(e *engine) float64 {
 	own := e.prefillTokens + heldStateWeight*e.heldTokens
 	if e.report.latest.WaitingTokens != nil {
 		weight := r.latency.reportedTokenWeight(e.role())
 		return max(own, weight*r.reportedWaitingTokens(e)+e.report.tokensSentSince)
 	}
-	if r.set.Gateways < manyGatewaysThreshold { // own load is a good part of all, and newer
+	if r.set.Gateways < manyGatewaysThreshold { // own load is a large fraction of the total and more recent
 		return own
 	}
 	return own + max(0, e.backlog.decayed(r.now))
 }
 
-// reportedQueueTokens is how many tokens a reported queue holds beyond this router's own. It ranks
-// prefill engines and extends how long a prefill is waited for, but rejects nothing: the typical time
-// for a token includes it already.
+// reportedQueueTokens is the number of tokens in a reported queue beyond those of this router. It affects
+// the ranking of prefill engines and the timeout of a prefill, but never rejects requests, since the mean
+// time per token already includes the queue.
 func (r *Router) reportedQueueTokens(e *engine) float64 {
 	if e.report.latest.QueueLength == nil {
 		return 0
 	}
-	tokensEach := max(r.latency.meanPrefillTokens(e.role()), prefillOverheadTokens)
-	return max(0, *e.report.latest.QueueLength*tokensEach*e.report.confidence(r.now)-e.prefillTokens)
+	tokensPerRequest := max(r.latency.meanPrefillTokens(e.role()), prefillOverheadTokens)
+	return max(0, *e.report.latest.QueueLength*tokensPerRequest*e.report.confidence(r.now)-e.prefillTokens)
 }
 
-// reportedWaitingTokens is how many tokens a report shows waiting, as far as it is still believed.
+// reportedWaitingTokens is the reported number of waiting tokens, which tends to the mean of the peers as
+// confidence in the report decays.
 func (r *Router) reportedWaitingTokens(e *engine) float64 {
 	if e.report.latest.WaitingTokens == nil {
 		return 0
@@ -104,8 +105,8 @@
 	return mean + (*e.report.latest.WaitingTokens-mean)*e.report.confidence(r.now)
 }
 
-// memoryUsage estimates what share of an engine's memory is in use, by its report and this router's own
-// work.
+// memoryUsage estimates the fraction of an engine's memory in use, from its report and the work of this
+// router.
 func (r *Router) memoryUsage(e *engine) float64 {
 	capacity := max(e.kind.Memory, 1)
 	own := e.answerMemory * float64(r.set.Gateways) / capacity
