--- a/routing/latency.go
+++ b/routing/latency.go
@@ -123,12 +123,12 @@
 	return max(r.latency.decodeWait(r.now), r.pool(RoleDecode).oldestAge)
 }
 
-// slowdown is the latency of an engine as a multiple of that of its peers, or 1 if it is not significantly
-// higher.
+// slowdown is the latency of an engine as a multiple of that of its peers, or 1 if the difference is not
+// significant.
 func (r *Router) slowdown(e *engine) float64 {
 	s := 1.0
-	if ratio := e.latencyRatio.decayed(r.now) / max(r.pool(e.role()).latencyRatio, 0.1); ratio > slowdownThreshold {
-		s = ratio
+	if p := e.latencyRatio.decayed(r.now) / max(r.pool(e.role()).latencyRatio, 0.1); p > slowdownThreshold {
+		s = p
 	}
 	if overdue := e.maxAgeRatio(r.now); overdue > overdueRatio && e.noResponseSince(e.oldestInFlight().sentAt) {
 		s = max(s, overdue)
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -3,24 +3,24 @@
 import "time"
 
 const (
-	failureEWMAWeight = 0.3                    // of one outcome; two failures in a row pass the threshold
-	ejectionThreshold = 0.35                   // above this, and twice the peers' rate, an engine is ejected
-	recoveryThreshold = 0.15                   // below this an engine that was ejected is trusted again
-	initialEjection   = 800 * time.Millisecond // first ejection; doubles, as most troubles outlast it
+	failureEWMAWeight = 0.3                    // of one outcome; two failures in a row exceed the threshold
+	ejectionThreshold = 0.35                   // rate for an ejection, if also twice that of the peers
+	recoveryThreshold = 0.15                   // rate below which an ejected engine has recovered
+	initialEjection   = 800 * time.Millisecond // doubles on each repetition, as most faults last longer
 	maxEjection       = 6400 * time.Millisecond
 )
 
-// failureRecord is the failure rate of one engine and its outlier ejection. It reads and changes nothing
-// else. Outcomes and cancelled attempts feed it; the choice of eligible engines asks.
+// failureRecord is the failure rate of an engine and its outlier ejection. Outcomes and cancelled attempts
+// add samples; the choice of eligible engines uses it.
 type failureRecord struct {
-	rate           float64       // of attempts, an EWMA
-	ejectionPeriod time.Duration // of the latest ejection; 0 once the engine has recovered
+	rate           float64       // EWMA of failures per attempt
+	ejectionPeriod time.Duration // duration of the last ejection; 0 after recovery
 	ejectedUntil   Time
 }
 
 func (f *failureRecord) failureRate() float64 { return f.rate }
 
-// observe takes a failure, 1, or a success, 0, as often as it counts.
+// observe adds a failure (1) or a success (0) to the rate the given number of times.
 func (f *failureRecord) observe(failure float64, times int) {
 	for range times {
 		f.rate += (failure - f.rate) * failureEWMAWeight
@@ -37,12 +37,13 @@
 
 func (f *failureRecord) ejected(now Time) bool { return now < f.ejectedUntil }
 
-// recovering reports whether an engine was ejected and has not recovered yet.
+// recovering reports whether the engine has been ejected and has not recovered since.
 func (f *failureRecord) recovering() bool { return f.ejectionPeriod != 0 }
 
-// recordOutcome takes every outcome of an attempt into the engine's statistics, so that engines that
-// fail, reset, reject or stay silent are avoided, be it towards this router alone. Where a common
-// cause fails all alike, recordResult ejects none and eligible keeps half.
+// recordOutcome records the outcome of an attempt in the statistics of the engine, so that engines that
+// fail, reset connections, reject requests or do not respond are avoided, even if only this router is
+// affected. If all engines fail from a common cause, recordResult ejects none and eligible returns at
+// least half of them.
 func (r *Router) recordOutcome(e *engine, req *request, event Outcome) {
 	if event.Status != StatusTimeout && event.Status != StatusCancelled && event.Status != StatusNotSent {
 		e.recordResponse(r.now)
@@ -60,11 +61,11 @@
 	case StatusError:
 		r.recordResult(e, 1, 1)
 	case StatusTimeout:
-		if e.noResponseSince(req.sentAt) { // a busy engine has not failed
+		if e.noResponseSince(req.sentAt) { // an engine that responded to other attempts is busy, not failed
 			r.recordResult(e, 1, 1)
 		}
 	case StatusReset, StatusConnectFailed:
-		r.recordResult(e, 1, 2) // the process is down: it counts twice
+		r.recordResult(e, 1, 2) // the process is probably down, so that it counts twice
 	case StatusRejected:
 		if !event.StateMissing {
 			e.backoffs.start(key, r.now+r.rateLimits.backoff(key))
@@ -72,24 +73,24 @@
 	}
 }
 
-// recordResult takes a failure, 1, or a success, 0, into an engine's failure rate, as often as it
-// counts, and ejects the engine if it fails far more than its peers.
+// recordResult adds a failure (1) or a success (0) to the failure rate of an engine the given number of
+// times, and ejects the engine if its failure rate far exceeds that of its peers.
 func (r *Router) recordResult(e *engine, failure float64, times int) {
 	e.failures.observe(failure, times)
-	r.pools[e.role()] = poolStats{} // the peers' rate has changed
+	r.pools[e.role()] = poolStats{} // invalidates the failure rate of the pool
 	if failure > 0 && e.usable && r.isOutlier(e) && !e.failures.ejected(r.now) {
 		e.failures.eject(r.now)
 	}
 }
 
-// isOutlier reports whether an engine fails far more than its peers.
+// isOutlier reports whether the failure rate of an engine far exceeds that of its peers.
 func (r *Router) isOutlier(e *engine) bool {
 	rate := e.failures.failureRate()
 	return rate > ejectionThreshold && rate > 2*r.pool(e.role()).failureRate
 }
 
-// available reports whether an engine may take ordinary work. An ejected one comes back on trial, with
-// one request at a time until its failure rate is below recoveryThreshold.
+// available reports whether outlier ejection permits a request to an engine. After its ejection an engine
+// receives one request at a time until its failure rate is below recoveryThreshold.
 func (r *Router) available(e *engine) bool {
 	if e.failures.ejected(r.now) {
 		return false
--- a/routing/placement.go
+++ b/routing/placement.go
@@ -6,17 +6,18 @@
 )
 
 const (
-	hitRateThreshold     = 0.1 // of the prompt: if no engine has more of it cached, caches do not count
-	fairShareMultiple    = 2.0 // times its fair share of active requests that a prefill engine may have
-	runningAnswerWeight  = 0.3 // of a prefill, by which it delays each answer at a mixed engine
-	decodePrefillWeight  = 0.7 // of a prefill at a decode engine, where no other waits
-	prefillTokenWeight   = 4.0 // of a token to prefill against one queued: it delays later ones and evicts
-	memoryShortageWeight = 4.0 // times that the decode wait counts again where memory seems short
+	hitRateThreshold     = 0.1 // cached fraction of the prompt above which caches affect placement
+	fairShareMultiple    = 2.0 // maximum of active requests at a prefill engine, in fair shares
+	runningAnswerWeight  = 0.3 // cost of delaying one answer at a mixed engine, relative to the prefill
+	decodePrefillWeight  = 0.7 // cost of a prefill at a decode engine without a queue
+	prefillTokenWeight   = 4.0 // relative to a queued token: a prefill delays later requests and evicts cache
+	memoryShortageWeight = 4.0 // factor on the decode wait if free memory is probably insufficient
 )
 
-// placePrefill chooses the engine for a prefill as the design says: cached prefix against queued load,
-// behind the hit-rate gate and the fair-share cap. It returns the wait to expect there, in seconds, or
-// no engine if none is eligible or a probe comes first.
+// placePrefill chooses the engine for a prefill by weighing its cached prefix against its queued load.
+// Caches count only above the hit-rate threshold, and the fair share caps the requests at an engine. It
+// returns the engine and the expected wait there in seconds, or nil if no engine is eligible or the
+// request waits for a probe.
 func (r *Router) placePrefill(req *request) (*engine, float64) {
 	decodeWait := r.decodeWait()
 	pool := r.eligible(req, true)
@@ -26,7 +27,7 @@
 		candidates = append(candidates, r.idleDecodeEngines(req)...)
 	}
 	cost := func(e *engine) float64 { return r.prefillCost(req, e, useCache, decodeWait) }
-	// Prompts with cached text make every router choose the same engine.
+	// For a prompt with cached tokens all routers choose the same engine, so that its queue is probed.
 	if useCache && r.probeBeforePlacement(req, candidates, cost) {
 		return nil, 0
 	}
@@ -39,28 +40,28 @@
 	return e, r.prefillWait(req, e, cost(e), decodeWait)
 }
 
-// exceedsHitRateThreshold reports whether caches count for a request: whether any engine of the pool, or the
-// prefix's home, has more of the prompt cached than the gate asks. It sets the request's homes.
+// exceedsHitRateThreshold reports whether an engine of the pool, or the prefix home, has a larger fraction of
+// the prompt cached than hitRateThreshold. It sets the prefix homes of the request.
 func (r *Router) exceedsHitRateThreshold(req *request, pool []*engine) bool {
 	req.home, req.secondHome = nil, nil
 	best := 0
 	for _, e := range pool {
 		best = max(best, r.cachedTokens(req, e))
 	}
-	gate := int(hitRateThreshold * float64(req.PromptTokens))
-	if best <= max(gate, req.PrefixLen) { // nothing is known here of the session itself
+	threshold := int(hitRateThreshold * float64(req.PromptTokens))
+	if best <= max(threshold, req.PrefixLen) { // no engine has tokens cached beyond the shared prefix
 		req.home, req.secondHome = r.rankHomes(req, pool)
 		if req.home != nil {
 			best = max(best, r.cachedTokens(req, req.home))
 		}
 	}
-	return best > gate
+	return best > threshold
 }
 
-// withinFairShare returns the engines of a pool with less than fairShareMultiple times their share of
-// the active requests, or all if none has.
+// withinFairShare returns the engines of a pool with less than fairShareMultiple times their fair share of
+// the active requests, or the whole pool if there are none.
 func withinFairShare(pool []*engine) []*engine {
-	active := 1 // with the new one
+	active := 1 // including the new request
 	for _, e := range pool {
 		active += e.activeRequests()
 	}
@@ -73,7 +74,7 @@
 	return capped
 }
 
-// prefillCost is the time that a prefill at an engine is expected to cost, in seconds.
+// prefillCost is the expected cost of a prefill at an engine, in seconds.
 func (r *Router) prefillCost(req *request, e *engine, useCache bool, decodeWait float64) float64 {
 	hit := 0
 	if useCache {
@@ -82,48 +83,50 @@
 	tokens := r.queuedTokens(e) + prefillTokenWeight*float64(req.PromptTokens-hit) + prefillOverheadTokens
 	cost := tokens * r.latency.secondsPerToken(e.role()) * r.slowdown(e) / e.Weight
 	switch e.role() {
-	case RolePrefill: // its state waits for a decode engine
+	case RolePrefill: // the state then waits for a decode engine
 		return cost + decodeWait
 	case RoleDecode:
 		return cost * decodePrefillWeight
 	}
-	// At a mixed engine each running answer waits until the prefill is done.
+	// At a mixed engine a prefill interrupts all running answers.
 	return cost * (1 + runningAnswerWeight*float64(e.answers*r.set.Gateways))
 }
 
-// prefillWait is the wait for which a request may be rejected before it is sent to an engine, in seconds.
+// prefillWait is the expected wait at an engine, in seconds, on which admission of a request is decided.
 func (r *Router) prefillWait(req *request, e *engine, cost, decodeWait float64) float64 {
 	wait := cost
 	if e.prefills == 0 && e.role() == RolePrefill && r.reportedQueueTokens(e) < prefillOverheadTokens {
-		wait = decodeWait // an idle one is tried
+		wait = decodeWait // an idle engine is tried regardless of the cost
 	}
-	wait = max(wait, e.oldestAgeSeconds(r.now)) // first come, first served: the oldest shows the least wait
+	// Engines serve in order of arrival, so the age of the oldest attempt is a lower bound.
+	wait = max(wait, e.oldestAgeSeconds(r.now))
 	switch {
 	case e.role() == RolePrefill && r.freeDecodeTokens() < r.memoryEstimate(req):
-		wait += memoryShortageWeight * decodeWait // an estimate: the wait seen tells how much it matters
+		wait += memoryShortageWeight * decodeWait // the observed wait corrects the estimated shortage
 	case e.role() == RoleMixed && r.memoryUsage(e)+r.memoryEstimate(req)/max(e.kind.Memory, 1) > 1:
 		wait = max(wait, req.class.FirstTokenObjective.Seconds())
 	}
 	return wait
 }
 
-// idleDecodeEngines are those that may prefill a prompt themselves, have memory to spare and prefill
-// nothing yet. They relieve prefill engines that have a queue; their running answers wait meanwhile.
+// idleDecodeEngines returns the decode engines that may prefill the request: those with free memory and no
+// prefill in flight. They relieve prefill engines that have a queue; a prefill interrupts their running
+// answers.
 func (r *Router) idleDecodeEngines(req *request) []*engine {
 	return slices.DeleteFunc(r.eligible(req, false), func(e *engine) bool {
-		fill := r.memoryUsage(e) + r.memoryEstimate(req)/max(e.kind.Memory, 1)
-		return e.role() != RoleDecode || e.prefills > 0 || fill > memoryLowWatermark
+		usage := r.memoryUsage(e) + r.memoryEstimate(req)/max(e.kind.Memory, 1)
+		return e.role() != RoleDecode || e.prefills > 0 || usage > memoryLowWatermark
 	})
 }
 
-// minCostEngine returns the engine of least cost; ties go by a draw from request and seed.
+// minCostEngine returns the engine of minimum cost. Ties are broken by a draw from request ID and seed.
 func (r *Router) minCostEngine(req *request, pool []*engine, cost func(*engine) float64) *engine {
 	var best *engine
-	var low, tie float64
+	var minCost, minDraw float64
 	for _, e := range pool {
-		c, t := cost(e), r.random.uniform(req.ID, e.Name)
-		if best == nil || c < low-1e-12 || c <= low+1e-12 && t < tie {
-			best, low, tie = e, c, t
+		c, draw := cost(e), r.random.uniform(req.ID, e.Name)
+		if best == nil || c < minCost-1e-12 || c <= minCost+1e-12 && draw < minDraw {
+			best, minCost, minDraw = e, c, draw
 		}
 	}
 	return best
--- a/routing/poolstats.go
+++ b/routing/poolstats.go
@@ -2,21 +2,21 @@
 
 import "slices"
 
-// poolStats summarises the engines of a role. It holds for one event.
+// poolStats summarises the usable engines of a role. It is computed at most once per event.
 type poolStats struct {
 	engines, warmEngines                          int
-	latencyRatio, failureRate, oldestAge, overdue float64 // the failure rate of the better quarter, else medians
+	latencyRatio, failureRate, oldestAge, overdue float64 // lower quartile of the failure rate, else medians
 	waitingTokens                                 float64 // mean of the reports
 }
 
-// pool summarises a role's engines, once an event at most. The failure rate is that of the better
-// quarter: a common cause shows there too, a few failing engines do not.
+// pool returns the statistics of the engines of a role. The failure rate is the lower quartile: it rises if
+// failures have a common cause, but not if only a few engines fail.
 func (r *Router) pool(role Role) *poolStats {
 	stats := &r.pools[role]
 	if stats.engines > 0 {
 		return stats
 	}
-	var pace, fail, age, overdue []float64
+	var ratio, fail, age, overdue []float64
 	for e := range r.engines.usableByRole(role) {
 		stats.engines++
 		if !r.inSlowStart(e) {
@@ -25,21 +25,21 @@
 		fail = append(fail, e.failures.failureRate())
 		age = append(age, e.oldestAgeSeconds(r.now))
 		overdue = append(overdue, e.maxAgeRatio(r.now))
-		pace = append(pace, e.latencyRatio.decayed(r.now))
+		ratio = append(ratio, e.latencyRatio.decayed(r.now))
 		stats.waitingTokens += e.report.discountedWaitingTokens(r.now)
 	}
 	stats.waitingTokens /= float64(max(stats.engines, 1))
-	stats.latencyRatio, stats.oldestAge, stats.overdue = median(pace, 1), median(age, 0), median(overdue, 1)
+	stats.latencyRatio, stats.oldestAge, stats.overdue = median(ratio, 1), median(age, 0), median(overdue, 1)
 	if slices.Sort(fail); len(fail) > 0 {
 		stats.failureRate = fail[len(fail)/4]
 	}
 	return stats
 }
 
-// median returns the middle of the values, or none if there are none.
-func median(values []float64, none float64) float64 {
+// median returns the median of the values, or fallback if there are none.
+func median(values []float64, fallback float64) float64 {
 	if len(values) == 0 {
-		return none
+		return fallback
 	}
 	slices.Sort(values)
 	return values[len(values)/2]
--- a/routing/prefixcache.go
+++ b/routing/prefixcache.go
@@ -6,17 +6,18 @@
 )
 
 const (
-	cacheEntryTTL   = time.Minute // most sessions' turns lie closer; older text is as likely evicted as cached
-	maxCacheEntries = 4096        // sessions for each engine; beyond it the aged entries are dropped
+	// Most turns of a session follow in less time. Older text is as likely evicted as cached.
+	cacheEntryTTL   = time.Minute
+	maxCacheEntries = 4096 // sessions per engine above which expired entries are deleted
 )
 
-// prefixCache is the index of what one engine is believed to have in its prefix cache. It reads and
-// changes nothing else. Finished prefills enter what they leave; placement asks; a restart clears it.
+// prefixCache is an index of the estimated contents of one engine's prefix cache. Finished prefills add
+// entries, a restart of the engine clears it, and placement uses it.
 type prefixCache struct {
 	sessions, prefixes map[string]cacheEntry
 }
 
-// cacheEntry is a text believed to be cached.
+// cacheEntry is a prompt or prefix that is probably cached.
 type cacheEntry struct {
 	tokens   int
 	cachedAt Time
@@ -26,7 +27,7 @@
 	return prefixCache{sessions: map[string]cacheEntry{}, prefixes: map[string]cacheEntry{}}
 }
 
-// cachedTokens is how many of a request's prompt cachedTokens are believed to be cached.
+// cachedTokens is the estimated number of cached prompt tokens of a request.
 func (c *prefixCache) cachedTokens(req *Request, now Time) int {
 	best := 0
 	if entry, ok := c.sessions[req.Session]; ok && req.Session != "" && now-entry.cachedAt < cacheEntryTTL {
@@ -38,8 +39,8 @@
 	return best
 }
 
-// record enters what is cached after a prefill. What the prefill itself found needs no entry: one that
-// was wrong is right now.
+// record adds the entries for a finished prefill. They replace earlier entries, so that the cached tokens
+// which the engine reported are not needed to correct those.
 func (c *prefixCache) record(req *Request, now Time) {
 	if req.Session != "" {
 		c.sessions[req.Session] = cacheEntry{req.PromptTokens, now}
@@ -47,19 +48,19 @@
 	if req.Prefix != "" {
 		c.prefixes[req.Prefix] = cacheEntry{req.PrefixLen, now}
 	}
-	aged := func(_ string, entry cacheEntry) bool { return now-entry.cachedAt > cacheEntryTTL }
+	expired := func(_ string, entry cacheEntry) bool { return now-entry.cachedAt > cacheEntryTTL }
 	if len(c.sessions) > maxCacheEntries {
-		maps.DeleteFunc(c.sessions, aged)
-		maps.DeleteFunc(c.prefixes, aged)
+		maps.DeleteFunc(c.sessions, expired)
+		maps.DeleteFunc(c.prefixes, expired)
 	}
 }
 
-// cachedTokens is how many of a prompt's tokens an engine is believed to have cached: what the index
-// says or, at the prefix's homes, the shared prefix.
+// cachedTokens is the estimated number of prompt tokens that an engine has cached, according to its index.
+// At a prefix home it is at least the length of the shared prefix.
 func (r *Router) cachedTokens(req *request, e *engine) int {
 	best := e.cache.cachedTokens(&req.Request, r.now)
 	switch e {
-	case req.home: // perhaps the session's earlier turns too
+	case req.home: // earlier turns of the session may be cached, too
 		best = max(best, (req.PrefixLen+req.PromptTokens)/2)
 	case req.secondHome:
 		best = max(best, req.PrefixLen)
--- a/routing/prefixhomes.go
+++ b/routing/prefixhomes.go
@@ -8,19 +8,18 @@
 )
 
 const (
-	homesPerEngine    = 4.0   // shared prefixes of which an engine is a home, so that their loads even out
-	maxPrefixSamples  = 400.0 // requests over which the share of a prefix is counted
-	minPrefixSamples  = 40.0  // with fewer of them a share is not believed
-	mixedEngineWeight = 0.6   // prefills at a mixed engine, which decodes as well, against a prefill engine's
+	homesPerEngine    = 4.0   // shared prefixes per home engine; several balance the load
+	maxPrefixSamples  = 400.0 // requests over which the fraction of a prefix is counted
+	minPrefixSamples  = 40.0  // minimum divisor, so that few samples give a small fraction
+	mixedEngineWeight = 0.6   // of a mixed engine, which also decodes, relative to a prefill engine
 )
 
-// prefixPopularity counts how often shared prefixes come. It reads and changes nothing else. Requests
-// are counted on arrival; the ranking of homes asks.
+// prefixPopularity counts requests by shared prefix on arrival. The ranking of prefix homes uses it.
 type prefixPopularity struct {
-	counts map[string]float64 // requests by prefix, "" for all, fading
+	counts map[string]float64 // decaying number of requests by prefix; "" counts all requests
 }
 
-// count counts requests by shared prefix, and all of them under ""; old counts fade.
+// count counts a request. All counts are halved whenever the total exceeds maxPrefixSamples.
 func (p *prefixPopularity) count(prefix string) {
 	p.counts[""]++
 	if prefix != "" {
@@ -34,34 +33,35 @@
 	}
 }
 
-// fraction is the part of the requests that begin with a prefix, less what chance may have brought.
+// fraction is a lower estimate of the fraction of requests that begin with a prefix: the count is reduced by
+// a margin for random variation.
 func (p *prefixPopularity) fraction(prefix string) float64 {
 	count := p.counts[prefix]
-	sure := count - max(1, 0.7*math.Sqrt(count))
-	return max(0, sure) / max(p.counts[""], minPrefixSamples)
+	lowerBound := count - max(1, 0.7*math.Sqrt(count))
+	return max(0, lowerBound) / max(p.counts[""], minPrefixSamples)
 }
 
-// rankHomes names two engines at which to expect the cached prefix of a session that this router has
-// not seen: the same at every router, by rendezvous hashing. A shared prefix has more homes the more
-// requests begin with it; the session picks among them by the weights of the cell plan. It does harm
-// where a home has just lost its cache.
+// rankHomes returns the two engines that most probably have the prefix of an unknown session cached. By
+// rendezvous hashing all routers choose the same engines. The number of homes of a shared prefix grows with
+// its fraction of the requests; a hash of the session chooses among them with the weights of the cell
+// plan. The choice is harmful if a home has just lost its cache.
 func (r *Router) rankHomes(req *request, pool []*engine) (home, secondHome *engine) {
 	text := cmp.Or(req.Prefix, req.Session)
 	if text == "" || len(pool) == 0 {
 		return nil, nil
 	}
-	// One, a second and more for a hot one.
+	// Two homes, and more for a popular prefix.
 	homes := 2 + int(r.popularity.fraction(req.Prefix)*homesPerEngine*float64(len(pool)))
 	ranked := slices.Clone(pool)
 	if homes < len(pool) {
-		of := make(map[*engine]float64, len(pool))
+		hashes := make(map[*engine]float64, len(pool))
 		for _, e := range pool {
-			of[e] = hashToUnit(text, e.Name)
+			hashes[e] = hashToUnit(text, e.Name)
 		}
-		slices.SortFunc(ranked, func(a, b *engine) int { return cmp.Compare(of[a], of[b]) })
+		slices.SortFunc(ranked, func(a, b *engine) int { return cmp.Compare(hashes[a], hashes[b]) })
 		ranked = ranked[:homes]
 	}
-	low, next := math.Inf(1), math.Inf(1)
+	lowest, second := math.Inf(1), math.Inf(1)
 	plan := r.cells.capacities(r.engines.ordered)
 	for _, e := range ranked {
 		weight := e.Weight * mixedEngineWeight
@@ -69,10 +69,10 @@
 			c := findCell(plan, e.Cell)
 			weight = e.Weight * c.prefillTarget / c.prefillWeight
 		}
-		if far := -math.Log(hashToUnit(cmp.Or(req.Session, text), e.Name)) / max(weight, 1e-9); far < low {
-			home, low, secondHome, next = e, far, home, low
-		} else if far < next {
-			secondHome, next = e, far
+		if score := -math.Log(hashToUnit(cmp.Or(req.Session, text), e.Name)) / max(weight, 1e-9); score < lowest {
+			home, lowest, secondHome, second = e, score, home, lowest
+		} else if score < second {
+			secondHome, second = e, score
 		}
 	}
 	return home, secondHome
--- a/routing/probe.go
+++ b/routing/probe.go
@@ -7,12 +7,11 @@
 )
 
 const (
-	maxFreshReportAge = 300 * time.Millisecond // a younger report needs no probe
-	probeTimeout      = 40 * time.Millisecond  // after which a probe is not waited for
+	maxFreshReportAge = 300 * time.Millisecond // an engine with a more recent report is not probed
+	probeTimeout      = 40 * time.Millisecond  // maximum wait for the result of a probe
 )
 
-// probeState is the latest probe of one engine. It reads and changes nothing else. Placement sends
-// probes; their results end them.
+// probeState records the latest probe of an engine. Placement sends probes.
 type probeState struct {
 	sentAt, answeredAt Time
 }
@@ -20,14 +19,14 @@
 func (p *probeState) recordSent(now Time)   { p.sentAt = now }
 func (p *probeState) recordResult(now Time) { p.answeredAt = now }
 
-// pending reports whether a result is still waited for.
+// pending reports whether the result of the latest probe is outstanding and probeTimeout has not expired.
 func (p *probeState) pending(now Time) bool {
 	return p.sentAt > p.answeredAt && now-p.sentAt < probeTimeout
 }
 
-// probeBeforePlacement probes the prefill engine of least cost, once per request, if its load report is
-// old: one of many gateways uses each engine too seldom to estimate its queue. It reports whether the
-// request is queued until the engine answers, or for probeTimeout at most.
+// probeBeforePlacement probes the prefill engine of minimum cost, at most once per request, if its load
+// report is old: each of many gateways uses an engine too rarely to estimate its queue. It reports whether
+// the request must wait for the result, for probeTimeout at most.
 func (r *Router) probeBeforePlacement(req *request, pool []*engine, cost func(*engine) float64) bool {
 	if !r.set.CanProbe || r.set.Gateways < manyGatewaysThreshold || req.probedEngine != nil || len(pool) < 2 {
 		return false
@@ -44,7 +43,7 @@
 	return true
 }
 
-// onProbeResult takes a report and places the requests that waited for it alone.
+// onProbeResult records the load report of a probe and dispatches the requests that waited only for it.
 func (r *Router) onProbeResult(event ProbeResult) {
 	e := r.engines.byName[event.Engine]
 	if e == nil {
--- a/routing/reportweight.go
+++ b/routing/reportweight.go
@@ -1,16 +1,17 @@
 package routing
 
-// reportRegression is a least-squares fit of the time that prefills took by the tokens that the report
-// showed waiting before them and their own tokens, without a constant term. It keeps the sums of
-// products; old prefills fade.
+// reportRegression is a least-squares fit of the duration of prefills to two variables: the waiting tokens in
+// the load report before the prefill, and the tokens of the prefill. It has no constant term. The sums of
+// products decay exponentially with each prefill.
 type reportRegression struct {
 	count, reportedSquared, reportedTimesOwn, ownSquared float64
 	reportedTimesSeconds, ownTimesSeconds                float64
 }
 
-// observe takes one prefill: tokens reported waiting before it, its own tokens, and its time in seconds.
+// observe adds one prefill: the tokens reported as waiting before it, its own tokens, and its duration in
+// seconds.
 func (f *reportRegression) observe(reported, own, seconds float64) {
-	const keep = 0.99
+	const decay = 0.99
 	if reported <= 0 {
 		return
 	}
@@ -25,17 +26,18 @@
 		{&f.reportedTimesSeconds, reported * seconds},
 		{&f.ownTimesSeconds, own * seconds},
 	} {
-		*x.sum = *x.sum*keep + x.value
+		*x.sum = *x.sum*decay + x.value
 	}
 }
 
-// tokenWeight is the time that a reported token stands for against one of the prefill's own:
-// deployments differ in what they count as waiting, and reports in their age.
+// tokenWeight is the estimated time per reported token, relative to that per token of the prefill, between
+// 0.1 and 1. It is not fixed, as deployments differ in what they count as waiting, and reports differ in
+// age.
 func (f *reportRegression) tokenWeight() float64 {
-	const enough, least = 20, 0.1
+	const minSamples, floor = 20, 0.1
 	token := f.reportedSquared*f.ownTimesSeconds - f.reportedTimesOwn*f.reportedTimesSeconds
-	if f.count < enough || token <= 0 {
+	if f.count < minSamples || token <= 0 {
 		return 1
 	}
-	return min(1, max(least, (f.ownSquared*f.reportedTimesSeconds-f.reportedTimesOwn*f.ownTimesSeconds)/token))
+	return min(1, max(floor, (f.ownSquared*f.reportedTimesSeconds-f.reportedTimesOwn*f.ownTimesSeconds)/token))
 }
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -7,10 +7,10 @@
 	"wellgw/decide/setting"
 )
 
-// Reconfigure takes new classes and a new number of attempts while the router runs.
-// Requests in hand keep the class and the attempts they came with; a class no
-// longer named stays known under its last rules, for requests that still name it.
-// An error names the setting at fault, and then nothing changes.
+// Reconfigure replaces the classes and the maximum number of attempts of a running router. Existing requests
+// retain the class and the number of attempts from their arrival. A class that is no longer configured
+// remains available with its last settings for requests that still use it. The error identifies the
+// invalid setting; in that case nothing changes.
 func (r *Router) Reconfigure(classes []Class, attempts int) error {
 	next := r.set
 	next.Classes, next.MaxAttempts = slices.Clone(classes), attempts
--- a/routing/settings_test.go
+++ b/routing/settings_test.go
@@ -8,8 +8,8 @@
 	"wellgw/decide/setting"
 )
 
-func TestSettingsThatCannotBeUsed(t *testing.T) {
-	for field, spoil := range map[string]func(*Settings){
+func TestInvalidSettingsAreRejected(t *testing.T) {
+	for field, invalidate := range map[string]func(*Settings){
 		"Routers":     func(s *Settings) { s.Gateways = 0 },
 		"Classes":     func(s *Settings) { s.Classes = nil },
 		"Kinds":       func(s *Settings) { s.Kinds = nil },
@@ -18,10 +18,10 @@
 		"Fall":        func(s *Settings) { s.OverloadWindow = 0 },
 	} {
 		s := testSettings()
-		spoil(&s)
-		var wrong setting.Error
-		if _, err := New(s, 1); !errors.As(err, &wrong) || !strings.Contains(wrong.Field, field) {
-			t.Errorf("%s: error %v does not name it", field, err)
+		invalidate(&s)
+		var settingError setting.Error
+		if _, err := New(s, 1); !errors.As(err, &settingError) || !strings.Contains(settingError.Field, field) {
+			t.Errorf("%s: error %v does not identify the setting", field, err)
 		}
 	}
 }
--- a/routing/shape_test.go
+++ b/routing/shape_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// The limits on the shape of a file, so that a rule is found and read in one go.
+// Size limits that keep files and functions readable.
 const (
 	maxFileLines     = 400
 	maxFunctionLines = 50
@@ -32,11 +32,11 @@
 		checkFunctions(t, name)
 	}
 	if checked < 5 {
-		t.Errorf("only %d files were found", checked)
+		t.Errorf("only %d source files found, want at least 5", checked)
 	}
 }
 
-// checkFunctions checks how long the functions of one file are.
+// checkFunctions checks the length of the functions of one file.
 func checkFunctions(t *testing.T, name string) {
 	t.Helper()
 	set := token.NewFileSet()
@@ -51,12 +51,12 @@
 		}
 		lines := set.Position(f.End()).Line - set.Position(f.Pos()).Line + 1
 		if lines > maxFunctionLines {
-			t.Errorf("%s: %s has %d lines, %d at most", name, f.Name.Name, lines, maxFunctionLines)
+			t.Errorf("%s: function %s has %d lines, want %d at most", name, f.Name.Name, lines, maxFunctionLines)
 		}
 	}
 }
 
-// checkLines checks how many lines one file has, and how long they are.
+// checkLines checks the number of lines of one file and their lengths.
 func checkLines(t *testing.T, name string) {
 	t.Helper()
 	b, err := os.ReadFile(name)
@@ -65,7 +65,7 @@
 	}
 	lines := strings.Split(strings.TrimSuffix(string(b), "\n"), "\n")
 	if len(lines) > maxFileLines {
-		t.Errorf("%s has %d lines, %d at most", name, len(lines), maxFileLines)
+		t.Errorf("%s has %d lines, want %d at most", name, len(lines), maxFileLines)
 	}
 	for i, line := range lines {
 		if len([]rune(line)) > maxColumns {
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -6,20 +6,20 @@
 )
 
 const (
-	slowStartMargin        = 0.7              // part of the budget used, as routers' estimates differ
-	throughputTimeConstant = 8 * time.Second  // over which the throughput of warm engines is averaged
-	peakTimeConstant       = 90 * time.Second // in which the peak fades where no such rate is seen again
+	slowStartMargin        = 0.7              // fraction of the budget used, as routers' estimates differ
+	throughputTimeConstant = 8 * time.Second  // of the mean throughput of warm engines
+	peakTimeConstant       = 90 * time.Second // of the decay of the peak rate
 )
 
-// throughput is what the warm engines of one role do for this router, in tokens a second. It reads and
-// changes nothing else. Finished prefills and first tokens feed it; the slow-start budget asks.
+// throughput is the rate, in tokens per second, at which the warm engines of one role serve this router.
+// Finished prefills and first tokens add samples; the slow-start budget uses it.
 type throughput struct {
-	tokens    float64 // tokens done by warm engines, fading
-	peakRate  float64 // best rate of one engine
+	tokens    float64 // decaying sum of the tokens processed by warm engines
+	peakRate  float64 // decaying maximum of the rate per engine
 	sampledAt Time    // of the latest sample
 }
 
-// observe takes work done by one of so many warm engines.
+// observe adds tokens processed by an engine; warm is the number of warm engines of the role.
 func (t *throughput) observe(tokens float64, warm int, now Time) {
 	elapsed := (now - t.sampledAt).Seconds()
 	t.sampledAt = now
@@ -28,8 +28,8 @@
 	t.peakRate = max(t.peakRate*math.Exp(-elapsed/peakTimeConstant.Seconds()), rate)
 }
 
-// promptMeans is the mean prompt length of each class, in tokens: what a request of it counts in slow
-// start. It reads and changes nothing else. Requests feed it on arrival.
+// promptMeans is the mean prompt length of each class, in tokens, which is what a request counts in the
+// slow-start budget. Requests add samples on arrival.
 type promptMeans struct {
 	tokens map[string]float64 // by class
 }
@@ -40,10 +40,10 @@
 
 func (m *promptMeans) mean(class string) float64 { return m.tokens[class] }
 
-// slowStartSends are this router's sends to one engine within an OverloadWindow. It reads and changes
-// nothing else. Every send feeds it; the slow-start budget and the engine table ask.
+// slowStartSends records the sends of this router to one engine within an OverloadWindow. The slow-start
+// budget and the engine table use it.
 type slowStartSends struct {
-	sends []slowStartSend // in order of time
+	sends []slowStartSend // sorted by time
 }
 
 type slowStartSend struct {
@@ -55,14 +55,14 @@
 	s.sends = append(s.sends, slowStartSend{now, tokens})
 }
 
-// expire drops what was sent before the window.
+// expire deletes sends before the window.
 func (s *slowStartSends) expire(now, window Time) {
 	for len(s.sends) > 0 && now-s.sends[0].sentAt > window {
 		s.sends = s.sends[1:]
 	}
 }
 
-// totalWith adds up what was sent, with so many tokens more.
+// totalWith returns the sum of the sent tokens plus the given number.
 func (s *slowStartSends) totalWith(tokens float64) float64 {
 	for _, send := range s.sends {
 		tokens += send.tokens
@@ -70,17 +70,18 @@
 	return tokens
 }
 
-// sentWithin reports whether anything was sent within the window.
+// sentWithin reports whether the latest send was within the window.
 func (s *slowStartSends) sentWithin(now, window Time) bool {
 	n := len(s.sends)
 	return n > 0 && now-s.sends[n-1].sentAt <= window
 }
 
-// slowStartAdmits bounds this router's sends to an engine in slow start, within any OverloadWindow, by
-// the throughput that it has seen at warm peers, so that all routers' sends add up to less than what
-// overloads the engine. Where that is less than one request, a draw decides once a window whether to
-// send one: the first ones of many routers would overload it. It could starve a pool in which all
-// engines are in slow start.
+// slowStartAdmits reports whether the slow-start budget permits a send to an engine. During slow start the
+// tokens that this router sends within any OverloadWindow are limited in proportion to the throughput that
+// it has observed at warm peers, so that the sends of all routers together do not overload the engine. If the
+// limit is below one request, one random draw per window decides whether to send one, as one request from
+// each of many routers would overload the engine. A pool in which all engines are in slow start may be
+// starved.
 func (r *Router) slowStartAdmits(e *engine, tokens float64) bool {
 	e.slowStart.expire(r.now, r.set.OverloadWindow)
 	if !r.inSlowStart(e) {
@@ -89,14 +90,14 @@
 	limit := slowStartMargin * r.throughputs[e.role()].peakRate * r.set.OverloadWindow.Seconds() *
 		r.set.OverloadMultiple * r.set.SlowStartCapacity
 	if len(e.slowStart.sends) == 0 && limit < tokens {
-		// Each router's windows begin at a time of its own.
+		// The draw gives the windows of each router a different offset.
 		window := float64(r.now)/float64(r.set.OverloadWindow) + r.random.uniform(0, e.Name)
 		return r.random.uniform(RequestID(window), e.Name) < limit/tokens
 	}
 	return e.slowStart.totalWith(tokens) <= limit
 }
 
-// recordThroughput takes work done by a warm engine into the throughput of its role.
+// recordThroughput adds tokens processed by a warm engine to the throughput of its role.
 func (r *Router) recordThroughput(e *engine, tokens float64) {
 	if r.inSlowStart(e) {
 		return
