--- a/routing/api.go
+++ b/routing/api.go
@@ -72,7 +72,7 @@
 	Quota float64 // requests per second, summed over all gateways
 }
 
-// QuotaStatus is the use that a tenant has made of its quota, in requests.
+// QuotaStatus is the state of a tenant's quota, in requests.
 type QuotaStatus struct {
 	Burst     float64       // maximum number of requests in a burst
 	Remaining float64       // requests left of Burst
--- a/routing/cellplan.go
+++ b/routing/cellplan.go
@@ -9,13 +9,14 @@
 	maxLoadRatio = 1.5 // upper bound on the load of a prefill engine, as a multiple of an even distribution
 )
 
-// cellCapacity is the capacity of a cell. All amounts are sums of engine weights.
+// cellCapacity is the capacity of a cell, as sums of engine weights. prefillTarget is the amount of prefills
+// that the plan assigns to the cell, in the unit of decodeWeight.
 type cellCapacity struct {
 	id                                         int
 	prefillWeight, decodeWeight, prefillTarget float64
 }
 
-// sumCellCapacities sums the weights of the usable engines by cell, sorted by cell.
+// sumCellCapacities returns the sums of the weights of the usable engines by cell, sorted by cell ID.
 func sumCellCapacities(engines []*engine) []*cellCapacity {
 	cells := []*cellCapacity{}
 	for _, e := range engines {
@@ -66,7 +67,7 @@
 	for _, c := range p.cells {
 		prefillWeight, decodeWeight = prefillWeight+c.prefillWeight, decodeWeight+c.decodeWeight
 	}
-	maxLoad := maxLoadRatio * decodeWeight / max(prefillWeight, 1e-9) // of a prefill engine, per weight
+	maxLoad := maxLoadRatio * decodeWeight / max(prefillWeight, 1e-9) // per unit of prefill weight
 	for _, c := range p.cells {
 		c.prefillTarget = min(c.decodeWeight, maxLoad*c.prefillWeight)
 		assigned += c.prefillTarget
--- a/routing/decodeplacement.go
+++ b/routing/decodeplacement.go
@@ -10,7 +10,7 @@
 // placeDecode chooses the decode engine with the lowest memory usage in the cell of the prefill engine. It
 // chooses an engine in another cell only if the cell has no eligible engine, or if all its engines are
 // above memoryHighWatermark while an engine in another cell is below memoryLowWatermark. Mixed engines
-// are the last choice.
+// are the last choice. The slowdown of an engine multiplies its memory usage.
 func (r *Router) placeDecode(req *request) *engine {
 	var local, remote, mixed []*engine
 	cell := r.decodeCell(req)
@@ -25,14 +25,15 @@
 		}
 	}
 	usage := func(e *engine) float64 { return r.memoryUsage(e) * r.slowdown(e) }
-	l, f := r.minCostEngine(req, local, usage), r.minCostEngine(req, remote, usage)
+	bestLocal, bestRemote := r.minCostEngine(req, local, usage), r.minCostEngine(req, remote, usage)
 	switch {
-	case l == nil && f == nil:
+	case bestLocal == nil && bestRemote == nil:
 		return r.minCostEngine(req, mixed, usage)
-	case l == nil || f != nil && usage(l) > memoryHighWatermark && usage(f) < memoryLowWatermark:
-		return f
+	case bestLocal == nil || bestRemote != nil &&
+		usage(bestLocal) > memoryHighWatermark && usage(bestRemote) < memoryLowWatermark:
+		return bestRemote
 	}
-	return l
+	return bestLocal
 }
 
 // decodeCell returns the cell in which to decode a request: the cell of the prefill engine, or for the
@@ -48,10 +49,10 @@
 	for _, c := range plan {
 		unused += max(0, c.decodeWeight-c.prefillTarget)
 	}
-	at := r.random.uniform(req.ID, "cell") * c.prefillTarget / (c.prefillTarget - c.decodeWeight) * unused
-	for _, to := range plan {
-		if at -= max(0, to.decodeWeight-to.prefillTarget); at < 0 {
-			return to.id
+	draw := r.random.uniform(req.ID, "cell") * c.prefillTarget / (c.prefillTarget - c.decodeWeight) * unused
+	for _, other := range plan {
+		if draw -= max(0, other.decodeWeight-other.prefillTarget); draw < 0 {
+			return other.id
 		}
 	}
 	return req.stateHolder.Cell
--- a/routing/eligibility.go
+++ b/routing/eligibility.go
@@ -7,7 +7,8 @@
 
 // eligible returns the engines that may receive a prefill, or a decode if prefill is false: usable engines
 // of a suitable role that are not in backoff for the rate limit key of the request, to which the effect
-// of its class and the slow-start budget allow a send, and that are not ejected.
+// of its class and the slow-start budget allow a send, and that are neither ejected nor the engine at which
+// the previous attempt failed.
 func (r *Router) eligible(req *request, prefill bool) []*engine {
 	var allowed, healthy []*engine
 	for _, e := range r.engines.ordered {
@@ -25,8 +26,8 @@
 			healthy = append(healthy, e)
 		}
 	}
-	// At least half of the allowed engines remain eligible, ordered by failure rate: failures with a common
-	// cause affect all engines.
+	// At least half of the allowed engines remain eligible, those with the lowest failure rates first, as a
+	// common cause makes all engines fail.
 	if missing := (len(allowed)+1)/2 - len(healthy); missing > 0 {
 		isHealthy := func(e *engine) bool { return slices.Contains(healthy, e) }
 		unhealthy := slices.DeleteFunc(slices.Clone(allowed), isHealthy)
--- a/routing/latency.go
+++ b/routing/latency.go
@@ -46,8 +46,8 @@
 	m.roles[role].firstTokenAt = now
 }
 
-// secondsPerToken is the mean prefill time per token. For a role without samples it is that of prefill
-// engines, or else that of mixed engines.
+// secondsPerToken is the mean time per token of a prefill and the queue ahead of it. For a role without
+// samples it is that of prefill engines, or else that of mixed engines.
 func (m *latencyModel) secondsPerToken(role Role) float64 {
 	for _, l := range []*roleLatency{&m.roles[role], &m.roles[RolePrefill], &m.roles[RoleMixed]} {
 		if l.prefillTokens > 0 {
@@ -65,7 +65,7 @@
 	return m.roles[role].reportRegression.tokenWeight()
 }
 
-// meanSeconds is the mean duration of an attempt in a phase.
+// meanSeconds is the mean duration of an attempt in a phase; for decoding, until the first token.
 func (m *latencyModel) meanSeconds(role Role, p phase) float64 {
 	if p == decoding {
 		return m.roles[role].firstTokenSeconds
@@ -124,7 +124,8 @@
 }
 
 // slowdown is the latency of an engine as a multiple of that of its peers, or 1 if the difference is not
-// significant.
+// significant. If the oldest attempt in flight is overdue and the engine has not responded since it was
+// sent, the slowdown is at least the age of the attempt divided by its expected time.
 func (r *Router) slowdown(e *engine) float64 {
 	s := 1.0
 	if p := e.latencyRatio.decayed(r.now) / max(r.pool(e.role()).latencyRatio, 0.1); p > slowdownThreshold {
--- a/routing/load.go
+++ b/routing/load.go
@@ -8,7 +8,7 @@
 const (
 	heldStateWeight       = 0.2             // relative to a token to prefill; state occupies memory and a port
 	manyGatewaysThreshold = 10              // below it, own load reflects the queue better than latencies do
-	backlogEWMAWeight     = 0.5             // weight of one prefill; high, as consecutive ones are rare
+	backlogEWMAWeight     = 0.5             // of one prefill; high, as two in a row at an engine are rare
 	backlogHalfLife       = 8 * time.Second // about the duration of a session
 	reportHalfLife        = time.Second     // time in which the confidence in a report halves
 )
--- a/routing/placement.go
+++ b/routing/placement.go
@@ -7,7 +7,7 @@
 
 const (
 	hitRateThreshold     = 0.1 // cached fraction of the prompt above which caches affect placement
-	fairShareMultiple    = 2.0 // maximum of active requests at a prefill engine, in fair shares
+	fairShareMultiple    = 2.0 // limit of active requests at a prefill engine, as a multiple of its fair share
 	runningAnswerWeight  = 0.3 // cost of delaying one answer at a mixed engine, relative to the prefill
 	decodePrefillWeight  = 0.7 // cost of a prefill at a decode engine without a queue
 	prefillTokenWeight   = 4.0 // relative to a queued token: a prefill delays later requests and evicts cache
@@ -92,7 +92,8 @@
 	return cost * (1 + runningAnswerWeight*float64(e.answers*r.set.Gateways))
 }
 
-// prefillWait is the expected wait at an engine, in seconds, on which admission of a request is decided.
+// prefillWait is the expected wait at an engine, in seconds. Admission rejects a request because of it before
+// the request is sent.
 func (r *Router) prefillWait(req *request, e *engine, cost, decodeWait float64) float64 {
 	wait := cost
 	if e.prefills == 0 && e.role() == RolePrefill && r.reportedQueueTokens(e) < prefillOverheadTokens {
@@ -102,7 +103,7 @@
 	wait = max(wait, e.oldestAgeSeconds(r.now))
 	switch {
 	case e.role() == RolePrefill && r.freeDecodeTokens() < r.memoryEstimate(req):
-		wait += memoryShortageWeight * decodeWait // the observed wait corrects the estimated shortage
+		wait += memoryShortageWeight * decodeWait // a shortage is an estimate: it counts by the observed wait
 	case e.role() == RoleMixed && r.memoryUsage(e)+r.memoryEstimate(req)/max(e.kind.Memory, 1) > 1:
 		wait = max(wait, req.class.FirstTokenObjective.Seconds())
 	}
--- a/routing/poolstats.go
+++ b/routing/poolstats.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// poolStats summarises the usable engines of a role. It is computed at most once per event.
+// poolStats summarises the usable engines of a role. It is cached during an event. oldestAge is in seconds;
+// overdue is the age of the oldest attempt divided by its expected time.
 type poolStats struct {
 	engines, warmEngines                          int
 	latencyRatio, failureRate, oldestAge, overdue float64 // lower quartile of the failure rate, else medians
--- a/routing/prefixcache.go
+++ b/routing/prefixcache.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// Most turns of a session follow in less time. Older text is as likely evicted as cached.
+	// Most turns of a session are less than a minute apart. An older prompt is as likely evicted as cached.
 	cacheEntryTTL   = time.Minute
 	maxCacheEntries = 4096 // sessions per engine above which expired entries are deleted
 )
--- a/routing/prefixhomes.go
+++ b/routing/prefixhomes.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	homesPerEngine    = 4.0   // shared prefixes per home engine; several balance the load
+	homesPerEngine    = 4.0   // number of popular prefixes per home engine; several balance the load
 	maxPrefixSamples  = 400.0 // requests over which the fraction of a prefix is counted
-	minPrefixSamples  = 40.0  // minimum divisor, so that few samples give a small fraction
+	minPrefixSamples  = 40.0  // minimum divisor of a fraction, as fewer samples are insignificant
 	mixedEngineWeight = 0.6   // of a mixed engine, which also decodes, relative to a prefill engine
 )
 
@@ -41,10 +41,10 @@
 	return max(0, lowerBound) / max(p.counts[""], minPrefixSamples)
 }
 
-// rankHomes returns the two engines that most probably have the prefix of an unknown session cached. By
-// rendezvous hashing all routers choose the same engines. The number of homes of a shared prefix grows with
-// its fraction of the requests; a hash of the session chooses among them with the weights of the cell
-// plan. The choice is harmful if a home has just lost its cache.
+// rankHomes returns the two engines that most probably have the prefix of a session cached, for a session
+// without cache entries at this router. By rendezvous hashing all routers choose the same engines. The
+// number of homes of a shared prefix grows with its fraction of the requests; a hash of the session chooses
+// among them with the weights of the cell plan. The choice is harmful if a home has just lost its cache.
 func (r *Router) rankHomes(req *request, pool []*engine) (home, secondHome *engine) {
 	text := cmp.Or(req.Prefix, req.Session)
 	if text == "" || len(pool) == 0 {
--- a/routing/reportweight.go
+++ b/routing/reportweight.go
@@ -30,9 +30,9 @@
 	}
 }
 
-// tokenWeight is the estimated time per reported token, relative to that per token of the prefill, between
-// 0.1 and 1. It is not fixed, as deployments differ in what they count as waiting, and reports differ in
-// age.
+// tokenWeight is the estimated time per reported token divided by the time per token of the prefill, limited
+// to the range from 0.1 to 1. It is 1 until there are 20 samples. A constant does not suffice, as
+// deployments differ in what they count as waiting, and reports differ in age.
 func (f *reportRegression) tokenWeight() float64 {
 	const minSamples, floor = 20, 0.1
 	token := f.reportedSquared*f.ownTimesSeconds - f.reportedTimesOwn*f.reportedTimesSeconds
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -7,7 +7,7 @@
 
 const (
 	slowStartMargin        = 0.7              // fraction of the budget used, as routers' estimates differ
-	throughputTimeConstant = 8 * time.Second  // of the mean throughput of warm engines
+	throughputTimeConstant = 8 * time.Second  // of the decay of the throughput of warm engines
 	peakTimeConstant       = 90 * time.Second // of the decay of the peak rate
 )
 
@@ -16,7 +16,7 @@
 type throughput struct {
 	tokens    float64 // decaying sum of the tokens processed by warm engines
 	peakRate  float64 // decaying maximum of the rate per engine
-	sampledAt Time    // of the latest sample
+	sampledAt Time
 }
 
 // observe adds tokens processed by an engine; warm is the number of warm engines of the role.
