--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -27,7 +27,7 @@
 // startAttempt sends a request to an engine. An attempt that is not to be sent ends at once.
 func (c *Core) startAttempt(send routing.Send) {
 	request := c.requests.byID[send.ID]
-	if !c.checks.Hold(request != nil && !request.answered, "a send is for a request that awaits its answer") {
+	if !c.checks.Assert(request != nil && !request.answered, "a send is for a request that awaits its answer") {
 		return
 	}
 	endpoint, listed := c.endpoints.listed[send.Engine]
@@ -37,12 +37,12 @@
 		timeout = min(timeout, send.Timeout)
 	}
 	notSent := timeout <= 0 || len(request.attempts) > c.limits.MaxAttempts || request.clientGone.Load()
-	if notSent || !c.checks.Hold(listed && endpoint.Phase == routing.PhaseActive, "a send goes to an engine on the list") {
+	if notSent || !c.checks.Assert(listed && endpoint.Phase == routing.PhaseActive, "a send goes to an engine on the list") {
 		c.endAttempt(request, attempt, Result{Status: routing.StatusNotSent})
 		return
 	}
 	c.counters.increment(countAttempts)
-	if request.held.ledger.StateHolder() != "" && c.limits.ServesAlone != nil && c.limits.ServesAlone(endpoint.Kind) {
+	if request.held.ledger.StateHolder() != "" && c.limits.IgnoresHeldState != nil && c.limits.IgnoresHeldState(endpoint.Kind) {
 		request.held.ledger.Detach() // this engine fetches no state that another has prefilled
 		c.markChanged(request)
 	}
@@ -144,8 +144,8 @@
 		request.held.ledger.AnswerCompleted()
 		c.counters.addTraffic(request.Class, func(t *Traffic) {
 			t.Served++
-			t.ServedPrompt += request.PromptTokens
-			t.Output += r.OutputTokens
+			t.ServedPromptTokens += request.PromptTokens
+			t.OutputTokens += r.OutputTokens
 		})
 	}
 	c.endAttempt(request, attempt, r)
