--- a/routing/hostile_test.go
+++ b/routing/hostile_test.go
@@ -281,7 +281,7 @@
 			continue
 		}
 		if i := w.indexInFlight(id); i < 0 || !w.inFlight[i].streaming {
-			w.fail("request %d has no final answer 16 ms after its deadline", id)
+			w.fail("request %d has neither a final answer nor a streaming attempt 16 ms after its deadline", id)
 		}
 	}
 }
--- a/routing/load_test.go
+++ b/routing/load_test.go
@@ -21,7 +21,7 @@
 			f.observe(reported, own, 5e-5*(own+c.weight*reported)*(1+c.noise*rng.NormFloat64()))
 		}
 		if got := f.tokenWeight(); got < c.want-0.06 || got > c.want+0.06 {
-			t.Errorf("estimated weight for weight %.2f and noise %.1f: %.2f", c.weight, c.noise, got)
+			t.Errorf("weight %.2f with noise %.1f: estimated weight %.2f", c.weight, c.noise, got)
 		}
 	}
 }
@@ -71,7 +71,7 @@
 			r.Handle(time.Second, ProbeResult{Engine: name, Report: &LoadReport{QueueLength: &c.queue}})
 		}
 		actions := slices.Clone(r.Handle(time.Second+c.at, testRequest(1, 8000)))
-		if c.at > 0 { // the report is old: the engine of least cost is probed and does not respond
+		if c.at > 0 { // the report is old: the engine of minimum cost is probed and does not respond
 			actions = append(actions, r.Handle(time.Second+c.at+60*ms, TimerFired{Name: "tick"})...)
 		}
 		if has[Reject](actions) != c.rejected || has[Send](actions) == c.rejected {
