--- a/routing/decodeplacement_test.go
+++ b/routing/decodeplacement_test.go
@@ -7,7 +7,8 @@
 )
 
 func TestDecodePlacementPrefersCellOfPrefill(t *testing.T) {
-	r := newTestRouter(t, testSettings(), testEngine("a", "r", 1), testEngine("near", "w", 1), testEngine("near2", "w", 1),
+	r := newTestRouter(t, testSettings(),
+		testEngine("a", "r", 1), testEngine("near", "w", 1), testEngine("near2", "w", 1),
 		testEngine("far", "w", 2), testEngine("b", "r", 2))
 	r.engines.byName["b"].backoffs.until["\x00c"] = time.Minute // prefills are rejected at b, so a prefills
 	used := 0.5
@@ -32,7 +33,8 @@
 	for i := range 6 {
 		engines = append(engines, testEngine(fmt.Sprint("ra", i), "r", 1), testEngine(fmt.Sprint("wb", i), "w", 2))
 	}
-	engines = append(engines, testEngine("wa0", "w", 1), testEngine("wa1", "w", 1), testEngine("rb0", "r", 2), testEngine("rb1", "r", 2))
+	engines = append(engines,
+		testEngine("wa0", "w", 1), testEngine("wa1", "w", 1), testEngine("rb0", "r", 2), testEngine("rb1", "r", 2))
 	answers := map[string]int{}
 	for i, r := range newTestRouters(t, 800, testSettings(), engines...) {
 		to := sentTo(t, r.Handle(ms, testRequest(RequestID(i), 1000)))
--- a/routing/enginetable_test.go
+++ b/routing/enginetable_test.go
@@ -36,7 +36,8 @@
 }
 
 func TestEventsForUnknownIDsAndNamesAreIgnored(t *testing.T) {
-	r := newTestRouter(t, testSettings(), testEngine("x", "nonesuch", 0), EngineInfo{Name: "v", Kind: "r", Zone: "nowhere"})
+	r := newTestRouter(t, testSettings(),
+		testEngine("x", "nonesuch", 0), EngineInfo{Name: "v", Kind: "r", Zone: "nowhere"})
 	for _, ev := range []Event{
 		Outcome{ID: 9, Engine: "q"}, FirstToken{ID: 9}, ClientGone{ID: 9}, ProbeResult{Engine: "q"},
 		ReservationResult{ID: 9}, PeerMessage{}, TimerFired{Name: "other"}, EngineList{Scope: EngineListFailed},
--- a/routing/hostile_test.go
+++ b/routing/hostile_test.go
@@ -17,7 +17,8 @@
 	streaming bool
 }
 
-// TestInvariantsUnderRandomEvents sends random legal events to a Router and checks invariants on every action.
+// TestInvariantsUnderRandomEvents sends random legal events to a Router and checks invariants on every
+// action.
 func TestInvariantsUnderRandomEvents(t *testing.T) {
 	for seed := range uint64(30) {
 		first := runRandomEvents(t, seed)
@@ -250,7 +251,8 @@
 // advance starts the answer of the i-th attempt in flight, or ends the attempt.
 func (w *randomEventRun) advance(i int) {
 	a := w.inFlight[i]
-	fail := []Status{StatusError, StatusRejected, StatusTimeout, StatusConnectFailed, StatusReset}[w.random.IntN(5)]
+	fail := []Status{StatusError, StatusRejected,
+		StatusTimeout, StatusConnectFailed, StatusReset}[w.random.IntN(5)]
 	switch {
 	case a.streaming && w.random.IntN(4) > 0:
 		w.endAttempt(i, StatusServed)
--- a/routing/load_test.go
+++ b/routing/load_test.go
@@ -10,7 +10,8 @@
 // Deployments count waiting tokens differently: whole prompts, or only the tokens that are not cached. The
 // weight of a reported token relative to a token to prefill is estimated from prefill durations.
 func TestWeightOfReportedTokens(t *testing.T) {
-	for _, c := range []struct{ weight, noise, want float64 }{{1, 0, 1}, {0.25, 0, 0.25}, {0.25, 0.3, 0.25}, {0, 0, 0.1}, {5, 0, 1}} {
+	for _, c := range []struct{ weight, noise, want float64 }{{1, 0, 1},
+		{0.25, 0, 0.25}, {0.25, 0.3, 0.25}, {0, 0, 0.1}, {5, 0, 1}} {
 		rng := rand.New(rand.NewPCG(4, 4))
 		var f reportRegression
 		if f.tokenWeight() != 1 {
@@ -31,7 +32,8 @@
 // dropped from 40,000 tokens to 0 in one step.
 func TestReportsDecayWithAge(t *testing.T) {
 	long, short := 40_000.0, 0.0
-	r := newTestRouter(t, testSettings(), testEngine("a", "r", 0), testEngine("b", "r", 0), testEngine("w", "w", 0))
+	r := newTestRouter(t, testSettings(),
+		testEngine("a", "r", 0), testEngine("b", "r", 0), testEngine("w", "w", 0))
 	a, b := r.engines.byName["a"], r.engines.byName["b"]
 	a.report.update(&LoadReport{WaitingTokens: &long}, r.now)
 	b.report.update(&LoadReport{WaitingTokens: &short}, r.now)
@@ -47,7 +49,8 @@
 		r.Handle(at, TimerFired{Name: "tick"})
 		now := r.queuedTokens(a)
 		if now >= last || last-now > long/5 {
-			t.Fatalf("at %v the queue estimate from one report went from %.0f to %.0f, want a gradual decay", at, last, now)
+			t.Fatalf("at %v the queue estimate from one report went from %.0f to %.0f, want a gradual decay",
+				at, last, now)
 		}
 		last = now
 	}
--- a/routing/outlier_test.go
+++ b/routing/outlier_test.go
@@ -7,7 +7,8 @@
 )
 
 func TestEjectedEngineRecoversWithOneRequestAtATime(t *testing.T) {
-	r := newTestRouter(t, testSettings(), testEngine("a", "r", 0), testEngine("b", "r", 0), testEngine("c", "r", 0), testEngine("w", "w", 0))
+	r := newTestRouter(t, testSettings(),
+		testEngine("a", "r", 0), testEngine("b", "r", 0), testEngine("c", "r", 0), testEngine("w", "w", 0))
 	for range 2 {
 		r.recordResult(r.engines.byName["a"], 1, 1)
 	}
@@ -26,7 +27,8 @@
 }
 
 func TestHalfOfThePoolStaysEligible(t *testing.T) {
-	r := newTestRouter(t, testSettings(), testEngine("a", "r", 0), testEngine("b", "r", 0), testEngine("w", "w", 0))
+	r := newTestRouter(t, testSettings(),
+		testEngine("a", "r", 0), testEngine("b", "r", 0), testEngine("w", "w", 0))
 	for _, n := range []string{"a", "b"} {
 		r.engines.byName[n].failures.ejectedUntil = time.Hour
 	}
@@ -54,7 +56,8 @@
 }
 
 func TestCommonFailureEjectsAtMostOne(t *testing.T) {
-	r := newTestRouter(t, testSettings(), testEngine("a", "r", 0), testEngine("b", "r", 0), testEngine("c", "r", 0))
+	r := newTestRouter(t, testSettings(),
+		testEngine("a", "r", 0), testEngine("b", "r", 0), testEngine("c", "r", 0))
 	for range 6 {
 		for _, w := range r.engines.ordered {
 			r.recordResult(w, 1, 1)
@@ -78,7 +81,8 @@
 	r.Handle(30*ms, prefilledAt(2, 0, "a", 0))
 	r.Handle(900*ms, Outcome{ID: 1, Engine: "a", Status: StatusTimeout, Latency: 899 * ms})
 	if w := r.engines.byName["a"]; w.failures.rate > 0 {
-		t.Errorf("failure rate %.2f for a timeout at an engine that answered another attempt, want 0", w.failures.rate)
+		t.Errorf("failure rate %.2f for a timeout at an engine that answered another attempt, want 0",
+			w.failures.rate)
 	}
 }
 
@@ -102,10 +106,12 @@
 }
 
 func TestOneStalledDecodeEngineDoesNotRaiseDecodeWait(t *testing.T) {
-	r := newTestRouter(t, testSettings(), testEngine("w1", "w", 0), testEngine("w2", "w", 0), testEngine("w3", "w", 0))
+	r := newTestRouter(t, testSettings(),
+		testEngine("w1", "w", 0), testEngine("w2", "w", 0), testEngine("w3", "w", 0))
 	r.now = 5 * time.Second
 	for range 3 {
-		r.engines.byName["w1"].inFlight = append(r.engines.byName["w1"].inFlight, &request{sentAt: 0, phase: decoding, expectedTime: ms})
+		r.engines.byName["w1"].inFlight = append(r.engines.byName["w1"].inFlight,
+			&request{sentAt: 0, phase: decoding, expectedTime: ms})
 	}
 	if w := r.decodeWait(); w != 0 {
 		t.Errorf("with requests stalled at one of three decode engines the wait is %.1f s, want 0", w)
--- a/routing/placement_test.go
+++ b/routing/placement_test.go
@@ -12,7 +12,8 @@
 	}{{100, false}, {101, true}} {
 		atCache := 0
 		for id := RequestID(1); id <= 40; id++ {
-			r := newTestRouter(t, testSettings(), testEngine("a", "r", 0), testEngine("b", "r", 0), testEngine("w", "w", 0))
+			r := newTestRouter(t, testSettings(),
+				testEngine("a", "r", 0), testEngine("b", "r", 0), testEngine("w", "w", 0))
 			q := testRequest(id, 1000)
 			cacheSession(r, "a", q.Session, c.tokens)
 			if sentTo(t, r.Handle(ms, q)) == "a" {
@@ -26,7 +27,8 @@
 }
 
 func TestFairShareCapsRequestsAtBestMatch(t *testing.T) {
-	r := newTestRouter(t, testSettings(), testEngine("a", "r", 0), testEngine("b", "r", 0), testEngine("c", "r", 0), testEngine("w", "w", 0))
+	r := newTestRouter(t, testSettings(),
+		testEngine("a", "r", 0), testEngine("b", "r", 0), testEngine("c", "r", 0), testEngine("w", "w", 0))
 	counts := map[string]int{}
 	for id := RequestID(1); id <= 3; id++ {
 		q := testRequest(id, 4000)
@@ -58,7 +60,8 @@
 
 func TestHeldStateCountsAsLoad(t *testing.T) {
 	for id := RequestID(2); id <= 20; id++ {
-		r := newTestRouter(t, testSettings(), testEngine("a", "r", 0), testEngine("b", "r", 0), testEngine("w", "w", 0))
+		r := newTestRouter(t, testSettings(),
+			testEngine("a", "r", 0), testEngine("b", "r", 0), testEngine("w", "w", 0))
 		first := sentTo(t, r.Handle(ms, testRequest(1, 5000)))
 		if to := sentTo(t, r.Handle(30*ms, prefilledAt(1, 0, first, 0))); to != "w" {
 			t.Fatal(to)
@@ -71,7 +74,8 @@
 
 func TestTiesAreDeterministicAndBalanced(t *testing.T) {
 	pick := func(id RequestID) string {
-		r := newTestRouter(t, testSettings(), testEngine("a", "r", 0), testEngine("b", "r", 0), testEngine("w", "w", 0))
+		r := newTestRouter(t, testSettings(),
+			testEngine("a", "r", 0), testEngine("b", "r", 0), testEngine("w", "w", 0))
 		return sentTo(t, r.Handle(ms, testRequest(id, 500)))
 	}
 	counts := map[string]int{}
@@ -98,7 +102,8 @@
 }
 
 func TestAnswersCountAsLoadOfMixedEngine(t *testing.T) {
-	r := newTestRouter(t, testSettings(), testEngine("m", "m", 0), testEngine("a", "r", 0), testEngine("w", "w", 0))
+	r := newTestRouter(t, testSettings(),
+		testEngine("m", "m", 0), testEngine("a", "r", 0), testEngine("w", "w", 0))
 	r.engines.byName["m"].answers = 20
 	for id := RequestID(1); id < 20; id++ {
 		q := &request{Request: testRequest(id, 500), class: r.classes["c"], objective: time.Second}
@@ -109,12 +114,13 @@
 }
 
 func TestOldestPrefillDoesNotMoveSession(t *testing.T) {
-	r := newTestRouter(t, testSettings(), testEngine("a", "r", 0), testEngine("b", "r", 0), testEngine("w", "w", 0))
+	r := newTestRouter(t, testSettings(),
+		testEngine("a", "r", 0), testEngine("b", "r", 0), testEngine("w", "w", 0))
 	q := testRequest(1, 4000)
 	cacheSession(r, "a", q.Session, 3999)
 	small := testRequest(2, 100)
 	cacheSession(r, "a", small.Session, 99)
-	sentTo(t, r.Handle(ms, small)) // one short prefill has been in flight for 199 ms at the engine with the cache
+	sentTo(t, r.Handle(ms, small)) // in flight for 199 ms at the engine with the cache when q arrives
 	if to := sentTo(t, r.Handle(200*ms, q)); to != "a" {
 		t.Error("a session was moved from its prefill engine because of one old short prefill there")
 	}
--- a/routing/prefixcache_test.go
+++ b/routing/prefixcache_test.go
@@ -32,7 +32,8 @@
 	cache := newPrefixCache()
 	record := func(from, to int, now Time) {
 		for i := from; i < to; i++ {
-			cache.record(&Request{Session: fmt.Sprint("s", i), Prefix: fmt.Sprint("p", i%50+from), PromptTokens: 100}, now)
+			cache.record(&Request{
+				Session: fmt.Sprint("s", i), Prefix: fmt.Sprint("p", i%50+from), PromptTokens: 100}, now)
 		}
 	}
 	record(0, maxCacheEntries, 0)
@@ -42,6 +43,7 @@
 	}
 	record(maxCacheEntries+1, maxCacheEntries+2, cacheEntryTTL+1)
 	if len(cache.sessions) != 2 || len(cache.prefixes) != 2 {
-		t.Errorf("%d sessions and %d prefixes, want the 2 that have not expired", len(cache.sessions), len(cache.prefixes))
+		t.Errorf("%d sessions and %d prefixes, want the 2 that have not expired",
+			len(cache.sessions), len(cache.prefixes))
 	}
 }
--- a/routing/prefixhomes_test.go
+++ b/routing/prefixhomes_test.go
@@ -49,9 +49,11 @@
 		popularHomes[sentTo(t, r.Handle(2*ms, q))] = true
 	}
 	if len(rareHomes) > 2 {
-		t.Errorf("requests with a prefix counted once were sent to %d prefill engines, want 2 at most", len(rareHomes))
+		t.Errorf("requests with a prefix counted once were sent to %d prefill engines, want 2 at most",
+			len(rareHomes))
 	}
 	if len(popularHomes) < 10 {
-		t.Errorf("requests with a popular prefix were sent to %d prefill engines, want at least 10", len(popularHomes))
+		t.Errorf("requests with a popular prefix were sent to %d prefill engines, want at least 10",
+			len(popularHomes))
 	}
 }
--- a/routing/probe_test.go
+++ b/routing/probe_test.go
@@ -51,7 +51,8 @@
 		if c.noSession {
 			q.Session = ""
 		}
-		if acts := newTestRouter(t, set, engines...).Handle(time.Second, q); len(probes(acts)) != 0 || !has[Send](acts) {
+		if acts := newTestRouter(t, set, engines...).Handle(time.Second, q); len(probes(acts)) != 0 ||
+			!has[Send](acts) {
 			t.Errorf("%+v: probes of %v, want none and a send", c, probes(acts))
 		}
 	}
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -63,7 +63,8 @@
 	}
 	newSends = 0
 	for i, r := range all {
-		r.engines.byName["a"].backoffs.until["\x00c"], r.engines.byName["b"].backoffs.until["\x00c"] = time.Hour, time.Hour
+		r.engines.byName["a"].backoffs.until["\x00c"],
+			r.engines.byName["b"].backoffs.until["\x00c"] = time.Hour, time.Hour
 		if has[Send](r.Handle(now+time.Millisecond, testRequest(RequestID(1000+i), 500))) {
 			newSends++
 		}
