--- a/routing/poolstats.go
+++ b/routing/poolstats.go
@@ -25,7 +25,7 @@
 		}
 		fail = append(fail, e.failures.failureRate())
 		age = append(age, e.oldestAgeSeconds(r.now))
-		overdue = append(overdue, e.maxAgeRatio(r.now))
+		overdue = append(overdue, e.ageRatio(r.now))
 		ratio = append(ratio, e.latencyRatio.decayed(r.now))
 		stats.waitingTokens += e.report.discountedWaitingTokens(r.now)
 	}
