--- a/cmd/wellgw/engines.go
+++ b/cmd/wellgw/engines.go
@@ -39,7 +39,7 @@
 		return err
 	}
 	var page T
-	if err := admin.AskPage(ctx, addr, path, &page); err != nil {
+	if err := admin.FetchPage(ctx, addr, path, &page); err != nil {
 		return err
 	}
 	w := cmd.Root().Writer
--- a/cmd/wellgw/server.go
+++ b/cmd/wellgw/server.go
@@ -74,7 +74,7 @@
 	s.front = g.newFront(s.core, clientconn.NewBudget(memoryBytes(limits, bodyShare)))
 	accepting := accept.New(s.listener, g.log)
 	s.clients = clientconn.NewListener(accepting, maxConnections(limits))
-	accepting.MakeRoom = s.clients.MakeRoom
+	accepting.OnExhausted = s.clients.MakeRoom
 	s.clients.Log(g.log)
 	g.status.clients.Store(s.clients)
 	s.httpServer = newHTTPServer(s.front, s.clients, g.log)
--- a/cmd/wellgw/tierharness_test.go
+++ b/cmd/wellgw/tierharness_test.go
@@ -121,7 +121,7 @@
 	t.Helper()
 	ctx, done := context.WithTimeout(t.Context(), 5*time.Second)
 	defer done()
-	if err := admin.AskPage(ctx, m.admin, admin.PeersPath, &s); err != nil {
+	if err := admin.FetchPage(ctx, m.admin, admin.PeersPath, &s); err != nil {
 		return peers.Status{}
 	}
 	return s
--- a/experiments/gateway/gateway.go
+++ b/experiments/gateway/gateway.go
@@ -163,7 +163,7 @@
 }
 
 // View asks for the gateway's present view.
-func (g *Gateway) View(ctx context.Context) (admin.View, error) { return admin.Ask(ctx, g.Admin) }
+func (g *Gateway) View(ctx context.Context) (admin.View, error) { return admin.FetchView(ctx, g.Admin) }
 
 // Await waits until the view is as it should be.
 func (g *Gateway) Await(ctx context.Context, within time.Duration, ok func(admin.View) bool) (time.Duration, bool) {
@@ -188,7 +188,7 @@
 
 // Page reads a page of the admin listener into v.
 func (g *Gateway) Page(ctx context.Context, path string, v any) error {
-	return admin.AskPage(ctx, g.Admin, path, v)
+	return admin.FetchPage(ctx, g.Admin, path, v)
 }
 
 // Kill ends the program at once.
--- a/experiments/rolesrun/rolesrun.go
+++ b/experiments/rolesrun/rolesrun.go
@@ -365,7 +365,7 @@
 		holds := map[string]int{}
 		for _, g := range s.gates {
 			var st rolectl.Status
-			if admin.AskPage(ctx, g.Admin, admin.RolesPath, &st) != nil {
+			if admin.FetchPage(ctx, g.Admin, admin.RolesPath, &st) != nil {
 				continue
 			}
 			for _, r := range st.Changes {
--- a/internal/accept/accept.go
+++ b/internal/accept/accept.go
@@ -26,9 +26,9 @@
 // Listener accepts through transient errors. Accept must be called by one goroutine at a time.
 type Listener struct {
 	net.Listener
-	// MakeRoom is called when descriptors or memory are exhausted, before accept is retried; nil
+	// OnExhausted is called when descriptors or memory are exhausted, before accept is retried; nil
 	// for none.
-	MakeRoom func()
+	OnExhausted func()
 
 	log        *slog.Logger
 	lastLogged time.Time
@@ -48,8 +48,8 @@
 			return conn, err
 		}
 		l.logFailure(err)
-		if Exhausted(err) && l.MakeRoom != nil {
-			l.MakeRoom()
+		if Exhausted(err) && l.OnExhausted != nil {
+			l.OnExhausted()
 		}
 		time.Sleep(pause)
 	}
--- a/internal/accept/accept_test.go
+++ b/internal/accept/accept_test.go
@@ -50,7 +50,7 @@
 	}
 	l := New(inner, slog.New(slog.DiscardHandler))
 	room := 0
-	l.MakeRoom = func() { room++ }
+	l.OnExhausted = func() { room++ }
 	if c, err := l.Accept(); c == nil || err != nil {
 		t.Errorf("%v, %v", c, err)
 	}
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -29,8 +29,8 @@
 const (
 	readTimeout    = 2 * time.Second // for a request, which is one line and few headers
 	writeTimeout   = 5 * time.Second // for a page
-	requestTimeout = 5 * time.Second // of Ask and AskPage
-	maxPageBytes   = 64 << 20        // that Ask and AskPage read
+	requestTimeout = 5 * time.Second // of FetchView and FetchPage
+	maxPageBytes   = 64 << 20        // that FetchView and FetchPage read
 )
 
 // View is the page at EnginesPath.
@@ -69,15 +69,15 @@
 	}
 }
 
-// Ask returns the engines of the gateway whose admin listener is at addr.
-func Ask(ctx context.Context, addr string) (View, error) {
+// FetchView returns the engines of the gateway whose admin listener is at addr.
+func FetchView(ctx context.Context, addr string) (View, error) {
 	var v View
-	err := AskPage(ctx, addr, EnginesPath, &v)
+	err := FetchPage(ctx, addr, EnginesPath, &v)
 	return v, err
 }
 
-// AskPage reads one page into v.
-func AskPage(ctx context.Context, addr, path string, v any) error {
+// FetchPage reads one page into v.
+func FetchPage(ctx context.Context, addr, path string, v any) error {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	if err := fetch.JSON(ctx, http.DefaultClient, "http://"+addr+path, maxPageBytes, v); err != nil {
--- a/internal/control/answers_test.go
+++ b/internal/control/answers_test.go
@@ -36,8 +36,8 @@
 func TestAnswerBytes(t *testing.T) {
 	var handled atomic.Value
 	addr := serve(t, func(_ context.Context, c Command) bool {
-		handled.Store(string(c.Verb) + "|" + c.ID)
-		return c.ID != "refused"
+		handled.Store(string(c.Verb) + "|" + c.EngineID)
+		return c.EngineID != "refused"
 	})
 	for _, c := range []struct {
 		name, in   string
--- a/internal/control/command.go
+++ b/internal/control/command.go
@@ -19,8 +19,8 @@
 
 // Command is one parsed line.
 type Command struct {
-	Verb Verb
-	ID   string // engine that MaintOn and MaintOff are about; empty for the others
+	Verb     Verb
+	EngineID string // engine that MaintOn and MaintOff are about; empty for the others
 }
 
 // ErrMalformedCommand is returned by Parse for a line that is not a command.
@@ -43,7 +43,7 @@
 		if len(words) != 2 {
 			return Command{}, ErrMalformedCommand
 		}
-		command.ID = words[1]
+		command.EngineID = words[1]
 	default:
 		return Command{}, ErrMalformedCommand
 	}
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -102,7 +102,7 @@
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
 	accepted := handle(ctx, command) && ctx.Err() == nil
-	log.Info("command", "verb", string(command.Verb), "engine", command.ID, "accepted", accepted)
+	log.Info("command", "verb", string(command.Verb), "engine", command.EngineID, "accepted", accepted)
 	return accepted
 }
 
--- a/internal/control/server_test.go
+++ b/internal/control/server_test.go
@@ -23,8 +23,8 @@
 		{"status", Command{Verb: Status}, true},
 		{"  standby ", Command{Verb: Standby}, true},
 		{"active", Command{Verb: Active}, true},
-		{"maint-on e1", Command{Verb: MaintOn, ID: "e1"}, true},
-		{"maint-off\te1", Command{Verb: MaintOff, ID: "e1"}, true},
+		{"maint-on e1", Command{Verb: MaintOn, EngineID: "e1"}, true},
+		{"maint-off\te1", Command{Verb: MaintOff, EngineID: "e1"}, true},
 		{"maint-on", Command{}, false},
 		{"maint-on a b", Command{}, false},
 		{"status now", Command{}, false},
@@ -54,7 +54,7 @@
 	return l.Addr().String()
 }
 
-func yes(_ context.Context, c Command) bool { return c.Verb == Status || c.ID == "e1" }
+func yes(_ context.Context, c Command) bool { return c.Verb == Status || c.EngineID == "e1" }
 
 // send sends what, waits for the answer and returns its first line.
 func send(t *testing.T, addr, what string, closeWrite bool) string {
--- a/internal/directory/snapshot.go
+++ b/internal/directory/snapshot.go
@@ -17,7 +17,7 @@
 	case errors.Is(err, fs.ErrNotExist):
 		return
 	case errors.Is(err, lastview.ErrDamaged):
-		aside, moved := lastview.SetAside(d.opt.StateFile, time.Now())
+		aside, moved := lastview.RenameDamaged(d.opt.StateFile, time.Now())
 		d.opt.Log.Error("last good view damaged, set aside", "file", aside, "cause", errors.Join(err, moved))
 		return
 	case err != nil:
@@ -25,7 +25,7 @@
 		return
 	}
 	d.opt.Log.Info("last good view loaded", "file", d.opt.StateFile, "age", time.Since(v.SavedAt).Round(time.Millisecond).String())
-	d.With(func(r *roster.Registry, now time.Time) { r.Restore(now, v.Entries, v.IndexOf()) })
+	d.With(func(r *roster.Registry, now time.Time) { r.Restore(now, v.Entries, v.IndexBySource()) })
 }
 
 // save writes the last good view while it changes, and once more when ctx ends.
--- a/internal/lastview/lastview.go
+++ b/internal/lastview/lastview.go
@@ -46,8 +46,8 @@
 	Index  uint64
 }
 
-// IndexOf returns the indexes by source.
-func (v View) IndexOf() map[roster.Source]uint64 {
+// IndexBySource returns the indexes by source.
+func (v View) IndexBySource() map[roster.Source]uint64 {
 	m := make(map[roster.Source]uint64, len(v.Indexes))
 	for _, i := range v.Indexes {
 		m[i.Source] = i.Index
@@ -108,9 +108,10 @@
 
 func checksum(body []byte) string { return fmt.Sprintf("%016x", xxhash.Sum64(body)) }
 
-// SetAside renames a damaged file, so that the next Save does not overwrite what may have to be analysed,
+// RenameDamaged renames a damaged file, so that the next Save does not overwrite what may have to be
+// analysed,
 // and returns its new name.
-func SetAside(path string, now time.Time) (string, error) {
+func RenameDamaged(path string, now time.Time) (string, error) {
 	to := path + ".damaged-" + now.UTC().Format("20060102T150405.000")
 	if err := os.Rename(path, to); err != nil {
 		return "", fmt.Errorf("last view: set aside: %w", err)
--- a/internal/lastview/lastview_test.go
+++ b/internal/lastview/lastview_test.go
@@ -39,7 +39,7 @@
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("(-saved +loaded):\n%s", diff)
 	}
-	if got.IndexOf()[want.Indexes[0].Source] != 7 {
+	if got.IndexBySource()[want.Indexes[0].Source] != 7 {
 		t.Error("the index is lost")
 	}
 }
@@ -70,7 +70,7 @@
 			}
 		}
 	}
-	aside, err := SetAside(path, time.Now())
+	aside, err := RenameDamaged(path, time.Now())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/operate/handler.go
+++ b/internal/operate/handler.go
@@ -60,7 +60,7 @@
 	case control.Standby, control.Active:
 		return h.Drain(ctx, command.Verb == control.Standby)
 	case control.MaintOn, control.MaintOff:
-		return h.setEjected(ctx, command.ID, command.Verb == control.MaintOn)
+		return h.setEjected(ctx, command.EngineID, command.Verb == control.MaintOn)
 	}
 	return false
 }
--- a/internal/operate/handler_test.go
+++ b/internal/operate/handler_test.go
@@ -97,9 +97,9 @@
 		{"standby refused", control.Command{Verb: control.Standby}, true, false, false, []bool{true}},
 		{"active", control.Command{Verb: control.Active}, true, true, true, []bool{false}},
 		{"active refused", control.Command{Verb: control.Active}, true, false, false, []bool{false}},
-		{"maint-on", control.Command{Verb: control.MaintOn, ID: "e1"}, true, true, true, nil},
-		{"maint-on, never listed", control.Command{Verb: control.MaintOn, ID: "x"}, true, true, false, nil},
-		{"maint-off", control.Command{Verb: control.MaintOff, ID: "e1"}, true, true, true, nil},
+		{"maint-on", control.Command{Verb: control.MaintOn, EngineID: "e1"}, true, true, true, nil},
+		{"maint-on, never listed", control.Command{Verb: control.MaintOn, EngineID: "x"}, true, true, false, nil},
+		{"maint-off", control.Command{Verb: control.MaintOff, EngineID: "e1"}, true, true, true, nil},
 		{"unknown", control.Command{Verb: "reboot"}, true, true, false, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -127,10 +127,10 @@
 		command control.Command
 		want    string
 	}{
-		{control.Command{Verb: control.MaintOn, ID: "e2"}, "e2\n"},
-		{control.Command{Verb: control.MaintOn, ID: "e1"}, "e1\ne2\n"},
-		{control.Command{Verb: control.MaintOff, ID: "e2"}, "e1\n"},
-		{control.Command{Verb: control.MaintOff, ID: "e1"}, "\n"},
+		{control.Command{Verb: control.MaintOn, EngineID: "e2"}, "e2\n"},
+		{control.Command{Verb: control.MaintOn, EngineID: "e1"}, "e1\ne2\n"},
+		{control.Command{Verb: control.MaintOff, EngineID: "e2"}, "e1\n"},
+		{control.Command{Verb: control.MaintOff, EngineID: "e1"}, "\n"},
 	} {
 		if !d.HandleCommand(t.Context(), c.command) {
 			t.Errorf("%+v refused", c.command)
@@ -159,7 +159,7 @@
 func TestUnwrittenEjectionIsRefused(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "missing")
 	d, engines := newHandler(t, dir)
-	if d.HandleCommand(t.Context(), control.Command{Verb: control.MaintOn, ID: "e1"}) {
+	if d.HandleCommand(t.Context(), control.Command{Verb: control.MaintOn, EngineID: "e1"}) {
 		t.Error("accepted, though not written")
 	}
 	if got := engines.Ejected(); !slices.Equal(got, []string{"e1"}) {
