--- a/internal/control/answers_test.go
+++ b/internal/control/answers_test.go
@@ -10,29 +10,29 @@
 	"time"
 )
 
-// exchange sends what and returns all bytes of the answer, up to the connection's end.
-func exchange(t *testing.T, addr, what string, closeWrite bool) string {
+// exchange sends request and returns all bytes of the answer, up to the end of the connection.
+func exchange(t *testing.T, addr, request string, closeWrite bool) string {
 	t.Helper()
 	conn, err := net.Dial("tcp4", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	if _, err := io.WriteString(conn, what); err != nil {
+	if _, err := io.WriteString(conn, request); err != nil {
 		t.Fatal(err)
 	}
 	if closeWrite {
 		conn.(*net.TCPConn).CloseWrite()
 	}
-	conn.SetReadDeadline(time.Now().Add(10 * time.Second)) // a bound for a broken test only
+	conn.SetReadDeadline(time.Now().Add(10 * time.Second)) // only bounds a failing test
 	answer, err := io.ReadAll(conn)
 	if err != nil {
-		t.Fatalf("%.20q: after %q: %v", what, answer, err)
+		t.Fatalf("%.20q: after %q: %v", request, answer, err)
 	}
 	return string(answer)
 }
 
-// TestAnswerBytes pins the operators' protocol: the bytes of a line in, the bytes of the answer out.
+// TestAnswerBytes checks the operators' protocol byte by byte: the answer to each command line.
 func TestAnswerBytes(t *testing.T) {
 	var handled atomic.Value
 	addr := serve(t, func(_ context.Context, c Command) bool {
@@ -40,10 +40,10 @@
 		return c.EngineID != "refused"
 	})
 	for _, c := range []struct {
-		name, in   string
-		closeWrite bool
-		out        string
-		handled    string // verb and id that the handler was given; empty if it was not called
+		name, request string
+		closeWrite    bool
+		want          string
+		handled       string // verb and engine ID passed to the handler; empty if it was not called
 	}{
 		{"status", "status\n", false, "YES\n", "status|"},
 		{"standby", "standby\n", false, "YES\n", "standby|"},
@@ -53,35 +53,38 @@
 		{"refused by the handler", "maint-on refused\n", false, "NO\n", "maint-on|refused"},
 		{"carriage return", "status\r\n", false, "YES\n", "status|"},
 		{"spaces", " \tmaint-on \t e1 \n", false, "YES\n", "maint-on|e1"},
-		{"no line end, but the write side's", "status", true, "YES\n", "status|"},
-		{"only the first line counts", "status\nstandby\n", false, "YES\n", "status|"},
+		{"line terminated by closing the write side", "status", true, "YES\n", "status|"},
+		{"lines after the first are ignored", "status\nstandby\n", false, "YES\n", "status|"},
 		{"unknown verb", "reboot\n", false, "NO\n", ""},
-		{"verbs have one case", "STATUS\n", false, "NO\n", ""},
+		{"verbs are case-sensitive", "STATUS\n", false, "NO\n", ""},
 		{"empty line", "\n", false, "NO\n", ""},
-		{"no id", "maint-on\n", false, "NO\n", ""},
-		{"two ids", "maint-on a b\n", false, "NO\n", ""},
-		{"a word too many", "status now\n", false, "NO\n", ""},
-		{"longest line", "maint-on " + strings.Repeat("x", MaxLineBytes-len("maint-on ")) + "\n", false, "YES\n", "maint-on|" + strings.Repeat("x", MaxLineBytes-len("maint-on "))},
-		{"nothing at all", "", true, "NO\n", ""},
+		{"missing engine ID", "maint-on\n", false, "NO\n", ""},
+		{"two engine IDs", "maint-on a b\n", false, "NO\n", ""},
+		{"extra word", "status now\n", false, "NO\n", ""},
+		{
+			"line of maximum length", "maint-on " + strings.Repeat("x", MaxLineBytes-len("maint-on ")) + "\n", false,
+			"YES\n", "maint-on|" + strings.Repeat("x", MaxLineBytes-len("maint-on ")),
+		},
+		{"empty request", "", true, "NO\n", ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			handled.Store("")
-			if got := exchange(t, addr, c.in, c.closeWrite); got != c.out {
-				t.Errorf("%q, want %q", got, c.out)
+			if got := exchange(t, addr, c.request, c.closeWrite); got != c.want {
+				t.Errorf("answer %q, want %q", got, c.want)
 			}
 			if got := handled.Load(); got != c.handled {
-				t.Errorf("handled %q, want %q", got, c.handled)
+				t.Errorf("handler got %q, want %q", got, c.handled)
 			}
 		})
 	}
 }
 
-// TestBusyAnswer pins what a connection beyond MaxConnections is answered.
+// TestBusyAnswer checks the answer to a connection beyond MaxConnections.
 func TestBusyAnswer(t *testing.T) {
 	release := make(chan struct{})
-	var open atomic.Int32
+	var running atomic.Int32
 	addr := serve(t, func(context.Context, Command) bool {
-		open.Add(1)
+		running.Add(1)
 		<-release
 		return true
 	})
@@ -96,19 +99,19 @@
 			t.Fatal(err)
 		}
 	}
-	for deadline := time.Now().Add(10 * time.Second); open.Load() < MaxConnections; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(10 * time.Second); running.Load() < MaxConnections; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("%d commands open", open.Load())
+			t.Fatalf("%d of %d commands reached the handler", running.Load(), MaxConnections)
 		}
 	}
 	if got := exchange(t, addr, "", false); got != "NO busy\n" {
-		t.Errorf("%q", got)
+		t.Errorf("answer %q, want \"NO busy\\n\"", got)
 	}
 }
 
-// TestProtocolNumbers pins the bounds that operators are told of in docs/operations.md.
-func TestProtocolNumbers(t *testing.T) {
+// TestProtocolLimits checks the limits that docs/operations.md documents.
+func TestProtocolLimits(t *testing.T) {
 	if AnswerTimeout != 750*time.Millisecond || MaxConnections != 128 || MaxLineBytes != 256 {
-		t.Error(AnswerTimeout, MaxConnections, MaxLineBytes)
+		t.Error("limits differ from docs/operations.md:", AnswerTimeout, MaxConnections, MaxLineBytes)
 	}
 }
--- a/internal/control/command.go
+++ b/internal/control/command.go
@@ -10,24 +10,24 @@
 
 // The commands that operators send.
 const (
-	Status   Verb = "status"    // can this process serve?
-	MaintOn  Verb = "maint-on"  // eject engine ID: nothing new is sent to it
-	MaintOff Verb = "maint-off" // restore engine ID
-	Standby  Verb = "standby"   // drain: send clients away
-	Active   Verb = "active"    // end the drain
+	Status   Verb = "status"    // reports whether this process can serve
+	MaintOn  Verb = "maint-on"  // ejects engine EngineID: no new request is sent to it
+	MaintOff Verb = "maint-off" // restores engine EngineID
+	Standby  Verb = "standby"   // drains the gateway: clients are sent to other gateways
+	Active   Verb = "active"    // ends the drain
 )
 
-// Command is one parsed line.
+// Command is a parsed command line.
 type Command struct {
 	Verb     Verb
-	EngineID string // engine that MaintOn and MaintOff are about; empty for the others
+	EngineID string // engine of MaintOn and MaintOff; empty for other commands
 }
 
 // ErrMalformedCommand is returned by Parse for a line that is not a command.
 var ErrMalformedCommand = errors.New("malformed command")
 
-// Parse parses one line, given without its line end. White space around the words is ignored.
-// It returns ErrMalformedCommand for an unknown verb, a missing engine ID and surplus words.
+// Parse parses a command line without its line terminator. White space around words is ignored.
+// It returns ErrMalformedCommand for an unknown verb, a missing engine ID or extra words.
 func Parse(line string) (Command, error) {
 	words := strings.Fields(line)
 	if len(words) == 0 {
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -1,5 +1,5 @@
 // Package control implements the protocol by which operators send commands to a running gateway:
-// one line per connection, answered with YES or NO, after which the connection is closed.
+// each connection carries one command line, gets YES or NO as its answer and is then closed.
 package control
 
 import (
@@ -15,21 +15,21 @@
 
 // Limits of the protocol.
 const (
-	// AnswerTimeout is the longest time from accepting a connection to its answer. Callers are
-	// promised an answer within 1 s; the rest is margin for writing it.
+	// AnswerTimeout is the maximum time from accepting a connection to having its answer. Callers are
+	// promised an answer within 1 s; the difference is margin for writing the answer.
 	AnswerTimeout = 750 * time.Millisecond
-	// writeTimeout bounds writing the answer. It comes on top of AnswerTimeout.
+	// writeTimeout bounds writing the answer, in addition to AnswerTimeout.
 	writeTimeout = 150 * time.Millisecond
-	// MaxConnections is how many connections may be open at once. One more is answered
-	// answerBusy without being read.
+	// MaxConnections is the maximum number of concurrently open connections. Connections beyond it
+	// are answered with answerBusy without being read.
 	MaxConnections = 128
-	// MaxLineBytes is the longest line that is accepted as a command.
+	// MaxLineBytes is the maximum length of a command line.
 	MaxLineBytes = 256
 	// readChunkBytes is the size of a read; most commands fit into one.
 	readChunkBytes = 64
 )
 
-// The answers.
+// Answers of the protocol.
 const (
 	answerYes  = "YES\n"
 	answerNo   = "NO\n"
@@ -38,13 +38,13 @@
 
 var errLineTooLong = errors.New("line too long")
 
-// Handler carries out a command and reports whether it was accepted. It must return before ctx
-// ends; an acceptance after that is answered NO.
+// Handler executes a command and reports whether it was accepted. It must return before ctx is done;
+// an acceptance after that is answered with NO.
 type Handler func(ctx context.Context, command Command) bool
 
-// Serve accepts connections from l and answers one command on each, until ctx ends or l fails.
-// Errors of Accept are taken as permanent; temporary ones are for l to handle, see internal/accept.
-// Serve closes l.
+// Serve accepts connections from l and answers one command on each, until ctx is done or l fails.
+// It treats every error of Accept as permanent: l must handle transient errors itself, as a listener of
+// internal/accept does. Serve closes l.
 func Serve(ctx context.Context, l net.Listener, handle Handler, log *slog.Logger) error {
 	stop := context.AfterFunc(ctx, func() { l.Close() })
 	defer stop()
@@ -59,8 +59,8 @@
 		}
 		select {
 		case slots <- struct{}{}:
-			// Nobody waits for these goroutines: deadlines end each of them within
-			// AnswerTimeout and writeTimeout, and there are at most MaxConnections.
+			// Serve does not wait for these goroutines: deadlines end each of them within
+			// AnswerTimeout plus writeTimeout, and there are at most MaxConnections.
 			go func() {
 				defer func() { <-slots }()
 				serveConn(ctx, conn, handle, log)
@@ -71,8 +71,8 @@
 	}
 }
 
-// rejectBusy answers a connection beyond MaxConnections. It is called on the accepting goroutine;
-// an answer that short fits into an empty send buffer, so writing it does not block.
+// rejectBusy answers a connection beyond MaxConnections. It runs on the accepting goroutine; the
+// answer fits into the empty send buffer of the connection, so writing it does not block.
 func rejectBusy(conn net.Conn) {
 	conn.SetDeadline(time.Now().Add(AnswerTimeout))
 	io.WriteString(conn, answerBusy)
@@ -88,7 +88,7 @@
 	if line, err := readLine(conn); err == nil && handleLine(ctx, deadline, line, handle, log) {
 		answer = answerYes
 	}
-	conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // reading may have taken all of AnswerTimeout
+	conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // reading may have used up AnswerTimeout
 	io.WriteString(conn, answer)
 }
 
@@ -106,8 +106,9 @@
 	return accepted
 }
 
-// readLine reads up to the first line end. A line may also end with the connection's write side. A
-// line longer than MaxLineBytes is an error, and so is none by the connection's deadline.
+// readLine reads up to the first line feed. The last line may also be terminated by the peer closing
+// its write side. A line longer than MaxLineBytes is an error, and so is a read deadline that expires
+// before the end of the line.
 func readLine(conn net.Conn) (string, error) {
 	line := make([]byte, 0, readChunkBytes)
 	chunk := make([]byte, readChunkBytes)
--- a/internal/control/server_test.go
+++ b/internal/control/server_test.go
@@ -35,7 +35,7 @@
 		t.Run(c.line, func(t *testing.T) {
 			got, err := Parse(c.line)
 			if errors.Is(err, ErrMalformedCommand) == c.ok || (err == nil) != c.ok || got != c.want {
-				t.Errorf("%+v, %v", got, err)
+				t.Errorf("Parse: %+v, %v, want %+v, valid %v", got, err, c.want, c.ok)
 			}
 		})
 	}
@@ -54,80 +54,83 @@
 	return l.Addr().String()
 }
 
-func yes(_ context.Context, c Command) bool { return c.Verb == Status || c.EngineID == "e1" }
+func acceptStatusAndE1(_ context.Context, c Command) bool {
+	return c.Verb == Status || c.EngineID == "e1"
+}
 
-// send sends what, waits for the answer and returns its first line.
-func send(t *testing.T, addr, what string, closeWrite bool) string {
+// send sends request, waits for the answer and returns its first line.
+func send(t *testing.T, addr, request string, closeWrite bool) string {
 	t.Helper()
 	conn, err := net.Dial("tcp4", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	io.WriteString(conn, what)
+	io.WriteString(conn, request)
 	if closeWrite {
 		conn.(*net.TCPConn).CloseWrite()
 	}
-	conn.SetReadDeadline(time.Now().Add(10 * time.Second)) // a bound for a broken test only
+	conn.SetReadDeadline(time.Now().Add(10 * time.Second)) // only bounds a failing test
 	line, _ := bufio.NewReader(conn).ReadString('\n')
 	return strings.TrimSpace(line)
 }
 
 func TestCommandAnswers(t *testing.T) {
-	addr := serve(t, yes)
+	addr := serve(t, acceptStatusAndE1)
 	for _, c := range []struct {
-		what       string
+		request    string
 		closeWrite bool
 		want       string
 	}{
 		{"status\n", false, "YES"},
 		{"status\r\n", false, "YES"},
-		{"status", true, "YES"}, // the line ends with the caller's write side
+		{"status", true, "YES"}, // terminated by closing the write side
 		{"maint-on e1\n", false, "YES"},
-		{"maint-on nobody\n", false, "NO"},
-		{"nonsense\n", false, "NO"},
+		{"maint-on unknown\n", false, "NO"},
+		{"reboot\n", false, "NO"},
 		{"\n", false, "NO"},
 		{strings.Repeat("x", 2*MaxLineBytes) + "\n", false, "NO"},
-		{"stat", false, "NO"}, // half a command, and the connection stays open
-		{"", false, "NO"},     // nothing at all
+		{"stat", false, "NO"}, // incomplete command on a connection that stays open
+		{"", false, "NO"},     // no data
 	} {
-		t.Run(fmt.Sprintf("%.20q", c.what), func(t *testing.T) {
-			if got := send(t, addr, c.what, c.closeWrite); got != c.want {
+		t.Run(fmt.Sprintf("%.20q", c.request), func(t *testing.T) {
+			if got := send(t, addr, c.request, c.closeWrite); got != c.want {
 				t.Errorf("%q, want %q", got, c.want)
 			}
 		})
 	}
 }
 
-// Silent connections do not delay the answers of others: each has its own deadline.
-func TestSilentConnectionsDelayNoOthers(t *testing.T) {
+// Connections that send nothing do not delay the answers on other connections, since each connection has
+// its own deadline.
+func TestIdleConnectionsDoNotDelayCommands(t *testing.T) {
 	var handled atomic.Int32
-	addr := serve(t, func(ctx context.Context, c Command) bool { handled.Add(1); return yes(ctx, c) })
-	var silent []net.Conn
+	addr := serve(t, func(ctx context.Context, c Command) bool { handled.Add(1); return acceptStatusAndE1(ctx, c) })
+	var idle []net.Conn
 	for range MaxConnections / 2 {
 		conn, err := net.Dial("tcp4", addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		silent = append(silent, conn)
+		idle = append(idle, conn)
 	}
 	defer func() {
-		for _, c := range silent {
+		for _, c := range idle {
 			c.Close()
 		}
 	}()
 	if got := send(t, addr, "status\n", false); got != "YES" {
-		t.Errorf("beside silent connections: %q", got)
+		t.Errorf("answer while idle connections are open: %q", got)
 	}
 	if handled.Load() != 1 {
-		t.Errorf("%d commands handled", handled.Load())
+		t.Errorf("%d commands handled, want 1", handled.Load())
 	}
 }
 
-// A handler that accepts after the deadline is answered NO.
-func TestLateAcceptanceIsAnsweredNo(t *testing.T) {
+// A command that the handler accepts after the deadline is answered with NO.
+func TestAcceptanceAfterDeadlineIsAnsweredNo(t *testing.T) {
 	addr := serve(t, func(ctx context.Context, _ Command) bool { <-ctx.Done(); return true })
 	if got := send(t, addr, "status\n", false); got != "NO" {
-		t.Errorf("late: %q", got)
+		t.Errorf("acceptance after the deadline: %q, want NO", got)
 	}
 }
