--- a/internal/operate/ejections.go
+++ b/internal/operate/ejections.go
@@ -10,33 +10,33 @@
 	"wellgw/internal/files"
 )
 
-// writeTimeout is how long a command waits for a file that can't be written for a moment. It leaves
-// room for the answer within control.AnswerTimeout.
+// writeTimeout is how long a command waits for the ejections file to become writable after a failed
+// write. It is below control.AnswerTimeout, so that there is time for the answer.
 const writeTimeout = 400 * time.Millisecond
 
-// Load reads the ejections that an earlier process left, or another one has written, and gives them to
-// the core. A file that is unreadable or damaged changes nothing.
+// Load reads the ejections that an earlier or concurrent process of this gateway has written and applies
+// them to the core. If the file is unreadable or damaged, the ejections in force stay unchanged.
 func (h *Handler) Load() {
 	if h.Store == nil {
 		return
 	}
 	names, changed, err := h.Store.Read()
 	if err != nil {
-		if !h.unreadable {
+		if !h.readFailed {
 			h.Log.Error("ejections file unreadable, keeping ejections in force", "cause", err)
 		}
-		h.unreadable = true
+		h.readFailed = true
 		return
 	}
-	h.unreadable = false
+	h.readFailed = false
 	if changed {
 		h.Log.Info("manual ejections loaded", "engines", names)
 		h.Core.SetEjected(names)
 	}
 }
 
-// syncEjections writes the ejections that are not in the file yet; if there are none, it reads what
-// another process has written.
+// syncEjections writes the pending changes to the ejections file; if there are none, it loads the changes
+// that another process has written.
 func (h *Handler) syncEjections() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -49,16 +49,16 @@
 	}
 }
 
-// setEjected ejects or restores an engine. The change is in force at once. If it can't be written it
-// would not outlast this process: the result is then false after writeTimeout, while the change stays
-// in force and is written as soon as possible.
-func (h *Handler) setEjected(ctx context.Context, engine string, out bool) bool {
+// setEjected ejects or restores an engine and reports success. The change is in force immediately. A
+// change that is not in the file would be lost at a restart: if writing still fails after writeTimeout,
+// the result is false, but the change stays in force and the write is retried.
+func (h *Handler) setEjected(ctx context.Context, engine string, eject bool) bool {
 	h.mu.Lock()
-	if _, ok := h.Core.Eject(ctx, engine, out); !ok || h.Store == nil {
+	if _, ok := h.Core.Eject(ctx, engine, eject); !ok || h.Store == nil {
 		h.mu.Unlock()
 		return ok
 	}
-	written, err := h.addPending(engine, out)
+	written, err := h.addPending(engine, eject)
 	h.mu.Unlock()
 	if err == nil {
 		return true
@@ -74,13 +74,13 @@
 	}
 }
 
-// addPending tries to write one more change. With an error, written is closed once it has been written.
-// h.mu is held.
-func (h *Handler) addPending(engine string, out bool) (written <-chan struct{}, err error) {
+// addPending adds a change to the pending ones and writes them. If that fails, the returned channel is
+// closed as soon as a later write succeeds. h.mu must be held.
+func (h *Handler) addPending(engine string, eject bool) (written <-chan struct{}, err error) {
 	if h.pending == nil {
 		h.pending = map[string]bool{}
 	}
-	h.pending[engine] = out
+	h.pending[engine] = eject
 	err = h.writePending()
 	if err != nil && h.pendingWritten == nil {
 		h.pendingWritten = make(chan struct{})
@@ -88,14 +88,14 @@
 	return h.pendingWritten, err
 }
 
-// writePending merges the pending changes into what the file holds, and gives the result to the core.
-// h.mu is held.
+// writePending merges the pending changes into the content of the file, and applies the result to the
+// core. h.mu must be held.
 func (h *Handler) writePending() error {
 	names, _, err := h.Store.Read()
 	if err != nil && !errors.Is(err, files.ErrDamaged) {
 		return err
 	}
-	if err != nil { // the ejections in force replace what is damaged
+	if err != nil { // the ejections in force replace the damaged content
 		names = h.Core.Ejected()
 	}
 	names = withChanges(names, h.pending)
@@ -118,6 +118,6 @@
 		set[name] = true
 	}
 	maps.Copy(set, changes)
-	maps.DeleteFunc(set, func(_ string, out bool) bool { return !out })
+	maps.DeleteFunc(set, func(_ string, eject bool) bool { return !eject })
 	return slices.Sorted(maps.Keys(set))
 }
--- a/internal/operate/handler.go
+++ b/internal/operate/handler.go
@@ -1,5 +1,5 @@
-// Package operate carries out operators' commands on a running gateway: it answers status, ejects and
-// restores engines, drains the clients' side, and hands over to a successor process.
+// Package operate executes operators' commands on a running gateway: it reports readiness, ejects and
+// restores engines manually, drains the client connections, and hands over to a successor process.
 package operate
 
 import (
@@ -12,47 +12,50 @@
 	"wellgw/internal/ejectionfile"
 )
 
-// PollInterval is how often the files shared with the other process of an upgrade are read: the
-// ejections, and the mark of the process that is ready. Operators are told of 0.1 s.
+// PollInterval is how often a process reads the files that it shares with the other process during an
+// upgrade: the ejections file and the ready mark. The documentation for operators states 0.1 s.
 const PollInterval = 100 * time.Millisecond
 
-// Core is what the handler needs of the gateway's core. Implementations are safe for concurrent use.
+// Core is the part of the gateway's core that Handler uses. Implementations are safe for concurrent use.
 type Core interface {
-	// Eject ejects an engine, or restores it if out is false. ok is false for an engine that was never
-	// listed, and if ctx ends first.
-	Eject(ctx context.Context, name string, out bool) (names []string, ok bool)
+	// Eject ejects an engine, or restores it if eject is false, and returns the ejected engines. ok is
+	// false for an engine that was never listed, and if ctx is done first.
+	Eject(ctx context.Context, name string, eject bool) (names []string, ok bool)
 	// SetEjected replaces the set of ejected engines.
 	SetEjected(names []string)
 	// Ejected returns the set of ejected engines.
 	Ejected() []string
 }
 
-// Handler carries out commands. Its exported fields are set before its first use.
+// Handler executes commands. Its exported fields must be set before its first use.
 type Handler struct {
 	Core  Core
-	Store *ejectionfile.Store // nil keeps ejections in this process alone
+	Store *ejectionfile.Store // nil: ejections are neither stored nor shared with other processes
 	Ready func() bool         // reports whether this process can serve
-	// Drain begins a drain, or ends it if on is false, and reports whether the process could do so.
+	// Drain starts a drain, or ends it if on is false, and reports whether it succeeded.
 	Drain func(ctx context.Context, on bool) bool
 	Log   *slog.Logger
 
-	// Process is this process as Store's Claim returned it.
+	// Process is the identity of this process, as returned by Store.Claim.
 	Process ejectionfile.Process
-	// OnSuccessorReady is called once, from Watch, when a successor has marked itself ready in Store.
-	// It is nil in a process that shares no socket, which then neither marks itself nor looks for one.
+	// OnSuccessorReady is called once, from Watch, when a successor has written its ready mark to Store.
+	// It is nil in a process that does not share its socket: such a process neither writes a ready mark
+	// nor checks for a successor.
 	OnSuccessorReady func()
 
-	mu sync.Mutex // held over a change of ejections, file included
-	// pending has the accepted ejections (true) and restorations (false) that are not in the file yet.
+	mu sync.Mutex // serializes changes of the ejections, including writes of the file
+	// pending holds, by engine, the ejections (true) and restorations (false) that are not yet written.
 	pending map[string]bool
-	// pendingWritten is closed once pending has been written; nil while there is nothing to wait for.
+	// pendingWritten is closed once pending has been written; nil unless the last write of pending failed.
 	pendingWritten chan struct{}
-	unreadable     bool // the file was, at the last read: its error is logged once
+	readFailed     bool // the last read of the file failed; avoids logging the error repeatedly
 
-	markFailed bool // the last write of the ready mark failed: its error is logged once; Watch alone uses it
+	// markWriteFailed is set if the last write of the ready mark failed, to avoid logging the error
+	// repeatedly. It is used by Watch only.
+	markWriteFailed bool
 }
 
-// HandleCommand is a control.Handler.
+// HandleCommand executes a command; it is a control.Handler.
 func (h *Handler) HandleCommand(ctx context.Context, command control.Command) bool {
 	switch command.Verb {
 	case control.Status:
@@ -65,7 +68,8 @@
 	return false
 }
 
-// Watch reads the shared files every PollInterval until ctx ends. Without a Store it returns at once.
+// Watch polls the shared files every PollInterval until ctx is done. Without a Store it returns
+// immediately.
 func (h *Handler) Watch(ctx context.Context) {
 	if h.Store == nil {
 		return
@@ -75,7 +79,7 @@
 	for {
 		h.syncEjections()
 		if h.OnSuccessorReady != nil {
-			h.followHandover()
+			h.checkHandover()
 		}
 		select {
 		case <-ctx.Done():
@@ -85,10 +89,10 @@
 	}
 }
 
-// followHandover hands over to a successor that has marked itself ready, or else marks this process
-// ready once it can serve. A predecessor that became ready at the same moment may have overwritten
-// the mark of this process since: it is then written again, as the predecessor hands over by it.
-func (h *Handler) followHandover() {
+// checkHandover hands over to a successor that has written its ready mark; otherwise it marks this
+// process ready once it can serve. A predecessor that becomes ready at the same time may overwrite the
+// mark of this process. The mark is then written again, since it triggers the predecessor's hand-over.
+func (h *Handler) checkHandover() {
 	ready, ok := h.Store.ReadyProcess()
 	switch {
 	case ok && h.Process.SupersededBy(ready):
@@ -100,15 +104,15 @@
 	}
 }
 
-// markReady marks this process ready in the store if it can serve; failures are retried at the next
-// poll. Until it succeeds, the predecessor goes on accepting clients.
+// markReady writes the ready mark if this process can serve; a failed write is retried at the next poll.
+// Until a write succeeds, the predecessor keeps accepting clients.
 func (h *Handler) markReady() {
 	if !h.Ready() {
 		return
 	}
 	err := h.Store.MarkReady(h.Process)
-	if err != nil && !h.markFailed {
+	if err != nil && !h.markWriteFailed {
 		h.Log.Error("ready mark write failed, retrying; a predecessor keeps accepting clients", "cause", err)
 	}
-	h.markFailed = err != nil
+	h.markWriteFailed = err != nil
 }
--- a/internal/operate/handler_test.go
+++ b/internal/operate/handler_test.go
@@ -14,23 +14,23 @@
 	"wellgw/internal/ejectionfile"
 )
 
-// fakeCore lists engines e1 and e2.
+// fakeCore is a Core whose listed engines are e1 and e2.
 type fakeCore struct {
-	mu  sync.Mutex
-	out map[string]bool
+	mu      sync.Mutex
+	ejected map[string]bool
 }
 
-func (f *fakeCore) Eject(_ context.Context, name string, out bool) ([]string, bool) {
+func (f *fakeCore) Eject(_ context.Context, name string, eject bool) ([]string, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if name != "e1" && name != "e2" {
 		return nil, false
 	}
-	if f.out == nil {
-		f.out = map[string]bool{}
+	if f.ejected == nil {
+		f.ejected = map[string]bool{}
 	}
-	if f.out[name] = out; !out {
-		delete(f.out, name)
+	if f.ejected[name] = eject; !eject {
+		delete(f.ejected, name)
 	}
 	return f.names(), true
 }
@@ -38,9 +38,9 @@
 func (f *fakeCore) SetEjected(names []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.out = map[string]bool{}
+	f.ejected = map[string]bool{}
 	for _, name := range names {
-		f.out[name] = true
+		f.ejected[name] = true
 	}
 }
 
@@ -52,7 +52,7 @@
 
 func (f *fakeCore) names() []string {
 	names := []string{}
-	for name := range f.out {
+	for name := range f.ejected {
 		names = append(names, name)
 	}
 	slices.Sort(names)
@@ -61,20 +61,20 @@
 
 func newHandler(t *testing.T, dir string) (*Handler, *fakeCore) {
 	t.Helper()
-	engines := &fakeCore{}
-	d := &Handler{
-		Core:  engines,
+	core := &fakeCore{}
+	h := &Handler{
+		Core:  core,
 		Ready: func() bool { return true },
 		Drain: func(context.Context, bool) bool { return true },
 		Log:   slog.New(slog.DiscardHandler),
 	}
 	if dir != "" {
-		d.Store = ejectionfile.Open(dir, "n")
+		h.Store = ejectionfile.Open(dir, "n")
 	}
-	return d, engines
+	return h, core
 }
 
-func fileText(t *testing.T, dir string) string {
+func readEjectionsFile(t *testing.T, dir string) string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(dir, "wellgw-bans-n"))
 	if err != nil {
@@ -85,11 +85,11 @@
 
 func TestCommandsAreAnswered(t *testing.T) {
 	for _, c := range []struct {
-		name         string
-		command      control.Command
-		ready, drain bool
-		want         bool
-		drained      []bool
+		name           string
+		command        control.Command
+		ready, drainOK bool
+		want           bool
+		drains         []bool // arguments of Drain
 	}{
 		{"status, ready", control.Command{Verb: control.Status}, true, true, true, nil},
 		{"status, not ready", control.Command{Verb: control.Status}, false, true, false, nil},
@@ -103,18 +103,18 @@
 		{"unknown", control.Command{Verb: "reboot"}, true, true, false, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			d, _ := newHandler(t, "")
-			var drained []bool
-			d.Ready = func() bool { return c.ready }
-			d.Drain = func(_ context.Context, on bool) bool {
-				drained = append(drained, on)
-				return c.drain
+			h, _ := newHandler(t, "")
+			var drains []bool
+			h.Ready = func() bool { return c.ready }
+			h.Drain = func(_ context.Context, on bool) bool {
+				drains = append(drains, on)
+				return c.drainOK
 			}
-			if got := d.HandleCommand(t.Context(), c.command); got != c.want {
-				t.Errorf("%v, want %v", got, c.want)
+			if got := h.HandleCommand(t.Context(), c.command); got != c.want {
+				t.Errorf("answer %v, want %v", got, c.want)
 			}
-			if !slices.Equal(drained, c.drained) {
-				t.Errorf("drains %v, want %v", drained, c.drained)
+			if !slices.Equal(drains, c.drains) {
+				t.Errorf("drains %v, want %v", drains, c.drains)
 			}
 		})
 	}
@@ -122,7 +122,7 @@
 
 func TestEjectionsAreWritten(t *testing.T) {
 	dir := t.TempDir()
-	d, engines := newHandler(t, dir)
+	h, core := newHandler(t, dir)
 	for _, c := range []struct {
 		command control.Command
 		want    string
@@ -132,88 +132,89 @@
 		{control.Command{Verb: control.MaintOff, EngineID: "e2"}, "e1\n"},
 		{control.Command{Verb: control.MaintOff, EngineID: "e1"}, "\n"},
 	} {
-		if !d.HandleCommand(t.Context(), c.command) {
+		if !h.HandleCommand(t.Context(), c.command) {
 			t.Errorf("%+v refused", c.command)
 		}
-		if got := fileText(t, dir); got != c.want {
+		if got := readEjectionsFile(t, dir); got != c.want {
 			t.Errorf("%+v: file %q, want %q", c.command, got, c.want)
 		}
 	}
 	if err := os.WriteFile(filepath.Join(dir, "wellgw-bans-n"), []byte("e2\nother\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	d.Load()
-	if got := engines.Ejected(); !slices.Equal(got, []string{"e2", "other"}) {
-		t.Errorf("as another process wrote them: %v", got)
+	h.Load()
+	if got := core.Ejected(); !slices.Equal(got, []string{"e2", "other"}) {
+		t.Errorf("ejections after another process wrote the file: %v", got)
 	}
 	if err := os.WriteFile(filepath.Join(dir, "wellgw-bans-n"), []byte("e1\ne"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	d.Load()
-	if got := engines.Ejected(); !slices.Equal(got, []string{"e2", "other"}) {
-		t.Errorf("after a damaged file: %v", got)
+	h.Load()
+	if got := core.Ejected(); !slices.Equal(got, []string{"e2", "other"}) {
+		t.Errorf("ejections after the file was damaged: %v", got)
 	}
 }
 
-// An ejection whose file can't be written is in force and refused; it is written once that can be done.
-func TestUnwrittenEjectionIsRefused(t *testing.T) {
+// If the ejections file can't be written, an ejection is in force, but its command is answered with NO.
+// The ejection is written as soon as the file is writable.
+func TestEjectionWithFailedWriteIsRefused(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "missing")
-	d, engines := newHandler(t, dir)
-	if d.HandleCommand(t.Context(), control.Command{Verb: control.MaintOn, EngineID: "e1"}) {
-		t.Error("accepted, though not written")
+	h, core := newHandler(t, dir)
+	if h.HandleCommand(t.Context(), control.Command{Verb: control.MaintOn, EngineID: "e1"}) {
+		t.Error("accepted, although the write failed")
 	}
-	if got := engines.Ejected(); !slices.Equal(got, []string{"e1"}) {
-		t.Errorf("in force: %v", got)
+	if got := core.Ejected(); !slices.Equal(got, []string{"e1"}) {
+		t.Errorf("ejections in force: %v, want [e1]", got)
 	}
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
-	go func() { defer close(done); d.Watch(ctx) }()
+	go func() { defer close(done); h.Watch(ctx) }()
 	defer func() { cancel(); <-done }()
 	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
 		if text, err := os.ReadFile(filepath.Join(dir, "wellgw-bans-n")); err == nil && string(text) == "e1\n" {
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatal("not written")
+			t.Fatal("the ejection was not written")
 		}
 	}
 }
 
-// A process hands over once, to a newer one that is ready, and says that it is ready itself.
-func TestNewerProcessTakesOver(t *testing.T) {
+// A process writes its own ready mark and hands over exactly once when a newer process is ready.
+func TestHandoverToNewerProcess(t *testing.T) {
 	dir := t.TempDir()
-	d, _ := newHandler(t, dir)
-	d.Process = ejectionfile.Process{Started: time.Unix(1000, 0), PID: 10}
-	taken := make(chan struct{}, 8)
-	d.OnSuccessorReady = func() { taken <- struct{}{} }
+	h, _ := newHandler(t, dir)
+	h.Process = ejectionfile.Process{Started: time.Unix(1000, 0), PID: 10}
+	handovers := make(chan struct{}, 8)
+	h.OnSuccessorReady = func() { handovers <- struct{}{} }
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
-	go func() { defer close(done); d.Watch(ctx) }()
+	go func() { defer close(done); h.Watch(ctx) }()
 	defer func() { cancel(); <-done }()
-	other := ejectionfile.Open(dir, "n")
+	store := ejectionfile.Open(dir, "n")
 	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
-		if marked, ok := other.ReadyProcess(); ok && marked.Started.Equal(d.Process.Started) && marked.PID == d.Process.PID {
+		if marked, ok := store.ReadyProcess(); ok && marked.Started.Equal(h.Process.Started) && marked.PID == h.Process.PID {
 			break
 		}
 		if time.Now().After(deadline) {
-			t.Fatal("not marked ready")
+			t.Fatal("the process did not write its ready mark")
 		}
 	}
-	if err := other.MarkReady(ejectionfile.Process{Started: time.Unix(1001, 0), PID: 9}); err != nil {
+	if err := store.MarkReady(ejectionfile.Process{Started: time.Unix(1001, 0), PID: 9}); err != nil {
 		t.Fatal(err)
 	}
-	<-taken
+	<-handovers
 	time.Sleep(3 * PollInterval)
-	if len(taken) != 0 {
-		t.Error("handed over twice")
+	if len(handovers) != 0 {
+		t.Error("handed over more than once")
 	}
 }
 
-// Two processes may become ready within one poll, so that either writes its mark last: the older one
-// hands over all the same.
+// If two processes become ready within one poll interval, either may write its mark last. In both orders
+// the older process hands over to the newer one.
 func TestSimultaneousReadyMarks(t *testing.T) {
 	older := ejectionfile.Process{Started: time.Unix(1000, 0), PID: 10}
 	newer := ejectionfile.Process{Started: time.Unix(1001, 0), PID: 9}
@@ -238,25 +239,25 @@
 		}
 	}
 
-	t.Run("newer first", func(t *testing.T) {
+	t.Run("only the newer mark written", func(t *testing.T) {
 		mark(newer)
 		h, handedOver := newHandover(older)
-		h.followHandover()
+		h.checkHandover()
 		if !*handedOver || marked().PID != newer.PID {
-			t.Errorf("handed over: %v, marked: %v", *handedOver, marked())
+			t.Errorf("older handed over: %v, ready mark: %v", *handedOver, marked())
 		}
 	})
-	t.Run("older last", func(t *testing.T) {
+	t.Run("older mark overwrites newer mark", func(t *testing.T) {
 		mark(newer)
-		mark(older) // it had looked before the newer one's mark was there
-		young, youngHandedOver := newHandover(newer)
-		young.followHandover()
-		if *youngHandedOver || marked().PID != newer.PID {
-			t.Errorf("newer handed over: %v, marked: %v", *youngHandedOver, marked())
+		mark(older) // the older process read the store before the newer mark was written
+		newerHandler, newerHandedOver := newHandover(newer)
+		newerHandler.checkHandover()
+		if *newerHandedOver || marked().PID != newer.PID {
+			t.Errorf("newer handed over: %v, ready mark: %v", *newerHandedOver, marked())
 		}
-		old, oldHandedOver := newHandover(older)
-		if old.followHandover(); !*oldHandedOver {
-			t.Error("the older process does not hand over")
+		olderHandler, olderHandedOver := newHandover(older)
+		if olderHandler.checkHandover(); !*olderHandedOver {
+			t.Error("the older process did not hand over")
 		}
 	})
 }
