--- a/internal/ejectionfile/store.go
+++ b/internal/ejectionfile/store.go
@@ -1,6 +1,6 @@
-// Package ejectionfile stores what the two processes of one gateway share during an upgrade, in files
-// in a directory that both see ($TMPDIR on the platform): the engines that operators have ejected
-// manually, the process that is ready to serve, and the one that started last.
+// Package ejectionfile stores the state that the two processes of a gateway share during an upgrade, as
+// files in a directory that both can access ($TMPDIR on the platform): the engines that operators have
+// ejected manually, the process that is ready to serve, and the process that started last.
 package ejectionfile
 
 import (
@@ -16,7 +16,7 @@
 	"wellgw/internal/files"
 )
 
-// Bounds of what is read, far above what a gateway writes.
+// Limits on the content that is read, far above what a gateway writes.
 const (
 	maxFileBytes = 1 << 20
 	maxNameBytes = 1 << 10
@@ -29,10 +29,10 @@
 	claimPath     string // the process that started last
 
 	mu          sync.Mutex
-	lastContent []byte // of the ejections file, as last written or read here
+	lastContent []byte // content of the ejections file when this store last wrote or read it
 }
 
-// Open returns the store in dir for the gateway of this name. It reads nothing.
+// Open returns the store in dir of the gateway with this name. It accesses no files.
 func Open(dir, gateway string) *Store {
 	fileName := strings.Map(func(r rune) rune {
 		if r == '/' || r == 0 {
@@ -47,54 +47,53 @@
 // Path returns the path of the ejections file.
 func (s *Store) Path() string { return s.ejectionsPath }
 
-// Write replaces the content of the ejections file by names, atomically.
+// Write atomically replaces the content of the ejections file with names.
 func (s *Store) Write(names []string) error {
 	names = slices.Sorted(slices.Values(names))
-	text := []byte(strings.Join(names, "\n") + "\n")
+	content := []byte(strings.Join(names, "\n") + "\n")
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := files.WriteAtomic(s.ejectionsPath, text); err != nil {
+	if err := files.WriteAtomic(s.ejectionsPath, content); err != nil {
 		return fmt.Errorf("ejections: %w", err)
 	}
-	s.lastContent = text
+	s.lastContent = content
 	return nil
 }
 
-// Read returns the names in the ejections file, and whether the file differs from what this store
-// last wrote or read. A missing file is an empty set. A file that Write can't have written, such as a
-// truncated one, is reported as unchanged with an error that wraps files.ErrDamaged.
+// Read returns the names in the ejections file, and whether the file has changed since this store last
+// wrote or read it. A missing file is an empty set. A file that Write can't have written, such as a
+// truncated one, is reported as unchanged, with an error that wraps files.ErrDamaged.
 func (s *Store) Read() (names []string, changed bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	text, err := files.Read(s.ejectionsPath, maxFileBytes)
+	content, err := files.Read(s.ejectionsPath, maxFileBytes)
 	if errors.Is(err, fs.ErrNotExist) {
-		text, err = []byte("\n"), nil
+		content, err = []byte("\n"), nil
 	}
 	if err == nil {
-		names, err = parseNames(text)
+		names, err = parseNames(content)
 	}
 	if err != nil {
 		return nil, false, fmt.Errorf("ejections: %s: %w", s.ejectionsPath, err)
 	}
 	stillEmpty := len(names) == 0 && s.lastContent == nil // before the first read the set is empty
-	changed = !bytes.Equal(text, s.lastContent) && !stillEmpty
-	s.lastContent = text
+	changed = !bytes.Equal(content, s.lastContent) && !stillEmpty
+	s.lastContent = content
 	return names, changed, nil
 }
 
-// parseNames parses one name per line. The last line must have its end, too: without it the file is
-// truncated.
-func parseNames(text []byte) (names []string, err error) {
-	if !bytes.HasSuffix(text, []byte("\n")) {
-		return nil, fmt.Errorf("%w: the last line has no end", files.ErrDamaged)
+// parseNames parses one name per line. A last line without a line feed means that the file is truncated.
+func parseNames(content []byte) (names []string, err error) {
+	if !bytes.HasSuffix(content, []byte("\n")) {
+		return nil, fmt.Errorf("%w: last line has no line feed", files.ErrDamaged)
 	}
-	for line := range strings.Lines(string(text)) {
+	for line := range strings.Lines(string(content)) {
 		name := strings.TrimSpace(line)
 		if name == "" {
 			continue
 		}
 		if len(name) > maxNameBytes || strings.ContainsFunc(name, isControl) {
-			return nil, fmt.Errorf("%w: a line is no engine's name", files.ErrDamaged)
+			return nil, fmt.Errorf("%w: line is not an engine name", files.ErrDamaged)
 		}
 		names = append(names, name)
 	}
--- a/internal/ejectionfile/stored_test.go
+++ b/internal/ejectionfile/stored_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// What the files in testdata hold, which were written before the code's names were changed, by
-// processes of the gateway "n/0".
+// Content of the files in testdata, which were written by processes of the gateway "n/0" before
+// identifiers in the code were renamed.
 var (
 	storedEjections = []string{"engine-a", "engine-b", "engine/ü c"}
 	storedReady     = Process{Started: time.Unix(1760000000, 123456789), PID: 4242}
@@ -19,8 +19,8 @@
 
 const storedGateway = "n/0"
 
-// storedFiles copies testdata, so that a test may write beside it.
-func storedFiles(t *testing.T) string {
+// copyTestdata copies testdata to a temporary directory, so that a test can write to it.
+func copyTestdata(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
 	if err := os.CopyFS(dir, os.DirFS("testdata")); err != nil {
@@ -30,7 +30,7 @@
 }
 
 func TestStoredFilesAreRead(t *testing.T) {
-	s := Open(storedFiles(t), storedGateway)
+	s := Open(copyTestdata(t), storedGateway)
 	names, changed, err := s.Read()
 	if err != nil || !changed || !slices.Equal(names, storedEjections) {
 		t.Errorf("ejections: %q %v %v", names, changed, err)
@@ -38,14 +38,14 @@
 	if ready, ok := s.ReadyProcess(); !ok || !ready.Started.Equal(storedReady.Started) || ready.PID != storedReady.PID {
 		t.Errorf("ready: %+v %v", ready, ok)
 	}
-	// A process that starts, with a clock that is behind, is newer than the one that claimed last.
+	// A process that starts with a clock that is behind is ordered after the one with the last claim.
 	self, err := s.Claim(time.Unix(1, 0), 5)
 	if err != nil || !self.Started.Equal(storedClaim.Started.Add(1)) || self.PID != 5 {
 		t.Errorf("claim: %+v %v", self, err)
 	}
 }
 
-func TestNewFilesAreAsStored(t *testing.T) {
+func TestNewFilesEqualStoredFiles(t *testing.T) {
 	dir := t.TempDir()
 	s := Open(dir, storedGateway)
 	if err := s.Write([]string{"engine/ü c", "engine-b", "engine-a"}); err != nil {
@@ -57,20 +57,20 @@
 	if claim, err := s.Claim(time.Unix(1760000000, 5), storedClaim.PID); err != nil || !claim.Started.Equal(storedClaim.Started) {
 		t.Errorf("claim: %+v %v", claim, err)
 	}
-	want, got := folder(t, "testdata"), folder(t, dir)
+	want, got := readDir(t, "testdata"), readDir(t, dir)
 	if len(want) != 3 || len(got) != len(want) {
 		t.Errorf("files %q, want %q", got, want)
 	}
-	for name, text := range want {
-		if got[name] != text {
-			t.Errorf("%s: %q, want %q", name, got[name], text)
+	for name, content := range want {
+		if got[name] != content {
+			t.Errorf("%s: %q, want %q", name, got[name], content)
 		}
 	}
 }
 
-// TestNewFilesAreReadByTheirDescription checks new files against docs/operations.md: one engine a line
-// in wellgw-bans-NAME, start and process id in wellgw-ready-NAME, private to the gateway's user.
-func TestNewFilesAreReadByTheirDescription(t *testing.T) {
+// TestFileFormat checks new files against docs/operations.md: one engine per line in wellgw-bans-NAME,
+// start time and process ID in wellgw-ready-NAME, accessible only to the user of the gateway.
+func TestFileFormat(t *testing.T) {
 	dir := t.TempDir()
 	s := Open(dir, "gw")
 	if err := s.Write([]string{"b", "a"}); err != nil {
@@ -79,7 +79,7 @@
 	if err := s.MarkReady(Process{Started: time.Unix(7, 9), PID: 11}); err != nil {
 		t.Fatal(err)
 	}
-	got := folder(t, dir)
+	got := readDir(t, dir)
 	if lines := strings.Split(got["wellgw-bans-gw"], "\n"); !slices.Equal(lines, []string{"a", "b", ""}) {
 		t.Errorf("ejections: %q", lines)
 	}
@@ -95,29 +95,29 @@
 			t.Errorf("%s: mode %v", name, info.Mode())
 		}
 	}
-	// And what an operator writes is read.
+	// Read also accepts a file edited by an operator.
 	if err := os.WriteFile(filepath.Join(dir, "wellgw-bans-gw"), []byte("x\n\n y \n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if names, changed, err := s.Read(); err != nil || !changed || !slices.Equal(names, []string{"x", "y"}) {
-		t.Errorf("an operator's file: %q %v %v", names, changed, err)
+		t.Errorf("file edited by an operator: %q %v %v", names, changed, err)
 	}
 }
 
-// folder returns a folder's files by name.
-func folder(t *testing.T, dir string) map[string]string {
+// readDir returns the content of the files in dir by file name.
+func readDir(t *testing.T, dir string) map[string]string {
 	t.Helper()
 	entries, err := os.ReadDir(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	content := map[string]string{}
+	contents := map[string]string{}
 	for _, e := range entries {
-		text, err := os.ReadFile(filepath.Join(dir, e.Name()))
+		content, err := os.ReadFile(filepath.Join(dir, e.Name()))
 		if err != nil {
 			t.Fatal(err)
 		}
-		content[e.Name()] = string(text)
+		contents[e.Name()] = string(content)
 	}
-	return content
+	return contents
 }
