--- a/internal/idempotency/file.go
+++ b/internal/idempotency/file.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	lockTimeout = 2 * time.Second // another process may hold the file for so long
-	fileMode    = 0o600           // answers are in it
+	lockTimeout = 2 * time.Second // how long to wait while another process has the file locked
+	fileMode    = 0o600           // the file contains answers
 )
 
-// Buckets, keys and values of the database.
+// Buckets, keys and values of the database. metaClean is set in a file that was closed cleanly.
 var (
-	bucketMeta = []byte("meta")
-	bucketKeys = []byte("keys")
-	metaClean  = []byte("clean")
-	metaFormat = []byte("format")
-	format     = []byte("1")
-	yes        = []byte("yes")
+	bucketMeta    = []byte("meta")
+	bucketKeys    = []byte("keys")
+	metaClean     = []byte("clean")
+	metaFormat    = []byte("format")
+	formatVersion = []byte("1")
+	cleanValue    = []byte("yes")
 )
 
 var errDamaged = errors.New("the file is damaged")
@@ -34,17 +34,17 @@
 // file is the database on disk.
 type file struct{ db *bbolt.DB }
 
-// content is what a file held when it was opened.
+// content is the content of a file when it was opened.
 type content struct {
 	entries []deduplication.Entry
-	clean   bool // it was closed in good order
+	clean   bool // the file was closed cleanly
 }
 
-// openFile opens the file at path, reads all of it, and marks it as in use. now returns the present
-// moment, by which ages are told. An error wraps errDamaged if the file can't be what this package
-// wrote.
+// openFile opens the file at path, reads all of it, and marks it as in use. now returns the current
+// moment, from which ages are calculated. An error wraps errDamaged if this package can't have written
+// the content of the file.
 func openFile(path string, now func() bootclock.Moment) (f *file, c content, err error) {
-	// bbolt meets damaged pages with a panic, or with a fault where they are mapped into memory.
+	// On damaged pages, bbolt panics or causes a memory fault, as it maps the file into memory.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	var db *bbolt.DB
 	defer func() {
@@ -72,7 +72,7 @@
 	return &file{db}, c, err
 }
 
-// closeDamaged closes a database that may be damaged, if there is one. It may panic again.
+// closeDamaged closes db, which may be damaged or nil. It ignores a panic of bbolt.
 func closeDamaged(db *bbolt.DB) {
 	if db == nil {
 		return
@@ -81,8 +81,8 @@
 	_ = db.Close()
 }
 
-// isDamage tells errors about the file's content from others of bbolt.Open. For a file that is too
-// short bbolt has no error value, only a text.
+// isDamage reports whether an error of bbolt.Open is about the content of the file. For a file that is
+// too short, bbolt has no error value, so its error text is compared.
 func isDamage(err error) bool {
 	for _, damage := range []error{bolterrors.ErrInvalid, bolterrors.ErrChecksum, bolterrors.ErrVersionMismatch} {
 		if errors.Is(err, damage) {
@@ -92,18 +92,18 @@
 	return strings.Contains(err.Error(), "file size too small") || strings.Contains(err.Error(), "unexpected EOF")
 }
 
-// readAndMarkInUse checks the database and reads its entries. It creates what a new file lacks, and
-// removes the mark of a file that was closed in good order.
+// readAndMarkInUse checks the database and reads its entries. It creates missing buckets, writes the
+// format version, and removes the mark of a cleanly closed file.
 func readAndMarkInUse(tx *bbolt.Tx, now bootclock.Moment) (content, error) {
-	for problem := range tx.Check() {
-		return content{}, fmt.Errorf("%w: %w", errDamaged, problem)
+	for damage := range tx.Check() {
+		return content{}, fmt.Errorf("%w: %w", errDamaged, damage)
 	}
 	meta, err := tx.CreateBucketIfNotExists(bucketMeta)
 	if err != nil {
 		return content{}, err
 	}
-	if found := meta.Get(metaFormat); found != nil && string(found) != string(format) {
-		return content{}, fmt.Errorf("it has format %q, which this version does not know", found)
+	if found := meta.Get(metaFormat); found != nil && string(found) != string(formatVersion) {
+		return content{}, fmt.Errorf("unsupported file format %q", found)
 	}
 	keys, err := tx.CreateBucketIfNotExists(bucketKeys)
 	if err != nil {
@@ -113,8 +113,8 @@
 	if err != nil {
 		return content{}, err
 	}
-	c := content{entries: entries, clean: string(meta.Get(metaClean)) == string(yes)}
-	if err := meta.Put(metaFormat, format); err != nil {
+	c := content{entries: entries, clean: string(meta.Get(metaClean)) == string(cleanValue)}
+	if err := meta.Put(metaFormat, formatVersion); err != nil {
 		return content{}, err
 	}
 	return c, meta.Delete(metaClean)
@@ -132,11 +132,11 @@
 	return entries, err
 }
 
-// changes are entries to be written, by key; nil removes the key.
+// changes holds the entries to be written, by key; nil removes the key.
 type changes map[deduplication.Key]*deduplication.Entry
 
-// write writes changes in one transaction. now is the present moment. final marks the file as closed in
-// good order.
+// write writes pending in one transaction. now is the current moment. final marks the file as cleanly
+// closed.
 func (f *file) write(pending changes, now bootclock.Moment, final bool) error {
 	return f.db.Update(func(tx *bbolt.Tx) error {
 		keys := tx.Bucket(bucketKeys)
@@ -146,7 +146,7 @@
 			}
 		}
 		if final {
-			return tx.Bucket(bucketMeta).Put(metaClean, yes)
+			return tx.Bucket(bucketMeta).Put(metaClean, cleanValue)
 		}
 		return nil
 	})
--- a/internal/idempotency/record.go
+++ b/internal/idempotency/record.go
@@ -15,11 +15,11 @@
 // checksumBytes is the length of the checksum that precedes a record's body.
 const checksumBytes = 8
 
-var errChecksum = errors.New("its checksum is wrong")
+var errChecksum = errors.New("record checksum mismatch")
 
-// record is an entry as the file has it: a checksum, then this as JSON. Its form must not change, as
-// files of earlier versions are read. Since is by the wall clock, which may be stepped; ages are told
-// by At.
+// record is the stored form of an entry: a checksum, followed by record as JSON. The format must not
+// change, since files of earlier versions have to remain readable. Since is a wall clock time, which may
+// be stepped, so ages are calculated from At.
 type record struct {
 	Key    recordKey           `json:"Key"`
 	Digest string              `json:"Digest"`
@@ -31,17 +31,17 @@
 	At     bootclock.Moment    `json:"At"` // when the entry entered its state
 }
 
-// recordKey is a record's key within its JSON.
+// recordKey is the JSON form of an entry's key.
 type recordKey struct {
 	Team string `json:"Team"`
 	Name string `json:"Name"`
 }
 
-// databaseKey is the database's key of a record. Names of keys are printable ASCII, so that the zero
-// byte separates them from the team's.
+// databaseKey returns the key of a record in the database. Idempotency keys are printable ASCII, so the
+// zero byte separates the team name from them unambiguously.
 func databaseKey(k deduplication.Key) []byte { return []byte(k.Team + "\x00" + k.Name) }
 
-// encodeRecord returns an entry in the file's form. now is the present moment.
+// encodeRecord returns the stored form of an entry. now is the current moment.
 func encodeRecord(e deduplication.Entry, now bootclock.Moment) ([]byte, error) {
 	body, err := jsoniter.Marshal(record{
 		Key: recordKey(e.Key), Digest: e.Digest, State: e.State, Since: e.Since, ID: e.RequestID, Type: e.ContentType,
@@ -53,9 +53,9 @@
 	return append(binary.BigEndian.AppendUint64(nil, xxhash.Sum64(body)), body...), nil
 }
 
-// decodeRecord returns the entry of a record with its age at now. An entry whose age is unknown, as the
-// machine has been rebooted or an earlier version wrote it, counts as new: it is kept too long rather
-// than removed too soon.
+// decodeRecord returns the entry of a record, with Since set by its age at now. The age is unknown if the
+// machine has been rebooted or an earlier version wrote the record. Such an entry gets age 0, so that it
+// is retained too long rather than removed too early.
 func decodeRecord(raw []byte, now bootclock.Moment) (deduplication.Entry, error) {
 	if len(raw) < checksumBytes || binary.BigEndian.Uint64(raw) != xxhash.Sum64(raw[checksumBytes:]) {
 		return deduplication.Entry{}, errChecksum
--- a/internal/idempotency/store.go
+++ b/internal/idempotency/store.go
@@ -1,11 +1,11 @@
-// Package idempotency keeps the idempotency keys of requests, on disk as well where a file is set, so
-// that they outlive a restart. decide/deduplication decides what becomes of a request under a key;
-// Store makes its table safe for concurrent use and writes it to disk.
+// Package idempotency stores the idempotency keys of requests. If a file is configured, they are also
+// stored on disk, so that they survive a restart. decide/deduplication decides whether a request under a
+// key is run; Store makes its table safe for concurrent use and writes it to disk.
 //
 // The file is a bbolt database (file.go). Changes are written every FlushInterval, in one transaction.
-// The file records whether it was closed in good order: after a crash the changes of the last moment may
-// be missing, and decide/deduplication does not trust unseen keys for a while. Each record carries a
-// checksum (record.go). A file that can't be read is renamed, and a new one begun.
+// The file records whether it was closed cleanly: after a crash, the changes since the last flush may be
+// missing, and decide/deduplication refuses retries under unseen keys for a while. Each record has a
+// checksum (record.go). A damaged file is renamed, and a new one is created.
 package idempotency
 
 import (
@@ -24,25 +24,25 @@
 const (
 	// FlushInterval is how often changes are written to the file.
 	FlushInterval = 50 * time.Millisecond
-	// expireInterval is how often keys past their retention are looked for.
+	// expireInterval is how often keys past their retention are removed.
 	expireInterval = time.Minute
 )
 
-// Store is a deduplication.Table that is safe for concurrent use and kept on disk.
+// Store is a deduplication.Table that is safe for concurrent use and persisted to disk.
 type Store struct {
 	log    *slog.Logger
 	limits deduplication.Limits
 
-	mu      sync.Mutex
-	table   *deduplication.Table
-	pending changes // not written yet
-	file    *file   // nil without one, and once it is closed
-	failing bool    // the last write failed
+	mu           sync.Mutex
+	table        *deduplication.Table
+	pending      changes // changes since the last flush
+	file         *file   // nil if none is configured, and after Close
+	writeFailing bool    // the last write failed
 }
 
-// Open returns a store with the content of the file at path; with an empty path nothing is kept on disk.
-// A damaged file is renamed, and the log says so. An error is about invalid limits, or a file that can't
-// be opened at all.
+// Open returns a store with the content of the file at path; with an empty path nothing is stored on
+// disk. A damaged file is renamed, and the error is logged. Open returns an error for invalid limits and
+// for a file that can't be opened.
 func Open(path string, l deduplication.Limits, log *slog.Logger) (*Store, error) {
 	table, err := deduplication.NewTable(l)
 	if err != nil {
@@ -50,7 +50,7 @@
 	}
 	s := &Store{log: log, limits: l, table: table, pending: changes{}}
 	if path == "" {
-		table.Restore(time.Now(), nil, false) // an earlier process's keys are lost
+		table.Restore(time.Now(), nil, false) // the keys of an earlier process are lost
 		return s, nil
 	}
 	stored, err := s.openFile(path)
@@ -79,17 +79,18 @@
 	if err != nil {
 		return content{}, err
 	}
-	stored.clean = stored.clean || isNew // there is no earlier process whose keys could be missing
+	stored.clean = stored.clean || isNew // without an earlier process, no keys can be missing
 	return stored, nil
 }
 
-// Begin decides on a request; see deduplication.Table. After deduplication.Run, End must follow. While
-// the file can't be written nothing is run: a process started after a kill would not know of it.
+// Begin decides whether to run a request; see deduplication.Table. After deduplication.Run, the caller
+// must call End. While writing the file fails, no request is run, since a process that starts after a
+// kill would find no key of it.
 func (s *Store) Begin(r deduplication.Request) (deduplication.Decision, deduplication.Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	decision, e := s.table.Begin(time.Now(), r)
-	if decision == deduplication.Run && s.failing {
+	if decision == deduplication.Run && s.writeFailing {
 		s.table.End(time.Now(), r.Key, r.RequestID, deduplication.OutcomeNotRun, "", nil)
 		s.trackRemoved()
 		return deduplication.CapacityExceeded, deduplication.Entry{Key: r.Key}
@@ -101,13 +102,13 @@
 	return decision, e
 }
 
-// End records how a request ended that Begin decided to run; see deduplication.Table.
+// End records the outcome of a request that Begin decided to run; see deduplication.Table.
 func (s *Store) End(key deduplication.Key, requestID string, outcome deduplication.Outcome, contentType string, answer []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e, kept := s.table.End(time.Now(), key, requestID, outcome, contentType, answer)
+	e, stored := s.table.End(time.Now(), key, requestID, outcome, contentType, answer)
 	s.trackRemoved()
-	if kept {
+	if stored {
 		s.trackChanged(e)
 	}
 }
@@ -119,18 +120,18 @@
 	s.table.RecordRefusal(time.Now(), key)
 }
 
-// MaxAnswerBytes returns the size of the largest answer that is kept.
+// MaxAnswerBytes returns the maximum size of an answer that is stored.
 func (s *Store) MaxAnswerBytes() int { return s.limits.MaxAnswerBytes }
 
-// Counts returns how many keys are remembered, and the bytes of their answers.
+// Counts returns the number of stored keys and the total size of their answers.
 func (s *Store) Counts() (keys int, bytes int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.Counts()
 }
 
-// trackRemoved notes the keys that the table has removed for the next flush. An entry that is changed
-// after that is to be noted after it. s.mu is held.
+// trackRemoved adds the keys that the table has removed to the pending changes. It must be called before
+// trackChanged, so that a removed key that was added again is not deleted. s.mu must be held.
 func (s *Store) trackRemoved() {
 	removed := s.table.PopRemoved()
 	if s.file == nil {
@@ -141,15 +142,15 @@
 	}
 }
 
-// trackChanged notes an entry for the next flush. s.mu is held.
+// trackChanged adds an entry to the pending changes. s.mu must be held.
 func (s *Store) trackChanged(e deduplication.Entry) {
 	if s.file != nil {
 		s.pending[e.Key] = &e
 	}
 }
 
-// Run writes changes and removes keys past their retention until ctx ends; then it closes the file in
-// good order. Nothing may be begun after that.
+// Run writes changes and removes keys past their retention until ctx is done; then it closes the file
+// cleanly. Begin must not be called after that.
 func (s *Store) Run(ctx context.Context) {
 	flush, expire := time.NewTicker(FlushInterval), time.NewTicker(expireInterval)
 	defer flush.Stop()
@@ -170,8 +171,8 @@
 	}
 }
 
-// flushAndLog writes changes, logs when writing begins to fail or works again, and reports whether it
-// fails.
+// flushAndLog flushes changes and reports whether that failed. It logs the first failure and the
+// recovery.
 func (s *Store) flushAndLog(wasFailing bool) (failing bool) {
 	err := s.flush(false)
 	if err != nil && !wasFailing {
@@ -190,8 +191,8 @@
 	s.trackRemoved()
 }
 
-// flush writes what has changed; after an error the next flush tries again. final marks the file as
-// closed in good order. The lock is not held while the file is written.
+// flush writes the pending changes to the file; after an error the next flush retries them. final marks
+// the file as cleanly closed. s.mu is not held during the write.
 func (s *Store) flush(final bool) error {
 	s.mu.Lock()
 	pending, f := s.pending, s.file
@@ -204,15 +205,15 @@
 	err := f.write(pending, s.bootMoment(), final)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.failing = err != nil
+	s.writeFailing = err != nil
 	if err != nil {
 		s.restorePending(pending)
 	}
 	return err
 }
 
-// restorePending puts back changes that could not be written, except where there is a newer one. s.mu
-// is held.
+// restorePending adds unwritten changes to the pending ones again, except for keys with a newer change.
+// s.mu must be held.
 func (s *Store) restorePending(unwritten changes) {
 	for key, e := range unwritten {
 		if _, newer := s.pending[key]; !newer {
@@ -221,7 +222,7 @@
 	}
 }
 
-// bootMoment returns the present moment, or the zero value, by which ages are unknown.
+// bootMoment returns the current moment, or the zero value, with which ages are unknown.
 func (s *Store) bootMoment() bootclock.Moment {
 	m, err := bootclock.Now()
 	if err != nil {
@@ -230,8 +231,8 @@
 	return m
 }
 
-// Close writes what has changed and closes the file. A request that still runs is stored as running; the
-// next process takes its outcome as unknown.
+// Close writes the pending changes and closes the file. A request that is still running is stored as
+// running; the next process treats its outcome as unknown.
 func (s *Store) Close() error {
 	err := s.flush(true)
 	s.mu.Lock()
--- a/internal/idempotency/store_test.go
+++ b/internal/idempotency/store_test.go
@@ -18,115 +18,115 @@
 
 func open(t *testing.T, path string) *Store {
 	t.Helper()
-	k, err := Open(path, deduplication.DefaultLimits(), slog.New(slog.DiscardHandler))
+	s, err := Open(path, deduplication.DefaultLimits(), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return k
+	return s
 }
 
 func newRequest(name string) deduplication.Request {
 	return deduplication.Request{Key: deduplication.Key{Team: "a", Name: name}, Digest: "d", RequestID: "id" + name}
 }
 
-func begin(t *testing.T, k *Store, name string, want deduplication.Decision) deduplication.Entry {
+func begin(t *testing.T, s *Store, name string, want deduplication.Decision) deduplication.Entry {
 	t.Helper()
-	v, e := k.Begin(newRequest(name))
-	if v != want {
-		t.Errorf("%s: %v, want %v", name, v, want)
+	decision, e := s.Begin(newRequest(name))
+	if decision != want {
+		t.Errorf("%s: %v, want %v", name, decision, want)
 	}
 	return e
 }
 
 func TestRestartKeepsKeys(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "keys")
-	k := open(t, path)
-	for _, name := range []string{"whole", "broken", "refused", "running"} {
-		begin(t, k, name, deduplication.Run)
-	}
-	k.End(newRequest("whole").Key, "idwhole", deduplication.OutcomeCompleted, "text/event-stream", []byte("data: x\n\n"))
-	k.End(newRequest("broken").Key, "idbroken", deduplication.OutcomeIndeterminate, "", nil)
-	k.End(newRequest("refused").Key, "idrefused", deduplication.OutcomeNotRun, "", nil)
-	if err := k.Close(); err != nil {
+	s := open(t, path)
+	for _, name := range []string{"completed", "indeterminate", "refused", "running"} {
+		begin(t, s, name, deduplication.Run)
+	}
+	s.End(newRequest("completed").Key, "idcompleted", deduplication.OutcomeCompleted, "text/event-stream", []byte("data: x\n\n"))
+	s.End(newRequest("indeterminate").Key, "idindeterminate", deduplication.OutcomeIndeterminate, "", nil)
+	s.End(newRequest("refused").Key, "idrefused", deduplication.OutcomeNotRun, "", nil)
+	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	k = open(t, path)
-	defer k.Close()
-	if e := begin(t, k, "whole", deduplication.Replay); string(e.Answer) != "data: x\n\n" || e.ContentType != "text/event-stream" || e.RequestID != "idwhole" {
+	s = open(t, path)
+	defer s.Close()
+	if e := begin(t, s, "completed", deduplication.Replay); string(e.Answer) != "data: x\n\n" || e.ContentType != "text/event-stream" || e.RequestID != "idcompleted" {
 		t.Errorf("%+v", e)
 	}
-	begin(t, k, "broken", deduplication.PriorOutcomeUnknown)
-	begin(t, k, "running", deduplication.PriorOutcomeUnknown)
-	begin(t, k, "refused", deduplication.Run)
+	begin(t, s, "indeterminate", deduplication.PriorOutcomeUnknown)
+	begin(t, s, "running", deduplication.PriorOutcomeUnknown)
+	begin(t, s, "refused", deduplication.Run)
 	retry := newRequest("unseen")
 	retry.RetryCount = 1
-	if v, _ := k.Begin(retry); v != deduplication.Run {
-		t.Errorf("a retry after a restart in good order: %v", v)
+	if decision, _ := s.Begin(retry); decision != deduplication.Run {
+		t.Errorf("retry after a clean restart: %v, want Run", decision)
 	}
 }
 
-// A process that ends without closing the file may have lost the last keys: a retry under
-// an unseen one is not run.
+// A process that ends without closing the file may have lost the last keys, so a retry under an unseen
+// key is not run.
 func TestCrashIsDetected(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "keys")
-	k := open(t, path)
-	begin(t, k, "written", deduplication.Run)
-	if err := k.flush(false); err != nil {
+	s := open(t, path)
+	begin(t, s, "written", deduplication.Run)
+	if err := s.flush(false); err != nil {
 		t.Fatal(err)
 	}
-	begin(t, k, "lost", deduplication.Run)
-	if err := k.file.close(); err != nil { // what a crash does to the lock on the file
+	begin(t, s, "lost", deduplication.Run)
+	if err := s.file.close(); err != nil { // releases the file lock without the clean mark, as a crash does
 		t.Fatal(err)
 	}
-	k = open(t, path)
-	defer k.Close()
-	begin(t, k, "written", deduplication.PriorOutcomeUnknown)
+	s = open(t, path)
+	defer s.Close()
+	begin(t, s, "written", deduplication.PriorOutcomeUnknown)
 	lost := newRequest("lost")
 	lost.RetryCount = 1
-	if v, _ := k.Begin(lost); v != deduplication.PriorOutcomeUnknown {
-		t.Errorf("%v", v)
+	if decision, _ := s.Begin(lost); decision != deduplication.PriorOutcomeUnknown {
+		t.Errorf("retry under a lost key: %v, want PriorOutcomeUnknown", decision)
 	}
-	begin(t, k, "new", deduplication.Run)
+	begin(t, s, "new", deduplication.Run)
 }
 
 func TestDamagedFileIsRenamed(t *testing.T) {
-	for name, spoil := range map[string]func([]byte) []byte{
-		"cut":      func(b []byte) []byte { return b[:len(b)/4] },
-		"tiny":     func([]byte) []byte { return []byte("x") },
-		"no file":  func([]byte) []byte { return []byte(string(make([]byte, 16<<10))) },
-		"a record": func(b []byte) []byte { return spoilRecord(b) },
+	for name, damage := range map[string]func([]byte) []byte{
+		"truncated":      func(b []byte) []byte { return b[:len(b)/4] },
+		"one byte":       func([]byte) []byte { return []byte("x") },
+		"zeros":          func([]byte) []byte { return []byte(string(make([]byte, 16<<10))) },
+		"damaged record": func(b []byte) []byte { return damageRecord(b) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "keys")
-			k := open(t, path)
-			begin(t, k, "one", deduplication.Run)
-			k.End(newRequest("one").Key, "idone", deduplication.OutcomeCompleted, "text/plain", []byte("an answer that is easily found"))
-			if err := k.Close(); err != nil {
+			s := open(t, path)
+			begin(t, s, "one", deduplication.Run)
+			s.End(newRequest("one").Key, "idone", deduplication.OutcomeCompleted, "text/plain", []byte("an answer that is easily found"))
+			if err := s.Close(); err != nil {
 				t.Fatal(err)
 			}
 			raw, err := os.ReadFile(path)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := os.WriteFile(path, spoil(raw), 0o600); err != nil {
+			if err := os.WriteFile(path, damage(raw), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			k = open(t, path)
-			defer k.Close()
+			s = open(t, path)
+			defer s.Close()
 			retry := newRequest("one")
 			retry.RetryCount = 1
-			if v, _ := k.Begin(retry); v != deduplication.PriorOutcomeUnknown {
-				t.Errorf("a retry after the file was lost: %v", v)
+			if decision, _ := s.Begin(retry); decision != deduplication.PriorOutcomeUnknown {
+				t.Errorf("retry after the file was damaged: %v, want PriorOutcomeUnknown", decision)
 			}
-			if aside, _ := filepath.Glob(path + ".damaged-*"); len(aside) != 1 {
-				t.Errorf("set aside: %v", aside)
+			if renamed, _ := filepath.Glob(path + ".damaged-*"); len(renamed) != 1 {
+				t.Errorf("renamed files: %v, want one", renamed)
 			}
 		})
 	}
 }
 
-// spoilRecord changes a byte in each copy of the record.
-func spoilRecord(b []byte) []byte {
+// damageRecord changes a byte in each copy of the record in the database file.
+func damageRecord(b []byte) []byte {
 	const mark = `"idone"`
 	for i := 0; i+len(mark) < len(b); i++ {
 		if string(b[i:i+len(mark)]) == mark {
@@ -136,8 +136,8 @@
 	return b
 }
 
-// A key is remembered for its whole age, whatever the wall clock says at the next start: its age
-// goes by how long the machine has run.
+// A key is stored for its full retention even if the wall clock is stepped before the next start, since
+// its age is measured by the boot clock.
 func TestAgeOfKeysIgnoresWallClock(t *testing.T) {
 	now, err := bootclock.Now()
 	if err != nil {
@@ -146,14 +146,14 @@
 	const hour = time.Hour
 	for _, c := range []struct {
 		name  string
-		since time.Duration // how old the key is by the wall clock, which may have been stepped
+		since time.Duration // age of the key by the wall clock, which may have been stepped
 		at    bootclock.Moment
 		want  time.Duration
 	}{
 		{"no step", hour, now.Ago(hour), hour},
 		{"stepped forward", 100 * hour, now.Ago(hour), hour},
-		{"put back", -100 * hour, now.Ago(hour), hour},
-		{"the machine was started anew", 100 * hour, bootclock.Moment{Boot: "another", Up: 1}, 0},
+		{"stepped back", -100 * hour, now.Ago(hour), hour},
+		{"machine rebooted", 100 * hour, bootclock.Moment{Boot: "another", Up: 1}, 0},
 		{"written by an earlier version", 100 * hour, bootclock.Moment{}, 0},
 	} {
 		e := deduplication.Entry{Key: newRequest("a").Key, Digest: "d", State: deduplication.StateComplete, Since: time.Now().Add(-c.since)}
@@ -166,36 +166,36 @@
 			t.Fatal(err)
 		}
 		if age := time.Since(got.Since); age < c.want || age > c.want+time.Minute {
-			t.Errorf("%s: %v old, want %v", c.name, age, c.want)
+			t.Errorf("%s: age %v, want %v", c.name, age, c.want)
 		}
 	}
 }
 
-// While the file can't be written no request is run that a process started after a kill would not know
-// of; what was begun before is written as soon as it can be.
-func TestNoOrdersWhileFileCannotBeWritten(t *testing.T) {
+// While writing the file fails, requests under new keys are refused, since a process that starts after a
+// kill would not find these keys. Changes made before the failure are written once writing works again.
+func TestNewKeysAreRefusedWhileWritesFail(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "keys")
-	k := open(t, path)
-	begin(t, k, "before", deduplication.Run)
-	if err := k.file.close(); err != nil { // every write fails from now on
+	s := open(t, path)
+	begin(t, s, "before", deduplication.Run)
+	if err := s.file.close(); err != nil { // makes every write fail
 		t.Fatal(err)
 	}
-	if err := k.flush(false); err == nil {
-		t.Fatal("written to a closed file")
+	if err := s.flush(false); err == nil {
+		t.Fatal("flush to a closed file succeeded")
 	}
-	begin(t, k, "new", deduplication.CapacityExceeded)
-	begin(t, k, "new", deduplication.CapacityExceeded)
-	begin(t, k, "before", deduplication.InProgress)
-	reopened, _, err := openFile(path, k.bootMoment)
+	begin(t, s, "new", deduplication.CapacityExceeded)
+	begin(t, s, "new", deduplication.CapacityExceeded)
+	begin(t, s, "before", deduplication.InProgress)
+	reopened, _, err := openFile(path, s.bootMoment)
 	if err != nil {
 		t.Fatal(err)
 	}
-	k.file = reopened // it can be written again
-	if err := k.flush(false); err != nil {
+	s.file = reopened // makes writes succeed again
+	if err := s.flush(false); err != nil {
 		t.Fatal(err)
 	}
-	begin(t, k, "new", deduplication.Run)
-	if err := k.file.close(); err != nil { // a kill
+	begin(t, s, "new", deduplication.Run)
+	if err := s.file.close(); err != nil { // simulates a kill
 		t.Fatal(err)
 	}
 	next := open(t, path)
@@ -203,30 +203,30 @@
 	begin(t, next, "before", deduplication.PriorOutcomeUnknown)
 }
 
-// Whatever byte of the file is damaged, the process starts or names the file, and an order that is
-// known to be sent again under a key of the file is not run.
+// With damage at any byte of the file, Open either succeeds or returns an error that names the file, and a
+// retry under a key of the file is not run.
 func TestDamageAtAnyByte(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "keys")
-	k := open(t, path)
-	begin(t, k, "one", deduplication.Run)
-	k.End(newRequest("one").Key, "idone", deduplication.OutcomeCompleted, "text/plain", []byte("an answer"))
-	if err := k.Close(); err != nil {
+	s := open(t, path)
+	begin(t, s, "one", deduplication.Run)
+	s.End(newRequest("one").Key, "idone", deduplication.OutcomeCompleted, "text/plain", []byte("an answer"))
+	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	whole, err := os.ReadFile(path)
+	intact, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for at := 0; at < len(whole); at += 61 {
-		for _, spoil := range []func([]byte) []byte{
+	for at := 0; at < len(intact); at += 61 {
+		for _, damage := range []func([]byte) []byte{
 			func(b []byte) []byte { b[at] ^= 0xff; return b },
 			func(b []byte) []byte { return b[:at] },
 		} {
-			spoilt := filepath.Join(t.TempDir(), "keys")
-			if err := os.WriteFile(spoilt, spoil(append([]byte(nil), whole...)), 0o600); err != nil {
+			damagedPath := filepath.Join(t.TempDir(), "keys")
+			if err := os.WriteFile(damagedPath, damage(append([]byte(nil), intact...)), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			k, err := Open(spoilt, deduplication.DefaultLimits(), slog.New(slog.DiscardHandler))
+			s, err := Open(damagedPath, deduplication.DefaultLimits(), slog.New(slog.DiscardHandler))
 			if err != nil {
 				if !strings.Contains(err.Error(), "idempotency file") {
 					t.Errorf("byte %d: %v", at, err)
@@ -235,10 +235,10 @@
 			}
 			retry := newRequest("one")
 			retry.RetryCount = 1
-			if v, _ := k.Begin(retry); v == deduplication.Run {
-				t.Errorf("byte %d: an order sent again is run", at)
+			if decision, _ := s.Begin(retry); decision == deduplication.Run {
+				t.Errorf("byte %d: a retry was run", at)
 			}
-			_ = k.Close()
+			_ = s.Close()
 		}
 	}
 }
--- a/internal/idempotency/stored_test.go
+++ b/internal/idempotency/stored_test.go
@@ -21,8 +21,8 @@
 )
 
 // storedEntries are the entries of both files in testdata, without their times. The files were written
-// before the code's names were changed: keys-closed.db by a process that ended in good order,
-// keys-killed.db by one that did not. Each was asked for orders that ended in all ways.
+// before identifiers in the code were renamed: keys-closed.db by a process that was shut down cleanly,
+// keys-killed.db by one that was killed. Each process had requests with every outcome.
 var storedEntries = []deduplication.Entry{
 	{Key: deduplication.Key{Team: "b", Name: "whole"}, Digest: "d", State: 1, RequestID: "2-whole", ContentType: "application/json", Answer: []byte(`{"a":1}`)},
 	{Key: deduplication.Key{Team: "team a", Name: "broken"}, Digest: "digest of broken", State: 2, RequestID: "1-broken"},
@@ -31,7 +31,7 @@
 	{Key: deduplication.Key{Team: "team a", Name: "whole"}, Digest: "digest of whole", State: 1, RequestID: "1-whole", ContentType: "text/event-stream", Answer: []byte("data: x\n\n\x00\xff")},
 }
 
-// storedCopy copies a file of testdata: to open it marks it as in use.
+// storedCopy copies a file of testdata, since opening a file marks it as in use.
 func storedCopy(t *testing.T, name string) string {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join("testdata", name))
@@ -45,7 +45,7 @@
 	return path
 }
 
-// unlimitedAge are limits under which no key of testdata is too old, on whatever machine it is read.
+// unlimitedAge returns limits with which no key of testdata exceeds its retention on any machine.
 func unlimitedAge() deduplication.Limits {
 	l := deduplication.DefaultLimits()
 	l.Retention = 1 << 62
@@ -61,7 +61,7 @@
 			}
 			defer f.close()
 			if stored.clean != wantClean {
-				t.Errorf("closed in good order: %v", stored.clean)
+				t.Errorf("clean %v, want %v", stored.clean, wantClean)
 			}
 			entries := stored.entries
 			for i := range entries {
@@ -80,19 +80,19 @@
 func TestStoredKeysAreInForce(t *testing.T) {
 	for file, unseenRetry := range map[string]deduplication.Decision{"keys-closed.db": deduplication.Run, "keys-killed.db": deduplication.PriorOutcomeUnknown} {
 		t.Run(file, func(t *testing.T) {
-			k, err := Open(storedCopy(t, file), unlimitedAge(), slog.New(slog.DiscardHandler))
+			s, err := Open(storedCopy(t, file), unlimitedAge(), slog.New(slog.DiscardHandler))
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer k.Close()
-			if keys, bytes := k.Counts(); keys != 5 || bytes != 18 {
+			defer s.Close()
+			if keys, bytes := s.Counts(); keys != 5 || bytes != 18 {
 				t.Errorf("%d keys, %d bytes", keys, bytes)
 			}
 			for _, c := range []struct {
-				team, name, digest string
-				retry              int
-				want               deduplication.Decision
-				kind, answer, id   string
+				team, name, digest      string
+				retry                   int
+				want                    deduplication.Decision
+				contentType, answer, id string
 			}{
 				{"b", "whole", "d", 0, deduplication.Replay, "application/json", `{"a":1}`, "2-whole"},
 				{"team a", "whole", "digest of whole", 0, deduplication.Replay, "text/event-stream", "data: x\n\n\x00\xff", "1-whole"},
@@ -103,12 +103,12 @@
 				{"team a", "unseen", "d", 1, unseenRetry, "", "", ""},
 				{"team a", "refused", "d", 0, deduplication.Run, "", "", "3-refused"},
 			} {
-				a := deduplication.Request{Key: deduplication.Key{Team: c.team, Name: c.name}, Digest: c.digest, RequestID: "3-" + c.name, RetryCount: c.retry}
-				v, e := k.Begin(a)
-				if v != c.want {
-					t.Errorf("%s %s: %v, want %v", c.team, c.name, v, c.want)
+				req := deduplication.Request{Key: deduplication.Key{Team: c.team, Name: c.name}, Digest: c.digest, RequestID: "3-" + c.name, RetryCount: c.retry}
+				decision, e := s.Begin(req)
+				if decision != c.want {
+					t.Errorf("%s %s: %v, want %v", c.team, c.name, decision, c.want)
 				}
-				if c.name != "unseen" && (e.ContentType != c.kind || string(e.Answer) != c.answer || e.RequestID != c.id) {
+				if c.name != "unseen" && (e.ContentType != c.contentType || string(e.Answer) != c.answer || e.RequestID != c.id) {
 					t.Errorf("%s %s: %+v", c.team, c.name, e)
 				}
 			}
@@ -116,8 +116,8 @@
 	}
 }
 
-// storedRecord is what the file holds under a key, by its description in the
-// package comment: eight bytes of checksum, then JSON.
+// storedRecord is the JSON of a record in the documented file format, in which eight bytes of checksum
+// precede the JSON.
 type storedRecord struct {
 	Key    struct{ Team, Name string }
 	Digest string
@@ -132,7 +132,7 @@
 	}
 }
 
-// readStored reads a file with no code of this package's: its meta data, and its records by key.
+// readStored reads the metadata of a file and its records by key, without using code of this package.
 func readStored(t *testing.T, path string) (meta map[string]string, records map[string]storedRecord) {
 	t.Helper()
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true, Timeout: time.Second})
@@ -168,13 +168,13 @@
 	return meta, records
 }
 
-// checkRecords compares records with entries, without their times.
+// checkRecords compares records with the entries in want, without their times.
 func checkRecords(t *testing.T, records map[string]storedRecord, want []deduplication.Entry) {
 	t.Helper()
 	var got []deduplication.Entry
 	for name, r := range records {
 		if name != r.Key.Team+"\x00"+r.Key.Name {
-			t.Errorf("%q holds the record of %+v", name, r.Key)
+			t.Errorf("database key %q has the record of %+v", name, r.Key)
 		}
 		if r.Since.IsZero() {
 			t.Errorf("%q has no time", name)
@@ -192,38 +192,39 @@
 	}
 }
 
-// TestNewKeysAreReadByTheirDescription has the package write what testdata holds, and reads both alike.
-func TestNewKeysAreReadByTheirDescription(t *testing.T) {
+// TestFileFormat writes the entries of testdata to a new file and checks both files against the documented
+// format.
+func TestFileFormat(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "keys")
 	l := deduplication.DefaultLimits()
 	l.MaxAnswerBytes = 64
-	k, err := Open(path, l, slog.New(slog.DiscardHandler))
+	s, err := Open(path, l, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, e := range storedEntries {
-		k.Begin(deduplication.Request{Key: e.Key, Digest: e.Digest, RequestID: e.RequestID})
+		s.Begin(deduplication.Request{Key: e.Key, Digest: e.Digest, RequestID: e.RequestID})
 		switch answer := e.Answer; e.State {
 		case deduplication.StateComplete:
 			if answer == nil {
 				answer = make([]byte, l.MaxAnswerBytes+1)
 			}
-			k.End(e.Key, e.RequestID, deduplication.OutcomeCompleted, e.ContentType, answer)
+			s.End(e.Key, e.RequestID, deduplication.OutcomeCompleted, e.ContentType, answer)
 		case deduplication.StateUnknown:
-			k.End(e.Key, e.RequestID, deduplication.OutcomeIndeterminate, "", nil)
+			s.End(e.Key, e.RequestID, deduplication.OutcomeIndeterminate, "", nil)
 		}
 	}
 	refused := deduplication.Key{Team: "team a", Name: "refused"}
-	k.Begin(deduplication.Request{Key: refused, Digest: "d", RequestID: "r"})
-	k.End(refused, "r", deduplication.OutcomeNotRun, "", nil)
-	if err := k.Close(); err != nil {
+	s.Begin(deduplication.Request{Key: refused, Digest: "d", RequestID: "r"})
+	s.End(refused, "r", deduplication.OutcomeNotRun, "", nil)
+	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
 	for name, path := range map[string]string{"new": path, "stored": storedCopy(t, "keys-closed.db")} {
 		t.Run(name, func(t *testing.T) {
 			meta, records := readStored(t, path)
 			if len(meta) != 2 || meta["format"] != "1" || meta["clean"] != "yes" {
-				t.Errorf("meta data %q", meta)
+				t.Errorf("metadata %q", meta)
 			}
 			checkRecords(t, records, storedEntries)
 			if now, err := bootclock.Now(); err == nil && name == "new" {
@@ -238,13 +239,13 @@
 	t.Run("killed", func(t *testing.T) {
 		meta, records := readStored(t, storedCopy(t, "keys-killed.db"))
 		if len(meta) != 1 || meta["format"] != "1" {
-			t.Errorf("meta data %q", meta)
+			t.Errorf("metadata %q", meta)
 		}
 		checkRecords(t, records, storedEntries)
 	})
 }
 
-// TestStoredAge pins that a record's age goes by the moment that is stored with it.
+// TestStoredAge checks that the age of a record is calculated from the stored boot clock moment.
 func TestStoredAge(t *testing.T) {
 	body := `{"Key":{"Team":"a","Name":"k"},"Digest":"d","State":1,"Since":"2026-01-02T03:04:05Z","ID":"i","Type":"t","Answer":"eA==","At":{"Boot":"b","Up":1000000000}}`
 	raw := append(binary.BigEndian.AppendUint64(nil, xxhash.Sum64String(body)), body...)
@@ -262,7 +263,7 @@
 				t.Fatal(err)
 			}
 			if age := time.Since(e.Since); age < c.want || age > c.want+time.Minute {
-				t.Errorf("%v old, want %v", age, c.want)
+				t.Errorf("age %v, want %v", age, c.want)
 			}
 			e.Since = time.Time{}
 			want := deduplication.Entry{Key: deduplication.Key{Team: "a", Name: "k"}, Digest: "d", State: 1, RequestID: "i", ContentType: "t", Answer: []byte("x")}
