--- a/internal/lastview/lastview.go
+++ b/internal/lastview/lastview.go
@@ -1,9 +1,9 @@
-// Package lastview keeps the last good view of the engines on disk, so that a gateway that starts while
-// its sources are unavailable can serve at once.
+// Package lastview stores the last good view of the engines on disk, so that a gateway that starts while
+// its sources are unavailable can serve immediately.
 //
-// The file has a header line and a line of JSON, and is replaced atomically. It is no database
-// (docs/design/consul.md): the view is small and always written as a whole, and a damaged file that is
-// mapped into memory can crash the process.
+// The file has a header line and a line of JSON, and is replaced atomically. A database is not used
+// (docs/design/consul.md), because the view is small and always written completely, and because a
+// damaged file that is mapped into memory can crash the process.
 package lastview
 
 import (
@@ -21,26 +21,26 @@
 	"wellgw/internal/files"
 )
 
-// The header has the magic word, the version, and the checksum of the body in hex.
+// The header consists of the magic string, the format version, and the checksum of the body in hex.
 const (
 	magic   = "wellgw-view"
 	version = 1
 )
 
-const maxFileBytes = 64 << 20 // far above what is written
+const maxFileBytes = 64 << 20 // far above the size that Save writes
 
 // ErrDamaged is wrapped by every error of Load about the file's content.
 var ErrDamaged = errors.New("the file is damaged")
 
-// View is the content of the file. Its JSON keys are Go field names, also those of package roster:
-// renaming one of these fields changes the file.
+// View is the content of the file. Its JSON keys are the Go field names of its types, including types of
+// package roster that have no JSON tags: renaming such a field changes the file format.
 type View struct {
 	SavedAt time.Time
 	Entries []roster.StoredEntry
 	Indexes []Index
 }
 
-// Index is the index that a source had reached.
+// Index is the last index received from a source.
 type Index struct {
 	Source roster.Source
 	Index  uint64
@@ -63,15 +63,15 @@
 	if err != nil {
 		return fmt.Errorf("last view: %w", err)
 	}
-	text := fmt.Appendf(nil, "%s %d %s\n", magic, version, checksum(body))
-	if err := files.WriteAtomic(path, append(text, body...)); err != nil {
+	content := fmt.Appendf(nil, "%s %d %s\n", magic, version, checksum(body))
+	if err := files.WriteAtomic(path, append(content, body...)); err != nil {
 		return fmt.Errorf("last view: %w", err)
 	}
 	return nil
 }
 
-// Load reads the file at path. Its error wraps fs.ErrNotExist if there is no file, and ErrDamaged if the
-// file can't be what Save wrote.
+// Load reads the file at path. Its error wraps fs.ErrNotExist if there is no file, and ErrDamaged if Save
+// can't have written the content of the file.
 func Load(path string) (View, error) {
 	raw, err := files.Read(path, maxFileBytes)
 	if errors.Is(err, files.ErrDamaged) {
@@ -91,7 +91,7 @@
 	return v, nil
 }
 
-// checkHeader compares a header with the body that it precedes.
+// checkHeader checks the header, including its checksum of body.
 func checkHeader(header, body []byte) error {
 	fields := bytes.Fields(header)
 	if len(fields) != 3 || string(fields[0]) != magic {
@@ -101,20 +101,19 @@
 		return fmt.Errorf("last view: %w: version %s is not %d", ErrDamaged, fields[1], version)
 	}
 	if string(fields[2]) != checksum(body) {
-		return fmt.Errorf("last view: %w: the sum is wrong", ErrDamaged)
+		return fmt.Errorf("last view: %w: checksum mismatch", ErrDamaged)
 	}
 	return nil
 }
 
 func checksum(body []byte) string { return fmt.Sprintf("%016x", xxhash.Sum64(body)) }
 
-// RenameDamaged renames a damaged file, so that the next Save does not overwrite what may have to be
-// analysed,
-// and returns its new name.
+// RenameDamaged renames a damaged file, so that the next Save does not overwrite content that may be
+// needed for analysis, and returns the new path.
 func RenameDamaged(path string, now time.Time) (string, error) {
-	to := path + ".damaged-" + now.UTC().Format("20060102T150405.000")
-	if err := os.Rename(path, to); err != nil {
-		return "", fmt.Errorf("last view: set aside: %w", err)
+	renamed := path + ".damaged-" + now.UTC().Format("20060102T150405.000")
+	if err := os.Rename(path, renamed); err != nil {
+		return "", fmt.Errorf("last view: rename damaged file: %w", err)
 	}
-	return to, nil
+	return renamed, nil
 }
--- a/internal/lastview/lastview_test.go
+++ b/internal/lastview/lastview_test.go
@@ -13,7 +13,7 @@
 	"wellgw/decide/roster"
 )
 
-func sample() View {
+func sampleView() View {
 	src := roster.Source{Origin: roster.Catalogue, Name: "llm"}
 	return View{
 		SavedAt: time.Now().Round(0), Indexes: []Index{{src, 7}},
@@ -24,9 +24,9 @@
 func TestSaveAndLoad(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "view")
 	if _, err := Load(path); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("no file: %v", err)
+		t.Errorf("without a file: %v, want fs.ErrNotExist", err)
 	}
-	want := sample()
+	want := sampleView()
 	for range 2 { // the second replaces the first
 		if err := Save(path, want); err != nil {
 			t.Fatal(err)
@@ -40,44 +40,44 @@
 		t.Errorf("(-saved +loaded):\n%s", diff)
 	}
 	if got.IndexBySource()[want.Indexes[0].Source] != 7 {
-		t.Error("the index is lost")
+		t.Error("the loaded view has no index of the source")
 	}
 }
 
-// Whatever byte of the file is lost or changed, it is known as damaged.
-func TestDamage(t *testing.T) {
+// Load detects a file that is truncated at any byte, and one with any byte changed.
+func TestDamagedFileIsDetected(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "view")
-	if err := Save(path, sample()); err != nil {
+	if err := Save(path, sampleView()); err != nil {
 		t.Fatal(err)
 	}
-	whole, err := os.ReadFile(path)
+	intact, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	write := func(raw []byte) error {
+	loadBytes := func(raw []byte) error {
 		if err := os.WriteFile(path, raw, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		_, err := Load(path)
 		return err
 	}
-	for i := range whole {
-		flipped := append([]byte(nil), whole...)
+	for i := range intact {
+		flipped := append([]byte(nil), intact...)
 		flipped[i] ^= 4
-		for _, raw := range [][]byte{whole[:i], flipped} {
-			if err := write(raw); !errors.Is(err, ErrDamaged) {
-				t.Fatalf("byte %d: %v", i, err)
+		for _, raw := range [][]byte{intact[:i], flipped} {
+			if err := loadBytes(raw); !errors.Is(err, ErrDamaged) {
+				t.Fatalf("byte %d: %v, want ErrDamaged", i, err)
 			}
 		}
 	}
-	aside, err := RenameDamaged(path, time.Now())
+	renamed, err := RenameDamaged(path, time.Now())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := os.Stat(aside); err != nil {
+	if _, err := os.Stat(renamed); err != nil {
 		t.Error(err)
 	}
 	if _, err := Load(path); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("set aside: %v", err)
+		t.Errorf("after RenameDamaged: %v, want fs.ErrNotExist", err)
 	}
 }
--- a/internal/lastview/stored_test.go
+++ b/internal/lastview/stored_test.go
@@ -16,7 +16,8 @@
 	"wellgw/decide/roster"
 )
 
-// storedView is the content of testdata/view, which was written before the code's names were changed.
+// storedView is the content of testdata/view, which was written before identifiers in the code were
+// renamed.
 func storedView() View {
 	at := func(s int) time.Time { return time.Date(2026, 1, 2, 3, 4, s, 567890123, time.UTC) }
 	catalogue, file := roster.Source{Origin: roster.Catalogue, Name: "llm"}, roster.Source{Origin: roster.File}
@@ -48,7 +49,7 @@
 	}
 }
 
-func TestNewViewIsAsStored(t *testing.T) {
+func TestNewFileEqualsStoredFile(t *testing.T) {
 	want, err := os.ReadFile("testdata/view")
 	if err != nil {
 		t.Fatal(err)
@@ -66,9 +67,9 @@
 	}
 }
 
-// TestNewViewIsReadByItsDescription reads a new file with no code of this package's: a header of magic,
+// TestFileFormat reads a new file without using code of this package: a header line of magic string,
 // version and checksum in hex, then one JSON document.
-func TestNewViewIsReadByItsDescription(t *testing.T) {
+func TestFileFormat(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "view")
 	if err := Save(path, storedView()); err != nil {
 		t.Fatal(err)
@@ -77,9 +78,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	head, body, _ := strings.Cut(string(raw), "\n")
-	if want := fmt.Sprintf("wellgw-view 1 %016x", xxhash.Sum64String(body)); head != want {
-		t.Errorf("header %q, want %q", head, want)
+	header, body, _ := strings.Cut(string(raw), "\n")
+	if want := fmt.Sprintf("wellgw-view 1 %016x", xxhash.Sum64String(body)); header != want {
+		t.Errorf("header %q, want %q", header, want)
 	}
 	var got struct {
 		SavedAt time.Time
