--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,6 +1,6 @@
-// Package admin serves the state of the gateway to operators, on a listener of its own: the engines, the
-// changes of roles, and the tier. It is off unless the operator's file names an address. It does not
-// authenticate, so the address must be on loopback or a network of the operators' own.
+// Package admin serves the state of the gateway to operators on a separate listener: the engines, the
+// role changes, and the tier. It is disabled unless the operator's file sets an address. It does not
+// authenticate clients, so the address must be on loopback or on a network that only operators can reach.
 package admin
 
 import (
@@ -19,37 +19,36 @@
 	"wellgw/internal/fetch"
 )
 
-// Paths of the pages.
+// Paths of the JSON pages.
 const (
-	EnginesPath = "/engines" // the engines: a View
-	RolesPath   = "/roles"   // the changes of roles
+	EnginesPath = "/engines" // the engines, as a View
+	RolesPath   = "/roles"   // the role changes
 	PeersPath   = "/peers"   // the gateways of the tier
 )
 
 const (
-	readTimeout    = 2 * time.Second // for a request, which is one line and few headers
-	writeTimeout   = 5 * time.Second // for a page
-	requestTimeout = 5 * time.Second // of FetchView and FetchPage
-	maxPageBytes   = 64 << 20        // that FetchView and FetchPage read
+	readTimeout    = 2 * time.Second // to read a request, which has one line and few headers
+	writeTimeout   = 5 * time.Second // to write a page
+	requestTimeout = 5 * time.Second // for FetchView and FetchPage
+	maxPageBytes   = 64 << 20        // maximum size of a page that FetchView and FetchPage read
 )
 
-// View is the page at EnginesPath.
+// View is the content of the page at EnginesPath.
 type View struct {
 	directory.View
 	Consul   consul.Stats   `json:"consul"`
 	Counts   map[string]int `json:"counts"`
-	Gateways int            `json:"gateways"` // known to share the engines
+	Gateways int            `json:"gateways"` // number of gateways that are known to share the engines
 }
 
-// Pages has functions that return the content of JSON pages, by path. One is called for each request.
+// Pages maps paths to functions that return the content of a JSON page. Each request calls its function.
 type Pages map[string]func() any
 
-// Serve serves pages on l until ctx ends; others are handlers of pages that are not JSON, by path. It
-// closes l.
-func Serve(ctx context.Context, l net.Listener, pages Pages, others map[string]http.Handler, log *slog.Logger) {
+// Serve serves pages on l until ctx is done; handlers serve pages that are not JSON, by path. It closes l.
+func Serve(ctx context.Context, l net.Listener, pages Pages, handlers map[string]http.Handler, log *slog.Logger) {
 	mux := http.NewServeMux()
-	for path, page := range others {
-		mux.Handle("GET "+path, page)
+	for path, handler := range handlers {
+		mux.Handle("GET "+path, handler)
 	}
 	for path, page := range pages {
 		mux.HandleFunc("GET "+path, func(w http.ResponseWriter, _ *http.Request) {
@@ -69,14 +68,14 @@
 	}
 }
 
-// FetchView returns the engines of the gateway whose admin listener is at addr.
+// FetchView fetches the page at EnginesPath from the gateway whose admin listener is at addr.
 func FetchView(ctx context.Context, addr string) (View, error) {
 	var v View
 	err := FetchPage(ctx, addr, EnginesPath, &v)
 	return v, err
 }
 
-// FetchPage reads one page into v.
+// FetchPage fetches the JSON page at path from the admin listener at addr and decodes it into v.
 func FetchPage(ctx context.Context, addr, path string, v any) error {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
