--- a/internal/accept/accept.go
+++ b/internal/accept/accept.go
@@ -1,8 +1,8 @@
-// Package accept keeps a listener accepting through transient errors.
+// Package accept retries transient errors of listening and accepting.
 //
-// Linux reports errors of the network and of single connections by accept, and a process or a
-// machine that is out of descriptors or memory may have some again a moment later. None of these
-// may end a service or delay it for long.
+// On Linux, accept also returns errors of the network and of single connections, and a shortage of
+// descriptors or memory, in the process or on the machine, may be temporary. None of these errors may
+// stop a service or delay it for long.
 package accept
 
 import (
@@ -16,18 +16,18 @@
 	"wellgw/internal/faultinject"
 )
 
-// Backoff after errors: it doubles from the initial to the maximal one.
+// The backoff after an error doubles from initialBackoff to maxBackoff.
 const (
 	initialBackoff = 2 * time.Millisecond
 	maxBackoff     = 50 * time.Millisecond
 	logInterval    = time.Second
 )
 
-// Listener accepts through transient errors. Accept must be called by one goroutine at a time.
+// Listener retries accept after transient errors. Accept must be called by one goroutine at a time.
 type Listener struct {
 	net.Listener
-	// OnExhausted is called when descriptors or memory are exhausted, before accept is retried; nil
-	// for none.
+	// OnExhausted, if not nil, is called when descriptors or memory are exhausted, before accept is
+	// retried, so that it can release some.
 	OnExhausted func()
 
 	log        *slog.Logger
@@ -35,14 +35,14 @@
 	failures   int // errors since the last log line
 }
 
-// New returns a listener over l that logs the errors through which it continues.
+// New returns a Listener that wraps l and logs the errors after which it retries accept.
 func New(l net.Listener, log *slog.Logger) *Listener {
 	return &Listener{Listener: faultinject.Listener(l), log: log}
 }
 
-// Accept returns the next connection, or an error if the listener can't accept any more.
+// Accept returns the next connection, or an error if the listener has failed permanently.
 func (l *Listener) Accept() (net.Conn, error) {
-	for pause := initialBackoff; ; pause = min(2*pause, maxBackoff) {
+	for backoff := initialBackoff; ; backoff = min(2*backoff, maxBackoff) {
 		conn, err := l.Listener.Accept()
 		if err == nil || Permanent(err) {
 			return conn, err
@@ -51,11 +51,11 @@
 		if Exhausted(err) && l.OnExhausted != nil {
 			l.OnExhausted()
 		}
-		time.Sleep(pause)
+		time.Sleep(backoff)
 	}
 }
 
-// logFailure logs an error, at most one line per logInterval.
+// logFailure logs an error, with at most one line per logInterval.
 func (l *Listener) logFailure(err error) {
 	l.failures++
 	if now := time.Now(); now.Sub(l.lastLogged) >= logInterval {
@@ -64,17 +64,17 @@
 	}
 }
 
-// Permanent reports whether a listener with this error can't accept any more. EOPNOTSUPP is not among
-// these: accept also reports it for a connection's network.
+// Permanent reports whether a listener can't accept any connections after err. EOPNOTSUPP is not
+// permanent, since accept also returns it for errors in the network of a single connection.
 func Permanent(err error) bool {
 	return isAny(err, net.ErrClosed, syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK)
 }
 
-// Exhausted reports whether an error means that descriptors or memory are exhausted.
+// Exhausted reports whether err means that descriptors or memory are exhausted.
 func Exhausted(err error) bool {
 	return isAny(err, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM)
 }
 
-func isAny(err error, some ...error) bool {
-	return slices.ContainsFunc(some, func(one error) bool { return errors.Is(err, one) })
+func isAny(err error, targets ...error) bool {
+	return slices.ContainsFunc(targets, func(target error) bool { return errors.Is(err, target) })
 }
--- a/internal/accept/listen_test.go
+++ b/internal/accept/listen_test.go
@@ -9,37 +9,37 @@
 	"testing"
 )
 
-// An address that is taken for a moment, or a machine that is short of descriptors, does not keep a
-// process from starting; an address that can't be used does, at once.
-func TestListenWaitsForWhatPasses(t *testing.T) {
+// Listen retries if the address is temporarily in use or the machine is short of descriptors; it fails
+// immediately if the address can't be used.
+func TestListenRetriesTransientErrors(t *testing.T) {
 	log := slog.New(slog.DiscardHandler)
-	failure := func(e syscall.Errno) error {
+	listenError := func(e syscall.Errno) error {
 		return &net.OpError{Op: "listen", Net: "tcp", Err: os.NewSyscallError("bind", e)}
 	}
 	for _, e := range []syscall.Errno{syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR} {
-		tries := 0
+		attempts := 0
 		l, err := listen(t.Context(), "a", log, func() (net.Listener, error) {
-			if tries++; tries < 4 {
-				return nil, failure(e)
+			if attempts++; attempts < 4 {
+				return nil, listenError(e)
 			}
-			return &failing{}, nil
+			return &fakeListener{}, nil
 		})
-		if l == nil || err != nil || tries != 4 {
-			t.Errorf("%v: %v, %v after %d tries", e, l, err, tries)
+		if l == nil || err != nil || attempts != 4 {
+			t.Errorf("%v: %v, %v after %d attempts", e, l, err, attempts)
 		}
 	}
 	for _, e := range []syscall.Errno{syscall.EACCES, syscall.EINVAL} {
-		tries := 0
-		if _, err := listen(t.Context(), "a", log, func() (net.Listener, error) { tries++; return nil, failure(e) }); err == nil || tries != 1 {
-			t.Errorf("%v: %v after %d tries", e, err, tries)
+		attempts := 0
+		if _, err := listen(t.Context(), "a", log, func() (net.Listener, error) { attempts++; return nil, listenError(e) }); err == nil || attempts != 1 {
+			t.Errorf("%v: %v after %d attempts", e, err, attempts)
 		}
 	}
-	ended, end := context.WithCancel(t.Context())
-	end()
-	if _, err := listen(ended, "a", log, func() (net.Listener, error) { return nil, failure(syscall.EADDRINUSE) }); err == nil {
-		t.Error("listened though the context has ended")
+	canceled, cancel := context.WithCancel(t.Context())
+	cancel()
+	if _, err := listen(canceled, "a", log, func() (net.Listener, error) { return nil, listenError(syscall.EADDRINUSE) }); err == nil {
+		t.Error("Listen succeeded after the context was canceled")
 	}
 	if _, err := Listen(t.Context(), "tcp4", "no address", log); err == nil {
-		t.Error("listened at no address")
+		t.Error("Listen succeeded with an invalid address")
 	}
 }
