--- a/internal/accept/listen.go
+++ b/internal/accept/listen.go
@@ -10,7 +10,7 @@
 	"wellgw/internal/pause"
 )
 
-// Limits of the backoff between attempts to listen, and of the total time of the attempts.
+// Limits on the backoff between attempts to listen, and on the total time spent on them.
 const (
 	initialListenBackoff = 10 * time.Millisecond
 	maxListenBackoff     = 250 * time.Millisecond
--- a/internal/control/command.go
+++ b/internal/control/command.go
@@ -13,8 +13,8 @@
 	Status   Verb = "status"    // reports whether this process can serve
 	MaintOn  Verb = "maint-on"  // ejects engine EngineID: no new request is sent to it
 	MaintOff Verb = "maint-off" // restores engine EngineID
-	Standby  Verb = "standby"   // drains the gateway: clients are sent to other gateways
-	Active   Verb = "active"    // ends the drain
+	Standby  Verb = "standby"   // starts a drain: clients are directed to other gateways
+	Active   Verb = "active"    // ends a drain
 )
 
 // Command is a parsed command line.
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -15,8 +15,8 @@
 
 // Limits of the protocol.
 const (
-	// AnswerTimeout is the maximum time from accepting a connection to having its answer. Callers are
-	// promised an answer within 1 s; the difference is margin for writing the answer.
+	// AnswerTimeout is the maximum time from accepting a connection to determining its answer. Callers
+	// are promised an answer within 1 s; the difference is margin for writing it.
 	AnswerTimeout = 750 * time.Millisecond
 	// writeTimeout bounds writing the answer, in addition to AnswerTimeout.
 	writeTimeout = 150 * time.Millisecond
--- a/internal/ejectionfile/process.go
+++ b/internal/ejectionfile/process.go
@@ -53,7 +53,7 @@
 	return self, errors.Join(errs...)
 }
 
-// MarkReady writes the ready mark of self: it is ready to serve.
+// MarkReady writes the ready mark of self, which records that self is ready to serve.
 func (s *Store) MarkReady(self Process) error { return writeProcess(s.readyPath, self) }
 
 // ReadyProcess returns the process that was the last to write a ready mark; false if there is no mark or
--- a/internal/idempotency/store_test.go
+++ b/internal/idempotency/store_test.go
@@ -203,8 +203,8 @@
 	begin(t, next, "before", deduplication.PriorOutcomeUnknown)
 }
 
-// With damage at any byte of the file, Open either succeeds or returns an error that names the file, and a
-// retry under a key of the file is not run.
+// With damage anywhere in the file (every 61st byte is tested), Open either succeeds or returns an error that
+// names the idempotency file, and a retry under a key of the file is not run.
 func TestDamageAtAnyByte(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "keys")
 	s := open(t, path)
--- a/internal/idempotency/stored_test.go
+++ b/internal/idempotency/stored_test.go
@@ -116,8 +116,8 @@
 	}
 }
 
-// storedRecord is the JSON of a record in the documented file format, in which eight bytes of checksum
-// precede the JSON.
+// storedRecord is the JSON of a record, as the documented file format describes it. In the database, an
+// eight-byte checksum precedes the JSON.
 type storedRecord struct {
 	Key    struct{ Team, Name string }
 	Digest string
