--- a/cmd/wellgw/engines.go
+++ b/cmd/wellgw/engines.go
@@ -94,14 +94,14 @@
 		if outOnly && e.State == "in" && e.Confidence == "confirmed" {
 			continue
 		}
-		t.AppendRow(table.Row{e.ID, e.Address, e.Role, e.Zone, e.Cell, e.State, e.Confidence, formatMillis(e.AgeMS), formatMillis(e.UpMS), sourceList(e.Sources), e.Why})
+		t.AppendRow(table.Row{e.ID, e.Address, e.Role, e.Zone, e.Cell, e.State, e.Confidence, formatMillis(e.AgeMS), formatMillis(e.UpMS), sourceList(e.Sources), e.StateReason})
 	}
 	t.Render()
 	sources := newTable(w, "source", "engines", "index", "believed", "in doubt")
 	for _, src := range v.Sources {
 		doubt := ""
-		if src.Doubt != "" {
-			doubt = src.Doubt + " for " + formatMillis(src.DoubtMS)
+		if src.DistrustReason != "" {
+			doubt = src.DistrustReason + " for " + formatMillis(src.UntrustedMS)
 		}
 		sources.AppendRow(table.Row{src.Source, src.Engines, src.Index, formatMillis(src.AgeMS) + " ago", doubt})
 	}
--- a/cmd/wellgw/enginesources.go
+++ b/cmd/wellgw/enginesources.go
@@ -50,14 +50,14 @@
 			return nil, err
 		}
 	}
-	directory.LoadFile(s.directory, o)
+	directory.ReplaceFileEngines(s.directory, o)
 	return s, nil
 }
 
 func (s *engineSources) newDirectory(o *config.Operator) *directory.Directory {
 	policy, check := roster.DefaultPolicy(), ""
 	if o.Consul != nil {
-		policy, check = consul.Policy(*o.Consul), o.Consul.CheckPath
+		policy, check = consul.RosterPolicy(*o.Consul), o.Consul.CheckPath
 	}
 	return directory.New(directory.Options{
 		Policy: policy, Publish: s.core.UpdateEndpoints, Probe: directory.NewProbe(check), StateFile: o.StateFile, Log: s.log,
@@ -121,7 +121,7 @@
 				s.setSharing(n)
 			}
 		},
-		RunWith: func(ctx context.Context, client *consul.Client) {
+		RunWithClient: func(ctx context.Context, client *consul.Client) {
 			if s.roles != nil {
 				s.roles.Run(ctx, client)
 			}
@@ -152,7 +152,7 @@
 			return err
 		}
 	}
-	directory.LoadFile(s.directory, o)
+	directory.ReplaceFileEngines(s.directory, o)
 	return nil
 }
 
--- a/experiments/consulrun/cost.go
+++ b/experiments/consulrun/cost.go
@@ -125,7 +125,7 @@
 	after, _ := g.View(ctx)
 	return use{
 		cpu: (is.CPU - was.CPU).Seconds() / took, queries: float64(q1-q0) / took, kb: float64(b1-b0) / 1000 / took,
-		told: float64(after.Stats.Changes-before.Stats.Changes) / took, resident: is.Resident, rounds: after.Consul.Rounds,
+		told: float64(after.Stats.Changes-before.Stats.Changes) / took, resident: is.Resident, rounds: after.Consul.Polling,
 	}
 }
 
--- a/internal/consul/catalog.go
+++ b/internal/consul/catalog.go
@@ -35,14 +35,14 @@
 		c.add(ctx, name)
 	}
 	w.watch(ctx, w.newQuery("/v1/catalog/services", nil), queryHandler{
-		apply:   func(a Answer) error { return c.apply(ctx, a) },
+		apply:   func(a QueryResult) error { return c.apply(ctx, a) },
 		confirm: func() bool { return !c.doubted },
 		doubt:   ignore,
 	})
 }
 
 // apply starts and ends watches of services by a view of the catalog.
-func (c *catalogWatch) apply(ctx context.Context, a Answer) error {
+func (c *catalogWatch) apply(ctx context.Context, a QueryResult) error {
 	tagged, others, err := parseServices(a.Body, c.cfg.Tag)
 	if err != nil {
 		return fmt.Errorf("%w: %w", errNotAList, err)
@@ -103,7 +103,7 @@
 	if !w.mode.SetServices(services) {
 		return
 	}
-	w.stats.Rounds = w.mode.Polling()
+	w.stats.Polling = w.mode.Polling()
 	w.log.Info("watch mode changed", "polling", w.mode.Polling(), "services", services, "watches", w.cfg.Watches())
 	close(w.modeChanged)
 	w.modeChanged = make(chan struct{})
--- a/internal/consul/client.go
+++ b/internal/consul/client.go
@@ -48,8 +48,8 @@
 	Stale  bool          // any server may answer, even without a leader
 }
 
-// Answer is an agent's response with its metadata.
-type Answer struct {
+// QueryResult is an agent's response with its metadata.
+type QueryResult struct {
 	Body        []byte
 	Index       uint64        // X-Consul-Index
 	LastContact time.Duration // X-Consul-LastContact
@@ -103,7 +103,7 @@
 }
 
 // Get makes a read request. An error is a *StatusError, or says why no agent responded.
-func (c *Client) Get(ctx context.Context, q Query) (Answer, error) {
+func (c *Client) Get(ctx context.Context, q Query) (QueryResult, error) {
 	timeout := requestTimeout
 	params := url.Values{}
 	for k, v := range q.Params {
@@ -125,11 +125,11 @@
 	}
 	r, err := c.do(ctx, http.MethodGet, q.Path, params, nil, timeout)
 	if err != nil {
-		return Answer{}, err
+		return QueryResult{}, err
 	}
-	a := Answer{Body: r.body, Agent: r.agent, KnownLeader: r.header.Get("X-Consul-KnownLeader") != "false"}
+	a := QueryResult{Body: r.body, Agent: r.agent, KnownLeader: r.header.Get("X-Consul-KnownLeader") != "false"}
 	if a.Index = indexOf(r.header); a.Index == 0 {
-		return Answer{}, fmt.Errorf("agent %s: %w", r.agent, errNoIndex)
+		return QueryResult{}, fmt.Errorf("agent %s: %w", r.agent, errNoIndex)
 	}
 	if ms, err := strconv.ParseInt(r.header.Get("X-Consul-LastContact"), 10, 64); err == nil && ms > 0 {
 		a.LastContact = time.Duration(ms) * time.Millisecond
--- a/internal/consul/consul_test.go
+++ b/internal/consul/consul_test.go
@@ -359,7 +359,7 @@
 	all[id(7)], all[id(8)] = "critical", "critical"
 	w.store.SetChecks(node, all, "alive")
 	enginetest.Eventually(t, "the last marks are told", told(2))
-	if s := w.dir.Stats(); !s.Rounds || s.Services != services {
+	if s := w.dir.Stats(); !s.Polling || s.Services != services {
 		t.Errorf("%+v", s)
 	}
 	if _, _, open := w.agents[0].Load(); open > 16+4 {
--- a/internal/consul/discovery.go
+++ b/internal/consul/discovery.go
@@ -30,8 +30,8 @@
 	restart context.CancelFunc // cancels the present watcher; nil before Run
 }
 
-// Policy returns the registry's thresholds as a configuration sets them.
-func Policy(cfg config.Consul) roster.Policy {
+// RosterPolicy returns the registry's thresholds as a configuration sets them.
+func RosterPolicy(cfg config.Consul) roster.Policy {
 	p := roster.DefaultPolicy()
 	p.HoldTime, p.UnlistedTTL, p.MaxAge = cfg.Hold(), cfg.Unlisted(), cfg.MaxStale()
 	return p
@@ -47,16 +47,16 @@
 	// Address returns where this gateway serves, "" before it does. It is registered if
 	// Register sets no other.
 	Address func() string
-	// RunWith runs beside the watcher, with its client, until its context ends; nil for none.
-	RunWith func(context.Context, *Client)
-	Log     *slog.Logger
+	// RunWithClient runs beside the watcher, with its client, until its context ends; nil for none.
+	RunWithClient func(context.Context, *Client)
+	Log           *slog.Logger
 }
 
 // New returns a Discovery. An error names a file of the configuration that can't be used.
 func New(opt Options) (*Discovery, error) {
 	d := &Discovery{
 		zone: opt.Zone, directory: opt.Directory, setGateways: opt.SetGateways, ready: opt.Ready, address: opt.Address,
-		runWith: opt.RunWith, log: opt.Log.With("part", "consul"),
+		runWith: opt.RunWithClient, log: opt.Log.With("part", "consul"),
 	}
 	client, err := NewClient(opt.Config, d.log)
 	if err != nil {
@@ -109,7 +109,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.watcher = &watcher{
-		cfg: d.cfg, zone: d.zone, directory: d.directory, client: d.client, log: d.log, policy: Policy(d.cfg), atStart: atStart,
+		cfg: d.cfg, zone: d.zone, directory: d.directory, client: d.client, log: d.log, policy: RosterPolicy(d.cfg), atStart: atStart,
 		slots: make(chan struct{}, d.cfg.Watches()), mode: watch.NewPollingMode(d.cfg.Watches()), modeChanged: make(chan struct{}),
 		checks: watch.NewCheckTracker(), pollNow: map[string]chan struct{}{},
 	}
--- a/internal/consul/golden_test.go
+++ b/internal/consul/golden_test.go
@@ -80,11 +80,11 @@
 			_, ok, err := c.Read(ctx, "k/a")
 			return yes(ok, err)
 		}, "GET /v1/kv/k/a?dc=dc1&recurse= tok"},
-		{func() error { return yes(c.Swap(ctx, "k/a", []byte("v"), 3)) }, "PUT /v1/kv/k/a?cas=3 tok v"},
-		{func() error { return yes(c.Delete(ctx, "k/a", 3)) }, "DELETE /v1/kv/k/a?cas=3 tok"},
-		{func() error { return c.DeleteBelow(ctx, "k/") }, "DELETE /v1/kv/k/?recurse= tok"},
+		{func() error { return yes(c.CompareAndSwap(ctx, "k/a", []byte("v"), 3)) }, "PUT /v1/kv/k/a?cas=3 tok v"},
+		{func() error { return yes(c.CompareAndDelete(ctx, "k/a", 3)) }, "DELETE /v1/kv/k/a?cas=3 tok"},
+		{func() error { return c.DeletePrefix(ctx, "k/") }, "DELETE /v1/kv/k/?recurse= tok"},
 		{func() error { return c.Write(ctx, "k/a", []byte("v")) }, "PUT /v1/kv/k/a tok v"},
-		{func() error { return yes(c.Lock(ctx, "k/a", "s1", []byte("v"))) }, "PUT /v1/kv/k/a?acquire=s1 tok v"},
+		{func() error { return yes(c.AcquireLock(ctx, "k/a", "s1", []byte("v"))) }, "PUT /v1/kv/k/a?acquire=s1 tok v"},
 		{func() error {
 			id, err := c.NewSession(ctx, "me", 10*time.Second, time.Second)
 			if id != "s1" {
@@ -93,7 +93,7 @@
 			return err
 		}, `PUT /v1/session/create tok {"Behavior":"release","Checks":[],"LockDelay":"1s","Name":"me","TTL":"10s"}`},
 		{func() error { return yes(c.RenewSession(ctx, "s1")) }, "PUT /v1/session/renew/s1 tok"},
-		{func() error { return c.EndSession(ctx, "s1") }, "PUT /v1/session/destroy/s1 tok"},
+		{func() error { return c.DestroySession(ctx, "s1") }, "PUT /v1/session/destroy/s1 tok"},
 		{func() error { return c.Put(ctx, "/v1/agent/x", []byte("y")) }, "PUT /v1/agent/x tok y"},
 	} {
 		if err := step.call(); err != nil {
@@ -160,7 +160,7 @@
 
 // What following has cost, as operators read it.
 func TestStatsJSON(t *testing.T) {
-	got, err := json.Marshal(Stats{Agent: "a", Queries: 1, Failed: 2, Bytes: 3, Unchanged: 4, Services: 5, Rounds: true})
+	got, err := json.Marshal(Stats{Agent: "a", Queries: 1, Failed: 2, Bytes: 3, Unchanged: 4, Services: 5, Polling: true})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/consul/harness_test.go
+++ b/internal/consul/harness_test.go
@@ -56,7 +56,7 @@
 		change(w, &w.cfg)
 	}
 	log := slog.New(slog.DiscardHandler)
-	w.keeper = directory.New(directory.Options{Policy: Policy(w.cfg), Log: log, Publish: w.tell, Probe: func(_ context.Context, addr string) roster.ProbeResult {
+	w.keeper = directory.New(directory.Options{Policy: RosterPolicy(w.cfg), Log: log, Publish: w.tell, Probe: func(_ context.Context, addr string) roster.ProbeResult {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		return w.alive[addr]
@@ -143,7 +143,7 @@
 	if len(v.Sources) == 0 {
 		return "nothing"
 	}
-	return v.Sources[0].Doubt
+	return v.Sources[0].DistrustReason
 }
 
 func (w *world) awaitDoubt(want roster.Reason) {
--- a/internal/consul/kv.go
+++ b/internal/consul/kv.go
@@ -49,19 +49,19 @@
 	return Pair{}, false, err
 }
 
-// Swap writes an entry if its ModifyIndex is still modify, 0 for one that does not exist, and
+// CompareAndSwap writes an entry if its ModifyIndex is still modify, 0 for one that does not exist, and
 // reports whether it was.
-func (c *Client) Swap(ctx context.Context, key string, value []byte, modify uint64) (bool, error) {
+func (c *Client) CompareAndSwap(ctx context.Context, key string, value []byte, modify uint64) (bool, error) {
 	return c.applied(ctx, http.MethodPut, "/v1/kv/"+key, url.Values{"cas": {strconv.FormatUint(modify, 10)}}, value)
 }
 
-// Delete deletes an entry if its ModifyIndex is still modify, and reports whether it was.
-func (c *Client) Delete(ctx context.Context, key string, modify uint64) (bool, error) {
+// CompareAndDelete deletes an entry if its ModifyIndex is still modify, and reports whether it was.
+func (c *Client) CompareAndDelete(ctx context.Context, key string, modify uint64) (bool, error) {
 	return c.applied(ctx, http.MethodDelete, "/v1/kv/"+key, url.Values{"cas": {strconv.FormatUint(modify, 10)}}, nil)
 }
 
-// DeleteBelow deletes all entries below a prefix.
-func (c *Client) DeleteBelow(ctx context.Context, prefix string) error {
+// DeletePrefix deletes all entries below a prefix.
+func (c *Client) DeletePrefix(ctx context.Context, prefix string) error {
 	_, err := c.applied(ctx, http.MethodDelete, "/v1/kv/"+prefix, url.Values{"recurse": {""}}, nil)
 	return err
 }
@@ -72,9 +72,9 @@
 	return err
 }
 
-// Lock acquires, or keeps, the lock on an entry for a session and writes it, and reports
+// AcquireLock acquires, or keeps, the lock on an entry for a session and writes it, and reports
 // whether the session holds the lock.
-func (c *Client) Lock(ctx context.Context, key, session string, value []byte) (bool, error) {
+func (c *Client) AcquireLock(ctx context.Context, key, session string, value []byte) (bool, error) {
 	return c.applied(ctx, http.MethodPut, "/v1/kv/"+key, url.Values{"acquire": {session}}, value)
 }
 
@@ -120,7 +120,7 @@
 	return err == nil, err
 }
 
-// EndSession destroys a session.
-func (c *Client) EndSession(ctx context.Context, id string) error {
+// DestroySession destroys a session.
+func (c *Client) DestroySession(ctx context.Context, id string) error {
 	return c.Put(ctx, "/v1/session/destroy/"+id, nil)
 }
--- a/internal/consul/polling.go
+++ b/internal/consul/polling.go
@@ -85,7 +85,7 @@
 }
 
 // applyChecks replaces the failing health checks.
-func (w *watcher) applyChecks(a Answer) error {
+func (w *watcher) applyChecks(a QueryResult) error {
 	var list []criticalCheck
 	if err := jsoniter.Unmarshal(a.Body, &list); err != nil {
 		return fmt.Errorf("critical checks: %w: %w", errNotAList, err)
--- a/internal/consul/register.go
+++ b/internal/consul/register.go
@@ -152,7 +152,7 @@
 		}
 	}
 	doubted := true
-	apply := func(a Answer) error {
+	apply := func(a QueryResult) error {
 		view, _, err := parseHealth(a.Body, w.zone)
 		if err != nil {
 			return err
--- a/internal/consul/services.go
+++ b/internal/consul/services.go
@@ -53,7 +53,7 @@
 	}
 	q := w.newQuery("/v1/health/service/"+url.PathEscape(name), params)
 	src := source(name)
-	apply := func(a Answer) error {
+	apply := func(a QueryResult) error {
 		v, nodes, err := parseHealth(a.Body, w.zone)
 		if err != nil {
 			return fmt.Errorf("health of %s: %w", name, err)
--- a/internal/consul/watcher.go
+++ b/internal/consul/watcher.go
@@ -26,7 +26,7 @@
 	Bytes     int64  `json:"bytes"`
 	Unchanged int    `json:"unchanged"` // responses without a change
 	Services  int    `json:"services"`
-	Rounds    bool   `json:"rounds"` // services are polled, as there are more than watches
+	Polling   bool   `json:"rounds"` // services are polled, as there are more than watches
 }
 
 // watcher watches the services of one configuration.
@@ -67,13 +67,13 @@
 }
 
 // request makes the next request of a query. Polls take a slot, which bounds those in flight.
-func (w *watcher) request(ctx context.Context, q *query, polled bool) (Answer, error) {
+func (w *watcher) request(ctx context.Context, q *query, polled bool) (QueryResult, error) {
 	if polled {
 		select {
 		case w.slots <- struct{}{}:
 			defer func() { <-w.slots }()
 		case <-ctx.Done():
-			return Answer{}, ctx.Err()
+			return QueryResult{}, ctx.Err()
 		}
 	}
 	next := q.Next(polled)
@@ -132,7 +132,7 @@
 	// where requests block.
 	nextPoll func() bool
 	// apply processes a response that has changed.
-	apply func(Answer) error
+	apply func(QueryResult) error
 	// confirm records that a response has not changed, and reports whether that suffices.
 	confirm func() bool
 	// doubt records a reason to doubt the source.
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -51,10 +51,10 @@
 
 // Stats count the directory's work.
 type Stats struct {
-	Checks  int `json:"checks"`  // health probes of engines
-	Changes int `json:"changes"` // engines published to the core
-	Tells   int `json:"tells"`   // messages to the core
-	Saves   int `json:"saves"`
+	Probes       int `json:"checks"`  // health probes of engines
+	Changes      int `json:"changes"` // engines published to the core
+	Publications int `json:"tells"`   // messages to the core
+	Saves        int `json:"saves"`
 }
 
 // New returns a directory. With a state file it starts from the view stored there; a damaged
@@ -119,7 +119,7 @@
 	d.lastFlush = time.Now()
 	if len(endpoints) > 0 {
 		d.stats.Changes += len(endpoints)
-		d.stats.Tells++
+		d.stats.Publications++
 	}
 	d.mu.Unlock()
 	if len(endpoints) > 0 {
@@ -183,7 +183,7 @@
 		for _, p := range r.DueProbes(now, maxProbesPerTick) {
 			if !d.probing[p] {
 				d.probing[p] = true
-				d.stats.Checks++
+				d.stats.Probes++
 				probes = append(probes, p)
 			}
 		}
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -97,7 +97,7 @@
 	end() // the last view is written
 	d, c, end = start(t, file, alive)
 	awaits(t, c, "a:0 b:1 c:1")
-	if v := d.View(); v.Engines[0].Confidence != "restored" || v.Sources[0].Doubt != string(roster.FromDisk) || v.Sources[0].Index != 5 {
+	if v := d.View(); v.Engines[0].Confidence != "restored" || v.Sources[0].DistrustReason != string(roster.FromDisk) || v.Sources[0].Index != 5 {
 		t.Errorf("%+v", v)
 	}
 	end()
@@ -126,7 +126,7 @@
 	awaits(t, c, "a:0 b:0")
 	observe(d, 2)
 	awaits(t, c, "a:0")
-	if s := d.View().Stats; s.Checks < 3 || s.Changes < 3 {
+	if s := d.View().Stats; s.Probes < 3 || s.Changes < 3 {
 		t.Errorf("%+v", s)
 	}
 }
@@ -134,14 +134,14 @@
 func TestFileIsASource(t *testing.T) {
 	d, c, _ := start(t, "", func(context.Context, string) roster.ProbeResult { return roster.Answered })
 	o := &config.Operator{Zone: "z", Engines: []config.StaticEngine{{ID: "x", Address: "127.0.0.1:9", Role: "read"}, {ID: "y", Address: "127.0.0.1:8", Role: "read"}}}
-	LoadFile(d, o)
+	ReplaceFileEngines(d, o)
 	observe(d, 1, entry("a", roster.Clear), roster.Entry{ID: "y", Addr: "127.0.0.1:7", Kind: "read", Mark: roster.Critical})
 	awaits(t, c, "a:0 x:0 y:1")
 	if e := d.View().Engines[2]; e.Address != "127.0.0.1:7" || len(e.Sources) != 2 {
 		t.Errorf("the catalogue's address does not count: %+v", e)
 	}
 	o.Engines = nil
-	LoadFile(d, o)
+	ReplaceFileEngines(d, o)
 	awaits(t, c, "a:0 y:1")
 }
 
--- a/internal/directory/file.go
+++ b/internal/directory/file.go
@@ -7,9 +7,9 @@
 	"wellgw/internal/config"
 )
 
-// LoadFile replaces the engines that the operator's file lists. The file is a source like any
+// ReplaceFileEngines replaces the engines that the operator's file lists. The file is a source like any
 // other, and is always trusted.
-func LoadFile(d *Directory, o *config.Operator) {
+func ReplaceFileEngines(d *Directory, o *config.Operator) {
 	source := roster.Source{Origin: roster.File}
 	var view roster.View
 	for _, e := range o.Engines {
--- a/internal/directory/golden_test.go
+++ b/internal/directory/golden_test.go
@@ -28,11 +28,11 @@
 		"all fields": {
 			View{
 				Engines: []Engine{{
-					ID: "a", Address: "127.0.0.1:1", Role: "read", Listed: "write", Zone: "z", Cell: 2, State: "draining", Why: "maintenance by file",
+					ID: "a", Address: "127.0.0.1:1", Role: "read", ListedRole: "write", Zone: "z", Cell: 2, State: "draining", StateReason: "maintenance by file",
 					Confidence: "held", AgeMS: 3, UpMS: 4, Sources: []string{"file", "service x"},
 				}},
-				Sources: []Source{{Source: "service x", Doubt: "no leader", DoubtMS: 5, AgeMS: 6, Index: 7, Engines: 8}},
-				Stats:   Stats{Checks: 9, Changes: 10, Tells: 11, Saves: 12},
+				Sources: []Source{{Source: "service x", DistrustReason: "no leader", UntrustedMS: 5, AgeMS: 6, Index: 7, Engines: 8}},
+				Stats:   Stats{Probes: 9, Changes: 10, Publications: 11, Saves: 12},
 			},
 			`{"engines":[{"id":"a","address":"127.0.0.1:1","role":"read","listed":"write","zone":"z","cell":2,"state":"draining","why":"maintenance by file",` +
 				`"confidence":"held","age_ms":3,"up_ms":4,"sources":["file","service x"]}],` +
@@ -76,7 +76,7 @@
 		v.Engines[i].AgeMS, v.Engines[i].UpMS = 0, 0
 	}
 	for i := range v.Sources {
-		v.Sources[i].AgeMS, v.Sources[i].DoubtMS = 0, 0
+		v.Sources[i].AgeMS, v.Sources[i].UntrustedMS = 0, 0
 	}
 	v.Stats = Stats{}
 	got, err := jsoniter.MarshalIndent(v, "", " ")
@@ -156,7 +156,7 @@
 	d, _, end := start(t, path, func(context.Context, string) roster.ProbeResult { return roster.NoAnswer })
 	var lines []string
 	for _, e := range d.View().Engines {
-		lines = append(lines, strings.Join([]string{e.ID, e.Address, e.Role, e.State, e.Why, e.Confidence, strings.Join(e.Sources, "+")}, "|"))
+		lines = append(lines, strings.Join([]string{e.ID, e.Address, e.Role, e.State, e.StateReason, e.Confidence, strings.Join(e.Sources, "+")}, "|"))
 	}
 	end()
 	want := []string{
--- a/internal/directory/view.go
+++ b/internal/directory/view.go
@@ -8,28 +8,28 @@
 
 // Engine is an engine in the view for operators.
 type Engine struct {
-	ID         string   `json:"id"`
-	Address    string   `json:"address"`
-	Role       string   `json:"role"`
-	Listed     string   `json:"listed,omitempty"` // the role that its sources state, if it differs
-	Zone       string   `json:"zone"`
-	Cell       int      `json:"cell"`
-	State      string   `json:"state"`
-	Why        string   `json:"why,omitempty"`
-	Confidence string   `json:"confidence"`
-	AgeMS      int64    `json:"age_ms"`          // since a trusted view listed it
-	UpMS       int64    `json:"up_ms,omitempty"` // since its start, if known
-	Sources    []string `json:"sources"`
+	ID          string   `json:"id"`
+	Address     string   `json:"address"`
+	Role        string   `json:"role"`
+	ListedRole  string   `json:"listed,omitempty"` // the role that its sources state, if it differs
+	Zone        string   `json:"zone"`
+	Cell        int      `json:"cell"`
+	State       string   `json:"state"`
+	StateReason string   `json:"why,omitempty"`
+	Confidence  string   `json:"confidence"`
+	AgeMS       int64    `json:"age_ms"`          // since a trusted view listed it
+	UpMS        int64    `json:"up_ms,omitempty"` // since its start, if known
+	Sources     []string `json:"sources"`
 }
 
 // Source is a source in the view for operators.
 type Source struct {
-	Source  string `json:"source"`
-	Doubt   string `json:"doubt,omitempty"`
-	DoubtMS int64  `json:"doubt_ms,omitempty"`
-	AgeMS   int64  `json:"age_ms"` // since a view was trusted; -1 if none was
-	Index   uint64 `json:"index"`
-	Engines int    `json:"engines"`
+	Source         string `json:"source"`
+	DistrustReason string `json:"doubt,omitempty"`
+	UntrustedMS    int64  `json:"doubt_ms,omitempty"`
+	AgeMS          int64  `json:"age_ms"` // since a view was trusted; -1 if none was
+	Index          uint64 `json:"index"`
+	Engines        int    `json:"engines"`
 }
 
 // View is what operators see of the engines and their sources.
@@ -53,11 +53,11 @@
 	v := View{Stats: d.stats, Engines: []Engine{}, Sources: []Source{}}
 	for _, e := range d.registry.Engines() {
 		line := Engine{
-			ID: e.ID, Address: e.Addr, Role: e.Kind, Zone: e.Zone, Cell: e.Cell, State: e.State.String(), Why: e.StateReason,
+			ID: e.ID, Address: e.Addr, Role: e.Kind, Zone: e.Zone, Cell: e.Cell, State: e.State.String(), StateReason: e.StateReason,
 			Confidence: e.Confidence.String(), AgeMS: since(e.LastSeen), Sources: e.Sources,
 		}
 		if e.ListedKind != e.Kind {
-			line.Listed = e.ListedKind
+			line.ListedRole = e.ListedKind
 		}
 		if !e.Started.IsZero() {
 			line.UpMS = max(1, since(e.Started)) // 0 stands for unknown
@@ -65,9 +65,9 @@
 		v.Engines = append(v.Engines, line)
 	}
 	for _, s := range d.registry.SourceStatuses() {
-		line := Source{Source: s.Source, Doubt: string(s.DistrustReason), AgeMS: since(s.LastTrusted), Index: s.Index, Engines: s.Engines}
+		line := Source{Source: s.Source, DistrustReason: string(s.DistrustReason), AgeMS: since(s.LastTrusted), Index: s.Index, Engines: s.Engines}
 		if s.DistrustReason != roster.Trusted {
-			line.DoubtMS = since(s.UntrustedSince)
+			line.UntrustedMS = since(s.UntrustedSince)
 		}
 		v.Sources = append(v.Sources, line)
 	}
--- a/internal/rolectl/changes.go
+++ b/internal/rolectl/changes.go
@@ -49,7 +49,7 @@
 	}
 	for _, e := range engines {
 		if e.ID == r.Engine && e.State != stateGone {
-			f.Listed, f.ListedRole = true, cmp.Or(e.Listed, e.Role)
+			f.Listed, f.ListedRole = true, cmp.Or(e.ListedRole, e.Role)
 		}
 	}
 	if report := l.reports[r.Engine]; report != nil {
@@ -97,7 +97,7 @@
 	if err != nil {
 		return false, err
 	}
-	done, err := l.client.Swap(ctx, l.changeKey(r.Engine), raw, modify)
+	done, err := l.client.CompareAndSwap(ctx, l.changeKey(r.Engine), raw, modify)
 	if err != nil || done {
 		return done && err == nil, nil
 	}
@@ -122,14 +122,14 @@
 // finish deletes the record of a change that has ended. One that can't be deleted now is tried
 // again at the next tick.
 func (l *leader) finish(ctx context.Context, r storedRecord, a rolechange.Action) error {
-	done, err := l.client.Delete(ctx, l.changeKey(r.Engine), r.modifyIndex)
+	done, err := l.client.CompareAndDelete(ctx, l.changeKey(r.Engine), r.modifyIndex)
 	if err != nil {
 		return nil
 	}
 	if !done {
 		return l.checkFencing(ctx, r.Engine)
 	}
-	_ = l.client.DeleteBelow(ctx, l.confirmationPrefix(r.Engine))
+	_ = l.client.DeletePrefix(ctx, l.confirmationPrefix(r.Engine))
 	l.notifyStep(r.Record, time.Now(), a.Reason)
 	l.opt.Log.Info("role change ended", "engine", r.Engine, "to", r.To, "outcome", string(a.Outcome), "reason", a.Reason)
 	return l.recordHistory(ctx, HistoryEntry{At: time.Now(), Engine: r.Engine, To: r.To, Outcome: a.Outcome, Reason: a.Reason})
@@ -151,7 +151,7 @@
 	if err != nil {
 		return err
 	}
-	if held, err := l.client.Lock(ctx, l.lockKey(), l.lease.session, raw); err == nil && !held {
+	if held, err := l.client.AcquireLock(ctx, l.lockKey(), l.lease.session, raw); err == nil && !held {
 		return errLeaseLost
 	}
 	return nil
--- a/internal/rolectl/election.go
+++ b/internal/rolectl/election.go
@@ -47,7 +47,7 @@
 		c.mu.Unlock()
 		c.opt.Log.Info("role change lease lost", "fencing_token", held.FencingToken, "cause", err)
 		endCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), endSessionTimeout)
-		_ = client.EndSession(endCtx, held.session) // without it the session ends at its TTL
+		_ = client.DestroySession(endCtx, held.session) // without it the session ends at its TTL
 		cancel()
 	}
 }
@@ -63,7 +63,7 @@
 	case rolechange.SkipLock:
 		return nil, nil
 	case rolechange.DestroyOwnSession:
-		return nil, client.EndSession(ctx, lock.Session)
+		return nil, client.DestroySession(ctx, lock.Session)
 	}
 	requestedAt := time.Now()
 	session, err := client.NewSession(ctx, "wellgw roles "+gateway, c.opt.LeaseTTL, lockDelay)
@@ -73,7 +73,7 @@
 	value.Gateway = gateway
 	token, taken, err := c.takeLock(ctx, client, session, value)
 	if err != nil || !taken {
-		_ = client.EndSession(ctx, session)
+		_ = client.DestroySession(ctx, session)
 		return nil, err
 	}
 	c.lastSession = session
@@ -101,7 +101,7 @@
 	if err != nil {
 		return 0, false, err
 	}
-	taken, err := client.Lock(ctx, c.lockKey(), session, raw)
+	taken, err := client.AcquireLock(ctx, c.lockKey(), session, raw)
 	if err != nil || !taken {
 		return 0, false, err
 	}
--- a/internal/rolectl/rolectl_test.go
+++ b/internal/rolectl/rolectl_test.go
@@ -221,7 +221,7 @@
 	if err := one.agent.Fail(fakeconsul.Faults{Hang: true}); err != nil {
 		t.Fatal(err)
 	}
-	if err := two.client.EndSession(t.Context(), lock.Session); err != nil {
+	if err := two.client.DestroySession(t.Context(), lock.Session); err != nil {
 		t.Fatal(err)
 	}
 	enginetest.Eventually(t, "g2 leads", func() bool { s := two.Status(); return s.IsLeader && s.FencingToken > lock.LockIndex })
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -106,15 +106,15 @@
 	}
 	for _, s := range view.Sources {
 		gauge(c.sources, float64(s.AgeMS)/1000, s.Source)
-		if s.Doubt != "" {
-			gauge(c.doubt, 1, s.Source, s.Doubt)
+		if s.DistrustReason != "" {
+			gauge(c.doubt, 1, s.Source, s.DistrustReason)
 		}
 	}
 	gauge(c.gateways, float64(view.Gateways))
 	for event, n := range view.Counts {
 		count(c.events, float64(n), strings.ReplaceAll(event, " ", "_"))
 	}
-	count(c.checks, float64(view.Stats.Checks))
+	count(c.checks, float64(view.Stats.Probes))
 	count(c.changes, float64(view.Stats.Changes))
 	count(c.queries, float64(view.Consul.Queries))
 	count(c.failed, float64(view.Consul.Failed))
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -26,7 +26,7 @@
 			Gateways: 3, Counts: map[string]int{"no connect": 2},
 			View: directory.View{
 				Engines: []directory.Engine{{Role: "read", State: "in", Confidence: "held"}, {Role: "read", State: "in", Confidence: "held"}},
-				Sources: []directory.Source{{Source: "service llm", Doubt: "no leader", AgeMS: 1500}},
+				Sources: []directory.Source{{Source: "service llm", DistrustReason: "no leader", AgeMS: 1500}},
 			},
 		}
 	}
