--- a/cmd/wellgw/chatgateway.go
+++ b/cmd/wellgw/chatgateway.go
@@ -101,7 +101,7 @@
 	}
 	d := engineDirectory{Directory: g.sources.directory, run: g.runDirectory, reload: g.reload, observe: g.sources.observe}
 	if g.sources.peers != nil {
-		d.leave = g.sources.peers.Leave
+		d.leave = g.sources.peers.AnnounceLeaving
 	}
 	return d, nil
 }
--- a/cmd/wellgw/enginesources.go
+++ b/cmd/wellgw/enginesources.go
@@ -98,7 +98,7 @@
 	}
 	var step func(rolechange.Record, time.Time, string)
 	if s.tracer != nil {
-		step = s.tracer.Step
+		step = s.tracer.RoleChangeStep
 	}
 	var err error
 	s.roles, err = rolectl.New(rolectl.Options{
@@ -140,7 +140,7 @@
 func (s *engineSources) observe(e core.Transport) core.Transport {
 	e = directory.ObservedTransport{Transport: e, OnRefused: s.directory.ConnectionRefused}
 	if s.tracer != nil {
-		e = s.tracer.Engines(e)
+		e = s.tracer.WrapTransport(e)
 	}
 	return e
 }
--- a/cmd/wellgw/peers.go
+++ b/cmd/wellgw/peers.go
@@ -54,7 +54,7 @@
 	}
 	c := s.Counts
 	fmt.Fprintf(w, "datagrams: %d sent, %d received; dropped %d short, %d of another version, %d by unknown keys, %d by bad seals, %d replayed, %d unreadable, %d of earlier lives, %d for want of time\n",
-		c.Sent, c.Received, c.NotADatagram, c.UnknownVersion, c.UnknownKey, c.BadSeal, c.Replayed, c.BadPayload, c.StaleInstance, c.QueueFull)
+		c.Sent, c.Received, c.InvalidSize, c.UnknownVersion, c.UnknownKey, c.BadSeal, c.Replayed, c.BadPayload, c.StaleInstance, c.QueueFull)
 	fmt.Fprintf(w, "probes: %d, %d unanswered, %d answered by way of others; suspected %d, own refutations %d, deaths %d, own pauses %d\n",
 		v.Stats.Probes, v.Stats.FailedProbes, v.Stats.IndirectAcks, v.Stats.Suspicions, v.Stats.Refutations, v.Stats.Deaths, v.Stats.Pauses)
 }
--- a/cmd/wellgw/platformgateway.go
+++ b/cmd/wellgw/platformgateway.go
@@ -80,7 +80,7 @@
 		run: func(ctx context.Context) { g.runDirectory(ctx, p.Known) },
 	}
 	if g.tier != nil {
-		d.leave = g.tier.Leave
+		d.leave = g.tier.AnnounceLeaving
 	}
 	return d, nil
 }
--- a/cmd/wellgw/tier.go
+++ b/cmd/wellgw/tier.go
@@ -25,10 +25,10 @@
 	interval, timeout, dead := o.Peers.Times()
 	var event func(peers.Event)
 	if s.tracer != nil {
-		event = s.tracer.Member
+		event = s.tracer.MemberEvent
 	}
 	s.peers, err = peers.New(peers.Options{
-		FirstVersion: o.Peers.Protocol == 1, ProbeInterval: interval, ProbeTimeout: timeout, SuspicionTimeout: dead, OnEvent: event,
+		ProtocolV1Only: o.Peers.Protocol == 1, ProbeInterval: interval, ProbeTimeout: timeout, SuspicionTimeout: dead, OnEvent: event,
 		Listen: o.Peers.Listen, Advertise: o.Peers.Advertise, Name: o.Peers.Name, Tier: o.Peers.Tier, Join: o.Peers.Join, Keys: ring,
 		IncarnationFile: o.Peers.IncarnationFile, ExpectedGateways: o.Gateways, Log: s.log.With("part", "peers"),
 		OnViewChange: func(v membership.View) { s.setSharing(v.ActiveGateways) },
--- a/cmd/wellgw/tier_test.go
+++ b/cmd/wellgw/tier_test.go
@@ -275,7 +275,7 @@
 		enginetest.Eventually(t, "each of them knows all", func() bool { return there(p.Status().View) == many+2 })
 	}
 	for _, p := range storm {
-		p.Leave() // as on SIGTERM, some time before the end
+		p.AnnounceLeaving() // as on SIGTERM, some time before the end
 	}
 	w.eventually("they say that they are leaving", w.names, func(s peers.Status) bool { return alive(s.View) == 2 })
 	done()
--- a/experiments/membersim/membersim_test.go
+++ b/experiments/membersim/membersim_test.go
@@ -71,7 +71,7 @@
 // left out must not be left out of every walk.
 func TestAntiEntropyWithLongNames(t *testing.T) {
 	tier := New(1, 2)
-	tier.Fits = peers.FittingUpdates
+	tier.Fits = peers.CountFittingUpdates
 	for i := range 40 {
 		tier.Start(strings.Repeat("x", 22)+string(rune('A'+i/26))+string(rune('a'+i%26)), 1)
 	}
--- a/internal/bootclock/bootclock.go
+++ b/internal/bootclock/bootclock.go
@@ -18,8 +18,8 @@
 
 // Moment is a point in one run of a machine. The zero value is no known one.
 type Moment struct {
-	Boot string        `json:",omitempty"` // the run's id
-	Up   time.Duration `json:",omitempty"` // since its start
+	BootID string        `json:"Boot,omitempty"` // the run's id
+	Uptime time.Duration `json:"Up,omitempty"`   // since its start
 }
 
 // Now returns the present moment.
@@ -42,22 +42,22 @@
 	if err != nil || seconds < 0 || boot == "" {
 		return Moment{}, fmt.Errorf("boot clock: %q, %q are no run's id and up time", id, uptime)
 	}
-	return Moment{Boot: boot, Up: time.Duration(seconds * float64(time.Second))}, nil
+	return Moment{BootID: boot, Uptime: time.Duration(seconds * float64(time.Second))}, nil
 }
 
 // Since returns the time from an earlier moment to m; false if it can't be told, as the machine was
 // started anew in between.
 func (m Moment) Since(earlier Moment) (time.Duration, bool) {
-	if m.Boot == "" || m.Boot != earlier.Boot || earlier.Up > m.Up {
+	if m.BootID == "" || m.BootID != earlier.BootID || earlier.Uptime > m.Uptime {
 		return 0, false
 	}
-	return m.Up - earlier.Up, true
+	return m.Uptime - earlier.Uptime, true
 }
 
 // Ago returns the moment a span before m.
 func (m Moment) Ago(d time.Duration) Moment {
-	if m.Boot == "" {
+	if m.BootID == "" {
 		return m
 	}
-	return Moment{Boot: m.Boot, Up: m.Up - d}
+	return Moment{BootID: m.BootID, Uptime: m.Uptime - d}
 }
--- a/internal/bootclock/bootclock_test.go
+++ b/internal/bootclock/bootclock_test.go
@@ -7,13 +7,13 @@
 
 func TestMoments(t *testing.T) {
 	now, err := Now()
-	if err != nil || now.Boot == "" || now.Up <= 0 {
+	if err != nil || now.BootID == "" || now.Uptime <= 0 {
 		t.Fatalf("%+v, %v", now, err)
 	}
 	if d, ok := now.Since(now.Ago(time.Second)); !ok || d != time.Second {
 		t.Errorf("a second ago: %v %v", d, ok)
 	}
-	for name, earlier := range map[string]Moment{"another run": {"x", 1}, "no run": {}, "later": {now.Boot, now.Up + 1}} {
+	for name, earlier := range map[string]Moment{"another run": {"x", 1}, "no run": {}, "later": {now.BootID, now.Uptime + 1}} {
 		if _, ok := now.Since(earlier); ok {
 			t.Errorf("%s: compared", name)
 		}
--- a/internal/idempotency/store_test.go
+++ b/internal/idempotency/store_test.go
@@ -153,7 +153,7 @@
 		{"no step", hour, now.Ago(hour), hour},
 		{"stepped forward", 100 * hour, now.Ago(hour), hour},
 		{"put back", -100 * hour, now.Ago(hour), hour},
-		{"the machine was started anew", 100 * hour, bootclock.Moment{Boot: "another", Up: 1}, 0},
+		{"the machine was started anew", 100 * hour, bootclock.Moment{BootID: "another", Uptime: 1}, 0},
 		{"written by an earlier version", 100 * hour, bootclock.Moment{}, 0},
 	} {
 		e := deduplication.Entry{Key: newRequest("a").Key, Digest: "d", State: deduplication.StateComplete, Since: time.Now().Add(-c.since)}
--- a/internal/idempotency/stored_test.go
+++ b/internal/idempotency/stored_test.go
@@ -228,7 +228,7 @@
 			checkRecords(t, records, storedEntries)
 			if now, err := bootclock.Now(); err == nil && name == "new" {
 				for key, r := range records {
-					if r.At.Boot != now.Boot || r.At.Up <= 0 || r.At.Up > int64(now.Up) {
+					if r.At.Boot != now.BootID || r.At.Up <= 0 || r.At.Up > int64(now.Uptime) {
 						t.Errorf("%q: moment %+v, now %+v", key, r.At, now)
 					}
 				}
@@ -253,8 +253,8 @@
 		now  bootclock.Moment
 		want time.Duration
 	}{
-		{"an hour later", bootclock.Moment{Boot: "b", Up: time.Hour + time.Second}, time.Hour},
-		{"after a reboot", bootclock.Moment{Boot: "c", Up: time.Hour}, 0},
+		{"an hour later", bootclock.Moment{BootID: "b", Uptime: time.Hour + time.Second}, time.Hour},
+		{"after a reboot", bootclock.Moment{BootID: "c", Uptime: time.Hour}, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			e, err := decodeRecord(raw, c.now)
--- a/internal/peers/datagram.go
+++ b/internal/peers/datagram.go
@@ -23,14 +23,14 @@
 // process seals with a key of its own, derived from the ring's key and the process's instance
 // and random number, so that the counter, which a process never uses twice, can be GCM's nonce.
 const (
-	latestVersion = 2 // has heartbeats, and kinds beyond PingReq
-	oldestVersion = 1
-	headSize      = 1 + 4 + 8 + 8 + 8
-	nonceSize     = 12  // of GCM, in bytes
-	tagSize       = 16  // of GCM, in bytes
-	MaxMessage    = 256 // bytes of a datagram, as the platform allows between gateways
-	maxPayload    = MaxMessage - headSize - tagSize
-	MaxName       = 24 // bytes of a gateway's name
+	latestVersion   = 2 // has heartbeats, and kinds beyond PingReq
+	oldestVersion   = 1
+	headSize        = 1 + 4 + 8 + 8 + 8
+	nonceSize       = 12  // of GCM, in bytes
+	tagSize         = 16  // of GCM, in bytes
+	MaxDatagramSize = 256 // bytes of a datagram, as the platform allows between gateways
+	maxPayload      = MaxDatagramSize - headSize - tagSize
+	MaxNameLen      = 24 // bytes of a gateway's name
 )
 
 // Why a datagram is dropped; each reason is counted.
@@ -71,7 +71,7 @@
 
 // seal returns a datagram.
 func seal(aead cipher.AEAD, version byte, id keyID, p process, counter uint64, payload []byte) []byte {
-	b := make([]byte, 0, MaxMessage)
+	b := make([]byte, 0, MaxDatagramSize)
 	b = append(b, version)
 	b = append(b, id[:]...)
 	b = binary.BigEndian.AppendUint64(b, p.instance)
@@ -89,7 +89,7 @@
 
 // parseHeader reads the part before the seal, which is not yet proven authentic.
 func parseHeader(b []byte) (h datagramHeader, err error) {
-	if len(b) < 1 || len(b) > MaxMessage {
+	if len(b) < 1 || len(b) > MaxDatagramSize {
 		return h, errNotADatagram
 	}
 	if b[0] < oldestVersion || b[0] > latestVersion {
--- a/internal/peers/packets.go
+++ b/internal/peers/packets.go
@@ -16,7 +16,7 @@
 // readSocket reads datagrams off the socket until it is closed. Those that the receive queue has
 // no room for are dropped and counted here, not in the system's buffer.
 func (p *Peers) readSocket(packets chan<- []byte) {
-	buf := make([]byte, 2*MaxMessage)
+	buf := make([]byte, 2*MaxDatagramSize)
 	for {
 		n, _, err := p.conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
@@ -28,7 +28,7 @@
 		}
 		p.counts.received.Add(1)
 		p.counts.receivedBytes.Add(uint64(n))
-		if n == 0 || n > MaxMessage {
+		if n == 0 || n > MaxDatagramSize {
 			p.counts.notADatagram.Add(1)
 			continue
 		}
@@ -53,7 +53,7 @@
 func (p *Peers) receive(b []byte) (membership.Message, verdict) {
 	var m membership.Message
 	payload, from, err := p.opened.open(b)
-	if err == nil && p.opt.FirstVersion && b[0] > oldestVersion {
+	if err == nil && p.opt.ProtocolV1Only && b[0] > oldestVersion {
 		err = errUnknownVersion
 	}
 	if err == nil {
@@ -107,7 +107,7 @@
 	}
 	for _, message := range out {
 		versions := p.versions.forMessage(message.To, message.Kind)
-		if p.opt.FirstVersion {
+		if p.opt.ProtocolV1Only {
 			versions = versions[:1]
 		}
 		to := message.To
--- a/internal/peers/payload.go
+++ b/internal/peers/payload.go
@@ -15,7 +15,7 @@
 	maxAge  = uint64(time.Hour / ageUnit)
 )
 
-var errNameTooLong = fmt.Errorf("a name over %d bytes", MaxName)
+var errNameTooLong = fmt.Errorf("a name over %d bytes", MaxNameLen)
 
 // encode encodes a message in a version, in at most maxPayload bytes. Updates that do not fit
 // are left out, the last ones first: the protocol sends each more than once.
@@ -26,7 +26,7 @@
 
 // encodeFitting also returns how many of the updates fitted.
 func encodeFitting(version byte, m membership.Message) (b []byte, fitting int, err error) {
-	if len(m.From) > MaxName || len(m.Subject) > MaxName {
+	if len(m.From) > MaxNameLen || len(m.Subject) > MaxNameLen {
 		return nil, 0, errNameTooLong
 	}
 	b = []byte{byte(m.Kind)}
@@ -63,8 +63,8 @@
 	return b
 }
 
-// FittingUpdates returns how many of a message's updates fit into a datagram.
-func FittingUpdates(m membership.Message) int {
+// CountFittingUpdates returns how many of a message's updates fit into a datagram.
+func CountFittingUpdates(m membership.Message) int {
 	_, fitting, _ := encodeFitting(latestVersion, m)
 	return fitting
 }
@@ -139,7 +139,7 @@
 
 func (r *payloadReader) name() string {
 	n := int(r.byte())
-	if n > MaxName {
+	if n > MaxNameLen {
 		r.err = errBadPayload
 		return ""
 	}
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -29,7 +29,7 @@
 	TranslateAddr    func(addr string) string
 	Keys             *Keyring
 	KeyCheckInterval time.Duration // between readings of the key file; 0 = 2 s
-	FirstVersion     bool          // use the first version of the protocol, for a roll back
+	ProtocolV1Only   bool          // use the first version of the protocol, for a roll back
 	ProbeInterval    time.Duration // 0 = membership's default, and so the next two
 	ProbeTimeout     time.Duration // for a direct answer
 	SuspicionTimeout time.Duration // from the unanswered probe until a gateway is dead
@@ -95,8 +95,8 @@
 // New opens the socket and reads the incarnation; nothing is sent before Run. An error
 // names the setting.
 func New(opt Options) (*Peers, error) {
-	if len(opt.Name) > MaxName || opt.Name == "" {
-		return nil, fmt.Errorf("peers.name: %q must hold 1 to %d bytes", opt.Name, MaxName)
+	if len(opt.Name) > MaxNameLen || opt.Name == "" {
+		return nil, fmt.Errorf("peers.name: %q must hold 1 to %d bytes", opt.Name, MaxNameLen)
 	}
 	at, err := net.ResolveUDPAddr("udp4", opt.Listen)
 	if err != nil {
@@ -148,7 +148,7 @@
 	}
 	p.machine = membership.New(membership.Config{
 		ID: opt.Name, Addr: advertised, Instance: self.instance, Incarnation: incarnation, JoinAddrs: join,
-		ExpectedSize: opt.ExpectedGateways, Seed: self.random, CountFitting: FittingUpdates, ProtocolV1Only: opt.FirstVersion,
+		ExpectedSize: opt.ExpectedGateways, Seed: self.random, CountFitting: CountFittingUpdates, ProtocolV1Only: opt.ProtocolV1Only,
 		ProbeInterval: opt.ProbeInterval, ProbeTimeout: opt.ProbeTimeout, SuspicionTimeout: opt.SuspicionTimeout,
 	}, 0)
 	if unsaved != nil {
@@ -175,8 +175,8 @@
 // Addr is the address of the socket.
 func (p *Peers) Addr() string { return p.conn.LocalAddr().String() }
 
-// Leave has this gateway announce that it is about to end. It does not wait for that.
-func (p *Peers) Leave() {
+// AnnounceLeaving has this gateway announce that it is about to end. It does not wait for that.
+func (p *Peers) AnnounceLeaving() {
 	select {
 	case p.leaveRequests <- struct{}{}:
 	default:
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -192,7 +192,7 @@
 			}
 		}
 		n := a.Counts()
-		return n.Replayed > 0 && n.BadSeal > 0 && n.UnknownVersion > 0 && n.BadPayload > 0 && n.NotADatagram > 0 && n.UnknownKey > 0
+		return n.Replayed > 0 && n.BadSeal > 0 && n.UnknownVersion > 0 && n.BadPayload > 0 && n.InvalidSize > 0 && n.UnknownKey > 0
 	})
 	if alive(a) != 1 || a.Status().View.Stats.Deaths > 0 || b.Status().View.Stats.Deaths > 0 {
 		t.Errorf("under a flood: %d alive, stats %+v", alive(a), a.Status().View.Stats)
--- a/internal/peers/status.go
+++ b/internal/peers/status.go
@@ -7,13 +7,13 @@
 	"wellgw/decide/membership"
 )
 
-// Counts are datagrams since the start; all from NotADatagram to QueueFull were dropped.
+// Counts are datagrams since the start; all from InvalidSize to QueueFull were dropped.
 type Counts struct {
 	Sent           uint64
 	SentBytes      uint64
 	Received       uint64
 	ReceivedBytes  uint64
-	NotADatagram   uint64 `json:"Short"`   // too short or too long to be one of a gateway
+	InvalidSize    uint64 `json:"Short"`   // too short or too long to be one of a gateway
 	UnknownVersion uint64 `json:"Version"` // of the protocol
 	UnknownKey     uint64 `json:"Key"`     // not in the keyring
 	BadSeal        uint64 `json:"Seal"`    // not authentic
@@ -54,7 +54,7 @@
 	c := &p.counts
 	return Counts{
 		Sent: c.sent.Load(), SentBytes: c.sentBytes.Load(), Received: c.received.Load(), ReceivedBytes: c.receivedBytes.Load(),
-		NotADatagram: c.notADatagram.Load(), UnknownVersion: c.unknownVersion.Load(), UnknownKey: c.unknownKey.Load(), BadSeal: c.badSeal.Load(), Replayed: c.replayed.Load(),
+		InvalidSize: c.notADatagram.Load(), UnknownVersion: c.unknownVersion.Load(), UnknownKey: c.unknownKey.Load(), BadSeal: c.badSeal.Load(), Replayed: c.replayed.Load(),
 		BadPayload: c.badPayload.Load(), StaleInstance: c.staleInstance.Load(), QueueFull: c.queueFull.Load(), SendFailed: c.sendFailed.Load(),
 	}
 }
@@ -106,9 +106,9 @@
 	Gateway, From, To string        // From is "" for one that was not known
 	Incarnation       uint64        // of the gateway
 	Since             time.Time     // when it got the status From
-	SilentFor         time.Duration // since it was last heard
+	UnresponsiveFor   time.Duration // since it was last heard
 	OneWay            bool          // others reach it, but this gateway's pings are not answered
-	Accusers          int           // gateways that suspected it
+	SuspectedBy       int           // gateways that suspected it
 	LocalHealth       int           // of this gateway: Lifeguard's multiplier less one
 	Pauses            uint64        // of this process since its start
 }
@@ -127,8 +127,8 @@
 			continue
 		}
 		e := Event{
-			Gateway: g.ID, To: g.Status.String(), Incarnation: g.Incarnation, Since: p.startedAt.Add(old.StatusSince), SilentFor: clock - g.LastHeard,
-			OneWay: old.OneWay, Accusers: old.SuspectedBy, LocalHealth: now.LocalHealth, Pauses: now.Stats.Pauses,
+			Gateway: g.ID, To: g.Status.String(), Incarnation: g.Incarnation, Since: p.startedAt.Add(old.StatusSince), UnresponsiveFor: clock - g.LastHeard,
+			OneWay: old.OneWay, SuspectedBy: old.SuspectedBy, LocalHealth: now.LocalHealth, Pauses: now.Stats.Pauses,
 		}
 		if known {
 			e.From = old.Status.String()
@@ -142,7 +142,7 @@
 		if g.Status == membership.Suspect || refuted {
 			continue
 		}
-		p.opt.Log.Info("tier member changed", "gateway", g.ID, "member_status", e.To, "incarnation", g.Incarnation, "accusers", e.Accusers,
-			"silent_ms", e.SilentFor.Milliseconds(), "local_health", e.LocalHealth, "pauses", e.Pauses)
+		p.opt.Log.Info("tier member changed", "gateway", g.ID, "member_status", e.To, "incarnation", g.Incarnation, "accusers", e.SuspectedBy,
+			"silent_ms", e.UnresponsiveFor.Milliseconds(), "local_health", e.LocalHealth, "pauses", e.Pauses)
 	}
 }
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -180,7 +180,7 @@
 		count(c.datagrams, float64(x), way)
 	}
 	for reason, x := range map[string]uint64{
-		"short": n.NotADatagram, "version": n.UnknownVersion, "key": n.UnknownKey, "seal": n.BadSeal, "replay": n.Replayed, "payload": n.BadPayload, "former": n.StaleInstance, "full": n.QueueFull,
+		"short": n.InvalidSize, "version": n.UnknownVersion, "key": n.UnknownKey, "seal": n.BadSeal, "replay": n.Replayed, "payload": n.BadPayload, "former": n.StaleInstance, "full": n.QueueFull,
 	} {
 		count(c.dropped, float64(x), reason)
 	}
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -89,13 +89,13 @@
 			t.Fatal(err)
 		}
 		if gateway == "g1" {
-			e := tracer.Engines(engines{})
+			e := tracer.WrapTransport(engines{})
 			e.Start(core.Attempt{ClientRequestID: "q1", Endpoint: core.Endpoint{}}, nil, func(core.Result) {})
 			e.Release(core.Release{ClientRequestID: "q1"}, func(error) {})
 			tracer.Answered(core.Request{ClientRequestID: "q1", Arrived: time.Now().Add(-time.Second)}, core.Answer{Verdict: core.Failed}, "failed")
 		}
-		tracer.Step(r, time.Now(), "seen")
-		tracer.Member(peers.Event{Gateway: "g3", From: "suspect", To: "dead", Incarnation: 4, Since: time.Now()})
+		tracer.RoleChangeStep(r, time.Now(), "seen")
+		tracer.MemberEvent(peers.Event{Gateway: "g3", From: "suspect", To: "dead", Incarnation: 4, Since: time.Now()})
 		r.Step = rolechange.Draining
 		if err := tracer.Close(t.Context()); err != nil {
 			t.Fatal(err)
--- a/internal/telemetry/trace.go
+++ b/internal/telemetry/trace.go
@@ -78,8 +78,8 @@
 		attribute.String("class", q.Class), attribute.String("team", q.Tenant), attribute.Int("prompt_tokens", q.PromptTokens), attribute.String("answer", verdict))
 }
 
-// Engines wraps engines so that every attempt and every release is a span.
-func (t *Tracer) Engines(e core.Transport) core.Transport { return traced{e, t} }
+// WrapTransport wraps engines so that every attempt and every release is a span.
+func (t *Tracer) WrapTransport(e core.Transport) core.Transport { return traced{e, t} }
 
 type traced struct {
 	core.Transport
@@ -119,21 +119,21 @@
 	})
 }
 
-// Step writes one step of a change of role that is over.
-func (t *Tracer) Step(r rolechange.Record, to time.Time, why string) {
+// RoleChangeStep writes one step of a change of role that is over.
+func (t *Tracer) RoleChangeStep(r rolechange.Record, to time.Time, why string) {
 	t.span(within("change "+r.Engine+" "+r.StartedAt.UTC().Format(time.RFC3339Nano)), "change of role: "+string(r.Step), r.StepStartedAt, to, "",
 		attribute.String("engine", r.Engine), attribute.String("from", r.From), attribute.String("to", r.To),
 		attribute.String("owner", r.Leader), attribute.Int64("fence", int64(r.FencingToken)), attribute.String("why", why))
 }
 
-// Member writes how a gateway of the tier has stood until now, as this one sees it. All that
+// MemberEvent writes how a gateway of the tier has stood until now, as this one sees it. All that
 // any gateway writes of one life of another is one trace.
-func (t *Tracer) Member(e peers.Event) {
+func (t *Tracer) MemberEvent(e peers.Event) {
 	failed := ""
 	if e.To == "dead" {
 		failed = "held for dead"
 	}
 	t.span(within(fmt.Sprint("member ", e.Gateway, " ", e.Incarnation)), "member: "+cmp.Or(e.From, "not known")+" to "+e.To, e.Since, time.Now(), failed,
-		attribute.String("gateway", e.Gateway), attribute.Int64("incarnation", int64(e.Incarnation)), attribute.Int64("silent_ms", e.SilentFor.Milliseconds()),
-		attribute.Bool("one_way", e.OneWay), attribute.Int("accusers", e.Accusers), attribute.Int("distrust", e.LocalHealth), attribute.Int64("own_pauses", int64(e.Pauses)))
+		attribute.String("gateway", e.Gateway), attribute.Int64("incarnation", int64(e.Incarnation)), attribute.Int64("silent_ms", e.UnresponsiveFor.Milliseconds()),
+		attribute.Bool("one_way", e.OneWay), attribute.Int("accusers", e.SuspectedBy), attribute.Int("distrust", e.LocalHealth), attribute.Int64("own_pauses", int64(e.Pauses)))
 }
