--- a/cmd/wellgw/adminserver.go
+++ b/cmd/wellgw/adminserver.go
@@ -37,7 +37,7 @@
 	}
 	maps.Copy(v.Counts, s.frontCounts())
 	if clients := s.status.clients.Load(); clients != nil {
-		for reason, n := range clients.Closes() {
+		for reason, n := range clients.CloseCounts() {
 			v.Counts["closed "+reason] = n
 		}
 	}
--- a/cmd/wellgw/httpserver.go
+++ b/cmd/wellgw/httpserver.go
@@ -23,7 +23,7 @@
 	return &http.Server{
 		Handler: h, MaxHeaderBytes: maxHeaderBytes,
 		ReadHeaderTimeout: headerTimeout, ReadTimeout: requestTimeout, IdleTimeout: idleTimeout,
-		ConnState: clients.State, ConnContext: clients.ConnContext,
+		ConnState: clients.ConnState, ConnContext: clients.ConnContext,
 		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 	}
 }
--- a/cmd/wellgw/server.go
+++ b/cmd/wellgw/server.go
@@ -74,8 +74,8 @@
 	s.front = g.newFront(s.core, clientconn.NewBudget(memoryBytes(limits, bodyShare)))
 	accepting := accept.New(s.listener, g.log)
 	s.clients = clientconn.NewListener(accepting, maxConnections(limits))
-	accepting.OnExhausted = s.clients.MakeRoom
-	s.clients.Log(g.log)
+	accepting.OnExhausted = s.clients.EvictOne
+	s.clients.SetLogger(g.log)
 	g.status.clients.Store(s.clients)
 	s.httpServer = newHTTPServer(s.front, s.clients, g.log)
 	s.supervisor = newSupervisor(s, lifecycle.Limits{
@@ -160,7 +160,7 @@
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			s.log.Info("counts", "counts", s.core.Counts(ctx), "closes", s.clients.Closes())
+			s.log.Info("counts", "counts", s.core.Counts(ctx), "closes", s.clients.CloseCounts())
 			s.checks.Log(s.log)
 		}
 	}
--- a/cmd/wellgw/supervisor.go
+++ b/cmd/wellgw/supervisor.go
@@ -85,7 +85,7 @@
 			s.handle(ctx, postedEvent{event: lifecycle.Tick{}, cause: "time"})
 		}
 	}
-	s.log.Info("shutdown complete", "counts", s.core.Counts(ctx), "closes", s.clients.Closes())
+	s.log.Info("shutdown complete", "counts", s.core.Counts(ctx), "closes", s.clients.CloseCounts())
 	if s.process.LostListener() {
 		return errListenerLost
 	}
--- a/internal/clientconn/clientconn.go
+++ b/internal/clientconn/clientconn.go
@@ -9,15 +9,15 @@
 	"sync/atomic"
 )
 
-// MaxBody is the largest body, in bytes.
-const MaxBody = 256 << 10
+// MaxBodySize is the largest body, in bytes.
+const MaxBodySize = 256 << 10
 
 // Reasons for which a body is rejected.
 var (
-	ErrTooBig = errors.New("the body is over 256 KiB")
-	ErrCut    = errors.New("the body was cut short")
-	ErrBusy   = errors.New("too many bodies are in hand")
-	ErrLate   = errors.New("the request was not whole when none was taken any more")
+	ErrBodyTooLarge       = errors.New("the body is over 256 KiB")
+	ErrBodyTruncated      = errors.New("the body was cut short")
+	ErrBodyBudgetExceeded = errors.New("too many bodies are in hand")
+	ErrRequestExpired     = errors.New("the request was not whole when none was taken any more")
 )
 
 // Budget limits the memory of all bodies in flight together.
@@ -34,19 +34,19 @@
 const initialBufferSize = 8 << 10
 
 // Read reads a request's body. On success the caller must call free once it is done with the
-// request; ErrBusy and ErrLate prove that the request had no effect. Only bytes that have arrived
+// request; ErrBodyBudgetExceeded and ErrRequestExpired prove that the request had no effect. Only bytes that have arrived
 // count against the budget, not the declared length: a client that declares much and sends nothing
 // must not keep others out.
 func (b *Budget) Read(w http.ResponseWriter, r *http.Request) (body []byte, free func(), err error) {
-	if r.ContentLength > MaxBody {
+	if r.ContentLength > MaxBodySize {
 		// Reading past a limit makes net/http delay the close, so that a client which is still
 		// sending can read its error.
 		_, _ = http.MaxBytesReader(w, r.Body, 0).Read(make([]byte, 1))
-		return nil, nil, ErrTooBig
+		return nil, nil, ErrBodyTooLarge
 	}
 	taken := int64(0)
 	free = func() { b.available.Add(taken) }
-	from := http.MaxBytesReader(w, r.Body, MaxBody)
+	from := http.MaxBytesReader(w, r.Body, MaxBodySize)
 	for err == nil {
 		if r.ContentLength >= 0 && int64(len(body)) == r.ContentLength { // only its end is missing
 			_, err = io.ReadFull(from, make([]byte, 1))
@@ -60,7 +60,7 @@
 			more := int64(size - cap(body))
 			if taken += more; b.available.Add(-more) < 0 {
 				free()
-				return nil, nil, ErrBusy
+				return nil, nil, ErrBodyBudgetExceeded
 			}
 			body = append(make([]byte, 0, size), body...)
 		}
@@ -73,18 +73,18 @@
 	}
 	free()
 	if tooBig := (*http.MaxBytesError)(nil); errors.As(err, &tooBig) {
-		return nil, nil, ErrTooBig
+		return nil, nil, ErrBodyTooLarge
 	}
-	if errors.Is(err, ErrLate) {
-		return nil, nil, ErrLate
+	if errors.Is(err, ErrRequestExpired) {
+		return nil, nil, ErrRequestExpired
 	}
-	return nil, nil, ErrCut
+	return nil, nil, ErrBodyTruncated
 }
 
-// Reject prepares an error response to a request whose body has not been read: the connection ends
+// CloseIfBodyUnread prepares an error response to a request whose body has not been read: the connection ends
 // with it. Otherwise net/http would hold the response back until it has read the rest, which the
 // client may never send.
-func Reject(w http.ResponseWriter, r *http.Request) {
+func CloseIfBodyUnread(w http.ResponseWriter, r *http.Request) {
 	if r.ContentLength != 0 {
 		w.Header().Set("Connection", "close")
 	}
--- a/internal/clientconn/clientconn_test.go
+++ b/internal/clientconn/clientconn_test.go
@@ -21,13 +21,13 @@
 		want error
 	}{
 		{"fits", strings.NewReader("abc"), 3, 3, nil},
-		{"past the budget", strings.NewReader("abc"), 3, 2, ErrBusy},
+		{"past the budget", strings.NewReader("abc"), 3, 2, ErrBodyBudgetExceeded},
 		{"unknown length", io.MultiReader(strings.NewReader("abc")), -1, initialBufferSize, nil},
-		{"past the budget as it comes", strings.NewReader(strings.Repeat("x", MaxBody)), -1, MaxBody - 1, ErrBusy},
-		{"too big", strings.NewReader(strings.Repeat("x", MaxBody+1)), -1, 2 * MaxBody, ErrTooBig},
-		{"says that it is too big", cut{}, MaxBody + 1, 2 * MaxBody, ErrTooBig},
-		{"cut short", cut{}, MaxBody, 2 * MaxBody, ErrCut},
-		{"says much and sends nothing", cut{}, MaxBody, initialBufferSize, ErrCut},
+		{"past the budget as it comes", strings.NewReader(strings.Repeat("x", MaxBodySize)), -1, MaxBodySize - 1, ErrBodyBudgetExceeded},
+		{"too big", strings.NewReader(strings.Repeat("x", MaxBodySize+1)), -1, 2 * MaxBodySize, ErrBodyTooLarge},
+		{"says that it is too big", cut{}, MaxBodySize + 1, 2 * MaxBodySize, ErrBodyTooLarge},
+		{"cut short", cut{}, MaxBodySize, 2 * MaxBodySize, ErrBodyTruncated},
+		{"says much and sends nothing", cut{}, MaxBodySize, initialBufferSize, ErrBodyTruncated},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := NewBudget(c.left)
--- a/internal/clientconn/conn.go
+++ b/internal/clientconn/conn.go
@@ -23,7 +23,7 @@
 func (c *Conn) respondToPartial(text string, reason CloseReason) bool {
 	c.mu.Lock()
 	partial := !c.readClosed && !c.closing && !c.malformed && c.frame.complete == c.answered && c.frame.partialHead()
-	if c.readClosed = c.readClosed || partial; partial || reason == ClosedForRoom {
+	if c.readClosed = c.readClosed || partial; partial || reason == ClosedEvicted {
 		c.setReason(reason)
 	}
 	c.mu.Unlock()
@@ -89,7 +89,7 @@
 	c.idleSince = time.Now()
 	if over = !reusable && c.frame.betweenRequests() && c.frame.complete <= c.answered; over {
 		c.readClosed = true
-		c.setReason(ClosedAnswered)
+		c.setReason(ClosedAfterLastAnswer)
 	}
 	return over
 }
@@ -153,19 +153,19 @@
 	c.mu.Unlock()
 	text, reason := requestTimeout, ClosedSlowRequest
 	if overdue {
-		text, reason = serviceUnavailable, ClosedLate
+		text, reason = serviceUnavailable, ClosedRequestExpired
 	}
 	if c.respondToPartial(text, reason) {
 		_ = c.Close() // net/http would respond to some of these as well
 	}
 }
 
-// readError returns ErrLate for a read that was ended because its request is rejected.
+// readError returns ErrRequestExpired for a read that was ended because its request is rejected.
 func (c *Conn) readError(err error) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.requestExpired {
-		return ErrLate
+		return ErrRequestExpired
 	}
 	return err
 }
@@ -180,7 +180,7 @@
 		return true
 	}
 	if c.requestExpired { // reading on would accept a request that has been rejected
-		c.readCount, c.readErr = 0, &net.OpError{Op: "read", Net: "tcp", Addr: c.RemoteAddr(), Err: ErrLate}
+		c.readCount, c.readErr = 0, &net.OpError{Op: "read", Net: "tcp", Addr: c.RemoteAddr(), Err: ErrRequestExpired}
 		return true
 	}
 	if c.lastRequestInFlight() && socketHasUnread(fd) {
--- a/internal/clientconn/left.go
+++ b/internal/clientconn/disconnect.go
@@ -36,9 +36,9 @@
 	return ok && c.peerHungUp()
 }
 
-// NothingAhead reports whether nothing has been read beyond the complete request in flight. Only then
+// NothingReadAhead reports whether nothing has been read beyond the complete request in flight. Only then
 // may its response announce the connection's end: net/http would discard what it has read.
-func NothingAhead(ctx context.Context) bool {
+func NothingReadAhead(ctx context.Context) bool {
 	c, ok := ctx.Value(connKey{}).(*Conn)
 	if !ok {
 		return true
--- a/internal/clientconn/listener.go
+++ b/internal/clientconn/listener.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// MakeRoom evicts a connection, if one may be evicted.
-func (l *Listener) MakeRoom() {
+// EvictOne evicts a connection, if one may be evicted.
+func (l *Listener) EvictOne() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.evict()
@@ -81,7 +81,7 @@
 // first. If too many are being answered, it is closed unread, and its client has to retry. The
 // goroutine ends within rejectReadTimeout, responseWriteTimeout and lingerTime.
 func (l *Listener) reject(nc net.Conn) {
-	l.records.add(ClosedNoRoom)
+	l.records.add(ClosedNoSlot)
 	select {
 	case l.rejecting <- struct{}{}:
 	default:
@@ -105,8 +105,8 @@
 	}()
 }
 
-// State is an http.Server.ConnState: it shows when a request has had its response.
-func (l *Listener) State(nc net.Conn, s http.ConnState) {
+// ConnState is an http.Server.ConnState: it shows when a request has had its response.
+func (l *Listener) ConnState(nc net.Conn, s http.ConnState) {
 	c, ok := nc.(*Conn)
 	if !ok || s != http.StateIdle {
 		return
@@ -142,7 +142,7 @@
 			continue
 		}
 		l.forget(last)
-		last.respondToPartial(serviceUnavailable, ClosedForRoom)
+		last.respondToPartial(serviceUnavailable, ClosedEvicted)
 		last.recordClose()
 		last.Conn.Close()
 		return true
--- a/internal/clientconn/listener_test.go
+++ b/internal/clientconn/listener_test.go
@@ -67,7 +67,7 @@
 		io.WriteString(w, r.URL.Path)
 	}))
 	l = NewListener(s.Listener, limit)
-	s.Listener, s.Config.ConnState, s.Config.ConnContext = l, l.State, l.ConnContext
+	s.Listener, s.Config.ConnState, s.Config.ConnContext = l, l.ConnState, l.ConnContext
 	s.Start()
 	t.Cleanup(s.Close)
 	return l, waiting, answer
@@ -423,7 +423,7 @@
 	s.Start()
 	t.Cleanup(s.Close)
 	dial(t, l.Addr().String(), "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc").Close()
-	if err := <-read; err != ErrCut {
+	if err := <-read; err != ErrBodyTruncated {
 		t.Errorf("read: %v", err)
 	}
 }
@@ -455,7 +455,7 @@
 		}
 	}))
 	l := NewListener(s.Listener, 4)
-	s.Listener, s.Config.ConnState, s.Config.ConnContext = l, l.State, l.ConnContext
+	s.Listener, s.Config.ConnState, s.Config.ConnContext = l, l.ConnState, l.ConnContext
 	s.Start()
 	t.Cleanup(s.Close)
 	c := dial(t, l.Addr().String(), "GET /a HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -470,7 +470,7 @@
 // An error whose request's body never comes is not held back for it.
 func TestRejectDoesNotWaitForTheBody(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		Reject(w, r)
+		CloseIfBodyUnread(w, r)
 		http.Error(w, "no", http.StatusBadRequest)
 	}))
 	t.Cleanup(s.CloseClientConnections)
@@ -490,7 +490,7 @@
 	in := NewListener(l, 8)
 	srv := &http.Server{
 		Handler:           http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") }),
-		ReadHeaderTimeout: 50 * time.Millisecond, IdleTimeout: 50 * time.Millisecond, ConnState: in.State, ConnContext: in.ConnContext,
+		ReadHeaderTimeout: 50 * time.Millisecond, IdleTimeout: 50 * time.Millisecond, ConnState: in.ConnState, ConnContext: in.ConnContext,
 	}
 	go srv.Serve(in)
 	t.Cleanup(func() { srv.Close() })
--- a/internal/clientconn/record.go
+++ b/internal/clientconn/record.go
@@ -14,17 +14,17 @@
 
 // The reasons for closing a connection.
 const (
-	ClosedByClient    CloseReason = "client left"     // the client closed its side, or the connection broke
-	ClosedIdle        CloseReason = "idle"            // idle during a drain or shutdown
-	ClosedUnused      CloseReason = "unused"          // no request arrived on it during a drain or shutdown
-	ClosedAnswered    CloseReason = "last answer"     // its response was its last, during a drain or shutdown
-	ClosedLate        CloseReason = "late request"    // its request was not complete when requests were no longer accepted
-	ClosedForRoom     CloseReason = "evicted"         // another connection needed its slot
-	ClosedNoRoom      CloseReason = "no room"         // it arrived when all slots were in use
-	ClosedMalformed   CloseReason = "malformed"       // its request could not be parsed
-	ClosedSlowRequest CloseReason = "request timeout" // its request was not complete in time
-	ClosedCut         CloseReason = "cut"             // its response exceeded its time limit
-	ClosedByServer    CloseReason = "server"          // by net/http: an aborted answer, or "Connection: close"
+	ClosedByClient        CloseReason = "client left"     // the client closed its side, or the connection broke
+	ClosedIdle            CloseReason = "idle"            // idle during a drain or shutdown
+	ClosedUnused          CloseReason = "unused"          // no request arrived on it during a drain or shutdown
+	ClosedAfterLastAnswer CloseReason = "last answer"     // its response was its last, during a drain or shutdown
+	ClosedRequestExpired  CloseReason = "late request"    // its request was not complete when requests were no longer accepted
+	ClosedEvicted         CloseReason = "evicted"         // another connection needed its slot
+	ClosedNoSlot          CloseReason = "no room"         // it arrived when all slots were in use
+	ClosedMalformed       CloseReason = "malformed"       // its request could not be parsed
+	ClosedSlowRequest     CloseReason = "request timeout" // its request was not complete in time
+	ClosedAnswerAborted   CloseReason = "cut"             // its response exceeded its time limit
+	ClosedByServer        CloseReason = "server"          // by net/http: an aborted answer, or "Connection: close"
 )
 
 // closeRecords counts closes by reason and logs each at level debug.
@@ -34,15 +34,15 @@
 	log    *slog.Logger
 }
 
-// Log sets the logger for closes, which are logged at level debug.
-func (l *Listener) Log(log *slog.Logger) {
+// SetLogger sets the logger for closes, which are logged at level debug.
+func (l *Listener) SetLogger(log *slog.Logger) {
 	l.records.mu.Lock()
 	defer l.records.mu.Unlock()
 	l.records.log = log
 }
 
-// Closes returns how many connections were closed, by reason.
-func (l *Listener) Closes() map[string]int {
+// CloseCounts returns how many connections were closed, by reason.
+func (l *Listener) CloseCounts() map[string]int {
 	l.records.mu.Lock()
 	defer l.records.mu.Unlock()
 	counts := make(map[string]int, len(l.records.counts))
--- a/internal/clientconn/service.go
+++ b/internal/clientconn/service.go
@@ -126,10 +126,10 @@
 			c.setReason(ClosedIdle)
 		}
 	case lifecycle.RejectRequest:
-		c.setReason(ClosedLate)
+		c.setReason(ClosedRequestExpired)
 		c.requestExpired = true
 	case lifecycle.AbortAnswer:
-		c.setReason(ClosedCut)
+		c.setReason(ClosedAnswerAborted)
 		c.readClosed = true
 	}
 	return decision, next
@@ -138,7 +138,7 @@
 // rejectRequest responds to a request that was not complete in time. For a body, Read returns the
 // error to its reader, and the front responds.
 func (c *Conn) rejectRequest() {
-	if c.respondToPartial(serviceUnavailable, ClosedLate) {
+	if c.respondToPartial(serviceUnavailable, ClosedRequestExpired) {
 		_ = c.Close()
 		return
 	}
--- a/internal/jsonscan/jsonscan.go
+++ b/internal/jsonscan/jsonscan.go
@@ -21,8 +21,8 @@
 // Of returns the value's text.
 func (s Span) Of(data []byte) []byte { return data[s.Start:s.End] }
 
-// Null tells whether a value is null, or not there.
-func (s Span) Null(data []byte) bool {
+// IsNull tells whether a value is null, or not there.
+func (s Span) IsNull(data []byte) bool {
 	return s.Start == s.End || data[s.Start] == 'n'
 }
 
@@ -59,8 +59,8 @@
 // Empty tells whether there was no member, once the walk is over.
 func (w *Walker) Empty() bool { return !w.some }
 
-// Close returns where the closing bracket stands, once the walk is over.
-func (w *Walker) Close() int { return w.pos }
+// ClosingBracket returns where the closing bracket stands, once the walk is over.
+func (w *Walker) ClosingBracket() int { return w.pos }
 
 // Next returns the next member of an object: its name without the quotes, as decoded,
 // and where its value stands.
@@ -92,9 +92,9 @@
 // Member returns where the latest member stands, name and value.
 func (w *Walker) Member() Span { return Span{w.from, w.pos} }
 
-// String returns the end of the string whose opening quote stands at a place of data, past
+// StringEnd returns the end of the string whose opening quote stands at a place of data, past
 // its closing one; -1 if there is none, or it is not whole.
-func String(data []byte, at int) int {
+func StringEnd(data []byte, at int) int {
 	end, _ := str(data, at)
 	return end
 }
--- a/internal/openai/call.go
+++ b/internal/openai/call.go
@@ -66,7 +66,7 @@
 		terms.MaxTokens = c.request.shape.maxOutputTokens
 	}
 	step := resume.Decide(terms, c.encoder.progress(), resume.Interruption{
-		ClientDisconnected: errors.Is(err, streambuffer.ErrClientGone) || errors.Is(err, streambuffer.ErrSlowClient) || c.r.Context().Err() != nil,
+		ClientDisconnected: errors.Is(err, streambuffer.ErrClientDisconnected) || errors.Is(err, streambuffer.ErrSlowClient) || c.r.Context().Err() != nil,
 		EngineError:        errors.As(err, &reported), Continuations: c.resumptions, Elapsed: time.Since(c.arrived),
 	})
 	c.counts.brokenAnswers[step].Add(1)
@@ -125,7 +125,7 @@
 // sent again.
 func (c *call) stream(s core.Stream, t *core.Ticket) {
 	pipe := streambuffer.Pipe{
-		Take: func(dst, p []byte) ([]byte, error) {
+		Convert: func(dst, p []byte) ([]byte, error) {
 			dst, err := c.encoder.translate(dst, p)
 			if c.record(dst); err == nil && c.encoder.complete() {
 				c.markComplete()
--- a/internal/openai/chunk.go
+++ b/internal/openai/chunk.go
@@ -51,7 +51,7 @@
 			case "index":
 				index, _ = jsonscan.Int(value.Of(choice))
 			case "finish_reason":
-				ended = !value.Null(choice)
+				ended = !value.IsNull(choice)
 			case "delta":
 				delta = value
 			case "text":
@@ -134,7 +134,7 @@
 		}
 		switch string(name) {
 		case "error":
-			if !value.Null(data) {
+			if !value.IsNull(data) {
 				return false, reportedError{errorMessage(value.Of(data))}
 			}
 		case "choices":
@@ -170,7 +170,7 @@
 					}
 				}
 			default: // a finish reason, the text of a completion
-				if !value.Null(choice) && string(text) != `""` {
+				if !value.IsNull(choice) && string(text) != `""` {
 					return true
 				}
 			}
--- a/internal/openai/collector.go
+++ b/internal/openai/collector.go
@@ -73,15 +73,15 @@
 		text := value.Of(data)
 		switch string(name) {
 		case "error":
-			if !value.Null(data) {
+			if !value.IsNull(data) {
 				return reportedError{errorMessage(text)}
 			}
 		case "usage":
-			if !value.Null(data) {
+			if !value.IsNull(data) {
 				c.usage = bytes.Clone(text)
 			}
 		case "choices":
-			if value.Null(data) {
+			if value.IsNull(data) {
 				continue
 			}
 			if _, err := recordChoices(&c.state, text, false); err != nil {
--- a/internal/openai/fields.go
+++ b/internal/openai/fields.go
@@ -66,7 +66,7 @@
 
 // get returns a field's JSON text, nil if the field is null or missing.
 func (f *fields) get(name string) []byte {
-	if at := f.index(name); at >= 0 && !f.list[at].value.Null(f.data) {
+	if at := f.index(name); at >= 0 && !f.list[at].value.IsNull(f.data) {
 		return f.list[at].value.Of(f.data)
 	}
 	return nil
--- a/internal/openai/front.go
+++ b/internal/openai/front.go
@@ -123,7 +123,7 @@
 	catalog := f.catalog.Load() // the same for the whole request, also across a reload
 	team := catalog.team(r)
 	if team == nil {
-		clientconn.Reject(w, r)
+		clientconn.CloseIfBodyUnread(w, r)
 		w.Header().Set("WWW-Authenticate", "Bearer")
 		apiError{status: http.StatusUnauthorized, errorType: typeRequest, code: codeAPIKey, message: "missing or unknown API key"}.send(w)
 		return
@@ -136,18 +136,18 @@
 	case (r.URL.Path == modelPath || single) && r.Method == http.MethodGet:
 		catalog.writeModels(w, team, model, single, f.started)
 	case post || r.URL.Path == modelPath || single:
-		clientconn.Reject(w, r)
+		clientconn.CloseIfBodyUnread(w, r)
 		w.Header().Set("Allow", map[bool]string{true: http.MethodPost, false: http.MethodGet}[post])
 		apiError{status: http.StatusMethodNotAllowed, errorType: typeRequest, code: codeMethod, message: "method not allowed"}.send(w)
 	default:
-		clientconn.Reject(w, r)
+		clientconn.CloseIfBodyUnread(w, r)
 		apiError{status: http.StatusNotFound, errorType: typeRequest, code: codeURL, message: "no such path"}.send(w)
 	}
 }
 
 // announceClose sets Connection: close if the connection is closed after this answer.
 func (f *Front) announceClose(w http.ResponseWriter, r *http.Request) {
-	if !f.service.Load().KeepAlive && clientconn.NothingAhead(r.Context()) {
+	if !f.service.Load().KeepAlive && clientconn.NothingReadAhead(r.Context()) {
 		w.Header().Set("Connection", "close")
 	}
 }
@@ -223,22 +223,22 @@
 func (f *Front) body(w http.ResponseWriter, r *http.Request, team *config.Team) (raw []byte, free func(), ok bool) {
 	raw, free, err := f.bodies.Read(w, r)
 	switch {
-	case errors.Is(err, clientconn.ErrTooBig):
-		clientconn.Reject(w, r)
+	case errors.Is(err, clientconn.ErrBodyTooLarge):
+		clientconn.CloseIfBodyUnread(w, r)
 		apiError{status: http.StatusRequestEntityTooLarge, errorType: typeRequest, code: codeTooBig, message: err.Error()}.send(w)
-	case err == nil && !f.service.Load().AcceptsRequest(time.Now()), errors.Is(err, clientconn.ErrLate):
+	case err == nil && !f.service.Load().AcceptsRequest(time.Now()), errors.Is(err, clientconn.ErrRequestExpired):
 		if err == nil {
 			free()
 		}
-		clientconn.Reject(w, r)
+		clientconn.CloseIfBodyUnread(w, r)
 		f.announceClose(w, r)
 		f.forgetKey(r, team)
 		answerError(core.Answer{Verdict: core.Rejected, RetryAfter: retryAfterBusy}, false).send(w)
-	case errors.Is(err, clientconn.ErrBusy):
+	case errors.Is(err, clientconn.ErrBodyBudgetExceeded):
 		f.forgetKey(r, team)
 		answerError(core.Answer{Verdict: core.Rejected, RetryAfter: retryAfterBusy}, false).send(w)
 	case err != nil:
-		clientconn.Reject(w, r)
+		clientconn.CloseIfBodyUnread(w, r)
 		badRequest(err.Error(), "").send(w)
 	default:
 		return raw, free, true
--- a/internal/openai/front_test.go
+++ b/internal/openai/front_test.go
@@ -158,7 +158,7 @@
 			return enginetest.Stream(2, 0)
 		}, t)
 		url, c := start(t, engines)
-		enginetest.Play(t, strings.TrimPrefix(url, "http://"), file, "BIG", strings.Repeat("x", clientconn.MaxBody+1))
+		enginetest.Play(t, strings.TrimPrefix(url, "http://"), file, "BIG", strings.Repeat("x", clientconn.MaxBodySize+1))
 		if err := c.Drain(t.Context()); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/openai/node.go
+++ b/internal/openai/node.go
@@ -138,7 +138,7 @@
 		if !ok {
 			return index, given, o.Err()
 		}
-		if string(name) == "index" && !at.Null(value) {
+		if string(name) == "index" && !at.IsNull(value) {
 			if index, given = jsonscan.Int(at.Of(value)); !given || index > maxIndex {
 				return 0, false, errInvalidChunk
 			}
--- a/internal/openai/rewriter.go
+++ b/internal/openai/rewriter.go
@@ -150,12 +150,12 @@
 		case "choices":
 			has.choices, has.choicesSpan = true, value
 		case "usage":
-			has.usage = !value.Null(data)
+			has.usage = !value.IsNull(data)
 			if !r.includeUsage {
 				continue
 			}
 		case "error":
-			if value.Null(data) {
+			if value.IsNull(data) {
 				continue
 			}
 			return has, reportedError{errorMessage(text)}
--- a/internal/openai/template.go
+++ b/internal/openai/template.go
@@ -37,7 +37,7 @@
 	if len(data) < t.prefixLen+len(suffix) || !bytes.Equal(data[:t.prefixLen], t.input[:t.prefixLen]) || !bytes.HasSuffix(data, suffix) {
 		return false
 	}
-	if jsonscan.String(data, t.prefixLen) != len(data)-len(suffix) || data[t.prefixLen+1] == '"' {
+	if jsonscan.StringEnd(data, t.prefixLen) != len(data)-len(suffix) || data[t.prefixLen+1] == '"' {
 		return false
 	}
 	piece := data[t.prefixLen : len(data)-len(suffix)]
@@ -78,7 +78,7 @@
 			delta = value
 		case "index":
 		case "finish_reason", "logprobs":
-			if !value.Null(choice) {
+			if !value.IsNull(choice) {
 				return piece, false
 			}
 		default:
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -75,14 +75,14 @@
 	case "/v1/chat/completions":
 		f.chat(w, r)
 	default:
-		clientconn.Reject(w, r)
+		clientconn.CloseIfBodyUnread(w, r)
 		http.NotFound(w, r)
 	}
 }
 
 // announceClose sends Connection: close if the connection ends with this response.
 func (f *Front) announceClose(w http.ResponseWriter, r *http.Request) {
-	if !f.service.Load().KeepAlive && clientconn.NothingAhead(r.Context()) {
+	if !f.service.Load().KeepAlive && clientconn.NothingReadAhead(r.Context()) {
 		w.Header().Set("Connection", "close")
 	}
 }
@@ -91,14 +91,14 @@
 func (f *Front) chat(w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
 	if r.Method != http.MethodPost {
-		clientconn.Reject(w, r)
+		clientconn.CloseIfBodyUnread(w, r)
 		w.Header().Set("Allow", http.MethodPost)
 		http.Error(w, "POST only", http.StatusMethodNotAllowed)
 		return
 	}
 	q, err := f.parse(r)
 	if err != nil {
-		clientconn.Reject(w, r)
+		clientconn.CloseIfBodyUnread(w, r)
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
@@ -130,15 +130,15 @@
 
 // rejectBody responds to a request whose body was not read, for the reason that err gives.
 func rejectBody(w http.ResponseWriter, r *http.Request, err error) {
-	if errors.Is(err, clientconn.ErrBusy) {
+	if errors.Is(err, clientconn.ErrBodyBudgetExceeded) {
 		writeAnswer(w, core.Answer{Verdict: core.Rejected, RetryAfter: busyRetryAfter})
 		return
 	}
-	clientconn.Reject(w, r)
+	clientconn.CloseIfBodyUnread(w, r)
 	switch {
-	case errors.Is(err, clientconn.ErrTooBig):
+	case errors.Is(err, clientconn.ErrBodyTooLarge):
 		http.Error(w, err.Error(), http.StatusRequestEntityTooLarge)
-	case errors.Is(err, clientconn.ErrLate):
+	case errors.Is(err, clientconn.ErrRequestExpired):
 		writeAnswer(w, core.Answer{Verdict: core.Rejected})
 	default:
 		http.Error(w, err.Error(), http.StatusBadRequest)
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -232,7 +232,7 @@
 	server := httptest.NewUnstartedServer(f)
 	server.Config.ErrorLog = slog.NewLogLogger(log.Handler(), 0)
 	clients := clientconn.NewListener(server.Listener, 64)
-	server.Listener, server.Config.ConnState, server.Config.ConnContext = clients, clients.State, clients.ConnContext
+	server.Listener, server.Config.ConnState, server.Config.ConnContext = clients, clients.ConnState, clients.ConnContext
 	server.Start()
 	t.Cleanup(server.Close)
 	return server.Listener.Addr().String(), r, w, c, f
@@ -253,7 +253,7 @@
 			}
 			return enginetest.Stream(2, 0)
 		})
-		enginetest.Play(t, addr, file, "BIG", strings.Repeat("x", clientconn.MaxBody+1))
+		enginetest.Play(t, addr, file, "BIG", strings.Repeat("x", clientconn.MaxBodySize+1))
 		if err := c.Drain(t.Context()); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/sse/sse.go
+++ b/internal/sse/sse.go
@@ -11,11 +11,11 @@
 	"errors"
 )
 
-// MaxEvent is the most bytes that one event may take, its field names included.
-const MaxEvent = 256 << 10
+// MaxEventSize is the most bytes that one event may take, its field names included.
+const MaxEventSize = 256 << 10
 
-// ErrTooBig tells of an event of more than MaxEvent bytes.
-var ErrTooBig = errors.New("an event of more than 256 KiB")
+// ErrEventTooLarge tells of an event of more than MaxEventSize bytes.
+var ErrEventTooLarge = errors.New("an event of more than 256 KiB")
 
 // Event is one event. Its slices are valid only while it is being taken.
 type Event struct {
@@ -38,7 +38,7 @@
 }
 
 // Write takes what has come and gives each event that is whole to each. An error is
-// each's, or ErrTooBig.
+// each's, or ErrEventTooLarge.
 func (s *Scanner) Write(p []byte, each func(Event) error) error {
 	if !s.begun {
 		if len(s.rest)+len(p) < len(mark) && bytes.HasPrefix(mark, append(s.rest, p...)) {
@@ -68,8 +68,8 @@
 	if err != nil {
 		return err
 	}
-	if len(p)-from > MaxEvent {
-		return ErrTooBig
+	if len(p)-from > MaxEventSize {
+		return ErrEventTooLarge
 	}
 	s.rest = append(s.rest[:0], p[from:]...)
 	return nil
--- a/internal/sse/sse_test.go
+++ b/internal/sse/sse_test.go
@@ -99,12 +99,12 @@
 func TestUnterminatedEventIsRefused(t *testing.T) {
 	var s Scanner
 	var err error
-	for range 2 * MaxEvent / 1024 {
+	for range 2 * MaxEventSize / 1024 {
 		if err = s.Write(bytes.Repeat([]byte("data: "), 1024/6), func(Event) error { return nil }); err != nil {
 			break
 		}
 	}
-	if !errors.Is(err, ErrTooBig) {
+	if !errors.Is(err, ErrEventTooLarge) {
 		t.Error(err)
 	}
 }
--- a/internal/streambuffer/streambuffer.go
+++ b/internal/streambuffer/streambuffer.go
@@ -21,8 +21,8 @@
 	"wellgw/routing"
 )
 
-// ErrClientGone is wrapped by errors of the client's connection, as opposed to the stream's.
-var ErrClientGone = errors.New("the client has gone")
+// ErrClientDisconnected is wrapped by errors of the client's connection, as opposed to the stream's.
+var ErrClientDisconnected = errors.New("the client has gone")
 
 // ErrSlowClient means that a client has not read what was buffered for it.
 var ErrSlowClient = errors.New("the client reads too slowly")
@@ -46,9 +46,9 @@
 
 // Pipe connects a stream with its client.
 type Pipe struct {
-	// Take appends to dst what the client gets for p, which has just arrived. It is called by one
+	// Convert appends to dst what the client gets for p, which has just arrived. It is called by one
 	// goroutine at a time; an error cancels the stream.
-	Take func(dst, p []byte) ([]byte, error)
+	Convert func(dst, p []byte) ([]byte, error)
 	// End does the same once the stream has ended completely.
 	End func(dst []byte) ([]byte, error)
 	// Write writes to the client. It may block for as long as the client's write timeout; an error
@@ -144,7 +144,7 @@
 	n, err := f.stream.Read(buf)
 	if n > 0 {
 		var takeErr error
-		if out, takeErr = f.Take(out, buf[:n]); takeErr != nil {
+		if out, takeErr = f.Convert(out, buf[:n]); takeErr != nil {
 			f.stream.Close()
 			f.ticket.Finish(core.Result{Status: routing.StatusError, Cause: takeErr})
 			return out, true, takeErr
@@ -200,7 +200,7 @@
 	case !over:
 		f.ticket.Finish(core.Result{Status: routing.StatusCancelled, Cause: err})
 	}
-	return fmt.Errorf("%w: %w", ErrClientGone, err)
+	return fmt.Errorf("%w: %w", ErrClientDisconnected, err)
 }
 
 // checkStall begins to read ahead if a write has blocked for too long.
--- a/internal/streambuffer/streambuffer_test.go
+++ b/internal/streambuffer/streambuffer_test.go
@@ -78,9 +78,9 @@
 // pass takes what comes as it is, and adds an end.
 func pass(write func([]byte) error) Pipe {
 	return Pipe{
-		Take:  func(dst, p []byte) ([]byte, error) { return append(dst, p...), nil },
-		End:   func(dst []byte) ([]byte, error) { return append(dst, "|end"...), nil },
-		Write: write,
+		Convert: func(dst, p []byte) ([]byte, error) { return append(dst, p...), nil },
+		End:     func(dst []byte) ([]byte, error) { return append(dst, "|end"...), nil },
+		Write:   write,
 	}
 }
 
@@ -113,8 +113,8 @@
 func TestBufferOverflowEndsAttempt(t *testing.T) {
 	wrong := errors.New("wrong")
 	for name, p := range map[string]Pipe{
-		"in the middle": {Take: func(dst, _ []byte) ([]byte, error) { return append(dst, "before"...), wrong }},
-		"at the end":    {Take: func(dst, _ []byte) ([]byte, error) { return append(dst, "before"...), nil }, End: func(dst []byte) ([]byte, error) { return dst, wrong }},
+		"in the middle": {Convert: func(dst, _ []byte) ([]byte, error) { return append(dst, "before"...), wrong }},
+		"at the end":    {Convert: func(dst, _ []byte) ([]byte, error) { return append(dst, "before"...), nil }, End: func(dst []byte) ([]byte, error) { return dst, wrong }},
 	} {
 		s, tk := newSource(false), &ticket{}
 		s.parts <- "a"
