--- a/cmd/wellgw/chatgateway.go
+++ b/cmd/wellgw/chatgateway.go
@@ -63,8 +63,8 @@
 
 func (g *chatGateway) newFront(c *core.Core, bodies *clientconn.Budget) front {
 	front := openai.NewFront(openai.Options{
-		Core: c, File: g.started, Bodies: bodies, Keys: g.keys, Held: memoryBytes(g.gateway.limits, streamBufferShare),
-		Others: g.othersMayServe,
+		Core: c, File: g.started, Bodies: bodies, Keys: g.keys, MaxBufferedBytes: memoryBytes(g.gateway.limits, streamBufferShare),
+		HasPeers: g.othersMayServe,
 	})
 	g.front.Store(front)
 	return front
--- a/cmd/wellgwlab/main.go
+++ b/cmd/wellgwlab/main.go
@@ -87,7 +87,7 @@
 		if !c.Passed {
 			failed++
 		}
-		t.Rows = append(t.Rows, []any{c.Name, c.Passed, c.Took.Round(time.Millisecond), c.Detail})
+		t.Rows = append(t.Rows, []any{c.Name, c.Passed, c.Duration.Round(time.Millisecond), c.Detail})
 	}
 	r.Tables = append(r.Tables, t)
 	r.Print(cmd.Root().Writer)
--- a/experiments/chatrun/chatrun.go
+++ b/experiments/chatrun/chatrun.go
@@ -345,7 +345,7 @@
 			return err
 		}
 		for _, c := range conformance.Run(ctx, conformance.Options{
-			BaseURL: "http://" + g.Addr, Key: gateway.Key, Model: "parts", OrderModel: "orders", Refuse: "please-refuse", Think: "please-think",
+			BaseURL: "http://" + g.Addr, Key: gateway.Key, Model: "parts", OrderModel: "orders", RefusalPrompt: "please-refuse", ReasoningPrompt: "please-think",
 		}) {
 			cases++
 			if !slices.Contains(names, c.Name) {
--- a/internal/openai/conformance/chat.go
+++ b/internal/openai/conformance/chat.go
@@ -224,7 +224,7 @@
 }
 
 func (s *suite) refusal(ctx context.Context) error {
-	r, err := s.client.Chat.Completions.New(ctx, s.params(s.Refuse))
+	r, err := s.client.Chat.Completions.New(ctx, s.params(s.RefusalPrompt))
 	if err != nil {
 		return err
 	}
@@ -232,7 +232,7 @@
 }
 
 func (s *suite) reasoning(ctx context.Context) error {
-	r, err := s.client.Chat.Completions.New(ctx, s.params(s.Think))
+	r, err := s.client.Chat.Completions.New(ctx, s.params(s.ReasoningPrompt))
 	if err != nil {
 		return err
 	}
--- a/internal/openai/conformance/conformance.go
+++ b/internal/openai/conformance/conformance.go
@@ -16,12 +16,12 @@
 
 // Options say what is tested.
 type Options struct {
-	BaseURL    string // up to and without /v1
-	Key        string
-	Model      string // under a free contract
-	OrderModel string // under a contract that must not run twice; "" skips its cases
-	Refuse     string // a prompt that the engine refuses; "" skips its cases
-	Think      string // a prompt that the engine reasons about; "" skips its cases
+	BaseURL         string // up to and without /v1
+	Key             string
+	Model           string // under a free contract
+	OrderModel      string // under a contract that must not run twice; "" skips its cases
+	RefusalPrompt   string // a prompt that the engine refuses; "" skips its cases
+	ReasoningPrompt string // a prompt that the engine reasons about; "" skips its cases
 }
 
 // Faults of answers that have no error of the library's own.
@@ -32,10 +32,10 @@
 
 // Result is the outcome of one case.
 type Result struct {
-	Name   string
-	Passed bool
-	Detail string // of a failure, or why it was skipped
-	Took   time.Duration
+	Name     string
+	Passed   bool
+	Detail   string // of a failure, or why it was skipped
+	Duration time.Duration
 }
 
 const caseWait = 15 * time.Second
@@ -65,7 +65,7 @@
 		one, cancel := context.WithTimeout(ctx, caseWait)
 		err := c.run(one)
 		cancel()
-		r := Result{Name: c.name, Passed: err == nil, Took: time.Since(begun)}
+		r := Result{Name: c.name, Passed: err == nil, Duration: time.Since(begun)}
 		if err != nil {
 			r.Detail = err.Error()
 		}
@@ -75,7 +75,7 @@
 }
 
 func (s *suite) cases() []testCase {
-	order, refuse, think := s.OrderModel == "", s.Refuse == "", s.Think == ""
+	order, refuse, think := s.OrderModel == "", s.RefusalPrompt == "", s.ReasoningPrompt == ""
 	return []testCase{
 		{"chat: an answer in one piece", false, s.notStreamed},
 		{"chat: a stream adds up to an answer", false, s.streamed},
--- a/internal/openai/conformance/conformance_test.go
+++ b/internal/openai/conformance/conformance_test.go
@@ -62,10 +62,10 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			server := httptest.NewServer(openai.NewFront(openai.Options{Core: c, File: o, Bodies: clientconn.NewBudget(1 << 20), Keys: keys, Held: 1 << 20}))
+			server := httptest.NewServer(openai.NewFront(openai.Options{Core: c, File: o, Bodies: clientconn.NewBudget(1 << 20), Keys: keys, MaxBufferedBytes: 1 << 20}))
 			t.Cleanup(server.Close)
 			for _, r := range conformance.Run(t.Context(), conformance.Options{
-				BaseURL: server.URL, Key: "k1", Model: "parts", OrderModel: "orders", Refuse: "please-refuse", Think: "please-think",
+				BaseURL: server.URL, Key: "k1", Model: "parts", OrderModel: "orders", RefusalPrompt: "please-refuse", ReasoningPrompt: "please-think",
 			}) {
 				if !r.Passed {
 					t.Errorf("%s: %s", r.Name, r.Detail)
--- a/internal/openai/front.go
+++ b/internal/openai/front.go
@@ -37,13 +37,13 @@
 
 // Options are what a front depends on.
 type Options struct {
-	Core   *core.Core
-	File   *config.Operator
-	Bodies *clientconn.Budget
-	Keys   *idempotency.Store // of requests that must not run twice; nil for no keys
-	Held   int64              // limit of the bytes buffered for all slow clients together, and of those of answers recorded while they are sent
-	// Others reports whether other gateways serve the same clients; nil for none.
-	Others func() bool
+	Core             *core.Core
+	File             *config.Operator
+	Bodies           *clientconn.Budget
+	Keys             *idempotency.Store // of requests that must not run twice; nil for no keys
+	MaxBufferedBytes int64              // limit of the bytes buffered for all slow clients together, and of those of answers recorded while they are sent
+	// HasPeers reports whether other gateways serve the same clients; nil for none.
+	HasPeers func() bool
 }
 
 // Front is the HTTP handler of the chat API. Its methods may be called from any goroutine.
@@ -74,8 +74,8 @@
 // tenants are the teams.
 func NewFront(o Options) *Front {
 	f := &Front{
-		core: o.Core, bodies: o.Bodies, keys: o.Keys, hasPeers: o.Others, started: time.Now(),
-		bounds: streambuffer.NewLimits(stallLimit, maxBufferPerClient, o.Held), maxRecordedBytes: o.Held,
+		core: o.Core, bodies: o.Bodies, keys: o.Keys, hasPeers: o.HasPeers, started: time.Now(),
+		bounds: streambuffer.NewLimits(stallLimit, maxBufferPerClient, o.MaxBufferedBytes), maxRecordedBytes: o.MaxBufferedBytes,
 	}
 	f.SetService(lifecycle.FullService())
 	f.Reload(o.File)
