--- a/internal/consul/agents.go
+++ b/internal/consul/agents.go
@@ -12,16 +12,16 @@
 	"wellgw/internal/pause"
 )
 
-// agent is one of the agents.
+// agent is one of the configured Consul agents.
 type agent struct {
 	addr string
 
-	lifetime context.Context // canceled, with the requests to it, when the agent is marked down; guarded by Client.mu
-	cancel   context.CancelFunc
+	upCtx    context.Context // canceled when the agent is marked down, which ends its requests; guarded by Client.mu
+	cancelUp context.CancelFunc
 }
 
-// Run sends heartbeats to all agents until ctx ends, and returns when its goroutines have
-// ended: a blocking query may take long, so that it does not show whether its agent hangs.
+// Run sends heartbeats to all agents until ctx is done, and returns after its goroutines have
+// ended. A blocking query may last long, so it can't show whether its agent is unresponsive.
 func (c *Client) Run(ctx context.Context) {
 	var group sync.WaitGroup
 	for _, a := range c.agents {
@@ -29,7 +29,7 @@
 	}
 	group.Wait()
 	c.http.CloseIdleConnections()
-	c.heartbeats.CloseIdleConnections()
+	c.heartbeatHTTP.CloseIdleConnections()
 }
 
 // monitor sends heartbeats to one agent and marks it up or down.
@@ -53,7 +53,7 @@
 	if err != nil {
 		return err
 	}
-	resp, err := c.heartbeats.Do(req)
+	resp, err := c.heartbeatHTTP.Do(req)
 	if err != nil {
 		if errors.Is(err, context.DeadlineExceeded) {
 			return errAgentHung
@@ -62,14 +62,14 @@
 	}
 	defer resp.Body.Close()
 	_, err = io.Copy(io.Discard, io.LimitReader(resp.Body, maxHeartbeatBody))
-	return err // any response shows that the agent is up, an error status too
+	return err // any response, even an error status, shows that the agent is up
 }
 
 // markDown marks an agent as down and cancels the requests to it.
 func (c *Client) markDown(a *agent, cause error) {
 	c.mu.Lock()
 	wasUp := c.selection.MarkDown(a.addr)
-	a.cancel()
+	a.cancelUp()
 	c.mu.Unlock()
 	if wasUp {
 		c.log.Warn("agent lost", "agent", a.addr, "cause", cause)
@@ -77,7 +77,7 @@
 	}
 }
 
-// markUp marks an agent as up and wakes those that wait for one.
+// markUp marks an agent as up and wakes the callers of Pause.
 func (c *Client) markUp(a *agent) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -85,13 +85,14 @@
 		return
 	}
 	c.log.Info("agent recovered", "agent", a.addr)
-	a.lifetime, a.cancel = context.WithCancel(context.Background())
+	a.upCtx, a.cancelUp = context.WithCancel(context.Background())
 	close(c.recovered)
 	c.recovered = make(chan struct{})
 }
 
-// selectAgent returns the agent to ask and its lifetime; ok is false if all are down.
-func (c *Client) selectAgent() (a *agent, lifetime context.Context, ok bool) {
+// selectAgent returns the agent that gets the next request, and its upCtx. ok is false if all
+// agents are down.
+func (c *Client) selectAgent() (a *agent, upCtx context.Context, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	name, changed, ok := c.selection.Select()
@@ -102,10 +103,10 @@
 		c.log.Info("agent selected", "agent", name)
 	}
 	a = c.agents[name]
-	return a, a.lifetime, true
+	return a, a.upCtx, true
 }
 
-// Pause waits for d, or until an agent recovers.
+// Pause waits until d has elapsed, an agent recovers or ctx is done.
 func (c *Client) Pause(ctx context.Context, d time.Duration) {
 	c.mu.Lock()
 	recovered := c.recovered
@@ -119,7 +120,7 @@
 	}
 }
 
-// jitter draws from d plus or minus a quarter, to spread the requests of many gateways.
+// jitter returns a random duration within 25% of d, which spreads the requests of many gateways.
 func jitter(d time.Duration) time.Duration {
 	return d*3/4 + rand.N(d/2+1)
 }
--- a/internal/consul/catalog.go
+++ b/internal/consul/catalog.go
@@ -9,18 +9,18 @@
 	"wellgw/decide/roster"
 )
 
-// catalogWatch watches the services that carry the tag, each in a goroutine of its own.
+// catalogWatch watches the services that carry the tag, each in a separate goroutine.
 type catalogWatch struct {
 	*watcher
-	tracker *roster.ServiceTracker
-	cancels map[string]context.CancelFunc // by service
-	group   sync.WaitGroup
-	initial bool // services added now may have run since before the gateway started
-	doubted bool // the latest view was
+	tracker   *roster.ServiceTracker
+	cancels   map[string]context.CancelFunc // key: service; ends its watch
+	group     sync.WaitGroup
+	initial   bool // no view applied yet: added services may have run since before the gateway started
+	untrusted bool // whether the latest view was untrusted
 }
 
-// watchCatalog watches the catalog and the services in it that carry the tag, until ctx ends.
-// It returns when all it started has ended.
+// watchCatalog watches the catalog and the services in it that carry the tag, until ctx is done.
+// It returns after all its goroutines have ended.
 func (w *watcher) watchCatalog(ctx context.Context) {
 	c := &catalogWatch{
 		watcher: w, tracker: roster.NewServiceTracker(w.policy, w.knownServices()), cancels: map[string]context.CancelFunc{}, initial: w.atStart,
@@ -30,46 +30,46 @@
 	defer stop()
 	c.group.Go(func() { w.watchChecks(ctx) })
 	known := w.knownServices()
-	w.setServices(len(known))
+	w.setServiceCount(len(known))
 	for _, name := range known {
-		c.add(ctx, name)
+		c.startWatch(ctx, name)
 	}
 	w.watch(ctx, w.newQuery("/v1/catalog/services", nil), queryHandler{
-		apply:   func(a QueryResult) error { return c.apply(ctx, a) },
-		confirm: func() bool { return !c.doubted },
-		doubt:   ignore,
+		apply:            func(result QueryResult) error { return c.apply(ctx, result) },
+		confirmUnchanged: func() bool { return !c.untrusted },
+		recordDistrust:   ignoreDistrust,
 	})
 }
 
-// apply starts and ends watches of services by a view of the catalog.
-func (c *catalogWatch) apply(ctx context.Context, a QueryResult) error {
-	tagged, others, err := parseServices(a.Body, c.cfg.Tag)
+// apply starts and ends the watches of services according to a view of the catalog.
+func (c *catalogWatch) apply(ctx context.Context, result QueryResult) error {
+	tagged, untagged, err := parseServices(result.Body, c.cfg.Tag)
 	if err != nil {
-		return fmt.Errorf("%w: %w", errNotAList, err)
+		return fmt.Errorf("%w: %w", errNotList, err)
 	}
-	view := roster.View{Index: a.Index, Leaderless: !a.KnownLeader, Age: a.LastContact}
-	changes := c.tracker.Observe(time.Now(), view, tagged, others)
+	view := roster.View{Index: result.Index, Leaderless: !result.KnownLeader, Age: result.LastContact}
+	changes := c.tracker.Observe(time.Now(), view, tagged, untagged)
 	if changes.DistrustReason != roster.Trusted {
 		c.log.Warn("catalog doubted", "reason", string(changes.DistrustReason), "services", len(tagged))
 	}
-	c.setServices(len(c.cancels) + len(changes.Added) - len(changes.Untagged) - len(changes.Missing))
+	c.setServiceCount(len(c.cancels) + len(changes.Added) - len(changes.Untagged) - len(changes.Missing))
 	for _, name := range changes.Added {
-		c.add(ctx, name)
+		c.startWatch(ctx, name)
 	}
 	for _, name := range changes.Untagged {
-		c.end(name)
-		c.directory.With(func(r *roster.Registry, now time.Time) { r.RemoveSource(now, source(name), "tag removed") })
+		c.endWatch(name)
+		c.directory.With(func(r *roster.Registry, now time.Time) { r.RemoveSource(now, catalogueSource(name), "tag removed") })
 	}
 	for _, name := range changes.Missing {
-		c.end(name)
-		c.directory.With(func(r *roster.Registry, now time.Time) { r.MarkSourceMissing(now, source(name)) })
+		c.endWatch(name)
+		c.directory.With(func(r *roster.Registry, now time.Time) { r.MarkSourceMissing(now, catalogueSource(name)) })
 	}
-	c.initial, c.doubted = false, changes.DistrustReason != roster.Trusted
+	c.initial, c.untrusted = false, changes.DistrustReason != roster.Trusted
 	return nil
 }
 
-// add starts to watch a service, unless it is watched.
-func (c *catalogWatch) add(ctx context.Context, name string) {
+// startWatch starts the watch of a service, unless one is running.
+func (c *catalogWatch) startWatch(ctx context.Context, name string) {
 	if c.cancels[name] != nil {
 		return
 	}
@@ -83,8 +83,8 @@
 	c.group.Go(func() { c.watchOrPoll(ctx, name, pollNow) })
 }
 
-// end ends the watch of a service; its goroutine ends soon after.
-func (c *catalogWatch) end(name string) {
+// endWatch cancels the watch of a service; its goroutine ends asynchronously.
+func (c *catalogWatch) endWatch(name string) {
 	if cancel := c.cancels[name]; cancel != nil {
 		cancel()
 		delete(c.cancels, name)
@@ -95,8 +95,8 @@
 	c.checks.SetNodes(name, nil)
 }
 
-// setServices sets the number of services, which decides whether they are polled.
-func (w *watcher) setServices(services int) {
+// setServiceCount sets the number of services, which decides between blocking queries and polls.
+func (w *watcher) setServiceCount(services int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.stats.Services = services
--- a/internal/consul/client.go
+++ b/internal/consul/client.go
@@ -1,7 +1,7 @@
-// Package consul discovers engines by Consul's HTTP API: it watches the health of services by
-// blocking queries, and in the catalog which services carry a tag. It also registers the
-// gateway itself, and offers key-value entries and sessions. decide/watch decides what is
-// requested next, decide/roster which engines follow from the responses.
+// Package consul discovers engines through Consul's HTTP API: it watches the health of services
+// with blocking queries, and the catalog for services that carry a tag. It also registers the
+// gateway itself, and gives access to key-value entries and sessions. decide/watch chooses the
+// next request, decide/roster derives the engines from the responses.
 //
 // Source: Consul's HTTP API documentation, "Blocking Queries", "Consistency Modes",
 // "Health", "Catalog", "Agent / Service", "Agent / Check", "Status".
@@ -28,24 +28,24 @@
 // Timeouts and limits of the client.
 const (
 	heartbeatInterval = 800 * time.Millisecond  // between heartbeats to an agent
-	heartbeatTimeout  = 1200 * time.Millisecond // an agent that takes longer counts as hung
-	requestTimeout    = 5 * time.Second         // of a request that does not block, body included
-	blockingSlack     = 2 * time.Second         // beyond the wait and its sixteenth, for one that blocks
+	heartbeatTimeout  = 1200 * time.Millisecond // an agent that takes longer is marked down
+	requestTimeout    = 5 * time.Second         // of a request that does not block, including its body
+	blockingMargin    = 2 * time.Second         // added to the wait and Consul's jitter for a request that blocks
 	connectTimeout    = time.Second
-	bodyStallTimeout  = 1500 * time.Millisecond // for each chunk of a body
-	bodyChunk         = 128 << 10
-	maxRetryAfter     = 30 * time.Second // a longer Retry-After is cut to this
-	maxHeartbeatBody  = 4 << 10          // read so that the connection can be used again
-	maxErrorText      = 200              // bytes of an error's body, for the log
+	bodyStallTimeout  = 1500 * time.Millisecond // for each chunk of a body (bodyChunk)
+	bodyChunk         = 128 << 10               // bytes
+	maxRetryAfter     = 30 * time.Second        // a longer Retry-After is reduced to this
+	maxHeartbeatBody  = 4 << 10                 // bytes; the body is read so that the connection can be reused
+	maxErrorText      = 200                     // bytes of an error response's body that are logged
 )
 
-// Query is a read request to whichever agent is up.
+// Query is a read request to the selected agent.
 type Query struct {
 	Path   string
 	Params url.Values
-	Index  uint64        // 0: do not block
-	Wait   time.Duration // longest time to block until the index exceeds Index
-	Stale  bool          // any server may answer, even without a leader
+	Index  uint64        // if not 0, the request blocks until the index exceeds this
+	Wait   time.Duration // max time to block
+	Stale  bool          // any server may respond, even without a leader
 }
 
 // QueryResult is an agent's response with its metadata.
@@ -53,38 +53,38 @@
 	Body        []byte
 	Index       uint64        // X-Consul-Index
 	LastContact time.Duration // X-Consul-LastContact
-	KnownLeader bool          // X-Consul-KnownLeader; true without the header
-	Agent       string
+	KnownLeader bool          // X-Consul-KnownLeader; true if the header is absent
+	Agent       string        // address of the agent
 }
 
-// Client makes requests to the first agent that is up. Run must be called for it to learn
-// which are.
+// Client sends requests to the first agent that is up. Only Run detects which agents are up, so
+// it must be called.
 type Client struct {
-	cfg        config.Consul
-	log        *slog.Logger
-	http       *http.Client
-	heartbeats *http.Client
-	scheme     string
+	cfg           config.Consul
+	log           *slog.Logger
+	http          *http.Client
+	heartbeatHTTP *http.Client
+	scheme        string
 
 	mu           sync.Mutex
 	agents       map[string]*agent
 	selection    *watch.AgentSelector
-	recovered    chan struct{} // closed, and replaced, when an agent has recovered
+	recovered    chan struct{} // closed and replaced when an agent recovers
 	token        string
-	tokenModTime time.Time // the token file's when it was read
+	tokenModTime time.Time // modification time of the token file at its last read
 }
 
-// NewClient returns a client. An error names a file of the configuration that can't be used.
+// NewClient returns a client. An error names the setting whose file can't be used.
 func NewClient(cfg config.Consul, log *slog.Logger) (*Client, error) {
 	c := &Client{cfg: cfg, log: log, scheme: "http", recovered: make(chan struct{})}
 	dial := &net.Dialer{Timeout: connectTimeout}
-	transport := func(idle int) *http.Transport {
+	newTransport := func(idle int) *http.Transport {
 		return &http.Transport{DialContext: dial.DialContext, MaxIdleConnsPerHost: idle, IdleConnTimeout: time.Minute, TLSHandshakeTimeout: connectTimeout}
 	}
-	data, beat := transport(cfg.Watches()), transport(1)
+	requestTransport, heartbeatTransport := newTransport(cfg.Watches()), newTransport(1)
 	if cfg.TLS != nil {
 		c.scheme = "https"
-		for _, t := range []*http.Transport{data, beat} {
+		for _, t := range []*http.Transport{requestTransport, heartbeatTransport} {
 			conf, err := tlsConfig(cfg.TLS)
 			if err != nil {
 				return nil, err
@@ -92,17 +92,18 @@
 			t.TLSClientConfig = conf
 		}
 	}
-	c.http, c.heartbeats = &http.Client{Transport: data}, &http.Client{Transport: beat}
+	c.http, c.heartbeatHTTP = &http.Client{Transport: requestTransport}, &http.Client{Transport: heartbeatTransport}
 	c.agents, c.selection = map[string]*agent{}, watch.NewAgentSelector(cfg.Agents())
 	for _, addr := range cfg.Agents() {
 		a := &agent{addr: addr}
-		a.lifetime, a.cancel = context.WithCancel(context.Background())
+		a.upCtx, a.cancelUp = context.WithCancel(context.Background())
 		c.agents[addr] = a
 	}
 	return c, nil
 }
 
-// Get makes a read request. An error is a *StatusError, or says why no agent responded.
+// Get sends a read request. An error is a *StatusError, or wraps the reason for the missing or
+// unusable response.
 func (c *Client) Get(ctx context.Context, q Query) (QueryResult, error) {
 	timeout := requestTimeout
 	params := url.Values{}
@@ -115,7 +116,7 @@
 	if q.Index > 0 {
 		params.Set("index", strconv.FormatUint(q.Index, 10))
 		params.Set("wait", strconv.FormatInt(q.Wait.Milliseconds(), 10)+"ms")
-		timeout = q.Wait + q.Wait/16 + blockingSlack // Consul adds up to a sixteenth, by its documentation
+		timeout = q.Wait + q.Wait/16 + blockingMargin // Consul adds a jitter of up to wait/16, per its documentation
 	}
 	switch {
 	case q.Stale || c.cfg.Consistency == "stale":
@@ -127,18 +128,18 @@
 	if err != nil {
 		return QueryResult{}, err
 	}
-	a := QueryResult{Body: r.body, Agent: r.agent, KnownLeader: r.header.Get("X-Consul-KnownLeader") != "false"}
-	if a.Index = indexOf(r.header); a.Index == 0 {
+	result := QueryResult{Body: r.body, Agent: r.agent, KnownLeader: r.header.Get("X-Consul-KnownLeader") != "false"}
+	if result.Index = responseIndex(r.header); result.Index == 0 {
 		return QueryResult{}, fmt.Errorf("agent %s: %w", r.agent, errNoIndex)
 	}
 	if ms, err := strconv.ParseInt(r.header.Get("X-Consul-LastContact"), 10, 64); err == nil && ms > 0 {
-		a.LastContact = time.Duration(ms) * time.Millisecond
+		result.LastContact = time.Duration(ms) * time.Millisecond
 	}
-	return a, nil
+	return result, nil
 }
 
-// indexOf returns X-Consul-Index, 0 without one.
-func indexOf(h http.Header) uint64 {
+// responseIndex returns X-Consul-Index, or 0 if it is missing or malformed.
+func responseIndex(h http.Header) uint64 {
 	n, err := strconv.ParseUint(h.Get("X-Consul-Index"), 10, 64)
 	if err != nil {
 		return 0
@@ -146,35 +147,35 @@
 	return n
 }
 
-// Put makes a write request.
+// Put sends a write request.
 func (c *Client) Put(ctx context.Context, path string, body []byte) error {
 	_, err := c.do(ctx, http.MethodPut, path, nil, body, requestTimeout)
 	return err
 }
 
-// response is an agent's response with status 200.
+// response is an agent's response with status 200 (OK).
 type response struct {
 	header http.Header
 	body   []byte
-	agent  string // its address
+	agent  string // address of the agent
 }
 
-// do makes a request to the agent in use. It ends early if the agent is marked down meanwhile.
+// do sends a request to the selected agent. Marking the agent down cancels the request.
 func (c *Client) do(ctx context.Context, method, path string, params url.Values, body []byte, timeout time.Duration) (response, error) {
-	a, lifetime, up := c.selectAgent()
+	a, upCtx, up := c.selectAgent()
 	if !up {
 		return response{}, errNoAgent
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	defer context.AfterFunc(lifetime, cancel)()
+	defer context.AfterFunc(upCtx, cancel)()
 	req, err := c.newRequest(ctx, method, a.addr, path, params, body)
 	if err != nil {
 		return response{}, fmt.Errorf("query: %w", err)
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return response{}, c.requestError(lifetime, a, err)
+		return response{}, c.requestError(upCtx, a, err)
 	}
 	defer resp.Body.Close()
 	limit := c.cfg.MaxBody()
@@ -186,7 +187,7 @@
 	case resp.StatusCode != http.StatusOK:
 		return response{}, newStatusError(a.addr, resp, raw)
 	case err != nil:
-		return response{}, c.requestError(lifetime, a, err)
+		return response{}, c.requestError(upCtx, a, err)
 	case int64(len(raw)) > limit:
 		return response{}, fmt.Errorf("agent %s: %w", a.addr, errTooLong)
 	}
@@ -208,11 +209,11 @@
 	return req, nil
 }
 
-// readBody reads a body that keeps coming. cancel ends the reading of one that stalls, which
-// would delay the next request.
+// readBody reads a body. If a chunk takes longer than bodyStallTimeout it calls cancel, which has
+// to abort the read: a stalled body would delay the next request.
 func readBody(r io.Reader, cancel func()) ([]byte, error) {
-	stalled := time.AfterFunc(bodyStallTimeout, cancel)
-	defer stalled.Stop()
+	stallTimer := time.AfterFunc(bodyStallTimeout, cancel)
+	defer stallTimer.Stop()
 	var body bytes.Buffer
 	for {
 		switch _, err := io.CopyN(&body, r, bodyChunk); {
@@ -221,6 +222,6 @@
 		case err != nil:
 			return nil, err
 		}
-		stalled.Reset(bodyStallTimeout)
+		stallTimer.Reset(bodyStallTimeout)
 	}
 }
--- a/internal/consul/consul_test.go
+++ b/internal/consul/consul_test.go
@@ -22,173 +22,175 @@
 )
 
 func TestDrainMarks(t *testing.T) {
-	w := begin(t, 1, (*world).three, nil)
-	w.await("a b c")
-	w.store.SetCheck(node, "a", "alive", "critical")
-	w.store.Maintain(node, "b", true, "")
-	w.await("a! b! c")
-	w.store.SetCheck(node, "a", "alive", "warning")
-	w.store.Maintain(node, "b", false, "")
-	w.await("a b c")
-	w.store.Deregister(node, "c")
-	w.await("a b")
-	if s := w.dir.Stats(); s.Queries < 4 || s.Failed > 0 || s.Agent != w.agents[0].Addr {
+	env := startEnv(t, 1, (*testEnv).registerThree, nil)
+	env.awaitPublished("a b c")
+	env.store.SetCheck(node, "a", "alive", "critical")
+	env.store.Maintain(node, "b", true, "")
+	env.awaitPublished("a! b! c")
+	env.store.SetCheck(node, "a", "alive", "warning")
+	env.store.Maintain(node, "b", false, "")
+	env.awaitPublished("a b c")
+	env.store.Deregister(node, "c")
+	env.awaitPublished("a b")
+	if s := env.discovery.Stats(); s.Queries < 4 || s.Failed > 0 || s.Agent != env.agents[0].Addr {
 		t.Errorf("%+v", s)
 	}
 }
 
-// Hard case: the mark arrives in the same body as an entry that can't be read.
-func TestDrainMarkBesideInvalidEntries(t *testing.T) {
-	w := begin(t, 1, (*world).three, nil)
-	w.await("a b c")
-	w.fail(consul.Faults{Rewrite: func(_ string, body []byte) []byte {
+// A drain mark takes effect although other entries of the same body are malformed.
+func TestDrainMarkWithMalformedEntries(t *testing.T) {
+	env := startEnv(t, 1, (*testEnv).registerThree, nil)
+	env.awaitPublished("a b c")
+	env.injectFaults(consul.Faults{Rewrite: func(_ string, body []byte) []byte {
 		body = bytes.Replace(body, []byte(`"ID":"b"`), []byte(`"ID":null`), 1)
 		return bytes.Replace(body, []byte(`"Port":9003`), []byte(`"Port":-4`), 1)
 	}})
-	w.store.SetCheck(node, "a", "alive", "critical")
-	w.await("a! b c")
-	w.store.SetCheck(node, "c", "alive", "critical") // c's own entry is the one that makes no sense
-	w.await("a! b c!")
-	w.fail(consul.Faults{})
-	w.store.SetCheck(node, "c", "alive", "passing")
-	w.await("a! b c")
+	env.store.SetCheck(node, "a", "alive", "critical")
+	env.awaitPublished("a! b c")
+	env.store.SetCheck(node, "c", "alive", "critical") // c's own entry is malformed
+	env.awaitPublished("a! b c!")
+	env.injectFaults(consul.Faults{})
+	env.store.SetCheck(node, "c", "alive", "passing")
+	env.awaitPublished("a! b c")
 }
 
-// Bodies that are no list at all change nothing, and are asked about again.
+// A body that is not a list of entries changes nothing, and the query is repeated.
 func TestInvalidBodies(t *testing.T) {
-	w := begin(t, 1, (*world).three, nil)
-	w.await("a b c")
+	env := startEnv(t, 1, (*testEnv).registerThree, nil)
+	env.awaitPublished("a b c")
 	for i, body := range []string{`{}`, `null`, `[null,3,"x",[]]`, `[`, ``, `[{"Node":null}]`} {
-		w.fail(consul.Faults{Body: body})
-		w.store.SetCheck(node, "a", "other", map[bool]string{true: "passing", false: "warning"}[i%2 == 0])
-		w.stays("a b c", 150*time.Millisecond)
+		env.injectFaults(consul.Faults{Body: body})
+		env.store.SetCheck(node, "a", "other", map[bool]string{true: "passing", false: "warning"}[i%2 == 0])
+		env.assertUnchanged("a b c", 150*time.Millisecond)
 	}
-	w.store.SetCheck(node, "b", "alive", "critical")
-	w.fail(consul.Faults{})
-	w.await("a b! c")
+	env.store.SetCheck(node, "b", "alive", "critical")
+	env.injectFaults(consul.Faults{})
+	env.awaitPublished("a b! c")
 }
 
-// Hard case: a hang begins in the middle of a blocking query, and the agent comes back
-// with a lower index and a mark.
-func TestHangAndLowerIndex(t *testing.T) {
-	w := begin(t, 1, (*world).three, nil)
-	old := w.store.Snapshot()
-	w.await("a b c")
-	for range 9 { // far enough for the index to stay lower once it has been restored
-		w.store.Maintain(node, "c", true, "")
+// The agent stops responding during a blocking query, and recovers with a lower index and a new
+// mark.
+func TestIndexRegressionAfterHang(t *testing.T) {
+	env := startEnv(t, 1, (*testEnv).registerThree, nil)
+	oldState := env.store.Snapshot()
+	env.awaitPublished("a b c")
+	for range 9 { // enough changes for the index to be lower after Restore
+		env.store.Maintain(node, "c", true, "")
 	}
-	w.await("a b c!")
-	w.fail(consul.Faults{Hang: true})
-	w.awaitDoubt(roster.Unreachable)
-	w.store.Restore(old)
-	w.store.SetCheck(node, "a", "alive", "critical")
-	w.fail(consul.Faults{})
-	w.await("a! b c!") // the new mark counts; the old one is not lifted by a view in doubt
-	w.awaitDoubt(roster.IndexRegressed)
+	env.awaitPublished("a b c!")
+	env.injectFaults(consul.Faults{Hang: true})
+	env.awaitDistrustReason(roster.Unreachable)
+	env.store.Restore(oldState)
+	env.store.SetCheck(node, "a", "alive", "critical")
+	env.injectFaults(consul.Faults{})
+	env.awaitPublished("a! b c!") // an untrusted view adds the new mark, but does not remove the old one
+	env.awaitDistrustReason(roster.IndexRegressed)
 }
 
-// Hard case: two agents disagree. The one that lags can lift no mark; it can add one.
-func TestTwoAgentsDisagree(t *testing.T) {
-	w := begin(t, 2, (*world).three, nil)
-	w.await("a b c")
-	old := w.store.Snapshot()
-	w.store.SetCheck(node, "a", "alive", "critical")
-	w.await("a! b c")
-	if err := w.agents[1].Fail(consul.Faults{Lag: old}); err != nil {
+// Two agents disagree. A view from the lagging agent can add a mark but not remove one.
+func TestLaggingAgent(t *testing.T) {
+	env := startEnv(t, 2, (*testEnv).registerThree, nil)
+	env.awaitPublished("a b c")
+	oldState := env.store.Snapshot()
+	env.store.SetCheck(node, "a", "alive", "critical")
+	env.awaitPublished("a! b c")
+	if err := env.agents[1].Fail(consul.Faults{Lag: oldState}); err != nil {
 		t.Fatal(err)
 	}
-	if err := w.agents[0].Fail(consul.Faults{Refuse: true}); err != nil {
+	if err := env.agents[0].Fail(consul.Faults{Refuse: true}); err != nil {
 		t.Fatal(err)
 	}
-	w.awaitDoubt(roster.IndexRegressed)
-	w.stays("a! b c", 200*time.Millisecond)
-	if err := w.agents[1].Fail(consul.Faults{}); err != nil {
+	env.awaitDistrustReason(roster.IndexRegressed)
+	env.assertUnchanged("a! b c", 200*time.Millisecond)
+	if err := env.agents[1].Fail(consul.Faults{}); err != nil {
 		t.Fatal(err)
 	}
-	w.store.SetCheck(node, "a", "alive", "passing")
-	w.await("a b c")
+	env.store.SetCheck(node, "a", "alive", "passing")
+	env.awaitPublished("a b c")
 }
 
-// Hard case: an engine moves to another address under its id, and another id comes at
-// the address of an engine that has left its entry behind.
-func TestMovesAndSuccessors(t *testing.T) {
-	w := begin(t, 1, (*world).three, nil)
-	w.await("a b c")
+// An engine moves to another address under the same ID, and another engine registers at the address
+// of one whose old entry is still in the catalog.
+func TestAddressChanges(t *testing.T) {
+	env := startEnv(t, 1, (*testEnv).registerThree, nil)
+	env.awaitPublished("a b c")
 	addr := func(id string) string {
-		for _, e := range w.keeper.View().Engines {
+		for _, e := range env.directory.View().Engines {
 			if e.ID == id {
 				return e.Address
 			}
 		}
 		return ""
 	}
-	w.list("llm", "a", 9100)
-	enginetest.Eventually(t, "a has moved", func() bool { return addr("a") == "127.0.0.1:9100" })
-	w.list("llm", "d", 9002)
-	w.await("a c d")
-	w.store.Deregister(node, "b")
-	w.stays("a c d", 200*time.Millisecond)
+	env.registerEngine("llm", "a", 9100)
+	enginetest.Eventually(t, "a is at its new address", func() bool { return addr("a") == "127.0.0.1:9100" })
+	env.registerEngine("llm", "d", 9002)
+	env.awaitPublished("a c d")
+	env.store.Deregister(node, "b")
+	env.assertUnchanged("a c d", 200*time.Millisecond)
 }
 
-// Hard case: the tag is taken away during a drain, and comes back while it lasts.
+// The tag is removed from a service during a drain, and added again before the drain ends.
 func TestTagRemovedDuringDrain(t *testing.T) {
-	w := begin(t, 1, (*world).three, func(_ *world, cfg *config.Consul) { cfg.Service, cfg.Tag = "", "engine" })
-	w.await("a b c")
-	w.store.Maintain(node, "a", true, "")
-	w.await("a! b c")
+	env := startEnv(t, 1, (*testEnv).registerThree, func(_ *testEnv, cfg *config.Consul) { cfg.Service, cfg.Tag = "", "engine" })
+	env.awaitPublished("a b c")
+	env.store.Maintain(node, "a", true, "")
+	env.awaitPublished("a! b c")
 	for i, id := range []string{"a", "b", "c"} {
-		w.list("llm", id, 9001+i, "other")
+		env.registerEngine("llm", id, 9001+i, "other")
 	}
-	w.await("")
-	w.three()
-	w.await("a! b c")
+	env.awaitPublished("")
+	env.registerThree()
+	env.awaitPublished("a! b c")
 }
 
-// A service that vanishes from the catalogue, though nobody took its tag away, is held
-// while its engines answer.
-func TestServiceVanishes(t *testing.T) {
-	w := begin(t, 1, func(w *world) { w.three(); w.list("web", "x", 80) }, func(_ *world, cfg *config.Consul) { cfg.Service, cfg.Tag = "", "engine" })
-	w.await("a b c")
-	w.mu.Lock()
-	w.alive["127.0.0.1:9002"] = roster.Refused
-	w.mu.Unlock()
-	w.store.Restore(consul.Empty())
-	w.await("a c")
-	w.stays("a c", 300*time.Millisecond)
+// The engines of a service that disappears from the catalog without the removal of its tag stay in
+// service while they respond to probes.
+func TestServiceMissingFromCatalog(t *testing.T) {
+	env := startEnv(t, 1, func(env *testEnv) { env.registerThree(); env.registerEngine("web", "x", 80) }, func(_ *testEnv, cfg *config.Consul) { cfg.Service, cfg.Tag = "", "engine" })
+	env.awaitPublished("a b c")
+	env.mu.Lock()
+	env.probeResults["127.0.0.1:9002"] = roster.Refused
+	env.mu.Unlock()
+	env.store.Restore(consul.Empty())
+	env.awaitPublished("a c")
+	env.assertUnchanged("a c", 300*time.Millisecond)
 }
 
-// Hard case: the configuration moves to another agent while the old one hangs.
-func TestMoveWhileItHangs(t *testing.T) {
-	w := begin(t, 1, (*world).three, nil)
-	w.await("a b c")
-	w.fail(consul.Faults{Hang: true})
-	next, err := consul.NewAgent(w.store, node)
+// The configuration changes to another agent while the previous one is unresponsive.
+func TestReconfigureWhileAgentHangs(t *testing.T) {
+	env := startEnv(t, 1, (*testEnv).registerThree, nil)
+	env.awaitPublished("a b c")
+	env.injectFaults(consul.Faults{Hang: true})
+	newAgent, err := consul.NewAgent(env.store, node)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(next.Close)
-	w.store.SetCheck(node, "b", "alive", "critical")
-	cfg := w.cfg
-	cfg.Addresses = []string{next.Addr}
-	if err := w.dir.Reconfigure(cfg); err != nil {
+	t.Cleanup(newAgent.Close)
+	env.store.SetCheck(node, "b", "alive", "critical")
+	cfg := env.cfg
+	cfg.Addresses = []string{newAgent.Addr}
+	if err := env.discovery.Reconfigure(cfg); err != nil {
 		t.Fatal(err)
 	}
-	w.await("a b! c")
-	cfg.Service = "other" // and to another service: what only the old one named goes once the new one has spoken
-	w.list("other", "x", 9200)
-	if err := w.dir.Reconfigure(cfg); err != nil {
+	env.awaitPublished("a b! c")
+	// Then to another service: the engines of the previous one are removed after the first trusted
+	// view of the new one.
+	cfg.Service = "other"
+	env.registerEngine("other", "x", 9200)
+	if err := env.discovery.Reconfigure(cfg); err != nil {
 		t.Fatal(err)
 	}
-	w.await("x")
-	bad := cfg
-	bad.TLS = &config.TLS{CAFile: "nowhere.pem"}
-	if err := w.dir.Reconfigure(bad); err == nil || !strings.Contains(err.Error(), "consul.tls.ca_file") {
-		t.Errorf("a file that is not there: %v", err)
+	env.awaitPublished("x")
+	invalid := cfg
+	invalid.TLS = &config.TLS{CAFile: "nowhere.pem"}
+	if err := env.discovery.Reconfigure(invalid); err == nil || !strings.Contains(err.Error(), "consul.tls.ca_file") {
+		t.Errorf("missing CA file: %v", err)
 	}
 }
 
-// Errors, resets and hints are survived, and marks set meanwhile followed after.
-func TestErrorsOfAgents(t *testing.T) {
+// Errors of agents change no engine, and marks set afterwards take effect after the recovery.
+func TestAgentErrors(t *testing.T) {
 	for name, f := range map[string]consul.Faults{
 		"429": {Status: 429, Hint: "0.1"}, "500": {Status: 500}, "403": {Status: 403}, "no leader": {Leaderless: true},
 		"resets": {Reset: 1}, "refuses": {Refuse: true}, "trickles": {Trickle: 100 * time.Millisecond}, "too old": {Contact: time.Hour},
@@ -196,30 +198,30 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := begin(t, 1, (*world).three, nil)
-			w.await("a b c")
-			w.fail(f)
-			w.store.SetCheck(node, "a", "other", "passing")
-			w.stays("a b c", 500*time.Millisecond)
-			w.fail(consul.Faults{})
-			w.store.SetCheck(node, "a", "alive", "critical")
-			w.await("a! b c")
-			w.awaitDoubt(roster.Trusted)
+			env := startEnv(t, 1, (*testEnv).registerThree, nil)
+			env.awaitPublished("a b c")
+			env.injectFaults(f)
+			env.store.SetCheck(node, "a", "other", "passing")
+			env.assertUnchanged("a b c", 500*time.Millisecond)
+			env.injectFaults(consul.Faults{})
+			env.store.SetCheck(node, "a", "alive", "critical")
+			env.awaitPublished("a! b c")
+			env.awaitDistrustReason(roster.Trusted)
 		})
 	}
 }
 
-// Without a leader any server is asked, so that marks are still seen.
+// Without a leader queries are stale, so that any server may respond and marks still take effect.
 func TestDrainMarksWithoutLeader(t *testing.T) {
-	w := begin(t, 1, (*world).three, nil)
-	w.await("a b c")
-	w.fail(consul.Faults{Leaderless: true})
-	w.store.SetCheck(node, "c", "alive", "critical")
-	w.await("a b c!")
-	w.awaitDoubt(roster.NoLeader)
+	env := startEnv(t, 1, (*testEnv).registerThree, nil)
+	env.awaitPublished("a b c")
+	env.injectFaults(consul.Faults{Leaderless: true})
+	env.store.SetCheck(node, "c", "alive", "critical")
+	env.awaitPublished("a b c!")
+	env.awaitDistrustReason(roster.NoLeader)
 }
 
-// The token is read from its file as it changes.
+// The token file is read again when it changes.
 func TestTokenFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "token")
 	write := func(text string, at time.Time) {
@@ -231,138 +233,138 @@
 		}
 	}
 	write("old", time.Unix(1_000_000, 0))
-	w := begin(t, 1, func(w *world) { w.three(); w.agents[0].Token = "new" }, func(_ *world, cfg *config.Consul) { cfg.TokenFile = path })
-	w.stays("", 300*time.Millisecond)
+	env := startEnv(t, 1, func(env *testEnv) { env.registerThree(); env.agents[0].Token = "new" }, func(_ *testEnv, cfg *config.Consul) { cfg.TokenFile = path })
+	env.assertUnchanged("", 300*time.Millisecond)
 	write("new", time.Unix(2_000_000, 0))
-	w.await("a b c")
+	env.awaitPublished("a b c")
 }
 
-// The agent's certificate is checked against the file as it is now.
+// The agent's certificate is verified against the configured CA file and server name.
 func TestTLS(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ca.pem")
 	var server *httptest.Server
-	w := begin(t, 1, func(w *world) {
-		w.three()
-		server = httptest.NewTLSServer(w.agents[0])
+	env := startEnv(t, 1, func(env *testEnv) {
+		env.registerThree()
+		server = httptest.NewTLSServer(env.agents[0])
 		server.Config.ErrorLog = slog.NewLogLogger(slog.DiscardHandler, 0)
 		t.Cleanup(func() { server.CloseClientConnections(); server.Close() })
 		ca := pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: server.Certificate().Raw})
 		if err := os.WriteFile(path, ca, 0o600); err != nil {
 			t.Fatal(err)
 		}
-	}, func(_ *world, cfg *config.Consul) {
+	}, func(_ *testEnv, cfg *config.Consul) {
 		cfg.Addresses = []string{server.Listener.Addr().String()}
 		cfg.TLS = &config.TLS{CAFile: path, ServerName: "example.com"}
 	})
-	w.await("a b c")
-	cfg := w.cfg
+	env.awaitPublished("a b c")
+	cfg := env.cfg
 	cfg.TLS = &config.TLS{CAFile: path, ServerName: "elsewhere.test"}
-	if err := w.dir.Reconfigure(cfg); err != nil {
+	if err := env.discovery.Reconfigure(cfg); err != nil {
 		t.Fatal(err)
 	}
-	w.awaitDoubt(roster.Unreachable) // another name than the certificate's
+	env.awaitDistrustReason(roster.Unreachable) // the certificate has another name
 }
 
-// An answer that is too long is not taken, and removes nobody.
-func TestOversizedAnswer(t *testing.T) {
-	w := begin(t, 1, (*world).three, func(_ *world, cfg *config.Consul) { cfg.MaxBodyMB = 1 })
-	w.await("a b c")
-	w.fail(consul.Faults{Body: "[" + strings.Repeat(" ", 1<<20) + "]"})
-	w.store.SetCheck(node, "a", "other", "passing")
-	w.awaitDoubt(roster.Unreadable)
-	w.stays("a b c", 100*time.Millisecond)
+// A response that exceeds the size limit is rejected and removes no engine.
+func TestOversizedResponse(t *testing.T) {
+	env := startEnv(t, 1, (*testEnv).registerThree, func(_ *testEnv, cfg *config.Consul) { cfg.MaxBodyMB = 1 })
+	env.awaitPublished("a b c")
+	env.injectFaults(consul.Faults{Body: "[" + strings.Repeat(" ", 1<<20) + "]"})
+	env.store.SetCheck(node, "a", "other", "passing")
+	env.awaitDistrustReason(roster.Unreadable)
+	env.assertUnchanged("a b c", 100*time.Millisecond)
 }
 
-// The gateway lists itself, does so again when the agent has forgotten it, learns how
-// many there are, and is taken off as it leaves.
-func TestGatewaysListThemselves(t *testing.T) {
-	w := begin(t, 1, (*world).three, func(_ *world, cfg *config.Consul) {
+// The gateway registers itself, registers again after the agent has lost the registration, counts
+// the gateways, and deregisters itself when its watcher ends.
+func TestGatewayRegistration(t *testing.T) {
+	env := startEnv(t, 1, (*testEnv).registerThree, func(_ *testEnv, cfg *config.Consul) {
 		cfg.Register = &config.Register{Name: "wellgw", ID: "g1", Address: "127.0.0.1:8080", TTLMS: 1000}
 	})
-	listed := func() bool {
-		for _, m := range slices.Backward(w.store.Marks()) {
+	registered := func() bool {
+		for _, m := range slices.Backward(env.store.Marks()) {
 			if m.Service == "g1" {
 				return m.What == "clear"
 			}
 		}
 		return false
 	}
-	enginetest.Eventually(t, "the gateway is listed", listed)
-	w.list("wellgw", "g2", 8081)
-	w.list("wellgw", "g3", 8082)
+	enginetest.Eventually(t, "the gateway is registered", registered)
+	env.registerEngine("wellgw", "g2", 8081)
+	env.registerEngine("wellgw", "g3", 8082)
 	count := func() int {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		return w.gateways
+		env.mu.Lock()
+		defer env.mu.Unlock()
+		return env.gateways
 	}
 	enginetest.Eventually(t, "three gateways are counted", func() bool { return count() == 3 })
-	w.store.Deregister(node, "g1") // the agent has lost it
-	enginetest.Eventually(t, "the gateway is listed again", listed)
+	env.store.Deregister(node, "g1") // simulates an agent that lost its data
+	enginetest.Eventually(t, "the gateway is registered again", registered)
 	if n := count(); n != 3 {
-		t.Errorf("%d gateways, though one was away for a moment only", n)
+		t.Errorf("%d gateways, want 3: the brief absence of one must not lower the count", n)
 	}
-	w.dir.mu.Lock()
-	w.dir.restart() // as Move would; the listing is taken off and made anew
-	w.dir.mu.Unlock()
-	enginetest.Eventually(t, "the gateway was taken off", func() bool {
-		gone := 0
-		for _, m := range w.store.Marks() {
+	env.discovery.mu.Lock()
+	env.discovery.cancelWatcher() // as Reconfigure does; the gateway deregisters and registers again
+	env.discovery.mu.Unlock()
+	enginetest.Eventually(t, "the gateway was deregistered", func() bool {
+		removals := 0
+		for _, m := range env.store.Marks() {
 			if m.Service == "g1" && m.What == "gone" {
-				gone++
+				removals++
 			}
 		}
-		return gone >= 2
+		return removals >= 2
 	})
 }
 
-// Hard cases: 3,000 engines in 200 services, more than there are watches, and a
-// catalogue that flaps 1,000 of them a second. What is told in the end is what holds.
+// 3,000 engines in 200 services, which exceed the number of watches, and a catalog that flaps 1,000
+// engines per second. The engines published last must equal the final state of the catalog.
 func TestManyFlappingServices(t *testing.T) {
 	engines, services := 3000, 200
 	if testing.Short() {
 		engines, services = 300, 40
 	}
 	id := func(i int) string { return fmt.Sprintf("e%04d", i) }
-	w := begin(t, 1, func(w *world) {
+	env := startEnv(t, 1, func(env *testEnv) {
 		for i := range engines {
-			w.store.Register(consul.Service{
+			env.store.Register(consul.Service{
 				ID: id(i), Name: "svc-" + strconv.Itoa(i%services), Node: node, Address: fmt.Sprintf("127.1.%d.%d", i/200, i%200+1), Port: 9000, Tags: []string{"engine"},
 			}, map[string]string{"alive:" + id(i): "passing"})
 		}
-	}, func(_ *world, cfg *config.Consul) { cfg.Service, cfg.Tag, cfg.MaxWatches = "", "engine", 16 })
-	told := func(off int) func() bool {
+	}, func(_ *testEnv, cfg *config.Consul) { cfg.Service, cfg.Tag, cfg.MaxWatches = "", "engine", 16 })
+	published := func(draining int) func() bool {
 		return func() bool {
-			w.mu.Lock()
-			defer w.mu.Unlock()
+			env.mu.Lock()
+			defer env.mu.Unlock()
 			n := 0
-			for _, p := range w.phases {
+			for _, p := range env.phases {
 				if p != routing.PhaseActive {
 					n++
 				}
 			}
-			return len(w.phases) == engines && n == off
+			return len(env.phases) == engines && n == draining
 		}
 	}
-	enginetest.Eventually(t, "all engines are told", told(0))
+	enginetest.Eventually(t, "all engines are published", published(0))
 	for n := range 10 {
-		by := map[string]string{}
+		statuses := map[string]string{}
 		for i := range 100 {
-			by[id((n*100+i)%engines)] = map[bool]string{true: "critical", false: "passing"}[n%2 == 0]
+			statuses[id((n*100+i)%engines)] = map[bool]string{true: "critical", false: "passing"}[n%2 == 0]
 		}
-		w.store.SetChecks(node, by, "alive")
+		env.store.SetChecks(node, statuses, "alive")
 		time.Sleep(20 * time.Millisecond)
 	}
-	all := map[string]string{}
+	statuses := map[string]string{}
 	for i := range engines {
-		all[id(i)] = "passing"
+		statuses[id(i)] = "passing"
 	}
-	all[id(7)], all[id(8)] = "critical", "critical"
-	w.store.SetChecks(node, all, "alive")
-	enginetest.Eventually(t, "the last marks are told", told(2))
-	if s := w.dir.Stats(); !s.Polling || s.Services != services {
+	statuses[id(7)], statuses[id(8)] = "critical", "critical"
+	env.store.SetChecks(node, statuses, "alive")
+	enginetest.Eventually(t, "the last marks are published", published(2))
+	if s := env.discovery.Stats(); !s.Polling || s.Services != services {
 		t.Errorf("%+v", s)
 	}
-	if _, _, open := w.agents[0].Load(); open > 16+4 {
+	if _, _, open := env.agents[0].Load(); open > 16+4 {
 		t.Errorf("%d queries open", open)
 	}
 }
--- a/internal/consul/errors.go
+++ b/internal/consul/errors.go
@@ -15,50 +15,51 @@
 type StatusError struct {
 	Agent      string
 	Status     int
-	RetryAfter time.Duration // 0 without one
-	Text       string
-	Index      uint64 // X-Consul-Index, which a 404 has too
+	RetryAfter time.Duration // 0 if the response has no valid one
+	Text       string        // the beginning of the body
+	Index      uint64        // X-Consul-Index, which a response with status 404 also has
 }
 
 func (e *StatusError) Error() string {
-	return fmt.Sprintf("agent %s answered %d: %s", e.Agent, e.Status, e.Text)
+	return fmt.Sprintf("agent %s returned status %d: %s", e.Agent, e.Status, e.Text)
 }
 
-// isNoLeader reports whether the servers had no leader.
+// isNoLeader reports whether the response states that the cluster has no leader.
 func (e *StatusError) isNoLeader() bool {
 	return e.Status == http.StatusInternalServerError && strings.Contains(e.Text, "No cluster leader")
 }
 
 var (
-	errAgentHung = errors.New("the agent hangs")
-	errNoAgent   = errors.New("no agent answers")
-	errTooLong   = errors.New("the answer is too long")
-	errNoIndex   = errors.New("no X-Consul-Index above 0")
+	errAgentHung = errors.New("agent does not respond to heartbeats")
+	errNoAgent   = errors.New("no agent is up")
+	errTooLong   = errors.New("response exceeds the size limit")
+	errNoIndex   = errors.New("X-Consul-Index is missing or 0")
 )
 
-// newStatusError returns the error for a response whose body, or the beginning of it, is raw.
+// newStatusError returns the error for a response. raw is the beginning of its body.
 func newStatusError(agent string, resp *http.Response, raw []byte) *StatusError {
 	return &StatusError{
 		Agent: agent, Status: resp.StatusCode, RetryAfter: retryAfter(resp.Header),
-		Text: strings.Join(strings.Fields(string(raw[:min(len(raw), maxErrorText)])), " "), Index: indexOf(resp.Header),
+		Text: strings.Join(strings.Fields(string(raw[:min(len(raw), maxErrorText)])), " "), Index: responseIndex(resp.Header),
 	}
 }
 
-// requestError wraps the failure of a request. An agent that refuses connections is marked
-// down at once; for any other failure the heartbeat decides. lifetime is the agent's.
-func (c *Client) requestError(lifetime context.Context, a *agent, err error) error {
+// requestError wraps the error of a request. If the connection could not be opened, the agent
+// is marked down immediately; after any other error the next heartbeat decides. upCtx is the agent's context
+// when the request started.
+func (c *Client) requestError(upCtx context.Context, a *agent, err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		c.markDown(a, err)
 	}
-	if lifetime.Err() != nil {
+	if upCtx.Err() != nil {
 		err = errAgentHung
 	}
 	return fmt.Errorf("agent %s: %w", a.addr, err)
 }
 
-// retryAfter returns an agent's Retry-After in seconds; RFC 9110 allows a date too, which Consul
-// does not use.
+// retryAfter returns the Retry-After of a response, at most maxRetryAfter, and 0 if it is missing
+// or malformed. Only seconds are parsed: RFC 9110 also allows a date, but Consul does not use it.
 func retryAfter(h http.Header) time.Duration {
 	s, err := strconv.ParseFloat(h.Get("Retry-After"), 64)
 	if err != nil || s <= 0 {
@@ -67,4 +68,4 @@
 	return min(time.Duration(s*float64(time.Second)), maxRetryAfter)
 }
 
-var errNotAList = errors.New("the body is no list")
+var errNotList = errors.New("response body is not a JSON array")
--- a/internal/consul/golden_test.go
+++ b/internal/consul/golden_test.go
@@ -16,8 +16,8 @@
 	"wellgw/internal/config"
 )
 
-// plainBody words a body in JSON with its keys in order, any other as it is.
-func plainBody(t *testing.T, raw []byte) string {
+// canonicalJSON returns a JSON body with sorted keys, and any other body unchanged.
+func canonicalJSON(t *testing.T, raw []byte) string {
 	t.Helper()
 	var v any
 	if len(raw) == 0 || json.Unmarshal(raw, &v) != nil {
@@ -30,8 +30,8 @@
 	return string(out)
 }
 
-// The client's calls as an agent gets them: method, target, token and body.
-func TestCallsOnTheWire(t *testing.T) {
+// The requests of the client as an agent receives them: method, target, token and body.
+func TestClientRequests(t *testing.T) {
 	calls := make(chan string, 100)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/v1/status/leader" {
@@ -41,7 +41,7 @@
 		if err != nil {
 			t.Error(err)
 		}
-		calls <- strings.TrimSpace(fmt.Sprintf("%s %s %s %s", r.Method, r.URL.RequestURI(), r.Header.Get("X-Consul-Token"), plainBody(t, raw)))
+		calls <- strings.TrimSpace(fmt.Sprintf("%s %s %s %s", r.Method, r.URL.RequestURI(), r.Header.Get("X-Consul-Token"), canonicalJSON(t, raw)))
 		w.Header().Set("X-Consul-Index", "5")
 		switch {
 		case r.URL.Path == "/v1/session/create":
@@ -58,9 +58,9 @@
 		t.Fatal(err)
 	}
 	ctx := t.Context()
-	yes := func(ok bool, err error) error {
+	requireTrue := func(ok bool, err error) error {
 		if err == nil && !ok {
-			t.Error("the answer true is not read")
+			t.Error("result false, want true")
 		}
 		return err
 	}
@@ -78,13 +78,13 @@
 		}, "GET /v1/kv/k/?dc=dc1&index=4&recurse=&wait=2000ms tok"},
 		{func() error {
 			_, ok, err := c.Read(ctx, "k/a")
-			return yes(ok, err)
+			return requireTrue(ok, err)
 		}, "GET /v1/kv/k/a?dc=dc1&recurse= tok"},
-		{func() error { return yes(c.CompareAndSwap(ctx, "k/a", []byte("v"), 3)) }, "PUT /v1/kv/k/a?cas=3 tok v"},
-		{func() error { return yes(c.CompareAndDelete(ctx, "k/a", 3)) }, "DELETE /v1/kv/k/a?cas=3 tok"},
+		{func() error { return requireTrue(c.CompareAndSwap(ctx, "k/a", []byte("v"), 3)) }, "PUT /v1/kv/k/a?cas=3 tok v"},
+		{func() error { return requireTrue(c.CompareAndDelete(ctx, "k/a", 3)) }, "DELETE /v1/kv/k/a?cas=3 tok"},
 		{func() error { return c.DeletePrefix(ctx, "k/") }, "DELETE /v1/kv/k/?recurse= tok"},
 		{func() error { return c.Write(ctx, "k/a", []byte("v")) }, "PUT /v1/kv/k/a tok v"},
-		{func() error { return yes(c.AcquireLock(ctx, "k/a", "s1", []byte("v"))) }, "PUT /v1/kv/k/a?acquire=s1 tok v"},
+		{func() error { return requireTrue(c.AcquireLock(ctx, "k/a", "s1", []byte("v"))) }, "PUT /v1/kv/k/a?acquire=s1 tok v"},
 		{func() error {
 			id, err := c.NewSession(ctx, "me", 10*time.Second, time.Second)
 			if id != "s1" {
@@ -92,7 +92,7 @@
 			}
 			return err
 		}, `PUT /v1/session/create tok {"Behavior":"release","Checks":[],"LockDelay":"1s","Name":"me","TTL":"10s"}`},
-		{func() error { return yes(c.RenewSession(ctx, "s1")) }, "PUT /v1/session/renew/s1 tok"},
+		{func() error { return requireTrue(c.RenewSession(ctx, "s1")) }, "PUT /v1/session/renew/s1 tok"},
 		{func() error { return c.DestroySession(ctx, "s1") }, "PUT /v1/session/destroy/s1 tok"},
 		{func() error { return c.Put(ctx, "/v1/agent/x", []byte("y")) }, "PUT /v1/agent/x tok y"},
 	} {
@@ -106,8 +106,8 @@
 	}
 }
 
-// The gateway's own listing as an agent gets it.
-func TestRegistrationOnTheWire(t *testing.T) {
+// The requests for the gateway's own registration as an agent receives them.
+func TestRegistrationRequests(t *testing.T) {
 	calls := make(chan string, 100)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("X-Consul-Index", "5")
@@ -129,10 +129,10 @@
 				t.Error(err)
 			}
 		}
-		calls <- strings.TrimSpace(r.Method + " " + r.URL.RequestURI() + " " + plainBody(t, raw))
+		calls <- strings.TrimSpace(r.Method + " " + r.URL.RequestURI() + " " + canonicalJSON(t, raw))
 	}))
 	t.Cleanup(server.Close)
-	w := begin(t, 0, func(*world) {}, func(_ *world, cfg *config.Consul) {
+	env := startEnv(t, 0, func(*testEnv) {}, func(_ *testEnv, cfg *config.Consul) {
 		cfg.Address = server.Listener.Addr().String()
 		cfg.Register = &config.Register{Name: "gw", ID: "g 1", Address: "127.0.0.1:8080", TTLMS: 1000}
 	})
@@ -145,9 +145,9 @@
 			t.Errorf("got %s, want %s", got, want)
 		}
 	}
-	w.dir.mu.Lock()
-	w.dir.restart()
-	w.dir.mu.Unlock()
+	env.discovery.mu.Lock()
+	env.discovery.cancelWatcher()
+	env.discovery.mu.Unlock()
 	for got := range calls {
 		if strings.Contains(got, "deregister") {
 			if want := "PUT /v1/agent/service/deregister/g%201"; got != want {
@@ -158,7 +158,7 @@
 	}
 }
 
-// What following has cost, as operators read it.
+// The statistics of a watcher, as operators read them.
 func TestStatsJSON(t *testing.T) {
 	got, err := json.Marshal(Stats{Agent: "a", Queries: 1, Failed: 2, Bytes: 3, Unchanged: 4, Services: 5, Polling: true})
 	if err != nil {
--- a/internal/consul/harness_test.go
+++ b/internal/consul/harness_test.go
@@ -20,133 +20,135 @@
 
 const node = "node-1"
 
-// world is a fake Consul, a directory that follows it, and what the core was told.
-type world struct {
+// testEnv contains a fake Consul, a Discovery and a directory that watch it, and the state that the
+// directory published to the core.
+type testEnv struct {
 	*testing.T
-	store  *consul.Store
-	agents []*consul.Agent
-	keeper *directory.Directory
-	dir    *Discovery
-	cfg    config.Consul
+	store     *consul.Store
+	agents    []*consul.Agent
+	directory *directory.Directory
+	discovery *Discovery
+	cfg       config.Consul
 
-	mu       sync.Mutex
-	phases   map[string]routing.Phase
-	gateways int
-	alive    map[string]roster.ProbeResult // by address; absent: alive
+	mu           sync.Mutex
+	phases       map[string]routing.Phase
+	gateways     int
+	probeResults map[string]roster.ProbeResult // key: address; the zero value applies to others
 }
 
-// begin makes a world of so many agents with the services that list names; change
-// may alter the configuration.
-func begin(t *testing.T, agents int, list func(*world), change func(*world, *config.Consul)) *world {
+// startEnv starts a testEnv with a number of agents. registerServices fills the catalog first, and
+// configure, if not nil, changes the configuration of the Discovery.
+func startEnv(t *testing.T, agents int, registerServices func(*testEnv), configure func(*testEnv, *config.Consul)) *testEnv {
 	t.Helper()
-	w := &world{T: t, store: consul.NewStore(), phases: map[string]routing.Phase{}, alive: map[string]roster.ProbeResult{}}
-	t.Cleanup(w.store.Close)
+	env := &testEnv{T: t, store: consul.NewStore(), phases: map[string]routing.Phase{}, probeResults: map[string]roster.ProbeResult{}}
+	t.Cleanup(env.store.Close)
 	for range agents {
-		a, err := consul.NewAgent(w.store, node)
+		a, err := consul.NewAgent(env.store, node)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(a.Close)
-		w.agents = append(w.agents, a)
-		w.cfg.Addresses = append(w.cfg.Addresses, a.Addr)
+		env.agents = append(env.agents, a)
+		env.cfg.Addresses = append(env.cfg.Addresses, a.Addr)
 	}
-	list(w)
-	w.cfg.Service = "llm"
-	if change != nil {
-		change(w, &w.cfg)
+	registerServices(env)
+	env.cfg.Service = "llm"
+	if configure != nil {
+		configure(env, &env.cfg)
 	}
 	log := slog.New(slog.DiscardHandler)
-	w.keeper = directory.New(directory.Options{Policy: RosterPolicy(w.cfg), Log: log, Publish: w.tell, Probe: func(_ context.Context, addr string) roster.ProbeResult {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		return w.alive[addr]
+	env.directory = directory.New(directory.Options{Policy: RosterPolicy(env.cfg), Log: log, Publish: env.publish, Probe: func(_ context.Context, addr string) roster.ProbeResult {
+		env.mu.Lock()
+		defer env.mu.Unlock()
+		return env.probeResults[addr]
 	}})
 	var err error
-	w.dir, err = New(Options{Config: w.cfg, Zone: "here", Directory: w.keeper, Log: log, Ready: func() bool { return true }, SetGateways: func(n int) {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		w.gateways = n
+	env.discovery, err = New(Options{Config: env.cfg, Zone: "here", Directory: env.directory, Log: log, Ready: func() bool { return true }, SetGateways: func(n int) {
+		env.mu.Lock()
+		defer env.mu.Unlock()
+		env.gateways = n
 	}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	var group sync.WaitGroup
-	group.Go(func() { w.keeper.Run(ctx) })
-	group.Go(func() { w.dir.Run(ctx) })
+	group.Go(func() { env.directory.Run(ctx) })
+	group.Go(func() { env.discovery.Run(ctx) })
 	t.Cleanup(func() { stop(); group.Wait() })
-	return w
+	return env
 }
 
-func (w *world) tell(_ routing.EngineListScope, members []core.Endpoint) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, m := range members {
-		if w.phases[m.Name] = m.Phase; m.Phase == routing.PhaseRemoved {
-			delete(w.phases, m.Name)
+func (env *testEnv) publish(_ routing.EngineListScope, endpoints []core.Endpoint) {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	for _, e := range endpoints {
+		if env.phases[e.Name] = e.Phase; e.Phase == routing.PhaseRemoved {
+			delete(env.phases, e.Name)
 		}
 	}
 }
 
-// list lists an engine, passing, at 127.0.0.1 and a port.
-func (w *world) list(service, id string, port int, tags ...string) {
-	w.store.Register(consul.Service{ID: id, Name: service, Node: node, Address: "127.0.0.1", Port: port, Tags: tags}, map[string]string{"alive:" + id: "passing"})
+// registerEngine registers an engine at 127.0.0.1 and a port, with a passing check.
+func (env *testEnv) registerEngine(service, id string, port int, tags ...string) {
+	env.store.Register(consul.Service{ID: id, Name: service, Node: node, Address: "127.0.0.1", Port: port, Tags: tags}, map[string]string{"alive:" + id: "passing"})
 }
 
-func (w *world) three() {
+func (env *testEnv) registerThree() {
 	for i, id := range []string{"a", "b", "c"} {
-		w.list("llm", id, 9001+i, "engine")
+		env.registerEngine("llm", id, 9001+i, "engine")
 	}
 }
 
-func (w *world) fail(f consul.Faults) {
-	w.Helper()
-	for _, a := range w.agents {
+func (env *testEnv) injectFaults(f consul.Faults) {
+	env.Helper()
+	for _, a := range env.agents {
 		if err := a.Fail(f); err != nil {
-			w.Fatal(err)
+			env.Fatal(err)
 		}
 	}
 }
 
-// says words what the core has been told: "a b!", "!" for one that gets no new work.
-func (w *world) says() string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	var words []string
-	for id, p := range w.phases {
+// published returns the engines published to the core, such as "a b!". A "!" marks an engine that
+// gets no new requests.
+func (env *testEnv) published() string {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	var parts []string
+	for id, p := range env.phases {
 		if p != routing.PhaseActive {
 			id += "!"
 		}
-		words = append(words, id)
+		parts = append(parts, id)
 	}
-	slices.Sort(words)
-	return strings.Join(words, " ")
+	slices.Sort(parts)
+	return strings.Join(parts, " ")
 }
 
-func (w *world) await(want string) {
-	w.Helper()
-	enginetest.Eventually(w.T, "the core is told "+want, func() bool { return w.says() == want })
+func (env *testEnv) awaitPublished(want string) {
+	env.Helper()
+	enginetest.Eventually(env.T, "the published engines are "+want, func() bool { return env.published() == want })
 }
 
-// stays looks for a while whether what was told stays as it is.
-func (w *world) stays(want string, span time.Duration) {
-	w.Helper()
+// assertUnchanged checks that the published engines remain the same during a time span.
+func (env *testEnv) assertUnchanged(want string, span time.Duration) {
+	env.Helper()
 	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if got := w.says(); got != want {
-			w.Fatalf("told %q, was %q", got, want)
+		if got := env.published(); got != want {
+			env.Fatalf("published %q, want %q", got, want)
 		}
 	}
 }
 
-func (w *world) doubt() string {
-	v := w.keeper.View()
+func (env *testEnv) distrustReason() string {
+	v := env.directory.View()
 	if len(v.Sources) == 0 {
-		return "nothing"
+		return "no source"
 	}
 	return v.Sources[0].DistrustReason
 }
 
-func (w *world) awaitDoubt(want roster.Reason) {
-	w.Helper()
-	enginetest.Eventually(w.T, "the source is "+string(want), func() bool { return w.doubt() == string(want) })
+func (env *testEnv) awaitDistrustReason(want roster.Reason) {
+	env.Helper()
+	enginetest.Eventually(env.T, "the distrust reason is "+string(want), func() bool { return env.distrustReason() == string(want) })
 }
--- a/internal/consul/kv.go
+++ b/internal/consul/kv.go
@@ -12,17 +12,18 @@
 	jsoniter "github.com/json-iterator/go"
 )
 
-// Pair is a key-value entry; its field names are keys of the answer. Source: Consul's HTTP API documentation, "KV Store".
+// Pair is a key-value entry. Its field names are the JSON keys of Consul's responses.
+// Source: Consul's HTTP API documentation, "KV Store".
 type Pair struct {
 	Key         string
 	Value       []byte
 	Session     string
-	LockIndex   uint64 // grows with each new holder of the lock
-	ModifyIndex uint64
+	LockIndex   uint64 // incremented each time the lock is acquired
+	ModifyIndex uint64 // index of the last modification
 }
 
-// List returns the entries below a prefix and their index. With an index that is not 0 it
-// blocks for up to wait until theirs exceeds it. A prefix without entries is no error.
+// List returns the entries with a key prefix, and their index. If index is not 0 it blocks until
+// theirs exceeds index, for at most wait. A prefix without entries is not an error.
 func (c *Client) List(ctx context.Context, prefix string, index uint64, wait time.Duration) ([]Pair, uint64, error) {
 	a, err := c.Get(ctx, Query{Path: "/v1/kv/" + prefix, Params: url.Values{"recurse": {""}}, Index: index, Wait: wait})
 	if s := (*StatusError)(nil); errors.As(err, &s) && s.Status == http.StatusNotFound {
@@ -33,12 +34,12 @@
 	}
 	var pairs []Pair
 	if err := jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(a.Body, &pairs); err != nil {
-		return nil, 0, fmt.Errorf("entries below %s: %w", prefix, err)
+		return nil, 0, fmt.Errorf("entries with prefix %s: %w", prefix, err)
 	}
 	return pairs, a.Index, nil
 }
 
-// Read returns one entry, and whether it exists.
+// Read returns one entry and whether it exists.
 func (c *Client) Read(ctx context.Context, key string) (Pair, bool, error) {
 	pairs, _, err := c.List(ctx, key, 0, 0)
 	for _, p := range pairs {
@@ -49,52 +50,54 @@
 	return Pair{}, false, err
 }
 
-// CompareAndSwap writes an entry if its ModifyIndex is still modify, 0 for one that does not exist, and
-// reports whether it was.
+// CompareAndSwap writes an entry if its ModifyIndex equals modify, and reports whether it did.
+// With a modify of 0 it writes only an entry that does not exist.
 func (c *Client) CompareAndSwap(ctx context.Context, key string, value []byte, modify uint64) (bool, error) {
-	return c.applied(ctx, http.MethodPut, "/v1/kv/"+key, url.Values{"cas": {strconv.FormatUint(modify, 10)}}, value)
+	return c.writeKV(ctx, http.MethodPut, "/v1/kv/"+key, url.Values{"cas": {strconv.FormatUint(modify, 10)}}, value)
 }
 
-// CompareAndDelete deletes an entry if its ModifyIndex is still modify, and reports whether it was.
+// CompareAndDelete deletes an entry if its ModifyIndex equals modify, and reports whether it did.
 func (c *Client) CompareAndDelete(ctx context.Context, key string, modify uint64) (bool, error) {
-	return c.applied(ctx, http.MethodDelete, "/v1/kv/"+key, url.Values{"cas": {strconv.FormatUint(modify, 10)}}, nil)
+	return c.writeKV(ctx, http.MethodDelete, "/v1/kv/"+key, url.Values{"cas": {strconv.FormatUint(modify, 10)}}, nil)
 }
 
-// DeletePrefix deletes all entries below a prefix.
+// DeletePrefix deletes all entries with a key prefix.
 func (c *Client) DeletePrefix(ctx context.Context, prefix string) error {
-	_, err := c.applied(ctx, http.MethodDelete, "/v1/kv/"+prefix, url.Values{"recurse": {""}}, nil)
+	_, err := c.writeKV(ctx, http.MethodDelete, "/v1/kv/"+prefix, url.Values{"recurse": {""}}, nil)
 	return err
 }
 
 // Write writes an entry unconditionally.
 func (c *Client) Write(ctx context.Context, key string, value []byte) error {
-	_, err := c.applied(ctx, http.MethodPut, "/v1/kv/"+key, nil, value)
+	_, err := c.writeKV(ctx, http.MethodPut, "/v1/kv/"+key, nil, value)
 	return err
 }
 
-// AcquireLock acquires, or keeps, the lock on an entry for a session and writes it, and reports
-// whether the session holds the lock.
+// AcquireLock acquires the lock on an entry for a session and writes the entry. It reports
+// whether the session holds the lock; a session that holds it already may call it again.
 func (c *Client) AcquireLock(ctx context.Context, key, session string, value []byte) (bool, error) {
-	return c.applied(ctx, http.MethodPut, "/v1/kv/"+key, url.Values{"acquire": {session}}, value)
+	return c.writeKV(ctx, http.MethodPut, "/v1/kv/"+key, url.Values{"acquire": {session}}, value)
 }
 
-// applied makes a call whose body in the answer says whether it took effect.
-func (c *Client) applied(ctx context.Context, method, path string, params url.Values, body []byte) (bool, error) {
+// writeKV sends a write request for an entry and reports whether it took effect, which the
+// response body states as true or false.
+func (c *Client) writeKV(ctx context.Context, method, path string, params url.Values, body []byte) (bool, error) {
 	r, err := c.do(ctx, method, path, params, body, requestTimeout)
 	return string(r.body) == "true" || string(r.body) == "true\n", err
 }
 
-// session is the body of PUT /v1/session/create; its field names are the keys.
+// session is the body of PUT /v1/session/create; its field names are the JSON keys.
 type session struct {
 	Name      string
 	TTL       string
 	LockDelay string
 	Behavior  string
-	Checks    []string // none: the session does not depend on health checks
+	Checks    []string // empty: the session does not depend on health checks
 }
 
-// NewSession creates a session that expires if it is not renewed within its TTL, or up to
-// twice that; the keys that it has locked are released after delay.
+// NewSession creates a session and returns its ID. Without renewal Consul ends it after ttl, or up
+// to twice that. After its end, its locks can be acquired again
+// once delay has elapsed.
 func (c *Client) NewSession(ctx context.Context, name string, ttl, delay time.Duration) (string, error) {
 	body, err := jsoniter.Marshal(session{Name: name, TTL: ttl.String(), LockDelay: delay.String(), Behavior: "release", Checks: []string{}})
 	if err != nil {
@@ -106,7 +109,7 @@
 	}
 	var s struct{ ID string }
 	if err := jsoniter.Unmarshal(r.body, &s); err != nil || s.ID == "" {
-		return "", fmt.Errorf("session: %q has no id: %w", r.body, err)
+		return "", fmt.Errorf("session: response %q has no ID: %w", r.body, err)
 	}
 	return s.ID, nil
 }
--- a/internal/consul/parse.go
+++ b/internal/consul/parse.go
@@ -15,14 +15,14 @@
 	"wellgw/internal/config"
 )
 
-// What can be wrong with an entry.
+// Reasons for which an entry is malformed.
 var (
-	errNoServiceID = errors.New("no service id")
-	errInvalidPort = errors.New("port") // followed by the number
-	errNoAddress   = errors.New("no address")
+	errNoServiceID = errors.New("service ID is missing")
+	errInvalidPort = errors.New("invalid port") // the number follows
+	errNoAddress   = errors.New("address is missing")
 )
 
-// serviceEntry is an element of /v1/health/service/NAME, as far as it is read.
+// serviceEntry has the fields in use of an element of /v1/health/service/NAME.
 type serviceEntry struct {
 	Node    *nodeInfo    `json:"Node"`
 	Service *serviceInfo `json:"Service"`
@@ -49,24 +49,24 @@
 	ModifyIndex uint64 `json:"ModifyIndex"`
 }
 
-// parseHealth parses a body of /v1/health/service/NAME, and returns the nodes of its entries
-// too. A malformed entry is listed in Malformed and does not affect the others; only a body
-// that is not a list is an error.
+// parseHealth parses a body of /v1/health/service/NAME into a view, and returns the nodes of its
+// entries. A malformed entry is listed in View.Malformed and does not affect other entries; only a
+// body that is not a JSON array is an error.
 func parseHealth(body []byte, zone string) (v roster.View, nodes []string, err error) {
-	var raw []jsoniter.RawMessage
+	var elements []jsoniter.RawMessage
 	if trimmed := strings.TrimSpace(string(body[:min(len(body), 64)])); !strings.HasPrefix(trimmed, "[") {
-		return v, nil, errNotAList
+		return v, nil, errNotList
 	}
-	if err := jsoniter.Unmarshal(body, &raw); err != nil {
-		return v, nil, fmt.Errorf("%w: %w", errNotAList, err)
+	if err := jsoniter.Unmarshal(body, &elements); err != nil {
+		return v, nil, fmt.Errorf("%w: %w", errNotList, err)
 	}
-	listed := map[string]int{}
-	for _, line := range raw {
-		e, node, err := parseEntry(line, zone)
+	positions := map[string]int{}
+	for _, raw := range elements {
+		e, node, err := parseEntry(raw, zone)
 		if err != nil {
-			// With a readable id only that engine is in doubt; else any missing engine may be
-			// the one.
-			id, mark := parseMarks(line)
+			// With a readable ID the entry affects only that engine. Without, it may belong to
+			// any engine that is missing from the view.
+			id, mark := parseMalformed(raw)
 			v.Malformed = append(v.Malformed, id)
 			if id != "" && mark > roster.Clear {
 				if v.MalformedMarks == nil {
@@ -79,43 +79,44 @@
 		if node != "" {
 			nodes = append(nodes, node)
 		}
-		// The same id on two nodes: an agent that has moved leaves its old entry behind for a
-		// while. The later registration takes precedence, with the worse mark of the two.
-		if at, twice := listed[e.ID]; twice {
-			mark := max(e.Mark, v.Entries[at].Mark)
-			if e.Registered > v.Entries[at].Registered {
-				v.Entries[at] = e
+		// The same ID on two nodes: after an agent moves to another node, its old entry remains
+		// for a while. The later registration wins, but gets the worse mark of the two.
+		if i, duplicate := positions[e.ID]; duplicate {
+			mark := max(e.Mark, v.Entries[i].Mark)
+			if e.Registered > v.Entries[i].Registered {
+				v.Entries[i] = e
 			}
-			v.Entries[at].Mark = mark
+			v.Entries[i].Mark = mark
 			continue
 		}
-		listed[e.ID] = len(v.Entries)
+		positions[e.ID] = len(v.Entries)
 		v.Entries = append(v.Entries, e)
 	}
 	return v, nodes, nil
 }
 
-// parseMarks returns the id and the mark of a malformed entry, as far as they can be read.
-func parseMarks(line []byte) (id string, mark roster.Mark) {
-	var parts struct{ Service, Checks jsoniter.RawMessage }
-	if jsoniter.Unmarshal(line, &parts) != nil {
+// parseMalformed returns the ID and the mark of a malformed entry, or "" and roster.Clear where they
+// are unreadable.
+func parseMalformed(raw []byte) (id string, mark roster.Mark) {
+	var entry struct{ Service, Checks jsoniter.RawMessage }
+	if jsoniter.Unmarshal(raw, &entry) != nil {
 		return "", roster.Clear
 	}
-	var named struct{ ID string }
-	if len(parts.Service) == 0 || jsoniter.Unmarshal(parts.Service, &named) != nil {
+	var service struct{ ID string }
+	if len(entry.Service) == 0 || jsoniter.Unmarshal(entry.Service, &service) != nil {
 		return "", roster.Clear
 	}
 	var checks []check
-	if len(parts.Checks) == 0 || jsoniter.Unmarshal(parts.Checks, &checks) != nil {
+	if len(entry.Checks) == 0 || jsoniter.Unmarshal(entry.Checks, &checks) != nil {
 		checks = nil
 	}
-	return named.ID, markOf(checks)
+	return service.ID, markOf(checks)
 }
 
-// parseEntry parses one entry and returns its node's name too.
-func parseEntry(line []byte, zone string) (roster.Entry, string, error) {
+// parseEntry parses one entry and also returns the name of its node.
+func parseEntry(raw []byte, zone string) (roster.Entry, string, error) {
 	var s serviceEntry
-	if err := jsoniter.Unmarshal(line, &s); err != nil {
+	if err := jsoniter.Unmarshal(raw, &s); err != nil {
 		return roster.Entry{}, "", err
 	}
 	switch {
@@ -127,7 +128,7 @@
 	host, node := s.Service.Address, ""
 	if s.Node != nil {
 		node = s.Node.Node
-		if host == "" { // Consul's documentation then has clients use the node's
+		if host == "" { // per Consul's documentation the node's address then applies
 			host = s.Node.Address
 		}
 	}
@@ -143,7 +144,7 @@
 		e.Index = max(e.Index, c.ModifyIndex)
 	}
 	if role := s.Service.Meta["role"]; role != "" {
-		e.Kind = role // an unknown role gets no requests
+		e.Kind = role // an engine with an unknown role gets no requests
 	}
 	if z := s.Service.Meta["zone"]; z != "" {
 		e.Zone = z
@@ -154,8 +155,8 @@
 	return e, node, nil
 }
 
-// markOf derives an engine's mark from its checks: a check that fails, or has an unknown
-// status, is critical; maintenance drains it; a warning does not keep it from serving.
+// markOf derives an engine's mark from its checks. A check that fails or has an unknown status
+// makes it critical, maintenance mode drains it, and a warning has no effect.
 func markOf(checks []check) roster.Mark {
 	m := roster.Clear
 	for _, c := range checks {
@@ -169,8 +170,8 @@
 	return m
 }
 
-// startTime returns the start that an engine reports: Meta's started_ms, Unix time in
-// milliseconds, or started, by RFC 3339. It is zero without a valid one.
+// startTime returns the start time that an engine reports in its Meta: started_ms (Unix time in
+// milliseconds), or else started (RFC 3339). It is zero if neither is valid.
 func startTime(meta map[string]string) time.Time {
 	if ms, err := strconv.ParseInt(meta["started_ms"], 10, 64); err == nil && ms > 0 {
 		return time.UnixMilli(ms)
@@ -182,20 +183,20 @@
 }
 
 // parseServices parses a body of /v1/catalog/services into the services that carry the tag and
-// the others, each in order of name.
-func parseServices(body []byte, tag string) (tagged, others []string, err error) {
+// those that don't, each sorted by name.
+func parseServices(body []byte, tag string) (tagged, untagged []string, err error) {
 	var services map[string][]string
 	if err := jsoniter.Unmarshal(body, &services); err != nil || services == nil {
-		return nil, nil, fmt.Errorf("the body is no map of services: %w", err)
+		return nil, nil, fmt.Errorf("response body is not a map of services: %w", err)
 	}
 	for name, tags := range services {
 		if slices.Contains(tags, tag) {
 			tagged = append(tagged, name)
 		} else {
-			others = append(others, name)
+			untagged = append(untagged, name)
 		}
 	}
 	slices.Sort(tagged)
-	slices.Sort(others)
-	return tagged, others, nil
+	slices.Sort(untagged)
+	return tagged, untagged, nil
 }
--- a/internal/consul/parse_test.go
+++ b/internal/consul/parse_test.go
@@ -15,7 +15,7 @@
 	"wellgw/internal/config"
 )
 
-func TestParse(t *testing.T) {
+func TestParseHealth(t *testing.T) {
 	entry := func(id, addr, meta, checks string) string {
 		return fmt.Sprintf(`{"Node":{"Node":"n","Address":"127.0.0.9"},"Service":{"ID":%q,"Address":%q,"Port":80,"Meta":{%s},"CreateIndex":3,"ModifyIndex":5},"Checks":[%s]}`, id, addr, meta, checks)
 	}
@@ -44,7 +44,7 @@
 	}
 }
 
-// Whatever comes in the place of a list, reading it ends, and never in a panic.
+// The parsers end without a panic for any body, and accept no entry without a valid address and ID.
 func FuzzParse(f *testing.F) {
 	for _, seed := range []string{
 		`[]`, `[null]`, `[{"Node":null,"Service":{"ID":"e1","Port":-4}}]`, `{}`, `[{"Service":{"ID":"x","Port":1},"Checks":{}}]`, `[{"Service":[],"Checks":3}]`, `null`,
@@ -56,7 +56,7 @@
 		if err == nil {
 			for _, e := range v.Entries {
 				if _, _, err := net.SplitHostPort(e.Addr); err != nil || e.ID == "" {
-					t.Errorf("taken: %+v", e)
+					t.Errorf("accepted: %+v", e)
 				}
 			}
 		}
@@ -64,38 +64,38 @@
 	})
 }
 
-// What the configuration selects reaches the agent with every query, in the documented
+// Every query carries the configured tag, filter, datacenter and consistency mode in the documented
 // parameters.
-func TestSelection(t *testing.T) {
+func TestQueryParameters(t *testing.T) {
 	for name, c := range map[string]struct {
 		cfg  config.Consul
 		want string
 	}{
-		"plain":      {config.Consul{}, ""},
-		"all":        {config.Consul{Tag: "gpu", Filter: `Service.Meta.zone == "a"`, Datacenter: "dc2"}, "dc=dc2&filter=Service.Meta.zone+%3D%3D+%22a%22&tag=gpu"},
+		"default":    {config.Consul{}, ""},
+		"all set":    {config.Consul{Tag: "gpu", Filter: `Service.Meta.zone == "a"`, Datacenter: "dc2"}, "dc=dc2&filter=Service.Meta.zone+%3D%3D+%22a%22&tag=gpu"},
 		"stale":      {config.Consul{Consistency: "stale"}, "stale="},
 		"consistent": {config.Consul{Consistency: "consistent"}, "consistent="},
 	} {
 		t.Run(name, func(t *testing.T) {
-			asked := make(chan string, 100)
+			queries := make(chan string, 100)
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				if strings.HasPrefix(r.URL.Path, "/v1/health/") {
-					asked <- r.URL.RawQuery
+					queries <- r.URL.RawQuery
 				}
 				w.Header().Set("X-Consul-Index", "5")
 				io.WriteString(w, "[]")
 			}))
 			t.Cleanup(server.Close)
-			begin(t, 0, func(*world) {}, func(_ *world, cfg *config.Consul) {
+			startEnv(t, 0, func(*testEnv) {}, func(_ *testEnv, cfg *config.Consul) {
 				service := cfg.Service
 				*cfg = c.cfg
 				cfg.Service, cfg.Address = service, server.Listener.Addr().String()
 			})
-			if got := <-asked; got != c.want {
-				t.Errorf("first %q, want %q", got, c.want)
+			if got := <-queries; got != c.want {
+				t.Errorf("first query %q, want %q", got, c.want)
 			}
-			if got := <-asked; !strings.Contains(got, "index=5") || !strings.Contains(got, "wait=1000ms") {
-				t.Errorf("then %q", got)
+			if got := <-queries; !strings.Contains(got, "index=5") || !strings.Contains(got, "wait=1000ms") {
+				t.Errorf("second query %q", got)
 			}
 		})
 	}
--- a/internal/consul/polling.go
+++ b/internal/consul/polling.go
@@ -11,7 +11,7 @@
 	"wellgw/decide/watch"
 )
 
-// pollingMode reports whether services are polled, at which interval, and the channel that is
+// pollingMode reports whether services are polled, the polling interval, and a channel that is
 // closed when the mode changes.
 func (w *watcher) pollingMode() (polling bool, interval time.Duration, changed <-chan struct{}) {
 	w.mu.Lock()
@@ -19,7 +19,7 @@
 	return w.mode.Polling(), w.mode.Interval(), w.modeChanged
 }
 
-// signal sends to a channel with room for one, unless a signal is pending.
+// signal sends to a channel of capacity 1, unless a signal is pending.
 func signal(ch chan struct{}) {
 	select {
 	case ch <- struct{}{}:
@@ -27,54 +27,55 @@
 	}
 }
 
-// watchOrPoll watches one service of many until ctx ends: by blocking queries while there are
-// few enough services, else by polls, out of turn when a health check has changed.
+// watchOrPoll watches one of the tagged services until ctx is done. It uses blocking queries while
+// there are at most as many services as watches. Otherwise it polls at the interval, and
+// immediately on a signal in pollNow.
 func (w *watcher) watchOrPoll(ctx context.Context, name string, pollNow <-chan struct{}) {
-	due := time.Now() // the first poll is made at once, as fast as slots allow
+	nextPollTime := time.Now() // the first poll waits only for a slot
 	for ctx.Err() == nil {
 		polling, _, changed := w.pollingMode()
-		sub, stop := context.WithCancel(ctx)
-		go func() { // ends with sub, at the latest when this round ends
+		modeCtx, stop := context.WithCancel(ctx)
+		go func() { // ends with modeCtx, at the latest at the end of this iteration
 			select {
-			case <-sub.Done():
+			case <-modeCtx.Done():
 			case <-changed:
 				stop()
 			}
 		}()
 		nextPoll := func() bool {
-			t := time.NewTimer(time.Until(due))
+			t := time.NewTimer(time.Until(nextPollTime))
 			defer t.Stop()
 			select {
-			case <-sub.Done():
+			case <-modeCtx.Done():
 				return false
 			case <-pollNow:
 			case <-t.C:
 			}
 			_, interval, _ := w.pollingMode()
-			due = time.Now().Add(jitter(interval))
+			nextPollTime = time.Now().Add(jitter(interval))
 			return true
 		}
 		if !polling {
 			nextPoll = nil
 		}
-		w.watchService(sub, name, nextPoll, func() {})
+		w.watchService(modeCtx, name, nextPoll, func() {})
 		stop()
 	}
 }
 
-// watchChecks watches the failing health checks while services are polled, and has the services
-// that a change affects polled at once. One query serves all services, and its response is
-// short while most engines are healthy.
+// watchChecks watches the failing health checks while services are polled, and triggers an
+// immediate poll of the services that a change affects. One query covers all services, and its
+// response is short while most engines are healthy.
 func (w *watcher) watchChecks(ctx context.Context) {
 	var group sync.WaitGroup
 	defer group.Wait()
 	for ctx.Err() == nil {
 		polling, _, changed := w.pollingMode()
-		sub, stop := context.WithCancel(ctx)
+		modeCtx, stop := context.WithCancel(ctx)
 		if polling {
 			q := w.newQuery("/v1/health/state/critical", nil)
-			h := queryHandler{apply: w.applyChecks, confirm: func() bool { return true }, doubt: ignore}
-			group.Go(func() { w.watch(sub, q, h) })
+			h := queryHandler{apply: w.applyChecks, confirmUnchanged: func() bool { return true }, recordDistrust: ignoreDistrust}
+			group.Go(func() { w.watch(modeCtx, q, h) })
 		}
 		select {
 		case <-ctx.Done():
@@ -84,11 +85,11 @@
 	}
 }
 
-// applyChecks replaces the failing health checks.
-func (w *watcher) applyChecks(a QueryResult) error {
+// applyChecks replaces the set of failing health checks.
+func (w *watcher) applyChecks(result QueryResult) error {
 	var list []criticalCheck
-	if err := jsoniter.Unmarshal(a.Body, &list); err != nil {
-		return fmt.Errorf("critical checks: %w: %w", errNotAList, err)
+	if err := jsoniter.Unmarshal(result.Body, &list); err != nil {
+		return fmt.Errorf("critical checks: %w: %w", errNotList, err)
 	}
 	failing := make([]watch.Check, len(list))
 	for i, c := range list {
@@ -104,7 +105,7 @@
 	return nil
 }
 
-// criticalCheck is an element of /v1/health/state/critical, as far as it is read.
+// criticalCheck has the fields in use of an element of /v1/health/state/critical.
 type criticalCheck struct {
 	Node        string `json:"Node"`
 	CheckID     string `json:"CheckID"`
--- a/internal/consul/register.go
+++ b/internal/consul/register.go
@@ -19,18 +19,18 @@
 
 // Intervals and limits of the gateway's own registration.
 const (
-	renewalsPerTTL      = 3                // of the health check
-	minDeregisterAfter  = time.Minute      // Consul removes a critical service no sooner
-	deregisterAfterTTLs = 10               // times the TTL
-	gatewayCountHold    = 15 * time.Second // before fewer gateways are believed
+	renewalsPerTTL      = 3                // renewals of the health check
+	minDeregisterAfter  = time.Minute      // Consul's minimum for DeregisterCriticalServiceAfter
+	deregisterAfterTTLs = 10               // DeregisterCriticalServiceAfter as a multiple of the TTL
+	gatewayCountHold    = 15 * time.Second // delay before a lower count takes effect
 	deregisterTimeout   = time.Second
-	addressPollInterval = 50 * time.Millisecond // until it is known where the gateway serves
+	addressPollInterval = 50 * time.Millisecond // between reads of the address, until it is known
 	statusPassing       = "passing"
 	statusWarning       = "warning"
 	checkIDPrefix       = "service:"
 )
 
-// registration is the body of PUT /v1/agent/service/register; its field names are the keys.
+// registration is the body of PUT /v1/agent/service/register; its field names are the JSON keys.
 type registration struct {
 	ID      string
 	Name    string
@@ -47,12 +47,12 @@
 	DeregisterCriticalServiceAfter string
 }
 
-// checkUpdate is the body of PUT /v1/agent/check/update/CHECK; its field name is the key.
+// checkUpdate is the body of PUT /v1/agent/check/update/CHECK; its field name is the JSON key.
 type checkUpdate struct{ Status string }
 
-// register keeps the gateway registered until ctx ends, then deregisters it. The agent
-// forgets it if it restarts without its data, so a check that it does not know is
-// registered anew.
+// register keeps the gateway registered until ctx is done, then deregisters it. An agent that
+// restarts without its data loses the registration, so the gateway registers again if the agent
+// reports its check as unknown.
 func (d *Discovery) register(ctx context.Context, w *watcher) {
 	address, ok := d.waitForAddress(ctx, w.cfg.Register)
 	if !ok {
@@ -85,8 +85,8 @@
 	w.deregister(ctx, r.ID)
 }
 
-// waitForAddress returns the address to register: the configured one, else where the gateway
-// serves, once it does. It is false if ctx ends first.
+// waitForAddress returns the address to register: the configured one, or else the address of the
+// gateway's listener, once it is open. ok is false if ctx is done first.
 func (d *Discovery) waitForAddress(ctx context.Context, r *config.Register) (address string, ok bool) {
 	for address = r.Address; address == "" && ctx.Err() == nil; {
 		if address = d.address(); address == "" {
@@ -101,7 +101,7 @@
 	if err != nil {
 		return registration{}, err
 	}
-	number, _ := strconv.Atoi(port) // the listener's, or checked with the configuration
+	number, _ := strconv.Atoi(port) // valid: from the listener, or validated with the configuration
 	id := r.ID
 	if id == "" {
 		hostname, _ := os.Hostname()
@@ -117,11 +117,11 @@
 	}, nil
 }
 
-// renew updates the gateway's health check, and reports whether the agent still knows it.
+// renew updates the gateway's health check. registered is false if the agent has no such check.
 func (d *Discovery) renew(ctx context.Context, w *watcher, id string) (registered bool, err error) {
 	update := checkUpdate{Status: statusPassing}
 	if !d.ready() {
-		update.Status = statusWarning // it runs, but has no engine to send to
+		update.Status = statusWarning // the gateway runs, but has no engine that can serve
 	}
 	body, err := jsoniter.Marshal(update)
 	if err != nil {
@@ -129,11 +129,11 @@
 	}
 	err = w.client.Put(ctx, "/v1/agent/check/update/"+checkIDPrefix+url.PathEscape(id), body)
 	var status *StatusError
-	forgotten := errors.As(err, &status) && (status.Status == http.StatusNotFound || status.Status == http.StatusInternalServerError)
-	return !forgotten, err
+	unknown := errors.As(err, &status) && (status.Status == http.StatusNotFound || status.Status == http.StatusInternalServerError)
+	return !unknown, err
 }
 
-// deregister removes the gateway's registration after ctx has ended.
+// deregister removes the gateway's registration, even though ctx is done.
 func (w *watcher) deregister(ctx context.Context, id string) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), deregisterTimeout)
 	defer cancel()
@@ -142,7 +142,7 @@
 	}
 }
 
-// watchGateways counts the registered gateways. A doubted view changes nothing.
+// watchGateways counts the registered gateways. An untrusted view does not change the count.
 func (d *Discovery) watchGateways(ctx context.Context, w *watcher) {
 	count := roster.NewGatewayCount(1, gatewayCountHold)
 	publish := func(changed bool) {
@@ -151,28 +151,28 @@
 			d.setGateways(count.Count())
 		}
 	}
-	doubted := true
-	apply := func(a QueryResult) error {
-		view, _, err := parseHealth(a.Body, w.zone)
+	untrusted := true
+	apply := func(result QueryResult) error {
+		view, _, err := parseHealth(result.Body, w.zone)
 		if err != nil {
 			return err
 		}
-		doubted = !a.KnownLeader || a.LastContact > w.policy.MaxAge
+		untrusted = !result.KnownLeader || result.LastContact > w.policy.MaxAge
 		alive := len(view.Malformed)
 		for _, e := range view.Entries {
 			if e.Mark != roster.Critical {
 				alive++
 			}
 		}
-		if !doubted {
+		if !untrusted {
 			publish(count.Observe(time.Now(), alive))
 		}
 		return nil
 	}
-	confirm := func() bool {
+	confirmUnchanged := func() bool {
 		publish(count.Tick(time.Now()))
-		return !doubted
+		return !untrusted
 	}
 	q := w.newQuery("/v1/health/service/"+url.PathEscape(w.cfg.Register.Name), nil)
-	w.watch(ctx, q, queryHandler{apply: apply, confirm: confirm, doubt: ignore})
+	w.watch(ctx, q, queryHandler{apply: apply, confirmUnchanged: confirmUnchanged, recordDistrust: ignoreDistrust})
 }
--- a/internal/consul/services.go
+++ b/internal/consul/services.go
@@ -9,15 +9,17 @@
 	"wellgw/decide/roster"
 )
 
-// source is the registry's source for a service.
-func source(name string) roster.Source { return roster.Source{Origin: roster.Catalogue, Name: name} }
+// catalogueSource returns the registry's source for a service.
+func catalogueSource(name string) roster.Source {
+	return roster.Source{Origin: roster.Catalogue, Name: name}
+}
 
 func (w *watcher) addSource(name string, atStart bool) {
-	w.directory.With(func(r *roster.Registry, _ time.Time) { r.AddSource(source(name), atStart) })
+	w.directory.With(func(r *roster.Registry, _ time.Time) { r.AddSource(catalogueSource(name), atStart) })
 }
 
-// knownServices returns the services of the registry: of the last good view, or an older
-// configuration.
+// knownServices returns the services that are sources in the registry, including those from the
+// last good view and from a previous configuration.
 func (w *watcher) knownServices() []string {
 	var names []string
 	w.directory.With(func(r *roster.Registry, _ time.Time) {
@@ -30,20 +32,21 @@
 	return names
 }
 
-// removeOtherServices removes the services that only an older configuration named.
+// removeOtherServices removes the sources of all services except one, which are left over from a
+// previous configuration.
 func (w *watcher) removeOtherServices(name string) {
 	for _, other := range w.knownServices() {
 		if other != name {
 			w.directory.With(func(r *roster.Registry, now time.Time) {
-				r.RemoveSource(now, source(other), "no longer in the configuration")
+				r.RemoveSource(now, catalogueSource(other), "no longer in the configuration")
 			})
 		}
 	}
 }
 
-// watchService watches the health of one service until ctx ends. trusted is called after each
-// view that is trusted.
-func (w *watcher) watchService(ctx context.Context, name string, nextPoll func() bool, trusted func()) {
+// watchService watches the health of one service until ctx is done, and calls onTrusted after each
+// trusted view.
+func (w *watcher) watchService(ctx context.Context, name string, nextPoll func() bool, onTrusted func()) {
 	params := url.Values{}
 	if w.cfg.Tag != "" {
 		params.Set("tag", w.cfg.Tag)
@@ -52,36 +55,37 @@
 		params.Set("filter", w.cfg.Filter)
 	}
 	q := w.newQuery("/v1/health/service/"+url.PathEscape(name), params)
-	src := source(name)
-	apply := func(a QueryResult) error {
-		v, nodes, err := parseHealth(a.Body, w.zone)
+	src := catalogueSource(name)
+	apply := func(result QueryResult) error {
+		view, nodes, err := parseHealth(result.Body, w.zone)
 		if err != nil {
 			return fmt.Errorf("health of %s: %w", name, err)
 		}
-		v.Agent, v.Index, v.Leaderless, v.Age = a.Agent, a.Index, !a.KnownLeader, a.LastContact
+		view.Agent, view.Index, view.Leaderless, view.Age = result.Agent, result.Index, !result.KnownLeader, result.LastContact
 		w.setNodes(name, nodes)
-		doubt := roster.Trusted
+		distrust := roster.Trusted
 		w.directory.With(func(r *roster.Registry, now time.Time) {
 			if ctx.Err() == nil {
-				doubt = r.Observe(now, src, v)
+				distrust = r.Observe(now, src, view)
 			}
 		})
-		if doubt == roster.Trusted {
-			trusted()
+		if distrust == roster.Trusted {
+			onTrusted()
 		}
 		return nil
 	}
-	confirm := func() (suffices bool) {
+	confirmUnchanged := func() (suffices bool) {
 		w.directory.With(func(r *roster.Registry, now time.Time) { suffices = r.Confirm(now, src) })
 		return suffices
 	}
-	doubt := func(reason roster.Reason) {
+	recordDistrust := func(reason roster.Reason) {
 		w.directory.With(func(r *roster.Registry, now time.Time) { r.ObserveFailure(now, src, reason) })
 	}
-	w.watch(ctx, q, queryHandler{nextPoll: nextPoll, apply: apply, confirm: confirm, doubt: doubt})
+	w.watch(ctx, q, queryHandler{nextPoll: nextPoll, apply: apply, confirmUnchanged: confirmUnchanged, recordDistrust: recordDistrust})
 }
 
-// setNodes sets the nodes on which a service has engines, all of which a node's check affects.
+// setNodes sets the nodes on which a service has engines. A check of a node affects all engines on
+// it.
 func (w *watcher) setNodes(service string, nodes []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/consul/tls.go
+++ b/internal/consul/tls.go
@@ -10,12 +10,12 @@
 	"wellgw/internal/config"
 )
 
-// errNoCertificate is the error for a file of authorities without any.
-var errNoCertificate = errors.New("no certificate in it")
+// errNoCertificate is the error for a file of certificate authorities that contains none.
+var errNoCertificate = errors.New("file contains no certificate")
 
-// tlsConfig returns a configuration that reads certificates and authorities at every
-// handshake, so that new keys hold from the next connection on. Files that can't be read are
-// an error at once.
+// tlsConfig returns a configuration that reads certificates and authorities at every handshake, so
+// that replaced files take effect with the next connection. Files that can't be read now are an
+// error.
 func tlsConfig(t *config.TLS) (*tls.Config, error) {
 	conf := &tls.Config{MinVersion: tls.VersionTLS12, ServerName: t.ServerName}
 	if t.CertFile != "" {
@@ -32,8 +32,8 @@
 		if _, err := readAuthorities(t.CAFile); err != nil {
 			return nil, fmt.Errorf("consul.tls.ca_file: %w", err)
 		}
-		// crypto/tls takes the authorities once. To have them read at every handshake, its
-		// verification is replaced by the same one against the file's present content.
+		// crypto/tls takes the authorities only once. To read them at every handshake, its
+		// verification is replaced by an equal one against the current content of the file.
 		conf.InsecureSkipVerify = true
 		conf.VerifyConnection = func(s tls.ConnectionState) error { return verifyServer(s, t.CAFile) }
 	}
@@ -53,7 +53,8 @@
 	return pool, nil
 }
 
-// verifyServer verifies a server's certificate, as crypto/tls does, by the authorities in a file.
+// verifyServer verifies a server's certificate against the authorities in a file, as crypto/tls
+// does.
 func verifyServer(s tls.ConnectionState, caFile string) error {
 	roots, err := readAuthorities(caFile)
 	if err != nil {
--- a/internal/consul/token.go
+++ b/internal/consul/token.go
@@ -5,8 +5,9 @@
 	"strings"
 )
 
-// readToken returns the token in its file, which is read again when its time changes. While the
-// file can't be read the last token stays in use: it may be about to be replaced.
+// readToken returns the ACL token. A token file is read again when its modification time changes.
+// While the file is unreadable the last token remains in use, since the file may be about to be
+// replaced.
 func (c *Client) readToken() string {
 	if c.cfg.TokenFile == "" {
 		return c.cfg.Token
--- a/internal/consul/watcher.go
+++ b/internal/consul/watcher.go
@@ -18,15 +18,15 @@
 	"wellgw/internal/pause"
 )
 
-// Stats count the work of watching.
+// Stats count the requests and responses of a watcher.
 type Stats struct {
-	Agent     string `json:"agent"` // that responded last
+	Agent     string `json:"agent"` // address of the agent that responded last
 	Queries   int    `json:"queries"`
 	Failed    int    `json:"failed"`
 	Bytes     int64  `json:"bytes"`
-	Unchanged int    `json:"unchanged"` // responses without a change
+	Unchanged int    `json:"unchanged"` // responses that equal the previous one
 	Services  int    `json:"services"`
-	Polling   bool   `json:"rounds"` // services are polled, as there are more than watches
+	Polling   bool   `json:"rounds"` // services are polled, since there are more of them than watches
 }
 
 // watcher watches the services of one configuration.
@@ -37,18 +37,18 @@
 	client    *Client
 	log       *slog.Logger
 	policy    roster.Policy
-	atStart   bool          // the gateway has just started: listed engines may have run for long
-	slots     chan struct{} // of polls in flight
+	atStart   bool          // the gateway has just started, so listed engines may have been running before
+	pollSlots chan struct{} // bounds the polls in flight
 
 	mu          sync.Mutex
 	stats       Stats
 	mode        *watch.PollingMode
-	modeChanged chan struct{} // closed when the mode changes
+	modeChanged chan struct{} // closed and replaced when the mode changes
 	checks      *watch.CheckTracker
-	pollNow     map[string]chan struct{} // by service: a signal polls it out of turn
+	pollNow     map[string]chan struct{} // key: service; a signal triggers an immediate poll
 }
 
-// query is a query that is repeated, with its backoff after failures.
+// query is a repeated query with its backoff after failures.
 type query struct {
 	*watch.Query
 	path    string
@@ -57,48 +57,48 @@
 }
 
 func (w *watcher) newQuery(path string, params url.Values) *query {
-	l := watch.DefaultLimits()
-	l.MaxWait, l.MaxAge = w.cfg.Wait(), w.policy.MaxAge
+	limits := watch.DefaultLimits()
+	limits.MaxWait, limits.MaxAge = w.cfg.Wait(), w.policy.MaxAge
 	b := backoff.NewExponentialBackOff()
-	b.MaxInterval = l.MaxBackoff
-	b.InitialInterval = l.MinPause
+	b.MaxInterval = limits.MaxBackoff
+	b.InitialInterval = limits.MinPause
 	b.Reset()
-	return &query{Query: watch.NewQuery(l), path: path, params: params, backoff: b}
+	return &query{Query: watch.NewQuery(limits), path: path, params: params, backoff: b}
 }
 
-// request makes the next request of a query. Polls take a slot, which bounds those in flight.
+// request sends the next request of a query. A poll waits for one of the pollSlots.
 func (w *watcher) request(ctx context.Context, q *query, polled bool) (QueryResult, error) {
 	if polled {
 		select {
-		case w.slots <- struct{}{}:
-			defer func() { <-w.slots }()
+		case w.pollSlots <- struct{}{}:
+			defer func() { <-w.pollSlots }()
 		case <-ctx.Done():
 			return QueryResult{}, ctx.Err()
 		}
 	}
 	next := q.Next(polled)
-	a, err := w.client.Get(ctx, Query{Path: q.path, Params: q.params, Index: next.Index, Wait: next.Wait, Stale: next.Stale})
+	result, err := w.client.Get(ctx, Query{Path: q.path, Params: q.params, Index: next.Index, Wait: next.Wait, Stale: next.Stale})
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.stats.Queries++
-	w.stats.Bytes += int64(len(a.Body))
+	w.stats.Bytes += int64(len(result.Body))
 	if err != nil {
 		w.stats.Failed++
 	} else {
-		w.stats.Agent = a.Agent
+		w.stats.Agent = result.Agent
 	}
-	return a, err
+	return result, err
 }
 
 // failureOf classifies an error and returns the agent's Retry-After, 0 without one.
-func failureOf(err error) (watch.Failure, time.Duration) {
+func classifyFailure(err error) (watch.Failure, time.Duration) {
 	var status *StatusError
 	switch {
 	case errors.Is(err, errNoAgent):
 		return watch.NoAgent, 0
 	case errors.Is(err, errAgentHung):
 		return watch.AgentUnresponsive, 0
-	case errors.Is(err, errNotAList), errors.Is(err, errTooLong), errors.Is(err, errNoIndex):
+	case errors.Is(err, errNotList), errors.Is(err, errTooLong), errors.Is(err, errNoIndex):
 		return watch.Malformed, 0
 	case errors.As(err, &status) && status.isNoLeader():
 		return watch.NoLeader, status.RetryAfter
@@ -108,9 +108,9 @@
 	return watch.Disconnected, 0
 }
 
-// handleFailure records that a request failed, and pauses for as long as is due.
-func (w *watcher) handleFailure(ctx context.Context, q *query, err error, doubt func(roster.Reason)) {
-	failure, retryAfter := failureOf(err)
+// handleFailure records the failure of a request, then pauses for its backoff or Retry-After.
+func (w *watcher) handleFailure(ctx context.Context, q *query, err error, recordDistrust func(roster.Reason)) {
+	failure, retryAfter := classifyFailure(err)
 	action := q.RecordFailure(failure, q.backoff.NextBackOff(), retryAfter)
 	if ctx.Err() != nil {
 		return
@@ -119,42 +119,43 @@
 		w.log.Warn("query failed", "path", q.path, "reason", string(action.Reason), "cause", err)
 	}
 	if action.Reason != roster.Trusted {
-		doubt(action.Reason)
+		recordDistrust(action.Reason)
 	}
 	if action.Pause > 0 {
 		w.client.Pause(ctx, action.Pause)
 	}
 }
 
-// queryHandler is what a watch does with the responses of a query.
+// queryHandler contains the callbacks of a watch.
 type queryHandler struct {
-	// nextPoll waits until the query is to be polled, false once it is to end. It is nil
-	// where requests block.
+	// nextPoll waits for the time of the next poll and returns false when the watch ends. It is
+	// nil for blocking queries.
 	nextPoll func() bool
 	// apply processes a response that has changed.
 	apply func(QueryResult) error
-	// confirm records that a response has not changed, and reports whether that suffices.
-	confirm func() bool
-	// doubt records a reason to doubt the source.
-	doubt func(roster.Reason)
+	// confirmUnchanged records that a response has not changed. If it returns false, the response
+	// is applied again.
+	confirmUnchanged func() bool
+	// recordDistrust records a reason not to trust the source.
+	recordDistrust func(roster.Reason)
 }
 
-// ignore is a queryHandler.doubt for queries whose failures change nothing.
-func ignore(roster.Reason) {}
+// ignoreDistrust is the recordDistrust callback of queries whose failures affect no source.
+func ignoreDistrust(roster.Reason) {}
 
-// watch repeats a query until ctx ends.
+// watch repeats a query until ctx is done.
 func (w *watcher) watch(ctx context.Context, q *query, h queryHandler) {
 	polled := h.nextPoll != nil
 	for ctx.Err() == nil {
 		if polled && !h.nextPoll() {
 			return
 		}
-		answer, err := w.request(ctx, q, polled)
+		result, err := w.request(ctx, q, polled)
 		received := time.Now()
-		response := watch.Response{Index: answer.Index, Checksum: xxhash.Sum64(answer.Body), HasLeader: answer.KnownLeader, Age: answer.LastContact}
+		response := watch.Response{Index: result.Index, Checksum: xxhash.Sum64(result.Body), HasLeader: result.KnownLeader, Age: result.LastContact}
 		changed := false
 		if err == nil {
-			changed = q.RecordResponse(response) || !h.confirm()
+			changed = q.RecordResponse(response) || !h.confirmUnchanged()
 		}
 		switch {
 		case err != nil:
@@ -162,11 +163,11 @@
 			w.mu.Lock()
 			w.stats.Unchanged++
 			w.mu.Unlock()
-		case ctx.Err() == nil: // a service that has lost its tag must not come back
-			err = h.apply(answer)
+		case ctx.Err() == nil: // a service without the tag must not be added again
+			err = h.apply(result)
 		}
 		if err != nil {
-			w.handleFailure(ctx, q, err, h.doubt)
+			w.handleFailure(ctx, q, err, h.recordDistrust)
 			continue
 		}
 		q.backoff.Reset()
@@ -176,13 +177,13 @@
 	}
 }
 
-// run watches what the configuration names until ctx ends, and returns when all it started
-// has ended.
+// run watches the configured service, or all services with the configured tag, until ctx is done.
+// It returns after all its goroutines have ended.
 func (w *watcher) run(ctx context.Context) {
 	var group sync.WaitGroup
 	defer group.Wait()
 	ctx, stop := context.WithCancel(ctx)
-	defer stop() // before the wait: a panic here must not hang in it and stay unseen
+	defer stop() // runs before group.Wait: otherwise a panic here would block there and never be reported
 	group.Go(func() { w.client.Run(ctx) })
 	if w.cfg.Tag != "" && w.cfg.Service == "" {
 		w.watchCatalog(ctx)
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -1,6 +1,6 @@
-// Package directory connects the sources of engines with the core. It passes their views to
-// decide/roster, makes the health probes that it asks for, publishes changes to the core, and
-// stores the last good view on disk.
+// Package directory connects the sources of engines with the core. It passes their views to the
+// registry in decide/roster, sends the health probes that the registry requests, publishes changes
+// to the core, and stores the last good view on disk.
 package directory
 
 import (
@@ -14,51 +14,51 @@
 	"wellgw/routing"
 )
 
-// Intervals and limits of the directory's work.
+// Intervals and limits of the directory.
 const (
 	tickInterval     = 100 * time.Millisecond
-	maxProbesPerTick = 32                    // 320 probes a second
-	flushInterval    = 20 * time.Millisecond // batches the changes of a flapping catalog
+	maxProbesPerTick = 32                    // 320 probes per second
+	flushInterval    = 20 * time.Millisecond // min time between publications; batches the changes of a flapping catalog
 	saveInterval     = time.Second
-	maxSnapshotAge   = time.Minute // without changes the file is written for its time stamp
+	maxSnapshotAge   = time.Minute // without changes the file is rewritten at this age to update its time stamp
 )
 
 // Options configure a directory.
 type Options struct {
 	Policy roster.Policy
-	// Publish passes changed engines to the core. It may block for a moment.
+	// Publish passes changed engines to the core. It may block briefly.
 	Publish func(routing.EngineListScope, []core.Endpoint)
-	// Probe reports whether an engine at an address answers.
+	// Probe sends a health probe to an engine's address.
 	Probe func(ctx context.Context, addr string) roster.ProbeResult
-	// StateFile is the path of the last good view; "" for none.
+	// StateFile is the path of the last good view; "" disables it.
 	StateFile string
 	Log       *slog.Logger
 }
 
-// Directory owns the registry of engines behind one lock. It is a core.Directory.
+// Directory owns the registry of engines and guards it with a mutex. It implements core.Directory.
 type Directory struct {
 	opt Options
 
 	mu         sync.Mutex
 	registry   *roster.Registry
-	pending    map[string]roster.Engine // changes to publish, by id
+	pending    map[string]roster.Engine // unpublished changes; key: engine ID
 	lastFlush  time.Time
-	unsaved    bool                        // changes since the last snapshot
-	probing    map[roster.ProbeTarget]bool // under way
+	unsaved    bool                        // whether there are changes since the last snapshot
+	probing    map[roster.ProbeTarget]bool // probes in flight
 	stats      Stats
-	publishing sync.Mutex // keeps messages to the core in order; taken before mu
+	publishing sync.Mutex // serializes publications, so that they stay in order; locked before mu
 }
 
-// Stats count the directory's work.
+// Stats count the operations of a directory.
 type Stats struct {
 	Probes       int `json:"checks"`  // health probes of engines
 	Changes      int `json:"changes"` // engines published to the core
-	Publications int `json:"tells"`   // messages to the core
-	Saves        int `json:"saves"`
+	Publications int `json:"tells"`   // calls of Options.Publish
+	Saves        int `json:"saves"`   // successful writes of the state file
 }
 
-// New returns a directory. With a state file it starts from the view stored there; a damaged
-// file is renamed and logged.
+// New returns a directory. If a state file exists, the directory starts from the view in it; a
+// damaged file is renamed and logged.
 func New(opt Options) *Directory {
 	d := &Directory{
 		opt: opt, registry: roster.New(opt.Policy), pending: map[string]roster.Engine{}, probing: map[roster.ProbeTarget]bool{},
@@ -69,8 +69,8 @@
 	return d
 }
 
-// With calls do with exclusive access to the registry, then logs its events and publishes its
-// changes when they are due.
+// With calls do with exclusive access to the registry. It then logs the registry's events, and
+// publishes its changes unless the last publication was less than flushInterval ago.
 func (d *Directory) With(do func(r *roster.Registry, now time.Time)) {
 	d.mu.Lock()
 	now := time.Now()
@@ -106,14 +106,14 @@
 	d.opt.Log.LogAttrs(context.Background(), level, e.Message, attrs...)
 }
 
-// Flush publishes all pending changes at once.
+// Flush publishes all pending changes immediately.
 func (d *Directory) Flush() {
 	d.publishing.Lock()
 	defer d.publishing.Unlock()
 	d.mu.Lock()
 	endpoints := make([]core.Endpoint, 0, len(d.pending))
 	for _, e := range d.pending {
-		endpoints = append(endpoints, endpoint(e))
+		endpoints = append(endpoints, newEndpoint(e))
 	}
 	clear(d.pending)
 	d.lastFlush = time.Now()
@@ -127,35 +127,34 @@
 	}
 }
 
-// endpoint returns an engine in the core's form. One that is critical or suspect gets no new
-// requests but stays listed: what is known of it still holds if it comes back.
-func endpoint(e roster.Engine) core.Endpoint {
-	m := core.Endpoint{
+// newEndpoint converts an engine to the core's type. A critical or suspect engine gets no new
+// requests but stays listed, so that its state in the core is still there after a recovery.
+func newEndpoint(e roster.Engine) core.Endpoint {
+	endpoint := core.Endpoint{
 		EngineInfo: routing.EngineInfo{Name: e.ID, Kind: e.Kind, Zone: e.Zone, Cell: e.Cell, Weight: 1},
 		Addr:       e.Addr, StartedAt: e.Started,
 	}
 	switch e.State {
 	case roster.InService:
-		m.Phase = routing.PhaseActive
+		endpoint.Phase = routing.PhaseActive
 	case roster.Removed:
-		m.Phase = routing.PhaseRemoved
+		endpoint.Phase = routing.PhaseRemoved
 	default:
-		m.Phase = routing.PhaseDraining
+		endpoint.Phase = routing.PhaseDraining
 	}
-	return m
+	return endpoint
 }
 
-// Subscribe does nothing, since changes are always published. It makes a Directory a
-// core.Directory.
+// Subscribe does nothing, since changes are always published. core.Directory requires it.
 func (d *Directory) Subscribe() {}
 
-// ConnectionRefused records that an engine refused the connection of an attempt.
+// ConnectionRefused records that an engine refused the connection for an attempt.
 func (d *Directory) ConnectionRefused(id, addr string) {
 	d.With(func(r *roster.Registry, now time.Time) { r.ObserveProbe(now, id, addr, roster.Refused) })
 }
 
-// Run advances the registry's time and makes the probes that are due until ctx ends. It
-// returns when its goroutines have ended.
+// Run advances the registry's time, sends due probes and saves snapshots until ctx is done. It
+// returns after its goroutines have ended.
 func (d *Directory) Run(ctx context.Context) {
 	var group sync.WaitGroup
 	defer group.Wait()
@@ -176,7 +175,7 @@
 	}
 }
 
-// tick advances the registry's time and returns the probes to make. None is made twice at once.
+// tick advances the registry's time and returns the due probes, except those already in flight.
 func (d *Directory) tick() (probes []roster.ProbeTarget) {
 	d.With(func(r *roster.Registry, now time.Time) {
 		r.Tick(now)
@@ -195,7 +194,7 @@
 	result := d.opt.Probe(ctx, p.Addr)
 	d.With(func(r *roster.Registry, now time.Time) {
 		delete(d.probing, p)
-		if ctx.Err() == nil { // else the probe was cut short
+		if ctx.Err() == nil { // otherwise the probe was canceled
 			r.ObserveProbe(now, p.ID, p.Addr, result)
 		}
 	})
--- a/internal/directory/file.go
+++ b/internal/directory/file.go
@@ -7,8 +7,8 @@
 	"wellgw/internal/config"
 )
 
-// ReplaceFileEngines replaces the engines that the operator's file lists. The file is a source like any
-// other, and is always trusted.
+// ReplaceFileEngines replaces the engines from the operator's file. The file is an ordinary source,
+// except that it is always trusted.
 func ReplaceFileEngines(d *Directory, o *config.Operator) {
 	source := roster.Source{Origin: roster.File}
 	var view roster.View
@@ -20,7 +20,7 @@
 		view.Entries = append(view.Entries, roster.Entry{ID: e.ID, Addr: e.Address, Kind: e.Role, Zone: zone, Cell: e.Cell})
 	}
 	d.With(func(r *roster.Registry, now time.Time) {
-		if len(view.Entries) == 0 { // an operator's decision: rules about losses don't apply
+		if len(view.Entries) == 0 { // deliberate, so the limits on lost engines don't apply
 			r.RemoveSource(now, source, "the file names no engine")
 			return
 		}
--- a/internal/directory/golden_test.go
+++ b/internal/directory/golden_test.go
@@ -17,9 +17,9 @@
 	"wellgw/internal/lastview"
 )
 
-var writeGolden = flag.Bool("write-golden", false, "write testdata anew")
+var writeGolden = flag.Bool("write-golden", false, "rewrite the golden files in testdata")
 
-// The view as operators read it, and as `wellgw engines --json` passes it on.
+// The view as operators read it and as `wellgw engines --json` prints it.
 func TestViewJSON(t *testing.T) {
 	for name, c := range map[string]struct {
 		view View
@@ -39,7 +39,7 @@
 				`"sources":[{"source":"service x","doubt":"no leader","doubt_ms":5,"age_ms":6,"index":7,"engines":8}],` +
 				`"stats":{"checks":9,"changes":10,"tells":11,"saves":12}}`,
 		},
-		"only what is always there": {
+		"mandatory fields only": {
 			View{Engines: []Engine{{}}, Sources: []Source{{}}},
 			`{"engines":[{"id":"","address":"","role":"","zone":"","cell":0,"state":"","confidence":"","age_ms":0,"sources":null}],` +
 				`"sources":[{"source":"","age_ms":0,"index":0,"engines":0}],"stats":{"checks":0,"changes":0,"tells":0,"saves":0}}`,
@@ -57,19 +57,19 @@
 	}
 }
 
-// What a directory shows of engines in each state, in the words that people read.
-func TestViewShowsStatesAndReasons(t *testing.T) {
-	d, _, _ := start(t, "", func(context.Context, string) roster.ProbeResult { return roster.Answered })
+// The view of engines in each state, with the texts that operators read.
+func TestViewStatesAndReasons(t *testing.T) {
+	d, _, _ := startDirectory(t, "", func(context.Context, string) roster.ProbeResult { return roster.Answered })
 	start := time.Now().Add(-time.Hour)
 	e := func(id string, mark roster.Mark) roster.Entry {
 		return roster.Entry{ID: id, Addr: id + ":1", Kind: "read", Zone: "z", Cell: 1, Mark: mark, Started: start}
 	}
 	d.With(func(r *roster.Registry, now time.Time) {
-		r.Observe(now, llm, roster.View{Index: 9, Entries: []roster.Entry{
+		r.Observe(now, llmSource, roster.View{Index: 9, Entries: []roster.Entry{
 			e("a", roster.Clear), e("b", roster.Critical), e("c", roster.Maintenance), e("d", roster.Clear), e("e", roster.Clear),
 		}})
 		r.SetOverrides(now, map[string]roster.Override{"d": {Drain: true, StateReason: "changing"}, "e": {Kind: "write", Started: now}})
-		r.ObserveFailure(now, llm, roster.Unreachable)
+		r.ObserveFailure(now, llmSource, roster.Unreachable)
 	})
 	v := d.View()
 	for i := range v.Engines {
@@ -86,7 +86,7 @@
 	compareGolden(t, "view.json", append(got, '\n'))
 }
 
-// compareGolden compares with a file in testdata.
+// compareGolden compares got with a golden file in testdata.
 func compareGolden(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -104,7 +104,7 @@
 	}
 }
 
-// goldenLastView is what the file in testdata holds: every field of it is set.
+// goldenLastView returns the content of testdata/lastview, in which every field is set.
 func goldenLastView() lastview.View {
 	at := time.Date(2026, 1, 2, 3, 4, 5, 678_000_000, time.UTC)
 	x, file := roster.Source{Origin: roster.Catalogue, Name: "x"}, roster.Source{Origin: roster.File}
@@ -122,9 +122,9 @@
 	}
 }
 
-// A last good view that an earlier build has written is read, and written again to the
-// byte: the names in it are those of Go fields, so that a rename would lose it.
-func TestLastViewFileKeepsItsForm(t *testing.T) {
+// A last good view that an earlier build wrote is readable, and is written again byte for byte. Its
+// keys are names of Go fields, so the rename of a field would lose the stored value.
+func TestLastViewFileFormat(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "view")
 	if err := lastview.Save(path, goldenLastView()); err != nil {
 		t.Fatal(err)
@@ -143,7 +143,7 @@
 	}
 }
 
-// A directory that starts from that file shows what it holds.
+// A directory that starts from testdata/lastview shows its engines.
 func TestRestoreFromLastViewFile(t *testing.T) {
 	raw, err := os.ReadFile(filepath.Join("testdata", "lastview"))
 	if err != nil {
@@ -153,7 +153,7 @@
 	if err := os.WriteFile(path, raw, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	d, _, end := start(t, path, func(context.Context, string) roster.ProbeResult { return roster.NoAnswer })
+	d, _, end := startDirectory(t, path, func(context.Context, string) roster.ProbeResult { return roster.NoAnswer })
 	var lines []string
 	for _, e := range d.View().Engines {
 		lines = append(lines, strings.Join([]string{e.ID, e.Address, e.Role, e.State, e.StateReason, e.Confidence, strings.Join(e.Sources, "+")}, "|"))
--- a/internal/directory/probe.go
+++ b/internal/directory/probe.go
@@ -12,18 +12,18 @@
 	"wellgw/decide/roster"
 )
 
-// probeTimeout bounds the connect and, again, the exchange of a probe.
+// probeTimeout bounds the connect of a probe, and separately its HTTP exchange.
 const probeTimeout = 800 * time.Millisecond
 
-// NewProbe returns a health probe that opens a connection and, if path is not empty, requests
-// it. Any response proves that the engine is alive, an error status too.
+// NewProbe returns a health probe that opens a connection and, if path is not empty, sends a GET
+// request for it. Any response, even an error status, proves that the engine is alive.
 func NewProbe(path string) func(ctx context.Context, addr string) roster.ProbeResult {
 	return func(ctx context.Context, addr string) roster.ProbeResult {
 		ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 		defer cancel()
 		conn, err := (&net.Dialer{KeepAlive: -1}).DialContext(ctx, "tcp", addr)
 		if err != nil {
-			return resultOf(err)
+			return resultOfError(err)
 		}
 		defer conn.Close()
 		if path == "" {
@@ -36,19 +36,20 @@
 		}
 		req.Close = true
 		if err := req.Write(conn); err != nil {
-			return resultOf(err)
+			return resultOfError(err)
 		}
 		resp, err := http.ReadResponse(bufio.NewReader(conn), req)
 		if err != nil {
-			return resultOf(err)
+			return resultOfError(err)
 		}
 		resp.Body.Close()
 		return roster.Answered
 	}
 }
 
-// resultOf returns what an error proves: after a refusal, that no process listens.
-func resultOf(err error) roster.ProbeResult {
+// resultOfError returns the result for an error. A refused connection proves that no process
+// listens on the port.
+func resultOfError(err error) roster.ProbeResult {
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return roster.Refused
 	}
--- a/internal/directory/snapshot.go
+++ b/internal/directory/snapshot.go
@@ -10,15 +10,15 @@
 	"wellgw/internal/lastview"
 )
 
-// restore starts the registry from the last good view on disk, if there is one.
+// restore initializes the registry from the last good view on disk, if there is one.
 func (d *Directory) restore() {
 	v, err := lastview.Load(d.opt.StateFile)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
 		return
 	case errors.Is(err, lastview.ErrDamaged):
-		aside, moved := lastview.SetAside(d.opt.StateFile, time.Now())
-		d.opt.Log.Error("last good view damaged, set aside", "file", aside, "cause", errors.Join(err, moved))
+		quarantined, renameErr := lastview.SetAside(d.opt.StateFile, time.Now())
+		d.opt.Log.Error("last good view damaged, set aside", "file", quarantined, "cause", errors.Join(err, renameErr))
 		return
 	case err != nil:
 		d.opt.Log.Error("last good view unreadable", "file", d.opt.StateFile, "cause", err)
@@ -28,7 +28,7 @@
 	d.With(func(r *roster.Registry, now time.Time) { r.Restore(now, v.Entries, v.IndexOf()) })
 }
 
-// save writes the last good view while it changes, and once more when ctx ends.
+// save writes the last good view as it changes, and a last time when ctx is done.
 func (d *Directory) save(ctx context.Context) {
 	if d.opt.StateFile == "" {
 		return
@@ -42,13 +42,13 @@
 			ended = true
 		case <-t.C:
 		}
-		view, due := d.snapshot(savedAt)
+		view, due := d.snapshotIfDue(savedAt)
 		if !due {
 			continue
 		}
 		savedAt = view.SavedAt
 		err := lastview.Save(d.opt.StateFile, view)
-		if err != nil && !failed { // logged once: a full disk must not fill the log as well
+		if err != nil && !failed { // only the first failure is logged, so that a full disk does not flood the log
 			d.opt.Log.Error("last good view not saved", "file", d.opt.StateFile, "cause", err)
 		}
 		if failed = err != nil; !failed {
@@ -59,8 +59,9 @@
 	}
 }
 
-// snapshot returns the last good view if it has changed, or was saved too long ago.
-func (d *Directory) snapshot(savedAt time.Time) (view lastview.View, due bool) {
+// snapshotIfDue returns the last good view if it has changed or was saved at least maxSnapshotAge
+// ago.
+func (d *Directory) snapshotIfDue(savedAt time.Time) (view lastview.View, due bool) {
 	d.mu.Lock()
 	if !d.unsaved && time.Since(savedAt) < maxSnapshotAge {
 		d.mu.Unlock()
