--- a/internal/core/trace_test.go
+++ b/internal/core/trace_test.go
@@ -24,10 +24,10 @@
 	"wellgw/routing"
 )
 
-var updateTrace = flag.Bool("update-trace", false, "write testdata/trace.txt anew")
+var updateTrace = flag.Bool("update-trace", false, "rewrite testdata/trace.txt")
 
-// tracer is an engine pool, a directory, fronts and an observer that write down, with the time, all
-// that they are told by a core. What they say to it is the scenario's.
+// tracer is the transport, the directory, the fronts and the observer of a core. It records every call by the
+// core with its time. A scenario decides what is reported to the core.
 type tracer struct {
 	t        *testing.T
 	core     *Core
@@ -40,91 +40,91 @@
 }
 
 type tracedAttempt struct {
-	tr      *tracer
-	n       int
-	a       Attempt
-	written atomic.Bool
-	heard   atomic.Pointer[FirstByte]
-	first   func(Stream)
-	ended   func(Result)
+	tr        *tracer
+	index     int
+	attempt   Attempt
+	written   atomic.Bool
+	firstByte atomic.Pointer[FirstByte]
+	first     func(Stream)
+	ended     func(Result)
 }
 
-// connection is that of the attempt; each has one of its own.
+// connection returns the number of the attempt's connection. Each attempt has a separate one.
 func (a *tracedAttempt) connection() heldstate.ConnectionNumber {
-	return heldstate.ConnectionNumber(a.n + 1)
+	return heldstate.ConnectionNumber(a.index + 1)
 }
 
-// answerArrives has the first byte of an answer arrive on the attempt's connection.
-func (a *tracedAttempt) answerArrives() {
-	a.heard.Store(&FirstByte{Connection: a.connection(), At: time.Now()})
+// receiveFirstByte records that the first byte of an answer has arrived on the attempt's connection.
+func (a *tracedAttempt) receiveFirstByte() {
+	a.firstByte.Store(&FirstByte{Connection: a.connection(), At: time.Now()})
 }
 
 func (a *tracedAttempt) FirstByte() (FirstByte, bool) {
-	if first := a.heard.Load(); first != nil {
+	if first := a.firstByte.Load(); first != nil {
 		return *first, true
 	}
 	return FirstByte{}, false
 }
 
-func (tr *tracer) note(format string, args ...any) {
+func (tr *tracer) record(format string, args ...any) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	fmt.Fprintf(tr.out, "%8.1f "+format+"\n", append([]any{float64(time.Since(tr.start).Microseconds()) / 1000}, args...)...)
 }
 
-// add appends a call to a list and returns its number.
-func add[T any](tr *tracer, list *[]T, call T) int {
+// appendCall appends a call to a list and returns its number.
+func appendCall[T any](tr *tracer, list *[]T, call T) int {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	*list = append(*list, call)
 	return len(*list) - 1
 }
 
-// all returns the calls of a list.
-func all[T any](tr *tracer, list *[]T) []T {
+// snapshot returns a copy of a list of calls.
+func snapshot[T any](tr *tracer, list *[]T) []T {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	return slices.Clone(*list)
 }
 
-// begun returns the attempts begun so far.
-func (tr *tracer) begun() []*tracedAttempt { return all(tr, &tr.attempts) }
+// startedAttempts returns the attempts that have been started so far.
+func (tr *tracer) startedAttempts() []*tracedAttempt { return snapshot(tr, &tr.attempts) }
 
-func (a *tracedAttempt) Cancel() { a.tr.note("cancel %d", a.n) }
+func (a *tracedAttempt) Cancel() { a.tr.record("cancel %d", a.index) }
 
 func (a *tracedAttempt) Withdraw() bool {
 	unwritten := !a.written.Load()
-	a.tr.note("withdraw %d: %v", a.n, unwritten)
+	a.tr.record("withdraw %d: %v", a.index, unwritten)
 	return unwritten
 }
 
 func (tr *tracer) Start(a Attempt, first func(Stream), ended func(Result)) Handle {
-	at := &tracedAttempt{tr: tr, a: a, first: first, ended: ended}
-	at.n = add(tr, &tr.attempts, at)
-	tr.note("start %d: %s number %d at %s, limit %v, target %s, waits %v, client gone %v",
-		at.n, a.ClientRequestID, a.Number, a.Endpoint.Name, a.Timeout, a.Payload.Target, a.Connected != nil, a.ClientGone())
-	return at
+	traced := &tracedAttempt{tr: tr, attempt: a, first: first, ended: ended}
+	traced.index = appendCall(tr, &tr.attempts, traced)
+	tr.record("start %d: %s number %d at %s, limit %v, target %s, waits %v, client gone %v",
+		traced.index, a.ClientRequestID, a.Number, a.Endpoint.Name, a.Timeout, a.Payload.Target, a.Connected != nil, a.ClientGone())
+	return traced
 }
 
 func (tr *tracer) Release(r Release, done func(error)) (stop func()) {
-	n := add(tr, &tr.releases, done)
-	var others []string
-	for _, m := range r.Alternates {
-		others = append(others, m.Name)
+	n := appendCall(tr, &tr.releases, done)
+	var alternates []string
+	for _, endpoint := range r.Alternates {
+		alternates = append(alternates, endpoint.Name)
 	}
-	tr.note("release %d: %s at %s, else %v after %v every %v, until %v", n, r.ClientRequestID, r.Endpoint.Name, others, r.AlternateDelay, r.AlternateInterval,
+	tr.record("release %d: %s at %s, else %v after %v every %v, until %v", n, r.ClientRequestID, r.Endpoint.Name, alternates, r.AlternateDelay, r.AlternateInterval,
 		time.Until(r.Deadline).Round(time.Millisecond))
-	return func() { tr.note("stop release %d", n) }
+	return func() { tr.record("stop release %d", n) }
 }
 
-func (tr *tracer) Probe(m Endpoint, done func(routing.Status, *routing.LoadReport)) {
-	tr.note("probe %d: %s", add(tr, &tr.probes, done), m.Name)
+func (tr *tracer) Probe(endpoint Endpoint, done func(routing.Status, *routing.LoadReport)) {
+	tr.record("probe %d: %s", appendCall(tr, &tr.probes, done), endpoint.Name)
 }
 
-func (tr *tracer) Subscribe() { tr.note("subscribe") }
+func (tr *tracer) Subscribe() { tr.record("subscribe") }
 
-func (tr *tracer) Answered(q Request, a Answer, verdict string) {
-	tr.note("observed %s: %d %q", q.ClientRequestID, a.Verdict, verdict)
+func (tr *tracer) Answered(request Request, a Answer, verdict string) {
+	tr.record("observed %s: %d %q", request.ClientRequestID, a.Verdict, verdict)
 }
 
 type tracedFront struct {
@@ -133,7 +133,7 @@
 }
 
 func (f tracedFront) Answer(a Answer) {
-	f.tr.note("answer %s: %d, status %d, cause %v, retry %v, quota %v, stream %v, may run %v, standing %v", f.name, a.Verdict, a.Status, a.Cause,
+	f.tr.record("answer %s: %d, status %d, cause %v, retry %v, quota %v, stream %v, may run %v, standing %v", f.name, a.Verdict, a.Status, a.Cause,
 		a.RetryAfter, a.OverQuota, a.Stream != nil, a.MayHaveRun, a.Quota != nil)
 }
 
@@ -141,61 +141,63 @@
 	tr   *tracer
 	name string
 	textStream
-	relayed bool // closed by a front at a time of its own, beside the core
-	closes  atomic.Int32
+	// closedByFront is set if the front's goroutine closes the stream. That is not recorded, since its order
+	// relative to the core's calls varies.
+	closedByFront bool
+	closes        atomic.Int32
 }
 
 func (s *tracedStream) Close() error {
-	if s.closes.Add(1); !s.relayed {
-		s.tr.note("close stream %s", s.name)
+	if s.closes.Add(1); !s.closedByFront {
+		s.tr.record("close stream %s", s.name)
 	}
 	return nil
 }
 
 func (tr *tracer) submit(class, id string, ttl time.Duration) *Ticket {
-	q := ask(class, ttl)
-	q.ClientRequestID, q.Payload.Target = id, "/"+id
-	ticket := tr.core.Submit(q, tracedFront{tr, id})
+	request := newTestRequest(class, ttl)
+	request.ClientRequestID, request.Payload.Target = id, "/"+id
+	ticket := tr.core.Submit(request, tracedFront{tr, id})
 	synctest.Wait()
 	return ticket
 }
 
-// written has the core hear that an attempt's last byte is written.
-func (tr *tracer) written(n int) {
-	tr.begun()[n].written.Store(true)
-	tr.begun()[n].a.Written(WriteRecord{Connection: tr.begun()[n].connection(), At: time.Now()})
+// markWritten reports to the core that an attempt's last byte is written.
+func (tr *tracer) markWritten(n int) {
+	tr.startedAttempts()[n].written.Store(true)
+	tr.startedAttempts()[n].attempt.Written(WriteRecord{Connection: tr.startedAttempts()[n].connection(), At: time.Now()})
 	synctest.Wait()
 }
 
-func (tr *tracer) ended(n int, s routing.Status) { tr.end(n, Result{Status: s}) }
+func (tr *tracer) endWithStatus(n int, s routing.Status) { tr.end(n, Result{Status: s}) }
 
 func (tr *tracer) end(n int, r Result) {
 	if r.Status != routing.StatusReset && r.Status != routing.StatusConnectFailed {
-		tr.begun()[n].answerArrives()
+		tr.startedAttempts()[n].receiveFirstByte()
 	}
-	tr.begun()[n].ended(r)
+	tr.startedAttempts()[n].ended(r)
 	synctest.Wait()
 }
 
-func (tr *tracer) first(n int) *tracedStream {
+func (tr *tracer) openStream(n int) *tracedStream {
 	s := &tracedStream{tr: tr, name: fmt.Sprint(n)}
-	tr.begun()[n].answerArrives()
-	tr.begun()[n].first(s)
+	tr.startedAttempts()[n].receiveFirstByte()
+	tr.startedAttempts()[n].first(s)
 	synctest.Wait()
 	return s
 }
 
-// connect has the core hear that an attempt's connection is up, and notes when it may be written.
+// connect reports to the core that an attempt has a connection, and records when it may be written.
 func (tr *tracer) connect(n int) {
 	go func() {
-		tr.begun()[n].a.Connected()
-		tr.note("clear %d", n)
+		tr.startedAttempts()[n].attempt.Connected()
+		tr.record("clear %d", n)
 	}()
 	synctest.Wait()
 }
 
-func (tr *tracer) released(n int, err error) {
-	all(tr, &tr.releases)[n](err)
+func (tr *tracer) endRelease(n int, err error) {
+	snapshot(tr, &tr.releases)[n](err)
 	synctest.Wait()
 }
 
@@ -204,16 +206,16 @@
 	synctest.Wait()
 }
 
-// read has an attempt written and its read end.
-func (tr *tracer) read(n int) {
-	tr.written(n)
-	tr.ended(n, routing.StatusPrefilled)
+// prefill reports to the core that an attempt is written and that its prefill is completed.
+func (tr *tracer) prefill(n int) {
+	tr.markWritten(n)
+	tr.endWithStatus(n, routing.StatusPrefilled)
 }
 
 var errTraced = errors.New("traced")
 
-// scenarios are what a core is put through. Engines r1 and r2 are prefill engines, w1 and w2 decode
-// engines.
+// scenarios drive a core and the events that it receives. Engines r1 and r2 are prefill engines, w1 and w2
+// decode engines. The names are recorded in testdata/trace.txt.
 var scenarios = []struct {
 	name   string
 	change func(*routing.Settings)
@@ -221,9 +223,9 @@
 }{
 	{"served", nil, func(tr *tracer) {
 		ticket := tr.submit("free", "a", time.Minute)
-		tr.read(0)
-		tr.written(1)
-		tr.first(1)
+		tr.prefill(0)
+		tr.markWritten(1)
+		tr.openStream(1)
 		tr.sleep(50 * time.Millisecond)
 		ticket.Finish(Result{Status: routing.StatusServed, OutputTokens: 7, CachedTokens: 3})
 	}},
@@ -231,200 +233,200 @@
 		tr.submit("free", "a", time.Minute)
 		tr.submit("free", "a", time.Minute).ClientGone()
 		tr.submit("once", "b", time.Minute)
-		tr.read(0)
-		tr.ended(2, routing.StatusError)
+		tr.prefill(0)
+		tr.endWithStatus(2, routing.StatusError)
 	}},
 	{"gone unwritten", nil, func(tr *tracer) { tr.submit("once", "a", time.Minute).ClientGone() }},
 	{"gone written", nil, func(tr *tracer) {
 		ticket := tr.submit("once", "a", time.Minute)
-		tr.written(0)
+		tr.markWritten(0)
 		ticket.ClientGone()
 		tr.sleep(time.Second)
-		tr.released(0, nil)
+		tr.endRelease(0, nil)
 	}},
 	{"gone written, no cancel", func(s *routing.Settings) { s.CanCancel = false }, func(tr *tracer) {
 		ticket := tr.submit("once", "a", time.Minute)
-		tr.written(0)
+		tr.markWritten(0)
 		ticket.ClientGone()
 		tr.sleep(time.Second)
-		tr.ended(0, routing.StatusPrefilled)
+		tr.endWithStatus(0, routing.StatusPrefilled)
 	}},
 	{"gone as it streams", nil, func(tr *tracer) {
 		ticket := tr.submit("once", "a", time.Minute)
-		tr.read(0)
-		tr.written(1)
-		tr.first(1)
+		tr.prefill(0)
+		tr.markWritten(1)
+		tr.openStream(1)
 		ticket.ClientGone()
 		synctest.Wait()
 		ticket.Finish(Result{Status: routing.StatusCancelled})
 	}},
 	{"late stream", nil, func(tr *tracer) {
 		ticket := tr.submit("once", "a", time.Minute)
-		tr.read(0)
-		tr.written(1)
+		tr.prefill(0)
+		tr.markWritten(1)
 		ticket.ClientGone()
 		synctest.Wait()
-		tr.first(1)
+		tr.openStream(1)
 	}},
 	{"broken stream", nil, func(tr *tracer) {
 		ticket := tr.submit("free", "a", time.Minute)
-		tr.read(0)
-		tr.written(1)
-		tr.first(1)
+		tr.prefill(0)
+		tr.markWritten(1)
+		tr.openStream(1)
 		ticket.Finish(Result{Status: routing.StatusReset, Cause: errTraced})
 		synctest.Wait()
-		tr.released(0, nil)
-		tr.released(1, errTraced)
+		tr.endRelease(0, nil)
+		tr.endRelease(1, errTraced)
 	}},
 	{"relayed", nil, func(tr *tracer) {
 		for _, c := range []struct {
 			id         string
 			end, write error
 		}{{"whole", io.EOF, nil}, {"broken", errTraced, nil}, {"unwritable", io.EOF, errTraced}} {
-			n := len(tr.begun())
+			n := len(tr.startedAttempts())
 			ticket := tr.submit("free", c.id, time.Minute)
-			tr.read(n)
-			tr.written(n + 1)
-			s := &tracedStream{tr: tr, name: c.id, textStream: textStream{rest: "data: x\n\n", end: c.end}, relayed: true}
-			tr.begun()[n+1].first(s)
+			tr.prefill(n)
+			tr.markWritten(n + 1)
+			s := &tracedStream{tr: tr, name: c.id, textStream: textStream{unread: "data: x\n\n", end: c.end}, closedByFront: true}
+			tr.startedAttempts()[n+1].first(s)
 			synctest.Wait()
-			err := ticket.Relay(tr.t.Context(), s, func(p []byte) error { tr.note("write %q", p); return c.write })
+			err := ticket.Relay(tr.t.Context(), s, func(p []byte) error { tr.record("write %q", p); return c.write })
 			synctest.Wait()
-			tr.note("relayed: %v, closed %d times", err, s.closes.Load())
+			tr.record("relayed: %v, closed %d times", err, s.closes.Load())
 		}
 	}},
 	{"past its deadline", nil, func(tr *tracer) { tr.submit("once", "a", -time.Second) }},
 	{"silent until its deadline", nil, func(tr *tracer) {
 		tr.submit("once", "a", 2*time.Second)
-		tr.read(0)
-		tr.written(1)
+		tr.prefill(0)
+		tr.markWritten(1)
 		tr.sleep(3 * time.Second)
-		for n := range all(tr, &tr.releases) {
-			tr.released(n, nil)
+		for n := range snapshot(tr, &tr.releases) {
+			tr.endRelease(n, nil)
 		}
 	}},
 	{"retried", nil, func(tr *tracer) {
 		tr.submit("free", "a", time.Minute)
 		for _, s := range []routing.Status{routing.StatusConnectFailed, routing.StatusRejected, routing.StatusError, routing.StatusReset} {
-			tr.written(len(tr.begun()) - 1)
-			tr.ended(len(tr.begun())-1, s)
+			tr.markWritten(len(tr.startedAttempts()) - 1)
+			tr.endWithStatus(len(tr.startedAttempts())-1, s)
 			tr.sleep(500 * time.Millisecond)
 		}
 	}},
 	{"an order that fails", nil, func(tr *tracer) {
 		tr.submit("once", "a", time.Minute)
-		tr.read(0)
-		tr.written(1)
+		tr.prefill(0)
+		tr.markWritten(1)
 		tr.end(1, Result{Status: routing.StatusReset, Cause: errTraced})
 	}},
 	{"no state", nil, func(tr *tracer) {
 		tr.submit("once", "a", time.Minute)
-		tr.read(0)
-		tr.written(1)
+		tr.prefill(0)
+		tr.markWritten(1)
 		tr.end(1, Result{Status: routing.StatusRejected, StateMissing: true})
 		tr.sleep(time.Second)
-		tr.released(0, ErrReleaseUnsupported)
+		tr.endRelease(0, ErrReleaseUnsupported)
 	}},
 	{"over its quota", func(s *routing.Settings) { s.Tenants = []routing.Tenant{{Name: "team", Quota: 0.4}} }, func(tr *tracer) {
 		for n := range 12 {
-			q := ask("free", time.Minute)
-			q.ClientRequestID, q.Tenant = fmt.Sprint("a", n), "team"
-			tr.core.Submit(q, tracedFront{tr, q.ClientRequestID})
+			request := newTestRequest("free", time.Minute)
+			request.ClientRequestID, request.Tenant = fmt.Sprint("a", n), "team"
+			tr.core.Submit(request, tracedFront{tr, request.ClientRequestID})
 			synctest.Wait()
 		}
 	}},
 	{"overtaken", nil, func(tr *tracer) {
 		tr.submit("free", "a", 20*time.Second)
-		tr.read(0)
-		tr.written(1)
-		tr.sleep(15 * time.Second) // the attempt's limit passes, its connection is kept open
-		for n := 2; n < len(tr.begun()); n++ {
-			if tr.begun()[n].a.Connected != nil {
+		tr.prefill(0)
+		tr.markWritten(1)
+		tr.sleep(15 * time.Second) // the attempt times out, and its connection lingers
+		for n := 2; n < len(tr.startedAttempts()); n++ {
+			if tr.startedAttempts()[n].attempt.Connected != nil {
 				tr.connect(n)
 			}
 			tr.sleep(10 * time.Millisecond)
-			tr.written(n)
+			tr.markWritten(n)
 		}
-		tr.ended(1, routing.StatusPrefilled)
+		tr.endWithStatus(1, routing.StatusPrefilled)
 		tr.sleep(20 * time.Second)
-		for n := range all(tr, &tr.releases) {
-			tr.released(n, nil)
+		for n := range snapshot(tr, &tr.releases) {
+			tr.endRelease(n, nil)
 		}
 	}},
 	{"read after its cancel", nil, func(tr *tracer) {
 		tr.submit("free", "a", 300*time.Millisecond)
-		tr.written(0)
+		tr.markWritten(0)
 		tr.sleep(time.Second)
-		tr.ended(0, routing.StatusPrefilled)
+		tr.endWithStatus(0, routing.StatusPrefilled)
 		tr.sleep(time.Second)
 	}},
 	{"lingering", nil, func(tr *tracer) {
 		tr.submit("once", "a", 300*time.Millisecond)
-		tr.read(0)
-		tr.written(1)
+		tr.prefill(0)
+		tr.markWritten(1)
 		tr.sleep(400 * time.Millisecond)
-		tr.released(0, nil)
+		tr.endRelease(0, nil)
 		tr.sleep(20 * time.Second)
 	}},
 	{"lingering until its limit", nil, func(tr *tracer) {
 		tr.submit("once", "a", 300*time.Millisecond)
-		tr.read(0)
-		tr.written(1)
+		tr.prefill(0)
+		tr.markWritten(1)
 		tr.sleep(40 * time.Second)
 	}},
 	{"a state expires", nil, func(tr *tracer) {
 		tr.submit("once", "a", time.Minute)
-		tr.read(0)
+		tr.prefill(0)
 		tr.sleep(2 * time.Second)
-		if len(all(tr, &tr.releases)) > 0 {
-			tr.released(0, nil)
+		if len(snapshot(tr, &tr.releases)) > 0 {
+			tr.endRelease(0, nil)
 		}
 	}},
 	{"an attempt is unconfirmed at the limit", nil, func(tr *tracer) {
 		ticket := tr.submit("once", "a", time.Minute)
-		tr.read(0)
-		tr.written(1)
+		tr.prefill(0)
+		tr.markWritten(1)
 		tr.sleep(460 * time.Millisecond)
 		tr.sleep(2 * time.Second)
-		tr.note("may run: %v", ticket.MayHaveRun(tr.t.Context()))
-		tr.first(1)
+		tr.record("may run: %v", ticket.MayHaveRun(tr.t.Context()))
+		tr.openStream(1)
 	}},
 	{"engines come and go", nil, func(tr *tracer) {
 		tr.core.SetGateways(3)
 		names, ok := tr.core.Eject(tr.t.Context(), "w1", true)
-		tr.note("eject: %v %v", names, ok)
+		tr.record("eject: %v %v", names, ok)
 		names, ok = tr.core.Eject(tr.t.Context(), "nobody", true)
-		tr.note("eject: %v %v", names, ok)
+		tr.record("eject: %v %v", names, ok)
 		tr.submit("once", "a", time.Minute)
-		tr.read(0)
+		tr.prefill(0)
 		tr.core.SetEjected([]string{"w2"})
 		tr.submit("once", "b", time.Minute)
-		tr.read(len(tr.begun()) - 1)
-		tr.note("ejected %v, ready %v", tr.core.Ejected(), tr.core.Ready())
+		tr.prefill(len(tr.startedAttempts()) - 1)
+		tr.record("ejected %v, ready %v", tr.core.Ejected(), tr.core.Ready())
 		tr.core.UpdateEndpoints(routing.EngineListDelta, []Endpoint{{EngineInfo: routing.EngineInfo{Name: "w1", Kind: "w", Phase: routing.PhaseRemoved}}})
 		tr.core.UpdateEndpoints(routing.EngineListFailed, nil)
 		synctest.Wait()
-		tr.note("ready %v", tr.core.Ready())
+		tr.record("ready %v", tr.core.Ready())
 		tr.core.UpdateEndpoints(routing.EngineListSnapshot, nil)
 		synctest.Wait()
-		tr.note("ready %v", tr.core.Ready())
+		tr.record("ready %v", tr.core.Ready())
 		tr.submit("free", "c", time.Second)
 		tr.sleep(2 * time.Second)
 	}},
 	{"abandoned", nil, func(tr *tracer) {
 		tr.submit("once", "a", time.Minute)
 		tr.submit("once", "b", time.Minute)
-		tr.read(0)
-		tr.written(2)
+		tr.prefill(0)
+		tr.markWritten(2)
 		tr.core.NotifyShutdown(false)
 		synctest.Wait()
 		tr.submit("once", "c", time.Minute)
 		tr.core.NotifyShutdown(true)
-		go func() { tr.note("drained: %v", tr.core.Drain(tr.t.Context())) }()
+		go func() { tr.record("drained: %v", tr.core.Drain(tr.t.Context())) }()
 		synctest.Wait()
 		for range 3 {
-			for n := range all(tr, &tr.releases) {
-				tr.released(n, nil)
+			for n := range snapshot(tr, &tr.releases) {
+				tr.endRelease(n, nil)
 			}
 			tr.sleep(time.Second)
 		}
@@ -433,13 +435,13 @@
 		tr.submit("once", "a", time.Minute)
 		ctx, cancel := context.WithTimeout(tr.t.Context(), time.Second)
 		defer cancel()
-		tr.note("drained: %v", tr.core.Drain(ctx))
+		tr.record("drained: %v", tr.core.Drain(ctx))
 	}},
 	{"probed", nil, func(tr *tracer) {
 		tr.submit("free", "a", 5*time.Second)
 		runQuery(tr.t.Context(), tr.core, func() bool { tr.core.startProbe("r1"); return true })
 		tr.sleep(20 * time.Millisecond)
-		for _, done := range all(tr, &tr.probes) {
+		for _, done := range snapshot(tr, &tr.probes) {
 			done(routing.StatusServed, &routing.LoadReport{})
 		}
 		tr.sleep(time.Second)
@@ -450,10 +452,10 @@
 	}},
 	{"overdue", nil, func(tr *tracer) {
 		tr.submit("free", "a", 5*time.Second)
-		tr.written(0)
+		tr.markWritten(0)
 		runQuery(tr.t.Context(), tr.core, func() bool {
-			for _, q := range tr.core.requests.byID {
-				tr.core.answerDeadlineExceeded(q)
+			for _, request := range tr.core.requests.byID {
+				tr.core.answerDeadlineExceeded(request)
 			}
 			return true
 		})
@@ -461,36 +463,36 @@
 	}},
 	{"next one waits for the end of the last", nil, func(tr *tracer) {
 		tr.submit("free", "a", 5*time.Second)
-		tr.written(0)
-		tr.ended(0, routing.StatusTimeout)
+		tr.markWritten(0)
+		tr.endWithStatus(0, routing.StatusTimeout)
 		tr.sleep(10 * time.Millisecond)
 		tr.connect(1)
 		tr.sleep(10 * time.Millisecond)
-		tr.written(1)
+		tr.markWritten(1)
 		tr.sleep(10 * time.Second)
 	}},
 	{"refusal waits for the end of the last", nil, func(tr *tracer) {
 		tr.submit("once", "a", 300*time.Millisecond)
-		tr.written(0)
+		tr.markWritten(0)
 		tr.sleep(time.Second)
 	}},
 	{"cancelled as it is written", nil, func(tr *tracer) {
 		ticket := tr.submit("once", "a", time.Minute)
-		tr.begun()[0].written.Store(true)
+		tr.startedAttempts()[0].written.Store(true)
 		ticket.ClientGone()
 		synctest.Wait()
-		tr.written(0)
-		tr.ended(0, routing.StatusReset)
+		tr.markWritten(0)
+		tr.endWithStatus(0, routing.StatusReset)
 	}},
 	{"settings changed", nil, func(tr *tracer) {
 		set := testSettings()
 		set.MaxAttempts = 0
-		tr.note("refused: %v", tr.core.Reconfigure(tr.t.Context(), set) != nil)
+		tr.record("refused: %v", tr.core.Reconfigure(tr.t.Context(), set) != nil)
 		set.MaxAttempts, set.Classes = 2, set.Classes[:1]
-		tr.note("refused: %v", tr.core.Reconfigure(tr.t.Context(), set) != nil)
+		tr.record("refused: %v", tr.core.Reconfigure(tr.t.Context(), set) != nil)
 		tr.submit("free", "a", time.Minute)
-		tr.read(0)
-		tr.ended(1, routing.StatusError)
+		tr.prefill(0)
+		tr.endWithStatus(1, routing.StatusError)
 		tr.submit("once", "b", time.Minute)
 	}},
 	{"idle", nil, func(tr *tracer) {
@@ -500,11 +502,11 @@
 		ticket.ClientGone()
 		synctest.Wait()
 		tr.sleep(time.Second)
-		tr.note("idle for %v", tr.core.IdleFor(tr.t.Context()))
+		tr.record("idle for %v", tr.core.IdleFor(tr.t.Context()))
 	}},
 }
 
-// newTracer returns a tracer with a core that runs, and the engines listed.
+// newTracer returns a tracer with a running core and four listed engines.
 func newTracer(t *testing.T, out *strings.Builder, change func(*routing.Settings)) *tracer {
 	set := testSettings()
 	if change != nil {
@@ -529,8 +531,8 @@
 	return tr
 }
 
-// TestTrace pins what engines, directory, fronts and observer see of a core in each scenario, in
-// which order and when, and what it has counted at the end.
+// TestTrace compares, for each scenario, the core's calls of its transport, directory, fronts and observer,
+// their order and times, and the counters at the end with testdata/trace.txt.
 func TestTrace(t *testing.T) {
 	const file = "testdata/trace.txt"
 	var out strings.Builder
@@ -565,14 +567,14 @@
 	}
 }
 
-// BenchmarkRequestServed takes requests through the core: read, written, streamed and served.
+// BenchmarkRequestServed measures the core's work for a request that is prefilled, decoded and served.
 func BenchmarkRequestServed(b *testing.B) {
 	router, err := routing.New(testSettings(), 1)
 	if err != nil {
 		b.Fatal(err)
 	}
-	e := &servingEngine{}
-	c := New(router, e, e, Limits{DeadlineSlack: 50 * time.Millisecond, HeldStateLimit: time.Second, MaxAttempts: 4}, slog.New(slog.DiscardHandler), invariant.New())
+	engine := &servingEngine{}
+	c := New(router, engine, engine, Limits{DeadlineSlack: 50 * time.Millisecond, HeldStateLimit: time.Second, MaxAttempts: 4}, slog.New(slog.DiscardHandler), invariant.New())
 	go c.Run(b.Context())
 	c.UpdateEndpoints(routing.EngineListSnapshot, []Endpoint{
 		{EngineInfo: routing.EngineInfo{Name: "r1", Kind: "r", Weight: 1}},
@@ -580,7 +582,7 @@
 	})
 	b.ReportAllocs()
 	for b.Loop() {
-		a, ticket, _ := SubmitAndWait(b.Context(), c, ask("free", time.Minute))
+		a, ticket, _ := SubmitAndWait(b.Context(), c, newTestRequest("free", time.Minute))
 		if a.Verdict != Streaming {
 			b.Fatalf("%+v", a)
 		}
@@ -588,7 +590,7 @@
 	}
 }
 
-// servingEngine serves all, at once.
+// servingEngine is a transport that completes every attempt immediately.
 type servingEngine struct{ fakeTransport }
 
 func (*servingEngine) Start(a Attempt, first func(Stream), ended func(Result)) Handle {
@@ -600,5 +602,5 @@
 		}
 		first(&textStream{})
 	}()
-	return noHandle{}
+	return nopHandle{}
 }
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -106,9 +106,9 @@
 	}
 	_, recorder, end = startDirectory(t, file, alive)
 	end()
-	quarantined, _ := filepath.Glob(file + ".damaged-*")
-	if recorder.published() != "" || len(quarantined) != 1 || !strings.Contains(recorder.log.String(), "set aside") {
-		t.Errorf("published %q, renamed files %v, log %s", recorder.published(), quarantined, recorder.log.String())
+	renamed, _ := filepath.Glob(file + ".damaged-*")
+	if recorder.published() != "" || len(renamed) != 1 || !strings.Contains(recorder.log.String(), "set aside") {
+		t.Errorf("published %q, renamed files %v, log %s", recorder.published(), renamed, recorder.log.String())
 	}
 }
 
--- a/internal/directory/snapshot.go
+++ b/internal/directory/snapshot.go
@@ -17,15 +17,15 @@
 	case errors.Is(err, fs.ErrNotExist):
 		return
 	case errors.Is(err, lastview.ErrDamaged):
-		quarantined, renameErr := lastview.SetAside(d.opt.StateFile, time.Now())
-		d.opt.Log.Error("last good view damaged, set aside", "file", quarantined, "cause", errors.Join(err, renameErr))
+		renamed, renameErr := lastview.RenameDamaged(d.opt.StateFile, time.Now())
+		d.opt.Log.Error("last good view damaged, set aside", "file", renamed, "cause", errors.Join(err, renameErr))
 		return
 	case err != nil:
 		d.opt.Log.Error("last good view unreadable", "file", d.opt.StateFile, "cause", err)
 		return
 	}
 	d.opt.Log.Info("last good view loaded", "file", d.opt.StateFile, "age", time.Since(v.SavedAt).Round(time.Millisecond).String())
-	d.With(func(r *roster.Registry, now time.Time) { r.Restore(now, v.Entries, v.IndexOf()) })
+	d.With(func(r *roster.Registry, now time.Time) { r.Restore(now, v.Entries, v.IndexBySource()) })
 }
 
 // save writes the last good view as it changes, and a last time when ctx is done.
