--- a/internal/consul/agents.go
+++ b/internal/consul/agents.go
@@ -16,7 +16,8 @@
 type agent struct {
 	addr string
 
-	upCtx    context.Context // canceled when the agent is marked down, which ends its requests; guarded by Client.mu
+	// upCtx is canceled when the agent is marked down, which ends its requests. Guarded by Client.mu.
+	upCtx    context.Context
 	cancelUp context.CancelFunc
 }
 
--- a/internal/consul/catalog.go
+++ b/internal/consul/catalog.go
@@ -12,10 +12,12 @@
 // catalogWatch watches the services that carry the tag, each in a separate goroutine.
 type catalogWatch struct {
 	*watcher
-	tracker   *roster.ServiceTracker
-	cancels   map[string]context.CancelFunc // key: service; ends its watch
-	group     sync.WaitGroup
-	initial   bool // no view applied yet: added services may have run since before the gateway started
+	tracker *roster.ServiceTracker
+	cancels map[string]context.CancelFunc // key: service; ends its watch
+	group   sync.WaitGroup
+	// initial is true from the start of the gateway until the first view is applied: the engines of
+	// services that are added meanwhile may have been running before the gateway.
+	initial   bool
 	untrusted bool // whether the latest view was untrusted
 }
 
--- a/internal/consul/client.go
+++ b/internal/consul/client.go
@@ -30,12 +30,12 @@
 	heartbeatInterval = 800 * time.Millisecond  // between heartbeats to an agent
 	heartbeatTimeout  = 1200 * time.Millisecond // an agent that takes longer is marked down
 	requestTimeout    = 5 * time.Second         // of a request that does not block, including its body
-	blockingMargin    = 2 * time.Second         // added to the wait and Consul's jitter for a request that blocks
+	blockingMargin    = 2 * time.Second         // beyond the wait and its sixteenth, of a blocking query
 	connectTimeout    = time.Second
 	bodyStallTimeout  = 1500 * time.Millisecond // for each chunk of a body (bodyChunk)
 	bodyChunk         = 128 << 10               // bytes
 	maxRetryAfter     = 30 * time.Second        // a longer Retry-After is reduced to this
-	maxHeartbeatBody  = 4 << 10                 // bytes; the body is read so that the connection can be reused
+	maxHeartbeatBody  = 4 << 10                 // bytes; read so that the connection can be reused
 	maxErrorText      = 200                     // bytes of an error response's body that are logged
 )
 
@@ -116,7 +116,7 @@
 	if q.Index > 0 {
 		params.Set("index", strconv.FormatUint(q.Index, 10))
 		params.Set("wait", strconv.FormatInt(q.Wait.Milliseconds(), 10)+"ms")
-		timeout = q.Wait + q.Wait/16 + blockingMargin // Consul adds a jitter of up to wait/16, per its documentation
+		timeout = q.Wait + q.Wait/16 + blockingMargin // per its documentation Consul adds up to wait/16
 	}
 	switch {
 	case q.Stale || c.cfg.Consistency == "stale":
--- a/internal/consul/consul_test.go
+++ b/internal/consul/consul_test.go
@@ -21,6 +21,7 @@
 	"wellgw/routing"
 )
 
+// Checks and maintenance mode stop new requests to an engine, and a deregistration removes it.
 func TestDrainMarks(t *testing.T) {
 	env := startEnv(t, 1, (*testEnv).registerThree, nil)
 	env.awaitPublished("a b c")
@@ -193,8 +194,8 @@
 func TestAgentErrors(t *testing.T) {
 	for name, f := range map[string]consul.Faults{
 		"429": {Status: 429, Hint: "0.1"}, "500": {Status: 500}, "403": {Status: 403}, "no leader": {Leaderless: true},
-		"resets": {Reset: 1}, "refuses": {Refuse: true}, "trickles": {Trickle: 100 * time.Millisecond}, "too old": {Contact: time.Hour},
-		"ignores the index": {Ignore: true},
+		"connection reset": {Reset: 1}, "connection refused": {Refuse: true}, "slow body": {Trickle: 100 * time.Millisecond}, "stale response": {Contact: time.Hour},
+		"index ignored": {Ignore: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -239,7 +240,8 @@
 	env.awaitPublished("a b c")
 }
 
-// The agent's certificate is verified against the configured CA file and server name.
+// The agent's certificate is verified against the CA file's current content and the configured
+// server name.
 func TestTLS(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ca.pem")
 	var server *httptest.Server
--- a/internal/consul/errors.go
+++ b/internal/consul/errors.go
@@ -44,9 +44,9 @@
 	}
 }
 
-// requestError wraps the error of a request. If the connection could not be opened, the agent
-// is marked down immediately; after any other error the next heartbeat decides. upCtx is the agent's context
-// when the request started.
+// requestError wraps the error of a request. If the connection could not be opened, the agent is
+// marked down immediately; after any other error the next heartbeat decides. upCtx is the agent's
+// context at the start of the request.
 func (c *Client) requestError(upCtx context.Context, a *agent, err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
--- a/internal/consul/harness_test.go
+++ b/internal/consul/harness_test.go
@@ -94,12 +94,14 @@
 	env.store.Register(consul.Service{ID: id, Name: service, Node: node, Address: "127.0.0.1", Port: port, Tags: tags}, map[string]string{"alive:" + id: "passing"})
 }
 
+// registerThree registers the engines a, b and c of the service llm.
 func (env *testEnv) registerThree() {
 	for i, id := range []string{"a", "b", "c"} {
 		env.registerEngine("llm", id, 9001+i, "engine")
 	}
 }
 
+// injectFaults injects faults into all agents, instead of those before.
 func (env *testEnv) injectFaults(f consul.Faults) {
 	env.Helper()
 	for _, a := range env.agents {
@@ -140,6 +142,7 @@
 	}
 }
 
+// distrustReason returns why the first source is not trusted, "" if it is.
 func (env *testEnv) distrustReason() string {
 	v := env.directory.View()
 	if len(v.Sources) == 0 {
--- a/internal/consul/kv.go
+++ b/internal/consul/kv.go
@@ -25,7 +25,7 @@
 // List returns the entries with a key prefix, and their index. If index is not 0 it blocks until
 // theirs exceeds index, for at most wait. A prefix without entries is not an error.
 func (c *Client) List(ctx context.Context, prefix string, index uint64, wait time.Duration) ([]Pair, uint64, error) {
-	a, err := c.Get(ctx, Query{Path: "/v1/kv/" + prefix, Params: url.Values{"recurse": {""}}, Index: index, Wait: wait})
+	result, err := c.Get(ctx, Query{Path: "/v1/kv/" + prefix, Params: url.Values{"recurse": {""}}, Index: index, Wait: wait})
 	if s := (*StatusError)(nil); errors.As(err, &s) && s.Status == http.StatusNotFound {
 		return nil, s.Index, nil
 	}
@@ -33,10 +33,10 @@
 		return nil, 0, err
 	}
 	var pairs []Pair
-	if err := jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(a.Body, &pairs); err != nil {
+	if err := jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(result.Body, &pairs); err != nil {
 		return nil, 0, fmt.Errorf("entries with prefix %s: %w", prefix, err)
 	}
-	return pairs, a.Index, nil
+	return pairs, result.Index, nil
 }
 
 // Read returns one entry and whether it exists.
@@ -73,8 +73,8 @@
 	return err
 }
 
-// AcquireLock acquires the lock on an entry for a session and writes the entry. It reports
-// whether the session holds the lock; a session that holds it already may call it again.
+// AcquireLock acquires the lock on an entry for a session, or keeps it if the session already holds
+// it, and writes the entry. It reports whether the session holds the lock.
 func (c *Client) AcquireLock(ctx context.Context, key, session string, value []byte) (bool, error) {
 	return c.writeKV(ctx, http.MethodPut, "/v1/kv/"+key, url.Values{"acquire": {session}}, value)
 }
@@ -96,8 +96,7 @@
 }
 
 // NewSession creates a session and returns its ID. Without renewal Consul ends it after ttl, or up
-// to twice that. After its end, its locks can be acquired again
-// once delay has elapsed.
+// to twice that. Its locks are released then, and can be acquired again once delay has elapsed.
 func (c *Client) NewSession(ctx context.Context, name string, ttl, delay time.Duration) (string, error) {
 	body, err := jsoniter.Marshal(session{Name: name, TTL: ttl.String(), LockDelay: delay.String(), Behavior: "release", Checks: []string{}})
 	if err != nil {
--- a/internal/consul/parse.go
+++ b/internal/consul/parse.go
@@ -22,7 +22,7 @@
 	errNoAddress   = errors.New("address is missing")
 )
 
-// serviceEntry has the fields in use of an element of /v1/health/service/NAME.
+// serviceEntry is an element of /v1/health/service/NAME, with only the fields in use.
 type serviceEntry struct {
 	Node    *nodeInfo    `json:"Node"`
 	Service *serviceInfo `json:"Service"`
--- a/internal/consul/polling.go
+++ b/internal/consul/polling.go
@@ -28,8 +28,8 @@
 }
 
 // watchOrPoll watches one of the tagged services until ctx is done. It uses blocking queries while
-// there are at most as many services as watches. Otherwise it polls at the interval, and
-// immediately on a signal in pollNow.
+// the number of services permits, see watch.PollingMode. Otherwise it polls at the mode's interval,
+// and immediately on a signal in pollNow.
 func (w *watcher) watchOrPoll(ctx context.Context, name string, pollNow <-chan struct{}) {
 	nextPollTime := time.Now() // the first poll waits only for a slot
 	for ctx.Err() == nil {
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// criticalCheck has the fields in use of an element of /v1/health/state/critical.
+// criticalCheck is an element of /v1/health/state/critical, with only the fields in use.
 type criticalCheck struct {
 	Node        string `json:"Node"`
 	CheckID     string `json:"CheckID"`
--- a/internal/consul/register.go
+++ b/internal/consul/register.go
@@ -101,14 +101,14 @@
 	if err != nil {
 		return registration{}, err
 	}
-	number, _ := strconv.Atoi(port) // valid: from the listener, or validated with the configuration
+	portNumber, _ := strconv.Atoi(port) // valid: from the listener, or validated with the configuration
 	id := r.ID
 	if id == "" {
 		hostname, _ := os.Hostname()
 		id = r.Name + "-" + hostname + "-" + port
 	}
 	return registration{
-		ID: id, Name: r.Name, Address: host, Port: number,
+		ID: id, Name: r.Name, Address: host, Port: portNumber,
 		Meta: map[string]string{"started_ms": strconv.FormatInt(time.Now().UnixMilli(), 10)},
 		Check: ttlCheck{
 			CheckID: checkIDPrefix + id, TTL: r.TTL().String(), Status: statusPassing,
--- a/internal/consul/services.go
+++ b/internal/consul/services.go
@@ -32,7 +32,7 @@
 	return names
 }
 
-// removeOtherServices removes the sources of all services except one, which are left over from a
+// removeOtherServices removes the sources of all services except the named one. They stem from a
 // previous configuration.
 func (w *watcher) removeOtherServices(name string) {
 	for _, other := range w.knownServices() {
--- a/internal/consul/watcher.go
+++ b/internal/consul/watcher.go
@@ -37,7 +37,7 @@
 	client    *Client
 	log       *slog.Logger
 	policy    roster.Policy
-	atStart   bool          // the gateway has just started, so listed engines may have been running before
+	atStart   bool          // first watcher of the process: listed engines may be older than it
 	pollSlots chan struct{} // bounds the polls in flight
 
 	mu          sync.Mutex
@@ -90,7 +90,7 @@
 	return result, err
 }
 
-// failureOf classifies an error and returns the agent's Retry-After, 0 without one.
+// classifyFailure classifies an error and returns the agent's Retry-After, or 0 if there is none.
 func classifyFailure(err error) (watch.Failure, time.Duration) {
 	var status *StatusError
 	switch {
@@ -183,7 +183,7 @@
 	var group sync.WaitGroup
 	defer group.Wait()
 	ctx, stop := context.WithCancel(ctx)
-	defer stop() // runs before group.Wait: otherwise a panic here would block there and never be reported
+	defer stop() // runs before group.Wait, where a panic would otherwise block and stay unreported
 	group.Go(func() { w.client.Run(ctx) })
 	if w.cfg.Tag != "" && w.cfg.Service == "" {
 		w.watchCatalog(ctx)
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -18,9 +18,9 @@
 const (
 	tickInterval     = 100 * time.Millisecond
 	maxProbesPerTick = 32                    // 320 probes per second
-	flushInterval    = 20 * time.Millisecond // min time between publications; batches the changes of a flapping catalog
+	flushInterval    = 20 * time.Millisecond // between publications; batches the changes of a flapping catalog
 	saveInterval     = time.Second
-	maxSnapshotAge   = time.Minute // without changes the file is rewritten at this age to update its time stamp
+	maxSnapshotAge   = time.Minute // older files are rewritten without changes, for their time stamp
 )
 
 // Options configure a directory.
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -131,6 +131,7 @@
 	}
 }
 
+// The operator's file is one of the sources; the catalogue's address and mark take precedence.
 func TestFileSource(t *testing.T) {
 	d, recorder, _ := startDirectory(t, "", func(context.Context, string) roster.ProbeResult { return roster.Answered })
 	o := &config.Operator{Zone: "z", Engines: []config.StaticEngine{{ID: "x", Address: "127.0.0.1:9", Role: "read"}, {ID: "y", Address: "127.0.0.1:8", Role: "read"}}}
@@ -145,6 +146,7 @@
 	awaitPublished(t, recorder, "a:0 y:1")
 }
 
+// Any response proves that an engine is alive; with a path, a connection alone does not.
 func TestProbe(t *testing.T) {
 	responsive := enginetest.NewEngine(t, func(enginetest.Call) string { return enginetest.Status(503, "", "") })
 	hung := enginetest.NewEngine(t, func(enginetest.Call) string { return enginetest.Hang })
@@ -180,8 +182,8 @@
 func TestRefusedAttemptsAreReported(t *testing.T) {
 	for cause, want := range map[error]int{syscall.ECONNREFUSED: 1, errors.New("other"): 0} {
 		refused, ended := 0, 0
-		w := ObservedTransport{fakeTransport{result: core.Result{Status: routing.StatusConnectFailed, Cause: fmt.Errorf("connect: %w", cause)}}, func(string, string) { refused++ }}
-		w.Start(core.Attempt{}, nil, func(core.Result) { ended++ })
+		transport := ObservedTransport{fakeTransport{result: core.Result{Status: routing.StatusConnectFailed, Cause: fmt.Errorf("connect: %w", cause)}}, func(string, string) { refused++ }}
+		transport.Start(core.Attempt{}, nil, func(core.Result) { ended++ })
 		if refused != want || ended != 1 {
 			t.Errorf("%v: reported %d times, ended %d times", cause, refused, ended)
 		}
--- a/internal/directory/snapshot.go
+++ b/internal/directory/snapshot.go
@@ -48,7 +48,7 @@
 		}
 		savedAt = view.SavedAt
 		err := lastview.Save(d.opt.StateFile, view)
-		if err != nil && !failed { // only the first failure is logged, so that a full disk does not flood the log
+		if err != nil && !failed { // only the first in a row, so that a full disk does not flood the log
 			d.opt.Log.Error("last good view not saved", "file", d.opt.StateFile, "cause", err)
 		}
 		if failed = err != nil; !failed {
