--- a/internal/consul/harness_test.go
+++ b/internal/consul/harness_test.go
@@ -101,7 +101,7 @@
 	}
 }
 
-// injectFaults injects faults into all agents, instead of those before.
+// injectFaults replaces the injected faults of all agents.
 func (env *testEnv) injectFaults(f consul.Faults) {
 	env.Helper()
 	for _, a := range env.agents {
