--- a/internal/consul/client.go
+++ b/internal/consul/client.go
@@ -116,7 +116,7 @@
 	if q.Index > 0 {
 		params.Set("index", strconv.FormatUint(q.Index, 10))
 		params.Set("wait", strconv.FormatInt(q.Wait.Milliseconds(), 10)+"ms")
-		timeout = q.Wait + q.Wait/16 + blockingMargin // per its documentation Consul adds up to wait/16
+		timeout = q.Wait + q.Wait/16 + blockingMargin // Consul may add wait/16, by its documentation
 	}
 	switch {
 	case q.Stale || c.cfg.Consistency == "stale":
@@ -209,8 +209,8 @@
 	return req, nil
 }
 
-// readBody reads a body. If a chunk takes longer than bodyStallTimeout it calls cancel, which has
-// to abort the read: a stalled body would delay the next request.
+// readBody reads a body. It calls cancel, which must abort the read, if a chunk is not complete
+// within bodyStallTimeout: a stalled body would delay the next request.
 func readBody(r io.Reader, cancel func()) ([]byte, error) {
 	stallTimer := time.AfterFunc(bodyStallTimeout, cancel)
 	defer stallTimer.Stop()
