--- a/internal/openai/conformance/chat.go
+++ b/internal/openai/conformance/chat.go
@@ -28,7 +28,7 @@
 	return want(len(acc.Choices) == 1 && acc.Choices[0].Message.Content != "" && acc.Choices[0].FinishReason != "", "%+v", acc.Choices)
 }
 
-func (s *suite) oneID(ctx context.Context) error {
+func (s *suite) consistentIDs(ctx context.Context) error {
 	ids, models, objects := map[string]bool{}, map[string]bool{}, map[string]bool{}
 	_, err := s.collect(ctx, s.params("a hull fitting"), func(c openai.ChatCompletionChunk) error {
 		ids[c.ID], models[c.Model], objects[string(c.Object)] = true, true, true
@@ -53,12 +53,12 @@
 	if err != nil {
 		return err
 	}
-	return want(last > 0 && last == events, "usage in event %d of %d", last, events)
+	return want(last > 0 && last == events, "usage in event %d of %d, want it in the last one", last, events)
 }
 
 func (s *suite) noUsage(ctx context.Context) error {
 	_, err := s.collect(ctx, s.params("a hull fitting"), func(c openai.ChatCompletionChunk) error {
-		return want(len(c.Choices) > 0 && c.Usage.TotalTokens == 0, "an event of usage: %s", c.RawJSON())
+		return want(len(c.Choices) > 0 && c.Usage.TotalTokens == 0, "unexpected usage event: %s", c.RawJSON())
 	})
 	return err
 }
@@ -72,10 +72,10 @@
 	}
 	for i, c := range r.Choices {
 		if int(c.Index) != i || c.Message.Content == "" || c.FinishReason == "" {
-			return fmt.Errorf("choice %d: %s", i, c.RawJSON())
+			return fmt.Errorf("choice %d is incomplete or out of order: %s", i, c.RawJSON())
 		}
 	}
-	return want(len(r.Choices) == 3, "%d choices", len(r.Choices))
+	return want(len(r.Choices) == 3, "%d choices, want 3", len(r.Choices))
 }
 
 func (s *suite) choicesStreamed(ctx context.Context) error {
@@ -87,10 +87,10 @@
 	}
 	for i, c := range acc.Choices {
 		if c.Message.Content == "" || c.FinishReason == "" {
-			return fmt.Errorf("choice %d: %+v", i, c)
+			return fmt.Errorf("choice %d is incomplete: %+v", i, c)
 		}
 	}
-	return want(len(acc.Choices) == 3, "%d choices", len(acc.Choices))
+	return want(len(acc.Choices) == 3, "%d choices, want 3", len(acc.Choices))
 }
 
 func (s *suite) withTools() openai.ChatCompletionNewParams {
@@ -105,13 +105,13 @@
 	return p
 }
 
-func checkCalls(calls []openai.ChatCompletionMessageToolCallUnion) error {
+func checkToolCalls(calls []openai.ChatCompletionMessageToolCallUnion) error {
 	if len(calls) == 0 {
 		return errNoToolCall
 	}
 	for i, c := range calls {
 		if c.ID == "" || c.Function.Name == "" || !strings.HasPrefix(c.Function.Arguments, "{") || !strings.HasSuffix(c.Function.Arguments, "}") {
-			return fmt.Errorf("call %d: %+v", i, c)
+			return fmt.Errorf("tool call %d is incomplete: %+v", i, c)
 		}
 	}
 	return nil
@@ -123,9 +123,9 @@
 		return err
 	}
 	if len(r.Choices) != 1 || r.Choices[0].FinishReason != "tool_calls" {
-		return fmt.Errorf("%s", r.RawJSON())
+		return fmt.Errorf("unexpected choices or finish reason: %s", r.RawJSON())
 	}
-	return checkCalls(r.Choices[0].Message.ToolCalls)
+	return checkToolCalls(r.Choices[0].Message.ToolCalls)
 }
 
 func (s *suite) toolsStreamed(ctx context.Context) error {
@@ -134,9 +134,9 @@
 		return err
 	}
 	if len(acc.Choices) != 1 {
-		return fmt.Errorf("%d choices", len(acc.Choices))
+		return fmt.Errorf("%d choices, want 1", len(acc.Choices))
 	}
-	return checkCalls(acc.Choices[0].Message.ToolCalls)
+	return checkToolCalls(acc.Choices[0].Message.ToolCalls)
 }
 
 func (s *suite) toolResult(ctx context.Context) error {
@@ -186,7 +186,7 @@
 	return errors.Join(err, want(n > 0, "no logprobs"))
 }
 
-// oneChoice asks for a chat that must have one choice.
+// oneChoice sends a chat request and checks that the answer has one choice.
 func (s *suite) oneChoice(ctx context.Context, p openai.ChatCompletionNewParams) error {
 	r, err := s.client.Chat.Completions.New(ctx, p)
 	if err != nil {
--- a/internal/openai/conformance/conformance.go
+++ b/internal/openai/conformance/conformance.go
@@ -1,6 +1,6 @@
-// Package conformance tests a server of the chat API at any base URL by the official Go client
-// library. It tests the published API and what the gateway promises beyond that (idempotency
-// keys, error codes, contracts in the list of models), whatever the text of a model's answers.
+// Package conformance tests a server of the chat API at a given base URL with the official Go client
+// library. It tests the published API and the gateway's extensions (idempotency keys, error codes,
+// contracts in the list of models), independent of the text of a model's answers.
 package conformance
 
 import (
@@ -14,19 +14,19 @@
 	"github.com/openai/openai-go/v3/option"
 )
 
-// Options say what is tested.
+// Options select the server and the cases to run.
 type Options struct {
-	BaseURL         string // up to and without /v1
+	BaseURL         string // without the trailing /v1
 	Key             string
 	Model           string // under a free contract
-	OrderModel      string // under a contract that must not run twice; "" skips its cases
+	OrderModel      string // under a contract whose requests must not be executed twice; "" skips its cases
 	RefusalPrompt   string // a prompt that the engine refuses; "" skips its cases
 	ReasoningPrompt string // a prompt that the engine reasons about; "" skips its cases
 }
 
-// Faults of answers that have no error of the library's own.
+// Errors in answers for which the library has no error.
 var (
-	errChunk      = errors.New("the library can't add a chunk")
+	errChunk      = errors.New("client library failed to accumulate a chunk")
 	errNoToolCall = errors.New("no tool call")
 )
 
@@ -34,11 +34,11 @@
 type Result struct {
 	Name     string
 	Passed   bool
-	Detail   string // of a failure, or why it was skipped
+	Detail   string // the error of a failed case
 	Duration time.Duration
 }
 
-const caseWait = 15 * time.Second
+const caseTimeout = 15 * time.Second
 
 type suite struct {
 	Options
@@ -51,7 +51,7 @@
 	run  func(context.Context) error
 }
 
-// Run plays all cases, one after the other.
+// Run runs all cases that o does not skip, one after the other.
 func Run(ctx context.Context, o Options) []Result {
 	s := &suite{Options: o, client: openai.NewClient(
 		option.WithBaseURL(strings.TrimRight(o.BaseURL, "/")+"/v1/"), option.WithAPIKey(o.Key), option.WithMaxRetries(0),
@@ -61,11 +61,11 @@
 		if c.skip {
 			continue
 		}
-		begun := time.Now()
-		one, cancel := context.WithTimeout(ctx, caseWait)
-		err := c.run(one)
+		start := time.Now()
+		caseCtx, cancel := context.WithTimeout(ctx, caseTimeout)
+		err := c.run(caseCtx)
 		cancel()
-		r := Result{Name: c.name, Passed: err == nil, Duration: time.Since(begun)}
+		r := Result{Name: c.name, Passed: err == nil, Duration: time.Since(start)}
 		if err != nil {
 			r.Detail = err.Error()
 		}
@@ -75,42 +75,42 @@
 }
 
 func (s *suite) cases() []testCase {
-	order, refuse, think := s.OrderModel == "", s.RefusalPrompt == "", s.ReasoningPrompt == ""
+	skipOrders, skipRefusal, skipReasoning := s.OrderModel == "", s.RefusalPrompt == "", s.ReasoningPrompt == ""
 	return []testCase{
-		{"chat: an answer in one piece", false, s.notStreamed},
-		{"chat: a stream adds up to an answer", false, s.streamed},
-		{"chat: id and model are the same in all events", false, s.oneID},
-		{"chat: usage in a stream, if asked for", false, s.usage},
-		{"chat: no usage event, if not asked for", false, s.noUsage},
-		{"chat: n choices in one piece", false, s.choices},
-		{"chat: n choices in a stream", false, s.choicesStreamed},
-		{"chat: tools in one piece", false, s.tools},
-		{"chat: parallel tool calls in a stream", false, s.toolsStreamed},
-		{"chat: a tool's result goes back", false, s.toolResult},
+		{"chat: an answer that is not streamed", false, s.notStreamed},
+		{"chat: a streamed answer is complete", false, s.streamed},
+		{"chat: id and model are the same in all events", false, s.consistentIDs},
+		{"chat: usage in a stream, if requested", false, s.usage},
+		{"chat: no usage event, if not requested", false, s.noUsage},
+		{"chat: n choices, not streamed", false, s.choices},
+		{"chat: n choices, streamed", false, s.choicesStreamed},
+		{"chat: tools, not streamed", false, s.tools},
+		{"chat: parallel tool calls, streamed", false, s.toolsStreamed},
+		{"chat: a tool's result as input", false, s.toolResult},
 		{"chat: response_format", false, s.format},
-		{"chat: logprobs in one piece", false, s.logprobs},
-		{"chat: logprobs in a stream", false, s.logprobsStreamed},
-		{"chat: seed, stop, temperature and unknown fields pass", false, s.fields},
-		{"chat: image and audio parts pass", false, s.parts},
-		{"chat: max_completion_tokens ends an answer by length", false, s.length},
-		{"chat: a refusal", refuse, s.refusal},
-		{"chat: reasoning text", think, s.reasoning},
-		{"completions: in one piece", false, s.completion},
-		{"completions: a stream", false, s.completionStreamed},
-		{"embeddings: one and several", false, s.embeddings},
-		{"responses: in one piece", false, s.response},
+		{"chat: logprobs, not streamed", false, s.logprobs},
+		{"chat: logprobs, streamed", false, s.logprobsStreamed},
+		{"chat: seed, stop, temperature and unknown fields are accepted", false, s.fields},
+		{"chat: image and audio parts are accepted", false, s.parts},
+		{"chat: max_completion_tokens ends an answer with finish reason length", false, s.length},
+		{"chat: a refusal", skipRefusal, s.refusal},
+		{"chat: reasoning text", skipReasoning, s.reasoning},
+		{"completions: not streamed", false, s.completion},
+		{"completions: streamed", false, s.completionStreamed},
+		{"embeddings: one input and several inputs", false, s.embeddings},
+		{"responses: not streamed", false, s.response},
 		{"responses: typed events in order", false, s.responseStreamed},
 		{"responses: function calls", false, s.responseTools},
-		{"models: list and one", false, s.models},
-		{"errors: a wrong key is 401", false, s.wrongKey},
-		{"errors: an unknown model is 404", false, s.unknownModel},
-		{"errors: a bad field is 400 and named", false, s.invalidField},
-		{"errors: an unknown path is 404", false, s.unknownPath},
+		{"models: list and single model", false, s.models},
+		{"errors: 401 for a wrong API key", false, s.wrongKey},
+		{"errors: 404 for an unknown model", false, s.unknownModel},
+		{"errors: 400 for an invalid field, with its name", false, s.invalidField},
+		{"errors: 404 for an unknown path", false, s.unknownPath},
 		{"headers: X-Request-Id", false, s.requestID},
-		{"keys: a repeat is replayed", order, s.replay},
-		{"keys: a repeated stream is replayed", order, s.replayStreamed},
-		{"keys: another body is 422", order, s.reused},
-		{"keys: the same text under another key is another order", order, s.another},
+		{"idempotency keys: a retried request gets the recorded answer", skipOrders, s.replay},
+		{"idempotency keys: a retried stream gets the recorded answer", skipOrders, s.replayStreamed},
+		{"idempotency keys: 422 for another body under the same key", skipOrders, s.keyReused},
+		{"idempotency keys: the same body under another key is a new request", skipOrders, s.otherKey},
 	}
 }
 
@@ -121,7 +121,7 @@
 	}
 }
 
-// collect reads a stream with the library's own accumulator.
+// collect reads a stream with the library's accumulator and calls each, if not nil, for every chunk.
 func (s *suite) collect(ctx context.Context, p openai.ChatCompletionNewParams, each func(openai.ChatCompletionChunk) error, opts ...option.RequestOption) (openai.ChatCompletionAccumulator, error) {
 	var acc openai.ChatCompletionAccumulator
 	stream := s.client.Chat.Completions.NewStreaming(ctx, p, opts...)
--- a/internal/openai/conformance/conformance_test.go
+++ b/internal/openai/conformance/conformance_test.go
@@ -30,8 +30,8 @@
 	"engines": [{"id": "e1", "address": "127.0.0.1:1", "role": "openai"}]
 }`
 
-// The whole suite passes, before an engine of each kind.
-func TestTheFrontConforms(t *testing.T) {
+// All cases of the suite pass with an engine of each kind behind the gateway.
+func TestFrontConformance(t *testing.T) {
 	for _, role := range []string{engine.OpenAI, engine.Both} {
 		t.Run(role, func(t *testing.T) {
 			fleet := engine.NewFleet()
--- a/internal/openai/conformance/errors.go
+++ b/internal/openai/conformance/errors.go
@@ -10,25 +10,25 @@
 	"github.com/openai/openai-go/v3/option"
 )
 
-// fails checks an error's status and code.
-func fails(err error, status int, code string) error {
+// checkError checks an error's status and code; an empty code matches any.
+func checkError(err error, status int, code string) error {
 	var e *openai.Error
 	if !errors.As(err, &e) {
-		return fmt.Errorf("no error of the API: %w", err)
+		return fmt.Errorf("not an error of the API: %w", err)
 	}
 	return want(e.StatusCode == status && (code == "" || e.Code == code), "status %d, code %q, want %d, %q", e.StatusCode, e.Code, status, code)
 }
 
 func (s *suite) wrongKey(ctx context.Context) error {
 	_, err := s.client.Chat.Completions.New(ctx, s.params("x"), option.WithAPIKey("wrong"))
-	return fails(err, http.StatusUnauthorized, "invalid_api_key")
+	return checkError(err, http.StatusUnauthorized, "invalid_api_key")
 }
 
 func (s *suite) unknownModel(ctx context.Context) error {
 	p := s.params("x")
 	p.Model = "no-such-model"
 	_, err := s.client.Chat.Completions.New(ctx, p)
-	return fails(err, http.StatusNotFound, "model_not_found")
+	return checkError(err, http.StatusNotFound, "model_not_found")
 }
 
 func (s *suite) invalidField(ctx context.Context) error {
@@ -37,13 +37,13 @@
 	_, err := s.client.Chat.Completions.New(ctx, p, option.WithJSONSet("messages", "none"))
 	var e *openai.Error
 	if errors.As(err, &e) && e.Param != "messages" {
-		return fmt.Errorf("param %q", e.Param)
+		return fmt.Errorf("param %q, want \"messages\"", e.Param)
 	}
-	return fails(err, http.StatusBadRequest, "invalid_parameter")
+	return checkError(err, http.StatusBadRequest, "invalid_parameter")
 }
 
 func (s *suite) unknownPath(ctx context.Context) error {
-	return fails(s.client.Post(ctx, "no/such/path", map[string]any{}, nil), http.StatusNotFound, "unknown_url")
+	return checkError(s.client.Post(ctx, "no/such/path", map[string]any{}, nil), http.StatusNotFound, "unknown_url")
 }
 
 func (s *suite) requestID(ctx context.Context) error {
@@ -52,5 +52,5 @@
 	if err != nil {
 		return err
 	}
-	return want(resp.Header.Get("X-Request-Id") != "", "none")
+	return want(resp.Header.Get("X-Request-Id") != "", "no X-Request-Id header")
 }
--- a/internal/openai/conformance/orders.go
+++ b/internal/openai/conformance/orders.go
@@ -10,7 +10,8 @@
 	"github.com/openai/openai-go/v3/option"
 )
 
-// order is an order under a key that no other run has used.
+// order returns the parameters of an order and an option with an idempotency key that is unique to
+// this call.
 func (s *suite) order(text string) (openai.ChatCompletionNewParams, option.RequestOption) {
 	p := s.params(text)
 	p.Model = s.OrderModel
@@ -24,11 +25,11 @@
 		return err
 	}
 	var resp *http.Response
-	again, err := s.client.Chat.Completions.New(ctx, p, key, option.WithResponseInto(&resp))
+	second, err := s.client.Chat.Completions.New(ctx, p, key, option.WithResponseInto(&resp))
 	if err != nil {
 		return err
 	}
-	return want(again.RawJSON() == first.RawJSON() && resp.Header.Get("Idempotent-Replayed") == "true", "%s, then %s", first.RawJSON(), again.RawJSON())
+	return want(second.RawJSON() == first.RawJSON() && resp.Header.Get("Idempotent-Replayed") == "true", "first answer %s, second answer %s", first.RawJSON(), second.RawJSON())
 }
 
 func (s *suite) replayStreamed(ctx context.Context) error {
@@ -37,24 +38,24 @@
 	if err != nil {
 		return err
 	}
-	again, err := s.collect(ctx, p, nil, key)
+	second, err := s.collect(ctx, p, nil, key)
 	if err != nil {
 		return err
 	}
-	return want(first.ID == again.ID && len(again.Choices) == 1 && first.Choices[0].Message.Content == again.Choices[0].Message.Content, "%s, then %s", first.ID, again.ID)
+	return want(first.ID == second.ID && len(second.Choices) == 1 && first.Choices[0].Message.Content == second.Choices[0].Message.Content, "id of the first answer %s, of the second %s", first.ID, second.ID)
 }
 
-func (s *suite) reused(ctx context.Context) error {
+func (s *suite) keyReused(ctx context.Context) error {
 	p, key := s.order("reuse")
 	if _, err := s.client.Chat.Completions.New(ctx, p, key); err != nil {
 		return err
 	}
 	p.Messages[1] = openai.UserMessage("something else")
 	_, err := s.client.Chat.Completions.New(ctx, p, key)
-	return fails(err, http.StatusUnprocessableEntity, "idempotency_key_reused")
+	return checkError(err, http.StatusUnprocessableEntity, "idempotency_key_reused")
 }
 
-func (s *suite) another(ctx context.Context) error {
+func (s *suite) otherKey(ctx context.Context) error {
 	p, key := s.order("another")
 	first, err := s.client.Chat.Completions.New(ctx, p, key)
 	if err != nil {
@@ -65,5 +66,5 @@
 	if err != nil {
 		return err
 	}
-	return want(first.ID != second.ID, "both are %s", first.ID)
+	return want(first.ID != second.ID, "both answers have the id %s", first.ID)
 }
--- a/internal/openai/conformance/other.go
+++ b/internal/openai/conformance/other.go
@@ -44,7 +44,7 @@
 			return err
 		}
 		if len(r.Data) != n+1 || len(r.Data[0].Embedding) == 0 || r.Model != s.Model {
-			return fmt.Errorf("%s", r.RawJSON())
+			return fmt.Errorf("unexpected model or embeddings: %s", r.RawJSON())
 		}
 	}
 	return nil
@@ -69,25 +69,25 @@
 	stream := s.client.Responses.NewStreaming(ctx, s.responseParams())
 	defer stream.Close()
 	var kinds []string
-	text, whole, number := "", "", int64(-1)
+	text, finalText, lastSequence := "", "", int64(-1)
 	for stream.Next() {
 		e := stream.Current()
-		if e.SequenceNumber != number+1 {
-			return fmt.Errorf("event %d after %d", e.SequenceNumber, number)
+		if e.SequenceNumber != lastSequence+1 {
+			return fmt.Errorf("sequence number %d after %d", e.SequenceNumber, lastSequence)
 		}
-		number = e.SequenceNumber
+		lastSequence = e.SequenceNumber
 		kinds = append(kinds, e.Type)
 		switch e.Type {
 		case "response.output_text.delta":
 			text += e.Delta
 		case "response.completed", "response.incomplete":
-			whole = e.Response.OutputText()
+			finalText = e.Response.OutputText()
 		}
 	}
 	if err := stream.Err(); err != nil {
 		return err
 	}
-	return want(len(kinds) > 6 && kinds[0] == "response.created" && whole != "" && whole == text, "%v: %q, %q", kinds, text, whole)
+	return want(len(kinds) > 6 && kinds[0] == "response.created" && finalText != "" && finalText == text, "events %v, text of the deltas %q, of the final event %q", kinds, text, finalText)
 }
 
 func (s *suite) responseTools(ctx context.Context) error {
@@ -107,7 +107,7 @@
 			return want(call.Name == "look_up" && call.CallID != "" && strings.HasSuffix(call.Arguments, "}"), "%s", r.RawJSON())
 		}
 	}
-	return fmt.Errorf("no call: %s", r.RawJSON())
+	return fmt.Errorf("no function call: %s", r.RawJSON())
 }
 
 func (s *suite) models(ctx context.Context) error {
