--- a/internal/openai/call.go
+++ b/internal/openai/call.go
@@ -14,42 +14,42 @@
 	"wellgw/routing"
 )
 
-// call is one request to a model, from its head to the end of its answer. It belongs to the
-// goroutine of its handler.
+// call is one request to a model, from its headers to the end of its answer. Only the handler's
+// goroutine uses it.
 type call struct {
 	*Front
 	w               http.ResponseWriter
 	r               *http.Request
 	controller      *http.ResponseController
 	request         *apiRequest
-	head            head
+	metadata        metadata
 	contract        config.Contract
 	team            *config.Team
 	arrived         time.Time
-	atMostOnce      bool // the request must not run twice
+	atMostOnce      bool // the request must not be executed twice
 	encoder         encoder
-	responseStarted bool      // a part of the answer has been sent
+	responseStarted bool      // the response headers or a part of the body have been sent
 	deadlineSetAt   time.Time // when the write deadline was last set
-	resumptions     int       // how often the answer has been continued at another engine
+	resumptions     int       // number of times that the answer was continued at another engine
 
 	key            deduplication.Key
 	claimed        bool
 	result         deduplication.Result
-	recorded       []byte // the answer as sent, to be replayed under the key
-	recordOverflow bool   // the answer is larger than what may be recorded
+	recorded       []byte // the answer as sent, for replay under the idempotency key
+	recordOverflow bool   // the answer exceeds the limit for recording
 }
 
-// submit passes a request to the core under an id and waits for its answer; see
-// core.SubmitAndWait. It is false if the client has gone before there is one.
+// submit passes a request to the core under the given id and waits for its answer; see
+// core.SubmitAndWait. It returns false if the client disconnects before the answer arrives.
 func (c *call) submit(a *apiRequest, id string) (core.Answer, *core.Ticket, bool) {
 	request := core.Request{
 		ClientRequestID: id, Arrived: time.Now(),
 		Payload: core.Payload{Method: http.MethodPost, Target: a.path, Body: a.body, Unary: a.path == embeddingPath, BufferUntilFirstToken: !c.atMostOnce},
 	}
-	if id == c.head.id {
+	if id == c.metadata.id {
 		request.Arrived = c.arrived
 	}
-	s := a.shape
+	s := a.hints
 	request.Request = routing.Request{
 		Class: c.contract.Name, Tenant: c.team.Name, Session: s.session, Prefix: s.prefix, PrefixLen: s.prefixLen,
 		PromptTokens: s.promptTokens, MaxTokens: s.maxOutputTokens, TTL: c.contract.Deadline(),
@@ -57,13 +57,13 @@
 	return core.SubmitAndWait(c.r.Context(), c.core, request)
 }
 
-// resumeElsewhere decides what becomes of a broken answer, and continues it at another engine if its
-// contract allows that and an engine accepts it.
+// resumeElsewhere decides how to handle a broken answer: abort, finish, restart or continue it. It
+// submits the request to another engine if the contract permits that.
 func (c *call) resumeElsewhere(err error) (resume.Step, core.Stream, *core.Ticket) {
 	var reported reportedError
 	terms := resume.Terms{Repeatable: !c.atMostOnce, MaxContinuations: c.contract.Continue, Continuable: c.request.path == chatPath && c.request.choices == 1}
 	if c.request.hasOutputLimit {
-		terms.MaxTokens = c.request.shape.maxOutputTokens
+		terms.MaxTokens = c.request.hints.maxOutputTokens
 	}
 	step := resume.Decide(terms, c.encoder.progress(), resume.Interruption{
 		ClientDisconnected: errors.Is(err, streambuffer.ErrClientDisconnected) || errors.Is(err, streambuffer.ErrSlowClient) || c.r.Context().Err() != nil,
@@ -80,7 +80,7 @@
 		}
 	}
 	c.resumptions++
-	answer, ticket, answered := c.submit(a, c.head.id+"-"+strconv.Itoa(c.resumptions))
+	answer, ticket, answered := c.submit(a, c.metadata.id+"-"+strconv.Itoa(c.resumptions))
 	if !answered || answer.Verdict != core.Streaming {
 		return resume.Abort, nil, nil
 	}
@@ -92,8 +92,8 @@
 	jsonType    = "application/json"
 )
 
-// writeBody sends a part of the answer, before the first one also the headers. It blocks for
-// writeLimit at most.
+// writeBody sends a part of the answer, preceded by the headers on the first call. It blocks for at
+// most writeLimit.
 func (c *call) writeBody(p []byte) error {
 	if !c.responseStarted {
 		c.responseStarted = true
@@ -102,11 +102,12 @@
 		if c.encoder.contentType() == eventStream {
 			h["Cache-Control"] = []string{"no-cache"}
 			h["X-Accel-Buffering"] = []string{"no"}
-		} else { // the answer is written in one piece
+		} else { // the answer is written by a single call
 			h["Content-Length"] = []string{strconv.Itoa(len(p))}
 		}
 	}
-	// Setting a deadline costs a timer, so one that is nearly right is kept.
+	// Each new deadline resets a timer, so a deadline that is short by a fraction of the limit at most
+	// is reused.
 	if now := time.Now(); now.Sub(c.deadlineSetAt) > writeLimit/writeDeadlineParts {
 		if err := c.controller.SetWriteDeadline(now.Add(writeLimit)); err != nil {
 			return err
@@ -120,9 +121,9 @@
 }
 
 // stream forwards an answer as it arrives. If it breaks and can't be continued at another engine,
-// the client gets an error: as a status if nothing has been sent yet, else as an event, after
-// which the connection is closed without the last chunk. Either is final; the request is not
-// sent again.
+// the client gets an error: a status if nothing has been sent yet, otherwise an event, after
+// which the connection is closed without the final chunk. In both cases the request is not sent
+// to an engine again.
 func (c *call) stream(s core.Stream, t *core.Ticket) {
 	pipe := streambuffer.Pipe{
 		Convert: func(dst, p []byte) ([]byte, error) {
@@ -167,8 +168,8 @@
 	_ = c.controller.SetWriteDeadline(time.Time{})
 }
 
-// abort ends a call whose answer broke. It returns if the client was answered by a status, and
-// panics with http.ErrAbortHandler if the connection has to be closed.
+// abort ends a call whose answer broke. It returns if the client received an error status, and
+// panics with http.ErrAbortHandler if the connection must be closed.
 func (c *call) abort(err error) {
 	if errors.Is(err, streambuffer.ErrSlowClient) {
 		c.counts.slowClients.Add(1)
--- a/internal/openai/chunk.go
+++ b/internal/openai/chunk.go
@@ -11,10 +11,10 @@
 // doneData is the data of the event that ends a stream.
 const doneData = "[DONE]"
 
-// Faults of a stream that its client is told of.
+// Errors of an engine's stream that end the client's answer with an error.
 var (
-	errInvalidChunk = errors.New("an event that is no JSON object")
-	errTruncated    = errors.New("the stream ended before its answer did")
+	errInvalidChunk = errors.New("event is not a JSON object")
+	errTruncated    = errors.New("stream ended before the answer was complete")
 )
 
 // reportedError is an error that an engine reports in the middle of its stream.
@@ -22,8 +22,8 @@
 
 func (e reportedError) Error() string { return "the engine reports an error: " + e.text }
 
-// head holds the members that every event of an answer repeats.
-type head struct {
+// metadata holds the members that every event of an answer repeats.
+type metadata struct {
 	id, model, object string
 	created           int64
 }
@@ -36,8 +36,8 @@
 	nameModel   = []byte("model")
 )
 
-// recordChoices records which choices have come and ended and, if withText is set, their content.
-// It tells whether there was any choice.
+// recordChoices records which choices have started and which have finished and, if withText is set,
+// their content. It reports whether the list had any choice.
 func recordChoices(answer *resume.Progress, choices []byte, withText bool) (hasChoices bool, err error) {
 	w := jsonscan.Array(choices)
 	for at, ok := w.Element(); ok; at, ok = w.Element() {
@@ -72,8 +72,8 @@
 	return hasChoices, nil
 }
 
-// recordDelta records the content of a choice's delta. Whatever is not the text of the first
-// choice makes the answer one that can't be continued.
+// recordDelta records the content of a choice's delta. An answer with any content other than the
+// text of the first choice can't be continued at another engine.
 func recordDelta(answer *resume.Progress, index int, delta []byte) {
 	if index != 0 {
 		answer.RecordOtherContent()
@@ -93,7 +93,7 @@
 	}
 }
 
-// isObject tells whether a text is a JSON object, and nothing else.
+// isObject reports whether text is exactly one JSON object.
 func isObject(text []byte) bool {
 	w := jsonscan.Object(text)
 	for _, _, ok := w.Next(); ok; _, _, ok = w.Next() {
@@ -101,7 +101,7 @@
 	return w.Err() == nil
 }
 
-// isNull tells whether a JSON value is null.
+// isNull reports whether a JSON value is null.
 func isNull(text []byte) bool { return len(text) > 0 && text[0] == 'n' }
 
 // errorMessage returns the message of an error object, or the object itself if it has none.
@@ -115,8 +115,8 @@
 	return firstLine(e.Message)
 }
 
-// startsAnswer tells whether an event begins an answer. With bufferUntilToken, that is the first
-// event with content: a token, a tool call, a finish reason.
+// startsAnswer reports whether an event starts an answer. With bufferUntilToken, only an event with
+// content does: a token, a tool call or a finish reason.
 func startsAnswer(data []byte, bufferUntilToken bool) (bool, error) {
 	data = bytes.TrimSpace(data)
 	if len(data) == 0 {
@@ -147,12 +147,12 @@
 	return hasToken || !bufferUntilToken, nil
 }
 
-// isEmptyMember tells whether a member of a delta adds nothing to an answer.
+// isEmptyMember reports whether a member of a delta adds no content to an answer.
 func isEmptyMember(name, value []byte) bool {
 	return string(name) == "role" || isNull(value) || string(value) == `""` || string(value) == `[]`
 }
 
-// hasContent tells whether choices hold more than a role.
+// hasContent reports whether a list of choices has any content besides a role.
 func hasContent(choices []byte) bool {
 	w := jsonscan.Array(choices)
 	for at, ok := w.Element(); ok; at, ok = w.Element() {
--- a/internal/openai/collector.go
+++ b/internal/openai/collector.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	maxResponseBytes = 4 << 20 // of an answer that is merged for a client that does not stream
+	maxResponseBytes = 4 << 20 // of an answer that is buffered for a client that does not stream
 	maxIndex         = 1023    // of a choice or a tool call
 )
 
-var errResponseTooLarge = errors.New("an answer of more than 4 MiB")
+var errResponseTooLarge = errors.New("answer exceeds 4 MiB")
 
-// collector merges a streamed answer for a client that does not stream. Strings below a delta,
-// and texts, are concatenated; other strings keep their first value, numbers and booleans take
-// the last one. Members that this program does not know are merged in the same way.
+// collector merges a streamed answer for a client that does not stream. Strings within a delta
+// or a text member are concatenated; for other strings the first non-empty value is used, for
+// numbers and booleans the last one. Unknown members are merged by the same rules.
 type collector struct {
-	head    head
-	scanner sse.Scanner
-	root    node
-	size    int
-	usage   []byte
-	state   resume.Progress
+	metadata metadata
+	scanner  sse.Scanner
+	root     node
+	size     int
+	usage    []byte
+	state    resume.Progress
 }
 
 func (c *collector) contentType() string        { return jsonType }
@@ -34,7 +34,7 @@
 func (c *collector) failure(e apiError) []byte  { return e.object() }
 func (c *collector) complete() bool             { return false }
 func (c *collector) discardPartial()            { c.scanner = sse.Scanner{} }
-func (c *collector) nextAttempt()               { *c = collector{head: c.head} }
+func (c *collector) nextAttempt()               { *c = collector{metadata: c.metadata} }
 
 func (c *collector) translate(dst, p []byte) ([]byte, error) {
 	return dst, c.scanner.Write(p, c.handleEvent)
@@ -105,10 +105,10 @@
 
 // body returns the merged answer.
 func (c *collector) body() []byte {
-	out := appendMember([]byte{'{'}, nameID, quote(c.head.id))
-	out = appendMember(out, nameObject, quote(c.head.object))
-	out = appendMember(out, nameCreated, strconv.AppendInt(nil, c.head.created, 10))
-	out = appendMember(out, nameModel, quote(c.head.model))
+	out := appendMember([]byte{'{'}, nameID, quote(c.metadata.id))
+	out = appendMember(out, nameObject, quote(c.metadata.object))
+	out = appendMember(out, nameCreated, strconv.AppendInt(nil, c.metadata.created, 10))
+	out = appendMember(out, nameModel, quote(c.metadata.model))
 	list := []byte{'['}
 	if choices := c.root.members["choices"]; choices != nil {
 		for i, choice := range choices.sortedByIndex() {
--- a/internal/openai/counts.go
+++ b/internal/openai/counts.go
@@ -10,9 +10,9 @@
 // counts are the front's own counters.
 type counts struct {
 	keys               [deduplication.CapacityExceeded + 1]atomic.Int64 // requests with idempotency keys, by decision
-	brokenAnswers      [resume.Finish + 1]atomic.Int64                  // broken answers, by what became of them
+	brokenAnswers      [resume.Finish + 1]atomic.Int64                  // broken answers, by resume.Step
 	slowClients        atomic.Int64                                     // clients disconnected for reading too slowly
-	answersNotRecorded atomic.Int64                                     // complete answers under keys that were too large to record
+	answersNotRecorded atomic.Int64                                     // complete answers under idempotency keys that were too large to record
 }
 
 // Counts returns the counters by name, for the status page and metrics; see docs/chat.md.
--- a/internal/openai/dialect.go
+++ b/internal/openai/dialect.go
@@ -12,10 +12,10 @@
 )
 
 // Dialect is the protocol of engines that offer only the chat API. They serve a request in one
-// call, hold no state that could be released, and prove nothing by their errors: what ended in a
-// 5xx or a broken connection may have run.
+// call and have no held state to release. A request that ended in a 5xx status or a broken
+// connection may have been executed.
 type Dialect struct {
-	Key string // sent as the bearer, if not empty
+	Key string // sent as the bearer token, if not empty
 }
 
 // EngineError is an engine's answer with an error status.
@@ -38,8 +38,8 @@
 	return upstream.Call{Method: http.MethodPost, Target: a.Payload.Target, Header: header, Body: a.Payload.Body}
 }
 
-// ParseResponse maps an error status to a result. 429 means that a limit was exceeded before any work
-// began; the header X-Not-Run says that outright.
+// ParseResponse maps an error status to a result. Status 429 means that a limit was exceeded before
+// the request was executed; the header X-Not-Run: 1 means the same under any status.
 func (Dialect) ParseResponse(status int, h http.Header, body []byte) core.Result {
 	r := core.Result{Status: routing.StatusError, Cause: &EngineError{Status: status, Body: body}}
 	if status == http.StatusTooManyRequests || h.Get("X-Not-Run") == "1" {
@@ -48,16 +48,16 @@
 	return r
 }
 
-// StartsAnswer tells whether an event begins an answer; see upstream.Opener.
+// StartsAnswer reports whether an event starts an answer; see upstream.Opener.
 func (Dialect) StartsAnswer(p core.Payload, data []byte) (bool, error) {
 	return startsAnswer(data, p.BufferUntilFirstToken)
 }
 
-// TwoStage is the protocol of two-stage engines behind a chat gateway: the platform's, with the
-// same rule for where an answer begins.
+// TwoStage is the protocol of two-stage engines behind a chat gateway: the platform's dialect, with
+// this package's rule for the event that starts an answer.
 type TwoStage struct{ platform.Dialect }
 
-// StartsAnswer tells whether an event begins an answer; see upstream.Opener.
+// StartsAnswer reports whether an event starts an answer; see upstream.Opener.
 func (TwoStage) StartsAnswer(p core.Payload, data []byte) (bool, error) {
 	return startsAnswer(data, p.BufferUntilFirstToken)
 }
@@ -67,8 +67,8 @@
 	r.CachedTokens, r.OutputTokens = upstream.Usage(tail)
 }
 
-// Release returns no call: such an engine stops its work when the connection is closed.
+// Release returns no call: these engines cancel a request when its connection is closed.
 func (Dialect) Release(string) (upstream.Call, bool) { return upstream.Call{}, false }
 
-// Probe returns no call.
+// Probe returns no call: the chat API has no probe.
 func (Dialect) Probe() (upstream.Call, bool) { return upstream.Call{}, false }
--- a/internal/openai/encoder.go
+++ b/internal/openai/encoder.go
@@ -4,23 +4,23 @@
 	"wellgw/decide/resume"
 )
 
-// encoder turns an engine's stream into the answer that the client gets. It is used by one
-// goroutine at a time.
+// encoder converts an engine's stream to the client's answer. It is not safe for concurrent use.
 type encoder interface {
 	contentType() string
-	// translate appends to dst what the client gets for p, the next bytes of the stream.
+	// translate appends to dst the output for p, the next bytes of the engine's stream.
 	translate(dst, p []byte) ([]byte, error)
-	// finish does the same at the end of the stream. An error says that the answer is truncated.
+	// finish appends the output for the end of the stream. It returns an error if the answer is
+	// truncated.
 	finish(dst []byte) ([]byte, error)
-	// progress tells how far the answer has come.
+	// progress returns the parts of the answer received and sent so far.
 	progress() *resume.Progress
-	// complete tells whether translate has returned the whole answer, before the stream's end.
+	// complete reports whether translate has returned the entire answer before the end of the stream.
 	complete() bool
-	// discardPartial drops the incomplete event that a broken stream has left.
+	// discardPartial drops the incomplete event at the end of a broken stream.
 	discardPartial()
 	// nextAttempt prepares for the stream of another engine, which continues the answer or, if
-	// nothing has been sent to the client, begins it anew.
+	// nothing has been sent to the client, restarts it.
 	nextAttempt()
-	// failure returns what ends an answer that broke after a part of it was sent.
+	// failure returns the output that ends an answer that broke after a part of it was sent.
 	failure(apiError) []byte
 }
--- a/internal/openai/errors.go
+++ b/internal/openai/errors.go
@@ -13,7 +13,7 @@
 	"wellgw/routing"
 )
 
-// The codes of errors, as docs/chat-errors.md lists them. Clients rely on them: they do not change.
+// Error codes, listed in docs/chat-errors.md. Clients depend on them, so they must not change.
 const (
 	codeAPIKey            = "invalid_api_key"
 	codeURL               = "unknown_url"
@@ -37,7 +37,7 @@
 	codeKeyInvalid        = "idempotency_key_invalid"
 )
 
-// The types of errors, as the API has them.
+// Error types of the OpenAI API.
 const (
 	typeRequest   = "invalid_request_error"
 	typeRateLimit = "rate_limit_error"
@@ -50,7 +50,7 @@
 	errorType, code, message string
 	param                    string
 	retryAfter               time.Duration
-	noRetry                  bool // client libraries are told not to retry by themselves
+	noRetry                  bool // tells client libraries not to retry automatically
 }
 
 // object returns the error object.
@@ -64,31 +64,31 @@
 	b, err := codec.Marshal(map[string]any{"error": map[string]any{
 		"message": e.message, "type": e.errorType, "param": optional(e.param), "code": optional(e.code),
 	}})
-	if err != nil { // only plain strings
+	if err != nil { // can't happen: all values are strings
 		return []byte(`{"error":{"message":"failed","type":"server_error","param":null,"code":null}}`)
 	}
 	return b
 }
 
-// send answers a request with the error.
+// send writes the error as the response.
 func (e apiError) send(w http.ResponseWriter) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
 	if e.retryAfter > 0 {
-		// The HTTP standard has whole seconds; client libraries also read milliseconds.
+		// Retry-After has a resolution of one second; client libraries also read Retry-After-Ms.
 		h.Set("Retry-After", strconv.Itoa(int(math.Ceil(e.retryAfter.Seconds()))))
 		h.Set("Retry-After-Ms", strconv.FormatInt(max(1, e.retryAfter.Milliseconds()), 10))
 	}
 	if e.noRetry {
-		// Client libraries retry 408, 409, 429 and 5xx by themselves unless this header says
-		// otherwise: what may have run must not be sent again without the caller's decision.
+		// Client libraries retry 408, 409, 429 and 5xx automatically unless this header is false. A
+		// request that may have been executed must not be retried without the caller's decision.
 		h.Set("X-Should-Retry", "false")
 	}
 	w.WriteHeader(e.status)
 	w.Write(append(e.object(), '\n'))
 }
 
-// badRequest returns the error for an invalid body or, if param is given, parameter.
+// badRequest returns the error for an invalid parameter or, if param is empty, an invalid body.
 func badRequest(text, param string) apiError {
 	e := apiError{status: http.StatusBadRequest, errorType: typeRequest, code: codeBody, message: text, param: param}
 	if param != "" {
@@ -103,7 +103,8 @@
 		message: "the model " + name + " does not exist or is not open to this team"}
 }
 
-// engineRejection returns the engine's error if it says that the request is invalid, else nil.
+// engineRejection returns the engine's error if its status marks the request as invalid, nil
+// otherwise.
 func engineRejection(a core.Answer) *EngineError {
 	var e *EngineError
 	if errors.As(a.Cause, &e) && slices.Contains([]int{http.StatusBadRequest, http.StatusRequestEntityTooLarge, http.StatusUnprocessableEntity}, e.Status) {
@@ -112,9 +113,9 @@
 	return nil
 }
 
-// answerError returns the error for an answer without a stream. Only 429 and 503 say that a retry is
-// harmless; 502 and 504 promise nothing, so that for a request which must not run twice (atMostOnce)
-// client libraries are told not to retry.
+// answerError returns the error for an answer without a stream. Only 429 and 503 guarantee that the
+// request was not executed. After 502 and 504 it may have been, so if it must not be executed twice
+// (atMostOnce), the error tells client libraries not to retry.
 func answerError(a core.Answer, atMostOnce bool) apiError {
 	if e := engineRejection(a); e != nil {
 		r := badRequest("the engine did not accept the request: "+firstLine(string(e.Body)), "")
@@ -136,7 +137,7 @@
 		message: "an engine failed; the request may have been carried out"}
 }
 
-// streamError returns the error for an event that ends a broken stream.
+// streamError returns the error for the event that ends a broken stream.
 func streamError(err error) apiError {
 	if errors.Is(err, streambuffer.ErrSlowClient) {
 		return apiError{errorType: typeServer, code: codeSlowClient, message: "the client read too slowly; the request may have been carried out"}
--- a/internal/openai/fields.go
+++ b/internal/openai/fields.go
@@ -17,8 +17,8 @@
 	errTooManyFields = errors.New("the body has too many fields")
 )
 
-// fields are the members of a request's body, each name once: of duplicates the last one counts,
-// and engines get no duplicates.
+// fields are the members of a JSON object, such as a request's body. Names are unique: the last of
+// several duplicates is used, and engines get no duplicates.
 type fields struct {
 	data []byte
 	list []field
@@ -54,7 +54,7 @@
 	return f, nil
 }
 
-// index returns the place of a field in the list, -1 if there is none.
+// index returns the index of a field in the list, -1 if there is none.
 func (f *fields) index(name string) int {
 	for i := range f.list {
 		if string(f.list[i].name) == name {
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// decode decodes a field into value, which stays as it is if the field is null or missing.
+// decode decodes a field into value, which is unchanged if the field is null or missing.
 func (f *fields) decode(name string, value any) error {
 	raw := f.get(name)
 	if raw == nil {
@@ -84,8 +84,8 @@
 	return nil
 }
 
-// replace returns the body with the fields of set replaced by those that order names, at the end.
-// A field that set has as nil is left out.
+// replace returns the object without the fields in set, followed by the values of set for the names
+// in order. A field whose value in set is nil is removed.
 func (f *fields) replace(set map[string][]byte, order ...string) []byte {
 	out := make([]byte, 0, len(f.data)+64)
 	out = append(out, '{')
@@ -102,7 +102,7 @@
 	return append(out, '}')
 }
 
-// appendMember appends a member to an object that is being written.
+// appendMember appends a member to out, an object that has no closing brace yet.
 func appendMember(out, name, value []byte) []byte {
 	if out[len(out)-1] != '{' {
 		out = append(out, ',')
@@ -116,5 +116,5 @@
 	return append(append(out, `":`...), value...)
 }
 
-// needsEscape tells whether a character of a name is escaped in JSON.
+// needsEscape reports whether a name that contains c must be encoded by the JSON codec.
 func needsEscape(c rune) bool { return c < ' ' || c == '"' || c == '\\' || c > '~' }
--- a/internal/openai/front.go
+++ b/internal/openai/front.go
@@ -23,30 +23,30 @@
 	"wellgw/internal/streambuffer"
 )
 
-// Limits towards clients.
+// Limits for clients.
 const (
 	writeLimit           = 5 * time.Second // a client that accepts no byte for this long is disconnected
-	writeDeadlineParts   = 8               // the write deadline may be short by one such part of the limit
+	writeDeadlineParts   = 8               // a write deadline is reused until 1/writeDeadlineParts of the limit has passed
 	stallLimit           = 250 * time.Millisecond
 	maxBufferPerClient   = 256 << 10       // bytes of a stream that are buffered for a slow client
-	retryAfterBusy       = time.Second     // when there may be memory for a body again
-	retryAfterInProgress = time.Second     // when the request in progress may have ended
-	retryAfterFull       = 5 * time.Second // when the table of idempotency keys may have room again
+	retryAfterBusy       = time.Second     // estimated time until memory for a body is free
+	retryAfterInProgress = time.Second     // estimated time until the request in progress has ended
+	retryAfterFull       = 5 * time.Second // estimated time until the table of idempotency keys has free entries
 	maxKeyBytes          = 255             // bytes of an idempotency key
 )
 
-// Options are what a front depends on.
+// Options are the dependencies and limits of a Front.
 type Options struct {
 	Core             *core.Core
 	File             *config.Operator
 	Bodies           *clientconn.Budget
-	Keys             *idempotency.Store // of requests that must not run twice; nil for no keys
-	MaxBufferedBytes int64              // limit of the bytes buffered for all slow clients together, and of those of answers recorded while they are sent
-	// HasPeers reports whether other gateways serve the same clients; nil for none.
+	Keys             *idempotency.Store // of requests that must not be executed twice; nil disables idempotency keys
+	MaxBufferedBytes int64              // total for all slow clients and, separately, for all answers recorded while they are sent
+	// HasPeers reports whether other gateways serve the same clients; nil means that none do.
 	HasPeers func() bool
 }
 
-// Front is the HTTP handler of the chat API. Its methods may be called from any goroutine.
+// Front is the HTTP handler of the chat API. Its methods are safe for concurrent use.
 type Front struct {
 	core     *core.Core
 	bodies   *clientconn.Budget
@@ -58,14 +58,14 @@
 	service  atomic.Pointer[lifecycle.Service]
 
 	counts           counts
-	recordedBytes    atomic.Int64 // bytes of answers that are recorded while they are sent
+	recordedBytes    atomic.Int64 // total size of the answers that are recorded while they are sent
 	maxRecordedBytes int64
 }
 
-// catalog holds the teams, models and contracts of one operator's file. It does not change; a
-// reload replaces it.
+// catalog holds the teams, models and contracts of one operator's file. It is immutable; a reload
+// replaces it.
 type catalog struct {
-	teams     map[[sha256.Size]byte]*config.Team // by the SHA-256 of a key, so that the time of a look-up tells nothing about keys
+	teams     map[[sha256.Size]byte]*config.Team // by the SHA-256 of an API key, so that lookup times reveal nothing about keys
 	contracts map[string]config.Contract         // by model
 	models    []string
 }
@@ -82,7 +82,7 @@
 	return f
 }
 
-// Reload replaces the operator's file from the next request on. Its contracts and teams must be
+// Reload replaces the operator's file for subsequent requests. Its contracts and teams must be
 // those that the routing policy was started with; see config.Operator.Takes.
 func (f *Front) Reload(o *config.Operator) {
 	next := &catalog{teams: map[[sha256.Size]byte]*config.Team{}, contracts: map[string]config.Contract{}}
@@ -102,7 +102,8 @@
 	f.catalog.Store(next)
 }
 
-// SetService sets what clients are served from now on, as the process starts and shuts down.
+// SetService sets the service offered to clients, which changes as the process starts and shuts
+// down.
 func (f *Front) SetService(s lifecycle.Service) { f.service.Store(&s) }
 
 // ServeHTTP serves the chat API, the list of models and the health check.
@@ -120,7 +121,7 @@
 	rand.Read(raw[:])
 	id := hex.EncodeToString(raw[:])
 	w.Header()["X-Request-Id"] = []string{id}
-	catalog := f.catalog.Load() // the same for the whole request, also across a reload
+	catalog := f.catalog.Load() // used for the entire request, even if the file is reloaded meanwhile
 	team := catalog.team(r)
 	if team == nil {
 		clientconn.CloseIfBodyUnread(w, r)
@@ -145,14 +146,14 @@
 	}
 }
 
-// announceClose sets Connection: close if the connection is closed after this answer.
+// announceClose sets Connection: close if the connection will be closed after this answer.
 func (f *Front) announceClose(w http.ResponseWriter, r *http.Request) {
 	if !f.service.Load().KeepAlive && clientconn.NothingReadAhead(r.Context()) {
 		w.Header().Set("Connection", "close")
 	}
 }
 
-// team returns the team of the request's API key, nil for none.
+// team returns the team of the request's API key, nil if the key is missing or unknown.
 func (c *catalog) team(r *http.Request) *config.Team {
 	scheme, key, _ := strings.Cut(r.Header.Get("Authorization"), " ")
 	if !strings.EqualFold(scheme, "Bearer") {
@@ -161,8 +162,8 @@
 	return c.teams[sha256.Sum256([]byte(strings.TrimSpace(key)))]
 }
 
-// writeModels answers with the team's models, or with the single one of a name, and the contract
-// that each is served under.
+// writeModels writes the team's models with their contracts or, if single is set, only the model of
+// the given name.
 func (c *catalog) writeModels(w http.ResponseWriter, team *config.Team, name string, single bool, started time.Time) {
 	models := []any{}
 	for _, m := range c.models {
@@ -190,23 +191,23 @@
 // call serves one request to a model.
 func (f *Front) call(w http.ResponseWriter, r *http.Request, catalog *catalog, team *config.Team, id string) {
 	arrived := time.Now()
-	raw, free, ok := f.body(w, r, team)
+	raw, release, ok := f.body(w, r, team)
 	if !ok {
 		return
 	}
-	defer free()
+	defer release()
 	a, responses, contract, err := catalog.accept(r.URL.Path, raw, team)
 	if err != nil {
 		err.send(w)
 		return
 	}
 	atMostOnce := contract.Effect != config.EffectFree
-	h := head{id: "chatcmpl-" + id, model: a.model, object: "chat.completion", created: arrived.Unix()}
+	h := metadata{id: "chatcmpl-" + id, model: a.model, object: "chat.completion", created: arrived.Unix()}
 	if a.path == completionPath {
 		h.id, h.object = "cmpl-"+id, "text_completion"
 	}
 	c := &call{
-		Front: f, w: w, r: r, controller: http.NewResponseController(w), request: a, head: h, atMostOnce: atMostOnce, contract: contract, team: team, arrived: arrived,
+		Front: f, w: w, r: r, controller: http.NewResponseController(w), request: a, metadata: h, atMostOnce: atMostOnce, contract: contract, team: team, arrived: arrived,
 		result: deduplication.Result{MayHaveRun: true}, encoder: newEncoder(a, responses, h, contract),
 	}
 	if atMostOnce {
@@ -218,17 +219,17 @@
 	c.run()
 }
 
-// body reads a request's body. It is false if the request ends here and has been answered; else
-// free gives the body's memory back.
-func (f *Front) body(w http.ResponseWriter, r *http.Request, team *config.Team) (raw []byte, free func(), ok bool) {
-	raw, free, err := f.bodies.Read(w, r)
+// body reads a request's body. If ok is false, the request has been answered with an error;
+// otherwise the caller must call release to return the body's memory to the budget.
+func (f *Front) body(w http.ResponseWriter, r *http.Request, team *config.Team) (raw []byte, release func(), ok bool) {
+	raw, release, err := f.bodies.Read(w, r)
 	switch {
 	case errors.Is(err, clientconn.ErrBodyTooLarge):
 		clientconn.CloseIfBodyUnread(w, r)
 		apiError{status: http.StatusRequestEntityTooLarge, errorType: typeRequest, code: codeTooBig, message: err.Error()}.send(w)
 	case err == nil && !f.service.Load().AcceptsRequest(time.Now()), errors.Is(err, clientconn.ErrRequestExpired):
 		if err == nil {
-			free()
+			release()
 		}
 		clientconn.CloseIfBodyUnread(w, r)
 		f.announceClose(w, r)
@@ -241,15 +242,15 @@
 		clientconn.CloseIfBodyUnread(w, r)
 		badRequest(err.Error(), "").send(w)
 	default:
-		return raw, free, true
+		return raw, release, true
 	}
 	return nil, nil, false
 }
 
-// accept parses a request and finds its contract. The error is the answer to the client.
+// accept parses a request and looks up its contract. The error is the response to the client.
 func (c *catalog) accept(path string, raw []byte, team *config.Team) (*apiRequest, *responsesEncoder, config.Contract, *apiError) {
 	var a *apiRequest
-	var responses *responsesEncoder // nil but for /v1/responses
+	var responses *responsesEncoder // nil except for /v1/responses
 	var err error
 	if path == responsePath {
 		a, responses, err = parseResponses(raw, team.Name)
@@ -276,8 +277,8 @@
 
 // run submits the request to the core and writes the answer to the client.
 func (c *call) run() {
-	answer, ticket, answered := c.submit(c.request, c.head.id)
-	c.announceClose(c.w, c.r) // the process may have begun to shut down while the request waited
+	answer, ticket, answered := c.submit(c.request, c.metadata.id)
+	c.announceClose(c.w, c.r) // the process may have begun to shut down while the request was queued
 	if !answered {
 		c.result.MayHaveRun = !c.atMostOnce || ticket.MayHaveRun(context.WithoutCancel(c.r.Context()))
 		panic(http.ErrAbortHandler) // the client has disconnected
@@ -294,15 +295,15 @@
 }
 
 // newEncoder returns the encoder for a call's answer.
-func newEncoder(a *apiRequest, responses *responsesEncoder, h head, contract config.Contract) encoder {
+func newEncoder(a *apiRequest, responses *responsesEncoder, h metadata, contract config.Contract) encoder {
 	switch {
 	case responses != nil:
-		responses.head, responses.streaming = h, a.stream
+		responses.metadata, responses.streaming = h, a.stream
 		return responses
 	case a.path == embeddingPath:
-		return &passthrough{head: h}
+		return &passthrough{metadata: h}
 	case !a.stream:
-		return &collector{head: h}
+		return &collector{metadata: h}
 	}
 	if a.path == chatPath {
 		h.object = "chat.completion.chunk"
@@ -310,7 +311,7 @@
 	return newRewriter(h, a.includeUsage, contract.Continue > 0)
 }
 
-// setRateLimitHeaders states the quota of the request's team, as far as this gateway knows it.
+// setRateLimitHeaders sets the rate limit headers from the team's quota, if this gateway has it.
 func setRateLimitHeaders(h http.Header, a core.Answer) {
 	if a.Quota == nil {
 		return
--- a/internal/openai/front_test.go
+++ b/internal/openai/front_test.go
@@ -344,12 +344,12 @@
 }
 
 func TestDerive(t *testing.T) {
-	turn := func(messages string) shape {
+	turn := func(messages string) routingHints {
 		q, err := parse(chatPath, []byte(`{"model":"m","max_tokens":9,"messages":[`+messages+`]}`), "team")
 		if err != nil {
 			t.Fatal(err)
 		}
-		return q.shape
+		return q.hints
 	}
 	first := turn(`{"role":"system","content":"12345678"},{"role":"user","content":"hi"}`)
 	second := turn(`{"role":"system","content":"12345678"},{"role":"user","content":[{"type":"text","text":"hi"}]},{"role":"assistant","content":null},{"role":"user","content":"more"}`)
@@ -357,11 +357,11 @@
 	if first.session != second.session || first.session == other.session || first.prefix != other.prefix || first.prefix == "" {
 		t.Errorf("sessions and openings: %+v %+v %+v", first, second, other)
 	}
-	if q, err := parse(chatPath, []byte(`{"model":"m","max_tokens":1000000000,"messages":[{"role":"user","content":"hi"}]}`), ""); err != nil || q.shape.maxOutputTokens != maxOutputTokens {
+	if q, err := parse(chatPath, []byte(`{"model":"m","max_tokens":1000000000,"messages":[{"role":"user","content":"hi"}]}`), ""); err != nil || q.hints.maxOutputTokens != maxOutputTokens {
 		t.Errorf("a limit past all sense: %v, %+v", err, q)
 	}
 	first.session, first.prefix = "", ""
-	if diff := cmp.Diff(shape{promptTokens: 2 + 1 + 2*messageTokens, prefixLen: 2 + messageTokens, maxOutputTokens: 9}, first, cmp.AllowUnexported(shape{})); diff != "" {
+	if diff := cmp.Diff(routingHints{promptTokens: 2 + 1 + 2*messageTokens, prefixLen: 2 + messageTokens, maxOutputTokens: 9}, first, cmp.AllowUnexported(routingHints{})); diff != "" {
 		t.Errorf("(-want +got):\n%s", diff)
 	}
 }
--- a/internal/openai/idempotency.go
+++ b/internal/openai/idempotency.go
@@ -11,15 +11,16 @@
 	"wellgw/internal/config"
 )
 
-// Headers of retried requests.
+// Headers for idempotent requests and their retries.
 const (
 	keyHeader      = "Idempotency-Key"
-	retryHeader    = "X-Stainless-Retry-Count" // the official libraries' count of their own retries
+	retryHeader    = "X-Stainless-Retry-Count" // the retry count that the official client libraries send
 	replayedHeader = "Idempotent-Replayed"
 )
 
 // claim looks up the request's idempotency key. It returns true if the request has been answered
-// by what is known of the key; else it may run, and releaseKey must be called when it has ended.
+// with a recorded answer or an error. Otherwise the request may be executed, and releaseKey must be
+// called when it has ended.
 func (c *call) claim(body []byte) (answered bool) {
 	name := c.r.Header.Get(keyHeader)
 	if name == "" || c.keys == nil {
@@ -33,8 +34,8 @@
 	sum := sha256.New()
 	sum.Write([]byte(c.r.URL.Path + "\x00"))
 	sum.Write(body)
-	request := deduplication.Request{Key: deduplication.Key{Team: c.team.Name, Name: name}, Digest: hex.EncodeToString(sum.Sum(nil)), RequestID: c.head.id}
-	request.RetryCount, _ = strconv.Atoi(c.r.Header.Get(retryHeader)) // 0 if it is missing or no number
+	request := deduplication.Request{Key: deduplication.Key{Team: c.team.Name, Name: name}, Digest: hex.EncodeToString(sum.Sum(nil)), RequestID: c.metadata.id}
+	request.RetryCount, _ = strconv.Atoi(c.r.Header.Get(retryHeader)) // 0 if it is missing or not a number
 	request.MayHaveRunOnOtherGateway = c.hasPeers != nil && c.hasPeers()
 	decision, entry := c.keys.Begin(request)
 	c.counts.keys[decision].Add(1)
@@ -54,7 +55,7 @@
 	return true
 }
 
-// keyError returns the error for a request that does not run because of its key.
+// keyError returns the error for a request that is not executed because of its key.
 func keyError(decision deduplication.Decision) apiError {
 	e := apiError{status: http.StatusConflict, errorType: typeRequest, param: keyHeader}
 	switch decision {
@@ -77,14 +78,15 @@
 	return e
 }
 
-// forgetKey records that a request was rejected before it was read, so that its key has not run.
+// forgetKey records that a request was rejected before its body was read in full, so no request has
+// been executed under its key.
 func (f *Front) forgetKey(r *http.Request, team *config.Team) {
 	if name := r.Header.Get(keyHeader); name != "" && len(name) <= maxKeyBytes && f.keys != nil {
 		f.keys.RecordRefusal(deduplication.Key{Team: team.Name, Name: name})
 	}
 }
 
-// requestID returns an answer's id without the prefix that names its kind.
+// requestID returns an answer's id without the prefix for its type, such as "chatcmpl-".
 func requestID(id string) string {
 	if _, after, found := strings.Cut(id, "-"); found {
 		return after
@@ -92,15 +94,15 @@
 	return id
 }
 
-// markComplete records that the answer is complete, though its client may disconnect before it
-// has been sent. A client may retry as soon as it has the last byte, so the key is released before
-// that is sent.
+// markComplete records that the answer is complete, even if the client disconnects before all of it
+// has been sent. A client may retry as soon as it has received the last byte, so the key is released
+// before that byte is sent.
 func (c *call) markComplete() {
 	c.result.Complete = true
 	c.releaseKey()
 }
 
-// releaseKey reports, once, how a claimed request has ended.
+// releaseKey records the outcome of a request with a claimed key. Further calls have no effect.
 func (c *call) releaseKey() {
 	if !c.claimed {
 		return
@@ -110,10 +112,10 @@
 	if c.recordOverflow && c.result.Complete {
 		c.counts.answersNotRecorded.Add(1)
 	}
-	c.keys.End(c.key, c.head.id, c.result.Outcome(), c.encoder.contentType(), c.recorded)
+	c.keys.End(c.key, c.metadata.id, c.result.Outcome(), c.encoder.contentType(), c.recorded)
 }
 
-// record adds what is sent to the recorded answer, as long as that stays within its limits.
+// record appends sent bytes to the recorded answer, which it drops if a size limit is exceeded.
 func (c *call) record(p []byte) {
 	if !c.claimed || c.recordOverflow {
 		return
--- a/internal/openai/node.go
+++ b/internal/openai/node.go
@@ -7,18 +7,18 @@
 	"wellgw/internal/jsonscan"
 )
 
-// nodeKind is the kind of value that a node holds.
+// nodeKind is the type of a node's value.
 type nodeKind int
 
 const (
 	absentNode nodeKind = iota
-	scalarNode          // a number, a boolean or null, kept as raw
+	scalarNode          // a number, a boolean or null, stored in raw
 	stringNode
 	objectNode
 	listNode
 )
 
-// node is a JSON value that is merged from the values of several events.
+// node is a JSON value merged from the values of several events.
 type node struct {
 	kind    nodeKind
 	raw     []byte
@@ -28,7 +28,7 @@
 	items   []*node
 }
 
-// member returns the member of a name, which is added if there is none.
+// member returns the member of the given name, which it adds if there is none.
 func (n *node) member(name string) *node {
 	if n.members == nil {
 		n.kind, n.members = objectNode, map[string]*node{}
@@ -42,7 +42,8 @@
 	return m
 }
 
-// add merges a value; with concat, strings are concatenated.
+// add merges a value into the node. Strings are concatenated if concat is set; otherwise the first
+// non-empty one is used.
 func (n *node) add(raw []byte, concat bool) error {
 	switch raw[0] {
 	case 'n':
@@ -78,8 +79,8 @@
 	return nil
 }
 
-// concatenates tells whether strings under a name are concatenated; parent tells it of what the
-// name is a member of.
+// concatenates reports whether strings within the member of the given name are concatenated. parent
+// is the rule of the enclosing object.
 func concatenates(name string, parent bool) bool {
 	switch name {
 	case "delta", "text":
@@ -90,7 +91,8 @@
 	return parent
 }
 
-// elements merges a list: elements with an index are merged one by one, others are appended.
+// elements merges a list: elements with the same index are merged, elements without an index are
+// appended.
 func (n *node) elements(raw []byte, concat bool) error {
 	n.kind = listNode
 	w := jsonscan.Array(raw)
@@ -112,8 +114,8 @@
 					if m == nil {
 						return false
 					}
-					have, is := jsonscan.Int(m.raw)
-					return is && have == index
+					itemIndex, is := jsonscan.Int(m.raw)
+					return is && itemIndex == index
 				})
 				if i >= 0 {
 					item = n.items[i]
@@ -130,7 +132,7 @@
 	}
 }
 
-// indexOf returns the index that an element states, if it does.
+// indexOf returns the value of an element's member "index"; given is false if there is none.
 func indexOf(value []byte) (index int, given bool, err error) {
 	o := jsonscan.Object(value)
 	for {
@@ -146,7 +148,7 @@
 	}
 }
 
-// sortedByIndex returns the elements in order of their index.
+// sortedByIndex returns the elements in ascending order of their index.
 func (n *node) sortedByIndex() []*node {
 	at := func(x *node) int {
 		if m := x.members["index"]; m != nil {
@@ -160,7 +162,8 @@
 	return out
 }
 
-// json appends the value; withoutIndex leaves out the index of elements, which only streams have.
+// json appends the value as JSON. With withoutIndex, it omits the member "index" of elements, which
+// only streams itemIndex.
 func (n *node) json(out []byte, withoutIndex bool) []byte {
 	switch n.kind {
 	case stringNode:
@@ -191,7 +194,7 @@
 // quote returns a text as a JSON string.
 func quote(s string) []byte {
 	b, err := codec.Marshal(s)
-	if err != nil { // of a string there is none
+	if err != nil { // can't happen for a string
 		return []byte(`""`)
 	}
 	return b
--- a/internal/openai/output_item.go
+++ b/internal/openai/output_item.go
@@ -1,6 +1,6 @@
 package openai
 
-// The types of output items and of a message's parts, as the API has them.
+// Types of output items and of a message's parts in the responses API.
 const (
 	messageItem      = "message"
 	functionCallItem = "function_call"
@@ -8,7 +8,7 @@
 	refusalPart      = "refusal"
 )
 
-// The states of a response and of an item, as the API has them.
+// Statuses of a response and of an item in the responses API.
 const (
 	statusInProgress = "in_progress"
 	statusCompleted  = "completed"
@@ -16,18 +16,19 @@
 	statusFailed     = "failed"
 )
 
-// outputItem is one item of the output.
+// outputItem is one item of a response's output.
 type outputItem struct {
 	id, kind     string // kind: messageItem, functionCallItem
 	index        int
-	openPart     string // the type of the part under way; "" for none
+	openPart     string // the type of the unfinished part; "" for none
 	text         []byte
 	refusal      []byte
 	callID, name string
 	arguments    []byte
 }
 
-// contentIndex is where a part stands: the text, if there is any, before a refusal.
+// contentIndex returns the index of a part in the message's content: the text, if there is any,
+// precedes a refusal.
 func (it *outputItem) contentIndex(kind string) int {
 	if kind == refusalPart && len(it.text) > 0 {
 		return 1
@@ -35,7 +36,7 @@
 	return 0
 }
 
-// part is a part of the message as the API has it.
+// part returns a part of the message in the API's format.
 func (it *outputItem) part(kind, text string) map[string]any {
 	if kind == refusalPart {
 		return map[string]any{"type": refusalPart, "refusal": text}
@@ -43,7 +44,7 @@
 	return map[string]any{"type": textPart, "text": text, "annotations": []any{}, "logprobs": []any{}}
 }
 
-// object is the item as the API has it.
+// object returns the item in the API's format.
 func (it *outputItem) object(status string) map[string]any {
 	if it.kind == functionCallItem {
 		return map[string]any{"id": it.id, "type": functionCallItem, "status": status, "call_id": it.callID, "name": it.name, "arguments": string(it.arguments)}
--- a/internal/openai/passthrough.go
+++ b/internal/openai/passthrough.go
@@ -4,11 +4,11 @@
 	"wellgw/decide/resume"
 )
 
-// passthrough passes an answer that is one JSON body, with the model's name replaced.
+// passthrough forwards an answer that is a single JSON object and replaces only the model's name.
 type passthrough struct {
-	head  head
-	body  []byte
-	state resume.Progress
+	metadata metadata
+	body     []byte
+	state    resume.Progress
 }
 
 func (p *passthrough) contentType() string        { return jsonType }
@@ -16,7 +16,7 @@
 func (p *passthrough) failure(e apiError) []byte  { return e.object() }
 func (p *passthrough) complete() bool             { return false }
 func (p *passthrough) discardPartial()            {}
-func (p *passthrough) nextAttempt()               { *p = passthrough{head: p.head} }
+func (p *passthrough) nextAttempt()               { *p = passthrough{metadata: p.metadata} }
 
 func (p *passthrough) translate(dst, more []byte) ([]byte, error) {
 	if p.body = append(p.body, more...); len(p.body) > maxResponseBytes {
@@ -31,5 +31,5 @@
 		return dst, err
 	}
 	p.state.RecordStreamEnd()
-	return append(append(dst, f.replace(map[string][]byte{"model": quote(p.head.model)}, "model")...), '\n'), nil
+	return append(append(dst, f.replace(map[string][]byte{"model": quote(p.metadata.model)}, "model")...), '\n'), nil
 }
--- a/internal/openai/prompt.go
+++ b/internal/openai/prompt.go
@@ -13,7 +13,7 @@
 	"wellgw/internal/jsonscan"
 )
 
-// Faults of a message's content, each told behind the message's field.
+// Errors of a message's content. paramError adds the name of the message's field.
 var (
 	errPartNotObject = errors.New("a part of the content is no object")
 	errPartType      = errors.New("a part's type is no string")
@@ -21,14 +21,14 @@
 	errContentType   = errors.New("content is neither a string nor a list of parts")
 )
 
-// sizeInTokens estimates the tokens of n bytes.
+// sizeInTokens estimates the number of tokens in n bytes or characters.
 func sizeInTokens(n int) int { return (n + charsPerToken - 1) / charsPerToken }
 
-// message is what is read of one message of a conversation.
+// message is the part of a conversation's message that the gateway uses.
 type message struct {
 	role   string
 	text   []byte
-	tokens int // of its text, other parts, tool calls and frame
+	tokens int // estimate for its text, other parts, tool calls, role and delimiters
 }
 
 func parseMessage(raw []byte, param string) (message, error) {
@@ -48,25 +48,26 @@
 	return m, nil
 }
 
-// parseMessages reads a conversation's shape. All its turns begin with the same messages up to
-// the caller's first, so these name the session; the first message, if it is not all there
-// is, is the prefix that other conversations share.
+// parseMessages derives the routing hints of a conversation. All its turns start with the same
+// messages up to the first one by the user, so the hash of these identifies the session. If there is
+// more than one message, the first one, unless it is the user's, is the prefix that other
+// conversations may share.
 func (a *apiRequest) parseMessages(f *fields, session hash.Hash) error {
 	list := f.get("messages")
 	elements := jsonscan.Array(list)
-	sessionNamed, n := false, 0
+	sessionHashed, n := false, 0
 	var prefix []byte
 	for at, ok := elements.Element(); ok; at, ok = elements.Element() {
 		m, err := parseMessage(at.Of(list), fmt.Sprintf("messages[%d]", n))
 		if err != nil {
 			return err
 		}
-		a.shape.promptTokens += m.tokens
+		a.hints.promptTokens += m.tokens
 		if n == 0 && m.role != "user" {
-			prefix, a.shape.prefixLen = m.text, m.tokens
+			prefix, a.hints.prefixLen = m.text, m.tokens
 		}
-		if !sessionNamed {
-			sessionNamed = m.role == "user"
+		if !sessionHashed {
+			sessionHashed = m.role == "user"
 			fmt.Fprintf(session, " %s %d ", m.role, len(m.text))
 			session.Write(m.text)
 		}
@@ -84,17 +85,18 @@
 		sum := sha256.New()
 		fmt.Fprintf(sum, "%s\x00", a.model)
 		sum.Write(prefix)
-		a.shape.prefix = hex.EncodeToString(sum.Sum(nil)[:8])
+		a.hints.prefix = hex.EncodeToString(sum.Sum(nil)[:8])
 	} else {
-		a.shape.prefixLen = 0
+		a.hints.prefixLen = 0
 	}
 	for _, name := range []string{"tools", "functions", "response_format"} {
-		a.shape.promptTokens += sizeInTokens(len(f.get(name)))
+		a.hints.promptTokens += sizeInTokens(len(f.get(name)))
 	}
 	return nil
 }
 
-// unquote returns a JSON string's text, false if raw is none; one without escapes is not copied.
+// unquote returns a JSON string's text, false if raw is not a string. A string without escapes is not
+// copied.
 func unquote(raw []byte) ([]byte, bool) {
 	if len(raw) < 2 || raw[0] != '"' {
 		return nil, false
@@ -109,14 +111,14 @@
 	return []byte(s), true
 }
 
-// estimateTokens estimates the tokens of a text by its characters.
+// estimateTokens estimates the number of tokens in a text from its number of characters.
 func estimateTokens(text []byte) int {
 	return sizeInTokens(utf8.RuneCount(text))
 }
 
-// parseContent returns a message's text, and the tokens that it and its other parts take.
+// parseContent returns a message's text and the estimated tokens of all its parts.
 func parseContent(raw []byte) (all []byte, tokens int, err error) {
-	if raw == nil { // an assistant's tool calls have none
+	if raw == nil { // a message with tool calls has no content
 		return []byte{}, 0, nil
 	}
 	if t, is := unquote(raw); is {
@@ -139,8 +141,8 @@
 	return all, estimateTokens(all) + otherTokens, nil
 }
 
-// parsePart returns the text of one part of a message's content or, if it is none, the tokens
-// that it takes.
+// parsePart returns the text of one part of a message's content or, if the part is not a text, its
+// estimated tokens.
 func parsePart(raw []byte) (text []byte, tokens int, err error) {
 	f, err := readFields(raw)
 	if err != nil {
@@ -181,8 +183,8 @@
 	return text, nil
 }
 
-// countPrompts counts the tokens of a text, a list of texts, tokens, or lists of tokens, and
-// how many prompts there are. The first one names the session, if session is not nil.
+// countPrompts counts the prompts and estimates their tokens in a text or in a list of texts, tokens
+// or lists of tokens. It writes the first prompt to session, whose hash identifies the session.
 func countPrompts(raw []byte, param string, session io.Writer) (tokens, n int, err error) {
 	invalid := paramError{param, "is neither text nor tokens, nor a list of these"}
 	if raw == nil {
@@ -193,19 +195,19 @@
 		return estimateTokens(t), 1, nil
 	}
 	list := jsonscan.Array(raw)
-	numbers := 0 // elements that are tokens themselves: the list is one prompt
+	numbers := 0 // elements that are tokens; a list of tokens is one prompt
 	for at, ok := list.Element(); ok; at, ok = list.Element() {
 		element := at.Of(raw)
 		if _, is := jsonscan.Int(element); is {
 			numbers++
 			continue
 		}
-		name, count, ok := countPrompt(element)
+		sessionText, count, ok := countPrompt(element)
 		if !ok {
 			return 0, 0, invalid
 		}
 		if n == 0 {
-			session.Write(name)
+			session.Write(sessionText)
 		}
 		tokens += count
 		if n++; n > maxInputs {
@@ -224,9 +226,9 @@
 	return tokens, n, nil
 }
 
-// countPrompt counts the tokens of one prompt, a text or a list of tokens; name is what names
-// its session. It is false for anything else.
-func countPrompt(raw []byte) (name []byte, tokens int, ok bool) {
+// countPrompt estimates the tokens of one prompt, a text or a list of tokens. It returns the bytes
+// that identify its session, and false for any other type of value.
+func countPrompt(raw []byte) (sessionText []byte, tokens int, ok bool) {
 	if t, is := unquote(raw); is {
 		return t, estimateTokens(t), true
 	}
@@ -240,7 +242,7 @@
 	return raw, tokens, list.Err() == nil
 }
 
-// firstLine is the first line of a text, cut to what an error may quote of it.
+// firstLine returns the first line of a text, truncated to the length that error messages quote.
 func firstLine(s string) string {
 	if at := bytes.IndexByte([]byte(s), '\n'); at >= 0 {
 		s = s[:at]
--- a/internal/openai/request.go
+++ b/internal/openai/request.go
@@ -1,9 +1,10 @@
-// Package openai is the chat front: an HTTP handler for an OpenAI-style API in front of the core,
-// and the dialect of engines that offer nothing but that API.
+// Package openai implements the chat front, an HTTP handler that serves an OpenAI-compatible API from
+// the core, and the dialect of engines that offer only that API.
 //
-// Front authenticates a request and reads its body; a call parses it, submits it to the core and
-// writes the answer by an encoder: rewriter for streams of chats and completions, collector for
-// the same in one piece, passthrough for embeddings, responsesEncoder for the responses API.
+// Front authenticates a request, reads its body and parses it. A call submits it to the core and
+// writes the answer through an encoder: rewriter for streamed chats and completions, collector for
+// chats and completions that are not streamed, passthrough for embeddings, responsesEncoder for the
+// responses API.
 package openai
 
 import (
@@ -20,27 +21,27 @@
 	"wellgw/internal/jsonscan"
 )
 
-// Limits and estimates of sizes, in tokens unless said otherwise. What a part other than text
-// takes is an estimate, by which the routing policy weighs requests; nothing is billed by it.
+// Limits and size estimates, in tokens unless stated otherwise. The sizes of parts other than text
+// are estimates that the routing policy uses to weigh requests; they are not used for billing.
 const (
 	charsPerToken       = 4
 	defaultOutputTokens = 512   // if the client sets no limit
-	maxOutputTokens     = 16384 // of a limit that is believed; a higher one says only that there is none
+	maxOutputTokens     = 16384 // cap on the client's limit for routing; a higher value means only that the client wants no limit
 	messageTokens       = 4     // of a message's role and delimiters
 	maxMessages         = 2048
 	maxChoices          = 128
-	maxInputs           = 2048 // prompts or inputs of one call
+	maxInputs           = 2048 // prompts or inputs per call
 
 	imageTokensLow     = 85
 	imageTokensHigh    = 765
-	audioBytesPerToken = 1600 // bytes of base64 text a token: 100 ms at 12 kB/s
-	fileBytesPerToken  = 6    // bytes of base64 text a token
+	audioBytesPerToken = 1600 // bytes of base64 text per token: 100 ms at 12 kB/s
+	fileBytesPerToken  = 6    // bytes of base64 text per token
 	unknownPartTokens  = 64
 )
 
 var codec = jsoniter.ConfigCompatibleWithStandardLibrary
 
-// The paths of the API.
+// Paths of the API.
 const (
 	chatPath       = "/v1/chat/completions"
 	completionPath = "/v1/completions"
@@ -49,27 +50,27 @@
 	modelPath      = "/v1/models"
 )
 
-// apiRequest is one call of the API, as far as the gateway reads it. The rest of its body passes
-// unread.
+// apiRequest holds the fields of an API request that the gateway reads. Other fields of the body are
+// forwarded unchanged.
 type apiRequest struct {
-	path           string // of the call to an engine
+	path           string // of the request to an engine
 	model          string
 	stream         bool
-	includeUsage   bool // the client has asked for the event with the usage
+	includeUsage   bool // the client requested the usage event
 	choices        int
-	hasOutputLimit bool   // the client has limited the length of the answer
+	hasOutputLimit bool   // the client set a limit on output tokens
 	body           []byte // as sent to engines
-	shape          shape
+	hints          routingHints
 }
 
-// shape is what the routing policy knows of a conversation.
-type shape struct {
+// routingHints are the properties of a request that the routing policy uses.
+type routingHints struct {
 	session, prefix                          string
 	promptTokens, prefixLen, maxOutputTokens int
 }
 
-// parse reads a call. Engines are always asked for a stream with its usage, whatever the client
-// has asked for; only embeddings are not streamed.
+// parse parses a request. Except for embeddings, the request to an engine always asks for a stream
+// with usage, even if the client's does not.
 func parse(path string, data []byte, team string) (*apiRequest, error) {
 	f, err := readFields(data)
 	if err != nil {
@@ -102,7 +103,7 @@
 	return a, nil
 }
 
-// parseEmbedding reads the fields that only embeddings have.
+// parseEmbedding parses the fields specific to embeddings.
 func (a *apiRequest) parseEmbedding(f *fields) error {
 	if a.stream {
 		return paramError{"stream", "embeddings are not streamed"}
@@ -111,12 +112,12 @@
 	if err != nil {
 		return err
 	}
-	a.shape = shape{promptTokens: tokens, maxOutputTokens: 1}
+	a.hints = routingHints{promptTokens: tokens, maxOutputTokens: 1}
 	a.body = f.replace(nil)
 	return nil
 }
 
-// parseGeneration reads the fields that chats and completions have beside those of every call.
+// parseGeneration parses the fields specific to chats and completions.
 func (a *apiRequest) parseGeneration(f *fields, session hash.Hash) error {
 	limit, err := outputLimit(f, a)
 	if err != nil {
@@ -127,13 +128,13 @@
 		if err != nil {
 			return err
 		}
-		a.shape.promptTokens = tokens
+		a.hints.promptTokens = tokens
 		a.choices *= n
 	} else if err := a.parseMessages(f, session); err != nil {
 		return err
 	}
-	a.shape.maxOutputTokens = min(limit*a.choices, maxOutputTokens)
-	a.shape.session = hex.EncodeToString(session.Sum(nil)[:8])
+	a.hints.maxOutputTokens = min(limit*a.choices, maxOutputTokens)
+	a.hints.session = hex.EncodeToString(session.Sum(nil)[:8])
 	options, err := streamOptions(f, a)
 	if err != nil {
 		return err
@@ -142,10 +143,10 @@
 	return nil
 }
 
-// continuation returns the call by which another engine continues an answer whose text so far is
-// said. It uses what engines with a chat template offer: the last message is the assistant's own,
-// and is continued instead of answered.
-func (a *apiRequest) continuation(said []byte, tokens int) (*apiRequest, error) {
+// continuation returns the request by which another engine continues an answer, given its text and
+// number of tokens so far. It uses an option of engines with a chat template: the engine continues
+// the last message, which is the assistant's, instead of answering it.
+func (a *apiRequest) continuation(text []byte, tokens int) (*apiRequest, error) {
 	f, err := readFields(a.body)
 	if err != nil {
 		return nil, err
@@ -156,7 +157,7 @@
 	}
 	messages := append([]byte(nil), list[:len(list)-1]...)
 	messages = append(messages, `,{"role":"assistant","content":`...)
-	messages = append(append(messages, quote(string(said))...), "}]"...)
+	messages = append(append(messages, quote(string(text))...), "}]"...)
 	set := map[string][]byte{"messages": messages, "continue_final_message": []byte("true"), "add_generation_prompt": []byte("false")}
 	order := []string{"messages", "continue_final_message", "add_generation_prompt"}
 	for _, name := range []string{"max_tokens", "max_completion_tokens"} {
@@ -167,12 +168,12 @@
 	}
 	next := *a
 	next.body = f.replace(set, order...)
-	next.shape.promptTokens += estimateTokens(said) + messageTokens
-	next.shape.maxOutputTokens = max(1, a.shape.maxOutputTokens-tokens)
+	next.hints.promptTokens += estimateTokens(text) + messageTokens
+	next.hints.maxOutputTokens = max(1, a.hints.maxOutputTokens-tokens)
 	return &next, nil
 }
 
-// firstError returns the first of joined errors.
+// firstError returns the first of several joined errors.
 func firstError(err error) error {
 	if j, is := err.(interface{ Unwrap() []error }); is {
 		return j.Unwrap()[0]
@@ -180,7 +181,7 @@
 	return err
 }
 
-// streamOptions returns the stream options for engines: the client's, with the usage included.
+// streamOptions returns the stream options for engines: the client's, with include_usage set.
 func streamOptions(f *fields, a *apiRequest) ([]byte, error) {
 	const usage = `{"include_usage":true}`
 	raw := f.get("stream_options")
@@ -197,7 +198,7 @@
 	return o.replace(map[string][]byte{"include_usage": []byte("true")}, "include_usage"), nil
 }
 
-// outputLimit returns the limit of one choice's length, in tokens.
+// outputLimit returns the limit on the length of one choice, in tokens.
 func outputLimit(f *fields, a *apiRequest) (int, error) {
 	limit := defaultOutputTokens
 	for _, name := range []string{"max_tokens", "max_completion_tokens"} {
--- a/internal/openai/responses.go
+++ b/internal/openai/responses.go
@@ -7,9 +7,9 @@
 	jsoniter "github.com/json-iterator/go"
 )
 
-// The responses API (/v1/responses) is translated to chat completions, which is what engines
-// offer: its input becomes messages, the chunks become typed events. Nothing is stored, so that
-// references to earlier responses can't be served.
+// The responses API (/v1/responses) is translated to chat completions, the API that engines offer:
+// its input is converted to messages, chunks are converted to typed events. Responses are not stored,
+// so references to earlier ones are rejected.
 
 // inputPart is one part of an input item's content.
 type inputPart struct {
@@ -23,7 +23,7 @@
 	Filename string `json:"filename"`
 }
 
-// unknownPartError is a part of content whose type is not supported.
+// unknownPartError reports a content part of an unsupported type.
 type unknownPartError struct{ partType string }
 
 func (e unknownPartError) Error() string { return "parts of type " + e.partType + " are not offered" }
@@ -39,23 +39,23 @@
 	Output    jsoniter.RawMessage `json:"output"`
 }
 
-// responsesOnlyFields are fields of the responses API that a chat has under another name or in
-// another form, or not at all.
+// responsesOnlyFields are fields of the responses API that have another name or format in chat
+// completions, or don't exist there.
 var responsesOnlyFields = map[string]bool{
 	"input": true, "instructions": true, "max_output_tokens": true, "tools": true, "tool_choice": true, "text": true, "reasoning": true,
 	"store": true, "include": true, "truncation": true, "background": true, "previous_response_id": true, "conversation": true, "prompt": true,
 	"max_tool_calls": true,
 }
 
-// echoedFields are the fields of a request that its response repeats.
+// echoedFields are the request fields that the response repeats.
 var echoedFields = []string{
 	"instructions", "max_output_tokens", "tools", "tool_choice", "text", "reasoning",
 	"temperature", "top_p", "parallel_tool_calls", "metadata", "user", "truncation",
 }
 
-// chatFields are the fields that a chat has in place of those of the responses API, in order.
+// chatFields are the fields of a chat request that replace those of the responses API, in order.
 type chatFields struct {
-	values map[string][]byte // nil: the field is left out
+	values map[string][]byte // nil: the field is removed
 	order  []string
 }
 
@@ -66,13 +66,13 @@
 	}
 }
 
-// parseResponses reads a call of the responses API as a chat.
+// parseResponses parses a request of the responses API and translates it to a chat request.
 func parseResponses(data []byte, team string) (*apiRequest, *responsesEncoder, error) {
 	f, err := readFields(data)
 	if err != nil {
 		return nil, nil, err
 	}
-	if err := checkOffered(f); err != nil {
+	if err := checkSupported(f); err != nil {
 		return nil, nil, err
 	}
 	messages, err := inputMessages(f)
@@ -101,8 +101,8 @@
 	return a, t, err
 }
 
-// checkOffered returns an error for what needs stored responses.
-func checkOffered(f *fields) error {
+// checkSupported returns an error for fields that need stored responses.
+func checkSupported(f *fields) error {
 	for _, name := range []string{"previous_response_id", "conversation", "prompt"} {
 		if f.get(name) != nil {
 			return paramError{name, "nothing is stored here that it could refer to"}
@@ -114,15 +114,15 @@
 	return nil
 }
 
-// conversation gathers the messages of a chat from input items.
+// conversation converts input items to chat messages.
 type conversation struct {
 	messages []any
-	calls    []any // tool calls of one assistant's turn, which become one message
+	calls    []any // tool calls of one assistant turn, which are merged into one message
 }
 
 func (c *conversation) add(message map[string]any) { c.messages = append(c.messages, message) }
 
-// endTurn adds the message of the tool calls so far.
+// endTurn adds a message with the pending tool calls, if there are any.
 func (c *conversation) endTurn() {
 	if len(c.calls) > 0 {
 		c.add(map[string]any{"role": "assistant", "content": nil, "tool_calls": c.calls})
@@ -130,7 +130,7 @@
 	}
 }
 
-// addItem adds an input item; param names it in an error.
+// addItem adds an input item; param is its name in errors.
 func (c *conversation) addItem(it inputItem, param string) error {
 	if it.Type != "function_call" {
 		c.endTurn()
@@ -153,14 +153,14 @@
 			return paramError{param, err.Error()}
 		}
 		c.add(map[string]any{"role": "tool", "tool_call_id": it.CallID, "content": content})
-	case "reasoning": // engines keep none of their own
+	case "reasoning": // dropped: engines store no reasoning items
 	default:
 		return paramError{param, "items of type " + firstLine(it.Type) + " are not offered"}
 	}
 	return nil
 }
 
-// inputMessages returns the chat's messages, as JSON, for a call's instructions and input.
+// inputMessages converts a request's instructions and input to chat messages, as JSON.
 func inputMessages(f *fields) ([]byte, error) {
 	c := &conversation{}
 	if raw := f.get("instructions"); raw != nil {
@@ -191,7 +191,7 @@
 	return codec.Marshal(c.messages)
 }
 
-// chatReasoning translates the effort of reasoning.
+// chatReasoning translates the reasoning effort.
 func chatReasoning(f *fields, chat *chatFields) error {
 	var reasoning struct {
 		Effort string `json:"effort"`
@@ -205,7 +205,7 @@
 	return nil
 }
 
-// chatContent translates an item's content: a text, or a list of parts.
+// chatContent translates an item's content, which is a text or a list of parts.
 func chatContent(raw []byte) (any, error) {
 	if len(raw) == 0 || isNull(raw) {
 		return "", nil
@@ -245,7 +245,7 @@
 	return out, nil
 }
 
-// chatTools translates the tools and the choice among them.
+// chatTools translates the tools and the tool choice.
 func chatTools(f *fields, chat *chatFields) error {
 	var tools []map[string]jsoniter.RawMessage
 	if err := f.decode("tools", &tools); err != nil {
@@ -286,7 +286,7 @@
 	return nil
 }
 
-// chatFormat translates the format of the answer's text.
+// chatFormat translates the text format to a response_format.
 func chatFormat(f *fields, chat *chatFields) error {
 	var format struct {
 		Format map[string]jsoniter.RawMessage `json:"format"`
--- a/internal/openai/responses_encoder.go
+++ b/internal/openai/responses_encoder.go
@@ -10,21 +10,21 @@
 	"wellgw/internal/sse"
 )
 
-// responsesEncoder translates a chat's stream to an answer of the responses API: typed events, or
-// one object.
+// responsesEncoder translates a chat stream to an answer of the responses API: typed events or a
+// single object.
 type responsesEncoder struct {
-	echo         map[string]jsoniter.RawMessage // the request's fields that the response repeats
-	head         head
+	echo         map[string]jsoniter.RawMessage // the request fields that the response repeats
+	metadata     metadata
 	scanner      sse.Scanner
 	out          []byte
-	sequence     int // of the next event
+	sequence     int // sequence number of the next event
 	started      bool
 	items        []*outputItem
-	toolCalls    map[int]*outputItem // by the index of a tool call
+	toolCalls    map[int]*outputItem // by tool call index
 	finishReason string
 	usage        jsoniter.RawMessage
 	size         int
-	streaming    bool // the client gets events, not one object
+	streaming    bool // the client gets events, not a single object
 	state        resume.Progress
 }
 
@@ -40,19 +40,19 @@
 func (t *responsesEncoder) complete() bool  { return false }
 func (t *responsesEncoder) discardPartial() { t.scanner = sse.Scanner{} }
 
-// nextAttempt drops the answer so far. Nothing of it has been sent, as typed events can't be
-// continued at another engine once they have begun.
+// nextAttempt discards the answer received so far. No part of it has been sent: an answer with typed
+// events can't be continued at another engine after its first event.
 func (t *responsesEncoder) nextAttempt() {
-	*t = responsesEncoder{echo: t.echo, head: t.head, streaming: t.streaming, toolCalls: map[int]*outputItem{}}
+	*t = responsesEncoder{echo: t.echo, metadata: t.metadata, streaming: t.streaming, toolCalls: map[int]*outputItem{}}
 }
 
-// The reasons to end a choice, as engines give them, that leave an answer incomplete.
+// Finish reasons of engines for an incomplete answer.
 const (
 	finishLength        = "length"
 	finishContentFilter = "content_filter"
 )
 
-// chatChunk is a chunk of a chat's stream, as far as it is read.
+// chatChunk holds the fields of a chat chunk that the encoder reads.
 type chatChunk struct {
 	Choices []struct {
 		Delta  chatDelta `json:"delta"`
@@ -62,14 +62,14 @@
 	Error jsoniter.RawMessage `json:"error"`
 }
 
-// chatDelta is what a chunk adds to a choice.
+// chatDelta is the addition of a chunk to a choice.
 type chatDelta struct {
 	Content   string          `json:"content"`
 	Refusal   string          `json:"refusal"`
 	ToolCalls []toolCallDelta `json:"tool_calls"`
 }
 
-// toolCallDelta is what a chunk adds to the tool call of an index.
+// toolCallDelta is the addition of a chunk to the tool call with the same index.
 type toolCallDelta struct {
 	Index    int    `json:"index"`
 	ID       string `json:"id"`
@@ -79,13 +79,13 @@
 	} `json:"function"`
 }
 
-// emit appends an event with its sequence number.
+// emit appends an event with the next sequence number, if the client streams.
 func (t *responsesEncoder) emit(kind string, fields map[string]any) {
 	if !t.streaming {
 		return
 	}
 	t.state.RecordSent()
-	t.state.RecordOtherContent() // so that the answer is not continued at another engine
+	t.state.RecordOtherContent() // prevents a continuation at another engine
 	fields["type"], fields["sequence_number"] = kind, t.sequence
 	t.sequence++
 	raw, err := codec.Marshal(fields)
@@ -96,15 +96,15 @@
 	t.out = append(append(t.out, raw...), "\n\n"...)
 }
 
-// translate appends the events for p, the next bytes of the stream, to dst.
+// translate appends to dst the events for p, the next bytes of the stream.
 func (t *responsesEncoder) translate(dst, p []byte) ([]byte, error) {
 	t.out = dst
 	err := t.scanner.Write(p, t.handleEvent)
 	return t.out, err
 }
 
-// finish appends the events for the end of the stream or, if the client does not stream, the
-// response.
+// finish appends the events for the end of the stream or, if the client does not stream, the response
+// object.
 func (t *responsesEncoder) finish(dst []byte) ([]byte, error) {
 	t.out = dst
 	if err := t.scanner.End(t.handleEvent); err != nil {
@@ -129,7 +129,7 @@
 	return t.out, nil
 }
 
-// status is the state of an answer whose stream has ended.
+// status returns the response's status after the end of the stream.
 func (t *responsesEncoder) status() string {
 	if t.finishReason == finishLength || t.finishReason == finishContentFilter {
 		return statusIncomplete
@@ -145,7 +145,7 @@
 	return t.out
 }
 
-// start adds the events that begin a response, once.
+// start appends the initial events of a response, unless it has done so already.
 func (t *responsesEncoder) start() {
 	if t.started {
 		return
@@ -190,7 +190,7 @@
 	return nil
 }
 
-// addDelta adds what a chunk says to the items that it belongs to.
+// addDelta adds the content, refusal and tool calls of a chunk to their output items.
 func (t *responsesEncoder) addDelta(d chatDelta) error {
 	if d.Content != "" {
 		t.appendText(textPart, d.Content)
@@ -207,7 +207,7 @@
 	return nil
 }
 
-// addToolCall adds a part of a tool call, whose item is added with the first one.
+// addToolCall adds a part of a tool call. The first part of a call creates its output item.
 func (t *responsesEncoder) addToolCall(call toolCallDelta) {
 	it := t.toolCalls[call.Index]
 	if it == nil {
@@ -227,12 +227,12 @@
 // addItem adds an empty item to the output.
 func (t *responsesEncoder) addItem(kind string) *outputItem {
 	prefix := map[string]string{messageItem: "msg_", functionCallItem: "fc_"}[kind]
-	it := &outputItem{id: prefix + requestID(t.head.id) + "_" + strconv.Itoa(len(t.items)), kind: kind, index: len(t.items)}
+	it := &outputItem{id: prefix + requestID(t.metadata.id) + "_" + strconv.Itoa(len(t.items)), kind: kind, index: len(t.items)}
 	t.items = append(t.items, it)
 	return it
 }
 
-// appendText adds text to the message, which is added if there is none.
+// appendText adds text to the message item, which it creates if there is none.
 func (t *responsesEncoder) appendText(kind, text string) {
 	var it *outputItem
 	for _, x := range t.items {
@@ -250,38 +250,38 @@
 		it.openPart = kind
 		t.emit("response.content_part.added", map[string]any{"item_id": it.id, "output_index": it.index, "content_index": it.contentIndex(kind), "part": it.part(kind, "")})
 	}
-	where := map[string]any{"item_id": it.id, "output_index": it.index, "content_index": it.contentIndex(kind), "delta": text}
+	fields := map[string]any{"item_id": it.id, "output_index": it.index, "content_index": it.contentIndex(kind), "delta": text}
 	if kind == refusalPart {
 		it.refusal = append(it.refusal, text...)
-		t.emit("response.refusal.delta", where)
+		t.emit("response.refusal.delta", fields)
 		return
 	}
 	it.text = append(it.text, text...)
-	where["logprobs"] = []any{}
-	t.emit("response.output_text.delta", where)
+	fields["logprobs"] = []any{}
+	t.emit("response.output_text.delta", fields)
 }
 
-// finishPart adds the events that end the part under way, if there is one.
+// finishPart appends the events that end the open part, if there is one.
 func (t *responsesEncoder) finishPart(it *outputItem) {
 	kind := it.openPart
 	if kind == "" {
 		return
 	}
 	it.openPart = ""
-	where := map[string]any{"item_id": it.id, "output_index": it.index, "content_index": it.contentIndex(kind)}
+	fields := map[string]any{"item_id": it.id, "output_index": it.index, "content_index": it.contentIndex(kind)}
 	text := string(it.text)
 	if kind == refusalPart {
 		text = string(it.refusal)
-		where["refusal"] = text
-		t.emit("response.refusal.done", where)
+		fields["refusal"] = text
+		t.emit("response.refusal.done", fields)
 	} else {
-		where["text"], where["logprobs"] = text, []any{}
-		t.emit("response.output_text.done", where)
+		fields["text"], fields["logprobs"] = text, []any{}
+		t.emit("response.output_text.done", fields)
 	}
 	t.emit("response.content_part.done", map[string]any{"item_id": it.id, "output_index": it.index, "content_index": it.contentIndex(kind), "part": it.part(kind, text)})
 }
 
-// finishItem adds the events that end an item.
+// finishItem appends the events that end an item.
 func (t *responsesEncoder) finishItem(it *outputItem) {
 	t.finishPart(it)
 	if it.kind == functionCallItem {
@@ -290,10 +290,10 @@
 	t.emit("response.output_item.done", map[string]any{"output_index": it.index, "item": it.object(statusCompleted)})
 }
 
-// object is the response as it stands; failure is its error object, nil for none.
+// object returns the response with the output so far; failure is its error object, nil for none.
 func (t *responsesEncoder) object(status string, failure any) map[string]any {
 	o := map[string]any{
-		"id": "resp_" + requestID(t.head.id), "object": "response", "created_at": t.head.created, "status": status, "model": t.head.model, "output": t.output(status),
+		"id": "resp_" + requestID(t.metadata.id), "object": "response", "created_at": t.metadata.created, "status": status, "model": t.metadata.model, "output": t.output(status),
 		"error": failure, "incomplete_details": nil, "usage": nil, "store": false, "instructions": nil, "metadata": map[string]any{},
 		"parallel_tool_calls": true, "tools": []any{}, "tool_choice": "auto", "previous_response_id": nil,
 	}
@@ -313,7 +313,7 @@
 	return o
 }
 
-// output is the list of items; a response that has just begun names none.
+// output returns the list of items, which is empty for a response in progress.
 func (t *responsesEncoder) output(status string) []any {
 	output := []any{}
 	if status == statusInProgress {
@@ -329,7 +329,7 @@
 	return output
 }
 
-// responseUsage is the engine's usage under the names of the responses API, nil for none.
+// responseUsage returns the engine's usage under the names of the responses API, nil for none.
 func (t *responsesEncoder) responseUsage() map[string]any {
 	var u struct {
 		Prompt     int `json:"prompt_tokens"`
--- a/internal/openai/resume_test.go
+++ b/internal/openai/resume_test.go
@@ -46,7 +46,7 @@
 				resp.Body.Close()
 				switch {
 				case stream && bytes.HasSuffix(all, []byte("data: [DONE]\n\n")):
-					r := newRewriter(testHead, false, true)
+					r := newRewriter(testMetadata, false, true)
 					if _, err := r.translate(nil, all); err != nil {
 						t.Fatal(err)
 					}
--- a/internal/openai/rewrite_test.go
+++ b/internal/openai/rewrite_test.go
@@ -14,7 +14,7 @@
 	"wellgw/internal/sse"
 )
 
-var testHead = head{id: "chatcmpl-1", model: "parts", object: "chat.completion.chunk", created: 7}
+var testMetadata = metadata{id: "chatcmpl-1", model: "parts", object: "chat.completion.chunk", created: 7}
 
 // FuzzRewrite holds a rewritten event against a decoder: what it accepts is an object, and
 // all but the fields that are the gateway's comes out as it went in.
@@ -35,7 +35,7 @@
 		if json.Unmarshal(data, &in) != nil || in == nil {
 			return
 		}
-		r := newRewriter(testHead, true, false)
+		r := newRewriter(testMetadata, true, false)
 		out, err := r.translate(nil, append(append([]byte("data: "), bytes.ReplaceAll(data, []byte("\n"), []byte("\ndata: "))...), "\n\n"...))
 		if err != nil {
 			if w := in["error"]; w != nil && string(w) != "null" || errors.Is(err, errInvalidChunk) {
@@ -82,7 +82,7 @@
 			return
 		}
 		play := func(templates bool) (string, error) {
-			r := newRewriter(testHead, false, follow)
+			r := newRewriter(testMetadata, false, follow)
 			var out []byte
 			for _, e := range [][]byte{one, two, two, one} {
 				if !templates {
@@ -132,7 +132,7 @@
 		"no object":                    {[]string{chunkOf(0, `null`), `[1]`, doneData}, errInvalidChunk, false},
 		"broken JSON":                  {[]string{`{"choices":[{"index":0,"delta":{"content":"w}]}`, doneData}, errInvalidChunk, false},
 	} {
-		r := newRewriter(testHead, false, false)
+		r := newRewriter(testMetadata, false, false)
 		var out []byte
 		var err error
 		for _, e := range c.events {
@@ -189,7 +189,7 @@
 		`{"choices":[{"index":1,"delta":{"content":"w\u00e9"},"finish_reason":null}]}`, `{"choices":[{"index":1,"delta":{"content":"!"},"finish_reason":"stop"}]}`,
 		`{"choices":[],"usage":{"prompt_tokens":3}}`,
 	}
-	w := &collector{head: testHead}
+	w := &collector{metadata: testMetadata}
 	for _, e := range events {
 		if _, err := w.translate(nil, []byte("data: "+e+"\r\n\r\n")); err != nil {
 			t.Fatal(err)
@@ -244,7 +244,7 @@
 			Model  string
 			Stream bool
 		}
-		if err := json.Unmarshal(a.body, &got); err != nil || path != embeddingPath && !got.Stream || a.model == "" || a.shape.promptTokens < 0 || a.shape.maxOutputTokens < 1 {
+		if err := json.Unmarshal(a.body, &got); err != nil || path != embeddingPath && !got.Stream || a.model == "" || a.hints.promptTokens < 0 || a.hints.maxOutputTokens < 1 {
 			t.Fatalf("%q: %v, %q, %+v", data, err, a.body, a)
 		}
 		w := jsonscan.Object(a.body)
@@ -269,7 +269,7 @@
 		b.ReportAllocs()
 		out := make([]byte, 0, 64<<10)
 		for b.Loop() {
-			r := newRewriter(testHead, false, false)
+			r := newRewriter(testMetadata, false, false)
 			if _, err := r.translate(out[:0], text); err != nil {
 				b.Fatal(err)
 			}
@@ -289,7 +289,7 @@
 				if err := codec.Unmarshal(e.Data, &all); err != nil {
 					return err
 				}
-				for name, value := range map[string]any{"id": testHead.id, "object": testHead.object, "created": testHead.created, "model": testHead.model} {
+				for name, value := range map[string]any{"id": testMetadata.id, "object": testMetadata.object, "created": testMetadata.created, "model": testMetadata.model} {
 					raw, err := codec.Marshal(value)
 					if err != nil {
 						return err
--- a/internal/openai/rewriter.go
+++ b/internal/openai/rewriter.go
@@ -9,24 +9,24 @@
 	"wellgw/internal/sse"
 )
 
-// rewriter turns an engine's events into those that a client gets: the id and the model
-// are the gateway's, what engines leave out is added, and all else passes byte by byte.
-// Nothing is decoded, and nothing allocated for an event.
+// rewriter converts an engine's events to the client's: it replaces the id, object and model by the
+// gateway's, adds members of the metadata that an event lacks and copies all other bytes. To avoid
+// allocations per event, it does not decode values.
 type rewriter struct {
 	scanner      sse.Scanner
 	onEvent      func(sse.Event) error
 	out          []byte
-	id           []byte // this and the next three: JSON texts
+	id           []byte // this and the next three are JSON texts
 	model        []byte
 	object       []byte
 	created      []byte
-	includeUsage bool // the client has asked for the event with the usage
-	resumable    bool // events are numbered and their content recorded, so that a broken answer can be continued
+	includeUsage bool // the client requested the usage event
+	resumable    bool // events get ids and their content is recorded, so that a broken answer can be continued
 	template     template
 	state        resume.Progress
 }
 
-func newRewriter(h head, includeUsage, resumable bool) *rewriter {
+func newRewriter(h metadata, includeUsage, resumable bool) *rewriter {
 	r := &rewriter{
 		id: quote(h.id), model: quote(h.model), object: quote(h.object), created: strconv.AppendInt(nil, h.created, 10),
 		includeUsage: includeUsage, resumable: resumable,
@@ -41,15 +41,15 @@
 func (r *rewriter) discardPartial()            { r.scanner = sse.Scanner{} }
 func (r *rewriter) nextAttempt()               { r.state.PrepareNextAttempt() }
 
-// translate adds what the client gets, now that p has come, to dst.
+// translate appends to dst the client's events for p, the next bytes of the stream.
 func (r *rewriter) translate(dst, p []byte) ([]byte, error) {
 	r.out = dst
 	err := r.scanner.Write(p, r.onEvent)
 	return r.out, err
 }
 
-// finish handles the end of a stream. Some engines leave out the last event, so it is added if
-// each choice has ended; else the answer was truncated.
+// finish handles the end of a stream. Some engines omit the final [DONE] event, so it is added if
+// every choice has finished; otherwise the answer is truncated.
 func (r *rewriter) finish(dst []byte) ([]byte, error) {
 	r.out = dst
 	if err := r.scanner.End(r.onEvent); err != nil || r.state.StreamEnded() {
@@ -61,7 +61,7 @@
 	return r.writeDone(), nil
 }
 
-// writeDone writes the event that ends a stream.
+// writeDone appends the [DONE] event that ends a stream.
 func (r *rewriter) writeDone() []byte {
 	r.state.RecordStreamEnd()
 	r.out = append(r.out, "data: "+doneData+"\n\n"...)
@@ -73,7 +73,7 @@
 	return append(append([]byte("data: "), e.object()...), "\n\n"...)
 }
 
-// handleEvent writes one event of the engine's as the client gets it.
+// handleEvent converts one event of the engine.
 func (r *rewriter) handleEvent(e sse.Event) error {
 	data := bytes.TrimSpace(e.Data)
 	if r.state.StreamEnded() || len(data) == 0 {
@@ -109,7 +109,7 @@
 			return err
 		}
 		if !hasChoices && has.usage && !r.includeUsage {
-			r.out = r.out[:start] // requested by the gateway, not by the client
+			r.out = r.out[:start] // the usage event was requested by the gateway, not by the client
 			return nil
 		}
 		if !has.usage {
@@ -120,7 +120,7 @@
 	return nil
 }
 
-// memberSet tells which of the members that the rewriter reads an event had.
+// memberSet records which of the members that the rewriter reads were present in an event.
 type memberSet struct {
 	id, model, object, created, usage, choices bool
 
@@ -128,8 +128,8 @@
 	choicesStart int           // in the output, from the start of the event
 }
 
-// rewriteMembers writes an event's members, with the head's in place of the engine's own. start is
-// where the event begins in the output.
+// rewriteMembers appends an event's members, with the engine's metadata replaced. start is the offset
+// of the event in the output.
 func (r *rewriter) rewriteMembers(data []byte, start int) (has memberSet, err error) {
 	w := jsonscan.Object(data)
 	for {
@@ -176,7 +176,7 @@
 	return has, nil
 }
 
-// addMissing adds the members of the head that an event lacked.
+// addMissing appends the metadata members that an event lacked.
 func (r *rewriter) addMissing(has memberSet) {
 	if !has.id {
 		r.out = appendMember(r.out, nameID, r.id)
@@ -192,13 +192,13 @@
 	}
 }
 
-// writeEventID writes the number of the current event.
+// writeEventID appends the id of the current event, its sequence number.
 func (r *rewriter) writeEventID() {
 	r.out = append(strconv.AppendInt(append(r.out, "id: "...), int64(r.state.SentEvents()), 10), '\n')
 }
 
-// replaceLineBreaks puts spaces in the place of line breaks, which in JSON stand between values
-// only but would end the event's data line.
+// replaceLineBreaks replaces line breaks, which would end the event's data line, by spaces. In JSON,
+// unescaped line breaks occur only between tokens.
 func replaceLineBreaks(text []byte) {
 	for i, c := range text {
 		if c == '\n' || c == '\r' {
--- a/internal/openai/template.go
+++ b/internal/openai/template.go
@@ -6,31 +6,31 @@
 	"wellgw/internal/jsonscan"
 )
 
-// template is an event, as input and as output, whose one choice holds a piece of content and
-// nothing else. The next event mostly differs in that piece alone: what stands before and after
-// it has then been checked already, and is written as it was.
+// template is the input and output of an event whose only choice has a content string and nothing
+// else. The next event mostly differs in that string only. The bytes before and after it have then
+// been validated already, and the template's output is reused for them.
 type template struct {
-	prefixLen          int    // bytes of the input before the piece; 0 = there is no template
-	suffixStart        int    // where the input goes on behind the piece
-	outputContentStart int    // where the piece stands in the output
-	outputSuffixStart  int    // where the output goes on behind the piece
-	input, output      []byte // both reused from one template to the next
+	prefixLen          int    // bytes of the input before the content; 0 = no template
+	suffixStart        int    // offset in the input of the bytes after the content
+	outputContentStart int    // offset of the content in the output
+	outputSuffixStart  int    // offset in the output of the bytes after the content
+	input, output      []byte // both buffers are reused for the next template
 }
 
-// capture makes an event the template, if it is of that form. choicesStart is where its choices
-// stand in the output.
+// capture makes an event the template, if it has the required form. choicesStart is the offset of its
+// choices in the output.
 func (t *template) capture(data []byte, choices jsonscan.Span, choicesStart int, out []byte) {
-	piece, is := soleContent(choices.Of(data))
+	content, is := soleContent(choices.Of(data))
 	if !is {
 		return
 	}
-	start, end := choices.Start+piece.Start, choices.Start+piece.End
+	start, end := choices.Start+content.Start, choices.Start+content.End
 	t.input, t.output = append(t.input[:0], data...), append(t.output[:0], out...)
 	t.prefixLen, t.suffixStart = start, end
-	t.outputContentStart, t.outputSuffixStart = choicesStart+piece.Start, choicesStart+piece.End
+	t.outputContentStart, t.outputSuffixStart = choicesStart+content.Start, choicesStart+content.End
 }
 
-// applyTemplate writes an event by the template; false if it is of another form.
+// applyTemplate writes an event by the template. It returns false if the event does not match.
 func (r *rewriter) applyTemplate(data []byte) bool {
 	t := &r.template
 	suffix := t.input[t.suffixStart:]
@@ -40,31 +40,31 @@
 	if jsonscan.StringEnd(data, t.prefixLen) != len(data)-len(suffix) || data[t.prefixLen+1] == '"' {
 		return false
 	}
-	piece := data[t.prefixLen : len(data)-len(suffix)]
+	content := data[t.prefixLen : len(data)-len(suffix)]
 	out := t.output[:t.outputContentStart]
 	if r.resumable {
-		text, is := unquote(piece)
+		text, is := unquote(content)
 		if !is {
 			return false
 		}
 		r.state.AppendText(text)
 		r.writeEventID()
-		out = out[bytes.Index(out, dataField):] // without the number of the template's event
+		out = out[bytes.Index(out, dataField):] // without the id of the template's event
 	}
-	r.out = append(append(append(r.out, out...), piece...), t.output[t.outputSuffixStart:]...)
+	r.out = append(append(append(r.out, out...), content...), t.output[t.outputSuffixStart:]...)
 	r.state.RecordSent()
 	return true
 }
 
 var dataField = []byte("data: ")
 
-// soleContent returns where the content stands in a list of choices that has one element, whose
-// delta holds a piece of content alone and which has not ended.
-func soleContent(choices []byte) (piece jsonscan.Span, is bool) {
+// soleContent returns the position of the content in a list of choices. It returns false unless the
+// list has exactly one choice, which is unfinished and whose delta has no member but the content.
+func soleContent(choices []byte) (content jsonscan.Span, is bool) {
 	list := jsonscan.Array(choices)
 	at, ok := list.Element()
 	if _, more := list.Element(); !ok || more || list.Err() != nil {
-		return piece, false
+		return content, false
 	}
 	choice := at.Of(choices)
 	var delta jsonscan.Span
@@ -73,25 +73,25 @@
 		switch string(name) {
 		case "delta":
 			if delta.End > 0 {
-				return piece, false
+				return content, false
 			}
 			delta = value
 		case "index":
 		case "finish_reason", "logprobs":
 			if !value.IsNull(choice) {
-				return piece, false
+				return content, false
 			}
 		default:
-			return piece, false
+			return content, false
 		}
 	}
 	if delta.End == 0 || choice[delta.Start] != '{' {
-		return piece, false
+		return content, false
 	}
 	d := jsonscan.Object(delta.Of(choice))
 	name, value, ok := d.Next()
 	if _, _, more := d.Next(); !ok || more || d.Err() != nil || string(name) != "content" || value.Of(delta.Of(choice))[0] != '"' {
-		return piece, false
+		return content, false
 	}
 	from := at.Start + delta.Start + value.Start
 	return jsonscan.Span{Start: from, End: from + value.End - value.Start}, true
