--- a/internal/openai/answer_bytes_test.go
+++ b/internal/openai/answer_bytes_test.go
@@ -16,8 +16,8 @@
 	"wellgw/internal/enginetest"
 )
 
-// varying matches what differs from run to run: drawn ids and times of creation.
-var varying = []struct {
+// nondeterministic matches values that differ between runs: random ids and creation times.
+var nondeterministic = []struct {
 	pattern *regexp.Regexp
 	fixed   string
 }{
@@ -25,8 +25,8 @@
 	{regexp.MustCompile(`"(created|created_at)":\d+`), `"$1":0`},
 }
 
-// streamOf is an engine's streamed answer of the events given and the last one.
-func streamOf(events ...string) string {
+// streamedAnswer returns an engine's HTTP response that streams the given events and [DONE].
+func streamedAnswer(events ...string) string {
 	stream := enginetest.StreamHead
 	for _, e := range append(events, doneData) {
 		stream += enginetest.Chunk("data: " + e + "\n\n")
@@ -34,18 +34,19 @@
 	return stream + "0\r\n\r\n"
 }
 
-// TestAnswerBytes compares what clients and engines get, byte by byte, with the saved exchanges
-// in testdata/answers: status, headers that the front sets, body, and the body sent to the engine.
+// TestAnswerBytes compares exchanges byte by byte with those saved in testdata/answers: the status,
+// the headers that the front sets, the body and the body sent to the engine. A case's name is the
+// name of its file.
 func TestAnswerBytes(t *testing.T) {
 	const usage = `{"choices":[],"usage":{"prompt_tokens":9,"completion_tokens":4,"prompt_tokens_details":{"cached_tokens":3},"completion_tokens_details":{"reasoning_tokens":1}}}`
-	text := streamOf(`{"id":"x","object":"o","model":"y","system_fingerprint":"fp","choices":[{"index":0,"delta":{"role":"assistant","content":""},"logprobs":null,"finish_reason":null}]}`,
+	text := streamedAnswer(`{"id":"x","object":"o","model":"y","system_fingerprint":"fp","choices":[{"index":0,"delta":{"role":"assistant","content":""},"logprobs":null,"finish_reason":null}]}`,
 		chunkOf(0, "null"), chunkOf(0, "null"), `{"choices":[{"index":0,"delta":{"content":"\u00e9\n"},"finish_reason":null}]}`, "{\"choices\":\ndata: [{\"index\":0,\"delta\":{},\"finish_reason\":\"stop\"}]}", usage)
-	tools := streamOf(`{"choices":[{"index":0,"delta":{"role":"assistant","content":"so "}}]}`, `{"choices":[{"index":0,"delta":{"refusal":"no"}}]}`,
+	tools := streamedAnswer(`{"choices":[{"index":0,"delta":{"role":"assistant","content":"so "}}]}`, `{"choices":[{"index":0,"delta":{"refusal":"no"}}]}`,
 		`{"choices":[{"index":0,"delta":{"tool_calls":[{"index":0,"id":"c0","type":"function","function":{"name":"look","arguments":"{\"a"}}]}}]}`,
 		`{"choices":[{"index":0,"delta":{"tool_calls":[{"index":0,"function":{"arguments":"\":1}"}},{"index":1,"id":"c1","type":"function","function":{"name":"price","arguments":"{}"}}]}}]}`,
 		`{"choices":[{"index":0,"delta":{},"finish_reason":"tool_calls"}]}`, usage)
-	cutShort := streamOf(chunkOf(0, `"length"`), usage)
-	completion := streamOf(`{"choices":[{"index":0,"text":"a ","finish_reason":null},{"index":1,"text":"c","finish_reason":"stop"}]}`, `{"choices":[{"index":0,"text":"b","finish_reason":"stop"}]}`, usage)
+	truncated := streamedAnswer(chunkOf(0, `"length"`), usage)
+	completion := streamedAnswer(`{"choices":[{"index":0,"text":"a ","finish_reason":null},{"index":1,"text":"c","finish_reason":"stop"}]}`, `{"choices":[{"index":0,"text":"b","finish_reason":"stop"}]}`, usage)
 	broken := enginetest.StreamHead + enginetest.Chunk("data: "+chunkOf(0, "null")+"\n\n") + enginetest.Cut
 	reported := enginetest.StreamHead + enginetest.Chunk("data: "+chunkOf(0, "null")+"\n\n") + enginetest.Chunk(`data: {"error":{"message":"out of\nmemory"}}`+"\n\n") + "0\r\n\r\n"
 	embedding := enginetest.Status(200, "", `{"object":"list","data":[{"object":"embedding","index":0,"embedding":[0.5]}],"model":"y","usage":{"prompt_tokens":1}}`)
@@ -104,8 +105,8 @@
 		{"response streamed", "POST", responsePath, "k1", "", `{"model":"orders","input":"a hull","stream":true}`, text},
 		{"response tools", "POST", responsePath, "k1", "", `{"model":"orders",` + items + `}`, tools},
 		{"response tools streamed", "POST", responsePath, "k1", "", `{"model":"orders","stream":true,` + items + `}`, tools},
-		{"response cut short", "POST", responsePath, "k1", "", `{"model":"orders","input":"a hull"}`, cutShort},
-		{"response cut short streamed", "POST", responsePath, "k1", "", `{"model":"orders","input":"a hull","stream":true}`, cutShort},
+		{"response cut short", "POST", responsePath, "k1", "", `{"model":"orders","input":"a hull"}`, truncated},
+		{"response cut short streamed", "POST", responsePath, "k1", "", `{"model":"orders","input":"a hull","stream":true}`, truncated},
 		{"response broken", "POST", responsePath, "k1", "", `{"model":"orders","input":"a hull","stream":true}`, broken},
 		{"response error reported", "POST", responsePath, "k1", "", `{"model":"orders","input":"a hull","stream":true}`, reported},
 		{"response plain format", "POST", responsePath, "k1", "", `{"model":"orders","input":"a","text":{"format":{"type":"json_object"}},"tool_choice":"auto"}`, text},
@@ -122,7 +123,7 @@
 		{"response tool choice", "POST", responsePath, "k1", "", `{"model":"orders","input":"a","tool_choice":{"type":"x"}}`, text},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			engines, e := one(config.RoleOpenAI, func(enginetest.Call) string { return c.engine }, t)
+			engines, e := singleEngine(config.RoleOpenAI, func(enginetest.Call) string { return c.engine }, t)
 			url, _ := start(t, engines)
 			req, err := http.NewRequestWithContext(t.Context(), c.method, url+c.path, strings.NewReader(c.body))
 			if err != nil {
@@ -148,7 +149,7 @@
 			for _, call := range e.Calls("POST") {
 				got += "engine: " + call.Body + "\n"
 			}
-			for _, v := range varying {
+			for _, v := range nondeterministic {
 				got = v.pattern.ReplaceAllString(got, v.fixed)
 			}
 			path := filepath.Join("testdata", "answers", strings.ReplaceAll(c.name, " ", "_")+".txt")
@@ -157,7 +158,7 @@
 				t.Fatal(err)
 			}
 			if diff := cmp.Diff(string(saved), got); diff != "" {
-				t.Errorf("%s (- saved, + found):\n%s", path, diff)
+				t.Errorf("%s (-want +got):\n%s", path, diff)
 			}
 		})
 	}
--- a/internal/openai/call.go
+++ b/internal/openai/call.go
@@ -143,7 +143,7 @@
 		},
 		Write: c.writeBody,
 	}
-	err := streambuffer.Run(c.r.Context(), t, s, pipe, c.bounds)
+	err := streambuffer.Run(c.r.Context(), t, s, pipe, c.bufferLimits)
 	for err != nil {
 		step, next, ticket := c.resumeElsewhere(err)
 		if step == resume.Abort {
@@ -153,7 +153,7 @@
 		c.encoder.discardPartial()
 		if next != nil {
 			c.encoder.nextAttempt()
-			err = streambuffer.Run(c.r.Context(), ticket, next, pipe, c.bounds)
+			err = streambuffer.Run(c.r.Context(), ticket, next, pipe, c.bufferLimits)
 			continue
 		}
 		var last []byte
--- a/internal/openai/dialect.go
+++ b/internal/openai/dialect.go
@@ -70,5 +70,5 @@
 // Release returns no call: these engines cancel a request when its connection is closed.
 func (Dialect) Release(string) (upstream.Call, bool) { return upstream.Call{}, false }
 
-// Probe returns no call: the chat API has no probe.
+// Probe returns no call: engines of this dialect are not probed.
 func (Dialect) Probe() (upstream.Call, bool) { return upstream.Call{}, false }
--- a/internal/openai/front.go
+++ b/internal/openai/front.go
@@ -48,14 +48,14 @@
 
 // Front is the HTTP handler of the chat API. Its methods are safe for concurrent use.
 type Front struct {
-	core     *core.Core
-	bodies   *clientconn.Budget
-	keys     *idempotency.Store
-	hasPeers func() bool
-	bounds   *streambuffer.Limits
-	catalog  atomic.Pointer[catalog]
-	started  time.Time
-	service  atomic.Pointer[lifecycle.Service]
+	core         *core.Core
+	bodies       *clientconn.Budget
+	keys         *idempotency.Store
+	hasPeers     func() bool
+	bufferLimits *streambuffer.Limits
+	catalog      atomic.Pointer[catalog]
+	started      time.Time
+	service      atomic.Pointer[lifecycle.Service]
 
 	counts           counts
 	recordedBytes    atomic.Int64 // total size of the answers that are recorded while they are sent
@@ -75,7 +75,7 @@
 func NewFront(o Options) *Front {
 	f := &Front{
 		core: o.Core, bodies: o.Bodies, keys: o.Keys, hasPeers: o.HasPeers, started: time.Now(),
-		bounds: streambuffer.NewLimits(stallLimit, maxBufferPerClient, o.MaxBufferedBytes), maxRecordedBytes: o.MaxBufferedBytes,
+		bufferLimits: streambuffer.NewLimits(stallLimit, maxBufferPerClient, o.MaxBufferedBytes), maxRecordedBytes: o.MaxBufferedBytes,
 	}
 	f.SetService(lifecycle.FullService())
 	f.Reload(o.File)
--- a/internal/openai/front_test.go
+++ b/internal/openai/front_test.go
@@ -41,7 +41,7 @@
 	"engines": [{"id": "e1", "address": "127.0.0.1:1", "role": "openai"}]
 }`
 
-// start starts a front on loopback before engines of the roles given.
+// start starts a front on a loopback address with one engine per role.
 func start(t *testing.T, engines map[string]*enginetest.Engine) (url string, c *core.Core) {
 	var members []core.Endpoint
 	for role, e := range engines {
@@ -50,12 +50,13 @@
 	return serve(t, operator, members)
 }
 
-// serve starts a front by an operator's file.
+// serve starts a front with the given operator's file and engines.
 func serve(t *testing.T, file string, members []core.Endpoint) (url string, c *core.Core) {
 	url, c, _ = serveFront(t, file, members)
 	return url, c
 }
 
+// serveFront is like serve and also returns the front.
 func serveFront(t *testing.T, file string, members []core.Endpoint) (url string, c *core.Core, f *Front) {
 	o, err := config.ParseOperator([]byte(file))
 	if err != nil {
@@ -88,8 +89,8 @@
 	return server.URL, c, f
 }
 
-// A request goes by one file from its head to its answer, though another is read while its
-// body is on the way: neither the team nor the contract of the other is seen.
+// A request uses a single operator's file, even if another file is loaded between its headers and its
+// body: it must not see the other file's teams or contracts.
 func TestRequestUsesOneConfiguration(t *testing.T) {
 	e := enginetest.NewEngine(t, func(enginetest.Call) string { return enginetest.Stream(2, 0) })
 	url, _, f := serveFront(t, operator, []core.Endpoint{{EngineInfo: routing.EngineInfo{Name: "e1", Kind: config.RoleOpenAI, Zone: "a", Weight: 1}, Addr: e.Addr}})
@@ -97,7 +98,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ask := func(key, model string, between func()) int {
+	sendRequest := func(key, model string, between func()) int {
 		t.Helper()
 		c, err := net.Dial("tcp", strings.TrimPrefix(url, "http://"))
 		if err != nil {
@@ -112,7 +113,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if resp.StatusCode != http.StatusContinue { // its head was refused
+		if resp.StatusCode != http.StatusContinue { // the request was rejected by its headers
 			return resp.StatusCode
 		}
 		between()
@@ -122,22 +123,24 @@
 		}
 		return resp.StatusCode
 	}
-	if code := ask("k1", "orders", func() { f.Reload(other) }); code != http.StatusOK {
-		t.Errorf("taken under the first file: %d", code)
+	if code := sendRequest("k1", "orders", func() { f.Reload(other) }); code != http.StatusOK {
+		t.Errorf("request that began under the first file: status %d", code)
 	}
-	if code := ask("k1", "works", func() {}); code != http.StatusUnauthorized {
-		t.Errorf("by the first file's key after the second was read: %d", code)
+	if code := sendRequest("k1", "works", func() {}); code != http.StatusUnauthorized {
+		t.Errorf("key of the first file after the second was loaded: status %d", code)
 	}
-	if code := ask("k9", "works", func() {}); code != http.StatusOK {
-		t.Errorf("by the second file: %d", code)
+	if code := sendRequest("k9", "works", func() {}); code != http.StatusOK {
+		t.Errorf("key of the second file: status %d", code)
 	}
 }
 
-func one(role string, script func(enginetest.Call) string, t *testing.T) (map[string]*enginetest.Engine, *enginetest.Engine) {
+// singleEngine starts one engine of the given role, whose answers come from script.
+func singleEngine(role string, script func(enginetest.Call) string, t *testing.T) (map[string]*enginetest.Engine, *enginetest.Engine) {
 	e := enginetest.NewEngine(t, script)
 	return map[string]*enginetest.Engine{role: e}, e
 }
 
+// chat sends a chat request with a system and a user message.
 func chat(t *testing.T, url, key, model string, stream bool) (*http.Response, error) {
 	t.Helper()
 	body := fmt.Sprintf(`{"model":%q,"stream":%v,"messages":[{"role":"system","content":"help"},{"role":"user","content":"a hull fitting"}]}`, model, stream)
@@ -151,7 +154,7 @@
 
 func TestRecordedExchanges(t *testing.T) {
 	enginetest.EachRecording(t, func(t *testing.T, file string) {
-		engines, e := one(config.RoleOpenAI, func(c enginetest.Call) string {
+		engines, e := singleEngine(config.RoleOpenAI, func(c enginetest.Call) string {
 			if strings.Contains(c.Body, "reject") {
 				return enginetest.Status(400, "", "too long")
 			}
@@ -164,21 +167,22 @@
 		}
 		for _, call := range e.Calls("POST") {
 			if !strings.Contains(call.Body, `"stream":true`) || !strings.Contains(call.Body, `"include_usage":true`) {
-				t.Errorf("the engine was sent %s", call.Body)
+				t.Errorf("engine got a request without stream or include_usage: %s", call.Body)
 			}
 		}
 	})
 }
 
-// A place-order stream that breaks, wherever it does, ends in one final answer
-// and is not sent again: its engine may have reserved stock already.
+// A broken stream of a request that must not be executed twice, here an order, ends in exactly one
+// error, or in the complete answer if its choice had finished, and is not sent again: the engine may
+// already have reserved stock. Streams are cut at random positions.
 func TestBrokenOrderIsNotRetried(t *testing.T) {
-	whole := enginetest.Stream(6, 0)
+	fullStream := enginetest.Stream(6, 0)
 	random := rand.New(rand.NewPCG(7, 11))
 	for n := range 40 {
-		cut, stream := random.IntN(len(whole)-1), n%2 == 0
+		cut, stream := random.IntN(len(fullStream)-1), n%2 == 0
 		t.Run(fmt.Sprintf("cut at %d, stream %v", cut, stream), func(t *testing.T) {
-			engines, e := one(config.RoleOpenAI, func(enginetest.Call) string { return whole[:cut] + enginetest.Cut }, t)
+			engines, e := singleEngine(config.RoleOpenAI, func(enginetest.Call) string { return fullStream[:cut] + enginetest.Cut }, t)
 			url, c := start(t, engines)
 			resp, err := chat(t, url, "k1", "orders", stream)
 			if err != nil {
@@ -187,14 +191,14 @@
 			defer resp.Body.Close()
 			text, err := io.ReadAll(resp.Body)
 			errors := strings.Count(string(text), `"error":`)
-			// Past the end of its one choice the answer is there, though the stream has not ended.
-			if strings.Contains(whole[:cut], `"finish_reason":"stop"}]}`+"\n") {
+			// After the end of its only choice the answer is complete, even without the end of the stream.
+			if strings.Contains(fullStream[:cut], `"finish_reason":"stop"}]}`+"\n") {
 				if resp.StatusCode != http.StatusOK || err != nil || errors != 0 || stream && !strings.HasSuffix(string(text), "data: [DONE]\n\n") {
 					t.Errorf("status %d, %v: %s", resp.StatusCode, err, text)
 				}
-			} else if resp.StatusCode == http.StatusOK { // begun: an error event, then no last chunk
+			} else if resp.StatusCode == http.StatusOK { // already started: an error event without a final chunk
 				if !stream || err == nil || errors != 1 {
-					t.Errorf("stream ended by %v with %d errors", err, errors)
+					t.Errorf("stream ended with error %v and %d error events", err, errors)
 				}
 			} else if resp.StatusCode != http.StatusBadGateway || err != nil || errors != 1 {
 				t.Errorf("status %d, %v, %d errors", resp.StatusCode, err, errors)
@@ -203,20 +207,20 @@
 				t.Fatal(err)
 			}
 			if calls := e.Calls("POST"); len(calls) != 1 {
-				t.Errorf("sent %d times", len(calls))
+				t.Errorf("engine got %d requests, want 1", len(calls))
 			}
 		})
 	}
 }
 
-// A lookup may be sent again, but never once its first event has been passed on.
+// A request under a free contract is retried only if none of its events has been sent to the client.
 func TestLookupRetriedOnlyBeforeFirstEvent(t *testing.T) {
 	for _, c := range []struct {
 		first  string
 		sent   int
 		broken bool
 	}{{enginetest.StreamHead + enginetest.Cut, 2, false}, {enginetest.Stream(2, 0)[:200] + enginetest.Cut, 1, true}} {
-		engines, e := one(config.RoleOpenAI, func(call enginetest.Call) string {
+		engines, e := singleEngine(config.RoleOpenAI, func(call enginetest.Call) string {
 			if call.Number == 1 {
 				return c.first
 			}
@@ -230,34 +234,34 @@
 		_, err = io.ReadAll(resp.Body)
 		resp.Body.Close()
 		if (err != nil) != c.broken || len(e.Calls("POST")) != c.sent {
-			t.Errorf("%v after %d sends, want %d", err, len(e.Calls("POST")), c.sent)
+			t.Errorf("%v after %d requests to the engine, want %d", err, len(e.Calls("POST")), c.sent)
 		}
 	}
 }
 
-// A caller that drops mid-stream frees the state its request holds, at two-stage
-// engines by a release and at an OpenAI-only one by the closed connection.
+// If a client disconnects in the middle of a stream, the state of its request is released: by a release
+// at two-stage engines, by closing the connection at engines that offer only the chat API.
 func TestClientDisconnectReleasesState(t *testing.T) {
-	whole := enginetest.Stream(6, 0)
+	fullStream := enginetest.Stream(6, 0)
 	random := rand.New(rand.NewPCG(3, 5))
-	begun := strings.Index(whole, "w1")
+	firstToken := strings.Index(fullStream, "w1")
 	for range 8 {
-		at := begun + random.IntN(len(whole)-begun-10)
-		hang := func(c enginetest.Call) string {
+		at := firstToken + random.IntN(len(fullStream)-firstToken-10)
+		hangMidStream := func(c enginetest.Call) string {
 			if c.Method == http.MethodDelete {
 				return "HTTP/1.1 204 No Content\r\n\r\n"
 			}
-			return whole[:at] + enginetest.Hang
+			return fullStream[:at] + enginetest.Hang
 		}
-		reader := enginetest.NewEngine(t, func(c enginetest.Call) string {
+		readEngine := enginetest.NewEngine(t, func(c enginetest.Call) string {
 			if c.Method == http.MethodDelete {
 				return "HTTP/1.1 204 No Content\r\n\r\n"
 			}
 			return enginetest.Status(202, "", `{"cached_tokens":0}`)
 		})
-		writer, alone := enginetest.NewEngine(t, hang), enginetest.NewEngine(t, hang)
+		writeEngine, openAIEngine := enginetest.NewEngine(t, hangMidStream), enginetest.NewEngine(t, hangMidStream)
 		for _, engines := range []map[string]*enginetest.Engine{
-			{config.RoleRead: reader, config.RoleWrite: writer}, {config.RoleOpenAI: alone},
+			{config.RoleRead: readEngine, config.RoleWrite: writeEngine}, {config.RoleOpenAI: openAIEngine},
 		} {
 			url, c := start(t, engines)
 			enginetest.Within(t, 500*time.Millisecond, func() time.Duration {
@@ -268,16 +272,16 @@
 				if _, err := io.ReadFull(resp.Body, make([]byte, 10)); err != nil {
 					t.Fatal(err)
 				}
-				left := time.Now()
+				disconnectedAt := time.Now()
 				resp.Body.Close()
 				last, states := engines[config.RoleOpenAI], 0
 				if last == nil {
-					last, states = writer, len(reader.Calls("POST"))
+					last, states = writeEngine, len(readEngine.Calls("POST"))
 				}
-				enginetest.Eventually(t, "the attempt is closed and the state let go", func() bool {
-					return len(last.Dropped()) >= len(last.Calls("POST")) && len(reader.Calls("DELETE")) >= states
+				enginetest.Eventually(t, "attempt closed and state released", func() bool {
+					return len(last.Dropped()) >= len(last.Calls("POST")) && len(readEngine.Calls("DELETE")) >= states
 				})
-				return time.Since(left)
+				return time.Since(disconnectedAt)
 			})
 			if err := c.Drain(t.Context()); err != nil {
 				t.Fatal(err)
@@ -286,21 +290,21 @@
 	}
 }
 
-func TestErrorsAreMapped(t *testing.T) {
+func TestErrorMapping(t *testing.T) {
 	for _, c := range []struct {
 		name, key, model, answer string
 		status                   int
 		sent                     int
 	}{
-		{"silence to the deadline", "k1", "quick", enginetest.Hang, 504, 1},
-		{"an order that failed", "k1", "orders", enginetest.Status(500, "", ""), 502, 1},
-		{"an order at an engine that says it is busy", "k1", "orders", enginetest.Status(503, "", ""), 502, 1},
-		{"an engine that reports an error in its stream", "k1", "orders", enginetest.StreamHead +
+		{"engine does not respond before the deadline", "k1", "quick", enginetest.Hang, 504, 1},
+		{"order fails with 500", "k1", "orders", enginetest.Status(500, "", ""), 502, 1},
+		{"order fails with 503", "k1", "orders", enginetest.Status(503, "", ""), 502, 1},
+		{"engine reports an error in its stream", "k1", "orders", enginetest.StreamHead +
 			enginetest.Chunk(`data: {"error":{"message":"out of memory"}}`+"\n\n") + enginetest.Chunk("data: [DONE]\n\n") + "0\r\n\r\n", 502, 1},
-		{"an order that was turned away", "k1", "orders", enginetest.Status(429, "", ""), 503, 0},
+		{"order rejected with 429", "k1", "orders", enginetest.Status(429, "", ""), 503, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			engines, e := one(config.RoleOpenAI, func(enginetest.Call) string { return c.answer }, t)
+			engines, e := singleEngine(config.RoleOpenAI, func(enginetest.Call) string { return c.answer }, t)
 			url, _ := start(t, engines)
 			begin := time.Now()
 			resp, err := chat(t, url, c.key, c.model, false)
@@ -312,17 +316,17 @@
 				t.Errorf("status %d, want %d", resp.StatusCode, c.status)
 			}
 			if took := time.Since(begin); c.status == 504 && (took < 250*time.Millisecond || took > 5*time.Second) || c.status == 503 && resp.Header.Get("Retry-After") == "" {
-				t.Errorf("after %v, Retry-After %q", time.Since(begin), resp.Header.Get("Retry-After"))
+				t.Errorf("answer after %v with Retry-After %q", time.Since(begin), resp.Header.Get("Retry-After"))
 			}
 			if n := len(e.Calls("POST")); c.sent > 0 && n != c.sent {
-				t.Errorf("sent %d times", n)
+				t.Errorf("engine got %d requests", n)
 			}
 		})
 	}
 }
 
 func TestExhaustedQuotaIsRefused(t *testing.T) {
-	engines, e := one(config.RoleOpenAI, func(enginetest.Call) string { return enginetest.Stream(1, 0) }, t)
+	engines, e := singleEngine(config.RoleOpenAI, func(enginetest.Call) string { return enginetest.Stream(1, 0) }, t)
 	url, _ := start(t, engines)
 	var got []int
 	for range 3 {
@@ -332,33 +336,33 @@
 		}
 		resp.Body.Close()
 		if limit, reset := resp.Header.Get("X-RateLimit-Limit-Requests"), resp.Header.Get("X-RateLimit-Reset-Requests"); limit != "1" || resp.Header.Get("X-RateLimit-Remaining-Requests") != "0" || reset == "0s" {
-			t.Errorf("limit %q, reset %q", limit, reset)
+			t.Errorf("rate limit headers: limit %q, reset %q", limit, reset)
 		}
 		if got = append(got, resp.StatusCode); resp.StatusCode == 429 && resp.Header.Get("Retry-After") == "" {
-			t.Error("no Retry-After")
+			t.Error("429 without Retry-After")
 		}
 	}
 	if diff := cmp.Diff([]int{200, 429, 429}, got); diff != "" || len(e.Calls("POST")) != 1 {
-		t.Errorf("sent %d times; (-want +got):\n%s", len(e.Calls("POST")), diff)
+		t.Errorf("engine got %d requests, want 1; statuses (-want +got):\n%s", len(e.Calls("POST")), diff)
 	}
 }
 
-func TestDerive(t *testing.T) {
-	turn := func(messages string) routingHints {
+func TestRoutingHints(t *testing.T) {
+	hintsOf := func(messages string) routingHints {
 		q, err := parse(chatPath, []byte(`{"model":"m","max_tokens":9,"messages":[`+messages+`]}`), "team")
 		if err != nil {
 			t.Fatal(err)
 		}
 		return q.hints
 	}
-	first := turn(`{"role":"system","content":"12345678"},{"role":"user","content":"hi"}`)
-	second := turn(`{"role":"system","content":"12345678"},{"role":"user","content":[{"type":"text","text":"hi"}]},{"role":"assistant","content":null},{"role":"user","content":"more"}`)
-	other := turn(`{"role":"system","content":"12345678"},{"role":"user","content":"ho"}`)
+	first := hintsOf(`{"role":"system","content":"12345678"},{"role":"user","content":"hi"}`)
+	second := hintsOf(`{"role":"system","content":"12345678"},{"role":"user","content":[{"type":"text","text":"hi"}]},{"role":"assistant","content":null},{"role":"user","content":"more"}`)
+	other := hintsOf(`{"role":"system","content":"12345678"},{"role":"user","content":"ho"}`)
 	if first.session != second.session || first.session == other.session || first.prefix != other.prefix || first.prefix == "" {
-		t.Errorf("sessions and openings: %+v %+v %+v", first, second, other)
+		t.Errorf("sessions or prefixes: first turn %+v, second turn %+v, other conversation %+v", first, second, other)
 	}
 	if q, err := parse(chatPath, []byte(`{"model":"m","max_tokens":1000000000,"messages":[{"role":"user","content":"hi"}]}`), ""); err != nil || q.hints.maxOutputTokens != maxOutputTokens {
-		t.Errorf("a limit past all sense: %v, %+v", err, q)
+		t.Errorf("max_tokens above maxOutputTokens: %v, %+v", err, q)
 	}
 	first.session, first.prefix = "", ""
 	if diff := cmp.Diff(routingHints{promptTokens: 2 + 1 + 2*messageTokens, prefixLen: 2 + messageTokens, maxOutputTokens: 9}, first, cmp.AllowUnexported(routingHints{})); diff != "" {
--- a/internal/openai/idempotency.go
+++ b/internal/openai/idempotency.go
@@ -78,8 +78,8 @@
 	return e
 }
 
-// forgetKey records that a request was rejected before its body was read in full, so no request has
-// been executed under its key.
+// forgetKey records that a request was rejected before it was parsed, so that its idempotency key does
+// not count as used.
 func (f *Front) forgetKey(r *http.Request, team *config.Team) {
 	if name := r.Header.Get(keyHeader); name != "" && len(name) <= maxKeyBytes && f.keys != nil {
 		f.keys.RecordRefusal(deduplication.Key{Team: team.Name, Name: name})
--- a/internal/openai/node.go
+++ b/internal/openai/node.go
@@ -163,7 +163,7 @@
 }
 
 // json appends the value as JSON. With withoutIndex, it omits the member "index" of elements, which
-// only streams itemIndex.
+// only streams have.
 func (n *node) json(out []byte, withoutIndex bool) []byte {
 	switch n.kind {
 	case stringNode:
--- a/internal/openai/prompt.go
+++ b/internal/openai/prompt.go
@@ -242,7 +242,7 @@
 	return raw, tokens, list.Err() == nil
 }
 
-// firstLine returns the first line of a text, truncated to the length that error messages quote.
+// firstLine returns the first line of a text, truncated to 120 bytes for quotation in errors.
 func firstLine(s string) string {
 	if at := bytes.IndexByte([]byte(s), '\n'); at >= 0 {
 		s = s[:at]
--- a/internal/openai/resume_test.go
+++ b/internal/openai/resume_test.go
@@ -13,13 +13,14 @@
 	"wellgw/routing"
 )
 
-// Answers that break go on at another engine if their contract says so: what the client
-// has in the end is the answer, without a gap and without a repeat, its events numbered.
+// With a contract that allows it, broken answers are continued at another engine. The client gets the
+// complete text without gaps or repetitions, in events with consecutive ids. More requests must
+// succeed than without continuation, and at least three in four.
 func TestResumeBrokenAnswer(t *testing.T) {
-	const tokens, asked = 12, 40
+	const tokens, requests = 12, 40
 	for _, role := range []string{config.RoleOpenAI, config.RoleBoth} {
-		served := map[int]int{}
-		for _, times := range []int{0, 4} {
+		succeeded := map[int]int{}
+		for _, maxContinuations := range []int{0, 4} {
 			fleet := engine.NewFleet()
 			t.Cleanup(fleet.Close)
 			var members []core.Endpoint
@@ -30,13 +31,13 @@
 				}
 				members = append(members, core.Endpoint{EngineInfo: routing.EngineInfo{Name: e.ID, Kind: role, Zone: "a", Weight: 1}, Addr: e.Addr()})
 			}
-			file := strings.Replace(operator, `"effect": "free",`, fmt.Sprintf(`"effect": "free", "continue": %d,`, times), 1)
+			file := strings.Replace(operator, `"effect": "free",`, fmt.Sprintf(`"effect": "free", "continue": %d,`, maxContinuations), 1)
 			url, _ := serve(t, file, members)
 			want := ""
 			for i := range tokens {
 				want += fmt.Sprintf("t%d ", i)
 			}
-			for n := range asked {
+			for n := range requests {
 				stream := n%2 == 0
 				resp, err := chat(t, url, "k1", "parts", stream)
 				if err != nil {
@@ -50,25 +51,25 @@
 					if _, err := r.translate(nil, all); err != nil {
 						t.Fatal(err)
 					}
-					if said, _ := r.state.Text(); string(said) != want {
-						t.Errorf("%q", said)
+					if streamed, _ := r.state.Text(); string(streamed) != want {
+						t.Errorf("streamed text %q, want %q", streamed, want)
 					}
-					for i := 0; times > 0 && i < r.state.SentEvents(); i++ {
+					for i := 0; maxContinuations > 0 && i < r.state.SentEvents(); i++ {
 						if !bytes.Contains(all, fmt.Appendf(nil, "id: %d\ndata: {", i)) {
-							t.Errorf("event %d is missing:\n%s", i, all)
+							t.Errorf("event with id %d is missing:\n%s", i, all)
 						}
 					}
-					served[times]++
+					succeeded[maxContinuations]++
 				case !stream && resp.StatusCode == 200:
 					if !bytes.Contains(all, []byte(`"content":"`+want+`"`)) {
-						t.Errorf("%s", all)
+						t.Errorf("answer %s, want content %q", all, want)
 					}
-					served[times]++
+					succeeded[maxContinuations]++
 				}
 			}
 		}
-		if served[4] <= served[0] || served[4] < asked*3/4 {
-			t.Errorf("%s: %d of %d served, %d without going on", role, served[4], asked, served[0])
+		if succeeded[4] <= succeeded[0] || succeeded[4] < requests*3/4 {
+			t.Errorf("%s: %d of %d requests succeeded, %d without continuation", role, succeeded[4], requests, succeeded[0])
 		}
 	}
 }
--- a/internal/openai/rewrite_test.go
+++ b/internal/openai/rewrite_test.go
@@ -16,8 +16,8 @@
 
 var testMetadata = metadata{id: "chatcmpl-1", model: "parts", object: "chat.completion.chunk", created: 7}
 
-// FuzzRewrite holds a rewritten event against a decoder: what it accepts is an object, and
-// all but the fields that are the gateway's comes out as it went in.
+// FuzzRewrite compares a rewritten event with the decoded input: the rewriter accepts only objects, and
+// it changes no fields other than those that the gateway sets.
 func FuzzRewrite(f *testing.F) {
 	for _, s := range []string{
 		`{"choices":[{"index":0,"delta":{"content":"a"},"finish_reason":null}]}`,
@@ -49,7 +49,7 @@
 		text, found := bytes.CutPrefix(out, []byte("data: "))
 		text, ended := bytes.CutSuffix(text, []byte("\n\n"))
 		if !found || !ended || bytes.ContainsAny(text, "\n\r") {
-			t.Fatalf("%q is not one event", out)
+			t.Fatalf("output %q is not a single event", out)
 		}
 		var got map[string]json.RawMessage
 		if err := json.Unmarshal(text, &got); err != nil {
@@ -62,27 +62,27 @@
 			if name == "id" || name == "model" || name == "object" || name == "error" || strings.ContainsRune(name, '\uFFFD') {
 				continue
 			}
-			if !same(value, got[name]) {
+			if !equalJSON(value, got[name]) {
 				t.Fatalf("%s of %q became %q", name, data, got[name])
 			}
 		}
 	})
 }
 
-// FuzzTemplate holds events that pass by the template of the one before against the same
-// events taken one by one.
+// FuzzTemplate compares events written by the template of the preceding event with the same events
+// written without a template.
 func FuzzTemplate(f *testing.F) {
 	f.Add([]byte(`{"choices":[{"index":0,"delta":{"content":"a"},"finish_reason":null}]}`), []byte(`{"choices":[{"index":0,"delta":{"content":"bc"},"finish_reason":null}]}`), true)
 	f.Add([]byte(`{"id":"x","choices":[{"index":0,"delta":{"content":"a"}}],"usage":null}`), []byte(`{"id":"x","choices":[{"index":0,"delta":{"content":"\u00e9\"}"}}],"usage":null}`), false)
 	f.Add([]byte(`{"choices":[{"index":0,"delta":{"content":"a"}}]}`), []byte(`{"choices":[{"index":0,"delta":{"content":""}}]}`), true)
 	f.Add([]byte(`{"a":[{"delta":{"content":"a"}}],"choices":[{"delta":{"content":"a"}}]}`), []byte(`{"a":[{"delta":{"content":"a"}}],"choices":[{"delta":{"content":"a"},"x":"b"}]}`), true)
 	f.Add([]byte(`{"choices":[{"delta":{"content":"a"}}],"choices":[{"delta":{"content":"a"}}]}`), []byte(`{"choices":[{"delta":{"content":"a"}}],"choices":[{"delta":{"content":"b"}}]}`), true)
-	f.Fuzz(func(t *testing.T, one, two []byte, follow bool) {
+	f.Fuzz(func(t *testing.T, one, two []byte, resumable bool) {
 		if bytes.ContainsAny(one, "\r\n") || bytes.ContainsAny(two, "\r\n") {
 			return
 		}
-		play := func(templates bool) (string, error) {
-			r := newRewriter(testMetadata, false, follow)
+		rewriteAll := func(templates bool) (string, error) {
+			r := newRewriter(testMetadata, false, resumable)
 			var out []byte
 			for _, e := range [][]byte{one, two, two, one} {
 				if !templates {
@@ -95,15 +95,15 @@
 			}
 			return fmt.Sprintf("%s %+v", out, r.state), nil
 		}
-		want, werr := play(false)
-		got, err := play(true)
-		if got != want || (err != nil) != (werr != nil) {
-			t.Fatalf("%q, %q: %s, %v; one by one %s, %v", one, two, got, err, want, werr)
+		want, wantErr := rewriteAll(false)
+		got, err := rewriteAll(true)
+		if got != want || (err != nil) != (wantErr != nil) {
+			t.Fatalf("%q, %q: with templates %s, %v; without %s, %v", one, two, got, err, want, wantErr)
 		}
 	})
 }
 
-func same(a, b []byte) bool {
+func equalJSON(a, b []byte) bool {
 	var x, y any
 	return json.Unmarshal(a, &x) == nil && json.Unmarshal(b, &y) == nil && cmp.Equal(x, y)
 }
@@ -112,25 +112,25 @@
 	return fmt.Sprintf(`{"choices":[{"index":%d,"delta":{"content":"w"},"finish_reason":%s}]}`, i, finish)
 }
 
-// An answer ends with its last event, or with the end of each of its choices; else it was
-// cut off.
-func TestWhereAStreamEnds(t *testing.T) {
+// An answer is complete with its [DONE] event or when each of its choices has finished; otherwise it is
+// truncated.
+func TestStreamCompletion(t *testing.T) {
 	for name, c := range map[string]struct {
 		events []string
 		err    error
-		last   bool // [DONE] goes out
+		last   bool // [DONE] is sent to the client
 	}{
-		"last event":                   {[]string{chunkOf(0, `"stop"`), doneData}, nil, true},
-		"last event without a finish":  {[]string{chunkOf(0, `null`), doneData}, nil, true},
-		"no last event":                {[]string{chunkOf(0, `null`), chunkOf(0, `"stop"`)}, nil, true},
-		"one choice has not ended":     {[]string{chunkOf(0, `null`), chunkOf(1, `null`), chunkOf(0, `"stop"`)}, errTruncated, false},
-		"none has":                     {[]string{chunkOf(0, `null`)}, errTruncated, false},
-		"nothing":                      {nil, errTruncated, false},
-		"usage before the last choice": {[]string{chunkOf(0, `null`), chunkOf(1, `null`), `{"choices":[],"usage":{"prompt_tokens":1}}`, chunkOf(0, `"stop"`), chunkOf(1, `"stop"`), doneData}, nil, true},
-		"events after the last":        {[]string{chunkOf(0, `"stop"`), doneData, chunkOf(0, `null`)}, nil, true},
-		"an error in the middle":       {[]string{chunkOf(0, `null`), `{"error":{"message":"out of memory"}}`, doneData}, reportedError{"out of memory"}, false},
-		"no object":                    {[]string{chunkOf(0, `null`), `[1]`, doneData}, errInvalidChunk, false},
-		"broken JSON":                  {[]string{`{"choices":[{"index":0,"delta":{"content":"w}]}`, doneData}, errInvalidChunk, false},
+		"[DONE] event":                         {[]string{chunkOf(0, `"stop"`), doneData}, nil, true},
+		"[DONE] event without a finish reason": {[]string{chunkOf(0, `null`), doneData}, nil, true},
+		"no [DONE] event":                      {[]string{chunkOf(0, `null`), chunkOf(0, `"stop"`)}, nil, true},
+		"one choice unfinished":                {[]string{chunkOf(0, `null`), chunkOf(1, `null`), chunkOf(0, `"stop"`)}, errTruncated, false},
+		"no choice finished":                   {[]string{chunkOf(0, `null`)}, errTruncated, false},
+		"no event":                             {nil, errTruncated, false},
+		"usage before the finish reasons":      {[]string{chunkOf(0, `null`), chunkOf(1, `null`), `{"choices":[],"usage":{"prompt_tokens":1}}`, chunkOf(0, `"stop"`), chunkOf(1, `"stop"`), doneData}, nil, true},
+		"events after [DONE]":                  {[]string{chunkOf(0, `"stop"`), doneData, chunkOf(0, `null`)}, nil, true},
+		"an error in the middle":               {[]string{chunkOf(0, `null`), `{"error":{"message":"out of memory"}}`, doneData}, reportedError{"out of memory"}, false},
+		"event not an object":                  {[]string{chunkOf(0, `null`), `[1]`, doneData}, errInvalidChunk, false},
+		"invalid JSON":                         {[]string{`{"choices":[{"index":0,"delta":{"content":"w}]}`, doneData}, errInvalidChunk, false},
 	} {
 		r := newRewriter(testMetadata, false, false)
 		var out []byte
@@ -147,14 +147,14 @@
 			t.Errorf("%s: %v, %q", name, err, out)
 		}
 		if c.err == nil && bytes.Contains(out, []byte("usage")) {
-			t.Errorf("%s: a client that did not ask sees the usage: %q", name, out)
+			t.Errorf("%s: usage sent to a client that did not request it: %q", name, out)
 		}
 	}
 }
 
-// Whatever is before a token of a free answer is no beginning yet.
-func TestWhereAnAnswerBegins(t *testing.T) {
-	for data, c := range map[string]struct{ held, atOnce, fails bool }{
+// Under a free contract, only an event with content starts an answer; otherwise any valid event does.
+func TestAnswerStart(t *testing.T) {
+	for data, c := range map[string]struct{ buffered, unbuffered, fails bool }{
 		`{"choices":[{"index":0,"delta":{"role":"assistant","content":""},"finish_reason":null}]}`: {false, true, false},
 		`{"choices":[{"index":0,"delta":{"role":"assistant"}}]}`:                                   {false, true, false},
 		`{"choices":[{"index":0,"delta":{"content":"a"}}]}`:                                        {true, true, false},
@@ -170,10 +170,10 @@
 		`{"error":null,"choices":[]}`:                                                              {false, true, false},
 		`{"cho`:                                                                                    {false, false, true},
 	} {
-		for hold, want := range map[bool]bool{true: c.held, false: c.atOnce} {
-			got, err := startsAnswer([]byte(data), hold)
+		for bufferUntilToken, want := range map[bool]bool{true: c.buffered, false: c.unbuffered} {
+			got, err := startsAnswer([]byte(data), bufferUntilToken)
 			if got != want || (err != nil) != c.fails {
-				t.Errorf("%s, held %v: %v, %v", data, hold, got, err)
+				t.Errorf("%s, buffered until first token %v: %v, %v", data, bufferUntilToken, got, err)
 			}
 		}
 	}
@@ -205,8 +205,8 @@
 			{"id":"c0","type":"function","function":{"name":"look","arguments":"{\"a\":1}"}},{"id":"c1","type":"function","function":{"name":"price","arguments":"{}"}}]}},
 		{"index":1,"finish_reason":"stop","message":{"role":"assistant","content":"w\u00e9!"}}],
 		"system_fingerprint":"fp","usage":{"prompt_tokens":3}}`
-	if !same([]byte(want), got) {
-		t.Errorf("%s", got)
+	if !equalJSON([]byte(want), got) {
+		t.Errorf("answer %s, want %s", got, want)
 	}
 	if o := jsonscan.Object(got); true {
 		for _, _, ok := o.Next(); ok; _, _, ok = o.Next() {
@@ -217,8 +217,8 @@
 	}
 }
 
-// FuzzParse looks that no body brings the parser down, and that what engines get is JSON,
-// streamed, and names each field once.
+// FuzzParse checks that no body makes the parser panic, and that the body sent to engines is JSON,
+// requests a stream and has no duplicate fields.
 func FuzzParse(f *testing.F) {
 	for _, s := range []string{
 		`{"model":"m","messages":[{"role":"user","content":"hi"}]}`, `{"model":"m","prompt":["a",[1,2]],"n":2}`, `{"model":"m","input":"x","tools":[{"type":"function","name":"f"}]}`,
@@ -251,7 +251,7 @@
 		names := map[string]bool{}
 		for name, _, ok := w.Next(); ok; name, _, ok = w.Next() {
 			if names[string(name)] {
-				t.Fatalf("%q names %s twice", a.body, name)
+				t.Fatalf("%q has duplicate field %s", a.body, name)
 			}
 			names[string(name)] = true
 		}
@@ -265,7 +265,7 @@
 		fmt.Fprintf(&stream, "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"w%d \"},\"finish_reason\":null}]}\n\n", i)
 	}
 	text := stream.Bytes()
-	b.Run("rewritten in place", func(b *testing.B) {
+	b.Run("rewritten without decoding", func(b *testing.B) {
 		b.ReportAllocs()
 		out := make([]byte, 0, 64<<10)
 		for b.Loop() {
@@ -275,7 +275,8 @@
 			}
 		}
 	})
-	// The way of the version before: two decodes and a new text for each event.
+	// For comparison, the method of the previous version: it decoded each event twice and encoded it
+	// again.
 	b.Run("decoded", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
--- a/internal/openai/template.go
+++ b/internal/openai/template.go
@@ -8,7 +8,7 @@
 
 // template is the input and output of an event whose only choice has a content string and nothing
 // else. The next event mostly differs in that string only. The bytes before and after it have then
-// been validated already, and the template's output is reused for them.
+// been validated already, so the template's output is reused for them.
 type template struct {
 	prefixLen          int    // bytes of the input before the content; 0 = no template
 	suffixStart        int    // offset in the input of the bytes after the content
