--- a/cmd/wellgw/chatgateway.go
+++ b/cmd/wellgw/chatgateway.go
@@ -46,7 +46,7 @@
 		dialect:    g.dialect, newFront: g.newFront, newDirectory: g.newDirectory,
 		status: &status{},
 	}
-	base.pool.ConnectTimeout, base.pool.ServerIdleTimeout, base.coreLimits.DeadlineSlack = o.Network()
+	base.pool.ConnectTimeout, base.pool.ServerIdleTimeout, base.coreLimits.DeadlineSlack = o.FixedTimeouts()
 	for _, c := range o.Contracts {
 		base.maxWait = max(base.maxWait, c.Deadline())
 	}
@@ -93,7 +93,7 @@
 		file = o.Idempotency.File
 	}
 	var err error
-	if g.keys, err = idempotency.Open(file, o.KeyLimits(), g.gateway.log); err != nil {
+	if g.keys, err = idempotency.Open(file, o.IdempotencyLimits(), g.gateway.log); err != nil {
 		return engineDirectory{}, err
 	}
 	if g.sources, err = newEngineSources(o, g.gateway, c, g.frontCounts); err != nil {
@@ -120,7 +120,7 @@
 	if err != nil {
 		return err
 	}
-	if err := g.started.Takes(next); err != nil {
+	if err := g.started.CheckReload(next); err != nil {
 		return err
 	}
 	if err := g.sources.apply(next); err != nil {
--- a/cmd/wellgw/enginesources.go
+++ b/cmd/wellgw/enginesources.go
@@ -72,7 +72,7 @@
 	if err != nil {
 		return fmt.Errorf("admin.trace_file: %w", err)
 	}
-	if s.tracer, err = telemetry.NewTracer(f, o.Listen, o.Admin.Share()); err != nil {
+	if s.tracer, err = telemetry.NewTracer(f, o.Listen, o.Admin.TraceFraction()); err != nil {
 		return err
 	}
 	s.core.SetObserver(s.tracer)
@@ -102,7 +102,7 @@
 	}
 	var err error
 	s.roles, err = rolectl.New(rolectl.Options{
-		Directory: s.directory, Settings: r.Settings(), Limits: r.Limits(), LeaseTTL: r.Lease(), KeyPrefix: r.Keys(), DryRun: r.DryRun,
+		Directory: s.directory, Settings: r.Settings(), Limits: r.StepTimeouts(), LeaseTTL: r.LeaseTTL(), KeyPrefix: r.KeyPrefix(), DryRun: r.DryRun,
 		GatewayName: s.status.address, GatewayCount: s.status.sharing, Traffic: func() map[string]core.Traffic { return s.core.Traffic(context.Background()) },
 		PinnedEngines: setOf(r.PinEngines), PinnedRacks: setOf(r.PinRacks), OnStep: step, Log: s.log,
 	})
--- a/cmd/wellgw/platformgateway.go
+++ b/cmd/wellgw/platformgateway.go
@@ -56,7 +56,7 @@
 		},
 		dialect:  func(string) upstream.Dialect { return platform.Dialect{} },
 		newFront: g.newFront, newDirectory: g.newDirectory,
-		maxWait: p.LongestWait(), clientsResume: p.Options.Info.Resume, killKnown: true,
+		maxWait: p.MaxFirstTokenWait(), clientsResume: p.Options.Info.Resume, killKnown: true,
 		status: &status{},
 	}
 	return g.gateway, nil
@@ -87,7 +87,7 @@
 
 // runDirectory watches discovery, from the engines known at the start on, and speaks with the other
 // gateways, until ctx ends.
-func (g *platformGateway) runDirectory(ctx context.Context, known config.List) {
+func (g *platformGateway) runDirectory(ctx context.Context, known config.EngineList) {
 	var group sync.WaitGroup
 	if g.tier != nil {
 		group.Go(func() { g.tier.Run(ctx) })
@@ -98,7 +98,7 @@
 
 // reload reads the configuration again, and applies its settings and the address of discovery.
 func (g *platformGateway) reload(ctx context.Context, process *supervisor) error {
-	next, err := g.config.Anew(os.Getenv)
+	next, err := g.config.Reload(os.Getenv)
 	if err != nil {
 		return err
 	}
@@ -116,7 +116,7 @@
 		return
 	}
 	g.front.AddClasses(classNames(set.Classes))
-	process.post(ctx, lifecycle.SettingsChanged{MaxFirstEventWait: g.config.LongestWait()}, "settings")
+	process.post(ctx, lifecycle.SettingsChanged{MaxFirstEventWait: g.config.MaxFirstTokenWait()}, "settings")
 	g.gateway.log.Info("settings applied", "classes", len(set.Classes), "attempts", set.MaxAttempts)
 }
 
--- a/cmd/wellgw/tier.go
+++ b/cmd/wellgw/tier.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		return fmt.Errorf("peers.key_file: %w", err)
 	}
-	interval, timeout, dead := o.Peers.Times()
+	interval, timeout, dead := o.Peers.Timings()
 	var event func(peers.Event)
 	if s.tracer != nil {
 		event = s.tracer.Member
@@ -66,7 +66,7 @@
 // newPlatformTier opens what the platform's gateways tell each other by; nil where they may not,
 // or are not set up to.
 func newPlatformTier(p *config.Platform, c *core.Core, log *slog.Logger) (*peers.Peers, error) {
-	if !p.Talk() {
+	if !p.MembershipEnabled() {
 		return nil, nil
 	}
 	ring, err := peers.ReadKeyring(p.PeerKeys)
--- a/internal/config/error_texts_test.go
+++ b/internal/config/error_texts_test.go
@@ -78,19 +78,19 @@
 // TestDefaults states what settings amount to that a file leaves out.
 func TestDefaults(t *testing.T) {
 	c, r, p := &Consul{}, &Roles{}, &Peers{}
-	connect, idle, slack := (&Operator{}).Network()
-	interval, timeout, deadAfter := p.Times()
-	got := []time.Duration{c.Wait(), c.MaxStale(), c.Hold(), c.Unlisted(), (&Register{}).TTL(), r.Lease(), (&Roles{LeaseMS: 1}).Lease(), connect, idle, slack, interval, timeout, deadAfter}
+	connect, idle, slack := (&Operator{}).FixedTimeouts()
+	interval, timeout, deadAfter := p.Timings()
+	got := []time.Duration{c.Wait(), c.MaxStale(), c.Hold(), c.Unlisted(), (&Register{}).TTL(), r.LeaseTTL(), (&Roles{LeaseMS: 1}).LeaseTTL(), connect, idle, slack, interval, timeout, deadAfter}
 	want := []time.Duration{10 * time.Second, 10 * time.Second, 30 * time.Second, 15 * time.Minute, 10 * time.Second, 10 * time.Second, 10 * time.Second,
 		250 * time.Millisecond, 15 * time.Second, 16 * time.Millisecond, 0, 0, 0}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("(-want +got):\n%s", diff)
 	}
-	if c.Watches() != 64 || c.MaxBody() != 16<<20 || r.Keys() != "wellgw/roles" {
-		t.Errorf("%d watches, %d bytes, keys below %q", c.Watches(), c.MaxBody(), r.Keys())
+	if c.Watches() != 64 || c.MaxBody() != 16<<20 || r.KeyPrefix() != "wellgw/roles" {
+		t.Errorf("%d watches, %d bytes, keys below %q", c.Watches(), c.MaxBody(), r.KeyPrefix())
 	}
 	// Answers under idempotency keys get a twelfth of the memory.
-	if bytes := (&Operator{Limits: Limits{MemoryMB: 144}}).KeyLimits().MaxTotalAnswerBytes; bytes != 12<<20 {
+	if bytes := (&Operator{Limits: Limits{MemoryMB: 144}}).IdempotencyLimits().MaxTotalAnswerBytes; bytes != 12<<20 {
 		t.Errorf("%d bytes for answers under keys", bytes)
 	}
 	l := Limits{}
--- a/internal/config/idempotency.go
+++ b/internal/config/idempotency.go
@@ -20,8 +20,8 @@
 // answerMemoryDivisor gives the part of the memory limit that stored answers may take.
 const answerMemoryDivisor = 12
 
-// KeyLimits are what decide/deduplication is given.
-func (o *Operator) KeyLimits() deduplication.Limits {
+// IdempotencyLimits are what decide/deduplication is given.
+func (o *Operator) IdempotencyLimits() deduplication.Limits {
 	l := deduplication.DefaultLimits()
 	l.MaxTotalAnswerBytes = min(l.MaxTotalAnswerBytes, int64(o.Limits.MemoryMB)<<20/answerMemoryDivisor)
 	i := o.Idempotency
@@ -45,7 +45,7 @@
 }
 
 func (o *Operator) validateKeys() error {
-	if err := o.KeyLimits().Validate(); err != nil {
+	if err := o.IdempotencyLimits().Validate(); err != nil {
 		return inSection("idempotency", err)
 	}
 	return nil
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -25,8 +25,8 @@
 
 // The effects of a contract.
 const (
-	EffectFree = "free"
-	EffectOnce = "single_shot"
+	EffectFree       = "free"
+	EffectSingleShot = "single_shot"
 )
 
 // Deadline returns how long a caller waits for the first token.
@@ -62,8 +62,8 @@
 	TraceShare float64 `json:"trace_share"` // fraction of the requests that is traced; 0 = all
 }
 
-// Share returns the fraction of the requests that is traced.
-func (a Admin) Share() float64 {
+// TraceFraction returns the fraction of the requests that is traced.
+func (a Admin) TraceFraction() float64 {
 	if a.TraceShare == 0 {
 		return 1
 	}
@@ -209,7 +209,7 @@
 		switch {
 		case c.Name == "" || contracts[c.Name]:
 			return nil, fieldError(elementPath("contracts", i, "name"), "missing or given twice")
-		case c.Effect != EffectFree && c.Effect != EffectOnce:
+		case c.Effect != EffectFree && c.Effect != EffectSingleShot:
 			return nil, fieldError(elementPath("contracts", i, "effect"), "%q is neither free nor single_shot", c.Effect)
 		case c.AimMS <= 0 || c.DeadlineMS < c.AimMS:
 			return nil, fieldError(elementPath("contracts", i, ""), "aim_ms must be above 0 and deadline_ms no less")
@@ -278,10 +278,10 @@
 	return nil
 }
 
-// Takes returns an error if a program that runs with o can't be reloaded with next. What the
+// CheckReload returns an error if a program that runs with o can't be reloaded with next. What the
 // routing policy was started with needs a restart: contracts, teams and their quotas, zones; and
 // so do the address, the limits and whole sections.
-func (o *Operator) Takes(next *Operator) error {
+func (o *Operator) CheckReload(next *Operator) error {
 	switch {
 	case o.Listen != next.Listen || o.Limits != next.Limits:
 		return fieldError("listen, limits", "need a restart")
@@ -323,7 +323,7 @@
 			Name: c.Name, FirstTokenObjective: time.Duration(c.AimMS) * time.Millisecond,
 			FirstTokenPerPromptToken: 40 * time.Microsecond, TokenIntervalObjective: 80 * time.Millisecond, PriorityWeight: max(c.Worth, 0.01),
 		}
-		if c.Effect == EffectOnce {
+		if c.Effect == EffectSingleShot {
 			class.Effect = routing.EffectAtMostOnce
 		}
 		s.Classes = append(s.Classes, class)
@@ -334,7 +334,7 @@
 	return s
 }
 
-// Network returns the timeouts that the operator's file can't set.
-func (o *Operator) Network() (connect, idle, slack time.Duration) {
+// FixedTimeouts returns the timeouts that the operator's file can't set.
+func (o *Operator) FixedTimeouts() (connect, idle, slack time.Duration) {
 	return defaultConnectTimeout, defaultConnIdle, defaultDeadlineSlack
 }
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -22,8 +22,8 @@
 	DeadAfterMS     int      `json:"dead_after_ms"` // of silence
 }
 
-// Times returns the durations that the file states, 0 for the default.
-func (p *Peers) Times() (interval, timeout, deadAfter time.Duration) {
+// Timings returns the durations that the file states, 0 for the default.
+func (p *Peers) Timings() (interval, timeout, deadAfter time.Duration) {
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 	return ms(p.IntervalMS), ms(p.TimeoutMS), ms(p.DeadAfterMS)
 }
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -17,8 +17,8 @@
 	"wellgw/routing"
 )
 
-// ListEntry is an engine in discovery's form.
-type ListEntry struct {
+// EngineEntry is an engine in discovery's form.
+type EngineEntry struct {
 	ID       string  `json:"id"`
 	HostPort string  `json:"host_port"`
 	Locality string  `json:"locality"`
@@ -29,11 +29,11 @@
 	UpSince  int64   `json:"up_since_ms"`
 }
 
-// List is discovery's list, whole or as changes.
-type List struct {
-	Revision int64       `json:"revision"`
-	Complete bool        `json:"complete"`
-	Members  []ListEntry `json:"members"`
+// EngineList is discovery's list, whole or as changes.
+type EngineList struct {
+	Revision int64         `json:"revision"`
+	Complete bool          `json:"complete"`
+	Members  []EngineEntry `json:"members"`
 }
 
 // Limits are the resources that the gateway may use.
@@ -45,13 +45,13 @@
 
 // Platform is the platform's configuration.
 type Platform struct {
-	Name      string `json:"name"`
-	Listen    string `json:"listen"`
-	Discovery string `json:"discovery"`
-	Control   string `json:"control"` // the control listener's address; "" for none
-	Seed      string `json:"seed"`
-	Limits    Limits `json:"limits"`
-	Known     List   `json:"known"`
+	Name      string     `json:"name"`
+	Listen    string     `json:"listen"`
+	Discovery string     `json:"discovery"`
+	Control   string     `json:"control"` // the control listener's address; "" for none
+	Seed      string     `json:"seed"`
+	Limits    Limits     `json:"limits"`
+	Known     EngineList `json:"known"`
 
 	PeerListen string   `json:"peer_listen"` // where datagrams of other gateways are received
 	Peers      []string `json:"peers"`       // addresses of all gateways as this one reaches them, by number
@@ -153,9 +153,9 @@
 	return p, nil
 }
 
-// Talk reports whether the membership protocol runs: the settings allow it, the platform gives
+// MembershipEnabled reports whether the membership protocol runs: the settings allow it, the platform gives
 // addresses, and the operators have given a key.
-func (p *Platform) Talk() bool {
+func (p *Platform) MembershipEnabled() bool {
 	me := p.Options.Me
 	return p.PeerKeys != "" && p.Options.Limits.Peers && p.PeerListen != "" && me >= 0 && me < len(p.Peers) && len(p.Peers) > 1
 }
@@ -187,8 +187,8 @@
 	return s
 }
 
-// LongestWait returns the longest time that a client waits for a first token.
-func (p *Platform) LongestWait() time.Duration {
+// MaxFirstTokenWait returns the longest time that a client waits for a first token.
+func (p *Platform) MaxFirstTokenWait() time.Duration {
 	longest := time.Duration(0)
 	for _, c := range p.Options.Classes {
 		longest = max(longest, settings.Micros(c.Limit))
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -66,10 +66,10 @@
 	return nil
 }
 
-// Anew reads the configuration again for a gateway that runs under p. Beside what ReadPlatform
+// Reload reads the configuration again for a gateway that runs under p. Beside what ReadPlatform
 // checks, it is an error if the file lacks a key that p's had, or has a deadline that is not over
 // 0. p is not changed.
-func (p *Platform) Anew(env func(string) string) (*Platform, error) {
+func (p *Platform) Reload(env func(string) string) (*Platform, error) {
 	next, err := rereadPlatform(env)
 	if err != nil {
 		return nil, err
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -46,7 +46,7 @@
 			if err := os.WriteFile(path, []byte(c.text), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			next, err := first.Anew(env)
+			next, err := first.Reload(env)
 			if c.say == "-" {
 				if err != nil || len(next.Settings().Classes) != 2 || next.Settings().MaxAttempts != 2 {
 					t.Fatalf("a good file: %v", err)
--- a/internal/config/roles.go
+++ b/internal/config/roles.go
@@ -54,18 +54,18 @@
 	return s
 }
 
-// Limits returns how long the steps of a change may take.
-func (r *Roles) Limits() rolechange.Timeouts {
+// StepTimeouts returns how long the steps of a change may take.
+func (r *Roles) StepTimeouts() rolechange.Timeouts {
 	l := rolechange.DefaultTimeouts()
 	l.WarmUp = millis(r.ColdMS, l.WarmUp)
 	return l
 }
 
-// Lease returns how long an owner that does not renew its lease keeps it at least.
-func (r *Roles) Lease() time.Duration { return max(minLease, millis(r.LeaseMS, minLease)) }
+// LeaseTTL returns how long an owner that does not renew its lease keeps it at least.
+func (r *Roles) LeaseTTL() time.Duration { return max(minLease, millis(r.LeaseMS, minLease)) }
 
-// Keys returns the prefix of the keys in Consul.
-func (r *Roles) Keys() string {
+// KeyPrefix returns the prefix of the keys in Consul.
+func (r *Roles) KeyPrefix() string {
 	if r.Prefix == "" {
 		return defaultPrefix
 	}
--- a/internal/openai/front.go
+++ b/internal/openai/front.go
@@ -83,7 +83,7 @@
 }
 
 // Reload replaces the operator's file from the next request on. Its contracts and teams must be
-// those that the routing policy was started with; see config.Operator.Takes.
+// those that the routing policy was started with; see config.Operator.CheckReload.
 func (f *Front) Reload(o *config.Operator) {
 	next := &catalog{teams: map[[sha256.Size]byte]*config.Team{}, contracts: map[string]config.Contract{}}
 	for i := range o.Teams {
--- a/internal/platform/dialect.go
+++ b/internal/platform/dialect.go
@@ -116,5 +116,5 @@
 	if jsoniter.Unmarshal(raw, &values) != nil {
 		return nil
 	}
-	return settings.ReadReport(values)
+	return settings.ParseLoadReport(values)
 }
--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -27,13 +27,13 @@
 		rng := rand.New(rand.NewPCG(seed, 45))
 		r := NewRoster()
 		for revision := range steps {
-			l := config.List{Revision: revision - int64(rng.IntN(2)*rng.IntN(5)), Complete: rng.IntN(5) == 0 && whole}
+			l := config.EngineList{Revision: revision - int64(rng.IntN(2)*rng.IntN(5)), Complete: rng.IntN(5) == 0 && whole}
 			for range rng.IntN(8) {
 				id := rng.IntN(6)
 				if rng.IntN(3) == 0 {
 					id = rng.IntN(ids)
 				}
-				l.Members = append(l.Members, config.ListEntry{
+				l.Members = append(l.Members, config.EngineEntry{
 					ID: fmt.Sprint("e", id), HostPort: fmt.Sprint("at", id), Locality: "z", Flavor: "read", Cell: id % 3,
 					Phase: []string{"active", "active", "leaving", "left", "odd"}[rng.IntN(5)], Size: 1.5, UpSince: int64(rng.IntN(3)),
 				})
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -23,10 +23,10 @@
 	"wellgw/routing"
 )
 
-func list(revision int64, complete bool, entries ...string) config.List {
-	l := config.List{Revision: revision, Complete: complete}
+func list(revision int64, complete bool, entries ...string) config.EngineList {
+	l := config.EngineList{Revision: revision, Complete: complete}
 	for _, e := range entries {
-		var m config.ListEntry
+		var m config.EngineEntry
 		fmt.Sscan(e, &m.ID, &m.Phase, &m.UpSince)
 		l.Members = append(l.Members, m)
 	}
@@ -37,29 +37,29 @@
 func TestRosterKeepsDrains(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		lists []config.List
+		lists []config.EngineList
 		want  map[string]routing.Phase
 	}{
-		{"a first list of revision 0", []config.List{list(0, true, "a active 0")}, map[string]routing.Phase{"a": routing.PhaseActive}},
-		{"a change", []config.List{list(1, true, "a active 0", "b active 0"), list(2, false, "a leaving 0")},
+		{"a first list of revision 0", []config.EngineList{list(0, true, "a active 0")}, map[string]routing.Phase{"a": routing.PhaseActive}},
+		{"a change", []config.EngineList{list(1, true, "a active 0", "b active 0"), list(2, false, "a leaving 0")},
 			map[string]routing.Phase{"a": routing.PhaseDraining, "b": routing.PhaseActive}},
-		{"an older change after it", []config.List{list(1, true, "a active 0"), list(5, false, "a leaving 0"), list(4, false, "a active 0")},
+		{"an older change after it", []config.EngineList{list(1, true, "a active 0"), list(5, false, "a leaving 0"), list(4, false, "a active 0")},
 			map[string]routing.Phase{"a": routing.PhaseDraining}},
-		{"an older whole list after it", []config.List{list(5, false, "a leaving 0", "b active 0"), list(4, true, "a active 0")},
+		{"an older whole list after it", []config.EngineList{list(5, false, "a leaving 0", "b active 0"), list(4, true, "a active 0")},
 			map[string]routing.Phase{"a": routing.PhaseDraining, "b": routing.PhaseActive}},
-		{"the same revision again", []config.List{list(5, false, "a left 0"), list(5, false, "a active 0")},
+		{"the same revision again", []config.EngineList{list(5, false, "a left 0"), list(5, false, "a active 0")},
 			map[string]routing.Phase{"a": routing.PhaseRemoved}},
-		{"a late drain", []config.List{list(5, true, "a active 0"), list(4, false, "a leaving 0")},
+		{"a late drain", []config.EngineList{list(5, true, "a active 0"), list(4, false, "a leaving 0")},
 			map[string]routing.Phase{"a": routing.PhaseDraining}},
-		{"a late drain of an earlier start", []config.List{list(5, true, "a active 9"), list(4, false, "a leaving 0")},
+		{"a late drain of an earlier start", []config.EngineList{list(5, true, "a active 9"), list(4, false, "a leaving 0")},
 			map[string]routing.Phase{"a": routing.PhaseActive}},
-		{"a later start", []config.List{list(5, true, "a left 0"), list(6, false, "a active 9")},
+		{"a later start", []config.EngineList{list(5, true, "a left 0"), list(6, false, "a active 9")},
 			map[string]routing.Phase{"a": routing.PhaseActive}},
-		{"absent from changes", []config.List{list(1, true, "a active 0", "b active 0"), list(2, false, "b active 0")},
+		{"absent from changes", []config.EngineList{list(1, true, "a active 0", "b active 0"), list(2, false, "b active 0")},
 			map[string]routing.Phase{"a": routing.PhaseActive, "b": routing.PhaseActive}},
-		{"absent from a whole list", []config.List{list(1, true, "a active 0", "b active 0"), list(2, true, "b active 0")},
+		{"absent from a whole list", []config.EngineList{list(1, true, "a active 0", "b active 0"), list(2, true, "b active 0")},
 			map[string]routing.Phase{"a": routing.PhaseRemoved, "b": routing.PhaseActive}},
-		{"an unknown phase", []config.List{list(1, true, "a odd 0")}, map[string]routing.Phase{"a": routing.PhaseDraining}},
+		{"an unknown phase", []config.EngineList{list(1, true, "a odd 0")}, map[string]routing.Phase{"a": routing.PhaseDraining}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r, got := NewRoster(), map[string]routing.Phase{}
--- a/internal/platform/roster.go
+++ b/internal/platform/roster.go
@@ -24,7 +24,7 @@
 
 // rosterEntry is an entry with the revision of the list that it is from.
 type rosterEntry struct {
-	config.ListEntry
+	config.EngineEntry
 	revision int64
 }
 
@@ -40,9 +40,9 @@
 // not newer is applied only if it drains or removes the engine or has a later start: lists may
 // arrive out of order, and the last known list may be old. Only a complete list that is not
 // older removes the engines that it does not contain.
-func (r *Roster) Apply(l config.List) []core.Endpoint {
+func (r *Roster) Apply(l config.EngineList) []core.Endpoint {
 	var changed []core.Endpoint
-	update := func(e config.ListEntry) {
+	update := func(e config.EngineEntry) {
 		if phaseOf(e.Phase) == routing.PhaseRemoved {
 			r.departed = append(r.departed, e.ID)
 		}
@@ -65,7 +65,7 @@
 		for id, e := range r.entries {
 			if !named[id] && phaseOf(e.Phase) != routing.PhaseRemoved {
 				e.Phase = "left"
-				update(e.ListEntry)
+				update(e.EngineEntry)
 			}
 		}
 	}
@@ -98,7 +98,7 @@
 }
 
 // endpoint returns an entry in the core's form.
-func endpoint(e config.ListEntry) core.Endpoint {
+func endpoint(e config.EngineEntry) core.Endpoint {
 	m := core.Endpoint{
 		EngineInfo: routing.EngineInfo{
 			Name: e.ID, Kind: e.Flavor, Zone: e.Locality, Cell: e.Cell, Weight: e.Size, Phase: phaseOf(e.Phase),
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -97,7 +97,7 @@
 }
 
 // Run publishes the last known list and then the changes until ctx ends.
-func (w *Watch) Run(ctx context.Context, known config.List) {
+func (w *Watch) Run(ctx context.Context, known config.EngineList) {
 	w.publish(routing.EngineListStale, w.roster.Apply(known))
 	wait := newBackoff(w.timing)
 	for ctx.Err() == nil {
@@ -142,7 +142,7 @@
 	w.mu.Lock()
 	addr := w.addr
 	w.mu.Unlock()
-	var l config.List
+	var l config.EngineList
 	if err := fetch.JSON(ctx, w.client, "http://"+addr+"/v1/servers", maxListBytes, &l); err != nil {
 		return fmt.Errorf("list: %w", err)
 	}
@@ -183,7 +183,7 @@
 func (w *Watch) readLists(r *listReader) (lines int, err error) {
 	for lists := jsoniter.NewDecoder(r); ; {
 		r.remaining = maxListBytes
-		var l config.List
+		var l config.EngineList
 		if err := lists.Decode(&l); errors.Is(err, io.EOF) {
 			return lines, io.EOF
 		} else if err != nil {
--- a/internal/settings/report.go
+++ b/internal/settings/report.go
@@ -6,9 +6,9 @@
 	"wellgw/routing"
 )
 
-// ReadReport turns the values of a load report into the module's form, nil if
+// ParseLoadReport turns the values of a load report into the module's form, nil if
 // there are none.
-func ReadReport(usage map[string]float64) *routing.LoadReport {
+func ParseLoadReport(usage map[string]float64) *routing.LoadReport {
 	if len(usage) == 0 {
 		return nil
 	}
--- a/internal/simulator/simulator.go
+++ b/internal/simulator/simulator.go
@@ -321,7 +321,7 @@
 			return nil, fmt.Errorf("unknown outcome %q", l.Reason)
 		}
 		return routing.ProbeResult{
-			Engine: l.Worker, Status: status, Latency: settings.Micros(l.Latency), Report: settings.ReadReport(l.Usage),
+			Engine: l.Worker, Status: status, Latency: settings.Micros(l.Latency), Report: settings.ParseLoadReport(l.Usage),
 		}, nil
 	case "FromPeer":
 		payload, err := hex.DecodeString(l.Contents)
@@ -354,7 +354,7 @@
 func outcome(l *inLine, status routing.Status) routing.Outcome {
 	o := routing.Outcome{
 		ID: routing.RequestID(l.Xid), Attempt: l.Copy, Engine: l.Worker, Status: status,
-		Latency: settings.Micros(l.Latency), Final: l.Last, Report: settings.ReadReport(l.Usage),
+		Latency: settings.Micros(l.Latency), Final: l.Last, Report: settings.ParseLoadReport(l.Usage),
 	}
 	if status == routing.StatusRejected {
 		o.StateMissing = l.Info == 1
