--- a/internal/platform/dialect.go
+++ b/internal/platform/dialect.go
@@ -1,5 +1,5 @@
-// Package platform is the gateway's front towards the platform it runs on: its
-// clients' and engines' protocol and its discovery. It decides nothing.
+// Package platform implements the protocols of the platform that the gateway runs on: the clients' HTTP
+// API, the engines' API, and discovery's list of engines. It makes no routing decisions.
 package platform
 
 import (
@@ -16,23 +16,24 @@
 	"wellgw/routing"
 )
 
-// Dialect is the API of the platform's engines.
+// Dialect implements upstream.Dialect for the API of the platform's engines.
 type Dialect struct{}
 
-// Attempt forwards method, target, body, id and the client's headers unchanged.
+// Attempt returns the call of an attempt: the client's method, target, body, request ID and headers,
+// unchanged, and the attempt's timeout as its deadline.
 func (Dialect) Attempt(a core.Attempt) upstream.Call {
-	own := [][2]string{
+	gatewayHeaders := [][2]string{
 		{"X-Request-Id", a.ClientRequestID},
 		{"X-Deadline-Ms", strconv.FormatInt(max(1, a.Timeout.Milliseconds()), 10)},
 	}
 	return upstream.Call{
 		Method: a.Payload.Method, Target: a.Payload.Target, Body: a.Payload.Body,
-		Header: append(own, a.Payload.Header...),
+		Header: append(gatewayHeaders, a.Payload.Header...),
 	}
 }
 
-// notForwarded are the headers that are not forwarded to engines: hop-by-hop headers, those that the
-// gateway sets itself or that concern its own response, and credentials.
+// notForwarded are the headers that are not forwarded to engines: hop-by-hop headers, headers that
+// the gateway sets itself or that apply only to its own response, and credentials.
 var notForwarded = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true, "Trailer": true,
 	"Transfer-Encoding": true, "Upgrade": true, "Expect": true, "Content-Length": true, "Host": true,
@@ -41,43 +42,43 @@
 	"Authorization": true, "Proxy-Authorization": true, "Cookie": true,
 }
 
-// forwardedHeaders returns the headers that are forwarded to an engine: engines of a deduplicated class
-// recognise duplicates by a key in them, and engines may read others.
+// forwardedHeaders returns the headers that are forwarded to an engine. For a deduplicated class, engines
+// recognise duplicates by a key in one of them; engines may read other headers too.
 func forwardedHeaders(h http.Header) [][2]string {
-	named := map[string]bool{} // hop-by-hop headers, by the client's Connection header
+	hopByHop := map[string]bool{} // by the client's Connection header
 	for _, line := range h["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
-			named[http.CanonicalHeaderKey(strings.TrimSpace(name))] = true
+			hopByHop[http.CanonicalHeaderKey(strings.TrimSpace(name))] = true
 		}
 	}
-	all := make([][2]string, 0, len(h))
+	forwarded := make([][2]string, 0, len(h))
 	for name, values := range h {
-		if notForwarded[name] || named[name] {
+		if notForwarded[name] || hopByHop[name] {
 			continue
 		}
 		for _, v := range values {
-			all = append(all, [2]string{name, v})
+			forwarded = append(forwarded, [2]string{name, v})
 		}
 	}
 	if _, has := h["Content-Type"]; !has {
-		all = append(all, [2]string{"Content-Type", "application/json"})
+		forwarded = append(forwarded, [2]string{"Content-Type", "application/json"})
 	}
-	return all
+	return forwarded
 }
 
-// ParseResponse maps statuses by the protocol's table. Only X-Not-Run proves that the engine rejected the
-// request: after a bare 503 it may have run.
+// ParseResponse maps HTTP statuses to results. Only "X-Not-Run: 1" proves that the engine rejected the
+// request: after a 503 without it, the engine may have run the request.
 func (Dialect) ParseResponse(status int, h http.Header, body []byte) core.Result {
-	r := core.Result{Report: loadReport([]byte(h.Get("X-Load")))}
+	r := core.Result{Report: parseLoadReport([]byte(h.Get("X-Load")))}
 	notRun := h.Get("X-Not-Run") == "1"
 	switch {
-	case status == http.StatusOK: // of a probe; an attempt's is a stream
-		r.Status, r.Report = routing.StatusServed, loadReport(body)
+	case status == http.StatusOK: // response to a probe; the response to an attempt is a stream
+		r.Status, r.Report = routing.StatusServed, parseLoadReport(body)
 	case status == http.StatusAccepted:
 		var usage struct {
 			Tokens int `json:"cached_tokens"`
 		}
-		// The prompt has been read even if the body is malformed.
+		// Status 202 means that the prefill is complete, even if the body is malformed.
 		_ = jsoniter.Unmarshal(body, &usage)
 		r.Status, r.CachedTokens = routing.StatusPrefilled, max(0, usage.Tokens)
 	case notRun:
@@ -88,27 +89,27 @@
 	return r
 }
 
-// Tail reads the usage, and a load report if the engine sent one as a comment.
+// Tail reads the token usage from a stream's tail, and the load report if the engine sent one as a comment.
 func (Dialect) Tail(tail []byte, r *core.Result) {
 	r.CachedTokens, r.OutputTokens = upstream.Usage(tail)
 	for line := range bytes.Lines(tail) {
-		if load, is := bytes.CutPrefix(line, []byte(": X-Load:")); is {
-			r.Report = loadReport(load)
+		if load, ok := bytes.CutPrefix(line, []byte(": X-Load:")); ok {
+			r.Report = parseLoadReport(load)
 		}
 	}
 }
 
-// Release deletes the bootstrap room of a request.
+// Release returns the call that releases a request's held state by deleting its bootstrap room.
 func (Dialect) Release(id string) (upstream.Call, bool) {
 	return upstream.Call{Method: http.MethodDelete, Target: "/bootstrap/rooms/" + id}, true
 }
 
-// Probe requests the load report.
+// Probe returns the call that requests a load report.
 func (Dialect) Probe() (upstream.Call, bool) {
 	return upstream.Call{Method: http.MethodGet, Target: "/load"}, true
 }
 
-func loadReport(raw []byte) *routing.LoadReport {
+func parseLoadReport(raw []byte) *routing.LoadReport {
 	if len(bytes.TrimSpace(raw)) == 0 {
 		return nil
 	}
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -17,15 +17,15 @@
 	"wellgw/routing"
 )
 
-// Limits towards clients.
+// Limits of clients' requests and connections.
 const (
-	maxDuration    = time.Hour       // longest deadline or hint
-	maxTokens      = 1 << 30         // largest length in tokens
-	busyRetryAfter = time.Second     // after which there may be memory for a body again
-	writeTimeout   = 5 * time.Second // for a client that reads nothing
+	maxDuration    = time.Hour       // maximum deadline or duration hint
+	maxTokens      = 1 << 30         // maximum length in tokens
+	busyRetryAfter = time.Second     // Retry-After while the memory for request bodies is exhausted
+	writeTimeout   = 5 * time.Second // of one write, for a client that does not read
 )
 
-// Front serves the platform's clients.
+// Front is the HTTP handler for the platform's clients.
 type Front struct {
 	core    *core.Core
 	bodies  *clientconn.Budget
@@ -33,10 +33,11 @@
 	service atomic.Pointer[lifecycle.Service]
 }
 
-// SetService sets what clients get from now on.
+// SetService sets the service that clients get in the current state of the process: health, keep-alive
+// and whether requests are accepted.
 func (f *Front) SetService(s lifecycle.Service) { f.service.Store(&s) }
 
-// NewFront returns a front to a core that knows these classes.
+// NewFront returns a front that submits requests of these classes to c.
 func NewFront(c *core.Core, classes []routing.Class, bodies *clientconn.Budget) *Front {
 	f := &Front{core: c, bodies: bodies}
 	f.SetService(lifecycle.FullService())
@@ -48,9 +49,9 @@
 	return f
 }
 
-// AddClasses has the front accept requests of these classes too, from now on. Classes that are no
-// longer named are still accepted: requests that name them may be on the way, and the routing policy
-// keeps their last rules.
+// AddClasses adds these classes to those that the front accepts. Classes that the settings no longer have
+// are still accepted: clients may already have sent requests of them, and the routing policy keeps the
+// last settings of each class.
 func (f *Front) AddClasses(classes []string) {
 	known := map[string]bool{}
 	for name := range *f.classes.Load() {
@@ -62,7 +63,7 @@
 	f.classes.Store(&known)
 }
 
-// ServeHTTP takes chat requests and answers health checks.
+// ServeHTTP serves chat completions and health checks.
 func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	f.announceClose(w, r)
 	switch r.URL.Path {
@@ -80,7 +81,7 @@
 	}
 }
 
-// announceClose sends Connection: close if the connection ends with this response.
+// announceClose sets Connection: close if the connection will be closed after this response.
 func (f *Front) announceClose(w http.ResponseWriter, r *http.Request) {
 	if !f.service.Load().KeepAlive && clientconn.NothingAhead(r.Context()) {
 		w.Header().Set("Connection", "close")
@@ -104,20 +105,20 @@
 	}
 	q.Arrived = arrived
 	q.Payload = core.Payload{Method: r.Method, Target: r.URL.RequestURI(), Header: forwardedHeaders(r.Header)}
-	body, free, err := f.bodies.Read(w, r)
+	body, releaseBody, err := f.bodies.Read(w, r)
 	if err != nil {
 		rejectBody(w, r, err)
 		return
 	}
-	defer free()
+	defer releaseBody()
 	if !f.service.Load().AcceptsRequest(time.Now()) {
 		f.announceClose(w, r)
 		writeAnswer(w, core.Answer{Verdict: core.Rejected})
 		return
 	}
 	q.Payload.Body = body
-	answer, ticket, here := core.SubmitAndWait(r.Context(), f.core, q)
-	if !here {
+	answer, ticket, connected := core.SubmitAndWait(r.Context(), f.core, q)
+	if !connected {
 		panic(http.ErrAbortHandler) // the client has disconnected
 	}
 	f.announceClose(w, r) // the state of the process may have changed while the request waited
@@ -128,7 +129,7 @@
 	writeAnswer(w, answer)
 }
 
-// rejectBody responds to a request whose body was not read, for the reason that err gives.
+// rejectBody responds to a request whose body could not be read; err is the cause.
 func rejectBody(w http.ResponseWriter, r *http.Request, err error) {
 	if errors.Is(err, clientconn.ErrBusy) {
 		writeAnswer(w, core.Answer{Verdict: core.Rejected, RetryAfter: busyRetryAfter})
@@ -145,13 +146,13 @@
 	}
 }
 
-// writeAnswer writes a response that is not a stream. Only 429 and 503 promise that a retry is
-// harmless, so a failure must never be either.
+// writeAnswer writes a response that is not a stream. Statuses 429 and 503, and no others, promise the
+// client that a retry is safe, so a failed request must never get either.
 func writeAnswer(w http.ResponseWriter, a core.Answer) {
 	switch a.Verdict {
 	case core.Rejected:
 		if a.RetryAfter > 0 {
-			w.Header().Set("Retry-After", retryAfter(a.RetryAfter))
+			w.Header().Set("Retry-After", formatRetryAfter(a.RetryAfter))
 		}
 		http.Error(w, "no server can take this in time", http.StatusServiceUnavailable)
 	case core.Duplicate:
@@ -167,39 +168,40 @@
 	}
 }
 
-// retryAfter formats a Retry-After in seconds, with decimals, never as zero.
-func retryAfter(d time.Duration) string {
+// formatRetryAfter formats a Retry-After in seconds with up to three decimals, rounded up so that a
+// positive duration never becomes 0.
+func formatRetryAfter(d time.Duration) string {
 	return strconv.FormatFloat(math.Ceil(d.Seconds()*1000)/1000, 'f', -1, 64)
 }
 
-// stream forwards an attempt's events, unchanged and as they arrive. If the stream breaks, the
-// connection is closed without the last chunk: only this shows the client that it is incomplete.
+// stream forwards an attempt's events, unchanged and as they arrive. If the stream breaks, the connection
+// is closed without the last chunk, the only sign for the client that the response is incomplete.
 func (f *Front) stream(ctx context.Context, w http.ResponseWriter, s core.Stream, t *core.Ticket) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set("Cache-Control", "no-cache")
-	out := http.NewResponseController(w)
+	controller := http.NewResponseController(w)
 	err := t.Relay(ctx, s, func(p []byte) error {
-		if err := out.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
+		if err := controller.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 			return err
 		}
 		if _, err := w.Write(p); err != nil {
 			return err
 		}
-		return out.Flush()
+		return controller.Flush()
 	})
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	// The deadline was for the stream; the connection may be reused.
-	_ = out.SetWriteDeadline(time.Time{})
+	// The connection may be reused, so the stream's write deadline must not remain set.
+	_ = controller.SetWriteDeadline(time.Time{})
 }
 
-// validID reports whether an id can be used in a header and in a path as it is.
+// validID reports whether an id can be used in a header and in a URL path without escaping.
 func validID(id string) bool {
-	odd := func(r rune) bool {
+	invalid := func(r rune) bool {
 		return !(r >= '0' && r <= '9' || r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || strings.ContainsRune("_.:-", r))
 	}
-	return id != "" && len(id) <= 64 && !strings.ContainsFunc(id, odd)
+	return id != "" && len(id) <= 64 && !strings.ContainsFunc(id, invalid)
 }
 
 // headerError is an invalid header of a request.
@@ -207,7 +209,7 @@
 
 func (e headerError) Error() string { return e.header + ": " + e.problem }
 
-// parse reads a request's headers. The error names the one that is missing or malformed.
+// parse reads a request's headers. An error names the header that is missing or malformed.
 func (f *Front) parse(r *http.Request) (core.Request, error) {
 	h := r.Header
 	q := core.Request{ClientRequestID: h.Get("X-Request-Id")}
@@ -240,11 +242,11 @@
 	default:
 		q.Retry = true
 	}
-	return q, extras(h.Get("X-Extras"), &q)
+	return q, parseExtras(h.Get("X-Extras"), &q)
 }
 
-// extras reads the prefix's name and the lengths in tokens.
-func extras(text string, q *core.Request) error {
+// parseExtras reads the prefix's name and the lengths in tokens from X-Extras.
+func parseExtras(text string, q *core.Request) error {
 	lengths := map[string]*int{"prompt_len": &q.PromptTokens, "prefix_len": &q.PrefixLen, "max_out": &q.MaxTokens}
 	given := map[string]bool{}
 	for part := range strings.SplitSeq(text, ",") {
@@ -252,12 +254,12 @@
 		if name == "prefix" && value != "0" {
 			q.Prefix = value
 		}
-		if into := lengths[name]; into != nil {
+		if length := lengths[name]; length != nil {
 			n, err := strconv.ParseFloat(value, 64)
 			if err != nil || !(n >= 0 && n <= maxTokens) {
 				return headerError{"X-Extras", name + " is malformed"}
 			}
-			*into, given[name] = int(n), true
+			*length, given[name] = int(n), true
 		}
 	}
 	if !given["prompt_len"] {
--- a/internal/platform/leave_test.go
+++ b/internal/platform/leave_test.go
@@ -8,8 +8,8 @@
 	"wellgw/internal/enginetest"
 )
 
-// Standby turns health to no, with every answer closing its connection, and
-// back; requests are still served meanwhile.
+// A process on standby still serves requests, but its health checks fail and every response closes its
+// connection. Both end with the return to full service.
 func TestStandby(t *testing.T) {
 	addr, _, _, _, f := gatewayFront(t, read, func(enginetest.Call) string { return enginetest.Stream(2, 0) })
 	url := "http://" + addr
@@ -22,14 +22,14 @@
 		return resp.StatusCode, resp.Close
 	}
 	if code, _ := health(); code != http.StatusOK {
-		t.Fatalf("before: %d", code)
+		t.Fatalf("before standby: status %d", code)
 	}
 	f.SetService(lifecycle.Service{Draining: true, Listening: true})
 	if code, closes := health(); code != http.StatusServiceUnavailable || !closes {
-		t.Errorf("standby: %d, connection closed %v", code, closes)
+		t.Errorf("standby: status %d, connection closed %v", code, closes)
 	}
 	f.SetService(lifecycle.FullService())
 	if code, closes := health(); code != http.StatusOK || closes {
-		t.Errorf("active: %d, connection closed %v", code, closes)
+		t.Errorf("active: status %d, connection closed %v", code, closes)
 	}
 }
--- a/internal/platform/pauses_test.go
+++ b/internal/platform/pauses_test.go
@@ -7,24 +7,24 @@
 	"wellgw/decide/watch"
 )
 
-// Gateways refused by discovery together must not call again together: the pauses
-// of a fleet spread out and keep their bounds.
+// Gateways that discovery rejects at the same time must not retry at the same time: the backoffs of a
+// fleet must differ and stay within their bounds.
 func TestWatchRetryJitter(t *testing.T) {
-	last := map[time.Duration]bool{}
-	pace := watch.TimingFor(2*time.Second, heartbeatInterval)
+	lastBackoffs := map[time.Duration]bool{}
+	timing := watch.TimingFor(2*time.Second, heartbeatInterval)
 	for range 80 {
-		b := newBackoff(pace)
-		for n, mean := 0, pace.InitialBackoff; n < 8; n, mean = n+1, min(2*mean, pace.MaxBackoff) {
-			p := b.NextBackOff()
-			if spread := time.Duration(pace.Jitter * float64(mean)); p < mean-spread || p > mean+spread {
-				t.Fatalf("pause %d: %v, want %v within %v", n, p, mean, spread)
+		b := newBackoff(timing)
+		for n, mean := 0, timing.InitialBackoff; n < 8; n, mean = n+1, min(2*mean, timing.MaxBackoff) {
+			interval := b.NextBackOff()
+			if spread := time.Duration(timing.Jitter * float64(mean)); interval < mean-spread || interval > mean+spread {
+				t.Fatalf("backoff %d: %v, want %v +/- %v", n, interval, mean, spread)
 			}
 			if n == 7 {
-				last[p] = true
+				lastBackoffs[interval] = true
 			}
 		}
 	}
-	if len(last) < 40 {
-		t.Errorf("80 gateways drew %d different pauses", len(last))
+	if len(lastBackoffs) < 40 {
+		t.Errorf("80 gateways have %d different backoffs, want at least 40", len(lastBackoffs))
 	}
 }
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -33,7 +33,7 @@
 	return l
 }
 
-// What discovery has said of a drain holds, whatever older news comes after it.
+// A drain that discovery has announced must not be undone by an older list that arrives after it.
 func TestRosterKeepsDrains(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -41,23 +41,23 @@
 		want  map[string]routing.Phase
 	}{
 		{"a first list of revision 0", []config.EngineList{list(0, true, "a active 0")}, map[string]routing.Phase{"a": routing.PhaseActive}},
-		{"a change", []config.EngineList{list(1, true, "a active 0", "b active 0"), list(2, false, "a leaving 0")},
+		{"a delta", []config.EngineList{list(1, true, "a active 0", "b active 0"), list(2, false, "a leaving 0")},
 			map[string]routing.Phase{"a": routing.PhaseDraining, "b": routing.PhaseActive}},
-		{"an older change after it", []config.EngineList{list(1, true, "a active 0"), list(5, false, "a leaving 0"), list(4, false, "a active 0")},
+		{"an older delta after a drain", []config.EngineList{list(1, true, "a active 0"), list(5, false, "a leaving 0"), list(4, false, "a active 0")},
 			map[string]routing.Phase{"a": routing.PhaseDraining}},
-		{"an older whole list after it", []config.EngineList{list(5, false, "a leaving 0", "b active 0"), list(4, true, "a active 0")},
+		{"an older complete list after a drain", []config.EngineList{list(5, false, "a leaving 0", "b active 0"), list(4, true, "a active 0")},
 			map[string]routing.Phase{"a": routing.PhaseDraining, "b": routing.PhaseActive}},
-		{"the same revision again", []config.EngineList{list(5, false, "a left 0"), list(5, false, "a active 0")},
+		{"the same revision twice", []config.EngineList{list(5, false, "a left 0"), list(5, false, "a active 0")},
 			map[string]routing.Phase{"a": routing.PhaseRemoved}},
-		{"a late drain", []config.EngineList{list(5, true, "a active 0"), list(4, false, "a leaving 0")},
+		{"a delayed drain", []config.EngineList{list(5, true, "a active 0"), list(4, false, "a leaving 0")},
 			map[string]routing.Phase{"a": routing.PhaseDraining}},
-		{"a late drain of an earlier start", []config.EngineList{list(5, true, "a active 9"), list(4, false, "a leaving 0")},
+		{"a delayed drain of an earlier start", []config.EngineList{list(5, true, "a active 9"), list(4, false, "a leaving 0")},
 			map[string]routing.Phase{"a": routing.PhaseActive}},
 		{"a later start", []config.EngineList{list(5, true, "a left 0"), list(6, false, "a active 9")},
 			map[string]routing.Phase{"a": routing.PhaseActive}},
-		{"absent from changes", []config.EngineList{list(1, true, "a active 0", "b active 0"), list(2, false, "b active 0")},
+		{"absent from a delta", []config.EngineList{list(1, true, "a active 0", "b active 0"), list(2, false, "b active 0")},
 			map[string]routing.Phase{"a": routing.PhaseActive, "b": routing.PhaseActive}},
-		{"absent from a whole list", []config.EngineList{list(1, true, "a active 0", "b active 0"), list(2, true, "b active 0")},
+		{"absent from a complete list", []config.EngineList{list(1, true, "a active 0", "b active 0"), list(2, true, "b active 0")},
 			map[string]routing.Phase{"a": routing.PhaseRemoved, "b": routing.PhaseActive}},
 		{"an unknown phase", []config.EngineList{list(1, true, "a odd 0")}, map[string]routing.Phase{"a": routing.PhaseDraining}},
 	} {
@@ -75,40 +75,40 @@
 	}
 }
 
-// Engines under ever new ids leave no more behind than a bound, and an old list does
-// not bring back one that has been forgotten.
-func TestRosterForgetsRemoved(t *testing.T) {
+// The roster's size must stay bounded while engines with new ids are added and removed, and an old list must
+// not add an engine again whose entry was evicted.
+func TestRosterEvictsRemoved(t *testing.T) {
 	r := NewRoster()
-	for n := range int64(5 * maxDeparted) {
+	for n := range int64(5 * maxRemoved) {
 		id := fmt.Sprint("e", n)
 		r.Apply(list(2*n+1, false, id+" active 0"))
 		r.Apply(list(2*n+2, false, id+" left 0"))
 	}
-	if len(r.entries) > maxDeparted || len(r.departed) > maxDeparted {
-		t.Errorf("%d entries, %d left", len(r.entries), len(r.departed))
+	if len(r.entries) > maxRemoved || len(r.removed) > maxRemoved {
+		t.Errorf("%d entries, %d removed engines", len(r.entries), len(r.removed))
 	}
 	if got := r.Apply(list(1, false, "e0 active 0")); len(got) > 0 {
-		t.Errorf("back: %+v", got)
+		t.Errorf("old list adds an evicted engine again: %+v", got)
 	}
 	if got := r.Apply(list(1<<40, false, "e0 active 0")); len(got) != 1 {
-		t.Errorf("news is not taken: %+v", got)
+		t.Errorf("newer list is not applied: %+v", got)
 	}
 }
 
-// fakeDiscovery is a discovery whose answers a test gives, with a watch on it.
+// fakeDiscovery is a discovery whose responses a test defines, with a watch on it.
 type fakeDiscovery struct {
-	mu    sync.Mutex
-	asked []string // the queries of the watches
-	told  []string // what the watch told
+	mu        sync.Mutex
+	queries   []string // of the requests for a watch
+	published []string // what the watch published, as recordPublished formats it
 }
 
-// watchFake starts a watch on a discovery that answers its n-th watch, from 1 on, by serve.
+// watchFake starts a watch on a discovery whose serve function responds to the n-th request, from 1 on.
 func watchFake(t *testing.T, serve func(n int, w http.ResponseWriter, r *http.Request)) *fakeDiscovery {
 	d := &fakeDiscovery{}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		d.mu.Lock()
-		d.asked = append(d.asked, r.URL.RawQuery)
-		n := len(d.asked)
+		d.queries = append(d.queries, r.URL.RawQuery)
+		n := len(d.queries)
 		d.mu.Unlock()
 		serve(n, w, r)
 	}))
@@ -116,27 +116,27 @@
 		server.CloseClientConnections()
 		server.Close()
 	})
-	w := NewWatch(server.Listener.Addr().String(), false, 0, told(&d.mu, &d.told), slog.New(slog.DiscardHandler))
+	w := NewWatch(server.Listener.Addr().String(), false, 0, recordPublished(&d.mu, &d.published), slog.New(slog.DiscardHandler))
 	go w.Run(t.Context(), list(41, true, "a active 0"))
 	return d
 }
 
-// await waits for the n-th watch and returns the queries and what was told by then.
-func (d *fakeDiscovery) await(t *testing.T, n int) (asked, told []string) {
+// await waits for the n-th request for a watch and returns the queries and what was published until then.
+func (d *fakeDiscovery) await(t *testing.T, n int) (queries, published []string) {
 	t.Helper()
 	enginetest.Eventually(t, fmt.Sprint(n, " watches"), func() bool {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		return len(d.asked) >= n
+		return len(d.queries) >= n
 	})
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return slices.Clone(d.asked), slices.Clone(d.told)
+	return slices.Clone(d.queries), slices.Clone(d.published)
 }
 
-// A watch that breaks goes on from the revision it had, and forgets no drain.
+// A watch whose stream breaks must resume from its last revision and must not lose a drain.
 func TestWatchResumes(t *testing.T) {
-	asked, got := watchFake(t, func(n int, w http.ResponseWriter, r *http.Request) {
+	queries, got := watchFake(t, func(n int, w http.ResponseWriter, r *http.Request) {
 		switch n {
 		case 1:
 			io.WriteString(w, "\n"+`{"revision":43,"complete":false,"members":[{"id":"a","phase":"leaving"}]}`+"\n")
@@ -147,19 +147,19 @@
 			<-r.Context().Done()
 		}
 	}).await(t, 3)
-	if diff := cmp.Diff([]string{"watch=1&after=41", "watch=1&after=43", "watch=1&after=43"}, asked[:3]); diff != "" {
-		t.Errorf("asked (-want +got):\n%s", diff)
+	if diff := cmp.Diff([]string{"watch=1&after=41", "watch=1&after=43", "watch=1&after=43"}, queries[:3]); diff != "" {
+		t.Errorf("queries (-want +got):\n%s", diff)
 	}
 	want := []string{fmt.Sprint(routing.EngineListStale, "a", routing.PhaseActive), fmt.Sprint(routing.EngineListDelta, "a", routing.PhaseDraining)}
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Errorf("told (-want +got):\n%s", diff)
+		t.Errorf("published (-want +got):\n%s", diff)
 	}
 }
 
-// Lists may come indented, over several lines and in pieces; a watch reads them all the same,
-// and one that is no list ends it.
+// A watch must read lists that are indented, that span several lines or that arrive in several parts. A JSON
+// value that is not a list ends the stream.
 func TestWatchReadsIndentedLists(t *testing.T) {
-	asked, got := watchFake(t, func(n int, w http.ResponseWriter, r *http.Request) {
+	queries, got := watchFake(t, func(n int, w http.ResponseWriter, r *http.Request) {
 		if n == 1 {
 			for _, piece := range []string{"\n{\n  \"revision\": 43,\n", "\n", "  \"complete\": false,\n  \"members\": [\n    {\n      \"id\": \"a\",\n      \"phase\": \"leaving\"\n    }\n  ]\n}\n",
 				`{"revision":44,"complete":false,"members":[{"id":"b","phase":"active"}]}` + "\n", "[]\n"} {
@@ -173,13 +173,13 @@
 		fmt.Sprint(routing.EngineListStale, "a", routing.PhaseActive), fmt.Sprint(routing.EngineListDelta, "a", routing.PhaseDraining),
 		fmt.Sprint(routing.EngineListDelta, "b", routing.PhaseActive),
 	}
-	if diff := cmp.Diff(want, got); diff != "" || asked[1] != "watch=1&after=44" {
-		t.Errorf("asked %v, told (-want +got):\n%s", asked, diff)
+	if diff := cmp.Diff(want, got); diff != "" || queries[1] != "watch=1&after=44" {
+		t.Errorf("queries %v, published (-want +got):\n%s", queries, diff)
 	}
 }
 
-// told returns a roster's receiver that notes each entry in got, as scope, name and phase.
-func told(mu *sync.Mutex, got *[]string) func(routing.EngineListScope, []core.Endpoint) {
+// recordPublished returns a publish function that appends each engine to got, as scope, name and phase.
+func recordPublished(mu *sync.Mutex, got *[]string) func(routing.EngineListScope, []core.Endpoint) {
 	return func(scope routing.EngineListScope, members []core.Endpoint) {
 		mu.Lock()
 		defer mu.Unlock()
@@ -189,14 +189,14 @@
 	}
 }
 
-// gateway starts a front on loopback before one reader and one writer.
-func gateway(t *testing.T, reader, writer func(enginetest.Call) string) (addr string, r, w *enginetest.Engine, c *core.Core) {
-	addr, r, w, c, _ = gatewayFront(t, reader, writer)
+// gateway starts a front on loopback with one prefill engine and one decode engine, and returns its address.
+func gateway(t *testing.T, prefill, decode func(enginetest.Call) string) (addr string, r, w *enginetest.Engine, c *core.Core) {
+	addr, r, w, c, _ = gatewayFront(t, prefill, decode)
 	return addr, r, w, c
 }
 
-// gatewayFront is gateway, with its front.
-func gatewayFront(t *testing.T, reader, writer func(enginetest.Call) string) (addr string, r, w *enginetest.Engine, c *core.Core, f *Front) {
+// gatewayFront is like gateway and also returns the front.
+func gatewayFront(t *testing.T, prefill, decode func(enginetest.Call) string) (addr string, r, w *enginetest.Engine, c *core.Core, f *Front) {
 	set := routing.Settings{
 		Zones: []string{"a"}, Gateways: 1, MaxAttempts: 4, CanCancel: true, CanRetryAfter: true, MaxRetryAfter: time.Second,
 		Classes: []routing.Class{
@@ -218,7 +218,7 @@
 			return script(c)
 		}
 	}
-	r, w = enginetest.NewEngine(t, release(reader)), enginetest.NewEngine(t, release(writer))
+	r, w = enginetest.NewEngine(t, release(prefill)), enginetest.NewEngine(t, release(decode))
 	log := slog.New(slog.DiscardHandler)
 	pool := upstream.NewPool(upstream.Options{ConnectTimeout: time.Second, ServerIdleTimeout: time.Minute})
 	engine := upstream.NewClient(pool, func(string) upstream.Dialect { return Dialect{} })
@@ -240,13 +240,13 @@
 
 func read(enginetest.Call) string { return enginetest.Status(202, "", `{"cached_tokens":0}`) }
 
-// Each recording is played on a connection of its own.
+// Each recording is replayed on a separate connection.
 func TestRecordedExchanges(t *testing.T) {
 	enginetest.EachRecording(t, func(t *testing.T, file string) {
 		addr, r, w, c := gateway(t, read, func(c enginetest.Call) string {
 			if strings.Contains(c.Body, "break") {
-				whole := enginetest.Stream(2, 0)
-				return whole[:strings.Index(whole, "w1")] + enginetest.Cut
+				stream := enginetest.Stream(2, 0)
+				return stream[:strings.Index(stream, "w1")] + enginetest.Cut
 			}
 			if strings.Contains(c.Body, "fail") {
 				return enginetest.Status(500, "", "")
@@ -258,14 +258,13 @@
 			t.Fatal(err)
 		}
 		if n := len(w.Calls("POST")); n > 1 || n != len(r.Calls("POST")) {
-			t.Errorf("%d reads, %d writes", len(r.Calls("POST")), n)
+			t.Errorf("%d prefills, %d decodes, want at most one of each and equal numbers", len(r.Calls("POST")), n)
 		}
 	})
 }
 
-// A client that leaves mid-stream frees what it holds within the pin limit.
-// What a client says of its request reaches its engines as it was said, a key for repeats
-// above all; what is the connection's own or proves who the client is does not.
+// A client's headers must be forwarded to engines unchanged, an idempotency key in particular. Hop-by-hop
+// headers and credentials must not be forwarded.
 func TestClientHeadersAreForwarded(t *testing.T) {
 	h := http.Header{
 		"Idempotency-Key": {"k-1"}, "X-Class": {"order"}, "X-Many": {"a", "b"}, "Content-Type": {"text/plain"},
@@ -284,16 +283,18 @@
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("(-want +got):\n%s", diff)
 	}
-	if one := forwardedHeaders(http.Header{}); cmp.Diff([][2]string{{"Content-Type", "application/json"}}, one) != "" {
-		t.Errorf("without any: %v", one)
+	if withoutHeaders := forwardedHeaders(http.Header{}); cmp.Diff([][2]string{{"Content-Type", "application/json"}}, withoutHeaders) != "" {
+		t.Errorf("without headers from the client: %v", withoutHeaders)
 	}
 }
 
+// If a client disconnects in the middle of a stream, the attempt's connection must be closed and the held
+// state released within the limit for held state (pin limit, 500 ms here).
 func TestClientDisconnectReleasesState(t *testing.T) {
-	whole := enginetest.Stream(2, 0)
-	addr, r, w, _ := gateway(t, read, func(enginetest.Call) string { return whole[:len(whole)/2] + enginetest.Hang })
+	stream := enginetest.Stream(2, 0)
+	addr, r, w, _ := gateway(t, read, func(enginetest.Call) string { return stream[:len(stream)/2] + enginetest.Hang })
 	enginetest.Within(t, 500*time.Millisecond, func() time.Duration {
-		dropped, freed := len(w.Dropped()), len(r.Calls("DELETE"))+len(w.Calls("DELETE"))
+		dropped, releases := len(w.Dropped()), len(r.Calls("DELETE"))+len(w.Calls("DELETE"))
 		req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+addr+"/v1/chat/completions", strings.NewReader("{}"))
 		if err != nil {
 			t.Fatal(err)
@@ -309,69 +310,69 @@
 			t.Fatal(err)
 		}
 		resp.Body.Close()
-		left := time.Now()
-		enginetest.Eventually(t, "attempt closed, state freed", func() bool {
-			return len(w.Dropped()) > dropped && len(r.Calls("DELETE"))+len(w.Calls("DELETE")) >= freed+2
+		disconnected := time.Now()
+		enginetest.Eventually(t, "attempt closed, held state released", func() bool {
+			return len(w.Dropped()) > dropped && len(r.Calls("DELETE"))+len(w.Calls("DELETE")) >= releases+2
 		})
-		return time.Since(left)
+		return time.Since(disconnected)
 	})
 }
 
-// An overbooked discovery refuses watches for long: the gateway asks for the whole
-// list instead, and so learns of a drain all the same.
-func TestRefusedWatchAsksForTheList(t *testing.T) {
+// An overloaded discovery may reject watches for a long time. The gateway must then request the complete
+// list, so that it still detects a drain.
+func TestRejectedWatchFetchesList(t *testing.T) {
 	var mu sync.Mutex
 	var got []string
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("watch") != "" {
-			http.Error(w, "overbooked", http.StatusServiceUnavailable)
+			http.Error(w, "overloaded", http.StatusServiceUnavailable)
 			return
 		}
 		io.WriteString(w, `{"revision":45,"complete":true,"members":[{"id":"a","phase":"leaving"},{"id":"b","phase":"active"}]}`)
 	}))
 	defer discovery.Close()
-	w := NewWatch(discovery.Listener.Addr().String(), false, 0, told(&mu, &got), slog.New(slog.DiscardHandler))
+	w := NewWatch(discovery.Listener.Addr().String(), false, 0, recordPublished(&mu, &got), slog.New(slog.DiscardHandler))
 	go w.Run(t.Context(), list(41, true, "a active 0"))
 	drained := fmt.Sprint(routing.EngineListDelta, "a", routing.PhaseDraining)
-	enginetest.Eventually(t, "the drain told", func() bool { mu.Lock(); defer mu.Unlock(); return slices.Contains(got, drained) })
+	enginetest.Eventually(t, "the drain is published", func() bool { mu.Lock(); defer mu.Unlock(); return slices.Contains(got, drained) })
 	mu.Lock()
 	defer mu.Unlock()
 	if !slices.Contains(got, fmt.Sprint(routing.EngineListDelta, "b", routing.PhaseActive)) {
-		t.Errorf("told %v, want b as new", got)
+		t.Errorf("published %v, want the new engine b", got)
 	}
 }
 
-// Calls made while discovery is away stay silent for ever: they are given up soon, or a drain
-// that it tells when it is back is learned too late.
-func TestSilentDiscoveryIsRetried(t *testing.T) {
+// Requests that are sent while discovery is down never get a response. Their response timeout must be short:
+// otherwise a drain that discovery announces after its recovery is detected too late.
+func TestUnresponsiveDiscoveryIsRetried(t *testing.T) {
 	var mu sync.Mutex
 	var got []string
-	calls := 0
+	requests := 0
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
-		calls++
-		away := calls <= 12
+		requests++
+		down := requests <= 12
 		mu.Unlock()
-		if !away {
+		if !down {
 			io.WriteString(w, `{"revision":45,"complete":true,"members":[{"id":"a","phase":"leaving"}]}`+"\n")
 			w.(http.Flusher).Flush()
 		}
 		<-r.Context().Done()
 	}))
 	defer discovery.Close()
-	w := NewWatch(discovery.Listener.Addr().String(), false, 400*time.Millisecond, told(&mu, &got), slog.New(slog.DiscardHandler))
+	w := NewWatch(discovery.Listener.Addr().String(), false, 400*time.Millisecond, recordPublished(&mu, &got), slog.New(slog.DiscardHandler))
 	go w.Run(t.Context(), list(41, true, "a active 0"))
 	drained := fmt.Sprint(routing.EngineListDelta, "a", routing.PhaseDraining)
-	// Twelve calls that each wait as long as a watch's silence would take half a minute.
+	// Twelve requests that each waited for the idle timeout of a stream would take half a minute.
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(10 * time.Millisecond) {
 		mu.Lock()
-		learned := slices.Contains(got, drained)
+		detected := slices.Contains(got, drained)
 		mu.Unlock()
-		if learned {
+		if detected {
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatal("the drain was not learned")
+			t.Fatal("the drain was not published within 20 s")
 		}
 	}
 }
--- a/internal/platform/roster.go
+++ b/internal/platform/roster.go
@@ -9,20 +9,20 @@
 	"wellgw/routing"
 )
 
-// maxDeparted bounds how many engines that have left are remembered, which would otherwise
-// grow without end.
-const maxDeparted = 256
+// maxRemoved is the limit of removed engines in a roster: without it, a roster grows with every new
+// engine id.
+const maxRemoved = 256
 
-// Roster is the list of engines as discovery has announced it. An engine that is leaving or
-// has left stays so, whatever older lists come after.
+// Roster is the list of engines as discovery has published it. An engine that is draining or removed
+// stays so even if older lists arrive later.
 type Roster struct {
-	revision          int64
-	entries           map[string]rosterEntry
-	departed          []string // ids of engines that have left, oldest first
-	forgottenRevision int64    // the highest revision of an engine that was forgotten
+	revision        int64
+	entries         map[string]rosterEntry
+	removed         []string // ids of removed engines, in the order of their removal
+	evictedRevision int64    // the highest revision of an evicted entry
 }
 
-// rosterEntry is an entry with the revision of the list that it is from.
+// rosterEntry is an engine's entry with the revision of the list that contained it.
 type rosterEntry struct {
 	config.EngineEntry
 	revision int64
@@ -30,63 +30,63 @@
 
 // NewRoster returns an empty roster.
 func NewRoster() *Roster {
-	return &Roster{entries: map[string]rosterEntry{}, forgottenRevision: -1} // the first list may be of revision 0
+	return &Roster{entries: map[string]rosterEntry{}, evictedRevision: -1} // the first list may have revision 0
 }
 
 // Revision returns the highest revision applied.
 func (r *Roster) Revision() int64 { return r.revision }
 
-// Apply applies a list and returns the engines that have changed. An entry whose revision is
-// not newer is applied only if it drains or removes the engine or has a later start: lists may
-// arrive out of order, and the last known list may be old. Only a complete list that is not
-// older removes the engines that it does not contain.
+// Apply applies a list and returns the engines that have changed. An entry whose revision is not newer is
+// applied only if it drains or removes the engine or has a later start time: lists may arrive out of order,
+// and the last known list may be old. Only a complete list that is not older than the roster removes the
+// engines that it does not contain.
 func (r *Roster) Apply(l config.EngineList) []core.Endpoint {
 	var changed []core.Endpoint
 	update := func(e config.EngineEntry) {
 		if phaseOf(e.Phase) == routing.PhaseRemoved {
-			r.departed = append(r.departed, e.ID)
+			r.removed = append(r.removed, e.ID)
 		}
 		r.entries[e.ID] = rosterEntry{e, l.Revision}
 		changed = append(changed, endpoint(e))
 	}
-	named := map[string]bool{}
+	listed := map[string]bool{}
 	for _, e := range l.Members {
-		named[e.ID] = true
+		listed[e.ID] = true
 		old, known := r.entries[e.ID]
-		worse := phaseOf(e.Phase) > phaseOf(old.Phase) && e.UpSince >= old.UpSince
-		if !known && l.Revision <= r.forgottenRevision { // it may be one that has left and was forgotten
+		furtherPhase := phaseOf(e.Phase) > phaseOf(old.Phase) && e.UpSince >= old.UpSince
+		if !known && l.Revision <= r.evictedRevision { // it may be a removed engine whose entry was evicted
 			continue
 		}
-		if !known || l.Revision > old.revision || worse || e.UpSince > old.UpSince {
+		if !known || l.Revision > old.revision || furtherPhase || e.UpSince > old.UpSince {
 			update(e)
 		}
 	}
 	if l.Complete && l.Revision >= r.revision {
 		for id, e := range r.entries {
-			if !named[id] && phaseOf(e.Phase) != routing.PhaseRemoved {
+			if !listed[id] && phaseOf(e.Phase) != routing.PhaseRemoved {
 				e.Phase = "left"
 				update(e.EngineEntry)
 			}
 		}
 	}
 	r.revision = max(r.revision, l.Revision)
-	r.forgetDeparted()
+	r.evictRemoved()
 	return changed
 }
 
-// forgetDeparted forgets the engines that left longest ago, beyond maxDeparted. For the sake of
-// forgottenRevision no older list brings one back.
-func (r *Roster) forgetDeparted() {
-	for len(r.departed) > maxDeparted {
-		if e, known := r.entries[r.departed[0]]; known && phaseOf(e.Phase) == routing.PhaseRemoved {
-			r.forgottenRevision = max(r.forgottenRevision, e.revision)
-			delete(r.entries, r.departed[0])
+// evictRemoved evicts the engines that were removed first, beyond maxRemoved. evictedRevision keeps older
+// lists from adding them again.
+func (r *Roster) evictRemoved() {
+	for len(r.removed) > maxRemoved {
+		if e, known := r.entries[r.removed[0]]; known && phaseOf(e.Phase) == routing.PhaseRemoved {
+			r.evictedRevision = max(r.evictedRevision, e.revision)
+			delete(r.entries, r.removed[0])
 		}
-		r.departed = slices.Delete(r.departed, 0, 1)
+		r.removed = slices.Delete(r.removed, 0, 1)
 	}
 }
 
-// phaseOf parses a phase. An engine in an unknown phase gets no new requests.
+// phaseOf parses a phase. An engine in an unknown phase counts as draining, so it gets no new requests.
 func phaseOf(s string) routing.Phase {
 	switch s {
 	case "active":
@@ -97,7 +97,7 @@
 	return routing.PhaseDraining
 }
 
-// endpoint returns an entry in the core's form.
+// endpoint converts an entry into the core's type.
 func endpoint(e config.EngineEntry) core.Endpoint {
 	m := core.Endpoint{
 		EngineInfo: routing.EngineInfo{
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -23,7 +23,7 @@
 // Timeouts and limits of the watch.
 const (
 	heartbeatInterval     = 2 * time.Second         // discovery sends a line at least this often
-	queuedResponseTimeout = 4500 * time.Millisecond // where discovery queues requests
+	queuedResponseTimeout = 4500 * time.Millisecond // of a discovery that queues requests
 	maxListBytes          = 4 << 20
 )
 
@@ -32,20 +32,19 @@
 	publish     func(routing.EngineListScope, []core.Endpoint)
 	log         *slog.Logger
 	roster      *Roster
-	subscribed  chan struct{} // signaled by Subscribe; nil if changes come without it
+	subscribed  chan struct{} // signaled by Subscribe; nil if streams need no Subscribe
 	addrChanged chan struct{} // signaled when the address has changed
 	timing      watch.Timing
 	client      *http.Client
 
 	mu           sync.Mutex
 	addr         string
-	cancelStream context.CancelFunc // ends the present stream; nil before the first
+	cancelStream context.CancelFunc // cancels the current stream; nil before the first
 }
 
-// NewWatch returns a watch on discovery at addr. With mustSubscribe each stream needs a
-// Subscribe first. grace is the time after the announcement of a drain by which requests to
-// the engine must have ended; announcements missed while discovery was down count from its
-// recovery.
+// NewWatch returns a watch on discovery at addr. With mustSubscribe each stream starts only after a call
+// of Subscribe. grace is the time within which requests to an engine must end after its drain is
+// announced; for a drain that is announced while discovery is down, it counts from discovery's recovery.
 func NewWatch(addr string, mustSubscribe bool, grace time.Duration, publish func(routing.EngineListScope, []core.Endpoint), log *slog.Logger) *Watch {
 	w := &Watch{
 		addr: addr, publish: publish, log: log, roster: NewRoster(), addrChanged: make(chan struct{}, 1),
@@ -59,7 +58,7 @@
 	return w
 }
 
-// Subscribe asks for changes from now on. It never blocks.
+// Subscribe lets the next stream start. It never blocks.
 func (w *Watch) Subscribe() {
 	select {
 	case w.subscribed <- struct{}{}:
@@ -67,8 +66,8 @@
 	}
 }
 
-// SetAddress continues the watch at another address. What is known is kept, drains above all:
-// the new address is asked for changes after the last revision.
+// SetAddress continues the watch at another address. The roster is kept, since losing it would lose
+// drains: the new stream requests the changes after the last revision.
 func (w *Watch) SetAddress(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -85,9 +84,9 @@
 	}
 }
 
-// newBackoff returns the exponential backoff between attempts. It has jitter since gateways
-// that were started or rejected together must not retry together: in step, their requests
-// would keep an overloaded discovery overloaded, and fixed pauses of a second did.
+// newBackoff returns the exponential backoff between streams. Its jitter keeps gateways that were started
+// or rejected at the same time from retrying at the same time: synchronised retries, at a fixed interval
+// of one second, kept an overloaded discovery overloaded.
 func newBackoff(t watch.Timing) *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
 	b.InitialInterval, b.MaxInterval, b.RandomizationFactor = t.InitialBackoff, t.MaxBackoff, t.Jitter
@@ -96,10 +95,10 @@
 	return b
 }
 
-// Run publishes the last known list and then the changes until ctx ends.
+// Run publishes the last known list, then changes until ctx is done.
 func (w *Watch) Run(ctx context.Context, known config.EngineList) {
 	w.publish(routing.EngineListStale, w.roster.Apply(known))
-	wait := newBackoff(w.timing)
+	retryBackoff := newBackoff(w.timing)
 	for ctx.Err() == nil {
 		if w.subscribed != nil {
 			select {
@@ -114,8 +113,8 @@
 		}
 		w.log.Warn("watch ended", "lines", lines, "cause", err)
 		if lines == 0 && w.subscribed == nil {
-			// An overloaded discovery rejects watches for long while it still answers short
-			// requests: the complete list holds nothing open.
+			// An overloaded discovery may reject watches for a long time while it still answers short
+			// requests, such as that for the complete list.
 			if err := w.fetchList(ctx); err != nil {
 				w.log.Warn("list failed", "cause", err)
 			}
@@ -124,18 +123,18 @@
 			w.publish(routing.EngineListFailed, nil)
 		}
 		if lines > 0 {
-			wait.Reset()
+			retryBackoff.Reset()
 		}
 		select {
 		case <-ctx.Done():
 		case <-w.addrChanged:
-			wait.Reset()
-		case <-time.After(wait.NextBackOff()):
+			retryBackoff.Reset()
+		case <-time.After(retryBackoff.NextBackOff()):
 		}
 	}
 }
 
-// fetchList requests the complete list once and publishes what has changed.
+// fetchList requests the complete list once and publishes the changes.
 func (w *Watch) fetchList(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, w.timing.ResponseTimeout)
 	defer cancel()
@@ -152,7 +151,7 @@
 	return nil
 }
 
-// stream reads one stream of changes to its end and returns how many lists it had.
+// stream reads one stream of changes to its end and returns the number of lists that were read.
 func (w *Watch) stream(ctx context.Context) (lines int, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -178,8 +177,7 @@
 	return w.readLists(&listReader{from: resp.Body, idle: idle, idleTimeout: w.timing.IdleTimeout})
 }
 
-// readLists publishes the changes of each list until the stream ends, and returns how many
-// lists there were.
+// readLists publishes the changes of each list until the stream ends, and returns the number of lists.
 func (w *Watch) readLists(r *listReader) (lines int, err error) {
 	for lists := jsoniter.NewDecoder(r); ; {
 		r.remaining = maxListBytes
@@ -190,20 +188,20 @@
 			return lines, fmt.Errorf("watch: %w", err)
 		}
 		lines++
-		// The roster works out which engines have left, so that a delta is complete. The first
-		// list of a stream is published even if it changes nothing.
+		// The roster's changes include the engines that a complete list no longer contains, so a delta
+		// is enough. The first list of a stream is published even if it changes nothing.
 		if changed := w.roster.Apply(l); len(changed) > 0 || lines == 1 {
 			w.publish(routing.EngineListDelta, changed)
 		}
 	}
 }
 
-// listReader reads a stream of lists. Any bytes, an empty line too, reset the idle timeout.
+// listReader reads a stream of lists. Any byte, also that of an empty line, resets the idle timeout.
 type listReader struct {
 	from        io.Reader
 	idle        *time.Timer
 	idleTimeout time.Duration
-	remaining   int // bytes that the present list may still have
+	remaining   int // bytes until the current list reaches maxListBytes
 }
 
 func (r *listReader) Read(p []byte) (int, error) {
