--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -15,18 +15,18 @@
 		"kinds":["m"],"family_info":{"duty_by_kind":["both"],"pin_limit":500000},"limits":{"send_cap":4},
 		"rules":{"fall":3000000,"fall_multiple":4,"cold_share":0.3}}}`
 
-// A mistake is named by its field, on one line.
+// The error for an invalid setting must name its field and must be a single line.
 func TestErrorsNameTheField(t *testing.T) {
 	operator, err := os.ReadFile("../../deploy/operator.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	none := func(string) string { return "" }
-	platform := func(text string) error { _, err := ParsePlatform([]byte(text), none); return err }
+	noEnv := func(string) string { return "" }
+	platform := func(text string) error { _, err := ParsePlatform([]byte(text), noEnv); return err }
 	chat := func(text string) error { _, err := ParseOperator([]byte(text)); return err }
 	for _, c := range []struct {
-		parse               func(string) error
-		text, old, new, say string
+		parse                func(string) error
+		text, old, new, want string
 	}{
 		{platform, platformText, "", "", ""},
 		{platform, platformText, `{"name"`, `{name`, "EDGE_CONFIG"},
@@ -65,26 +65,26 @@
 		{chat, string(operator), `"engines"`, `"admin": {"listen": "x"}, "engines"`, "admin.listen"},
 	} {
 		if !strings.Contains(c.text, c.old) {
-			t.Fatalf("%q is not in the text", c.old)
+			t.Fatalf("%q is not in the configuration", c.old)
 		}
 		err := c.parse(strings.Replace(c.text, c.old, c.new, 1))
-		if c.say == "" && err != nil || c.say != "" && (err == nil || !strings.Contains(err.Error(), c.say) || strings.Contains(err.Error(), "\n")) {
-			t.Errorf("%s -> %s: %v", c.old, c.new, err)
+		if c.want == "" && err != nil || c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n")) {
+			t.Errorf("%s -> %s: error %v, want one that names %q on one line", c.old, c.new, err, c.want)
 		}
-		if field := fieldOf(err); c.say != "" && (field == "" || !strings.HasSuffix(c.say, field) && !strings.HasPrefix(field, c.say)) {
-			t.Errorf("%s -> %s: %v names %q", c.old, c.new, err, field)
+		if field := fieldOf(err); c.want != "" && (field == "" || !strings.HasSuffix(c.want, field) && !strings.HasPrefix(field, c.want)) {
+			t.Errorf("%s -> %s: error %v has field %q, want %q", c.old, c.new, err, field, c.want)
 		}
 	}
 }
 
-// fieldOf returns the field that an error names, by its type: a setting of the routing policy's,
-// or else one of the configuration.
+// fieldOf returns the field that an error names by its type: a setting of the routing policy, or a field of
+// the configuration.
 func fieldOf(err error) string {
-	var wrong setting.Error
+	var settingErr setting.Error
 	var field FieldError
 	switch {
-	case errors.As(err, &wrong):
-		return wrong.Field
+	case errors.As(err, &settingErr):
+		return settingErr.Field
 	case errors.As(err, &field):
 		return field.Field
 	}
--- a/internal/config/consul.go
+++ b/internal/config/consul.go
@@ -6,30 +6,30 @@
 	"time"
 )
 
-// Consul sets up the discovery of engines in Consul: those of one service, or of every service
-// of the catalogue that has a tag.
+// Consul configures the discovery of engines in Consul: the instances of one service, or those of every
+// service in the catalogue that has a tag.
 type Consul struct {
-	Address     string    `json:"address"`   // of one agent, host and port
-	Addresses   []string  `json:"addresses"` // or of several, the first one preferred
+	Address     string    `json:"address"`   // host and port of an agent
+	Addresses   []string  `json:"addresses"` // of further agents, in order of preference; address precedes them
 	Service     string    `json:"service"`
-	Tag         string    `json:"tag"`    // together with service: only its engines with this tag
-	Filter      string    `json:"filter"` // of engines, in Consul's filter language
+	Tag         string    `json:"tag"`    // with service: only the service's instances that have this tag
+	Filter      string    `json:"filter"` // expression in Consul's filter language that selects engines
 	Datacenter  string    `json:"datacenter"`
 	Token       string    `json:"token"`
-	TokenFile   string    `json:"token_file"` // read again when it changes; overrides token
+	TokenFile   string    `json:"token_file"` // file of the token, reloaded when it changes; overrides token
 	TLS         *TLS      `json:"tls"`
 	Consistency string    `json:"consistency"`  // default, stale or consistent
-	WaitMS      int64     `json:"wait_ms"`      // of the longest blocking query
-	MaxStaleMS  int64     `json:"max_stale_ms"` // since the server heard from its leader
+	WaitMS      int64     `json:"wait_ms"`      // maximum duration of a blocking query
+	MaxStaleMS  int64     `json:"max_stale_ms"` // maximum time since the server's last contact with its leader
 	HoldMS      int64     `json:"hold_ms"`      // how long an implausible list is not applied
-	UnlistedMS  int64     `json:"unlisted_ms"`  // how long an engine that answers is kept after a loss of many engines
-	MaxWatches  int       `json:"max_watches"`
-	MaxBodyMB   int64     `json:"max_body_mb"`
-	CheckPath   string    `json:"check_path"` // the path that engines in doubt are probed by; "" to probe by a TCP connection
+	UnlistedMS  int64     `json:"unlisted_ms"`  // how long engines that respond stay listed after a mass loss
+	MaxWatches  int       `json:"max_watches"`  // limit of concurrent queries
+	MaxBodyMB   int64     `json:"max_body_mb"`  // limit of a response's length
+	CheckPath   string    `json:"check_path"`   // HTTP path for probes of engines; "" = probe by TCP connect
 	Register    *Register `json:"register"`
 }
 
-// TLS sets up connections to agents over TLS. The files are read again when they change.
+// TLS configures TLS connections to agents. The files are reloaded when they change.
 type TLS struct {
 	CAFile     string `json:"ca_file"`
 	CertFile   string `json:"cert_file"`
@@ -37,15 +37,15 @@
 	ServerName string `json:"server_name"`
 }
 
-// Register sets up the service under which the gateway registers itself and finds other gateways.
+// Register configures the Consul service under which the gateway registers itself and finds other gateways.
 type Register struct {
 	Name    string `json:"name"`
 	ID      string `json:"id"`
-	Address string `json:"address"` // host and port that are registered; default: listen
+	Address string `json:"address"` // host and port to register; default: listen
 	TTLMS   int64  `json:"ttl_ms"`
 }
 
-// Defaults of the section, and the minimum of a TTL.
+// Defaults of the consul section, and the minimum TTL.
 const (
 	defaultWait       = 10 * time.Second
 	defaultMaxStale   = 10 * time.Second
@@ -65,27 +65,27 @@
 	return append([]string{c.Address}, c.Addresses...)
 }
 
-// millis returns a setting in milliseconds as a duration, none if it is not above 0.
-func millis(ms int64, none time.Duration) time.Duration {
+// millis converts a setting in milliseconds to a duration; it returns fallback if the setting is not above 0.
+func millis(ms int64, fallback time.Duration) time.Duration {
 	if ms <= 0 {
-		return none
+		return fallback
 	}
 	return time.Duration(ms) * time.Millisecond
 }
 
-// Wait returns the limit of a blocking query's duration.
+// Wait returns the maximum duration of a blocking query.
 func (c *Consul) Wait() time.Duration { return millis(c.WaitMS, defaultWait) }
 
-// MaxStale returns how long ago a server may have heard from its leader.
+// MaxStale returns the maximum time since a server's last contact with its leader.
 func (c *Consul) MaxStale() time.Duration { return millis(c.MaxStaleMS, defaultMaxStale) }
 
 // Hold returns how long an implausible list is not applied.
 func (c *Consul) Hold() time.Duration { return millis(c.HoldMS, defaultHold) }
 
-// Unlisted returns how long an engine that answers is kept after many were lost at once.
+// Unlisted returns how long an engine that responds stays listed after many engines were lost together.
 func (c *Consul) Unlisted() time.Duration { return millis(c.UnlistedMS, defaultUnlisted) }
 
-// Watches returns how many queries may be open at once.
+// Watches returns the limit of concurrent queries.
 func (c *Consul) Watches() int {
 	if c.MaxWatches <= 0 {
 		return defaultMaxWatches
@@ -93,7 +93,7 @@
 	return c.MaxWatches
 }
 
-// MaxBody returns the limit of an answer's length, in bytes.
+// MaxBody returns the limit of a response's length, in bytes.
 func (c *Consul) MaxBody() int64 {
 	if c.MaxBodyMB <= 0 {
 		return defaultMaxBodyMB << 20
@@ -101,7 +101,7 @@
 	return c.MaxBodyMB << 20
 }
 
-// TTL returns how long the check of the gateway itself stays passing without an update.
+// TTL returns how long the health check of the registered gateway stays passing without an update.
 func (r *Register) TTL() time.Duration { return millis(r.TTLMS, defaultTTL) }
 
 func (c *Consul) validate() error {
@@ -154,7 +154,7 @@
 	return nil
 }
 
-// validate accepts nil, with which the gateway is not registered.
+// validate accepts nil: without the section the gateway does not register itself.
 func (r *Register) validate() error {
 	if r == nil {
 		return nil
--- a/internal/config/error_texts_test.go
+++ b/internal/config/error_texts_test.go
@@ -10,8 +10,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestErrorTexts compares each error of the operator's file, word for word, with the saved ones
-// in testdata/error_texts.txt.
+// TestErrorTexts compares the errors for invalid operator's files, letter for letter, with
+// testdata/error_texts.txt.
 func TestErrorTexts(t *testing.T) {
 	operator, err := os.ReadFile("../../deploy/operator.json")
 	if err != nil {
@@ -61,21 +61,21 @@
 		{`"engines"`, `"idempotency": {"answer_bytes": 1, "largest_answer": 2}, "engines"`},
 	} {
 		if !strings.Contains(string(operator), c.old) {
-			t.Fatalf("%q is not in the text", c.old)
+			t.Fatalf("%q is not in the operator's file", c.old)
 		}
 		_, err := ParseOperator([]byte(strings.Replace(string(operator), c.old, c.new, 1)))
 		got += fmt.Sprintf("%s -> %s: %v\n", c.old, c.new, err)
 	}
-	saved, err := os.ReadFile("testdata/error_texts.txt")
+	wantTexts, err := os.ReadFile("testdata/error_texts.txt")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(strings.Split(string(saved), "\n"), strings.Split(got, "\n")); diff != "" {
-		t.Errorf("(- saved, + found):\n%s", diff)
+	if diff := cmp.Diff(strings.Split(string(wantTexts), "\n"), strings.Split(got, "\n")); diff != "" {
+		t.Errorf("error texts (-want +got):\n%s", diff)
 	}
 }
 
-// TestDefaults states what settings amount to that a file leaves out.
+// TestDefaults checks the values of settings that a file does not set.
 func TestDefaults(t *testing.T) {
 	c, r, p := &Consul{}, &Roles{}, &Peers{}
 	connect, idle, slack := (&Operator{}).FixedTimeouts()
@@ -87,11 +87,11 @@
 		t.Errorf("(-want +got):\n%s", diff)
 	}
 	if c.Watches() != 64 || c.MaxBody() != 16<<20 || r.KeyPrefix() != "wellgw/roles" {
-		t.Errorf("%d watches, %d bytes, keys below %q", c.Watches(), c.MaxBody(), r.KeyPrefix())
+		t.Errorf("%d watches, body limit %d bytes, key prefix %q", c.Watches(), c.MaxBody(), r.KeyPrefix())
 	}
-	// Answers under idempotency keys get a twelfth of the memory.
+	// Stored answers may use one twelfth of the memory limit.
 	if bytes := (&Operator{Limits: Limits{MemoryMB: 144}}).IdempotencyLimits().MaxTotalAnswerBytes; bytes != 12<<20 {
-		t.Errorf("%d bytes for answers under keys", bytes)
+		t.Errorf("limit for all stored answers: %d bytes, want 12 MiB", bytes)
 	}
 	l := Limits{}
 	l.setDefaults()
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -9,7 +9,7 @@
 
 // FieldError is an invalid or missing field of a configuration.
 type FieldError struct {
-	Field   string // as in contracts[0].effect; "" for the whole file
+	Field   string // for example contracts[0].effect; "" for the whole file
 	Problem error
 }
 
@@ -29,7 +29,7 @@
 	return FieldError{Field: field, Problem: fmt.Errorf(format, args...)}
 }
 
-// elementPath returns the path of a field of one element of a list; with no field, of the element.
+// elementPath returns the path of a field of a list's element, or of the element itself if field is "".
 func elementPath(list string, index int, field string) string {
 	path := fmt.Sprintf("%s[%d]", list, index)
 	if field == "" {
@@ -38,11 +38,11 @@
 	return path + "." + field
 }
 
-// inSection returns an error of a decision package's settings with the section of the file that
-// the setting stands in.
+// inSection converts an error about a decision package's settings to one that names the section of the file
+// that has the setting.
 func inSection(section string, err error) error {
-	if wrong := (setting.Error{}); errors.As(err, &wrong) {
-		return fieldError(section+"."+wrong.Field, "%s", wrong.Problem)
+	if settingErr := (setting.Error{}); errors.As(err, &settingErr) {
+		return fieldError(section+"."+settingErr.Field, "%s", settingErr.Problem)
 	}
 	return FieldError{Field: section, Problem: err}
 }
--- a/internal/config/idempotency.go
+++ b/internal/config/idempotency.go
@@ -4,44 +4,44 @@
 	"wellgw/decide/deduplication"
 )
 
-// Idempotency sets up the store of idempotency keys. Without it keys are kept in memory, with
-// defaults.
+// Idempotency configures the store of idempotency keys. Without this section, keys are stored in memory and
+// the defaults apply.
 type Idempotency struct {
-	File          string `json:"file"`           // where keys are kept over a restart; "" for memory alone
-	Keys          int    `json:"keys"`           // limit of all keys
-	KeysOfTeam    int    `json:"keys_of_team"`   // limit of one team's keys; default: half of all, if there are several teams
-	AnswerBytes   int64  `json:"answer_bytes"`   // limit of all stored answers
-	LargestAnswer int    `json:"largest_answer"` // limit of one stored answer, in bytes
-	AgeMS         int64  `json:"age_ms"`
-	LeastMS       int64  `json:"least_ms"`
-	Sticky        bool   `json:"sticky"` // all attempts under a key reach the same gateway
+	File          string `json:"file"`           // where keys are stored across restarts; "" for memory only
+	Keys          int    `json:"keys"`           // limit for all keys
+	KeysOfTeam    int    `json:"keys_of_team"`   // limit for a team's keys; default if several teams: half
+	AnswerBytes   int64  `json:"answer_bytes"`   // limit for all stored answers
+	LargestAnswer int    `json:"largest_answer"` // limit for one stored answer, in bytes
+	AgeMS         int64  `json:"age_ms"`         // retention of a key after its request has ended
+	LeastMS       int64  `json:"least_ms"`       // minimum retention, even if capacity is exhausted
+	Sticky        bool   `json:"sticky"`         // the load balancer sends a key always to the same gateway
 }
 
-// answerMemoryDivisor gives the part of the memory limit that stored answers may take.
+// answerMemoryDivisor is the divisor of the memory limit that yields the limit for all stored answers.
 const answerMemoryDivisor = 12
 
-// IdempotencyLimits are what decide/deduplication is given.
+// IdempotencyLimits returns the limits for package deduplication.
 func (o *Operator) IdempotencyLimits() deduplication.Limits {
-	l := deduplication.DefaultLimits()
-	l.MaxTotalAnswerBytes = min(l.MaxTotalAnswerBytes, int64(o.Limits.MemoryMB)<<20/answerMemoryDivisor)
-	i := o.Idempotency
-	if i == nil {
-		i = &Idempotency{}
+	limits := deduplication.DefaultLimits()
+	limits.MaxTotalAnswerBytes = min(limits.MaxTotalAnswerBytes, int64(o.Limits.MemoryMB)<<20/answerMemoryDivisor)
+	section := o.Idempotency
+	if section == nil {
+		section = &Idempotency{}
 	}
-	if i.Keys > 0 {
-		l.MaxEntries = i.Keys
+	if section.Keys > 0 {
+		limits.MaxEntries = section.Keys
 	}
-	if l.MaxEntriesPerTeam = i.KeysOfTeam; l.MaxEntriesPerTeam == 0 && len(o.Teams) > 1 {
-		l.MaxEntriesPerTeam = max(1, l.MaxEntries/2)
+	if limits.MaxEntriesPerTeam = section.KeysOfTeam; limits.MaxEntriesPerTeam == 0 && len(o.Teams) > 1 {
+		limits.MaxEntriesPerTeam = max(1, limits.MaxEntries/2)
 	}
-	if i.AnswerBytes > 0 {
-		l.MaxTotalAnswerBytes = i.AnswerBytes
+	if section.AnswerBytes > 0 {
+		limits.MaxTotalAnswerBytes = section.AnswerBytes
 	}
-	if i.LargestAnswer > 0 {
-		l.MaxAnswerBytes = i.LargestAnswer
+	if section.LargestAnswer > 0 {
+		limits.MaxAnswerBytes = section.LargestAnswer
 	}
-	l.Retention, l.MinRetention = millis(i.AgeMS, l.Retention), millis(i.LeastMS, l.MinRetention)
-	return l
+	limits.Retention, limits.MinRetention = millis(section.AgeMS, limits.Retention), millis(section.LeastMS, limits.MinRetention)
+	return limits
 }
 
 func (o *Operator) validateKeys() error {
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -13,14 +13,14 @@
 	"wellgw/routing"
 )
 
-// Contract is the service level of models: a class of the routing policy.
+// Contract is the service level that models are served under. It is a class of the routing policy.
 type Contract struct {
 	Name       string  `json:"name"`
-	Effect     string  `json:"effect"` // free, or single_shot: must never run twice
-	AimMS      int64   `json:"aim_ms"`
-	DeadlineMS int64   `json:"deadline_ms"`
-	Worth      float64 `json:"worth"`
-	Continue   int     `json:"continue"` // how often a broken answer may be continued at another engine; free only
+	Effect     string  `json:"effect"`      // free, or single_shot: the request must not run twice
+	AimMS      int64   `json:"aim_ms"`      // latency objective of the first token
+	DeadlineMS int64   `json:"deadline_ms"` // of the first token
+	Worth      float64 `json:"worth"`       // priority weight
+	Continue   int     `json:"continue"`    // limit of continuations at another engine after a break; free only
 }
 
 // The effects of a contract.
@@ -29,40 +29,40 @@
 	EffectSingleShot = "single_shot"
 )
 
-// Deadline returns how long a caller waits for the first token.
+// Deadline returns the maximum time that a caller waits for the first token.
 func (c Contract) Deadline() time.Duration { return time.Duration(c.DeadlineMS) * time.Millisecond }
 
-// Model is a model's name in requests, and the contract it is served under.
+// Model is a model's name in requests and the contract that it is served under.
 type Model struct {
 	Name     string `json:"name"`
 	Contract string `json:"contract"`
 }
 
-// Team is a caller with its keys, models and budget.
+// Team is a caller with its API keys, models and quota.
 type Team struct {
 	Name         string   `json:"name"`
 	Keys         []string `json:"keys"`
 	Models       []string `json:"models"`
-	RequestsPerS float64  `json:"requests_per_s"` // the quota; 0 = none
+	RequestsPerS float64  `json:"requests_per_s"` // quota; 0 = none
 }
 
-// StaticEngine is an engine that the file lists.
+// StaticEngine is an engine that is listed in the file.
 type StaticEngine struct {
 	ID      string `json:"id"`
 	Address string `json:"address"`
-	Role    string `json:"role"` // one of the roles below
+	Role    string `json:"role"` // one of RoleRead, RoleWrite, RoleBoth, RoleOpenAI
 	Zone    string `json:"zone"`
 	Cell    int    `json:"cell"`
 }
 
-// Admin sets up the listener for operators, with metrics and status, and traces.
+// Admin configures the operators' listener, which serves metrics and status, and request traces.
 type Admin struct {
 	Listen     string  `json:"listen"`
-	TraceFile  string  `json:"trace_file"`  // spans are appended here; "" for no traces
-	TraceShare float64 `json:"trace_share"` // fraction of the requests that is traced; 0 = all
+	TraceFile  string  `json:"trace_file"`  // file that spans are appended to; "" for no traces
+	TraceShare float64 `json:"trace_share"` // fraction of requests that is traced; 0 = all
 }
 
-// TraceFraction returns the fraction of the requests that is traced.
+// TraceFraction returns the fraction of requests that is traced.
 func (a Admin) TraceFraction() float64 {
 	if a.TraceShare == 0 {
 		return 1
@@ -70,29 +70,29 @@
 	return a.TraceShare
 }
 
-// Operator is an operator's file for the chat front.
+// Operator is the operator's file, which configures the chat front.
 type Operator struct {
 	Listen       string         `json:"listen"`
 	Zone         string         `json:"zone"`
-	Zones        []string       `json:"zones"`    // default: Zone alone
-	Gateways     int            `json:"gateways"` // that serve the same clients; 0 = not stated
+	Zones        []string       `json:"zones"`    // default: only Zone
+	Gateways     int            `json:"gateways"` // number of gateways that serve the same clients; 0 = unknown
 	MemoryTokens float64        `json:"engine_memory_tokens"`
-	EngineKey    string         `json:"engine_key"` // sent to OpenAI-only engines
+	EngineKey    string         `json:"engine_key"` // API key that is sent to engines of RoleOpenAI
 	Limits       Limits         `json:"limits"`
 	Contracts    []Contract     `json:"contracts"`
 	Models       []Model        `json:"models"`
 	Teams        []Team         `json:"teams"`
 	Engines      []StaticEngine `json:"engines"`
 	Consul       *Consul        `json:"consul"`
-	StateFile    string         `json:"state_file"` // the last good list of engines is stored here; "" for none
+	StateFile    string         `json:"state_file"` // file of the last valid list of engines; "" for none
 	Admin        *Admin         `json:"admin"`
 	Roles        *Roles         `json:"roles"`
 	Idempotency  *Idempotency   `json:"idempotency"`
 	Peers        *Peers         `json:"peers"`
 }
 
-// Roles that an engine may state. All but openai speak the platform's engine
-// protocol; openai is an engine that offers nothing but the chat API.
+// Roles of an engine. All but openai use the platform's engine protocol; an engine of role openai has only
+// the chat API.
 const (
 	RoleRead   = "read"
 	RoleWrite  = "write"
@@ -100,7 +100,7 @@
 	RoleOpenAI = "openai"
 )
 
-// The operator's defaults.
+// Defaults of the operator's file.
 const (
 	defaultMemoryTokens   = 200_000
 	defaultConnIdle       = 15 * time.Second
@@ -108,7 +108,7 @@
 	defaultDeadlineSlack  = 16 * time.Millisecond
 )
 
-// ReadOperator reads an operator's file. An error names the field at fault.
+// ReadOperator reads an operator's file. An error names the invalid field.
 func ReadOperator(path string) (*Operator, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -117,8 +117,8 @@
 	return ParseOperator(raw)
 }
 
-// ParseOperator is ReadOperator on the file's text. An unknown field is an error, as a misspelt
-// one would be ignored silently.
+// ParseOperator parses the text of an operator's file. An unknown field is an error: otherwise a misspelt
+// field would be ignored without notice.
 func ParseOperator(raw []byte) (*Operator, error) {
 	if err := checkSchema(raw); err != nil {
 		return nil, fmt.Errorf("operator's file: %w", err)
@@ -202,7 +202,7 @@
 	return nil
 }
 
-// validateContracts returns the names of the contracts.
+// validateContracts validates the contracts and returns their names.
 func (o *Operator) validateContracts() (map[string]bool, error) {
 	contracts := map[string]bool{}
 	for i, c := range o.Contracts {
@@ -221,7 +221,7 @@
 	return contracts, nil
 }
 
-// validateModels returns the names of the models.
+// validateModels validates the models and returns their names.
 func (o *Operator) validateModels(contracts map[string]bool) (map[string]bool, error) {
 	models := map[string]bool{}
 	for i, m := range o.Models {
@@ -278,9 +278,10 @@
 	return nil
 }
 
-// CheckReload returns an error if a program that runs with o can't be reloaded with next. What the
-// routing policy was started with needs a restart: contracts, teams and their quotas, zones; and
-// so do the address, the limits and whole sections.
+// CheckReload returns an error if next can't replace o without a restart of the process. A change of the
+// routing policy's settings needs a restart: contracts, teams and their quotas, zones. So does a change of
+// listen, limits, consul.register, roles, peers, idempotency, state_file or admin, and of whether there is a
+// consul section.
 func (o *Operator) CheckReload(next *Operator) error {
 	switch {
 	case o.Listen != next.Listen || o.Limits != next.Limits:
@@ -303,8 +304,8 @@
 	return nil
 }
 
-// Settings returns the settings of the routing policy for the chat front. Requests over a team's
-// quota have no priority weight, so that the policy rejects them.
+// Settings returns the settings of the routing policy for the chat front. Requests over a team's quota have
+// no priority weight, so the policy rejects them.
 func (o *Operator) Settings() routing.Settings {
 	s := routing.Settings{
 		Zone: o.Zone, Zones: o.Zones, Gateways: max(o.Gateways, 1),
@@ -334,7 +335,8 @@
 	return s
 }
 
-// FixedTimeouts returns the timeouts that the operator's file can't set.
+// FixedTimeouts returns the timeouts that have no setting in the operator's file: for opening a connection,
+// for idle connections, and the slack of deadlines.
 func (o *Operator) FixedTimeouts() (connect, idle, slack time.Duration) {
 	return defaultConnectTimeout, defaultConnIdle, defaultDeadlineSlack
 }
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -6,30 +6,30 @@
 	"time"
 )
 
-// Peers sets up the membership protocol between the gateways of a tier. Without it no socket is
-// opened.
+// Peers configures the membership protocol between the gateways of a tier. Without this section, no socket
+// is opened.
 type Peers struct {
 	Listen          string   `json:"listen"`    // UDP over IPv4
-	Advertise       string   `json:"advertise"` // the address for other gateways, if not listen
-	Name            string   `json:"name"`      // of this gateway, the same after a restart
+	Advertise       string   `json:"advertise"` // address that other gateways use; default: listen
+	Name            string   `json:"name"`      // of this gateway; must not change with a restart
 	Tier            string   `json:"tier"`      // messages from gateways of another tier are ignored
-	Join            []string `json:"join"`
+	Join            []string `json:"join"`      // addresses of gateways to join
 	KeyFile         string   `json:"key_file"`
 	IncarnationFile string   `json:"incarnation_file"`
-	Protocol        int      `json:"protocol"`      // version of the protocol; 0 = the latest
-	IntervalMS      int      `json:"interval_ms"`   // between probes; 0 = the default, and so the next two
-	TimeoutMS       int      `json:"timeout_ms"`    // for a direct answer
-	DeadAfterMS     int      `json:"dead_after_ms"` // of silence
+	Protocol        int      `json:"protocol"`      // protocol version; 0 = the latest
+	IntervalMS      int      `json:"interval_ms"`   // between probes; 0 = default, also for the next two
+	TimeoutMS       int      `json:"timeout_ms"`    // of a direct probe
+	DeadAfterMS     int      `json:"dead_after_ms"` // time without a response
 }
 
-// Timings returns the durations that the file states, 0 for the default.
+// Timings returns the durations that the file sets, 0 for the default.
 func (p *Peers) Timings() (interval, timeout, deadAfter time.Duration) {
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 	return ms(p.IntervalMS), ms(p.TimeoutMS), ms(p.DeadAfterMS)
 }
 
-// Defaults of the times, and how many probes in a row must fail at least before a gateway is
-// declared dead: with fewer, lost datagrams alone are enough.
+// Defaults of the timings, and the minimum number of consecutive probes that must fail before a gateway is
+// declared dead: with fewer, the loss of datagrams alone can have a running gateway declared dead.
 const (
 	defaultIntervalMS  = 100
 	defaultTimeoutMS   = 80
@@ -37,7 +37,7 @@
 	minProbes          = 10
 )
 
-// maxNameBytes is the limit of a gateway's name in the protocol's messages.
+// maxNameBytes is the maximum length of a gateway's name in the protocol's messages.
 const maxNameBytes = 24
 
 func (p *Peers) validate() error {
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -1,7 +1,7 @@
-// Package config reads and validates the gateway's configuration: the platform's object, and the
-// operator's file for the chat front. Its types mirror these files: a field is named like its
-// setting (least_ms is LeastMS), also where the code that takes the value has another term for it.
-// Methods return values with defaults applied, in the types of the packages that take them.
+// Package config reads and validates the gateway's configuration: the platform's JSON document, or the
+// operator's file for the chat front. Its types mirror these files: a field has the name of its setting
+// (least_ms is LeastMS), even if the code that uses the value has another term for it. Methods return values
+// with defaults applied, in the types of the packages that use them.
 package config
 
 import (
@@ -17,7 +17,7 @@
 	"wellgw/routing"
 )
 
-// EngineEntry is an engine in discovery's form.
+// EngineEntry is an engine in discovery's format.
 type EngineEntry struct {
 	ID       string  `json:"id"`
 	HostPort string  `json:"host_port"`
@@ -29,21 +29,21 @@
 	UpSince  int64   `json:"up_since_ms"`
 }
 
-// EngineList is discovery's list, whole or as changes.
+// EngineList is discovery's list of engines: the complete list, or a delta.
 type EngineList struct {
 	Revision int64         `json:"revision"`
 	Complete bool          `json:"complete"`
 	Members  []EngineEntry `json:"members"`
 }
 
-// Limits are the resources that the gateway may use.
+// Limits are the limits of the resources that the gateway uses.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// Platform is the platform's configuration.
+// Platform is the configuration that the platform provides.
 type Platform struct {
 	Name      string     `json:"name"`
 	Listen    string     `json:"listen"`
@@ -53,22 +53,22 @@
 	Limits    Limits     `json:"limits"`
 	Known     EngineList `json:"known"`
 
-	PeerListen string   `json:"peer_listen"` // where datagrams of other gateways are received
-	Peers      []string `json:"peers"`       // addresses of all gateways as this one reaches them, by number
-	PeerKeys   string   `json:"-"`           // the operators' key file; "" for no membership protocol
+	PeerListen string   `json:"peer_listen"` // address for datagrams from other gateways
+	Peers      []string `json:"peers"`       // addresses of all gateways; this gateway is at index Options.Me
+	PeerKeys   string   `json:"-"`           // the operators' key file; "" disables the membership protocol
 
 	Options settings.Options `json:"settings"`
 
-	present presentKeys // which keys of the settings the text had
+	present presentKeys // the required keys that the text has; see presentKeys
 }
 
-// Defaults of the limits: those of the platform's scored days.
+// Defaults of the limits: the limits that the platform applies on its scored days.
 const (
 	defaultMemoryMB = 192
 	defaultSockets  = 1024
 )
 
-// setDefaults sets the limits that are absent.
+// setDefaults sets the limits that are absent or not above 0.
 func (l *Limits) setDefaults() {
 	if l.Cores <= 0 {
 		l.Cores = 1
@@ -81,28 +81,28 @@
 	}
 }
 
-// ReadPlatform reads the object in the file that EDGE_CONFIG names; the platform's other variables
-// override it. An error names the field.
+// ReadPlatform reads the document in the file that EDGE_CONFIG names. The platform's other environment
+// variables override the document. An error names the invalid field.
 func ReadPlatform(env func(string) string) (*Platform, error) {
 	return readPlatform(env, true)
 }
 
-// rereadPlatform is ReadPlatform for a running program: the object overrides the variables, which
-// are as old as the process.
+// rereadPlatform is like ReadPlatform for a running process: the document overrides the environment
+// variables, which date from the start of the process.
 func rereadPlatform(env func(string) string) (*Platform, error) {
 	return readPlatform(env, false)
 }
 
-func readPlatform(env func(string) string, envFirst bool) (*Platform, error) {
-	raw, err := readObject(env)
+func readPlatform(env func(string) string, envOverrides bool) (*Platform, error) {
+	raw, err := readDocument(env)
 	if err != nil {
 		return nil, err
 	}
-	return parsePlatform(raw, env, envFirst)
+	return parsePlatform(raw, env, envOverrides)
 }
 
-// readObject reads the text of the object that EDGE_CONFIG names.
-func readObject(env func(string) string) ([]byte, error) {
+// readDocument reads the text of the file that EDGE_CONFIG names.
+func readDocument(env func(string) string) ([]byte, error) {
 	path := env("EDGE_CONFIG")
 	if path == "" {
 		return nil, fieldError("EDGE_CONFIG", "not set")
@@ -114,18 +114,18 @@
 	return raw, nil
 }
 
-// ParsePlatform is ReadPlatform on the object's text.
+// ParsePlatform is like ReadPlatform for the document's text.
 func ParsePlatform(raw []byte, env func(string) string) (*Platform, error) {
 	return parsePlatform(raw, env, true)
 }
 
-func parsePlatform(raw []byte, env func(string) string, envFirst bool) (*Platform, error) {
+func parsePlatform(raw []byte, env func(string) string, envOverrides bool) (*Platform, error) {
 	p := &Platform{}
 	if err := jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(raw, p); err != nil {
 		return nil, fieldError("EDGE_CONFIG", "%s", oneLine(err))
 	}
 	for name, field := range map[string]*string{"EDGE_NAME": &p.Name, "EDGE_LISTEN": &p.Listen, "EDGE_DISCOVERY": &p.Discovery, "EDGE_CONTROL": &p.Control, "EDGE_PEER_KEYS": &p.PeerKeys} {
-		if v := env(name); v != "" && (envFirst || *field == "") {
+		if v := env(name); v != "" && (envOverrides || *field == "") {
 			*field = v
 		}
 	}
@@ -153,17 +153,17 @@
 	return p, nil
 }
 
-// MembershipEnabled reports whether the membership protocol runs: the settings allow it, the platform gives
-// addresses, and the operators have given a key.
+// MembershipEnabled reports whether the membership protocol runs: the settings must allow it, and the
+// gateways' addresses and the operators' key file must be set.
 func (p *Platform) MembershipEnabled() bool {
-	me := p.Options.Me
-	return p.PeerKeys != "" && p.Options.Limits.Peers && p.PeerListen != "" && me >= 0 && me < len(p.Peers) && len(p.Peers) > 1
+	index := p.Options.Me
+	return p.PeerKeys != "" && p.Options.Limits.Peers && p.PeerListen != "" && index >= 0 && index < len(p.Peers) && len(p.Peers) > 1
 }
 
-// oneLine returns a decoder's error, which may quote several lines of the text, on one line.
+// oneLine formats a decoder's error, which may quote several lines of the text, on one line.
 func oneLine(err error) string { return strings.Join(strings.Fields(err.Error()), " ") }
 
-// SeedNumber returns the seed for random numbers, 0 if none is given.
+// SeedNumber returns the seed for random numbers, 0 if none is set.
 func (p *Platform) SeedNumber() (uint64, error) {
 	if p.Seed == "" {
 		return 0, nil
@@ -175,23 +175,23 @@
 	return n, nil
 }
 
-// Settings returns the settings of the routing policy. Over HTTP every rejection can have a
-// Retry-After, also where the simulator's clients get none.
+// Settings returns the settings of the routing policy. Over HTTP every rejection can have a Retry-After, even
+// if the settings document, which is also the simulator's, says that rejections have none.
 func (p *Platform) Settings() routing.Settings {
 	s := p.Options.Settings()
 	s.CanRetryAfter = true
-	s.MaxSendDelay = settings.Micros(p.Options.Limits.ConnTimeout) // a connection may have to be opened first
+	s.MaxSendDelay = settings.Micros(p.Options.Limits.ConnTimeout) // an attempt may need a new connection
 	if s.MaxRetryAfter <= 0 {
 		s.MaxRetryAfter = 2 * time.Second
 	}
 	return s
 }
 
-// MaxFirstTokenWait returns the longest time that a client waits for a first token.
+// MaxFirstTokenWait returns the maximum time that a client of any class waits for the first token.
 func (p *Platform) MaxFirstTokenWait() time.Duration {
-	longest := time.Duration(0)
+	maxWait := time.Duration(0)
 	for _, c := range p.Options.Classes {
-		longest = max(longest, settings.Micros(c.Limit))
+		maxWait = max(maxWait, settings.Micros(c.Limit))
 	}
-	return longest
+	return maxWait
 }
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -4,17 +4,17 @@
 	jsoniter "github.com/json-iterator/go"
 )
 
-// classKeys are the keys of a class that a reloaded file must still have if the first one had
-// them: a file without them is truncated or broken, not a new policy.
-var classKeys = []string{"name", "aim", "effect", "hard_limit"}
+// requiredClassKeys are the keys of a class that a reloaded file must have if the previous file had them: a
+// file that lacks one of them is truncated or damaged rather than a new policy.
+var requiredClassKeys = []string{"name", "aim", "effect", "hard_limit"}
 
-// presentKeys records which of the keys that a reload must not lose a configuration's text has.
+// presentKeys records which of the keys that a reload must not remove are present in a configuration's text.
 type presentKeys struct {
 	settings, classes bool
-	classKeys         map[string]bool // present in every class
+	inEveryClass      map[string]bool // keys that every class has
 }
 
-// presentKeysOf reads the keys of a text, none of one that is not valid.
+// presentKeysOf returns the keys that are present in a text, none if it is invalid.
 func presentKeysOf(raw []byte) presentKeys {
 	var doc struct {
 		Settings *struct {
@@ -26,20 +26,20 @@
 		return present
 	}
 	present.settings, present.classes = true, len(doc.Settings.Classes) > 0
-	present.classKeys = map[string]bool{}
-	for _, k := range classKeys {
+	present.inEveryClass = map[string]bool{}
+	for _, k := range requiredClassKeys {
 		inAll := present.classes
 		for _, c := range doc.Settings.Classes {
 			_, has := c[k]
 			inAll = inAll && has
 		}
-		present.classKeys[k] = inAll
+		present.inEveryClass[k] = inAll
 	}
 	return present
 }
 
-// firstMissing returns the first key that the earlier text had and the later one lacks, "" for
-// none.
+// firstMissing returns the first key that is present in the earlier text and missing in the later one, "" if
+// there is none.
 func (k presentKeys) firstMissing(later presentKeys) string {
 	switch {
 	case k.settings && !later.settings:
@@ -47,28 +47,28 @@
 	case k.classes && !later.classes:
 		return "settings.classes"
 	}
-	for _, key := range classKeys {
-		if k.classKeys[key] && !later.classKeys[key] {
+	for _, key := range requiredClassKeys {
+		if k.inEveryClass[key] && !later.inEveryClass[key] {
 			return "settings.classes[]." + key
 		}
 	}
 	return ""
 }
 
-// checkDeadlines returns an error for a deadline that is given and not over 0. Aims and attempts
-// are checked by the routing policy's own validation.
+// checkDeadlines returns an error for a deadline that is set and not above 0. The routing policy validates
+// the aims and the limit of attempts.
 func (p *Platform) checkDeadlines() error {
 	for i, c := range p.Options.Classes {
-		if c.Limit < 0 || c.Limit == 0 && p.present.classKeys["hard_limit"] {
+		if c.Limit < 0 || c.Limit == 0 && p.present.inEveryClass["hard_limit"] {
 			return fieldError(elementPath("settings.classes", i, "hard_limit"), "must be over 0")
 		}
 	}
 	return nil
 }
 
-// Reload reads the configuration again for a gateway that runs under p. Beside what ReadPlatform
-// checks, it is an error if the file lacks a key that p's had, or has a deadline that is not over
-// 0. p is not changed.
+// Reload reads the configuration again for a gateway that runs with p. In addition to the errors of
+// ReadPlatform, it returns an error if a key that p's text has is missing or a deadline is not above 0. It
+// does not change p.
 func (p *Platform) Reload(env func(string) string) (*Platform, error) {
 	next, err := rereadPlatform(env)
 	if err != nil {
--- a/internal/config/roles.go
+++ b/internal/config/roles.go
@@ -8,24 +8,24 @@
 	"wellgw/decide/roles"
 )
 
-// Roles sets up role changes: engines switch between prefill and decode. It needs consul, where
-// the lease and the changes are stored.
+// Roles configures role changes: engines switch between prefill and decode. It requires consul, which stores
+// the lease and the changes.
 type Roles struct {
-	DryRun        bool     `json:"dry_run"` // log decisions without carrying them out
+	DryRun        bool     `json:"dry_run"` // log decisions without executing them
 	Strategy      string   `json:"strategy"`
 	Prefix        string   `json:"prefix"` // of the keys in Consul
 	PinEngines    []string `json:"pin_engines"`
 	PinRacks      []int    `json:"pin_racks"`
-	DwellMS       int64    `json:"dwell_ms"`
-	SettleMS      int64    `json:"settle_ms"`
-	DrainMS       int64    `json:"drain_ms"`
-	ColdMS        int64    `json:"cold_ms"`
-	HorizonMS     int64    `json:"horizon_ms"`
-	SmoothMS      int64    `json:"smooth_ms"`
+	DwellMS       int64    `json:"dwell_ms"`   // minimum time between two changes of one engine
+	SettleMS      int64    `json:"settle_ms"`  // between a change and one in the other direction
+	DrainMS       int64    `json:"drain_ms"`   // expected duration of a drain
+	ColdMS        int64    `json:"cold_ms"`    // warm-up after a change
+	HorizonMS     int64    `json:"horizon_ms"` // of the forecast
+	SmoothMS      int64    `json:"smooth_ms"`  // time constant of the smoothing of demand
 	LeaseMS       int64    `json:"lease_ms"`
 	ChangesAnHour int      `json:"changes_an_hour"`
-	RackPart      float64  `json:"rack_part"`
-	FleetPart     float64  `json:"fleet_part"`
+	RackPart      float64  `json:"rack_part"`  // maximum fraction of a rack that changes at the same time
+	FleetPart     float64  `json:"fleet_part"` // maximum fraction of the fleet that changes at the same time
 }
 
 const (
@@ -33,7 +33,7 @@
 	minLease      = 10 * time.Second // the minimum TTL of a session in Consul
 )
 
-// Settings returns the settings of the planner.
+// Settings returns the planner's settings.
 func (r *Roles) Settings() roles.Settings {
 	s := roles.DefaultSettings()
 	if r.Strategy != "" {
@@ -54,17 +54,17 @@
 	return s
 }
 
-// StepTimeouts returns how long the steps of a change may take.
+// StepTimeouts returns the timeouts of the steps of a role change.
 func (r *Roles) StepTimeouts() rolechange.Timeouts {
 	l := rolechange.DefaultTimeouts()
 	l.WarmUp = millis(r.ColdMS, l.WarmUp)
 	return l
 }
 
-// LeaseTTL returns how long an owner that does not renew its lease keeps it at least.
+// LeaseTTL returns the minimum time for which an owner that does not renew its lease keeps it.
 func (r *Roles) LeaseTTL() time.Duration { return max(minLease, millis(r.LeaseMS, minLease)) }
 
-// KeyPrefix returns the prefix of the keys in Consul.
+// KeyPrefix returns the prefix of the keys in Consul, without slashes at its ends.
 func (r *Roles) KeyPrefix() string {
 	if r.Prefix == "" {
 		return defaultPrefix
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -19,7 +19,7 @@
 
 const schemaName = "operator.schema.json"
 
-// checkSchema validates an operator's file by the published schema. The error names the first
+// checkSchema validates an operator's file against the published JSON schema. An error names the first
 // invalid field.
 func checkSchema(raw []byte) error {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(deploy.Schema))
@@ -45,7 +45,7 @@
 	return err
 }
 
-// schemaError returns the first cause of a validation error, in order of the fields.
+// schemaError returns the first cause of a validation error, in the order of the fields.
 func schemaError(v *jsonschema.ValidationError) error {
 	var leaves []*jsonschema.ValidationError
 	var walk func(*jsonschema.ValidationError)
@@ -59,8 +59,8 @@
 	}
 	walk(v)
 	rank := func(e *jsonschema.ValidationError) int {
-		if _, is := e.ErrorKind.(*kind.AdditionalProperties); is {
-			return 0 // before a missing field, which may be this one misspelt
+		if _, ok := e.ErrorKind.(*kind.AdditionalProperties); ok {
+			return 0 // sorts before a missing field: the unknown field may be its misspelling
 		}
 		return 1
 	}
@@ -69,16 +69,16 @@
 	})
 	e := leaves[0]
 	field := fieldName(e.InstanceLocation)
-	if extra, is := e.ErrorKind.(*kind.AdditionalProperties); is {
-		return fieldError(fieldName(append(slices.Clone(e.InstanceLocation), extra.Properties[0])), "no such field")
+	if unknown, ok := e.ErrorKind.(*kind.AdditionalProperties); ok {
+		return fieldError(fieldName(append(slices.Clone(e.InstanceLocation), unknown.Properties[0])), "no such field")
 	}
-	if missing, is := e.ErrorKind.(*kind.Required); is {
+	if missing, ok := e.ErrorKind.(*kind.Required); ok {
 		return fieldError(fieldName(append(slices.Clone(e.InstanceLocation), missing.Missing[0])), "missing")
 	}
 	return fieldError(field, "%s", e.ErrorKind.LocalizedString(message.NewPrinter(language.English)))
 }
 
-// fieldName returns the path of a field, as in contracts[0].effect.
+// fieldName formats the path of a field, for example contracts[0].effect.
 func fieldName(path []string) string {
 	var b strings.Builder
 	for _, p := range path {
