--- a/internal/fetch/fetch.go
+++ b/internal/fetch/fetch.go
@@ -1,5 +1,5 @@
-// Package fetch reads JSON documents over HTTP. It sets no time limits and never tries again:
-// callers bound a call by its context.
+// Package fetch reads JSON documents over HTTP. It sets no timeout and does not retry: the caller's context
+// limits the duration of a call.
 package fetch
 
 import (
@@ -12,15 +12,15 @@
 	jsoniter "github.com/json-iterator/go"
 )
 
-// ErrTooLong is a document over the limit.
+// ErrTooLong is the error for a document over the size limit.
 var ErrTooLong = errors.New("the document is too long")
 
-// StatusError is an answer other than 200.
+// StatusError is a response status other than 200.
 type StatusError struct{ Code int }
 
 func (e StatusError) Error() string { return fmt.Sprintf("status %d", e.Code) }
 
-// JSON reads the document at url, of limit bytes at most, into v.
+// JSON reads the document at url, of at most limit bytes, into v.
 func JSON(ctx context.Context, client *http.Client, url string, limit int64, v any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
--- a/internal/fetch/fetch_test.go
+++ b/internal/fetch/fetch_test.go
@@ -15,17 +15,17 @@
 	for name, c := range map[string]struct {
 		status int
 		body   string
-		good   bool
-		want   error // nil for any
+		valid  bool
+		want   error // matched by errors.Is; nil for any error
 	}{
-		"a document":      {http.StatusOK, `{"a":7}`, true, nil},
-		"at the limit":    {http.StatusOK, `{"a":7}` + strings.Repeat(" ", limit-7), true, nil},
-		"over the limit":  {http.StatusOK, `{"a":7}` + strings.Repeat(" ", limit-6), false, ErrTooLong},
-		"another status":  {http.StatusServiceUnavailable, `{"a":7}`, false, StatusError{http.StatusServiceUnavailable}},
-		"cut off":         {http.StatusOK, `{"a":7`, false, nil},
-		"more behind it":  {http.StatusOK, `{"a":7}{}`, false, nil},
-		"no document":     {http.StatusOK, ``, false, nil},
-		"of another kind": {http.StatusOK, `{"a":"x"}`, false, nil},
+		"a document":              {http.StatusOK, `{"a":7}`, true, nil},
+		"at the limit":            {http.StatusOK, `{"a":7}` + strings.Repeat(" ", limit-7), true, nil},
+		"over the limit":          {http.StatusOK, `{"a":7}` + strings.Repeat(" ", limit-6), false, ErrTooLong},
+		"a status other than 200": {http.StatusServiceUnavailable, `{"a":7}`, false, StatusError{http.StatusServiceUnavailable}},
+		"a truncated document":    {http.StatusOK, `{"a":7`, false, nil},
+		"data after the document": {http.StatusOK, `{"a":7}{}`, false, nil},
+		"an empty body":           {http.StatusOK, ``, false, nil},
+		"a value of another type": {http.StatusOK, `{"a":"x"}`, false, nil},
 	} {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(c.status)
@@ -34,18 +34,18 @@
 		var v struct{ A int }
 		err := JSON(t.Context(), s.Client(), s.URL, limit, &v)
 		s.Close()
-		if c.good && (err != nil || v.A != 7) || !c.good && err == nil || c.want != nil && !errors.Is(err, c.want) {
-			t.Errorf("%s: %+v, %v", name, v, err)
+		if c.valid && (err != nil || v.A != 7) || !c.valid && err == nil || c.want != nil && !errors.Is(err, c.want) {
+			t.Errorf("%s: document %+v, error %v", name, v, err)
 		}
 	}
 }
 
-func TestJSONEndsWithItsContext(t *testing.T) {
+func TestJSONEndsWithContext(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
 	defer s.Close()
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if err := JSON(ctx, s.Client(), s.URL, 1, nil); !errors.Is(err, context.Canceled) {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want context.Canceled", err)
 	}
 }
--- a/internal/files/files.go
+++ b/internal/files/files.go
@@ -1,4 +1,4 @@
-// Package files reads and replaces small files as a whole.
+// Package files reads small files, and replaces them atomically.
 package files
 
 import (
@@ -16,12 +16,12 @@
 	"wellgw/internal/faultinject"
 )
 
-// ErrDamaged is wrapped by errors about a file's content.
+// ErrDamaged is wrapped by errors about invalid content of a file.
 var ErrDamaged = errors.New("the file is damaged")
 
 const (
 	fileMode = 0o600
-	staleAge = time.Minute // a temporary file of this age was left by a process that was killed
+	staleAge = time.Minute // an older temporary file is from a process that was killed
 )
 
 // Read returns the content of the file at path. A file larger than limit bytes is an error that wraps
@@ -42,8 +42,9 @@
 	return text, nil
 }
 
-// WriteAtomic replaces the file at path: text is written to a temporary file beside it, synced, then
-// renamed. Readers see either the former content or the new one, also if the process is killed meanwhile.
+// WriteAtomic replaces the file at path: it writes text to a temporary file in the same directory, syncs the
+// file and renames it. Readers see either the previous or the new content, even if the process is killed
+// during the call.
 func WriteAtomic(path string, text []byte) error {
 	if err := faultinject.BeforeWrite(path, text); err != nil {
 		return err
@@ -51,7 +52,7 @@
 	return renameio.WriteFile(path, text, fileMode, renameio.WithTempDir(filepath.Dir(path)))
 }
 
-// RemoveStale removes the temporary files of WriteAtomic that killed processes have left beside path.
+// RemoveStale removes the temporary files for path that WriteAtomic created in processes that were killed.
 func RemoveStale(path string) error {
 	dir, base := filepath.Split(path)
 	entries, err := os.ReadDir(filepath.Clean(dir))
@@ -67,8 +68,8 @@
 	return errors.Join(errs...)
 }
 
-// isTemporary reports whether name is one that renameio gives to a temporary file for base: a dot, base,
-// and a number.
+// isTemporary reports whether name has renameio's format for a temporary file for base: a dot, base, and a
+// number.
 func isTemporary(name, base string) bool {
 	number, ok := strings.CutPrefix(name, "."+base)
 	return ok && number != "" && strings.Trim(number, "0123456789") == ""
@@ -76,7 +77,7 @@
 
 func removeIfStale(dir string, entry fs.DirEntry) error {
 	info, err := entry.Info()
-	if errors.Is(err, fs.ErrNotExist) { // the process that wrote it has renamed it
+	if errors.Is(err, fs.ErrNotExist) { // the process that created it has renamed it
 		return nil
 	}
 	if err == nil && time.Since(info.ModTime()) > staleAge {
--- a/internal/files/files_test.go
+++ b/internal/files/files_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// What replaces a file leaves the former content where it fails, and nothing beside it.
+// WriteAtomic must write a file's content, and must fail if the directory does not exist. Read must reject
+// a file over its limit.
 func TestWriteAtomic(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "f")
@@ -16,34 +17,34 @@
 		t.Fatal(err)
 	}
 	if err := WriteAtomic(filepath.Join(dir, "none", "f"), nil); err == nil {
-		t.Error("written to a folder that is not there")
+		t.Error("write into a missing directory: no error")
 	}
 	if text, err := Read(path, 4); err != nil || string(text) != "one\n" {
-		t.Errorf("%q, %v", text, err)
+		t.Errorf("content %q, error %v", text, err)
 	}
 	if _, err := Read(path, 3); !errors.Is(err, ErrDamaged) {
-		t.Errorf("a file that is too long: %v", err)
+		t.Errorf("file over the limit: error %v, want ErrDamaged", err)
 	}
 }
 
-// What a process that was killed left beside a file is removed, and nothing else.
+// RemoveStale must remove the old temporary files of killed processes, and no other files.
 func TestRemoveStale(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "f")
 	old := time.Now().Add(-2 * staleAge)
-	for name, left := range map[string]bool{".f123": false, ".f124": true, ".fx1": true, ".f": true, "f": true, ".g123": true} {
-		at := filepath.Join(dir, name)
-		if err := os.WriteFile(at, nil, 0o600); err != nil {
+	for name, remains := range map[string]bool{".f123": false, ".f124": true, ".fx1": true, ".f": true, "f": true, ".g123": true} {
+		file := filepath.Join(dir, name)
+		if err := os.WriteFile(file, nil, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if name != ".f124" { // which is being written
-			if err := os.Chtimes(at, old, old); err != nil {
+		if name != ".f124" { // still being written: not stale
+			if err := os.Chtimes(file, old, old); err != nil {
 				t.Fatal(err)
 			}
 		}
 		defer func() {
-			if _, err := os.Stat(at); (err == nil) != left {
-				t.Errorf("%s: %v", name, err)
+			if _, err := os.Stat(file); (err == nil) != remains {
+				t.Errorf("%s: stat error %v, want the file to remain: %v", name, err, remains)
 			}
 		}()
 	}
--- a/internal/settings/report.go
+++ b/internal/settings/report.go
@@ -6,14 +6,14 @@
 	"wellgw/routing"
 )
 
-// ParseLoadReport turns the values of a load report into the module's form, nil if
-// there are none.
+// ParseLoadReport converts the values of a load report into the routing policy's type. It returns nil if
+// there are no values.
 func ParseLoadReport(usage map[string]float64) *routing.LoadReport {
 	if len(usage) == 0 {
 		return nil
 	}
 	value := func(name string, unit float64) *float64 {
-		if v, given := usage[name]; given {
+		if v, ok := usage[name]; ok {
 			v *= unit
 			return &v
 		}
@@ -22,7 +22,7 @@
 	r := &routing.LoadReport{
 		MemoryUsed: value("x0", 1), WaitingTokens: value("x1", 1000), QueueLength: value("queue", 1), Utilization: value("util", 1),
 	}
-	if ms, given := usage["latency_ms"]; given {
+	if ms, ok := usage["latency_ms"]; ok {
 		d := time.Duration(ms * float64(time.Millisecond))
 		r.Latency = &d
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the settings document of a deployment, as the platform and the simulator
-// write it, into what the routing policy and the gateway work with.
+// Package settings defines the settings document of a deployment, which the platform and the simulator
+// provide, and converts it into the settings of the routing policy and the gateway.
 package settings
 
 import (
@@ -10,7 +10,7 @@
 	"wellgw/routing"
 )
 
-// Options mirrors the settings document. Unknown keys are ignored.
+// Options mirrors the settings document. Unknown keys are ignored. Durations are in microseconds.
 type Options struct {
 	Az        string   `json:"az"`
 	Zones     []string `json:"zones"`
@@ -33,14 +33,14 @@
 		TokenAim   []float64 `json:"token_aim"`
 		Tokens     []float64 `json:"tokens_by_kind"`
 	} `json:"family_info"`
-	Me     int      `json:"me"` // this instance's number
+	Me     int      `json:"me"` // this gateway's number, from 0
 	Kinds  []string `json:"kinds"`
 	Limits struct {
 		Cancelling    bool  `json:"cancelling"`
 		ConnIdle      int64 `json:"conn_idle"`
 		ConnTimeout   int64 `json:"connect_timeout"`
 		MaxRetryAfter int64 `json:"max_retry_after"`
-		Peers         bool  `json:"peers"` // instances may send each other datagrams
+		Peers         bool  `json:"peers"` // gateways may send each other datagrams
 		Probes        bool  `json:"probes"`
 		RetryAfter    bool  `json:"retry_after"`
 		SendCap       int   `json:"send_cap"`
@@ -66,7 +66,8 @@
 	Tick int64 `json:"tick"`
 }
 
-// Micros turns the document's microseconds into a span.
+// Micros converts the document's microseconds into a duration. A value that does not fit is converted to the
+// maximum duration.
 func Micros(n int64) time.Duration {
 	if n > math.MaxInt64/1000 || n < math.MinInt64/1000 {
 		return math.MaxInt64
@@ -74,11 +75,11 @@
 	return time.Duration(n) * time.Microsecond
 }
 
-func at[T any](list []T, i int) (v T) {
+func atOrZero[T any](list []T, i int) (element T) {
 	if i < len(list) {
-		v = list[i]
+		element = list[i]
 	}
-	return v
+	return element
 }
 
 var roles = map[string]routing.Role{
@@ -91,7 +92,7 @@
 
 var groups = map[string]routing.DedupScope{"zone": routing.DedupZone, "cell": routing.DedupCell, "bay": routing.DedupCell}
 
-// Settings returns what the decision module needs of the object.
+// Settings returns the settings of the routing policy.
 func (o *Options) Settings() routing.Settings {
 	s := routing.Settings{
 		Zone: o.Az, Zones: o.Zones, Gateways: o.Balancers,
@@ -101,7 +102,7 @@
 		MaxRetryAfter: Micros(o.Limits.MaxRetryAfter), MaxAttempts: o.Limits.SendCap,
 		SlowStartPeriod: Micros(o.Rules.Cold), SlowStartCapacity: o.Rules.ColdShare, OverloadWindow: Micros(o.Rules.Fall),
 		OverloadMultiple: o.Rules.FallMultiple, HeldStateLimit: Micros(o.Info.PinLimit), TickInterval: Micros(o.Tick),
-		// A probe is worth its price only where its answer tells a queue.
+		// The cost of a probe is justified only if the load report in its response has the queue.
 		CanProbe: o.Limits.Probes && o.Report.Source == "pull" &&
 			(slices.Contains(o.Report.Columns, "queue") || slices.Contains(o.Report.Columns, "x1")),
 	}
@@ -112,14 +113,14 @@
 		}
 		s.Classes = append(s.Classes, routing.Class{
 			Name: c.Name, FirstTokenObjective: Micros(c.Aim), PriorityWeight: c.Gain,
-			FirstTokenPerPromptToken: time.Duration(at(o.Info.AimPer1000, i)), // microseconds per 1,000 = nanoseconds per 1
-			TokenIntervalObjective:   Micros(int64(at(o.Info.TokenAim, i))),
+			FirstTokenPerPromptToken: time.Duration(atOrZero(o.Info.AimPer1000, i)), // microseconds per 1,000 = nanoseconds per 1
+			TokenIntervalObjective:   Micros(int64(atOrZero(o.Info.TokenAim, i))),
 			Effect:                   effect, DedupScope: groups[c.Group], DedupWindow: Micros(c.Window),
 		})
 	}
 	for i, k := range o.Kinds {
 		s.Kinds = append(s.Kinds, routing.EngineKind{
-			Name: k, Role: roles[at(o.Info.Duty, i)], Memory: at(o.Info.Tokens, i),
+			Name: k, Role: roles[atOrZero(o.Info.Duty, i)], Memory: atOrZero(o.Info.Tokens, i),
 		})
 	}
 	for _, t := range o.Tenants {
