--- a/cmd/wellgw/engines.go
+++ b/cmd/wellgw/engines.go
@@ -39,7 +39,7 @@
 		return err
 	}
 	var page T
-	if err := admin.AskPage(ctx, addr, path, &page); err != nil {
+	if err := admin.FetchPage(ctx, addr, path, &page); err != nil {
 		return err
 	}
 	w := cmd.Root().Writer
@@ -94,14 +94,14 @@
 		if outOnly && e.State == "in" && e.Confidence == "confirmed" {
 			continue
 		}
-		t.AppendRow(table.Row{e.ID, e.Address, e.Role, e.Zone, e.Cell, e.State, e.Confidence, formatMillis(e.AgeMS), formatMillis(e.UpMS), sourceList(e.Sources), e.Why})
+		t.AppendRow(table.Row{e.ID, e.Address, e.Role, e.Zone, e.Cell, e.State, e.Confidence, formatMillis(e.AgeMS), formatMillis(e.UpMS), sourceList(e.Sources), e.StateReason})
 	}
 	t.Render()
 	sources := newTable(w, "source", "engines", "index", "believed", "in doubt")
 	for _, src := range v.Sources {
 		doubt := ""
-		if src.Doubt != "" {
-			doubt = src.Doubt + " for " + formatMillis(src.DoubtMS)
+		if src.DistrustReason != "" {
+			doubt = src.DistrustReason + " for " + formatMillis(src.UntrustedMS)
 		}
 		sources.AppendRow(table.Row{src.Source, src.Engines, src.Index, formatMillis(src.AgeMS) + " ago", doubt})
 	}
