--- a/internal/config/idempotency.go
+++ b/internal/config/idempotency.go
@@ -9,7 +9,7 @@
 type Idempotency struct {
 	File          string `json:"file"`           // where keys are stored across restarts; "" for memory only
 	Keys          int    `json:"keys"`           // limit for all keys
-	KeysOfTeam    int    `json:"keys_of_team"`   // limit for a team's keys; default if several teams: half
+	KeysOfTeam    int    `json:"keys_of_team"`   // limit per team; default if several teams: half of keys
 	AnswerBytes   int64  `json:"answer_bytes"`   // limit for all stored answers
 	LargestAnswer int    `json:"largest_answer"` // limit for one stored answer, in bytes
 	AgeMS         int64  `json:"age_ms"`         // retention of a key after its request has ended
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -54,7 +54,7 @@
 	Known     EngineList `json:"known"`
 
 	PeerListen string   `json:"peer_listen"` // address for datagrams from other gateways
-	Peers      []string `json:"peers"`       // addresses of all gateways; this gateway is at index Options.Me
+	Peers      []string `json:"peers"`       // gateways' addresses as seen from this one, which is at Options.Me
 	PeerKeys   string   `json:"-"`           // the operators' key file; "" disables the membership protocol
 
 	Options settings.Options `json:"settings"`
@@ -62,7 +62,7 @@
 	present presentKeys // the required keys that the text has; see presentKeys
 }
 
-// Defaults of the limits: the limits that the platform applies on its scored days.
+// Defaults of the limits: those of the platform's scored days.
 const (
 	defaultMemoryMB = 192
 	defaultSockets  = 1024
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -56,7 +56,7 @@
 }
 
 // checkDeadlines returns an error for a deadline that is set and not above 0. The routing policy validates
-// the aims and the limit of attempts.
+// the latency objectives and the limit of attempts.
 func (p *Platform) checkDeadlines() error {
 	for i, c := range p.Options.Classes {
 		if c.Limit < 0 || c.Limit == 0 && p.present.inEveryClass["hard_limit"] {
--- a/internal/platform/events_test.go
+++ b/internal/platform/events_test.go
@@ -20,9 +20,9 @@
 // client has received the previous one, so an event that is buffered or batched with the next never
 // arrives. Meanwhile another client does not read its endless stream, which must not delay the first.
 func TestEventsUnbatchedDespiteSlowClient(t *testing.T) {
-	addr, r, _, c, _ := gatewayFront(t, read, func(enginetest.Call) string { return enginetest.Stream(1, 0) })
+	addr, r, _, c, _ := gatewayFront(t, prefilled, func(enginetest.Call) string { return enginetest.Stream(1, 0) })
 	const events = 50
-	received, slowStreamFull := make(chan int, 1), make(chan bool, 1)
+	received, slowStreamStarted := make(chan int, 1), make(chan bool, 1)
 	decodeEngine := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		if q.Method == http.MethodDelete {
 			w.WriteHeader(http.StatusNoContent)
@@ -38,7 +38,7 @@
 					return
 				}
 				if n == 4 {
-					slowStreamFull <- true
+					slowStreamStarted <- true
 				}
 			}
 		}
@@ -69,7 +69,7 @@
 		return nc
 	}
 	request("slow") // its response is never read
-	<-slowStreamFull
+	<-slowStreamStarted
 	resp, err := http.ReadResponse(bufio.NewReader(request("fast")), nil)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/platform/leave_test.go
+++ b/internal/platform/leave_test.go
@@ -11,7 +11,7 @@
 // A process on standby still serves requests, but its health checks fail and every response closes its
 // connection. Both end with the return to full service.
 func TestStandby(t *testing.T) {
-	addr, _, _, _, f := gatewayFront(t, read, func(enginetest.Call) string { return enginetest.Stream(2, 0) })
+	addr, _, _, _, f := gatewayFront(t, prefilled, func(enginetest.Call) string { return enginetest.Stream(2, 0) })
 	url := "http://" + addr
 	health := func() (int, bool) {
 		resp, err := http.Get(url + "/healthz")
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -102,8 +102,8 @@
 	published []string // what the watch published, as recordPublished formats it
 }
 
-// watchFake starts a watch on a discovery whose serve function responds to the n-th request, from 1 on.
-func watchFake(t *testing.T, serve func(n int, w http.ResponseWriter, r *http.Request)) *fakeDiscovery {
+// watchFakeDiscovery starts a watch on a discovery that responds to the n-th request, from 1 on, by serve.
+func watchFakeDiscovery(t *testing.T, serve func(n int, w http.ResponseWriter, r *http.Request)) *fakeDiscovery {
 	d := &fakeDiscovery{}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		d.mu.Lock()
@@ -136,7 +136,7 @@
 
 // A watch whose stream breaks must resume from its last revision and must not lose a drain.
 func TestWatchResumes(t *testing.T) {
-	queries, got := watchFake(t, func(n int, w http.ResponseWriter, r *http.Request) {
+	queries, got := watchFakeDiscovery(t, func(n int, w http.ResponseWriter, r *http.Request) {
 		switch n {
 		case 1:
 			io.WriteString(w, "\n"+`{"revision":43,"complete":false,"members":[{"id":"a","phase":"leaving"}]}`+"\n")
@@ -159,7 +159,7 @@
 // A watch must read lists that are indented, that span several lines or that arrive in several parts. A JSON
 // value that is not a list ends the stream.
 func TestWatchReadsIndentedLists(t *testing.T) {
-	queries, got := watchFake(t, func(n int, w http.ResponseWriter, r *http.Request) {
+	queries, got := watchFakeDiscovery(t, func(n int, w http.ResponseWriter, r *http.Request) {
 		if n == 1 {
 			for _, piece := range []string{"\n{\n  \"revision\": 43,\n", "\n", "  \"complete\": false,\n  \"members\": [\n    {\n      \"id\": \"a\",\n      \"phase\": \"leaving\"\n    }\n  ]\n}\n",
 				`{"revision":44,"complete":false,"members":[{"id":"b","phase":"active"}]}` + "\n", "[]\n"} {
@@ -238,12 +238,12 @@
 	return server.Listener.Addr().String(), r, w, c, f
 }
 
-func read(enginetest.Call) string { return enginetest.Status(202, "", `{"cached_tokens":0}`) }
+func prefilled(enginetest.Call) string { return enginetest.Status(202, "", `{"cached_tokens":0}`) }
 
 // Each recording is replayed on a separate connection.
 func TestRecordedExchanges(t *testing.T) {
 	enginetest.EachRecording(t, func(t *testing.T, file string) {
-		addr, r, w, c := gateway(t, read, func(c enginetest.Call) string {
+		addr, r, w, c := gateway(t, prefilled, func(c enginetest.Call) string {
 			if strings.Contains(c.Body, "break") {
 				stream := enginetest.Stream(2, 0)
 				return stream[:strings.Index(stream, "w1")] + enginetest.Cut
@@ -292,7 +292,7 @@
 // state released within the limit for held state (pin limit, 500 ms here).
 func TestClientDisconnectReleasesState(t *testing.T) {
 	stream := enginetest.Stream(2, 0)
-	addr, r, w, _ := gateway(t, read, func(enginetest.Call) string { return stream[:len(stream)/2] + enginetest.Hang })
+	addr, r, w, _ := gateway(t, prefilled, func(enginetest.Call) string { return stream[:len(stream)/2] + enginetest.Hang })
 	enginetest.Within(t, 500*time.Millisecond, func() time.Duration {
 		dropped, releases := len(w.Dropped()), len(r.Calls("DELETE"))+len(w.Calls("DELETE"))
 		req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+addr+"/v1/chat/completions", strings.NewReader("{}"))
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -58,7 +58,7 @@
 	return w
 }
 
-// Subscribe lets the next stream start. It never blocks.
+// Subscribe allows the next stream to start. It never blocks.
 func (w *Watch) Subscribe() {
 	select {
 	case w.subscribed <- struct{}{}:
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -113,7 +113,7 @@
 		}
 		s.Classes = append(s.Classes, routing.Class{
 			Name: c.Name, FirstTokenObjective: Micros(c.Aim), PriorityWeight: c.Gain,
-			FirstTokenPerPromptToken: time.Duration(atOrZero(o.Info.AimPer1000, i)), // microseconds per 1,000 = nanoseconds per 1
+			FirstTokenPerPromptToken: time.Duration(atOrZero(o.Info.AimPer1000, i)), // us per 1,000 = ns per 1
 			TokenIntervalObjective:   Micros(int64(atOrZero(o.Info.TokenAim, i))),
 			Effect:                   effect, DedupScope: groups[c.Group], DedupWindow: Micros(c.Window),
 		})
