--- a/internal/clientconn/clientconn.go
+++ b/internal/clientconn/clientconn.go
@@ -1,5 +1,5 @@
-// Package clientconn limits what clients may use: connections, the time and framing of requests,
-// the size of one body, and the memory of all bodies in flight.
+// Package clientconn limits the resources that clients use: the number of connections, the duration
+// and framing of requests, the size of one body, and the memory of all bodies in flight.
 package clientconn
 
 import (
@@ -9,34 +9,35 @@
 	"sync/atomic"
 )
 
-// MaxBodySize is the largest body, in bytes.
+// MaxBodySize is the maximum size of a request body, in bytes.
 const MaxBodySize = 256 << 10
 
-// Reasons for which a body is rejected.
+// Errors of reading a request body.
 var (
 	ErrBodyTooLarge       = errors.New("the body is over 256 KiB")
 	ErrBodyTruncated      = errors.New("the body was cut short")
-	ErrBodyBudgetExceeded = errors.New("too many bodies are in hand")
-	ErrRequestExpired     = errors.New("the request was not whole when none was taken any more")
+	ErrBodyBudgetExceeded = errors.New("the memory budget for request bodies is exhausted")
+	ErrRequestExpired     = errors.New("the request was incomplete when the gateway stopped accepting requests")
 )
 
-// Budget limits the memory of all bodies in flight together.
+// Budget limits the total memory of all request bodies in flight.
 type Budget struct{ available atomic.Int64 }
 
-// NewBudget returns a budget in bytes.
+// NewBudget returns a budget of the given number of bytes.
 func NewBudget(bytes int64) *Budget {
 	b := &Budget{}
 	b.available.Store(bytes)
 	return b
 }
 
-// initialBufferSize is allocated for a body before any of it has arrived, in bytes.
+// initialBufferSize is the size, in bytes, of the buffer that is allocated before a body's first byte
+// has arrived.
 const initialBufferSize = 8 << 10
 
-// Read reads a request's body. On success the caller must call free once it is done with the
-// request; ErrBodyBudgetExceeded and ErrRequestExpired prove that the request had no effect. Only bytes that have arrived
-// count against the budget, not the declared length: a client that declares much and sends nothing
-// must not keep others out.
+// Read reads a request's body. On success the caller must call free when the request is complete.
+// ErrBodyBudgetExceeded and ErrRequestExpired guarantee that the request had no effect. The buffer
+// grows with the bytes that have arrived, and only the buffer counts against the budget, not the
+// declared length: a client that declares a large body and sends nothing must not block others.
 func (b *Budget) Read(w http.ResponseWriter, r *http.Request) (body []byte, free func(), err error) {
 	if r.ContentLength > MaxBodySize {
 		// Reading past a limit makes net/http delay the close, so that a client which is still
@@ -44,12 +45,12 @@
 		_, _ = http.MaxBytesReader(w, r.Body, 0).Read(make([]byte, 1))
 		return nil, nil, ErrBodyTooLarge
 	}
-	taken := int64(0)
-	free = func() { b.available.Add(taken) }
-	from := http.MaxBytesReader(w, r.Body, MaxBodySize)
+	reserved := int64(0)
+	free = func() { b.available.Add(reserved) }
+	limited := http.MaxBytesReader(w, r.Body, MaxBodySize)
 	for err == nil {
-		if r.ContentLength >= 0 && int64(len(body)) == r.ContentLength { // only its end is missing
-			_, err = io.ReadFull(from, make([]byte, 1))
+		if r.ContentLength >= 0 && int64(len(body)) == r.ContentLength { // all bytes are read; io.EOF is still to come
+			_, err = io.ReadFull(limited, make([]byte, 1))
 			break
 		}
 		if len(body) == cap(body) {
@@ -57,22 +58,22 @@
 			if r.ContentLength >= 0 {
 				size = min(size, int(r.ContentLength))
 			}
-			more := int64(size - cap(body))
-			if taken += more; b.available.Add(-more) < 0 {
+			growth := int64(size - cap(body))
+			if reserved += growth; b.available.Add(-growth) < 0 {
 				free()
 				return nil, nil, ErrBodyBudgetExceeded
 			}
 			body = append(make([]byte, 0, size), body...)
 		}
 		var n int
-		n, err = from.Read(body[len(body):cap(body)])
+		n, err = limited.Read(body[len(body):cap(body)])
 		body = body[:len(body)+n]
 	}
-	if errors.Is(err, io.EOF) && !clientGone(r.Context()) {
+	if errors.Is(err, io.EOF) && !clientDisconnected(r.Context()) {
 		return body, free, nil
 	}
 	free()
-	if tooBig := (*http.MaxBytesError)(nil); errors.As(err, &tooBig) {
+	if tooLarge := (*http.MaxBytesError)(nil); errors.As(err, &tooLarge) {
 		return nil, nil, ErrBodyTooLarge
 	}
 	if errors.Is(err, ErrRequestExpired) {
@@ -81,9 +82,9 @@
 	return nil, nil, ErrBodyTruncated
 }
 
-// CloseIfBodyUnread prepares an error response to a request whose body has not been read: the connection ends
-// with it. Otherwise net/http would hold the response back until it has read the rest, which the
-// client may never send.
+// CloseIfBodyUnread makes an error response close the connection if the request has a body, which has
+// not been read completely. Otherwise net/http would delay the response until it has read the
+// remaining body, which the client may never send.
 func CloseIfBodyUnread(w http.ResponseWriter, r *http.Request) {
 	if r.ContentLength != 0 {
 		w.Header().Set("Connection", "close")
--- a/internal/clientconn/conn.go
+++ b/internal/clientconn/conn.go
@@ -12,14 +12,15 @@
 	"wellgw/internal/faultinject"
 )
 
-// Responses to requests that have arrived in part and are not waited for any longer.
+// Responses to requests of which only a part has arrived when their connection is closed.
 const (
 	requestTimeout     = "HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 	serviceUnavailable = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 )
 
-// respondToPartial responds to a request whose head has arrived in part, before its connection is
-// closed, and reports whether there was one: net/http would close many without a response.
+// respondToPartial writes text as the response to a request whose head has arrived only in part, and
+// reports whether there is such a request. The caller then closes the connection; net/http would close
+// many of these connections without a response.
 func (c *Conn) respondToPartial(text string, reason CloseReason) bool {
 	c.mu.Lock()
 	partial := !c.readClosed && !c.closing && !c.malformed && c.frame.complete == c.answered && c.frame.partialHead()
@@ -35,31 +36,31 @@
 	return true
 }
 
-// responseWriteTimeout is the timeout for writing a response of a few bytes to the socket's buffer.
+// responseWriteTimeout is the timeout for writing one of the short responses to the socket's buffer.
 const responseWriteTimeout = 10 * time.Millisecond
 
-// Conn is a client's connection.
+// Conn is a client connection.
 type Conn struct {
 	net.Conn
 	listener *Listener
-	raw      syscall.RawConn // nil for a connection that is not the system's
+	raw      syscall.RawConn // nil if the connection doesn't implement syscall.Conn
 
 	mu               sync.Mutex
 	frame            framing
-	answered         int // requests of frame that have been answered
+	answered         int // requests that have had their response
 	opened           time.Time
-	idleSince        time.Time // the connection was accepted, or its last response was written
+	idleSince        time.Time // when the connection was accepted, or its last response was written
 	malformed        bool
-	replacement      []byte // what net/http reads in place of malformed bytes
-	received         bool   // a byte has been read
-	unreadAtShutdown bool   // bytes have arrived that are not read because of the shutdown
-	peerClosed       bool   // the client has closed its side, or the connection is broken
-	readClosed       bool   // nothing more is read: the client has to send it elsewhere
-	writeClosed      bool   // net/http has closed the sending side and waits
+	replacement      []byte // bytes that net/http reads in place of malformed ones
+	received         bool   // at least one byte has been read
+	unreadAtShutdown bool   // bytes have arrived during the shutdown and are not read
+	peerClosed       bool   // the client has closed its sending side, or the connection is broken
+	readClosed       bool   // no further byte is read: the client must resend it on another connection
+	writeClosed      bool   // net/http has closed the sending side and waits before it calls Close
 	closing          bool   // Close has been called
-	polling          bool   // pollPeer is scheduled; see pollIfAhead
-	requestExpired   bool   // its request was not complete in time and is rejected
-	cancelRequests   func() // cancels the context of its requests; nil for none
+	polling          bool   // pollPeer is scheduled; see pollIfPipelined
+	requestExpired   bool   // its request was incomplete at the deadline and is rejected
+	cancelRequests   func() // cancels the context of its requests; nil if there is none
 	reason           CloseReason
 	recorded         bool // the close has been recorded
 
@@ -80,40 +81,41 @@
 	return c
 }
 
-// requestAnswered records that a request has had its response, and reports whether that was the
-// connection's last: it is not reusable, and nothing has been read beyond the request.
-func (c *Conn) requestAnswered(reusable bool) (over bool) {
+// requestAnswered records that a request has had its response, and reports whether that was the last
+// response on the connection: the connection is not reusable, and no byte of another request has been
+// read.
+func (c *Conn) requestAnswered(reusable bool) (last bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.answered++
 	c.idleSince = time.Now()
-	if over = !reusable && c.frame.betweenRequests() && c.frame.complete <= c.answered; over {
+	if last = !reusable && c.frame.betweenRequests() && c.frame.complete <= c.answered; last {
 		c.readClosed = true
 		c.setReason(ClosedAfterLastAnswer)
 	}
-	return over
+	return last
 }
 
-// idleness returns how long the connection has been without a request in flight, and whether it has
-// none.
+// idleness returns the connection's idle time and eviction rank. It returns false if a complete request
+// is in flight, in which case the connection must not be evicted.
 func (c *Conn) idleness(now time.Time) (idleness, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.frame.complete > c.answered && !c.closing {
 		return idleness{}, false
 	}
-	w := idleness{evictionRank: 2, age: now.Sub(c.idleSince), betweenRequests: c.frame.betweenRequests() && !c.malformed}
+	idle := idleness{evictionRank: 2, age: now.Sub(c.idleSince), betweenRequests: c.frame.betweenRequests() && !c.malformed}
 	switch {
-	case c.readClosed || c.answered == 0 && w.age > newConnectionGrace:
-		w.evictionRank = 0
-	case w.age > idleGrace:
-		w.evictionRank = 1
+	case c.readClosed || c.answered == 0 && idle.age > newConnectionGrace:
+		idle.evictionRank = 0
+	case idle.age > idleGrace:
+		idle.evictionRank = 1
 	}
-	return w, true
+	return idle, true
 }
 
-// Read implements net.Conn. A request with ambiguous framing is replaced by one that net/http can't
-// parse, and nothing is read after it: net/http responds 400 and closes.
+// Read implements net.Conn. It replaces a request with ambiguous framing by bytes that net/http can't
+// parse, and reads nothing after them: net/http responds with status 400 and closes the connection.
 func (c *Conn) Read(p []byte) (int, error) {
 	for {
 		if c.malformed {
@@ -138,29 +140,30 @@
 			}
 			return 0, &net.OpError{Op: "read", Net: "tcp", Addr: c.RemoteAddr(), Err: err}
 		}
-		c.readBuffer = nil // net/http owns the buffer and reuses it
+		c.readBuffer = nil // net/http owns the buffer and reuses it after Read
 		if !c.malformed || c.readCount > 0 {
 			return c.readCount, c.readErr
 		}
 	}
 }
 
-// readTimedOut responds to a request whose head was not complete in time. For a body, Read returns the
-// error to its reader.
+// readTimedOut responds to a request whose head was incomplete when the read deadline passed. If it is
+// the body that is incomplete, Read returns the error to the handler that reads it.
 func (c *Conn) readTimedOut() {
 	c.mu.Lock()
-	overdue := c.requestExpired
+	expired := c.requestExpired
 	c.mu.Unlock()
 	text, reason := requestTimeout, ClosedSlowRequest
-	if overdue {
+	if expired {
 		text, reason = serviceUnavailable, ClosedRequestExpired
 	}
 	if c.respondToPartial(text, reason) {
-		_ = c.Close() // net/http would respond to some of these as well
+		_ = c.Close() // otherwise net/http would write a second response to some of these requests
 	}
 }
 
-// readError returns ErrRequestExpired for a read that was ended because its request is rejected.
+// readError returns ErrRequestExpired if the read timed out because its request is rejected, and err
+// otherwise.
 func (c *Conn) readError(err error) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -170,8 +173,9 @@
 	return err
 }
 
-// readAvailable reads what has arrived. Bytes count as part of a request in flight from the moment
-// they are read: a connection is closed for reading before that, or not at all.
+// readAvailable reads the bytes that have arrived, without blocking; it returns false if there are
+// none. Reading and framing share one critical section: a connection is closed for reading either
+// before a request's bytes are read, or not while that request is in flight.
 func (c *Conn) readAvailable(fd uintptr) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -179,13 +183,13 @@
 		c.readCount, c.readErr = 0, &net.OpError{Op: "read", Net: "tcp", Addr: c.RemoteAddr(), Err: net.ErrClosed}
 		return true
 	}
-	if c.requestExpired { // reading on would accept a request that has been rejected
+	if c.requestExpired { // another read would accept a request that has been rejected
 		c.readCount, c.readErr = 0, &net.OpError{Op: "read", Net: "tcp", Addr: c.RemoteAddr(), Err: ErrRequestExpired}
 		return true
 	}
 	if c.lastRequestInFlight() && socketHasUnread(fd) {
 		c.unreadAtShutdown = true
-		c.pollIfAhead()
+		c.pollIfPipelined()
 		return false
 	}
 	n, err := faultinject.Read(int(fd), c.readBuffer)
@@ -204,33 +208,33 @@
 	return true
 }
 
-// lastRequestInFlight reports whether the connection ends with the response to the request in flight.
-// net/http reads the first byte of the next request while one is in flight: that byte would count as
-// the beginning of a request and keep the connection open beyond the shutdown. The lock is held.
+// lastRequestInFlight reports whether the connection will be closed after the response to the request
+// in flight. While a request is in flight, net/http reads the first byte of the next one. That byte
+// would count as the beginning of a request and prolong the shutdown. The caller holds c.mu.
 func (c *Conn) lastRequestInFlight() bool {
 	return !c.listener.service.Load().KeepAlive && c.frame.complete > c.answered && c.frame.betweenRequests()
 }
 
-// trackFrames follows the framing of what has been read. The lock is held.
+// trackFrames updates the framing with the n bytes that have been read. The caller holds c.mu.
 func (c *Conn) trackFrames(n int, err error) {
 	c.received = c.received || n > 0
-	good, ferr := c.frame.advance(c.readBuffer[:n])
-	if c.readCount, c.readErr = n, err; ferr != nil {
+	valid, framingErr := c.frame.advance(c.readBuffer[:n])
+	if c.readCount, c.readErr = n, err; framingErr != nil {
 		c.malformed, c.replacement = true, []byte("\x00\r\n\r\n")
-		c.readCount, c.readErr = good, nil
+		c.readCount, c.readErr = valid, nil
 	}
-	c.pollIfAhead()
-	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) { // ETIMEDOUT is not a deadline of ours
+	c.pollIfPipelined()
+	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) { // ETIMEDOUT is a broken connection, not a read deadline
 		c.peerClosed = true
 	}
 }
 
-// shutIfIdle closes a connection for reading if no request is in flight or arriving, and reports
-// whether it did.
-func (c *Conn) shutIfIdle() bool {
+// closeReadIfIdle closes a connection for reading if no request is in flight or arriving, and reports
+// whether the connection is closed for reading.
+func (c *Conn) closeReadIfIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.readClosed || c.closing { // a lingering connection may be evicted
+	if c.readClosed || c.closing { // such a connection may be evicted while it lingers
 		return true
 	}
 	if c.frame.complete > c.answered || !c.frame.betweenRequests() || c.malformed || hasUnreadBytes(c.Conn) {
@@ -240,8 +244,8 @@
 	return true
 }
 
-// CloseWrite closes the sending side alone, so that a client that is still sending can read its
-// error. net/http checks for this method.
+// CloseWrite closes only the sending side, so that a client that is still sending can read its error
+// response. net/http uses this method if a connection has it.
 func (c *Conn) CloseWrite() error {
 	c.mu.Lock()
 	c.readClosed, c.writeClosed = true, true
@@ -252,42 +256,42 @@
 	return nil
 }
 
-// Close closes the connection. If its client may still be sending, only the sending side is closed at
-// first: closing with unread bytes resets the connection, and its client may lose a response that it
-// has not read yet.
+// Close closes the connection. If its client may still be sending, Close closes only the sending side,
+// and the connection lingerTime later: closing a connection with unread bytes resets it, and the client
+// may lose a response that it has not read yet.
 func (c *Conn) Close() error {
 	c.mu.Lock()
 	linger := !c.writeClosed && !c.peerClosed && c.received
-	again := c.closing
+	alreadyClosing := c.closing
 	c.readClosed, c.closing = true, true
 	c.mu.Unlock()
-	if again {
+	if alreadyClosing {
 		return nil
 	}
-	half, can := c.Conn.(interface{ CloseWrite() error })
-	if !linger || !can || half.CloseWrite() != nil {
+	half, supported := c.Conn.(interface{ CloseWrite() error })
+	if !linger || !supported || half.CloseWrite() != nil {
 		return c.closeNow()
 	}
-	_ = c.SetReadDeadline(time.Now()) // wakes the reader
+	_ = c.SetReadDeadline(time.Now()) // unblocks a pending Read
 	time.AfterFunc(lingerTime, func() { _ = c.closeNow() })
 	return nil
 }
 
-// closeNow closes the connection and frees its slot.
+// closeNow closes the connection without lingering, and frees its slot.
 func (c *Conn) closeNow() error {
 	c.listener.remove(c)
 	c.mu.Lock()
-	stop := c.cancelRequests
+	cancel := c.cancelRequests
 	c.mu.Unlock()
-	if stop != nil {
-		stop()
+	if cancel != nil {
+		cancel()
 	}
 	c.recordClose()
 	return c.Conn.Close()
 }
 
-// hasUnreadBytes reports whether bytes have arrived that have not been read. It uses Control, as the
-// server's own blocking read holds the lock that Read would need.
+// hasUnreadBytes reports whether bytes have arrived that have not been read. It uses RawConn.Control
+// because the server's blocking read holds the lock that RawConn.Read needs.
 func hasUnreadBytes(nc net.Conn) bool {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
@@ -297,14 +301,14 @@
 	if err != nil {
 		return false
 	}
-	some := false
-	err = raw.Control(func(fd uintptr) { some = socketHasUnread(fd) })
-	return err == nil && some
+	unread := false
+	err = raw.Control(func(fd uintptr) { unread = socketHasUnread(fd) })
+	return err == nil && unread
 }
 
-// socketHasUnread reports whether a socket holds unread bytes. If the system can't say, for example for
-// lack of memory, they are assumed to exist: closing with unread bytes would reset the connection
-// under a request.
+// socketHasUnread reports whether a socket has unread bytes. If the system call fails for lack of
+// memory, it assumes that there are some: closing with unread bytes would reset the connection while a
+// request is arriving.
 func socketHasUnread(fd uintptr) bool {
 	var b [1]byte
 	for {
--- a/internal/clientconn/disconnect.go
+++ b/internal/clientconn/disconnect.go
@@ -8,36 +8,37 @@
 	"unsafe"
 )
 
-// pollInterval is how often the connection of a client that has sent ahead is checked while its request
-// is in flight: no attempt may begin 100 ms after the client has disconnected.
+// pollInterval is the interval at which a connection with pipelined bytes is checked for a disconnect
+// while its request is in flight. It is below 100 ms because no attempt may begin 100 ms after the
+// client has disconnected.
 const pollInterval = 40 * time.Millisecond
 
 type connKey struct{}
 
-// ConnContext is an http.Server.ConnContext: the context of a connection's requests ends once its
-// client is known to have disconnected. net/http itself reads no further than the first byte of the
-// next request, so that it never sees the disconnect of a client that has sent more.
+// ConnContext is an http.Server.ConnContext. It returns a context for the connection's requests that is
+// cancelled when a disconnect of the client is detected. net/http reads only the first byte of the next
+// request, so it doesn't detect the disconnect of a client that has sent more than that.
 func (l *Listener) ConnContext(ctx context.Context, nc net.Conn) context.Context {
 	c, ok := nc.(*Conn)
 	if !ok {
 		return ctx
 	}
-	ctx, stop := context.WithCancel(ctx)
+	ctx, cancel := context.WithCancel(ctx)
 	c.mu.Lock()
-	c.cancelRequests = stop
+	c.cancelRequests = cancel
 	c.mu.Unlock()
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// clientGone reports whether the client of a request has disconnected: a request may have waited to be
-// read for longer than its client waited for a response.
-func clientGone(ctx context.Context) bool {
+// clientDisconnected reports whether the client of a request has disconnected. A request may wait to be read
+// for longer than its client waits for the response.
+func clientDisconnected(ctx context.Context) bool {
 	c, ok := ctx.Value(connKey{}).(*Conn)
 	return ok && c.peerHungUp()
 }
 
-// NothingReadAhead reports whether nothing has been read beyond the complete request in flight. Only then
-// may its response announce the connection's end: net/http would discard what it has read.
+// NothingReadAhead reports whether no byte has been read beyond the complete request in flight. Only
+// then may the response contain "Connection: close": net/http would discard the bytes read ahead.
 func NothingReadAhead(ctx context.Context) bool {
 	c, ok := ctx.Value(connKey{}).(*Conn)
 	if !ok {
@@ -48,29 +49,31 @@
 	return c.frame.complete <= c.answered+1 && c.frame.betweenRequests()
 }
 
-// pollIfAhead has the connection polled if the client has sent more than the request in flight. The
-// lock is held.
-func (c *Conn) pollIfAhead() {
-	inHand := c.frame.complete > c.answered
-	ahead := c.frame.complete > c.answered+1 || inHand && (c.unreadAtShutdown || !c.frame.betweenRequests())
-	if ahead && !c.polling && !c.closing {
+// pollIfPipelined schedules pollPeer if the client has sent bytes beyond the request in flight. The caller
+// holds c.mu.
+func (c *Conn) pollIfPipelined() {
+	inFlight := c.frame.complete > c.answered
+	pipelined := c.frame.complete > c.answered+1 || inFlight && (c.unreadAtShutdown || !c.frame.betweenRequests())
+	if pipelined && !c.polling && !c.closing {
 		c.polling = true
 		time.AfterFunc(pollInterval, c.pollPeer)
 	}
 }
 
+// pollPeer cancels the connection's requests if the client has disconnected, and otherwise schedules the
+// next poll.
 func (c *Conn) pollPeer() {
-	gone := c.peerHungUp()
+	hungUp := c.peerHungUp()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.polling = false; gone {
+	if c.polling = false; hungUp {
 		c.peerClosed = true
 		if c.cancelRequests != nil {
 			c.cancelRequests()
 		}
 		return
 	}
-	c.pollIfAhead()
+	c.pollIfPipelined()
 }
 
 // pollFd is struct pollfd of ppoll(2).
@@ -86,21 +89,21 @@
 	pollRdHup = 0x2000
 )
 
-// peerHungUp reports whether the client has closed its side or the connection is broken, regardless of
-// unread bytes before that.
+// peerHungUp reports whether the client has closed its sending side or the connection is broken, even
+// if unread bytes precede that.
 func (c *Conn) peerHungUp() bool {
 	if c.raw == nil {
 		return false
 	}
-	is := false
+	hungUp := false
 	err := c.raw.Control(func(fd uintptr) {
-		at := pollFd{fd: int32(fd), events: pollRdHup}
-		var now syscall.Timespec
-		n, _, no := syscall.Syscall6(syscall.SYS_PPOLL, uintptr(unsafe.Pointer(&at)), 1, uintptr(unsafe.Pointer(&now)), 0, 0, 0)
-		for no == syscall.EINTR {
-			n, _, no = syscall.Syscall6(syscall.SYS_PPOLL, uintptr(unsafe.Pointer(&at)), 1, uintptr(unsafe.Pointer(&now)), 0, 0, 0)
+		poll := pollFd{fd: int32(fd), events: pollRdHup}
+		var noWait syscall.Timespec
+		n, _, errno := syscall.Syscall6(syscall.SYS_PPOLL, uintptr(unsafe.Pointer(&poll)), 1, uintptr(unsafe.Pointer(&noWait)), 0, 0, 0)
+		for errno == syscall.EINTR {
+			n, _, errno = syscall.Syscall6(syscall.SYS_PPOLL, uintptr(unsafe.Pointer(&poll)), 1, uintptr(unsafe.Pointer(&noWait)), 0, 0, 0)
 		}
-		is = no == 0 && n > 0 && at.revents&(pollRdHup|pollHup|pollErr) != 0
+		hungUp = errno == 0 && n > 0 && poll.revents&(pollRdHup|pollHup|pollErr) != 0
 	})
-	return err != nil || is
+	return err != nil || hungUp
 }
--- a/internal/clientconn/framing.go
+++ b/internal/clientconn/framing.go
@@ -7,25 +7,25 @@
 	"strings"
 )
 
-var errFraming = errors.New("a request that is not framed in one clear way")
+var errFraming = errors.New("ambiguous request framing")
 
-// framing tracks where requests begin and end in a client's bytes.
+// framing tracks where requests begin and end in the bytes that a client sends.
 //
-// It guards against request smuggling. Given both Content-Length and Transfer-Encoding, net/http
-// ignores the former and serves what follows the body, so that one request can hide another in its
-// body. Such a request, and any other whose end is ambiguous, is an error here. It is stricter than
-// net/http on purpose: whatever it accepts, both parse alike.
+// It prevents request smuggling. Given both Content-Length and Transfer-Encoding, net/http ignores the
+// former and serves the bytes after the body as a request, so that one request can hide another in its
+// body. Such a request, and any other whose end is ambiguous, is an error here. The rules are
+// deliberately stricter than those of net/http: both parse every accepted request alike.
 type framing struct {
 	part      part
-	line      []byte // beginning of the current line, enough to classify it
-	remaining int64  // bytes of the current body or chunk
+	line      []byte // the current line, up to maxLine bytes
+	remaining int64  // bytes to come of the current body or chunk; in a head, its Content-Length
 	chunked   bool
 	hasLength bool
-	lines     int
+	lines     int // ended lines of the current head
 	complete  int // requests whose last byte has arrived
 }
 
-// part is what the next byte belongs to.
+// part is the part of a request that the next byte belongs to.
 type part uint8
 
 const (
@@ -38,20 +38,20 @@
 )
 
 const (
-	maxLine      = 256 // bytes of a line that are kept; longer lines are not of interest
-	maxSizeDigit = 15  // digits of a Content-Length
-	maxChunkHex  = 8   // digits of a chunk size
+	maxLine            = 256 // bytes that are stored of a line; longer lines don't affect the framing
+	maxLengthDigits    = 15  // decimal digits of a Content-Length
+	maxChunkSizeDigits = 8   // hexadecimal digits of a chunk size
 )
 
 // betweenRequests reports whether no request has begun since the last one ended.
 func (f *framing) betweenRequests() bool { return f.part == inHead && f.lines == 0 && len(f.line) == 0 }
 
-// partialHead reports whether a head has begun and not ended.
+// partialHead reports whether a request head has begun and has not ended.
 func (f *framing) partialHead() bool { return f.part == inHead && !f.betweenRequests() }
 
-// advance processes bytes that have arrived. On an error, good is how much of p precedes the malformed
-// head or part of a body.
-func (f *framing) advance(p []byte) (good int, err error) {
+// advance processes bytes that have arrived. On an error, valid is the number of bytes of p that precede
+// the malformed head or the malformed part of a body.
+func (f *framing) advance(p []byte) (valid int, err error) {
 	for i := 0; i < len(p); {
 		if f.part == inBody || f.part == inChunk {
 			n := int(min(f.remaining, int64(len(p)-i)))
@@ -64,51 +64,51 @@
 			} else {
 				f.endRequest()
 			}
-			good = i
+			valid = i
 			continue
 		}
 		end := bytes.IndexByte(p[i:], '\n')
-		ended := end >= 0
-		if !ended {
+		lineEnded := end >= 0
+		if !lineEnded {
 			end = len(p) - i - 1
 		}
 		text := p[i : i+end+1]
 		f.line = append(f.line, text[:min(len(text), max(0, maxLine-len(f.line)))]...)
 		i += len(text)
-		if !ended {
+		if !lineEnded {
 			return i, nil
 		}
 		if err := f.endLine(); err != nil {
-			return good, err
+			return valid, err
 		}
 		f.line = f.line[:0]
 		if f.part != inHead || f.betweenRequests() {
-			good = i
+			valid = i
 		}
 	}
 	return len(p), nil
 }
 
-// endLine processes a line that has ended, and moves to the next part if the line ends one.
+// endLine processes a complete line, and begins the next part if the line ends the current one.
 func (f *framing) endLine() error {
-	line, exact := bytes.CutSuffix(f.line, []byte("\r\n"))
+	line, crlf := bytes.CutSuffix(f.line, []byte("\r\n"))
 	line = bytes.TrimRight(line, "\r\n")
 	switch f.part {
 	case inHead:
 		f.lines++
 		if len(line) == 0 {
-			return f.headEnds()
+			return f.endHead()
 		}
 		return f.header(string(line))
 	case inChunkEnd:
 		f.part = inChunkSize
-		if !exact || len(line) > 0 {
+		if !crlf || len(line) > 0 {
 			return errFraming
 		}
 	case inChunkSize:
 		size, _, _ := strings.Cut(string(line), ";")
 		n, err := strconv.ParseUint(strings.TrimRight(size, " \t"), 16, 63)
-		if err != nil || len(size) > maxChunkHex || !exact {
+		if err != nil || len(size) > maxChunkSizeDigits || !crlf {
 			return errFraming
 		}
 		if f.remaining, f.part = int64(n), inChunk; n == 0 {
@@ -122,7 +122,8 @@
 	return nil
 }
 
-// header records what a header line says about the body's length.
+// header processes a line of a head. It records Content-Length and Transfer-Encoding, which determine
+// the length of the body.
 func (f *framing) header(line string) error {
 	if f.lines == 1 {
 		return nil
@@ -134,12 +135,12 @@
 	value = strings.Trim(value, " \t")
 	switch strings.ToLower(strings.TrimSpace(name)) {
 	case "content-length":
-		odd := func(r rune) bool { return r < '0' || r > '9' }
-		if f.hasLength || value == "" || len(value) > maxSizeDigit || strings.ContainsFunc(value, odd) {
+		notDigit := func(r rune) bool { return r < '0' || r > '9' }
+		if f.hasLength || value == "" || len(value) > maxLengthDigits || strings.ContainsFunc(value, notDigit) {
 			return errFraming
 		}
 		f.hasLength = true
-		f.remaining, _ = strconv.ParseInt(value, 10, 64) // only digits, at most maxSizeDigit
+		f.remaining, _ = strconv.ParseInt(value, 10, 64) // only digits, at most maxLengthDigits
 	case "transfer-encoding":
 		if f.chunked || !strings.EqualFold(value, "chunked") {
 			return errFraming
@@ -149,7 +150,8 @@
 	return nil
 }
 
-func (f *framing) headEnds() error {
+// endHead processes the end of a head: a body follows, or the request is complete.
+func (f *framing) endHead() error {
 	switch {
 	case f.lines == 1 || f.chunked && f.hasLength:
 		return errFraming
@@ -163,7 +165,7 @@
 	return nil
 }
 
-// endRequest prepares for the next request.
+// endRequest counts a complete request, and resets the state for the next one.
 func (f *framing) endRequest() {
 	*f = framing{complete: f.complete + 1, line: f.line[:0]}
 }
--- a/internal/clientconn/listener.go
+++ b/internal/clientconn/listener.go
@@ -13,40 +13,46 @@
 
 // Limits for eviction and rejection when all connections are in use.
 const (
-	newConnectionGrace = 300 * time.Millisecond // from accept to the first request before a connection may be evicted first
-	idleGrace          = 2 * time.Second        // from a response to the next request, likewise
-	maxEvictAttempts   = 8                      // connections checked to free one slot
-	lingerTime         = 250 * time.Millisecond // from closing the sending side to the close: by then the client has its response
-	maxRejecting       = 16                     // connections that are being rejected at once, beyond the limit
-	rejectReadTimeout  = 50 * time.Millisecond  // for the request on a connection that is rejected
+	// A connection that has had no request for this time since its accept has eviction rank 0.
+	newConnectionGrace = 300 * time.Millisecond
+	// A connection that has been idle for this time since its last response has eviction rank 1.
+	idleGrace = 2 * time.Second
+	// Connections that are checked to free one slot.
+	maxEvictAttempts = 8
+	// From closing the sending side to closing the socket: the client receives its response meanwhile.
+	lingerTime = 250 * time.Millisecond
+	// Connections that may be in rejection concurrently, in addition to the limit.
+	maxRejecting = 16
+	// For the first byte of the request on a rejected connection.
+	rejectReadTimeout = 50 * time.Millisecond
 )
 
-// Listener accepts a limited number of client connections. When all are in use it evicts one rather
-// than let new ones wait: idle clients would otherwise starve active ones. A connection with a
-// complete request in flight is never evicted.
+// Listener accepts a limited number of client connections. At the limit it evicts a connection for each
+// new one, because idle clients would otherwise block active ones. A connection with a complete request
+// in flight is never evicted.
 type Listener struct {
 	net.Listener
 	limit        int
 	service      atomic.Pointer[lifecycle.Service]
 	mu           sync.Mutex
 	open         map[*Conn]bool
-	emptyWaiters []chan struct{} // closed once no connection is open
-	sweepTimer   *time.Timer     // of the next sweep; nil before the first
-	sweepDue     time.Time
-	rejecting    chan struct{} // semaphore of connections that are being rejected
+	emptyWaiters []chan struct{} // each is closed when no connection is open
+	sweepTimer   *time.Timer     // runs the next sweep; nil if none was ever scheduled
+	sweepAt      time.Time
+	rejecting    chan struct{} // semaphore for connections that are being rejected
 	records      closeRecords
 }
 
 // NewListener returns a listener over l with at most limit open connections.
 func NewListener(l net.Listener, limit int) *Listener {
-	out := &Listener{Listener: l, limit: limit, open: map[*Conn]bool{}, rejecting: make(chan struct{}, maxRejecting)}
+	listener := &Listener{Listener: l, limit: limit, open: map[*Conn]bool{}, rejecting: make(chan struct{}, maxRejecting)}
 	full := lifecycle.FullService()
-	out.service.Store(&full)
-	return out
+	listener.service.Store(&full)
+	return listener
 }
 
-// Accept returns the next connection for which there is a slot. A connection that arrives while all
-// others have a request in flight is rejected.
+// Accept returns the next connection for which there is a slot. It rejects a connection that arrives
+// at the limit while none can be evicted.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		nc, err := l.Listener.Accept()
@@ -55,12 +61,12 @@
 		}
 		c := newConn(nc, l)
 		l.mu.Lock()
-		room := len(l.open) < l.limit || l.evict()
-		if room {
+		accepted := len(l.open) < l.limit || l.evict()
+		if accepted {
 			l.open[c] = true
 		}
 		l.mu.Unlock()
-		if room {
+		if accepted {
 			if !l.service.Load().KeepAlive {
 				l.scheduleSweep(c.opened.Add(lifecycle.FirstByteTimeout))
 			}
@@ -70,16 +76,17 @@
 	}
 }
 
-// EvictOne evicts a connection, if one may be evicted.
+// EvictOne evicts one connection, if one may be evicted.
 func (l *Listener) EvictOne() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.evict()
 }
 
-// reject closes a connection for which there is no slot. If its request arrives in time, it is answered
-// first. If too many are being answered, it is closed unread, and its client has to retry. The
-// goroutine ends within rejectReadTimeout, responseWriteTimeout and lingerTime.
+// reject closes a connection for which there is no slot. If the first byte of a request arrives within
+// rejectReadTimeout, it first responds with status 503. If maxRejecting connections are already being
+// rejected, it closes the connection without reading, and the client must retry. The goroutine ends
+// within the sum of rejectReadTimeout, responseWriteTimeout and lingerTime.
 func (l *Listener) reject(nc net.Conn) {
 	l.records.add(ClosedNoSlot)
 	select {
@@ -105,59 +112,61 @@
 	}()
 }
 
-// ConnState is an http.Server.ConnState: it shows when a request has had its response.
+// ConnState is an http.Server.ConnState. It records that a request has had its response.
 func (l *Listener) ConnState(nc net.Conn, s http.ConnState) {
 	c, ok := nc.(*Conn)
 	if !ok || s != http.StateIdle {
 		return
 	}
 	reusable := l.service.Load().KeepAlive
-	switch over := c.requestAnswered(reusable); {
-	case over: // what has arrived meanwhile is not read: its client sends it elsewhere
+	switch last := c.requestAnswered(reusable); {
+	case last: // bytes that have arrived meanwhile stay unread: the client resends them elsewhere
 		_ = c.Close()
-	case !reusable: // part of the next request was read with this one
+	case !reusable: // a part of the next request was read together with this one
 		l.scheduleSweep(time.Now())
 	}
 }
 
-// evict closes the connection with the lowest eviction rank that has been idle longest. The lock is
-// held. Only the chosen one's socket is checked: checking all takes a system call each, which under a
-// flood of connections cost over a third of the gateway's CPU time.
+// evict closes the connection that has been idle longest among those with the lowest eviction rank, and
+// reports whether there was one. The caller holds l.mu. Only the selected connection's socket is
+// checked for unread bytes: checking all takes one system call per connection, which cost over a third
+// of the gateway's CPU time under a flood of connections.
 func (l *Listener) evict() bool {
 	now := time.Now()
-	spared := map[*Conn]bool{}
+	skipped := map[*Conn]bool{}
 	for range maxEvictAttempts {
-		var last *Conn
-		var worst idleness
+		var victim *Conn
+		var victimIdle idleness
 		for c := range l.open {
-			if w, may := c.idleness(now); may && !spared[c] && (last == nil || w.before(worst)) {
-				last, worst = c, w
+			if idle, evictable := c.idleness(now); evictable && !skipped[c] && (victim == nil || idle.before(victimIdle)) {
+				victim, victimIdle = c, idle
 			}
 		}
-		if last == nil {
+		if victim == nil {
 			return false
 		}
-		if worst.betweenRequests && !last.shutIfIdle() { // its request has arrived and will be read
-			spared[last] = true
+		if victimIdle.betweenRequests && !victim.closeReadIfIdle() { // its next request has arrived and will be read
+			skipped[victim] = true
 			continue
 		}
-		l.forget(last)
-		last.respondToPartial(serviceUnavailable, ClosedEvicted)
-		last.recordClose()
-		last.Conn.Close()
+		l.forget(victim)
+		victim.respondToPartial(serviceUnavailable, ClosedEvicted)
+		victim.recordClose()
+		victim.Conn.Close()
 		return true
 	}
 	return false
 }
 
-// idleness is how long a connection has been without a complete request, and how soon it may be
-// evicted.
+// idleness describes a connection without a complete request in flight. It determines the order of
+// eviction.
 type idleness struct {
-	evictionRank    int
-	age             time.Duration
-	betweenRequests bool // no byte of the next request has been read
+	evictionRank    int           // the lowest rank is evicted first
+	age             time.Duration // since the connection was accepted or its last response was written
+	betweenRequests bool          // no byte of the next request has been read
 }
 
-func (w idleness) before(o idleness) bool {
-	return w.evictionRank < o.evictionRank || w.evictionRank == o.evictionRank && w.age > o.age
+// before reports whether a connection with idleness i is evicted before one with idleness o.
+func (i idleness) before(o idleness) bool {
+	return i.evictionRank < o.evictionRank || i.evictionRank == o.evictionRank && i.age > o.age
 }
--- a/internal/clientconn/listener_test.go
+++ b/internal/clientconn/listener_test.go
@@ -14,50 +14,50 @@
 	"wellgw/internal/enginetest"
 )
 
-// However the bytes are cut up, requests end where they end, or are in error.
+// TestFraming passes each text in pieces of every size, and expects the same result for each size.
 func TestFraming(t *testing.T) {
 	const post = "POST / HTTP/1.1\r\nHost: x\r\n"
 	for _, c := range []struct {
 		name, text string
 		complete   int
-		bad        bool
+		malformed  bool
 	}{
 		{"no body", "GET / HTTP/1.1\r\nHost: x\r\n\r\nGET / HTTP/1.1\n\n", 2, false},
-		{"a length", post + "Content-Length: 3\r\n\r\nabc" + post + "content-length: 2\r\n\r\n\r\n", 2, false},
-		{"half a body", post + "Content-Length: 3\r\n\r\nab", 0, false},
-		{"chunks", post + "Transfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\nA\r\n0123456789\r\n0\r\nX: y\r\n\r\n" + post + "\r\n", 2, false},
-		{"both", post + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 0, true},
-		{"both, the other way round", post + "transfer-encoding : Chunked\r\ncontent-length:0\r\n\r\n0\r\n\r\n", 0, true},
-		{"both, folded", post + "Content-Length: 3\r\nTransfer-Encoding:\r\n chunked\r\n\r\n", 0, true},
-		{"two lengths", post + "Content-Length: 3\r\nContent-Length: 3\r\n\r\nabc", 0, true},
-		{"no number", post + "Content-Length: 0x3\r\n\r\nabc", 0, true},
-		{"negative", post + "Content-Length: -1\r\n\r\n", 0, true},
-		{"huge", post + "Content-Length: 9999999999999999999\r\n\r\n", 0, true},
-		{"another coding", post + "Transfer-Encoding: gzip, chunked\r\n\r\n", 0, true},
-		{"odd chunk size", post + "Transfer-Encoding: chunked\r\n\r\n-1\r\n", 0, true},
-		{"chunk that does not end", post + "Transfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n", 0, true},
-		{"empty", "\r\n", 0, true},
+		{"Content-Length", post + "Content-Length: 3\r\n\r\nabc" + post + "content-length: 2\r\n\r\n\r\n", 2, false},
+		{"incomplete body", post + "Content-Length: 3\r\n\r\nab", 0, false},
+		{"chunked", post + "Transfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\nA\r\n0123456789\r\n0\r\nX: y\r\n\r\n" + post + "\r\n", 2, false},
+		{"Content-Length, then Transfer-Encoding", post + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 0, true},
+		{"Transfer-Encoding, then Content-Length", post + "transfer-encoding : Chunked\r\ncontent-length:0\r\n\r\n0\r\n\r\n", 0, true},
+		{"both, on a folded line", post + "Content-Length: 3\r\nTransfer-Encoding:\r\n chunked\r\n\r\n", 0, true},
+		{"two Content-Length headers", post + "Content-Length: 3\r\nContent-Length: 3\r\n\r\nabc", 0, true},
+		{"hexadecimal Content-Length", post + "Content-Length: 0x3\r\n\r\nabc", 0, true},
+		{"negative Content-Length", post + "Content-Length: -1\r\n\r\n", 0, true},
+		{"Content-Length out of range", post + "Content-Length: 9999999999999999999\r\n\r\n", 0, true},
+		{"two transfer codings", post + "Transfer-Encoding: gzip, chunked\r\n\r\n", 0, true},
+		{"negative chunk size", post + "Transfer-Encoding: chunked\r\n\r\n-1\r\n", 0, true},
+		{"chunk longer than its size", post + "Transfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n", 0, true},
+		{"empty request line", "\r\n", 0, true},
 	} {
 		for step := 1; step <= len(c.text); step++ {
 			var f framing
 			var err error
 			for at := 0; at < len(c.text) && err == nil; at += step {
-				var good int
+				var valid int
 				p := []byte(c.text[at:min(at+step, len(c.text))])
-				if good, err = f.advance(p); good > len(p) || err == nil && good < len(p) {
-					t.Errorf("%s, by %d: %d of %d good", c.name, step, good, len(p))
+				if valid, err = f.advance(p); valid > len(p) || err == nil && valid < len(p) {
+					t.Errorf("%s, pieces of %d bytes: %d of %d bytes valid", c.name, step, valid, len(p))
 				}
 			}
-			if (err != nil) != c.bad || f.complete != c.complete {
-				t.Errorf("%s, by %d: %d complete, %v", c.name, step, f.complete, err)
+			if (err != nil) != c.malformed || f.complete != c.complete {
+				t.Errorf("%s, pieces of %d bytes: %d complete, error %v", c.name, step, f.complete, err)
 			}
 		}
 	}
 }
 
-// serve starts a server with room for limit connections. A request for /wait is
-// answered once the test says so.
-func serve(t *testing.T, limit int) (l *Listener, waiting, answer chan bool) {
+// startServer starts a server with at most limit connections. For a request for /wait, the handler sends on
+// waiting and responds after a receive from answer; it responds immediately if answer is closed.
+func startServer(t *testing.T, limit int) (l *Listener, waiting, answer chan bool) {
 	waiting, answer = make(chan bool), make(chan bool)
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/wait" {
@@ -73,6 +73,7 @@
 	return l, waiting, answer
 }
 
+// dial opens a connection to addr and sends text on it.
 func dial(t *testing.T, addr, text string) net.Conn {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -84,10 +85,11 @@
 	return c
 }
 
-// got reads one answer's body, or that there is none.
-func got(c net.Conn) string { return next(bufio.NewReader(c)) }
+// readBody returns the body of the next response on c, or "none" if there is no response.
+func readBody(c net.Conn) string { return readNextBody(bufio.NewReader(c)) }
 
-func next(in *bufio.Reader) string {
+// readNextBody returns the body of the next response, or "none" if there is no response.
+func readNextBody(in *bufio.Reader) string {
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil {
 		return "none"
@@ -96,52 +98,52 @@
 	return string(b)
 }
 
-// Connections that ask nothing give way to one that does; those that have a
-// request in hand never do, and past them a newcomer is turned away with an answer, not held.
-func TestIdleConnectionsAreReclaimed(t *testing.T) {
-	l, waiting, answer := serve(t, 2)
+// At the limit, idle connections and one with an incomplete head are evicted for new ones. Connections
+// with a request in flight are not; a further connection is rejected with status 503 without a wait.
+func TestIdleConnectionsAreEvicted(t *testing.T) {
+	l, waiting, answer := startServer(t, 2)
 	addr := l.Addr().String()
 	first := dial(t, addr, "GET /wait HTTP/1.1\r\nHost: x\r\n\r\n")
 	<-waiting
-	silent := dial(t, addr, "")
-	half := dial(t, addr, "POST /half HTTP/1.1\r\n")
-	if a := got(silent); a != "none" {
-		t.Errorf("the silent one got %q", a)
+	idle := dial(t, addr, "")
+	partial := dial(t, addr, "POST /half HTTP/1.1\r\n")
+	if a := readBody(idle); a != "none" {
+		t.Errorf("the idle connection got %q", a)
 	}
-	enginetest.Eventually(t, "half a request is read", func() bool {
+	enginetest.Eventually(t, "the partial request is read", func() bool {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		for c := range l.open {
-			if w, waits := c.idleness(time.Now()); waits && !w.betweenRequests {
+			if idle, evictable := c.idleness(time.Now()); evictable && !idle.betweenRequests {
 				return true
 			}
 		}
 		return false
 	})
 	second := dial(t, addr, "GET /wait HTTP/1.1\r\nHost: x\r\n\r\n")
-	if resp, err := http.ReadResponse(bufio.NewReader(half), nil); err != nil || resp.StatusCode != http.StatusServiceUnavailable {
-		t.Errorf("half a request got %v, %v: its client may send the rest, and is owed an answer", resp, err)
+	if resp, err := http.ReadResponse(bufio.NewReader(partial), nil); err != nil || resp.StatusCode != http.StatusServiceUnavailable {
+		t.Errorf("the partial request got %v, %v, want status 503", resp, err)
 	}
 	<-waiting
-	tooMany := dial(t, addr, "GET /c HTTP/1.1\r\nHost: x\r\n\r\n")
-	if resp, err := http.ReadResponse(bufio.NewReader(tooMany), nil); err != nil || resp.StatusCode != http.StatusServiceUnavailable {
-		t.Errorf("one too many got %v, %v: its request is there, and owed an answer", resp, err)
+	excess := dial(t, addr, "GET /c HTTP/1.1\r\nHost: x\r\n\r\n")
+	if resp, err := http.ReadResponse(bufio.NewReader(excess), nil); err != nil || resp.StatusCode != http.StatusServiceUnavailable {
+		t.Errorf("the connection over the limit got %v, %v, want status 503", resp, err)
 	}
-	if a := got(dial(t, addr, "")); a != "none" {
-		t.Errorf("one too many that asks nothing got %q", a)
+	if a := readBody(dial(t, addr, "")); a != "none" {
+		t.Errorf("the connection over the limit without a request got %q", a)
 	}
 	close(answer)
-	if a, b := got(first), got(second); a != "/wait" || b != "/wait" {
-		t.Errorf("those in hand got %q and %q", a, b)
+	if a, b := readBody(first), readBody(second); a != "/wait" || b != "/wait" {
+		t.Errorf("the requests in flight got %q and %q", a, b)
 	}
-	enginetest.Eventually(t, "after an answer a newcomer has its own", func() bool {
-		return got(dial(t, addr, "GET /d HTTP/1.1\r\nHost: x\r\n\r\n")) == "/d"
+	enginetest.Eventually(t, "a new connection is served after the responses", func() bool {
+		return readBody(dial(t, addr, "GET /d HTTP/1.1\r\nHost: x\r\n\r\n")) == "/d"
 	})
 }
 
-// A connection whose request has come, though nobody has read it yet, is passed over,
-// and to make room only the one chosen is looked at.
-func TestUnreadRequestIsHandedOver(t *testing.T) {
+// A connection whose request has arrived is not evicted, even if the request is still unread. The next
+// candidate is evicted in its place.
+func TestUnreadRequestIsNotEvicted(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -156,19 +158,19 @@
 		}
 		return c.(*Conn)
 	}
-	asks := accept("GET / HTTP/1.1\r\n\r\n") // the oldest
-	enginetest.Eventually(t, "its request is there", func() bool { return hasUnreadBytes(asks.Conn) })
-	silent, late := accept(""), accept("")
-	next := accept("")
-	for c, kept := range map[*Conn]bool{asks: true, silent: false, late: true, next: true} {
-		if l.open[c] != kept {
-			t.Errorf("kept %v, want %v", l.open[c], kept)
+	unread := accept("GET / HTTP/1.1\r\n\r\n") // idle longest
+	enginetest.Eventually(t, "its request has arrived", func() bool { return hasUnreadBytes(unread.Conn) })
+	second, third := accept(""), accept("")
+	fourth := accept("")
+	for c, open := range map[*Conn]bool{unread: true, second: false, third: true, fourth: true} {
+		if l.open[c] != open {
+			t.Errorf("open: %v, want %v", l.open[c], open)
 		}
 	}
 }
 
-// moment returns a listener and the server's and the client's end of one connection.
-func moment(t *testing.T) (*Listener, *Conn, net.Conn) {
+// newConnPair returns a listener, and the server's and the client's end of one connection.
+func newConnPair(t *testing.T) (*Listener, *Conn, net.Conn) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -183,49 +185,49 @@
 	return l, c.(*Conn), client
 }
 
-// A request that comes in the moment in which its connection is shut is read and kept, or
-// never read: there is no third.
+// A request that arrives while its connection is being closed is either read and stays in flight, or is
+// never read.
 func TestShutdownNeverInterruptsRequest(t *testing.T) {
-	const ask = "GET / HTTP/1.1\r\nHost: x\r\n\r\n"
-	read := make([]byte, 256)
+	const request = "GET / HTTP/1.1\r\nHost: x\r\n\r\n"
+	buf := make([]byte, 256)
 
-	_, c, client := moment(t)
-	io.WriteString(client, ask)
-	enginetest.Eventually(t, "the request is there", func() bool { return hasUnreadBytes(c.Conn) })
-	if c.shutIfIdle() {
-		t.Error("shut over a request that nobody has read")
+	_, c, client := newConnPair(t)
+	io.WriteString(client, request)
+	enginetest.Eventually(t, "the request has arrived", func() bool { return hasUnreadBytes(c.Conn) })
+	if c.closeReadIfIdle() {
+		t.Error("closed for reading with an unread request")
 	}
-	if n, err := c.Read(read); n != len(ask) || err != nil {
+	if n, err := c.Read(buf); n != len(request) || err != nil {
 		t.Errorf("read %d, %v", n, err)
 	}
-	if c.shutIfIdle() {
-		t.Error("shut with a request in hand")
+	if c.closeReadIfIdle() {
+		t.Error("closed for reading with a request in flight")
 	}
 
-	_, c, client = moment(t)
-	io.WriteString(client, ask[:1])
-	if n, err := c.Read(read); n != 1 || err != nil || c.shutIfIdle() {
-		t.Errorf("read %d, %v; or shut with a byte of a request read", n, err)
+	_, c, client = newConnPair(t)
+	io.WriteString(client, request[:1])
+	if n, err := c.Read(buf); n != 1 || err != nil || c.closeReadIfIdle() {
+		t.Errorf("read %d, %v, or closed for reading after a request's first byte", n, err)
 	}
 
-	l, c, client := moment(t)
+	l, c, client := newConnPair(t)
 	done := make(chan error)
-	go func() { // as net/http waits on a resting connection
-		n, err := c.Read(read)
+	go func() { // as net/http reads on an idle connection
+		n, err := c.Read(buf)
 		if n > 0 {
 			err = nil
 		}
 		done <- err
 	}()
-	if !c.shutIfIdle() {
-		t.Error("a resting connection is not shut")
+	if !c.closeReadIfIdle() {
+		t.Error("an idle connection is not closed for reading")
 	}
-	io.WriteString(client, ask) // crosses the close
+	io.WriteString(client, request) // arrives after the close for reading
 	if err := <-done; err == nil {
-		t.Error("read a request on a connection that it had shut")
+		t.Error("read a request on a connection that was closed for reading")
 	}
 	c.Close()
-	if a := got(client); a != "none" {
+	if a := readBody(client); a != "none" {
 		t.Errorf("got %q", a)
 	}
 	if len(l.open) != 0 {
@@ -233,71 +235,71 @@
 	}
 }
 
-// What is in hand when the server shuts is answered, a request of which one byte has come
-// included; a connection that rests ends, a new one once its request had time to come.
+// A shutdown answers the requests in flight, including one of which a single byte has arrived. It closes
+// idle connections, and a new connection after the time limit for its first request byte.
 func TestShutdownAnswersPartialRequests(t *testing.T) {
-	l, waiting, answer := serve(t, 8)
+	l, waiting, answer := startServer(t, 8)
 	addr := l.Addr().String()
-	inHand := dial(t, addr, "GET /wait HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
+	inFlight := dial(t, addr, "GET /wait HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
 	<-waiting
-	begun := dial(t, addr, "GET /a HTTP/1.1\r\nHost: x\r\n\r\n")
-	in := bufio.NewReader(begun)
-	if a := next(in); a != "/a" {
+	partial := dial(t, addr, "GET /a HTTP/1.1\r\nHost: x\r\n\r\n")
+	in := bufio.NewReader(partial)
+	if a := readNextBody(in); a != "/a" {
 		t.Fatalf("got %q", a)
 	}
-	resting := dial(t, addr, "GET /b HTTP/1.1\r\nHost: x\r\n\r\n")
-	rest := bufio.NewReader(resting)
-	if a := next(rest); a != "/b" {
+	idle := dial(t, addr, "GET /b HTTP/1.1\r\nHost: x\r\n\r\n")
+	idleIn := bufio.NewReader(idle)
+	if a := readNextBody(idleIn); a != "/b" {
 		t.Fatalf("got %q", a)
 	}
-	fresh := dial(t, addr, "")
-	io.WriteString(begun, "G")
-	enginetest.Eventually(t, "all are accepted, and the byte is read", func() bool {
+	unused := dial(t, addr, "")
+	io.WriteString(partial, "G")
+	enginetest.Eventually(t, "all connections are accepted, and the byte is read", func() bool {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		part := false
+		begun := false
 		for c := range l.open {
 			c.mu.Lock()
-			part = part || !c.frame.betweenRequests()
+			begun = begun || !c.frame.betweenRequests()
 			c.mu.Unlock()
 		}
-		return part && len(l.open) == 4
+		return begun && len(l.open) == 4
 	})
 	done := make(chan error)
 	go func() { done <- shutdown(t, l) }()
-	if a := next(rest); a != "none" {
-		t.Errorf("the resting one got %q", a)
+	if a := readNextBody(idleIn); a != "none" {
+		t.Errorf("the idle connection got %q", a)
 	}
-	io.WriteString(begun, "ET /c HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
-	if a := next(in); a != "/c" {
-		t.Errorf("what had begun to come got %q", a)
+	io.WriteString(partial, "ET /c HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
+	if a := readNextBody(in); a != "/c" {
+		t.Errorf("the partial request got %q", a)
 	}
-	if a := got(fresh); a != "none" {
-		t.Errorf("the new one got %q", a)
+	if a := readBody(unused); a != "none" {
+		t.Errorf("the unused connection got %q", a)
 	}
 	close(answer)
-	if a := got(inHand); a != "/wait" {
-		t.Errorf("what was in hand got %q", a)
+	if a := readBody(inFlight); a != "/wait" {
+		t.Errorf("the request in flight got %q", a)
 	}
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
 }
 
-// shutdown takes no more connections, has those that are open end with their answers, and waits
-// until none is left.
+// shutdown closes the listener, sets a service that closes each connection after its last answer, and
+// waits until no connection is open.
 func shutdown(t *testing.T, l *Listener) error {
 	_ = l.Close()
-	late := time.Now().Add(time.Minute) // no bound of the service is reached
-	l.SetService(lifecycle.Service{RequestDeadline: late, AnswerDeadline: late})
+	deadline := time.Now().Add(time.Minute) // is not reached
+	l.SetService(lifecycle.Service{RequestDeadline: deadline, AnswerDeadline: deadline})
 	return l.Wait(t.Context())
 }
 
-// shutting begins a shutdown while the first of a client's requests, which is for /wait, is in
-// hand, and then lets it be answered.
-func shutting(t *testing.T, asked string) (c net.Conn, in *bufio.Reader, done chan error) {
-	l, waiting, answer := serve(t, 8)
-	c = dial(t, l.Addr().String(), asked)
+// beginShutdown sends the given requests, of which the first is for /wait, and begins a shutdown while
+// that one is in flight. Its handler then responds.
+func beginShutdown(t *testing.T, requests string) (c net.Conn, in *bufio.Reader, done chan error) {
+	l, waiting, answer := startServer(t, 8)
+	c = dial(t, l.Addr().String(), requests)
 	<-waiting
 	done = make(chan error, 1)
 	go func() { done <- shutdown(t, l) }()
@@ -306,23 +308,23 @@
 	return c, bufio.NewReader(c), done
 }
 
-// A connection whose answer began before the shutdown ends with it: the next request on it,
-// which has come by then, is never read. It would be taken when there is no time left for it.
+// A connection with a request in flight at the shutdown is closed after the response. A later request
+// on it is never read: it would be accepted with no time left to answer it.
 func TestNoReadAfterAnswerDuringShutdown(t *testing.T) {
-	c, in, done := shutting(t, "GET /wait HTTP/1.1\r\nHost: x\r\n\r\n")
-	if a := next(in); a != "/wait" {
+	c, in, done := beginShutdown(t, "GET /wait HTTP/1.1\r\nHost: x\r\n\r\n")
+	if a := readNextBody(in); a != "/wait" {
 		t.Fatalf("got %q", a)
 	}
 	io.WriteString(c, "GET /late HTTP/1.1\r\nHost: x\r\n\r\n")
-	if a := next(in); a != "none" {
-		t.Errorf("the late one got %q", a)
+	if a := readNextBody(in); a != "none" {
+		t.Errorf("the late request got %q", a)
 	}
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
 }
 
-// onlyConn returns the one connection that l has open.
+// onlyConn returns the only open connection of l.
 func onlyConn(t *testing.T, l *Listener) *Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -335,18 +337,17 @@
 	return nil
 }
 
-// arrived tells whether bytes of a next request have come, read or not.
-func arrived(c *Conn) bool {
+// nextRequestArrived reports whether bytes of the next request have arrived, read or unread.
+func nextRequestArrived(c *Conn) bool {
 	c.mu.Lock()
 	begun := !c.frame.betweenRequests()
 	c.mu.Unlock()
 	return begun || hasUnreadBytes(c.Conn)
 }
 
-// A next request that comes during the shutdown, while the connection's last answer is yet to
-// be given, is not begun to be read either.
+// During a shutdown, no byte of a next request is read while the connection's last request is in flight.
 func TestNoReadAheadDuringShutdown(t *testing.T) {
-	l, waiting, answer := serve(t, 8)
+	l, waiting, answer := startServer(t, 8)
 	client := dial(t, l.Addr().String(), "GET /wait HTTP/1.1\r\nHost: x\r\n\r\n")
 	<-waiting
 	c := onlyConn(t, l)
@@ -354,11 +355,11 @@
 	go func() { done <- shutdown(t, l) }()
 	enginetest.Eventually(t, "the shutdown has begun", func() bool { return !l.service.Load().KeepAlive })
 	io.WriteString(client, "GET /late HTTP/1.1\r\nHost: x\r\n\r\n")
-	enginetest.Eventually(t, "the late one is there", func() bool { return arrived(c) })
+	enginetest.Eventually(t, "the late request has arrived", func() bool { return nextRequestArrived(c) })
 	close(answer)
 	in := bufio.NewReader(client)
 	for _, want := range []string{"/wait", "none"} {
-		if a := next(in); a != want {
+		if a := readNextBody(in); a != want {
 			t.Errorf("got %q, want %q", a, want)
 		}
 	}
@@ -367,12 +368,11 @@
 	}
 }
 
-// Of requests that were sent together, and read together, the shutdown leaves none without
-// its answer.
+// A shutdown answers all pipelined requests that were read together.
 func TestShutdownAnswersPipelinedRequests(t *testing.T) {
-	_, in, done := shutting(t, "GET /wait HTTP/1.1\r\nHost: x\r\n\r\nGET /second HTTP/1.1\r\nHost: x\r\n\r\n")
+	_, in, done := beginShutdown(t, "GET /wait HTTP/1.1\r\nHost: x\r\n\r\nGET /second HTTP/1.1\r\nHost: x\r\n\r\n")
 	for _, want := range []string{"/wait", "/second", "none"} {
-		if a := next(in); a != want {
+		if a := readNextBody(in); a != want {
 			t.Errorf("got %q, want %q", a, want)
 		}
 	}
@@ -381,40 +381,40 @@
 	}
 }
 
-// An answer reaches a client that still sends: the close does not reset the connection
-// under it, whatever has come and is not read.
+// An answer reaches a client that is still sending: closing the connection with unread bytes doesn't
+// reset it.
 func TestCloseWithUnreadBytesKeepsAnswer(t *testing.T) {
-	_, c, client := moment(t)
+	_, c, client := newConnPair(t)
 	io.WriteString(client, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
 	if _, err := c.Read(make([]byte, 256)); err != nil {
 		t.Fatal(err)
 	}
 	io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok")
 	io.WriteString(client, "GET /next HTTP/1.1\r\n")
-	enginetest.Eventually(t, "the next request is there", func() bool { return hasUnreadBytes(c.Conn) })
+	enginetest.Eventually(t, "the next request has arrived", func() bool { return hasUnreadBytes(c.Conn) })
 	c.Close()
 	in := bufio.NewReader(client)
-	if a := next(in); a != "ok" {
+	if a := readNextBody(in); a != "ok" {
 		t.Errorf("got %q", a)
 	}
 	if _, err := in.ReadByte(); err != io.EOF {
-		t.Errorf("then %v, not the end of the sending", err)
+		t.Errorf("error %v after the answer, want EOF", err)
 	}
-	enginetest.Eventually(t, "then it is closed", func() bool {
+	enginetest.Eventually(t, "the connection is closed", func() bool {
 		c.listener.mu.Lock()
 		defer c.listener.mu.Unlock()
 		return len(c.listener.open) == 0
 	})
 }
 
-// A client that has gone before its whole request was read is not served: the request may
-// have waited in the socket for long.
-func TestRequestOfLeftClientIsDropped(t *testing.T) {
+// A request whose client has disconnected before the request was read completely is not served: it may
+// have waited in the socket for a long time.
+func TestRequestOfDisconnectedClientIsDropped(t *testing.T) {
 	read := make(chan error)
 	var l *Listener
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		c := r.Context().Value(connKey{}).(*Conn)
-		enginetest.Eventually(t, "the client's end arrives", c.peerHungUp)
+		enginetest.Eventually(t, "the client's disconnect arrives", c.peerHungUp)
 		_, _, err := NewBudget(1<<20).Read(w, r)
 		read <- err
 	}))
@@ -428,30 +428,30 @@
 	}
 }
 
-// A client that sends much at once and goes is known to have gone while its first request
-// is in hand, though what it sent ahead is never read.
-func TestPipelinedClientLeaving(t *testing.T) {
-	testPipelinedClientLeaving(t, func(*Listener) {})
+// The disconnect of a client with pipelined requests is detected while its first request is in flight,
+// although the pipelined requests are never read.
+func TestPipelinedClientDisconnect(t *testing.T) {
+	testPipelinedClientDisconnect(t, func(*Listener) {})
 }
 
-// So is one that does so while the gateway shuts down.
-func TestPipelinedClientLeavingDuringShutdown(t *testing.T) {
-	testPipelinedClientLeaving(t, func(l *Listener) {
+// The disconnect is also detected during a shutdown.
+func TestPipelinedClientDisconnectDuringShutdown(t *testing.T) {
+	testPipelinedClientDisconnect(t, func(l *Listener) {
 		go shutdown(t, l)
 		enginetest.Eventually(t, "the shutdown has begun", func() bool { return !l.service.Load().KeepAlive })
 	})
 }
 
-// testPipelinedClientLeaving calls before once the first request is in hand, and then has the
-// client send more and go.
-func testPipelinedClientLeaving(t *testing.T, before func(*Listener)) {
-	waiting, ended, enough := make(chan bool, 200), make(chan bool, 200), make(chan struct{})
+// testPipelinedClientDisconnect calls before while the first request is in flight. Then the client sends
+// further requests and disconnects.
+func testPipelinedClientDisconnect(t *testing.T, before func(*Listener)) {
+	waiting, ended, release := make(chan bool, 200), make(chan bool, 200), make(chan struct{})
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		waiting <- true
 		select {
 		case <-r.Context().Done():
 			ended <- true
-		case <-enough:
+		case <-release:
 		}
 	}))
 	l := NewListener(s.Listener, 4)
@@ -463,25 +463,25 @@
 	before(l)
 	io.WriteString(c, strings.Repeat("GET /b HTTP/1.1\r\nHost: x\r\n\r\n", 100))
 	c.Close()
-	defer close(enough)
-	enginetest.Eventually(t, "the request ends", func() bool { return len(ended) > 0 })
+	defer close(release)
+	enginetest.Eventually(t, "the request's context ends", func() bool { return len(ended) > 0 })
 }
 
-// An error whose request's body never comes is not held back for it.
-func TestRejectDoesNotWaitForTheBody(t *testing.T) {
+// An error response is sent although the request's body never arrives completely.
+func TestErrorResponseDoesNotWaitForBody(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		CloseIfBodyUnread(w, r)
 		http.Error(w, "no", http.StatusBadRequest)
 	}))
 	t.Cleanup(s.CloseClientConnections)
 	c := dial(t, s.Listener.Addr().String(), "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\nabc")
-	if a := got(c); strings.TrimSpace(a) != "no" {
+	if a := readBody(c); strings.TrimSpace(a) != "no" {
 		t.Errorf("got %q", a)
 	}
 }
 
-// A head that comes too slowly is answered before its connection ends, on a new connection
-// and after an answer; one that rests is closed without a word.
+// A request head that is incomplete at the read deadline gets status 408 before its connection is closed,
+// on a new connection and after an earlier response. An idle connection is closed without a response.
 func TestSlowHeadIsAnswered(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -494,15 +494,15 @@
 	}
 	go srv.Serve(in)
 	t.Cleanup(func() { srv.Close() })
-	const whole = "GET / HTTP/1.1\r\nHost: x\r\n\r\n"
+	const request = "GET / HTTP/1.1\r\nHost: x\r\n\r\n"
 	for name, c := range map[string]struct {
 		sent string
 		want []int
 	}{
-		"half a head":                 {"GET / HTTP/1.1\r\nHos", []int{408}},
-		"half a head after an answer": {whole + "GET /", []int{200, 408}},
-		"nothing after an answer":     {whole, []int{200}},
-		"nothing":                     {"", nil},
+		"partial head":                  {"GET / HTTP/1.1\r\nHos", []int{408}},
+		"partial head after a response": {request + "GET /", []int{200, 408}},
+		"idle after a response":         {request, []int{200}},
+		"no byte":                       {"", nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			nc, err := net.Dial("tcp4", l.Addr().String())
@@ -517,12 +517,12 @@
 			for _, want := range c.want {
 				resp, err := http.ReadResponse(r, nil)
 				if err != nil || resp.StatusCode != want {
-					t.Fatalf("answer %v, %v, want %d", resp, err, want)
+					t.Fatalf("response %v, error %v, want status %d", resp, err, want)
 				}
 				_, _ = io.Copy(io.Discard, resp.Body)
 			}
-			if rest, err := io.ReadAll(r); err != nil || len(rest) > 0 {
-				t.Errorf("%q, %v after the answers", rest, err)
+			if extra, err := io.ReadAll(r); err != nil || len(extra) > 0 {
+				t.Errorf("%q, %v after the responses", extra, err)
 			}
 		})
 	}
--- a/internal/clientconn/record.go
+++ b/internal/clientconn/record.go
@@ -9,39 +9,39 @@
 	"unsafe"
 )
 
-// CloseReason is why a client's connection was closed. Its values appear in logs and counts.
+// CloseReason is the reason why a client connection was closed. Its values appear in logs and counts.
 type CloseReason string
 
 // The reasons for closing a connection.
 const (
-	ClosedByClient        CloseReason = "client left"     // the client closed its side, or the connection broke
+	ClosedByClient        CloseReason = "client left"     // client closed its sending side, or connection broke
 	ClosedIdle            CloseReason = "idle"            // idle during a drain or shutdown
-	ClosedUnused          CloseReason = "unused"          // no request arrived on it during a drain or shutdown
-	ClosedAfterLastAnswer CloseReason = "last answer"     // its response was its last, during a drain or shutdown
-	ClosedRequestExpired  CloseReason = "late request"    // its request was not complete when requests were no longer accepted
-	ClosedEvicted         CloseReason = "evicted"         // another connection needed its slot
-	ClosedNoSlot          CloseReason = "no room"         // it arrived when all slots were in use
-	ClosedMalformed       CloseReason = "malformed"       // its request could not be parsed
-	ClosedSlowRequest     CloseReason = "request timeout" // its request was not complete in time
-	ClosedAnswerAborted   CloseReason = "cut"             // its response exceeded its time limit
-	ClosedByServer        CloseReason = "server"          // by net/http: an aborted answer, or "Connection: close"
+	ClosedUnused          CloseReason = "unused"          // no request on it during a drain or shutdown
+	ClosedAfterLastAnswer CloseReason = "last answer"     // last response written during a drain or shutdown
+	ClosedRequestExpired  CloseReason = "late request"    // request incomplete when requests were refused
+	ClosedEvicted         CloseReason = "evicted"         // slot needed for another connection
+	ClosedNoSlot          CloseReason = "no room"         // no slot free at its accept, and none could be freed
+	ClosedMalformed       CloseReason = "malformed"       // request could not be parsed
+	ClosedSlowRequest     CloseReason = "request timeout" // request incomplete when a read deadline passed
+	ClosedAnswerAborted   CloseReason = "cut"             // response exceeded its time limit
+	ClosedByServer        CloseReason = "server"          // by net/http: aborted answer or "Connection: close"
 )
 
-// closeRecords counts closes by reason and logs each at level debug.
+// closeRecords counts closed connections by reason and logs each at level debug.
 type closeRecords struct {
 	mu     sync.Mutex
 	counts map[string]int
 	log    *slog.Logger
 }
 
-// SetLogger sets the logger for closes, which are logged at level debug.
+// SetLogger sets the logger for closed connections, which are logged at level debug.
 func (l *Listener) SetLogger(log *slog.Logger) {
 	l.records.mu.Lock()
 	defer l.records.mu.Unlock()
 	l.records.log = log
 }
 
-// CloseCounts returns how many connections were closed, by reason.
+// CloseCounts returns the number of closed connections by reason.
 func (l *Listener) CloseCounts() map[string]int {
 	l.records.mu.Lock()
 	defer l.records.mu.Unlock()
@@ -52,6 +52,7 @@
 	return counts
 }
 
+// add counts a closed connection, and returns the logger.
 func (r *closeRecords) add(reason CloseReason) *slog.Logger {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -62,15 +63,16 @@
 	return r.log
 }
 
-// setReason records why the connection is about to be closed; the first reason wins. The lock is held.
+// setReason records the reason for which the connection will be closed, unless one is recorded already.
+// The caller holds c.mu.
 func (c *Conn) setReason(reason CloseReason) {
 	if c.reason == "" {
 		c.reason = reason
 	}
 }
 
-// recordClose counts and logs the close of a connection, once. It is called before the descriptor is
-// closed.
+// recordClose counts and logs the close of a connection; further calls do nothing. It must be called
+// before the file descriptor is closed, as it reads the number of unread bytes from it.
 func (c *Conn) recordClose() {
 	c.mu.Lock()
 	if c.recorded {
@@ -85,14 +87,14 @@
 		c.setReason(ClosedByClient)
 	}
 	c.setReason(ClosedByServer)
-	reason, age, answered, inHand := c.reason, time.Since(c.opened), c.answered, c.frame.complete > c.answered
+	reason, age, answered, inFlight := c.reason, time.Since(c.opened), c.answered, c.frame.complete > c.answered
 	c.mu.Unlock()
 	log := c.listener.records.add(reason)
 	if log == nil || !log.Enabled(context.Background(), slog.LevelDebug) {
 		return
 	}
 	log.Debug("connection closed", "client", c.RemoteAddr(), "reason", string(reason), "age", age.Round(time.Millisecond),
-		"answered", answered, "in hand", inHand, "unread", c.unreadBytes())
+		"answered", answered, "in hand", inFlight, "unread", c.unreadBytes())
 }
 
 // unreadBytes returns the number of bytes that have arrived and have not been read.
--- a/internal/clientconn/service.go
+++ b/internal/clientconn/service.go
@@ -7,15 +7,15 @@
 	"wellgw/decide/lifecycle"
 )
 
-// SetService goes by what clients get from now on: connections end, or are kept, by
-// lifecycle.Service.DecideConnection.
+// SetService sets the service that the listener applies from this call on: its DecideConnection method
+// decides whether a connection is kept open, and how it is closed.
 func (l *Listener) SetService(s lifecycle.Service) {
 	l.service.Store(&s)
 	l.sweep()
 }
 
-// Empty returns a channel that is closed once no connection is open. Closed connections linger for
-// lingerTime, so that the last responses arrive.
+// Empty returns a channel that is closed when no connection is open. A connection counts as open until
+// it has lingered for lingerTime, so that the last responses arrive.
 func (l *Listener) Empty() <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -28,7 +28,7 @@
 	return ch
 }
 
-// Wait waits until no connection is open; it returns ctx's error if ctx ends before.
+// Wait waits until no connection is open. It returns ctx's error if ctx is done before that.
 func (l *Listener) Wait(ctx context.Context) error {
 	select {
 	case <-l.Empty():
@@ -44,7 +44,7 @@
 	l.forget(c)
 }
 
-// forget removes a connection from the table. The lock is held.
+// forget removes a connection from the set of open ones. The caller holds l.mu.
 func (l *Listener) forget(c *Conn) {
 	delete(l.open, c)
 	if len(l.open) > 0 {
@@ -56,8 +56,8 @@
 	l.emptyWaiters = nil
 }
 
-// sweep applies the service to every open connection, and schedules the next sweep for when one of
-// them is due.
+// sweep applies the service to every open connection, and schedules the next sweep for the earliest
+// time at which one of them must be checked.
 func (l *Listener) sweep() {
 	service, now := *l.service.Load(), time.Now()
 	l.mu.Lock()
@@ -73,22 +73,23 @@
 	}
 }
 
-// scheduleSweep has the next sweep run at the given time or before.
+// scheduleSweep schedules the next sweep for the given time, unless an earlier one is scheduled.
 func (l *Listener) scheduleSweep(at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	if l.sweepDue.After(now) && !at.Before(l.sweepDue) {
+	if l.sweepAt.After(now) && !at.Before(l.sweepAt) {
 		return
 	}
 	if l.sweepTimer != nil {
 		l.sweepTimer.Stop()
 	}
-	l.sweepDue = at
+	l.sweepAt = at
 	l.sweepTimer = time.AfterFunc(at.Sub(now), l.sweep)
 }
 
-// apply does to the connection what the service says, and returns when it is due again.
+// apply carries out the service's decision on the connection, and returns when the connection must be
+// checked next; zero for never.
 func (c *Conn) apply(s lifecycle.Service, now time.Time) (next time.Time) {
 	decision, next := c.decide(s, now)
 	switch decision {
@@ -102,12 +103,13 @@
 	return next
 }
 
-// decide asks the service and notes the decision in one step, so that nothing is read in between.
+// decide returns the service's decision and the time of the next one. It records the decision in the
+// same critical section, so that no byte is read in between.
 func (c *Conn) decide(s lifecycle.Service, now time.Time) (lifecycle.Decision, time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closing || c.writeClosed || c.malformed || c.requestExpired {
-		return lifecycle.KeepOpen, time.Time{} // it is about to end by itself
+		return lifecycle.KeepOpen, time.Time{} // it is already being closed
 	}
 	state := lifecycle.Connection{
 		Opened: c.opened, Answered: c.answered > 0, InFlight: c.frame.complete > c.answered, PartialRequest: !c.frame.betweenRequests(),
@@ -135,8 +137,8 @@
 	return decision, next
 }
 
-// rejectRequest responds to a request that was not complete in time. For a body, Read returns the
-// error to its reader, and the front responds.
+// rejectRequest responds to a request that is incomplete at the service's deadline. If only its body is
+// incomplete, Read returns ErrRequestExpired to the front, which responds.
 func (c *Conn) rejectRequest() {
 	if c.respondToPartial(serviceUnavailable, ClosedRequestExpired) {
 		_ = c.Close()
