--- a/internal/jsonscan/jsonscan.go
+++ b/internal/jsonscan/jsonscan.go
@@ -1,6 +1,6 @@
-// Package jsonscan walks over the members of a JSON object (RFC 8259) without decoding
-// their values or allocating. What it accepts is JSON in full: each value is checked to
-// its end. Only its own bound on nesting sets it apart from a decoder.
+// Package jsonscan iterates over the members of a JSON object (RFC 8259) without decoding their values.
+// It allocates only for a name with escape sequences. It validates each value completely: it differs
+// from a decoder only in its limit on nesting.
 package jsonscan
 
 import (
@@ -9,43 +9,44 @@
 	"errors"
 )
 
-// MaxDepth is how deep values may nest.
+// MaxDepth is the maximum nesting depth of a value.
 const MaxDepth = 512
 
-// ErrSyntax tells that a text is not what it should be.
+// ErrSyntax is returned for a text that is not valid JSON or not of the expected type.
 var ErrSyntax = errors.New("not JSON, or not of the kind expected")
 
-// Span is where a value stands in the text.
+// Span is the position of a value in the text, as byte offsets.
 type Span struct{ Start, End int }
 
-// Of returns the value's text.
+// Of returns the bytes of the span in data.
 func (s Span) Of(data []byte) []byte { return data[s.Start:s.End] }
 
-// IsNull tells whether a value is null, or not there.
+// IsNull reports whether a value is null or absent.
 func (s Span) IsNull(data []byte) bool {
 	return s.Start == s.End || data[s.Start] == 'n'
 }
 
-// Walker walks over an object or an array.
+// Walker iterates over the members of an object or the elements of an array.
 type Walker struct {
-	data []byte
-	pos  int
-	end  byte // that closes it; 0 once it is closed
-	some bool // a member has been read
-	from int  // where the latest member begins, its name's quotes included
-	err  error
+	data        []byte
+	pos         int
+	closing     byte // the closing bracket; 0 after it has been read
+	hasMember   bool // a member or element has been found
+	memberStart int  // offset of the latest member: of its name's opening quote
+	err         error
 }
 
-// Object returns a walker over the members of the object that data is.
-func Object(data []byte) Walker { return open(data, '{', '}') }
+// Object returns a walker over the members of the object in data.
+func Object(data []byte) Walker { return newWalker(data, '{', '}') }
 
-// Array returns a walker over the elements of the array that data is.
-func Array(data []byte) Walker { return open(data, '[', ']') }
+// Array returns a walker over the elements of the array in data.
+func Array(data []byte) Walker { return newWalker(data, '[', ']') }
 
-func open(data []byte, with, end byte) Walker {
-	w := Walker{data: data, end: end}
-	w.pos = space(data, 0)
-	if w.pos >= len(data) || data[w.pos] != with {
+// newWalker returns a walker that is positioned after the opening bracket.
+func newWalker(data []byte, opening, closing byte) Walker {
+	w := Walker{data: data, closing: closing}
+	w.pos = skipSpace(data, 0)
+	if w.pos >= len(data) || data[w.pos] != opening {
 		w.err = ErrSyntax
 		return w
 	}
@@ -53,26 +54,26 @@
 	return w
 }
 
-// Err tells what was wrong, once Next or Element has returned false.
+// Err returns the error of the iteration, after Next or Element has returned false.
 func (w *Walker) Err() error { return w.err }
 
-// Empty tells whether there was no member, once the walk is over.
-func (w *Walker) Empty() bool { return !w.some }
+// Empty reports whether there was no member or element. It is valid after the iteration.
+func (w *Walker) Empty() bool { return !w.hasMember }
 
-// ClosingBracket returns where the closing bracket stands, once the walk is over.
+// ClosingBracket returns the offset of the closing bracket. It is valid after the iteration.
 func (w *Walker) ClosingBracket() int { return w.pos }
 
-// Next returns the next member of an object: its name without the quotes, as decoded,
-// and where its value stands.
+// Next returns the next member of an object: its decoded name without quotes, and the span of its
+// value. It returns false at the end and after an error.
 func (w *Walker) Next() (name []byte, value Span, ok bool) {
-	if !w.more() {
+	if !w.advance() {
 		return nil, Span{}, false
 	}
-	end, escaped := str(w.data, w.pos)
+	end, escaped := scanString(w.data, w.pos)
 	if end < 0 {
 		return w.fail()
 	}
-	w.from = w.pos
+	w.memberStart = w.pos
 	name = w.data[w.pos+1 : end-1]
 	if escaped {
 		var s string
@@ -81,7 +82,7 @@
 		}
 		name = []byte(s)
 	}
-	if w.pos = space(w.data, end); w.pos >= len(w.data) || w.data[w.pos] != ':' {
+	if w.pos = skipSpace(w.data, end); w.pos >= len(w.data) || w.data[w.pos] != ':' {
 		return w.fail()
 	}
 	w.pos++
@@ -89,68 +90,72 @@
 	return name, value, ok
 }
 
-// Member returns where the latest member stands, name and value.
-func (w *Walker) Member() Span { return Span{w.from, w.pos} }
+// Member returns the span of the latest member, from its name to its value.
+func (w *Walker) Member() Span { return Span{w.memberStart, w.pos} }
 
-// StringEnd returns the end of the string whose opening quote stands at a place of data, past
-// its closing one; -1 if there is none, or it is not whole.
+// StringEnd returns the offset after the closing quote of the string that begins at offset at, or -1 if
+// no valid string begins there.
 func StringEnd(data []byte, at int) int {
-	end, _ := str(data, at)
+	end, _ := scanString(data, at)
 	return end
 }
 
-// Element returns where the next element of an array stands.
+// Element returns the span of the next element of an array. It returns false at the end and after an
+// error.
 func (w *Walker) Element() (value Span, ok bool) {
-	if !w.more() {
+	if !w.advance() {
 		return Span{}, false
 	}
 	return w.value()
 }
 
+// fail records a syntax error, and returns the results of a failed Next.
 func (w *Walker) fail() ([]byte, Span, bool) {
 	w.err = ErrSyntax
 	return nil, Span{}, false
 }
 
-// more goes on to the beginning of the next member; false at the end.
-func (w *Walker) more() bool {
-	if w.err != nil || w.end == 0 {
+// advance moves to the beginning of the next member or element. It returns false at the end and after
+// an error.
+func (w *Walker) advance() bool {
+	if w.err != nil || w.closing == 0 {
 		return false
 	}
-	w.pos = space(w.data, w.pos)
+	w.pos = skipSpace(w.data, w.pos)
 	switch {
 	case w.pos >= len(w.data):
 		w.err = ErrSyntax
 		return false
-	case w.data[w.pos] == w.end:
-		w.end = 0
-		if space(w.data, w.pos+1) != len(w.data) {
+	case w.data[w.pos] == w.closing:
+		w.closing = 0
+		if skipSpace(w.data, w.pos+1) != len(w.data) {
 			w.err = ErrSyntax
 		}
 		return false
-	case w.some:
+	case w.hasMember:
 		if w.data[w.pos] != ',' {
 			w.err = ErrSyntax
 			return false
 		}
-		w.pos = space(w.data, w.pos+1)
+		w.pos = skipSpace(w.data, w.pos+1)
 	}
-	w.some = true
+	w.hasMember = true
 	return true
 }
 
+// value validates the value at the current position, and returns its span.
 func (w *Walker) value() (Span, bool) {
-	from := space(w.data, w.pos)
-	end := skip(w.data, from, MaxDepth)
+	start := skipSpace(w.data, w.pos)
+	end := scanValue(w.data, start, MaxDepth)
 	if end < 0 {
 		w.err = ErrSyntax
 		return Span{}, false
 	}
 	w.pos = end
-	return Span{from, end}, true
+	return Span{start, end}, true
 }
 
-// Int reads a small whole number, false if the value is none.
+// Int parses a non-negative integer of at most 9 digits. It returns false for any other text.
 func Int(text []byte) (int, bool) {
 	if len(text) == 0 || len(text) > 9 {
 		return 0, false
@@ -165,29 +170,31 @@
 	return n, true
 }
 
-// plain marks bytes that stand in a string for themselves.
-var plain = func() (t [256]bool) {
+// unescaped is true for bytes that may appear in a string without an escape sequence.
+var unescaped = func() (t [256]bool) {
 	for c := range t {
 		t[c] = c >= 0x20 && c != '"' && c != '\\'
 	}
 	return t
 }()
 
-func space(data []byte, at int) int {
+// skipSpace returns the offset of the first byte from at on that is not white space.
+func skipSpace(data []byte, at int) int {
 	for at < len(data) && (data[at] == ' ' || data[at] == '\n' || data[at] == '\t' || data[at] == '\r') {
 		at++
 	}
 	return at
 }
 
-// str returns the end of the string that begins at a place, -1 if none does.
-func str(data []byte, at int) (end int, escaped bool) {
+// scanString returns the offset after the string that begins at offset at, or -1 if no valid string
+// begins there, and whether the string has escape sequences.
+func scanString(data []byte, at int) (end int, escaped bool) {
 	if at >= len(data) || data[at] != '"' {
 		return -1, false
 	}
 	for at++; at < len(data); {
 		switch c := data[at]; {
-		case plain[c]:
+		case unescaped[c]:
 			at++
 		case c == '"':
 			return at + 1, escaped
@@ -199,7 +206,7 @@
 			case '"', '\\', '/', 'b', 'f', 'n', 'r', 't':
 				at += 2
 			case 'u':
-				if at+6 > len(data) || !hex(data[at+2:at+6]) {
+				if at+6 > len(data) || !isHex(data[at+2:at+6]) {
 					return -1, false
 				}
 				at += 6
@@ -211,7 +218,8 @@
 	return -1, false
 }
 
-func hex(text []byte) bool {
+// isHex reports whether text has only hexadecimal digits.
+func isHex(text []byte) bool {
 	for _, c := range text {
 		if !(c >= '0' && c <= '9' || c|0x20 >= 'a' && c|0x20 <= 'f') {
 			return false
@@ -220,64 +228,68 @@
 	return true
 }
 
-// skip returns the end of the value that begins at a place, -1 if none does.
-func skip(data []byte, at, depth int) int {
+// scanValue returns the offset after the value that begins at offset at, or -1 if no valid value begins
+// there or it nests deeper than depth.
+func scanValue(data []byte, at, depth int) int {
 	if at >= len(data) || depth == 0 {
 		return -1
 	}
 	switch c := data[at]; c {
 	case '"':
-		end, _ := str(data, at)
+		end, _ := scanString(data, at)
 		return end
 	case '{', '[':
-		end := c + 2 // the closing ones come two later in ASCII
-		if at = space(data, at+1); at < len(data) && data[at] == end {
+		end := c + 2 // in ASCII, a closing bracket is the opening one plus 2
+		if at = skipSpace(data, at+1); at < len(data) && data[at] == end {
 			return at + 1
 		}
 		for {
 			if c == '{' {
-				name, _ := str(data, at)
-				if name < 0 {
+				nameEnd, _ := scanString(data, at)
+				if nameEnd < 0 {
 					return -1
 				}
-				if at = space(data, name); at >= len(data) || data[at] != ':' {
+				if at = skipSpace(data, nameEnd); at >= len(data) || data[at] != ':' {
 					return -1
 				}
-				at = space(data, at+1)
+				at = skipSpace(data, at+1)
 			}
-			if at = skip(data, at, depth-1); at < 0 {
+			if at = scanValue(data, at, depth-1); at < 0 {
 				return -1
 			}
-			if at = space(data, at); at >= len(data) {
+			if at = skipSpace(data, at); at >= len(data) {
 				return -1
 			}
 			switch data[at] {
 			case end:
 				return at + 1
 			case ',':
-				at = space(data, at+1)
+				at = skipSpace(data, at+1)
 			default:
 				return -1
 			}
 		}
 	case 't':
-		return word(data, at, "true")
+		return scanLiteral(data, at, "true")
 	case 'f':
-		return word(data, at, "false")
+		return scanLiteral(data, at, "false")
 	case 'n':
-		return word(data, at, "null")
+		return scanLiteral(data, at, "null")
 	}
-	return number(data, at)
+	return scanNumber(data, at)
 }
 
-func word(data []byte, at int, w string) int {
-	if bytes.HasPrefix(data[at:], []byte(w)) {
-		return at + len(w)
+// scanLiteral returns the offset after the given literal, or -1 if it doesn't begin at offset at.
+func scanLiteral(data []byte, at int, literal string) int {
+	if bytes.HasPrefix(data[at:], []byte(literal)) {
+		return at + len(literal)
 	}
 	return -1
 }
 
-func number(data []byte, at int) int {
+// scanNumber returns the offset after the number that begins at offset at, or -1 if no valid number
+// begins there.
+func scanNumber(data []byte, at int) int {
 	if data[at] == '-' {
 		at++
 	}
@@ -287,12 +299,12 @@
 	case data[at] == '0':
 		at++
 	default:
-		if at = digits(data, at); at < 0 {
+		if at = scanDigits(data, at); at < 0 {
 			return -1
 		}
 	}
 	if at < len(data) && data[at] == '.' {
-		if at = digits(data, at+1); at < 0 {
+		if at = scanDigits(data, at+1); at < 0 {
 			return -1
 		}
 	}
@@ -300,18 +312,18 @@
 		if at++; at < len(data) && (data[at] == '+' || data[at] == '-') {
 			at++
 		}
-		return digits(data, at)
+		return scanDigits(data, at)
 	}
 	return at
 }
 
-// digits returns the end of one digit or more, -1 if there is none.
-func digits(data []byte, at int) int {
-	from := at
+// scanDigits returns the offset after a sequence of digits, or -1 if there is no digit at offset at.
+func scanDigits(data []byte, at int) int {
+	start := at
 	for at < len(data) && data[at] >= '0' && data[at] <= '9' {
 		at++
 	}
-	if at == from {
+	if at == start {
 		return -1
 	}
 	return at
--- a/internal/jsonscan/jsonscan_test.go
+++ b/internal/jsonscan/jsonscan_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// members reads an object by the walker, the last of two of a name counting.
+// members reads an object with a Walker. Of members with the same name it returns the last.
 func members(data []byte) (map[string]string, error) {
 	m := map[string]string{}
 	w := Object(data)
@@ -18,8 +18,8 @@
 	}
 }
 
-// FuzzObject holds the walker against the library's decoder: both accept the same texts
-// and see the same members.
+// FuzzObject compares the walker with encoding/json: both must accept the same texts and return the same
+// members.
 func FuzzObject(f *testing.F) {
 	for _, s := range []string{
 		`{}`, `{"a":1}`, ` {"a" : [1, 2 , {"b":null}] , "c":"\u00e9\n"} `, `{"a":1,}`, `{"a":01}`, `{"a":-0.5e+3}`, `{"a":"`, `[]`, `{"a":tru}`,
@@ -29,33 +29,34 @@
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		var want map[string]json.RawMessage
-		wrong := json.Unmarshal(data, &want)
+		wantErr := json.Unmarshal(data, &want)
 		got, err := members(data)
-		if wrong == nil && want == nil {
-			wrong = ErrSyntax // null
+		if wantErr == nil && want == nil {
+			wantErr = ErrSyntax // the text is null
 		}
-		if (wrong == nil) != (err == nil) {
-			t.Fatalf("%q: %v, the decoder says %v", data, err, wrong)
+		if (wantErr == nil) != (err == nil) {
+			t.Fatalf("%q: error %v, encoding/json returns %v", data, err, wantErr)
 		}
 		if err != nil {
 			return
 		}
 		if len(got) != len(want) {
-			// Names that are not UTF-8 are one and the same to the decoder.
-			if json.Valid(data) && valid(got) {
-				t.Fatalf("%q: %v, the decoder sees %v", data, got, want)
+			// encoding/json replaces invalid UTF-8, so that different names may become equal.
+			if json.Valid(data) && allUTF8(got) {
+				t.Fatalf("%q: %v, encoding/json returns %v", data, got, want)
 			}
 			return
 		}
 		for name, value := range got {
-			if raw, there := want[name]; there && string(raw) != value {
-				t.Fatalf("%q: %s is %s, the decoder sees %s", data, name, value, raw)
+			if raw, found := want[name]; found && string(raw) != value {
+				t.Fatalf("%q: %s is %s, encoding/json returns %s", data, name, value, raw)
 			}
 		}
 	})
 }
 
-func valid(m map[string]string) bool {
+// allUTF8 reports whether encoding/json preserves all names, that is, whether they are valid UTF-8.
+func allUTF8(m map[string]string) bool {
 	for name := range m {
 		var back string
 		raw, err := json.Marshal(name)
@@ -76,18 +77,18 @@
 			n = -1
 		}
 		if n != want {
-			t.Errorf("%s: %d, want %d", text, n, want)
+			t.Errorf("%s: %d elements, want %d (-1 for an error)", text, n, want)
 		}
 	}
 }
 
-func TestNestingIsBounded(t *testing.T) {
+func TestNestingIsLimited(t *testing.T) {
 	deep := []byte(`{"a":`)
 	for range 100_000 {
 		deep = append(deep, '[')
 	}
 	if _, err := members(deep); err == nil {
-		t.Error("accepted")
+		t.Error("accepted a value with 100,000 levels of nesting")
 	}
 }
 
--- a/internal/sse/sse.go
+++ b/internal/sse/sse.go
@@ -1,9 +1,9 @@
-// Package sse splits an event stream into its events, by the rules of the WHATWG HTML
-// standard, "Server-sent events", 9.2.6. It copies only what is split between two
-// reads, and allocates nothing for an event that comes whole on one line.
+// Package sse splits an event stream into events by the rules of the WHATWG HTML standard,
+// "Server-sent events", 9.2.6. It copies only events that are split over reads or have several data
+// lines, and doesn't allocate for an event with one data line that arrives in one read.
 //
-// One thing is not by the standard: an event that the end of the stream follows without
-// a blank line is given out by End, as engines are known to leave the last one out.
+// It deviates from the standard in one rule: if the stream ends without the blank line after the last
+// event, End still passes that event on, because some engines omit this blank line.
 package sse
 
 import (
@@ -11,88 +11,89 @@
 	"errors"
 )
 
-// MaxEventSize is the most bytes that one event may take, its field names included.
+// MaxEventSize is the maximum size of one event in bytes, including its field names.
 const MaxEventSize = 256 << 10
 
-// ErrEventTooLarge tells of an event of more than MaxEventSize bytes.
+// ErrEventTooLarge is returned for an event of more than MaxEventSize bytes.
 var ErrEventTooLarge = errors.New("an event of more than 256 KiB")
 
-// Event is one event. Its slices are valid only while it is being taken.
+// Event is one event. Its slices are valid only until the function that receives it returns.
 type Event struct {
-	Name []byte // nil for the usual kind
-	ID   []byte // that it came with; nil for none
-	Data []byte // the lines of its data, put together by line feeds
+	Name []byte // its type; nil for the default, "message"
+	ID   []byte // its id field; nil if there is none
+	Data []byte // its data lines, joined by line feeds
 }
 
 var (
-	mark  = []byte("\xEF\xBB\xBF") // a byte order mark, allowed once at the beginning
-	colon = []byte(":")
+	byteOrderMark = []byte("\xEF\xBB\xBF") // allowed once, at the beginning of the stream
+	colon         = []byte(":")
 )
 
-// Scanner splits one stream. The zero value is ready.
+// Scanner splits one stream into events. The zero value is ready for use.
 type Scanner struct {
-	rest   []byte // of an event that has not ended
-	joined []byte // data of more than one line
-	begun  bool   // the first bytes have been looked at
-	afterR bool   // the latest byte was a carriage return, so that a line feed is part of it
+	partial    []byte // bytes of an event that has not ended
+	multiline  []byte // data of more than one line
+	bomChecked bool   // a byte order mark has been skipped or ruled out
+	afterCR    bool   // the last byte was a carriage return, so that a line feed belongs to the same line end
 }
 
-// Write takes what has come and gives each event that is whole to each. An error is
-// each's, or ErrEventTooLarge.
-func (s *Scanner) Write(p []byte, each func(Event) error) error {
-	if !s.begun {
-		if len(s.rest)+len(p) < len(mark) && bytes.HasPrefix(mark, append(s.rest, p...)) {
-			s.rest = append(s.rest, p...)
+// Write processes the next bytes of the stream, and calls handle for each complete event. It returns
+// the error of handle, or ErrEventTooLarge.
+func (s *Scanner) Write(p []byte, handle func(Event) error) error {
+	if !s.bomChecked {
+		if len(s.partial)+len(p) < len(byteOrderMark) && bytes.HasPrefix(byteOrderMark, append(s.partial, p...)) {
+			s.partial = append(s.partial, p...)
 			return nil
 		}
-		s.begun = true
-		if len(s.rest) == 0 {
-			p = bytes.TrimPrefix(p, mark)
+		s.bomChecked = true
+		if len(s.partial) == 0 {
+			p = bytes.TrimPrefix(p, byteOrderMark)
 		} else {
-			s.rest = append(s.rest, p...)
-			p = bytes.TrimPrefix(s.rest, mark)
-			s.rest = nil
+			s.partial = append(s.partial, p...)
+			p = bytes.TrimPrefix(s.partial, byteOrderMark)
+			s.partial = nil
 		}
 	}
-	if s.afterR && len(p) > 0 {
-		s.afterR = false
+	if s.afterCR && len(p) > 0 {
+		s.afterCR = false
 		if p[0] == '\n' {
 			p = p[1:]
 		}
 	}
-	if len(s.rest) > 0 {
-		s.rest = append(s.rest, p...)
-		p = s.rest
+	if len(s.partial) > 0 {
+		s.partial = append(s.partial, p...)
+		p = s.partial
 	}
-	from, err := s.events(p, each)
+	consumed, err := s.events(p, handle)
 	if err != nil {
 		return err
 	}
-	if len(p)-from > MaxEventSize {
+	if len(p)-consumed > MaxEventSize {
 		return ErrEventTooLarge
 	}
-	s.rest = append(s.rest[:0], p[from:]...)
+	s.partial = append(s.partial[:0], p[consumed:]...)
 	return nil
 }
 
-// End takes what has come of an event before the end of the stream.
-func (s *Scanner) End(each func(Event) error) error {
-	rest := s.rest
-	s.rest = nil
-	if !s.begun { // part of a byte order mark and no more
+// End processes the end of the stream: it calls handle for the last event if its blank line is missing.
+func (s *Scanner) End(handle func(Event) error) error {
+	last := s.partial
+	s.partial = nil
+	if !s.bomChecked { // the stream is only a part of a byte order mark
 		return nil
 	}
-	if len(rest) > 0 {
-		_, err := s.events(append(rest, "\n\n"...), each)
+	if len(last) > 0 {
+		_, err := s.events(append(last, "\n\n"...), handle)
 		return err
 	}
 	return nil
 }
 
-// events gives out all events that end in p and returns where the rest begins.
-func (s *Scanner) events(p []byte, each func(Event) error) (from int, err error) {
+// events calls handle for all events that end in p, and returns the offset in p of the event that has
+// not ended.
+func (s *Scanner) events(p []byte, handle func(Event) error) (consumed int, err error) {
 	var e Event
-	lines := 0 // of data
+	dataLines := 0
 	for at := 0; at < len(p); {
 		end := bytes.IndexByte(p[at:], '\n')
 		if end < 0 {
@@ -102,12 +103,12 @@
 			end = r
 		}
 		if end += at; end == len(p) {
-			return from, nil // the line has not ended
+			return consumed, nil // the line has not ended
 		}
 		next := end + 1
 		if p[end] == '\r' {
 			if next == len(p) {
-				s.afterR = true
+				s.afterCR = true
 			} else if p[next] == '\n' {
 				next++
 			}
@@ -115,41 +116,42 @@
 		line := p[at:end]
 		at = next
 		if len(line) > 0 {
-			lines += s.field(&e, line, lines)
+			dataLines += s.field(&e, line, dataLines)
 			continue
 		}
-		if lines > 0 {
-			if err := each(e); err != nil {
-				return from, err
+		if dataLines > 0 {
+			if err := handle(e); err != nil {
+				return consumed, err
 			}
 		}
-		e, lines, from = Event{}, 0, at
+		e, dataLines, consumed = Event{}, 0, at
 	}
-	if from < len(p) && s.afterR {
-		// The carriage return stays in the rest, to be read again with what follows.
-		s.afterR = false
-		return from, nil
+	if consumed < len(p) && s.afterCR {
+		// The carriage return remains in partial, and is processed again with the next bytes.
+		s.afterCR = false
+		return consumed, nil
 	}
-	return from, nil
+	return consumed, nil
 }
 
-// field takes in one line; it returns 1 if that was data.
-func (s *Scanner) field(e *Event, line []byte, lines int) int {
+// field processes one line of an event. It returns 1 for a data line and 0 for any other. dataLines is
+// the number of data lines before it.
+func (s *Scanner) field(e *Event, line []byte, dataLines int) int {
 	name, value, _ := bytes.Cut(line, colon)
 	if len(value) > 0 && value[0] == ' ' {
 		value = value[1:]
 	}
 	switch string(name) {
 	case "data":
-		switch lines {
+		switch dataLines {
 		case 0:
 			e.Data = value
 		case 1:
-			s.joined = append(s.joined[:0], e.Data...)
+			s.multiline = append(s.multiline[:0], e.Data...)
 			fallthrough
 		default:
-			s.joined = append(append(s.joined, '\n'), value...)
-			e.Data = s.joined
+			s.multiline = append(append(s.multiline, '\n'), value...)
+			e.Data = s.multiline
 		}
 		return 1
 	case "event":
--- a/internal/sse/sse_test.go
+++ b/internal/sse/sse_test.go
@@ -10,30 +10,29 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// taken reads a stream that comes in parts of a length.
-func taken(t testing.TB, text string, part int) []string {
+// scanAll returns the events of a stream that arrives in parts of partSize bytes.
+func scanAll(t testing.TB, text string, partSize int) []string {
 	var s Scanner
 	var out []string
-	each := func(e Event) error {
+	handle := func(e Event) error {
 		out = append(out, fmt.Sprintf("%s|%s|%s", e.Name, e.ID, e.Data))
 		return nil
 	}
 	for len(text) > 0 {
-		n := min(part, len(text))
-		if err := s.Write([]byte(text[:n]), each); err != nil {
+		n := min(partSize, len(text))
+		if err := s.Write([]byte(text[:n]), handle); err != nil {
 			t.Fatal(err)
 		}
 		text = text[n:]
 	}
-	if err := s.End(each); err != nil {
+	if err := s.End(handle); err != nil {
 		t.Fatal(err)
 	}
 	return out
 }
 
-// slow is the standard's algorithm as it is written there, a line at a time over the
-// whole text.
-func slow(text string) (out []string) {
+// reference implements the standard's algorithm literally, line by line over the complete text.
+func reference(text string) (out []string) {
 	text = strings.TrimPrefix(text, "\xEF\xBB\xBF")
 	text = strings.ReplaceAll(strings.ReplaceAll(text, "\r\n", "\n"), "\r", "\n") + "\n\n"
 	var name, id string
@@ -73,30 +72,31 @@
 	"\xEF\xBBdata: a\n\n", "\xEF", "", "\n\n\n", "data: a\n\r\ndata: b\r\n\n", "retry: 3\ndata: a\n\n",
 }
 
-// However a stream is split, its events are the same.
+// TestSplitAtEveryByte checks that a stream has the same events for every size of its parts.
 func TestSplitAtEveryByte(t *testing.T) {
 	for _, text := range streams {
-		for part := 1; part <= len(text)+1; part++ {
-			if diff := cmp.Diff(slow(text), taken(t, text, part)); diff != "" {
-				t.Errorf("%q in parts of %d: %s", text, part, diff)
+		for partSize := 1; partSize <= len(text)+1; partSize++ {
+			if diff := cmp.Diff(reference(text), scanAll(t, text, partSize)); diff != "" {
+				t.Errorf("%q in parts of %d: %s", text, partSize, diff)
 			}
 		}
 	}
 }
 
+// FuzzScanner compares the scanner with the reference implementation.
 func FuzzScanner(f *testing.F) {
 	for _, s := range streams {
 		f.Add(s, 1)
 		f.Add(s, 5)
 	}
-	f.Fuzz(func(t *testing.T, text string, part int) {
-		if diff := cmp.Diff(slow(text), taken(t, text, max(1, part%64))); diff != "" {
-			t.Errorf("%q in parts of %d: %s", text, part, diff)
+	f.Fuzz(func(t *testing.T, text string, partSize int) {
+		if diff := cmp.Diff(reference(text), scanAll(t, text, max(1, partSize%64))); diff != "" {
+			t.Errorf("%q in parts of %d: %s", text, partSize, diff)
 		}
 	})
 }
 
-func TestUnterminatedEventIsRefused(t *testing.T) {
+func TestOversizedEventIsRejected(t *testing.T) {
 	var s Scanner
 	var err error
 	for range 2 * MaxEventSize / 1024 {
@@ -112,10 +112,10 @@
 func TestNoAllocations(t *testing.T) {
 	text := []byte(strings.Repeat("data: {\"a\":1}\n\n", 20) + "data: {\"b")
 	var s Scanner
-	each := func(Event) error { return nil }
+	handle := func(Event) error { return nil }
 	if n := testing.AllocsPerRun(100, func() {
-		s.rest = s.rest[:0]
-		_ = s.Write(text, each)
+		s.partial = s.partial[:0]
+		_ = s.Write(text, handle)
 	}); n != 0 {
 		t.Errorf("%v allocations", n)
 	}
