--- a/internal/streambuffer/streambuffer.go
+++ b/internal/streambuffer/streambuffer.go
@@ -1,10 +1,10 @@
-// Package streambuffer forwards an attempt's stream to a client, and decouples the two: a client
-// that is slow to read must not occupy an engine's slot.
+// Package streambuffer forwards an attempt's stream to a client, and decouples the two: a client that
+// reads slowly must not occupy an engine's slot.
 //
-// As long as the client keeps up, one goroutine reads and writes in turn, and events that arrive
-// together are written together. Once a write has blocked for StallTimeout, a second goroutine reads
-// ahead into a bounded buffer, so that the engine can finish. A stream that outgrows the buffer is
-// cancelled at once, and the client's stream ends with an error.
+// While the client reads fast enough, one goroutine alternately reads and writes, and events that arrive
+// together are written together. When a write has blocked for StallTimeout, a second goroutine begins to
+// read ahead into a bounded buffer, so that the engine can finish. A stream that exceeds the buffer is
+// cancelled immediately, and the client's stream ends with an error.
 package streambuffer
 
 import (
@@ -21,42 +21,45 @@
 	"wellgw/routing"
 )
 
-// ErrClientDisconnected is wrapped by errors of the client's connection, as opposed to the stream's.
-var ErrClientDisconnected = errors.New("the client has gone")
+// ErrClientDisconnected is wrapped by errors of the client's connection, as opposed to errors of the
+// stream.
+var ErrClientDisconnected = errors.New("the client has disconnected")
 
-// ErrSlowClient means that a client has not read what was buffered for it.
+// ErrSlowClient is returned for a stream that was cancelled because the bytes buffered for its client
+// exceeded a limit.
 var ErrSlowClient = errors.New("the client reads too slowly")
 
-// Limits bound the buffers of slow clients.
+// Limits are the limits on the buffers of slow clients.
 type Limits struct {
-	StallTimeout time.Duration // a write that blocks for longer is slow
-	PerClient    int           // bytes that are buffered for one client
-	available    atomic.Int64  // bytes for all clients together
+	StallTimeout time.Duration // a write that blocks for longer starts reading ahead
+	PerClient    int           // maximum bytes that are buffered for one client
+	available    atomic.Int64  // bytes that may still be buffered for all clients together
 }
 
-// NewLimits returns limits with a total of all bytes for all clients together.
-func NewLimits(stall time.Duration, each int, all int64) *Limits {
-	l := &Limits{StallTimeout: stall, PerClient: each}
-	l.available.Store(all)
+// NewLimits returns limits of perClient bytes for one client and of total bytes for all clients
+// together.
+func NewLimits(stallTimeout time.Duration, perClient int, total int64) *Limits {
+	l := &Limits{StallTimeout: stallTimeout, PerClient: perClient}
+	l.available.Store(total)
 	return l
 }
 
-// Available returns how many bytes may still be buffered.
+// Available returns the number of bytes that may still be buffered for all clients together.
 func (l *Limits) Available() int64 { return l.available.Load() }
 
-// Pipe connects a stream with its client.
+// Pipe has the functions that convert a stream's bytes and write them to the client.
 type Pipe struct {
-	// Convert appends to dst what the client gets for p, which has just arrived. It is called by one
-	// goroutine at a time; an error cancels the stream.
+	// Convert appends to dst the bytes for the client that result from p, which has just arrived. It is
+	// called by one goroutine at a time. An error cancels the stream.
 	Convert func(dst, p []byte) ([]byte, error)
-	// End does the same once the stream has ended completely.
+	// End appends the final bytes for the client after the stream has ended successfully.
 	End func(dst []byte) ([]byte, error)
-	// Write writes to the client. It may block for as long as the client's write timeout; an error
-	// means that the client has disconnected.
+	// Write writes to the client. It may block until the client's write timeout. An error means that
+	// the client has disconnected.
 	Write func(p []byte) error
 }
 
-// Ticket is notified how the stream ended; see core.Ticket.
+// Ticket receives the result of the stream; see core.Ticket.
 type Ticket interface{ Finish(core.Result) }
 
 // Sizes of buffers, in bytes. An output buffer that has grown past maxPooledOutput is not pooled.
@@ -67,8 +70,8 @@
 )
 
 var (
-	buffers = sync.Pool{New: func() any { return new([readSize]byte) }}
-	outputs = sync.Pool{New: func() any { b := make([]byte, 0, outputSize); return &b }}
+	readBuffers   = sync.Pool{New: func() any { return new([readSize]byte) }}
+	outputBuffers = sync.Pool{New: func() any { b := make([]byte, 0, outputSize); return &b }}
 )
 
 // forwarder forwards one stream.
@@ -79,22 +82,23 @@
 	stream core.Stream
 	ticket Ticket
 
-	mu           sync.Mutex
-	changed      sync.Cond // buffered or readDone has changed
-	writeStarted time.Time // of the current write; zero without
-	buffering    bool      // readAhead owns the stream
-	buffered     []byte
-	readDone     bool // readAhead has reached the end
-	err          error
-	stopped      bool
-	stallTimer   *time.Timer
+	mu            sync.Mutex
+	bufferChanged sync.Cond // signalled when buffered or readDone changes
+	writeStarted  time.Time // of the current write; zero if there is none
+	buffering     bool      // readAhead owns the stream
+	buffered      []byte
+	readDone      bool        // readAhead has read the end of the stream or cancelled it
+	err           error       // why readAhead ended; nil after a complete stream
+	stopped       bool        // readAhead must not be started
+	stallTimer    *time.Timer // calls checkStall
 }
 
-// Run forwards a stream until it ends, reports the end to the ticket, and returns nil only if it was
-// forwarded completely. When ctx ends, the client has disconnected: the attempt is closed at once.
+// Run forwards a stream until it ends, and reports the result to the ticket. It returns nil only if the
+// stream was forwarded completely. The caller cancels ctx when the client disconnects; Run then closes the
+// attempt immediately.
 func Run(ctx context.Context, t Ticket, s core.Stream, p Pipe, l *Limits) error {
 	f := &forwarder{Pipe: p, limits: l, ctx: ctx, stream: s, ticket: t}
-	f.changed.L = &f.mu
+	f.bufferChanged.L = &f.mu
 	stop := context.AfterFunc(ctx, func() { s.Close() })
 	defer stop()
 	defer s.Close()
@@ -102,52 +106,53 @@
 	f.stallTimer = time.AfterFunc(l.StallTimeout, f.checkStall)
 	f.mu.Unlock()
 	defer f.stop()
-	buf := buffers.Get().(*[readSize]byte)
-	defer buffers.Put(buf)
-	store := outputs.Get().(*[]byte)
-	out := *store
+	buf := readBuffers.Get().(*[readSize]byte)
+	defer readBuffers.Put(buf)
+	pooled := outputBuffers.Get().(*[]byte)
+	out := *pooled
 	defer func() {
 		if cap(out) > 0 && cap(out) <= maxPooledOutput {
-			*store = out[:0]
-			outputs.Put(store)
+			*pooled = out[:0]
+			outputBuffers.Put(pooled)
 		}
 	}()
 	for {
 		var err error
-		var over bool
-		out, over, err = f.read(out[:0], buf[:])
-		if over {
-			f.stop() // there is nothing left to read ahead
+		var ended bool
+		out, ended, err = f.read(out[:0], buf[:])
+		if ended {
+			f.stop() // the stream has ended: nothing remains to be read ahead
 		}
 		if len(out) > 0 {
-			readingAhead, werr := f.write(out)
-			if werr != nil {
-				return f.clientGone(over, readingAhead, werr)
+			readingAhead, writeErr := f.write(out)
+			if writeErr != nil {
+				return f.clientDisconnected(ended, readingAhead, writeErr)
 			}
-			if readingAhead && !over {
-				held := out
-				out = nil // writeBuffered swaps it with the buffer
-				return f.writeBuffered(held)
+			if readingAhead && !ended {
+				swap := out
+				out = nil // writeBuffered swaps it with the buffer, so it must not be pooled
+				return f.writeBuffered(swap)
 			}
 		}
-		if over {
+		if ended {
 			return err
 		}
-		// Other goroutines that are ready run first, and events that arrive meanwhile are written
-		// together. If none is ready, this returns at once.
+		// Yields to other goroutines that are ready, so that events that arrive meanwhile are written
+		// together. Gosched returns immediately if no goroutine is ready.
 		runtime.Gosched()
 	}
 }
 
-// read reads the next part. Once the stream has ended it has notified the ticket.
-func (f *forwarder) read(out, buf []byte) (_ []byte, over bool, err error) {
+// read reads from the stream, and appends the converted bytes to out. If it returns ended, it has
+// reported the result to the ticket.
+func (f *forwarder) read(out, buf []byte) (_ []byte, ended bool, err error) {
 	n, err := f.stream.Read(buf)
 	if n > 0 {
-		var takeErr error
-		if out, takeErr = f.Convert(out, buf[:n]); takeErr != nil {
+		var convertErr error
+		if out, convertErr = f.Convert(out, buf[:n]); convertErr != nil {
 			f.stream.Close()
-			f.ticket.Finish(core.Result{Status: routing.StatusError, Cause: takeErr})
-			return out, true, takeErr
+			f.ticket.Finish(core.Result{Status: routing.StatusError, Cause: convertErr})
+			return out, true, convertErr
 		}
 	}
 	if err == nil {
@@ -155,9 +160,9 @@
 	}
 	res := f.stream.Result()
 	if res.Status == routing.StatusServed {
-		var takeErr error
-		if out, takeErr = f.End(out); takeErr != nil {
-			res.Status, res.Cause, err = routing.StatusError, takeErr, takeErr
+		var convertErr error
+		if out, convertErr = f.End(out); convertErr != nil {
+			res.Status, res.Cause, err = routing.StatusError, convertErr, convertErr
 		}
 	}
 	if f.ctx.Err() != nil && res.Status != routing.StatusServed {
@@ -172,7 +177,7 @@
 	return out, true, err
 }
 
-// write writes to the client, and reports whether readAhead has taken over the stream.
+// write writes to the client, and reports whether readAhead owns the stream.
 func (f *forwarder) write(out []byte) (readingAhead bool, err error) {
 	f.mu.Lock()
 	f.writeStarted = time.Now()
@@ -185,25 +190,27 @@
 	return readingAhead, err
 }
 
-// clientGone ends the forwarding after a failed write; over means that the stream had ended before.
-func (f *forwarder) clientGone(over, readingAhead bool, err error) error {
+// clientDisconnected ends the forwarding after a failed write. If ended is true, the stream had ended
+// before.
+func (f *forwarder) clientDisconnected(ended, readingAhead bool, err error) error {
 	f.stream.Close()
 	switch {
-	case readingAhead: // readAhead notifies the ticket, and is about to return
+	case readingAhead: // readAhead reports to the ticket, and returns soon
 		f.mu.Lock()
 		for !f.readDone {
-			f.changed.Wait()
+			f.bufferChanged.Wait()
 		}
 		f.limits.available.Add(int64(len(f.buffered)))
 		f.buffered = nil
 		f.mu.Unlock()
-	case !over:
+	case !ended:
 		f.ticket.Finish(core.Result{Status: routing.StatusCancelled, Cause: err})
 	}
 	return fmt.Errorf("%w: %w", ErrClientDisconnected, err)
 }
 
-// checkStall begins to read ahead if a write has blocked for too long.
+// checkStall starts readAhead if the current write has blocked for StallTimeout, and otherwise runs again
+// after StallTimeout.
 func (f *forwarder) checkStall() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -218,6 +225,7 @@
 	go f.readAhead()
 }
 
+// stop prevents readAhead from being started.
 func (f *forwarder) stop() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -225,16 +233,16 @@
 	f.stallTimer.Stop()
 }
 
-// readAhead reads the rest of the stream into the buffer. It owns the stream from then on, and ends
-// with it: Run closes the stream when it returns.
+// readAhead reads the remaining stream into the buffer. It owns the stream, and returns when the stream
+// has ended or is closed: Run closes it when Run returns.
 func (f *forwarder) readAhead() {
-	buf := buffers.Get().(*[readSize]byte)
-	defer buffers.Put(buf)
+	buf := readBuffers.Get().(*[readSize]byte)
+	defer readBuffers.Put(buf)
 	var out []byte
 	for {
 		var err error
-		var over bool
-		out, over, err = f.read(out[:0], buf[:])
+		var ended bool
+		out, ended, err = f.read(out[:0], buf[:])
 		f.mu.Lock()
 		fits := len(f.buffered)+len(out) <= f.limits.PerClient
 		if fits && f.limits.available.Add(-int64(len(out))) < 0 {
@@ -244,38 +252,39 @@
 		if fits {
 			f.buffered = append(f.buffered, out...)
 		}
-		if !fits && !over {
+		if !fits && !ended {
 			f.mu.Unlock()
 			f.stream.Close()
 			f.ticket.Finish(core.Result{Status: routing.StatusCancelled, Cause: ErrSlowClient})
 			f.mu.Lock()
 		}
 		if !fits {
-			over, err = true, ErrSlowClient
+			ended, err = true, ErrSlowClient
 		}
-		f.readDone, f.err = over, err
-		f.changed.Signal()
+		f.readDone, f.err = ended, err
+		f.bufferChanged.Signal()
 		f.mu.Unlock()
-		if over {
+		if ended {
 			return
 		}
 	}
 }
 
-// writeBuffered writes what readAhead has read until the end.
+// writeBuffered writes the bytes that readAhead buffers, until the stream has ended. It reuses out as
+// the next buffer.
 func (f *forwarder) writeBuffered(out []byte) error {
 	for {
 		f.mu.Lock()
 		for len(f.buffered) == 0 && !f.readDone {
-			f.changed.Wait()
+			f.bufferChanged.Wait()
 		}
 		out, f.buffered = f.buffered, out[:0]
 		f.limits.available.Add(int64(len(out)))
 		ended, err := f.readDone, f.err
 		f.mu.Unlock()
 		if len(out) > 0 {
-			if werr := f.Write(out); werr != nil {
-				return f.clientGone(ended, true, werr)
+			if writeErr := f.Write(out); writeErr != nil {
+				return f.clientDisconnected(ended, true, writeErr)
 			}
 			continue
 		}
--- a/internal/streambuffer/streambuffer_test.go
+++ b/internal/streambuffer/streambuffer_test.go
@@ -14,8 +14,9 @@
 	"wellgw/routing"
 )
 
-// source is a stream that is given out part by part.
-type source struct {
+// fakeStream is a stream whose parts a test sends on a channel. If broken is set, it ends with an error
+// after the last part.
+type fakeStream struct {
 	parts  chan string
 	broken bool
 	once   sync.Once
@@ -23,11 +24,11 @@
 	result core.Result
 }
 
-func newSource(broken bool) *source {
-	return &source{parts: make(chan string, 4096), broken: broken, closed: make(chan struct{})}
+func newFakeStream(broken bool) *fakeStream {
+	return &fakeStream{parts: make(chan string, 4096), broken: broken, closed: make(chan struct{})}
 }
 
-func (s *source) Read(p []byte) (int, error) {
+func (s *fakeStream) Read(p []byte) (int, error) {
 	select {
 	case <-s.closed:
 		s.result.Status = routing.StatusCancelled
@@ -35,8 +36,8 @@
 	default:
 	}
 	select {
-	case part, more := <-s.parts:
-		if more {
+	case part, open := <-s.parts:
+		if open {
 			return copy(p, part), nil
 		}
 		if s.broken {
@@ -51,32 +52,33 @@
 	}
 }
 
-func (s *source) Result() core.Result { return s.result }
-func (s *source) Close() error        { s.once.Do(func() { close(s.closed) }); return nil }
+func (s *fakeStream) Result() core.Result { return s.result }
+func (s *fakeStream) Close() error        { s.once.Do(func() { close(s.closed) }); return nil }
 
-// ticket counts what it is told.
-type ticket struct {
-	mu  sync.Mutex
-	got []core.Result
+// fakeTicket records the results that are reported to it.
+type fakeTicket struct {
+	mu      sync.Mutex
+	results []core.Result
 }
 
-func (t *ticket) Finish(r core.Result) {
+func (t *fakeTicket) Finish(r core.Result) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.got = append(t.got, r)
+	t.results = append(t.results, r)
 }
 
-func (t *ticket) once(test *testing.T, want routing.Status) {
+// checkOnce checks that exactly one result was reported, with the wanted status.
+func (t *fakeTicket) checkOnce(test *testing.T, want routing.Status) {
 	test.Helper()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if len(t.got) != 1 || t.got[0].Status != want {
-		test.Errorf("told %+v, want %v once", t.got, want)
+	if len(t.results) != 1 || t.results[0].Status != want {
+		test.Errorf("results %+v, want one with status %v", t.results, want)
 	}
 }
 
-// pass takes what comes as it is, and adds an end.
-func pass(write func([]byte) error) Pipe {
+// unchanged returns a Pipe that forwards the stream's bytes unchanged, and appends "|end" at the end.
+func unchanged(write func([]byte) error) Pipe {
 	return Pipe{
 		Convert: func(dst, p []byte) ([]byte, error) { return append(dst, p...), nil },
 		End:     func(dst []byte) ([]byte, error) { return append(dst, "|end"...), nil },
@@ -85,101 +87,102 @@
 }
 
 func TestCompleteStream(t *testing.T) {
-	s, tk := newSource(false), &ticket{}
+	s, tk := newFakeStream(false), &fakeTicket{}
 	for _, p := range []string{"a", "b", "c"} {
 		s.parts <- p
 	}
 	close(s.parts)
 	var got bytes.Buffer
-	err := Run(t.Context(), tk, s, pass(func(p []byte) error { got.Write(p); return nil }), NewLimits(time.Minute, 100, 100))
+	err := Run(t.Context(), tk, s, unchanged(func(p []byte) error { got.Write(p); return nil }), NewLimits(time.Minute, 100, 100))
 	if err != nil || got.String() != "abc|end" {
 		t.Errorf("%v, %q", err, got.String())
 	}
-	tk.once(t, routing.StatusServed)
+	tk.checkOnce(t, routing.StatusServed)
 }
 
 func TestBrokenStream(t *testing.T) {
-	s, tk := newSource(true), &ticket{}
+	s, tk := newFakeStream(true), &fakeTicket{}
 	s.parts <- "a"
 	close(s.parts)
 	var got bytes.Buffer
-	err := Run(t.Context(), tk, s, pass(func(p []byte) error { got.Write(p); return nil }), NewLimits(time.Minute, 100, 100))
+	err := Run(t.Context(), tk, s, unchanged(func(p []byte) error { got.Write(p); return nil }), NewLimits(time.Minute, 100, 100))
 	if err == nil || got.String() != "a" {
 		t.Errorf("%v, %q", err, got.String())
 	}
-	tk.once(t, routing.StatusReset)
+	tk.checkOnce(t, routing.StatusReset)
 }
 
-func TestBufferOverflowEndsAttempt(t *testing.T) {
-	wrong := errors.New("wrong")
+func TestConversionErrorEndsAttempt(t *testing.T) {
+	errConversion := errors.New("conversion error")
 	for name, p := range map[string]Pipe{
-		"in the middle": {Convert: func(dst, _ []byte) ([]byte, error) { return append(dst, "before"...), wrong }},
-		"at the end":    {Convert: func(dst, _ []byte) ([]byte, error) { return append(dst, "before"...), nil }, End: func(dst []byte) ([]byte, error) { return dst, wrong }},
+		"in Convert": {Convert: func(dst, _ []byte) ([]byte, error) { return append(dst, "before"...), errConversion }},
+		"in End":     {Convert: func(dst, _ []byte) ([]byte, error) { return append(dst, "before"...), nil }, End: func(dst []byte) ([]byte, error) { return dst, errConversion }},
 	} {
-		s, tk := newSource(false), &ticket{}
+		s, tk := newFakeStream(false), &fakeTicket{}
 		s.parts <- "a"
 		close(s.parts)
 		var got bytes.Buffer
 		p.Write = func(b []byte) error { got.Write(b); return nil }
-		if err := Run(t.Context(), tk, s, p, NewLimits(time.Minute, 100, 100)); !errors.Is(err, wrong) || got.String() != "before" {
+		if err := Run(t.Context(), tk, s, p, NewLimits(time.Minute, 100, 100)); !errors.Is(err, errConversion) || got.String() != "before" {
 			t.Errorf("%s: %v, %q", name, err, got.String())
 		}
-		tk.once(t, routing.StatusError)
+		tk.checkOnce(t, routing.StatusError)
 	}
 }
 
-// A client that does not read keeps nobody: the stream is read to its end meanwhile, and
-// the client gets all of it once it reads.
+// A client that doesn't read must not block the engine: the stream is read to its end while the client's
+// write blocks, and the client gets the complete stream when it reads again.
 func TestSlowClientDoesNotBlockEngine(t *testing.T) {
-	s, tk := newSource(false), &ticket{}
+	s, tk := newFakeStream(false), &fakeTicket{}
 	s.parts <- "first"
-	blocked, read := make(chan struct{}), make(chan struct{})
+	blocked, unblock := make(chan struct{}), make(chan struct{})
 	var got bytes.Buffer
 	ended := make(chan error, 1)
 	first := true
-	bounds := NewLimits(5*time.Millisecond, 1000, 1000)
+	limits := NewLimits(5*time.Millisecond, 1000, 1000)
 	go func() {
-		ended <- Run(t.Context(), tk, s, pass(func(p []byte) error {
+		ended <- Run(t.Context(), tk, s, unchanged(func(p []byte) error {
 			if first {
 				first = false
 				close(blocked)
-				<-read
+				<-unblock
 			}
 			got.Write(p)
 			return nil
-		}), bounds)
+		}), limits)
 	}()
 	<-blocked
 	for range 10 {
 		s.parts <- "more"
 	}
 	close(s.parts)
-	eventually(t, func() bool { tk.mu.Lock(); defer tk.mu.Unlock(); return len(tk.got) == 1 })
-	tk.once(t, routing.StatusServed)
-	close(read)
+	eventually(t, func() bool { tk.mu.Lock(); defer tk.mu.Unlock(); return len(tk.results) == 1 })
+	tk.checkOnce(t, routing.StatusServed)
+	close(unblock)
 	if err := <-ended; err != nil || got.String() != "first"+strings.Repeat("more", 10)+"|end" {
 		t.Errorf("%v, %q", err, got.String())
 	}
-	if bounds.Available() != 1000 {
-		t.Errorf("%d bytes left", bounds.Available())
+	if limits.Available() != 1000 {
+		t.Errorf("%d of 1000 bytes available", limits.Available())
 	}
 }
 
-// What is held for a slow client is bounded, by itself and over all.
+// The bytes that are buffered for slow clients are limited per client and in total. A client that exceeds
+// a limit is disconnected.
 func TestTooSlowClientIsDisconnected(t *testing.T) {
-	for name, b := range map[string]*Limits{"its own bound": NewLimits(5*time.Millisecond, 20, 1000), "that of all": NewLimits(5*time.Millisecond, 1000, 20)} {
+	for name, b := range map[string]*Limits{"limit per client": NewLimits(5*time.Millisecond, 20, 1000), "limit in total": NewLimits(5*time.Millisecond, 1000, 20)} {
 		t.Run(name, func(t *testing.T) {
-			all := b.Available()
-			s, tk := newSource(false), &ticket{}
+			total := b.Available()
+			s, tk := newFakeStream(false), &fakeTicket{}
 			s.parts <- "first"
-			read := make(chan struct{})
+			unblock := make(chan struct{})
 			first := true
 			ended := make(chan error, 1)
 			go func() {
-				ended <- Run(t.Context(), tk, s, pass(func([]byte) error {
+				ended <- Run(t.Context(), tk, s, unchanged(func([]byte) error {
 					if first {
 						first = false
-						<-read
+						<-unblock
 					}
 					return nil
 				}), b)
@@ -187,66 +190,67 @@
 			for range 100 {
 				s.parts <- "more"
 			}
-			<-s.closed // the engine is free before the client reads
-			eventually(t, func() bool { tk.mu.Lock(); defer tk.mu.Unlock(); return len(tk.got) == 1 })
-			tk.once(t, routing.StatusCancelled)
-			close(read)
+			<-s.closed // the engine's stream is closed before the client reads
+			eventually(t, func() bool { tk.mu.Lock(); defer tk.mu.Unlock(); return len(tk.results) == 1 })
+			tk.checkOnce(t, routing.StatusCancelled)
+			close(unblock)
 			if err := <-ended; !errors.Is(err, ErrSlowClient) {
 				t.Error(err)
 			}
-			if b.Available() != all {
-				t.Errorf("%d of %d bytes left", b.Available(), all)
+			if b.Available() != total {
+				t.Errorf("%d of %d bytes available", b.Available(), total)
 			}
 		})
 	}
 }
 
-func TestClientLeaves(t *testing.T) {
-	gone := errors.New("gone")
-	t.Run("at a write", func(t *testing.T) {
-		s, tk := newSource(false), &ticket{}
+func TestClientDisconnect(t *testing.T) {
+	errDisconnected := errors.New("client disconnected")
+	t.Run("during a write", func(t *testing.T) {
+		s, tk := newFakeStream(false), &fakeTicket{}
 		s.parts <- "a"
-		if err := Run(t.Context(), tk, s, pass(func([]byte) error { return gone }), NewLimits(time.Minute, 100, 100)); !errors.Is(err, gone) {
+		if err := Run(t.Context(), tk, s, unchanged(func([]byte) error { return errDisconnected }), NewLimits(time.Minute, 100, 100)); !errors.Is(err, errDisconnected) {
 			t.Error(err)
 		}
 		<-s.closed
-		tk.once(t, routing.StatusCancelled)
+		tk.checkOnce(t, routing.StatusCancelled)
 	})
 	t.Run("between events", func(t *testing.T) {
-		s, tk := newSource(false), &ticket{}
+		s, tk := newFakeStream(false), &fakeTicket{}
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
 		go func() {
-			ended <- Run(ctx, tk, s, pass(func([]byte) error { return nil }), NewLimits(time.Minute, 100, 100))
+			ended <- Run(ctx, tk, s, unchanged(func([]byte) error { return nil }), NewLimits(time.Minute, 100, 100))
 		}()
 		cancel()
 		if err := <-ended; err == nil {
-			t.Error("no error")
+			t.Error("Run returned no error after its context was cancelled")
 		}
-		tk.once(t, routing.StatusCancelled)
+		tk.checkOnce(t, routing.StatusCancelled)
 	})
-	t.Run("while it is slow", func(t *testing.T) {
-		s, tk := newSource(false), &ticket{}
+	t.Run("while bytes are buffered", func(t *testing.T) {
+		s, tk := newFakeStream(false), &fakeTicket{}
 		b := NewLimits(5*time.Millisecond, 1000, 1000)
 		s.parts <- "a"
-		leave := make(chan struct{})
+		disconnect := make(chan struct{})
 		ended := make(chan error, 1)
 		go func() {
-			ended <- Run(t.Context(), tk, s, pass(func([]byte) error { <-leave; return gone }), b)
+			ended <- Run(t.Context(), tk, s, unchanged(func([]byte) error { <-disconnect; return errDisconnected }), b)
 		}()
-		s.parts <- "held"
+		s.parts <- "buffered"
 		eventually(t, func() bool { return b.Available() < 1000 })
-		close(leave)
-		if err := <-ended; !errors.Is(err, gone) {
+		close(disconnect)
+		if err := <-ended; !errors.Is(err, errDisconnected) {
 			t.Error(err)
 		}
-		tk.once(t, routing.StatusCancelled)
+		tk.checkOnce(t, routing.StatusCancelled)
 		if b.Available() != 1000 {
-			t.Errorf("%d bytes left", b.Available())
+			t.Errorf("%d of 1000 bytes available", b.Available())
 		}
 	})
 }
 
+// eventually fails the test if ok doesn't return true within about 10 seconds.
 func eventually(t *testing.T, ok func() bool) {
 	t.Helper()
 	for range 2000 {
@@ -255,5 +259,5 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	t.Fatal("it did not come to that")
+	t.Fatal("condition not reached within 10 seconds")
 }
