--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -106,15 +106,15 @@
 	}
 	for _, s := range view.Sources {
 		gauge(c.sources, float64(s.AgeMS)/1000, s.Source)
-		if s.Doubt != "" {
-			gauge(c.doubt, 1, s.Source, s.Doubt)
+		if s.DistrustReason != "" {
+			gauge(c.doubt, 1, s.Source, s.DistrustReason)
 		}
 	}
 	gauge(c.gateways, float64(view.Gateways))
 	for event, n := range view.Counts {
 		count(c.events, float64(n), strings.ReplaceAll(event, " ", "_"))
 	}
-	count(c.checks, float64(view.Stats.Checks))
+	count(c.checks, float64(view.Stats.Probes))
 	count(c.changes, float64(view.Stats.Changes))
 	count(c.queries, float64(view.Consul.Queries))
 	count(c.failed, float64(view.Consul.Failed))
@@ -180,7 +180,7 @@
 		count(c.datagrams, float64(x), way)
 	}
 	for reason, x := range map[string]uint64{
-		"short": n.NotADatagram, "version": n.UnknownVersion, "key": n.UnknownKey, "seal": n.BadSeal, "replay": n.Replayed, "payload": n.BadPayload, "former": n.StaleInstance, "full": n.QueueFull,
+		"short": n.InvalidSize, "version": n.UnknownVersion, "key": n.UnknownKey, "seal": n.BadSeal, "replay": n.Replayed, "payload": n.BadPayload, "former": n.StaleInstance, "full": n.QueueFull,
 	} {
 		count(c.dropped, float64(x), reason)
 	}
