--- a/internal/clientconn/clientconn.go
+++ b/internal/clientconn/clientconn.go
@@ -34,7 +34,7 @@
 // has arrived.
 const initialBufferSize = 8 << 10
 
-// Read reads a request's body. On success the caller must call free when the request is complete.
+// Read reads a request's body. On success the caller must call free when it has finished the request.
 // ErrBodyBudgetExceeded and ErrRequestExpired guarantee that the request had no effect. The buffer
 // grows with the bytes that have arrived, and only the buffer counts against the budget, not the
 // declared length: a client that declares a large body and sends nothing must not block others.
@@ -49,7 +49,7 @@
 	free = func() { b.available.Add(reserved) }
 	limited := http.MaxBytesReader(w, r.Body, MaxBodySize)
 	for err == nil {
-		if r.ContentLength >= 0 && int64(len(body)) == r.ContentLength { // all bytes are read; io.EOF is still to come
+		if r.ContentLength >= 0 && int64(len(body)) == r.ContentLength { // only io.EOF is still to come
 			_, err = io.ReadFull(limited, make([]byte, 1))
 			break
 		}
--- a/internal/clientconn/conn.go
+++ b/internal/clientconn/conn.go
@@ -174,8 +174,8 @@
 }
 
 // readAvailable reads the bytes that have arrived, without blocking; it returns false if there are
-// none. Reading and framing share one critical section: a connection is closed for reading either
-// before a request's bytes are read, or not while that request is in flight.
+// none. It reads and updates the framing in one critical section, so that a connection is never closed
+// for reading after a request's bytes are read and before they count as a request in flight.
 func (c *Conn) readAvailable(fd uintptr) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -224,7 +224,7 @@
 		c.readCount, c.readErr = valid, nil
 	}
 	c.pollIfPipelined()
-	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) { // ETIMEDOUT is a broken connection, not a read deadline
+	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) { // ETIMEDOUT is not a read deadline of the server
 		c.peerClosed = true
 	}
 }
@@ -234,7 +234,7 @@
 func (c *Conn) closeReadIfIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.readClosed || c.closing { // such a connection may be evicted while it lingers
+	if c.readClosed || c.closing { // a closing connection that still lingers may be evicted
 		return true
 	}
 	if c.frame.complete > c.answered || !c.frame.betweenRequests() || c.malformed || hasUnreadBytes(c.Conn) {
--- a/internal/clientconn/disconnect.go
+++ b/internal/clientconn/disconnect.go
@@ -30,8 +30,8 @@
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// clientDisconnected reports whether the client of a request has disconnected. A request may wait to be read
-// for longer than its client waits for the response.
+// clientDisconnected reports whether the client of a request has disconnected. A request may wait to be
+// read for longer than its client waits for the response.
 func clientDisconnected(ctx context.Context) bool {
 	c, ok := ctx.Value(connKey{}).(*Conn)
 	return ok && c.peerHungUp()
@@ -49,8 +49,8 @@
 	return c.frame.complete <= c.answered+1 && c.frame.betweenRequests()
 }
 
-// pollIfPipelined schedules pollPeer if the client has sent bytes beyond the request in flight. The caller
-// holds c.mu.
+// pollIfPipelined schedules pollPeer if the client has sent bytes beyond the request in flight. The
+// caller holds c.mu.
 func (c *Conn) pollIfPipelined() {
 	inFlight := c.frame.complete > c.answered
 	pipelined := c.frame.complete > c.answered+1 || inFlight && (c.unreadAtShutdown || !c.frame.betweenRequests())
--- a/internal/clientconn/listener.go
+++ b/internal/clientconn/listener.go
@@ -13,7 +13,7 @@
 
 // Limits for eviction and rejection when all connections are in use.
 const (
-	// A connection that has had no request for this time since its accept has eviction rank 0.
+	// A connection without a complete request for this time since its accept has eviction rank 0.
 	newConnectionGrace = 300 * time.Millisecond
 	// A connection that has been idle for this time since its last response has eviction rank 1.
 	idleGrace = 2 * time.Second
@@ -145,11 +145,12 @@
 		if victim == nil {
 			return false
 		}
-		if victimIdle.betweenRequests && !victim.closeReadIfIdle() { // its next request has arrived and will be read
+		if victimIdle.betweenRequests && !victim.closeReadIfIdle() {
+			// Its next request has arrived and will be read.
 			skipped[victim] = true
 			continue
 		}
-		l.forget(victim)
+		l.removeLocked(victim)
 		victim.respondToPartial(serviceUnavailable, ClosedEvicted)
 		victim.recordClose()
 		victim.Conn.Close()
--- a/internal/clientconn/listener_test.go
+++ b/internal/clientconn/listener_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// startServer starts a server with at most limit connections. For a request for /wait, the handler sends on
-// waiting and responds after a receive from answer; it responds immediately if answer is closed.
+// startServer starts a server with at most limit connections. For a request for /wait, the handler sends
+// on waiting and responds after a receive from answer; it responds immediately if answer is closed.
 func startServer(t *testing.T, limit int) (l *Listener, waiting, answer chan bool) {
 	waiting, answer = make(chan bool), make(chan bool)
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/clientconn/record.go
+++ b/internal/clientconn/record.go
@@ -18,7 +18,7 @@
 	ClosedIdle            CloseReason = "idle"            // idle during a drain or shutdown
 	ClosedUnused          CloseReason = "unused"          // no request on it during a drain or shutdown
 	ClosedAfterLastAnswer CloseReason = "last answer"     // last response written during a drain or shutdown
-	ClosedRequestExpired  CloseReason = "late request"    // request incomplete when requests were refused
+	ClosedRequestExpired  CloseReason = "late request"    // request incomplete when none were accepted any longer
 	ClosedEvicted         CloseReason = "evicted"         // slot needed for another connection
 	ClosedNoSlot          CloseReason = "no room"         // no slot free at its accept, and none could be freed
 	ClosedMalformed       CloseReason = "malformed"       // request could not be parsed
--- a/internal/clientconn/service.go
+++ b/internal/clientconn/service.go
@@ -38,14 +38,16 @@
 	}
 }
 
+// remove removes a connection from the set of open ones.
 func (l *Listener) remove(c *Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.forget(c)
+	l.removeLocked(c)
 }
 
-// forget removes a connection from the set of open ones. The caller holds l.mu.
-func (l *Listener) forget(c *Conn) {
+// removeLocked removes a connection from the set of open ones, and notifies the channels of Empty if it
+// was the last. The caller holds l.mu.
+func (l *Listener) removeLocked(c *Conn) {
 	delete(l.open, c)
 	if len(l.open) > 0 {
 		return
--- a/internal/streambuffer/streambuffer.go
+++ b/internal/streambuffer/streambuffer.go
@@ -94,8 +94,8 @@
 }
 
 // Run forwards a stream until it ends, and reports the result to the ticket. It returns nil only if the
-// stream was forwarded completely. The caller cancels ctx when the client disconnects; Run then closes the
-// attempt immediately.
+// stream was forwarded completely. The caller cancels ctx when the client disconnects; Run then closes
+// the attempt immediately.
 func Run(ctx context.Context, t Ticket, s core.Stream, p Pipe, l *Limits) error {
 	f := &forwarder{Pipe: p, limits: l, ctx: ctx, stream: s, ticket: t}
 	f.bufferChanged.L = &f.mu
--- a/internal/streambuffer/streambuffer_test.go
+++ b/internal/streambuffer/streambuffer_test.go
@@ -77,8 +77,8 @@
 	}
 }
 
-// unchanged returns a Pipe that forwards the stream's bytes unchanged, and appends "|end" at the end.
-func unchanged(write func([]byte) error) Pipe {
+// passThroughPipe returns a Pipe that forwards the stream's bytes unchanged, and appends "|end" at the end.
+func passThroughPipe(write func([]byte) error) Pipe {
 	return Pipe{
 		Convert: func(dst, p []byte) ([]byte, error) { return append(dst, p...), nil },
 		End:     func(dst []byte) ([]byte, error) { return append(dst, "|end"...), nil },
@@ -93,7 +93,7 @@
 	}
 	close(s.parts)
 	var got bytes.Buffer
-	err := Run(t.Context(), tk, s, unchanged(func(p []byte) error { got.Write(p); return nil }), NewLimits(time.Minute, 100, 100))
+	err := Run(t.Context(), tk, s, passThroughPipe(func(p []byte) error { got.Write(p); return nil }), NewLimits(time.Minute, 100, 100))
 	if err != nil || got.String() != "abc|end" {
 		t.Errorf("%v, %q", err, got.String())
 	}
@@ -105,7 +105,7 @@
 	s.parts <- "a"
 	close(s.parts)
 	var got bytes.Buffer
-	err := Run(t.Context(), tk, s, unchanged(func(p []byte) error { got.Write(p); return nil }), NewLimits(time.Minute, 100, 100))
+	err := Run(t.Context(), tk, s, passThroughPipe(func(p []byte) error { got.Write(p); return nil }), NewLimits(time.Minute, 100, 100))
 	if err == nil || got.String() != "a" {
 		t.Errorf("%v, %q", err, got.String())
 	}
@@ -141,7 +141,7 @@
 	first := true
 	limits := NewLimits(5*time.Millisecond, 1000, 1000)
 	go func() {
-		ended <- Run(t.Context(), tk, s, unchanged(func(p []byte) error {
+		ended <- Run(t.Context(), tk, s, passThroughPipe(func(p []byte) error {
 			if first {
 				first = false
 				close(blocked)
@@ -179,7 +179,7 @@
 			first := true
 			ended := make(chan error, 1)
 			go func() {
-				ended <- Run(t.Context(), tk, s, unchanged(func([]byte) error {
+				ended <- Run(t.Context(), tk, s, passThroughPipe(func([]byte) error {
 					if first {
 						first = false
 						<-unblock
@@ -209,7 +209,7 @@
 	t.Run("during a write", func(t *testing.T) {
 		s, tk := newFakeStream(false), &fakeTicket{}
 		s.parts <- "a"
-		if err := Run(t.Context(), tk, s, unchanged(func([]byte) error { return errDisconnected }), NewLimits(time.Minute, 100, 100)); !errors.Is(err, errDisconnected) {
+		if err := Run(t.Context(), tk, s, passThroughPipe(func([]byte) error { return errDisconnected }), NewLimits(time.Minute, 100, 100)); !errors.Is(err, errDisconnected) {
 			t.Error(err)
 		}
 		<-s.closed
@@ -220,7 +220,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
 		go func() {
-			ended <- Run(ctx, tk, s, unchanged(func([]byte) error { return nil }), NewLimits(time.Minute, 100, 100))
+			ended <- Run(ctx, tk, s, passThroughPipe(func([]byte) error { return nil }), NewLimits(time.Minute, 100, 100))
 		}()
 		cancel()
 		if err := <-ended; err == nil {
@@ -235,7 +235,7 @@
 		disconnect := make(chan struct{})
 		ended := make(chan error, 1)
 		go func() {
-			ended <- Run(t.Context(), tk, s, unchanged(func([]byte) error { <-disconnect; return errDisconnected }), b)
+			ended <- Run(t.Context(), tk, s, passThroughPipe(func([]byte) error { <-disconnect; return errDisconnected }), b)
 		}()
 		s.parts <- "buffered"
 		eventually(t, func() bool { return b.Available() < 1000 })
