--- a/internal/openai/conformance/conformance.go
+++ b/internal/openai/conformance/conformance.go
@@ -26,7 +26,7 @@
 
 // Errors in answers for which the library has no error.
 var (
-	errChunk      = errors.New("client library failed to accumulate a chunk")
+	errAccumulate      = errors.New("client library failed to accumulate a chunk")
 	errNoToolCall = errors.New("no tool call")
 )
 
@@ -129,7 +129,7 @@
 	for stream.Next() {
 		c := stream.Current()
 		if !acc.AddChunk(c) {
-			return acc, errChunk
+			return acc, errAccumulate
 		}
 		if each != nil {
 			if err := each(c); err != nil {
--- a/internal/openai/counts.go
+++ b/internal/openai/counts.go
@@ -7,7 +7,7 @@
 	"wellgw/decide/resume"
 )
 
-// counts are the front's own counters.
+// counts are the counters of a Front.
 type counts struct {
 	keys               [deduplication.CapacityExceeded + 1]atomic.Int64 // requests with idempotency keys, by decision
 	brokenAnswers      [resume.Finish + 1]atomic.Int64                  // broken answers, by resume.Step
--- a/internal/openai/errors.go
+++ b/internal/openai/errors.go
@@ -113,9 +113,9 @@
 	return nil
 }
 
-// answerError returns the error for an answer without a stream. Only 429 and 503 guarantee that the
-// request was not executed. After 502 and 504 it may have been, so if it must not be executed twice
-// (atMostOnce), the error tells client libraries not to retry.
+// answerError returns the error for an answer without a stream. Only 429 and 503 guarantee that a
+// retry is safe. After 502 and 504 the request may have been executed, so if it must not be executed
+// twice (atMostOnce), the error tells client libraries not to retry.
 func answerError(a core.Answer, atMostOnce bool) apiError {
 	if e := engineRejection(a); e != nil {
 		r := badRequest("the engine did not accept the request: "+firstLine(string(e.Body)), "")
