--- a/internal/openai/conformance/conformance.go
+++ b/internal/openai/conformance/conformance.go
@@ -26,7 +26,7 @@
 
 // Errors in answers for which the library has no error.
 var (
-	errAccumulate      = errors.New("client library failed to accumulate a chunk")
+	errAccumulate = errors.New("client library failed to accumulate a chunk")
 	errNoToolCall = errors.New("no tool call")
 )
 
