--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -228,6 +228,8 @@
 		{EngineInfo: routing.EngineInfo{Name: "r1", Kind: "r", Zone: "a", Weight: 1}, Addr: r.Addr},
 		{EngineInfo: routing.EngineInfo{Name: "w1", Kind: "w", Zone: "a", Weight: 1}, Addr: w.Addr},
 	})
+	// The core applies the list on its own goroutine; until then the gateway answers /healthz with 503.
+	enginetest.Eventually(t, "the core has applied the engine list", c.Ready)
 	f = NewFront(c, set.Classes, clientconn.NewBudget(1<<20))
 	server := httptest.NewUnstartedServer(f)
 	server.Config.ErrorLog = slog.NewLogLogger(log.Handler(), 0)
