--- a/internal/peers/datagram.go
+++ b/internal/peers/datagram.go
@@ -1,9 +1,11 @@
 // Package peers is the transport of the membership protocol between the gateways of a tier:
-// small sealed datagrams, a keyring that rotates in service, and one goroutine that owns the
-// protocol's state. What to send, and what to conclude, is decided in decide/membership.
+// small encrypted datagrams, a keyring whose keys can be rotated without a restart, and one
+// goroutine that owns the protocol's state. The protocol itself is implemented in
+// decide/membership, which decides which messages to send and which status each gateway has.
 //
-// No call on a request's path waits on anything here: a view is read from memory, and a peer
-// that is slow or silent costs a datagram whose answer is not waited for.
+// Handling a client's request never blocks on this package: the view of the tier is read from
+// memory, and a slow or unresponsive peer costs only the datagrams sent to it, because no
+// goroutine blocks until they are acknowledged.
 package peers
 
 import (
@@ -17,37 +19,39 @@
 
 // A datagram is
 //
-//	version (1) key id (4) instance (8) random (8) counter (8) sealed (payload + 16)
+//	version (1) key id (4) instance (8) random (8) counter (8) ciphertext and tag (payload + 16)
 //
-// The header, before the seal, is authenticated with it, and so is the tier's name. Each
-// process seals with a key of its own, derived from the ring's key and the process's instance
-// and random number, so that the counter, which a process never uses twice, can be GCM's nonce.
+// Sizes are in bytes. The header is the additional data of the AEAD, so it is authenticated with
+// the payload. The tier's name is authenticated too, because the key depends on it: each process
+// encrypts with a key derived from a key of the keyring, the tier's name and the process's
+// instance and random number. The counter can therefore be GCM's nonce: a process never uses a
+// value twice.
 const (
-	latestVersion   = 2 // has heartbeats, and kinds beyond PingReq
+	latestVersion   = 2 // adds heartbeats and the message kinds after PingReq
 	oldestVersion   = 1
-	headSize        = 1 + 4 + 8 + 8 + 8
-	nonceSize       = 12  // of GCM, in bytes
-	tagSize         = 16  // of GCM, in bytes
-	MaxDatagramSize = 256 // bytes of a datagram, as the platform allows between gateways
-	maxPayload      = MaxDatagramSize - headSize - tagSize
-	MaxNameLen      = 24 // bytes of a gateway's name
+	headerSize      = 1 + 4 + 8 + 8 + 8
+	nonceSize       = 12  // bytes of a GCM nonce
+	tagSize         = 16  // bytes of a GCM tag
+	MaxDatagramSize = 256 // max bytes of a datagram; a limit of the platform between gateways
+	maxPayload      = MaxDatagramSize - headerSize - tagSize
+	MaxNameLen      = 24 // max bytes of a gateway's name
 )
 
-// Why a datagram is dropped; each reason is counted.
+// Reasons for which a datagram is dropped. Each has its own counter.
 var (
-	errNotADatagram   = errors.New("no datagram of ours")
-	errUnknownVersion = errors.New("another version")
-	errUnknownKey     = errors.New("a key that is not in the ring")
-	errBadSeal        = errors.New("a seal that does not hold")
-	errReplayed       = errors.New("a datagram that has come before")
-	errBadPayload     = errors.New("a payload that can't be read")
+	errInvalidSize    = errors.New("datagram has an invalid size")
+	errUnknownVersion = errors.New("unknown protocol version")
+	errUnknownKey     = errors.New("key is not in the keyring")
+	errBadSeal        = errors.New("authentication failed")
+	errReplayed       = errors.New("replayed datagram")
+	errBadPayload     = errors.New("malformed payload")
 )
 
-// process identifies one process of a gateway. Of two processes of one name the later has the
-// higher instance.
+// process identifies one process of a gateway. Of two processes with the same gateway name, the
+// one that started later has the higher instance.
 type process struct{ instance, random uint64 }
 
-// newAEAD returns what seals and opens the datagrams of one process with one key of the ring.
+// newAEAD returns the AEAD for the datagrams of one process under one key of the keyring.
 func newAEAD(key []byte, tier string, p process) (cipher.AEAD, error) {
 	var salt [16]byte
 	binary.BigEndian.PutUint64(salt[:], p.instance)
@@ -69,7 +73,7 @@
 	return n
 }
 
-// seal returns a datagram.
+// seal returns a datagram: the header followed by the encrypted payload.
 func seal(aead cipher.AEAD, version byte, id keyID, p process, counter uint64, payload []byte) []byte {
 	b := make([]byte, 0, MaxDatagramSize)
 	b = append(b, version)
@@ -77,26 +81,26 @@
 	b = binary.BigEndian.AppendUint64(b, p.instance)
 	b = binary.BigEndian.AppendUint64(b, p.random)
 	b = binary.BigEndian.AppendUint64(b, counter)
-	return aead.Seal(b, nonce(counter), payload, b[:headSize])
+	return aead.Seal(b, nonce(counter), payload, b[:headerSize])
 }
 
-// datagramHeader is what stands before the seal.
+// datagramHeader is the unencrypted part of a datagram, without its version.
 type datagramHeader struct {
 	key     keyID
 	sender  process
 	counter uint64
 }
 
-// parseHeader reads the part before the seal, which is not yet proven authentic.
+// parseHeader parses the unencrypted header. Its fields are not authenticated at this point.
 func parseHeader(b []byte) (h datagramHeader, err error) {
 	if len(b) < 1 || len(b) > MaxDatagramSize {
-		return h, errNotADatagram
+		return h, errInvalidSize
 	}
 	if b[0] < oldestVersion || b[0] > latestVersion {
 		return h, errUnknownVersion
 	}
-	if len(b) < headSize+tagSize {
-		return h, errNotADatagram
+	if len(b) < headerSize+tagSize {
+		return h, errInvalidSize
 	}
 	copy(h.key[:], b[1:])
 	h.sender.instance, h.sender.random = binary.BigEndian.Uint64(b[5:]), binary.BigEndian.Uint64(b[13:])
--- a/internal/peers/incarnation.go
+++ b/internal/peers/incarnation.go
@@ -12,18 +12,21 @@
 	"wellgw/internal/files"
 )
 
-// maxIncarnationFile bounds what is read of the file, in bytes.
+// maxIncarnationFile limits how many bytes are read from the incarnation file.
 const maxIncarnationFile = 64
 
-// startIncarnation returns an incarnation above that of any earlier process, by the file or,
-// without one, by the wall clock. If both are lost the tier corrects it. An error is that of a file
-// that can't be read or written, and no reason not to start.
+// startIncarnation returns an incarnation above that of any earlier process of this gateway: one
+// more than the value in the file, or the wall clock's Unix time if that is higher or there is no
+// file. If the file is lost and the clock was set back, the value may be too low; the protocol
+// then raises it, because the other members of the tier report a higher one. An error means that
+// the file can't be read or written; the returned incarnation is valid nevertheless, so the
+// gateway can start.
 func startIncarnation(path string, wall time.Time) (uint64, error) {
-	clock := uint64(wall.Unix())
+	fromClock := uint64(wall.Unix())
 	if path == "" {
-		return clock, nil
+		return fromClock, nil
 	}
-	next := clock
+	next := fromClock
 	text, err := files.Read(path, maxIncarnationFile)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
@@ -31,13 +34,13 @@
 	case err == nil:
 		var last uint64
 		if last, err = strconv.ParseUint(strings.TrimSpace(string(text)), 10, 64); err == nil {
-			next = max(last+1, clock)
+			next = max(last+1, fromClock)
 		}
 	}
 	return next, errors.Join(err, writeIncarnation(path, next))
 }
 
-// writeIncarnation replaces the file atomically.
+// writeIncarnation replaces the incarnation file atomically.
 func writeIncarnation(path string, n uint64) error {
 	if err := files.WriteAtomic(path, []byte(strconv.FormatUint(n, 10)+"\n")); err != nil {
 		return fmt.Errorf("peers.incarnation_file: %w", err)
@@ -45,29 +48,29 @@
 	return nil
 }
 
-// incarnationRetryInterval is how soon a write that failed is tried again.
+// incarnationRetryInterval is the time between attempts to write the incarnation file.
 const incarnationRetryInterval = time.Second
 
-// persistIncarnations writes the incarnations that this gateway has raised to refute, and
-// retries a write that failed, until ctx ends.
+// persistIncarnations writes each incarnation that this gateway raises to refute a suspicion,
+// and retries failed writes, until ctx ends.
 func (p *Peers) persistIncarnations(ctx context.Context) {
-	unwritten := uint64(0)
+	pending := uint64(0)
 	retry := time.NewTicker(incarnationRetryInterval)
 	defer retry.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case unwritten = <-p.incarnations:
+		case pending = <-p.incarnations:
 		case <-retry.C:
 		}
-		if p.opt.IncarnationFile == "" || unwritten == 0 {
+		if p.opt.IncarnationFile == "" || pending == 0 {
 			continue
 		}
-		if err := writeIncarnation(p.opt.IncarnationFile, unwritten); err != nil {
+		if err := writeIncarnation(p.opt.IncarnationFile, pending); err != nil {
 			p.opt.Log.Warn("incarnation write failed, retrying", "cause", err)
 			continue
 		}
-		unwritten = 0
+		pending = 0
 	}
 }
--- a/internal/peers/incarnation_test.go
+++ b/internal/peers/incarnation_test.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// A gateway starts whatever its file holds and whether or not it can be written, and never below
-// what the file says, whichever way the wall clock was stepped.
+// A gateway starts with any content of its incarnation file, and when the file can't be written. Its
+// incarnation is above the one in the file, even if the wall clock was set back or forward.
 func TestStartIncarnation(t *testing.T) {
 	wall := time.Unix(1_800_000_000, 0)
 	for name, c := range map[string]struct {
-		text string
-		wall time.Time
-		want uint64
-		errs bool
+		text    string
+		wall    time.Time
+		want    uint64
+		wantErr bool
 	}{
 		"first start":       {"", wall, 1_800_000_000, false},
-		"clock put back":    {"1800000007\n", wall.Add(-time.Hour), 1_800_000_008, false},
-		"clock put forward": {"1800000007\n", wall.Add(time.Hour), 1_800_003_600, false},
-		"half a number":     {"18000", wall, 1_800_000_000, false},
-		"foreign":           {"{\"v\":2}", wall, 1_800_000_000, true},
+		"clock set back":    {"1800000007\n", wall.Add(-time.Hour), 1_800_000_008, false},
+		"clock set forward": {"1800000007\n", wall.Add(time.Hour), 1_800_003_600, false},
+		"truncated number":  {"18000", wall, 1_800_000_000, false},
+		"not a number":      {"{\"v\":2}", wall, 1_800_000_000, true},
 	} {
 		path := filepath.Join(t.TempDir(), "incarnation")
 		if c.text != "" {
@@ -29,11 +29,11 @@
 				t.Fatal(err)
 			}
 		}
-		if got, err := startIncarnation(path, c.wall); got != c.want || (err != nil) != c.errs {
-			t.Errorf("%s: %d, %v", name, got, err)
+		if got, err := startIncarnation(path, c.wall); got != c.want || (err != nil) != c.wantErr {
+			t.Errorf("%s: got incarnation %d, error %v; want %d, error %v", name, got, err, c.want, c.wantErr)
 		}
 	}
 	if got, err := startIncarnation(filepath.Join(t.TempDir(), "none", "incarnation"), wall); got != 1_800_000_000 || err == nil {
-		t.Errorf("a folder that is not there: %d, %v", got, err)
+		t.Errorf("missing directory: got incarnation %d, error %v", got, err)
 	}
 }
--- a/internal/peers/keyring.go
+++ b/internal/peers/keyring.go
@@ -16,7 +16,7 @@
 // keySize is the length of a key, in bytes.
 const keySize = 32
 
-// keyID identifies a key to the gateways that have it; it is part of a hash and reveals nothing.
+// keyID identifies a key. It is sent unencrypted: as a prefix of a hash it does not reveal the key.
 type keyID [4]byte
 
 func (id keyID) String() string { return hex.EncodeToString(id[:]) }
@@ -26,16 +26,17 @@
 	value []byte
 }
 
-// Keyring holds the keys of a tier. The first seals; any of them opens. To rotate keys in
-// service, a new key is put second at every gateway, then first, then the old one is removed.
+// Keyring holds the keys of a tier. The first key encrypts; each key decrypts. To rotate keys
+// without a restart, add the new key as the second one at every gateway, then move it to the first
+// position everywhere, then remove the old key.
 type Keyring struct {
 	path     string
 	keys     atomic.Pointer[[]key]
-	lastText []byte // the file as last read
+	lastText []byte // content of the key file when it was last parsed successfully
 }
 
-// ReadKeyring reads a file with one key in base64 to a line; lines that begin with # and
-// empty ones are skipped. An error names the line.
+// ReadKeyring reads a file with one base64-encoded key per line. Empty lines and lines that begin
+// with # are skipped. An error about a malformed key contains its line number.
 func ReadKeyring(path string) (*Keyring, error) {
 	k := &Keyring{path: path}
 	if _, err := k.Reload(); err != nil {
@@ -44,8 +45,8 @@
 	return k, nil
 }
 
-// Reload reads the file again and tells whether its keys have changed. On an error the keys
-// stay as they were. It is not to be called from two goroutines at once.
+// Reload reads the key file and reports whether its content has changed. On an error the keyring
+// is unchanged. Reload is not safe for concurrent calls.
 func (k *Keyring) Reload() (bool, error) {
 	text, err := os.ReadFile(k.path)
 	if err != nil {
@@ -63,9 +64,9 @@
 	return true, nil
 }
 
-var errNoKey = errors.New("key file: holds no key")
+var errNoKey = errors.New("key file: contains no key")
 
-// parseKeys reads the lines of a key file.
+// parseKeys parses the content of a key file.
 func parseKeys(text []byte) ([]key, error) {
 	var keys []key
 	scan := bufio.NewScanner(bytes.NewReader(text))
@@ -90,13 +91,13 @@
 	return keys, nil
 }
 
-// sealing returns the key that seals now.
+// sealing returns the key that encrypts outgoing datagrams.
 func (k *Keyring) sealing() key { return (*k.keys.Load())[0] }
 
-// SealingKeyID returns the identifier of the key that seals now.
+// SealingKeyID returns the identifier of the key that encrypts outgoing datagrams.
 func (k *Keyring) SealingKeyID() string { return k.sealing().id.String() }
 
-// find returns a key, nil if the ring does not have it.
+// find returns the key with an identifier, nil if the keyring does not contain it.
 func (k *Keyring) find(id keyID) *key {
 	for _, candidate := range *k.keys.Load() {
 		if candidate.id == id {
--- a/internal/peers/opener.go
+++ b/internal/peers/opener.go
@@ -5,14 +5,15 @@
 	"math"
 )
 
-// datagramOpener authenticates datagrams and drops replays. It keeps state for each process
-// heard; one from which no authentic datagram has come is not entered, so that forgeries can't
-// displace others. It is for one goroutine.
+// datagramOpener authenticates and decrypts datagrams and rejects replays. It stores a replay
+// window for each sending process, but only once an authentic datagram has been received from it,
+// so that forged datagrams can't evict the windows of real senders. It is not safe for concurrent
+// use.
 type datagramOpener struct {
-	tier    string
-	keyring *Keyring
-	senders map[senderID]*replayWindow
-	uses    uint64 // a clock for lastUse
+	tier     string
+	keyring  *Keyring
+	senders  map[senderID]*replayWindow
+	useCount uint64 // number of datagrams opened; a logical clock for lastUse
 }
 
 type senderID struct {
@@ -20,21 +21,21 @@
 	process
 }
 
-// replayWindow is which of the latest counters of a process have been received.
+// replayWindow records which of the highest counters of a process have been received.
 type replayWindow struct {
 	aead    cipher.AEAD
 	highest uint64
-	seen    [replayWindowWords]uint64 // a bit a counter
-	lastUse uint64                    // the least of all is evicted first
+	seen    [replayWindowWords]uint64 // one bit per counter
+	lastUse uint64                    // value of useCount; the window with the lowest value is evicted first
 }
 
 const (
-	replayWindowWords = 16 // of 64 counters each; a datagram that is older counts as a replay
+	replayWindowWords = 16 // of 64 counters each; a counter older than the window is treated as a replay
 	replayWindowSize  = 64 * replayWindowWords
-	maxSenders        = 1024 // processes kept
+	maxSenders        = 1024 // limit on the number of replay windows
 )
 
-// open returns the payload of a datagram and the process that sealed it.
+// open returns the decrypted payload of a datagram and the process that sent it.
 func (o *datagramOpener) open(b []byte) ([]byte, process, error) {
 	header, err := parseHeader(b)
 	p := header.sender
@@ -55,7 +56,7 @@
 			return nil, p, err
 		}
 	}
-	payload, err := w.aead.Open(nil, nonce(header.counter), b[headSize:], b[:headSize])
+	payload, err := w.aead.Open(nil, nonce(header.counter), b[headerSize:], b[:headerSize])
 	if err != nil {
 		return nil, p, errBadSeal
 	}
@@ -66,12 +67,12 @@
 		o.evict()
 		o.senders[sender] = w
 	}
-	o.uses++
-	w.lastUse = o.uses
+	o.useCount++
+	w.lastUse = o.useCount
 	return payload, p, nil
 }
 
-// evict makes room for one more sender.
+// evict removes the least recently used window if the limit is reached.
 func (o *datagramOpener) evict() {
 	if len(o.senders) < maxSenders {
 		return
@@ -86,7 +87,8 @@
 	delete(o.senders, oldest)
 }
 
-// accept tells whether a counter is received for the first time, and enters it.
+// accept reports whether a counter is inside the window and received for the first time, and
+// marks it as received.
 func (w *replayWindow) accept(counter uint64) bool {
 	if counter > w.highest {
 		for n := w.highest + 1; n <= counter && n <= w.highest+replayWindowSize; n++ {
@@ -96,10 +98,10 @@
 	} else if w.highest-counter >= replayWindowSize {
 		return false
 	}
-	at, bit := counter/64%replayWindowWords, uint64(1)<<(counter%64)
-	if w.seen[at]&bit != 0 {
+	word, bit := counter/64%replayWindowWords, uint64(1)<<(counter%64)
+	if w.seen[word]&bit != 0 {
 		return false
 	}
-	w.seen[at] |= bit
+	w.seen[word] |= bit
 	return true
 }
--- a/internal/peers/packets.go
+++ b/internal/peers/packets.go
@@ -10,11 +10,12 @@
 	"wellgw/decide/membership"
 )
 
-// readErrorPause keeps an error that persists from taking all of a processor.
+// readErrorPause prevents a persistent read error from causing a busy loop.
 const readErrorPause = time.Millisecond
 
-// readSocket reads datagrams off the socket until it is closed. Those that the receive queue has
-// no room for are dropped and counted here, not in the system's buffer.
+// readSocket reads datagrams from the socket until it is closed. It drops and counts those that
+// arrive while the receive queue is full, so that the loss shows in this process's counters
+// instead of happening in the kernel's buffer.
 func (p *Peers) readSocket(packets chan<- []byte) {
 	buf := make([]byte, 2*MaxDatagramSize)
 	for {
@@ -22,14 +23,14 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // mostly an ICMP answer to a datagram that no process received
+		if err != nil { // usually an ICMP error for a datagram sent to a port without a listener
 			time.Sleep(readErrorPause)
 			continue
 		}
 		p.counts.received.Add(1)
 		p.counts.receivedBytes.Add(uint64(n))
 		if n == 0 || n > MaxDatagramSize {
-			p.counts.notADatagram.Add(1)
+			p.counts.invalidSize.Add(1)
 			continue
 		}
 		select {
@@ -40,19 +41,19 @@
 	}
 }
 
-// verdict is what becomes of a datagram.
+// verdict is the result of receiving a datagram.
 type verdict uint8
 
 const (
-	droppedDatagram verdict = iota
-	staleMessage            // authentic, but of an earlier process of its name
+	dropped      verdict = iota
+	staleMessage         // authentic, but sent by an earlier process of the same gateway name
 	currentMessage
 )
 
-// receive opens and decodes a datagram, and counts why one is dropped.
+// receive decrypts and decodes a datagram. For a dropped one it counts the reason.
 func (p *Peers) receive(b []byte) (membership.Message, verdict) {
 	var m membership.Message
-	payload, from, err := p.opened.open(b)
+	payload, from, err := p.opener.open(b)
 	if err == nil && p.opt.ProtocolV1Only && b[0] > oldestVersion {
 		err = errUnknownVersion
 	}
@@ -61,26 +62,26 @@
 	}
 	if err != nil {
 		p.countDropped(err)
-		return m, droppedDatagram
+		return m, dropped
 	}
 	last := p.lastProcesses[m.From]
-	if from.instance < last.instance && time.Since(last.lastHeard) < staleInstanceWindow {
-		p.counts.staleInstance.Add(1) // delayed, or recorded and sent again
+	if from.instance < last.instance && time.Since(last.lastReceived) < staleInstanceWindow {
+		p.counts.staleInstance.Add(1) // delayed by the network, or recorded and replayed by an attacker
 		return m, staleMessage
 	}
-	if len(p.lastProcesses) >= maxNames {
+	if len(p.lastProcesses) >= maxProcessNames {
 		clear(p.lastProcesses)
 	}
 	p.lastProcesses[m.From] = lastProcess{from.instance, time.Now()}
-	p.versions.noteHeard(m.Addr, b[0])
+	p.versions.recordReceived(m.Addr, b[0])
 	m.Instance = from.instance
 	return m, currentMessage
 }
 
 func (p *Peers) countDropped(err error) {
 	switch {
-	case errors.Is(err, errNotADatagram):
-		p.counts.notADatagram.Add(1)
+	case errors.Is(err, errInvalidSize):
+		p.counts.invalidSize.Add(1)
 	case errors.Is(err, errUnknownVersion):
 		p.counts.unknownVersion.Add(1)
 	case errors.Is(err, errUnknownKey):
@@ -94,7 +95,7 @@
 	}
 }
 
-// sendAll sends messages, each in the versions that its receiver may know.
+// sendAll sends each message in the protocol versions that its receiver may support.
 func (p *Peers) sendAll(out []membership.Outgoing) {
 	if len(out) == 0 {
 		return
@@ -127,7 +128,7 @@
 	}
 }
 
-// aeadFor returns this process's AEAD of a key, derived once as long as the key seals.
+// aeadFor returns this process's AEAD for a key. It caches the AEAD until another key encrypts.
 func (p *Peers) aeadFor(sealing key) (cipher.AEAD, error) {
 	if aead := p.aeads[sealing.id]; aead != nil {
 		return aead, nil
--- a/internal/peers/payload.go
+++ b/internal/peers/payload.go
@@ -9,23 +9,24 @@
 	"wellgw/decide/membership"
 )
 
-// ageUnit is the unit of a suspicion's age in a payload, and maxAge bounds what is read.
+// Encoding of a suspicion's age.
 const (
-	ageUnit = 10 * time.Millisecond
-	maxAge  = uint64(time.Hour / ageUnit)
+	ageUnit = 10 * time.Millisecond       // resolution in a payload
+	maxAge  = uint64(time.Hour / ageUnit) // larger received values are reduced to this one
 )
 
-var errNameTooLong = fmt.Errorf("a name over %d bytes", MaxNameLen)
+var errNameTooLong = fmt.Errorf("gateway name is longer than %d bytes", MaxNameLen)
 
-// encode encodes a message in a version, in at most maxPayload bytes. Updates that do not fit
-// are left out, the last ones first: the protocol sends each more than once.
+// encode encodes a message in a protocol version, in at most maxPayload bytes. The last updates
+// are omitted if they do not fit; they are not lost, because the protocol sends each update more
+// than once.
 func encode(version byte, m membership.Message) ([]byte, error) {
-	b, _, err := encodeFitting(version, m)
+	b, _, err := encodeCountFitting(version, m)
 	return b, err
 }
 
-// encodeFitting also returns how many of the updates fitted.
-func encodeFitting(version byte, m membership.Message) (b []byte, fitting int, err error) {
+// encodeCountFitting is encode, and also returns the number of updates that fitted.
+func encodeCountFitting(version byte, m membership.Message) (b []byte, fitting int, err error) {
 	if len(m.From) > MaxNameLen || len(m.Subject) > MaxNameLen {
 		return nil, 0, errNameTooLong
 	}
@@ -50,7 +51,7 @@
 	return b, fitting, nil
 }
 
-// encodeUpdate encodes one update; its age is rounded up to ageUnit.
+// encodeUpdate encodes one update. Its suspicion age is rounded up to a multiple of ageUnit.
 func encodeUpdate(version byte, u membership.Update) []byte {
 	b := appendString(nil, u.ID)
 	b = appendAddr(b, u.Addr)
@@ -63,15 +64,15 @@
 	return b
 }
 
-// CountFittingUpdates returns how many of a message's updates fit into a datagram.
+// CountFittingUpdates returns the number of a message's updates that fit into one datagram.
 func CountFittingUpdates(m membership.Message) int {
-	_, fitting, _ := encodeFitting(latestVersion, m)
+	_, fitting, _ := encodeCountFitting(latestVersion, m)
 	return fitting
 }
 
-// decode reads a payload. One that is cut short, or has a value out of range, is an error.
+// decode decodes a payload. A truncated payload or a value out of range is an error.
 func decode(version byte, b []byte) (m membership.Message, err error) {
-	r := payloadReader{rest: b}
+	r := payloadReader{buf: b}
 	m.Kind = membership.Kind(r.byte())
 	m.Seq = uint32(r.uvarint())
 	m.Epoch = r.uvarint()
@@ -80,7 +81,7 @@
 		m.Heartbeat = uint32(r.uvarint())
 	}
 	m.From, m.Subject, m.Addr = r.name(), r.name(), r.addr()
-	for r.err == nil && len(r.rest) > 0 {
+	for r.err == nil && len(r.buf) > 0 {
 		m.Updates = append(m.Updates, r.update(version))
 	}
 	unknownKind := m.Kind > membership.SyncReply || version == oldestVersion && m.Kind > membership.PingReq
@@ -90,7 +91,7 @@
 	return m, r.err
 }
 
-// The kinds of address in a payload.
+// Address types in a payload.
 const (
 	noAddr = 0
 	ipv4   = 4
@@ -98,7 +99,8 @@
 
 func appendString(b []byte, s string) []byte { return append(append(b, byte(len(s))), s...) }
 
-// appendAddr appends an IPv4 address and port after the byte ipv4; anything else is the byte noAddr.
+// appendAddr appends the byte ipv4, the address and the port. For anything but an IPv4 address and
+// port it appends the byte noAddr alone.
 func appendAddr(b []byte, addr string) []byte {
 	at, err := netip.ParseAddrPort(addr)
 	if err != nil || !at.Addr().Unmap().Is4() {
@@ -108,19 +110,19 @@
 	return binary.BigEndian.AppendUint16(append(append(b, ipv4), ip[:]...), at.Port())
 }
 
-// payloadReader reads values off a payload. After the first error it returns zeros.
+// payloadReader decodes values from a payload. After the first error it returns zero values.
 type payloadReader struct {
-	rest []byte
-	err  error
+	buf []byte
+	err error
 }
 
 func (r *payloadReader) next(n int) []byte {
-	if r.err != nil || len(r.rest) < n {
+	if r.err != nil || len(r.buf) < n {
 		r.err = errBadPayload
 		return make([]byte, n)
 	}
-	p := r.rest[:n]
-	r.rest = r.rest[n:]
+	p := r.buf[:n]
+	r.buf = r.buf[n:]
 	return p
 }
 
@@ -128,12 +130,12 @@
 func (r *payloadReader) uint64() uint64 { return binary.BigEndian.Uint64(r.next(8)) }
 
 func (r *payloadReader) uvarint() uint64 {
-	v, n := binary.Uvarint(r.rest)
+	v, n := binary.Uvarint(r.buf)
 	if n <= 0 {
 		r.err = errBadPayload
 		return 0
 	}
-	r.rest = r.rest[n:]
+	r.buf = r.buf[n:]
 	return v
 }
 
@@ -170,11 +172,11 @@
 	return ""
 }
 
-// DatagramSize returns the bytes that a message takes as a datagram; 0 for one that can't be encoded.
+// DatagramSize returns the size in bytes of a message's datagram, 0 if it can't be encoded.
 func DatagramSize(m membership.Message) int {
 	b, err := encode(latestVersion, m)
 	if err != nil {
 		return 0
 	}
-	return headSize + len(b) + tagSize
+	return headerSize + len(b) + tagSize
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -17,86 +17,91 @@
 	"wellgw/internal/wallclock"
 )
 
-// Options set a gateway's part in its tier up.
+// Options configure the membership of a gateway in its tier.
 type Options struct {
 	Listen    string   // host and port, UDP over IPv4
-	Advertise string   // the address at which the others reach it, if another; "" for Listen
-	Name      string   // of this gateway, the same after a restart
-	Tier      string   // datagrams of another tier are not opened
-	Join      []string // addresses of some other gateways
-	// TranslateAddr returns the address that datagrams to an address go to; nil for the same.
-	// It is for gateways that each know the others by addresses of their own.
+	Advertise string   // address at which other gateways reach this one; "" for Listen
+	Name      string   // name of this gateway, which does not change with a restart
+	Tier      string   // name of the tier; datagrams of other tiers are dropped
+	Join      []string // addresses of some other gateways of the tier
+	// TranslateAddr returns the address to which datagrams for an advertised address are sent; nil
+	// to use the advertised address. It is for networks in which each gateway reaches the same
+	// peer at a different address.
 	TranslateAddr    func(addr string) string
 	Keys             *Keyring
-	KeyCheckInterval time.Duration // between readings of the key file; 0 = 2 s
-	ProtocolV1Only   bool          // use the first version of the protocol, for a roll back
-	ProbeInterval    time.Duration // 0 = membership's default, and so the next two
-	ProbeTimeout     time.Duration // for a direct answer
-	SuspicionTimeout time.Duration // from the unanswered probe until a gateway is dead
-	IncarnationFile  string        // where the incarnation outlives a restart; "" for the clock alone
-	ExpectedGateways int           // in the tier according to the operator; 0: unknown
-	// OnViewChange is called with every view that differs from the one before, by the goroutine
+	KeyCheckInterval time.Duration // time between reads of the key file; 0 for 2 s
+	ProtocolV1Only   bool          // send and accept version 1 of the protocol only, for a rollback
+	ProbeInterval    time.Duration // here and in the next two fields, 0 selects the default of decide/membership
+	ProbeTimeout     time.Duration // time within which a direct probe must be answered
+	SuspicionTimeout time.Duration // from the unanswered probe until the gateway is declared dead
+	IncarnationFile  string        // stores the incarnation across restarts; "" to derive it from the clock alone
+	ExpectedGateways int           // configured size of the tier; 0 for unknown
+	// OnViewChange is called with each view that differs from the previous one, by the goroutine
 	// that owns the protocol's state. It must not block.
 	OnViewChange func(membership.View)
-	// OnEvent is called with every change of a gateway's status, for traces; nil for none. It
-	// must not block.
+	// OnEvent is called with each change of a gateway's status, for traces; it may be nil. It must
+	// not block.
 	OnEvent func(Event)
 	Log     *slog.Logger
 }
 
-// The parameters of the transport.
+// Parameters of the transport.
 const (
-	tickInterval        = 20 * time.Millisecond // a fifth of the default probe interval
-	receiveQueueSize    = 1024                  // datagrams read and not yet opened; more are dropped
-	defaultKeyInterval  = 2 * time.Second
-	maxNames            = 4096                   // names whose latest process is kept
-	statusTimeout       = 200 * time.Millisecond // for the owning goroutine to answer Status
-	staleInstanceWindow = 10 * time.Second       // of silence, after which a lower instance is a clock set back, not an earlier process
+	tickInterval       = 20 * time.Millisecond // a fifth of the default probe interval
+	receiveQueueSize   = 1024                  // datagrams read but not yet decrypted; further ones are dropped
+	defaultKeyInterval = 2 * time.Second
+	maxProcessNames    = 4096                   // names or addresses with state; at the limit all are cleared
+	statusTimeout      = 200 * time.Millisecond // for the reply of the owning goroutine to Status
+	// staleInstanceWindow is the time without messages from a gateway after which a lower instance is
+	// accepted: its clock has been set back, and the message is not from an earlier process.
+	staleInstanceWindow = 10 * time.Second
 )
 
-// lastProcess is the latest process heard of a name.
+// lastProcess is the process of a gateway name from which the last message was accepted.
 type lastProcess struct {
-	instance  uint64
-	lastHeard time.Time
+	instance     uint64
+	lastReceived time.Time
 }
 
-// counters count datagrams, as Counts shows them.
+// counters are the counters behind Counts.
 type counters struct {
 	sent, sentBytes, received, receivedBytes atomic.Uint64
-	notADatagram, unknownVersion, unknownKey atomic.Uint64
+	invalidSize, unknownVersion, unknownKey  atomic.Uint64
 	badSeal, replayed, badPayload            atomic.Uint64
 	staleInstance, queueFull, sendFailed     atomic.Uint64
 }
 
-// Peers is a gateway's part in its tier.
+// Peers is the membership of one gateway in its tier.
 type Peers struct {
 	opt       Options
 	conn      *net.UDPConn
 	self      process
-	startedAt time.Time // the origin of the machine's times
+	startedAt time.Time // zero of the state machine's times
 	counts    counters
-	status    atomic.Pointer[Status] // as of the last change
+	status    atomic.Pointer[Status] // as published at the last change
 
 	leaveRequests  chan struct{}
 	statusRequests chan chan Status
-	incarnations   chan uint64 // to be written, the latest alone
-
-	// Of the goroutine in loop alone, after New.
-	machine       *membership.Machine
-	aeads         map[keyID]cipher.AEAD
-	versions      peerVersions
-	nonceCounter  uint64
-	opened        datagramOpener
-	lastProcesses map[string]lastProcess // by name
-	sharing       int                    // as last published
-	hasDead       bool                   // as last published: the dead stop counting as sharing without any message
+	incarnations   chan uint64 // the latest incarnation to be written to the file
+
+	// Owned by the goroutine in loop, once New has returned.
+	machine        *membership.Machine
+	aeads          map[keyID]cipher.AEAD
+	versions       peerVersions
+	nonceCounter   uint64
+	opener         datagramOpener
+	lastProcesses  map[string]lastProcess // by gateway name
+	activeGateways int                    // as last published
+	// hasDeadPeer is whether the last published view has a dead peer. A dead gateway stops counting as
+	// active after some time, without any message that marks the state machine as changed.
+	hasDeadPeer bool
 }
 
-// New opens the socket and reads the incarnation; nothing is sent before Run. An error
-// names the setting.
+// New opens the socket and reads the incarnation file. It sends nothing; Run does. An error
+// contains the name of the invalid setting.
 func New(opt Options) (*Peers, error) {
 	if len(opt.Name) > MaxNameLen || opt.Name == "" {
-		return nil, fmt.Errorf("peers.name: %q must hold 1 to %d bytes", opt.Name, MaxNameLen)
+		return nil, fmt.Errorf("peers.name: %q must have 1 to %d bytes", opt.Name, MaxNameLen)
 	}
 	at, err := net.ResolveUDPAddr("udp4", opt.Listen)
 	if err != nil {
@@ -114,7 +119,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("peers.listen: %w", err)
 	}
-	p, err := newOn(conn, opt, join)
+	p, err := newOnConn(conn, opt, join)
 	if err != nil {
 		conn.Close()
 		return nil, err
@@ -122,8 +127,8 @@
 	return p, nil
 }
 
-// newOn returns a gateway's part on an open socket.
-func newOn(conn *net.UDPConn, opt Options, join []string) (*Peers, error) {
+// newOnConn returns Peers on an open socket.
+func newOnConn(conn *net.UDPConn, opt Options, join []string) (*Peers, error) {
 	advertised := conn.LocalAddr().String()
 	if opt.Advertise != "" {
 		resolved, err := net.ResolveUDPAddr("udp4", opt.Advertise)
@@ -132,9 +137,9 @@
 		}
 		advertised = resolved.String()
 	}
-	incarnation, unsaved := startIncarnation(opt.IncarnationFile, wallclock.Now())
-	if unsaved != nil {
-		opt.Log.Warn("incarnation file unusable, the tier corrects the incarnation", "cause", unsaved)
+	incarnation, saveErr := startIncarnation(opt.IncarnationFile, wallclock.Now())
+	if saveErr != nil {
+		opt.Log.Warn("incarnation file unusable, the tier corrects the incarnation", "cause", saveErr)
 	}
 	self, err := newProcess()
 	if err != nil {
@@ -143,7 +148,7 @@
 	p := &Peers{
 		opt: opt, conn: conn, self: self, startedAt: time.Now(),
 		aeads: map[keyID]cipher.AEAD{}, lastProcesses: map[string]lastProcess{}, versions: peerVersions{},
-		opened:        datagramOpener{tier: opt.Tier, keyring: opt.Keys, senders: map[senderID]*replayWindow{}},
+		opener:        datagramOpener{tier: opt.Tier, keyring: opt.Keys, senders: map[senderID]*replayWindow{}},
 		leaveRequests: make(chan struct{}, 1), incarnations: make(chan uint64, 1), statusRequests: make(chan chan Status),
 	}
 	p.machine = membership.New(membership.Config{
@@ -151,16 +156,16 @@
 		ExpectedSize: opt.ExpectedGateways, Seed: self.random, CountFitting: CountFittingUpdates, ProtocolV1Only: opt.ProtocolV1Only,
 		ProbeInterval: opt.ProbeInterval, ProbeTimeout: opt.ProbeTimeout, SuspicionTimeout: opt.SuspicionTimeout,
 	}, 0)
-	if unsaved != nil {
-		p.incarnations <- incarnation // to be written as soon as it can be
+	if saveErr != nil {
+		p.incarnations <- incarnation // persistIncarnations retries until the file is writable
 	}
 	p.publish()
 	opt.Log.Info("tier transport listening", "listen", p.Addr(), "advertised", advertised)
 	return p, nil
 }
 
-// newProcess returns what identifies this process: its start, with two random bytes for
-// processes started in one millisecond, and a random number.
+// newProcess returns the identity of this process: an instance made of its start time and two
+// random bytes, which distinguish processes started in the same millisecond, and a random number.
 func newProcess() (process, error) {
 	var random [8]byte
 	if _, err := rand.Read(random[:]); err != nil {
@@ -172,10 +177,11 @@
 	}, nil
 }
 
-// Addr is the address of the socket.
+// Addr returns the local address of the socket.
 func (p *Peers) Addr() string { return p.conn.LocalAddr().String() }
 
-// AnnounceLeaving has this gateway announce that it is about to end. It does not wait for that.
+// AnnounceLeaving requests that this gateway announce its graceful shutdown to the tier. It
+// returns without waiting for the announcement.
 func (p *Peers) AnnounceLeaving() {
 	select {
 	case p.leaveRequests <- struct{}{}:
@@ -183,8 +189,8 @@
 	}
 }
 
-// Run takes part until ctx ends, then announces that this gateway has left, and returns when
-// all its goroutines have ended.
+// Run runs the protocol until ctx ends. It then announces that this gateway has left the tier, and
+// returns when all its goroutines have ended.
 func (p *Peers) Run(ctx context.Context) {
 	packets := make(chan []byte, receiveQueueSize)
 	var group sync.WaitGroup
@@ -196,7 +202,7 @@
 	group.Wait()
 }
 
-// loop owns the machine, the keys derived and what is known of other processes.
+// loop owns the state machine, the derived keys and the state kept about other processes.
 func (p *Peers) loop(ctx context.Context, packets <-chan []byte) {
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
@@ -221,13 +227,14 @@
 			}
 		}
 		p.sendAll(out)
-		if p.machine.Changed() || p.hasDead && p.machine.ActiveGateways() != p.sharing {
+		if p.machine.Changed() || p.hasDeadPeer && p.machine.ActiveGateways() != p.activeGateways {
 			p.publish()
 		}
 	}
 }
 
-// watchKeys reads the key file anew at an interval. An error is logged once until it changes.
+// watchKeys reloads the key file at an interval. An error is logged only if it differs from the
+// previous one.
 func (p *Peers) watchKeys(ctx context.Context) {
 	tick := time.NewTicker(cmp.Or(p.opt.KeyCheckInterval, defaultKeyInterval))
 	defer tick.Stop()
--- a/internal/peers/status.go
+++ b/internal/peers/status.go
@@ -7,54 +7,55 @@
 	"wellgw/decide/membership"
 )
 
-// Counts are datagrams since the start; all from InvalidSize to QueueFull were dropped.
+// Counts are numbers of datagrams (SentBytes and ReceivedBytes: of bytes) since the process
+// started. Those from InvalidSize to QueueFull count received datagrams that were dropped.
 type Counts struct {
 	Sent           uint64
 	SentBytes      uint64
 	Received       uint64
 	ReceivedBytes  uint64
-	InvalidSize    uint64 `json:"Short"`   // too short or too long to be one of a gateway
+	InvalidSize    uint64 `json:"Short"`   // too short or too long
 	UnknownVersion uint64 `json:"Version"` // of the protocol
-	UnknownKey     uint64 `json:"Key"`     // not in the keyring
-	BadSeal        uint64 `json:"Seal"`    // not authentic
+	UnknownKey     uint64 `json:"Key"`     // encrypted with a key that is not in the keyring
+	BadSeal        uint64 `json:"Seal"`    // authentication failed
 	Replayed       uint64 `json:"Replay"`
 	BadPayload     uint64 `json:"Payload"`
-	StaleInstance  uint64 `json:"Former"` // of an earlier process of its sender's name
+	StaleInstance  uint64 `json:"Former"` // sent by an earlier process of the same gateway name
 	QueueFull      uint64 `json:"Full"`
-	SendFailed     uint64 `json:"Unsent"` // not encoded, or refused by the system
+	SendFailed     uint64 `json:"Unsent"` // could not be encoded, or the system call failed
 }
 
-// Status is what operators are shown.
+// Status is the state that operators see, on the admin page and in `wellgw peers`.
 type Status struct {
 	Name, Tier, Listen, Key string
 	View                    membership.View
-	Clock                   time.Duration // now, as the view's times count
+	Clock                   time.Duration // time since this process started, the clock of the view's times
 	Counts                  Counts
 }
 
-// Status returns the present view and counts, for operators; no request waits for it. It asks
-// the goroutine that owns the protocol's state and, if that does not answer within
-// statusTimeout, returns the view of the last change.
+// Status returns the present view and counts, for operators; no client request depends on it. It
+// requests the view from the goroutine that owns the protocol's state. If there is no reply within
+// statusTimeout, it returns the view that was published at the last change.
 func (p *Peers) Status() Status {
 	s := *p.status.Load()
 	answer := make(chan Status, 1)
-	late := time.NewTimer(statusTimeout)
-	defer late.Stop()
+	timer := time.NewTimer(statusTimeout)
+	defer timer.Stop()
 	select {
 	case p.statusRequests <- answer:
 		s = <-answer
-	case <-late.C:
+	case <-timer.C:
 	}
 	s.Clock, s.Key, s.Counts = time.Since(p.startedAt), p.opt.Keys.SealingKeyID(), p.Counts()
 	return s
 }
 
-// Counts returns what has been sent, received and dropped.
+// Counts returns the numbers of datagrams sent, received and dropped.
 func (p *Peers) Counts() Counts {
 	c := &p.counts
 	return Counts{
 		Sent: c.sent.Load(), SentBytes: c.sentBytes.Load(), Received: c.received.Load(), ReceivedBytes: c.receivedBytes.Load(),
-		InvalidSize: c.notADatagram.Load(), UnknownVersion: c.unknownVersion.Load(), UnknownKey: c.unknownKey.Load(), BadSeal: c.badSeal.Load(), Replayed: c.replayed.Load(),
+		InvalidSize: c.invalidSize.Load(), UnknownVersion: c.unknownVersion.Load(), UnknownKey: c.unknownKey.Load(), BadSeal: c.badSeal.Load(), Replayed: c.replayed.Load(),
 		BadPayload: c.badPayload.Load(), StaleInstance: c.staleInstance.Load(), QueueFull: c.queueFull.Load(), SendFailed: c.sendFailed.Load(),
 	}
 }
@@ -63,13 +64,13 @@
 	return Status{Name: p.opt.Name, Tier: p.opt.Tier, Listen: p.Addr(), View: p.machine.View()}
 }
 
-// publish stores the view for Status and reports what differs from the one before.
+// publish stores the view for Status and reports its differences from the previous view.
 func (p *Peers) publish() {
 	s := p.snapshot()
 	v, before := s.View, p.status.Load()
 	p.status.Store(&s)
-	p.sharing = v.ActiveGateways
-	p.hasDead = slices.ContainsFunc(v.Peers, func(g membership.Gateway) bool { return g.Status == membership.Dead })
+	p.activeGateways = v.ActiveGateways
+	p.hasDeadPeer = slices.ContainsFunc(v.Peers, func(g membership.Gateway) bool { return g.Status == membership.Dead })
 	if before == nil {
 		return
 	}
@@ -86,13 +87,13 @@
 	}
 }
 
-// sameView tells whether views differ in times and statistics alone.
+// sameView reports whether two views differ at most in times and statistics.
 func sameView(a, b membership.View) bool {
 	return a.Epoch == b.Epoch && a.Digest == b.Digest && a.ActiveGateways == b.ActiveGateways && a.Minority == b.Minority && a.Superseded == b.Superseded
 }
 
-// queueIncarnation has an incarnation written in place of an older one that still waits. It
-// never blocks: this goroutine alone sends, and the channel holds one.
+// queueIncarnation queues an incarnation to be written to the file. It replaces a queued older
+// one. It never blocks: only the calling goroutine sends on the channel, whose capacity is one.
 func (p *Peers) queueIncarnation(n uint64) {
 	select {
 	case <-p.incarnations:
@@ -101,20 +102,21 @@
 	p.incarnations <- n
 }
 
-// Event is a change of a gateway's status, with what is needed to find out why.
+// Event is a change of another gateway's status, with the data needed to diagnose its cause.
 type Event struct {
-	Gateway, From, To string        // From is "" for one that was not known
-	Incarnation       uint64        // of the gateway
-	Since             time.Time     // when it got the status From
-	UnresponsiveFor   time.Duration // since it was last heard
-	OneWay            bool          // others reach it, but this gateway's pings are not answered
-	SuspectedBy       int           // gateways that suspected it
-	LocalHealth       int           // of this gateway: Lifeguard's multiplier less one
-	Pauses            uint64        // of this process since its start
+	Gateway         string        // name
+	From, To        string        // old and new status; From is "" for a gateway seen for the first time
+	Incarnation     uint64        // of the gateway
+	Since           time.Time     // when it entered the status From; for a new gateway, when it was first seen
+	UnresponsiveFor time.Duration // time since its last message
+	OneWay          bool          // other gateways reach it, but it does not answer this gateway's pings
+	SuspectedBy     int           // number of gateways that suspected it
+	LocalHealth     int           // of this gateway: the multiplier of Lifeguard's local health, minus one
+	Pauses          uint64        // number of stalls of this process since it started
 }
 
-// reportTransitions passes every change of status to OnEvent, and logs those that are more than
-// a suspicion or its refutation.
+// reportTransitions passes every change of a gateway's status to OnEvent. It logs each one except
+// a suspicion and its refutation.
 func (p *Peers) reportTransitions(before, now membership.View) {
 	previous := make(map[string]membership.Gateway, len(before.Peers))
 	for _, g := range before.Peers {
--- a/internal/peers/versions.go
+++ b/internal/peers/versions.go
@@ -2,28 +2,28 @@
 
 import "wellgw/decide/membership"
 
-// peerVersions are the protocol versions that other gateways have used, by address. To one that
-// has not used the latest, one message in dualVersionEvery goes in both versions: a gateway
-// answers in the version it knows, so after a roll forward or back each pair soon uses the
-// latest that both know.
-type peerVersions map[string]*spokenVersion
+// peerVersions maps the address of a gateway to the protocol version that it last used. To a
+// gateway that has not used the latest version, one message in dualVersionEvery is sent in both
+// versions. Because a gateway answers in the latest version that it supports, each pair of gateways soon
+// uses the latest version that both support, after an upgrade as well as after a rollback.
+type peerVersions map[string]*peerVersion
 
-type spokenVersion struct {
+type peerVersion struct {
 	version byte
-	sent    int // messages
+	sent    int // number of messages sent to it
 }
 
-// dualVersionEvery keeps the cost of a mixed tier to an eighth more datagrams.
+// dualVersionEvery limits the cost of a tier with mixed versions to one eighth more datagrams.
 const dualVersionEvery = 8
 
-// forMessage returns the versions in which a message is to be sent.
+// forMessage returns the versions in which to send a message.
 func (v peerVersions) forMessage(to string, kind membership.Kind) []byte {
 	peer := v[to]
 	if peer == nil {
-		if len(v) >= maxNames {
+		if len(v) >= maxProcessNames {
 			clear(v)
 		}
-		peer = &spokenVersion{version: oldestVersion}
+		peer = &peerVersion{version: oldestVersion}
 		v[to] = peer
 	}
 	peer.sent++
@@ -36,8 +36,8 @@
 	return []byte{oldestVersion}
 }
 
-// noteHeard records the version of a message that has been received.
-func (v peerVersions) noteHeard(from string, version byte) {
+// recordReceived records the version of a message received from an address.
+func (v peerVersions) recordReceived(from string, version byte) {
 	if peer := v[from]; peer != nil {
 		peer.version = version
 	}
