--- a/internal/rolectl/changes.go
+++ b/internal/rolectl/changes.go
@@ -14,10 +14,10 @@
 	"wellgw/internal/directory"
 )
 
-// advance takes one change on by a step at most. An error says that the lease is lost.
+// advance advances one change by at most one step. An error means that the lease is lost.
 func (l *leader) advance(ctx context.Context, r storedRecord, engines []directory.Engine) error {
-	f := l.facts(ctx, r.Record, engines)
-	a := rolechange.Next(r.Record, f, l.opt.Limits)
+	in := l.inputs(ctx, r.Record, engines)
+	a := rolechange.Next(r.Record, in, l.opt.Limits)
 	if a.LeaseLost {
 		return fmt.Errorf("%w: %s", errLeaseLost, a.Reason)
 	}
@@ -26,12 +26,13 @@
 		return l.finish(ctx, r, a)
 	}
 	if a.Write {
-		// The record is written before the engine is told: the next leader must know of all that was done.
+		// The record is written before the engine is commanded, so that the next leader finds every
+		// command that may have been sent.
 		if written, err := l.putRecord(ctx, a.Record, r.modifyIndex); err != nil || !written {
 			return err
 		}
 		if a.Record.Step != r.Step {
-			l.notifyStep(r.Record, f.Now, a.Reason)
+			l.notifyStep(r.Record, in.Now, a.Reason)
 		}
 		l.logStep(a.Record, a.Reason)
 	}
@@ -41,36 +42,36 @@
 	return nil
 }
 
-// facts returns what is known for the decision on a change's next step.
-func (l *leader) facts(ctx context.Context, r rolechange.Record, engines []directory.Engine) rolechange.Inputs {
-	f := rolechange.Inputs{
+// inputs returns the inputs of the decision on a change's next step.
+func (l *leader) inputs(ctx context.Context, r rolechange.Record, engines []directory.Engine) rolechange.Inputs {
+	in := rolechange.Inputs{
 		Now: time.Now(), Leader: l.lease.value.Gateway, FencingToken: l.lease.FencingToken,
 		Gateways: l.opt.GatewayCount(), Reply: l.replies[r.Engine],
 	}
 	for _, e := range engines {
 		if e.ID == r.Engine && e.State != stateGone {
-			f.Listed, f.ListedRole = true, cmp.Or(e.Listed, e.Role)
+			in.Listed, in.ListedRole = true, cmp.Or(e.Listed, e.Role)
 		}
 	}
 	if report := l.reports[r.Engine]; report != nil {
-		f.Report = &report.Report
-	} else if since := l.silentSince[r.Engine]; !since.IsZero() {
-		f.UnresponsiveFor = f.Now.Sub(since)
+		in.Report = &report.Report
+	} else if since := l.unresponsiveSince[r.Engine]; !since.IsZero() {
+		in.UnresponsiveFor = in.Now.Sub(since)
 	}
 	if r.Step == rolechange.Announced {
-		f.Confirmed = l.countConfirmations(ctx, r)
+		in.Confirmed = l.countConfirmations(ctx, r)
 	}
-	return f
+	return in
 }
 
 func (l *leader) logStep(r rolechange.Record, reason string) {
 	l.opt.Log.Info("role change advanced", "step", string(r.Step), "engine", r.Engine, "from", r.From, "to", r.To, "reason", reason, "fencing_token", r.FencingToken)
 }
 
-// notifyStep reports a step that has ended.
-func (l *leader) notifyStep(r rolechange.Record, to time.Time, reason string) {
+// notifyStep reports the end of a step to OnStep.
+func (l *leader) notifyStep(r rolechange.Record, endedAt time.Time, reason string) {
 	if l.opt.OnStep != nil {
-		l.opt.OnStep(r, to, reason)
+		l.opt.OnStep(r, endedAt, reason)
 	}
 }
 
@@ -89,24 +90,24 @@
 	return n
 }
 
-// putRecord writes a record if its ModifyIndex is still the one given, 0 for a new record, and
-// tells whether it did. If not, the next tick tries again from the records as they are then; an
-// error says that the lease is lost.
-func (l *leader) putRecord(ctx context.Context, r rolechange.Record, modify uint64) (bool, error) {
+// putRecord writes a record if its ModifyIndex in Consul still equals modifyIndex (0 for a new
+// record), and reports whether it did. If not, the next tick retries with the records that it
+// reads. An error means that the lease is lost.
+func (l *leader) putRecord(ctx context.Context, r rolechange.Record, modifyIndex uint64) (bool, error) {
 	raw, err := jsoniter.Marshal(r)
 	if err != nil {
 		return false, err
 	}
-	done, err := l.client.Swap(ctx, l.changeKey(r.Engine), raw, modify)
-	if err != nil || done {
-		return done && err == nil, nil
+	written, err := l.client.Swap(ctx, l.changeKey(r.Engine), raw, modifyIndex)
+	if err != nil || written {
+		return written && err == nil, nil
 	}
 	return false, l.checkFencing(ctx, r.Engine)
 }
 
 // checkFencing returns errLeaseLost if a conditional write failed because another leader has
-// written the record. Otherwise the record that was read was only old: the watch brings this
-// leader's own writes with a delay.
+// written the record. Otherwise the failure only means that the local copy of the record was out of
+// date: the watch delivers this leader's own writes with a delay.
 func (l *leader) checkFencing(ctx context.Context, engine string) error {
 	p, found, err := l.client.Read(ctx, l.changeKey(engine))
 	if err != nil || !found {
@@ -114,19 +115,19 @@
 	}
 	var r rolechange.Record
 	if jsoniter.Unmarshal(p.Value, &r) == nil && r.FencingToken > l.lease.FencingToken {
-		return fmt.Errorf("%w: a change was written by the owner with fence %d", errLeaseLost, r.FencingToken)
+		return fmt.Errorf("%w: a record was written by the leader with fencing token %d", errLeaseLost, r.FencingToken)
 	}
 	return nil
 }
 
-// finish deletes the record of a change that has ended. One that can't be deleted now is tried
-// again at the next tick.
+// finish deletes the record of a change that has ended and adds the outcome to the history. If the
+// record can't be deleted, the next tick retries.
 func (l *leader) finish(ctx context.Context, r storedRecord, a rolechange.Action) error {
-	done, err := l.client.Delete(ctx, l.changeKey(r.Engine), r.modifyIndex)
+	deleted, err := l.client.Delete(ctx, l.changeKey(r.Engine), r.modifyIndex)
 	if err != nil {
 		return nil
 	}
-	if !done {
+	if !deleted {
 		return l.checkFencing(ctx, r.Engine)
 	}
 	_ = l.client.DeleteBelow(ctx, l.confirmationPrefix(r.Engine))
@@ -135,12 +136,13 @@
 	return l.recordHistory(ctx, HistoryEntry{At: time.Now(), Engine: r.Engine, To: r.To, Outcome: a.Outcome, Reason: a.Reason})
 }
 
-// recordHistory adds an entry to the lock's value, where the next leader finds it.
+// recordHistory adds an entry to the history in the lock's value, from which the next leader reads
+// it.
 func (l *leader) recordHistory(ctx context.Context, e HistoryEntry) error {
 	l.replay(e)
 	l.lease.value.History = append(l.lease.value.History, e)
-	// The planner's limit is by the hour, and each change has two entries.
-	limit := 2*l.opt.Settings.MaxPerHour + extraHistory
+	// The planner limits changes per hour, and each change has two entries.
+	limit := 2*l.opt.Settings.MaxPerHour + extraHistoryEntries
 	if n := len(l.lease.value.History); n > limit {
 		l.lease.value.History = l.lease.value.History[n-limit:]
 	}
@@ -157,8 +159,8 @@
 	return nil
 }
 
-// plan makes a plan and begins the change that it wants, if any.
-func (l *leader) plan(ctx context.Context, engines []directory.Engine, records []storedRecord) error {
+// planChange makes a plan and starts the planned change, if any.
+func (l *leader) planChange(ctx context.Context, engines []directory.Engine, records []storedRecord) error {
 	now := time.Now()
 	p := l.planner.Plan(now)
 	l.mu.Lock()
@@ -174,19 +176,19 @@
 		l.lastDryRunEngine = p.Change.Engine
 		return nil
 	}
-	at := slices.IndexFunc(engines, func(e directory.Engine) bool { return e.ID == p.Change.Engine })
-	if at < 0 {
+	index := slices.IndexFunc(engines, func(e directory.Engine) bool { return e.ID == p.Change.Engine })
+	if index < 0 {
 		return nil
 	}
-	return l.begin(ctx, now, p, engines[at], records)
+	return l.startChange(ctx, now, p, engines[index], records)
 }
 
-// begin writes the record of a new change of an engine.
-func (l *leader) begin(ctx context.Context, now time.Time, p roles.Plan, e directory.Engine, records []storedRecord) error {
-	modify := uint64(0)
+// startChange writes the record of a new change of an engine's role.
+func (l *leader) startChange(ctx context.Context, now time.Time, p roles.Plan, e directory.Engine, records []storedRecord) error {
+	modifyIndex := uint64(0)
 	for _, r := range records {
-		if r.Engine == e.ID { // settled, and to change again before the catalogue has followed
-			modify = r.modifyIndex
+		if r.Engine == e.ID { // its previous change is settled, but the catalogue does not list the new role yet
+			modifyIndex = r.modifyIndex
 		}
 	}
 	if !l.leaseValid() {
@@ -196,7 +198,7 @@
 		Engine: e.ID, Addr: e.Address, Rack: e.Cell, From: p.Change.From.String(), To: p.Change.To.String(), Step: rolechange.Announced,
 		FencingToken: l.lease.FencingToken, Leader: l.lease.value.Gateway, StartedAt: now.UTC(), StepStartedAt: now.UTC(), Reason: p.Reason,
 	}
-	if written, err := l.putRecord(ctx, r, modify); err != nil || !written {
+	if written, err := l.putRecord(ctx, r, modifyIndex); err != nil || !written {
 		return err
 	}
 	l.logStep(r, p.Reason)
--- a/internal/rolectl/election.go
+++ b/internal/rolectl/election.go
@@ -11,15 +11,15 @@
 	"wellgw/internal/consul"
 )
 
-// lease is one term as the leader.
+// lease is the lease of one term as leader, with the Consul session that holds it.
 type lease struct {
 	*rolechange.Lease
 	session string
 	value   lockValue
 }
 
-// lockValue is the value at the lock: who leads, and what the next leader has to know of the
-// changes before.
+// lockValue is the value of the lock: the leading gateway, and the history of changes, which the
+// planner of the next leader needs.
 type lockValue struct {
 	Gateway string         `json:"gateway"`
 	History []HistoryEntry `json:"ends"`
@@ -27,32 +27,32 @@
 
 func (c *Controller) lockKey() string { return c.opt.KeyPrefix + "/owner" }
 
-var errLeaseLost = errors.New("the lease is lost")
+var errLeaseLost = errors.New("lease lost")
 
-// endSessionTimeout bounds the end of a session as a term ends.
+// endSessionTimeout limits the call that ends the Consul session at the end of a term.
 const endSessionTimeout = 800 * time.Millisecond
 
-// campaign tries to get the lease, and leads while it lasts, until ctx ends.
+// campaign repeatedly tries to acquire the lease, and leads while it is valid, until ctx ends.
 func (c *Controller) campaign(ctx context.Context, client *consul.Client) {
 	for ctx.Err() == nil {
-		held, err := c.acquire(ctx, client)
-		if err != nil || held == nil {
+		acquired, err := c.acquire(ctx, client)
+		if err != nil || acquired == nil {
 			client.Pause(ctx, retryInterval)
 			continue
 		}
-		c.opt.Log.Info("role change lease acquired", "gateway", held.value.Gateway, "fencing_token", held.FencingToken)
-		err = c.lead(ctx, client, held)
+		c.opt.Log.Info("role change lease acquired", "gateway", acquired.value.Gateway, "fencing_token", acquired.FencingToken)
+		err = c.lead(ctx, client, acquired)
 		c.mu.Lock()
 		c.status.IsLeader = false
 		c.mu.Unlock()
-		c.opt.Log.Info("role change lease lost", "fencing_token", held.FencingToken, "cause", err)
+		c.opt.Log.Info("role change lease lost", "fencing_token", acquired.FencingToken, "cause", err)
 		endCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), endSessionTimeout)
-		_ = client.EndSession(endCtx, held.session) // without it the session ends at its TTL
+		_ = client.EndSession(endCtx, acquired.session) // if the call fails, the session expires after its TTL
 		cancel()
 	}
 }
 
-// acquire returns the lease if it is free, nil if another gateway holds it.
+// acquire acquires the lease. It returns nil if another gateway holds it.
 func (c *Controller) acquire(ctx context.Context, client *consul.Client) (*lease, error) {
 	lock, value, err := c.readLock(ctx, client)
 	if err != nil {
@@ -71,8 +71,8 @@
 		return nil, err
 	}
 	value.Gateway = gateway
-	token, taken, err := c.takeLock(ctx, client, session, value)
-	if err != nil || !taken {
+	token, acquired, err := c.acquireLock(ctx, client, session, value)
+	if err != nil || !acquired {
 		_ = client.EndSession(ctx, session)
 		return nil, err
 	}
@@ -80,29 +80,29 @@
 	return &lease{Lease: rolechange.NewLease(token, c.opt.LeaseTTL, requestedAt), session: session, value: value}, nil
 }
 
-// readLock reads the lock and shows what it says.
+// readLock reads the lock and copies its content to the status.
 func (c *Controller) readLock(ctx context.Context, client *consul.Client) (consul.Pair, lockValue, error) {
 	lock, _, err := client.Read(ctx, c.lockKey())
 	if err != nil {
 		return consul.Pair{}, lockValue{}, err
 	}
 	var value lockValue
-	_ = jsoniter.Unmarshal(lock.Value, &value) // a lock never held has no value
+	_ = jsoniter.Unmarshal(lock.Value, &value) // a lock that was never acquired has no value
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.status.Leader, c.status.FencingToken, c.status.History = value.Gateway, lock.LockIndex, value.History
 	return lock, value, nil
 }
 
-// takeLock takes the lock for a session and returns the fencing token, false if another session
-// was faster.
-func (c *Controller) takeLock(ctx context.Context, client *consul.Client, session string, value lockValue) (uint64, bool, error) {
+// acquireLock acquires the lock for a session and returns the fencing token, or false if another
+// session has acquired it.
+func (c *Controller) acquireLock(ctx context.Context, client *consul.Client, session string, value lockValue) (uint64, bool, error) {
 	raw, err := jsoniter.Marshal(value)
 	if err != nil {
 		return 0, false, err
 	}
-	taken, err := client.Lock(ctx, c.lockKey(), session, raw)
-	if err != nil || !taken {
+	acquired, err := client.Lock(ctx, c.lockKey(), session, raw)
+	if err != nil || !acquired {
 		return 0, false, err
 	}
 	lock, _, err := client.Read(ctx, c.lockKey())
--- a/internal/rolectl/engines.go
+++ b/internal/rolectl/engines.go
@@ -16,15 +16,15 @@
 	"wellgw/internal/directory"
 )
 
-// The parameters of calls to engines.
+// Parameters of calls to engines.
 const (
-	engineTimeout      = 800 * time.Millisecond // less than tickInterval, so that a silent engine delays no round
+	engineTimeout      = 800 * time.Millisecond // less than tickInterval: an unresponsive engine must not delay ticks
 	idleConnTimeout    = 10 * time.Second
 	maxConcurrentPolls = 32
 	maxReplyBytes      = 4 << 10
 )
 
-// States of engines as the directory shows them.
+// States of engines in the directory's view.
 const (
 	stateGone      = "gone"
 	stateInService = "in"
@@ -33,21 +33,22 @@
 // engineReport is the body of GET /role; see docs/engine-roles.md.
 type engineReport struct {
 	rolechange.Report
-	Slots  int     `json:"slots"`
-	Queue  int     `json:"queue"`
-	Memory float64 `json:"memory"`
-	Tokens float64 `json:"tokens"`
-	Busy   float64 `json:"busy_s"`
+	Slots       int     `json:"slots"`
+	Queue       int     `json:"queue"`
+	MemoryUsed  float64 `json:"memory"`
+	Tokens      float64 `json:"tokens"`
+	BusySeconds float64 `json:"busy_s"`
 }
 
-// poll gets the reports of all engines of either role, and notes which do not answer. It
-// returns when all calls have ended.
+// poll requests the reports of all engines with a prefill or decode role, and records which engines
+// do not answer. It returns when all calls have ended.
 func (l *leader) poll(ctx context.Context, engines []directory.Engine) {
 	var mu sync.Mutex
 	var group sync.WaitGroup
 	running := make(chan struct{}, maxConcurrentPolls)
-	now, silentBefore := time.Now(), l.silentSince
-	l.silentSince, l.reports = map[string]time.Time{}, map[string]*engineReport{} // engines that are gone are dropped
+	now, previous := time.Now(), l.unresponsiveSince
+	// New maps drop the engines that are no longer listed.
+	l.unresponsiveSince, l.reports = map[string]time.Time{}, map[string]*engineReport{}
 	for _, e := range engines {
 		if _, planned := roles.ParseRole(e.Role); !planned || e.State == stateGone {
 			continue
@@ -62,17 +63,17 @@
 				l.reports[e.ID] = r
 				return
 			}
-			since, silent := silentBefore[e.ID]
-			if !silent {
+			since, unresponsive := previous[e.ID]
+			if !unresponsive {
 				since = now
 			}
-			l.silentSince[e.ID] = since
+			l.unresponsiveSince[e.ID] = since
 		})
 	}
 	group.Wait()
 }
 
-// callEngine calls /role of an engine. The status is 0 if no answer came.
+// callEngine sends a request to an engine's /role. The returned status is 0 if there was no response.
 func (l *leader) callEngine(ctx context.Context, method, addr string, body []byte) (*engineReport, int, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+"/role", bytes.NewReader(body))
 	if err != nil {
@@ -89,10 +90,10 @@
 	}
 	var r engineReport
 	if resp.StatusCode == http.StatusNotFound {
-		return nil, resp.StatusCode, fmt.Errorf("engine at %s never changes its role", addr)
+		return nil, resp.StatusCode, fmt.Errorf("engine at %s does not support role changes", addr)
 	}
 	if err := jsoniter.Unmarshal(raw, &r); err != nil || r.Role == "" {
-		return nil, resp.StatusCode, fmt.Errorf("engine at %s: no report: %w", addr, err)
+		return nil, resp.StatusCode, fmt.Errorf("engine at %s: malformed report: %w", addr, err)
 	}
 	return &r, resp.StatusCode, nil
 }
@@ -104,7 +105,7 @@
 	FencingToken uint64             `json:"fence"`
 }
 
-// sendCommand sends the engine a command and keeps its reply for the next tick.
+// sendCommand sends a command to an engine and stores the reply for the next tick.
 func (l *leader) sendCommand(ctx context.Context, a rolechange.Action) {
 	if !l.leaseValid() {
 		return
--- a/internal/rolectl/leader.go
+++ b/internal/rolectl/leader.go
@@ -14,48 +14,48 @@
 	"wellgw/internal/pause"
 )
 
-// leader is the state of one term as the leader. It is for one goroutine.
+// leader is the state of one term as leader. It is not safe for concurrent use.
 type leader struct {
 	*Controller
-	client           *consul.Client
-	lease            *lease
-	planner          *roles.Planner
-	http             *http.Client
-	silentSince      map[string]time.Time        // by engine that did not answer the latest poll
-	replies          map[string]rolechange.Reply // to commands since the engine's change was last advanced
-	reports          map[string]*engineReport    // of the latest poll
-	lastDryRunEngine string                      // that was logged
+	client            *consul.Client
+	lease             *lease
+	planner           *roles.Planner
+	http              *http.Client
+	unresponsiveSince map[string]time.Time        // by engine: start of the first failed poll in a row
+	replies           map[string]rolechange.Reply // by engine: reply to the command of its latest step
+	reports           map[string]*engineReport    // by engine: report of the latest poll
+	lastDryRunEngine  string                      // engine of the planned change that a dry run last logged
 }
 
-// lead carries out changes until the lease is lost or ctx ends.
-func (c *Controller) lead(ctx context.Context, client *consul.Client, held *lease) error {
+// lead plans and advances changes until the lease is lost or ctx ends.
+func (c *Controller) lead(ctx context.Context, client *consul.Client, acquired *lease) error {
 	planner, err := roles.NewPlanner(c.opt.Settings)
 	if err != nil {
 		return err
 	}
 	l := &leader{
-		Controller: c, client: client, lease: held, planner: planner,
-		http:        &http.Client{Timeout: engineTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: idleConnTimeout}},
-		silentSince: map[string]time.Time{}, replies: map[string]rolechange.Reply{}, reports: map[string]*engineReport{},
+		Controller: c, client: client, lease: acquired, planner: planner,
+		http:              &http.Client{Timeout: engineTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: idleConnTimeout}},
+		unresponsiveSince: map[string]time.Time{}, replies: map[string]rolechange.Reply{}, reports: map[string]*engineReport{},
 	}
 	defer l.http.CloseIdleConnections()
-	for _, e := range held.value.History {
+	for _, e := range acquired.value.History {
 		l.replay(e)
 	}
 	c.mu.Lock()
-	c.status.IsLeader, c.status.Leader, c.status.FencingToken = true, held.value.Gateway, held.FencingToken
+	c.status.IsLeader, c.status.Leader, c.status.FencingToken = true, acquired.value.Gateway, acquired.FencingToken
 	c.mu.Unlock()
 	for ctx.Err() == nil {
-		begun := time.Now()
+		started := time.Now()
 		if err := l.tick(ctx); err != nil {
 			return err
 		}
-		pause.Sleep(ctx, tickInterval-time.Since(begun))
+		pause.Sleep(ctx, tickInterval-time.Since(started))
 	}
 	return ctx.Err()
 }
 
-// replay has the planner take into account what an earlier leader did, or this one.
+// replay informs the planner of the start or the end of a change, by this leader or an earlier one.
 func (l *leader) replay(e HistoryEntry) {
 	if e.Outcome != rolechange.InProgress {
 		l.planner.ChangeEnded(e.At, e.Engine, e.Outcome == rolechange.Done)
@@ -67,8 +67,8 @@
 
 func (l *leader) leaseValid() bool { return l.lease.Valid(time.Now()) }
 
-// tick does one round: it renews the lease, polls the engines, advances every change by a step at
-// most, and plans. An error says that the lease is lost.
+// tick renews the lease, polls the engines, advances each change by at most one step, and plans the
+// next change. An error means that the lease is lost.
 func (l *leader) tick(ctx context.Context) error {
 	if err := l.renew(ctx); err != nil {
 		return err
@@ -88,10 +88,11 @@
 			return err
 		}
 	}
-	return l.plan(ctx, view.Engines, records)
+	return l.planChange(ctx, view.Engines, records)
 }
 
-// renew renews the lease. It counts from before the call, as the answer may be long on its way.
+// renew renews the lease. The lease's duration is measured from before the call, because Consul may
+// have renewed the session long before its response arrives.
 func (l *leader) renew(ctx context.Context) error {
 	requestedAt := time.Now()
 	renewed, err := l.client.RenewSession(ctx, l.lease.session)
@@ -101,13 +102,14 @@
 	if err == nil {
 		l.lease.Renewed(requestedAt)
 	}
-	if !l.leaseValid() { // renewals have failed for too long
+	if !l.leaseValid() { // renewals have failed for the whole duration of the lease
 		return errLeaseLost
 	}
 	return nil
 }
 
-// recordsByAge returns the records of changes, the oldest first, false before the first read.
+// recordsByAge returns the records of changes, oldest first. It returns false if they have not been
+// read yet.
 func (l *leader) recordsByAge() ([]storedRecord, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -115,15 +117,15 @@
 	return records, l.recordsRead
 }
 
-// observe has the planner take in the state of the engines and the traffic.
+// observe passes the state of the engines and the traffic to the planner.
 func (l *leader) observe(engines []directory.Engine, records []storedRecord) {
 	now := time.Now()
 	changes := make(map[string]*roles.ActiveChange, len(records))
 	for _, r := range records {
-		hold, role, since := r.Routing()
-		changes[r.Engine] = &roles.ActiveChange{RoutingPaused: hold, Role: role, RoleAge: now.Sub(since)}
+		paused, role, since := r.Routing()
+		changes[r.Engine] = &roles.ActiveChange{RoutingPaused: paused, Role: role, RoleAge: now.Sub(since)}
 	}
-	var seen []roles.Engine
+	var observed []roles.Engine
 	for _, e := range engines {
 		r := l.reports[e.ID]
 		if r == nil {
@@ -131,11 +133,11 @@
 		}
 		engine, planned := l.opt.Settings.PlannedEngine(roles.Observation{
 			ID: e.ID, Rack: e.Cell, InService: e.State == stateInService, Uptime: time.Duration(e.UpMS) * time.Millisecond, Role: r.Role, Slots: r.Slots,
-			Running: r.Running, Queue: r.Queue, MemoryUsed: r.Memory, Tokens: r.Tokens, BusySeconds: r.Busy,
+			Running: r.Running, Queue: r.Queue, MemoryUsed: r.MemoryUsed, Tokens: r.Tokens, BusySeconds: r.BusySeconds,
 			Pinned: l.opt.PinnedEngines[e.ID] || l.opt.PinnedRacks[e.Cell], Change: changes[e.ID],
 		})
 		if planned {
-			seen = append(seen, engine)
+			observed = append(observed, engine)
 		}
 	}
 	var traffic []roles.Traffic
@@ -144,5 +146,5 @@
 			Class: class, Requested: float64(t.Requests), PromptTokens: float64(t.PromptTokens), Served: float64(t.Served), ServedPromptTokens: float64(t.ServedPromptTokens), OutputTokens: float64(t.OutputTokens),
 		})
 	}
-	l.planner.Observe(now, seen, traffic)
+	l.planner.Observe(now, observed, traffic)
 }
--- a/internal/rolectl/records.go
+++ b/internal/rolectl/records.go
@@ -12,22 +12,23 @@
 	"wellgw/internal/pause"
 )
 
-// changesPrefix is where the records of changes are kept, by engine.
+// changesPrefix is the prefix of the Consul keys of change records; an engine's id follows it.
 func (c *Controller) changesPrefix() string { return c.opt.KeyPrefix + "/change/" }
 
 func (c *Controller) changeKey(engine string) string { return c.changesPrefix() + engine }
 
-// confirmationPrefix is where gateways confirm the change of an engine, each by its name.
+// confirmationPrefix is the prefix of the Consul keys under which gateways confirm the change of an
+// engine; the gateway's name follows it.
 func (c *Controller) confirmationPrefix(engine string) string {
 	return c.opt.KeyPrefix + "/seen/" + engine + "/"
 }
 
-// confirmation is the value by which a gateway confirms a change: an engine's next change has
-// another one.
+// confirmation returns the value with which a gateway confirms a change. It is the start time, so
+// that a confirmation of an earlier change of the same engine does not count.
 func confirmation(r rolechange.Record) string { return r.StartedAt.Format(time.RFC3339Nano) }
 
-// watchRecords applies the records of changes by blocking queries. While they can't be read the
-// last ones stay in force.
+// watchRecords watches the records of changes with blocking queries and applies them. While they
+// can't be read, the last ones remain in effect.
 func (c *Controller) watchRecords(ctx context.Context, client *consul.Client) {
 	index := uint64(0)
 	for ctx.Err() == nil {
@@ -37,7 +38,7 @@
 			client.Pause(ctx, retryInterval)
 			continue
 		}
-		if next < index { // Consul asks for a reset where an index has gone back
+		if next < index { // Consul requires clients to reset an index that has decreased
 			next = 0
 		}
 		if unchanged := index != 0 && next == index; !unchanged {
@@ -50,8 +51,8 @@
 	}
 }
 
-// applyRecords has the engines that the records name routed to as the records say, and confirms
-// the changes that are new.
+// applyRecords overrides the routing of the engines that have change records, and confirms changes
+// that this gateway has not confirmed.
 func (c *Controller) applyRecords(ctx context.Context, client *consul.Client, pairs []consul.Pair) {
 	records, overrides := c.parseRecords(pairs)
 	c.opt.Directory.With(func(b *roster.Registry, now time.Time) { b.SetOverrides(now, overrides) })
@@ -60,7 +61,7 @@
 	for _, r := range c.replaceRecords(records) {
 		c.opt.Log.Info("role change observed", "engine", r.Engine, "from", r.From, "to", r.To, "step", string(r.Step))
 		if gateway == "" || client.Write(ctx, c.confirmationPrefix(r.Engine)+gateway, []byte(confirmation(r))) != nil {
-			continue // the leader waits for a confirmation no longer than a limit
+			continue // no retry needed: the leader waits for confirmations only up to a time limit
 		}
 		c.mu.Lock()
 		c.confirmed[r.Engine] = r.StartedAt
@@ -68,7 +69,7 @@
 	}
 }
 
-// parseRecords returns the records and what they override in the roster, both by engine.
+// parseRecords returns the records and their overrides of the roster, both by engine.
 func (c *Controller) parseRecords(pairs []consul.Pair) (map[string]storedRecord, map[string]roster.Override) {
 	records, overrides := map[string]storedRecord{}, map[string]roster.Override{}
 	for _, p := range pairs {
@@ -78,19 +79,19 @@
 			continue
 		}
 		records[r.Engine] = storedRecord{r, p.ModifyIndex}
-		hold, role, cold := r.Routing()
-		overrides[r.Engine] = roster.Override{Drain: hold, Kind: role, Started: cold, StateReason: "changes from " + r.From + " to " + r.To + ": " + string(r.Step)}
+		paused, role, startedAt := r.Routing()
+		overrides[r.Engine] = roster.Override{Drain: paused, Kind: role, Started: startedAt, StateReason: "changes from " + r.From + " to " + r.To + ": " + string(r.Step)}
 	}
 	return records, overrides
 }
 
-// replaceRecords takes over records and returns those that this gateway has not confirmed.
+// replaceRecords replaces the stored records and returns those that this gateway has not confirmed.
 func (c *Controller) replaceRecords(records map[string]storedRecord) []rolechange.Record {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.records, c.recordsRead = records, true
 	for id := range c.confirmed {
-		if _, underWay := records[id]; !underWay {
+		if _, active := records[id]; !active {
 			delete(c.confirmed, id)
 		}
 	}
--- a/internal/rolectl/rolectl.go
+++ b/internal/rolectl/rolectl.go
@@ -1,7 +1,7 @@
-// Package rolectl carries out changes of engines' roles. Every gateway watches the records of
-// the changes under way in Consul, routes by them and confirms that it does. One gateway, the
-// leader, holds a lease on a Consul lock: it plans changes and takes them from step to step. The
-// decisions are those of decide/roles and decide/rolechange.
+// Package rolectl carries out changes of engines' roles. Every gateway watches the records of the
+// active changes in Consul, applies them to its routing and confirms that. One gateway, the leader,
+// has a lease on a Consul lock: it plans changes and advances them step by step. Planning is
+// implemented in decide/roles, the steps of a change in decide/rolechange.
 package rolectl
 
 import (
@@ -18,55 +18,56 @@
 	"wellgw/internal/directory"
 )
 
-// The controller's parameters.
+// Parameters of the controller.
 const (
-	tickInterval  = time.Second      // between a leader's rounds
-	watchWait     = 10 * time.Second // of a blocking query
-	retryInterval = time.Second
-	lockDelay     = time.Second // Consul's least; fencing tokens guard against a former leader that runs on
-	extraHistory  = 20          // entries kept beyond an hour's
+	tickInterval        = time.Second      // between two ticks of the leader
+	watchWait           = 10 * time.Second // wait time of a blocking query
+	retryInterval       = time.Second
+	lockDelay           = time.Second // Consul's minimum; fencing tokens reject commands of a former leader
+	extraHistoryEntries = 20          // history entries kept in addition to those of one hour
 )
 
-// Options are what a controller is made of.
+// Options configure a controller.
 type Options struct {
 	Directory     *directory.Directory
 	Settings      roles.Settings
 	Limits        rolechange.Timeouts
 	LeaseTTL      time.Duration
 	KeyPrefix     string
-	GatewayName   func() string                  // unique in the tier; "" while it is not known
-	GatewayCount  func() int                     // gateways that share the engines
-	Traffic       func() map[string]core.Traffic // of this gateway, by class: a sample of all gateways' traffic
+	GatewayName   func() string                  // unique in the tier; "" if not known yet
+	GatewayCount  func() int                     // number of gateways that share the engines
+	Traffic       func() map[string]core.Traffic // by class; this gateway's, as a sample of all gateways'
 	DryRun        bool
-	PinnedEngines map[string]bool // whose roles stay
-	PinnedRacks   map[int]bool
-	// OnStep is called for each step of a change that has ended, for traces; nil for none.
-	OnStep func(r rolechange.Record, to time.Time, why string)
+	PinnedEngines map[string]bool // engines whose roles must not change
+	PinnedRacks   map[int]bool    // racks whose engines' roles must not change
+	// OnStep is called at the end of each step of a change, for traces; it may be nil.
+	OnStep func(r rolechange.Record, endedAt time.Time, reason string)
 	Log    *slog.Logger
 }
 
-// HistoryEntry is the beginning or the end of a change.
+// HistoryEntry is the start or the end of a change.
 type HistoryEntry struct {
 	At      time.Time          `json:"at"`
 	Engine  string             `json:"engine"`
 	To      string             `json:"to"`
-	Outcome rolechange.Outcome `json:"outcome"` // "" at its beginning
+	Outcome rolechange.Outcome `json:"outcome"` // "" for the start
 	Reason  string             `json:"why"`
 }
 
-// Status is the present state, for operators.
+// Status is the state of the controller, for operators.
 type Status struct {
 	Gateway      string              `json:"gateway"`
-	Leader       string              `json:"owner"` // as last read
+	Leader       string              `json:"owner"` // as last read from the lock
 	IsLeader     bool                `json:"mine"`
 	FencingToken uint64              `json:"fence"`
 	DryRun       bool                `json:"dry_run"`
-	Plan         Plan                `json:"plan"` // empty unless this gateway leads, or has led
+	Plan         Plan                `json:"plan"` // empty if this gateway has never led
 	Changes      []rolechange.Record `json:"changes"`
 	History      []HistoryEntry      `json:"ends"`
 }
 
-// Plan is a leader's latest plan. Pairs are of the prefill and the decode stage, in engines.
+// Plan is a leader's latest plan. The two values of Demand and Capacity are those of the prefill and
+// the decode role, in engines.
 type Plan struct {
 	At       time.Time      `json:"at"`
 	Reason   string         `json:"why"`
@@ -77,25 +78,25 @@
 	After    roles.Forecast `json:"after"`
 }
 
-// storedRecord is a record with its ModifyIndex, by which a write is conditional.
+// storedRecord is a record with its ModifyIndex, on which writes are conditional.
 type storedRecord struct {
 	rolechange.Record
 	modifyIndex uint64
 }
 
-// Controller routes by the changes under way and, while it holds the lease, carries them out.
+// Controller applies active changes to routing and, while it has the lease, plans and advances them.
 type Controller struct {
 	opt         Options
-	lastSession string // of the latest lease; of the goroutine in campaign alone
+	lastSession string // session of the latest lease; owned by the goroutine in campaign
 
 	mu          sync.Mutex
 	records     map[string]storedRecord
-	recordsRead bool                 // at least once
-	confirmed   map[string]time.Time // by engine, when the change began that this gateway has confirmed
+	recordsRead bool                 // whether records have been read at least once
+	confirmed   map[string]time.Time // by engine: start time of the change that this gateway has confirmed
 	status      Status
 }
 
-// New returns a controller. An error names the setting that can't be used.
+// New returns a controller. An error contains the name of the invalid setting.
 func New(opt Options) (*Controller, error) {
 	if _, err := roles.NewPlanner(opt.Settings); err != nil {
 		return nil, fmt.Errorf("roles.%w", err)
@@ -104,7 +105,7 @@
 	return &Controller{opt: opt, records: map[string]storedRecord{}, confirmed: map[string]time.Time{}, status: Status{DryRun: opt.DryRun}}, nil
 }
 
-// Status returns the present state.
+// Status returns the state of the controller.
 func (c *Controller) Status() Status {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -118,8 +119,8 @@
 	return s
 }
 
-// Run watches changes and campaigns for the lease until ctx ends, and returns when all its
-// goroutines have ended.
+// Run watches changes and campaigns for the lease until ctx ends. It returns when all its goroutines
+// have ended.
 func (c *Controller) Run(ctx context.Context, client *consul.Client) {
 	var group sync.WaitGroup
 	defer group.Wait()
--- a/internal/rolectl/stored_test.go
+++ b/internal/rolectl/stored_test.go
@@ -33,18 +33,18 @@
 
 var storedAt = time.Date(2026, 11, 30, 8, 15, 0, 123456789, time.UTC)
 
-// storedRecords are the records that testdata holds, by file.
+// storedRecords returns the records in testdata, by file name.
 func storedRecords() map[string]rolechange.Record {
-	begun := rolechange.Record{
+	announced := rolechange.Record{
 		Engine: "w1", Addr: "10.0.0.7:9000", Rack: 3, From: "write", To: "read", Step: rolechange.Step("announced"), FencingToken: 41, Leader: "edge-a",
 		StartedAt: storedAt, StepStartedAt: storedAt, Reason: "read work needs 3.2 of 2.0 engines, \"busy\" & more",
 	}
-	warming := begun
+	warming := announced
 	warming.Engine, warming.Step, warming.StepStartedAt, warming.FlippedAt = "w2", rolechange.Step("warming"), storedAt.Add(9*time.Second), storedAt.Add(9*time.Second)
-	return map[string]rolechange.Record{"change-announced.json": begun, "change-warming.json": warming}
+	return map[string]rolechange.Record{"change-announced.json": announced, "change-warming.json": warming}
 }
 
-// storedLock is the value of the lock in testdata/owner.json.
+// storedLock returns the value of the lock in testdata/owner.json.
 func storedLock() lockValue {
 	return lockValue{Gateway: "edge-a", History: []HistoryEntry{
 		{At: storedAt, Engine: "w1", To: "read", Outcome: rolechange.Outcome(""), Reason: "read work needs it"},
@@ -53,12 +53,12 @@
 	}}
 }
 
-// storedWorld is a gateway that has no name, so that it follows and never leads, and a leader's
-// work that the test does in its place.
-func storedWorld(t *testing.T) (*world, *gate, *leader) {
+// newStoredLeader returns a gateway without a name, which therefore never becomes the leader, and a leader
+// whose methods the test calls instead.
+func newStoredLeader(t *testing.T) (*cluster, *testGateway, *leader) {
 	t.Helper()
-	w := newWorld(t)
-	g := w.gate("", nil)
+	c := newCluster(t)
+	g := c.startGateway("", nil)
 	session, err := g.client.NewSession(t.Context(), "test", 10*time.Second, time.Second)
 	if err != nil {
 		t.Fatal(err)
@@ -69,46 +69,46 @@
 	}
 	value := storedLock()
 	value.History = value.History[:2]
-	return w, g, &leader{
+	return c, g, &leader{
 		Controller: g.Controller, client: g.client, planner: planner, http: &http.Client{Timeout: time.Second},
 		lease:   &lease{session: session, value: value, Lease: rolechange.NewLease(41, time.Hour, time.Now())},
-		replies: map[string]rolechange.Reply{}, reports: map[string]*engineReport{}, silentSince: map[string]time.Time{},
+		replies: map[string]rolechange.Reply{}, reports: map[string]*engineReport{}, unresponsiveSince: map[string]time.Time{},
 	}
 }
 
-func stored(t *testing.T, client *consul.Client, key string) []byte {
+func readValue(t *testing.T, client *consul.Client, key string) []byte {
 	t.Helper()
-	p, there, err := client.Read(t.Context(), key)
-	if err != nil || !there {
-		t.Fatalf("%s: %v, %v", key, there, err)
+	p, found, err := client.Read(t.Context(), key)
+	if err != nil || !found {
+		t.Fatalf("%s: found %v, error %v", key, found, err)
 	}
 	return p.Value
 }
 
-// Records and the value of the lock are written in the bytes that earlier versions wrote.
+// Records and the value of the lock are written with the same bytes as in earlier versions.
 func TestStoredBytes(t *testing.T) {
-	_, g, h := storedWorld(t)
+	_, g, l := newStoredLeader(t)
 	for file, r := range storedRecords() {
-		if done, err := h.putRecord(t.Context(), r, 0); err != nil || !done {
-			t.Fatalf("%s: %v, %v", file, done, err)
+		if written, err := l.putRecord(t.Context(), r, 0); err != nil || !written {
+			t.Fatalf("%s: written %v, error %v", file, written, err)
 		}
-		if got := stored(t, g.client, "p/change/"+r.Engine); !bytes.Equal(got, testdata(t, file)) {
+		if got := readValue(t, g.client, "p/change/"+r.Engine); !bytes.Equal(got, testdata(t, file)) {
 			t.Errorf("%s: %s, want %s", file, got, testdata(t, file))
 		}
 	}
-	if err := h.recordHistory(t.Context(), storedLock().History[2]); err != nil {
+	if err := l.recordHistory(t.Context(), storedLock().History[2]); err != nil {
 		t.Fatal(err)
 	}
-	if got := stored(t, g.client, "p/owner"); !bytes.Equal(got, testdata(t, "owner.json")) {
-		t.Errorf("the lock: %s, want %s", got, testdata(t, "owner.json"))
+	if got := readValue(t, g.client, "p/owner"); !bytes.Equal(got, testdata(t, "owner.json")) {
+		t.Errorf("lock value: %s, want %s", got, testdata(t, "owner.json"))
 	}
 }
 
-// Records and the value of the lock that earlier versions wrote are read with all they hold,
-// and a gateway confirms a change in the same form under the same key.
-func TestStoredIsRead(t *testing.T) {
-	w := newWorld(t)
-	g := w.gate("", nil)
+// Every field of the records and of the lock's value that earlier versions wrote is read, and a gateway
+// confirms a change with the same value under the same key as in earlier versions.
+func TestStoredValuesAreRead(t *testing.T) {
+	c := newCluster(t)
+	g := c.startGateway("", nil)
 	records := storedRecords()
 	for file, r := range records {
 		if err := g.client.Write(t.Context(), "p/change/"+r.Engine, testdata(t, file)); err != nil {
@@ -129,21 +129,22 @@
 			found = found || reflect.DeepEqual(got, want)
 		}
 		if !found {
-			t.Errorf("read as %+v", got)
+			t.Errorf("no stored record equals %+v", got)
 		}
 	}
 	if want := storedLock().History; !reflect.DeepEqual(s.History, want) {
-		t.Errorf("the lock is read as %+v, want %+v", s.History, want)
+		t.Errorf("history of the lock: %+v, want %+v", s.History, want)
 	}
-	other := w.gate("g2", func(o *Options) { o.Limits.Confirmation = time.Hour; o.GatewayCount = func() int { return 9 } })
-	enginetest.Eventually(t, "a gateway confirms a change", func() bool {
-		p, there, err := other.client.Read(t.Context(), "p/seen/w1/g2")
-		return err == nil && there && string(p.Value) == "2026-11-30T08:15:00.123456789Z"
+	other := c.startGateway("g2", func(o *Options) { o.Limits.Confirmation = time.Hour; o.GatewayCount = func() int { return 9 } })
+	enginetest.Eventually(t, "g2 confirms the change", func() bool {
+		p, found, err := other.client.Read(t.Context(), "p/seen/w1/g2")
+		return err == nil && found && string(p.Value) == "2026-11-30T08:15:00.123456789Z"
 	})
 }
 
-// An engine is asked and told what docs/engine-roles.md says, and its report is read whole.
-func TestRoleProtocolForm(t *testing.T) {
+// Requests to an engine have the form that docs/engine-roles.md specifies, and every field of its report
+// is read.
+func TestRoleProtocolFormat(t *testing.T) {
 	var calls []string
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
@@ -157,33 +158,33 @@
 				t.Error(err)
 			}
 			if want := map[string]any{"command": "drain", "role": "read", "fence": 41.0}; !reflect.DeepEqual(got, want) {
-				t.Errorf("told %v, want %v", got, want)
+				t.Errorf("command %v, want %v", got, want)
 			}
 		}
 		w.Write([]byte(`{"role":"write","draining":true,"running":3,"held":2,"fence":41,"started":"2026-11-30T08:15:00Z","slots":8,"queue":1,"memory":0.5,"tokens":1200.5,"busy_s":9.25}`))
 	}))
 	t.Cleanup(srv.Close)
-	_, _, h := storedWorld(t)
+	_, _, l := newStoredLeader(t)
 	addr := strings.TrimPrefix(srv.URL, "http://")
-	got, status, err := h.callEngine(context.Background(), http.MethodGet, addr, nil)
+	got, status, err := l.callEngine(context.Background(), http.MethodGet, addr, nil)
 	want := engineReport{
 		Report: rolechange.Report{Role: "write", Draining: true, Running: 3, HeldStates: 2, FencingToken: 41, StartedAt: time.Date(2026, 11, 30, 8, 15, 0, 0, time.UTC)},
-		Slots:  8, Queue: 1, Memory: 0.5, Tokens: 1200.5, Busy: 9.25,
+		Slots:  8, Queue: 1, MemoryUsed: 0.5, Tokens: 1200.5, BusySeconds: 9.25,
 	}
 	if err != nil || status != http.StatusOK || !reflect.DeepEqual(*got, want) {
-		t.Errorf("%+v, %d, %v", got, status, err)
+		t.Errorf("report %+v, status %d, error %v", got, status, err)
 	}
-	h.sendCommand(context.Background(), rolechange.Action{Record: rolechange.Record{Engine: "w1", Addr: addr, To: "read"}, Command: rolechange.Command("drain")})
-	if got := h.replies["w1"]; got != rolechange.Reply(1) {
-		t.Errorf("the reply was taken for %d", got)
+	l.sendCommand(context.Background(), rolechange.Action{Record: rolechange.Record{Engine: "w1", Addr: addr, To: "read"}, Command: rolechange.Command("drain")})
+	if got := l.replies["w1"]; got != rolechange.Reply(1) {
+		t.Errorf("reply %d, want Accepted", got)
 	}
 	if want := []string{"GET /role", "PUT /role"}; !reflect.DeepEqual(calls, want) {
-		t.Errorf("called %v", calls)
+		t.Errorf("calls %v, want %v", calls, want)
 	}
 }
 
-// fill sets every part of a value to something else than its zero.
-func fill(v reflect.Value, n *int64) {
+// setNonZero sets every field and element of a value to a non-zero value.
+func setNonZero(v reflect.Value, n *int64) {
 	*n++
 	if v.Type() == reflect.TypeFor[time.Time]() {
 		v.Set(reflect.ValueOf(storedAt.Add(time.Duration(*n) * time.Second)))
@@ -192,18 +193,18 @@
 	switch v.Kind() {
 	case reflect.Struct:
 		for i := range v.NumField() {
-			fill(v.Field(i), n)
+			setNonZero(v.Field(i), n)
 		}
 	case reflect.Array:
 		for i := range v.Len() {
-			fill(v.Index(i), n)
+			setNonZero(v.Index(i), n)
 		}
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		fill(v.Elem(), n)
+		setNonZero(v.Elem(), n)
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 1, 1))
-		fill(v.Index(0), n)
+		setNonZero(v.Index(0), n)
 	case reflect.String:
 		v.SetString("text " + string(rune('a'+*n%26)))
 	case reflect.Bool:
@@ -217,15 +218,15 @@
 	case reflect.Float64:
 		v.SetFloat(float64(*n) + 0.5)
 	default:
-		panic("no value for a " + v.Kind().String())
+		panic("setNonZero: unsupported kind " + v.Kind().String())
 	}
 }
 
-// The admin page's JSON has the keys, and their order, that earlier versions gave it.
+// The JSON of the admin page has the same keys in the same order as in earlier versions.
 func TestStatusJSON(t *testing.T) {
 	var s Status
 	n := int64(0)
-	fill(reflect.ValueOf(&s).Elem(), &n)
+	setNonZero(reflect.ValueOf(&s).Elem(), &n)
 	got, err := jsoniter.Marshal(s)
 	if err != nil {
 		t.Fatal(err)
@@ -236,6 +237,6 @@
 	}
 	var read Status
 	if err := jsoniter.Unmarshal(want, &read); err != nil || !reflect.DeepEqual(read, s) {
-		t.Errorf("read as %+v, %v", read, err)
+		t.Errorf("decoded %+v, error %v", read, err)
 	}
 }
