--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,5 +1,6 @@
-// Package logging makes the program's log: one JSON object per line, written by zerolog behind the
-// standard library's slog. docs/logs.md lists the field names, which mean the same in every line.
+// Package logging writes the program's log: one JSON object per line, written by zerolog as the
+// handler of the standard library's slog. docs/logs.md lists the field names; a name has the same
+// meaning in every line.
 package logging
 
 import (
@@ -11,10 +12,10 @@
 	"github.com/rs/zerolog"
 )
 
-// timeFormat is RFC 3339 with milliseconds, in which lines of several processes can be ordered.
+// timeFormat is RFC 3339 with milliseconds, fine enough to order the lines of several processes.
 const timeFormat = "2006-01-02T15:04:05.000Z07:00"
 
-// New returns a logger that writes to w; with verbose, lines of level debug too.
+// New returns a logger that writes to w. With verbose it also writes lines of level debug.
 func New(w io.Writer, verbose bool) *slog.Logger {
 	level := zerolog.InfoLevel
 	if verbose {
@@ -23,7 +24,7 @@
 	return slog.New(handler{zerolog.NewSlogHandler(zerolog.New(w).Level(level))})
 }
 
-// handler formats times, errors and values with a String method before zerolog writes them.
+// handler converts times, errors and values with a String method to text before zerolog writes them.
 type handler struct{ slog.Handler }
 
 // Handle writes one line.
@@ -37,7 +38,7 @@
 	return h.Handler.Handle(ctx, line)
 }
 
-// asText replaces an error or a Stringer by its text; zerolog would write an object without fields.
+// asText replaces an error or a Stringer with its text; zerolog would write an object without fields.
 func asText(a slog.Attr) slog.Attr {
 	switch v := a.Value.Any().(type) {
 	case error:
@@ -57,5 +58,5 @@
 	return handler{h.Handler.WithAttrs(texts)}
 }
 
-// WithGroup returns a handler that puts the attributes that follow into a group.
+// WithGroup returns a handler that adds subsequent attributes to a group.
 func (h handler) WithGroup(name string) slog.Handler { return handler{h.Handler.WithGroup(name)} }
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -9,7 +9,7 @@
 	jsoniter "github.com/json-iterator/go"
 )
 
-// Every line is one JSON object with the fields that docs/logs.md names.
+// Each line is one JSON object with the fields that docs/logs.md lists.
 func TestLines(t *testing.T) {
 	var b strings.Builder
 	log := New(&b, false).With("part", "consul")
@@ -27,7 +27,7 @@
 		"level": "warn", "message": "agent lost", "part": "consul", "agent": "127.0.0.1:1", "cause": "no\nanswer", "age": "3s", "engines": 4.0,
 	} {
 		if line[field] != want {
-			t.Errorf("%s is %v, want %v", field, line[field], want)
+			t.Errorf("field %s: %v, want %v", field, line[field], want)
 		}
 	}
 }
--- a/internal/logging/queue_test.go
+++ b/internal/logging/queue_test.go
@@ -8,24 +8,24 @@
 	"time"
 )
 
-// stalled is a reader of the log that reads nothing until it is released.
-type stalled struct {
+// stalledWriter is a log output whose reader is stalled: Write blocks until release is closed.
+type stalledWriter struct {
 	release chan struct{}
 	mu      sync.Mutex
 	text    bytes.Buffer
 }
 
-func (s *stalled) Write(p []byte) (int, error) {
+func (s *stalledWriter) Write(p []byte) (int, error) {
 	<-s.release
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.text.Write(p)
 }
 
-// A reader that stalls holds nobody up who logs; what it missed is said, and the lines that waited
-// are written before the end.
-func TestStalledReaderHoldsNobodyUp(t *testing.T) {
-	s := &stalled{release: make(chan struct{})}
+// A stalled reader blocks neither the goroutines that log nor Close. Once it reads again, the log contains
+// a line about the dropped lines.
+func TestStalledReaderBlocksNoWriter(t *testing.T) {
+	s := &stalledWriter{release: make(chan struct{})}
 	q := NewQueue(s)
 	const lines = 2*maxQueuedLines + 7
 	for range lines {
@@ -33,19 +33,20 @@
 			t.Fatal(n, err)
 		}
 	}
-	begun := time.Now()
-	q.Close(time.Millisecond) // a stalled reader does not hold up the end either
-	if took := time.Since(begun); took > 10*time.Second {
-		t.Errorf("closing took %v", took)
+	startedAt := time.Now()
+	q.Close(time.Millisecond) // must not block on the stalled reader
+	if elapsed := time.Since(startedAt); elapsed > 10*time.Second {
+		t.Errorf("Close took %v", elapsed)
 	}
 	close(s.release)
 	<-q.done
 	if text := s.text.String(); !strings.Contains(text, "log lines dropped") {
-		t.Errorf("%d bytes say nothing of dropped lines", len(text))
+		t.Errorf("no line about dropped lines in %d bytes of log", len(text))
 	}
 }
 
-func TestLinesAreWrittenBeforeTheEnd(t *testing.T) {
+// Close writes all queued lines.
+func TestCloseWritesQueuedLines(t *testing.T) {
 	var out bytes.Buffer
 	q := NewQueue(&out)
 	for range 100 {
@@ -53,6 +54,6 @@
 	}
 	q.Close(time.Minute)
 	if n := strings.Count(out.String(), "line\n"); n != 100 {
-		t.Errorf("%d lines of 100", n)
+		t.Errorf("%d lines written, want 100", n)
 	}
 }
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -20,6 +20,7 @@
 	"wellgw/routing"
 )
 
+// The metrics page has the values of the views, and no metrics of roles and tier without those views.
 func TestMetrics(t *testing.T) {
 	view := func() admin.View {
 		return admin.View{
@@ -56,42 +57,43 @@
 		`wellgw_tier_events_total{event="died"} 2`, `wellgw_tier_datagrams_total{way="sent"} 5`, `wellgw_tier_datagrams_dropped_total{reason="replay"} 4`,
 	} {
 		if !strings.Contains(w.Body.String(), want+"\n") {
-			t.Errorf("%s is missing", want)
+			t.Errorf("metrics page lacks %s", want)
 		}
 	}
 	w = httptest.NewRecorder()
 	Handler(Views{Engines: view}).ServeHTTP(w, httptest.NewRequest("GET", Path, nil))
 	if strings.Contains(w.Body.String(), "roles") || strings.Contains(w.Body.String(), "tier") || w.Code != 200 {
-		t.Errorf("without roles: %d %s", w.Code, w.Body)
+		t.Errorf("without the views of roles and tier: status %d, body %s", w.Code, w.Body)
 	}
 }
 
-type engines struct{ core.Transport }
+// failingTransport fails each attempt and completes each release.
+type failingTransport struct{ core.Transport }
 
-func (engines) Start(_ core.Attempt, _ func(core.Stream), ended func(core.Result)) core.Handle {
-	ended(core.Result{Status: routing.StatusReset, Cause: errors.New("broke")})
+func (failingTransport) Start(_ core.Attempt, _ func(core.Stream), ended func(core.Result)) core.Handle {
+	ended(core.Result{Status: routing.StatusReset, Cause: errors.New("connection reset")})
 	return nil
 }
 
-func (engines) Release(_ core.Release, done func(error)) (stop func()) {
+func (failingTransport) Release(_ core.Release, done func(error)) (stop func()) {
 	done(nil)
 	return nil
 }
 
-// All spans of a request are one trace, and so are all steps of a change, whoever
-// wrote them.
+// All spans of a request are in one trace, and so are all steps of a role change and all spans about one
+// incarnation of a gateway, even if several gateways write them.
 func TestTraces(t *testing.T) {
 	var out bytes.Buffer
 	r := rolechange.Record{Engine: "e1", From: "read", To: "write", Step: rolechange.Announced, StartedAt: time.Now(), StepStartedAt: time.Now()}
-	for _, gateway := range []string{"g1", "g2"} { // two owners, one after the other
+	for _, gateway := range []string{"g1", "g2"} { // two leaders, one after the other
 		tracer, err := NewTracer(&out, gateway, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if gateway == "g1" {
-			e := tracer.WrapTransport(engines{})
-			e.Start(core.Attempt{ClientRequestID: "q1", Endpoint: core.Endpoint{}}, nil, func(core.Result) {})
-			e.Release(core.Release{ClientRequestID: "q1"}, func(error) {})
+			transport := tracer.WrapTransport(failingTransport{})
+			transport.Start(core.Attempt{ClientRequestID: "q1", Endpoint: core.Endpoint{}}, nil, func(core.Result) {})
+			transport.Release(core.Release{ClientRequestID: "q1"}, func(error) {})
 			tracer.Answered(core.Request{ClientRequestID: "q1", Arrived: time.Now().Add(-time.Second)}, core.Answer{Verdict: core.Failed}, "failed")
 		}
 		tracer.RoleChangeStep(r, time.Now(), "seen")
@@ -118,9 +120,9 @@
 	}
 	text := strings.Join(got, "; ")
 	if !strings.Contains(text, "member: suspect to dead, member: suspect to dead") {
-		t.Errorf("what two gateways say of one life is not one trace: %s", text)
+		t.Errorf("the spans of two gateways about one incarnation are not in one trace: %s", text)
 	}
 	if len(traces) != 3 || !strings.Contains(text, "attempt, release, request") || !strings.Contains(text, "change of role: announced, change of role: draining") {
-		t.Errorf("%s", text)
+		t.Errorf("%d traces, want 3: %s", len(traces), text)
 	}
 }
--- a/internal/telemetry/trace.go
+++ b/internal/telemetry/trace.go
@@ -22,32 +22,34 @@
 	"wellgw/routing"
 )
 
-// Tracer writes spans. All spans of a request share one trace, by its wire id; so do
-// those of a change of role, whichever owners worked on it, by engine and beginning.
+// Tracer writes spans. All spans of a request share one trace, which is derived from the request's id
+// on the wire. All spans of a role change share one trace, even if several leaders worked on it; it is
+// derived from the engine and the start time of the change.
 type Tracer struct {
 	provider *sdk.TracerProvider
 	tracer   trace.Tracer
 }
 
-// NewTracer returns a tracer that writes one JSON object a span to w, some time later
-// and never in the way of a request; share is the part of the requests that is traced.
-func NewTracer(w io.Writer, gateway string, share float64) (*Tracer, error) {
-	out, err := stdouttrace.New(stdouttrace.WithWriter(w))
+// NewTracer returns a tracer that writes one JSON object per span to w. Spans are written in batches in
+// the background, so tracing does not delay requests. fraction is the fraction of traces that is
+// sampled.
+func NewTracer(w io.Writer, gateway string, fraction float64) (*Tracer, error) {
+	exporter, err := stdouttrace.New(stdouttrace.WithWriter(w))
 	if err != nil {
 		return nil, fmt.Errorf("traces: %w", err)
 	}
 	p := sdk.NewTracerProvider(
-		sdk.WithBatcher(out), sdk.WithSampler(sdk.TraceIDRatioBased(share)),
+		sdk.WithBatcher(exporter), sdk.WithSampler(sdk.TraceIDRatioBased(fraction)),
 		sdk.WithResource(resource.NewSchemaless(attribute.String("service.name", "wellgw"), attribute.String("service.instance.id", gateway))),
 	)
 	return &Tracer{provider: p, tracer: p.Tracer("wellgw")}, nil
 }
 
-// Close writes what has not been written.
+// Close writes the buffered spans and stops the tracer.
 func (t *Tracer) Close(ctx context.Context) error { return t.provider.Shutdown(ctx) }
 
-// within returns a context whose spans belong to the trace of a name.
-func within(name string) context.Context {
+// traceContext returns a context whose spans belong to the trace that is derived from a name.
+func traceContext(name string) context.Context {
 	var id trace.TraceID
 	var span trace.SpanID
 	binary.BigEndian.PutUint64(id[:8], xxhash.Sum64String(name))
@@ -56,84 +58,84 @@
 	return trace.ContextWithRemoteSpanContext(context.Background(), trace.NewSpanContext(trace.SpanContextConfig{TraceID: id, SpanID: span, Remote: true}))
 }
 
-// span writes one span that is over.
-func (t *Tracer) span(ctx context.Context, name string, from, to time.Time, failed string, attrs ...attribute.KeyValue) {
+// span writes one completed span. It has the status error if failure is not empty.
+func (t *Tracer) span(ctx context.Context, name string, from, to time.Time, failure string, attrs ...attribute.KeyValue) {
 	_, s := t.tracer.Start(ctx, name, trace.WithTimestamp(from), trace.WithAttributes(attrs...))
-	if failed != "" {
-		s.SetStatus(codes.Error, failed)
+	if failure != "" {
+		s.SetStatus(codes.Error, failure)
 	}
 	s.End(trace.WithTimestamp(to))
 }
 
-// Answered writes a request from its arrival to its one final answer; see core.Observer.
+// Answered writes the span of a request, from its arrival to its final answer; see core.Observer.
 func (t *Tracer) Answered(q core.Request, a core.Answer, verdict string) {
-	failed := ""
+	failure := ""
 	if a.Verdict != core.Streaming {
-		failed = verdict
+		failure = verdict
 		if a.Cause != nil {
-			failed += ": " + a.Cause.Error()
+			failure += ": " + a.Cause.Error()
 		}
 	}
-	t.span(within("request "+q.ClientRequestID), "request", q.Arrived, time.Now(), failed,
+	t.span(traceContext("request "+q.ClientRequestID), "request", q.Arrived, time.Now(), failure,
 		attribute.String("class", q.Class), attribute.String("team", q.Tenant), attribute.Int("prompt_tokens", q.PromptTokens), attribute.String("answer", verdict))
 }
 
-// WrapTransport wraps engines so that every attempt and every release is a span.
-func (t *Tracer) WrapTransport(e core.Transport) core.Transport { return traced{e, t} }
+// WrapTransport returns a transport that writes a span for each attempt and each release.
+func (t *Tracer) WrapTransport(e core.Transport) core.Transport { return tracedTransport{e, t} }
 
-type traced struct {
+type tracedTransport struct {
 	core.Transport
 	tracer *Tracer
 }
 
-// Start makes an attempt; see core.Transport.
-func (e traced) Start(a core.Attempt, first func(core.Stream), ended func(core.Result)) core.Handle {
-	begun := time.Now()
-	note := func(what, failed string) {
-		e.tracer.span(within("request "+a.ClientRequestID), what, begun, time.Now(), failed,
+// Start starts an attempt; see core.Transport. Its spans are written at the first event and at the end.
+func (e tracedTransport) Start(a core.Attempt, first func(core.Stream), ended func(core.Result)) core.Handle {
+	startedAt := time.Now()
+	writeSpan := func(name, failure string) {
+		e.tracer.span(traceContext("request "+a.ClientRequestID), name, startedAt, time.Now(), failure,
 			attribute.String("engine", a.Endpoint.Name), attribute.String("role", a.Endpoint.Kind), attribute.Int("attempt", a.Number))
 	}
 	return e.Transport.Start(a, func(s core.Stream) {
-		note("attempt, to its first event", "")
+		writeSpan("attempt, to its first event", "")
 		first(s)
 	}, func(r core.Result) {
-		failed := ""
+		failure := ""
 		if r.Status != routing.StatusPrefilled {
-			failed = fmt.Sprint("status ", r.Status, ": ", r.Cause)
+			failure = fmt.Sprint("status ", r.Status, ": ", r.Cause)
 		}
-		note("attempt", failed)
+		writeSpan("attempt", failure)
 		ended(r)
 	})
 }
 
-// Release lets go of what is held; see core.Transport.
-func (e traced) Release(r core.Release, done func(error)) (stop func()) {
-	begun := time.Now()
+// Release sends a release and writes its span when it is done; see core.Transport.
+func (e tracedTransport) Release(r core.Release, done func(error)) (stop func()) {
+	startedAt := time.Now()
 	return e.Transport.Release(r, func(err error) {
-		failed := ""
+		failure := ""
 		if err != nil {
-			failed = err.Error()
+			failure = err.Error()
 		}
-		e.tracer.span(within("request "+r.ClientRequestID), "release", begun, time.Now(), failed, attribute.String("engine", r.Endpoint.Name))
+		e.tracer.span(traceContext("request "+r.ClientRequestID), "release", startedAt, time.Now(), failure, attribute.String("engine", r.Endpoint.Name))
 		done(err)
 	})
 }
 
-// RoleChangeStep writes one step of a change of role that is over.
-func (t *Tracer) RoleChangeStep(r rolechange.Record, to time.Time, why string) {
-	t.span(within("change "+r.Engine+" "+r.StartedAt.UTC().Format(time.RFC3339Nano)), "change of role: "+string(r.Step), r.StepStartedAt, to, "",
+// RoleChangeStep writes the span of a completed step of a role change.
+func (t *Tracer) RoleChangeStep(r rolechange.Record, endedAt time.Time, reason string) {
+	t.span(traceContext("change "+r.Engine+" "+r.StartedAt.UTC().Format(time.RFC3339Nano)), "change of role: "+string(r.Step), r.StepStartedAt, endedAt, "",
 		attribute.String("engine", r.Engine), attribute.String("from", r.From), attribute.String("to", r.To),
-		attribute.String("owner", r.Leader), attribute.Int64("fence", int64(r.FencingToken)), attribute.String("why", why))
+		attribute.String("owner", r.Leader), attribute.Int64("fence", int64(r.FencingToken)), attribute.String("why", reason))
 }
 
-// MemberEvent writes how a gateway of the tier has stood until now, as this one sees it. All that
-// any gateway writes of one life of another is one trace.
+// MemberEvent writes the span of a status that another gateway of the tier had until now, as this
+// gateway saw it. The spans that all gateways write about one incarnation of a gateway share one trace.
 func (t *Tracer) MemberEvent(e peers.Event) {
-	failed := ""
+	failure := ""
 	if e.To == "dead" {
-		failed = "held for dead"
+		failure = "held for dead"
 	}
-	t.span(within(fmt.Sprint("member ", e.Gateway, " ", e.Incarnation)), "member: "+cmp.Or(e.From, "not known")+" to "+e.To, e.Since, time.Now(), failed,
+	t.span(traceContext(fmt.Sprint("member ", e.Gateway, " ", e.Incarnation)), "member: "+cmp.Or(e.From, "not known")+" to "+e.To, e.Since, time.Now(), failure,
 		attribute.String("gateway", e.Gateway), attribute.Int64("incarnation", int64(e.Incarnation)), attribute.Int64("silent_ms", e.UnresponsiveFor.Milliseconds()),
 		attribute.Bool("one_way", e.OneWay), attribute.Int("accusers", e.SuspectedBy), attribute.Int("distrust", e.LocalHealth), attribute.Int64("own_pauses", int64(e.Pauses)))
 }
--- a/internal/wallclock/wallclock.go
+++ b/internal/wallclock/wallclock.go
@@ -1,6 +1,6 @@
-// Package wallclock reads the machine's wall clock, which may be stepped at any time. It is for
-// what people are shown and for stamps of others; spans are measured by time.Now and time.Since,
-// which go by the monotonic clock.
+// Package wallclock reads the machine's wall clock, which may be stepped at any time. Use it for times
+// that people read and for comparison with timestamps of other machines. Measure durations with time.Now
+// and time.Since instead, which use the monotonic clock.
 package wallclock
 
 import (
@@ -9,6 +9,6 @@
 	"wellgw/internal/faultinject"
 )
 
-// Now returns the time on the wall clock, without a monotonic reading: two such times differ by
-// what the wall clock says, steps included.
+// Now returns the time of the wall clock without a monotonic reading. The difference of two such times
+// therefore includes steps of the clock.
 func Now() time.Time { return faultinject.WallClock().Round(0) }
