--- a/internal/rolectl/changes.go
+++ b/internal/rolectl/changes.go
@@ -50,7 +50,7 @@
 	}
 	for _, e := range engines {
 		if e.ID == r.Engine && e.State != stateGone {
-			in.Listed, in.ListedRole = true, cmp.Or(e.Listed, e.Role)
+			in.Listed, in.ListedRole = true, cmp.Or(e.ListedRole, e.Role)
 		}
 	}
 	if report := l.reports[r.Engine]; report != nil {
@@ -98,7 +98,7 @@
 	if err != nil {
 		return false, err
 	}
-	written, err := l.client.Swap(ctx, l.changeKey(r.Engine), raw, modifyIndex)
+	written, err := l.client.CompareAndSwap(ctx, l.changeKey(r.Engine), raw, modifyIndex)
 	if err != nil || written {
 		return written && err == nil, nil
 	}
@@ -123,14 +123,14 @@
 // finish deletes the record of a change that has ended and adds the outcome to the history. If the
 // record can't be deleted, the next tick retries.
 func (l *leader) finish(ctx context.Context, r storedRecord, a rolechange.Action) error {
-	deleted, err := l.client.Delete(ctx, l.changeKey(r.Engine), r.modifyIndex)
+	deleted, err := l.client.CompareAndDelete(ctx, l.changeKey(r.Engine), r.modifyIndex)
 	if err != nil {
 		return nil
 	}
 	if !deleted {
 		return l.checkFencing(ctx, r.Engine)
 	}
-	_ = l.client.DeleteBelow(ctx, l.confirmationPrefix(r.Engine))
+	_ = l.client.DeletePrefix(ctx, l.confirmationPrefix(r.Engine))
 	l.notifyStep(r.Record, time.Now(), a.Reason)
 	l.opt.Log.Info("role change ended", "engine", r.Engine, "to", r.To, "outcome", string(a.Outcome), "reason", a.Reason)
 	return l.recordHistory(ctx, HistoryEntry{At: time.Now(), Engine: r.Engine, To: r.To, Outcome: a.Outcome, Reason: a.Reason})
@@ -153,7 +153,7 @@
 	if err != nil {
 		return err
 	}
-	if held, err := l.client.Lock(ctx, l.lockKey(), l.lease.session, raw); err == nil && !held {
+	if held, err := l.client.AcquireLock(ctx, l.lockKey(), l.lease.session, raw); err == nil && !held {
 		return errLeaseLost
 	}
 	return nil
--- a/internal/rolectl/election.go
+++ b/internal/rolectl/election.go
@@ -47,7 +47,7 @@
 		c.mu.Unlock()
 		c.opt.Log.Info("role change lease lost", "fencing_token", acquired.FencingToken, "cause", err)
 		endCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), endSessionTimeout)
-		_ = client.EndSession(endCtx, acquired.session) // if the call fails, the session expires after its TTL
+		_ = client.DestroySession(endCtx, acquired.session) // if the call fails, the session expires after its TTL
 		cancel()
 	}
 }
@@ -63,7 +63,7 @@
 	case rolechange.SkipLock:
 		return nil, nil
 	case rolechange.DestroyOwnSession:
-		return nil, client.EndSession(ctx, lock.Session)
+		return nil, client.DestroySession(ctx, lock.Session)
 	}
 	requestedAt := time.Now()
 	session, err := client.NewSession(ctx, "wellgw roles "+gateway, c.opt.LeaseTTL, lockDelay)
@@ -73,7 +73,7 @@
 	value.Gateway = gateway
 	token, acquired, err := c.acquireLock(ctx, client, session, value)
 	if err != nil || !acquired {
-		_ = client.EndSession(ctx, session)
+		_ = client.DestroySession(ctx, session)
 		return nil, err
 	}
 	c.lastSession = session
@@ -101,7 +101,7 @@
 	if err != nil {
 		return 0, false, err
 	}
-	acquired, err := client.Lock(ctx, c.lockKey(), session, raw)
+	acquired, err := client.AcquireLock(ctx, c.lockKey(), session, raw)
 	if err != nil || !acquired {
 		return 0, false, err
 	}
--- a/internal/rolectl/rolectl_test.go
+++ b/internal/rolectl/rolectl_test.go
@@ -223,7 +223,7 @@
 	if err := first.agent.Fail(fakeconsul.Faults{Hang: true}); err != nil {
 		t.Fatal(err)
 	}
-	if err := second.client.EndSession(t.Context(), lock.Session); err != nil {
+	if err := second.client.DestroySession(t.Context(), lock.Session); err != nil {
 		t.Fatal(err)
 	}
 	enginetest.Eventually(t, "g2 is the leader", func() bool { s := second.Status(); return s.IsLeader && s.FencingToken > lock.LockIndex })
