--- a/internal/peers/keyring.go
+++ b/internal/peers/keyring.go
@@ -26,7 +26,7 @@
 	value []byte
 }
 
-// Keyring holds the keys of a tier. The first key encrypts; each key decrypts. To rotate keys
+// Keyring contains the keys of a tier. The first key encrypts; each key decrypts. To rotate keys
 // without a restart, add the new key as the second one at every gateway, then move it to the first
 // position everywhere, then remove the old key.
 type Keyring struct {
--- a/internal/peers/packets.go
+++ b/internal/peers/packets.go
@@ -69,7 +69,7 @@
 		p.counts.staleInstance.Add(1) // delayed by the network, or recorded and replayed by an attacker
 		return m, staleMessage
 	}
-	if len(p.lastProcesses) >= maxProcessNames {
+	if len(p.lastProcesses) >= maxPeerEntries {
 		clear(p.lastProcesses)
 	}
 	p.lastProcesses[m.From] = lastProcess{from.instance, time.Now()}
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -50,7 +50,7 @@
 	tickInterval       = 20 * time.Millisecond // a fifth of the default probe interval
 	receiveQueueSize   = 1024                  // datagrams read but not yet decrypted; further ones are dropped
 	defaultKeyInterval = 2 * time.Second
-	maxProcessNames    = 4096                   // names or addresses with state; at the limit all are cleared
+	maxPeerEntries     = 4096                   // names or addresses with state; at the limit all are cleared
 	statusTimeout      = 200 * time.Millisecond // for the reply of the owning goroutine to Status
 	// staleInstanceWindow is the time without messages from a gateway after which a lower instance is
 	// accepted: its clock has been set back, and the message is not from an earlier process.
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -139,7 +139,7 @@
 			writeKeyFile(t, dir, filepath.Base(paths[i]), keys...)
 			waitFor(t, "the key file is reloaded", func() bool { return len(*p.opt.Keys.keys.Load()) == len(keys) && keys[0] == sealingKey(p) })
 			before := p.Counts().Received
-			waitFor(t, "it receives further datagrams", func() bool { return p.Counts().Received > before+3 && bothAlive() })
+			waitFor(t, "the gateway receives further datagrams", func() bool { return p.Counts().Received > before+3 && bothAlive() })
 		}
 	}
 	if n := a.Counts(); n.UnknownKey+n.BadSeal > 0 || a.Status().View.Stats.Deaths+b.Status().View.Stats.Deaths > 0 {
@@ -152,6 +152,7 @@
 	}
 }
 
+// sealingKey returns the encrypting key of a gateway, in base64.
 func sealingKey(p *Peers) string {
 	return base64.StdEncoding.EncodeToString((*p.opt.Keys.keys.Load())[0].value)
 }
--- a/internal/peers/versions.go
+++ b/internal/peers/versions.go
@@ -4,8 +4,8 @@
 
 // peerVersions maps the address of a gateway to the protocol version that it last used. To a
 // gateway that has not used the latest version, one message in dualVersionEvery is sent in both
-// versions. Because a gateway answers in the latest version that it supports, each pair of gateways soon
-// uses the latest version that both support, after an upgrade as well as after a rollback.
+// versions. Because a gateway answers in the latest version that it supports, each pair of gateways
+// soon uses the latest version that both support, after an upgrade as well as after a rollback.
 type peerVersions map[string]*peerVersion
 
 type peerVersion struct {
@@ -20,7 +20,7 @@
 func (v peerVersions) forMessage(to string, kind membership.Kind) []byte {
 	peer := v[to]
 	if peer == nil {
-		if len(v) >= maxProcessNames {
+		if len(v) >= maxPeerEntries {
 			clear(v)
 		}
 		peer = &peerVersion{version: oldestVersion}
--- a/internal/rolectl/changes.go
+++ b/internal/rolectl/changes.go
@@ -115,7 +115,7 @@
 	}
 	var r rolechange.Record
 	if jsoniter.Unmarshal(p.Value, &r) == nil && r.FencingToken > l.lease.FencingToken {
-		return fmt.Errorf("%w: a record was written by the leader with fencing token %d", errLeaseLost, r.FencingToken)
+		return fmt.Errorf("%w: a record was written by a leader with fencing token %d", errLeaseLost, r.FencingToken)
 	}
 	return nil
 }
--- a/internal/rolectl/election.go
+++ b/internal/rolectl/election.go
@@ -52,7 +52,8 @@
 	}
 }
 
-// acquire acquires the lease. It returns nil if another gateway holds it.
+// acquire tries to acquire the lease. It returns nil if it did not, for example because another gateway
+// has the lease.
 func (c *Controller) acquire(ctx context.Context, client *consul.Client) (*lease, error) {
 	lock, value, err := c.readLock(ctx, client)
 	if err != nil {
--- a/internal/rolectl/records.go
+++ b/internal/rolectl/records.go
@@ -61,7 +61,7 @@
 	for _, r := range c.replaceRecords(records) {
 		c.opt.Log.Info("role change observed", "engine", r.Engine, "from", r.From, "to", r.To, "step", string(r.Step))
 		if gateway == "" || client.Write(ctx, c.confirmationPrefix(r.Engine)+gateway, []byte(confirmation(r))) != nil {
-			continue // no retry needed: the leader waits for confirmations only up to a time limit
+			continue // not fatal: the leader waits for confirmations only up to a time limit
 		}
 		c.mu.Lock()
 		c.confirmed[r.Engine] = r.StartedAt
--- a/internal/rolectl/rolectl.go
+++ b/internal/rolectl/rolectl.go
@@ -34,7 +34,7 @@
 	Limits        rolechange.Timeouts
 	LeaseTTL      time.Duration
 	KeyPrefix     string
-	GatewayName   func() string                  // unique in the tier; "" if not known yet
+	GatewayName   func() string                  // unique in the tier; "" until the name is determined
 	GatewayCount  func() int                     // number of gateways that share the engines
 	Traffic       func() map[string]core.Traffic // by class; this gateway's, as a sample of all gateways'
 	DryRun        bool
