--- a/cmd/wellgw/main_test.go
+++ b/cmd/wellgw/main_test.go
@@ -213,8 +213,8 @@
 	if err := cmd.Wait(); err != nil {
 		t.Errorf("exit: %v", err)
 	}
-	for _, m := range store.Marks() {
-		if strings.HasPrefix(m.Service, "wellgw-") && m.What == "gone" {
+	for _, m := range store.StatusChanges() {
+		if strings.HasPrefix(m.Service, "wellgw-") && m.Status == "gone" {
 			return
 		}
 	}
--- a/cmd/wellgw/orders_test.go
+++ b/cmd/wellgw/orders_test.go
@@ -22,7 +22,7 @@
 	defer fleet.Close()
 	var engines []string
 	for i := range 2 {
-		e, err := fleet.Start(engine.Options{ID: fmt.Sprint("e", i), Role: engine.OpenAI, Slots: 64, Tokens: 8, TokenEvery: 10 * time.Millisecond}, true)
+		e, err := fleet.Start(engine.Options{ID: fmt.Sprint("e", i), Role: engine.OpenAI, Slots: 64, Tokens: 8, TokenInterval: 10 * time.Millisecond}, true)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -64,7 +64,7 @@
 			unknown++
 		}
 	}
-	if twice := engine.RunTwice(fleet.Attempts(), func(string) bool { return true }); len(twice) > 0 {
+	if twice := engine.DuplicateExecutions(fleet.Attempts(), func(string) bool { return true }); len(twice) > 0 {
 		t.Errorf("of %d orders %d ran twice, such as %s", len(rec.All()), len(twice), twice[0])
 	}
 	if unknown == 0 {
--- a/experiments/chatrun/chatrun.go
+++ b/experiments/chatrun/chatrun.go
@@ -128,14 +128,14 @@
 // breakingEngines starts engines of all roles, those of the chat API odd in every way.
 func breakingEngines(fleet *engine.Fleet, seed uint64) ([]*engine.Engine, error) {
 	var all []*engine.Engine
-	odds := engine.Odds()
+	odds := engine.Quirks()
 	for i, role := range []string{
 		engine.Read, engine.Read, engine.Write, engine.Write, engine.Write, engine.Both,
 		engine.OpenAI, engine.OpenAI, engine.OpenAI, engine.OpenAI, engine.OpenAI, engine.OpenAI, engine.OpenAI, engine.OpenAI, engine.OpenAI,
 	} {
-		o := engine.Options{ID: fmt.Sprintf("e%d", i), Role: role, Slots: 16, Tokens: 12, TokenEvery: time.Millisecond, CutShare: 0.35, Seed: seed + uint64(i)}
+		o := engine.Options{ID: fmt.Sprintf("e%d", i), Role: role, Slots: 16, Tokens: 12, TokenInterval: time.Millisecond, CutFraction: 0.35, Seed: seed + uint64(i)}
 		if role == engine.OpenAI {
-			o.Odd = odds[i%len(odds)]
+			o.Quirk = odds[i%len(odds)]
 		}
 		e, err := fleet.Start(o, true)
 		if err != nil {
@@ -168,7 +168,7 @@
 // reportBreaks states what came of the orders, and its bounds.
 func reportBreaks(r *experiments.Report, fleet *engine.Fleet, held *heldLog, outcomes []load.Outcome) {
 	sum := tally(outcomes)
-	twice := engine.RunTwice(fleet.Attempts(), func(string) bool { return true })
+	twice := engine.DuplicateExecutions(fleet.Attempts(), func(string) bool { return true })
 	long, which := held.longest(outcomes)
 	r.Tables = append(r.Tables, experiments.Table{
 		Title: "Orders whose streams break anywhere, under keys and retrying clients",
@@ -255,7 +255,7 @@
 	defer t.Stop()
 	for {
 		now := time.Now()
-		for _, id := range f.HeldNow() {
+		for _, id := range f.HeldStates() {
 			l.seen[id] = now
 		}
 		select {
@@ -283,7 +283,7 @@
 	var all []string
 	for _, a := range f.Attempts() {
 		if a.Request == request && request != "" {
-			all = append(all, fmt.Sprintf("%s at %s as %q, status %d, whole %v", a.Engine, a.Came.Format("05.000"), a.Role, a.Status, a.Whole))
+			all = append(all, fmt.Sprintf("%s at %s as %q, status %d, whole %v", a.Engine, a.ArrivalTime.Format("05.000"), a.Role, a.Status, a.Completed))
 		}
 	}
 	return strings.Join(all, "; ")
@@ -311,12 +311,12 @@
 		closers = append(closers, c)
 	}
 	begun := time.Now()
-	for e.Running() == 0 && time.Since(begun) < freedIn {
+	for e.CountRunning() == 0 && time.Since(begun) < freedIn {
 		time.Sleep(time.Millisecond)
 	}
-	full := e.Running()
+	full := e.CountRunning()
 	begun = time.Now()
-	for e.Running() > 0 && time.Since(begun) < 4*freedIn {
+	for e.CountRunning() > 0 && time.Since(begun) < 4*freedIn {
 		time.Sleep(5 * time.Millisecond)
 	}
 	took := time.Since(begun)
@@ -334,9 +334,9 @@
 	failed := map[string][]string{}
 	var names []string
 	cases := 0
-	for _, odd := range append([]string{""}, engine.Odds()...) {
+	for _, odd := range append([]string{""}, engine.Quirks()...) {
 		fleet := engine.NewFleet()
-		e, err := fleet.Start(engine.Options{ID: "e0", Role: engine.OpenAI, Tokens: 8, TokenEvery: time.Millisecond, Odd: odd}, true)
+		e, err := fleet.Start(engine.Options{ID: "e0", Role: engine.OpenAI, Tokens: 8, TokenInterval: time.Millisecond, Quirk: odd}, true)
 		if err != nil {
 			return err
 		}
@@ -416,7 +416,7 @@
 	defer fleet.Close()
 	var all []*engine.Engine
 	for i := range 3 {
-		e, err := fleet.Start(engine.Options{ID: fmt.Sprintf("e%d", i), Role: engine.OpenAI, Slots: 64, Queue: 256, Tokens: costEvents, Burst: true, ReadPerS: 1e9}, true)
+		e, err := fleet.Start(engine.Options{ID: fmt.Sprintf("e%d", i), Role: engine.OpenAI, Slots: 64, Queue: 256, Tokens: costEvents, Burst: true, PrefillTokensPerSecond: 1e9}, true)
 		if err != nil {
 			return nil, 0, 0, err
 		}
--- a/experiments/consulrun/consulrun.go
+++ b/experiments/consulrun/consulrun.go
@@ -76,7 +76,7 @@
 
 func (s *stage) fail(which []*consul.Agent, f consul.Faults) {
 	for _, a := range which {
-		if err := a.Fail(f); err != nil {
+		if err := a.SetFaults(f); err != nil {
 			s.say("the stand-in cannot do that: %v", err)
 		}
 	}
@@ -151,8 +151,8 @@
 // badAnswers has the agents answer in all ways but the right one.
 func (s *stage) badAnswers(ctx context.Context) {
 	for _, f := range []consul.Faults{
-		{Status: 429, Hint: "1"}, {Status: 403}, {Status: 500}, {Leaderless: true}, {Reset: 1}, {Trickle: 2 * time.Millisecond},
-		{Contact: time.Hour}, {Ignore: true},
+		{Status: 429, RetryAfter: "1"}, {Status: 403}, {Status: 500}, {Leaderless: true}, {ResetFraction: 1}, {Trickle: 2 * time.Millisecond},
+		{LastContact: time.Hour}, {NonBlocking: true},
 	} {
 		if ctx.Err() != nil {
 			break
@@ -172,7 +172,7 @@
 	end := s.forbid("e5", "a lagging agent", at.Add(markLimit))
 	s.followed(ctx, "mark followed before the agents disagree", "e5", "critical", at, markLimit)
 	for _, a := range s.agents[1:] {
-		s.fail([]*consul.Agent{a}, consul.Faults{Lag: old, Contact: time.Second})
+		s.fail([]*consul.Agent{a}, consul.Faults{Lag: old, LastContact: time.Second})
 	}
 	s.fail(s.agents[:1], consul.Faults{Refuse: true}) // the other one, which lags, is asked now
 	pause.Sleep(ctx, s.span(6*time.Second, 2500*time.Millisecond))
@@ -227,12 +227,12 @@
 		}
 		g.Reload()
 	}
-	s.store.Maintain(node, "e6", true, "moved")
+	s.store.SetMaintenance(node, "e6", true, "moved")
 	end := s.forbid("e6", "after SIGHUP", at.Add(followLimit))
 	s.followed(ctx, "mark followed after SIGHUP", "e6", "draining", at, followLimit)
 	pause.Sleep(ctx, time.Until(at.Add(followLimit+500*time.Millisecond)))
 	end()
-	s.store.Maintain(node, "e6", false, "")
+	s.store.SetMaintenance(node, "e6", false, "")
 	pause.Sleep(ctx, 300*time.Millisecond)
 }
 
@@ -257,7 +257,7 @@
 	}
 	s.phase(ctx, "restored empty, past the hold, and back", func() {
 		good := s.store.Snapshot()
-		s.store.Restore(consul.Empty())
+		s.store.Restore(consul.EmptySnapshot())
 		pause.Sleep(ctx, s.span(12*time.Second, 6*time.Second))
 		s.store.Restore(good)
 		pause.Sleep(ctx, time.Second)
@@ -322,7 +322,7 @@
 // tagDuringDrain takes the tag of a service away while one of its engines drains.
 func (s *stage) tagDuringDrain(ctx context.Context, tags []string) {
 	at := time.Now()
-	s.store.Maintain(node, "b1", true, "drain")
+	s.store.SetMaintenance(node, "b1", true, "drain")
 	end := s.forbid("b1", "drained without its tag", at.Add(markLimit))
 	s.followed(ctx, "drain followed", "b1", "draining", at, markLimit)
 	for _, id := range []string{"b1", "b2", "b3"} {
@@ -342,7 +342,7 @@
 	}
 	pause.Sleep(ctx, 1500*time.Millisecond)
 	end()
-	s.store.Maintain(node, "b1", false, "")
+	s.store.SetMaintenance(node, "b1", false, "")
 }
 
 // restartWithoutConsul starts a gateway from its last good view alone.
--- a/experiments/consulrun/cost.go
+++ b/experiments/consulrun/cost.go
@@ -116,12 +116,12 @@
 func watchUse(ctx context.Context, g *gateway.Gateway, a *consul.Agent, d time.Duration) use {
 	before, _ := g.View(ctx)
 	was := g.Use()
-	q0, b0, _ := a.Load()
+	q0, b0, _ := a.Stats()
 	begun := time.Now()
 	pause.Sleep(ctx, d)
 	is := g.Use()
 	took := time.Since(begun).Seconds()
-	q1, b1, _ := a.Load()
+	q1, b1, _ := a.Stats()
 	after, _ := g.View(ctx)
 	return use{
 		cpu: (is.CPU - was.CPU).Seconds() / took, queries: float64(q1-q0) / took, kb: float64(b1-b0) / 1000 / took,
--- a/experiments/consulrun/stage.go
+++ b/experiments/consulrun/stage.go
@@ -86,7 +86,7 @@
 
 // engine starts a process and lists it under an id.
 func (s *stage) engine(service string, tags []string, process, id string, warm bool) error {
-	e, err := s.fleet.Start(engine.Options{ID: process, Role: engine.OpenAI, Slots: 16, Queue: 64, TokenEvery: 4 * time.Millisecond, Cold: coldFor, FallMore: 4}, warm)
+	e, err := s.fleet.Start(engine.Options{ID: process, Role: engine.OpenAI, Slots: 16, Queue: 64, TokenInterval: 4 * time.Millisecond, WarmUp: coldFor, OverloadFactor: 4}, warm)
 	if err != nil {
 		return err
 	}
@@ -196,7 +196,7 @@
 func (s *stage) forbid(process, why string, from time.Time) (end func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.spans = append(s.spans, engine.Span{Engine: process, From: from, Why: why})
+	s.spans = append(s.spans, engine.Span{Engine: process, From: from, Reason: why})
 	i := len(s.spans) - 1
 	return func() {
 		s.mu.Lock()
@@ -244,7 +244,7 @@
 // judge states the bounds that hold for the whole course.
 func (s *stage) judge() {
 	attempts, outcomes := s.fleet.Attempts(), s.rec.All()
-	late := engine.WorkIn(attempts, s.spans)
+	late := engine.AttemptsInSpans(attempts, s.spans)
 	s.report.Hold(len(late) == 0, s.name+": no new work after a mark", "%d engines got some %v", len(late), late)
 	missed, first := 0, ""
 	for _, o := range outcomes {
@@ -265,9 +265,9 @@
 			orders[o.Order] = true
 		}
 	}
-	twice := engine.RunTwice(attempts, func(order string) bool { return orders[order] })
+	twice := engine.DuplicateExecutions(attempts, func(order string) bool { return orders[order] })
 	s.report.Hold(len(twice) == 0, s.name+": no order ran twice", "%d of %d", len(twice), len(orders))
-	s.report.Hold(s.fleet.Fallen() == 0, s.name+": no cold engine pushed over", "%d", s.fleet.Fallen())
+	s.report.Hold(s.fleet.OverloadCrashes() == 0, s.name+": no cold engine pushed over", "%d", s.fleet.OverloadCrashes())
 	for _, g := range s.gates {
 		if n := g.Count("invariants broken"); n > 0 {
 			s.report.Hold(false, s.name+": no invariant broken", "%s: %d lines", g.Name, n)
--- a/experiments/fleetrun/programs.go
+++ b/experiments/fleetrun/programs.go
@@ -86,11 +86,11 @@
 	for _, o := range rec.All() {
 		orders[o.Order] = orders[o.Order] || o.Model == "orders"
 	}
-	late := engine.WorkIn(attempts, t.spans)
+	late := engine.AttemptsInSpans(attempts, t.spans)
 	r.Hold(len(late) == 0, "no new work after its grace to an engine marked or gone", "%d %v", len(late), late)
-	twice := engine.RunTwice(attempts, func(order string) bool { return orders[order] })
+	twice := engine.DuplicateExecutions(attempts, func(order string) bool { return orders[order] })
 	r.Hold(len(twice) == 0, "no order ran twice", "%d of %d", len(twice), len(orders))
-	r.Hold(t.fleet.Fallen() == 0, "no cold engine pushed over by all gateways together", "%d", t.fleet.Fallen())
+	r.Hold(t.fleet.OverloadCrashes() == 0, "no cold engine pushed over by all gateways together", "%d", t.fleet.OverloadCrashes())
 	return nil
 }
 
@@ -100,7 +100,7 @@
 	}
 	for i := range engines {
 		id := fmt.Sprint("e", i+1)
-		e, err := t.fleet.Start(engine.Options{ID: id, Role: engine.OpenAI, Slots: 16, Queue: 64, TokenEvery: 4 * time.Millisecond, Cold: coldFor, FallMore: 4}, true)
+		e, err := t.fleet.Start(engine.Options{ID: id, Role: engine.OpenAI, Slots: 16, Queue: 64, TokenInterval: 4 * time.Millisecond, WarmUp: coldFor, OverloadFactor: 4}, true)
 		if err != nil {
 			return err
 		}
@@ -243,7 +243,7 @@
 
 	at = time.Now()
 	t.mark("e3", "critical")
-	t.spans = append(t.spans, engine.Span{Engine: "e3", From: at.Add(grace), Why: "critical"})
+	t.spans = append(t.spans, engine.Span{Engine: "e3", From: at.Add(grace), Reason: "critical"})
 	even("an engine marked critical", at, without(all, "e3"))
 	t.spans[len(t.spans)-1].To = time.Now()
 	t.mark("e3", "passing")
@@ -251,7 +251,7 @@
 	at = time.Now()
 	t.byID["e6"].Crash()
 	t.mark("e6", "critical")
-	t.spans = append(t.spans, engine.Span{Engine: "e6", From: at.Add(grace), Why: "gone"})
+	t.spans = append(t.spans, engine.Span{Engine: "e6", From: at.Add(grace), Reason: "gone"})
 	pause.Sleep(ctx, 3*time.Second)
 	if err := t.byID["e6"].Restart(false); err != nil {
 		return err
@@ -286,7 +286,7 @@
 func (t *tier) even(r *experiments.Report, rec *load.Recorder, what string, from time.Time, among []string) {
 	by, total, most := map[string]int{}, 0, 0
 	for _, a := range t.fleet.Attempts() {
-		if a.Came.After(from) {
+		if a.ArrivalTime.After(from) {
 			by[a.Engine]++
 		}
 	}
--- a/experiments/membersrun/tier.go
+++ b/experiments/membersrun/tier.go
@@ -33,7 +33,7 @@
 	}
 	var engines []any
 	for i := range someEngine {
-		e, err := t.fleet.Start(engine.Options{ID: fmt.Sprint("e", i), Role: engine.OpenAI, Slots: 16, Tokens: 12, TokenEvery: time.Millisecond}, true)
+		e, err := t.fleet.Start(engine.Options{ID: fmt.Sprint("e", i), Role: engine.OpenAI, Slots: 16, Tokens: 12, TokenInterval: time.Millisecond}, true)
 		if err != nil {
 			return err
 		}
--- a/experiments/rolesrun/rolesrun.go
+++ b/experiments/rolesrun/rolesrun.go
@@ -198,8 +198,8 @@
 			role = engine.Read
 		}
 		e, err := s.fleet.Start(engine.Options{
-			ID: fmt.Sprintf("e%d", i), Role: role, Slots: 4, Queue: 12, ReadPerS: 2500, TokenEvery: 12 * time.Millisecond, Tokens: 64,
-			Cold: cold, ColdShare: coldShare, FallMore: 4,
+			ID: fmt.Sprintf("e%d", i), Role: role, Slots: 4, Queue: 12, PrefillTokensPerSecond: 2500, TokenInterval: 12 * time.Millisecond, Tokens: 64,
+			WarmUp: cold, ColdSpeedFraction: coldShare, OverloadFactor: 4,
 		}, true)
 		if err != nil {
 			return err
@@ -229,7 +229,7 @@
 
 // account adds to a result what the engines and the watch on the gateways saw.
 func (s *stage) account(x *result, spans *spanLog, outcomes []load.Outcome) {
-	x.fallen = s.fleet.Fallen()
+	x.fallen = s.fleet.OverloadCrashes()
 	orders := map[string]bool{}
 	for _, o := range outcomes {
 		if o.Model == worthOf {
@@ -237,10 +237,10 @@
 		}
 	}
 	attempts := s.fleet.Attempts()
-	x.twice = engine.RunTwice(attempts, func(o string) bool { return orders[o] })
+	x.twice = engine.DuplicateExecutions(attempts, func(o string) bool { return orders[o] })
 	x.changes, x.after = spans.judge(attempts)
 	time.Sleep(heldFor)
-	x.held = s.fleet.Held(heldFor)
+	x.held = s.fleet.CountHeldStates(heldFor)
 }
 
 func (s *stage) settings() map[string]any {
@@ -279,18 +279,18 @@
 		}
 		have := 0
 		for _, e := range s.all {
-			if e.RoleNow() == engine.Read {
+			if e.CurrentRole() == engine.Read {
 				have++
 			}
 		}
 		for i, e := range s.all {
-			switch role := e.RoleNow(); {
+			switch role := e.CurrentRole(); {
 			case role == engine.Write && have < want:
-				e.Turn(engine.Read)
+				e.SetRole(engine.Read)
 				s.list(e, i%2, engine.Read)
 				have++
 			case role == engine.Read && have > want:
-				e.Turn(engine.Write)
+				e.SetRole(engine.Write)
 				s.list(e, i%2, engine.Write)
 				have--
 			}
@@ -377,7 +377,7 @@
 		}
 		for id, n := range holds {
 			if _, on := open[id]; !on && n == len(s.gates) {
-				l.spans = append(l.spans, engine.Span{Engine: id, From: time.Now().Add(2 * time.Second), Why: "in change"})
+				l.spans = append(l.spans, engine.Span{Engine: id, From: time.Now().Add(2 * time.Second), Reason: "in change"})
 				open[id] = len(l.spans) - 1
 			}
 		}
@@ -401,7 +401,7 @@
 			spans = append(spans, s)
 		}
 	}
-	return len(l.changes), engine.WorkIn(attempts, spans)
+	return len(l.changes), engine.AttemptsInSpans(attempts, spans)
 }
 
 // emulate weighs the strategies on the emulator.
--- a/fake/consul/agent.go
+++ b/fake/consul/agent.go
@@ -20,18 +20,18 @@
 
 // Faults are what an agent does wrong. The zero value does nothing wrong.
 type Faults struct {
-	Hang       bool          // accepts and says nothing, also on what was asked before
-	Refuse     bool          // accepts no connection and closes those that are open
-	Reset      float64       // part of the answers that break off in the middle
-	Trickle    time.Duration // between one byte of an answer and the next
-	Status     int           // every answer is of this status
-	Hint       string        // with Status: its Retry-After
-	Body       string        // in the place of every answer's body, when not empty
-	Rewrite    func(path string, body []byte) []byte
-	Leaderless bool          // the servers have lost their leader
-	Contact    time.Duration // since the server that answers heard from the leader
-	Lag        *Snapshot     // answers come from this state
-	Ignore     bool          // blocking queries never block
+	Hang          bool          // accepts and says nothing, also on what was asked before
+	Refuse        bool          // accepts no connection and closes those that are open
+	ResetFraction float64       // part of the answers that break off in the middle
+	Trickle       time.Duration // between one byte of an answer and the next
+	Status        int           // every answer is of this status
+	RetryAfter    string        // with Status: its Retry-After
+	Body          string        // in the place of every answer's body, when not empty
+	Rewrite       func(path string, body []byte) []byte
+	Leaderless    bool          // the servers have lost their leader
+	LastContact   time.Duration // since the server that answers heard from the leader
+	Lag           *Snapshot     // answers come from this state
+	NonBlocking   bool          // blocking queries never block
 }
 
 // Agent answers the HTTP API on loopback.
@@ -100,8 +100,8 @@
 	}
 }
 
-// Fail has the agent do wrong from now on, and ends what it did wrong before.
-func (a *Agent) Fail(f Faults) error {
+// SetFaults has the agent do wrong from now on, and ends what it did wrong before.
+func (a *Agent) SetFaults(f Faults) error {
 	a.mu.Lock()
 	was := a.faults
 	a.faults = f
@@ -127,15 +127,15 @@
 	return a.faults, a.changed
 }
 
-// Load tells what the agent has been asked: calls, bytes answered, calls open.
-func (a *Agent) Load() (queries int, bytes int64, open int) {
+// Stats tells what the agent has been asked: calls, bytes answered, calls open.
+func (a *Agent) Stats() (queries int, bytes int64, open int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.queries, a.bytes, a.open
 }
 
-// Asked returns how often each path was asked.
-func (a *Agent) Asked() map[string]int {
+// RequestCounts returns how often each path was asked.
+func (a *Agent) RequestCounts() map[string]int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return maps.Clone(a.seen)
@@ -167,8 +167,8 @@
 	case f.Status != 0:
 		status, body = f.Status, []byte(http.StatusText(f.Status))
 		header = http.Header{}
-		if f.Hint != "" {
-			header.Set("Retry-After", f.Hint)
+		if f.RetryAfter != "" {
+			header.Set("Retry-After", f.RetryAfter)
 		}
 	case f.Body != "" && status == http.StatusOK:
 		body = []byte(f.Body)
@@ -182,7 +182,7 @@
 	a.mu.Lock()
 	a.bytes += int64(len(body))
 	a.mu.Unlock()
-	if f.Reset > 0 && float64(n%100) < 100*f.Reset && len(body) > 0 {
+	if f.ResetFraction > 0 && float64(n%100) < 100*f.ResetFraction && len(body) > 0 {
 		w.Write(body[:len(body)/2])
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
@@ -278,7 +278,7 @@
 		}
 		value, index, found := c.look(st, path)
 		var body []byte
-		if index > wanted || wanted == 0 || f.Ignore || epoch != c.agent.store.epoch || !time.Now().Before(until) {
+		if index > wanted || wanted == 0 || f.NonBlocking || epoch != c.agent.store.epoch || !time.Now().Before(until) {
 			body, _ = codec.Marshal(value)
 		}
 		changed := c.agent.store.changed
@@ -287,7 +287,7 @@
 			h := http.Header{}
 			h.Set("X-Consul-Index", strconv.FormatUint(max(index, 1), 10))
 			h.Set("X-Consul-KnownLeader", strconv.FormatBool(!f.Leaderless))
-			h.Set("X-Consul-LastContact", strconv.FormatInt(f.Contact.Milliseconds(), 10))
+			h.Set("X-Consul-LastContact", strconv.FormatInt(f.LastContact.Milliseconds(), 10))
 			if !found {
 				return http.StatusNotFound, h, nil
 			}
--- a/fake/consul/conformance_test.go
+++ b/fake/consul/conformance_test.go
@@ -130,8 +130,8 @@
 		t.Errorf("seen %v", seen)
 	}
 	var marks []string
-	for _, m := range store.Marks() {
-		marks = append(marks, m.What)
+	for _, m := range store.StatusChanges() {
+		marks = append(marks, m.Status)
 	}
 	if !slices.Equal(marks, []string{"clear", "critical", "gone"}) {
 		t.Errorf("marks %v", marks)
@@ -186,7 +186,7 @@
 		t.Errorf("without a change: %d at %d, before %d at %d", n2, index2, n, index)
 	}
 	ch = later()
-	for _, _, open := agent.Load(); open == 0; _, _, open = agent.Load() {
+	for _, _, open := agent.Stats(); open == 0; _, _, open = agent.Stats() {
 		time.Sleep(time.Millisecond)
 	}
 	time.Sleep(50 * time.Millisecond) // it has begun to block
@@ -286,28 +286,28 @@
 	}
 	status := func(f Faults, want string) {
 		t.Helper()
-		a.Fail(f)
+		a.SetFaults(f)
 		if _, _, err := ask(nil); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%+v: %v, want %s", f, err, want)
 		}
 	}
-	status(Faults{Status: 429, Hint: "2"}, "429")
+	status(Faults{Status: 429, RetryAfter: "2"}, "429")
 	status(Faults{Leaderless: true}, "No cluster leader")
-	status(Faults{Reset: 1}, "unexpected EOF")
+	status(Faults{ResetFraction: 1}, "unexpected EOF")
 	status(Faults{Refuse: true}, "refused")
-	a.Fail(Faults{Leaderless: true, Contact: time.Minute})
+	a.SetFaults(Faults{Leaderless: true, LastContact: time.Minute})
 	if n, meta, err := ask(&api.QueryOptions{AllowStale: true}); err != nil || n != 2 || meta.KnownLeader || meta.LastContact != time.Minute {
 		t.Errorf("stale, no leader: %d, %+v, %v", n, meta, err)
 	}
-	a.Fail(Faults{Lag: old})
+	a.SetFaults(Faults{Lag: old})
 	if n, _, err := ask(nil); err != nil || n != 1 {
 		t.Errorf("lagging: %d, %v", n, err)
 	}
-	a.Fail(Faults{Trickle: time.Microsecond})
+	a.SetFaults(Faults{Trickle: time.Microsecond})
 	if n, _, err := ask(nil); err != nil || n != 2 {
 		t.Errorf("trickling: %d, %v", n, err)
 	}
-	a.Fail(Faults{})
+	a.SetFaults(Faults{})
 	a.Token = "secret"
 	if _, _, err := ask(nil); err == nil || !strings.Contains(err.Error(), "403") {
 		t.Errorf("without a token: %v", err)
--- a/fake/consul/store.go
+++ b/fake/consul/store.go
@@ -122,17 +122,17 @@
 	mu      sync.Mutex
 	now     *state
 	changed chan struct{} // closed at the next change
-	marks   []Mark
+	marks   []StatusChange
 	epoch   int // restores so far: each ends all blocking queries
 	stopped chan struct{}
 	once    sync.Once
 }
 
-// Mark is a change to whether an engine may be sent to, for a checker of the rules.
-type Mark struct {
+// StatusChange is a change to whether an engine may be sent to, for a checker of the rules.
+type StatusChange struct {
 	At      time.Time
 	Service string // its id
-	What    string // critical, maintenance, clear, gone
+	Status  string // critical, maintenance, clear, gone
 }
 
 // sweepEvery is how often TTLs are looked at.
@@ -179,12 +179,12 @@
 	now := time.Now()
 	for id, what := range after {
 		if before[id] != what {
-			s.marks = append(s.marks, Mark{now, id, what})
+			s.marks = append(s.marks, StatusChange{now, id, what})
 		}
 	}
 	for id := range before {
 		if _, there := after[id]; !there {
-			s.marks = append(s.marks, Mark{now, id, "gone"})
+			s.marks = append(s.marks, StatusChange{now, id, "gone"})
 		}
 	}
 }
@@ -222,8 +222,8 @@
 	return out
 }
 
-// Marks returns all changes of marks so far, oldest first.
-func (s *Store) Marks() []Mark {
+// StatusChanges returns all changes of marks so far, oldest first.
+func (s *Store) StatusChanges() []StatusChange {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.marks)
@@ -246,8 +246,8 @@
 // Snapshot is a state at one time.
 type Snapshot struct{ state *state }
 
-// Empty returns the snapshot of servers that were started with nothing.
-func Empty() *Snapshot { return &Snapshot{newState()} }
+// EmptySnapshot returns the snapshot of servers that were started with nothing.
+func EmptySnapshot() *Snapshot { return &Snapshot{newState()} }
 
 // Restore puts an old state in the place of the present one, index and all.
 func (s *Store) Restore(snap *Snapshot) {
@@ -476,8 +476,8 @@
 	})
 }
 
-// Maintain begins or ends the maintenance of one instance.
-func (s *Store) Maintain(node, id string, on bool, reason string) bool {
+// SetMaintenance begins or ends the maintenance of one instance.
+func (s *Store) SetMaintenance(node, id string, on bool, reason string) bool {
 	found := false
 	s.update(func(st *state) bool {
 		svc, there := st.services[serviceKey{node, id}]
--- a/fake/consul/write.go
+++ b/fake/consul/write.go
@@ -39,7 +39,7 @@
 		if on != "true" && on != "false" {
 			return bad("Missing value for enable")
 		}
-		if !c.agent.store.Maintain(c.agent.Node, rest, on == "true", c.URL.Query().Get("reason")) {
+		if !c.agent.store.SetMaintenance(c.agent.Node, rest, on == "true", c.URL.Query().Get("reason")) {
 			return http.StatusNotFound, nil, []byte("Unknown service ID " + strconv.Quote(rest))
 		}
 		return ok("")
--- a/fake/engine/answer.go
+++ b/fake/engine/answer.go
@@ -184,7 +184,7 @@
 }
 
 func (e *Engine) chunk(q request, choices string) string {
-	if e.Odd != OddFull {
+	if e.Quirk != QuirkExtraFields {
 		return `{"choices":[` + choices + `]}`
 	}
 	seed := 0
@@ -196,7 +196,7 @@
 
 func (e *Engine) usage(tokens, kept, out int) []string {
 	list := []string{fmt.Sprintf(`{"choices":[],"usage":{"prompt_tokens":%d,"completion_tokens":%d,"total_tokens":%d,"prompt_tokens_details":{"cached_tokens":%d}}}`, tokens, out, tokens+out, kept)}
-	if e.Odd == OddNoDone {
+	if e.Quirk == QuirkNoDone {
 		return list
 	}
 	return append(list, "[DONE]")
@@ -204,20 +204,20 @@
 
 // The odd ways of engines: each is within what clients of such engines put up with.
 const (
-	OddNoDone   = "no last event"
-	OddCRLF     = "CRLF"
-	OddComments = "comments and pings"
-	OddLines    = "data of several lines"
-	OddMark     = "a byte order mark"
-	OddBytes    = "a byte at a time"
-	OddOpen     = "no blank line at the end"
-	OddGzip     = "gzip, unasked"
-	OddFull     = "fields of its own"
+	QuirkNoDone           = "no last event"
+	QuirkCRLF             = "CRLF"
+	QuirkComments         = "comments and pings"
+	QuirkMultilineData    = "data of several lines"
+	QuirkByteOrderMark    = "a byte order mark"
+	QuirkSingleBytes      = "a byte at a time"
+	QuirkNoFinalBlankLine = "no blank line at the end"
+	QuirkGzip             = "gzip, unasked"
+	QuirkExtraFields      = "fields of its own"
 )
 
-// Odds are all odd ways.
-func Odds() []string {
-	return []string{OddNoDone, OddCRLF, OddComments, OddLines, OddMark, OddBytes, OddOpen, OddGzip, OddFull}
+// Quirks are all odd ways.
+func Quirks() []string {
+	return []string{QuirkNoDone, QuirkCRLF, QuirkComments, QuirkMultilineData, QuirkByteOrderMark, QuirkSingleBytes, QuirkNoFinalBlankLine, QuirkGzip, QuirkExtraFields}
 }
 
 // pieces returns the bytes of a stream as they are written, an event each or less.
@@ -226,23 +226,23 @@
 	for i, data := range events {
 		text := "data: " + data + "\n\n"
 		switch odd {
-		case OddCRLF:
+		case QuirkCRLF:
 			text = "data: " + data + "\r\n\r\n"
-		case OddComments:
+		case QuirkComments:
 			text = ": ping\n\nevent: message\nid: " + fmt.Sprint(i) + "\nretry: 100\n" + text
-		case OddLines:
+		case QuirkMultilineData:
 			if at := strings.Index(data, `,"`); at > 0 && data[0] == '{' {
 				text = "data: " + data[:at+1] + "\ndata: " + data[at+1:] + "\n\n"
 			}
-		case OddMark:
+		case QuirkByteOrderMark:
 			if i == 0 {
 				text = "\xEF\xBB\xBF" + text
 			}
-		case OddOpen:
+		case QuirkNoFinalBlankLine:
 			if i == len(events)-1 {
 				text = "data: " + data
 			}
-		case OddBytes:
+		case QuirkSingleBytes:
 			for b := range len(text) {
 				out = append(out, []byte{text[b]})
 			}
@@ -250,7 +250,7 @@
 		}
 		out = append(out, []byte(text))
 	}
-	if odd != OddGzip {
+	if odd != QuirkGzip {
 		return out
 	}
 	var zipped bytes.Buffer
--- a/fake/engine/check.go
+++ b/fake/engine/check.go
@@ -11,34 +11,34 @@
 type Span struct {
 	Engine   string
 	From, To time.Time // To zero: to the end
-	Why      string
+	Reason   string
 }
 
-// WorkIn returns what was sent to engines in spans in which they were to get none.
-func WorkIn(attempts []Attempt, spans []Span) []string {
+// AttemptsInSpans returns what was sent to engines in spans in which they were to get none.
+func AttemptsInSpans(attempts []Attempt, spans []Span) []string {
 	var out []string
 	for _, s := range spans {
 		n, worst := 0, time.Duration(0)
 		for _, a := range attempts {
-			if a.Engine == s.Engine && a.Came.After(s.From) && (s.To.IsZero() || a.Came.Before(s.To)) {
+			if a.Engine == s.Engine && a.ArrivalTime.After(s.From) && (s.To.IsZero() || a.ArrivalTime.Before(s.To)) {
 				n++
-				worst = max(worst, a.Came.Sub(s.From))
+				worst = max(worst, a.ArrivalTime.Sub(s.From))
 			}
 		}
 		if n > 0 {
-			out = append(out, fmt.Sprintf("%s got %d new attempts, the last %v after it was to get none (%s)", s.Engine, n, worst.Round(time.Millisecond), s.Why))
+			out = append(out, fmt.Sprintf("%s got %d new attempts, the last %v after it was to get none (%s)", s.Engine, n, worst.Round(time.Millisecond), s.Reason))
 		}
 	}
 	return out
 }
 
-// RunTwice returns the orders that ran more than once, of those that single says
+// DuplicateExecutions returns the orders that ran more than once, of those that single says
 // must not, and where. To read a prompt has no effect, whether it came to its end or not.
-func RunTwice(attempts []Attempt, single func(order string) bool) []string {
+func DuplicateExecutions(attempts []Attempt, single func(order string) bool) []string {
 	ran := map[string][]Attempt{}
 	for _, a := range attempts {
-		if a.Ran && a.Order != "" && single(a.Order) && a.Role != Read {
-			ran[a.Order] = append(ran[a.Order], a)
+		if a.Executed && a.OperationID != "" && single(a.OperationID) && a.Role != Read {
+			ran[a.OperationID] = append(ran[a.OperationID], a)
 		}
 	}
 	var out []string
@@ -48,7 +48,7 @@
 		}
 		var at []string
 		for _, a := range list {
-			at = append(at, fmt.Sprintf("%s as %s, status %d, whole %v, at %s", a.Engine, a.Role, a.Status, a.Whole, a.Came.Format("05.000")))
+			at = append(at, fmt.Sprintf("%s as %s, status %d, whole %v, at %s", a.Engine, a.Role, a.Status, a.Completed, a.ArrivalTime.Format("05.000")))
 		}
 		out = append(out, order+" ("+strings.Join(at, "; ")+")")
 	}
--- a/fake/engine/engine.go
+++ b/fake/engine/engine.go
@@ -28,21 +28,21 @@
 
 // Options are an engine's figures.
 type Options struct {
-	ID, Role   string
-	Slots      int           // requests at once
-	Queue      int           // that may wait
-	Memory     int           // tokens of prompts and states
-	ReadPerS   float64       // prompt tokens a second, when warm
-	TokenEvery time.Duration // between events of an answer
-	Tokens     int           // of an answer, unless max_tokens is lower
-	Cold       time.Duration // after a start until it is warm
-	ColdShare  float64       // of its speed at the start
-	Fall       time.Duration // over which a cold engine's work is counted
-	Odd        string        // one of Odds; "" for none
-	CutShare   float64       // of the answers that break at some byte
-	Burst      bool          // events without pauses
-	Seed       uint64        // of what breaks where
-	FallMore   float64       // times what it can do then that makes it fall over; 0 = never
+	ID, Role               string
+	Slots                  int           // requests at once
+	Queue                  int           // that may wait
+	Memory                 int           // tokens of prompts and states
+	PrefillTokensPerSecond float64       // prompt tokens a second, when warm
+	TokenInterval          time.Duration // between events of an answer
+	Tokens                 int           // of an answer, unless max_tokens is lower
+	WarmUp                 time.Duration // after a start until it is warm
+	ColdSpeedFraction      float64       // of its speed at the start
+	OverloadWindow         time.Duration // over which a cold engine's work is counted
+	Quirk                  string        // one of Odds; "" for none
+	CutFraction            float64       // of the answers that break at some byte
+	Burst                  bool          // events without pauses
+	Seed                   uint64        // of what breaks where
+	OverloadFactor         float64       // times what it can do then that makes it fall over; 0 = never
 }
 
 func (o *Options) fill() {
@@ -55,17 +55,17 @@
 	def(&o.Queue, 32)
 	def(&o.Memory, 200_000)
 	def(&o.Tokens, 8)
-	if o.ReadPerS <= 0 {
-		o.ReadPerS = 20_000
+	if o.PrefillTokensPerSecond <= 0 {
+		o.PrefillTokensPerSecond = 20_000
 	}
-	if o.TokenEvery <= 0 {
-		o.TokenEvery = 5 * time.Millisecond
+	if o.TokenInterval <= 0 {
+		o.TokenInterval = 5 * time.Millisecond
 	}
-	if o.ColdShare <= 0 {
-		o.ColdShare = 0.32
+	if o.ColdSpeedFraction <= 0 {
+		o.ColdSpeedFraction = 0.32
 	}
-	if o.Fall <= 0 {
-		o.Fall = 3 * time.Second
+	if o.OverloadWindow <= 0 {
+		o.OverloadWindow = 3 * time.Second
 	}
 }
 
@@ -175,8 +175,8 @@
 	e.draining = on
 }
 
-// Slow makes it so many times slower.
-func (e *Engine) Slow(times float64) {
+// SetSlowdown makes it so many times slower.
+func (e *Engine) SetSlowdown(times float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.slow = max(times, 0.01)
--- a/fake/engine/engine_test.go
+++ b/fake/engine/engine_test.go
@@ -46,7 +46,7 @@
 	if status, body, _ := ask(t, reader, "q1", "order-id o1"); status != http.StatusAccepted || !strings.Contains(body, "cached_tokens") {
 		t.Errorf("read: %d %s", status, body)
 	}
-	if f.Held(0) != 1 {
+	if f.CountHeldStates(0) != 1 {
 		t.Error("no state is held")
 	}
 	for i, want := range []int{http.StatusOK, http.StatusGone} {
@@ -54,8 +54,8 @@
 			t.Errorf("write %d: %d %s", i, status, body)
 		}
 	}
-	if got := RunTwice(f.Attempts(), func(string) bool { return true }); len(got) > 0 || f.Held(0) > 0 {
-		t.Errorf("ran twice: %v; held %d", got, f.Held(0))
+	if got := DuplicateExecutions(f.Attempts(), func(string) bool { return true }); len(got) > 0 || f.CountHeldStates(0) > 0 {
+		t.Errorf("ran twice: %v; held %d", got, f.CountHeldStates(0))
 	}
 }
 
@@ -68,13 +68,13 @@
 			t.Fatal(status, err)
 		}
 	}
-	if got := RunTwice(f.Attempts(), func(o string) bool { return o == "o9" }); len(got) != 1 {
+	if got := DuplicateExecutions(f.Attempts(), func(o string) bool { return o == "o9" }); len(got) != 1 {
 		t.Errorf("ran twice: %v", got)
 	}
-	if got := RunTwice(f.Attempts(), func(string) bool { return false }); len(got) != 0 {
+	if got := DuplicateExecutions(f.Attempts(), func(string) bool { return false }); len(got) != 0 {
 		t.Errorf("may run twice: %v", got)
 	}
-	if got := WorkIn(f.Attempts(), []Span{{Engine: "e", From: begun, Why: "x"}, {Engine: "f", From: begun}}); len(got) != 1 {
+	if got := AttemptsInSpans(f.Attempts(), []Span{{Engine: "e", From: begun, Reason: "x"}, {Engine: "f", From: begun}}); len(got) != 1 {
 		t.Errorf("work in a span: %v", got)
 	}
 }
@@ -88,9 +88,9 @@
 	if status, _, _ := ask(t, e, "q", ""); status != http.StatusTooManyRequests {
 		t.Errorf("draining: %d", status)
 	}
-	f, cold := start(t, Options{ID: "c", Role: Both, Slots: 1, Cold: time.Hour, FallMore: 0.001}, false)
-	if _, _, err := ask(t, cold, "q", "x"); err == nil || f.Fallen() != 1 {
-		t.Errorf("pushed: %v, %d fallen", err, f.Fallen())
+	f, cold := start(t, Options{ID: "c", Role: Both, Slots: 1, WarmUp: time.Hour, OverloadFactor: 0.001}, false)
+	if _, _, err := ask(t, cold, "q", "x"); err == nil || f.OverloadCrashes() != 1 {
+		t.Errorf("pushed: %v, %d fallen", err, f.OverloadCrashes())
 	}
 	if err := cold.Restart(true); err != nil {
 		t.Fatal(err)
@@ -101,7 +101,7 @@
 }
 
 func TestRoleCommands(t *testing.T) {
-	f, e := start(t, Options{ID: "e", Role: Read, Cold: time.Hour}, true)
+	f, e := start(t, Options{ID: "e", Role: Read, WarmUp: time.Hour}, true)
 	tell := func(command, role string, fence int) int {
 		t.Helper()
 		req, _ := http.NewRequestWithContext(t.Context(), http.MethodPut, "http://"+e.Addr()+"/role",
@@ -132,13 +132,13 @@
 		t.Errorf("new work in a drain: %d", status)
 	}
 	f.release("q1")
-	if got := tell("flip", "write", 6); got != 200 || e.RoleNow() != Write {
-		t.Errorf("flip: %d, %s", got, e.RoleNow())
+	if got := tell("flip", "write", 6); got != 200 || e.CurrentRole() != Write {
+		t.Errorf("flip: %d, %s", got, e.CurrentRole())
 	}
 	if got := tell("flip", "write", 6); got != 200 {
 		t.Errorf("twice: %d", got)
 	}
-	if err := e.Restart(false); err != nil || e.RoleNow() != Read {
-		t.Errorf("restarted as %s, %v", e.RoleNow(), err)
+	if err := e.Restart(false); err != nil || e.CurrentRole() != Read {
+		t.Errorf("restarted as %s, %v", e.CurrentRole(), err)
 	}
 }
--- a/fake/engine/fleet.go
+++ b/fake/engine/fleet.go
@@ -9,14 +9,14 @@
 
 // Attempt is one attempt as an engine has seen it.
 type Attempt struct {
-	Engine  string
-	Request string // X-Request-Id
-	Order   string // the load's own name for what is asked, so that a client's retry is known
-	Came    time.Time
-	Role    string // as which it was taken; "" if it was turned away
-	Ran     bool
-	Status  int
-	Whole   bool // the answer went out to its end
+	Engine      string
+	Request     string // X-Request-Id
+	OperationID string // the load's own name for what is asked, so that a client's retry is known
+	ArrivalTime time.Time
+	Role        string // as which it was taken; "" if it was turned away
+	Executed    bool
+	Status      int
+	Completed   bool // the answer went out to its end
 }
 
 // Fleet is what engines of one experiment share: the read states and the account.
@@ -44,8 +44,8 @@
 	return slices.Clone(f.attempts)
 }
 
-// Fallen returns how many engines were pushed over while they were cold.
-func (f *Fleet) Fallen() int {
+// OverloadCrashes returns how many engines were pushed over while they were cold.
+func (f *Fleet) OverloadCrashes() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.fallen
@@ -102,15 +102,15 @@
 	}
 }
 
-// HeldNow returns the requests whose read states wait.
-func (f *Fleet) HeldNow() []string {
+// HeldStates returns the requests whose read states wait.
+func (f *Fleet) HeldStates() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Collect(maps.Keys(f.states))
 }
 
-// Held returns the read states that wait for longer than a time.
-func (f *Fleet) Held(longer time.Duration) int {
+// CountHeldStates returns the read states that wait for longer than a time.
+func (f *Fleet) CountHeldStates(longer time.Duration) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := 0
--- a/fake/engine/queue.go
+++ b/fake/engine/queue.go
@@ -13,8 +13,8 @@
 	if e.flipped.After(begun) {
 		begun = e.flipped
 	}
-	if age := now.Sub(begun); age < e.Cold {
-		p = e.ColdShare + (1-e.ColdShare)*float64(age)/float64(e.Cold)
+	if age := now.Sub(begun); age < e.WarmUp {
+		p = e.ColdSpeedFraction + (1-e.ColdSpeedFraction)*float64(age)/float64(e.WarmUp)
 	}
 	return p / e.slow
 }
@@ -22,15 +22,15 @@
 // pushed counts work that comes while the engine is cold, and tells whether it falls
 // over under it. The lock is held.
 func (e *Engine) pushed(now time.Time, work float64) bool {
-	if e.FallMore <= 0 || now.Sub(e.started) >= e.Cold && now.Sub(e.flipped) >= e.Cold {
+	if e.OverloadFactor <= 0 || now.Sub(e.started) >= e.WarmUp && now.Sub(e.flipped) >= e.WarmUp {
 		return false
 	}
 	e.work = append(e.work, mark{now, work})
 	sum := 0.0
-	for i := len(e.work) - 1; i >= 0 && now.Sub(e.work[i].at) < e.Fall; i-- {
+	for i := len(e.work) - 1; i >= 0 && now.Sub(e.work[i].at) < e.OverloadWindow; i-- {
 		sum += e.work[i].work
 	}
-	return sum > e.FallMore*e.pace(now)*e.Fall.Seconds()*float64(e.Slots)
+	return sum > e.OverloadFactor*e.pace(now)*e.OverloadWindow.Seconds()*float64(e.Slots)
 }
 
 // enter waits for a slot and memory.
@@ -98,8 +98,8 @@
 	e.memory = max(0, e.memory-tokens)
 }
 
-// Running returns how many requests are in its slots.
-func (e *Engine) Running() int {
+// CountRunning returns how many requests are in its slots.
+func (e *Engine) CountRunning() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.running
--- a/fake/engine/role.go
+++ b/fake/engine/role.go
@@ -23,22 +23,22 @@
 	Busy     float64   `json:"busy_s"`
 }
 
-// Refuse has the engine turn down every change of its role from now on.
-func (e *Engine) Refuse(on bool) {
+// RefuseRoleChanges has the engine turn down every change of its role from now on.
+func (e *Engine) RefuseRoleChanges(on bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.refuses = on
 }
 
-// Lie has the engine say that it is of another role than it is; "" ends that.
-func (e *Engine) Lie(role string) {
+// ReportRole has the engine say that it is of another role than it is; "" ends that.
+func (e *Engine) ReportRole(role string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.lies = role
 }
 
-// RoleNow is what the engine does at present.
-func (e *Engine) RoleNow() string {
+// CurrentRole is what the engine does at present.
+func (e *Engine) CurrentRole() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.Role
@@ -120,16 +120,16 @@
 	return http.StatusOK
 }
 
-// Turn gives the engine another role at once, as only an oracle can: nothing is drained
+// SetRole gives the engine another role at once, as only an oracle can: nothing is drained
 // and it is warm.
-func (e *Engine) Turn(role string) {
+func (e *Engine) SetRole(role string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.Role = role
 }
 
-// Hold takes so many of the engine's slots for work that never ends.
-func (e *Engine) Hold(slots int) {
+// OccupySlots takes so many of the engine's slots for work that never ends.
+func (e *Engine) OccupySlots(slots int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.running += slots
--- a/fake/engine/serve.go
+++ b/fake/engine/serve.go
@@ -81,9 +81,9 @@
 		return
 	}
 	now := time.Now()
-	a := Attempt{Engine: e.ID, Request: r.Header.Get("X-Request-Id"), Came: now}
+	a := Attempt{Engine: e.ID, Request: r.Header.Get("X-Request-Id"), ArrivalTime: now}
 	if all := orderName.FindAllSubmatch(raw, -1); len(all) > 0 { // the latest turn's
-		a.Order = string(all[len(all)-1][1])
+		a.OperationID = string(all[len(all)-1][1])
 	}
 	t := &turn{Engine: e, w: w, r: r, raw: raw, id: a.Request, change: e.fleet.note(a)}
 	if jsoniter.Unmarshal(raw, &t.request) != nil || t.id == "" {
@@ -111,12 +111,12 @@
 	e := t.Engine
 	e.mu.Lock()
 	t.role = e.Role
-	work := float64(t.tokens) / e.ReadPerS
+	work := float64(t.tokens) / e.PrefillTokensPerSecond
 	switch t.role {
 	case Write:
-		work = float64(t.out) * e.TokenEvery.Seconds()
+		work = float64(t.out) * e.TokenInterval.Seconds()
 	case Both, OpenAI:
-		work += float64(t.out) * e.TokenEvery.Seconds()
+		work += float64(t.out) * e.TokenInterval.Seconds()
 	}
 	over := e.pushed(now, work)
 	life = e.life
@@ -150,15 +150,15 @@
 // run reads the prompt, unless its state is fetched, and answers.
 func (t *turn) run(ctx context.Context) {
 	begun := time.Now()
-	t.change(func(a *Attempt) { a.Ran, a.Role = true, t.role })
+	t.change(func(a *Attempt) { a.Executed, a.Role = true, t.role })
 	had := (t.role == Write || t.role == Both) && t.fleet.fetch(t.id)
 	if !had && t.role == Write {
-		t.change(func(a *Attempt) { a.Ran = false })
+		t.change(func(a *Attempt) { a.Executed = false })
 		t.answer(http.StatusGone, true, "")
 		return
 	}
 	kept := t.keptOf(t.request, t.tokens)
-	if !had && !t.spend(ctx, time.Duration(float64(t.tokens-kept)/t.ReadPerS*float64(time.Second))) {
+	if !had && !t.spend(ctx, time.Duration(float64(t.tokens-kept)/t.PrefillTokensPerSecond*float64(time.Second))) {
 		panic(http.ErrAbortHandler)
 	}
 	if t.role == Read {
@@ -171,14 +171,14 @@
 	if t.r.URL.Path == embeddingPath {
 		t.w.Header().Set("Content-Type", "application/json")
 		t.w.Write(embed(t.request, t.raw))
-		t.change(func(a *Attempt) { a.Whole = true })
+		t.change(func(a *Attempt) { a.Completed = true })
 		t.account(1, begun)
 		return
 	}
 	if !t.stream(ctx, t.w, t.script(t.r.URL.Path, t.request, t.raw, t.tokens, kept, t.out)) {
 		panic(http.ErrAbortHandler)
 	}
-	t.change(func(a *Attempt) { a.Whole = true })
+	t.change(func(a *Attempt) { a.Completed = true })
 	t.account(t.out, begun)
 }
 
@@ -205,7 +205,7 @@
 
 // cutAt returns after how many bytes an answer of a size breaks, -1 if it does not.
 func (e *Engine) cutAt(size int) int {
-	if e.CutShare <= 0 {
+	if e.CutFraction <= 0 {
 		return -1
 	}
 	e.mu.Lock()
@@ -213,7 +213,7 @@
 	if e.random == nil {
 		e.random = rand.New(rand.NewPCG(e.Seed, 1))
 	}
-	if e.random.Float64() >= e.CutShare {
+	if e.random.Float64() >= e.CutFraction {
 		return -1
 	}
 	return e.random.IntN(size)
@@ -222,11 +222,11 @@
 // stream writes an answer's events, and tells whether it came to its end.
 func (e *Engine) stream(ctx context.Context, w http.ResponseWriter, events []string) bool {
 	w.Header().Set("Content-Type", "text/event-stream")
-	if e.Odd == OddGzip {
+	if e.Quirk == QuirkGzip {
 		w.Header().Set("Content-Encoding", "gzip")
 	}
 	flush := http.NewResponseController(w)
-	list := pieces(events, e.Odd)
+	list := pieces(events, e.Quirk)
 	size := 0
 	for _, p := range list {
 		size += len(p)
@@ -235,7 +235,7 @@
 	per := max(1, len(list)/len(events))
 	words := len(events) - 2 // what follows them is there at once
 	for i, p := range list {
-		if i > 0 && i%per == 0 && i/per < words && !e.Burst && !e.spend(ctx, e.TokenEvery) {
+		if i > 0 && i%per == 0 && i/per < words && !e.Burst && !e.spend(ctx, e.TokenInterval) {
 			return false
 		}
 		if left >= 0 && left < len(p) {
--- a/internal/consul/consul_test.go
+++ b/internal/consul/consul_test.go
@@ -26,10 +26,10 @@
 	env := startEnv(t, 1, (*testEnv).registerThree, nil)
 	env.awaitPublished("a b c")
 	env.store.SetCheck(node, "a", "alive", "critical")
-	env.store.Maintain(node, "b", true, "")
+	env.store.SetMaintenance(node, "b", true, "")
 	env.awaitPublished("a! b! c")
 	env.store.SetCheck(node, "a", "alive", "warning")
-	env.store.Maintain(node, "b", false, "")
+	env.store.SetMaintenance(node, "b", false, "")
 	env.awaitPublished("a b c")
 	env.store.Deregister(node, "c")
 	env.awaitPublished("a b")
@@ -76,7 +76,7 @@
 	oldState := env.store.Snapshot()
 	env.awaitPublished("a b c")
 	for range 9 { // enough changes for the index to be lower after Restore
-		env.store.Maintain(node, "c", true, "")
+		env.store.SetMaintenance(node, "c", true, "")
 	}
 	env.awaitPublished("a b c!")
 	env.injectFaults(consul.Faults{Hang: true})
@@ -95,15 +95,15 @@
 	oldState := env.store.Snapshot()
 	env.store.SetCheck(node, "a", "alive", "critical")
 	env.awaitPublished("a! b c")
-	if err := env.agents[1].Fail(consul.Faults{Lag: oldState}); err != nil {
+	if err := env.agents[1].SetFaults(consul.Faults{Lag: oldState}); err != nil {
 		t.Fatal(err)
 	}
-	if err := env.agents[0].Fail(consul.Faults{Refuse: true}); err != nil {
+	if err := env.agents[0].SetFaults(consul.Faults{Refuse: true}); err != nil {
 		t.Fatal(err)
 	}
 	env.awaitDistrustReason(roster.IndexRegressed)
 	env.assertUnchanged("a! b c", 200*time.Millisecond)
-	if err := env.agents[1].Fail(consul.Faults{}); err != nil {
+	if err := env.agents[1].SetFaults(consul.Faults{}); err != nil {
 		t.Fatal(err)
 	}
 	env.store.SetCheck(node, "a", "alive", "passing")
@@ -135,7 +135,7 @@
 func TestTagRemovedDuringDrain(t *testing.T) {
 	env := startEnv(t, 1, (*testEnv).registerThree, func(_ *testEnv, cfg *config.Consul) { cfg.Service, cfg.Tag = "", "engine" })
 	env.awaitPublished("a b c")
-	env.store.Maintain(node, "a", true, "")
+	env.store.SetMaintenance(node, "a", true, "")
 	env.awaitPublished("a! b c")
 	for i, id := range []string{"a", "b", "c"} {
 		env.registerEngine("llm", id, 9001+i, "other")
@@ -153,7 +153,7 @@
 	env.mu.Lock()
 	env.probeResults["127.0.0.1:9002"] = roster.Refused
 	env.mu.Unlock()
-	env.store.Restore(consul.Empty())
+	env.store.Restore(consul.EmptySnapshot())
 	env.awaitPublished("a c")
 	env.assertUnchanged("a c", 300*time.Millisecond)
 }
@@ -193,9 +193,9 @@
 // Errors of agents change no engine, and marks set afterwards take effect after the recovery.
 func TestAgentErrors(t *testing.T) {
 	for name, f := range map[string]consul.Faults{
-		"429": {Status: 429, Hint: "0.1"}, "500": {Status: 500}, "403": {Status: 403}, "no leader": {Leaderless: true},
-		"connection reset": {Reset: 1}, "connection refused": {Refuse: true}, "slow body": {Trickle: 100 * time.Millisecond}, "stale response": {Contact: time.Hour},
-		"index ignored": {Ignore: true},
+		"429": {Status: 429, RetryAfter: "0.1"}, "500": {Status: 500}, "403": {Status: 403}, "no leader": {Leaderless: true},
+		"connection reset": {ResetFraction: 1}, "connection refused": {Refuse: true}, "slow body": {Trickle: 100 * time.Millisecond}, "stale response": {LastContact: time.Hour},
+		"index ignored": {NonBlocking: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -284,9 +284,9 @@
 		cfg.Register = &config.Register{Name: "wellgw", ID: "g1", Address: "127.0.0.1:8080", TTLMS: 1000}
 	})
 	registered := func() bool {
-		for _, m := range slices.Backward(env.store.Marks()) {
+		for _, m := range slices.Backward(env.store.StatusChanges()) {
 			if m.Service == "g1" {
-				return m.What == "clear"
+				return m.Status == "clear"
 			}
 		}
 		return false
@@ -310,8 +310,8 @@
 	env.discovery.mu.Unlock()
 	enginetest.Eventually(t, "the gateway was deregistered", func() bool {
 		removals := 0
-		for _, m := range env.store.Marks() {
-			if m.Service == "g1" && m.What == "gone" {
+		for _, m := range env.store.StatusChanges() {
+			if m.Service == "g1" && m.Status == "gone" {
 				removals++
 			}
 		}
@@ -366,7 +366,7 @@
 	if s := env.discovery.Stats(); !s.Polling || s.Services != services {
 		t.Errorf("%+v", s)
 	}
-	if _, _, open := env.agents[0].Load(); open > 16+4 {
+	if _, _, open := env.agents[0].Stats(); open > 16+4 {
 		t.Errorf("%d queries open", open)
 	}
 }
--- a/internal/consul/harness_test.go
+++ b/internal/consul/harness_test.go
@@ -105,7 +105,7 @@
 func (env *testEnv) injectFaults(f consul.Faults) {
 	env.Helper()
 	for _, a := range env.agents {
-		if err := a.Fail(f); err != nil {
+		if err := a.SetFaults(f); err != nil {
 			env.Fatal(err)
 		}
 	}
--- a/internal/enginetest/engine.go
+++ b/internal/enginetest/engine.go
@@ -141,8 +141,8 @@
 	return some
 }
 
-// Dropped returns when connections were closed that an answer was left open on.
-func (e *Engine) Dropped() []time.Time {
+// ConnectionCloseTimes returns when connections were closed that an answer was left open on.
+func (e *Engine) ConnectionCloseTimes() []time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]time.Time(nil), e.closed...)
--- a/internal/enginetest/exchange.go
+++ b/internal/enginetest/exchange.go
@@ -21,8 +21,8 @@
 // Lines end in CRLF on the wire, but for those that end in a backslash here.
 type Exchange struct{ Send, Want string }
 
-// Read reads a recording.
-func Read(t testing.TB, path string) Exchange {
+// ReadExchange reads a recording.
+func ReadExchange(t testing.TB, path string) Exchange {
 	t.Helper()
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -59,7 +59,7 @@
 // to run, do not count.
 func Play(t *testing.T, addr, path string, replace ...string) {
 	t.Helper()
-	x := Read(t, path)
+	x := ReadExchange(t, path)
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/openai/front_test.go
+++ b/internal/openai/front_test.go
@@ -275,7 +275,7 @@
 					last, states = writer, len(reader.Calls("POST"))
 				}
 				enginetest.Eventually(t, "the attempt is closed and the state let go", func() bool {
-					return len(last.Dropped()) >= len(last.Calls("POST")) && len(reader.Calls("DELETE")) >= states
+					return len(last.ConnectionCloseTimes()) >= len(last.Calls("POST")) && len(reader.Calls("DELETE")) >= states
 				})
 				return time.Since(left)
 			})
--- a/internal/openai/resume_test.go
+++ b/internal/openai/resume_test.go
@@ -24,7 +24,7 @@
 			t.Cleanup(fleet.Close)
 			var members []core.Endpoint
 			for i := range 4 {
-				e, err := fleet.Start(engine.Options{ID: fmt.Sprint("e", i), Role: role, Tokens: tokens, Burst: true, CutShare: 0.5, Seed: uint64(i)}, true)
+				e, err := fleet.Start(engine.Options{ID: fmt.Sprint("e", i), Role: role, Tokens: tokens, Burst: true, CutFraction: 0.5, Seed: uint64(i)}, true)
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -293,7 +293,7 @@
 	whole := enginetest.Stream(2, 0)
 	addr, r, w, _ := gateway(t, read, func(enginetest.Call) string { return whole[:len(whole)/2] + enginetest.Hang })
 	enginetest.Within(t, 500*time.Millisecond, func() time.Duration {
-		dropped, freed := len(w.Dropped()), len(r.Calls("DELETE"))+len(w.Calls("DELETE"))
+		dropped, freed := len(w.ConnectionCloseTimes()), len(r.Calls("DELETE"))+len(w.Calls("DELETE"))
 		req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+addr+"/v1/chat/completions", strings.NewReader("{}"))
 		if err != nil {
 			t.Fatal(err)
@@ -311,7 +311,7 @@
 		resp.Body.Close()
 		left := time.Now()
 		enginetest.Eventually(t, "attempt closed, state freed", func() bool {
-			return len(w.Dropped()) > dropped && len(r.Calls("DELETE"))+len(w.Calls("DELETE")) >= freed+2
+			return len(w.ConnectionCloseTimes()) > dropped && len(r.Calls("DELETE"))+len(w.Calls("DELETE")) >= freed+2
 		})
 		return time.Since(left)
 	})
--- a/internal/rolectl/rolectl_test.go
+++ b/internal/rolectl/rolectl_test.go
@@ -56,7 +56,7 @@
 	t.Cleanup(w.store.Close)
 	t.Cleanup(w.fleet.Close)
 	for id, role := range w.roles {
-		e, err := w.fleet.Start(engine.Options{ID: id, Role: role, Cold: 50 * time.Millisecond}, true)
+		e, err := w.fleet.Start(engine.Options{ID: id, Role: role, WarmUp: 50 * time.Millisecond}, true)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -177,7 +177,7 @@
 			second := w.gate("g2", nil)
 			flipped := step == rolechange.Warming || step == rolechange.Settled
 			if flipped {
-				w.eng["w1"].Turn(engine.Read)
+				w.eng["w1"].SetRole(engine.Read)
 			}
 			w.leave(own, "w1", "read", step)
 			want := rolechange.Done
@@ -185,7 +185,7 @@
 				want = rolechange.RolledBack
 			} else {
 				enginetest.Eventually(t, "it has its new role at both gateways", func() bool {
-					return w.eng["w1"].RoleNow() == engine.Read && own.takes("w1", "read") && second.takes("w1", "read")
+					return w.eng["w1"].CurrentRole() == engine.Read && own.takes("w1", "read") && second.takes("w1", "read")
 				})
 				for _, g := range w.gates {
 					w.observe(g, map[string]string{"w1": "read"})
@@ -218,7 +218,7 @@
 		t.Fatal(err)
 	}
 	// The leader is cut off, and its session ends.
-	if err := one.agent.Fail(fakeconsul.Faults{Hang: true}); err != nil {
+	if err := one.agent.SetFaults(fakeconsul.Faults{Hang: true}); err != nil {
 		t.Fatal(err)
 	}
 	if err := two.client.DestroySession(t.Context(), lock.Session); err != nil {
@@ -226,7 +226,7 @@
 	}
 	enginetest.Eventually(t, "g2 leads", func() bool { s := two.Status(); return s.IsLeader && s.FencingToken > lock.LockIndex })
 	w.leave(two, "w1", "read", rolechange.Announced)
-	enginetest.Eventually(t, "the engine has been told by g2", func() bool { return w.eng["w1"].RoleNow() == engine.Read })
+	enginetest.Eventually(t, "the engine has been told by g2", func() bool { return w.eng["w1"].CurrentRole() == engine.Read })
 	enginetest.Eventually(t, "g1 has stopped", func() bool { return !one.Status().IsLeader })
 
 	// A leader that was paused for longer than its lease and wakes up does nothing.
@@ -271,14 +271,14 @@
 	})
 	w.leave(g, "w1", "read", rolechange.Announced)
 	enginetest.Eventually(t, "it is held", func() bool { return g.holds("w1", "write") })
-	if err := g.agent.Fail(fakeconsul.Faults{Refuse: true}); err != nil {
+	if err := g.agent.SetFaults(fakeconsul.Faults{Refuse: true}); err != nil {
 		t.Fatal(err)
 	}
 	enginetest.Eventually(t, "nobody leads", func() bool { return !g.Status().IsLeader })
 	if !g.holds("w1", "write") {
 		t.Error("the engine has new work while the change can't be read")
 	}
-	if err := g.agent.Fail(fakeconsul.Faults{}); err != nil {
+	if err := g.agent.SetFaults(fakeconsul.Faults{}); err != nil {
 		t.Fatal(err)
 	}
 	second := w.gate("g2", nil) // whose word was missing
@@ -309,10 +309,10 @@
 		spoil func(*engine.Engine)
 		want  rolechange.Outcome
 	}{
-		"it refuses":                   {func(e *engine.Engine) { e.Refuse(true) }, rolechange.RolledBack},
+		"it refuses":                   {func(e *engine.Engine) { e.RefuseRoleChanges(true) }, rolechange.RolledBack},
 		"it dies":                      {func(e *engine.Engine) { e.Crash() }, rolechange.Failed},
-		"it says it is something else": {func(e *engine.Engine) { e.Lie("both") }, rolechange.Failed},
-		"it hangs in its drain":        {func(e *engine.Engine) { e.Hold(1) }, rolechange.RolledBack},
+		"it says it is something else": {func(e *engine.Engine) { e.ReportRole("both") }, rolechange.Failed},
+		"it hangs in its drain":        {func(e *engine.Engine) { e.OccupySlots(1) }, rolechange.RolledBack},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -325,8 +325,8 @@
 			if got := w.ended(g, "w1"); got != c.want {
 				t.Errorf("%s", got)
 			}
-			if w.eng["w1"].RoleNow() != engine.Write {
-				t.Errorf("it is %s", w.eng["w1"].RoleNow())
+			if w.eng["w1"].CurrentRole() != engine.Write {
+				t.Errorf("it is %s", w.eng["w1"].CurrentRole())
 			}
 		})
 	}
@@ -363,9 +363,9 @@
 			return map[string]core.Traffic{"c": all}
 		}
 	})
-	w.eng["r1"].Hold(8)
-	w.eng["r2"].Hold(8)
-	w.eng["w1"].Hold(1)
+	w.eng["r1"].OccupySlots(8)
+	w.eng["r2"].OccupySlots(8)
+	w.eng["w1"].OccupySlots(1)
 	enginetest.Eventually(t, "a change is wanted", func() bool { return g.Status().Plan.Change != nil })
 	s := g.Status()
 	if len(s.Changes) > 0 || len(s.History) > 0 || s.Plan.Change.To != roles.Prefill {
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -160,7 +160,7 @@
 	enginetest.Eventually(t, "the request arrives", func() bool { return len(server.Calls("POST")) > 0 })
 	attempt.Cancel()
 	attempt.Cancel()
-	enginetest.Eventually(t, "the connection closes", func() bool { return len(server.Dropped()) == 1 })
+	enginetest.Eventually(t, "the connection closes", func() bool { return len(server.ConnectionCloseTimes()) == 1 })
 }
 
 // Nothing is written for a client that has disconnected, and an attempt can be withdrawn until its
