--- a/internal/enginetest/engine.go
+++ b/internal/enginetest/engine.go
@@ -15,40 +15,40 @@
 	"time"
 )
 
-// Call is a request as an engine got it.
+// Call is a request that an engine received.
 type Call struct {
-	Number                 int // from 1, in order of arrival at this engine
+	Number                 int // sequence number of arrival at this engine, from 1
 	Method, Path, ID, Body string
 	At                     time.Time
-	Deadline               time.Duration // by X-Deadline-Ms; 0 without one
+	Deadline               time.Duration // from X-Deadline-Ms; 0 if the header is absent
 }
 
-// Engine is a server on loopback that answers each request by a script: the bytes
-// to write back. An empty script leaves the request without an answer.
+// Engine is a server on loopback that answers each request with a script: the bytes to write to the
+// connection. With an empty script the request gets no answer and the connection stays open.
 type Engine struct {
 	Addr   string
 	script func(Call) string
 	mu     sync.Mutex
 	calls  []Call
-	closed []time.Time // when the other side closed a connection under an answer
+	closed []time.Time // times at which the peer closed a connection with an unfinished answer
 }
 
-// Cut at the end of a script breaks the connection; Hang leaves it open, silent.
+// Cut at the end of a script closes the connection; Hang keeps it open without further bytes.
 const (
 	Cut  = "\x00cut"
 	Hang = "\x00hang"
 )
 
-// pauseMark ends a part of a script; the pause's length stands before the next one.
+// pauseMark separates the parts of a script: text and pause durations alternate.
 const pauseMark = "\x00pause"
 
-// Pause in a script keeps what follows back for so long.
+// Pause in a script delays the bytes after it by d.
 func Pause(d time.Duration) string { return pauseMark + d.String() + pauseMark }
 
-// writeScript writes an answer with its pauses, which end early with ctx.
+// writeScript writes a script with its pauses. It returns early when ctx ends.
 func writeScript(ctx context.Context, c net.Conn, script string) error {
-	for n, part := range strings.Split(script, pauseMark) {
-		if n%2 == 0 {
+	for i, part := range strings.Split(script, pauseMark) {
+		if i%2 == 0 {
 			if _, err := io.WriteString(c, part); err != nil {
 				return err
 			}
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// NewEngine starts an engine that ends with the test.
+// NewEngine starts an engine that is stopped at the end of the test.
 func NewEngine(t testing.TB, script func(Call) string) *Engine {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -76,15 +76,15 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	e := &Engine{Addr: l.Addr().String(), script: script}
-	var group sync.WaitGroup
-	t.Cleanup(func() { stop(); l.Close(); group.Wait() })
-	group.Go(func() {
+	var goroutines sync.WaitGroup
+	t.Cleanup(func() { stop(); l.Close(); goroutines.Wait() })
+	goroutines.Go(func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			group.Go(func() { e.serve(ctx, c) })
+			goroutines.Go(func() { e.serve(ctx, c) })
 		}
 	})
 	return e
@@ -111,12 +111,12 @@
 		call.Number = len(e.calls) + 1
 		e.calls = append(e.calls, call)
 		e.mu.Unlock()
-		out, hang := strings.CutSuffix(e.script(call), Hang)
-		out, cut := strings.CutSuffix(out, Cut)
-		if err := writeScript(ctx, c, out); err != nil || cut {
+		output, hang := strings.CutSuffix(e.script(call), Hang)
+		output, cut := strings.CutSuffix(output, Cut)
+		if err := writeScript(ctx, c, output); err != nil || cut {
 			return
 		}
-		if hang || out == "" {
+		if hang || output == "" {
 			io.Copy(io.Discard, r)
 			e.mu.Lock()
 			e.closed = append(e.closed, time.Now())
@@ -126,38 +126,38 @@
 	}
 }
 
-// Calls returns the calls so far whose method is one of those named.
+// Calls returns the calls received so far that have one of the given methods.
 func (e *Engine) Calls(methods ...string) []Call {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	var some []Call
+	var matching []Call
 	for _, c := range e.calls {
 		for _, m := range methods {
 			if c.Method == m {
-				some = append(some, c)
+				matching = append(matching, c)
 			}
 		}
 	}
-	return some
+	return matching
 }
 
-// ConnectionCloseTimes returns when connections were closed that an answer was left open on.
+// ConnectionCloseTimes returns the times at which peers closed connections with an unfinished answer.
 func (e *Engine) ConnectionCloseTimes() []time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]time.Time(nil), e.closed...)
 }
 
-// Status is an answer without a stream.
+// Status returns an answer with the given status, header lines and body, not streamed.
 func Status(code int, header, body string) string {
 	return fmt.Sprintf("HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n%s", code, http.StatusText(code), header, len(body), body)
 }
 
-// Stream is a whole stream of n events with its usage.
-func Stream(n, kept int) string { return SlowStream(n, kept, 0) }
+// Stream returns a complete stream of n content events and a usage event.
+func Stream(n, cachedTokens int) string { return SlowStream(n, cachedTokens, 0) }
 
-// SlowStream is a Stream with a pause before each event but the first.
-func SlowStream(n, kept int, pause time.Duration) string {
+// SlowStream returns a Stream with a pause before each content event except the first.
+func SlowStream(n, cachedTokens int, pause time.Duration) string {
 	var b bytes.Buffer
 	b.WriteString(StreamHead)
 	for i := range n {
@@ -167,10 +167,10 @@
 		b.WriteString(Chunk(fmt.Sprintf(`data: {"choices":[{"index":0,"delta":{"content":"w%d "},"finish_reason":null}]}`+"\n\n", i)))
 	}
 	b.WriteString(Chunk(`data: {"choices":[{"index":0,"delta":{},"finish_reason":"stop"}]}` + "\n\n"))
-	b.WriteString(Chunk(fmt.Sprintf(`data: {"choices":[],"usage":{"prompt_tokens":9,"completion_tokens":%d,"prompt_tokens_details":{"cached_tokens":%d}}}`+"\n\n", n, kept)))
+	b.WriteString(Chunk(fmt.Sprintf(`data: {"choices":[],"usage":{"prompt_tokens":9,"completion_tokens":%d,"prompt_tokens_details":{"cached_tokens":%d}}}`+"\n\n", n, cachedTokens)))
 	b.WriteString(Chunk("data: [DONE]\n\n") + "0\r\n\r\n")
 	return b.String()
 }
 
-// Chunk frames a part of a stream.
+// Chunk encodes a part of a stream as an HTTP chunk.
 func Chunk(s string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(s), s) }
--- a/internal/enginetest/exchange.go
+++ b/internal/enginetest/exchange.go
@@ -1,5 +1,5 @@
-// Package enginetest holds what tests of several packages share: recorded byte exchanges that are
-// played against a program under test, engines that answer by a script, and waits for events.
+// Package enginetest provides helpers for tests of several packages: playback of recorded byte exchanges
+// against a server under test, engines with scripted answers, and waits for conditions.
 package enginetest
 
 import (
@@ -16,12 +16,12 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Exchange is one recorded file: what is sent, and what is expected back. In the
-// files `> ` begins a line that is sent, `< ` one that is expected, `# ` a remark.
-// Lines end in CRLF on the wire, but for those that end in a backslash here.
+// Exchange is one recorded file: the bytes to send and the expected answer. In the file, `> ` prefixes a
+// line to send, `< ` an expected line and `# ` a comment. On the wire a line ends in CRLF; a line that
+// ends in a backslash in the file has no line end on the wire.
 type Exchange struct{ Send, Want string }
 
-// ReadExchange reads a recording.
+// ReadExchange reads a recorded exchange from a file.
 func ReadExchange(t testing.TB, path string) Exchange {
 	t.Helper()
 	raw, err := os.ReadFile(path)
@@ -42,21 +42,21 @@
 	return x
 }
 
-// EachRecording runs a test for each recording of a package.
+// EachRecording runs a subtest for each recording in the package's testdata directory.
 func EachRecording(t *testing.T, run func(t *testing.T, file string)) {
 	t.Helper()
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
-		t.Fatal("no recordings", err)
+		t.Fatal("no recordings in testdata:", err)
 	}
 	for _, file := range files {
 		t.Run(filepath.Base(file), func(t *testing.T) { run(t, file) })
 	}
 }
 
-// Play sends a recording's bytes to addr and compares what comes back until the
-// other side closes. Dates, ids and times of creation, which differ from run
-// to run, do not count.
+// Play sends a recording's bytes to addr and compares the answer, read until the server closes the
+// connection, with the expected one. Dates, ids and creation times differ between runs and are ignored.
+// replace lists pairs of old and new texts to substitute in the bytes sent.
 func Play(t *testing.T, addr, path string, replace ...string) {
 	t.Helper()
 	x := ReadExchange(t, path)
@@ -82,8 +82,8 @@
 	}
 }
 
-// recordVar has Play write what comes back into the recordings, for a person to read
-// through before it is kept.
+// recordVar is an environment variable. If it is set, Play writes the answers into the recordings instead
+// of comparing them; review the result before committing it.
 const recordVar = "PLAYBACK_RECORD"
 
 func record(t *testing.T, path, got string) {
@@ -109,18 +109,18 @@
 	}
 }
 
-// lines makes an answer comparable: its headers are sorted, and of the framing,
-// which is free, only the last chunk counts.
+// lines normalizes an answer for comparison: it sorts the headers and drops all chunk sizes except that of
+// the last chunk, as a server may split chunks freely.
 func lines(s string) []string {
 	s = regexp.MustCompile(`(cmpl-|resp_|msg_|fc_|X-Request-Id: )[0-9a-f]{24}`).ReplaceAllString(s, "${1}ID")
 	s = regexp.MustCompile(`"created(_at)?":[0-9]+`).ReplaceAllString(s, `"created$1":0`)
 	head, body, _ := strings.Cut(s, "\r\n\r\n")
 	headers := strings.Split(head, "\r\n")
 	slices.Sort(headers[1:])
-	size := regexp.MustCompile(`^[1-9a-f][0-9a-f]*$`)
+	chunkSize := regexp.MustCompile(`^[1-9a-f][0-9a-f]*$`)
 	return slices.DeleteFunc(append(headers, strings.FieldsFunc(body, func(r rune) bool { return r == '\r' || r == '\n' })...),
-		func(line string) bool { return strings.HasPrefix(line, "Date:") || size.MatchString(line) })
+		func(line string) bool { return strings.HasPrefix(line, "Date:") || chunkSize.MatchString(line) })
 }
 
-// StreamHead is the head of a stream.
+// StreamHead is the status line and headers of a streamed answer.
 const StreamHead = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
--- a/internal/enginetest/wait.go
+++ b/internal/enginetest/wait.go
@@ -5,25 +5,26 @@
 	"time"
 )
 
-// Eventually waits for a condition, for as long as a slow machine may need.
-func Eventually(t testing.TB, what string, ok func() bool) {
+// Eventually polls a condition until it is true. It fails the test after one minute, which is ample on a
+// slow machine.
+func Eventually(t testing.TB, condition string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(time.Minute); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("condition not met within a minute: %s", condition)
 		}
 	}
 }
 
-// Within states that something takes no longer than a limit. A busy machine may
-// stall once or twice; what really waits too long does so every time.
-func Within(t testing.TB, limit time.Duration, take func() time.Duration) {
+// Within checks that a measured duration does not exceed a limit in at least one of three runs. A busy
+// machine may exceed it once or twice; code that is too slow exceeds it every time.
+func Within(t testing.TB, limit time.Duration, measure func() time.Duration) {
 	t.Helper()
-	var took time.Duration
+	var duration time.Duration
 	for range 3 {
-		if took = take(); took <= limit {
+		if duration = measure(); duration <= limit {
 			return
 		}
 	}
-	t.Errorf("took %v, over %v, three times in a row", took, limit)
+	t.Errorf("took %v, limit %v, exceeded three times in a row", duration, limit)
 }
