--- a/fake/consul/agent.go
+++ b/fake/consul/agent.go
@@ -18,52 +18,52 @@
 
 var codec = jsoniter.ConfigCompatibleWithStandardLibrary
 
-// Faults are what an agent does wrong. The zero value does nothing wrong.
+// Faults are the faults that an agent injects. The zero value injects none.
 type Faults struct {
-	Hang          bool          // accepts and says nothing, also on what was asked before
-	Refuse        bool          // accepts no connection and closes those that are open
-	ResetFraction float64       // part of the answers that break off in the middle
-	Trickle       time.Duration // between one byte of an answer and the next
-	Status        int           // every answer is of this status
-	RetryAfter    string        // with Status: its Retry-After
-	Body          string        // in the place of every answer's body, when not empty
-	Rewrite       func(path string, body []byte) []byte
-	Leaderless    bool          // the servers have lost their leader
-	LastContact   time.Duration // since the server that answers heard from the leader
-	Lag           *Snapshot     // answers come from this state
-	NonBlocking   bool          // blocking queries never block
+	Hang          bool                                  // accepts connections, but answers no request, including those in flight
+	Refuse        bool                                  // refuses new connections and closes open ones
+	ResetFraction float64                               // fraction of answers that end with a reset in the middle of the body
+	Trickle       time.Duration                         // delay after each byte of an answer
+	Status        int                                   // status of every answer, if not 0
+	RetryAfter    string                                // Retry-After header of answers with Status
+	Body          string                                // replaces the body of every 200 answer, if not empty
+	Rewrite       func(path string, body []byte) []byte // replaces the body of every 200 answer, if not nil
+	Leaderless    bool                                  // the servers have no leader
+	LastContact   time.Duration                         // time since the answering server's last contact with the leader
+	Lag           *Snapshot                             // queries are answered from this older state
+	NonBlocking   bool                                  // blocking queries return without waiting
 }
 
 // Agent answers the HTTP API on loopback.
 type Agent struct {
 	Addr  string
 	Node  string
-	Token string // if set, asked of every call
+	Token string // if set, required in every request
 	store *Store
 
-	mu       sync.Mutex
-	faults   Faults
-	changed  chan struct{}
-	server   *http.Server
-	listener net.Listener
-	queries  int
-	open     int
-	bytes    int64
-	seen     map[string]int
+	mu            sync.Mutex
+	faults        Faults
+	faultsChanged chan struct{}
+	server        *http.Server
+	listener      net.Listener
+	requests      int
+	inFlight      int
+	bodyBytes     int64
+	requestCounts map[string]int
 }
 
-// The bounds of blocking queries, by the documentation.
+// Bounds of blocking queries according to Consul's documentation.
 const (
-	defaultWait = 5 * time.Minute
-	mostWait    = 10 * time.Minute
-	jitterPart  = 16
+	defaultWait   = 5 * time.Minute
+	maxWait       = 10 * time.Minute
+	jitterDivisor = 16
 )
 
-// NewAgent starts an agent over a store.
+// NewAgent starts an agent that serves the data of a store.
 func NewAgent(store *Store, node string) (*Agent, error) {
-	a := &Agent{store: store, Node: node, changed: make(chan struct{}), seen: map[string]int{}}
+	a := &Agent{store: store, Node: node, faultsChanged: make(chan struct{}), requestCounts: map[string]int{}}
 	store.update(func(st *state) bool {
-		if _, there := st.nodes[node]; there {
+		if _, exists := st.nodes[node]; exists {
 			return false
 		}
 		i := st.bump()
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// Close ends the agent.
+// Close stops the agent.
 func (a *Agent) Close() {
 	a.mu.Lock()
 	srv := a.server
@@ -100,13 +100,13 @@
 	}
 }
 
-// SetFaults has the agent do wrong from now on, and ends what it did wrong before.
+// SetFaults replaces the faults that the agent injects.
 func (a *Agent) SetFaults(f Faults) error {
 	a.mu.Lock()
-	was := a.faults
+	previous := a.faults
 	a.faults = f
-	close(a.changed)
-	a.changed = make(chan struct{})
+	close(a.faultsChanged)
+	a.faultsChanged = make(chan struct{})
 	srv := a.server
 	if f.Refuse {
 		a.server = nil
@@ -115,53 +115,53 @@
 	switch {
 	case f.Refuse && srv != nil:
 		return srv.Close()
-	case !f.Refuse && was.Refuse:
+	case !f.Refuse && previous.Refuse:
 		return a.listen(a.Addr)
 	}
 	return nil
 }
 
-func (a *Agent) present() (Faults, <-chan struct{}) {
+func (a *Agent) currentFaults() (Faults, <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.faults, a.changed
+	return a.faults, a.faultsChanged
 }
 
-// Stats tells what the agent has been asked: calls, bytes answered, calls open.
-func (a *Agent) Stats() (queries int, bytes int64, open int) {
+// Stats returns the number of requests so far, of bytes in answers and of requests in flight.
+func (a *Agent) Stats() (requests int, bodyBytes int64, inFlight int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.queries, a.bytes, a.open
+	return a.requests, a.bodyBytes, a.inFlight
 }
 
-// RequestCounts returns how often each path was asked.
+// RequestCounts returns the number of requests for each path.
 func (a *Agent) RequestCounts() map[string]int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return maps.Clone(a.seen)
+	return maps.Clone(a.requestCounts)
 }
 
-// ServeHTTP answers one call, as far as the faults let it.
+// ServeHTTP answers one request, subject to the configured faults.
 func (a *Agent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	a.mu.Lock()
-	a.queries++
-	a.open++
-	a.seen[r.URL.Path]++
-	n := a.queries
+	a.requests++
+	a.inFlight++
+	a.requestCounts[r.URL.Path]++
+	n := a.requests
 	a.mu.Unlock()
 	defer func() {
 		a.mu.Lock()
-		a.open--
+		a.inFlight--
 		a.mu.Unlock()
 	}()
-	if f, _ := a.present(); f.Hang {
-		<-r.Context().Done() // it never answers what it was asked while it hung
+	if f, _ := a.currentFaults(); f.Hang {
+		<-r.Context().Done() // a request received during a hang is never answered
 		panic(http.ErrAbortHandler)
 	}
 	status, header, body := a.answer(r)
-	f, _ := a.present()
+	f, _ := a.currentFaults()
 	switch {
-	case f.Hang || status == 0: // it began to hang while the query blocked
+	case f.Hang || status == 0: // the hang began while the query was blocked
 		<-r.Context().Done()
 		panic(http.ErrAbortHandler)
 	case f.Status != 0:
@@ -180,7 +180,7 @@
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(status)
 	a.mu.Lock()
-	a.bytes += int64(len(body))
+	a.bodyBytes += int64(len(body))
 	a.mu.Unlock()
 	if f.ResetFraction > 0 && float64(n%100) < 100*f.ResetFraction && len(body) > 0 {
 		w.Write(body[:len(body)/2])
@@ -204,19 +204,19 @@
 	}
 }
 
-// call is one call as it is worked on.
-type call struct {
+// apiRequest is one API request and the agent that serves it.
+type apiRequest struct {
 	*http.Request
 	agent *Agent
 }
 
-// answer works out what a healthy agent would say.
+// answer returns the status, headers and body that an agent without faults returns.
 func (a *Agent) answer(r *http.Request) (int, http.Header, []byte) {
-	f, _ := a.present()
+	f, _ := a.currentFaults()
 	if a.Token != "" && r.Header.Get("X-Consul-Token") != a.Token && r.Header.Get("Authorization") != "Bearer "+a.Token {
 		return http.StatusForbidden, nil, []byte("Permission denied: token with AccessorID '' lacks permission")
 	}
-	c := call{r, a}
+	c := apiRequest{r, a}
 	path := strings.TrimPrefix(r.URL.Path, "/v1/")
 	if r.Method == http.MethodPut || r.Method == http.MethodDelete {
 		if f.Leaderless && !strings.HasPrefix(path, "agent/") {
@@ -230,11 +230,11 @@
 	switch path {
 	case "status/leader":
 		if f.Leaderless {
-			return ok(`""`)
+			return okResponse(`""`)
 		}
-		return ok(`"127.0.0.1:8300"`)
+		return okResponse(`"127.0.0.1:8300"`)
 	case "agent/self":
-		return ok(fmt.Sprintf(`{"Config":{"Datacenter":"dc1","NodeName":%q,"Server":true},"Member":{"Name":%q}}`, a.Node, a.Node))
+		return okResponse(fmt.Sprintf(`{"Config":{"Datacenter":"dc1","NodeName":%q,"Server":true},"Member":{"Name":%q}}`, a.Node, a.Node))
 	case "agent/services":
 		return c.agentServices()
 	case "agent/checks":
@@ -247,41 +247,41 @@
 	return c.read(path)
 }
 
-func ok(body string) (int, http.Header, []byte) { return http.StatusOK, nil, []byte(body) }
+func okResponse(body string) (int, http.Header, []byte) { return http.StatusOK, nil, []byte(body) }
 
-func bad(text string) (int, http.Header, []byte) {
+func badRequest(text string) (int, http.Header, []byte) {
 	return http.StatusBadRequest, nil, []byte(text)
 }
 
-// read answers a query that may block, with its index.
-func (c call) read(path string) (int, http.Header, []byte) {
+// read answers a query, with its index in the headers. It blocks as the parameters index and wait request.
+func (c apiRequest) read(path string) (int, http.Header, []byte) {
 	params := c.URL.Query()
-	wanted, _ := strconv.ParseUint(params.Get("index"), 10, 64)
+	waitIndex, _ := strconv.ParseUint(params.Get("index"), 10, 64)
 	wait := defaultWait
 	if text := params.Get("wait"); text != "" {
 		var err error
 		if wait, err = time.ParseDuration(text); err != nil {
-			return bad("Invalid wait time")
+			return badRequest("Invalid wait time")
 		}
 	}
-	wait = min(wait, mostWait)
-	until := time.Now().Add(wait + wait/(2*jitterPart))
+	wait = min(wait, maxWait)
+	deadline := time.Now().Add(wait + wait/(2*jitterDivisor))
 	c.agent.store.mu.Lock()
-	epoch := c.agent.store.epoch
+	restores := c.agent.store.restores
 	c.agent.store.mu.Unlock()
 	for {
-		f, faultsChanged := c.agent.present()
+		f, faultsChanged := c.agent.currentFaults()
 		c.agent.store.mu.Lock()
-		st := c.agent.store.now
+		st := c.agent.store.current
 		if f.Lag != nil {
 			st = f.Lag.state
 		}
-		value, index, found := c.look(st, path)
+		value, index, found := c.lookup(st, path)
 		var body []byte
-		if index > wanted || wanted == 0 || f.NonBlocking || epoch != c.agent.store.epoch || !time.Now().Before(until) {
+		if index > waitIndex || waitIndex == 0 || f.NonBlocking || restores != c.agent.store.restores || !time.Now().Before(deadline) {
 			body, _ = codec.Marshal(value)
 		}
-		changed := c.agent.store.changed
+		changed := c.agent.store.updated
 		c.agent.store.mu.Unlock()
 		if body != nil {
 			h := http.Header{}
@@ -293,16 +293,16 @@
 			}
 			return http.StatusOK, h, body
 		}
-		t := time.NewTimer(time.Until(until))
+		t := time.NewTimer(time.Until(deadline))
 		select {
 		case <-c.Context().Done():
 			t.Stop()
 			return http.StatusServiceUnavailable, nil, nil
 		case <-changed:
 		case <-faultsChanged:
-			if f, _ := c.agent.present(); f.Hang {
+			if f, _ := c.agent.currentFaults(); f.Hang {
 				t.Stop()
-				return 0, nil, nil // never to be answered
+				return 0, nil, nil // status 0: never answered
 			}
 		case <-t.C:
 		}
@@ -310,36 +310,36 @@
 	}
 }
 
-// look reads what a path names, the index of its last change, and whether it is there.
-func (c call) look(st *state, path string) (value any, index uint64, found bool) {
+// lookup returns the value at a path, the index of its last change and whether it exists.
+func (c apiRequest) lookup(st *state, path string) (value any, index uint64, found bool) {
 	params := c.URL.Query()
 	switch kind, name, _ := strings.Cut(path, "/"); {
 	case path == "catalog/services":
-		return st.catalogue(), st.catalog, true
+		return st.catalogue(), st.catalogIndex, true
 	case path == "catalog/nodes":
 		return slices.SortedFunc(maps.Values(st.nodes), func(x, y Node) int { return strings.Compare(x.Node, y.Node) }), st.index, true
 	case strings.HasPrefix(path, "catalog/service/"):
 		name := strings.TrimPrefix(path, "catalog/service/")
-		return st.catalogService(name, params["tag"]), max(st.changed[name], 1), true
+		return st.catalogService(name, params["tag"]), max(st.serviceIndexes[name], 1), true
 	case strings.HasPrefix(path, "health/service/"):
 		name := strings.TrimPrefix(path, "health/service/")
 		_, passing := params["passing"]
-		index := st.changed[name]
-		if index == 0 { // a service that is not there has the index of all
-			index = st.catalog
+		index := st.serviceIndexes[name]
+		if index == 0 { // for an unknown service the index is that of the whole catalogue
+			index = st.catalogIndex
 		}
 		return st.health(name, params["tag"], passing), index, true
 	case strings.HasPrefix(path, "health/state/"):
-		return st.inState(strings.TrimPrefix(path, "health/state/")), st.critical, true
+		return st.checksInState(strings.TrimPrefix(path, "health/state/")), st.checksIndex, true
 	case strings.HasPrefix(path, "health/node/"):
-		return st.nodeChecks(strings.TrimPrefix(path, "health/node/")), st.critical, true
+		return st.nodeChecks(strings.TrimPrefix(path, "health/node/")), st.checksIndex, true
 	case kind == "kv":
 		return c.readPair(st, name)
 	case path == "session/list":
 		return slices.SortedFunc(maps.Values(st.sessions), func(x, y Session) int { return strings.Compare(x.ID, y.ID) }), st.index, true
 	case strings.HasPrefix(path, "session/info/"):
 		list := []Session{}
-		if s, there := st.sessions[strings.TrimPrefix(path, "session/info/")]; there {
+		if s, exists := st.sessions[strings.TrimPrefix(path, "session/info/")]; exists {
 			list = append(list, s)
 		}
 		return list, st.index, true
@@ -356,7 +356,7 @@
 	CreateIndex, ModifyIndex uint64
 }
 
-func bodyOf(s Service) serviceBody {
+func newServiceBody(s Service) serviceBody {
 	tags := s.Tags
 	if tags == nil {
 		tags = []string{}
@@ -388,10 +388,10 @@
 	return out
 }
 
-// instances returns those of a service that carry all tags, in order of node and id.
+// instances returns a service's instances that have all the given tags, ordered by node and id.
 func (st *state) instances(name string, tags []string) []Service {
 	var list []Service
-	for key := range st.byName[name] {
+	for key := range st.instancesByName[name] {
 		s := st.services[key]
 		if !slices.ContainsFunc(tags, func(t string) bool { return !slices.Contains(s.Tags, t) }) {
 			list = append(list, s)
@@ -404,11 +404,11 @@
 func (st *state) health(name string, tags []string, passing bool) []healthEntry {
 	out := []healthEntry{}
 	for _, s := range st.instances(name, tags) {
-		e := healthEntry{Node: st.nodes[s.Node], Service: bodyOf(s), Checks: []Check{}}
-		for key := range st.byNode[s.Node] {
+		e := healthEntry{Node: st.nodes[s.Node], Service: newServiceBody(s), Checks: []Check{}}
+		for key := range st.checksByNode[s.Node] {
 			e.Checks = append(e.Checks, st.checks[key])
 		}
-		for key := range st.ofID[serviceKey{s.Node, s.ID}] {
+		for key := range st.checksByService[serviceKey{s.Node, s.ID}] {
 			e.Checks = append(e.Checks, st.checks[key])
 		}
 		slices.SortFunc(e.Checks, func(x, y Check) int { return strings.Compare(x.CheckID, y.CheckID) })
@@ -423,7 +423,7 @@
 func (st *state) catalogService(name string, tags []string) []map[string]any {
 	out := []map[string]any{}
 	for _, s := range st.instances(name, tags) {
-		n, b := st.nodes[s.Node], bodyOf(s)
+		n, b := st.nodes[s.Node], newServiceBody(s)
 		out = append(out, map[string]any{
 			"Node": n.Node, "Address": n.Address, "ServiceID": b.ID, "ServiceName": b.Service, "ServiceTags": b.Tags,
 			"ServiceAddress": b.Address, "ServicePort": b.Port, "ServiceMeta": b.Meta, "CreateIndex": b.CreateIndex, "ModifyIndex": b.ModifyIndex,
@@ -432,7 +432,7 @@
 	return out
 }
 
-func (st *state) inState(status string) []Check {
+func (st *state) checksInState(status string) []Check {
 	out := []Check{}
 	for _, c := range st.checks {
 		if status == "any" || c.Status == status {
--- a/fake/consul/conformance_test.go
+++ b/fake/consul/conformance_test.go
@@ -10,7 +10,7 @@
 	"github.com/hashicorp/consul/api"
 )
 
-// start returns an agent and the official client as its caller.
+// start starts an agent and returns it with its store and an official Consul client for it.
 func start(t *testing.T) (*Store, *Agent, *api.Client) {
 	t.Helper()
 	store := NewStore()
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestServicesAndChecksOfTheAgent(t *testing.T) {
+func TestAgentServicesAndChecks(t *testing.T) {
 	_, _, c := start(t)
 	agent, health := c.Agent(), c.Health()
 	reg := &api.AgentServiceRegistration{
@@ -70,11 +70,11 @@
 	if err := agent.DisableServiceMaintenance("e1"); err != nil {
 		t.Fatal(err)
 	}
-	if err := agent.ServiceRegister(reg); err != nil { // anew, without having been taken off
+	if err := agent.ServiceRegister(reg); err != nil { // registered again without a deregistration
 		t.Fatal(err)
 	}
 	if list, _, _ = health.Service("llm", "", false, nil); list[0].Service.CreateIndex != created || list[0].Service.ModifyIndex == created {
-		t.Errorf("registered anew: %+v", list[0].Service)
+		t.Errorf("registered again: %+v", list[0].Service)
 	}
 	if services := must(agent.Services())(t); services["e1"] == nil || services["e1"].Service != "llm" {
 		t.Errorf("services %+v", services)
@@ -95,10 +95,10 @@
 		t.Errorf("after deregistration: %d", len(list))
 	}
 	if err := agent.ServiceDeregister("e1"); err == nil || !strings.Contains(err.Error(), "404") {
-		t.Errorf("twice: %v", err)
+		t.Errorf("second deregistration: %v", err)
 	}
 	if err := agent.UpdateTTL("service:e1", "", api.HealthPassing); err == nil {
-		t.Error("a check that is gone was updated")
+		t.Error("update of a deleted check succeeded")
 	}
 	if leader, err := c.Status().Leader(); err != nil || leader == "" {
 		t.Errorf("leader %q, %v", leader, err)
@@ -114,7 +114,7 @@
 	}
 	var index uint64
 	var seen []string
-	for len(seen) < 3 { // each wait ends with the next change
+	for len(seen) < 3 { // each blocking query returns at the next change
 		list, meta, err := c.Health().Service("wellgw", "", false, &api.QueryOptions{WaitIndex: index, WaitTime: 20 * time.Second})
 		if err != nil {
 			t.Fatal(err)
@@ -129,24 +129,24 @@
 	if !slices.Equal(seen, []string{"passing", "critical", "gone"}) {
 		t.Errorf("seen %v", seen)
 	}
-	var marks []string
-	for _, m := range store.StatusChanges() {
-		marks = append(marks, m.Status)
+	var statuses []string
+	for _, change := range store.StatusChanges() {
+		statuses = append(statuses, change.Status)
 	}
-	if !slices.Equal(marks, []string{"clear", "critical", "gone"}) {
-		t.Errorf("marks %v", marks)
+	if !slices.Equal(statuses, []string{"clear", "critical", "gone"}) {
+		t.Errorf("status changes %v", statuses)
 	}
 }
 
-// A blocking query ends with a change to its own service, not to another's; after
-// its wait without one; and at once when the servers are restored.
+// A blocking query returns at a change to its own service, not to another service. Without a change it
+// returns after its wait, and immediately when the servers are restored from a snapshot.
 func TestBlockingQueries(t *testing.T) {
 	store, agent, c := start(t)
 	store.Register(Service{ID: "a", Name: "x", Port: 1}, nil)
 	before := store.Snapshot()
 	store.Register(Service{ID: "b", Name: "y", Port: 1}, nil)
 	store.Register(Service{ID: "a2", Name: "x", Port: 1}, nil)
-	ask := func(index uint64, wait time.Duration) (int, uint64) {
+	query := func(index uint64, wait time.Duration) (int, uint64) {
 		t.Helper()
 		list, meta, err := c.Health().Service("x", "", false, &api.QueryOptions{WaitIndex: index, WaitTime: wait})
 		if err != nil {
@@ -154,7 +154,7 @@
 		}
 		return len(list), meta.LastIndex
 	}
-	n, index := ask(0, 0)
+	n, index := query(0, 0)
 	if n != 2 {
 		t.Fatalf("%d instances", n)
 	}
@@ -162,7 +162,7 @@
 		instances int
 		index     uint64
 	}
-	later := func() chan answer {
+	startBlocking := func() chan answer {
 		ch := make(chan answer, 1)
 		go func() {
 			list, meta, err := c.Health().Service("x", "", false, &api.QueryOptions{WaitIndex: index, WaitTime: time.Minute})
@@ -175,21 +175,21 @@
 		}()
 		return ch
 	}
-	ch := later()
+	ch := startBlocking()
 	store.Register(Service{ID: "b2", Name: "y", Port: 1}, nil)
 	store.Deregister("node-1", "a2")
 	if a := <-ch; a.instances != 1 || a.index <= index {
 		t.Errorf("after a change: %+v, index was %d", a, index)
 	}
-	n, index = ask(0, 0)
-	if n2, index2 := ask(index, 10*time.Millisecond); n2 != n || index2 != index {
+	n, index = query(0, 0)
+	if n2, index2 := query(index, 10*time.Millisecond); n2 != n || index2 != index {
 		t.Errorf("without a change: %d at %d, before %d at %d", n2, index2, n, index)
 	}
-	ch = later()
+	ch = startBlocking()
 	for _, _, open := agent.Stats(); open == 0; _, _, open = agent.Stats() {
 		time.Sleep(time.Millisecond)
 	}
-	time.Sleep(50 * time.Millisecond) // it has begun to block
+	time.Sleep(50 * time.Millisecond) // lets the agent begin to block the query
 	store.Restore(before)
 	if a := <-ch; a.index >= index {
 		t.Errorf("after a restore: index %d, was %d", a.index, index)
@@ -200,11 +200,11 @@
 	_, _, c := start(t)
 	kv, sessions := c.KV(), c.Session()
 	entry := &api.SessionEntry{Name: "roles", TTL: "10s", LockDelay: time.Millisecond, Behavior: api.SessionBehaviorRelease}
-	one, _, err := sessions.Create(entry, nil)
+	first, _, err := sessions.Create(entry, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	two, _, err := sessions.Create(entry, nil)
+	second, _, err := sessions.Create(entry, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -216,34 +216,34 @@
 		}
 		return got
 	}
-	if !acquire(one) || acquire(two) || !acquire(one) {
-		t.Error("the lock is not the first one's alone")
+	if !acquire(first) || acquire(second) || !acquire(first) {
+		t.Error("the lock is not held by the first session exclusively")
 	}
 	pair, _, err := kv.Get("lock", nil)
-	if err != nil || pair.Session != one || pair.LockIndex != 1 || string(pair.Value) != one {
+	if err != nil || pair.Session != first || pair.LockIndex != 1 || string(pair.Value) != first {
 		t.Errorf("%+v, %v", pair, err)
 	}
-	if _, err := sessions.Destroy(one, nil); err != nil {
+	if _, err := sessions.Destroy(first, nil); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(5 * time.Millisecond) // the lock delay
-	if !acquire(two) {
-		t.Error("the lock was not let go with its session")
+	if !acquire(second) {
+		t.Error("the lock was not released at the end of its session")
 	}
 	if pair, _, _ = kv.Get("lock", nil); pair.LockIndex != 2 {
 		t.Errorf("lock index %d", pair.LockIndex)
 	}
-	if released, _, err := kv.Release(&api.KVPair{Key: "lock", Session: two}, nil); err != nil || !released {
+	if released, _, err := kv.Release(&api.KVPair{Key: "lock", Session: second}, nil); err != nil || !released {
 		t.Errorf("release: %v, %v", released, err)
 	}
-	if entry, _, err := sessions.Renew(one, nil); err != nil || entry != nil {
-		t.Errorf("renewal of one that has ended: %+v, %v", entry, err)
+	if entry, _, err := sessions.Renew(first, nil); err != nil || entry != nil {
+		t.Errorf("renewal of a destroyed session: %+v, %v", entry, err)
 	}
-	if entry, _, err := sessions.Renew(two, nil); err != nil || entry == nil {
+	if entry, _, err := sessions.Renew(second, nil); err != nil || entry == nil {
 		t.Errorf("renewal: %+v, %v", entry, err)
 	}
 	if _, _, err := sessions.Create(&api.SessionEntry{TTL: "1s"}, nil); err == nil {
-		t.Error("a TTL below 10 s was taken")
+		t.Error("a TTL below 10 s was accepted")
 	}
 }
 
@@ -262,7 +262,7 @@
 		t.Errorf("keys %v, %v", keys, err)
 	}
 	pair, _, _ := kv.Get("b", nil)
-	for _, want := range []bool{true, false} { // the second has an index that is old
+	for _, want := range []bool{true, false} { // the second index is outdated
 		if done, _, err := kv.CAS(&api.KVPair{Key: "b", Value: []byte("x"), ModifyIndex: pair.ModifyIndex}, nil); err != nil || done != want {
 			t.Errorf("check and set: %v, %v", done, err)
 		}
@@ -280,39 +280,39 @@
 	store.Register(Service{ID: "a", Name: "x", Port: 1}, nil)
 	old := store.Snapshot()
 	store.Register(Service{ID: "b", Name: "x", Port: 1}, nil)
-	ask := func(o *api.QueryOptions) (int, *api.QueryMeta, error) {
+	query := func(o *api.QueryOptions) (int, *api.QueryMeta, error) {
 		list, meta, err := c.Health().Service("x", "", false, o)
 		return len(list), meta, err
 	}
-	status := func(f Faults, want string) {
+	expectError := func(f Faults, want string) {
 		t.Helper()
 		a.SetFaults(f)
-		if _, _, err := ask(nil); err == nil || !strings.Contains(err.Error(), want) {
+		if _, _, err := query(nil); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%+v: %v, want %s", f, err, want)
 		}
 	}
-	status(Faults{Status: 429, RetryAfter: "2"}, "429")
-	status(Faults{Leaderless: true}, "No cluster leader")
-	status(Faults{ResetFraction: 1}, "unexpected EOF")
-	status(Faults{Refuse: true}, "refused")
+	expectError(Faults{Status: 429, RetryAfter: "2"}, "429")
+	expectError(Faults{Leaderless: true}, "No cluster leader")
+	expectError(Faults{ResetFraction: 1}, "unexpected EOF")
+	expectError(Faults{Refuse: true}, "refused")
 	a.SetFaults(Faults{Leaderless: true, LastContact: time.Minute})
-	if n, meta, err := ask(&api.QueryOptions{AllowStale: true}); err != nil || n != 2 || meta.KnownLeader || meta.LastContact != time.Minute {
+	if n, meta, err := query(&api.QueryOptions{AllowStale: true}); err != nil || n != 2 || meta.KnownLeader || meta.LastContact != time.Minute {
 		t.Errorf("stale, no leader: %d, %+v, %v", n, meta, err)
 	}
 	a.SetFaults(Faults{Lag: old})
-	if n, _, err := ask(nil); err != nil || n != 1 {
+	if n, _, err := query(nil); err != nil || n != 1 {
 		t.Errorf("lagging: %d, %v", n, err)
 	}
 	a.SetFaults(Faults{Trickle: time.Microsecond})
-	if n, _, err := ask(nil); err != nil || n != 2 {
+	if n, _, err := query(nil); err != nil || n != 2 {
 		t.Errorf("trickling: %d, %v", n, err)
 	}
 	a.SetFaults(Faults{})
 	a.Token = "secret"
-	if _, _, err := ask(nil); err == nil || !strings.Contains(err.Error(), "403") {
+	if _, _, err := query(nil); err == nil || !strings.Contains(err.Error(), "403") {
 		t.Errorf("without a token: %v", err)
 	}
-	if n, _, err := ask(&api.QueryOptions{Token: "secret"}); err != nil || n != 2 {
+	if n, _, err := query(&api.QueryOptions{Token: "secret"}); err != nil || n != 2 {
 		t.Errorf("with a token: %d, %v", n, err)
 	}
 }
--- a/fake/consul/store.go
+++ b/fake/consul/store.go
@@ -1,8 +1,8 @@
-// Package consul is a fake of a Consul agent and the servers behind it, written
-// from the published HTTP API: catalogue, health, the agent's services and checks,
-// key-value entries with locks and sessions, blocking queries with an index for each
-// service, and faults that a test or an experiment scripts. It keeps no data on disk
-// and speaks to no other agent; several Agents may share one Store, and each may lag.
+// Package consul is a fake of a Consul agent and its servers, written from the published HTTP API:
+// catalogue, health, the agent's services and checks, key-value entries with locks and sessions, blocking
+// queries with an index for each service, and faults that a test or an experiment injects. It stores
+// nothing on disk and communicates with no other agent. Several Agents may share one Store, and each may
+// lag behind it.
 package consul
 
 import (
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// Service is an instance as it is registered.
+// Service is a registered instance of a service.
 type Service struct {
 	ID, Name    string
 	Node        string
@@ -25,7 +25,7 @@
 	ModifyIndex uint64
 }
 
-// Check is a check of a node, or of one service on it.
+// Check is a health check of a node, or of one service instance on it.
 type Check struct {
 	Node, CheckID, Name    string
 	Status, Notes, Output  string
@@ -35,11 +35,11 @@
 
 	ttl        time.Duration
 	expires    time.Time
-	deregister time.Duration // after it has been critical for so long
+	deregister time.Duration // how long the check may be critical before its service is deregistered
 	criticalAt time.Time
 }
 
-// Node is a machine with an agent on it.
+// Node is a machine that runs an agent.
 type Node struct {
 	Node, Address string
 	CreateIndex   uint64
@@ -55,7 +55,7 @@
 	LockIndex, CreateIndex, ModifyIndex uint64
 }
 
-// Session is a lock's holder.
+// Session is a session that may hold locks on keys.
 type Session struct {
 	ID, Name, Node     string
 	Behavior, TTL      string
@@ -72,31 +72,31 @@
 
 type checkKey struct{ node, id string }
 
-// state is all that the servers hold.
+// state is all data of the servers.
 type state struct {
-	index    uint64
-	nodes    map[string]Node
-	services map[serviceKey]Service
-	checks   map[checkKey]Check
-	byName   map[string]map[serviceKey]bool // instances of a service
-	byNode   map[string]map[checkKey]bool   // checks of a node itself
-	ofID     map[serviceKey]map[checkKey]bool
-	changed  map[string]uint64 // index of the last change to a service's health
-	catalog  uint64            // of the last change to the names and tags
-	critical uint64            // of the last change to a check
-	pairs    map[string]Pair
-	kvIndex  uint64
-	gone     map[string]uint64 // index at which a key was deleted
-	sessions map[string]Session
-	delays   map[string]time.Time // keys whose lock may not be taken yet
+	index           uint64
+	nodes           map[string]Node
+	services        map[serviceKey]Service
+	checks          map[checkKey]Check
+	instancesByName map[string]map[serviceKey]bool   // instances of each service
+	checksByNode    map[string]map[checkKey]bool     // node-level checks
+	checksByService map[serviceKey]map[checkKey]bool // checks of each instance
+	serviceIndexes  map[string]uint64                // index of the last change to each service's health
+	catalogIndex    uint64                           // index of the last change to service names and tags
+	checksIndex     uint64                           // index of the last change to a check
+	pairs           map[string]Pair
+	kvIndex         uint64
+	deleteIndexes   map[string]uint64 // index at which each deleted key was deleted
+	sessions        map[string]Session
+	lockDelays      map[string]time.Time // end of the lock delay of each key
 }
 
 func newState() *state {
 	return &state{
 		index: 1, nodes: map[string]Node{}, services: map[serviceKey]Service{}, checks: map[checkKey]Check{},
-		byName: map[string]map[serviceKey]bool{}, byNode: map[string]map[checkKey]bool{}, ofID: map[serviceKey]map[checkKey]bool{},
-		changed: map[string]uint64{}, pairs: map[string]Pair{}, gone: map[string]uint64{}, sessions: map[string]Session{},
-		delays: map[string]time.Time{}, catalog: 1, critical: 1, kvIndex: 1,
+		instancesByName: map[string]map[serviceKey]bool{}, checksByNode: map[string]map[checkKey]bool{}, checksByService: map[serviceKey]map[checkKey]bool{},
+		serviceIndexes: map[string]uint64{}, pairs: map[string]Pair{}, deleteIndexes: map[string]uint64{}, sessions: map[string]Session{},
+		lockDelays: map[string]time.Time{}, catalogIndex: 1, checksIndex: 1, kvIndex: 1,
 	}
 }
 
@@ -111,45 +111,46 @@
 func (st *state) clone() *state {
 	c := *st
 	c.nodes, c.services, c.checks = maps.Clone(st.nodes), maps.Clone(st.services), maps.Clone(st.checks)
-	c.byName, c.byNode, c.ofID = cloneSets(st.byName), cloneSets(st.byNode), cloneSets(st.ofID)
-	c.changed, c.pairs, c.gone = maps.Clone(st.changed), maps.Clone(st.pairs), maps.Clone(st.gone)
-	c.sessions, c.delays = maps.Clone(st.sessions), maps.Clone(st.delays)
+	c.instancesByName, c.checksByNode, c.checksByService = cloneSets(st.instancesByName), cloneSets(st.checksByNode), cloneSets(st.checksByService)
+	c.serviceIndexes, c.pairs, c.deleteIndexes = maps.Clone(st.serviceIndexes), maps.Clone(st.pairs), maps.Clone(st.deleteIndexes)
+	c.sessions, c.lockDelays = maps.Clone(st.sessions), maps.Clone(st.lockDelays)
 	return &c
 }
 
-// Store is what the servers of one datacentre hold.
+// Store is the data of the servers of one datacentre.
 type Store struct {
-	mu      sync.Mutex
-	now     *state
-	changed chan struct{} // closed at the next change
-	marks   []StatusChange
-	epoch   int // restores so far: each ends all blocking queries
-	stopped chan struct{}
-	once    sync.Once
+	mu            sync.Mutex
+	current       *state
+	updated       chan struct{} // closed and replaced at the next change
+	statusChanges []StatusChange
+	restores      int // number of restores; each ends all blocking queries
+	stopped       chan struct{}
+	once          sync.Once
 }
 
-// StatusChange is a change to whether an engine may be sent to, for a checker of the rules.
+// StatusChange is a change to whether requests may be sent to an instance. Checkers compare it with the
+// traffic.
 type StatusChange struct {
 	At      time.Time
-	Service string // its id
+	Service string // id of the instance
 	Status  string // critical, maintenance, clear, gone
 }
 
-// sweepEvery is how often TTLs are looked at.
-const sweepEvery = 50 * time.Millisecond
+// sweepInterval is the interval between checks for expired TTLs.
+const sweepInterval = 50 * time.Millisecond
 
-// NewStore returns an empty store. Close ends its sweep.
+// NewStore returns an empty store and starts its expiry of TTLs. Close stops it.
 func NewStore() *Store {
-	s := &Store{now: newState(), changed: make(chan struct{}), stopped: make(chan struct{})}
+	s := &Store{current: newState(), updated: make(chan struct{}), stopped: make(chan struct{})}
 	go s.sweep()
 	return s
 }
 
-// Close ends the store's work.
+// Close stops the expiry of TTLs.
 func (s *Store) Close() { s.once.Do(func() { close(s.stopped) }) }
 
 func (s *Store) sweep() {
-	t := time.NewTicker(sweepEvery)
+	t := time.NewTicker(sweepInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -161,99 +162,99 @@
 	}
 }
 
-// update has change work on the state; if it says that something changed, those that
-// wait are woken.
+// update calls change on the state. If change reports a modification, update records status changes and
+// wakes blocking queries.
 func (s *Store) update(change func(*state) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	before := s.now.marked()
-	if !change(s.now) {
+	before := s.current.instanceStatuses()
+	if !change(s.current) {
 		return
 	}
-	s.note(before, s.now.marked())
-	close(s.changed)
-	s.changed = make(chan struct{})
+	s.recordStatusChanges(before, s.current.instanceStatuses())
+	close(s.updated)
+	s.updated = make(chan struct{})
 }
 
-func (s *Store) note(before, after map[string]string) {
+func (s *Store) recordStatusChanges(before, after map[string]string) {
 	now := time.Now()
-	for id, what := range after {
-		if before[id] != what {
-			s.marks = append(s.marks, StatusChange{now, id, what})
+	for id, status := range after {
+		if before[id] != status {
+			s.statusChanges = append(s.statusChanges, StatusChange{now, id, status})
 		}
 	}
 	for id := range before {
-		if _, there := after[id]; !there {
-			s.marks = append(s.marks, StatusChange{now, id, "gone"})
+		if _, exists := after[id]; !exists {
+			s.statusChanges = append(s.statusChanges, StatusChange{now, id, "gone"})
 		}
 	}
 }
 
-// marked tells what is stated of each service instance. It is kept small for large
-// stores: only what is not clear is worked out, the rest is named as clear.
-func (st *state) marked() map[string]string {
+// instanceStatuses returns the status of each service instance by id: clear, critical or maintenance. To
+// be fast on large stores it sets all to clear and then evaluates only checks that are not passing.
+func (st *state) instanceStatuses() map[string]string {
 	out := make(map[string]string, len(st.services))
 	for key := range st.services {
 		out[key.id] = "clear"
 	}
 	for _, c := range st.checks {
-		what := ""
+		status := ""
 		switch {
 		case strings.HasPrefix(c.CheckID, "_service_maintenance") || c.CheckID == "_node_maintenance":
-			what = "maintenance"
+			status = "maintenance"
 		case c.Status == "critical":
-			what = "critical"
+			status = "critical"
 		}
-		if what == "" {
+		if status == "" {
 			continue
 		}
 		if c.ServiceID != "" {
-			if what == "critical" || out[c.ServiceID] != "critical" {
-				out[c.ServiceID] = what
+			if status == "critical" || out[c.ServiceID] != "critical" {
+				out[c.ServiceID] = status
 			}
 			continue
 		}
 		for key := range st.services {
 			if key.node == c.Node {
-				out[key.id] = what
+				out[key.id] = status
 			}
 		}
 	}
 	return out
 }
 
-// StatusChanges returns all changes of marks so far, oldest first.
+// StatusChanges returns all status changes so far, oldest first.
 func (s *Store) StatusChanges() []StatusChange {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.marks)
+	return slices.Clone(s.statusChanges)
 }
 
-// Index returns the newest index.
+// Index returns the index of the latest change.
 func (s *Store) Index() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.now.index
+	return s.current.index
 }
 
-// Snapshot returns the present state, for Restore and for servers that lag.
+// Snapshot returns a copy of the current state, for Restore and for Faults.Lag.
 func (s *Store) Snapshot() *Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return &Snapshot{s.now.clone()}
+	return &Snapshot{s.current.clone()}
 }
 
-// Snapshot is a state at one time.
+// Snapshot is a copy of the servers' state.
 type Snapshot struct{ state *state }
 
-// EmptySnapshot returns the snapshot of servers that were started with nothing.
+// EmptySnapshot returns the snapshot of newly started servers without data.
 func EmptySnapshot() *Snapshot { return &Snapshot{newState()} }
 
-// Restore puts an old state in the place of the present one, index and all.
+// Restore replaces the current state, including its index, with a snapshot.
 func (s *Store) Restore(snap *Snapshot) {
 	s.update(func(st *state) bool {
 		*st = *snap.state.clone()
-		s.epoch++
+		s.restores++
 		return true
 	})
 }
@@ -263,53 +264,53 @@
 	return st.index
 }
 
-func put[K, V comparable](m map[K]map[V]bool, k K, v V) {
+func addToSet[K, V comparable](m map[K]map[V]bool, k K, v V) {
 	if m[k] == nil {
 		m[k] = map[V]bool{}
 	}
 	m[k][v] = true
 }
 
-func take[K, V comparable](m map[K]map[V]bool, k K, v V) {
+func removeFromSet[K, V comparable](m map[K]map[V]bool, k K, v V) {
 	if delete(m[k], v); len(m[k]) == 0 {
 		delete(m, k)
 	}
 }
 
-// touchService notes a change to a service's health.
-func (st *state) touchService(name string, index uint64) { st.changed[name] = index }
+// markServiceChanged records the index of a change to a service's health.
+func (st *state) markServiceChanged(name string, index uint64) { st.serviceIndexes[name] = index }
 
-// touchNode notes a change to the health of all services on a node.
-func (st *state) touchNode(node string, index uint64) {
+// markNodeChanged records the index of a change to the health of all services on a node.
+func (st *state) markNodeChanged(node string, index uint64) {
 	for k, svc := range st.services {
 		if k.node == node {
-			st.touchService(svc.Name, index)
+			st.markServiceChanged(svc.Name, index)
 		}
 	}
 }
 
 func (st *state) register(svc Service, checks []Check) {
 	index := st.bump()
-	if _, there := st.nodes[svc.Node]; !there {
+	if _, exists := st.nodes[svc.Node]; !exists {
 		st.nodes[svc.Node] = Node{Node: svc.Node, Address: "127.0.0.1", CreateIndex: index, ModifyIndex: index}
 	}
 	key := serviceKey{svc.Node, svc.ID}
 	svc.CreateIndex, svc.ModifyIndex = index, index
-	if old, there := st.services[key]; there {
+	if old, exists := st.services[key]; exists {
 		svc.CreateIndex = old.CreateIndex
 		if old.Name != svc.Name {
-			take(st.byName, old.Name, key)
-			st.touchService(old.Name, index)
+			removeFromSet(st.instancesByName, old.Name, key)
+			st.markServiceChanged(old.Name, index)
 		}
 		if old.Name != svc.Name || !slices.Equal(old.Tags, svc.Tags) {
-			st.catalog = index
+			st.catalogIndex = index
 		}
 	} else {
-		st.catalog = index
+		st.catalogIndex = index
 	}
 	st.services[key] = svc
-	put(st.byName, svc.Name, key)
-	st.touchService(svc.Name, index)
+	addToSet(st.instancesByName, svc.Name, key)
+	st.markServiceChanged(svc.Name, index)
 	for _, c := range checks {
 		c.Node, c.ServiceID, c.ServiceName = svc.Node, svc.ID, svc.Name
 		st.setCheck(c, index)
@@ -318,73 +319,74 @@
 
 func (st *state) setCheck(c Check, index uint64) {
 	key := checkKey{c.Node, c.CheckID}
-	old, there := st.checks[key]
+	old, exists := st.checks[key]
 	c.CreateIndex, c.ModifyIndex = index, index
-	if there {
+	if exists {
 		c.CreateIndex = old.CreateIndex
 	}
 	if c.Status == "critical" {
-		if c.criticalAt = old.criticalAt; !there || old.Status != "critical" {
+		if c.criticalAt = old.criticalAt; !exists || old.Status != "critical" {
 			c.criticalAt = time.Now()
 		}
 	}
 	st.checks[key] = c
 	if c.ServiceID == "" {
-		put(st.byNode, c.Node, key)
+		addToSet(st.checksByNode, c.Node, key)
 	} else {
-		put(st.ofID, serviceKey{c.Node, c.ServiceID}, key)
+		addToSet(st.checksByService, serviceKey{c.Node, c.ServiceID}, key)
 	}
-	if st.touchOwner(c, index); c.ServiceID == "" {
+	if st.markOwnerChanged(c, index); c.ServiceID == "" {
 		return
 	}
-	for id, s := range st.sessions { // a session ends with one of its checks
+	for id, s := range st.sessions { // a session ends when one of its checks becomes critical
 		if c.Status == "critical" && s.Node == c.Node && slices.Contains(slices.Concat(s.Checks, s.NodeChecks, s.ServiceChecks), c.CheckID) {
 			st.endSession(id)
 		}
 	}
 }
 
-func (st *state) dropCheck(key checkKey, index uint64) {
-	c, there := st.checks[key]
-	if !there {
+func (st *state) deleteCheck(key checkKey, index uint64) {
+	c, exists := st.checks[key]
+	if !exists {
 		return
 	}
 	delete(st.checks, key)
 	if c.ServiceID == "" {
-		take(st.byNode, c.Node, key)
+		removeFromSet(st.checksByNode, c.Node, key)
 	} else {
-		take(st.ofID, serviceKey{c.Node, c.ServiceID}, key)
+		removeFromSet(st.checksByService, serviceKey{c.Node, c.ServiceID}, key)
 	}
-	st.touchOwner(c, index)
+	st.markOwnerChanged(c, index)
 }
 
-// touchOwner notes that a check has changed: of a service, or of a node as a whole.
-func (st *state) touchOwner(c Check, index uint64) {
-	st.critical = index
+// markOwnerChanged records the index of a change to a check, for its service or for all services on its
+// node.
+func (st *state) markOwnerChanged(c Check, index uint64) {
+	st.checksIndex = index
 	if c.ServiceID == "" {
-		st.touchNode(c.Node, index)
+		st.markNodeChanged(c.Node, index)
 		return
 	}
-	st.touchService(c.ServiceName, index)
+	st.markServiceChanged(c.ServiceName, index)
 }
 
 func (st *state) deregister(key serviceKey) bool {
-	svc, there := st.services[key]
-	if !there {
+	svc, exists := st.services[key]
+	if !exists {
 		return false
 	}
 	index := st.bump()
-	for c := range maps.Clone(st.ofID[key]) {
-		st.dropCheck(c, index)
+	for c := range maps.Clone(st.checksByService[key]) {
+		st.deleteCheck(c, index)
 	}
 	delete(st.services, key)
-	take(st.byName, svc.Name, key)
-	st.touchService(svc.Name, index)
-	st.catalog = index
+	removeFromSet(st.instancesByName, svc.Name, key)
+	st.markServiceChanged(svc.Name, index)
+	st.catalogIndex = index
 	return true
 }
 
-// expire lets TTLs pass.
+// expire applies the TTLs of checks and sessions and deregisters instances that were critical for too long.
 func (st *state) expire(now time.Time) bool {
 	changed := false
 	for key, c := range st.checks {
@@ -406,11 +408,11 @@
 	return changed
 }
 
-// endSession lets go of, or deletes, what a session has locked. The keys may not be
-// locked again until its lock delay is over.
+// endSession deletes a session. The keys that it has locked are unlocked or deleted, depending on its
+// behavior, and can't be locked again until its lock delay has passed.
 func (st *state) endSession(id string) bool {
-	s, there := st.sessions[id]
-	if !there {
+	s, exists := st.sessions[id]
+	if !exists {
 		return false
 	}
 	delete(st.sessions, id)
@@ -421,11 +423,11 @@
 		}
 		st.kvIndex = index
 		if s.LockDelay > 0 {
-			st.delays[key] = time.Now().Add(s.LockDelay)
+			st.lockDelays[key] = time.Now().Add(s.LockDelay)
 		}
 		if s.Behavior == "delete" {
 			delete(st.pairs, key)
-			st.gone[key] = index
+			st.deleteIndexes[key] = index
 			continue
 		}
 		p.Session, p.ModifyIndex = "", index
@@ -434,7 +436,7 @@
 	return true
 }
 
-// Register lists an instance, with checks given by id and status.
+// Register registers an instance. checks maps ids of checks to their statuses.
 func (s *Store) Register(svc Service, checks map[string]string) {
 	s.update(func(st *state) bool {
 		if svc.Node == "" {
@@ -449,22 +451,22 @@
 	})
 }
 
-// Deregister takes an instance off the list.
+// Deregister removes an instance.
 func (s *Store) Deregister(node, id string) {
 	s.update(func(st *state) bool { return st.deregister(serviceKey{node, id}) })
 }
 
-// SetCheck changes the status of a service's check.
+// SetCheck sets the status of an instance's check.
 func (s *Store) SetCheck(node, id, check, status string) {
 	s.SetChecks(node, map[string]string{id: status}, check)
 }
 
-// SetChecks changes the status of one check of many services at one index each.
-func (s *Store) SetChecks(node string, byID map[string]string, check string) {
+// SetChecks sets the status of one check of several instances, each with an index of its own.
+func (s *Store) SetChecks(node string, statusByID map[string]string, check string) {
 	s.update(func(st *state) bool {
-		for id, status := range byID {
-			svc, there := st.services[serviceKey{node, id}]
-			if !there {
+		for id, status := range statusByID {
+			svc, exists := st.services[serviceKey{node, id}]
+			if !exists {
 				continue
 			}
 			c := st.checks[checkKey{node, check + ":" + id}]
@@ -476,19 +478,19 @@
 	})
 }
 
-// SetMaintenance begins or ends the maintenance of one instance.
+// SetMaintenance begins or ends the maintenance of one instance. It reports whether the instance exists.
 func (s *Store) SetMaintenance(node, id string, on bool, reason string) bool {
 	found := false
 	s.update(func(st *state) bool {
-		svc, there := st.services[serviceKey{node, id}]
-		if found = there; !there {
+		svc, exists := st.services[serviceKey{node, id}]
+		if found = exists; !exists {
 			return false
 		}
 		c := Check{Node: node, CheckID: "_service_maintenance:" + id, Name: "Service Maintenance Mode", Status: "critical", Notes: reason, ServiceID: id, ServiceName: svc.Name}
 		if on {
 			st.setCheck(c, st.bump())
 		} else {
-			st.dropCheck(checkKey{node, c.CheckID}, st.bump())
+			st.deleteCheck(checkKey{node, c.CheckID}, st.bump())
 		}
 		return true
 	})
--- a/fake/consul/write.go
+++ b/fake/consul/write.go
@@ -11,15 +11,15 @@
 	"time"
 )
 
-const maxWrite = 1 << 20
+const maxWriteBytes = 1 << 20
 
-// write carries out a call that changes something.
-func (c call) write(path string) (int, http.Header, []byte) {
-	raw, err := io.ReadAll(io.LimitReader(c.Body, maxWrite))
+// write executes a PUT or DELETE request.
+func (c apiRequest) write(path string) (int, http.Header, []byte) {
+	raw, err := io.ReadAll(io.LimitReader(c.Body, maxWriteBytes))
 	if err != nil {
-		return bad(err.Error())
+		return badRequest(err.Error())
 	}
-	if key, is := strings.CutPrefix(path, "kv/"); is {
+	if key, present := strings.CutPrefix(path, "kv/"); present {
 		if c.Method == http.MethodDelete {
 			return c.deletePair(key)
 		}
@@ -37,36 +37,36 @@
 	case verb == "agent/service/maintenance":
 		on := c.URL.Query().Get("enable")
 		if on != "true" && on != "false" {
-			return bad("Missing value for enable")
+			return badRequest("Missing value for enable")
 		}
 		if !c.agent.store.SetMaintenance(c.agent.Node, rest, on == "true", c.URL.Query().Get("reason")) {
 			return http.StatusNotFound, nil, []byte("Unknown service ID " + strconv.Quote(rest))
 		}
-		return ok("")
+		return okResponse("")
 	case verb == "agent/check/pass", verb == "agent/check/warn", verb == "agent/check/fail":
 		status := map[string]string{"pass": "passing", "warn": "warning", "fail": "critical"}[verb[len("agent/check/"):]]
 		return c.setTTL(rest, status, c.URL.Query().Get("note"))
 	case verb == "agent/check/update":
 		var u struct{ Status, Output string }
 		if err := codec.Unmarshal(raw, &u); err != nil {
-			return bad("Request decode failed: " + err.Error())
+			return badRequest("Request decode failed: " + err.Error())
 		}
 		if !slices.Contains([]string{"passing", "warning", "critical"}, u.Status) {
-			return bad("Invalid check status: " + strconv.Quote(u.Status))
+			return badRequest("Invalid check status: " + strconv.Quote(u.Status))
 		}
 		return c.setTTL(rest, u.Status, u.Output)
 	case path == "session/create":
 		return c.createSession(raw)
 	case verb == "session/destroy":
 		c.agent.store.update(func(st *state) bool { return st.endSession(rest) })
-		return ok("true")
+		return okResponse("true")
 	case verb == "session/renew":
 		return c.renewSession(rest)
 	}
 	return http.StatusNotFound, nil, []byte("no such path")
 }
 
-// cutLast splits a path before its last element; ids hold no slash here.
+// cutLast splits a path before its last element. It assumes that ids contain no slash.
 func cutLast(path string) (verb, last string) {
 	i := strings.LastIndexByte(path, '/')
 	if i < 0 {
@@ -75,13 +75,13 @@
 	return path[:i], path[i+1:]
 }
 
-// checkBody is a check as a service's registration defines it.
+// checkBody is the definition of a check in the body of a service registration.
 type checkBody struct {
 	CheckID, Name, TTL, Status, Notes string
 	DeregisterCriticalServiceAfter    string
 }
 
-// invalidCheckError is a check that can't be registered, in the words of Consul's API.
+// invalidCheckError is an invalid definition of a check. Its text is that of Consul's API.
 type invalidCheckError struct{ cause error }
 
 func (e invalidCheckError) Error() string { return "Invalid check: " + e.cause.Error() }
@@ -96,7 +96,7 @@
 		c.Name = "Service check"
 	}
 	if c.Status == "" {
-		c.Status = "critical" // by the documentation, until it is first heard of
+		c.Status = "critical" // Consul's documented status until the check's first update
 	}
 	for _, d := range []struct {
 		text string
@@ -115,7 +115,7 @@
 	return c, nil
 }
 
-func (c call) register(raw []byte) (int, http.Header, []byte) {
+func (c apiRequest) register(raw []byte) (int, http.Header, []byte) {
 	var b struct {
 		ID, Name, Address string
 		Port              int
@@ -125,10 +125,10 @@
 		Checks            []checkBody
 	}
 	if err := codec.Unmarshal(raw, &b); err != nil {
-		return bad("Request decode failed: " + err.Error())
+		return badRequest("Request decode failed: " + err.Error())
 	}
 	if b.Name == "" {
-		return bad("Missing service name")
+		return badRequest("Missing service name")
 	}
 	if b.ID == "" {
 		b.ID = b.Name
@@ -144,7 +144,7 @@
 		}
 		check, err := cb.check(id)
 		if err != nil {
-			return bad(err.Error())
+			return badRequest(err.Error())
 		}
 		checks = append(checks, check)
 	}
@@ -152,10 +152,10 @@
 		st.register(Service{ID: b.ID, Name: b.Name, Node: c.agent.Node, Address: b.Address, Port: b.Port, Tags: b.Tags, Meta: b.Meta}, checks)
 		return true
 	})
-	return ok("")
+	return okResponse("")
 }
 
-func (c call) deregister(id string) (int, http.Header, []byte) {
+func (c apiRequest) deregister(id string) (int, http.Header, []byte) {
 	found := false
 	c.agent.store.update(func(st *state) bool {
 		found = st.deregister(serviceKey{c.agent.Node, id})
@@ -164,15 +164,15 @@
 	if !found {
 		return http.StatusNotFound, nil, []byte("Unknown service ID " + strconv.Quote(id) + ". Ensure that the service ID is passed, not the service name.")
 	}
-	return ok("")
+	return okResponse("")
 }
 
-func (c call) setTTL(id, status, output string) (int, http.Header, []byte) {
+func (c apiRequest) setTTL(id, status, output string) (int, http.Header, []byte) {
 	code, text := http.StatusOK, ""
 	c.agent.store.update(func(st *state) bool {
-		check, there := st.checks[checkKey{c.agent.Node, id}]
+		check, exists := st.checks[checkKey{c.agent.Node, id}]
 		switch {
-		case !there:
+		case !exists:
 			code, text = http.StatusNotFound, "Unknown check ID "+strconv.Quote(id)+". Ensure that the check ID is passed, not the check name."
 			return false
 		case check.ttl == 0:
@@ -191,49 +191,49 @@
 	return code, nil, []byte(text)
 }
 
-func (c call) agentServices() (int, http.Header, []byte) {
+func (c apiRequest) agentServices() (int, http.Header, []byte) {
 	c.agent.store.mu.Lock()
 	defer c.agent.store.mu.Unlock()
 	out := map[string]serviceBody{}
-	for key, s := range c.agent.store.now.services {
+	for key, s := range c.agent.store.current.services {
 		if key.node == c.agent.Node {
-			out[key.id] = bodyOf(s)
+			out[key.id] = newServiceBody(s)
 		}
 	}
 	body, _ := codec.Marshal(out)
-	return ok(string(body))
+	return okResponse(string(body))
 }
 
-func (c call) agentChecks() (int, http.Header, []byte) {
+func (c apiRequest) agentChecks() (int, http.Header, []byte) {
 	c.agent.store.mu.Lock()
 	defer c.agent.store.mu.Unlock()
 	out := map[string]Check{}
-	for key, check := range c.agent.store.now.checks {
+	for key, check := range c.agent.store.current.checks {
 		if key.node == c.agent.Node {
 			out[key.id] = check
 		}
 	}
 	body, _ := codec.Marshal(out)
-	return ok(string(body))
+	return okResponse(string(body))
 }
 
-// newID returns a random id in the form of a UUID.
+// newID returns a random id in UUID format.
 func newID() string {
 	var b [16]byte
 	rand.Read(b[:])
 	return fmt.Sprintf("%x-%x-%x-%x-%x", b[:4], b[4:6], b[6:8], b[8:10], b[10:])
 }
 
-// The bounds of a session's TTL, and the delay of its locks where none is given, by
-// the documentation.
+// Bounds of a session's TTL and of its lock delay, and the default lock delay, according to Consul's
+// documentation.
 const (
-	leastTTL         = 10 * time.Second
-	mostTTL          = 24 * time.Hour
+	minTTL           = 10 * time.Second
+	maxTTL           = 24 * time.Hour
 	defaultLockDelay = 15 * time.Second
-	mostLockDelay    = 60 * time.Second
+	maxLockDelay     = 60 * time.Second
 )
 
-func (c call) createSession(raw []byte) (int, http.Header, []byte) {
+func (c apiRequest) createSession(raw []byte) (int, http.Header, []byte) {
 	var b struct {
 		LockDelay, Node, Name, Behavior, TTL string
 		Checks, NodeChecks                   []string
@@ -241,7 +241,7 @@
 	}
 	if len(raw) > 0 {
 		if err := codec.Unmarshal(raw, &b); err != nil {
-			return bad("Request decode failed: " + err.Error())
+			return badRequest("Request decode failed: " + err.Error())
 		}
 	}
 	s := Session{ID: newID(), Name: b.Name, Node: b.Node, Behavior: b.Behavior, TTL: b.TTL, LockDelay: defaultLockDelay, Checks: b.Checks, NodeChecks: b.NodeChecks}
@@ -255,27 +255,27 @@
 		s.Behavior = "release"
 	}
 	if s.Behavior != "release" && s.Behavior != "delete" {
-		return bad("Invalid Behavior setting " + strconv.Quote(s.Behavior))
+		return badRequest("Invalid Behavior setting " + strconv.Quote(s.Behavior))
 	}
 	if b.LockDelay != "" {
 		d, err := time.ParseDuration(b.LockDelay)
-		if err != nil || d > mostLockDelay {
-			return bad("Invalid LockDelay")
+		if err != nil || d > maxLockDelay {
+			return badRequest("Invalid LockDelay")
 		}
 		s.LockDelay = d
 	}
 	if b.TTL != "" {
 		d, err := time.ParseDuration(b.TTL)
-		if err != nil || d != 0 && (d < leastTTL || d > mostTTL) {
+		if err != nil || d != 0 && (d < minTTL || d > maxTTL) {
 			return http.StatusInternalServerError, nil, []byte("Invalid Session TTL '" + b.TTL + "', must be between [10s=24h0m0s]")
 		}
 		s.ttl = d
-		s.expires = time.Now().Add(2 * d) // by the documentation it may last up to twice its TTL
+		s.expires = time.Now().Add(2 * d) // Consul documents that a session may last for up to twice its TTL
 	}
 	code, text := http.StatusOK, ""
 	c.agent.store.update(func(st *state) bool {
 		for _, id := range s.Checks {
-			if check, there := st.checks[checkKey{s.Node, id}]; id != "serfHealth" && (!there || check.Status == "critical") {
+			if check, exists := st.checks[checkKey{s.Node, id}]; id != "serfHealth" && (!exists || check.Status == "critical") {
 				code, text = http.StatusInternalServerError, "Missing or failing check "+strconv.Quote(id)
 				return false
 			}
@@ -288,13 +288,13 @@
 	if code != http.StatusOK {
 		return code, nil, []byte(text)
 	}
-	return ok(fmt.Sprintf(`{"ID":%q}`, s.ID))
+	return okResponse(fmt.Sprintf(`{"ID":%q}`, s.ID))
 }
 
-func (c call) renewSession(id string) (int, http.Header, []byte) {
+func (c apiRequest) renewSession(id string) (int, http.Header, []byte) {
 	var found []Session
 	c.agent.store.update(func(st *state) bool {
-		if s, there := st.sessions[id]; there {
+		if s, exists := st.sessions[id]; exists {
 			s.expires = time.Now().Add(2 * s.ttl)
 			st.sessions[id] = s
 			found = append(found, s)
@@ -305,18 +305,18 @@
 		return http.StatusNotFound, nil, []byte("Session id '" + id + "' not found")
 	}
 	body, _ := codec.Marshal(found)
-	return ok(string(body))
+	return okResponse(string(body))
 }
 
-// readPair reads one key, all below a prefix, or their names.
-func (c call) readPair(st *state, key string) (any, uint64, bool) {
+// readPair returns one entry, all entries with a prefix (recurse), or only their keys (keys).
+func (c apiRequest) readPair(st *state, key string) (any, uint64, bool) {
 	params := c.URL.Query()
 	_, recurse := params["recurse"]
 	_, keys := params["keys"]
 	if !recurse && !keys {
-		p, there := st.pairs[key]
-		if !there {
-			return nil, max(st.gone[key], 1), false
+		p, exists := st.pairs[key]
+		if !exists {
+			return nil, max(st.deleteIndexes[key], 1), false
 		}
 		return []Pair{p}, p.ModifyIndex, true
 	}
@@ -334,24 +334,24 @@
 	return pairs, st.kvIndex, len(pairs) > 0
 }
 
-func (c call) writePair(key string, value []byte) (int, http.Header, []byte) {
+func (c apiRequest) writePair(key string, value []byte) (int, http.Header, []byte) {
 	params := c.URL.Query()
 	flags, _ := strconv.ParseUint(params.Get("flags"), 10, 64)
 	done, code := false, http.StatusOK
 	c.agent.store.update(func(st *state) bool {
-		p, there := st.pairs[key]
-		if text, is := params["cas"]; is {
-			want, _ := strconv.ParseUint(text[0], 10, 64)
-			if want == 0 && there || want != 0 && (!there || p.ModifyIndex != want) {
+		p, exists := st.pairs[key]
+		if text, present := params["cas"]; present {
+			wantIndex, _ := strconv.ParseUint(text[0], 10, 64)
+			if wantIndex == 0 && exists || wantIndex != 0 && (!exists || p.ModifyIndex != wantIndex) {
 				return false
 			}
 		}
 		if id := params.Get("acquire"); id != "" {
-			if _, lives := st.sessions[id]; !lives {
+			if _, sessionExists := st.sessions[id]; !sessionExists {
 				code = http.StatusInternalServerError
 				return false
 			}
-			if p.Session != "" && p.Session != id || time.Now().Before(st.delays[key]) {
+			if p.Session != "" && p.Session != id || time.Now().Before(st.lockDelays[key]) {
 				return false
 			}
 			if p.Session == "" {
@@ -366,29 +366,29 @@
 			p.Session = ""
 		}
 		index := st.bump()
-		if !there {
+		if !exists {
 			p.Key, p.CreateIndex = key, index
 		}
 		p.Value, p.Flags, p.ModifyIndex = value, flags, index
 		st.pairs[key], st.kvIndex = p, index
-		delete(st.gone, key)
+		delete(st.deleteIndexes, key)
 		done = true
 		return true
 	})
 	if code != http.StatusOK {
 		return code, nil, []byte("invalid session " + strconv.Quote(params.Get("acquire")))
 	}
-	return ok(strconv.FormatBool(done))
+	return okResponse(strconv.FormatBool(done))
 }
 
-func (c call) deletePair(key string) (int, http.Header, []byte) {
+func (c apiRequest) deletePair(key string) (int, http.Header, []byte) {
 	params := c.URL.Query()
 	_, recurse := params["recurse"]
 	done := true
 	c.agent.store.update(func(st *state) bool {
-		if text, is := params["cas"]; is {
-			want, _ := strconv.ParseUint(text[0], 10, 64)
-			if p := st.pairs[key]; p.ModifyIndex != want {
+		if text, present := params["cas"]; present {
+			wantIndex, _ := strconv.ParseUint(text[0], 10, 64)
+			if p := st.pairs[key]; p.ModifyIndex != wantIndex {
 				done = false
 				return false
 			}
@@ -397,7 +397,7 @@
 		for name := range st.pairs {
 			if name == key || recurse && strings.HasPrefix(name, key) {
 				delete(st.pairs, name)
-				st.gone[name], changed = index, true
+				st.deleteIndexes[name], changed = index, true
 			}
 		}
 		if changed {
@@ -405,5 +405,5 @@
 		}
 		return changed
 	})
-	return ok(strconv.FormatBool(done))
+	return okResponse(strconv.FormatBool(done))
 }
