--- a/fake/consul/agent.go
+++ b/fake/consul/agent.go
@@ -20,18 +20,19 @@
 
 // Faults are the faults that an agent injects. The zero value injects none.
 type Faults struct {
-	Hang          bool                                  // accepts connections, but answers no request, including those in flight
-	Refuse        bool                                  // refuses new connections and closes open ones
-	ResetFraction float64                               // fraction of answers that end with a reset in the middle of the body
-	Trickle       time.Duration                         // delay after each byte of an answer
-	Status        int                                   // status of every answer, if not 0
-	RetryAfter    string                                // Retry-After header of answers with Status
-	Body          string                                // replaces the body of every 200 answer, if not empty
-	Rewrite       func(path string, body []byte) []byte // replaces the body of every 200 answer, if not nil
-	Leaderless    bool                                  // the servers have no leader
-	LastContact   time.Duration                         // time since the answering server's last contact with the leader
-	Lag           *Snapshot                             // queries are answered from this older state
-	NonBlocking   bool                                  // blocking queries return without waiting
+	Hang          bool          // accepts connections, but answers no request, including those in flight
+	Refuse        bool          // refuses new connections and closes open ones
+	ResetFraction float64       // fraction of answers that end with a reset in the middle of the body
+	Trickle       time.Duration // delay after each byte of an answer
+	Status        int           // status of every answer, if not 0
+	RetryAfter    string        // Retry-After header of answers with Status
+	Body          string        // replaces the body of every 200 answer, if not empty
+	// Rewrite replaces the body of every 200 answer, if not nil.
+	Rewrite     func(path string, body []byte) []byte
+	Leaderless  bool          // the servers have no leader
+	LastContact time.Duration // time since the answering server's last contact with the leader
+	Lag         *Snapshot     // queries are answered from this older state
+	NonBlocking bool          // blocking queries return without waiting
 }
 
 // Agent answers the HTTP API on loopback.
