--- a/fake/engine/answer.go
+++ b/fake/engine/answer.go
@@ -9,16 +9,16 @@
 	jsoniter "github.com/json-iterator/go"
 )
 
-// request is what an engine reads of a call.
+// request is the part of a request body that an engine evaluates.
 type request struct {
-	Model     string
-	MaxTokens int `json:"max_tokens"`
-	MostOut   int `json:"max_completion_tokens"`
-	N         int `json:"n"`
-	Seed      *int
-	Logprobs  any
-	Stop      any
-	Messages  []struct {
+	Model               string
+	MaxTokens           int `json:"max_tokens"`
+	MaxCompletionTokens int `json:"max_completion_tokens"`
+	N                   int `json:"n"`
+	Seed                *int
+	Logprobs            any
+	Stop                any
+	Messages            []struct {
 		Content jsoniter.RawMessage
 	}
 	Prompt any
@@ -29,12 +29,13 @@
 	ToolChoice     any                   `json:"tool_choice"`
 	Parallel       *bool                 `json:"parallel_tool_calls"`
 	ResponseFormat struct{ Type string } `json:"response_format"`
-	GoOn           bool                  `json:"continue_final_message"` // the last message is the answer so far
+	// ContinueFinalMessage says that the last message is the beginning of the answer.
+	ContinueFinalMessage bool `json:"continue_final_message"`
 }
 
-// said is how many tokens of the answer are in the request.
-func (q request) said() int {
-	if !q.GoOn || len(q.Messages) == 0 {
+// continuedTokens returns the number of the answer's tokens that the request contains for continuation.
+func (q request) continuedTokens() int {
+	if !q.ContinueFinalMessage || len(q.Messages) == 0 {
 		return 0
 	}
 	var text string
@@ -42,50 +43,50 @@
 	return len(strings.Fields(text))
 }
 
-// Words in a prompt that have the engine answer in a way of its own.
+// Keywords in a prompt that select a special answer.
 const (
-	wordRefuse = "please-refuse"
-	wordThink  = "please-think"
+	refusalKeyword   = "please-refuse"
+	reasoningKeyword = "please-think"
 )
 
 // script returns the data of the events that answer a request, in order.
-func (e *Engine) script(path string, q request, raw []byte, tokens, kept, out int) []string {
-	a := &scripted{engine: e, request: q, raw: raw, choices: max(1, q.N), out: out}
-	used := out * a.choices
+func (e *Engine) script(path string, q request, raw []byte, tokens, cached, out int) []string {
+	a := &answerBuilder{engine: e, request: q, raw: raw, choices: max(1, q.N), out: out}
+	outputTokens := out * a.choices
 	choice, _ := q.ToolChoice.(string)
 	switch {
 	case path == completionPath:
 		a.completion()
 	case len(q.Tools) > 0 && choice != "none":
 		a.opening()
-		used = a.toolCalls()
+		outputTokens = a.toolCalls()
 	default:
 		a.opening()
 		a.content()
 	}
-	return append(a.events, e.usage(tokens, kept, used)...)
+	return append(a.events, e.usage(tokens, cached, outputTokens)...)
 }
 
-// scripted is an answer as it is put together.
-type scripted struct {
+// answerBuilder builds the events of an answer.
+type answerBuilder struct {
 	engine  *Engine
 	request request
 	raw     []byte
 	choices int
-	out     int // tokens of each choice
+	out     int // answer tokens of each choice
 	events  []string
 }
 
-func (a *scripted) add(choice string) {
+func (a *answerBuilder) add(choice string) {
 	a.events = append(a.events, a.engine.chunk(a.request, choice))
 }
 
-func (a *scripted) delta(choice int, delta, logprobs, finish string) {
+func (a *answerBuilder) delta(choice int, delta, logprobs, finish string) {
 	a.add(fmt.Sprintf(`{"index":%d,"delta":%s%s,"finish_reason":%s}`, choice, delta, logprobs, finish))
 }
 
-// completion answers a call of the older API.
-func (a *scripted) completion() {
+// completion adds the answer of the completions API.
+func (a *answerBuilder) completion() {
 	for i := range a.out {
 		for c := range a.choices {
 			a.add(fmt.Sprintf(`{"index":%d,"text":"t%d ","logprobs":null,"finish_reason":%s}`, c, i, finish(i == a.out-1, "stop")))
@@ -93,28 +94,28 @@
 	}
 }
 
-// opening adds what comes before the answer proper.
-func (a *scripted) opening() {
+// opening adds the events before the content: the role and the reasoning.
+func (a *answerBuilder) opening() {
 	for c := range a.choices {
 		if a.choices > 1 || len(a.request.Tools) > 0 {
 			a.delta(c, `{"role":"assistant","content":""}`, "", "null")
 		}
-		if bytes.Contains(a.raw, []byte(wordThink)) {
+		if bytes.Contains(a.raw, []byte(reasoningKeyword)) {
 			a.delta(c, `{"reasoning_content":"let me "}`, "", "null")
 			a.delta(c, `{"reasoning_content":"see"}`, "", "null")
 		}
 	}
 }
 
-// Bounds of scripted calls of tools.
+// Limits of tool calls in answers.
 const (
-	callsMost     = 2
+	maxToolCalls  = 2
 	tokensPerCall = 6
 )
 
-// toolCalls answers with calls of tools, whose arguments come in turn, and returns the tokens.
-func (a *scripted) toolCalls() int {
-	calls := min(len(a.request.Tools), callsMost)
+// toolCalls adds tool calls, whose arguments are split and interleaved, and returns the number of tokens.
+func (a *answerBuilder) toolCalls() int {
+	calls := min(len(a.request.Tools), maxToolCalls)
 	if a.request.Parallel != nil && !*a.request.Parallel {
 		calls = 1
 	}
@@ -132,10 +133,10 @@
 	return tokensPerCall * calls * a.choices
 }
 
-// content answers with text, or with a refusal where the prompt asks for one.
-func (a *scripted) content() {
+// content adds the text of the answer, or a refusal if the prompt contains its keyword.
+func (a *answerBuilder) content() {
 	field := "content"
-	if bytes.Contains(a.raw, []byte(wordRefuse)) {
+	if bytes.Contains(a.raw, []byte(refusalKeyword)) {
 		field = "refusal"
 	}
 	for i := range a.out {
@@ -150,11 +151,11 @@
 	}
 }
 
-// word is the i-th token of the text: a part of an object, where the answer is to be one.
-func (a *scripted) word(i int) string {
+// word returns the i-th token of the text. If the response format is JSON, the tokens form an object.
+func (a *answerBuilder) word(i int) string {
 	format := a.request.ResponseFormat.Type
 	if format != "json_object" && format != "json_schema" {
-		return fmt.Sprintf("t%d ", a.request.said()+i)
+		return fmt.Sprintf("t%d ", a.request.continuedTokens()+i)
 	}
 	switch {
 	case a.out == 1:
@@ -164,7 +165,7 @@
 	case i == a.out-1:
 		return `\"}`
 	}
-	return fmt.Sprintf("t%d ", a.request.said()+i)
+	return fmt.Sprintf("t%d ", a.request.continuedTokens()+i)
 }
 
 func finish(last bool, reason string) string {
@@ -174,10 +175,10 @@
 	return "null"
 }
 
-// reason is why an answer ends: at its limit, if the request set one below what the
-// engine would have said.
+// reason returns the finish reason of an answer: length, if the request's limit is below the engine's
+// number of answer tokens.
 func (e *Engine) reason(q request, out int) string {
-	if limit := max(q.MaxTokens, q.MostOut); limit > 0 && out == limit && out < e.Tokens {
+	if limit := max(q.MaxTokens, q.MaxCompletionTokens); limit > 0 && out == limit && out < e.Tokens {
 		return "length"
 	}
 	return "stop"
@@ -194,15 +195,15 @@
 	return fmt.Sprintf(`{"id":"its-own","object":"its-own","created":1,"model":"its-own","system_fingerprint":"fp_%d","choices":[%s],"usage":null}`, seed, choices)
 }
 
-func (e *Engine) usage(tokens, kept, out int) []string {
-	list := []string{fmt.Sprintf(`{"choices":[],"usage":{"prompt_tokens":%d,"completion_tokens":%d,"total_tokens":%d,"prompt_tokens_details":{"cached_tokens":%d}}}`, tokens, out, tokens+out, kept)}
+func (e *Engine) usage(tokens, cached, out int) []string {
+	list := []string{fmt.Sprintf(`{"choices":[],"usage":{"prompt_tokens":%d,"completion_tokens":%d,"total_tokens":%d,"prompt_tokens_details":{"cached_tokens":%d}}}`, tokens, out, tokens+out, cached)}
 	if e.Quirk == QuirkNoDone {
 		return list
 	}
 	return append(list, "[DONE]")
 }
 
-// The odd ways of engines: each is within what clients of such engines put up with.
+// Quirks of an engine's streams. Clients of such engines tolerate each of them.
 const (
 	QuirkNoDone           = "no last event"
 	QuirkCRLF             = "CRLF"
@@ -215,24 +216,24 @@
 	QuirkExtraFields      = "fields of its own"
 )
 
-// Quirks are all odd ways.
+// Quirks returns all quirks.
 func Quirks() []string {
 	return []string{QuirkNoDone, QuirkCRLF, QuirkComments, QuirkMultilineData, QuirkByteOrderMark, QuirkSingleBytes, QuirkNoFinalBlankLine, QuirkGzip, QuirkExtraFields}
 }
 
-// pieces returns the bytes of a stream as they are written, an event each or less.
-func pieces(events []string, odd string) [][]byte {
+// encodeEvents returns the bytes of a stream in the order of writes. A write contains at most one event.
+func encodeEvents(events []string, quirk string) [][]byte {
 	var out [][]byte
 	for i, data := range events {
 		text := "data: " + data + "\n\n"
-		switch odd {
+		switch quirk {
 		case QuirkCRLF:
 			text = "data: " + data + "\r\n\r\n"
 		case QuirkComments:
 			text = ": ping\n\nevent: message\nid: " + fmt.Sprint(i) + "\nretry: 100\n" + text
 		case QuirkMultilineData:
-			if at := strings.Index(data, `,"`); at > 0 && data[0] == '{' {
-				text = "data: " + data[:at+1] + "\ndata: " + data[at+1:] + "\n\n"
+			if comma := strings.Index(data, `,"`); comma > 0 && data[0] == '{' {
+				text = "data: " + data[:comma+1] + "\ndata: " + data[comma+1:] + "\n\n"
 			}
 		case QuirkByteOrderMark:
 			if i == 0 {
@@ -243,14 +244,14 @@
 				text = "data: " + data
 			}
 		case QuirkSingleBytes:
-			for b := range len(text) {
-				out = append(out, []byte{text[b]})
+			for i := range len(text) {
+				out = append(out, []byte{text[i]})
 			}
 			continue
 		}
 		out = append(out, []byte(text))
 	}
-	if odd != QuirkGzip {
+	if quirk != QuirkGzip {
 		return out
 	}
 	var zipped bytes.Buffer
@@ -267,16 +268,16 @@
 	return out
 }
 
-// embed answers an embeddings call.
+// embed returns the answer to an embeddings request.
 func embed(q request, raw []byte) []byte {
-	inputs := 1
-	if list, is := q.Input.([]any); is && len(list) > 0 {
-		if _, token := list[0].(float64); !token {
-			inputs = len(list)
+	inputCount := 1
+	if list, isList := q.Input.([]any); isList && len(list) > 0 {
+		if _, isToken := list[0].(float64); !isToken {
+			inputCount = len(list)
 		}
 	}
 	var data []string
-	for i := range inputs {
+	for i := range inputCount {
 		data = append(data, fmt.Sprintf(`{"object":"embedding","index":%d,"embedding":[0.25,-0.5,%d]}`, i, i))
 	}
 	tokens := max(1, len(raw)/charsPerToken)
--- a/fake/engine/check.go
+++ b/fake/engine/check.go
@@ -7,50 +7,51 @@
 	"time"
 )
 
-// Span is a time in which an engine was to get no new work.
+// Span is a period in which an engine should receive no new attempts.
 type Span struct {
 	Engine   string
-	From, To time.Time // To zero: to the end
+	From, To time.Time // zero To = no end
 	Reason   string
 }
 
-// AttemptsInSpans returns what was sent to engines in spans in which they were to get none.
+// AttemptsInSpans returns one text for each span in which its engine received attempts.
 func AttemptsInSpans(attempts []Attempt, spans []Span) []string {
 	var out []string
 	for _, s := range spans {
-		n, worst := 0, time.Duration(0)
+		n, latest := 0, time.Duration(0)
 		for _, a := range attempts {
 			if a.Engine == s.Engine && a.ArrivalTime.After(s.From) && (s.To.IsZero() || a.ArrivalTime.Before(s.To)) {
 				n++
-				worst = max(worst, a.ArrivalTime.Sub(s.From))
+				latest = max(latest, a.ArrivalTime.Sub(s.From))
 			}
 		}
 		if n > 0 {
-			out = append(out, fmt.Sprintf("%s got %d new attempts, the last %v after it was to get none (%s)", s.Engine, n, worst.Round(time.Millisecond), s.Reason))
+			out = append(out, fmt.Sprintf("%s received %d attempts in a span without new work, the last %v after its start (%s)", s.Engine, n, latest.Round(time.Millisecond), s.Reason))
 		}
 	}
 	return out
 }
 
-// DuplicateExecutions returns the orders that ran more than once, of those that single says
-// must not, and where. To read a prompt has no effect, whether it came to its end or not.
-func DuplicateExecutions(attempts []Attempt, single func(order string) bool) []string {
-	ran := map[string][]Attempt{}
+// DuplicateExecutions returns the operations that ran more than once, with their attempts, among those for
+// which singleShot returns true. Attempts at prefill engines don't count: prefill has no effect, whether it
+// is completed or not.
+func DuplicateExecutions(attempts []Attempt, singleShot func(operationID string) bool) []string {
+	executions := map[string][]Attempt{}
 	for _, a := range attempts {
-		if a.Executed && a.OperationID != "" && single(a.OperationID) && a.Role != Read {
-			ran[a.OperationID] = append(ran[a.OperationID], a)
+		if a.Executed && a.OperationID != "" && singleShot(a.OperationID) && a.Role != Read {
+			executions[a.OperationID] = append(executions[a.OperationID], a)
 		}
 	}
 	var out []string
-	for order, list := range ran {
+	for operationID, list := range executions {
 		if len(list) < 2 {
 			continue
 		}
-		var at []string
+		var descriptions []string
 		for _, a := range list {
-			at = append(at, fmt.Sprintf("%s as %s, status %d, whole %v, at %s", a.Engine, a.Role, a.Status, a.Completed, a.ArrivalTime.Format("05.000")))
+			descriptions = append(descriptions, fmt.Sprintf("%s as %s, status %d, completed %v, at %s", a.Engine, a.Role, a.Status, a.Completed, a.ArrivalTime.Format("05.000")))
 		}
-		out = append(out, order+" ("+strings.Join(at, "; ")+")")
+		out = append(out, operationID+" ("+strings.Join(descriptions, "; ")+")")
 	}
 	slices.Sort(out)
 	return out
--- a/fake/engine/engine.go
+++ b/fake/engine/engine.go
@@ -1,8 +1,7 @@
-// Package engine is a fake of model engines: those of the platform's two-stage
-// protocol and those that offer only the chat API. It has slots, a queue, memory, a
-// cold start, a drain and a crash, and it keeps an account of every attempt, from
-// which a checker tells what ran twice, and what was sent to an engine that should
-// have had no new work. It is a model of times, not of text.
+// Package engine is a fake of model engines: those with the platform's two-stage protocol (prefill, decode)
+// and those that offer only the chat API. A fake engine has slots, a queue, memory, a cold start, draining
+// and crashes. It records every attempt, so that checkers find operations that ran twice and attempts at
+// engines that should have had no new work. It models durations, not the contents of answers.
 package engine
 
 import (
@@ -20,41 +19,42 @@
 
 // Roles of an engine.
 const (
-	Read   = "read"   // reads prompts, keeps read states
-	Write  = "write"  // fetches states, streams answers
-	Both   = "both"   // does either
-	OpenAI = "openai" // whole requests by the chat API alone
+	Read   = "read"   // prefill: processes prompts and holds their states
+	Write  = "write"  // decode: fetches held states and streams answers
+	Both   = "both"   // mixed: prefill and decode
+	OpenAI = "openai" // serves complete requests, only through the chat API
 )
 
-// Options are an engine's figures.
+// Options are the settings of an engine.
 type Options struct {
 	ID, Role               string
-	Slots                  int           // requests at once
-	Queue                  int           // that may wait
-	Memory                 int           // tokens of prompts and states
-	PrefillTokensPerSecond float64       // prompt tokens a second, when warm
-	TokenInterval          time.Duration // between events of an answer
-	Tokens                 int           // of an answer, unless max_tokens is lower
-	WarmUp                 time.Duration // after a start until it is warm
-	ColdSpeedFraction      float64       // of its speed at the start
-	OverloadWindow         time.Duration // over which a cold engine's work is counted
-	Quirk                  string        // one of Odds; "" for none
-	CutFraction            float64       // of the answers that break at some byte
-	Burst                  bool          // events without pauses
-	Seed                   uint64        // of what breaks where
-	OverloadFactor         float64       // times what it can do then that makes it fall over; 0 = never
+	Slots                  int           // requests that run concurrently
+	Queue                  int           // max. number of waiting requests
+	Memory                 int           // capacity for prompts and held states, in tokens
+	PrefillTokensPerSecond float64       // prompt tokens a second of a warm engine
+	TokenInterval          time.Duration // time between the events of an answer
+	Tokens                 int           // tokens of an answer, unless max_tokens is lower
+	WarmUp                 time.Duration // time from a start or role change until the engine is warm
+	ColdSpeedFraction      float64       // fraction of its full speed at the start
+	OverloadWindow         time.Duration // window over which a cold engine's work is summed
+	Quirk                  string        // one of Quirks; "" = none
+	CutFraction            float64       // fraction of answers that are cut off at a random byte
+	Burst                  bool          // writes events without pauses
+	Seed                   uint64        // seed for which answers are cut off, and where
+	OverloadFactor         float64       // work relative to capacity at which a cold engine crashes; 0 = never
 }
 
-func (o *Options) fill() {
-	def := func(v *int, d int) {
+// setDefaults sets fields that must not be zero to their defaults.
+func (o *Options) setDefaults() {
+	setDefault := func(v *int, defaultValue int) {
 		if *v <= 0 {
-			*v = d
+			*v = defaultValue
 		}
 	}
-	def(&o.Slots, 8)
-	def(&o.Queue, 32)
-	def(&o.Memory, 200_000)
-	def(&o.Tokens, 8)
+	setDefault(&o.Slots, 8)
+	setDefault(&o.Queue, 32)
+	setDefault(&o.Memory, 200_000)
+	setDefault(&o.Tokens, 8)
 	if o.PrefillTokensPerSecond <= 0 {
 		o.PrefillTokensPerSecond = 20_000
 	}
@@ -69,39 +69,39 @@
 	}
 }
 
-// Engine is one engine on loopback.
+// Engine is one fake engine that listens on loopback.
 type Engine struct {
 	Options
 	fleet *Fleet
 
-	mu       sync.Mutex
-	addr     string
-	server   *http.Server
-	started  time.Time
-	down     bool
-	draining bool
-	changing bool // drains for a change of role
-	fence    uint64
-	flipped  time.Time
-	tokens   float64 // read or written since it took its role
-	busy     time.Duration
-	born     string // the role that its own files state
-	refuses  bool   // will not change
-	lies     string // says that this is its role
-	slow     float64
-	running  int
-	waiting  []chan struct{}
-	memory   int
-	work     []mark // what has come while it was cold
-	kept     map[string]int
-	random   *rand.Rand
-	cancel   context.CancelFunc // ends all that runs
-	life     context.Context
+	mu                 sync.Mutex
+	addr               string
+	server             *http.Server
+	started            time.Time
+	down               bool
+	draining           bool
+	roleDraining       bool // draining for a role change
+	fencingToken       uint64
+	roleChangedAt      time.Time
+	processedTokens    float64 // prompt or answer tokens processed since the start or role change
+	busyTime           time.Duration
+	configuredRole     string // role after a start
+	refusesRoleChanges bool   // rejects role changes
+	reportedRole       string // role to report instead of the actual one; "" = actual
+	slowdown           float64
+	running            int
+	waiting            []chan struct{}
+	memoryUsed         int
+	coldWork           []coldArrival // work that arrived while the engine was cold
+	prefixCache        map[string]int
+	random             *rand.Rand
+	cancel             context.CancelFunc // aborts all running requests
+	processContext     context.Context
 }
 
-type mark struct {
+type coldArrival struct {
 	at   time.Time
-	work float64 // seconds at full speed
+	work float64 // duration at full speed, in seconds
 }
 
 func (e *Engine) listen(addr string) error {
@@ -112,53 +112,53 @@
 	srv := &http.Server{Handler: e, ErrorLog: log.New(io.Discard, "", 0), ReadHeaderTimeout: 10 * time.Second}
 	e.mu.Lock()
 	e.addr, e.server, e.started, e.down, e.draining = l.Addr().String(), srv, time.Now(), false, false
-	e.Role, e.changing, e.fence, e.flipped = e.born, false, 0, time.Time{}
-	e.tokens, e.busy = 0, 0
-	e.running, e.waiting, e.memory, e.work, e.kept = 0, nil, 0, nil, map[string]int{}
-	e.life, e.cancel = context.WithCancel(context.Background())
+	e.Role, e.roleDraining, e.fencingToken, e.roleChangedAt = e.configuredRole, false, 0, time.Time{}
+	e.processedTokens, e.busyTime = 0, 0
+	e.running, e.waiting, e.memoryUsed, e.coldWork, e.prefixCache = 0, nil, 0, nil, map[string]int{}
+	e.processContext, e.cancel = context.WithCancel(context.Background())
 	e.mu.Unlock()
 	go srv.Serve(l)
 	return nil
 }
 
-// Addr is where the engine listens, or did.
+// Addr returns the address on which the engine listens, or listened before it crashed.
 func (e *Engine) Addr() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.addr
 }
 
-// Started is when its process started.
+// Started returns the start time of the engine's process.
 func (e *Engine) Started() time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.started
 }
 
-// Crash ends the process: connections are reset, all that it held is lost.
+// Crash ends the process: connections are reset, and its held states are lost.
 func (e *Engine) Crash() {
 	e.mu.Lock()
 	srv := e.server
-	was := e.down
+	wasDown := e.down
 	e.down = true
 	if e.cancel != nil {
 		e.cancel()
 	}
 	e.mu.Unlock()
-	if srv != nil && !was {
+	if srv != nil && !wasDown {
 		srv.Close()
 	}
 	e.fleet.mu.Lock()
 	defer e.fleet.mu.Unlock()
 	for id, s := range e.fleet.states {
-		if s.at == e {
+		if s.engine == e {
 			delete(e.fleet.states, id)
 		}
 	}
 }
 
-// Restart starts the process again, cold, at its old address or, if move is true, at
-// another one.
+// Restart crashes the process and starts it again, cold. It listens on the same address or, if move is
+// true, on a new one.
 func (e *Engine) Restart(move bool) error {
 	e.Crash()
 	addr := e.Addr()
@@ -168,26 +168,26 @@
 	return e.listen(addr)
 }
 
-// Drain has the engine turn new work away from now on.
+// Drain sets whether the engine rejects new requests.
 func (e *Engine) Drain(on bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.draining = on
 }
 
-// SetSlowdown makes it so many times slower.
-func (e *Engine) SetSlowdown(times float64) {
+// SetSlowdown sets the factor by which the engine is slower than normal.
+func (e *Engine) SetSlowdown(factor float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.slow = max(times, 0.01)
+	e.slowdown = max(factor, 0.01)
 }
 
 var (
-	errFull = errors.New("full")
-	errDown = errors.New("down")
+	errNoCapacity = errors.New("no capacity for the request")
+	errStopped    = errors.New("request canceled or engine stopped")
 )
 
-// The paths that an engine serves.
+// Paths of the APIs that an engine serves.
 const (
 	chatPath       = "/v1/chat/completions"
 	completionPath = "/v1/completions"
--- a/fake/engine/engine_test.go
+++ b/fake/engine/engine_test.go
@@ -20,7 +20,7 @@
 	return f, e
 }
 
-func ask(t *testing.T, e *Engine, id, text string) (int, string, error) {
+func post(t *testing.T, e *Engine, id, text string) (int, string, error) {
 	t.Helper()
 	req, _ := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+e.Addr()+"/v1/chat/completions",
 		strings.NewReader(`{"model":"m","max_tokens":3,"messages":[{"content":"`+text+`"}]}`))
@@ -34,75 +34,75 @@
 	return resp.StatusCode, string(body), err
 }
 
-func TestTwoStages(t *testing.T) {
-	f, reader := start(t, Options{ID: "r", Role: Read}, true)
-	writer, err := f.Start(Options{ID: "w", Role: Write}, true)
+func TestPrefillAndDecode(t *testing.T) {
+	f, prefillEngine := start(t, Options{ID: "r", Role: Read}, true)
+	decodeEngine, err := f.Start(Options{ID: "w", Role: Write}, true)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if status, _, _ := ask(t, writer, "q1", "order-id o1"); status != http.StatusGone {
-		t.Errorf("without a state: %d", status)
+	if status, _, _ := post(t, decodeEngine, "q1", "order-id o1"); status != http.StatusGone {
+		t.Errorf("decode without a held state: status %d", status)
 	}
-	if status, body, _ := ask(t, reader, "q1", "order-id o1"); status != http.StatusAccepted || !strings.Contains(body, "cached_tokens") {
-		t.Errorf("read: %d %s", status, body)
+	if status, body, _ := post(t, prefillEngine, "q1", "order-id o1"); status != http.StatusAccepted || !strings.Contains(body, "cached_tokens") {
+		t.Errorf("prefill: status %d, body %s", status, body)
 	}
 	if f.CountHeldStates(0) != 1 {
-		t.Error("no state is held")
+		t.Error("no state is held after prefill")
 	}
 	for i, want := range []int{http.StatusOK, http.StatusGone} {
-		if status, body, _ := ask(t, writer, "q1", "order-id o1"); status != want || i == 0 && strings.Count(body, `"content"`) != 3 {
-			t.Errorf("write %d: %d %s", i, status, body)
+		if status, body, _ := post(t, decodeEngine, "q1", "order-id o1"); status != want || i == 0 && strings.Count(body, `"content"`) != 3 {
+			t.Errorf("decode %d: status %d, body %s", i, status, body)
 		}
 	}
 	if got := DuplicateExecutions(f.Attempts(), func(string) bool { return true }); len(got) > 0 || f.CountHeldStates(0) > 0 {
-		t.Errorf("ran twice: %v; held %d", got, f.CountHeldStates(0))
+		t.Errorf("duplicate executions %v; held states %d", got, f.CountHeldStates(0))
 	}
 }
 
-// What must not happen is seen when it does happen.
-func TestTheChecker(t *testing.T) {
+// The checkers must report duplicate executions and attempts in spans without new work.
+func TestCheckersReportViolations(t *testing.T) {
 	f, e := start(t, Options{ID: "e", Role: OpenAI}, true)
-	begun := time.Now()
+	begin := time.Now()
 	for range 2 {
-		if status, _, err := ask(t, e, "q", "order-id o9 and more"); status != http.StatusOK || err != nil {
+		if status, _, err := post(t, e, "q", "order-id o9 and more"); status != http.StatusOK || err != nil {
 			t.Fatal(status, err)
 		}
 	}
 	if got := DuplicateExecutions(f.Attempts(), func(o string) bool { return o == "o9" }); len(got) != 1 {
-		t.Errorf("ran twice: %v", got)
+		t.Errorf("duplicate executions: %v, want 1", got)
 	}
 	if got := DuplicateExecutions(f.Attempts(), func(string) bool { return false }); len(got) != 0 {
-		t.Errorf("may run twice: %v", got)
+		t.Errorf("duplicate executions of repeatable operations: %v, want none", got)
 	}
-	if got := AttemptsInSpans(f.Attempts(), []Span{{Engine: "e", From: begun, Reason: "x"}, {Engine: "f", From: begun}}); len(got) != 1 {
-		t.Errorf("work in a span: %v", got)
+	if got := AttemptsInSpans(f.Attempts(), []Span{{Engine: "e", From: begin, Reason: "x"}, {Engine: "f", From: begin}}); len(got) != 1 {
+		t.Errorf("attempts in spans: %v, want 1", got)
 	}
 }
 
-func TestEngineStates(t *testing.T) {
+func TestCapacityDrainAndOverload(t *testing.T) {
 	_, e := start(t, Options{ID: "e", Role: OpenAI, Memory: 10}, true)
-	if status, _, _ := ask(t, e, "q", strings.Repeat("x", 100)); status != http.StatusTooManyRequests {
-		t.Errorf("without memory: %d", status)
+	if status, _, _ := post(t, e, "q", strings.Repeat("x", 100)); status != http.StatusTooManyRequests {
+		t.Errorf("prompt above the memory: status %d", status)
 	}
 	e.Drain(true)
-	if status, _, _ := ask(t, e, "q", ""); status != http.StatusTooManyRequests {
-		t.Errorf("draining: %d", status)
+	if status, _, _ := post(t, e, "q", ""); status != http.StatusTooManyRequests {
+		t.Errorf("draining: status %d", status)
 	}
 	f, cold := start(t, Options{ID: "c", Role: Both, Slots: 1, WarmUp: time.Hour, OverloadFactor: 0.001}, false)
-	if _, _, err := ask(t, cold, "q", "x"); err == nil || f.OverloadCrashes() != 1 {
-		t.Errorf("pushed: %v, %d fallen", err, f.OverloadCrashes())
+	if _, _, err := post(t, cold, "q", "x"); err == nil || f.OverloadCrashes() != 1 {
+		t.Errorf("overload of a cold engine: error %v, %d crashes", err, f.OverloadCrashes())
 	}
 	if err := cold.Restart(true); err != nil {
 		t.Fatal(err)
 	}
 	if resp, err := http.Get("http://" + cold.Addr() + "/healthz"); err != nil || resp.StatusCode != http.StatusOK {
-		t.Error("it has not come back")
+		t.Error("the engine is not healthy after a restart")
 	}
 }
 
 func TestRoleCommands(t *testing.T) {
 	f, e := start(t, Options{ID: "e", Role: Read, WarmUp: time.Hour}, true)
-	tell := func(command, role string, fence int) int {
+	sendCommand := func(command, role string, fence int) int {
 		t.Helper()
 		req, _ := http.NewRequestWithContext(t.Context(), http.MethodPut, "http://"+e.Addr()+"/role",
 			strings.NewReader(`{"command":"`+command+`","role":"`+role+`","fence":`+strconv.Itoa(fence)+`}`))
@@ -113,7 +113,7 @@
 		resp.Body.Close()
 		return resp.StatusCode
 	}
-	if status, _, _ := ask(t, e, "q1", "x"); status != http.StatusAccepted {
+	if status, _, _ := post(t, e, "q1", "x"); status != http.StatusAccepted {
 		t.Fatal(status)
 	}
 	for i, c := range []struct {
@@ -121,24 +121,24 @@
 		fence, want   int
 	}{
 		{"flip", "write", 5, 422}, {"drain", "openai", 5, 422}, {"drain", "write", 5, 200}, {"drain", "write", 5, 200},
-		{"flip", "write", 5, 422}, // a state is held
+		{"flip", "write", 5, 422}, // rejected: a state is held
 		{"cancel", "write", 4, 409}, {"cancel", "write", 6, 200}, {"drain", "write", 6, 200},
 	} {
-		if got := tell(c.command, c.role, c.fence); got != c.want {
-			t.Errorf("step %d: %d, want %d", i, got, c.want)
+		if got := sendCommand(c.command, c.role, c.fence); got != c.want {
+			t.Errorf("step %d: status %d, want %d", i, got, c.want)
 		}
 	}
-	if status, _, _ := ask(t, e, "q2", "x"); status != http.StatusServiceUnavailable {
-		t.Errorf("new work in a drain: %d", status)
+	if status, _, _ := post(t, e, "q2", "x"); status != http.StatusServiceUnavailable {
+		t.Errorf("new request during draining: status %d", status)
 	}
-	f.release("q1")
-	if got := tell("flip", "write", 6); got != 200 || e.CurrentRole() != Write {
-		t.Errorf("flip: %d, %s", got, e.CurrentRole())
+	f.releaseState("q1")
+	if got := sendCommand("flip", "write", 6); got != 200 || e.CurrentRole() != Write {
+		t.Errorf("flip: status %d, role %s", got, e.CurrentRole())
 	}
-	if got := tell("flip", "write", 6); got != 200 {
-		t.Errorf("twice: %d", got)
+	if got := sendCommand("flip", "write", 6); got != 200 {
+		t.Errorf("second flip: status %d", got)
 	}
 	if err := e.Restart(false); err != nil || e.CurrentRole() != Read {
-		t.Errorf("restarted as %s, %v", e.CurrentRole(), err)
+		t.Errorf("role after a restart: %s, error %v", e.CurrentRole(), err)
 	}
 }
--- a/fake/engine/fleet.go
+++ b/fake/engine/fleet.go
@@ -7,34 +7,34 @@
 	"time"
 )
 
-// Attempt is one attempt as an engine has seen it.
+// Attempt is the record of one attempt that an engine received.
 type Attempt struct {
 	Engine      string
 	Request     string // X-Request-Id
-	OperationID string // the load's own name for what is asked, so that a client's retry is known
+	OperationID string // id that the load generator puts into the prompt; equal for retries by the client
 	ArrivalTime time.Time
-	Role        string // as which it was taken; "" if it was turned away
+	Role        string // the engine's role when it ran the attempt; "" = rejected
 	Executed    bool
 	Status      int
-	Completed   bool // the answer went out to its end
+	Completed   bool // the engine wrote the complete answer
 }
 
-// Fleet is what engines of one experiment share: the read states and the account.
+// Fleet is the data that the engines of one experiment share: the held states and the records of attempts.
 type Fleet struct {
-	mu       sync.Mutex
-	states   map[string]state // by request
-	attempts []Attempt
-	engines  []*Engine
-	fallen   int
+	mu              sync.Mutex
+	states          map[string]state // by request id
+	attempts        []Attempt
+	engines         []*Engine
+	overloadCrashes int
 }
 
 type state struct {
-	at     *Engine
+	engine *Engine
 	tokens int
 	since  time.Time
 }
 
-// NewFleet returns a fleet without engines.
+// NewFleet returns an empty fleet.
 func NewFleet() *Fleet { return &Fleet{states: map[string]state{}} }
 
 // Attempts returns all attempts so far, in order of arrival.
@@ -44,14 +44,14 @@
 	return slices.Clone(f.attempts)
 }
 
-// OverloadCrashes returns how many engines were pushed over while they were cold.
+// OverloadCrashes returns the number of crashes of cold engines under too much work.
 func (f *Fleet) OverloadCrashes() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.fallen
+	return f.overloadCrashes
 }
 
-// Close ends all engines.
+// Close stops all engines.
 func (f *Fleet) Close() {
 	f.mu.Lock()
 	list := slices.Clone(f.engines)
@@ -61,10 +61,10 @@
 	}
 }
 
-// Start starts an engine in a fleet. warm says that it has run for long.
+// Start adds an engine to the fleet and starts it. If warm is true, it starts at its full speed.
 func (f *Fleet) Start(o Options, warm bool) (*Engine, error) {
-	o.fill()
-	e := &Engine{Options: o, fleet: f, slow: 1, down: true, born: o.Role}
+	o.setDefaults()
+	e := &Engine{Options: o, fleet: f, slowdown: 1, down: true, configuredRole: o.Role}
 	if err := e.listen("127.0.0.1:0"); err != nil {
 		return nil, err
 	}
@@ -79,8 +79,8 @@
 	return e, nil
 }
 
-// note keeps an attempt in the account and returns how to change it.
-func (f *Fleet) note(a Attempt) func(func(*Attempt)) {
+// record appends the record of an attempt and returns a function that updates it.
+func (f *Fleet) record(a Attempt) (update func(change func(*Attempt))) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.attempts = append(f.attempts, a)
@@ -92,52 +92,52 @@
 	}
 }
 
-func (f *Fleet) release(id string) {
+func (f *Fleet) releaseState(id string) {
 	f.mu.Lock()
-	s, there := f.states[id]
+	s, exists := f.states[id]
 	delete(f.states, id)
 	f.mu.Unlock()
-	if there {
-		s.at.free(s.tokens)
+	if exists {
+		s.engine.freeMemory(s.tokens)
 	}
 }
 
-// HeldStates returns the requests whose read states wait.
+// HeldStates returns the ids of requests with a held state.
 func (f *Fleet) HeldStates() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Collect(maps.Keys(f.states))
 }
 
-// CountHeldStates returns the read states that wait for longer than a time.
-func (f *Fleet) CountHeldStates(longer time.Duration) int {
+// CountHeldStates returns the number of states that have been held for longer than minAge.
+func (f *Fleet) CountHeldStates(minAge time.Duration) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := 0
 	for _, s := range f.states {
-		if time.Since(s.since) > longer {
+		if time.Since(s.since) > minAge {
 			n++
 		}
 	}
 	return n
 }
 
-func (f *Fleet) hold(id string, e *Engine, tokens int) {
+func (f *Fleet) storeState(id string, e *Engine, tokens int) {
 	e.mu.Lock()
-	e.memory += tokens
+	e.memoryUsed += tokens
 	e.mu.Unlock()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.states[id] = state{e, tokens, time.Now()}
 }
 
-// fetch takes a read state from its reader.
-func (f *Fleet) fetch(id string) bool {
+// fetchState removes the held state of a request from its engine. It reports whether there was one.
+func (f *Fleet) fetchState(id string) bool {
 	f.mu.Lock()
-	_, there := f.states[id]
+	_, exists := f.states[id]
 	f.mu.Unlock()
-	if there {
-		f.release(id)
+	if exists {
+		f.releaseState(id)
 	}
-	return there
+	return exists
 }
--- a/fake/engine/queue.go
+++ b/fake/engine/queue.go
@@ -6,74 +6,75 @@
 	"time"
 )
 
-// pace is what share of its speed it has now. The lock is held.
-func (e *Engine) pace(now time.Time) float64 {
-	p := 1.0
-	begun := e.started
-	if e.flipped.After(begun) {
-		begun = e.flipped
+// speed returns the engine's current fraction of its full speed. The caller holds e.mu.
+func (e *Engine) speed(now time.Time) float64 {
+	fraction := 1.0
+	coldSince := e.started
+	if e.roleChangedAt.After(coldSince) {
+		coldSince = e.roleChangedAt
 	}
-	if age := now.Sub(begun); age < e.WarmUp {
-		p = e.ColdSpeedFraction + (1-e.ColdSpeedFraction)*float64(age)/float64(e.WarmUp)
+	if age := now.Sub(coldSince); age < e.WarmUp {
+		fraction = e.ColdSpeedFraction + (1-e.ColdSpeedFraction)*float64(age)/float64(e.WarmUp)
 	}
-	return p / e.slow
+	return fraction / e.slowdown
 }
 
-// pushed counts work that comes while the engine is cold, and tells whether it falls
-// over under it. The lock is held.
-func (e *Engine) pushed(now time.Time, work float64) bool {
-	if e.OverloadFactor <= 0 || now.Sub(e.started) >= e.WarmUp && now.Sub(e.flipped) >= e.WarmUp {
+// overloadedBy records work that arrives while the engine is cold, and reports whether the work within
+// OverloadWindow makes it crash. The caller holds e.mu.
+func (e *Engine) overloadedBy(now time.Time, work float64) bool {
+	if e.OverloadFactor <= 0 || now.Sub(e.started) >= e.WarmUp && now.Sub(e.roleChangedAt) >= e.WarmUp {
 		return false
 	}
-	e.work = append(e.work, mark{now, work})
+	e.coldWork = append(e.coldWork, coldArrival{now, work})
 	sum := 0.0
-	for i := len(e.work) - 1; i >= 0 && now.Sub(e.work[i].at) < e.OverloadWindow; i-- {
-		sum += e.work[i].work
+	for i := len(e.coldWork) - 1; i >= 0 && now.Sub(e.coldWork[i].at) < e.OverloadWindow; i-- {
+		sum += e.coldWork[i].work
 	}
-	return sum > e.OverloadFactor*e.pace(now)*e.OverloadWindow.Seconds()*float64(e.Slots)
+	return sum > e.OverloadFactor*e.speed(now)*e.OverloadWindow.Seconds()*float64(e.Slots)
 }
 
-// enter waits for a slot and memory.
-func (e *Engine) enter(ctx context.Context, tokens int) error {
+// acquireSlot reserves memory and waits for a slot. It returns errNoCapacity without waiting if the engine
+// drains, or its memory or queue is full.
+func (e *Engine) acquireSlot(ctx context.Context, tokens int) error {
 	e.mu.Lock()
-	if e.draining || e.changing || e.memory+tokens > e.Memory {
+	if e.draining || e.roleDraining || e.memoryUsed+tokens > e.Memory {
 		e.mu.Unlock()
-		return errFull
+		return errNoCapacity
 	}
 	if e.running < e.Slots {
 		e.running++
-		e.memory += tokens
+		e.memoryUsed += tokens
 		e.mu.Unlock()
 		return nil
 	}
 	if len(e.waiting) >= e.Queue {
 		e.mu.Unlock()
-		return errFull
+		return errNoCapacity
 	}
-	turn := make(chan struct{})
-	e.waiting = append(e.waiting, turn)
-	e.memory += tokens
-	life := e.life
+	slot := make(chan struct{})
+	e.waiting = append(e.waiting, slot)
+	e.memoryUsed += tokens
+	process := e.processContext
 	e.mu.Unlock()
 	select {
-	case <-turn:
+	case <-slot:
 		return nil
 	case <-ctx.Done():
-	case <-life.Done():
+	case <-process.Done():
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.memory -= tokens
-	if i := slices.Index(e.waiting, turn); i >= 0 {
+	e.memoryUsed -= tokens
+	if i := slices.Index(e.waiting, slot); i >= 0 {
 		e.waiting = slices.Delete(e.waiting, i, i+1)
-		return errDown
+		return errStopped
 	}
-	e.next() // its turn came as it gave up
-	return errDown
+	e.passSlot() // the slot was assigned at the time of the cancellation
+	return errStopped
 }
 
-// next hands a slot on. The lock is held.
-func (e *Engine) next() {
+// passSlot gives a slot to the first waiting request, or frees it. The caller holds e.mu.
+func (e *Engine) passSlot() {
 	if len(e.waiting) > 0 {
 		close(e.waiting[0])
 		e.waiting = e.waiting[1:]
@@ -82,33 +83,34 @@
 	e.running--
 }
 
-func (e *Engine) leave(life context.Context, tokens int) {
+// finish frees the slot and memory of a request.
+func (e *Engine) finish(process context.Context, tokens int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.life != life {
-		return // it has been started anew since
+	if e.processContext != process {
+		return // the engine was restarted since: its counters were reset
 	}
-	e.memory -= tokens
-	e.next()
+	e.memoryUsed -= tokens
+	e.passSlot()
 }
 
-func (e *Engine) free(tokens int) {
+func (e *Engine) freeMemory(tokens int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.memory = max(0, e.memory-tokens)
+	e.memoryUsed = max(0, e.memoryUsed-tokens)
 }
 
-// CountRunning returns how many requests are in its slots.
+// CountRunning returns the number of occupied slots.
 func (e *Engine) CountRunning() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.running
 }
 
-// spend lets work take its time at the engine's pace.
-func (e *Engine) spend(ctx context.Context, d time.Duration) bool {
+// work waits for the duration of work that takes d at full speed. It returns false if ctx ends before.
+func (e *Engine) work(ctx context.Context, d time.Duration) bool {
 	e.mu.Lock()
-	d = time.Duration(float64(d) / e.pace(time.Now()))
+	d = time.Duration(float64(d) / e.speed(time.Now()))
 	e.mu.Unlock()
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/fake/engine/role.go
+++ b/fake/engine/role.go
@@ -8,7 +8,7 @@
 	jsoniter "github.com/json-iterator/go"
 )
 
-// roleBody is the body of /role; see docs/engine-roles.md.
+// roleBody is the response body of /role; see docs/engine-roles.md.
 type roleBody struct {
 	Role     string    `json:"role"`
 	Draining bool      `json:"draining"`
@@ -23,42 +23,43 @@
 	Busy     float64   `json:"busy_s"`
 }
 
-// RefuseRoleChanges has the engine turn down every change of its role from now on.
+// RefuseRoleChanges sets whether the engine rejects all role commands.
 func (e *Engine) RefuseRoleChanges(on bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.refuses = on
+	e.refusesRoleChanges = on
 }
 
-// ReportRole has the engine say that it is of another role than it is; "" ends that.
+// ReportRole makes the engine report a role other than its actual one; "" restores the actual one.
 func (e *Engine) ReportRole(role string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.lies = role
+	e.reportedRole = role
 }
 
-// CurrentRole is what the engine does at present.
+// CurrentRole returns the engine's actual role.
 func (e *Engine) CurrentRole() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.Role
 }
 
-// heldAt counts the read states that wait at an engine.
-func (f *Fleet) heldAt(e *Engine) int {
+// heldStatesAt returns the number of states held at an engine.
+func (f *Fleet) heldStatesAt(e *Engine) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := 0
 	for _, s := range f.states {
-		if s.at == e {
+		if s.engine == e {
 			n++
 		}
 	}
 	return n
 }
 
+// role answers a request to /role: the engine's status or a role command.
 func (e *Engine) role(w http.ResponseWriter, r *http.Request) {
-	held := e.fleet.heldAt(e)
+	held := e.fleet.heldStatesAt(e)
 	status := http.StatusOK
 	e.mu.Lock()
 	switch r.Method {
@@ -68,7 +69,7 @@
 			Command, Role string
 			Fence         uint64
 		}
-		raw, _ := io.ReadAll(io.LimitReader(r.Body, maxBody))
+		raw, _ := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
 		if jsoniter.Unmarshal(raw, &c) != nil {
 			status = http.StatusBadRequest
 			break
@@ -78,12 +79,12 @@
 		status = http.StatusMethodNotAllowed
 	}
 	body := roleBody{
-		Role: e.Role, Draining: e.changing, Running: e.running + len(e.waiting), Held: held, Fence: e.fence, Started: e.started,
-		Slots: e.Slots, Queue: len(e.waiting), Memory: float64(e.memory) / float64(e.Memory),
-		Tokens: e.tokens, Busy: e.busy.Seconds(),
+		Role: e.Role, Draining: e.roleDraining, Running: e.running + len(e.waiting), Held: held, Fence: e.fencingToken, Started: e.started,
+		Slots: e.Slots, Queue: len(e.waiting), Memory: float64(e.memoryUsed) / float64(e.Memory),
+		Tokens: e.processedTokens, Busy: e.busyTime.Seconds(),
 	}
-	if e.lies != "" {
-		body.Role = e.lies
+	if e.reportedRole != "" {
+		body.Role = e.reportedRole
 	}
 	e.mu.Unlock()
 	w.Header().Set("Content-Type", "application/json")
@@ -91,44 +92,44 @@
 	_ = jsoniter.NewEncoder(w).Encode(body)
 }
 
-// command carries out one command. The lock is held.
+// command executes one role command and returns the HTTP status. The caller holds e.mu.
 func (e *Engine) command(command, role string, fence uint64, held int) int {
-	if fence < e.fence {
+	if fence < e.fencingToken {
 		return http.StatusConflict
 	}
-	e.fence = fence
-	if e.refuses || role != Read && role != Write || e.Role != Read && e.Role != Write {
+	e.fencingToken = fence
+	if e.refusesRoleChanges || role != Read && role != Write || e.Role != Read && e.Role != Write {
 		return http.StatusUnprocessableEntity
 	}
 	switch command {
 	case "drain":
-		e.changing = e.changing || e.Role != role
+		e.roleDraining = e.roleDraining || e.Role != role
 	case "flip":
 		if e.Role == role {
-			return http.StatusOK // done before
+			return http.StatusOK // the role was changed before
 		}
-		if !e.changing || e.running+len(e.waiting)+held > 0 {
+		if !e.roleDraining || e.running+len(e.waiting)+held > 0 {
 			return http.StatusUnprocessableEntity
 		}
-		e.Role, e.changing, e.flipped = role, false, time.Now()
-		e.work, e.kept, e.tokens, e.busy = nil, map[string]int{}, 0, 0
+		e.Role, e.roleDraining, e.roleChangedAt = role, false, time.Now()
+		e.coldWork, e.prefixCache, e.processedTokens, e.busyTime = nil, map[string]int{}, 0, 0
 	case "cancel":
-		e.changing = false
+		e.roleDraining = false
 	default:
 		return http.StatusUnprocessableEntity
 	}
 	return http.StatusOK
 }
 
-// SetRole gives the engine another role at once, as only an oracle can: nothing is drained
-// and it is warm.
+// SetRole changes the engine's role immediately, without draining or a cold phase. Only an oracle baseline
+// can do so; real engines can't.
 func (e *Engine) SetRole(role string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.Role = role
 }
 
-// OccupySlots takes so many of the engine's slots for work that never ends.
+// OccupySlots occupies a number of slots permanently.
 func (e *Engine) OccupySlots(slots int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/fake/engine/serve.go
+++ b/fake/engine/serve.go
@@ -14,12 +14,12 @@
 	jsoniter "github.com/json-iterator/go"
 )
 
-// orderName finds the load's own name for what is asked.
-var orderName = regexp.MustCompile(`order-id ([0-9A-Za-z-]+)`)
+// operationIDPattern matches the operation id that the load generator puts into a message.
+var operationIDPattern = regexp.MustCompile(`order-id ([0-9A-Za-z-]+)`)
 
-const maxBody = 1 << 20
+const maxBodyBytes = 1 << 20
 
-// ServeHTTP answers one call.
+// ServeHTTP answers one request.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch {
 	case r.URL.Path == "/role":
@@ -27,10 +27,10 @@
 	case r.Method == http.MethodGet && (r.URL.Path == "/healthz" || r.URL.Path == "/load"):
 		e.health(w, r.URL.Path == "/load")
 	case r.Method == http.MethodDelete && strings.HasPrefix(r.URL.Path, "/bootstrap/rooms/"):
-		e.fleet.release(strings.TrimPrefix(r.URL.Path, "/bootstrap/rooms/"))
+		e.fleet.releaseState(strings.TrimPrefix(r.URL.Path, "/bootstrap/rooms/"))
 		w.WriteHeader(http.StatusNoContent)
 	case r.Method == http.MethodPost && (r.URL.Path == chatPath || r.URL.Path == completionPath || r.URL.Path == embeddingPath):
-		e.complete(w, r)
+		e.serveCompletion(w, r)
 	default:
 		http.NotFound(w, r)
 	}
@@ -44,27 +44,27 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	fmt.Fprintf(w, `{"util":%.3f,"queue":%d,"x0":%.3f}`, float64(e.running)/float64(e.Slots), len(e.waiting), float64(e.memory)/float64(e.Memory))
+	fmt.Fprintf(w, `{"util":%.3f,"queue":%d,"x0":%.3f}`, float64(e.running)/float64(e.Slots), len(e.waiting), float64(e.memoryUsed)/float64(e.Memory))
 }
 
 const charsPerToken = 4
 
-// turn is one request under way at an engine.
-type turn struct {
+// activeRequest is a request that an engine is serving.
+type activeRequest struct {
 	*Engine
 	w       http.ResponseWriter
 	r       *http.Request
 	raw     []byte
 	request request
 	id      string
-	change  func(func(*Attempt)) // alters the attempt's entry in the account
-	tokens  int                  // of the prompt
-	out     int                  // of the answer
+	change  func(func(*Attempt)) // updates the attempt's record
+	tokens  int                  // prompt tokens
+	out     int                  // answer tokens of each choice
 	role    string
 }
 
-// answer ends the request with a status.
-func (t *turn) answer(status int, notRun bool, body string) {
+// respond writes a complete response without a stream.
+func (t *activeRequest) respond(status int, notRun bool, body string) {
 	t.change(func(a *Attempt) { a.Status = status })
 	if notRun {
 		t.w.Header().Set("X-Not-Run", "1")
@@ -74,40 +74,41 @@
 	io.WriteString(t.w, body)
 }
 
-// complete serves a request as the engine's role and faults have it.
-func (e *Engine) complete(w http.ResponseWriter, r *http.Request) {
-	raw, err := io.ReadAll(io.LimitReader(r.Body, maxBody))
+// serveCompletion serves a completion or embedding request according to the engine's role and faults.
+func (e *Engine) serveCompletion(w http.ResponseWriter, r *http.Request) {
+	raw, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
 	if err != nil {
 		return
 	}
 	now := time.Now()
 	a := Attempt{Engine: e.ID, Request: r.Header.Get("X-Request-Id"), ArrivalTime: now}
-	if all := orderName.FindAllSubmatch(raw, -1); len(all) > 0 { // the latest turn's
+	if all := operationIDPattern.FindAllSubmatch(raw, -1); len(all) > 0 { // the id in the latest message applies
 		a.OperationID = string(all[len(all)-1][1])
 	}
-	t := &turn{Engine: e, w: w, r: r, raw: raw, id: a.Request, change: e.fleet.note(a)}
+	t := &activeRequest{Engine: e, w: w, r: r, raw: raw, id: a.Request, change: e.fleet.record(a)}
 	if jsoniter.Unmarshal(raw, &t.request) != nil || t.id == "" {
-		t.answer(http.StatusBadRequest, true, `{"error":{"message":"not a chat request"}}`)
+		t.respond(http.StatusBadRequest, true, `{"error":{"message":"not a chat request"}}`)
 		return
 	}
 	t.tokens = max(1, len(raw)/charsPerToken)
-	t.out = max(1, e.Tokens-t.request.said())
-	if limit := max(t.request.MaxTokens, t.request.MostOut); limit > 0 {
+	t.out = max(1, e.Tokens-t.request.continuedTokens())
+	if limit := max(t.request.MaxTokens, t.request.MaxCompletionTokens); limit > 0 {
 		t.out = min(t.out, limit)
 	}
-	life := t.admit(now)
+	process := t.admit(now)
 	ctx, stop := context.WithCancel(r.Context())
 	defer stop()
-	defer context.AfterFunc(life, stop)()
+	defer context.AfterFunc(process, stop)()
 	if !t.waitForSlot(ctx) {
 		return
 	}
-	defer func() { e.leave(life, t.tokens) }()
+	defer func() { e.finish(process, t.tokens) }()
 	t.run(ctx)
 }
 
-// admit takes the role and the process in force. A cold engine that is pushed too hard falls over.
-func (t *turn) admit(now time.Time) (life context.Context) {
+// admit sets the request's role and returns the context of the engine's process. A cold engine that
+// receives too much work crashes.
+func (t *activeRequest) admit(now time.Time) (process context.Context) {
 	e := t.Engine
 	e.mu.Lock()
 	t.role = e.Role
@@ -118,53 +119,53 @@
 	case Both, OpenAI:
 		work += float64(t.out) * e.TokenInterval.Seconds()
 	}
-	over := e.pushed(now, work)
-	life = e.life
+	overloaded := e.overloadedBy(now, work)
+	process = e.processContext
 	e.mu.Unlock()
-	if over {
+	if overloaded {
 		e.fleet.mu.Lock()
-		e.fleet.fallen++
+		e.fleet.overloadCrashes++
 		e.fleet.mu.Unlock()
 		go e.Crash()
 		panic(http.ErrAbortHandler)
 	}
-	return life
+	return process
 }
 
-// waitForSlot waits for a slot; false if the request has been turned away.
-func (t *turn) waitForSlot(ctx context.Context) bool {
-	err := t.enter(ctx, t.tokens)
+// waitForSlot waits for a slot. It returns false if the request was rejected.
+func (t *activeRequest) waitForSlot(ctx context.Context) bool {
+	err := t.acquireSlot(ctx, t.tokens)
 	switch {
 	case err == nil:
 		return true
-	case !errors.Is(err, errFull):
+	case !errors.Is(err, errNoCapacity):
 		panic(http.ErrAbortHandler)
 	case t.role == OpenAI:
-		t.answer(http.StatusTooManyRequests, true, `{"error":{"message":"full"}}`)
+		t.respond(http.StatusTooManyRequests, true, `{"error":{"message":"full"}}`)
 	default:
-		t.answer(http.StatusServiceUnavailable, true, `{"error":{"message":"full"}}`)
+		t.respond(http.StatusServiceUnavailable, true, `{"error":{"message":"full"}}`)
 	}
 	return false
 }
 
-// run reads the prompt, unless its state is fetched, and answers.
-func (t *turn) run(ctx context.Context) {
-	begun := time.Now()
+// run processes the prompt, unless its held state was fetched, and answers the request.
+func (t *activeRequest) run(ctx context.Context) {
+	start := time.Now()
 	t.change(func(a *Attempt) { a.Executed, a.Role = true, t.role })
-	had := (t.role == Write || t.role == Both) && t.fleet.fetch(t.id)
-	if !had && t.role == Write {
+	stateFetched := (t.role == Write || t.role == Both) && t.fleet.fetchState(t.id)
+	if !stateFetched && t.role == Write {
 		t.change(func(a *Attempt) { a.Executed = false })
-		t.answer(http.StatusGone, true, "")
+		t.respond(http.StatusGone, true, "")
 		return
 	}
-	kept := t.keptOf(t.request, t.tokens)
-	if !had && !t.spend(ctx, time.Duration(float64(t.tokens-kept)/t.PrefillTokensPerSecond*float64(time.Second))) {
+	cached := t.useCachedPrefix(t.request, t.tokens)
+	if !stateFetched && !t.work(ctx, time.Duration(float64(t.tokens-cached)/t.PrefillTokensPerSecond*float64(time.Second))) {
 		panic(http.ErrAbortHandler)
 	}
 	if t.role == Read {
-		t.account(t.tokens, begun)
-		t.fleet.hold(t.id, t.Engine, t.tokens)
-		t.answer(http.StatusAccepted, false, fmt.Sprintf(`{"cached_tokens":%d}`, kept))
+		t.recordWork(t.tokens, start)
+		t.fleet.storeState(t.id, t.Engine, t.tokens)
+		t.respond(http.StatusAccepted, false, fmt.Sprintf(`{"cached_tokens":%d}`, cached))
 		return
 	}
 	t.change(func(a *Attempt) { a.Status = http.StatusOK })
@@ -172,39 +173,41 @@
 		t.w.Header().Set("Content-Type", "application/json")
 		t.w.Write(embed(t.request, t.raw))
 		t.change(func(a *Attempt) { a.Completed = true })
-		t.account(1, begun)
+		t.recordWork(1, start)
 		return
 	}
-	if !t.stream(ctx, t.w, t.script(t.r.URL.Path, t.request, t.raw, t.tokens, kept, t.out)) {
+	if !t.stream(ctx, t.w, t.script(t.r.URL.Path, t.request, t.raw, t.tokens, cached, t.out)) {
 		panic(http.ErrAbortHandler)
 	}
 	t.change(func(a *Attempt) { a.Completed = true })
-	t.account(t.out, begun)
+	t.recordWork(t.out, start)
 }
 
-// account notes work that is done.
-func (e *Engine) account(tokens int, begun time.Time) {
+// recordWork adds completed work to the engine's counters.
+func (e *Engine) recordWork(tokens int, start time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.tokens += float64(tokens)
-	e.busy += time.Since(begun)
+	e.processedTokens += float64(tokens)
+	e.busyTime += time.Since(start)
 }
 
-// keptOf tells how much of a prompt is found kept, by its first message, and keeps it.
-func (e *Engine) keptOf(q request, tokens int) int {
+// useCachedPrefix returns the number of the prompt's tokens in the prefix cache, and adds the prompt to the
+// cache. The key is the first message.
+func (e *Engine) useCachedPrefix(q request, tokens int) int {
 	if len(q.Messages) == 0 {
 		return 0
 	}
 	first := string(q.Messages[0].Content)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	kept := e.kept[first]
-	e.kept[first] = min(tokens-1, len(first)/charsPerToken)
-	return min(kept, tokens-1)
+	cached := e.prefixCache[first]
+	e.prefixCache[first] = min(tokens-1, len(first)/charsPerToken)
+	return min(cached, tokens-1)
 }
 
-// cutAt returns after how many bytes an answer of a size breaks, -1 if it does not.
-func (e *Engine) cutAt(size int) int {
+// cutOffset returns the number of bytes after which an answer of the given size is cut off, or -1 if it is
+// not cut off.
+func (e *Engine) cutOffset(size int) int {
 	if e.CutFraction <= 0 {
 		return -1
 	}
@@ -219,33 +222,33 @@
 	return e.random.IntN(size)
 }
 
-// stream writes an answer's events, and tells whether it came to its end.
+// stream writes an answer's events. It returns false if the answer is incomplete.
 func (e *Engine) stream(ctx context.Context, w http.ResponseWriter, events []string) bool {
 	w.Header().Set("Content-Type", "text/event-stream")
 	if e.Quirk == QuirkGzip {
 		w.Header().Set("Content-Encoding", "gzip")
 	}
 	flush := http.NewResponseController(w)
-	list := pieces(events, e.Quirk)
+	writes := encodeEvents(events, e.Quirk)
 	size := 0
-	for _, p := range list {
+	for _, p := range writes {
 		size += len(p)
 	}
-	left := e.cutAt(size)
-	per := max(1, len(list)/len(events))
-	words := len(events) - 2 // what follows them is there at once
-	for i, p := range list {
-		if i > 0 && i%per == 0 && i/per < words && !e.Burst && !e.spend(ctx, e.TokenInterval) {
+	cutAfter := e.cutOffset(size)
+	perEvent := max(1, len(writes)/len(events))
+	contentEvents := len(events) - 2 // the last two events follow without a pause
+	for i, p := range writes {
+		if i > 0 && i%perEvent == 0 && i/perEvent < contentEvents && !e.Burst && !e.work(ctx, e.TokenInterval) {
 			return false
 		}
-		if left >= 0 && left < len(p) {
-			if left > 0 {
-				_, _ = w.Write(p[:left])
+		if cutAfter >= 0 && cutAfter < len(p) {
+			if cutAfter > 0 {
+				_, _ = w.Write(p[:cutAfter])
 				_ = flush.Flush()
 			}
 			return false
 		}
-		left -= len(p)
+		cutAfter -= len(p)
 		if _, err := w.Write(p); err != nil || flush.Flush() != nil {
 			return false
 		}
