--- a/example/toyengine/main.go
+++ b/example/toyengine/main.go
@@ -1,6 +1,5 @@
-// Command toyengine is a fake engine that offers only the chat API. It
-// streams back what it was asked, word by word, so that a newcomer can watch the
-// gateway at work without any model.
+// Command toyengine is a fake engine that offers only the chat API. It streams the text of the last message
+// back, word by word, to demonstrate the gateway without a model.
 package main
 
 import (
@@ -14,31 +13,32 @@
 )
 
 func main() {
-	listen := flag.String("listen", "127.0.0.1:9001", "where to listen")
-	pace := flag.Duration("pace", 80*time.Millisecond, "time between words")
-	cut := flag.Int("cut", 0, "break every stream after so many words; 0 = never")
+	listen := flag.String("listen", "127.0.0.1:9001", "listen address (host:port)")
+	wordInterval := flag.Duration("pace", 80*time.Millisecond, "time between words")
+	cutAfter := flag.Int("cut", 0, "number of words after which every stream is cut off; 0 = never")
 	flag.Parse()
-	http.HandleFunc("POST /v1/chat/completions", func(w http.ResponseWriter, r *http.Request) { answer(w, r, *pace, *cut) })
+	http.HandleFunc("POST /v1/chat/completions", func(w http.ResponseWriter, r *http.Request) { answer(w, r, *wordInterval, *cutAfter) })
 	log.Printf("toy engine on %s", *listen)
 	log.Fatal(http.ListenAndServe(*listen, nil))
 }
 
-func answer(w http.ResponseWriter, r *http.Request, pace time.Duration, cut int) {
-	var q struct {
+// answer streams the last message back. It cuts the stream off after cutAfter words, if that is above 0.
+func answer(w http.ResponseWriter, r *http.Request, wordInterval time.Duration, cutAfter int) {
+	var request struct {
 		Messages []struct {
 			Content string `json:"content"`
 		} `json:"messages"`
 	}
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, 256<<10)).Decode(&q); err != nil || len(q.Messages) == 0 {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, 256<<10)).Decode(&request); err != nil || len(request.Messages) == 0 {
 		http.Error(w, "no messages", http.StatusBadRequest)
 		return
 	}
 	w.Header().Set("Content-Type", "text/event-stream")
 	out := http.NewResponseController(w)
-	words := strings.Fields("You asked: " + q.Messages[len(q.Messages)-1].Content)
+	words := strings.Fields("You asked: " + request.Messages[len(request.Messages)-1].Content)
 	for i, word := range words {
-		if cut > 0 && i == cut {
-			panic(http.ErrAbortHandler) // ends the connection without the last chunk
+		if cutAfter > 0 && i == cutAfter {
+			panic(http.ErrAbortHandler) // closes the connection without the final chunk
 		}
 		text, _ := json.Marshal(word + " ")
 		fmt.Fprintf(w, "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":%s},\"finish_reason\":null}]}\n\n", text)
@@ -48,7 +48,7 @@
 		select {
 		case <-r.Context().Done():
 			return
-		case <-time.After(pace):
+		case <-time.After(wordInterval):
 		}
 	}
 	fmt.Fprint(w, "data: {\"choices\":[{\"index\":0,\"delta\":{},\"finish_reason\":\"stop\"}]}\n\n")
