--- a/internal/compat/compat_test.go
+++ b/internal/compat/compat_test.go
@@ -16,13 +16,13 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// externalName matches the literals by which others know the program: environment variables, URL
-// paths, keys and metrics in snake case.
+// externalName matches literals that are visible outside the program: environment variables, URL paths,
+// and keys and metrics in snake case.
 var externalName = regexp.MustCompile(`^(EDGE_[A-Z_]+|WELLGW_[A-Z_]+|/[a-zA-Z0-9/_.{}$-]+|[a-z][a-z0-9]*(_[a-z0-9]+)+)$`)
 
-// TestExternalNames compares the program's struct tags and external names with the saved ones.
-// A name that is added, changed or gone has to be changed in testdata as well, on purpose: no
-// rename of a Go identifier may do so.
+// TestExternalNames compares the program's struct tags and external names with those saved in testdata. It
+// guards against renames of Go identifiers that change an external name by accident. If a name is added,
+// changed or removed intentionally, change testdata as well.
 func TestExternalNames(t *testing.T) {
 	tags, names := scan(t, filepath.Join("..", ".."))
 	for file, found := range map[string]map[string]int{"struct_tags.txt": tags, "external_names.txt": names} {
@@ -49,7 +49,7 @@
 	return list
 }
 
-// scan collects the struct tags and external names of all Go files below root but tests.
+// scan collects the struct tags and external names of all Go files below root except tests.
 func scan(t *testing.T, root string) (tags, names map[string]int) {
 	t.Helper()
 	tags, names = map[string]int{}, map[string]int{}
--- a/internal/compat/doc.go
+++ b/internal/compat/doc.go
@@ -1,4 +1,4 @@
-// Package compat holds no code. Its tests compare the names by which others know this program
-// (struct tags of what is sent, configured or stored; environment variables; URL paths; keys and
-// metrics in snake case) with those that were saved before its Go names were changed.
+// Package compat contains only tests. They compare the program's external names (struct tags of data that
+// is sent, configured or stored; environment variables; URL paths; keys and metrics in snake case) with
+// the names that were saved before Go identifiers were renamed.
 package compat
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,5 +1,5 @@
-// Package golden hashes what decisions return, for tests that compare the hash with one recorded
-// earlier. What is hashed has no Go names in it, so that a hash outlives renames in the code.
+// Package golden hashes the results of decisions, for tests that compare the hash with a recorded one. The
+// hashed data contains no Go identifiers, so that a hash stays valid when code is renamed.
 package golden
 
 import (
@@ -9,20 +9,20 @@
 	"hash"
 )
 
-// Recorder hashes results in the order in which they are given. Use NewRecorder.
+// Recorder hashes results in the order in which they are added. Create one with NewRecorder.
 type Recorder struct{ sum hash.Hash }
 
-// NewRecorder returns a recorder that has been given nothing.
+// NewRecorder returns a recorder without any results.
 func NewRecorder() Recorder { return Recorder{sha256.New()} }
 
-// Number adds numbers, and kinds by their number.
+// Number adds integers, and enumeration values as integers.
 func (r Recorder) Number(values ...int64) {
 	for _, v := range values {
 		r.sum.Write(binary.BigEndian.AppendUint64(nil, uint64(v)))
 	}
 }
 
-// Flag adds a truth value.
+// Flag adds a boolean.
 func (r Recorder) Flag(v bool) {
 	if v {
 		r.Number(1)
@@ -31,7 +31,7 @@
 	}
 }
 
-// Text adds texts that the test itself has given.
+// Text adds strings that the test itself chose, such as names in its input.
 func (r Recorder) Text(values ...string) {
 	for _, v := range values {
 		r.Number(int64(len(v)))
@@ -39,5 +39,5 @@
 	}
 }
 
-// Hash returns the hash of what has been added, in hexadecimal digits.
+// Hash returns the hash of all added results, in hexadecimal.
 func (r Recorder) Hash() string { return hex.EncodeToString(r.sum.Sum(nil)) }
