--- a/fake/consul/agent.go
+++ b/fake/consul/agent.go
@@ -57,7 +57,7 @@
 const (
 	defaultWait   = 5 * time.Minute
 	maxWait       = 10 * time.Minute
-	jitterDivisor = 16
+	jitterDivisor = 16 // max. jitter = wait / jitterDivisor; the fake adds half of it
 )
 
 // NewAgent starts an agent that serves the data of a store.
--- a/fake/consul/conformance_test.go
+++ b/fake/consul/conformance_test.go
@@ -49,23 +49,23 @@
 	}
 	list, meta, err := health.Service("llm", "gpu", false, nil)
 	if err != nil || len(list) != 1 || list[0].Service.Meta["role"] != "read" || list[0].Service.Port != 9001 || list[0].Checks.AggregatedStatus() != api.HealthCritical {
-		t.Fatalf("%+v, %v", list, err)
+		t.Fatalf("after registration: %+v, error %v", list, err)
 	}
 	if meta.LastIndex == 0 || !meta.KnownLeader {
-		t.Errorf("meta %+v", meta)
+		t.Errorf("query metadata %+v", meta)
 	}
 	if err := agent.UpdateTTL("service:e1", "fine", api.HealthPassing); err != nil {
 		t.Fatal(err)
 	}
 	if list, _, _ = health.Service("llm", "", true, nil); len(list) != 1 {
-		t.Errorf("passing: %d", len(list))
+		t.Errorf("%d passing instances, want 1", len(list))
 	}
 	created := list[0].Service.CreateIndex
 	if err := agent.EnableServiceMaintenance("e1", "new board"); err != nil {
 		t.Fatal(err)
 	}
 	if list, _, _ = health.Service("llm", "", false, nil); list[0].Checks.AggregatedStatus() != api.HealthMaint {
-		t.Errorf("in maintenance: %+v", list[0].Checks)
+		t.Errorf("checks during maintenance: %+v", list[0].Checks)
 	}
 	if err := agent.DisableServiceMaintenance("e1"); err != nil {
 		t.Fatal(err)
@@ -77,22 +77,22 @@
 		t.Errorf("registered again: %+v", list[0].Service)
 	}
 	if services := must(agent.Services())(t); services["e1"] == nil || services["e1"].Service != "llm" {
-		t.Errorf("services %+v", services)
+		t.Errorf("services of the agent: %+v", services)
 	}
 	if checks := must(agent.Checks())(t); checks["service:e1"] == nil {
-		t.Errorf("checks %+v", checks)
+		t.Errorf("checks of the agent: %+v", checks)
 	}
 	if services, _, err := c.Catalog().Services(nil); err != nil || !slices.Equal(services["llm"], []string{"gpu"}) {
-		t.Errorf("catalogue %v, %v", services, err)
+		t.Errorf("services in the catalogue: %v, error %v", services, err)
 	}
 	if critical, _, err := health.State(api.HealthCritical, nil); err != nil || len(critical) != 1 || critical[0].ServiceName != "llm" {
-		t.Errorf("critical %v, %v", critical, err)
+		t.Errorf("critical checks: %v, error %v", critical, err)
 	}
 	if err := agent.ServiceDeregister("e1"); err != nil {
 		t.Fatal(err)
 	}
 	if list, _, _ = health.Service("llm", "", false, nil); len(list) != 0 {
-		t.Errorf("after deregistration: %d", len(list))
+		t.Errorf("%d instances after deregistration, want 0", len(list))
 	}
 	if err := agent.ServiceDeregister("e1"); err == nil || !strings.Contains(err.Error(), "404") {
 		t.Errorf("second deregistration: %v", err)
@@ -127,7 +127,7 @@
 		}
 	}
 	if !slices.Equal(seen, []string{"passing", "critical", "gone"}) {
-		t.Errorf("seen %v", seen)
+		t.Errorf("statuses seen by blocking queries: %v", seen)
 	}
 	var statuses []string
 	for _, change := range store.StatusChanges() {
@@ -156,7 +156,7 @@
 	}
 	n, index := query(0, 0)
 	if n != 2 {
-		t.Fatalf("%d instances", n)
+		t.Fatalf("%d instances, want 2", n)
 	}
 	type answer struct {
 		instances int
@@ -179,11 +179,11 @@
 	store.Register(Service{ID: "b2", Name: "y", Port: 1}, nil)
 	store.Deregister("node-1", "a2")
 	if a := <-ch; a.instances != 1 || a.index <= index {
-		t.Errorf("after a change: %+v, index was %d", a, index)
+		t.Errorf("after a change: %+v, previous index %d", a, index)
 	}
 	n, index = query(0, 0)
 	if n2, index2 := query(index, 10*time.Millisecond); n2 != n || index2 != index {
-		t.Errorf("without a change: %d at %d, before %d at %d", n2, index2, n, index)
+		t.Errorf("without a change: %d instances at index %d, before %d at %d", n2, index2, n, index)
 	}
 	ch = startBlocking()
 	for _, _, open := agent.Stats(); open == 0; _, _, open = agent.Stats() {
@@ -192,7 +192,7 @@
 	time.Sleep(50 * time.Millisecond) // lets the agent begin to block the query
 	store.Restore(before)
 	if a := <-ch; a.index >= index {
-		t.Errorf("after a restore: index %d, was %d", a.index, index)
+		t.Errorf("after a restore: index %d, want below %d", a.index, index)
 	}
 }
 
@@ -221,7 +221,7 @@
 	}
 	pair, _, err := kv.Get("lock", nil)
 	if err != nil || pair.Session != first || pair.LockIndex != 1 || string(pair.Value) != first {
-		t.Errorf("%+v, %v", pair, err)
+		t.Errorf("locked entry: %+v, error %v", pair, err)
 	}
 	if _, err := sessions.Destroy(first, nil); err != nil {
 		t.Fatal(err)
@@ -231,16 +231,16 @@
 		t.Error("the lock was not released at the end of its session")
 	}
 	if pair, _, _ = kv.Get("lock", nil); pair.LockIndex != 2 {
-		t.Errorf("lock index %d", pair.LockIndex)
+		t.Errorf("lock index %d, want 2", pair.LockIndex)
 	}
 	if released, _, err := kv.Release(&api.KVPair{Key: "lock", Session: second}, nil); err != nil || !released {
-		t.Errorf("release: %v, %v", released, err)
+		t.Errorf("release: %v, error %v", released, err)
 	}
 	if entry, _, err := sessions.Renew(first, nil); err != nil || entry != nil {
-		t.Errorf("renewal of a destroyed session: %+v, %v", entry, err)
+		t.Errorf("renewal of a destroyed session: %+v, error %v", entry, err)
 	}
 	if entry, _, err := sessions.Renew(second, nil); err != nil || entry == nil {
-		t.Errorf("renewal: %+v, %v", entry, err)
+		t.Errorf("renewal of a session: %+v, error %v", entry, err)
 	}
 	if _, _, err := sessions.Create(&api.SessionEntry{TTL: "1s"}, nil); err == nil {
 		t.Error("a TTL below 10 s was accepted")
@@ -256,22 +256,22 @@
 		}
 	}
 	if list, _, err := kv.List("a/", nil); err != nil || len(list) != 2 || string(list[1].Value) != "a/2" || list[1].Flags != 7 {
-		t.Errorf("list %v, %v", list, err)
+		t.Errorf("list: %v, error %v", list, err)
 	}
 	if keys, _, err := kv.Keys("", "", nil); err != nil || !slices.Equal(keys, []string{"a/1", "a/2", "b"}) {
-		t.Errorf("keys %v, %v", keys, err)
+		t.Errorf("keys: %v, error %v", keys, err)
 	}
 	pair, _, _ := kv.Get("b", nil)
 	for _, want := range []bool{true, false} { // the second index is outdated
 		if done, _, err := kv.CAS(&api.KVPair{Key: "b", Value: []byte("x"), ModifyIndex: pair.ModifyIndex}, nil); err != nil || done != want {
-			t.Errorf("check and set: %v, %v", done, err)
+			t.Errorf("check-and-set: %v, error %v", done, err)
 		}
 	}
 	if _, err := kv.DeleteTree("a/", nil); err != nil {
 		t.Fatal(err)
 	}
 	if pair, _, err := kv.Get("a/1", nil); err != nil || pair != nil {
-		t.Errorf("deleted: %v, %v", pair, err)
+		t.Errorf("read of a deleted key: %v, error %v", pair, err)
 	}
 }
 
@@ -288,7 +288,7 @@
 		t.Helper()
 		a.SetFaults(f)
 		if _, _, err := query(nil); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%+v: %v, want %s", f, err, want)
+			t.Errorf("faults %+v: error %v, want %s", f, err, want)
 		}
 	}
 	expectError(Faults{Status: 429, RetryAfter: "2"}, "429")
@@ -297,22 +297,22 @@
 	expectError(Faults{Refuse: true}, "refused")
 	a.SetFaults(Faults{Leaderless: true, LastContact: time.Minute})
 	if n, meta, err := query(&api.QueryOptions{AllowStale: true}); err != nil || n != 2 || meta.KnownLeader || meta.LastContact != time.Minute {
-		t.Errorf("stale, no leader: %d, %+v, %v", n, meta, err)
+		t.Errorf("stale query without a leader: %d instances, %+v, error %v", n, meta, err)
 	}
 	a.SetFaults(Faults{Lag: old})
 	if n, _, err := query(nil); err != nil || n != 1 {
-		t.Errorf("lagging: %d, %v", n, err)
+		t.Errorf("lagging server: %d instances, error %v", n, err)
 	}
 	a.SetFaults(Faults{Trickle: time.Microsecond})
 	if n, _, err := query(nil); err != nil || n != 2 {
-		t.Errorf("trickling: %d, %v", n, err)
+		t.Errorf("slow answer: %d instances, error %v", n, err)
 	}
 	a.SetFaults(Faults{})
 	a.Token = "secret"
 	if _, _, err := query(nil); err == nil || !strings.Contains(err.Error(), "403") {
-		t.Errorf("without a token: %v", err)
+		t.Errorf("request without a token: error %v", err)
 	}
 	if n, _, err := query(&api.QueryOptions{Token: "secret"}); err != nil || n != 2 {
-		t.Errorf("with a token: %d, %v", n, err)
+		t.Errorf("request with a token: %d instances, error %v", n, err)
 	}
 }
--- a/fake/engine/engine.go
+++ b/fake/engine/engine.go
@@ -99,6 +99,7 @@
 	processContext     context.Context
 }
 
+// coldArrival is work that arrived while the engine was cold.
 type coldArrival struct {
 	at   time.Time
 	work float64 // duration at full speed, in seconds
--- a/internal/simulator/simulator_test.go
+++ b/internal/simulator/simulator_test.go
@@ -73,7 +73,7 @@
 		}
 	}
 	if strings.Contains(out, "Decline") || strings.Contains(out, "Die") {
-		t.Error(out)
+		t.Errorf("request declined or router failed:\n%s", out)
 	}
 }
 
@@ -81,7 +81,7 @@
 	out := serve(t, batch(1, 1000, hello(0), hello(1), directory(0, "old"), fleet(0, 0), directory(0, "new"), fleet(1, 0),
 		call(0, 1), call(1, 2)))
 	if !strings.Contains(out, `"xid":1,"worker":"old"`) || !strings.Contains(out, `"xid":2,"worker":"new"`) {
-		t.Error(out)
+		t.Errorf("requests not sent to the engines of their lists:\n%s", out)
 	}
 }
 
@@ -89,7 +89,7 @@
 	out := serve(t, batch(1, 1000, hello(0), directory(0, "r1"), fleet(0, 0), call(0, 1))+
 		batch(2, 2000, `{"verb":"Destroy","who":0}`+"\n", hello(0), directory(1, "r2"), fleet(0, 1), call(0, 2)))
 	if !strings.Contains(out, `"xid":2,"worker":"r2"`) {
-		t.Error(out)
+		t.Errorf("request not sent to the restarted instance's engine:\n%s", out)
 	}
 }
 
@@ -144,6 +144,6 @@
 func TestInvalidOptionsAreReportedAsDie(t *testing.T) {
 	out := serve(t, batch(1, 1, strings.Replace(hello(0), `"send_cap":6`, `"send_cap":0`, 1)))
 	if !strings.Contains(out, `"verb":"Die","who":0,"message":"MaxAttempts`) {
-		t.Error(out)
+		t.Errorf("no Die action for invalid options:\n%s", out)
 	}
 }
