--- a/internal/openai/front_test.go
+++ b/internal/openai/front_test.go
@@ -279,7 +279,7 @@
 					last, states = writeEngine, len(readEngine.Calls("POST"))
 				}
 				enginetest.Eventually(t, "attempt closed and state released", func() bool {
-					return len(last.Dropped()) >= len(last.Calls("POST")) && len(readEngine.Calls("DELETE")) >= states
+					return len(last.ConnectionCloseTimes()) >= len(last.Calls("POST")) && len(readEngine.Calls("DELETE")) >= states
 				})
 				return time.Since(disconnectedAt)
 			})
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -296,7 +296,7 @@
 	stream := enginetest.Stream(2, 0)
 	addr, r, w, _ := gateway(t, prefilled, func(enginetest.Call) string { return stream[:len(stream)/2] + enginetest.Hang })
 	enginetest.Within(t, 500*time.Millisecond, func() time.Duration {
-		dropped, releases := len(w.Dropped()), len(r.Calls("DELETE"))+len(w.Calls("DELETE"))
+		dropped, releases := len(w.ConnectionCloseTimes()), len(r.Calls("DELETE"))+len(w.Calls("DELETE"))
 		req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+addr+"/v1/chat/completions", strings.NewReader("{}"))
 		if err != nil {
 			t.Fatal(err)
@@ -314,7 +314,7 @@
 		resp.Body.Close()
 		disconnected := time.Now()
 		enginetest.Eventually(t, "attempt closed, held state released", func() bool {
-			return len(w.Dropped()) > dropped && len(r.Calls("DELETE"))+len(w.Calls("DELETE")) >= releases+2
+			return len(w.ConnectionCloseTimes()) > dropped && len(r.Calls("DELETE"))+len(w.Calls("DELETE")) >= releases+2
 		})
 		return time.Since(disconnected)
 	})
--- a/internal/rolectl/rolectl_test.go
+++ b/internal/rolectl/rolectl_test.go
@@ -56,7 +56,7 @@
 	t.Cleanup(c.store.Close)
 	t.Cleanup(c.fleet.Close)
 	for id, role := range c.roles {
-		e, err := c.fleet.Start(engine.Options{ID: id, Role: role, Cold: 50 * time.Millisecond}, true)
+		e, err := c.fleet.Start(engine.Options{ID: id, Role: role, WarmUp: 50 * time.Millisecond}, true)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -178,7 +178,7 @@
 			second := c.startGateway("g2", nil)
 			flipped := step == rolechange.Warming || step == rolechange.Settled
 			if flipped {
-				c.engines["w1"].Turn(engine.Read)
+				c.engines["w1"].SetRole(engine.Read)
 			}
 			c.writeRecord(first, "w1", "read", step)
 			want := rolechange.Done
@@ -186,7 +186,7 @@
 				want = rolechange.RolledBack
 			} else {
 				enginetest.Eventually(t, "both gateways route to the engine in its new role", func() bool {
-					return c.engines["w1"].RoleNow() == engine.Read && first.routesTo("w1", "read") && second.routesTo("w1", "read")
+					return c.engines["w1"].CurrentRole() == engine.Read && first.routesTo("w1", "read") && second.routesTo("w1", "read")
 				})
 				for _, g := range c.gateways {
 					c.observe(g, map[string]string{"w1": "read"})
@@ -220,7 +220,7 @@
 		t.Fatal(err)
 	}
 	// The leader is disconnected from Consul, and its session ends.
-	if err := first.agent.Fail(fakeconsul.Faults{Hang: true}); err != nil {
+	if err := first.agent.SetFaults(fakeconsul.Faults{Hang: true}); err != nil {
 		t.Fatal(err)
 	}
 	if err := second.client.DestroySession(t.Context(), lock.Session); err != nil {
@@ -228,7 +228,7 @@
 	}
 	enginetest.Eventually(t, "g2 is the leader", func() bool { s := second.Status(); return s.IsLeader && s.FencingToken > lock.LockIndex })
 	c.writeRecord(second, "w1", "read", rolechange.Announced)
-	enginetest.Eventually(t, "the engine has changed its role on g2's command", func() bool { return c.engines["w1"].RoleNow() == engine.Read })
+	enginetest.Eventually(t, "the engine has changed its role on g2's command", func() bool { return c.engines["w1"].CurrentRole() == engine.Read })
 	enginetest.Eventually(t, "g1 is no longer the leader", func() bool { return !first.Status().IsLeader })
 
 	// A leader that resumes after a stall longer than its lease does nothing.
@@ -273,14 +273,14 @@
 	})
 	c.writeRecord(g, "w1", "read", rolechange.Announced)
 	enginetest.Eventually(t, "routing to the engine is paused", func() bool { return g.routingPaused("w1", "write") })
-	if err := g.agent.Fail(fakeconsul.Faults{Refuse: true}); err != nil {
+	if err := g.agent.SetFaults(fakeconsul.Faults{Refuse: true}); err != nil {
 		t.Fatal(err)
 	}
 	enginetest.Eventually(t, "no gateway is the leader", func() bool { return !g.Status().IsLeader })
 	if !g.routingPaused("w1", "write") {
 		t.Error("routing to the engine resumed while the records could not be read")
 	}
-	if err := g.agent.Fail(fakeconsul.Faults{}); err != nil {
+	if err := g.agent.SetFaults(fakeconsul.Faults{}); err != nil {
 		t.Fatal(err)
 	}
 	second := c.startGateway("g2", nil) // its confirmation was missing
@@ -311,10 +311,10 @@
 		makeFaulty func(*engine.Engine)
 		want       rolechange.Outcome
 	}{
-		"refuses commands":         {func(e *engine.Engine) { e.Refuse(true) }, rolechange.RolledBack},
+		"refuses commands":         {func(e *engine.Engine) { e.RefuseRoleChanges(true) }, rolechange.RolledBack},
 		"crashes":                  {func(e *engine.Engine) { e.Crash() }, rolechange.Failed},
-		"reports another role":     {func(e *engine.Engine) { e.Lie("both") }, rolechange.Failed},
-		"does not finish draining": {func(e *engine.Engine) { e.Hold(1) }, rolechange.RolledBack},
+		"reports another role":     {func(e *engine.Engine) { e.ReportRole("both") }, rolechange.Failed},
+		"does not finish draining": {func(e *engine.Engine) { e.OccupySlots(1) }, rolechange.RolledBack},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -327,8 +327,8 @@
 			if got := c.waitForOutcome(g, "w1"); got != tc.want {
 				t.Errorf("outcome %s, want %s", got, tc.want)
 			}
-			if c.engines["w1"].RoleNow() != engine.Write {
-				t.Errorf("the engine's role is %s, want write", c.engines["w1"].RoleNow())
+			if c.engines["w1"].CurrentRole() != engine.Write {
+				t.Errorf("the engine's role is %s, want write", c.engines["w1"].CurrentRole())
 			}
 		})
 	}
@@ -366,9 +366,9 @@
 			return map[string]core.Traffic{"c": all}
 		}
 	})
-	c.engines["r1"].Hold(8)
-	c.engines["r2"].Hold(8)
-	c.engines["w1"].Hold(1)
+	c.engines["r1"].OccupySlots(8)
+	c.engines["r2"].OccupySlots(8)
+	c.engines["w1"].OccupySlots(1)
 	enginetest.Eventually(t, "a change is planned", func() bool { return g.Status().Plan.Change != nil })
 	s := g.Status()
 	if len(s.Changes) > 0 || len(s.History) > 0 || s.Plan.Change.To != roles.Prefill {
