--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Command simadapter runs routers behind the simulator's protocol on standard input
-// and output.
+// Command simadapter serves the simulator's protocol on standard input and output. It makes the
+// decisions by the routers of this module.
 package main
 
 import (
--- a/cmd/wellgw/adminserver.go
+++ b/cmd/wellgw/adminserver.go
@@ -10,7 +10,7 @@
 	"wellgw/internal/telemetry"
 )
 
-// serveAdmin serves the admin pages and the metrics until ctx ends.
+// serveAdmin serves the admin pages and metrics until ctx is done.
 func (s *engineSources) serveAdmin(ctx context.Context) {
 	view := func() admin.View { return s.adminView(ctx) }
 	pages := admin.Pages{admin.EnginesPath: func() any { return view() }}
@@ -26,13 +26,13 @@
 	admin.Serve(ctx, accept.New(s.admin, s.log), pages, map[string]http.Handler{telemetry.Path: telemetry.Handler(metrics)}, s.log)
 }
 
-// adminView is the gateway's engines, and its counts, as they are now.
+// adminView returns a snapshot of the gateway's engines and counters.
 func (s *engineSources) adminView(ctx context.Context) admin.View {
-	v := admin.View{View: s.directory.View(), Counts: s.core.Counts(ctx), Gateways: s.status.sharing()}
+	v := admin.View{View: s.directory.View(), Counts: s.core.Counts(ctx), Gateways: s.status.gatewayCount()}
 	if s.consul != nil {
 		v.Consul = s.consul.Stats()
 	}
-	if v.Counts == nil { // the core has ended
+	if v.Counts == nil { // the core has stopped
 		return v
 	}
 	maps.Copy(v.Counts, s.frontCounts())
--- a/cmd/wellgw/chatgateway.go
+++ b/cmd/wellgw/chatgateway.go
@@ -16,39 +16,39 @@
 	"wellgw/internal/upstream"
 )
 
-// The chat API's margins.
+// Timeouts and sizes of the chat API.
 const (
-	chatStreamSilence = time.Minute // a model may well think for as long between two events
-	// Where there are hundreds of megabytes, collecting costs more than it brings.
+	chatStreamSilenceTimeout = time.Minute // a model may pause this long between two events
+	// With hundreds of megabytes available, more frequent collection costs more than it saves.
 	chatGCPercent  = 400
-	chatReadBuffer = 16 << 10 // bytes, of a connection to an engine: what has come together is read together
+	chatReadBuffer = 16 << 10 // bytes per engine connection; data that arrives together is read in one call
 )
 
-// chatGateway makes the parts of a gateway that are the chat API's own.
+// chatGateway provides the parts of a gateway that are specific to the chat API.
 type chatGateway struct {
-	gateway *gateway
-	path    string
-	started *config.Operator                // the file at the start; what needs a restart is held against it
-	current atomic.Pointer[config.Operator] // the file as last read
-	keys    *idempotency.Store              // set by newDirectory
-	sources *engineSources                  // set by newDirectory
-	front   atomic.Pointer[openai.Front]    // set by newFront; others may ask before
+	gateway       *gateway
+	path          string
+	startupConfig *config.Operator                // read at startup; a reload may not change its fields that need a restart
+	activeConfig  atomic.Pointer[config.Operator] // from the last successful read
+	keys          *idempotency.Store              // set by newDirectory
+	sources       *engineSources                  // set by newDirectory
+	front         atomic.Pointer[openai.Front]    // set by newFront; frontCounts may be called earlier
 }
 
 func newChatGateway(path string, o *config.Operator, log *slog.Logger) *gateway {
-	g := &chatGateway{path: path, started: o}
-	g.current.Store(o)
+	g := &chatGateway{path: path, startupConfig: o}
+	g.activeConfig.Store(o)
 	base := &gateway{
 		log: log, listen: o.Listen,
 		limits: o.Limits, gcPercent: chatGCPercent, settings: o.Settings(), seed: uint64(time.Now().UnixNano()),
 		coreLimits: core.Limits{IgnoresHeldState: func(kind string) bool { return kind == config.RoleOpenAI }},
-		pool:       upstream.Options{ReadBuffer: chatReadBuffer, StreamSilenceTimeout: chatStreamSilence},
+		pool:       upstream.Options{ReadBuffer: chatReadBuffer, StreamSilenceTimeout: chatStreamSilenceTimeout},
 		dialect:    g.dialect, newFront: g.newFront, newDirectory: g.newDirectory,
 		status: &status{},
 	}
 	base.pool.ConnectTimeout, base.pool.ServerIdleTimeout, base.coreLimits.DeadlineSlack = o.Network()
 	for _, c := range o.Contracts {
-		base.maxWait = max(base.maxWait, c.Deadline())
+		base.maxFirstTokenWait = max(base.maxFirstTokenWait, c.Deadline())
 	}
 	g.gateway = base
 	return base
@@ -56,29 +56,29 @@
 
 func (g *chatGateway) dialect(kind string) upstream.Dialect {
 	if kind == config.RoleOpenAI {
-		return openai.Dialect{Key: g.current.Load().EngineKey}
+		return openai.Dialect{Key: g.activeConfig.Load().EngineKey}
 	}
 	return openai.TwoStage{}
 }
 
 func (g *chatGateway) newFront(c *core.Core, bodies *clientconn.Budget) front {
 	front := openai.NewFront(openai.Options{
-		Core: c, File: g.started, Bodies: bodies, Keys: g.keys, Held: memoryBytes(g.gateway.limits, streamBufferShare),
-		Others: g.othersMayServe,
+		Core: c, File: g.startupConfig, Bodies: bodies, Keys: g.keys, Held: memoryBytes(g.gateway.limits, streamBufferFraction),
+		Others: g.retriesMayReachOtherGateways,
 	})
 	g.front.Store(front)
 	return front
 }
 
-// othersMayServe tells whether another gateway may serve a request that a client sends again.
-func (g *chatGateway) othersMayServe() bool {
-	o := g.started
+// retriesMayReachOtherGateways reports whether a client's retry of a request may reach another gateway.
+func (g *chatGateway) retriesMayReachOtherGateways() bool {
+	o := g.startupConfig
 	return deduplication.Topology{
-		StickyKeys: o.Idempotency != nil && o.Idempotency.Sticky, ConfiguredGateways: o.Gateways, PeersEnabled: o.Peers != nil, ObservedGateways: g.gateway.status.sharing(),
+		StickyKeys: o.Idempotency != nil && o.Idempotency.Sticky, ConfiguredGateways: o.Gateways, PeersEnabled: o.Peers != nil, ObservedGateways: g.gateway.status.gatewayCount(),
 	}.AttemptsMayReachOtherGateways()
 }
 
-// frontCounts are the front's own counts, beside the core's; nil before there is a front.
+// frontCounts returns the front's counters, which the core's do not include; nil before newFront.
 func (g *chatGateway) frontCounts() map[string]int {
 	if front := g.front.Load(); front != nil {
 		return front.Counts()
@@ -86,14 +86,14 @@
 	return nil
 }
 
-// newDirectory opens the idempotency keys, and what tells of engines.
+// newDirectory opens the store of idempotency keys and the sources of engines.
 func (g *chatGateway) newDirectory(c *core.Core) (engineDirectory, error) {
-	o, file := g.started, ""
+	o, keyFile := g.startupConfig, ""
 	if o.Idempotency != nil {
-		file = o.Idempotency.File
+		keyFile = o.Idempotency.File
 	}
 	var err error
-	if g.keys, err = idempotency.Open(file, o.KeyLimits(), g.gateway.log); err != nil {
+	if g.keys, err = idempotency.Open(keyFile, o.KeyLimits(), g.gateway.log); err != nil {
 		return engineDirectory{}, err
 	}
 	if g.sources, err = newEngineSources(o, g.gateway, c, g.frontCounts); err != nil {
@@ -101,12 +101,12 @@
 	}
 	d := engineDirectory{Directory: g.sources.directory, run: g.runDirectory, reload: g.reload, observe: g.sources.observe}
 	if g.sources.peers != nil {
-		d.leave = g.sources.peers.Leave
+		d.announceLeave = g.sources.peers.Leave
 	}
 	return d, nil
 }
 
-// runDirectory keeps the idempotency keys and the list of engines until ctx ends.
+// runDirectory maintains the idempotency keys and the list of engines until ctx is done.
 func (g *chatGateway) runDirectory(ctx context.Context) {
 	var group sync.WaitGroup
 	group.Go(func() { g.keys.Run(ctx) })
@@ -114,19 +114,19 @@
 	group.Wait()
 }
 
-// reload reads the file again and applies it. The process's state does not depend on it.
+// reload rereads the operator's file and applies it. The state of the process doesn't depend on the file.
 func (g *chatGateway) reload(context.Context, *supervisor) error {
 	next, err := config.ReadOperator(g.path)
 	if err != nil {
 		return err
 	}
-	if err := g.started.Takes(next); err != nil {
+	if err := g.startupConfig.Takes(next); err != nil {
 		return err
 	}
 	if err := g.sources.apply(next); err != nil {
 		return err
 	}
-	g.current.Store(next)
+	g.activeConfig.Store(next)
 	g.front.Load().Reload(next)
 	return nil
 }
--- a/cmd/wellgw/engines.go
+++ b/cmd/wellgw/engines.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// adminFlags are the flags of commands that ask a running gateway.
+// adminFlags returns the flags of commands that query a running gateway.
 func adminFlags() []cli.Flag {
 	return []cli.Flag{
 		&cli.StringFlag{Name: "admin", Usage: "`ADDRESS` of the gateway's admin listener; without it, the operator's file says"},
@@ -31,8 +31,8 @@
 	}
 }
 
-// printPage asks the gateway that a command names for an admin page and prints it by render, or as
-// JSON with --json.
+// printPage fetches an admin page from the gateway that the command line selects. It prints the page
+// with render, or as JSON with --json.
 func printPage[T any](ctx context.Context, cmd *cli.Command, path string, render func(io.Writer, T)) error {
 	addr, err := adminAddress(cmd)
 	if err != nil {
@@ -52,7 +52,8 @@
 	return nil
 }
 
-// adminAddress returns the address of the admin listener that a command names.
+// adminAddress returns the address of the admin listener: the value of --admin, else that in the operator's
+// file.
 func adminAddress(cmd *cli.Command) (string, error) {
 	addr := cmd.String("admin")
 	if path := cmd.Args().First(); addr == "" && path != "" {
@@ -75,7 +76,7 @@
 	return printPage(ctx, cmd, admin.EnginesPath, func(w io.Writer, v admin.View) { printEngines(w, v, cmd.Bool("out")) })
 }
 
-// newTable returns a table that is written to w when it is rendered.
+// newTable returns a table whose Render method writes to w.
 func newTable(w io.Writer, header ...any) table.Writer {
 	t := table.NewWriter()
 	t.SetOutputMirror(w)
@@ -94,16 +95,16 @@
 		if outOnly && e.State == "in" && e.Confidence == "confirmed" {
 			continue
 		}
-		t.AppendRow(table.Row{e.ID, e.Address, e.Role, e.Zone, e.Cell, e.State, e.Confidence, formatMillis(e.AgeMS), formatMillis(e.UpMS), sourceList(e.Sources), e.Why})
+		t.AppendRow(table.Row{e.ID, e.Address, e.Role, e.Zone, e.Cell, e.State, e.Confidence, formatMilliseconds(e.AgeMS), formatMilliseconds(e.UpMS), sourceList(e.Sources), e.Why})
 	}
 	t.Render()
 	sources := newTable(w, "source", "engines", "index", "believed", "in doubt")
 	for _, src := range v.Sources {
 		doubt := ""
 		if src.Doubt != "" {
-			doubt = src.Doubt + " for " + formatMillis(src.DoubtMS)
+			doubt = src.Doubt + " for " + formatMilliseconds(src.DoubtMS)
 		}
-		sources.AppendRow(table.Row{src.Source, src.Engines, src.Index, formatMillis(src.AgeMS) + " ago", doubt})
+		sources.AppendRow(table.Row{src.Source, src.Engines, src.Index, formatMilliseconds(src.AgeMS) + " ago", doubt})
 	}
 	sources.Render()
 	fmt.Fprintf(w, "%d of %d engines take new work; %d gateways share them\n", inService, len(v.Engines), v.Gateways)
@@ -113,15 +114,15 @@
 	}
 }
 
-func sourceList(list []string) string {
-	if len(list) == 1 {
-		return list[0]
+func sourceList(names []string) string {
+	if len(names) == 1 {
+		return names[0]
 	}
-	return fmt.Sprintf("%d sources", len(list))
+	return fmt.Sprintf("%d sources", len(names))
 }
 
-// formatMillis formats a duration in milliseconds; 0 is one that is unknown.
-func formatMillis(ms int64) string {
+// formatMilliseconds formats a duration in milliseconds; values up to 0 are unknown and print as "-".
+func formatMilliseconds(ms int64) string {
 	if ms <= 0 {
 		return "-"
 	}
--- a/cmd/wellgw/enginesources.go
+++ b/cmd/wellgw/enginesources.go
@@ -21,26 +21,26 @@
 	"wellgw/internal/telemetry"
 )
 
-// traceFlushTimeout bounds the writing of the last spans.
+// traceFlushTimeout bounds the final flush of spans at shutdown.
 const traceFlushTimeout = 250 * time.Millisecond
 
-// engineSources are where a chat gateway learns of its engines: the operator's file and, if that
-// says so, Consul; and what goes by that: role changes, the other gateways, the admin pages.
+// engineSources holds the sources of a chat gateway's engines: the operator's file and, if the file
+// configures it, Consul. It also holds what depends on these: role changes, peers, traces and admin pages.
 type engineSources struct {
 	log         *slog.Logger
 	status      *status
-	frontCounts func() map[string]int // of the front's own; see chatGateway.frontCounts
+	frontCounts func() map[string]int // see chatGateway.frontCounts
 
 	core      *core.Core
 	directory *directory.Directory
-	consul    *consul.Discovery   // nil without Consul
-	roles     *rolectl.Controller // nil where engines keep their roles
-	tracer    *telemetry.Tracer   // nil without traces
-	admin     net.Listener        // nil without admin pages
-	peers     *peers.Peers        // nil where gateways tell each other nothing
+	consul    *consul.Discovery   // nil if Consul is not configured
+	roles     *rolectl.Controller // nil if role changes are not configured
+	tracer    *telemetry.Tracer   // nil if traces are not configured
+	admin     net.Listener        // nil if no admin listener is configured
+	peers     *peers.Peers        // nil if peers are not configured
 }
 
-// newEngineSources opens all of them; an error names the field of the file that can't be used.
+// newEngineSources opens every source that the file configures; an error names the invalid field.
 func newEngineSources(o *config.Operator, g *gateway, c *core.Core, frontCounts func() map[string]int) (*engineSources, error) {
 	s := &engineSources{log: g.log, status: g.status, frontCounts: frontCounts, core: c}
 	s.status.gateways.Store(int64(max(o.Gateways, 1)))
@@ -103,8 +103,8 @@
 	var err error
 	s.roles, err = rolectl.New(rolectl.Options{
 		Directory: s.directory, Settings: r.Settings(), Limits: r.Limits(), LeaseTTL: r.Lease(), KeyPrefix: r.Keys(), DryRun: r.DryRun,
-		GatewayName: s.status.address, GatewayCount: s.status.sharing, Traffic: func() map[string]core.Traffic { return s.core.Traffic(context.Background()) },
-		PinnedEngines: setOf(r.PinEngines), PinnedRacks: setOf(r.PinRacks), OnStep: step, Log: s.log,
+		GatewayName: s.status.address, GatewayCount: s.status.gatewayCount, Traffic: func() map[string]core.Traffic { return s.core.Traffic(context.Background()) },
+		PinnedEngines: newSet(r.PinEngines), PinnedRacks: newSet(r.PinRacks), OnStep: step, Log: s.log,
 	})
 	return err
 }
@@ -116,9 +116,9 @@
 	var err error
 	s.consul, err = consul.New(consul.Options{
 		Config: *o.Consul, Zone: o.Zone, Directory: s.directory, Ready: s.core.Ready, Log: s.log, Address: s.status.address,
-		SetGateways: func(n int) {
-			if s.peers == nil { // gateways that talk to each other know better, and sooner
-				s.setSharing(n)
+		SetGateways: func(count int) {
+			if s.peers == nil { // the peer protocol's count is more accurate and more recent
+				s.setGatewayCount(count)
 			}
 		},
 		RunWith: func(ctx context.Context, client *consul.Client) {
@@ -130,22 +130,22 @@
 	return err
 }
 
-// setSharing tells how many gateways share the engines from now on.
-func (s *engineSources) setSharing(n int) {
-	s.status.gateways.Store(int64(n))
-	s.core.SetGateways(n)
+// setGatewayCount sets the number of gateways that share the engines.
+func (s *engineSources) setGatewayCount(count int) {
+	s.status.gateways.Store(int64(count))
+	s.core.SetGateways(count)
 }
 
-// observe has the directory, and traces, learn from attempts at engines.
-func (s *engineSources) observe(e core.Transport) core.Transport {
-	e = directory.ObservedTransport{Transport: e, OnRefused: s.directory.ConnectionRefused}
+// observe wraps the transport so that the directory sees refused connections and the tracer sees attempts.
+func (s *engineSources) observe(transport core.Transport) core.Transport {
+	transport = directory.ObservedTransport{Transport: transport, OnRefused: s.directory.ConnectionRefused}
 	if s.tracer != nil {
-		e = s.tracer.Engines(e)
+		transport = s.tracer.Engines(transport)
 	}
-	return e
+	return transport
 }
 
-// apply goes on by a file that was read again.
+// apply applies a reloaded operator's file.
 func (s *engineSources) apply(o *config.Operator) error {
 	if s.consul != nil {
 		if err := s.consul.Reconfigure(*o.Consul); err != nil {
@@ -156,7 +156,8 @@
 	return nil
 }
 
-// run works until ctx ends and all has ended that it began, and then writes the last spans.
+// run runs the configured parts until ctx is done and all of them have returned, and then flushes the
+// remaining spans.
 func (s *engineSources) run(ctx context.Context) {
 	var group sync.WaitGroup
 	group.Go(func() { s.directory.Run(ctx) })
@@ -177,16 +178,16 @@
 	if s.tracer == nil {
 		return
 	}
-	last, done := context.WithTimeout(context.WithoutCancel(ctx), traceFlushTimeout)
-	defer done()
-	if err := s.tracer.Close(last); err != nil {
+	flushCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), traceFlushTimeout)
+	defer cancel()
+	if err := s.tracer.Close(flushCtx); err != nil {
 		s.log.Warn("trace flush failed", "cause", err)
 	}
 }
 
-func setOf[T comparable](list []T) map[T]bool {
-	set := make(map[T]bool, len(list))
-	for _, v := range list {
+func newSet[T comparable](values []T) map[T]bool {
+	set := make(map[T]bool, len(values))
+	for _, v := range values {
 		set[v] = true
 	}
 	return set
--- a/cmd/wellgw/gateway.go
+++ b/cmd/wellgw/gateway.go
@@ -15,27 +15,27 @@
 	"wellgw/routing"
 )
 
-// front is an HTTP API in front of the core.
+// front is an HTTP API on top of the core.
 type front interface {
 	http.Handler
-	// SetService applies what clients get from now on.
+	// SetService sets the service state that decides how later requests are answered.
 	SetService(s lifecycle.Service)
 }
 
-// gateway is the configuration of one gateway process: all that differs between the platform and
-// an operator's machine. newPlatformGateway and newChatGateway make it, and run serves by it. Its
-// fields do not change while it runs; status does.
+// gateway is the configuration of one gateway process: everything that differs between the platform and
+// an operator's machine. newPlatformGateway and newChatGateway create it; run serves with it. The fields
+// don't change while it runs; only the contents of status do.
 type gateway struct {
 	log     *slog.Logger
-	name    string // names the ejection file; "" keeps none
-	listen  string // where clients connect, unless a socket is inherited
+	name    string // part of the ejection file's name; "" for no such file
+	listen  string // clients' address, unused if a socket is inherited
 	control string // address of the control listener; "" for none
 
 	limits    config.Limits
 	gcPercent int // see applyRuntimeLimits; 0 for defaultGCPercent
 
 	settings   routing.Settings
-	seed       uint64 // of the router's random draws
+	seed       uint64 // of the router's random choices
 	coreLimits core.Limits
 	pool       upstream.Options
 	dialect    func(kind string) upstream.Dialect
@@ -44,34 +44,34 @@
 	// newDirectory is called once, before newFront.
 	newDirectory func(*core.Core) (engineDirectory, error)
 
-	maxWait       time.Duration // the longest that any client waits for its first token, by the settings
-	killKnown     bool          // SIGKILL follows SIGTERM by the platform's clock; elsewhere its time is unknown
-	clientsResume bool          // clients ask for the rest of a stream that is cut off
+	maxFirstTokenWait time.Duration // longest client deadline for a first token in the settings
+	killTimeKnown     bool          // the platform sends SIGKILL a fixed time after SIGTERM; elsewhere the time is unknown
+	clientsResume     bool          // clients can resume a stream that is cut off
 
 	status *status
 }
 
-// engineDirectory tells a gateway of its engines, and of the other gateways that share them.
+// engineDirectory provides a gateway's engines and its link to the other gateways that share them.
 type engineDirectory struct {
 	core.Directory
-	// run works until ctx ends and everything that it started has ended.
+	// run returns once ctx is done and all goroutines that it started have returned.
 	run func(ctx context.Context)
-	// reload reads the configuration again and applies it; an error means that nothing changed.
+	// reload rereads the configuration and applies it; after an error nothing has changed.
 	reload func(ctx context.Context, process *supervisor) error
-	// leave tells the other gateways that this one is about to end; nil where there is nobody to tell.
-	leave func()
-	// observe wraps the engines, so that the directory learns from attempts; nil leaves them.
+	// announceLeave notifies the peers that this gateway is shutting down; nil without peers.
+	announceLeave func()
+	// observe wraps the transport so that the directory sees the outcome of attempts; nil for no wrapper.
 	observe func(core.Transport) core.Transport
 }
 
-// status is what a running gateway shows to goroutines other than the one that serves.
+// status is the part of a running gateway's state that other goroutines than the serving one may read.
 type status struct {
 	listenAddress atomic.Pointer[string]              // nil before it serves
-	gateways      atomic.Int64                        // that share the engines; 0 where nobody counts them
-	clients       atomic.Pointer[clientconn.Listener] // nil before it serves
+	gateways      atomic.Int64                        // gateways that share the engines; 0 if unknown
+	clients       atomic.Pointer[clientconn.Listener] // nil before newServer
 }
 
-// address is where the gateway serves, "" before it does.
+// address returns the address that clients connect to, "" before the gateway serves.
 func (s *status) address() string {
 	if address := s.listenAddress.Load(); address != nil {
 		return *address
@@ -79,5 +79,5 @@
 	return ""
 }
 
-// sharing is how many gateways share the engines.
-func (s *status) sharing() int { return int(s.gateways.Load()) }
+// gatewayCount returns the number of gateways that share the engines.
+func (s *status) gatewayCount() int { return int(s.gateways.Load()) }
--- a/cmd/wellgw/httpserver.go
+++ b/cmd/wellgw/httpserver.go
@@ -8,17 +8,17 @@
 	"wellgw/internal/clientconn"
 )
 
-// Bounds on what a client may hold up. A client that cannot be served is owed an error or a close
-// within 3 s.
+// Limits on a client's connection. A client that can't be served must get an error or a close within 3 s,
+// so the timeouts for headers and requests are shorter.
 const (
 	headerTimeout  = 2 * time.Second
-	requestTimeout = 2500 * time.Millisecond // with its body
-	idleTimeout    = 30 * time.Second        // between requests, while there is room for others
+	requestTimeout = 2500 * time.Millisecond // including the body
+	idleTimeout    = 30 * time.Second        // between requests, while connections are available for other clients
 	maxHeaderBytes = 16 << 10
 )
 
-// newHTTPServer is net/http's server for clients' connections. There is no limit on a whole
-// answer: streams last as long as they do.
+// newHTTPServer returns the server for clients' connections. It has no WriteTimeout, as the duration of
+// a stream is not limited.
 func newHTTPServer(h http.Handler, clients *clientconn.Listener, log *slog.Logger) *http.Server {
 	return &http.Server{
 		Handler: h, MaxHeaderBytes: maxHeaderBytes,
--- a/cmd/wellgw/limits.go
+++ b/cmd/wellgw/limits.go
@@ -10,25 +10,26 @@
 	"wellgw/internal/config"
 )
 
-// Shares of what the machine gives.
+// Fractions of the configured limits, and bounds on descriptors.
 const (
-	heapShare         = 0.75   // of the memory limit, for the Go heap
-	bodyShare         = 0.125  // of it, for bodies in flight; they are held up to three times over
-	streamBufferShare = 0.0625 // of it, for what slow clients have not read
+	heapFraction         = 0.75   // of the memory limit, for the Go heap
+	bodyFraction         = 0.125  // of the memory limit, for request bodies in flight, of which up to three copies exist
+	streamBufferFraction = 0.0625 // of the memory limit, for stream data that slow clients have not read
 
-	reservedSockets = 32 // descriptors for all but clients and engines
-	minConnections  = 16 // to clients, and as many to engines, however few descriptors there are
+	reservedSockets = 32 // descriptors that are not for connections to clients or engines
+	minConnections  = 16 // to clients, and as many to engines, even if fewer descriptors are available
 
-	defaultGCPercent = 100 // the runtime's own default
+	defaultGCPercent = 100 // the Go runtime's default
 )
 
-// applyLimits keeps the runtime within the configured limits and returns those that apply to this
-// process. One on an inherited socket takes half: a new version may run beside it.
+// applyLimits configures the Go runtime for the configured limits and returns the limits of this process.
+// With an inherited socket it uses half of the memory and descriptors, as a new version may run
+// concurrently on the same socket.
 func (g *gateway) applyLimits(sharedSocket bool) config.Limits {
 	limits := g.limits
-	if allowed := descriptorLimit(); allowed > 0 && allowed < limits.Sockets {
-		g.log.Warn("fewer descriptors than the configuration allows", "configured", limits.Sockets, "allowed", allowed)
-		limits.Sockets = allowed
+	if available := descriptorLimit(); available > 0 && available < limits.Sockets {
+		g.log.Warn("fewer descriptors than the configuration allows", "configured", limits.Sockets, "allowed", available)
+		limits.Sockets = available
 	}
 	if sharedSocket {
 		limits.MemoryMB, limits.Sockets = limits.MemoryMB/2, limits.Sockets/2
@@ -37,16 +38,16 @@
 	return limits
 }
 
-// applyRuntimeLimits sets the Go runtime's limits. gcPercent is how much may come on top of the
-// live heap before a collection; the memory limit holds whatever it says.
+// applyRuntimeLimits sets the Go runtime's limits. gcPercent is the growth over the live heap that
+// triggers a collection; the memory limit applies regardless of it.
 func applyRuntimeLimits(l config.Limits, gcPercent int) {
 	debug.SetGCPercent(gcPercent)
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(l.Cores))))
-	debug.SetMemoryLimit(memoryBytes(l, heapShare))
+	debug.SetMemoryLimit(memoryBytes(l, heapFraction))
 }
 
-// descriptorLimit is how many descriptors the system lets this process have; 0 if that is
-// unknown. Clients must not be given so many that none is left for operators' commands.
+// descriptorLimit returns the process's limit on open descriptors; 0 if it is unknown or has no bound.
+// Client connections must not use up the descriptors that operators' commands need.
 func descriptorLimit() int {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil || limit.Cur > math.MaxInt32 {
@@ -55,10 +56,10 @@
 	return int(limit.Cur)
 }
 
-// maxConnections is how many connections clients may have open, and how many go to engines.
+// maxConnections returns the maximum number of client connections, which is also that of engine connections.
 func maxConnections(l config.Limits) int { return max(minConnections, (l.Sockets-reservedSockets)/2) }
 
-// memoryBytes is a share of the memory limit.
-func memoryBytes(l config.Limits, share float64) int64 {
-	return int64(share * float64(l.MemoryMB) * (1 << 20))
+// memoryBytes returns a fraction of the memory limit in bytes.
+func memoryBytes(l config.Limits, fraction float64) int64 {
+	return int64(fraction * float64(l.MemoryMB) * (1 << 20))
 }
--- a/cmd/wellgw/main.go
+++ b/cmd/wellgw/main.go
@@ -1,5 +1,5 @@
-// Command wellgw is the gateway: it wires the packages together and decides
-// nothing.
+// Command wellgw is the gateway between clients and model engines. This package only connects the other
+// packages, which make all decisions about requests.
 package main
 
 import (
@@ -38,7 +38,8 @@
 
 var errNoFile = errors.New("check: name a file")
 
-// check reads a file as serve would. The platform's object is known by its settings.
+// check parses a file as serve does. A file with a "settings" object is the platform's configuration, any
+// other an operator's file.
 func check(_ context.Context, cmd *cli.Command) error {
 	path := cmd.Args().First()
 	if path == "" {
--- a/cmd/wellgw/operatorcontrol.go
+++ b/cmd/wellgw/operatorcontrol.go
@@ -14,8 +14,8 @@
 	"wellgw/internal/wallclock"
 )
 
-// startOperatorControl starts what operators reach a running gateway by: commands on the control
-// listener, where the configuration names one, and the files shared with another process.
+// startOperatorControl starts the ways by which operators control a running gateway: commands on the
+// control listener, if one is configured, and the files shared with another process of the gateway.
 func (s *server) startOperatorControl(ctx context.Context) {
 	handler := &operate.Handler{
 		Core:  s.core,
@@ -23,26 +23,26 @@
 		Drain: s.drain,
 		Log:   s.log,
 	}
-	s.shareFiles(ctx, handler)
+	s.openSharedFiles(ctx, handler)
 	if s.control != "" {
 		go s.serveControl(ctx, handler)
 	}
 }
 
-// drain has clients sent away, or ends that; it tells whether the process could do so.
-func (s *server) drain(ctx context.Context, on bool) bool {
-	if on {
+// drain starts a drain or ends it, and reports whether the state of the process allowed that.
+func (s *server) drain(ctx context.Context, enable bool) bool {
+	if enable {
 		return s.supervisor.post(ctx, lifecycle.Drain{}, string(control.Standby))
 	}
 	return s.supervisor.post(ctx, lifecycle.Activate{}, string(control.Active))
 }
 
-// shareFiles loads the ejections that an earlier process left, and watches the files shared with
-// another process of an upgrade. On a shared socket a newer version takes over once it is ready.
+// openSharedFiles loads the ejections that an earlier process stored and watches the files shared with
+// the other process of an upgrade. With a shared socket this process hands over to a newer one that is ready.
 //
-// Ejections come only by commands, here or in the other process of an upgrade; where neither can
-// be, nothing is read or polled.
-func (s *server) shareFiles(ctx context.Context, handler *operate.Handler) {
+// Ejections are set only by commands to this process or to the other process of an upgrade. Without a
+// control listener and a shared socket there are neither, so no file is read or polled.
+func (s *server) openSharedFiles(ctx context.Context, handler *operate.Handler) {
 	if s.name == "" || s.control == "" && !s.sharedSocket {
 		return
 	}
@@ -58,14 +58,14 @@
 	go handler.Watch(ctx)
 }
 
-// Delays before the control listener is opened again after an error.
+// Delays before the control listener is reopened after an error.
 const (
 	minControlRetry = 20 * time.Millisecond
 	maxControlRetry = time.Second
 )
 
-// serveControl serves operators' commands until ctx ends. A control listener that can't be opened,
-// or is lost, is opened again: without it nobody could tell the process to drain.
+// serveControl serves operators' commands until ctx is done. It reopens a control listener that can't be
+// opened or fails later: without the listener operators can't drain the process.
 func (s *server) serveControl(ctx context.Context, handler *operate.Handler) {
 	for delay := minControlRetry; ctx.Err() == nil; delay = min(2*delay, maxControlRetry) {
 		l, err := accept.Listen(ctx, "tcp4", s.control, s.log)
--- a/cmd/wellgw/peers.go
+++ b/cmd/wellgw/peers.go
@@ -52,14 +52,14 @@
 	if v.LocalHealth > 0 {
 		fmt.Fprintf(w, "distrusts itself by %d: it was paused, or its own probes went unanswered\n", v.LocalHealth)
 	}
-	c := s.Counts
+	counts := s.Counts
 	fmt.Fprintf(w, "datagrams: %d sent, %d received; dropped %d short, %d of another version, %d by unknown keys, %d by bad seals, %d replayed, %d unreadable, %d of earlier lives, %d for want of time\n",
-		c.Sent, c.Received, c.NotADatagram, c.UnknownVersion, c.UnknownKey, c.BadSeal, c.Replayed, c.BadPayload, c.StaleInstance, c.QueueFull)
+		counts.Sent, counts.Received, counts.NotADatagram, counts.UnknownVersion, counts.UnknownKey, counts.BadSeal, counts.Replayed, counts.BadPayload, counts.StaleInstance, counts.QueueFull)
 	fmt.Fprintf(w, "probes: %d, %d unanswered, %d answered by way of others; suspected %d, own refutations %d, deaths %d, own pauses %d\n",
 		v.Stats.Probes, v.Stats.FailedProbes, v.Stats.IndirectAcks, v.Stats.Suspicions, v.Stats.Refutations, v.Stats.Deaths, v.Stats.Pauses)
 }
 
-// formatAgo is how long before now something was, both by the clock of the gateway that was asked.
+// formatAgo formats the time from at to now, both read from the clock of the queried gateway.
 func formatAgo(now, at time.Duration) string {
 	return (now - at).Round(100*time.Millisecond).String() + " ago"
 }
--- a/cmd/wellgw/platformgateway.go
+++ b/cmd/wellgw/platformgateway.go
@@ -18,25 +18,25 @@
 	"wellgw/routing"
 )
 
-// The platform's margins.
+// Timeouts and slacks on the platform.
 const (
-	// A client that is left waiting for 5 s after a stream's last event has lost it
-	// on the platform.
-	platformStreamSilence = 4500 * time.Millisecond
-	// What is held there may pass its limit by what the protocol adds: 50 ms to every time
-	// limit, and 300 ms to this one.
+	// On the platform a client counts a stream as lost 5 s after its last event.
+	platformStreamSilenceTimeout = 4500 * time.Millisecond
+	// The platform's protocol allows held states to exceed their limit by 50 ms, as it does for every
+	// time limit, plus 300 ms for this one.
 	platformHeldStateSlack = 350 * time.Millisecond
-	// An engine there may send an answer a second time, some milliseconds late.
-	platformSettleTime = 30 * time.Millisecond
+	// On the platform an engine may send a duplicate of its answer some milliseconds later. A connection is
+	// not reused before that.
+	platformReuseDelay = 30 * time.Millisecond
 )
 
-// platformGateway makes the parts of a gateway that are the platform's own.
+// platformGateway provides the parts of a gateway that are specific to the platform.
 type platformGateway struct {
 	gateway *gateway
-	config  *config.Platform // as last read; reloads come one at a time
+	config  *config.Platform // from the last successful read; reloads are sequential
 	core    *core.Core       // set by newDirectory
-	watch   *platform.Watch  // of discovery; set by newDirectory
-	tier    *peers.Peers     // nil where gateways tell each other nothing; set by newDirectory
+	watch   *platform.Watch  // on discovery; set by newDirectory
+	tier    *peers.Peers     // nil without peers; set by newDirectory
 	front   *platform.Front  // set by newFront
 }
 
@@ -52,11 +52,11 @@
 		coreLimits: core.Limits{DeadlineSlack: settings.Micros(p.Options.Rules.AnswerSlack), HeldStateSlack: platformHeldStateSlack},
 		pool: upstream.Options{
 			ConnectTimeout: settings.Micros(p.Options.Limits.ConnTimeout), ServerIdleTimeout: settings.Micros(p.Options.Limits.ConnIdle),
-			StreamSilenceTimeout: platformStreamSilence, ReuseDelay: platformSettleTime,
+			StreamSilenceTimeout: platformStreamSilenceTimeout, ReuseDelay: platformReuseDelay,
 		},
 		dialect:  func(string) upstream.Dialect { return platform.Dialect{} },
 		newFront: g.newFront, newDirectory: g.newDirectory,
-		maxWait: p.LongestWait(), clientsResume: p.Options.Info.Resume, killKnown: true,
+		maxFirstTokenWait: p.LongestWait(), clientsResume: p.Options.Info.Resume, killTimeKnown: true,
 		status: &status{},
 	}
 	return g.gateway, nil
@@ -80,13 +80,13 @@
 		run: func(ctx context.Context) { g.runDirectory(ctx, p.Known) },
 	}
 	if g.tier != nil {
-		d.leave = g.tier.Leave
+		d.announceLeave = g.tier.Leave
 	}
 	return d, nil
 }
 
-// runDirectory watches discovery, from the engines known at the start on, and speaks with the other
-// gateways, until ctx ends.
+// runDirectory watches discovery, starting from the known engines, and runs the peer protocol until ctx
+// is done.
 func (g *platformGateway) runDirectory(ctx context.Context, known config.List) {
 	var group sync.WaitGroup
 	if g.tier != nil {
@@ -96,7 +96,7 @@
 	group.Wait()
 }
 
-// reload reads the configuration again, and applies its settings and the address of discovery.
+// reload rereads the configuration and applies its settings and the address of discovery.
 func (g *platformGateway) reload(ctx context.Context, process *supervisor) error {
 	next, err := g.config.Anew(os.Getenv)
 	if err != nil {
@@ -108,8 +108,8 @@
 	return nil
 }
 
-// applySettings applies the settings in g.config to all that goes by them; the core decides
-// whether they can be used.
+// applySettings applies set, the settings in g.config, to the core, the front and the process. The core
+// validates them; settings that it rejects change nothing.
 func (g *platformGateway) applySettings(ctx context.Context, set routing.Settings, process *supervisor) {
 	if err := g.core.Reconfigure(ctx, set); err != nil {
 		g.gateway.log.Error("settings rejected, keeping previous", "cause", err)
--- a/cmd/wellgw/roles.go
+++ b/cmd/wellgw/roles.go
@@ -47,12 +47,12 @@
 	}
 	changes.Render()
 	history := newTable(w, "when", "engine", "to", "what", "why")
-	for _, end := range s.History {
-		what := string(end.Outcome)
+	for _, change := range s.History {
+		what := string(change.Outcome)
 		if what == "" {
 			what = "begun"
 		}
-		history.AppendRow(table.Row{ago(end.At), end.Engine, end.To, what, end.Reason})
+		history.AppendRow(table.Row{ago(change.At), change.Engine, change.To, what, change.Reason})
 	}
 	history.Render()
 }
--- a/cmd/wellgw/roll_test.go
+++ b/cmd/wellgw/roll_test.go
@@ -196,7 +196,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if newChatGateway("", o, slog.New(slog.DiscardHandler)).killKnown {
+	if newChatGateway("", o, slog.New(slog.DiscardHandler)).killTimeKnown {
 		t.Error("the chat front gives requests up by the platform's clock")
 	}
 }
--- a/cmd/wellgw/serve.go
+++ b/cmd/wellgw/serve.go
@@ -11,7 +11,7 @@
 	"wellgw/internal/logging"
 )
 
-// logFlushTimeout bounds the writing of the last lines of the log.
+// logFlushTimeout bounds the final flush of the log at exit.
 const logFlushTimeout = 200 * time.Millisecond
 
 func serveCommand() *cli.Command {
@@ -24,9 +24,9 @@
 	}
 }
 
-// serve runs a gateway until it is told to end.
+// serve runs a gateway until it shuts down.
 func serve(ctx context.Context, cmd *cli.Command) error {
-	ignoreWriteSignals()
+	ignoreWriteErrorSignals()
 	lines := logging.NewQueue(os.Stderr)
 	defer lines.Close(logFlushTimeout)
 	log := logging.New(lines, cmd.Bool("verbose"))
--- a/cmd/wellgw/server.go
+++ b/cmd/wellgw/server.go
@@ -17,15 +17,15 @@
 	"wellgw/routing"
 )
 
-// directoryShutdownTimeout bounds what the directory has to do at the end: take a listing
-// elsewhere off, write the last good view.
+// directoryShutdownTimeout bounds the directory's work at shutdown: removing the gateway's registration
+// from other systems and writing the last valid view.
 const directoryShutdownTimeout = 1500 * time.Millisecond
 
-// server is a gateway's parts while it runs.
+// server holds the parts of a running gateway.
 //
-// Its goroutines end with the context that they are started with. The directory's, and those of the
-// supervisor's actions, are waited for within directoryShutdownTimeout. The others own nothing that
-// outlasts the process, and one that hangs on a file or an address must not hold up the exit.
+// Its goroutines return when the context that they were started with is done. shutDown waits up to
+// directoryShutdownTimeout for those of the directory and of the supervisor's actions. The others own
+// nothing that outlives the process, and one that blocks on a file or an address must not delay the exit.
 type server struct {
 	*gateway
 	sharedSocket bool // the clients' socket is inherited; a newer version may accept on it
@@ -33,7 +33,7 @@
 	checks        *invariant.Checks
 	core          *core.Core
 	directory     engineDirectory
-	directoryDone <-chan struct{} // closed once the directory has ended
+	directoryDone <-chan struct{} // closed once directory.run has returned
 	listener      net.Listener
 	clients       *clientconn.Listener
 	front         front
@@ -45,7 +45,7 @@
 func (g *gateway) run(ctx context.Context) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	signals := notifySignals()
+	signals := subscribeSignals()
 	inherited, err := inheritedListener(os.Getenv)
 	if err != nil {
 		return err
@@ -60,7 +60,7 @@
 	return err
 }
 
-// newServer starts the core and the directory, and makes what serves clients.
+// newServer starts the core and the directory, and creates the parts that serve clients.
 func (g *gateway) newServer(ctx context.Context, inherited net.Listener) (*server, error) {
 	s := &server{gateway: g, sharedSocket: inherited != nil, checks: invariant.New()}
 	limits := g.applyLimits(s.sharedSocket)
@@ -71,20 +71,20 @@
 	if s.listener, err = g.clientsListener(ctx, inherited); err != nil {
 		return nil, err
 	}
-	s.front = g.newFront(s.core, clientconn.NewBudget(memoryBytes(limits, bodyShare)))
-	accepting := accept.New(s.listener, g.log)
-	s.clients = clientconn.NewListener(accepting, maxConnections(limits))
-	accepting.MakeRoom = s.clients.MakeRoom
+	s.front = g.newFront(s.core, clientconn.NewBudget(memoryBytes(limits, bodyFraction)))
+	acceptListener := accept.New(s.listener, g.log)
+	s.clients = clientconn.NewListener(acceptListener, maxConnections(limits))
+	acceptListener.MakeRoom = s.clients.MakeRoom
 	s.clients.Log(g.log)
 	g.status.clients.Store(s.clients)
 	s.httpServer = newHTTPServer(s.front, s.clients, g.log)
 	s.supervisor = newSupervisor(s, lifecycle.Limits{
-		MaxFirstEventWait: g.maxWait, KillExpected: g.killKnown, ClientsResume: g.clientsResume, SharedSocket: s.sharedSocket,
+		MaxFirstEventWait: g.maxFirstTokenWait, KillExpected: g.killTimeKnown, ClientsResume: g.clientsResume, SharedSocket: s.sharedSocket,
 	})
 	return s, nil
 }
 
-// startCore starts the core, its pool of at most so many connections to engines, and the directory.
+// startCore starts the core, its pool of up to the given number of connections to engines, and the directory.
 func (s *server) startCore(ctx context.Context, connections int) error {
 	router, err := routing.New(s.settings, s.seed)
 	if err != nil {
@@ -94,8 +94,8 @@
 	options.MaxConns, options.Log = connections, s.log
 	limits.HeldStateLimit, limits.MaxAttempts = s.settings.HeldStateLimit, s.settings.MaxAttempts
 	pool := upstream.NewPool(options)
-	directory := &lateDirectory{}
-	transport := &lateTransport{Transport: upstream.NewClient(pool, s.dialect)}
+	directory := &lateBoundDirectory{}
+	transport := &lateBoundTransport{Transport: upstream.NewClient(pool, s.dialect)}
 	s.core = core.New(router, transport, directory, limits, s.log, s.checks)
 	if s.directory, err = s.newDirectory(s.core); err != nil {
 		return err
@@ -106,20 +106,20 @@
 	}
 	go s.core.Run(ctx)
 	go pool.Sweep(ctx)
-	done := make(chan struct{})
-	go func() { defer close(done); s.directory.run(ctx) }()
-	s.directoryDone = done
+	stopped := make(chan struct{})
+	go func() { defer close(stopped); s.directory.run(ctx) }()
+	s.directoryDone = stopped
 	return nil
 }
 
-// lateDirectory breaks the circle between core and directory, as each needs the other when it is
-// made. It is filled in before the core runs.
-type lateDirectory struct{ core.Directory }
+// lateBoundDirectory resolves the cyclic dependency of core and directory, each of which needs the other
+// to be created. Its field is set before the core runs.
+type lateBoundDirectory struct{ core.Directory }
 
-// lateTransport does the same for the transport to engines.
-type lateTransport struct{ core.Transport }
+// lateBoundTransport does the same for the transport to engines, which the directory may wrap.
+type lateBoundTransport struct{ core.Transport }
 
-// serve accepts clients until the process has ended by signals, commands or the loss of its listener.
+// serve accepts clients until signals, commands or the loss of the listener have ended the process.
 func (s *server) serve(ctx context.Context, signals processSignals) error {
 	go s.logCounts(ctx)
 	go s.reloadOnSignal(ctx, signals.reload)
@@ -131,27 +131,28 @@
 	return s.supervisor.run(ctx, signals.terminate, failed)
 }
 
-// shutDown closes what is still open, and ends everything else by stop.
+// shutDown closes the remaining client connections, stops the other goroutines by calling stop, and
+// waits for the directory and the supervisor.
 func (s *server) shutDown(stop context.CancelFunc) {
 	_ = s.httpServer.Close()
 	s.checks.Log(s.log)
 	stop()
-	done := make(chan struct{})
-	go func() { // ends with the process if the wait is too long
-		defer close(done)
+	stopped := make(chan struct{})
+	go func() { // ends with the process if the wait times out
+		defer close(stopped)
 		<-s.directoryDone
 		s.supervisor.wait()
 	}()
 	select {
-	case <-done:
+	case <-stopped:
 	case <-time.After(directoryShutdownTimeout):
 	}
 }
 
-// countsInterval is how often counts are logged.
+// countsInterval is the interval at which counters are logged.
 const countsInterval = 10 * time.Second
 
-// logCounts logs outcomes, closed connections and broken invariants until ctx ends.
+// logCounts logs the counts of outcomes and closed connections, and violated invariants, until ctx is done.
 func (s *server) logCounts(ctx context.Context) {
 	t := time.NewTicker(countsInterval)
 	defer t.Stop()
--- a/cmd/wellgw/signals.go
+++ b/cmd/wellgw/signals.go
@@ -7,18 +7,19 @@
 	"syscall"
 )
 
-// processSignals are those that the process handles while it serves.
+// processSignals holds the channels of the signals that a serving process handles.
 type processSignals struct {
 	terminate <-chan os.Signal // SIGTERM and interrupts
-	reload    <-chan os.Signal // SIGHUP; one that waits stands for all that come meanwhile
+	reload    <-chan os.Signal // SIGHUP; signals that arrive while one is pending are merged with it
 }
 
-// ignoreWriteSignals has writes fail with EPIPE and EFBIG: neither a log that nobody reads nor a
-// full disk may end the process.
-func ignoreWriteSignals() { signal.Ignore(syscall.SIGPIPE, syscall.SIGXFSZ) }
+// ignoreWriteErrorSignals makes writes fail with EPIPE and EFBIG instead of a signal: neither a log without
+// a reader nor a full disk may end the process.
+func ignoreWriteErrorSignals() { signal.Ignore(syscall.SIGPIPE, syscall.SIGXFSZ) }
 
-// notifySignals takes signals from now on, to the very end: SIGHUP may come during the shutdown.
-func notifySignals() processSignals {
+// subscribeSignals starts to receive signals. The subscription is never cancelled, as SIGHUP may arrive
+// during the shutdown and must not end the process.
+func subscribeSignals() processSignals {
 	terminate := make(chan os.Signal, 1)
 	signal.Notify(terminate, syscall.SIGTERM, os.Interrupt)
 	reload := make(chan os.Signal, 1)
@@ -26,8 +27,8 @@
 	return processSignals{terminate: terminate, reload: reload}
 }
 
-// reloadOnSignal reads the configuration again on every signal, until ctx ends. One that can't be
-// used changes nothing: a gateway in service must not end for a mistake in a file.
+// reloadOnSignal reloads the configuration on every signal until ctx is done. An invalid configuration
+// changes nothing: a running gateway must not stop because of an error in a file.
 func (s *server) reloadOnSignal(ctx context.Context, reload <-chan os.Signal) {
 	for {
 		select {
--- a/cmd/wellgw/supervisor.go
+++ b/cmd/wellgw/supervisor.go
@@ -15,39 +15,39 @@
 	"wellgw/internal/core"
 )
 
-// supervisor owns the state of the process: it takes every event that bears on it, has
-// lifecycle.Process decide, and carries out the actions that this returns. Nothing else closes the
-// listener, has connections end or gives up requests.
+// supervisor owns the state of the process: it passes every event that may change the state to
+// lifecycle.Process and executes the actions that this returns. Nothing else closes the listener, ends
+// connections at a drain or shutdown, or aborts requests.
 type supervisor struct {
-	process    *lifecycle.Process
-	clients    *clientconn.Listener
-	front      front
-	core       *core.Core
-	httpServer *http.Server
-	leave      func() // tells the other gateways that this one is about to end; nil for none
-	log        *slog.Logger
+	process       *lifecycle.Process
+	clients       *clientconn.Listener
+	front         front
+	core          *core.Core
+	httpServer    *http.Server
+	announceLeave func() // see engineDirectory.announceLeave
+	log           *slog.Logger
 
 	events chan postedEvent
-	ended  chan struct{}  // closed at the end of run
-	tasks  sync.WaitGroup // goroutines of actions; wait waits for them
+	ended  chan struct{}  // closed when run returns
+	tasks  sync.WaitGroup // goroutines that execute actions; see wait
 }
 
-// postedEvent is an event with its cause, for the log, and where the answer to it is wanted.
+// postedEvent is an event, its cause for the log and a channel for the result.
 type postedEvent struct {
 	event    lifecycle.Event
 	cause    string
-	accepted chan<- bool // nil where nobody waits
+	accepted chan<- bool // nil if no caller waits
 }
 
 func newSupervisor(s *server, limits lifecycle.Limits) *supervisor {
 	return &supervisor{
 		process: lifecycle.New(limits), clients: s.clients, front: s.front, core: s.core, httpServer: s.httpServer,
-		leave: s.directory.leave, log: s.log,
+		announceLeave: s.directory.announceLeave, log: s.log,
 		events: make(chan postedEvent), ended: make(chan struct{}),
 	}
 }
 
-// post has an event decided on and returns whether it was accepted; false once the process has ended.
+// post submits an event and reports whether the process accepted it; false once the process has ended.
 func (s *supervisor) post(ctx context.Context, event lifecycle.Event, cause string) bool {
 	accepted := make(chan bool, 1)
 	select {
@@ -59,13 +59,13 @@
 	return false
 }
 
-var errListenerLost = errors.New("clients can't be accepted any more")
+var errListenerLost = errors.New("client listener lost: no new connections can be accepted")
 
-// run decides on events until the process has ended. terminate brings signals that tell it to,
-// failed the error with which the server stopped accepting.
+// run handles events until the process has ended. terminate delivers the signals that start a shutdown,
+// failed the error with which the server stopped accepting connections.
 func (s *supervisor) run(ctx context.Context, terminate <-chan os.Signal, failed <-chan error) error {
 	defer close(s.ended)
-	tick := time.NewTimer(time.Hour) // reset before its first use
+	tick := time.NewTimer(time.Hour) // a placeholder; reset once a tick is scheduled
 	defer tick.Stop()
 	for s.process.State() != lifecycle.Ended {
 		if next := s.process.NextTick(); !next.IsZero() {
@@ -74,12 +74,12 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case p := <-s.events:
-			s.handle(ctx, p)
+		case posted := <-s.events:
+			s.handle(ctx, posted)
 		case sig := <-terminate:
 			s.handle(ctx, postedEvent{event: lifecycle.Terminate{}, cause: sig.String()})
 		case err := <-failed:
-			failed = nil // there is one such error at most
+			failed = nil // the channel delivers at most one error
 			s.handleServeError(ctx, err)
 		case <-tick.C:
 			s.handle(ctx, postedEvent{event: lifecycle.Tick{}, cause: "time"})
@@ -92,8 +92,8 @@
 	return nil
 }
 
-// handleServeError takes the error that ended accepting. It is expected where the process has
-// stopped listening by itself.
+// handleServeError handles the error with which the server stopped accepting connections. It is ignored
+// if the process closed the listener itself.
 func (s *supervisor) handleServeError(ctx context.Context, err error) {
 	if !s.process.Service().Listening {
 		return
@@ -102,34 +102,34 @@
 	s.handle(ctx, postedEvent{event: lifecycle.ListenerLost{}, cause: fmt.Sprint("listener lost: ", err)})
 }
 
-// handle has the process decide on one event, and carries the decision out.
-func (s *supervisor) handle(ctx context.Context, p postedEvent) {
+// handle passes one event to the process, publishes the resulting state and executes the actions.
+func (s *supervisor) handle(ctx context.Context, posted postedEvent) {
 	before := s.process.Service()
-	actions, accepted := s.process.Handle(time.Now(), p.event)
+	actions, accepted := s.process.Handle(time.Now(), posted.event)
 	after := s.process.Service()
 	if before != after {
 		s.front.SetService(after)
 		s.clients.SetService(after)
-		s.logChange(before, after, p.cause)
+		s.logStateChange(before, after, posted.cause)
 	}
-	if p.accepted != nil {
-		p.accepted <- accepted
+	if posted.accepted != nil {
+		posted.accepted <- accepted
 	}
 	for _, action := range actions {
 		s.execute(ctx, action)
 	}
-	if terminates(before, after) && s.leave != nil {
-		s.leave()
+	if terminates(before, after) && s.announceLeave != nil {
+		s.announceLeave()
 	}
 }
 
-// terminates tells whether the process was told to end between two states of its service.
+// terminates reports whether a shutdown began between two states of the service.
 func terminates(before, after lifecycle.Service) bool {
 	return before.State < lifecycle.Terminating && after.State >= lifecycle.Terminating
 }
 
-// logChange logs a change of state and its cause.
-func (s *supervisor) logChange(before, after lifecycle.Service, cause string) {
+// logStateChange logs a state change and its cause.
+func (s *supervisor) logStateChange(before, after lifecycle.Service, cause string) {
 	s.log.Info("state", "from", before.State, "to", after.State, "cause", cause, "draining", after.Draining,
 		"healthy", after.Healthy, "listening", after.Listening, "reusable", after.KeepAlive)
 	switch {
@@ -140,8 +140,8 @@
 	}
 }
 
-// execute carries out one action. None of them waits: what may block runs in a task, so that
-// events are decided on meanwhile.
+// execute executes one action without blocking: operations that may block run in a goroutine, so that
+// run goes on handling events.
 func (s *supervisor) execute(ctx context.Context, action lifecycle.Action) {
 	switch action {
 	case lifecycle.StopListening:
@@ -149,25 +149,26 @@
 	case lifecycle.AwaitClientsIdle:
 		s.tasks.Go(func() { s.awaitClientsIdle(ctx) })
 	case lifecycle.AwaitWorkCompleted:
-		s.tasks.Go(func() { s.awaitAllDone(ctx) })
+		s.tasks.Go(func() { s.awaitWorkCompleted(ctx) })
 	case lifecycle.RejectWaiting:
 		s.tasks.Go(func() { s.core.NotifyShutdown(false) })
 	case lifecycle.FailWaiting:
 		s.tasks.Go(func() { s.core.NotifyShutdown(true) })
 	case lifecycle.AbortStreams:
 		s.tasks.Go(func() { _ = s.httpServer.Close() })
-	case lifecycle.Exit: // run ends by the state
+	case lifecycle.Exit: // run returns because of the state
 	}
 }
 
-// wait waits for the tasks. Each of them ends with the context of run, with run or with the core.
+// wait waits for the goroutines of actions. Each of them returns when the context of run is done, when
+// run returns or when the core has stopped.
 func (s *supervisor) wait() { s.tasks.Wait() }
 
-// clientsIdlePeriod is how long no request must have come for clients to have noticed the
+// clientsIdlePeriod is the time without requests after which all clients count as having noticed the
 // shutdown.
 const clientsIdlePeriod = time.Second
 
-// awaitClientsIdle posts ClientsIdle once no request has come, and none has been in flight, for
+// awaitClientsIdle posts ClientsIdle once no request has arrived or been in flight for
 // clientsIdlePeriod.
 func (s *supervisor) awaitClientsIdle(ctx context.Context) {
 	for {
@@ -186,12 +187,12 @@
 	}
 }
 
-// awaitAllDone posts WorkCompleted once all connections have ended, and then all requests and releases.
-// The state that began the wait bounds it.
-func (s *supervisor) awaitAllDone(ctx context.Context) {
+// awaitWorkCompleted posts WorkCompleted once all client connections have ended and then all requests and
+// releases have. The wait has no timeout here; the state that started it limits its duration.
+func (s *supervisor) awaitWorkCompleted(ctx context.Context) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	go func() { // ends with this function, by stop
+	go func() { // returns when awaitWorkCompleted calls stop
 		select {
 		case <-s.ended:
 			stop()
--- a/cmd/wellgw/tier.go
+++ b/cmd/wellgw/tier.go
@@ -13,74 +13,74 @@
 	"wellgw/internal/peers"
 )
 
-// openPeers opens what gateways tell each other by, if the file says so.
+// openPeers creates the peer protocol's endpoint if the file configures peers.
 func (s *engineSources) openPeers(o *config.Operator) error {
 	if o.Peers == nil {
 		return nil
 	}
-	ring, err := peers.ReadKeyring(o.Peers.KeyFile)
+	keyring, err := peers.ReadKeyring(o.Peers.KeyFile)
 	if err != nil {
 		return fmt.Errorf("peers.key_file: %w", err)
 	}
-	interval, timeout, dead := o.Peers.Times()
+	interval, timeout, suspicionTimeout := o.Peers.Times()
 	var event func(peers.Event)
 	if s.tracer != nil {
 		event = s.tracer.Member
 	}
 	s.peers, err = peers.New(peers.Options{
-		FirstVersion: o.Peers.Protocol == 1, ProbeInterval: interval, ProbeTimeout: timeout, SuspicionTimeout: dead, OnEvent: event,
-		Listen: o.Peers.Listen, Advertise: o.Peers.Advertise, Name: o.Peers.Name, Tier: o.Peers.Tier, Join: o.Peers.Join, Keys: ring,
+		FirstVersion: o.Peers.Protocol == 1, ProbeInterval: interval, ProbeTimeout: timeout, SuspicionTimeout: suspicionTimeout, OnEvent: event,
+		Listen: o.Peers.Listen, Advertise: o.Peers.Advertise, Name: o.Peers.Name, Tier: o.Peers.Tier, Join: o.Peers.Join, Keys: keyring,
 		IncarnationFile: o.Peers.IncarnationFile, ExpectedGateways: o.Gateways, Log: s.log.With("part", "peers"),
-		OnViewChange: func(v membership.View) { s.setSharing(v.ActiveGateways) },
+		OnViewChange: func(v membership.View) { s.setGatewayCount(v.ActiveGateways) },
 	})
 	return err
 }
 
-// The platform prices what gateways tell each other: they probe less often there than on
-// machines of the operators' own.
+// Intervals on the platform. It charges for messages between gateways, so they probe less often there
+// than on operators' machines.
 const (
 	platformProbeInterval    = 500 * time.Millisecond
 	platformProbeTimeout     = 300 * time.Millisecond
 	platformSuspicionTimeout = 6 * time.Second
 )
 
-// platformPeerHost stands for every host in the platform's peer addresses. Each gateway reaches the
-// others by addresses of its own, so in messages a gateway is named by its number: "0.0.0.0:3".
+// platformPeerHost replaces the host in the platform's peer addresses. Each gateway reaches its peers at
+// different addresses, so messages identify a gateway by its number in place of the port: "0.0.0.0:3".
 const platformPeerHost = "0.0.0.0:"
 
-// platformPeerAddress is how other gateways name the one with this number.
+// platformPeerAddress returns the address that identifies a gateway by its number in messages.
 func platformPeerAddress(number int) string { return platformPeerHost + strconv.Itoa(number) }
 
-// platformPeerRoute returns what resolves these names by the addresses that this gateway was given;
-// any other address is taken as it is.
+// platformPeerRoute returns a function that translates a platformPeerAddress to the address in the list
+// with that index; it returns any other address unchanged.
 func platformPeerRoute(addresses []string) func(address string) string {
 	return func(address string) string {
-		n, err := strconv.Atoi(strings.TrimPrefix(address, platformPeerHost))
-		if err != nil || n < 0 || n >= len(addresses) {
+		number, err := strconv.Atoi(strings.TrimPrefix(address, platformPeerHost))
+		if err != nil || number < 0 || number >= len(addresses) {
 			return address
 		}
-		return addresses[n]
+		return addresses[number]
 	}
 }
 
-// newPlatformTier opens what the platform's gateways tell each other by; nil where they may not,
-// or are not set up to.
+// newPlatformTier creates the peer protocol's endpoint on the platform; nil if the settings don't allow
+// peers or the gateway is not configured for them.
 func newPlatformTier(p *config.Platform, c *core.Core, log *slog.Logger) (*peers.Peers, error) {
 	if !p.Talk() {
 		return nil, nil
 	}
-	ring, err := peers.ReadKeyring(p.PeerKeys)
+	keyring, err := peers.ReadKeyring(p.PeerKeys)
 	if err != nil {
 		return nil, fmt.Errorf("EDGE_PEER_KEYS: %w", err)
 	}
 	options := peers.Options{
-		Listen: p.PeerListen, Advertise: platformPeerAddress(p.Options.Me), Name: p.Name, Tier: "platform", Keys: ring,
+		Listen: p.PeerListen, Advertise: platformPeerAddress(p.Options.Me), Name: p.Name, Tier: "platform", Keys: keyring,
 		ProbeInterval: platformProbeInterval, ProbeTimeout: platformProbeTimeout, SuspicionTimeout: platformSuspicionTimeout, ExpectedGateways: len(p.Peers), Log: log.With("part", "peers"),
 		OnViewChange:  func(v membership.View) { c.SetGateways(min(v.ActiveGateways, max(p.Options.Balancers, 1))) },
 		TranslateAddr: platformPeerRoute(p.Peers),
 	}
-	for n := range p.Peers {
-		options.Join = append(options.Join, platformPeerAddress(n))
+	for number := range p.Peers {
+		options.Join = append(options.Join, platformPeerAddress(number))
 	}
 	return peers.New(options)
 }
--- a/cmd/wellgwlab/main.go
+++ b/cmd/wellgwlab/main.go
@@ -1,4 +1,4 @@
-// Command wellgwlab stages experiments on fakes of outside systems and checks their bounds.
+// Command wellgwlab runs experiments against fakes of external systems and checks their bounds.
 package main
 
 import (
@@ -23,8 +23,8 @@
 	"wellgw/internal/openai/conformance"
 )
 
-// all returns the experiments that can be run.
-func all() []experiments.Experiment {
+// allExperiments returns the available experiments.
+func allExperiments() []experiments.Experiment {
 	return []experiments.Experiment{consulrun.Experiment(), rolesrun.Experiment(), chatrun.Experiment(), fleetsim.Experiment(), fleetrun.Experiment(), membersrun.Experiment(), soak.Experiment(), soak.Drains()}
 }
 
@@ -32,7 +32,7 @@
 	app := &cli.Command{
 		Name: "wellgwlab", Usage: "load and experiments on fakes of outside systems",
 		Commands: []*cli.Command{
-			{Name: "list", Usage: "list the experiments", Action: list},
+			{Name: "list", Usage: "list the experiments", Action: listExperiments},
 			{Name: "run", Usage: "stage an experiment; exits with 1 if a bound is missed", ArgsUsage: "NAME", Action: run, Flags: []cli.Flag{
 				&cli.BoolFlag{Name: "quick", Usage: "a short form that ends within 50 s"},
 				&cli.BoolFlag{Name: "write", Usage: "keep tables and charts under docs/results/NAME"},
@@ -44,7 +44,7 @@
 				&cli.BoolFlag{Name: "shrink", Usage: "cut a schedule that fails to the shortest that still does"},
 				&cli.StringFlag{Name: "keep", Usage: "keep the gateways' files and logs in `FOLDER`"},
 			}},
-			{Name: "conformance", Usage: "play the chat API against a URL; exits with 1 if a case fails", Action: conform, Flags: []cli.Flag{
+			{Name: "conformance", Usage: "play the chat API against a URL; exits with 1 if a case fails", Action: runConformance, Flags: []cli.Flag{
 				&cli.StringFlag{Name: "url", Required: true, Usage: "base `URL`, without /v1"},
 				&cli.StringFlag{Name: "key", Usage: "bearer", Sources: cli.EnvVars("WELLGW_KEY")},
 				&cli.StringFlag{Name: "model", Required: true, Usage: "under a free contract"},
@@ -60,8 +60,8 @@
 	}
 }
 
-func list(_ context.Context, cmd *cli.Command) error {
-	for _, e := range all() {
+func listExperiments(_ context.Context, cmd *cli.Command) error {
+	for _, e := range allExperiments() {
 		fmt.Fprintf(cmd.Root().Writer, "%-12s %s\n", e.Name, e.About)
 	}
 	return nil
@@ -69,15 +69,15 @@
 
 func run(ctx context.Context, cmd *cli.Command) error {
 	name := cmd.Args().First()
-	for _, e := range all() {
+	for _, e := range allExperiments() {
 		if e.Name == name {
-			return stage(ctx, cmd, e)
+			return runExperiment(ctx, cmd, e)
 		}
 	}
 	return fmt.Errorf("run: no experiment %q; see list", name)
 }
 
-func conform(ctx context.Context, cmd *cli.Command) error {
+func runConformance(ctx context.Context, cmd *cli.Command) error {
 	r := &experiments.Report{}
 	t := experiments.Table{Title: "Conformance", Head: []string{"case", "passed", "took", "detail"}}
 	failed := 0
@@ -97,7 +97,7 @@
 	return nil
 }
 
-func stage(ctx context.Context, cmd *cli.Command, e experiments.Experiment) error {
+func runExperiment(ctx context.Context, cmd *cli.Command, e experiments.Experiment) error {
 	program := cmd.String("program")
 	if program == "" {
 		self, err := os.Executable()
@@ -106,15 +106,15 @@
 		}
 		program = filepath.Join(filepath.Dir(self), "wellgw")
 	}
-	work, err := workFolder(cmd.String("keep"))
+	workDir, err := makeWorkDir(cmd.String("keep"))
 	if err != nil {
 		return fmt.Errorf("run: %w", err)
 	}
 	if cmd.String("keep") == "" {
-		defer os.RemoveAll(work)
+		defer os.RemoveAll(workDir)
 	}
 	out := cmd.Root().Writer
-	r, err := e.Run(ctx, experiments.Options{Quick: cmd.Bool("quick"), Program: program, Former: cmd.String("former"), Work: work, Out: out, Seed: cmd.Uint64("seed"), Seeds: cmd.Int("seeds"),
+	r, err := e.Run(ctx, experiments.Options{Quick: cmd.Bool("quick"), Program: program, Former: cmd.String("former"), Work: workDir, Out: out, Seed: cmd.Uint64("seed"), Seeds: cmd.Int("seeds"),
 		Schedule: cmd.String("schedule"), Shrink: cmd.Bool("shrink"),
 	})
 	if err != nil {
@@ -132,7 +132,7 @@
 	return nil
 }
 
-func workFolder(keep string) (string, error) {
+func makeWorkDir(keep string) (string, error) {
 	if keep == "" {
 		return os.MkdirTemp("", "wellgwlab")
 	}
