--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// TestProcess runs the built command on a good and on a bad batch.
+// TestProcess runs the built command on a valid and on a malformed batch.
 func TestProcess(t *testing.T) {
 	bin := filepath.Join(t.TempDir(), "simadapter")
 	if out, err := exec.Command("go", "build", "-o", bin, ".").CombinedOutput(); err != nil {
@@ -22,10 +22,10 @@
 	}
 	out, errs, err := run(`{"verb":"Turn","time":1,"turn":1}` + "\n" + `{"verb":"EofBatch"}` + "\n")
 	if err != nil || out != `{"verb":"End","turn":1}`+"\n" || errs != "" {
-		t.Errorf("good batch: %q, %q, %v", out, errs, err)
+		t.Errorf("valid batch: %q, %q, %v", out, errs, err)
 	}
 	out, errs, err = run("{broken\n")
 	if err == nil || out != "" || strings.Count(errs, "\n") != 1 || !strings.Contains(errs, "line 1") {
-		t.Errorf("bad batch: %q, %q, %v", out, errs, err)
+		t.Errorf("malformed batch: %q, %q, %v", out, errs, err)
 	}
 }
--- a/cmd/wellgw/calls_test.go
+++ b/cmd/wellgw/calls_test.go
@@ -11,27 +11,26 @@
 	"testing"
 )
 
-// The fleet bench refuses fork, other programs, io_uring, splice and sendfile, and
-// sockets other than TCP and UDP over IPv4. This walks every package of the module
-// that the program is built from and shows that none of it takes such a path:
-// nothing imports os/exec; io.Copy goes only into io.Discard or a buffer, so
-// net/http's and net's ReadFrom (which splice and sendfile) are never reached; no
-// network is named but tcp, tcp4, udp and udp4.
+// The fleet bench forbids fork, other programs, io_uring, splice, sendfile and sockets other than TCP and
+// UDP over IPv4. This test parses every package of the module that the program imports and checks that
+// none uses them: no import of os/exec; io.Copy only into io.Discard or a buffer, so that the ReadFrom
+// methods of net/http and net (which use splice and sendfile) are never called; no network other than tcp,
+// tcp4, udp and udp4.
 func TestNoForkSpliceOrOtherSockets(t *testing.T) {
 	const module = "wellgw/"
 	root, err := filepath.Abs("../..")
 	if err != nil {
 		t.Fatal(err)
 	}
-	seen := map[string]bool{}
-	todo := []string{"cmd/wellgw"}
-	for len(todo) > 0 {
-		dir := todo[0]
-		todo = todo[1:]
-		if seen[dir] {
+	visited := map[string]bool{}
+	pending := []string{"cmd/wellgw"}
+	for len(pending) > 0 {
+		dir := pending[0]
+		pending = pending[1:]
+		if visited[dir] {
 			continue
 		}
-		seen[dir] = true
+		visited[dir] = true
 		files, _ := filepath.Glob(filepath.Join(root, dir, "*.go"))
 		for _, path := range files {
 			if strings.HasSuffix(path, "_test.go") {
@@ -47,7 +46,7 @@
 				case p == "os/exec" || p == "golang.org/x/sys/unix":
 					t.Errorf("%s imports %s", path, p)
 				case strings.HasPrefix(p, module):
-					todo = append(todo, strings.TrimPrefix(p, module))
+					pending = append(pending, strings.TrimPrefix(p, module))
 				}
 			}
 			ast.Inspect(f, func(n ast.Node) bool {
@@ -75,8 +74,8 @@
 			})
 		}
 	}
-	if !seen["internal/platform"] || !seen["internal/upstream"] || !seen["routing"] {
-		t.Fatalf("the walk missed packages: %v", seen)
+	if !visited["internal/platform"] || !visited["internal/upstream"] || !visited["routing"] {
+		t.Fatalf("packages not checked: %v", visited)
 	}
 	if _, err := os.Stat(filepath.Join(root, "go.mod")); err != nil {
 		t.Fatal(err)
--- a/cmd/wellgw/drain_test.go
+++ b/cmd/wellgw/drain_test.go
@@ -20,14 +20,15 @@
 	"wellgw/internal/enginetest"
 )
 
-// Of a drain: the first request that may no longer be carried when the drain's time is over is
-// one sent so long after the call.
+// drainRequestLimit is the maximum time between the drain command and a request that may still be served.
+// Requests sent later could outlast the drain's time limit.
 const drainRequestLimit = 2 * time.Second
 
-// drainClients is how many clients a drained gateway serves.
+// drainClients is the number of clients of a gateway under drain.
 const drainClients = 24
 
-// testGateway is a gateway with one prefill and one decode engine that takes operators' commands.
+// testGateway is a running gateway that accepts operators' commands; most tests give it one prefill and one
+// decode engine.
 type testGateway struct {
 	t       *testing.T
 	cmd     *exec.Cmd
@@ -37,7 +38,7 @@
 	sent    atomic.Int64
 }
 
-// logLines keeps a program's log.
+// logLines collects the log of a program.
 type logLines struct {
 	mu   sync.Mutex
 	text []string
@@ -49,8 +50,8 @@
 	l.text = append(l.text, line)
 }
 
-// with returns the lines, decoded, that have this message.
-func (l *logLines) with(message string) (found []map[string]any) {
+// withMessage returns the decoded lines with the given message.
+func (l *logLines) withMessage(message string) (found []map[string]any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, text := range l.text {
@@ -62,62 +63,63 @@
 	return found
 }
 
-// startTestGateway starts the gateway; writer is the decode engine's script.
-func startTestGateway(t *testing.T, writer func() string) *testGateway {
+// startTestGateway starts a gateway with one prefill and one decode engine; decodeScript returns the decode
+// engine's answers.
+func startTestGateway(t *testing.T, decodeScript func() string) *testGateway {
 	t.Helper()
-	prefill := enginetest.NewEngine(t, releasedOr(prefillAnswer))
-	decode := enginetest.NewEngine(t, releasedOr(writer))
+	prefill := enginetest.NewEngine(t, answerReleasesOr(prefillAnswer))
+	decode := enginetest.NewEngine(t, answerReleasesOr(decodeScript))
 	config := platformConfig(t, "n1", "127.0.0.1:1", testSettings, prefill, decode)
 	return startGateway(t, []string{"EDGE_CONFIG=" + config, "EDGE_CONTROL=127.0.0.1:0", "TMPDIR=" + t.TempDir()})
 }
 
-// startGateway starts a gateway that takes calls, and keeps its log.
+// startGateway starts a gateway with a control listener, waits until it is healthy and collects its log.
 func startGateway(t *testing.T, env []string) *testGateway {
 	t.Helper()
-	cmd := program(t, env, "serve", "--verbose")
-	errs, log := startLogged(t, cmd)
-	d := &testGateway{t: t, cmd: cmd, lines: &logLines{}}
-	for (d.addr == "" || d.control == "") && log.Scan() {
-		d.lines.add(log.Text())
+	cmd := programCommand(t, env, "serve", "--verbose")
+	stderr, log := startLogged(t, cmd)
+	g := &testGateway{t: t, cmd: cmd, lines: &logLines{}}
+	for (g.addr == "" || g.control == "") && log.Scan() {
+		g.lines.add(log.Text())
 		if m := controlLine.FindStringSubmatch(log.Text()); m != nil {
-			d.control = m[1]
+			g.control = m[1]
 		}
 		if m := servingLine.FindStringSubmatch(log.Text()); m != nil {
-			d.addr = m[1]
+			g.addr = m[1]
 		}
 	}
-	if d.addr == "" {
+	if g.addr == "" {
 		t.Fatal("the program ended without serving")
 	}
 	go func() {
 		for log.Scan() {
-			d.lines.add(log.Text())
+			g.lines.add(log.Text())
 		}
-		io.Copy(io.Discard, errs)
+		io.Copy(io.Discard, stderr)
 	}()
-	waitHealthy(t, "http://"+d.addr)
-	return d
+	waitHealthy(t, "http://"+g.addr)
+	return g
 }
 
-// request is the text of a client's request with a new id.
-func (d *testGateway) request() (id, text string) {
-	id = fmt.Sprintf("d%d", d.sent.Add(1))
+// nextRequest returns the text of a client's request with a new ID.
+func (g *testGateway) nextRequest() (id, text string) {
+	id = fmt.Sprintf("d%d", g.sent.Add(1))
 	return id, fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nX-Request-Id: %s\r\nX-Class: order\r\nX-Key: s\r\nX-Deadline-Ms: 10000\r\nX-Extras: prompt_len=100,max_out=50\r\nContent-Length: 2\r\n\r\n{}", id)
 }
 
-// dial opens a client's connection.
-func (d *testGateway) dial() net.Conn {
-	d.t.Helper()
-	c, err := net.Dial("tcp4", d.addr)
+// dial opens a client connection.
+func (g *testGateway) dial() net.Conn {
+	g.t.Helper()
+	c, err := net.Dial("tcp4", g.addr)
 	if err != nil {
-		d.t.Fatal(err)
+		g.t.Fatal(err)
 	}
-	d.t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(time.Minute)) // a bound for a broken test only
+	g.t.Cleanup(func() { c.Close() })
+	c.SetDeadline(time.Now().Add(time.Minute)) // only reached by a failing test
 	return c
 }
 
-// readAnswer reads one answer: its status and body, 0 where the connection ended without one.
+// readAnswer reads one answer and returns its status and body; status 0 if the connection ended without one.
 func readAnswer(in *bufio.Reader) (status int, body string, err error) {
 	if _, err := in.Peek(1); err != nil {
 		return 0, "", nil
@@ -130,78 +132,79 @@
 	return resp.StatusCode, string(b), err
 }
 
-// A connection whose stream began before the drain ends with it: the request that its client
-// sends next, at once, is not taken. Its stream would be carried past the drain's time.
-func TestDrainEndsConnectionsWithTheirAnswer(t *testing.T) {
-	d := startTestGateway(t, func() string { return enginetest.SlowStream(2, 0, time.Second) })
-	c := d.dial()
+// A connection whose stream began before the drain is closed after that stream. A request that the client
+// sends immediately afterwards must not be served: its stream could outlast the drain's time limit.
+func TestDrainClosesConnectionsAfterAnswerInFlight(t *testing.T) {
+	g := startTestGateway(t, func() string { return enginetest.SlowStream(2, 0, time.Second) })
+	c := g.dial()
 	in := bufio.NewReader(c)
-	_, text := d.request()
+	_, text := g.nextRequest()
 	io.WriteString(c, text)
-	if _, err := in.Peek(1); err != nil { // the head of the answer has been written
+	if _, err := in.Peek(1); err != nil { // the gateway has written the head of the answer
 		t.Fatal(err)
 	}
-	if a := sendCommand(t, d.control, "standby"); a != "YES" {
-		t.Fatalf("standby: %s", a)
+	if reply := sendCommand(t, g.control, "standby"); reply != "YES" {
+		t.Fatalf("standby: %s", reply)
 	}
 	if status, body, err := readAnswer(in); status != http.StatusOK || err != nil || !strings.HasSuffix(body, "data: [DONE]\n\n") {
-		t.Fatalf("the stream under way: %d %q %v", status, body, err)
+		t.Fatalf("stream in flight: %d %q %v", status, body, err)
 	}
-	_, text = d.request()
+	_, text = g.nextRequest()
 	io.WriteString(c, text)
 	if status, _, _ := readAnswer(in); status == http.StatusOK {
-		t.Error("a request sent after the drain's last answer was served on the same connection")
+		t.Error("a request sent after the last answer was served on the draining connection")
 	}
 }
 
-// Clients that go on at once on open connections, with streams under way at the call, and
-// clients that send slowly: none has a request served that it sent over 2 s after the call, and
-// every request that was read has its answer. Afterwards `active` brings the service back.
-func TestDrainTakesNoLateRequests(t *testing.T) {
-	var number atomic.Int64
-	d := startTestGateway(t, func() string {
+// Clients send requests without pause on open connections, some of them slowly, with streams in flight at the
+// drain command. No request sent more than 2 s after the command may be served, and every request that was
+// read must be answered. Afterwards the command active restores the service.
+func TestDrainServesNoLateRequests(t *testing.T) {
+	var streams atomic.Int64
+	g := startTestGateway(t, func() string {
 		events := 27 // 2.6 s
-		if n := int(number.Add(1)); n <= drainClients {
-			events = 2 + n // so that the long ones don't begin together
+		if n := int(streams.Add(1)); n <= drainClients {
+			events = 2 + n // staggers the starts of the long streams
 		}
 		return enginetest.SlowStream(events, 0, 100*time.Millisecond)
 	})
 	stop := make(chan struct{})
-	var called atomic.Pointer[time.Time]
+	var drainStarted atomic.Pointer[time.Time]
 	var served, late atomic.Int64
 	var clients sync.WaitGroup
 	for n := range drainClients {
-		clients.Go(func() { d.client(n, stop, &called, &served, &late) })
+		clients.Go(func() { g.runClient(n, stop, &drainStarted, &served, &late) })
 	}
 	enginetest.Eventually(t, "all clients are served", func() bool { return served.Load() >= drainClients })
 	now := time.Now()
-	called.Store(&now)
-	if a := sendCommand(t, d.control, "standby"); a != "YES" {
-		t.Fatalf("standby: %s", a)
+	drainStarted.Store(&now)
+	if reply := sendCommand(t, g.control, "standby"); reply != "YES" {
+		t.Fatalf("standby: %s", reply)
 	}
 	clients.Wait()
 	if n := late.Load(); n > 0 {
-		t.Errorf("%d requests served that were sent over %v after the call", n, drainRequestLimit)
+		t.Errorf("%d requests served that were sent more than %v after the drain command", n, drainRequestLimit)
 	}
-	if code := healthStatus("http://" + d.addr); code != http.StatusServiceUnavailable {
-		t.Errorf("health in the drain: %d", code)
+	if code := healthStatus("http://" + g.addr); code != http.StatusServiceUnavailable {
+		t.Errorf("health status during the drain: %d", code)
 	}
-	if a := sendCommand(t, d.control, "active"); a != "YES" {
-		t.Fatalf("active: %s", a)
+	if reply := sendCommand(t, g.control, "active"); reply != "YES" {
+		t.Fatalf("active: %s", reply)
 	}
-	waitHealthy(t, "http://"+d.addr)
-	c := d.dial()
-	_, text := d.request()
+	waitHealthy(t, "http://"+g.addr)
+	c := g.dial()
+	_, text := g.nextRequest()
 	io.WriteString(c, text)
 	if status, _, err := readAnswer(bufio.NewReader(c)); status != http.StatusOK || err != nil {
-		t.Errorf("after the drain: %d %v", status, err)
+		t.Errorf("request after the drain: %d %v", status, err)
 	}
 }
 
-// client sends one request after the other on one connection until the gateway ends it. Every
-// third client sends its requests in pieces over 0.9 s.
-func (d *testGateway) client(n int, stop <-chan struct{}, called *atomic.Pointer[time.Time], served, late *atomic.Int64) {
-	c := d.dial()
+// runClient sends consecutive requests on one connection until the gateway closes it. Every third client
+// sends each request in pieces over 0.9 s. Requests served although sent too late after the command are
+// counted.
+func (g *testGateway) runClient(n int, stop <-chan struct{}, drainStarted *atomic.Pointer[time.Time], served, late *atomic.Int64) {
+	c := g.dial()
 	in := bufio.NewReader(c)
 	for {
 		select {
@@ -209,7 +212,7 @@
 			return
 		default:
 		}
-		id, text := d.request()
+		id, text := g.nextRequest()
 		if n%3 == 0 {
 			for _, part := range []string{text[:20], text[20:90]} {
 				io.WriteString(c, part)
@@ -217,47 +220,47 @@
 			}
 			text = text[90:]
 		}
-		sent := time.Now() // of its last byte
+		sent := time.Now() // the last byte follows
 		io.WriteString(c, text)
 		status, body, err := readAnswer(in)
-		at := called.Load()
+		drainedAt := drainStarted.Load()
 		switch {
 		case status == http.StatusOK && err == nil && strings.HasSuffix(body, "data: [DONE]\n\n"):
-			if served.Add(1); at != nil && sent.Sub(*at) > drainRequestLimit {
+			if served.Add(1); drainedAt != nil && sent.Sub(*drainedAt) > drainRequestLimit {
 				late.Add(1)
 			}
 			continue
-		case at == nil:
-			d.t.Errorf("%s: status %d, %v, before the drain", id, status, err)
+		case drainedAt == nil:
+			g.t.Errorf("%s: status %d, %v, before the drain", id, status, err)
 		case status != 0 && status != http.StatusServiceUnavailable:
-			d.t.Errorf("%s: status %d, %q, %v", id, status, body, err)
+			g.t.Errorf("%s: status %d, %q, %v", id, status, body, err)
 		case err != nil && !errors.Is(err, io.ErrUnexpectedEOF):
-			d.t.Errorf("%s: %v", id, err)
+			g.t.Errorf("%s: %v", id, err)
 		}
 		return
 	}
 }
 
-// The log tells of each connection why it was closed, how old it was, what it answered and what
-// was left unread, and of each request and attempt, by its id, how it ended.
-func TestLogTellsOfConnectionsAndRequests(t *testing.T) {
-	d := startTestGateway(t, func() string { return enginetest.Stream(2, 0) })
-	c := d.dial()
+// The log has a line for each closed connection with reason, age, number of answers and unread bytes, and for
+// each request and attempt with its ID and outcome.
+func TestLogCoversConnectionsRequestsAndAttempts(t *testing.T) {
+	g := startTestGateway(t, func() string { return enginetest.Stream(2, 0) })
+	c := g.dial()
 	in := bufio.NewReader(c)
-	id, text := d.request()
+	id, text := g.nextRequest()
 	io.WriteString(c, text)
 	if status, _, err := readAnswer(in); status != http.StatusOK || err != nil {
 		t.Fatalf("status %d, %v", status, err)
 	}
-	if a := sendCommand(t, d.control, "standby"); a != "YES" {
-		t.Fatalf("standby: %s", a)
+	if reply := sendCommand(t, g.control, "standby"); reply != "YES" {
+		t.Fatalf("standby: %s", reply)
 	}
 	if status, _, _ := readAnswer(in); status != 0 {
-		t.Errorf("an idle connection got %d", status)
+		t.Errorf("idle connection received status %d", status)
 	}
-	closed := func(reason string, answered float64) func() bool {
+	closeLogged := func(reason string, answered float64) func() bool {
 		return func() bool {
-			for _, line := range d.lines.with("connection closed") {
+			for _, line := range g.lines.withMessage("connection closed") {
 				if line["reason"] == reason && line["answered"] == answered && line["unread"] == 0.0 && line["age"] != "" {
 					return true
 				}
@@ -265,60 +268,60 @@
 			return false
 		}
 	}
-	enginetest.Eventually(t, "the close is in the log", closed("idle", 1))
+	enginetest.Eventually(t, "the closed connection is logged", closeLogged("idle", 1))
 	found := false
-	for _, line := range d.lines.with("request answered") {
+	for _, line := range g.lines.withMessage("request answered") {
 		found = found || line["id"] == id && line["verdict"] == "serving"
 	}
 	if !found {
-		t.Errorf("no line on the answer to %s", id)
+		t.Errorf("no log line for the answer to %s", id)
 	}
 	attempts := 0
-	for _, line := range d.lines.with("attempt ended") {
+	for _, line := range g.lines.withMessage("attempt ended") {
 		if line["id"] == id {
 			attempts++
 		}
 	}
-	if attempts != 2 { // the read and the answer
-		t.Errorf("%d lines on attempts of %s", attempts, id)
+	if attempts != 2 { // prefill and decode
+		t.Errorf("%d log lines for attempts of %s, want 2", attempts, id)
 	}
 }
 
-// A request that began to come before the drain and is whole only when no request is taken any
-// more is refused: it was never forwarded, and its client may try elsewhere.
+// A request that began to arrive before the drain and is complete only after drainRequestLimit is refused:
+// it was never forwarded, so the client may retry at another gateway.
 func TestDrainRefusesRequestCompletedLate(t *testing.T) {
-	d := startTestGateway(t, func() string { return enginetest.Stream(2, 0) })
+	g := startTestGateway(t, func() string { return enginetest.Stream(2, 0) })
 	for _, c := range []struct {
-		name string
-		cut  func(text string) int // how much comes before the call
+		name    string
+		partial func(text string) int // number of bytes sent before the drain command
 	}{
-		{"head in part", func(string) int { return 40 }},
-		{"body in part", func(text string) int { return len(text) - 1 }},
+		{"partial head", func(string) int { return 40 }},
+		{"partial body", func(text string) int { return len(text) - 1 }},
 	} {
-		conn := d.dial()
-		id, text := d.request()
-		at := c.cut(text)
-		io.WriteString(conn, text[:at])
-		time.Sleep(100 * time.Millisecond) // it is read before the call
-		if a := sendCommand(t, d.control, "standby"); a != "YES" {
-			t.Fatalf("standby: %s", a)
+		conn := g.dial()
+		id, text := g.nextRequest()
+		drainedAt := c.partial(text)
+		io.WriteString(conn, text[:drainedAt])
+		time.Sleep(100 * time.Millisecond) // so that the gateway reads it before the command
+		if reply := sendCommand(t, g.control, "standby"); reply != "YES" {
+			t.Fatalf("standby: %s", reply)
 		}
-		time.Sleep(drainRequestLimit) // and goes on no sooner than this
-		io.WriteString(conn, text[at:])
+		time.Sleep(drainRequestLimit) // the remainder arrives too late
+		io.WriteString(conn, text[drainedAt:])
 		if status, body, err := readAnswer(bufio.NewReader(conn)); status != http.StatusServiceUnavailable || err != nil {
 			t.Errorf("%s: %s got %d %q %v", c.name, id, status, body, err)
 		}
-		if a := sendCommand(t, d.control, "active"); a != "YES" {
-			t.Fatalf("active: %s", a)
+		if reply := sendCommand(t, g.control, "active"); reply != "YES" {
+			t.Fatalf("active: %s", reply)
 		}
-		waitHealthy(t, "http://"+d.addr)
+		waitHealthy(t, "http://"+g.addr)
 	}
 }
 
-// The chat front ends by the same table: when it is told to end, a connection whose stream is under
-// way ends with it, a request that does not come to its end is refused and not waited for, and the
-// process ends by itself; nobody says when a kill comes.
-func TestChatFrontEndsConnectionsInTime(t *testing.T) {
+// The chat front follows the same state machine, although the time of a kill is unknown there. After SIGTERM
+// a connection with a stream in flight is closed after the stream, an incomplete request is refused rather
+// than awaited, and the process exits by itself.
+func TestChatFrontClosesConnectionsAtShutdown(t *testing.T) {
 	engine := enginetest.NewEngine(t, func(enginetest.Call) string { return enginetest.SlowStream(2, 0, 2*time.Second) })
 	raw, err := os.ReadFile("../../deploy/operator.json")
 	if err != nil {
@@ -327,59 +330,59 @@
 	text := strings.NewReplacer("127.0.0.1:8080", "127.0.0.1:0", "127.0.0.1:9001", engine.Addr).Replace(string(raw))
 	cmd, url := startServing(t, nil, "serve", "--operator", writeConfig(t, text))
 	waitHealthy(t, url)
-	d := &testGateway{t: t, cmd: cmd, addr: strings.TrimPrefix(url, "http://")}
+	g := &testGateway{t: t, cmd: cmd, addr: strings.TrimPrefix(url, "http://")}
 	const body = `{"model":"order-assistant","stream":true,"messages":[{"role":"user","content":"two bolts"}]}`
 	chat := fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer change-me-counter\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-	streaming, cut := d.dial(), d.dial()
+	streaming, partial := g.dial(), g.dial()
 	in := bufio.NewReader(streaming)
 	io.WriteString(streaming, chat)
 	if _, err := in.Peek(1); err != nil {
 		t.Fatal(err)
 	}
-	io.WriteString(cut, chat[:len(chat)-1])
+	io.WriteString(partial, chat[:len(chat)-1])
 	cmd.Process.Signal(syscall.SIGTERM)
-	if status, _, err := readAnswer(bufio.NewReader(cut)); status != http.StatusServiceUnavailable || err != nil {
-		t.Errorf("half a request got %d, %v", status, err)
+	if status, _, err := readAnswer(bufio.NewReader(partial)); status != http.StatusServiceUnavailable || err != nil {
+		t.Errorf("incomplete request: status %d, %v", status, err)
 	}
 	if status, body, err := readAnswer(in); status != http.StatusOK || err != nil || !strings.HasSuffix(body, "data: [DONE]\n\n") {
-		t.Errorf("the stream under way: %d %q %v", status, body, err)
+		t.Errorf("stream in flight: %d %q %v", status, body, err)
 	}
 	io.WriteString(streaming, chat)
 	if status, _, _ := readAnswer(in); status != 0 {
-		t.Errorf("a request after the last answer got %d", status)
+		t.Errorf("request after the last answer: status %d", status)
 	}
 	if err := cmd.Wait(); err != nil {
 		t.Errorf("exit: %v", err)
 	}
 }
 
-// Of requests that were sent together, and read together, a drain leaves none without its answer,
-// whether or not the answer under way at the call had begun.
+// Every pipelined request that the gateway has read is answered during a drain, whether or not the answer in
+// flight at the command had begun.
 func TestDrainAnswersPipelinedRequests(t *testing.T) {
-	for name, begins := range map[string]bool{"before the first answer": false, "during the first answer": true} {
+	for name, answerStarted := range map[string]bool{"before the first answer": false, "during the first answer": true} {
 		t.Run(name, func(t *testing.T) {
-			begun, end := make(chan bool, 4), make(chan bool)
-			d := startTestGateway(t, func() string {
-				begun <- true
-				if begins {
+			started, finish := make(chan bool, 4), make(chan bool)
+			g := startTestGateway(t, func() string {
+				started <- true
+				if answerStarted {
 					return enginetest.SlowStream(2, 0, time.Second)
 				}
-				<-end
+				<-finish
 				return enginetest.Stream(2, 0)
 			})
-			c := d.dial()
+			c := g.dial()
 			in := bufio.NewReader(c)
-			_, first := d.request()
-			_, second := d.request()
+			_, first := g.nextRequest()
+			_, second := g.nextRequest()
 			io.WriteString(c, first+second)
-			<-begun
-			if begins {
+			<-started
+			if answerStarted {
 				in.Peek(1)
 			}
-			if a := sendCommand(t, d.control, "standby"); a != "YES" {
-				t.Fatalf("standby: %s", a)
+			if reply := sendCommand(t, g.control, "standby"); reply != "YES" {
+				t.Fatalf("standby: %s", reply)
 			}
-			close(end)
+			close(finish)
 			for n := range 2 {
 				status, body, err := readAnswer(in)
 				if served := status == http.StatusOK && strings.HasSuffix(body, "data: [DONE]\n\n"); err != nil || !served && status != http.StatusServiceUnavailable {
@@ -387,26 +390,26 @@
 				}
 			}
 			if status, _, _ := readAnswer(in); status != 0 {
-				t.Errorf("an answer more than requests: %d", status)
+				t.Errorf("more answers than requests: status %d", status)
 			}
 		})
 	}
 }
 
-// Half a request that was read with the one before it is refused once that one has been answered,
-// if no request is taken any more by then.
-func TestDrainRefusesHalfOfPipelinedRequest(t *testing.T) {
-	d := startTestGateway(t, func() string { return enginetest.SlowStream(2, 0, drainRequestLimit) })
-	c := d.dial()
+// An incomplete request that was read together with the preceding one is refused after that one's answer if
+// the drain no longer accepts requests at that time.
+func TestDrainRefusesIncompletePipelinedRequest(t *testing.T) {
+	g := startTestGateway(t, func() string { return enginetest.SlowStream(2, 0, drainRequestLimit) })
+	c := g.dial()
 	in := bufio.NewReader(c)
-	_, first := d.request()
-	_, second := d.request()
+	_, first := g.nextRequest()
+	_, second := g.nextRequest()
 	io.WriteString(c, first+second[:40])
 	if _, err := in.Peek(1); err != nil {
 		t.Fatal(err)
 	}
-	if a := sendCommand(t, d.control, "standby"); a != "YES" {
-		t.Fatalf("standby: %s", a)
+	if reply := sendCommand(t, g.control, "standby"); reply != "YES" {
+		t.Fatalf("standby: %s", reply)
 	}
 	for _, want := range []int{http.StatusOK, http.StatusServiceUnavailable, 0} {
 		if status, _, err := readAnswer(in); status != want || err != nil {
--- a/cmd/wellgw/faults_test.go
+++ b/cmd/wellgw/faults_test.go
@@ -37,7 +37,7 @@
 	return l
 }
 
-// startEjectionGateway starts a gateway of one prefill and two decode engines that keeps ejections in tmp.
+// startEjectionGateway starts a gateway with one prefill and two decode engines that stores ejections in tmp.
 func startEjectionGateway(t *testing.T, tmp string, engines [3]*enginetest.Engine) *testGateway {
 	t.Helper()
 	config := writeConfig(t, fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":%s,
@@ -49,93 +49,95 @@
 	return startGateway(t, []string{"EDGE_CONFIG=" + config, "EDGE_CONTROL=127.0.0.1:0", "TMPDIR=" + tmp})
 }
 
-// ask sends one request on a connection of its own and returns its status.
-func (d *testGateway) ask() int {
-	d.t.Helper()
-	c := d.dial()
+// sendRequest sends one request on a new connection and returns its status.
+func (g *testGateway) sendRequest() int {
+	g.t.Helper()
+	c := g.dial()
 	defer c.Close()
-	_, text := d.request()
+	_, text := g.nextRequest()
 	io.WriteString(c, text)
 	status, _, err := readAnswer(bufio.NewReader(c))
 	if err != nil {
-		d.t.Error(err)
+		g.t.Error(err)
 	}
 	return status
 }
 
-// An engine that was taken out while files can't grow is out at once, though the call is told no;
-// the file is written once that can be done, so that a process started after a kill knows of it.
-func TestEjectionIsKeptWhereFileCouldNotBeWritten(t *testing.T) {
+// An ejection applies immediately even if its file can't be written, although the command's reply is NO. The
+// file is written once that is possible, so that a process started after a kill loads the ejection.
+func TestEjectionSurvivesFailedFileWrite(t *testing.T) {
 	tmp := t.TempDir()
 	serve := func() string { return enginetest.Stream(2, 0) }
-	engines := [3]*enginetest.Engine{enginetest.NewEngine(t, releasedOr(prefillAnswer)), enginetest.NewEngine(t, releasedOr(serve)), enginetest.NewEngine(t, releasedOr(serve))}
-	d := startEjectionGateway(t, tmp, engines)
-	full := getRlimit(t, d.cmd, syscall.RLIMIT_FSIZE)
-	setRlimit(t, d.cmd, syscall.RLIMIT_FSIZE, syscall.Rlimit{Cur: 0, Max: full.Max})
-	if a := sendCommand(t, d.control, "maint-on w1"); a != "NO" {
-		t.Errorf("maint-on that can't be written: %s", a)
+	engines := [3]*enginetest.Engine{enginetest.NewEngine(t, answerReleasesOr(prefillAnswer)), enginetest.NewEngine(t, answerReleasesOr(serve)), enginetest.NewEngine(t, answerReleasesOr(serve))}
+	g := startEjectionGateway(t, tmp, engines)
+	original := getRlimit(t, g.cmd, syscall.RLIMIT_FSIZE)
+	setRlimit(t, g.cmd, syscall.RLIMIT_FSIZE, syscall.Rlimit{Cur: 0, Max: original.Max})
+	if reply := sendCommand(t, g.control, "maint-on w1"); reply != "NO" {
+		t.Errorf("reply to maint-on with unwritable file: %s", reply)
 	}
 	before := len(engines[1].Calls(http.MethodPost))
 	for range 10 {
-		if status := d.ask(); status != http.StatusOK {
+		if status := g.sendRequest(); status != http.StatusOK {
 			t.Errorf("status %d", status)
 		}
 	}
 	if n := len(engines[1].Calls(http.MethodPost)); n != before {
-		t.Errorf("%d requests to the engine that is out", n-before)
+		t.Errorf("%d requests to the ejected engine", n-before)
 	}
-	setRlimit(t, d.cmd, syscall.RLIMIT_FSIZE, full)
-	enginetest.Eventually(t, "the ejection is written", func() bool {
+	setRlimit(t, g.cmd, syscall.RLIMIT_FSIZE, original)
+	enginetest.Eventually(t, "the ejection file is written", func() bool {
 		text, _ := os.ReadFile(filepath.Join(tmp, "wellgw-bans-n1"))
 		return string(text) == "w1\n"
 	})
-	d.cmd.Process.Kill()
-	d.cmd.Wait()
+	g.cmd.Process.Kill()
+	g.cmd.Wait()
 	next := startEjectionGateway(t, tmp, engines)
 	for range 10 {
-		if status := next.ask(); status != http.StatusOK {
+		if status := next.sendRequest(); status != http.StatusOK {
 			t.Errorf("status %d", status)
 		}
 	}
 	if n := len(engines[1].Calls(http.MethodPost)); n != before {
-		t.Errorf("%d requests to the engine that is out, after a kill", n-before)
+		t.Errorf("%d requests to the ejected engine after a kill", n-before)
 	}
 }
 
-// Files of ejections that are empty, cut, foreign or too long change nothing that is in force, and
-// the log says so.
-func TestSpoiltEjectionFilesChangeNothing(t *testing.T) {
+// An ejection file that is empty, truncated, malformed or too long doesn't change the ejections in force, and
+// the log has a line for it.
+func TestInvalidEjectionFilesChangeNothing(t *testing.T) {
 	tmp := t.TempDir()
 	serve := func() string { return enginetest.Stream(2, 0) }
-	engines := [3]*enginetest.Engine{enginetest.NewEngine(t, releasedOr(prefillAnswer)), enginetest.NewEngine(t, releasedOr(serve)), enginetest.NewEngine(t, releasedOr(serve))}
-	d := startEjectionGateway(t, tmp, engines)
-	if a := sendCommand(t, d.control, "maint-on w1"); a != "YES" {
-		t.Fatalf("maint-on: %s", a)
+	engines := [3]*enginetest.Engine{enginetest.NewEngine(t, answerReleasesOr(prefillAnswer)), enginetest.NewEngine(t, answerReleasesOr(serve)), enginetest.NewEngine(t, answerReleasesOr(serve))}
+	g := startEjectionGateway(t, tmp, engines)
+	if reply := sendCommand(t, g.control, "maint-on w1"); reply != "YES" {
+		t.Fatalf("maint-on: %s", reply)
 	}
 	path := filepath.Join(tmp, "wellgw-bans-n1")
 	for n, text := range []string{"", "w", "{\"v\":2,\x00}\n", strings.Repeat("x", 1<<20+1)} {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		enginetest.Eventually(t, "the log names the file", func() bool { return len(d.lines.with("ejections file unreadable, keeping ejections in force")) > n })
-		if status := d.ask(); status != http.StatusOK {
+		enginetest.Eventually(t, "the unreadable file is logged", func() bool {
+			return len(g.lines.withMessage("ejections file unreadable, keeping ejections in force")) > n
+		})
+		if status := g.sendRequest(); status != http.StatusOK {
 			t.Errorf("status %d", status)
 		}
-		os.WriteFile(path+".whole", []byte("w1\n"), 0o600)
-		os.Rename(path+".whole", path)
-		time.Sleep(300 * time.Millisecond) // it is read whole in between
+		os.WriteFile(path+".valid", []byte("w1\n"), 0o600)
+		os.Rename(path+".valid", path)
+		time.Sleep(300 * time.Millisecond) // so that the gateway reads the valid file in between
 	}
 	if n := len(engines[1].Calls(http.MethodPost)); n != 0 {
-		t.Errorf("%d requests to the engine that is out", n)
+		t.Errorf("%d requests to the ejected engine", n)
 	}
 }
 
-// A process on the clients' socket serves whatever mark an earlier one has left, also one of a
-// clock that was an hour ahead.
-func TestStaleReadyMarkIsNoNewerProcess(t *testing.T) {
+// A process on the clients' socket doesn't hand over because of a stale or invalid ready mark of an earlier
+// process, including one whose clock was an hour ahead.
+func TestStaleReadyMarkCausesNoHandOver(t *testing.T) {
 	for name, mark := range map[string]string{
 		"an hour ahead": fmt.Sprintf("%d 99\n", time.Now().Add(time.Hour).UnixNano()), "an hour behind": fmt.Sprintf("%d 99\n", time.Now().Add(-time.Hour).UnixNano()),
-		"half": "179", "foreign": "{\"version\": 9}\n", "empty": "",
+		"truncated": "179", "unknown format": "{\"version\": 9}\n", "empty": "",
 	} {
 		t.Run(name, func(t *testing.T) {
 			tmp := t.TempDir()
@@ -143,15 +145,15 @@
 				t.Fatal(err)
 			}
 			socket, addr := clientsSocket(t)
-			prefill := enginetest.NewEngine(t, releasedOr(prefillAnswer))
-			decode := enginetest.NewEngine(t, releasedOr(func() string { return enginetest.Stream(2, 0) }))
+			prefill := enginetest.NewEngine(t, answerReleasesOr(prefillAnswer))
+			decode := enginetest.NewEngine(t, answerReleasesOr(func() string { return enginetest.Stream(2, 0) }))
 			config := platformConfig(t, "n1", "127.0.0.1:1", testSettings, prefill, decode)
-			_, control, handed := startOnSocket(t, []string{"EDGE_CONFIG=" + config, "EDGE_CONTROL=127.0.0.1:0", "EDGE_SOCKET_FD=3", "TMPDIR=" + tmp}, socket)
+			_, control, handedOver := startOnSocket(t, []string{"EDGE_CONFIG=" + config, "EDGE_CONTROL=127.0.0.1:0", "EDGE_SOCKET_FD=3", "TMPDIR=" + tmp}, socket)
 			enginetest.Eventually(t, "status is yes", func() bool { return sendCommand(t, control, "status") == "YES" })
-			time.Sleep(500 * time.Millisecond) // several looks at the mark
+			time.Sleep(500 * time.Millisecond) // several polls of the mark
 			select {
-			case <-handed:
-				t.Error("handed over to a process that is no more")
+			case <-handedOver:
+				t.Error("handed over to a process that no longer runs")
 			default:
 			}
 			waitHealthy(t, "http://"+addr)
@@ -159,7 +161,7 @@
 	}
 }
 
-// clientsSocket is a listening socket as the platform hands it down, and its address.
+// clientsSocket returns a listening socket, as the platform passes it to the program, and its address.
 func clientsSocket(t *testing.T) (*os.File, string) {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -175,55 +177,55 @@
 	return socket, l.Addr().String()
 }
 
-// While a program has no descriptors left, nothing ends: clients and operators are served again as
-// soon as there are some.
-func TestServesAfterDescriptorsRanOut(t *testing.T) {
-	d := startTestGateway(t, func() string { return enginetest.Stream(2, 0) })
-	usual := getRlimit(t, d.cmd, syscall.RLIMIT_NOFILE)
-	setRlimit(t, d.cmd, syscall.RLIMIT_NOFILE, syscall.Rlimit{Cur: 3, Max: usual.Max})
+// Running out of descriptors doesn't stop the program: it serves clients and operators again as soon as
+// descriptors are available.
+func TestRecoversFromDescriptorExhaustion(t *testing.T) {
+	g := startTestGateway(t, func() string { return enginetest.Stream(2, 0) })
+	original := getRlimit(t, g.cmd, syscall.RLIMIT_NOFILE)
+	setRlimit(t, g.cmd, syscall.RLIMIT_NOFILE, syscall.Rlimit{Cur: 3, Max: original.Max})
 	var waiting []net.Conn
-	for range 8 { // accept fails for each of these, and for the call
-		waiting = append(waiting, d.dial())
+	for range 8 { // accept fails for each of these and for the control connection
+		waiting = append(waiting, g.dial())
 	}
-	call, err := net.Dial("tcp4", d.control)
+	command, err := net.Dial("tcp4", g.control)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer call.Close()
-	io.WriteString(call, "standby\n")
+	defer command.Close()
+	io.WriteString(command, "standby\n")
 	enginetest.Eventually(t, "both listeners have failed", func() bool {
 		listeners := map[any]bool{}
-		for _, line := range d.lines.with("accept failed; tried again") {
+		for _, line := range g.lines.withMessage("accept failed; tried again") {
 			listeners[line["listen"]] = true
 		}
 		return len(listeners) == 2
 	})
-	setRlimit(t, d.cmd, syscall.RLIMIT_NOFILE, usual)
-	call.SetReadDeadline(time.Now().Add(time.Minute)) // a bound for a broken test only
-	if a, err := bufio.NewReader(call).ReadString('\n'); a != "YES\n" {
-		t.Errorf("standby: %q, %v", a, err)
+	setRlimit(t, g.cmd, syscall.RLIMIT_NOFILE, original)
+	command.SetReadDeadline(time.Now().Add(time.Minute)) // only reached by a failing test
+	if reply, err := bufio.NewReader(command).ReadString('\n'); reply != "YES\n" {
+		t.Errorf("standby: %q, %v", reply, err)
 	}
-	if a := sendCommand(t, d.control, "active"); a != "YES" {
-		t.Errorf("active: %s", a)
+	if reply := sendCommand(t, g.control, "active"); reply != "YES" {
+		t.Errorf("active: %s", reply)
 	}
 	for _, c := range waiting {
 		c.Close()
 	}
-	waitHealthy(t, "http://"+d.addr)
-	if status := d.ask(); status != http.StatusOK {
+	waitHealthy(t, "http://"+g.addr)
+	if status := g.sendRequest(); status != http.StatusOK {
 		t.Errorf("status %d", status)
 	}
 }
 
-// A process whose clients' socket is taken from it ends in good order, with an error: what is in
-// hand is answered.
-func TestLostListenerEndsInGoodOrder(t *testing.T) {
+// A process whose listening socket is shut down by another process performs a graceful shutdown: it answers
+// the requests in flight and exits with an error.
+func TestLostListenerCausesGracefulShutdown(t *testing.T) {
 	socket, addr := clientsSocket(t)
-	begun, end := make(chan bool, 1), make(chan bool)
-	prefill := enginetest.NewEngine(t, releasedOr(prefillAnswer))
-	decode := enginetest.NewEngine(t, releasedOr(func() string {
-		begun <- true
-		<-end
+	started, finish := make(chan bool, 1), make(chan bool)
+	prefill := enginetest.NewEngine(t, answerReleasesOr(prefillAnswer))
+	decode := enginetest.NewEngine(t, answerReleasesOr(func() string {
+		started <- true
+		<-finish
 		return enginetest.Stream(2, 0)
 	}))
 	config := platformConfig(t, "n1", "127.0.0.1:1", testSettings, prefill, decode)
@@ -239,85 +241,85 @@
 		resp.Body.Close()
 		status <- resp.StatusCode
 	}()
-	<-begun
+	<-started
 	if err := syscall.Shutdown(int(socket.Fd()), syscall.SHUT_RDWR); err != nil {
 		t.Fatal(err)
 	}
-	close(end)
+	close(finish)
 	if code := <-status; code != http.StatusOK {
-		t.Errorf("what was in hand: %d", code)
+		t.Errorf("status of the request in flight: %d", code)
 	}
 	if err := cmd.Wait(); cmd.ProcessState.ExitCode() != 1 {
 		t.Errorf("exit: %v", err)
 	}
 }
 
-// Signals and calls in series: each of them has one answer, health never comes back in a process
-// that ends, and it ends by itself.
-func TestCallsAndSignalsInSeries(t *testing.T) {
+// Sequences of signals and commands: every command has one reply, the health check never succeeds during the
+// shutdown, and the process exits by itself.
+func TestCommandAndSignalSequences(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		calls []string // before and after SIGTERM
-		want  []string
+		name     string
+		commands []string // commands before and after SIGTERM
+		want     []string
 	}{
 		{"standby, then SIGTERM", []string{"standby", "SIGTERM", "active", "standby"}, []string{"YES", "", "NO", "YES"}},
 		{"SIGTERM, then standby", []string{"SIGTERM", "standby", "active"}, []string{"", "YES", "NO"}},
-		{"standby again and again", []string{"standby", "standby", "active", "active", "standby", "SIGTERM", "SIGTERM"}, []string{"YES", "YES", "YES", "YES", "YES", "", ""}},
+		{"repeated commands", []string{"standby", "standby", "active", "active", "standby", "SIGTERM", "SIGTERM"}, []string{"YES", "YES", "YES", "YES", "YES", "", ""}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			d := startTestGateway(t, func() string { return enginetest.SlowStream(2, 0, 4*time.Second) })
-			held := d.dial() // the process does not end before the calls are over
-			in := bufio.NewReader(held)
-			_, text := d.request()
-			io.WriteString(held, text)
+			g := startTestGateway(t, func() string { return enginetest.SlowStream(2, 0, 4*time.Second) })
+			streaming := g.dial() // its stream keeps the process running during the commands
+			in := bufio.NewReader(streaming)
+			_, text := g.nextRequest()
+			io.WriteString(streaming, text)
 			if _, err := in.Peek(1); err != nil {
 				t.Fatal(err)
 			}
-			for n, call := range c.calls {
-				if call == "SIGTERM" {
-					d.cmd.Process.Signal(syscall.SIGTERM)
-					enginetest.Eventually(t, "it is leaving", func() bool { return len(d.lines.with("shutdown started")) > 0 })
+			for n, command := range c.commands {
+				if command == "SIGTERM" {
+					g.cmd.Process.Signal(syscall.SIGTERM)
+					enginetest.Eventually(t, "the shutdown has started", func() bool { return len(g.lines.withMessage("shutdown started")) > 0 })
 					continue
 				}
-				if a := sendCommand(t, d.control, call); a != c.want[n] {
-					t.Errorf("%s: %s, want %s", call, a, c.want[n])
+				if reply := sendCommand(t, g.control, command); reply != c.want[n] {
+					t.Errorf("%s: %s, want %s", command, reply, c.want[n])
 				}
-				if call == "standby" && healthStatus("http://"+d.addr) == http.StatusOK {
-					t.Error("healthy in a drain")
+				if command == "standby" && healthStatus("http://"+g.addr) == http.StatusOK {
+					t.Error("health check succeeds during a drain")
 				}
 			}
 			if status, _, err := readAnswer(in); status != http.StatusOK || err != nil {
-				t.Errorf("the stream under way: %d %v", status, err)
+				t.Errorf("stream in flight: %d %v", status, err)
 			}
-			if err := d.cmd.Wait(); err != nil {
+			if err := g.cmd.Wait(); err != nil {
 				t.Errorf("exit: %v", err)
 			}
 		})
 	}
 }
 
-// A log that nobody reads, or whose reader has gone, holds nothing up and ends nothing.
-func TestLogReaderThatStallsOrGoes(t *testing.T) {
-	prefill := enginetest.NewEngine(t, releasedOr(prefillAnswer))
-	decode := enginetest.NewEngine(t, releasedOr(func() string { return enginetest.Stream(2, 0) }))
-	cmd := program(t, []string{"EDGE_CONFIG=" + platformConfig(t, "n1", "127.0.0.1:1", testSettings, prefill, decode)}, "serve", "--verbose")
-	errs, log := startLogged(t, cmd)
-	d := &testGateway{t: t, cmd: cmd}
-	for d.addr == "" && log.Scan() {
+// A log whose reader stalls or closes its end neither blocks requests nor stops the process.
+func TestServesWithStalledOrClosedLogReader(t *testing.T) {
+	prefill := enginetest.NewEngine(t, answerReleasesOr(prefillAnswer))
+	decode := enginetest.NewEngine(t, answerReleasesOr(func() string { return enginetest.Stream(2, 0) }))
+	cmd := programCommand(t, []string{"EDGE_CONFIG=" + platformConfig(t, "n1", "127.0.0.1:1", testSettings, prefill, decode)}, "serve", "--verbose")
+	stderr, log := startLogged(t, cmd)
+	g := &testGateway{t: t, cmd: cmd}
+	for g.addr == "" && log.Scan() {
 		if m := servingLine.FindStringSubmatch(log.Text()); m != nil {
-			d.addr = m[1]
+			g.addr = m[1]
 		}
 	}
-	waitHealthy(t, "http://"+d.addr)
-	for range 400 { // a pipe holds 64 KiB; each request logs some 700 bytes
-		if status := d.ask(); status != http.StatusOK {
-			t.Fatalf("status %d while the log is not read", status)
+	waitHealthy(t, "http://"+g.addr)
+	for range 400 { // a pipe holds 64 KiB; each request logs about 700 bytes
+		if status := g.sendRequest(); status != http.StatusOK {
+			t.Fatalf("status %d while the log reader stalls", status)
 		}
 	}
-	errs.(io.Closer).Close()
+	stderr.(io.Closer).Close()
 	for range 10 {
-		if status := d.ask(); status != http.StatusOK {
-			t.Fatalf("status %d once the log's reader has gone", status)
+		if status := g.sendRequest(); status != http.StatusOK {
+			t.Fatalf("status %d after the log reader has closed", status)
 		}
 	}
 }
--- a/cmd/wellgw/harness_test.go
+++ b/cmd/wellgw/harness_test.go
@@ -16,8 +16,9 @@
 	"wellgw/internal/enginetest"
 )
 
-// program is a run of the program itself: TestMain starts it where WELLGW_TEST_RUN is set.
-func program(t *testing.T, env []string, args ...string) *exec.Cmd {
+// programCommand returns a command that runs the gateway's program: with WELLGW_TEST_RUN set, TestMain of
+// this test binary calls main.
+func programCommand(t *testing.T, env []string, args ...string) *exec.Cmd {
 	t.Helper()
 	cmd := exec.CommandContext(t.Context(), os.Args[0], args...)
 	cmd.Env = append(append(os.Environ(), "WELLGW_TEST_RUN=1"), env...)
@@ -28,45 +29,45 @@
 
 var adminLine = regexp.MustCompile(`"listen":"([^"]+)","message":"admin listener open"`)
 
-// startServing starts the program and waits until it says where it listens.
+// startServing starts the program, waits until it logs its address and returns its URL.
 func startServing(t *testing.T, env []string, args ...string) (*exec.Cmd, string) {
 	t.Helper()
 	cmd, url, _ := startServingAdmin(t, env, args...)
 	return cmd, url
 }
 
-// startLogged starts a program and returns its log, as such and by lines.
+// startLogged starts a program and returns its log as a reader and as a line scanner on that reader.
 func startLogged(t *testing.T, cmd *exec.Cmd) (io.Reader, *bufio.Scanner) {
 	t.Helper()
-	errs, err := cmd.StderrPipe()
+	stderr, err := cmd.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	return errs, bufio.NewScanner(errs)
+	return stderr, bufio.NewScanner(stderr)
 }
 
-// startServingAdmin also returns the address of its admin listener, if it has one.
+// startServingAdmin is startServing that also returns the address of the admin listener, "" without one.
 func startServingAdmin(t *testing.T, env []string, args ...string) (cmd *exec.Cmd, url, admin string) {
 	t.Helper()
-	cmd = program(t, env, args...)
-	errs, log := startLogged(t, cmd)
+	cmd = programCommand(t, env, args...)
+	stderr, log := startLogged(t, cmd)
 	for log.Scan() {
 		if m := adminLine.FindStringSubmatch(log.Text()); m != nil {
 			admin = m[1]
 		}
 		if m := servingLine.FindStringSubmatch(log.Text()); m != nil {
-			go io.Copy(io.Discard, errs)
+			go io.Copy(io.Discard, stderr)
 			return cmd, "http://" + m[1], admin
 		}
 	}
-	t.Fatal("the program ended without serving")
+	t.Fatal("the program exited without serving")
 	return nil, "", ""
 }
 
-// waitHealthy waits until the program can serve.
+// waitHealthy waits until the health check succeeds.
 func waitHealthy(t *testing.T, url string) {
 	t.Helper()
 	enginetest.Eventually(t, "healthy", func() bool {
@@ -79,7 +80,7 @@
 	})
 }
 
-// newRequest makes a platform client's request.
+// newRequest creates a platform client's request.
 func newRequest(t *testing.T, url string) *http.Request {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, url+"/v1/chat/completions", strings.NewReader(`{}`))
@@ -92,7 +93,7 @@
 	return req
 }
 
-// postChat asks a gateway that runs by deploy/operator.json for a chat.
+// postChat sends a chat request to a gateway that is configured like deploy/operator.json.
 func postChat(t *testing.T, url string) *http.Response {
 	t.Helper()
 	req := newRequest(t, url)
@@ -106,8 +107,8 @@
 	return resp
 }
 
-// releasedOr answers a release at once and anything else by script.
-func releasedOr(script func() string) func(enginetest.Call) string {
+// answerReleasesOr returns a script that confirms releases immediately and answers other calls by script.
+func answerReleasesOr(script func() string) func(enginetest.Call) string {
 	return func(c enginetest.Call) string {
 		if c.Method == http.MethodDelete {
 			return "HTTP/1.1 204 No Content\r\n\r\n"
@@ -116,10 +117,10 @@
 	}
 }
 
-// prefillAnswer is what a prefill engine answers once it has read a prompt.
+// prefillAnswer is a prefill engine's answer to a processed prompt.
 func prefillAnswer() string { return enginetest.Status(202, "", `{"cached_tokens":0}`) }
 
-// writeConfig writes a configuration to a file of its own and returns its path.
+// writeConfig writes a configuration to a new file and returns its path.
 func writeConfig(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -137,7 +138,7 @@
 
 var controlLine = regexp.MustCompile(`"control":"([^"]+)","message":"control listener open"`)
 
-// sendCommand sends one operator's command and returns the line that answers it.
+// sendCommand sends one operator command and returns the reply line.
 func sendCommand(t *testing.T, addr, line string) string {
 	t.Helper()
 	conn, err := net.Dial("tcp4", addr)
@@ -146,12 +147,12 @@
 	}
 	defer conn.Close()
 	io.WriteString(conn, line+"\n")
-	conn.SetReadDeadline(time.Now().Add(10 * time.Second)) // a bound for a broken test only
+	conn.SetReadDeadline(time.Now().Add(10 * time.Second)) // only reached by a failing test
 	answer, _ := bufio.NewReader(conn).ReadString('\n')
 	return strings.TrimSpace(answer)
 }
 
-// healthStatus is the status of one health check; 0 where there is no answer.
+// healthStatus returns the status of one health check; 0 without an answer.
 func healthStatus(url string) int {
 	resp, err := http.Get(url + "/healthz")
 	if err != nil {
@@ -163,13 +164,13 @@
 
 var handoverLine = regexp.MustCompile(`"message":"successor ready, handing over`)
 
-// startOnSocket starts the program on the clients' socket, as descriptor 3, and
-// returns where it takes calls and a channel closed once it has handed over.
-func startOnSocket(t *testing.T, env []string, socket *os.File) (cmd *exec.Cmd, control string, handed <-chan struct{}) {
+// startOnSocket starts the program with the clients' socket as descriptor 3. It returns the address of the
+// control listener and a channel that is closed once the program logs its hand-over.
+func startOnSocket(t *testing.T, env []string, socket *os.File) (cmd *exec.Cmd, control string, handedOver <-chan struct{}) {
 	t.Helper()
-	cmd = program(t, env, "serve")
+	cmd = programCommand(t, env, "serve")
 	cmd.ExtraFiles = []*os.File{socket}
-	errs, log := startLogged(t, cmd)
+	stderr, log := startLogged(t, cmd)
 	for control == "" && log.Scan() {
 		if m := controlLine.FindStringSubmatch(log.Text()); m != nil {
 			control = m[1]
@@ -178,15 +179,15 @@
 	if control == "" {
 		t.Fatal("no control listener")
 	}
-	done := make(chan struct{})
+	logged := make(chan struct{})
 	go func() {
 		for log.Scan() {
 			if handoverLine.MatchString(log.Text()) {
-				close(done)
+				close(logged)
 				break
 			}
 		}
-		io.Copy(io.Discard, errs)
+		io.Copy(io.Discard, stderr)
 	}()
-	return cmd, control, done
+	return cmd, control, logged
 }
--- a/cmd/wellgw/held_test.go
+++ b/cmd/wellgw/held_test.go
@@ -16,8 +16,8 @@
 	"wellgw/internal/enginetest"
 )
 
-// releases counts, by request, how often engines were told to release what they hold for it.
-func releases(engines ...*enginetest.Engine) map[string]int {
+// releaseCounts returns, by request ID, the number of releases that engines received.
+func releaseCounts(engines ...*enginetest.Engine) map[string]int {
 	ids := map[string]int{}
 	for _, e := range engines {
 		for _, call := range e.Calls(http.MethodDelete) {
@@ -27,18 +27,18 @@
 	return ids
 }
 
-// released returns the requests that engines were told to release.
+// released returns the IDs of the requests for which engines received a release.
 func released(engines ...*enginetest.Engine) map[string]bool {
 	ids := map[string]bool{}
-	for id := range releases(engines...) {
+	for id := range releaseCounts(engines...) {
 		ids[id] = true
 	}
 	return ids
 }
 
-// heldStates is three gateways before one prefill engine and two decode engines that never answer, so that
-// every state that is read waits.
-type heldStates struct {
+// heldStateCluster is three gateways with one prefill engine and two decode engines that never answer, so
+// that every prefilled state stays held.
+type heldStateCluster struct {
 	t             *testing.T
 	fabric        *faultnet.Net
 	prefill       *enginetest.Engine
@@ -50,57 +50,58 @@
 	clients       sync.WaitGroup
 }
 
-const ordersEach = 3
+// ordersPerGateway is the number of orders that the clients of each gateway send.
+const ordersPerGateway = 3
 
-// newHeldStates starts them before a prefill engine that answers by a script.
-func newHeldStates(t *testing.T, prefill func() string) *heldStates {
+// newHeldStateCluster starts the cluster; prefill returns the prefill engine's answers.
+func newHeldStateCluster(t *testing.T, prefill func() string) *heldStateCluster {
 	t.Helper()
-	h := &heldStates{t: t, fabric: faultnet.New(1), prefill: enginetest.NewEngine(t, releasedOr(prefill))}
-	t.Cleanup(h.fabric.Close)
-	h.fabric.Listens("r", h.prefill.Addr)
-	for i := range h.decodes {
-		h.decodes[i] = enginetest.NewEngine(t, releasedOr(func() string { return enginetest.Hang }))
-		h.fabric.Listens(fmt.Sprint("w", i), h.decodes[i].Addr)
+	c := &heldStateCluster{t: t, fabric: faultnet.New(1), prefill: enginetest.NewEngine(t, answerReleasesOr(prefill))}
+	t.Cleanup(c.fabric.Close)
+	c.fabric.Listens("r", c.prefill.Addr)
+	for i := range c.decodes {
+		c.decodes[i] = enginetest.NewEngine(t, answerReleasesOr(func() string { return enginetest.Hang }))
+		c.fabric.Listens(fmt.Sprint("w", i), c.decodes[i].Addr)
 	}
 	for g := range 3 {
-		h.start(fmt.Sprint("g", g))
+		c.start(fmt.Sprint("g", g))
 	}
-	return h
+	return c
 }
 
-func (h *heldStates) dial(from, to string) string {
-	h.t.Helper()
-	addr, err := h.fabric.Dial(from, to)
+func (c *heldStateCluster) dial(from, to string) string {
+	c.t.Helper()
+	addr, err := c.fabric.Dial(from, to)
 	if err != nil {
-		h.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	return addr
 }
 
-func (h *heldStates) start(name string) {
-	h.t.Helper()
-	set := strings.NewReplacer(`"balancers":1`, `"balancers":3`, `"pin_limit":500000`, `"pin_limit":100000`).Replace(testSettings)
-	config := writeConfig(h.t, fmt.Sprintf(`{"name":%q,"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":%s,
+func (c *heldStateCluster) start(name string) {
+	c.t.Helper()
+	settings := strings.NewReplacer(`"balancers":1`, `"balancers":3`, `"pin_limit":500000`, `"pin_limit":100000`).Replace(testSettings)
+	config := writeConfig(c.t, fmt.Sprintf(`{"name":%q,"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":%s,
 		"known":{"revision":1,"complete":true,"members":[
 			{"id":"r","host_port":%q,"locality":"a","flavor":"r","phase":"active"},
 			{"id":"w0","host_port":%q,"locality":"a","flavor":"w","phase":"active"},
 			{"id":"w1","host_port":%q,"locality":"a","flavor":"w","phase":"active"}]}}`,
-		name, set, h.dial(name, "r"), h.dial(name, "w0"), h.dial(name, "w1")))
-	cmd, url := startServing(h.t, []string{"EDGE_CONFIG=" + config}, "serve")
-	waitHealthy(h.t, url)
-	h.cmds, h.urls, h.configs = append(h.cmds, cmd), append(h.urls, url), append(h.configs, config)
+		name, settings, c.dial(name, "r"), c.dial(name, "w0"), c.dial(name, "w1")))
+	cmd, url := startServing(c.t, []string{"EDGE_CONFIG=" + config}, "serve")
+	waitHealthy(c.t, url)
+	c.cmds, c.urls, c.configs = append(c.cmds, cmd), append(c.urls, url), append(c.configs, config)
 }
 
-// placeOrders has clients of every gateway place orders, which go on until they leave.
-func (h *heldStates) placeOrders() {
-	for g, url := range h.urls {
-		ctx, leave := context.WithCancel(h.t.Context())
-		h.cancelClients = append(h.cancelClients, leave)
-		for n := range ordersEach {
-			req := newRequest(h.t, url).WithContext(ctx)
-			req.Header.Set("X-Request-Id", h.order(g, n))
+// startOrders sends the orders of every gateway's clients; they stay in flight until cancelClients is called.
+func (c *heldStateCluster) startOrders() {
+	for g, url := range c.urls {
+		ctx, cancel := context.WithCancel(c.t.Context())
+		c.cancelClients = append(c.cancelClients, cancel)
+		for n := range ordersPerGateway {
+			req := newRequest(c.t, url).WithContext(ctx)
+			req.Header.Set("X-Request-Id", c.orderID(g, n))
 			req.Header.Set("X-Deadline-Ms", "50000")
-			h.clients.Go(func() {
+			c.clients.Go(func() {
 				if resp, err := http.DefaultClient.Do(req); err == nil {
 					resp.Body.Close()
 				}
@@ -109,146 +110,147 @@
 	}
 }
 
-func (h *heldStates) order(gateway, n int) string { return fmt.Sprintf("g%d-%d", gateway, n) }
+func (c *heldStateCluster) orderID(gateway, n int) string { return fmt.Sprintf("g%d-%d", gateway, n) }
 
-// allOf tells whether every order of a gateway is among some.
-func (h *heldStates) allOf(gateway int, some map[string]bool) bool {
-	for n := range ordersEach {
-		if !some[h.order(gateway, n)] {
+// containsAllOrders reports whether ids contains every order of a gateway.
+func (c *heldStateCluster) containsAllOrders(gateway int, ids map[string]bool) bool {
+	for n := range ordersPerGateway {
+		if !ids[c.orderID(gateway, n)] {
 			return false
 		}
 	}
 	return true
 }
 
-// awaitSent waits until every order of every gateway has been sent to one of some engines.
-func (h *heldStates) awaitSent(what string, engines ...*enginetest.Engine) {
-	h.t.Helper()
-	enginetest.Eventually(h.t, what, func() bool {
-		out := map[string]bool{}
+// awaitOrdersSent waits until every order of every gateway has been sent to one of the engines.
+func (c *heldStateCluster) awaitOrdersSent(what string, engines ...*enginetest.Engine) {
+	c.t.Helper()
+	enginetest.Eventually(c.t, what, func() bool {
+		sent := map[string]bool{}
 		for _, e := range engines {
 			for _, call := range e.Calls(http.MethodPost) {
-				out[call.ID] = true
+				sent[call.ID] = true
 			}
 		}
-		return h.allOf(0, out) && h.allOf(1, out) && h.allOf(2, out)
+		return c.containsAllOrders(0, sent) && c.containsAllOrders(1, sent) && c.containsAllOrders(2, sent)
 	})
 }
 
-// cut cuts a gateway off from engines, or ends that.
-func (h *heldStates) cut(gateway string, cut bool, engines ...string) {
+// setPartition starts or ends a network partition between a gateway and engines.
+func (c *heldStateCluster) setPartition(gateway string, setPartition bool, engines ...string) {
 	for _, engine := range engines {
-		h.fabric.Set(gateway, engine, faultnet.Rule{Cut: cut})
-		h.fabric.Set(engine, gateway, faultnet.Rule{Cut: cut})
+		c.fabric.Set(gateway, engine, faultnet.Rule{Cut: setPartition})
+		c.fabric.Set(engine, gateway, faultnet.Rule{Cut: setPartition})
 	}
 }
 
-func (h *heldStates) signal(gateway int, s os.Signal) {
-	h.t.Helper()
-	if err := h.cmds[gateway].Process.Signal(s); err != nil {
-		h.t.Fatal(err)
+func (c *heldStateCluster) signal(gateway int, s os.Signal) {
+	c.t.Helper()
+	if err := c.cmds[gateway].Process.Signal(s); err != nil {
+		c.t.Fatal(err)
 	}
 }
 
-// Three gateways have states waiting at a prefill engine while the decode engines' machines are silent. One
-// is then cut off from the prefill engine, one is told to end, and the clients of two leave. Every
-// state is let go: behind the cut by way of another engine, and by the one that leaves before
-// its process ends.
+// Three gateways hold states at a prefill engine while the decode engines don't answer. Then one gateway is
+// partitioned from the prefill engine, one gets SIGTERM, and the clients of the first and the third cancel.
+// Every state must be released: by the partitioned gateway through an alternate, and by the stopping one
+// before its process exits.
 func TestHeldStatesReleasedByThreeGateways(t *testing.T) {
-	h := newHeldStates(t, prefillAnswer)
-	h.placeOrders()
-	h.awaitSent("every order has been read and is at a decode engine", h.decodes[:]...)
-	h.cut("g0", true, "r")
-	h.signal(1, syscall.SIGTERM)
-	h.cancelClients[0]()
-	h.cancelClients[2]()
-	enginetest.Eventually(t, "behind the cut another engine is told", func() bool { return h.allOf(0, released(h.decodes[:]...)) })
-	enginetest.Eventually(t, "the prefill engine is told", func() bool { return h.allOf(2, released(h.prefill)) })
-	if err := h.cmds[1].Wait(); err != nil {
-		t.Errorf("the gateway that was told to end: %v", err)
+	c := newHeldStateCluster(t, prefillAnswer)
+	c.startOrders()
+	c.awaitOrdersSent("every order is prefilled and at a decode engine", c.decodes[:]...)
+	c.setPartition("g0", true, "r")
+	c.signal(1, syscall.SIGTERM)
+	c.cancelClients[0]()
+	c.cancelClients[2]()
+	enginetest.Eventually(t, "the partitioned gateway releases through an alternate", func() bool { return c.containsAllOrders(0, released(c.decodes[:]...)) })
+	enginetest.Eventually(t, "the prefill engine receives the releases", func() bool { return c.containsAllOrders(2, released(c.prefill)) })
+	if err := c.cmds[1].Wait(); err != nil {
+		t.Errorf("exit of the gateway that got SIGTERM: %v", err)
 	}
-	if !h.allOf(1, released(h.prefill)) {
-		t.Error("a gateway has ended and left states held")
+	if !c.containsAllOrders(1, released(c.prefill)) {
+		t.Error("a gateway exited without releasing its states")
 	}
-	if h.allOf(0, released(h.prefill)) {
-		t.Error("the prefill engine was told through the cut: the test shows nothing")
+	if c.containsAllOrders(0, released(c.prefill)) {
+		t.Error("the prefill engine received releases despite the partition: the test is ineffective")
 	}
-	h.cut("g0", false, "r")
-	enginetest.Eventually(t, "the prefill engine is told once the cut has healed", func() bool { return h.allOf(0, released(h.prefill)) })
-	h.cancelClients[1]()
-	h.clients.Wait()
+	c.setPartition("g0", false, "r")
+	enginetest.Eventually(t, "the prefill engine receives the releases after the partition", func() bool { return c.containsAllOrders(0, released(c.prefill)) })
+	c.cancelClients[1]()
+	c.clients.Wait()
 }
 
-// One of three gateways is cut off from every engine, one reads its settings anew, and one's
-// connections to the engine that holds its states are reset. The clients leave. The states of
-// the latter two are released at once, those of the first when the cut has healed.
+// Of three gateways the first is partitioned from every engine, the second reloads its settings, and the
+// third's connections to the engine that holds its states are reset. Then all clients cancel. The states of
+// the second and third must be released immediately, those of the first after the partition.
 func TestHeldStatesReleasedAfterFullPartition(t *testing.T) {
-	h := newHeldStates(t, prefillAnswer)
-	h.placeOrders()
-	h.awaitSent("every order has been read and is at a decode engine", h.decodes[:]...)
-	h.cut("g0", true, "r", "w0", "w1")
-	text, err := os.ReadFile(h.configs[1])
+	c := newHeldStateCluster(t, prefillAnswer)
+	c.startOrders()
+	c.awaitOrdersSent("every order is prefilled and at a decode engine", c.decodes[:]...)
+	c.setPartition("g0", true, "r", "w0", "w1")
+	text, err := os.ReadFile(c.configs[1])
 	if err != nil {
 		t.Fatal(err)
 	}
-	next := strings.Replace(string(text), `"effect":"single_shot"`, `"effect":"free"`, 1)
-	if err := os.WriteFile(h.configs[1], []byte(next), 0o600); err != nil {
+	changed := strings.Replace(string(text), `"effect":"single_shot"`, `"effect":"free"`, 1)
+	if err := os.WriteFile(c.configs[1], []byte(changed), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	h.signal(1, syscall.SIGHUP)
-	h.fabric.Reset("g2", "r")
-	for _, leave := range h.cancelClients {
-		leave()
+	c.signal(1, syscall.SIGHUP)
+	c.fabric.Reset("g2", "r")
+	for _, cancel := range c.cancelClients {
+		cancel()
 	}
-	h.clients.Wait()
+	c.clients.Wait()
 	for _, gateway := range []int{1, 2} {
-		enginetest.Eventually(t, "the holder is told", func() bool { return h.allOf(gateway, released(h.prefill)) })
+		enginetest.Eventually(t, "the prefill engine receives the releases", func() bool { return c.containsAllOrders(gateway, released(c.prefill)) })
 	}
-	for id := range released(h.prefill, h.decodes[0], h.decodes[1]) {
+	for id := range released(c.prefill, c.decodes[0], c.decodes[1]) {
 		if strings.HasPrefix(id, "g0") {
-			t.Errorf("%s was released through the cut: the test shows nothing", id)
+			t.Errorf("%s was released despite the partition: the test is ineffective", id)
 		}
 	}
-	h.cut("g0", false, "r", "w0", "w1")
-	enginetest.Eventually(t, "the holder is told once the cut has healed", func() bool { return h.allOf(0, released(h.prefill)) })
+	c.setPartition("g0", false, "r", "w0", "w1")
+	enginetest.Eventually(t, "the prefill engine receives the releases after the partition", func() bool { return c.containsAllOrders(0, released(c.prefill)) })
 }
 
-// The clients of three gateways leave while their prompts are read at an engine that goes on
-// reading, and one gateway is told to end. Releases arrive until the reads end, and once more
-// after that: also from the gateway that is about to end.
-func TestShutdownReleasesCancelledReads(t *testing.T) {
+// The clients of three gateways cancel during prefills that the engine continues, and one gateway gets
+// SIGTERM. Releases must be repeated until the prefills end, and once after that, also by the stopping
+// gateway.
+func TestShutdownReleasesCancelledPrefills(t *testing.T) {
 	finish := make(chan struct{})
-	h := newHeldStates(t, func() string { <-finish; return prefillAnswer() })
-	endReads := sync.OnceFunc(func() { close(finish) })
-	t.Cleanup(endReads) // the engine's end waits for them
-	h.placeOrders()
-	h.awaitSent("every order is being read", h.prefill)
-	for _, leave := range h.cancelClients {
-		leave()
+	c := newHeldStateCluster(t, func() string { <-finish; return prefillAnswer() })
+	finishPrefills := sync.OnceFunc(func() { close(finish) })
+	t.Cleanup(finishPrefills) // closing the engine waits for its scripts
+	c.startOrders()
+	c.awaitOrdersSent("every order is in prefill", c.prefill)
+	for _, cancel := range c.cancelClients {
+		cancel()
 	}
-	h.clients.Wait()
-	h.signal(1, syscall.SIGTERM)
-	h.awaitReleases(releasesPastExit)
-	endReads()
-	h.awaitReleases(1)
-	if err := h.cmds[1].Wait(); err != nil {
-		t.Errorf("the gateway that was told to end: %v", err)
+	c.clients.Wait()
+	c.signal(1, syscall.SIGTERM)
+	c.awaitReleases(minShutdownReleases)
+	finishPrefills()
+	c.awaitReleases(1)
+	if err := c.cmds[1].Wait(); err != nil {
+		t.Errorf("exit of the gateway that got SIGTERM: %v", err)
 	}
 }
 
-// releasesPastExit is more releases, one a pin limit, than a gateway can send from SIGTERM to
-// its exit if it waits for nothing but the clients that have yet to notice.
-const releasesPastExit = 8
+// minShutdownReleases is a number of releases, one for each held-state limit, that a gateway can't send
+// between SIGTERM and its exit if it waits only for its clients to notice the shutdown.
+const minShutdownReleases = 8
 
-// awaitReleases waits until the holder has been told so many times more of every order.
-func (h *heldStates) awaitReleases(more int) {
-	h.t.Helper()
-	before := releases(h.prefill)
-	enginetest.Eventually(h.t, fmt.Sprint("releases of every order: ", more), func() bool {
-		now := releases(h.prefill)
-		for gateway := range h.urls {
-			for n := range ordersEach {
-				if id := h.order(gateway, n); now[id] < before[id]+more {
+// awaitReleases waits until the prefill engine has received the given number of additional releases for every
+// order.
+func (c *heldStateCluster) awaitReleases(additional int) {
+	c.t.Helper()
+	before := releaseCounts(c.prefill)
+	enginetest.Eventually(c.t, fmt.Sprint("additional releases of every order: ", additional), func() bool {
+		counts := releaseCounts(c.prefill)
+		for gateway := range c.urls {
+			for n := range ordersPerGateway {
+				if id := c.orderID(gateway, n); counts[id] < before[id]+additional {
 					return false
 				}
 			}
--- a/cmd/wellgw/help_test.go
+++ b/cmd/wellgw/help_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// What each command prints on --help: names, flags, arguments and their texts, as in testdata/help.
+// The --help output of each command, with its names, flags, arguments and texts, equals the file in
+// testdata/help.
 func TestHelpOfCommands(t *testing.T) {
 	for _, command := range []string{"", "serve", "engines", "roles", "peers", "check", "version"} {
 		name, args := "wellgw", []string{"--help"}
@@ -18,7 +19,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			got, err := program(t, nil, args...).Output()
+			got, err := programCommand(t, nil, args...).Output()
 			if err != nil || string(got) != string(want) {
 				t.Errorf("%v: %v, got:\n%s\nwant:\n%s", args, err, got, want)
 			}
--- a/cmd/wellgw/lost_test.go
+++ b/cmd/wellgw/lost_test.go
@@ -1,29 +1,28 @@
 package main
 
-// A prefill engine holds state for a request until a decode engine fetches it or a release arrives, and
-// that must not take longer than the settings say. Operators saw states kept beyond it. The gateway had
-// written the attempt to a connection that was lost on the way: the system took the bytes, they never
-// arrived, and no error showed. The gateway believed all the same that the attempt had arrived, as the
-// same engine went on answering other requests on other connections; with that belief the state's time
-// stood still until the attempt timed out, seconds later.
+// A prefill engine holds state for a request until a decode engine fetches it or a release arrives, at most
+// for the configured limit. These tests guard against states that are held longer after a lost connection:
+// the gateway writes an attempt to the connection, the kernel accepts the bytes, but they never arrive and
+// no error is reported. The gateway treated the attempt as arrived because the same engine answered other
+// requests on other connections. It therefore didn't count the state's time until the attempt timed out
+// seconds later.
 //
-// These figures settled it. With no connection lost none of 1,004 states was kept too long; with one
-// lost every 0.3 s 18 to 35 in a run were, for up to 6 s, and the longer the longer clients waited. With
-// the tests of this file, on the program as it was, 14 of 477 states were kept for 4.0 s where half a
-// second is allowed. The log of such a state shows an attempt on a connection that nothing came on, and
-// no line "held state at its limit" at all:
+// Without lost connections none of 1,004 states exceeded the limit. With one connection lost every 0.3 s, 18
+// to 35 states in a run did, by up to 6 s, which grew with the clients' deadlines. Before the fix, the tests
+// of this file found 14 of 477 states held for 4.0 s with a limit of 0.5 s. The log of such a state shows an
+// attempt on a connection without any reply, and no line "held state at its limit":
 //
 //	56:08.982 "state held" engine r0, connection 9, limit 500ms
 //	56:08.982 "attempt written" attempt 1, engine w0, connection 66
 //	56:13.024 "attempt ended" attempt 1, engine w0, status cancelled, age 4.042s, connection 66
 //	56:13.024 "state ended" engine r0, reason released
 //
-// Where connections were lost that a prefill was out on, 2 of 9 such states had no "state held" line: the
-// prefill engine's answer was lost. That attempt is out until the gateway gives it up, so the state's time
-// counts from then on. Releases while a prefill waits were tried; they took states from prefills that had
-// merely been queued, and a calm day's service fell from 0.95 to 0.86.
+// Of 9 such states on lost connections with a prefill in flight, 2 had no "state held" line: the prefill
+// engine's answer was lost. That attempt is in flight until the gateway abandons it, so the state's time
+// counts only from that point. Releases during an unanswered prefill were tried and rejected: they released
+// states of prefills that were only queued, and the service without faults fell from 0.95 to 0.86.
 //
-// So these tests lose single connections under load and judge by what the engines have seen.
+// The tests drop single connections under load and check the times that the engines have recorded.
 
 import (
 	"context"
@@ -44,111 +43,112 @@
 	"wellgw/internal/enginetest"
 )
 
-// The lost connections' deployment. Clients wait for long, so that a state which only ends with its
-// attempt's timeout is far beyond its limit.
+// Parameters of the tests. Client deadlines are long, so that a state that is only released when its attempt
+// times out clearly exceeds the limit.
 const (
-	lostHeldLimit  = 500 * time.Millisecond
-	lostClientWait = 6 * time.Second
-	lostClients    = 24
-	lostLoad       = 4 * time.Second                         // of requests
-	lostFaultPause = 60 * time.Millisecond                   // between faults
-	lostAllowed    = 350*time.Millisecond + lostMachineSlack // beyond the limit
-
-	// lostMachineSlack is for a machine that is busy; a state that waits for its attempt's timeout is
-	// kept for seconds more.
+	lostHeldLimit     = 500 * time.Millisecond
+	lostClientWait    = 6 * time.Second
+	lostClients       = 24
+	lostLoadDuration  = 4 * time.Second                         // of the clients
+	lostFaultInterval = 60 * time.Millisecond                   // between faults
+	lostTolerance     = 350*time.Millisecond + lostMachineSlack // allowed beyond the limit
+
+	// lostMachineSlack allows for a busy machine; a state that is held until its attempt times out
+	// exceeds the limit by several seconds.
 	lostMachineSlack = time.Second
 )
 
-// stateBook is what engines have seen of the states held for requests.
+// heldStateRecorder records, from the engines' view, how long they hold the states of requests.
 //
-// A state's time counts while no attempt of its request is out. A prefill whose answer was lost is out
-// until the gateway gives it up, which is when its client has its answer, at the latest.
-type stateBook struct {
-	mu       sync.Mutex
-	since    map[string]time.Time     // of what is held now and counts
-	unread   map[string]bool          // held, and the prefill's answer was lost
-	answered map[string]bool          // the client has its answer
-	kept     map[string]time.Duration // of what was fetched or released
+// A state's time counts while no attempt of its request is in flight. A prefill whose answer was lost is in
+// flight until the gateway abandons it, at the latest when the client has its answer.
+type heldStateRecorder struct {
+	mu                sync.Mutex
+	heldSince         map[string]time.Time     // start of the counted time, by ID of a request whose state is held
+	prefillAnswerLost map[string]bool          // held, but the prefill's answer was lost and the client has no answer
+	clientDone        map[string]bool          // the client has its answer
+	durations         map[string]time.Duration // longest counted time
 }
 
-func newStateBook() stateBook {
-	return stateBook{since: map[string]time.Time{}, unread: map[string]bool{}, answered: map[string]bool{}, kept: map[string]time.Duration{}}
+func newHeldStateRecorder() heldStateRecorder {
+	return heldStateRecorder{heldSince: map[string]time.Time{}, prefillAnswerLost: map[string]bool{}, clientDone: map[string]bool{}, durations: map[string]time.Duration{}}
 }
 
-// answerLost records that a prefill's answer was lost.
-func (b *stateBook) answerLost(id string) {
+// answerLost records that the answer to a prefill was lost, and stops the count.
+func (b *heldStateRecorder) answerLost(id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if _, held := b.since[id]; held && !b.answered[id] {
-		b.unread[id] = true
-		delete(b.since, id)
+	if _, stateHeld := b.heldSince[id]; stateHeld && !b.clientDone[id] {
+		b.prefillAnswerLost[id] = true
+		delete(b.heldSince, id)
 	}
 }
 
-// clientAnswered records that a client has its answer, so that no attempt is out any more.
-func (b *stateBook) clientAnswered(id string) {
+// clientAnswered records that a client has its answer, so that no attempt is in flight.
+func (b *heldStateRecorder) clientAnswered(id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.answered[id] = true
-	if b.unread[id] {
-		delete(b.unread, id)
-		b.since[id] = time.Now()
+	b.clientDone[id] = true
+	if b.prefillAnswerLost[id] {
+		delete(b.prefillAnswerLost, id)
+		b.heldSince[id] = time.Now()
 	}
 }
 
-func (b *stateBook) held(id string) {
+func (b *heldStateRecorder) stateHeld(id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.since[id] = time.Now()
+	b.heldSince[id] = time.Now()
 }
 
-// ended records that a decode engine has the whole request, or that a release has arrived.
-func (b *stateBook) ended(id string) {
+// stateEnded records that a decode engine received the complete request, or that a release arrived.
+func (b *heldStateRecorder) stateEnded(id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	delete(b.unread, id)
-	if since, held := b.since[id]; held {
-		b.kept[id] = max(b.kept[id], time.Since(since))
-		delete(b.since, id)
+	delete(b.prefillAnswerLost, id)
+	if heldSince, stateHeld := b.heldSince[id]; stateHeld {
+		b.durations[id] = max(b.durations[id], time.Since(heldSince))
+		delete(b.heldSince, id)
 	}
 }
 
-// over returns the states that were, or still are, held for longer than allowed, and the number of all.
-func (b *stateBook) over(allowed time.Duration) (over []string, all int) {
+// violations describes the states that were or still are held longer than allowed, and returns the number of
+// all states.
+func (b *heldStateRecorder) violations(allowed time.Duration) (violations []string, total int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for id, since := range b.since {
-		b.kept[id] = max(b.kept[id], time.Since(since))
+	for id, heldSince := range b.heldSince {
+		b.durations[id] = max(b.durations[id], time.Since(heldSince))
 	}
-	for id, kept := range b.kept {
-		if kept > allowed {
-			over = append(over, fmt.Sprintf("%s: %v", id, kept.Round(time.Millisecond)))
+	for id, durations := range b.durations {
+		if durations > allowed {
+			violations = append(violations, fmt.Sprintf("%s: %v", id, durations.Round(time.Millisecond)))
 		}
 	}
-	return over, len(b.kept)
+	return violations, len(b.durations)
 }
 
-// lostConnections is one gateway before two prefill and two decode engines that behave, with relays
-// between that lose connections.
-type lostConnections struct {
-	t       *testing.T
-	limit   time.Duration // of what is held
-	answers engineAnswers
-	fabric  *faultnet.Net
-	book    stateBook
-	cmd     *exec.Cmd
-	url     string
-	clients sync.WaitGroup
+// connectionLossTest is one gateway with two prefill and two decode engines, connected through relays that
+// can drop connections without an error.
+type connectionLossTest struct {
+	t          *testing.T
+	limit      time.Duration // of held states
+	answers    engineAnswers
+	fabric     *faultnet.Net
+	heldStates heldStateRecorder
+	cmd        *exec.Cmd
+	url        string
+	clients    sync.WaitGroup
 }
 
-// engineAnswers is how engines answer once they have a call.
+// engineAnswers provides the answers of the engines.
 type engineAnswers struct {
 	prefill func(id string) string
 	decode  func() string
 	release func() string
 }
 
-func soundAnswers() engineAnswers {
+func validAnswers() engineAnswers {
 	return engineAnswers{
 		prefill: func(id string) string {
 			return enginetest.Status(http.StatusAccepted, "X-Request-Id: "+id+"\r\n", `{"cached_tokens":0}`)
@@ -160,13 +160,13 @@
 
 const releaseAnswer = "HTTP/1.1 204 No Content\r\n\r\n"
 
-func newLostConnections(t *testing.T, seed uint64, limit time.Duration, answers engineAnswers) *lostConnections {
+func newConnectionLossTest(t *testing.T, seed uint64, limit time.Duration, answers engineAnswers) *connectionLossTest {
 	t.Helper()
-	l := &lostConnections{t: t, limit: limit, answers: answers, fabric: faultnet.New(seed), book: newStateBook()}
+	l := &connectionLossTest{t: t, limit: limit, answers: answers, fabric: faultnet.New(seed), heldStates: newHeldStateRecorder()}
 	t.Cleanup(l.fabric.Close)
 	l.fabric.TapLost(func(from, _ string, b []byte) {
 		if id := lostAnswerID.FindSubmatch(b); strings.HasPrefix(from, "r") && id != nil {
-			l.book.answerLost(string(id[1]))
+			l.heldStates.answerLost(string(id[1]))
 		}
 	})
 	var members []string
@@ -174,7 +174,7 @@
 		name, flavor string
 		answer       func(enginetest.Call) string
 	}{{"r0", "r", l.prefill}, {"r1", "r", l.prefill}, {"w0", "w", l.decode}, {"w1", "w", l.decode}} {
-		l.fabric.Listens(engine.name, enginetest.NewEngine(t, l.recorded(engine.answer)).Addr)
+		l.fabric.Listens(engine.name, enginetest.NewEngine(t, l.recordReleases(engine.answer)).Addr)
 		addr, err := l.fabric.Dial("g", engine.name)
 		if err != nil {
 			t.Fatal(err)
@@ -189,25 +189,25 @@
 	return l
 }
 
-// recorded is an engine's script that records releases.
-func (l *lostConnections) recorded(answer func(enginetest.Call) string) func(enginetest.Call) string {
+// recordReleases wraps an engine's script; it records and answers releases.
+func (l *connectionLossTest) recordReleases(answer func(enginetest.Call) string) func(enginetest.Call) string {
 	return func(c enginetest.Call) string {
 		if c.Method == http.MethodDelete {
-			l.book.ended(path.Base(c.Path))
+			l.heldStates.stateEnded(path.Base(c.Path))
 			return l.answers.release()
 		}
 		return answer(c)
 	}
 }
 
-// prefill takes a while over a prompt, so that connections are in use now and then.
-func (l *lostConnections) prefill(c enginetest.Call) string {
+// prefill is a prefill engine's script. It takes prefillTime, so that some connections are in use at a fault.
+func (l *connectionLossTest) prefill(c enginetest.Call) string {
 	time.Sleep(prefillTime)
-	l.book.held(c.ID)
+	l.heldStates.stateHeld(c.ID)
 	return l.answers.prefill(c.ID)
 }
 
-// lostAnswerID finds the request in a prefill engine's answer.
+// lostAnswerID matches the request ID in a prefill engine's answer.
 var lostAnswerID = regexp.MustCompile(`X-Request-Id: (\S+)`)
 
 const (
@@ -215,24 +215,25 @@
 	eventPause  = 10 * time.Millisecond
 )
 
-func (l *lostConnections) decode(c enginetest.Call) string {
-	l.book.ended(c.ID)
+func (l *connectionLossTest) decode(c enginetest.Call) string {
+	l.heldStates.stateEnded(c.ID)
 	return l.answers.decode()
 }
 
-// load has clients make one request after another until ctx ends.
-func (l *lostConnections) load(ctx context.Context) {
+// startClients starts the clients; each sends consecutive requests until ctx is done.
+func (l *connectionLossTest) startClients(ctx context.Context) {
 	for n := range lostClients {
 		l.clients.Go(func() {
 			for k := 0; ctx.Err() == nil; k++ {
-				l.ask(ctx, fmt.Sprintf("c%d-%d", n, k))
+				l.sendRequest(ctx, fmt.Sprintf("c%d-%d", n, k))
 			}
 		})
 	}
 }
 
-// ask makes a request and reads its answer; it is given up with ctx only where the gateway has gone.
-func (l *lostConnections) ask(ctx context.Context, id string) {
+// sendRequest sends a request and reads its answer. If the gateway can't be reached, it returns after
+// lostFaultInterval or when ctx is done.
+func (l *connectionLossTest) sendRequest(ctx context.Context, id string) {
 	req, err := http.NewRequestWithContext(context.WithoutCancel(ctx), http.MethodPost, l.url+"/v1/chat/completions", strings.NewReader(`{}`))
 	if err != nil {
 		l.t.Error(err)
@@ -244,120 +245,121 @@
 	} {
 		req.Header.Set(k, v)
 	}
-	defer l.book.clientAnswered(id)
+	defer l.heldStates.clientAnswered(id)
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		select { // the gateway has ended, or refuses
+		select { // the gateway has exited or refuses connections
 		case <-ctx.Done():
-		case <-time.After(lostFaultPause):
+		case <-time.After(lostFaultInterval):
 		}
 		return
 	}
-	_, _ = io.Copy(io.Discard, resp.Body) // an answer may break off
+	_, _ = io.Copy(io.Discard, resp.Body) // an answer may be cut off
 	resp.Body.Close()
 }
 
-// play puts load on the gateway and calls fault again and again, then waits for all answers.
-func (l *lostConnections) play(fault func(round int)) {
-	ctx, stop := context.WithTimeout(l.t.Context(), lostLoad)
+// runLoad runs the clients, calls fault at every lostFaultInterval, and then waits for all answers.
+func (l *connectionLossTest) runLoad(fault func(round int)) {
+	ctx, stop := context.WithTimeout(l.t.Context(), lostLoadDuration)
 	defer stop()
-	l.load(ctx)
+	l.startClients(ctx)
 	for round := 0; ctx.Err() == nil; round++ {
 		select {
 		case <-ctx.Done():
-		case <-time.After(lostFaultPause):
+		case <-time.After(lostFaultInterval):
 			fault(round)
 		}
 	}
 	l.clients.Wait()
 }
 
-// judge fails the test for states that were held too long, and where too few were held at all.
-func (l *lostConnections) judge() {
+// checkHeldDurations fails the test if states were held too long, or if too few were held to be conclusive.
+func (l *connectionLossTest) checkHeldDurations() {
 	l.t.Helper()
-	allowed := l.limit + lostAllowed
-	over, all := l.book.over(allowed)
-	if all < minLostStates {
-		l.t.Errorf("only %d states were held: the test shows nothing", all)
+	allowed := l.limit + lostTolerance
+	violations, total := l.heldStates.violations(allowed)
+	if total < minHeldStates {
+		l.t.Errorf("only %d states were held: the test is inconclusive", total)
 	}
-	if len(over) > 0 {
-		l.t.Errorf("%d of %d states were held for longer than %v: %s", len(over), all, allowed, strings.Join(over, ", "))
+	if len(violations) > 0 {
+		l.t.Errorf("%d of %d states were held for longer than %v: %s", len(violations), total, allowed, strings.Join(violations, ", "))
 	}
 }
 
-const minLostStates = 100
+const minHeldStates = 100
 
-// lostFaults are the ways in which connections to engines are lost.
+// lostFaults are patterns in which connections to engines are lost.
 var lostFaults = []struct {
 	name  string
 	fault func(f *faultnet.Net, round int)
 }{
 	{"none", func(*faultnet.Net, int) {}},
-	{"single ones at rest, to decode engines", loseOne("w", faultnet.AtRest, faultnet.Both)},
-	{"single ones at rest, to decode engines, one way", loseOne("w", faultnet.AtRest, faultnet.Toward)},
-	{"single ones in use, to decode engines", loseOne("w", faultnet.InUse, faultnet.Both)},
-	{"single ones at rest, to prefill engines", loseOne("r", faultnet.AtRest, faultnet.Both)},
-	{"single ones in use, to prefill engines", loseOne("r", faultnet.InUse, faultnet.Both)},
-	{"single ones of any kind, to all", func(f *faultnet.Net, round int) {
-		loseOne([]string{"r", "w"}[round%2], faultnet.AnyUse, faultnet.Both)(f, round/2)
+	{"single idle, decode engines", loseOneConnection("w", faultnet.AtRest, faultnet.Both)},
+	{"single idle, decode engines, one direction", loseOneConnection("w", faultnet.AtRest, faultnet.Toward)},
+	{"single in use, decode engines", loseOneConnection("w", faultnet.InUse, faultnet.Both)},
+	{"single idle, prefill engines", loseOneConnection("r", faultnet.AtRest, faultnet.Both)},
+	{"single in use, prefill engines", loseOneConnection("r", faultnet.InUse, faultnet.Both)},
+	{"single, idle or in use, all engines", func(f *faultnet.Net, round int) {
+		loseOneConnection([]string{"r", "w"}[round%2], faultnet.AnyUse, faultnet.Both)(f, round/2)
 	}},
-	{"all open ones of one engine", func(f *faultnet.Net, round int) {
-		if round%allLostEvery == 0 {
+	{"all connections of one engine", func(f *faultnet.Net, round int) {
+		if round%allLostInterval == 0 {
 			f.LoseAll("g", "w0", faultnet.AnyUse, faultnet.Both)
 		}
 	}},
-	{"a machine that vanishes and is back", func(f *faultnet.Net, round int) {
-		switch round % allLostEvery {
+	{"machine unreachable and back", func(f *faultnet.Net, round int) {
+		switch round % allLostInterval {
 		case 0:
 			f.Vanish("w1")
-		case allLostEvery / 2:
+		case allLostInterval / 2:
 			f.Return("w1")
 		}
 	}},
 }
 
-// allLostEvery is after how many rounds a whole engine's connections are lost.
-const allLostEvery = 16
+// allLostInterval is the number of rounds between losses of all connections of an engine.
+const allLostInterval = 16
 
-// loseOne loses a connection to either engine of a role in turn.
-func loseOne(role string, use faultnet.Use, ways faultnet.Ways) func(f *faultnet.Net, round int) {
-	return func(f *faultnet.Net, round int) { f.Lose("g", fmt.Sprint(role, round%2), use, ways) }
+// loseOneConnection drops one connection per round, alternating between the two engines of a role.
+func loseOneConnection(role string, use faultnet.Use, directions faultnet.Ways) func(f *faultnet.Net, round int) {
+	return func(f *faultnet.Net, round int) { f.Lose("g", fmt.Sprint(role, round%2), use, directions) }
 }
 
-// States are fetched or released within their limit whatever becomes of single connections.
+// States are fetched or released within their limit while connections to engines are lost.
 func TestHeldStatesUnderLostConnections(t *testing.T) {
 	for n, c := range lostFaults {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			l := newLostConnections(t, uint64(n), lostHeldLimit, soundAnswers())
-			l.play(func(round int) { c.fault(l.fabric, round) })
-			l.judge()
+			l := newConnectionLossTest(t, uint64(n), lostHeldLimit, validAnswers())
+			l.runLoad(func(round int) { c.fault(l.fabric, round) })
+			l.checkHeldDurations()
 		})
 	}
 }
 
-// The same holds for a gateway that is told to end while connections are lost, and is killed as early as
-// that may happen: what nobody has released by then is held for good.
+// The limit also applies to a gateway that gets SIGTERM while connections are lost and is killed at the
+// earliest possible time: a state that it has not released before the kill is never released.
 func TestHeldStatesUnderLostConnectionsAtShutdown(t *testing.T) {
-	l := newLostConnections(t, 1, lostHeldLimit, soundAnswers())
-	ended := make(chan struct{})
-	l.play(func(round int) {
-		loseOne("w", faultnet.AtRest, faultnet.Both)(l.fabric, round)
+	l := newConnectionLossTest(t, 1, lostHeldLimit, validAnswers())
+	stateEnded := make(chan struct{})
+	l.runLoad(func(round int) {
+		loseOneConnection("w", faultnet.AtRest, faultnet.Both)(l.fabric, round)
 		if round == shutdownRound {
-			go func() { defer close(ended); l.terminate() }()
+			go func() { defer close(stateEnded); l.terminate() }()
 		}
 	})
-	<-ended
-	l.judge()
+	<-stateEnded
+	l.checkHeldDurations()
 }
 
+// The round of faults at which SIGTERM is sent, and the earliest time of a kill after it.
 const (
 	shutdownRound = 30
 	earliestKill  = 3700 * time.Millisecond
 )
 
-// terminate tells the gateway to end, and kills it if it has not by the earliest time for that.
-func (l *lostConnections) terminate() {
+// terminate sends SIGTERM to the gateway and kills it if it is still running after earliestKill.
+func (l *connectionLossTest) terminate() {
 	if err := l.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		l.t.Error(err)
 	}
--- a/cmd/wellgw/main_test.go
+++ b/cmd/wellgw/main_test.go
@@ -20,7 +20,7 @@
 	"wellgw/internal/enginetest"
 )
 
-// TestMain runs the program itself when a test starts this binary as such.
+// TestMain runs the gateway's program instead of the tests if WELLGW_TEST_RUN is set.
 func TestMain(m *testing.M) {
 	if os.Getenv("WELLGW_TEST_RUN") == "1" {
 		if n, err := strconv.ParseUint(os.Getenv("WELLGW_TEST_NOFILE"), 10, 64); err == nil {
@@ -34,14 +34,14 @@
 	os.Exit(m.Run())
 }
 
-// The program takes its engines from discovery, serves, and on SIGTERM still
-// finishes what it has taken, on a connection that it ends, then exits with 0.
-func TestPlatformFromStartToLeave(t *testing.T) {
-	asked, answer := make(chan bool, 1), make(chan bool)
-	prefill := enginetest.NewEngine(t, releasedOr(prefillAnswer))
-	decode := enginetest.NewEngine(t, releasedOr(func() string {
-		asked <- true
-		<-answer
+// The program gets its engines from discovery and serves. After SIGTERM it completes the request in flight,
+// closes that connection and exits with 0.
+func TestPlatformLifecycle(t *testing.T) {
+	received, finish := make(chan bool, 1), make(chan bool)
+	prefill := enginetest.NewEngine(t, answerReleasesOr(prefillAnswer))
+	decode := enginetest.NewEngine(t, answerReleasesOr(func() string {
+		received <- true
+		<-finish
 		return enginetest.Stream(3, 0)
 	}))
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -72,7 +72,7 @@
 		b, err := io.ReadAll(resp.Body)
 		got <- result{resp.StatusCode, resp.Close, string(b), err}
 	}()
-	<-asked
+	<-received
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
@@ -84,7 +84,7 @@
 		resp.Body.Close()
 		return resp.StatusCode == http.StatusServiceUnavailable
 	})
-	close(answer)
+	close(finish)
 	if r := <-got; r.err != nil || r.status != 200 || !r.close || !strings.HasSuffix(r.text, "data: [DONE]\n\n") {
 		t.Errorf("answer %+v", r)
 	}
@@ -93,11 +93,11 @@
 	}
 }
 
-// Streams that outlast the time before SIGKILL are cut off in good order where
-// clients ask for the rest, so that their states are let go.
+// If clients can resume streams, a shutdown cuts off streams that would last until SIGKILL, so that their
+// states are released.
 func TestShutdownCutsOffLongStreams(t *testing.T) {
-	prefill := enginetest.NewEngine(t, releasedOr(prefillAnswer))
-	decode := enginetest.NewEngine(t, releasedOr(func() string {
+	prefill := enginetest.NewEngine(t, answerReleasesOr(prefillAnswer))
+	decode := enginetest.NewEngine(t, answerReleasesOr(func() string {
 		return enginetest.StreamHead + enginetest.Chunk("data: x\n\n") + enginetest.Hang
 	}))
 	config := writeConfig(t, fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":%s,
@@ -112,16 +112,16 @@
 		t.Fatal(err)
 	}
 	defer resp.Body.Close()
-	term := time.Now()
+	terminatedAt := time.Now()
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	// The others may be away too: it still takes what comes.
+	// The other gateways may be down as well, so this one still accepts requests.
 	time.Sleep(time.Second)
-	late, err := http.Get(url + "/healthz")
+	health, err := http.Get(url + "/healthz")
 	if err == nil {
-		late.Body.Close()
-	} else if time.Since(term) < 2500*time.Millisecond {
+		health.Body.Close()
+	} else if time.Since(terminatedAt) < 2500*time.Millisecond {
 		t.Errorf("a second after SIGTERM: %v", err)
 	}
 	if b, err := io.ReadAll(resp.Body); err == nil || string(b) != "data: x\n\n" {
@@ -130,14 +130,14 @@
 	if err := cmd.Wait(); err != nil {
 		t.Errorf("exit: %v", err)
 	}
-	// The second call is for an engine that sees the end of the connection late.
+	// The second release is for an engine that notices the closed connection late.
 	if n := len(decode.Calls("DELETE")); n < 2 {
 		t.Errorf("%d releases at the decode engine, want 2", n)
 	}
 }
 
-// The chat API that an operator's file sets up answers over sockets.
-func TestOperatorsChatAPI(t *testing.T) {
+// The chat API serves with engines from the operator's file and from Consul.
+func TestChatAPIWithFileAndConsul(t *testing.T) {
 	engine := enginetest.NewEngine(t, func(enginetest.Call) string { return enginetest.Stream(3, 0) })
 	host, port, err := net.SplitHostPort(engine.Addr)
 	if err != nil {
@@ -179,7 +179,8 @@
 	}
 }
 
-// The engines command shows what a running gateway makes of its engines, and why.
+// The engines command prints the states of a running gateway's engines and the reasons. A gateway that shuts
+// down removes its registration from Consul.
 func TestEnginesCommand(t *testing.T) {
 	store := consul.NewStore()
 	defer store.Close()
@@ -199,14 +200,14 @@
 		`"consul": {"address": %q, "service": "llm", "register": {"name": "wellgw"}}, "state_file": %q, "admin": {"listen": %q}`,
 		agent.Addr, filepath.Join(t.TempDir(), "view"), "127.0.0.1:0"))
 	path := writeConfig(t, strings.Replace(text, "127.0.0.1:8080", "127.0.0.1:0", 1))
-	cmd, _, at := startServingAdmin(t, nil, "serve", "--operator", path)
+	cmd, _, adminAddr := startServingAdmin(t, nil, "serve", "--operator", path)
 	var out string
 	enginetest.Eventually(t, "both engines are shown", func() bool {
-		b, _ := program(t, nil, "engines", "--admin", at).CombinedOutput()
+		b, _ := programCommand(t, nil, "engines", "--admin", adminAddr).CombinedOutput()
 		out = string(b)
 		return strings.Contains(out, "critical by service llm") && strings.Contains(out, "1 of 2 engines take new work; 1 gateways share them")
 	})
-	if b, err := program(t, nil, "engines", "--json", "--admin", at).Output(); err != nil || !strings.Contains(string(b), `"why": "critical by service llm"`) {
+	if b, err := programCommand(t, nil, "engines", "--json", "--admin", adminAddr).Output(); err != nil || !strings.Contains(string(b), `"why": "critical by service llm"`) {
 		t.Errorf("%s, %v", b, err)
 	}
 	cmd.Process.Signal(syscall.SIGTERM)
@@ -218,12 +219,12 @@
 			return
 		}
 	}
-	t.Error("the gateway is still listed")
+	t.Error("the gateway is still registered")
 }
 
-// Without Consul the engines of the file are shown the same way, metrics told, and a
-// request and its attempts written as one trace.
-func TestOperatorsListenerWithoutConsul(t *testing.T) {
+// Without Consul the engines command prints the engines of the file, the metrics page has counts, and a
+// request and its attempts share one trace ID.
+func TestAdminListenerWithoutConsul(t *testing.T) {
 	engine := enginetest.NewEngine(t, func(enginetest.Call) string { return enginetest.Stream(3, 0) })
 	raw, err := os.ReadFile("../../deploy/operator.json")
 	if err != nil {
@@ -232,15 +233,15 @@
 	spans := filepath.Join(t.TempDir(), "spans")
 	text := strings.NewReplacer("127.0.0.1:8080", "127.0.0.1:0", "127.0.0.1:9001", engine.Addr,
 		`"engines":`, fmt.Sprintf(`"admin": {"listen": "127.0.0.1:0", "trace_file": %q}, "engines":`, spans)).Replace(string(raw))
-	cmd, url, at := startServingAdmin(t, nil, "serve", "--operator", writeConfig(t, text))
+	cmd, url, adminAddr := startServingAdmin(t, nil, "serve", "--operator", writeConfig(t, text))
 	waitHealthy(t, url)
 	resp := postChat(t, url)
 	io.Copy(io.Discard, resp.Body)
 	resp.Body.Close()
-	if b, err := program(t, nil, "engines", "--admin", at).Output(); err != nil || !strings.Contains(string(b), "1 of 1 engines take new work") {
+	if b, err := programCommand(t, nil, "engines", "--admin", adminAddr).Output(); err != nil || !strings.Contains(string(b), "1 of 1 engines take new work") {
 		t.Errorf("%s, %v", b, err)
 	}
-	metrics, err := http.Get("http://" + at + "/metrics")
+	metrics, err := http.Get("http://" + adminAddr + "/metrics")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -253,13 +254,14 @@
 	if err := cmd.Wait(); err != nil {
 		t.Errorf("exit: %v", err)
 	}
-	written, err := os.ReadFile(spans)
-	ids := regexp.MustCompile(`"TraceID":"([0-9a-f]+)"`).FindAllStringSubmatch(string(written), -1)
+	traces, err := os.ReadFile(spans)
+	ids := regexp.MustCompile(`"TraceID":"([0-9a-f]+)"`).FindAllStringSubmatch(string(traces), -1)
 	if err != nil || len(ids) < 2 || ids[0][1] != ids[len(ids)-1][1] {
-		t.Errorf("spans: %s, %v", written, err)
+		t.Errorf("spans: %s, %v", traces, err)
 	}
 }
 
+// Each command exits with the documented status and prints one line.
 func TestCommandLine(t *testing.T) {
 	bad := writeConfig(t, `{"listen":"nowhere","contracts":[{"name":"c","effect":"free","aim_ms":1,"deadline_ms":1}]}`)
 	for _, c := range []struct {
@@ -274,7 +276,7 @@
 		{[]string{"serve"}, 1, "wellgw: EDGE_CONFIG: not set"},
 		{[]string{"serve", "--operator", bad}, 1, "wellgw: operator's file: listen: "},
 	} {
-		cmd := program(t, []string{"EDGE_CONFIG="}, c.args...)
+		cmd := programCommand(t, []string{"EDGE_CONFIG="}, c.args...)
 		out, _ := cmd.CombinedOutput()
 		if cmd.ProcessState.ExitCode() != c.exit || !strings.HasPrefix(string(out), c.out) || strings.Count(string(out), "\n") != 1 {
 			t.Errorf("%v: exit %d, %q", c.args, cmd.ProcessState.ExitCode(), out)
@@ -282,9 +284,9 @@
 	}
 }
 
-// The program serves on the socket it inherits, answers calls at the address
-// EDGE_CONTROL names, drains and comes back by call, and keeps ejections in TMPDIR.
-func TestCallsOnAnInheritedSocket(t *testing.T) {
+// The program serves on an inherited socket, answers commands at the address in EDGE_CONTROL, drains and
+// becomes active again on command, stores ejections in TMPDIR, and hands over to a newer process.
+func TestCommandsWithInheritedSocket(t *testing.T) {
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.WriteString(w, `{"revision":2,"complete":true,"members":[{"id":"r1","host_port":"127.0.0.1:1","locality":"a","flavor":"r","phase":"active"},{"id":"w1","host_port":"127.0.0.1:1","locality":"a","flavor":"w","phase":"active"}]}`+"\n")
 		w.(http.Flusher).Flush()
@@ -292,23 +294,23 @@
 	}))
 	defer discovery.Close()
 	defer discovery.CloseClientConnections()
-	clients, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	socket, err := clients.(*net.TCPListener).File()
+	socket, err := listener.(*net.TCPListener).File()
 	if err != nil {
 		t.Fatal(err)
 	}
-	clients.Close() // the program holds the socket now, as on the platform
+	listener.Close() // the duplicated descriptor stays open, as on the platform
 	tmp := t.TempDir()
 	config := writeConfig(t, fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:1","discovery":%q,"seed":"1f","settings":%s}`, discovery.Listener.Addr(), testSettings))
 	env := []string{"EDGE_CONFIG=" + config, "EDGE_CONTROL=127.0.0.1:0", "EDGE_SOCKET_FD=3", "TMPDIR=" + tmp}
-	cmd, control, handed := startOnSocket(t, env, socket)
-	url := "http://" + clients.Addr().String()
+	cmd, control, handedOver := startOnSocket(t, env, socket)
+	url := "http://" + listener.Addr().String()
 	waitHealthy(t, url)
 	enginetest.Eventually(t, "status is yes", func() bool { return sendCommand(t, control, "status") == "YES" })
-	idle, err := net.Dial("tcp4", clients.Addr().String()) // kept idle from before the drain
+	idle, err := net.Dial("tcp4", listener.Addr().String()) // idle from before the drain
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -328,12 +330,12 @@
 			t.Errorf("%s: %s, want %s", c.line, got, c.want)
 		}
 	}
-	idle.SetReadDeadline(time.Now().Add(10 * time.Second)) // a bound for a broken test only
+	idle.SetReadDeadline(time.Now().Add(10 * time.Second)) // only reached by a failing test
 	if n, err := idle.Read(make([]byte, 1)); n != 0 || err != io.EOF {
-		t.Errorf("an idle connection outlived the drain: %d %v", n, err)
+		t.Errorf("idle connection not closed by the drain: %d %v", n, err)
 	}
 	if text, err := os.ReadFile(tmp + "/wellgw-bans-n1"); err != nil || string(text) != "w1\n" {
-		t.Errorf("file of ejections: %q %v", text, err)
+		t.Errorf("ejection file: %q %v", text, err)
 	}
 	if code := healthStatus(url); code != http.StatusServiceUnavailable {
 		t.Errorf("health in standby: %d", code)
@@ -347,14 +349,14 @@
 	if got := sendCommand(t, control, "maint-off w1"); got != "YES" {
 		t.Errorf("maint-off: %s", got)
 	}
-	// A new version on the same socket: once it is ready the old one hands over,
-	// and leaves in good order; the new one serves on.
+	// A new version starts on the same socket. Once it is ready, the old one hands over and shuts down
+	// gracefully, and the new one continues to serve.
 	next, nextControl, _ := startOnSocket(t, env, socket)
 	socket.Close()
 	enginetest.Eventually(t, "the new version is ready", func() bool { return sendCommand(t, nextControl, "status") == "YES" })
 	select {
-	case <-handed:
-	case <-time.After(20 * time.Second): // a bound for a broken test only
+	case <-handedOver:
+	case <-time.After(20 * time.Second): // only reached by a failing test
 		t.Fatal("the old version did not hand over")
 	}
 	cmd.Process.Signal(syscall.SIGTERM)
--- a/cmd/wellgw/moments_test.go
+++ b/cmd/wellgw/moments_test.go
@@ -20,7 +20,8 @@
 	"wellgw/internal/enginetest"
 )
 
-// platformConfig is a gateway's object with one prefill and one decode engine as last known.
+// platformConfig writes a gateway's configuration with one prefill and one decode engine as last known, and
+// returns its path.
 func platformConfig(t *testing.T, name, discovery, settings string, prefill, decode *enginetest.Engine) string {
 	t.Helper()
 	return writeConfig(t, fmt.Sprintf(`{"name":%q,"listen":"127.0.0.1:0","discovery":%q,"settings":%s,
@@ -30,32 +31,32 @@
 		name, discovery, settings, prefill.Addr, decode.Addr))
 }
 
-// A process that starts is ready by the list as last held, whatever discovery does, and
-// serves: none that is up serves nobody.
+// A starting process becomes ready and serves with the last known engine list if discovery fails in any way.
+// A gateway that waited for discovery would serve no clients.
 func TestReadyWithFailingDiscovery(t *testing.T) {
-	prefill := enginetest.NewEngine(t, releasedOr(prefillAnswer))
-	decode := enginetest.NewEngine(t, releasedOr(func() string { return enginetest.Stream(2, 0) }))
-	held := make(chan struct{})
+	prefill := enginetest.NewEngine(t, answerReleasesOr(prefillAnswer))
+	decode := enginetest.NewEngine(t, answerReleasesOr(func() string { return enginetest.Stream(2, 0) }))
+	release := make(chan struct{})
 	server := func(h http.HandlerFunc) string {
 		s := httptest.NewServer(h)
 		t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
 		return s.Listener.Addr().String()
 	}
-	hold := func(r *http.Request) {
+	block := func(r *http.Request) {
 		select {
 		case <-r.Context().Done():
-		case <-held:
+		case <-release:
 		}
 	}
 	for name, addr := range map[string]string{
-		"away":     "127.0.0.1:1",
-		"silent":   server(func(_ http.ResponseWriter, r *http.Request) { hold(r) }),
-		"refusing": server(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }),
-		"nonsense": server(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, `{"revision":"x","members":[}`) }),
+		"unreachable":    "127.0.0.1:1",
+		"unresponsive":   server(func(_ http.ResponseWriter, r *http.Request) { block(r) }),
+		"refusing":       server(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }),
+		"malformed list": server(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, `{"revision":"x","members":[}`) }),
 		"an old list": server(func(w http.ResponseWriter, r *http.Request) {
 			io.WriteString(w, "{\n \"revision\": 0,\n \"complete\": true,\n \"members\": []\n}\n")
 			w.(http.Flusher).Flush()
-			hold(r)
+			block(r)
 		}),
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -75,11 +76,11 @@
 			}
 		})
 	}
-	close(held)
+	close(release)
 }
 
-// checkRanOnce tells which orders an engine got twice.
-func checkRanOnce(t *testing.T, decode *enginetest.Engine) {
+// checkNoOrderRanTwice fails the test for every order that an engine received twice.
+func checkNoOrderRanTwice(t *testing.T, decode *enginetest.Engine) {
 	t.Helper()
 	ran := map[string]int{}
 	for _, call := range decode.Calls(http.MethodPost) {
@@ -89,102 +90,102 @@
 	}
 }
 
-// One of two gateways loses both engines behind a cut while orders are in flight: every
-// order gets one final answer, none runs twice, the other gateway's are all served, and
-// once the cut has healed every state that was read and not fetched is let go.
+// One of two gateways is partitioned from both engines while orders are in flight. Every order must get one
+// final answer, none may run twice, the other gateway must serve all of its orders, and after the partition
+// every prefilled state that was not fetched must be released.
 func TestPartitionBetweenGatewayAndEngines(t *testing.T) {
-	prefill := enginetest.NewEngine(t, releasedOr(prefillAnswer))
-	decode := enginetest.NewEngine(t, releasedOr(func() string { return enginetest.Stream(3, 0) }))
+	prefill := enginetest.NewEngine(t, answerReleasesOr(prefillAnswer))
+	decode := enginetest.NewEngine(t, answerReleasesOr(func() string { return enginetest.Stream(3, 0) }))
 	fabric := faultnet.New(1)
 	t.Cleanup(fabric.Close)
 	fabric.Listens("r", prefill.Addr)
 	fabric.Listens("w", decode.Addr)
-	set := strings.NewReplacer(`"balancers":1`, `"balancers":2`, `"hard_limit":60000000`, `"hard_limit":4000000`, `"aim":10000000`, `"aim":3000000`).Replace(testSettings)
-	way := func(from, to string) *enginetest.Engine {
+	settings := strings.NewReplacer(`"balancers":1`, `"balancers":2`, `"hard_limit":60000000`, `"hard_limit":4000000`, `"aim":10000000`, `"aim":3000000`).Replace(testSettings)
+	relayed := func(from, to string) *enginetest.Engine {
 		addr, err := fabric.Dial(from, to)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return &enginetest.Engine{Addr: addr}
 	}
-	clients := [2]*rollingClients{{t: t, wait: 4 * time.Second, mayFail: true}, {t: t, wait: 4 * time.Second}}
+	clients := [2]*rollingClients{{t: t, firstTokenTimeout: 4 * time.Second, allowErrors: true}, {t: t, firstTokenTimeout: 4 * time.Second}}
 	stop := make(chan struct{})
 	var group sync.WaitGroup
 	for g, c := range clients {
 		name := fmt.Sprint("g", g)
-		_, url := startServing(t, []string{"EDGE_CONFIG=" + platformConfig(t, name, "127.0.0.1:1", set, way(name, "r"), way(name, "w"))}, "serve")
+		_, url := startServing(t, []string{"EDGE_CONFIG=" + platformConfig(t, name, "127.0.0.1:1", settings, relayed(name, "r"), relayed(name, "w"))}, "serve")
 		waitHealthy(t, url)
 		c.addrs = []string{strings.TrimPrefix(url, "http://")}
 		for n := range 4 {
 			group.Go(func() { c.run(4*g+n, stop) })
 		}
 	}
-	more := func(c *rollingClients, what string) {
+	awaitServed := func(c *rollingClients, what string) {
 		t.Helper()
 		seen := c.served.Load()
 		enginetest.Eventually(t, what, func() bool { return c.served.Load() > seen+20 })
 	}
-	rule := func(r faultnet.Rule) {
+	setRule := func(r faultnet.Rule) {
 		for _, engine := range []string{"r", "w"} {
 			fabric.Set("g0", engine, r)
 			fabric.Set(engine, "g0", r)
 		}
 	}
-	more(clients[0], "requests are under way")
-	rule(faultnet.Rule{Cut: true})
-	ended := func(c *rollingClients) int64 { return c.failed.Load() + c.refused.Load() }
-	before := ended(clients[0])
-	enginetest.Eventually(t, "one behind the cut has its answer", func() bool { return ended(clients[0]) > before })
-	more(clients[1], "the other gateway serves")
-	rule(faultnet.Rule{})
-	more(clients[0], "served again")
+	awaitServed(clients[0], "requests are in flight")
+	setRule(faultnet.Rule{Cut: true})
+	notServed := func(c *rollingClients) int64 { return c.failed.Load() + c.refused.Load() }
+	before := notServed(clients[0])
+	enginetest.Eventually(t, "a request at the partitioned gateway is answered with an error", func() bool { return notServed(clients[0]) > before })
+	awaitServed(clients[1], "the other gateway serves requests")
+	setRule(faultnet.Rule{})
+	awaitServed(clients[0], "the gateway serves requests after the partition")
 	close(stop)
 	group.Wait()
-	checkRanOnce(t, decode)
-	if n := ended(clients[1]); n > 0 {
+	checkNoOrderRanTwice(t, decode)
+	if n := notServed(clients[1]); n > 0 {
 		t.Errorf("%d of the other gateway's requests were not served", n)
 	}
 	served := func(id string) bool {
-		_, one := clients[0].complete.Load(id)
-		_, two := clients[1].complete.Load(id)
-		return one || two
+		_, byFirst := clients[0].complete.Load(id)
+		_, bySecond := clients[1].complete.Load(id)
+		return byFirst || bySecond
 	}
-	enginetest.Eventually(t, "all that was read is fetched or let go", func() bool {
-		gone := map[string]bool{}
+	enginetest.Eventually(t, "every prefilled state is fetched or released", func() bool {
+		released := map[string]bool{}
 		for _, call := range prefill.Calls(http.MethodDelete) {
-			gone[path.Base(call.Path)] = true
+			released[path.Base(call.Path)] = true
 		}
 		for _, call := range prefill.Calls(http.MethodPost) {
-			if !served(call.ID) && !gone[call.ID] {
+			if !served(call.ID) && !released[call.ID] {
 				return false
 			}
 		}
 		return true
 	})
-	t.Logf("behind the cut %d served, %d refused, %d failed", clients[0].served.Load(), clients[0].refused.Load(), clients[0].failed.Load())
+	t.Logf("partitioned gateway: %d served, %d refused, %d failed", clients[0].served.Load(), clients[0].refused.Load(), clients[0].failed.Load())
 }
 
-// Discovery's watches fall silent at three gateways at once, on open connections, and an
-// engine begins to drain meanwhile: each opens a new watch from what it knows, learns of the
-// drain, and sends nothing there any more.
-func TestDiscoverySilentAtThreeGateways(t *testing.T) {
-	gone, stays := enginetest.NewEngine(t, releasedOr(prefillAnswer)), enginetest.NewEngine(t, releasedOr(prefillAnswer))
-	decode := enginetest.NewEngine(t, releasedOr(func() string { return enginetest.Stream(2, 0) }))
+// Discovery stops sending on the open watches of three gateways at the same time, and an engine starts to
+// drain meanwhile. Each gateway must reopen its watch from the last known revision, receive the drain, and
+// stop sending requests to that engine.
+func TestDiscoveryUnresponsiveAtThreeGateways(t *testing.T) {
+	released, active := enginetest.NewEngine(t, answerReleasesOr(prefillAnswer)), enginetest.NewEngine(t, answerReleasesOr(prefillAnswer))
+	decode := enginetest.NewEngine(t, answerReleasesOr(func() string { return enginetest.Stream(2, 0) }))
 	list := func(revision int, phase string) string {
 		return fmt.Sprintf(`{"revision":%d,"complete":true,"members":[{"id":"r1","host_port":%q,"locality":"a","flavor":"r","phase":%q},
 			{"id":"r2","host_port":%q,"locality":"a","flavor":"r","phase":"active"},{"id":"w1","host_port":%q,"locality":"a","flavor":"w","phase":"active"}]}`+"\n",
-			revision, gone.Addr, phase, stays.Addr, decode.Addr)
+			revision, released.Addr, phase, active.Addr, decode.Addr)
 	}
-	var first, anew atomic.Int64
+	var first, reopened atomic.Int64
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("after") == "0" {
 			io.WriteString(w, list(1, "active"))
 			first.Add(1)
 		} else {
 			io.WriteString(w, list(2, "leaving"))
-			anew.Add(1)
+			reopened.Add(1)
 		}
-		w.(http.Flusher).Flush() // and then no empty line ever comes
+		w.(http.Flusher).Flush() // no heartbeat line follows
 		<-r.Context().Done()
 	}))
 	t.Cleanup(func() { discovery.CloseClientConnections(); discovery.Close() })
@@ -197,7 +198,7 @@
 		urls = append(urls, url)
 	}
 	ids := 0
-	ask := func(url string) {
+	send := func(url string) {
 		t.Helper()
 		req := newRequest(t, url)
 		ids++
@@ -214,42 +215,42 @@
 	}
 	enginetest.Eventually(t, "both prefill engines are used", func() bool {
 		for _, url := range urls {
-			ask(url)
+			send(url)
 		}
-		return len(gone.Calls(http.MethodPost)) > 0 && len(stays.Calls(http.MethodPost)) > 0
+		return len(released.Calls(http.MethodPost)) > 0 && len(active.Calls(http.MethodPost)) > 0
 	})
-	enginetest.Eventually(t, "each gateway has opened a watch anew", func() bool { return anew.Load() >= 3 })
+	enginetest.Eventually(t, "each gateway has reopened its watch", func() bool { return reopened.Load() >= 3 })
 	for _, url := range urls {
-		enginetest.Eventually(t, "one goes elsewhere ten times on end", func() bool {
-			before := len(gone.Calls(http.MethodPost))
+		enginetest.Eventually(t, "ten consecutive requests avoid the draining engine", func() bool {
+			before := len(released.Calls(http.MethodPost))
 			for range 10 {
-				ask(url)
+				send(url)
 			}
-			return len(gone.Calls(http.MethodPost)) == before
+			return len(released.Calls(http.MethodPost)) == before
 		})
 	}
-	before := len(gone.Calls(http.MethodPost))
+	before := len(released.Calls(http.MethodPost))
 	for range 30 {
 		for _, url := range urls {
-			ask(url)
+			send(url)
 		}
 	}
-	if n := len(gone.Calls(http.MethodPost)) - before; n > 0 {
-		t.Errorf("%d sends to an engine that drains", n)
+	if n := len(released.Calls(http.MethodPost)) - before; n > 0 {
+		t.Errorf("%d requests sent to a draining engine", n)
 	}
 }
 
-// Idle clients take all the descriptors that a gateway has for clients while discovery is
-// silent. There is room left: for a request of another client, for its engines, for what has
-// to be let go, and for the watch that is opened anew.
+// Idle clients use all the descriptors that a gateway has for clients while discovery is unresponsive.
+// Descriptors must remain for another client's request, its engine connections, its releases and the
+// reopened watch.
 func TestIdleClientsLeaveDescriptorsFree(t *testing.T) {
-	const files = 96
-	prefill := enginetest.NewEngine(t, releasedOr(prefillAnswer))
-	decode := enginetest.NewEngine(t, releasedOr(func() string { return enginetest.Status(500, "", "") })) // so that the state has to be let go
-	var back atomic.Bool
+	const descriptors = 96
+	prefill := enginetest.NewEngine(t, answerReleasesOr(prefillAnswer))
+	decode := enginetest.NewEngine(t, answerReleasesOr(func() string { return enginetest.Status(500, "", "") })) // so that the state must be released
+	var available atomic.Bool
 	var watches atomic.Int64
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if back.Load() {
+		if available.Load() {
 			watches.Add(1)
 			w.(http.Flusher).Flush()
 		}
@@ -261,15 +262,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	config = writeConfig(t, strings.Replace(string(text), `"name":"n1"`, fmt.Sprintf(`"name":"n1","limits":{"sockets":%d}`, files), 1))
-	_, url := startServing(t, []string{"EDGE_CONFIG=" + config, fmt.Sprint("WELLGW_TEST_NOFILE=", files)}, "serve")
+	config = writeConfig(t, strings.Replace(string(text), `"name":"n1"`, fmt.Sprintf(`"name":"n1","limits":{"sockets":%d}`, descriptors), 1))
+	_, url := startServing(t, []string{"EDGE_CONFIG=" + config, fmt.Sprint("WELLGW_TEST_NOFILE=", descriptors)}, "serve")
 	waitHealthy(t, url)
 	stop := make(chan struct{})
 	var group sync.WaitGroup
 	defer group.Wait()
 	defer close(stop)
-	var rested atomic.Int64
-	for range 2 * files { // each comes anew when it is sent away, and rests after an answer
+	var idled atomic.Int64
+	for range 2 * descriptors { // each reconnects when it is closed, and stays idle after an answer
 		group.Go(func() {
 			for {
 				select {
@@ -281,11 +282,11 @@
 				if err != nil {
 					continue
 				}
-				ended := make(chan struct{})
+				notServed := make(chan struct{})
 				go func() {
 					select {
 					case <-stop:
-					case <-ended:
+					case <-notServed:
 					}
 					nc.Close()
 				}()
@@ -293,32 +294,32 @@
 				in := bufio.NewReader(nc)
 				if resp, err := http.ReadResponse(in, nil); err == nil {
 					io.Copy(io.Discard, resp.Body)
-					rested.Add(1)
-					in.ReadByte() // to the gateway's end
+					idled.Add(1)
+					in.ReadByte() // until the gateway closes the connection
 				}
-				close(ended)
+				close(notServed)
 			}
 		})
 	}
-	enginetest.Eventually(t, "they have taken all", func() bool { return rested.Load() > 2*files })
-	back.Store(true)
-	enginetest.Eventually(t, "a watch is opened anew", func() bool { return watches.Load() > 0 })
+	enginetest.Eventually(t, "idle clients have used all descriptors for clients", func() bool { return idled.Load() > 2*descriptors })
+	available.Store(true)
+	enginetest.Eventually(t, "the watch is reopened", func() bool { return watches.Load() > 0 })
 	answered := 0
-	enginetest.Eventually(t, "ten requests are answered beside them", func() bool {
+	enginetest.Eventually(t, "ten requests of other clients are answered", func() bool {
 		req := newRequest(t, url)
 		req.Header.Set("X-Request-Id", fmt.Sprint("q", answered))
 		req.Close = true
-		if resp, err := http.DefaultClient.Do(req); err == nil { // a newcomer may be shut unread
+		if resp, err := http.DefaultClient.Do(req); err == nil { // a new connection may be closed before its request is read
 			resp.Body.Close()
 			answered++
 		}
 		return answered >= 10
 	})
-	enginetest.Eventually(t, "what was read for them is let go", func() bool {
-		gone := map[string]bool{}
+	enginetest.Eventually(t, "the prefilled states are released", func() bool {
+		released := map[string]bool{}
 		for _, call := range prefill.Calls(http.MethodDelete) {
-			gone[path.Base(call.Path)] = true
+			released[path.Base(call.Path)] = true
 		}
-		return len(gone) >= len(prefill.Calls(http.MethodPost)) && len(gone) > 0
+		return len(released) >= len(prefill.Calls(http.MethodPost)) && len(released) > 0
 	})
 }
--- a/cmd/wellgw/orders_test.go
+++ b/cmd/wellgw/orders_test.go
@@ -14,9 +14,9 @@
 	"wellgw/internal/enginetest"
 )
 
-// Three gateways that know nothing of each other, engines from the file, and nothing said of
-// how many there are: one is killed and one stopped while clients send orders, and each
-// client asks the next gateway again under its key. No order may run twice.
+// Three gateways without peers, with engines from the file and no configured number of gateways. One is
+// killed and one paused while clients send orders and retry at the next gateway with the same idempotency
+// key. No order may run twice.
 func TestOrderRetriedAtOtherGatewayRunsOnce(t *testing.T) {
 	fleet := engine.NewFleet()
 	defer fleet.Close()
@@ -28,46 +28,47 @@
 		}
 		engines = append(engines, fmt.Sprintf(`{"id": "e%d", "address": %q, "role": "openai"}`, i, e.Addr()))
 	}
-	text := strings.Replace(operatorConfig, `"effect": "free"`, `"effect": "single_shot"`, 1)
-	text = strings.Replace(text, `[{"id": "e", "address": "127.0.0.1:9", "role": "openai"}]`, "["+strings.Join(engines, ",")+"]", 1)
-	p := load.Plan{
+	config := strings.Replace(operatorConfig, `"effect": "free"`, `"effect": "single_shot"`, 1)
+	config = strings.Replace(config, `[{"id": "e", "address": "127.0.0.1:9", "role": "openai"}]`, "["+strings.Join(engines, ",")+"]", 1)
+	plan := load.Plan{
 		Name: "o", Key: "k", Models: []load.Model{{Name: "m", Share: 1, Words: 3}}, MaxTokens: 8,
 		Clients: 24, Retries: 4, Keyed: true, Roam: true, Patience: 700 * time.Millisecond, Seed: 7,
 	}
 	var signals []func(syscall.Signal)
 	for range 3 {
-		// With a file of their own they trust their memory from the first moment on.
-		own := fmt.Sprintf(`"idempotency": {"file": %q}, "engines":`, filepath.Join(t.TempDir(), "keys.db"))
-		cmd, url := startServing(t, nil, "serve", "--operator", writeConfig(t, strings.Replace(text, `"engines":`, own, 1)))
+		// With a key file the gateways don't need to wait after the start before they trust their stored
+		// keys.
+		keyFile := fmt.Sprintf(`"idempotency": {"file": %q}, "engines":`, filepath.Join(t.TempDir(), "keys.db"))
+		cmd, url := startServing(t, nil, "serve", "--operator", writeConfig(t, strings.Replace(config, `"engines":`, keyFile, 1)))
 		stop := func(s syscall.Signal) { _ = cmd.Process.Signal(s) }
 		t.Cleanup(func() { stop(syscall.SIGCONT); stop(syscall.SIGKILL); _ = cmd.Wait() })
 		signals = append(signals, stop)
-		p.Targets = append(p.Targets, strings.TrimPrefix(url, "http://"))
+		plan.Targets = append(plan.Targets, strings.TrimPrefix(url, "http://"))
 		waitHealthy(t, url)
 	}
-	ctx, done := context.WithCancel(t.Context())
-	var rec load.Recorder
+	ctx, cancel := context.WithCancel(t.Context())
+	var recorder load.Recorder
 	ended := make(chan struct{})
-	go func() { defer close(ended); load.Run(ctx, p, &rec) }()
-	enginetest.Eventually(t, "orders are under way", func() bool { return len(rec.All()) >= 48 })
-	signals[0](syscall.SIGSTOP) // its clients give up, and go elsewhere
-	time.Sleep(2 * p.Patience)
+	go func() { defer close(ended); load.Run(ctx, plan, &recorder) }()
+	enginetest.Eventually(t, "orders are in flight", func() bool { return len(recorder.All()) >= 48 })
+	signals[0](syscall.SIGSTOP) // its clients time out and retry at another gateway
+	time.Sleep(2 * plan.Patience)
 	signals[0](syscall.SIGCONT)
 	signals[1](syscall.SIGKILL)
-	seen := len(rec.All())
-	enginetest.Eventually(t, "orders go on", func() bool { return len(rec.All()) >= seen+48 })
-	done()
+	seen := len(recorder.All())
+	enginetest.Eventually(t, "orders continue", func() bool { return len(recorder.All()) >= seen+48 })
+	cancel()
 	<-ended
 	unknown := 0
-	for _, o := range rec.All() {
+	for _, o := range recorder.All() {
 		if o.Code == "idempotency_fate_unknown" {
 			unknown++
 		}
 	}
 	if twice := engine.RunTwice(fleet.Attempts(), func(string) bool { return true }); len(twice) > 0 {
-		t.Errorf("of %d orders %d ran twice, such as %s", len(rec.All()), len(twice), twice[0])
+		t.Errorf("of %d orders %d ran twice, for example %s", len(recorder.All()), len(twice), twice[0])
 	}
 	if unknown == 0 {
-		t.Error("no client had to ask elsewhere: nothing was tried")
+		t.Error("no client retried an order at another gateway: the test is inconclusive")
 	}
 }
--- a/cmd/wellgw/reload_test.go
+++ b/cmd/wellgw/reload_test.go
@@ -14,37 +14,37 @@
 	"wellgw/internal/enginetest"
 )
 
-// SIGHUP moves the watch to the address that the file now names and keeps what is
-// known; a file that can't be read changes nothing, nor does SIGHUP while leaving.
-func TestPlatformReloads(t *testing.T) {
-	discovery := func() (addr string, asked chan string) {
-		asked = make(chan string, 10)
+// SIGHUP moves the watch to the new address in the file and keeps the known revision. An invalid file changes
+// nothing, and neither does SIGHUP during the shutdown.
+func TestPlatformReload(t *testing.T) {
+	discovery := func() (addr string, queries chan string) {
+		queries = make(chan string, 10)
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			asked <- r.URL.RawQuery
+			queries <- r.URL.RawQuery
 			io.WriteString(w, `{"revision":2,"complete":true,"members":[{"id":"r1","host_port":"127.0.0.1:1","locality":"a","flavor":"r","phase":"active"}]}`+"\n")
 			w.(http.Flusher).Flush()
 			<-r.Context().Done()
-			asked <- "ended"
+			queries <- "ended"
 		}))
 		t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
-		return s.Listener.Addr().String(), asked
+		return s.Listener.Addr().String(), queries
 	}
-	old, oldAsked := discovery()
-	next, nextAsked := discovery()
+	old, oldQueries := discovery()
+	next, nextQueries := discovery()
 	text := fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":%q,"settings":%s}`, old, testSettings)
 	config := writeConfig(t, text)
 	cmd, url := startServing(t, []string{"EDGE_CONFIG=" + config, "EDGE_DISCOVERY=" + old}, "serve")
 	waitHealthy(t, url)
-	said := func(asked chan string) string {
+	nextQuery := func(queries chan string) string {
 		select {
-		case q := <-asked:
+		case q := <-queries:
 			return q
 		case <-time.After(20 * time.Second):
-			return "nothing"
+			return "no query"
 		}
 	}
-	if q := said(oldAsked); q != "watch=1&after=0" {
-		t.Errorf("the old address was asked %q", q)
+	if q := nextQuery(oldQueries); q != "watch=1&after=0" {
+		t.Errorf("query at the old address: %q", q)
 	}
 	for _, text := range []string{`{"discovery":`, strings.Replace(text, old, "nowhere", 1), strings.Replace(text, old, next, 1)} {
 		if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
@@ -54,7 +54,7 @@
 			t.Fatal(err)
 		}
 	}
-	if a, b := said(oldAsked), said(nextAsked); a != "ended" || b != "watch=1&after=2" {
+	if a, b := nextQuery(oldQueries), nextQuery(nextQueries); a != "ended" || b != "watch=1&after=2" {
 		t.Errorf("old address: %q; new address: %q", a, b)
 	}
 	waitHealthy(t, url)
@@ -65,8 +65,9 @@
 	}
 }
 
-// An operator's new keys and models hold after SIGHUP; what needs a restart does not.
-func TestChatReloads(t *testing.T) {
+// New keys and models in the operator's file apply after SIGHUP; a file that changes a field that needs a
+// restart is rejected.
+func TestChatReload(t *testing.T) {
 	raw, err := os.ReadFile("../../deploy/operator.json")
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/wellgw/roll_test.go
+++ b/cmd/wellgw/roll_test.go
@@ -19,20 +19,20 @@
 	"wellgw/internal/enginetest"
 )
 
-// rollingClients are the clients of a roll. Each keeps a connection for as long as its gateway
-// does, and sends a request once more, elsewhere, only where the connection ended with no
-// byte of an answer.
+// rollingClients are the clients of a rolling restart. Each keeps its connection until the gateway closes
+// it, and resends a request to another gateway only if the connection ended before the first byte of an
+// answer.
 type rollingClients struct {
-	t        *testing.T
-	mu       sync.Mutex
-	addrs    []string
-	refused  atomic.Int64
-	served   atomic.Int64
-	resent   atomic.Int64
-	failed   atomic.Int64
-	wait     time.Duration // of a client for its first token
-	mayFail  bool          // engines may be out of reach: what may have run may fail
-	complete sync.Map
+	t                 *testing.T
+	mu                sync.Mutex
+	addrs             []string
+	refused           atomic.Int64
+	served            atomic.Int64
+	resent            atomic.Int64
+	failed            atomic.Int64
+	firstTokenTimeout time.Duration // deadline of the first token
+	allowErrors       bool          // engines may be unreachable: requests that may have run may fail
+	complete          sync.Map
 }
 
 func (c *rollingClients) addr(n int) string {
@@ -41,7 +41,7 @@
 	return c.addrs[n%len(c.addrs)]
 }
 
-// run asks one request after another until stop is closed.
+// run sends consecutive requests until stop is closed.
 func (c *rollingClients) run(n int, stop <-chan struct{}) {
 	var conn net.Conn
 	var in *bufio.Reader
@@ -56,17 +56,17 @@
 		}
 		id := fmt.Sprintf("c%d-%d", n, k)
 		done := false
-		for try := range 8 { // a gateway that has just left may still be named for a moment
+		for attempt := range 8 { // addrs may still contain a gateway that has just exited
 			if conn == nil {
-				nc, err := net.Dial("tcp", c.addr(n+try))
+				nc, err := net.Dial("tcp", c.addr(n+attempt))
 				if err != nil {
-					time.Sleep(20 * time.Millisecond) // its place is taken soon
+					time.Sleep(20 * time.Millisecond) // its replacement starts soon
 					continue
 				}
 				conn, in = nc, bufio.NewReader(nc)
 			}
 			conn.SetDeadline(time.Now().Add(30 * time.Second))
-			fmt.Fprintf(conn, "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nX-Request-Id: %s\r\nX-Class: order\r\nX-Key: s%d\r\nX-Deadline-Ms: %d\r\nX-Extras: prompt_len=100,max_out=50\r\nContent-Length: 2\r\n\r\n{}", id, n, c.wait.Milliseconds())
+			fmt.Fprintf(conn, "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nX-Request-Id: %s\r\nX-Class: order\r\nX-Key: s%d\r\nX-Deadline-Ms: %d\r\nX-Extras: prompt_len=100,max_out=50\r\nContent-Length: 2\r\n\r\n{}", id, n, c.firstTokenTimeout.Milliseconds())
 			if _, err := in.Peek(1); err != nil {
 				conn.Close()
 				conn = nil
@@ -75,7 +75,7 @@
 			}
 			resp, err := http.ReadResponse(in, nil)
 			if err != nil {
-				c.t.Errorf("%s: half an answer's head: %v", id, err)
+				c.t.Errorf("%s: incomplete head of an answer: %v", id, err)
 				return
 			}
 			b, err := io.ReadAll(resp.Body)
@@ -85,7 +85,7 @@
 				c.complete.Store(id, true)
 			case resp.StatusCode == http.StatusServiceUnavailable && err == nil:
 				c.refused.Add(1)
-			case c.mayFail && err == nil && (resp.StatusCode == http.StatusBadGateway || resp.StatusCode == http.StatusGatewayTimeout):
+			case c.allowErrors && err == nil && (resp.StatusCode == http.StatusBadGateway || resp.StatusCode == http.StatusGatewayTimeout):
 				c.failed.Add(1)
 			default:
 				c.t.Errorf("%s: status %d, %q, %v", id, resp.StatusCode, b, err)
@@ -102,13 +102,13 @@
 	}
 }
 
-// Where streams go on to the kill, a request whose engine never answers still has its answer
-// before it, and the gateway ends by itself.
+// If streams may last until SIGKILL, a request whose engine never answers must still be answered before it,
+// and the gateway must exit by itself.
 func TestShutdownAnswersBeforeKill(t *testing.T) {
-	prefill := enginetest.NewEngine(t, releasedOr(prefillAnswer))
-	out := make(chan bool, 1)
-	decode := enginetest.NewEngine(t, releasedOr(func() string {
-		out <- true
+	prefill := enginetest.NewEngine(t, answerReleasesOr(prefillAnswer))
+	sent := make(chan bool, 1)
+	decode := enginetest.NewEngine(t, answerReleasesOr(func() string {
+		sent <- true
 		return enginetest.Hang
 	}))
 	cmd, url := startServing(t, []string{"EDGE_CONFIG=" + platformConfig(t, "n1", "127.0.0.1:1", testSettings, prefill, decode)}, "serve")
@@ -123,9 +123,9 @@
 		resp.Body.Close()
 		status <- resp.StatusCode
 	}()
-	<-out
+	<-sent
 	cmd.Process.Signal(syscall.SIGTERM)
-	if code := <-status; code != http.StatusBadGateway { // 504 would be its deadline's, a minute later
+	if code := <-status; code != http.StatusBadGateway { // its deadline, a minute later, would cause 504
 		t.Errorf("status %d", code)
 	}
 	if err := cmd.Wait(); err != nil {
@@ -133,19 +133,18 @@
 	}
 }
 
-// Three gateways are told to end and started anew, one after the other, under clients that
-// send on every connection that stays open, in the very moment of a close too. Every order
-// gets one final answer, and none runs twice.
+// Three gateways are restarted one after the other while clients send on every open connection, including
+// ones that are being closed. Every order must get one final answer, and none may run twice.
 func TestRollingRestartLosesNoRequest(t *testing.T) {
 	for _, resume := range []string{"false", "true"} {
 		t.Run("resume "+resume, func(t *testing.T) {
-			prefill := enginetest.NewEngine(t, releasedOr(prefillAnswer))
-			decode := enginetest.NewEngine(t, releasedOr(func() string { return enginetest.Stream(3, 0) }))
-			set := strings.NewReplacer(`"balancers":1`, `"balancers":3`, `"hard_limit":60000000`, `"hard_limit":2000000`, `"aim":10000000`, `"aim":1500000`,
+			prefill := enginetest.NewEngine(t, answerReleasesOr(prefillAnswer))
+			decode := enginetest.NewEngine(t, answerReleasesOr(func() string { return enginetest.Stream(3, 0) }))
+			settings := strings.NewReplacer(`"balancers":1`, `"balancers":3`, `"hard_limit":60000000`, `"hard_limit":2000000`, `"aim":10000000`, `"aim":1500000`,
 				`"pin_limit"`, `"resume":`+resume+`,"pin_limit"`).Replace(testSettings)
-			clients := &rollingClients{t: t, wait: 2 * time.Second}
+			clients := &rollingClients{t: t, firstTokenTimeout: 2 * time.Second}
 			start := func(n int) (*exec.Cmd, string) {
-				cmd, url := startServing(t, []string{"EDGE_CONFIG=" + platformConfig(t, fmt.Sprint("n", n), "127.0.0.1:1", set, prefill, decode)}, "serve")
+				cmd, url := startServing(t, []string{"EDGE_CONFIG=" + platformConfig(t, fmt.Sprint("n", n), "127.0.0.1:1", settings, prefill, decode)}, "serve")
 				waitHealthy(t, url)
 				return cmd, strings.TrimPrefix(url, "http://")
 			}
@@ -161,7 +160,7 @@
 			}
 			for n, cmd := range programs {
 				seen := clients.served.Load()
-				enginetest.Eventually(t, "requests are under way", func() bool { return clients.served.Load() > seen+20 })
+				enginetest.Eventually(t, "requests are in flight", func() bool { return clients.served.Load() > seen+20 })
 				if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 					t.Fatal(err)
 				}
@@ -175,8 +174,8 @@
 			}
 			close(stop)
 			group.Wait()
-			checkRanOnce(t, decode)
-			t.Logf("%d served, %d refused, %d sent once more", clients.served.Load(), clients.refused.Load(), clients.resent.Load())
+			checkNoOrderRanTwice(t, decode)
+			t.Logf("%d served, %d refused, %d resent", clients.served.Load(), clients.refused.Load(), clients.resent.Load())
 			for _, cmd := range programs {
 				cmd.Process.Signal(syscall.SIGTERM)
 			}
@@ -189,14 +188,14 @@
 	}
 }
 
-// Of the two programs only the platform's is told when a kill comes: the chat front's callers wait
-// for their answers as long as their contract says.
-func TestKillKnownOnlyOnPlatform(t *testing.T) {
+// The time of SIGKILL is known only on the platform. The chat front's clients must get the full deadline of
+// their contract.
+func TestKillTimeKnownOnlyOnPlatform(t *testing.T) {
 	o, err := config.ReadOperator("../../deploy/operator.json")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if newChatGateway("", o, slog.New(slog.DiscardHandler)).killTimeKnown {
-		t.Error("the chat front gives requests up by the platform's clock")
+		t.Error("the chat front aborts requests by the platform's kill time")
 	}
 }
--- a/cmd/wellgw/tier_test.go
+++ b/cmd/wellgw/tier_test.go
@@ -22,9 +22,9 @@
 	"wellgw/internal/peers"
 )
 
-// Three programs: after a short pause all is as before, a longer one is a death that heals,
-// and of three one that is left alone knows it. That a short pause is no death at all is
-// shown in virtual time and by the experiment: here the machine may stall.
+// Three gateways recover from a short pause of one of them. After a longer pause the gateway is declared
+// dead and becomes alive again. After two kills the remaining gateway reports a minority. That a short pause
+// causes no death is checked in virtual time and by the experiment, as here the machine may stall.
 func TestPausesAndKills(t *testing.T) {
 	t.Parallel()
 	w := newTier(t, []string{"a", "b", "c"}, nil)
@@ -32,34 +32,35 @@
 	c.signal(syscall.SIGSTOP)
 	time.Sleep(500 * time.Millisecond)
 	c.signal(syscall.SIGCONT)
-	w.agree("after a short pause")
+	w.awaitAgreement("after a short pause")
 
 	c.signal(syscall.SIGSTOP)
-	for _, m := range []*tierGateway{a, b} {
-		enginetest.Eventually(t, m.name+" sees the silent one dead", func() bool { return m.holds(t, "c", membership.Dead) })
+	for _, gateway := range []*tierGateway{a, b} {
+		enginetest.Eventually(t, gateway.name+" sees the paused gateway as dead", func() bool { return gateway.seesStatus(t, "c", membership.Dead) })
 	}
-	w.eventually("one that just died still counts, and two of three are a majority", []string{"a", "b"}, func(s peers.Status) bool {
+	w.eventually("a gateway that just died still counts, and two of three are a majority", []string{"a", "b"}, func(s peers.Status) bool {
 		return s.View.ActiveGateways == 3 && !s.View.Minority
 	})
 	c.signal(syscall.SIGCONT)
-	w.agree("after a long pause")
+	w.awaitAgreement("after a long pause")
 	if s := c.status(t).View; s.Stats.Pauses == 0 {
-		t.Errorf("the one that was paused has not noticed: %+v", s.Stats)
+		t.Errorf("the paused gateway did not detect its pause: %+v", s.Stats)
 	}
 
 	b.kill()
 	c.kill()
-	w.eventually("knows that it is a minority", []string{"a"}, func(s peers.Status) bool {
+	w.eventually("reports a minority", []string{"a"}, func(s peers.Status) bool {
 		return s.View.Minority && s.View.ActiveGateways == 3 && s.View.Stats.Deaths >= 2
 	})
-	out, err := program(t, nil, "peers", "--admin", a.admin).Output()
+	out, err := programCommand(t, nil, "peers", "--admin", a.admin).Output()
 	if err != nil || !strings.Contains(string(out), "dead") || !strings.Contains(string(out), "a minority") {
 		t.Errorf("peers: %v\n%s", err, out)
 	}
 }
 
-// All are killed within a second and started again: nobody knows anybody but by the file.
-func TestAllKilledWithinASecond(t *testing.T) {
+// All gateways are killed within a second and restarted. They find each other again only by the join
+// addresses in the file.
+func TestAllKilledWithinOneSecond(t *testing.T) {
 	t.Parallel()
 	w := newTier(t, []string{"a", "b", "c", "d"}, nil)
 	before := map[string]uint64{}
@@ -73,59 +74,60 @@
 		<-w.gateways[name].exited
 		w.start(name, name, nil)
 	}
-	w.agree("after all were killed")
+	w.awaitAgreement("after the restart of all")
 	for _, name := range w.names {
 		if got := w.gateways[name].status(t).View.Self.Incarnation; got <= before[name] {
-			t.Errorf("%s is back with incarnation %d, %d before", name, got, before[name])
+			t.Errorf("%s restarted with incarnation %d, %d before", name, got, before[name])
 		}
 	}
 }
 
-// One, and a third, stand still for half a minute. The rest count them for a while, then go on
-// without; those who wake are back, though they have heard of nobody for long.
+// One of six gateways, and two of six, are paused for 30 s. The other gateways count them for a while and
+// then no longer. After the pause they rejoin, although they have received no messages for a long time.
 func TestGatewayPausedForHalfAMinute(t *testing.T) {
 	t.Parallel()
 	for _, n := range []int{1, 2} {
 		t.Run(fmt.Sprint(n, " of 6"), func(t *testing.T) {
 			t.Parallel()
 			w := newTier(t, []string{"a", "b", "c", "d", "e", "f"}, nil)
-			rest, still := w.names[:6-n], w.names[6-n:]
+			sideB, paused := w.names[:6-n], w.names[6-n:]
 			stopped := time.Now()
-			for _, name := range still {
+			for _, name := range paused {
 				w.gateways[name].signal(syscall.SIGSTOP)
 			}
-			w.eventually("they are dead and still count", rest, func(s peers.Status) bool {
+			w.eventually("the paused gateways are dead and still count", sideB, func(s peers.Status) bool {
 				return alive(s.View) == 5-n && s.View.ActiveGateways == 6 && !s.View.Minority
 			})
-			w.eventually("they count no longer", rest, func(s peers.Status) bool { return s.View.ActiveGateways == 6-n })
+			w.eventually("the paused gateways no longer count", sideB, func(s peers.Status) bool { return s.View.ActiveGateways == 6-n })
 			time.Sleep(time.Until(stopped.Add(30 * time.Second)))
-			for _, name := range still {
+			for _, name := range paused {
 				w.gateways[name].signal(syscall.SIGCONT)
 			}
-			w.agree("after the pause")
-			for _, name := range still {
+			w.awaitAgreement("after the pause")
+			for _, name := range paused {
 				if s := w.gateways[name].status(t).View; s.Stats.Pauses == 0 {
-					t.Errorf("%s has not noticed its pause: %+v", name, s.Stats)
+					t.Errorf("%s did not detect its pause: %+v", name, s.Stats)
 				}
 			}
 		})
 	}
 }
 
-// A third of what is sent is lost, both ways between all: the tier holds, and a kill is known.
+// With 30% packet loss between all gateways the tier stays connected, and a killed gateway is detected.
 func TestPacketLoss(t *testing.T) {
 	t.Parallel()
 	w := newTier(t, []string{"a", "b", "c", "d"}, nil)
 	w.faults.All(w.names, faultnet.Rule{Loss: 0.3, Double: 0.1, Jitter: 20 * time.Millisecond})
 	time.Sleep(5 * time.Second)
-	w.agree("under loss")
+	w.awaitAgreement("under packet loss")
 	w.gateways["d"].kill()
-	w.eventually("the kill is known", w.names[:3], func(s peers.Status) bool { return s.View.Stats.Deaths > 0 && alive(s.View) == 2 })
+	w.eventually("the kill is detected", w.names[:3], func(s peers.Status) bool { return s.View.Stats.Deaths > 0 && alive(s.View) == 2 })
 	w.start("d", "d", nil)
-	w.agree("under loss, after a restart")
+	w.awaitAgreement("under packet loss, after a restart")
 }
 
-// Each direction among three is cut in turn: the third vouches, and it shows.
+// Each direction between three gateways is blocked once. The third gateway confirms the blocked one by
+// indirect probes, and the peer is shown as reachable one way only.
 func TestOneWayPartitions(t *testing.T) {
 	t.Parallel()
 	w := newTier(t, []string{"a", "b", "c"}, nil)
@@ -135,49 +137,49 @@
 				continue
 			}
 			w.faults.Set(from, to, faultnet.Rule{Cut: true})
-			enginetest.Eventually(t, fmt.Sprintf("%s knows that only others reach %s", from, to), func() bool {
-				g, known := w.gateways[from].viewOf(t, to)
-				return known && g.OneWay && g.Status < membership.Dead
+			enginetest.Eventually(t, fmt.Sprintf("%s sees %s as reachable one way only", from, to), func() bool {
+				peer, found := w.gateways[from].peerView(t, to)
+				return found && peer.OneWay && peer.Status < membership.Dead
 			})
 			w.faults.Set(from, to, faultnet.Rule{})
-			w.agree("after the cut")
-			enginetest.Eventually(t, "it is direct again", func() bool { g, known := w.gateways[from].viewOf(t, to); return known && !g.OneWay })
+			w.awaitAgreement("after the partition")
+			enginetest.Eventually(t, "direct probes succeed again", func() bool { peer, found := w.gateways[from].peerView(t, to); return found && !peer.OneWay })
 		}
 	}
 }
 
-// Two halves, and two and one, are cut apart, each side has a gateway started again meanwhile,
-// and they meet.
+// A tier of four is partitioned into two and two, and one of three into two and one. On each side one
+// gateway is restarted before the partition ends, and then all must agree.
 func TestPartitionHeals(t *testing.T) {
 	t.Parallel()
-	for _, c := range []struct{ some, rest []string }{
+	for _, c := range []struct{ sideA, sideB []string }{
 		{[]string{"a", "b"}, []string{"c", "d"}},
 		{[]string{"a", "b"}, []string{"c"}},
 	} {
-		all := append(slices.Clone(c.some), c.rest...)
-		t.Run(fmt.Sprint(len(c.some), "+", len(c.rest)), func(t *testing.T) {
+		all := append(slices.Clone(c.sideA), c.sideB...)
+		t.Run(fmt.Sprint(len(c.sideA), "+", len(c.sideB)), func(t *testing.T) {
 			t.Parallel()
 			w := newTier(t, all, nil)
-			w.cut(c.some, c.rest, faultnet.Rule{Cut: true})
-			w.eventually("it is a minority and counts all", c.rest, func(s peers.Status) bool { return s.View.Minority && s.View.ActiveGateways == len(all) })
-			if len(c.some) > len(c.rest) {
-				w.eventually("it is a majority and counts the dead for a while", c.some, majority)
+			w.setPartition(c.sideA, c.sideB, faultnet.Rule{Cut: true})
+			w.eventually("reports a minority and counts all gateways", c.sideB, func(s peers.Status) bool { return s.View.Minority && s.View.ActiveGateways == len(all) })
+			if len(c.sideA) > len(c.sideB) {
+				w.eventually("reports a majority and counts the dead gateway for a while", c.sideA, majority)
 			} else {
-				w.eventually("half is a minority", c.some, minority)
+				w.eventually("half of the tier reports a minority", c.sideA, minority)
 			}
-			again := []string{"b", c.rest[len(c.rest)-1]}
-			for _, name := range again {
+			restarted := []string{"b", c.sideB[len(c.sideB)-1]}
+			for _, name := range restarted {
 				w.gateways[name].kill()
 				w.start(name, name, nil)
 			}
-			w.eventually("it has found its half again", c.some, func(s peers.Status) bool { return alive(s.View) == len(c.some)-1 })
-			w.cut(c.some, c.rest, faultnet.Rule{})
-			w.agree("after the heal")
-			for _, name := range again {
+			w.eventually("the restarted gateway has rejoined its side", c.sideA, func(s peers.Status) bool { return alive(s.View) == len(c.sideA)-1 })
+			w.setPartition(c.sideA, c.sideB, faultnet.Rule{})
+			w.awaitAgreement("after the partition")
+			for _, name := range restarted {
 				self := w.gateways[name].status(t).View.Self.Incarnation
 				for _, other := range w.names {
-					if g, known := w.gateways[other].viewOf(t, name); other != name && (!known || g.Incarnation != self) {
-						t.Errorf("%s holds %s at incarnation %d, it is at %d", other, name, g.Incarnation, self)
+					if peer, found := w.gateways[other].peerView(t, name); other != name && (!found || peer.Incarnation != self) {
+						t.Errorf("%s sees %s at incarnation %d, want %d", other, name, peer.Incarnation, self)
 					}
 				}
 			}
@@ -185,55 +187,55 @@
 	}
 }
 
-// Two halves that reach each other by one gateway alone stay one tier.
+// Two halves that can reach each other only through one gateway stay one tier.
 func TestPartitionBridgedByOneGateway(t *testing.T) {
 	t.Parallel()
 	w := newTier(t, []string{"a", "b", "c", "d", "hub"}, nil)
-	w.cut([]string{"a", "b"}, []string{"c", "d"}, faultnet.Rule{Cut: true})
-	time.Sleep(4 * time.Second) // nearly twice what makes a death
-	w.agree("with a hub between the halves")
-	w.eventually("others vouch", []string{"a", "b", "c", "d"}, func(s peers.Status) bool { return s.View.Stats.IndirectAcks > 0 && !s.View.Minority })
+	w.setPartition([]string{"a", "b"}, []string{"c", "d"}, faultnet.Rule{Cut: true})
+	time.Sleep(4 * time.Second) // nearly twice the time after which a gateway is declared dead
+	w.awaitAgreement("with one gateway between the halves")
+	w.eventually("indirect probes are acknowledged", []string{"a", "b", "c", "d"}, func(s peers.Status) bool { return s.View.Stats.IndirectAcks > 0 && !s.View.Minority })
 }
 
-// A gateway is killed and back before anybody has missed it, and what its former life sent
-// arrives after that.
+// A gateway is killed and restarted before its peers detect the failure, and messages of its earlier instance
+// arrive after the restart.
 func TestRestartFasterThanDetection(t *testing.T) {
 	t.Parallel()
 	w := newTier(t, []string{"a", "b", "c"}, nil)
 	w.faults.Set("b", "a", faultnet.Rule{Delay: 8 * time.Second})
-	time.Sleep(500 * time.Millisecond) // some are under way
+	time.Sleep(500 * time.Millisecond) // some messages are in flight
 	w.gateways["b"].kill()
 	w.faults.Set("b", "a", faultnet.Rule{})
 	w.start("b", "b", nil)
-	w.eventually("what the former life sent is dropped", []string{"a"}, func(s peers.Status) bool { return s.Counts.StaleInstance > 0 })
-	w.agree("after the restart")
+	w.eventually("messages of the earlier instance are dropped", []string{"a"}, func(s peers.Status) bool { return s.Counts.StaleInstance > 0 })
+	w.awaitAgreement("after the restart")
 	want := w.gateways["b"].status(t).View.Self.Incarnation
-	if g, _ := w.gateways["a"].viewOf(t, "b"); g.Incarnation != want {
-		t.Errorf("a holds b at incarnation %d, it is at %d", g.Incarnation, want)
+	if peer, _ := w.gateways["a"].peerView(t, "b"); peer.Incarnation != want {
+		t.Errorf("a sees b at incarnation %d, want %d", peer.Incarnation, want)
 	}
 }
 
-// Of two processes with one name the one started later stays, and the other says why it is
-// silent.
+// Of two processes with one name, the one started later stays in the tier, and the earlier one stops sending
+// and reports that it is superseded.
 func TestTwoProcessesWithOneName(t *testing.T) {
 	t.Parallel()
 	w := newTier(t, []string{"a", "b", "c"}, nil)
 	former := w.gateways["c"]
-	w.relay("c again")
-	later := w.start("c again", "c", nil)
-	enginetest.Eventually(t, "the former one is silenced", func() bool { return former.status(t).View.Superseded })
+	w.relay("c2")
+	later := w.start("c2", "c", nil)
+	enginetest.Eventually(t, "the earlier process is superseded", func() bool { return former.status(t).View.Superseded })
 	for _, name := range []string{"a", "b"} {
-		enginetest.Eventually(t, name+" holds the later one for c", func() bool {
-			g, known := w.gateways[name].viewOf(t, "c")
-			return known && g.Status == membership.Alive && g.Addr == w.relays["c again"]
+		enginetest.Eventually(t, name+" sees the later process as c", func() bool {
+			peer, found := w.gateways[name].peerView(t, "c")
+			return found && peer.Status == membership.Alive && peer.Addr == w.relays["c2"]
 		})
 	}
 	if later.status(t).View.Superseded {
-		t.Error("the later one is silenced too")
+		t.Error("the later process is superseded too")
 	}
 }
 
-// Sixty join within a moment from one address, and leave again.
+// Sixty gateways join nearly simultaneously from one address, and leave again.
 func TestJoinStormFromOneAddress(t *testing.T) {
 	t.Parallel()
 	w := newTier(t, []string{"a", "b", "c"}, nil)
@@ -245,77 +247,77 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	const many = 60
-	ctx, done := context.WithCancel(t.Context())
+	const joinerCount = 60
+	ctx, cancel := context.WithCancel(t.Context())
 	var group sync.WaitGroup
-	var storm []*peers.Peers
-	for i := range many {
+	var joiners []*peers.Peers
+	for i := range joinerCount {
 		p, err := peers.New(peers.Options{
 			Listen: "127.0.0.1:0", Name: fmt.Sprint("s", i), Tier: "t", Join: []string{w.gateways["a"].status(t).Listen}, Keys: ring, Log: slog.New(slog.DiscardHandler),
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
-		storm = append(storm, p)
+		joiners = append(joiners, p)
 	}
-	for _, p := range storm {
+	for _, p := range joiners {
 		group.Go(func() { p.Run(ctx) })
 	}
-	// Sixty in one process may be slow: a suspect is there too.
-	there := func(v membership.View) (n int) {
-		for _, g := range v.Peers {
-			if g.Status < membership.Leaving {
+	// Sixty gateways in one process may be slow, so suspect ones count as present.
+	present := func(v membership.View) (n int) {
+		for _, peer := range v.Peers {
+			if peer.Status < membership.Leaving {
 				n++
 			}
 		}
 		return n
 	}
-	w.eventually("all are there", w.names, func(s peers.Status) bool { return there(s.View) == many+2 })
-	for _, p := range storm {
-		enginetest.Eventually(t, "each of them knows all", func() bool { return there(p.Status().View) == many+2 })
+	w.eventually("all gateways are present", w.names, func(s peers.Status) bool { return present(s.View) == joinerCount+2 })
+	for _, p := range joiners {
+		enginetest.Eventually(t, "each joiner sees all gateways", func() bool { return present(p.Status().View) == joinerCount+2 })
 	}
-	for _, p := range storm {
-		p.Leave() // as on SIGTERM, some time before the end
+	for _, p := range joiners {
+		p.Leave() // as on SIGTERM, some time before the exit
 	}
-	w.eventually("they say that they are leaving", w.names, func(s peers.Status) bool { return alive(s.View) == 2 })
-	done()
+	w.eventually("the joiners have announced that they leave", w.names, func(s peers.Status) bool { return alive(s.View) == 2 })
+	cancel()
 	group.Wait()
-	w.eventually("they are gone, and do not count", w.names, func(s peers.Status) bool { return alive(s.View) == 2 && s.View.ActiveGateways == 3 })
+	w.eventually("the joiners have left and do not count", w.names, func(s peers.Status) bool { return alive(s.View) == 2 && s.View.ActiveGateways == 3 })
 }
 
-// Keys are rotated while one of three stands still: the others go on without a gap, and it
-// finds them again by the key that it has.
-func TestKeyRotationDuringPartition(t *testing.T) {
+// Keys are rotated while one of three gateways is paused. The others stay connected throughout, and the
+// paused one rejoins once it has the new key.
+func TestKeyRotationDuringPause(t *testing.T) {
 	t.Parallel()
 	w := newTier(t, []string{"a", "b", "c"}, nil)
 	w.gateways["c"].signal(syscall.SIGSTOP)
-	w.eventually("one is dead", []string{"a", "b"}, func(s peers.Status) bool { return alive(s.View) == 1 })
+	w.eventually("the paused gateway is dead", []string{"a", "b"}, func(s peers.Status) bool { return alive(s.View) == 1 })
 	inUse := w.gateways["a"].status(t).Key
 	for _, keys := range [][]string{{tierKey(7), tierKey(8)}, {tierKey(8), tierKey(7)}} {
 		for _, name := range []string{"a", "b"} {
 			w.gateways[name].setKeys(t, keys...)
 		}
-		time.Sleep(2500 * time.Millisecond) // they look every 2 s
+		time.Sleep(2500 * time.Millisecond) // the key file is polled every 2 s
 	}
-	w.eventually("the new key seals", []string{"a", "b"}, func(s peers.Status) bool { return s.Key != inUse && alive(s.View) == 1 })
+	w.eventually("messages are sealed with the new key", []string{"a", "b"}, func(s peers.Status) bool { return s.Key != inUse && alive(s.View) == 1 })
 	w.gateways["c"].signal(syscall.SIGCONT)
-	w.eventually("it can't read the new key", []string{"c"}, func(s peers.Status) bool { return s.Counts.UnknownKey > 0 })
+	w.eventually("drops messages sealed with the unknown key", []string{"c"}, func(s peers.Status) bool { return s.Counts.UnknownKey > 0 })
 	w.gateways["c"].setKeys(t, tierKey(8), tierKey(7))
-	w.agree("once it has the new key")
+	w.awaitAgreement("after the new key is configured")
 	for _, name := range w.names {
 		w.gateways[name].setKeys(t, tierKey(8))
 	}
 	for _, name := range w.names {
 		got := w.gateways[name].status(t).Counts.Received
-		w.eventually("hears on without the old key", []string{name}, func(s peers.Status) bool { return s.Counts.Received > got+20 })
+		w.eventually("still receives messages without the old key", []string{name}, func(s peers.Status) bool { return s.Counts.Received > got+20 })
 	}
-	w.agree("without the old key")
+	w.awaitAgreement("without the old key")
 }
 
-// One speaks as the first version did; a newcomer that knows nobody else finds the tier by it.
+// One gateway uses protocol version 1; a gateway that joins only through it finds the whole tier.
 func TestOlderVersionInTier(t *testing.T) {
 	t.Parallel()
-	old := func(name string, p map[string]any) {
+	modify := func(name string, p map[string]any) {
 		if name == "a" {
 			p["protocol"] = 1
 		}
@@ -323,42 +325,41 @@
 			p["join"] = p["join"].([]string)[:1]
 		}
 	}
-	w := newTier(t, []string{"a", "b", "c"}, old)
+	w := newTier(t, []string{"a", "b", "c"}, modify)
 	for _, name := range []string{"c", "a"} {
 		w.gateways[name].kill()
-		w.eventually("its end is known", []string{"b"}, func(s peers.Status) bool { return alive(s.View) == 1 })
-		w.start(name, name, old)
-		w.agree("after " + name + " was started again")
+		w.eventually("its death is detected", []string{"b"}, func(s peers.Status) bool { return alive(s.View) == 1 })
+		w.start(name, name, modify)
+		w.awaitAgreement("after the restart of " + name)
 	}
 	w.gateways["c"].kill()
-	w.start("c", "c", old)
-	w.eventually("drops what it can't read", []string{"a"}, func(s peers.Status) bool { return s.Counts.UnknownVersion > 0 })
-	w.agree("at the end")
+	w.start("c", "c", modify)
+	w.eventually("drops messages of an unknown version", []string{"a"}, func(s peers.Status) bool { return s.Counts.UnknownVersion > 0 })
+	w.awaitAgreement("at the end")
 }
 
-// A flood of forged datagrams, and of good ones sent again: the tier goes on, and so does the
-// clients' side.
+// A flood of forged and replayed datagrams disrupts neither the tier nor the service for clients.
 func TestMessageFlood(t *testing.T) {
 	t.Parallel()
 	w := newTier(t, []string{"a", "b", "c"}, nil)
 	var mu sync.Mutex
-	var good [][]byte
+	var recorded [][]byte
 	w.faults.Tap(func(_, to string, b []byte) {
 		mu.Lock()
 		defer mu.Unlock()
-		if to == "a" && len(good) < 64 {
-			good = append(good, bytes.Clone(b))
+		if to == "a" && len(recorded) < 64 {
+			recorded = append(recorded, bytes.Clone(b))
 		}
 	})
-	enginetest.Eventually(t, "some are overheard", func() bool { mu.Lock(); defer mu.Unlock(); return len(good) == 64 })
+	enginetest.Eventually(t, "datagrams are recorded", func() bool { mu.Lock(); defer mu.Unlock(); return len(recorded) == 64 })
 	conn, err := net.Dial("udp4", w.gateways["a"].status(t).Listen)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
 	for i := range 60_000 {
-		b := good[i%len(good)]
-		if i%2 == 0 { // forged: another process, which never sealed anything
+		b := recorded[i%len(recorded)]
+		if i%2 == 0 { // forged: the header of an instance that never sealed anything
 			b = bytes.Clone(b)
 			b[10] ^= byte(i)
 			b[20] ^= byte(i >> 8)
@@ -368,13 +369,13 @@
 			t.Fatal(err)
 		}
 	}
-	w.eventually("drops what is forged and what has come before", []string{"a"}, func(s peers.Status) bool { return s.Counts.BadSeal > 100 && s.Counts.Replayed > 100 })
+	w.eventually("drops forged and replayed datagrams", []string{"a"}, func(s peers.Status) bool { return s.Counts.BadSeal > 100 && s.Counts.Replayed > 100 })
 	waitHealthy(t, w.gateways["a"].url)
-	w.agree("after the flood")
+	w.awaitAgreement("after the flood")
 }
 
-// On the platform gateways talk only where the settings allow it and operators give a key.
-// Each knows the others by addresses of its own.
+// On the platform gateways exchange messages only if the settings allow it and operators configure a key.
+// Each gateway reaches its peers at different addresses.
 func TestPlatformPeersOnlyWhereAllowed(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -385,57 +386,57 @@
 	net := faultnet.New(2)
 	t.Cleanup(net.Close)
 	names := []string{"n0", "n1", "n2"}
-	var at []string
+	var addrs []string
 	for _, name := range names {
 		a, err := net.Port(name)
 		if err != nil {
 			t.Fatal(err)
 		}
-		at = append(at, a)
+		addrs = append(addrs, a)
 	}
-	begin := func(name, allowed string, me int) (said func(string) bool, kill func()) {
+	startGateway := func(name, allowed string, me int) (logged func(string) bool, kill func()) {
 		config := fmt.Sprintf(`{"name":%q,"listen":"127.0.0.1:0","discovery":"127.0.0.1:9","peer_listen":"127.0.0.1:0","peers":["%s"],"settings":%s}`,
-			name, strings.Join(at, `","`), strings.NewReplacer(`"send_cap"`, `"peers":`+allowed+`,"send_cap"`, `"balancers":1`, fmt.Sprintf(`"balancers":3,"me":%d`, me)).Replace(testSettings))
+			name, strings.Join(addrs, `","`), strings.NewReplacer(`"send_cap"`, `"peers":`+allowed+`,"send_cap"`, `"balancers":1`, fmt.Sprintf(`"balancers":3,"me":%d`, me)).Replace(testSettings))
 		log, err := os.Create(filepath.Join(dir, name+allowed))
 		if err != nil {
 			t.Fatal(err)
 		}
-		cmd := program(t, []string{"EDGE_CONFIG=" + writeConfig(t, config), "EDGE_PEER_KEYS=" + key}, "serve")
+		cmd := programCommand(t, []string{"EDGE_CONFIG=" + writeConfig(t, config), "EDGE_PEER_KEYS=" + key}, "serve")
 		cmd.Stderr = log
 		if err := cmd.Start(); err != nil {
 			t.Fatal(err)
 		}
-		said = func(what string) bool {
+		logged = func(what string) bool {
 			text, err := os.ReadFile(log.Name())
 			return err == nil && regexp.MustCompile(what).Match(text)
 		}
 		kill = sync.OnceFunc(func() { _ = cmd.Process.Kill(); _ = cmd.Wait(); log.Close() })
 		t.Cleanup(kill)
-		enginetest.Eventually(t, name+" serves", func() bool { return said(`"message":"serving"`) })
-		if text, _ := os.ReadFile(log.Name()); said(`"message":"tier transport listening"`) {
+		enginetest.Eventually(t, name+" serves", func() bool { return logged(`"message":"serving"`) })
+		if text, _ := os.ReadFile(log.Name()); logged(`"message":"tier transport listening"`) {
 			listen := regexp.MustCompile(`"listen":"([^"]+)"[^\n]*"message":"tier transport listening"`).FindSubmatch(text)
 			if err := net.Behind(name, string(listen[1])); err != nil {
 				t.Fatal(err)
 			}
 		}
-		return said, kill
+		return logged, kill
 	}
-	if said, kill := begin("n0", "false", 0); said(`"part":"peers"`) {
-		t.Error("it talks where the settings forbid it")
+	if logged, kill := startGateway("n0", "false", 0); logged(`"part":"peers"`) {
+		t.Error("peers are active although the settings forbid them")
 	} else {
 		kill()
 	}
-	var said []func(string) bool
+	var logged []func(string) bool
 	var kills []func()
 	for i, name := range names {
-		s, kill := begin(name, "true", i)
-		said, kills = append(said, s), append(kills, kill)
+		s, kill := startGateway(name, "true", i)
+		logged, kills = append(logged, s), append(kills, kill)
 	}
 	for i := range names {
-		enginetest.Eventually(t, names[i]+" has found the others", func() bool { return said[i](`"others":2,"sharing":3,"minority":false`) })
+		enginetest.Eventually(t, names[i]+" has found its peers", func() bool { return logged[i](`"others":2,"sharing":3,"minority":false`) })
 	}
 	kills[2]()
 	for i := range names[:2] {
-		enginetest.Eventually(t, names[i]+" sees one die", func() bool { return said[i](`"gateway":"n2"[^\n]*"member_status":"dead"`) })
+		enginetest.Eventually(t, names[i]+" sees the killed gateway as dead", func() bool { return logged[i](`"gateway":"n2"[^\n]*"member_status":"dead"`) })
 	}
 }
--- a/cmd/wellgw/tierharness_test.go
+++ b/cmd/wellgw/tierharness_test.go
@@ -27,29 +27,29 @@
 	"teams": [{"name": "t", "keys": ["k"], "models": ["m"]}],
 	"engines": [{"id": "e", "address": "127.0.0.1:9", "role": "openai"}]}`
 
-// tierGateway is one gateway of a tier, a program of its own.
+// tierGateway is one gateway of a tier, in a separate process.
 type tierGateway struct {
 	name, admin, url, keys string
 	signal                 func(syscall.Signal)
 	exited                 chan struct{}
 }
 
-// tier is programs, each behind a relay.
+// tier is a set of gateway processes, each behind a relay that can inject network faults.
 type tier struct {
 	t        *testing.T
 	dir      string
 	faults   *faultnet.Net
 	names    []string
-	relays   map[string]string // relays
+	relays   map[string]string // addresses of the relays, by slot
 	gateways map[string]*tierGateway
 }
 
-// newTier starts gateways that join by the first two and waits until they agree. change
-// alters what the file says of a gateway's peers.
-func newTier(t *testing.T, names []string, change func(name string, peers map[string]any)) *tier {
+// newTier starts gateways that join through the first two and waits until they agree. modify changes the
+// peers object of a gateway's file; nil for no change.
+func newTier(t *testing.T, names []string, modify func(name string, peers map[string]any)) *tier {
 	t.Helper()
 	if testing.Short() {
-		t.Skip("several programs; the whole run has them")
+		t.Skip("starts several processes; run without -short")
 	}
 	w := &tier{t: t, dir: t.TempDir(), faults: faultnet.New(1), names: names, relays: map[string]string{}, gateways: map[string]*tierGateway{}}
 	t.Cleanup(w.faults.Close)
@@ -57,19 +57,19 @@
 		w.relay(name)
 	}
 	for _, name := range names {
-		w.start(name, name, change)
+		w.start(name, name, modify)
 	}
-	w.agree("after the start")
+	w.awaitAgreement("after the start")
 	return w
 }
 
 func (w *tier) relay(name string) {
 	w.t.Helper()
-	at, err := w.faults.Port(name)
+	addr, err := w.faults.Port(name)
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	w.relays[name] = at
+	w.relays[name] = addr
 }
 
 func tierKey(n byte) string { return base64.StdEncoding.EncodeToString(bytes.Repeat([]byte{n}, 32)) }
@@ -81,32 +81,33 @@
 	}
 }
 
-// start begins a program behind the relay place, under a name.
-func (w *tier) start(place, name string, change func(string, map[string]any)) *tierGateway {
+// start starts a gateway with the given name behind the relay of a slot. Processes of one slot share the key
+// file and the incarnation file.
+func (w *tier) start(slot, name string, modify func(string, map[string]any)) *tierGateway {
 	w.t.Helper()
-	m := &tierGateway{name: name, keys: filepath.Join(w.dir, place+".keys"), exited: make(chan struct{})}
+	m := &tierGateway{name: name, keys: filepath.Join(w.dir, slot+".keys"), exited: make(chan struct{})}
 	if _, err := os.Stat(m.keys); err != nil {
 		m.setKeys(w.t, tierKey(7))
 	}
 	p := map[string]any{
-		"listen": "127.0.0.1:0", "advertise": w.relays[place], "name": name, "tier": "t", "key_file": m.keys,
-		"join": []string{w.relays[w.names[0]], w.relays[w.names[min(1, len(w.names)-1)]]}, "incarnation_file": filepath.Join(w.dir, place+".incarnation"),
+		"listen": "127.0.0.1:0", "advertise": w.relays[slot], "name": name, "tier": "t", "key_file": m.keys,
+		"join": []string{w.relays[w.names[0]], w.relays[w.names[min(1, len(w.names)-1)]]}, "incarnation_file": filepath.Join(w.dir, slot+".incarnation"),
 	}
-	if change != nil {
-		change(name, p)
+	if modify != nil {
+		modify(name, p)
 	}
 	raw, err := json.Marshal(p)
 	if err != nil {
 		w.t.Fatal(err)
 	}
 	text := strings.Replace(operatorConfig, `"engines":`, fmt.Sprintf(`"admin": {"listen": "127.0.0.1:0"}, "peers": %s, "engines":`, raw), 1)
-	cmd, url, at := startServingAdmin(w.t, nil, "serve", "--operator", writeConfig(w.t, text))
-	m.admin, m.url = at, url
+	cmd, url, addr := startServingAdmin(w.t, nil, "serve", "--operator", writeConfig(w.t, text))
+	m.admin, m.url = addr, url
 	m.signal = func(s syscall.Signal) { _ = cmd.Process.Signal(s) }
 	go func() { defer close(m.exited); _ = cmd.Wait() }()
 	w.t.Cleanup(func() { m.signal(syscall.SIGCONT); m.kill() })
-	w.gateways[place] = m
-	if err := w.faults.Behind(place, m.status(w.t).Listen); err != nil {
+	w.gateways[slot] = m
+	if err := w.faults.Behind(slot, m.status(w.t).Listen); err != nil {
 		w.t.Fatal(err)
 	}
 	return m
@@ -119,29 +120,29 @@
 
 func (m *tierGateway) status(t *testing.T) (s peers.Status) {
 	t.Helper()
-	ctx, done := context.WithTimeout(t.Context(), 5*time.Second)
-	defer done()
+	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
+	defer cancel()
 	if err := admin.AskPage(ctx, m.admin, admin.PeersPath, &s); err != nil {
 		return peers.Status{}
 	}
 	return s
 }
 
-// viewOf is how a gateway holds another.
-func (m *tierGateway) viewOf(t *testing.T, name string) (membership.Gateway, bool) {
+// peerView returns a gateway's view of a peer, and whether there is one.
+func (m *tierGateway) peerView(t *testing.T, name string) (membership.Gateway, bool) {
 	t.Helper()
 	all := m.status(t).View.Peers
-	at := slices.IndexFunc(all, func(g membership.Gateway) bool { return g.ID == name })
-	if at < 0 {
+	index := slices.IndexFunc(all, func(g membership.Gateway) bool { return g.ID == name })
+	if index < 0 {
 		return membership.Gateway{}, false
 	}
-	return all[at], true
+	return all[index], true
 }
 
-func (m *tierGateway) holds(t *testing.T, name string, s membership.Status) bool {
+func (m *tierGateway) seesStatus(t *testing.T, name string, s membership.Status) bool {
 	t.Helper()
-	g, known := m.viewOf(t, name)
-	return known && g.Status == s
+	g, found := m.peerView(t, name)
+	return found && g.Status == s
 }
 
 func alive(v membership.View) (n int) {
@@ -153,10 +154,10 @@
 	return n
 }
 
-// agree waits until all hold one view in which all are alive.
-func (w *tier) agree(when string) {
+// awaitAgreement waits until all gateways have the same view, in which all are alive.
+func (w *tier) awaitAgreement(when string) {
 	w.t.Helper()
-	enginetest.Eventually(w.t, when+" all agree", func() bool {
+	enginetest.Eventually(w.t, when+": all gateways agree", func() bool {
 		var first membership.View
 		for i, name := range w.names {
 			v := w.gateways[name].status(w.t).View
@@ -171,18 +172,18 @@
 	})
 }
 
-// eventually waits until all of some gateways are so.
-func (w *tier) eventually(what string, names []string, is func(peers.Status) bool) {
+// eventually waits until the status of every named gateway satisfies the condition.
+func (w *tier) eventually(what string, names []string, condition func(peers.Status) bool) {
 	w.t.Helper()
 	for _, name := range names {
-		enginetest.Eventually(w.t, name+": "+what, func() bool { return is(w.gateways[name].status(w.t)) })
+		enginetest.Eventually(w.t, name+": "+what, func() bool { return condition(w.gateways[name].status(w.t)) })
 	}
 }
 
-// cut gives both directions between two sets a rule.
-func (w *tier) cut(some, rest []string, r faultnet.Rule) {
-	for _, a := range some {
-		for _, b := range rest {
+// setPartition applies a rule to both directions between two sets of gateways.
+func (w *tier) setPartition(sideA, sideB []string, r faultnet.Rule) {
+	for _, a := range sideA {
+		for _, b := range sideB {
 			w.faults.Set(a, b, r)
 			w.faults.Set(b, a, r)
 		}
