--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Command simadapter serves the simulator's protocol on standard input and output. It makes the
-// decisions by the routers of this module.
+// Command simadapter runs this module's routers for the simulator, over the simulator's protocol on
+// standard input and output.
 package main
 
 import (
--- a/cmd/wellgw/drain_test.go
+++ b/cmd/wellgw/drain_test.go
@@ -89,7 +89,7 @@
 		}
 	}
 	if g.addr == "" {
-		t.Fatal("the program ended without serving")
+		t.Fatal("the program exited without serving")
 	}
 	go func() {
 		for log.Scan() {
@@ -201,8 +201,8 @@
 }
 
 // runClient sends consecutive requests on one connection until the gateway closes it. Every third client
-// sends each request in pieces over 0.9 s. Requests served although sent too late after the command are
-// counted.
+// sends each request in pieces over 0.9 s. served counts the requests served, late those of them that were
+// sent more than drainRequestLimit after the drain command.
 func (g *testGateway) runClient(n int, stop <-chan struct{}, drainStarted *atomic.Pointer[time.Time], served, late *atomic.Int64) {
 	c := g.dial()
 	in := bufio.NewReader(c)
--- a/cmd/wellgw/gateway.go
+++ b/cmd/wellgw/gateway.go
@@ -45,7 +45,7 @@
 	newDirectory func(*core.Core) (engineDirectory, error)
 
 	maxFirstTokenWait time.Duration // longest client deadline for a first token in the settings
-	killTimeKnown     bool          // the platform sends SIGKILL a fixed time after SIGTERM; elsewhere the time is unknown
+	killTimeKnown     bool          // the platform sends SIGKILL at a known time after SIGTERM; elsewhere the time is unknown
 	clientsResume     bool          // clients can resume a stream that is cut off
 
 	status *status
