--- a/cmd/wellgw/engines.go
+++ b/cmd/wellgw/engines.go
@@ -39,7 +39,7 @@
 		return err
 	}
 	var page T
-	if err := admin.AskPage(ctx, addr, path, &page); err != nil {
+	if err := admin.FetchPage(ctx, addr, path, &page); err != nil {
 		return err
 	}
 	w := cmd.Root().Writer
@@ -95,16 +95,16 @@
 		if outOnly && e.State == "in" && e.Confidence == "confirmed" {
 			continue
 		}
-		t.AppendRow(table.Row{e.ID, e.Address, e.Role, e.Zone, e.Cell, e.State, e.Confidence, formatMilliseconds(e.AgeMS), formatMilliseconds(e.UpMS), sourceList(e.Sources), e.Why})
+		t.AppendRow(table.Row{e.ID, e.Address, e.Role, e.Zone, e.Cell, e.State, e.Confidence, formatMilliseconds(e.AgeMS), formatMilliseconds(e.UpMS), sourceList(e.Sources), e.StateReason})
 	}
 	t.Render()
 	sources := newTable(w, "source", "engines", "index", "believed", "in doubt")
 	for _, src := range v.Sources {
-		doubt := ""
-		if src.Doubt != "" {
-			doubt = src.Doubt + " for " + formatMilliseconds(src.DoubtMS)
+		distrust := ""
+		if src.DistrustReason != "" {
+			distrust = src.DistrustReason + " for " + formatMilliseconds(src.UntrustedMS)
 		}
-		sources.AppendRow(table.Row{src.Source, src.Engines, src.Index, formatMilliseconds(src.AgeMS) + " ago", doubt})
+		sources.AppendRow(table.Row{src.Source, src.Engines, src.Index, formatMilliseconds(src.AgeMS) + " ago", distrust})
 	}
 	sources.Render()
 	fmt.Fprintf(w, "%d of %d engines take new work; %d gateways share them\n", inService, len(v.Engines), v.Gateways)
--- a/cmd/wellgw/enginesources.go
+++ b/cmd/wellgw/enginesources.go
@@ -50,14 +50,14 @@
 			return nil, err
 		}
 	}
-	directory.LoadFile(s.directory, o)
+	directory.ReplaceFileEngines(s.directory, o)
 	return s, nil
 }
 
 func (s *engineSources) newDirectory(o *config.Operator) *directory.Directory {
 	policy, check := roster.DefaultPolicy(), ""
 	if o.Consul != nil {
-		policy, check = consul.Policy(*o.Consul), o.Consul.CheckPath
+		policy, check = consul.RosterPolicy(*o.Consul), o.Consul.CheckPath
 	}
 	return directory.New(directory.Options{
 		Policy: policy, Publish: s.core.UpdateEndpoints, Probe: directory.NewProbe(check), StateFile: o.StateFile, Log: s.log,
@@ -98,7 +98,7 @@
 	}
 	var step func(rolechange.Record, time.Time, string)
 	if s.tracer != nil {
-		step = s.tracer.Step
+		step = s.tracer.RoleChangeStep
 	}
 	var err error
 	s.roles, err = rolectl.New(rolectl.Options{
@@ -121,7 +121,7 @@
 				s.setGatewayCount(count)
 			}
 		},
-		RunWith: func(ctx context.Context, client *consul.Client) {
+		RunWithClient: func(ctx context.Context, client *consul.Client) {
 			if s.roles != nil {
 				s.roles.Run(ctx, client)
 			}
@@ -140,7 +140,7 @@
 func (s *engineSources) observe(transport core.Transport) core.Transport {
 	transport = directory.ObservedTransport{Transport: transport, OnRefused: s.directory.ConnectionRefused}
 	if s.tracer != nil {
-		transport = s.tracer.Engines(transport)
+		transport = s.tracer.WrapTransport(transport)
 	}
 	return transport
 }
@@ -152,7 +152,7 @@
 			return err
 		}
 	}
-	directory.LoadFile(s.directory, o)
+	directory.ReplaceFileEngines(s.directory, o)
 	return nil
 }
 
--- a/cmd/wellgw/peers.go
+++ b/cmd/wellgw/peers.go
@@ -54,7 +54,7 @@
 	}
 	counts := s.Counts
 	fmt.Fprintf(w, "datagrams: %d sent, %d received; dropped %d short, %d of another version, %d by unknown keys, %d by bad seals, %d replayed, %d unreadable, %d of earlier lives, %d for want of time\n",
-		counts.Sent, counts.Received, counts.NotADatagram, counts.UnknownVersion, counts.UnknownKey, counts.BadSeal, counts.Replayed, counts.BadPayload, counts.StaleInstance, counts.QueueFull)
+		counts.Sent, counts.Received, counts.InvalidSize, counts.UnknownVersion, counts.UnknownKey, counts.BadSeal, counts.Replayed, counts.BadPayload, counts.StaleInstance, counts.QueueFull)
 	fmt.Fprintf(w, "probes: %d, %d unanswered, %d answered by way of others; suspected %d, own refutations %d, deaths %d, own pauses %d\n",
 		v.Stats.Probes, v.Stats.FailedProbes, v.Stats.IndirectAcks, v.Stats.Suspicions, v.Stats.Refutations, v.Stats.Deaths, v.Stats.Pauses)
 }
--- a/cmd/wellgw/tier_test.go
+++ b/cmd/wellgw/tier_test.go
@@ -278,7 +278,7 @@
 		enginetest.Eventually(t, "each joiner sees all gateways", func() bool { return present(p.Status().View) == joinerCount+2 })
 	}
 	for _, p := range joiners {
-		p.Leave() // as on SIGTERM, some time before the exit
+		p.AnnounceLeaving() // as on SIGTERM, some time before the exit
 	}
 	w.eventually("the joiners have announced that they leave", w.names, func(s peers.Status) bool { return alive(s.View) == 2 })
 	cancel()
--- a/internal/core/counters_test.go
+++ b/internal/core/counters_test.go
@@ -6,10 +6,10 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Counters are known by these names outside: in metrics, on pages and by who searches logs.
+// The names of counters must not change: metrics, documentation and log searches use them.
 func TestCounterNames(t *testing.T) {
 	got := []Counter{
-		countOpen, countRequests, countAttempts, countDuplicates, countGone,
+		countOpenRequests, countRequests, countAttempts, countDuplicates, countClientsGone,
 		countReleases, countReleasesFailed, countStatesExpired,
 	}
 	got = append(append(got, statusNames[:]...), verdictNames[:]...)
--- a/internal/core/heldlog.go
+++ b/internal/core/heldlog.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// stateEnd is what ended the time of a state that engines hold for a request.
-type stateEnd string
+// stateEndReason is the reason why an engine no longer has to hold state for a request.
+type stateEndReason string
 
-// The ends, as they are logged.
+// The reasons as they are logged.
 const (
-	stateFetched  stateEnd = "fetched"  // a decode engine's answer has begun
-	stateReleased stateEnd = "released" // a release was delivered
-	stateExpired  stateEnd = "expired"  // it has reached its limit: given up, or released under an attempt
+	stateFetched  stateEndReason = "fetched"  // a decode engine's answer has started
+	stateReleased stateEndReason = "released" // a release was delivered
+	stateExpired  stateEndReason = "expired"  // the limit was reached; an attempt may be in flight
 )
 
 // logWritten logs which connection an attempt was written to.
@@ -29,8 +29,8 @@
 		slog.Duration("age", time.Since(attempt.startedAt).Round(time.Microsecond)))
 }
 
-// logHeld logs that an engine holds state for a request from now on.
-func (c *Core) logHeld(request *requestState, attempt *attemptState) {
+// logStateHeld logs that an engine has begun to hold state for a request.
+func (c *Core) logStateHeld(request *requestState, attempt *attemptState) {
 	if !c.debugLogging {
 		return
 	}
@@ -41,8 +41,8 @@
 		slog.Duration("limit", c.limits.HeldStateLimit))
 }
 
-// logStateEnd logs what ended the time of a state, at an engine.
-func (c *Core) logStateEnd(request *requestState, engine string, end stateEnd) {
+// logStateEnd logs why an engine no longer has to hold state for a request.
+func (c *Core) logStateEnd(request *requestState, engine string, end stateEndReason) {
 	if !c.debugLogging {
 		return
 	}
@@ -52,8 +52,8 @@
 		slog.String("reason", string(end)))
 }
 
-// logExpired logs, for operators too, that a state has reached its limit: which attempts were in flight,
-// on which connections, and what had been heard on these.
+// logExpired logs that a state has reached its limit. The line at level info is for operators: it lists the
+// attempts in flight or not ended, their connections and the evidence of their arrival.
 func (c *Core) logExpired(request *requestState) {
 	holder := request.held.ledger.StateHolder()
 	c.logStateEnd(request, holder, stateExpired)
@@ -64,17 +64,17 @@
 	}
 	for _, attempt := range request.attempts {
 		if request.inFlight(attempt) || !attempt.ended {
-			attrs = append(attrs, attempt.logCover())
+			attrs = append(attrs, attempt.waitingAttr())
 		}
 	}
 	c.log.LogAttrs(context.Background(), slog.LevelInfo, "held state at its limit", attrs...)
 }
 
-// logCover describes an attempt that may have been waiting for a state: its connection, and the evidence
-// that it has arrived.
-func (a *attemptState) logCover() slog.Attr {
+// waitingAttr describes an attempt that may have been waiting for the state: its connection, and the evidence
+// that it has arrived at its engine.
+func (a *attemptState) waitingAttr() slog.Attr {
 	evidence := "none"
-	if first, heard := a.handle.FirstByte(); heard {
+	if first, arrived := a.handle.FirstByte(); arrived {
 		evidence = "answer after " + first.At.Sub(a.write.At).Round(time.Millisecond).String()
 	}
 	return slog.Group("cover",
