--- a/cmd/wellgw/tier.go
+++ b/cmd/wellgw/tier.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		return fmt.Errorf("peers.key_file: %w", err)
 	}
-	interval, timeout, suspicionTimeout := o.Peers.Times()
+	interval, timeout, suspicionTimeout := o.Peers.Timings()
 	var event func(peers.Event)
 	if s.tracer != nil {
 		event = s.tracer.MemberEvent
@@ -66,7 +66,7 @@
 // newPlatformTier creates the peer protocol's endpoint on the platform; nil if the settings don't allow
 // peers or the gateway is not configured for them.
 func newPlatformTier(p *config.Platform, c *core.Core, log *slog.Logger) (*peers.Peers, error) {
-	if !p.Talk() {
+	if !p.MembershipEnabled() {
 		return nil, nil
 	}
 	keyring, err := peers.ReadKeyring(p.PeerKeys)
