--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Command simadapter runs routers behind the simulator's protocol on standard input
-// and output.
+// Command simadapter runs this module's routers for the simulator, over the simulator's protocol on
+// standard input and output.
 package main
 
 import (
