--- a/experiments/soak/check.go
+++ b/experiments/soak/check.go
@@ -8,20 +8,20 @@
 
 // What the rules allow, with the slack of a machine that plays several programs at once.
 const (
-	slack         = 250 * time.Millisecond // of this machine: the lab's own clients and engines wait for a core, too
-	answerLate    = 500 * time.Millisecond
-	drainJudged   = 4 * time.Second
-	drainRequests = 2 * time.Second
-	drainOver     = 2 * time.Second
-	toldAfter     = 6 * time.Second
-	pinSlack      = 350 * time.Millisecond
-	deadlineSlack = 150 * time.Millisecond
-	leftSlack     = 100 * time.Millisecond
-	eventLimit    = 300 * time.Millisecond
-	lateStreams   = 20 // one stream in so many may have an event held back
-	readyLimit    = 10 * time.Second
-	hostileLimit  = 3 * time.Second
-	killGrace     = 700 * time.Millisecond
+	slack            = 250 * time.Millisecond // of this machine: the lab's own clients and engines wait for a core, too
+	answerSlack      = 500 * time.Millisecond
+	drainCheckDelay  = 4 * time.Second
+	drainAcceptLimit = 2 * time.Second
+	drainEndLimit    = 2 * time.Second
+	noticeLimit      = 6 * time.Second
+	pinSlack         = 350 * time.Millisecond
+	deadlineSlack    = 150 * time.Millisecond
+	closeSlack       = 100 * time.Millisecond
+	eventLimit       = 300 * time.Millisecond
+	streamsPerLate   = 20 // one stream in so many may have an event held back
+	readyLimit       = 10 * time.Second
+	incompleteLimit  = 3 * time.Second
+	killGrace        = 700 * time.Millisecond
 )
 
 // Rule names a rule of the protocol.
@@ -29,35 +29,35 @@
 
 // The rules that are checked.
 const (
-	Lost      Rule = "lost"
-	Duplicate Rule = "duplicate"
-	DrainEng  Rule = "drain"
-	DrainCli  Rule = "drain of clients"
-	Held      Rule = "held states"
-	Deadlines Rule = "deadlines"
-	LeftRule  Rule = "client left"
-	Events    Rule = "events in time"
-	Ready     Rule = "readiness"
-	Crash     Rule = "crash"
-	Bad       Rule = "bad clients"
+	Lost           Rule = "lost"
+	Duplicate      Rule = "duplicate"
+	EngineDrain    Rule = "drain"
+	ClientDrain    Rule = "drain of clients"
+	HeldTooLong    Rule = "held states"
+	Deadlines      Rule = "deadlines"
+	SentAfterClose Rule = "client left"
+	EventsInTime   Rule = "events in time"
+	Ready          Rule = "readiness"
+	Crash          Rule = "crash"
+	IncompleteKept Rule = "bad clients"
 
 	Descriptors Rule = "descriptors"
 )
 
 // Breach is a rule that was broken.
-type Breach struct {
-	Rule Rule
-	At   time.Duration
-	What string
+type Violation struct {
+	Rule   Rule
+	At     time.Duration
+	Detail string
 }
 
-func (b Breach) String() string {
-	return fmt.Sprintf("%s at %.3fs: %s", b.Rule, b.At.Seconds(), b.What)
+func (b Violation) String() string {
+	return fmt.Sprintf("%s at %.3fs: %s", b.Rule, b.At.Seconds(), b.Detail)
 }
 
 // Check returns the breaches in a book, the first first.
-func Check(p Plan, b *Book) []Breach {
-	c := &checker{plan: p, book: b, attempts: map[string][]*Attempt{}, requests: map[string]*Request{}}
+func Check(p Plan, b *Observations) []Violation {
+	c := &checker{plan: p, observed: b, attempts: map[string][]*Attempt{}, requests: map[string]*Request{}}
 	for _, a := range b.Attempts {
 		c.attempts[a.ID] = append(c.attempts[a.ID], a)
 	}
@@ -66,39 +66,39 @@
 		c.requests[q.ID] = q
 	}
 	c.answers()
-	c.runs()
+	c.duplicates()
 	c.engineDrains()
 	c.ejections()
 	c.clientDrains()
 	c.states()
-	c.told()
+	c.deadlines()
 	c.events()
-	c.lives()
-	c.hostile()
-	for _, o := range b.Open {
-		c.broken(Descriptors, o.At, "g%d has %d descriptors open, %d before the traffic", o.Gateway, o.Last, o.First)
+	c.processes()
+	c.incompleteRequests()
+	for _, o := range b.DescriptorLeaks {
+		c.add(Descriptors, o.At, "g%d has %d descriptors open, %d before the traffic", o.Gateway, o.After, o.Before)
 	}
-	slices.SortStableFunc(c.found, func(a, b Breach) int { return int(a.At - b.At) })
-	return c.found
+	slices.SortStableFunc(c.violations, func(a, b Violation) int { return int(a.At - b.At) })
+	return c.violations
 }
 
 type checker struct {
-	plan     Plan
-	book     *Book
-	attempts map[string][]*Attempt
-	requests map[string]*Request
-	found    []Breach
+	plan       Plan
+	observed   *Observations
+	attempts   map[string][]*Attempt
+	requests   map[string]*Request
+	violations []Violation
 }
 
-func (c *checker) broken(rule Rule, at time.Duration, format string, args ...any) {
-	c.found = append(c.found, Breach{rule, at, fmt.Sprintf(format, args...)})
+func (c *checker) add(rule Rule, at time.Duration, format string, args ...any) {
+	c.violations = append(c.violations, Violation{rule, at, fmt.Sprintf(format, args...)})
 }
 
 // accepted is when a process could first accept what a client sent at a time. On a socket that the
 // platform holds connections come up while no process is there, after a kill.
 func (c *checker) accepted(gateway int, sent time.Duration) time.Duration {
 	next := Never
-	for _, l := range c.book.Lives {
+	for _, l := range c.observed.Processes {
 		if l.Gateway != gateway || l.Ready == Never {
 			continue
 		}
@@ -119,7 +119,7 @@
 // that frees it of the answer: a kill without warning, or one after SIGTERM for a request that had
 // come no later than the grace after it.
 func (c *checker) killed(q *Request) bool {
-	for _, l := range c.book.Lives {
+	for _, l := range c.observed.Processes {
 		if l.Gateway != q.Gateway || q.Sent < l.Started-slack || l.Killed == Never || l.Killed < q.Sent-slack {
 			continue
 		}
@@ -135,7 +135,7 @@
 
 // cutAllowed tells whether the request's process may have cut its stream off to end in time.
 func (c *checker) cutAllowed(q *Request) bool {
-	for _, l := range c.book.Lives {
+	for _, l := range c.observed.Processes {
 		if l.Gateway == q.Gateway && c.plan.Resume && l.Terminated != Never && q.Ended >= l.Terminated && q.Ended <= l.Terminated+5*time.Second {
 			return true
 		}
@@ -145,25 +145,25 @@
 
 // answers checks that every request that was taken has its one final answer, in time and whole.
 func (c *checker) answers() {
-	for _, q := range c.book.Requests {
-		if q.Left != Never || c.killed(q) {
+	for _, q := range c.observed.Requests {
+		if q.ClientClosed != Never || c.killed(q) {
 			continue
 		}
 		tries := c.attempts[q.ID]
-		due := q.Sent + q.Deadline + answerLate + slack
+		due := q.Sent + q.Deadline + answerSlack + slack
 		switch {
 		case q.Status == 0 && len(tries) > 0:
-			c.broken(Lost, q.Ended, "%s was forwarded and its connection ended without an answer", q.ID)
+			c.add(Lost, q.Ended, "%s was forwarded and its connection ended without an answer", q.ID)
 		case q.Status == 0:
 			if q.Ended > due && q.Ended != Never || q.Ended == Never {
-				c.broken(Lost, due, "%s has no answer", q.ID)
+				c.add(Lost, due, "%s has no answer", q.ID)
 			}
-		case q.First > due:
-			c.broken(Lost, q.First, "%s was answered %v late", q.ID, q.First-due)
-		case q.Status == 200 && !q.Whole && !c.spoilt(tries) && !c.cutAllowed(q) && c.plan.breaks(q.Gateway) == 0 && len(c.plan.Network) == 0:
-			c.broken(Lost, q.Ended, "%s: a stream was cut off while its engine wrote", q.ID)
+		case q.FirstByte > due:
+			c.add(Lost, q.FirstByte, "%s was answered %v late", q.ID, q.FirstByte-due)
+		case q.Status == 200 && !q.Complete && !c.faultInjected(tries) && !c.cutAllowed(q) && c.plan.breaks(q.Gateway) == 0 && len(c.plan.Network) == 0:
+			c.add(Lost, q.Ended, "%s: a stream was cut off while its engine wrote", q.ID)
 		case q.Status >= 400 && q.Status < 500 && q.Status != 429 && q.Status != 408:
-			c.broken(Lost, q.Ended, "%s got status %d", q.ID, q.Status)
+			c.add(Lost, q.Ended, "%s got status %d", q.ID, q.Status)
 		}
 	}
 }
@@ -172,12 +172,12 @@
 func (p Plan) breaks(gateway int) float64 { return p.Faults[gateway].Break }
 
 // spoilt tells whether an engine hung or broke one of the attempts, or was never heard to its end.
-func (c *checker) spoilt(tries []*Attempt) bool {
-	return slices.ContainsFunc(tries, func(a *Attempt) bool { return a.Spoilt })
+func (c *checker) faultInjected(tries []*Attempt) bool {
+	return slices.ContainsFunc(tries, func(a *Attempt) bool { return a.FaultInjected })
 }
 
 // runs checks that nothing that must not run twice does.
-func (c *checker) runs() {
+func (c *checker) duplicates() {
 	if c.plan.Effect != SingleShot {
 		return
 	}
@@ -187,26 +187,26 @@
 		for _, a := range tries {
 			if a.Ran {
 				ran++
-				last = max(last, a.Last)
+				last = max(last, a.LastByte)
 			}
 		}
 		if ran > 1 {
-			c.broken(Duplicate, last, "%s ran %d times", id, ran)
+			c.add(Duplicate, last, "%s ran %d times", id, ran)
 		}
 	}
 }
 
 // engineDrains checks that nothing new goes to an engine that drains.
 func (c *checker) engineDrains() {
-	for _, t := range c.book.Told {
-		told := min(t.At, t.Since+toldAfter)
-		for _, a := range c.book.Attempts {
+	for _, t := range c.observed.DrainNotices {
+		told := min(t.At, t.Since+noticeLimit)
+		for _, a := range c.observed.Attempts {
 			q := c.requests[a.ID]
 			if q == nil || q.Gateway != t.Gateway || a.Engine != t.Engine || !a.Decode {
 				continue
 			}
-			if a.First > told+drainGrace+slack && a.First < t.Until {
-				c.broken(DrainEng, a.First, "%s went to d%d %v after its drain was told", a.ID, a.Engine, a.First-told)
+			if a.FirstByte > told+drainGrace+slack && a.FirstByte < t.Until {
+				c.add(EngineDrain, a.FirstByte, "%s went to d%d %v after its drain was told", a.ID, a.Engine, a.FirstByte-told)
 			}
 		}
 	}
@@ -215,14 +215,14 @@
 // ejections checks that nothing new goes to an engine that operators took out, also by the processes
 // that follow the one that was called.
 func (c *checker) ejections() {
-	for _, e := range c.book.Ejected {
-		for _, a := range c.book.Attempts {
+	for _, e := range c.observed.Ejections {
+		for _, a := range c.observed.Attempts {
 			q := c.requests[a.ID]
 			if q == nil || q.Gateway != e.Gateway || a.Engine != e.Engine || !a.Decode {
 				continue
 			}
-			if a.First > e.At+drainGrace+slack && a.First < e.Until {
-				c.broken(DrainEng, a.First, "%s went to d%d %v after it was taken out", a.ID, a.Engine, a.First-e.At)
+			if a.FirstByte > e.At+drainGrace+slack && a.FirstByte < e.Until {
+				c.add(EngineDrain, a.FirstByte, "%s went to d%d %v after it was taken out", a.ID, a.Engine, a.FirstByte-e.At)
 			}
 		}
 	}
@@ -230,35 +230,35 @@
 
 // clientDrains checks drains by call, 4 s after the call and 2 s after their end.
 func (c *checker) clientDrains() {
-	for _, d := range c.book.Drains {
-		at := d.At + drainJudged
-		if !d.DrainBroken && d.Until > at {
-			c.judgeDrain(d, at)
+	for _, d := range c.observed.Drains {
+		at := d.At + drainCheckDelay
+		if !d.DrainInterrupted && d.Until > at {
+			c.checkDrain(d, at)
 		}
-		if d.ActiveAt != Never && !d.ActiveBroken && d.HealthyAgain > d.ActiveAt+drainOver+slack {
-			c.broken(DrainCli, d.ActiveAt+drainOver, "g%d is not healthy %v after the drain", d.Gateway, drainOver)
+		if d.ActiveAt != Never && !d.ActiveInterrupted && d.HealthyAfter > d.ActiveAt+drainEndLimit+slack {
+			c.add(ClientDrain, d.ActiveAt+drainEndLimit, "g%d is not healthy %v after the drain", d.Gateway, drainEndLimit)
 		}
 	}
 }
 
-func (c *checker) judgeDrain(d *Drain, at time.Duration) {
-	if d.HealthyAt != Never {
-		c.broken(DrainCli, d.HealthyAt, "g%d is healthy in a drain", d.Gateway)
+func (c *checker) checkDrain(d *Drain, at time.Duration) {
+	if d.HealthyInDrain != Never {
+		c.add(ClientDrain, d.HealthyInDrain, "g%d is healthy in a drain", d.Gateway)
 	}
-	for _, conn := range c.book.Conns {
+	for _, conn := range c.observed.Conns {
 		if conn.Gateway != d.Gateway || conn.Opened > at-slack || conn.Closed < at+slack {
 			continue
 		}
-		carries := slices.ContainsFunc(c.book.Requests, func(q *Request) bool {
+		carries := slices.ContainsFunc(c.observed.Requests, func(q *Request) bool {
 			return q.Conn == conn && q.Sent <= at && q.Ended > at
 		})
 		if !carries {
-			c.broken(DrainCli, at, "g%d holds an idle connection, open since %.3fs", d.Gateway, conn.Opened.Seconds())
+			c.add(ClientDrain, at, "g%d holds an idle connection, open since %.3fs", d.Gateway, conn.Opened.Seconds())
 		}
 	}
-	for _, q := range c.book.Requests {
-		if q.Gateway == d.Gateway && q.Conn.Opened < at && q.Sent > d.At+drainRequests && q.Sent <= at && q.Status == 200 {
-			c.broken(DrainCli, q.Sent, "g%d took %s %v after the call", d.Gateway, q.ID, q.Sent-d.At)
+	for _, q := range c.observed.Requests {
+		if q.Gateway == d.Gateway && q.Conn.Opened < at && q.Sent > d.At+drainAcceptLimit && q.Sent <= at && q.Status == 200 {
+			c.add(ClientDrain, q.Sent, "g%d took %s %v after the call", d.Gateway, q.ID, q.Sent-d.At)
 		}
 	}
 }
@@ -266,31 +266,31 @@
 // states checks that what is held for a request is fetched or released in time.
 func (c *checker) states() {
 	limit := c.plan.PinLimit + pinSlack + slack
-	for _, s := range c.book.States {
+	for _, s := range c.observed.HeldStates {
 		q := c.requests[s.ID]
 		if q == nil || c.processKilled(q.Gateway, s.From) {
 			continue
 		}
 		from := s.From
 		for _, a := range c.attempts[s.ID] { // in order of arrival
-			if a.Last <= from+limit {
+			if a.LastByte <= from+limit {
 				from = max(from, a.Ended)
 			}
 		}
 		if s.AnswerLost { // the attempt has ended once its client has its answer, at the latest
-			from = max(from, min(q.First, q.Ended, q.Left))
+			from = max(from, min(q.FirstByte, q.Ended, q.ClientClosed))
 		}
-		until := min(s.Until, c.book.end())
+		until := min(s.Until, c.observed.end())
 		if until > from && until-from > limit {
-			c.broken(Held, from+limit, "the state of %s was held for %v with no attempt out", s.ID, until-from)
+			c.add(HeldTooLong, from+limit, "the state of %s was held for %v with no attempt out", s.ID, until-from)
 		}
 	}
 }
 
 // end is the end of what the book tells of.
-func (b *Book) end() time.Duration {
+func (b *Observations) end() time.Duration {
 	end := time.Duration(0)
-	for _, l := range b.Lives {
+	for _, l := range b.Processes {
 		if l.Ended != Never {
 			end = max(end, l.Ended)
 		}
@@ -300,24 +300,24 @@
 
 // processKilled tells whether a process that lived at a time was ended by SIGKILL.
 func (c *checker) processKilled(gateway int, at time.Duration) bool {
-	return slices.ContainsFunc(c.book.Lives, func(l *Life) bool {
+	return slices.ContainsFunc(c.observed.Processes, func(l *ProcessRecord) bool {
 		return l.Gateway == gateway && l.Killed != Never && l.Started <= at && at <= l.Killed+slack
 	})
 }
 
 // told checks what engines are told of the time, and that none is sent to for a client that left.
-func (c *checker) told() {
-	for _, a := range c.book.Attempts {
+func (c *checker) deadlines() {
+	for _, a := range c.observed.Attempts {
 		q := c.requests[a.ID]
 		if q == nil {
 			continue
 		}
-		left := q.Sent + q.Deadline - a.First
+		left := q.Sent + q.Deadline - a.FirstByte
 		if a.Deadline > left+deadlineSlack+slack {
-			c.broken(Deadlines, a.First, "%s: an engine is told %v, its client has %v left", a.ID, a.Deadline, left)
+			c.add(Deadlines, a.FirstByte, "%s: an engine is told %v, its client has %v left", a.ID, a.Deadline, left)
 		}
-		if q.Left != Never && a.First > q.Left+leftSlack+slack {
-			c.broken(LeftRule, a.First, "%s was sent %v after its client left", a.ID, a.First-q.Left)
+		if q.ClientClosed != Never && a.FirstByte > q.ClientClosed+closeSlack+slack {
+			c.add(SentAfterClose, a.FirstByte, "%s was sent %v after its client left", a.ID, a.FirstByte-q.ClientClosed)
 		}
 	}
 }
@@ -326,49 +326,49 @@
 func (c *checker) events() {
 	streams, late := 0, 0
 	var at time.Duration
-	for _, q := range c.book.Requests {
+	for _, q := range c.observed.Requests {
 		if q.Status == 200 {
 			streams++
 		}
-		if q.Late > 0 {
+		if q.LateEvents > 0 {
 			late++
 			at = q.Ended
 		}
 	}
-	if late*lateStreams > streams && late > 2 {
-		c.broken(Events, at, "%d of %d streams have events that came over %v late", late, streams, eventLimit)
+	if late*streamsPerLate > streams && late > 2 {
+		c.add(EventsInTime, at, "%d of %d streams have events that came over %v late", late, streams, eventLimit)
 	}
 }
 
 // lives checks that processes become ready and end as they are told.
-func (c *checker) lives() {
-	for _, l := range c.book.Lives {
-		if l.Crashed != "" {
-			c.broken(Crash, l.Ended, "g%d: %s", l.Gateway, l.Crashed)
+func (c *checker) processes() {
+	for _, l := range c.observed.Processes {
+		if l.CrashReason != "" {
+			c.add(Crash, l.Ended, "g%d: %s", l.Gateway, l.CrashReason)
 		}
 		over := min(l.Ended, l.Terminated, l.Killed)
 		if c.drained(l) { // it was not to be healthy
 			continue
 		}
 		if l.Ready == Never && over > l.Started+readyLimit || l.Ready != Never && l.Ready > l.Started+readyLimit {
-			c.broken(Ready, l.Started+readyLimit, "g%d is not ready after %v", l.Gateway, readyLimit)
+			c.add(Ready, l.Started+readyLimit, "g%d is not ready after %v", l.Gateway, readyLimit)
 		}
 	}
 }
 
 // drained tells whether a process was told to drain before it had to be ready.
-func (c *checker) drained(l *Life) bool {
-	return slices.ContainsFunc(c.book.Drains, func(d *Drain) bool {
+func (c *checker) drained(l *ProcessRecord) bool {
+	return slices.ContainsFunc(c.observed.Drains, func(d *Drain) bool {
 		return d.Gateway == l.Gateway && d.At >= l.Started && d.At < l.Started+readyLimit
 	})
 }
 
 // hostile checks that clients that stop in the middle of a request are not kept.
-func (c *checker) hostile() {
-	for _, h := range c.book.Hostile {
+func (c *checker) incompleteRequests() {
+	for _, h := range c.observed.IncompleteRequests {
 		h.Since = c.accepted(h.Gateway, h.Since)
-		if h.Ended > h.Since+hostileLimit+slack && c.book.end() > h.Since+hostileLimit+slack && !c.processKilled(h.Gateway, h.Since) {
-			c.broken(Bad, h.Since+hostileLimit, "g%d keeps a client that stopped in the middle of a request", h.Gateway)
+		if h.Ended > h.Since+incompleteLimit+slack && c.observed.end() > h.Since+incompleteLimit+slack && !c.processKilled(h.Gateway, h.Since) {
+			c.add(IncompleteKept, h.Since+incompleteLimit, "g%d keeps a client that stopped in the middle of a request", h.Gateway)
 		}
 	}
 }
--- a/experiments/soak/clients.go
+++ b/experiments/soak/clients.go
@@ -15,41 +15,41 @@
 
 // How clients behave.
 const (
-	clientTries  = 3
-	answerBound  = 40 * time.Second // of one answer: beyond every rule
-	noGateway    = 20 * time.Millisecond
-	hostileStays = 6 * time.Second
+	clientTries    = 3
+	answerBound    = 40 * time.Second // of one answer: beyond every rule
+	gatewayPoll    = 20 * time.Millisecond
+	incompleteWait = 6 * time.Second
 )
 
 // manner is how one client behaves.
-type manner uint8
+type behavior uint8
 
 const (
-	atOnce   manner = iota // sends its next request at once
-	resting                // rests between requests
-	slow                   // sends in pieces
-	leaving                // closes its connection at times, in the middle
-	stopping               // stops in the middle of a request at times, and stays
-	ahead                  // sends two requests at once
-	stalling               // reads nothing of an answer for a while
+	continuous behavior = iota // sends its next request at once
+	idling                     // rests between requests
+	slowSender                 // sends in pieces
+	abandoning                 // closes its connection at times, in the middle
+	incomplete                 // stops in the middle of a request at times, and stays
+	pipelining                 // sends two requests at once
+	slowReader                 // reads nothing of an answer for a while
 )
 
 // client is one client of a gateway.
 type client struct {
 	*gateway
-	name   string
-	manner manner
-	random *rand.Rand
-	sent   int
-	conn   net.Conn
-	in     *bufio.Reader
-	record *Connection
+	name     string
+	behavior behavior
+	random   *rand.Rand
+	sent     int
+	conn     net.Conn
+	in       *bufio.Reader
+	record   *Connection
 }
 
 func newClient(g *gateway, n int) *client {
-	manners := []manner{atOnce, atOnce, atOnce, atOnce, resting, resting, slow, leaving, stopping, ahead, stalling}
+	behaviors := []behavior{continuous, continuous, continuous, continuous, idling, idling, slowSender, abandoning, incomplete, pipelining, slowReader}
 	return &client{
-		gateway: g, name: fmt.Sprintf("g%dc%d", g.number, n), manner: manners[n%len(manners)],
+		gateway: g, name: fmt.Sprintf("g%dc%d", g.number, n), behavior: behaviors[n%len(behaviors)],
 		random: rand.New(rand.NewPCG(g.plan.Seed, uint64(1000*g.number+n))),
 	}
 }
@@ -59,17 +59,17 @@
 	defer c.close()
 	for ctx.Err() == nil {
 		if c.conn == nil && !c.dial() {
-			wait(ctx, nil, noGateway)
+			wait(ctx, nil, gatewayPoll)
 			continue
 		}
 		switch {
-		case c.manner == resting:
-			c.rest(ctx)
-		case c.manner == stopping && c.random.IntN(8) == 0:
-			c.stop(ctx)
+		case c.behavior == idling:
+			c.idle(ctx)
+		case c.behavior == incomplete && c.random.IntN(8) == 0:
+			c.sendPartial(ctx)
 			continue
 		}
-		c.ask(ctx)
+		c.exchange(ctx)
 	}
 }
 
@@ -78,14 +78,14 @@
 	if !c.admitted.Load() {
 		return false
 	}
-	_, addr, _ := c.now()
+	_, addr, _ := c.snapshot()
 	nc, err := net.DialTimeout("tcp4", addr, time.Second)
 	if err != nil {
 		return false
 	}
 	c.conn, c.in = nc, bufio.NewReader(nc)
-	c.record = &Connection{Gateway: c.number, Opened: c.book.now(), Closed: Never}
-	c.book.locked(func() { c.book.Conns = append(c.book.Conns, c.record) })
+	c.record = &Connection{Gateway: c.number, Opened: c.observed.now(), Closed: Never}
+	c.observed.locked(func() { c.observed.Conns = append(c.observed.Conns, c.record) })
 	return true
 }
 
@@ -94,12 +94,12 @@
 		return
 	}
 	c.conn.Close()
-	c.book.locked(func() { c.record.Closed = min(c.record.Closed, c.book.now()) })
+	c.observed.locked(func() { c.record.Closed = min(c.record.Closed, c.observed.now()) })
 	c.conn = nil
 }
 
 // rest waits for a while, or until the gateway ends the connection.
-func (c *client) rest(ctx context.Context) {
+func (c *client) idle(ctx context.Context) {
 	until := time.Duration(c.random.IntN(1500)) * time.Millisecond
 	defer c.readFor(ctx, until)()
 	if _, err := c.in.Peek(1); err != nil && !isTimeout(err) {
@@ -128,39 +128,39 @@
 }
 
 // stop sends half a request and stays.
-func (c *client) stop(ctx context.Context) {
-	_, _, deadline := c.now()
+func (c *client) sendPartial(ctx context.Context) {
+	_, _, deadline := c.snapshot()
 	_, text := c.request(deadline)
 	at := 1 + c.random.IntN(len(text)-2)
 	if _, err := io.WriteString(c.conn, text[:at]); err != nil {
 		c.close()
 		return
 	}
-	since := c.book.now()
-	defer c.readFor(ctx, hostileStays)()
+	since := c.observed.now()
+	defer c.readFor(ctx, incompleteWait)()
 	_, err := c.in.Peek(1)
-	ended := c.book.now()
+	ended := c.observed.now()
 	if isTimeout(err) {
-		if ended < since+hostileLimit+slack { // the traffic has ended: nobody looked on
+		if ended < since+incompleteLimit+slack { // the traffic has ended: nobody looked on
 			c.close()
 			return
 		}
 		ended = Never
 	}
-	c.book.locked(func() {
-		c.book.Hostile = append(c.book.Hostile, Hostile{Gateway: c.number, Since: since, Ended: ended})
+	c.observed.locked(func() {
+		c.observed.IncompleteRequests = append(c.observed.IncompleteRequests, IncompleteRequest{Gateway: c.number, Since: since, Ended: ended})
 	})
 	c.close()
 }
 
 // ask sends a request, or two at once, and reads the answers.
-func (c *client) ask(ctx context.Context) {
+func (c *client) exchange(ctx context.Context) {
 	if c.conn == nil {
 		return
 	}
 	first, text := c.newRequest()
 	requests := []*Request{first}
-	if c.manner == ahead {
+	if c.behavior == pipelining {
 		second, more := c.newRequest()
 		requests, text = append(requests, second), text+more
 	}
@@ -169,19 +169,19 @@
 		c.close() // it was not sent
 		return
 	}
-	sent := c.book.now()
-	c.book.locked(func() {
+	sent := c.observed.now()
+	c.observed.locked(func() {
 		for _, q := range requests {
 			q.Sent = sent
 		}
-		c.book.Requests = append(c.book.Requests, requests...)
+		c.observed.Requests = append(c.observed.Requests, requests...)
 	})
-	if c.manner == leaving && c.random.IntN(4) == 0 {
-		defer c.leave(first).Stop()
+	if c.behavior == abandoning && c.random.IntN(4) == 0 {
+		defer c.closeLater(first).Stop()
 	}
 	for n, q := range requests {
 		if n > 0 { // it can't be answered before the one before it
-			c.book.locked(func() { q.Sent = c.book.now() })
+			c.observed.locked(func() { q.Sent = c.observed.now() })
 		}
 		if c.conn == nil {
 			c.ended(q)
@@ -192,14 +192,14 @@
 }
 
 func (c *client) newRequest() (*Request, string) {
-	_, _, deadline := c.now()
+	_, _, deadline := c.snapshot()
 	id, text := c.request(deadline)
-	return &Request{ID: id, Gateway: c.number, Deadline: deadline, Left: Never, First: Never, Ended: Never, Conn: c.record}, text
+	return &Request{ID: id, Gateway: c.number, Deadline: deadline, ClientClosed: Never, FirstByte: Never, Ended: Never, Conn: c.record}, text
 }
 
 // send writes a request, in pieces if that is the client's manner.
 func (c *client) send(ctx context.Context, text string) bool {
-	if c.manner == slow {
+	if c.behavior == slowSender {
 		for _, at := range []int{30, 60} {
 			if _, err := io.WriteString(c.conn, text[:at]); err != nil {
 				return false
@@ -213,10 +213,10 @@
 }
 
 // leave closes the connection a moment later, whatever has come by then.
-func (c *client) leave(q *Request) *time.Timer {
+func (c *client) closeLater(q *Request) *time.Timer {
 	conn := c.conn
 	return time.AfterFunc(time.Duration(c.random.IntN(600))*time.Millisecond, func() {
-		c.book.locked(func() { q.Left = c.book.now() })
+		c.observed.locked(func() { q.ClientClosed = c.observed.now() })
 		conn.Close()
 	})
 }
@@ -228,8 +228,8 @@
 		c.close()
 		return
 	}
-	c.book.locked(func() { q.First = c.book.now() })
-	if c.manner == stalling {
+	c.observed.locked(func() { q.FirstByte = c.observed.now() })
+	if c.behavior == slowReader {
 		time.Sleep(time.Duration(c.random.IntN(400)) * time.Millisecond)
 	}
 	resp, err := http.ReadResponse(c.in, nil)
@@ -238,26 +238,26 @@
 		c.close()
 		return
 	}
-	late, whole := c.events(resp.Body)
-	if c.manner == stalling { // it is to blame for what came late
+	late, complete := c.events(resp.Body)
+	if c.behavior == slowReader { // it is to blame for what came late
 		late = 0
 	}
-	c.book.locked(func() {
-		q.Status, q.Late, q.Whole = resp.StatusCode, late, whole
+	c.observed.locked(func() {
+		q.Status, q.LateEvents, q.Complete = resp.StatusCode, late, complete
 	})
 	c.ended(q)
-	if resp.Close || !whole {
+	if resp.Close || !complete {
 		c.close()
 	}
 }
 
 func (c *client) ended(q *Request) {
-	c.book.locked(func() { q.Ended = c.book.now() })
+	c.observed.locked(func() { q.Ended = c.observed.now() })
 }
 
 // events reads a body to its end, and counts the events that came over the limit after they were
 // written.
-func (c *client) events(body io.Reader) (late int, whole bool) {
+func (c *client) events(body io.Reader) (late int, complete bool) {
 	scan := bufio.NewScanner(body)
 	for scan.Scan() {
 		_, after, found := strings.Cut(scan.Text(), `"t:`)
@@ -266,7 +266,7 @@
 		}
 		number, _, _ := strings.Cut(after, ";")
 		written, err := strconv.ParseInt(number, 10, 64)
-		if err == nil && c.book.now()-time.Duration(written) > eventLimit+slack {
+		if err == nil && c.observed.now()-time.Duration(written) > eventLimit+slack {
 			late++
 		}
 	}
@@ -274,9 +274,9 @@
 }
 
 // crowd is a client that rests on connections until the gateway ends them, and comes again.
-func (g *gateway) crowd(ctx context.Context) {
+func (g *gateway) holdIdleConn(ctx context.Context) {
 	for ; ctx.Err() == nil; wait(ctx, nil, 30*time.Millisecond) {
-		_, addr, _ := g.now()
+		_, addr, _ := g.snapshot()
 		if !g.admitted.Load() {
 			continue
 		}
--- a/experiments/soak/discovery.go
+++ b/experiments/soak/discovery.go
@@ -31,8 +31,8 @@
 
 // discovery is the list of engines, told to each gateway at an address of its own.
 type discovery struct {
-	plan Plan
-	book *Book
+	plan     Plan
+	observed *Observations
 
 	mu      sync.Mutex
 	members []member
@@ -45,8 +45,8 @@
 	since     time.Duration
 }
 
-func newDiscovery(p Plan, b *Book, f *fleet) *discovery {
-	d := &discovery{plan: p, book: b, changed: map[int]int64{}, rev: 1, wake: make(chan struct{}), drained: -1}
+func newDiscovery(p Plan, b *Observations, f *fleet) *discovery {
+	d := &discovery{plan: p, observed: b, changed: map[int]int64{}, rev: 1, wake: make(chan struct{}), drained: -1}
 	for _, e := range f.all {
 		m := member{ID: fmt.Sprint("p", e.number), HostPort: e.addr, Locality: p.zone(e.place), Flavor: "r", Phase: "active", Size: 1}
 		if e.decode {
@@ -83,14 +83,14 @@
 	if phase == "active" {
 		d.members[n].UpSince = time.Now().UnixMilli()
 		d.drained = -1
-		d.book.locked(func() {
-			for i := range d.book.Told {
-				d.book.Told[i].Until = min(d.book.Told[i].Until, d.book.now())
+		d.observed.locked(func() {
+			for i := range d.observed.DrainNotices {
+				d.observed.DrainNotices[i].Until = min(d.observed.DrainNotices[i].Until, d.observed.now())
 			}
 		})
 	} else {
-		d.drained, d.since = engine, d.book.now()
-		if end := d.plan.SilentAt + d.plan.Silent; d.since >= d.plan.SilentAt && d.since < end {
+		d.drained, d.since = engine, d.observed.now()
+		if end := d.plan.OutageStart + d.plan.Outage; d.since >= d.plan.OutageStart && d.since < end {
 			d.since = end // it can't be reached before
 		}
 	}
@@ -101,35 +101,35 @@
 }
 
 // told records that a gateway has been told of the drain, if there is one.
-func (d *discovery) told(gateway int) {
+func (d *discovery) recordDrainNotice(gateway int) {
 	d.mu.Lock()
 	engine, since := d.drained, d.since
 	d.mu.Unlock()
-	if engine < 0 || d.book.now() < since {
+	if engine < 0 || d.observed.now() < since {
 		return
 	}
-	d.book.locked(func() {
-		for _, t := range d.book.Told {
+	d.observed.locked(func() {
+		for _, t := range d.observed.DrainNotices {
 			if t.Gateway == gateway && t.Engine == engine && t.Since == since {
 				return
 			}
 		}
-		d.book.Told = append(d.book.Told, Told{Gateway: gateway, Engine: engine, At: d.book.now(), Since: since, Until: Never})
+		d.observed.DrainNotices = append(d.observed.DrainNotices, DrainNotice{Gateway: gateway, Engine: engine, At: d.observed.now(), Since: since, Until: Never})
 	})
 }
 
 // silent waits while discovery is silent.
-func (d *discovery) silent(ctx context.Context) {
+func (d *discovery) awaitOutage(ctx context.Context) {
 	for ctx.Err() == nil {
-		now := d.book.now()
-		if d.plan.Silent == 0 || now < d.plan.SilentAt || now >= d.plan.SilentAt+d.plan.Silent {
+		now := d.observed.now()
+		if d.plan.Outage == 0 || now < d.plan.OutageStart || now >= d.plan.OutageStart+d.plan.Outage {
 			return
 		}
-		wait(ctx, nil, min(d.plan.SilentAt+d.plan.Silent-now, 50*time.Millisecond))
+		wait(ctx, nil, min(d.plan.OutageStart+d.plan.Outage-now, 50*time.Millisecond))
 	}
 }
 
-const watchBeat = 2 * time.Second
+const watchHeartbeat = 2 * time.Second
 
 // listen serves one gateway and returns the address.
 func (d *discovery) listen(ctx context.Context, gateway int) (string, error) {
@@ -138,10 +138,10 @@
 		return "", fmt.Errorf("discovery: %w", err)
 	}
 	srv := &http.Server{ReadHeaderTimeout: time.Minute, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		within, stop := context.WithCancel(r.Context())
+		reqCtx, stop := context.WithCancel(r.Context())
 		defer stop()
 		defer context.AfterFunc(ctx, stop)()
-		d.serve(within, w, r, gateway)
+		d.serve(reqCtx, w, r, gateway)
 	})}
 	context.AfterFunc(ctx, func() { srv.Close() })
 	go srv.Serve(l)
@@ -149,10 +149,10 @@
 }
 
 func (d *discovery) serve(ctx context.Context, w http.ResponseWriter, r *http.Request, gateway int) {
-	d.silent(ctx)
+	d.awaitOutage(ctx)
 	if r.URL.Query().Get("watch") == "" {
 		l, _ := d.list(gateway, -1)
-		d.told(gateway)
+		d.recordDrainNotice(gateway)
 		_ = json.NewEncoder(w).Encode(l)
 		return
 	}
@@ -162,14 +162,14 @@
 	}
 	out := http.NewResponseController(w)
 	var reset <-chan time.Time
-	if at := d.plan.WatchReset - d.book.now(); d.plan.WatchReset > 0 && at > 0 {
+	if at := d.plan.WatchReset - d.observed.now(); d.plan.WatchReset > 0 && at > 0 {
 		reset = time.After(at)
 	}
 	for ctx.Err() == nil {
-		d.silent(ctx)
+		d.awaitOutage(ctx)
 		l, wake := d.list(gateway, after)
 		if after < 0 || len(l.Members) > 0 {
-			d.told(gateway)
+			d.recordDrainNotice(gateway)
 			if json.NewEncoder(w).Encode(l) != nil {
 				return
 			}
@@ -185,7 +185,7 @@
 		case <-reset:
 			panic(http.ErrAbortHandler)
 		case <-wake:
-		case <-time.After(watchBeat):
+		case <-time.After(watchHeartbeat):
 		}
 	}
 }
--- a/experiments/soak/engines.go
+++ b/experiments/soak/engines.go
@@ -16,12 +16,12 @@
 
 // fleet is the engines of a seed. They keep the book's side of attempts and states.
 type fleet struct {
-	plan   Plan
-	book   *Book
-	mu     sync.Mutex
-	random *rand.Rand
-	states map[string][]*State // held, by request
-	all    []*engineServer
+	plan     Plan
+	observed *Observations
+	mu       sync.Mutex
+	random   *rand.Rand
+	states   map[string][]*HeldState // held, by request
+	all      []*engineServer
 }
 
 // engineServer is one engine.
@@ -35,8 +35,8 @@
 
 const maxEngineBody = 1 << 20
 
-func startFleet(ctx context.Context, p Plan, b *Book) (*fleet, error) {
-	f := &fleet{plan: p, book: b, random: rand.New(rand.NewPCG(p.Seed, 7)), states: map[string][]*State{}}
+func startFleet(ctx context.Context, p Plan, b *Observations) (*fleet, error) {
+	f := &fleet{plan: p, observed: b, random: rand.New(rand.NewPCG(p.Seed, 7)), states: map[string][]*HeldState{}}
 	for n := range prefillEngines + decodeEngines {
 		l, err := net.Listen("tcp4", "127.0.0.1:0")
 		if err != nil {
@@ -69,17 +69,17 @@
 }
 
 // between draws a duration.
-func (f *fleet) between(least, most time.Duration) time.Duration {
-	return least + time.Duration(f.draw()*float64(most-least))
+func (f *fleet) between(minimum, maximum time.Duration) time.Duration {
+	return minimum + time.Duration(f.draw()*float64(maximum-minimum))
 }
 
 // call is one request at an engine.
 type call struct {
-	conn    net.Conn
-	request *http.Request
-	id      string
-	attempt *Attempt
-	gone    <-chan struct{} // closed once the gateway has given it up
+	conn      net.Conn
+	request   *http.Request
+	id        string
+	attempt   *Attempt
+	abandoned <-chan struct{} // closed once the gateway has given it up
 }
 
 func (e *engineServer) serve(ctx context.Context, c net.Conn) {
@@ -89,7 +89,7 @@
 	if _, err := in.Peek(1); err != nil {
 		return
 	}
-	first := e.fleet.book.now()
+	first := e.fleet.observed.now()
 	for {
 		req, err := http.ReadRequest(in)
 		if err != nil {
@@ -98,18 +98,18 @@
 		if _, err := io.Copy(io.Discard, io.LimitReader(req.Body, maxEngineBody)); err != nil {
 			return
 		}
-		last := e.fleet.book.now()
-		gone, next := make(chan struct{}), make(chan bool, 1)
+		last := e.fleet.observed.now()
+		abandoned, next := make(chan struct{}), make(chan bool, 1)
 		go func() {
 			_, err := in.Peek(1)
 			if err != nil {
-				close(gone)
+				close(abandoned)
 			} else {
-				first = e.fleet.book.now()
+				first = e.fleet.observed.now()
 			}
 			next <- err == nil
 		}()
-		one := &call{conn: c, request: req, gone: gone, attempt: &Attempt{Engine: e.number, Decode: e.decode, First: first, Last: last, Ended: Never}}
+		one := &call{conn: c, request: req, abandoned: abandoned, attempt: &Attempt{Engine: e.number, Decode: e.decode, FirstByte: first, LastByte: last, Ended: Never}}
 		if !e.answer(ctx, one) {
 			return
 		}
@@ -134,38 +134,38 @@
 	if ms, err := strconv.Atoi(c.request.Header.Get("X-Deadline-Ms")); err == nil {
 		c.attempt.Deadline = time.Duration(ms) * time.Millisecond
 	}
-	book := e.fleet.book
+	observed := e.fleet.observed
 	c.attempt.ID = c.id
-	book.locked(func() { book.Attempts = append(book.Attempts, c.attempt) })
-	defer book.locked(func() {
-		c.attempt.Ended = book.now()
+	observed.locked(func() { observed.Attempts = append(observed.Attempts, c.attempt) })
+	defer observed.locked(func() {
+		c.attempt.Ended = observed.now()
 	})
 	switch chance, p := e.fleet.draw(), e.fleet.plan; {
 	case chance < p.EngineBusy:
 		return reply(c.conn, "503 Service Unavailable", "X-Not-Run: 1\r\n", "")
 	case chance < p.EngineBusy+p.EngineHang:
-		book.locked(func() { c.attempt.Spoilt = true })
-		wait(ctx, c.gone, time.Minute)
+		observed.locked(func() { c.attempt.FaultInjected = true })
+		wait(ctx, c.abandoned, time.Minute)
 		return false
 	case chance < p.EngineBusy+p.EngineHang+p.EngineCut:
-		book.locked(func() { c.attempt.Spoilt = true })
-		wait(ctx, c.gone, e.fleet.between(0, 40*time.Millisecond))
+		observed.locked(func() { c.attempt.FaultInjected = true })
+		wait(ctx, c.abandoned, e.fleet.between(0, 40*time.Millisecond))
 		return false
 	}
 	if e.decode {
 		return e.stream(ctx, c)
 	}
 	wait(ctx, nil, e.fleet.between(3*time.Millisecond, 50*time.Millisecond))
-	e.fleet.hold(c.id)
+	e.fleet.holdState(c.id)
 	return reply(c.conn, "202 Accepted", "X-Request-Id: "+c.id+"\r\n", `{"cached_tokens":0}`)
 }
 
 // wait waits until gone is closed or for so long, and tells whether gone was not.
-func wait(ctx context.Context, gone <-chan struct{}, d time.Duration) bool {
+func wait(ctx context.Context, abandoned <-chan struct{}, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
-	case <-gone:
+	case <-abandoned:
 		return false
 	case <-time.After(d):
 		return true
@@ -178,12 +178,12 @@
 }
 
 // hold records the state that a read leaves.
-func (f *fleet) hold(id string) {
-	s := &State{ID: id, From: f.book.now(), Until: Never}
+func (f *fleet) holdState(id string) {
+	s := &HeldState{ID: id, From: f.observed.now(), Until: Never}
 	f.mu.Lock()
 	f.states[id] = append(f.states[id], s)
 	f.mu.Unlock()
-	f.book.locked(func() { f.book.States = append(f.book.States, s) })
+	f.observed.locked(func() { f.observed.HeldStates = append(f.observed.HeldStates, s) })
 }
 
 // answerLost records that the answer of a read is lost: what it leaves is held, and its gateway does not
@@ -192,7 +192,7 @@
 	f.mu.Lock()
 	held := f.states[id]
 	f.mu.Unlock()
-	f.book.locked(func() {
+	f.observed.locked(func() {
 		for _, s := range held {
 			s.AnswerLost = true
 		}
@@ -205,9 +205,9 @@
 	held := f.states[id]
 	delete(f.states, id)
 	f.mu.Unlock()
-	f.book.locked(func() {
+	f.observed.locked(func() {
 		for _, s := range held {
-			s.Until = f.book.now()
+			s.Until = f.observed.now()
 		}
 	})
 	return len(held) > 0
@@ -218,20 +218,20 @@
 	if !e.fleet.release(c.id) {
 		return reply(c.conn, "410 Gone", "X-Not-Run: 1\r\n", "")
 	}
-	book := e.fleet.book
-	book.locked(func() { c.attempt.Ran = true })
-	if !wait(ctx, c.gone, e.fleet.between(5*time.Millisecond, 80*time.Millisecond)) {
+	observed := e.fleet.observed
+	observed.locked(func() { c.attempt.Ran = true })
+	if !wait(ctx, c.abandoned, e.fleet.between(5*time.Millisecond, 80*time.Millisecond)) {
 		return false
 	}
 	pause := e.fleet.between(30*time.Millisecond, 120*time.Millisecond)
 	events := 1 + int(e.fleet.between(0, 2800*time.Millisecond)/pause)
 	head := "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for n := range events {
-		text := fmt.Sprintf(`data: {"choices":[{"index":0,"delta":{"content":"t:%d;"},"finish_reason":null}]}`+"\n\n", book.now())
+		text := fmt.Sprintf(`data: {"choices":[{"index":0,"delta":{"content":"t:%d;"},"finish_reason":null}]}`+"\n\n", observed.now())
 		if _, err := fmt.Fprintf(c.conn, "%s%x\r\n%s\r\n", head, len(text), text); err != nil {
 			return false
 		}
-		if head = ""; n+1 < events && !wait(ctx, c.gone, pause) {
+		if head = ""; n+1 < events && !wait(ctx, c.abandoned, pause) {
 			return false
 		}
 	}
--- a/experiments/soak/network.go
+++ b/experiments/soak/network.go
@@ -36,11 +36,11 @@
 
 // Bounds of the faults that are drawn.
 const (
-	leastLossPause = 40 * time.Millisecond
-	mostLossPause  = 400 * time.Millisecond
-	leastOutage    = 300 * time.Millisecond
-	mostOutage     = 2500 * time.Millisecond
-	networkStream  = 49 // of random numbers, apart from that of the rest of the plan
+	minLossPause  = 40 * time.Millisecond
+	maxLossPause  = 400 * time.Millisecond
+	minOutage     = 300 * time.Millisecond
+	maxOutage     = 2500 * time.Millisecond
+	networkStream = 49 // of random numbers, apart from that of the rest of the plan
 )
 
 // drawNetwork draws the zones, kills in the middle of a file's write, and the faults of the network: none in
@@ -59,7 +59,7 @@
 	engines := prefillEngines + decodeEngines
 	add := func(s NetworkStep) { p.Network = append(p.Network, s) }
 	for g := range p.Gateways {
-		for at := stepsBegin; at < length; at += leastLossPause + time.Duration(r.Int64N(int64(mostLossPause-leastLossPause))) {
+		for at := stepsBegin; at < trafficLength; at += minLossPause + time.Duration(r.Int64N(int64(maxLossPause-minLossPause))) {
 			add(NetworkStep{At: at, Fault: LoseOne, Gateway: g, Engine: r.IntN(engines), Use: faultnet.Use(r.IntN(3)), Ways: faultnet.Ways(1 + r.IntN(3))})
 		}
 	}
@@ -75,11 +75,11 @@
 }
 
 func drawnTime(r *rand.Rand) time.Duration {
-	return stepsBegin + time.Duration(r.Int64N(int64(length-2*stepsBegin)))
+	return stepsBegin + time.Duration(r.Int64N(int64(trafficLength-2*stepsBegin)))
 }
 
 func drawnOutage(r *rand.Rand) time.Duration {
-	return leastOutage + time.Duration(r.Int64N(int64(mostOutage-leastOutage)))
+	return minOutage + time.Duration(r.Int64N(int64(maxOutage-minOutage)))
 }
 
 // zone is that of a gateway or an engine, by its number.
@@ -128,10 +128,10 @@
 var lostAnswer = regexp.MustCompile(`^HTTP/1.1 202 Accepted\r\nX-Request-Id: (\S+)`)
 
 // run carries out the faults, each at its time after begun.
-func (n *network) run(ctx context.Context, b *Book, begun time.Duration, f *fleet) {
+func (n *network) run(ctx context.Context, b *Observations, start time.Duration, f *fleet) {
 	steps := slices.SortedFunc(slices.Values(n.plan.Network), func(a, b NetworkStep) int { return cmp.Compare(a.At, b.At) })
 	for _, s := range steps {
-		if wait(ctx, nil, begun+s.At-b.now()); ctx.Err() != nil {
+		if wait(ctx, nil, start+s.At-b.now()); ctx.Err() != nil {
 			return
 		}
 		n.step(ctx, s, f)
--- a/experiments/soak/plan.go
+++ b/experiments/soak/plan.go
@@ -14,7 +14,7 @@
 	prefillEngines = 2
 	decodeEngines  = 3
 	drainGrace     = 1500 * time.Millisecond
-	length         = 9 * time.Second // of a seed's traffic
+	trafficLength  = 9 * time.Second // of a seed's traffic
 	stepsBegin     = 800 * time.Millisecond
 )
 
@@ -29,29 +29,29 @@
 
 // Plan is all that is drawn from one seed.
 type Plan struct {
-	Seed       uint64
-	Gateways   int
-	Shared     bool // the clients' socket is held by the platform, for upgrades
-	Resume     bool // clients ask for the rest of a stream that is cut off
-	Effect     Effect
-	Deadline   time.Duration
-	Retuned    time.Duration // the deadline after SIGHUP
-	Attempts   int
-	PinLimit   time.Duration
-	Clients    int // of each gateway
-	Crowd      int // idle connections to each gateway
-	Sockets    int
-	EngineHang float64       // the part of attempts that an engine leaves without an answer
-	EngineCut  float64       // the part whose connection it breaks
-	EngineBusy float64       // the part that it turns away
-	EngineIdle time.Duration // engines close connections that rest for so long; 0 for never
-	WatchReset time.Duration // all open watches are reset then; 0 for never
-	Silent     time.Duration
-	SilentAt   time.Duration // since when discovery is silent, for Silent
-	Zones      int           // of gateways and engines
-	Network    []NetworkStep // faults between gateways and engines
-	Faults     []Injected    // for each gateway; used with a program that can inject them
-	Steps      []Step
+	Seed             uint64
+	Gateways         int
+	Shared           bool // the clients' socket is held by the platform, for upgrades
+	Resume           bool // clients ask for the rest of a stream that is cut off
+	Effect           Effect
+	Deadline         time.Duration
+	ReloadedDeadline time.Duration // the deadline after SIGHUP
+	Attempts         int
+	PinLimit         time.Duration
+	Clients          int // of each gateway
+	IdleConns        int // idle connections to each gateway
+	Sockets          int
+	EngineHang       float64       // the part of attempts that an engine leaves without an answer
+	EngineCut        float64       // the part whose connection it breaks
+	EngineBusy       float64       // the part that it turns away
+	EngineIdle       time.Duration // engines close connections that rest for so long; 0 for never
+	WatchReset       time.Duration // all open watches are reset then; 0 for never
+	Outage           time.Duration
+	OutageStart      time.Duration // since when discovery is silent, for Silent
+	Zones            int           // of gateways and engines
+	Network          []NetworkStep // faults between gateways and engines
+	Faults           []Injected    // for each gateway; used with a program that can inject them
+	Steps            []Step
 }
 
 // Injected is the schedule of one gateway's faults of the system, as internal/faultinject reads it.
@@ -117,7 +117,7 @@
 		steps = append(steps, s.String())
 	}
 	return fmt.Sprintf("gateways %d zones %d network faults %d shared %v resume %v %s deadline %v then %v attempts %d pin %v clients %d crowd %d; %s",
-		p.Gateways, p.zones(), len(p.Network), p.Shared, p.Resume, p.Effect, p.Deadline, p.Retuned, p.Attempts, p.PinLimit, p.Clients, p.Crowd, strings.Join(steps, ", "))
+		p.Gateways, p.zones(), len(p.Network), p.Shared, p.Resume, p.Effect, p.Deadline, p.ReloadedDeadline, p.Attempts, p.PinLimit, p.Clients, p.IdleConns, strings.Join(steps, ", "))
 }
 
 // draw makes the plan of a seed. The same seed gives the same plan.
@@ -126,7 +126,7 @@
 	deadlines := []time.Duration{300 * time.Millisecond, 800 * time.Millisecond, 2 * time.Second, 3 * time.Second, 8 * time.Second}
 	p := Plan{
 		Seed: seed, Gateways: 1 + r.IntN(4), Shared: r.IntN(3) == 0, Resume: r.IntN(2) == 0, Effect: Free,
-		Deadline: deadlines[r.IntN(len(deadlines))], Retuned: deadlines[r.IntN(len(deadlines))], Attempts: 2 + r.IntN(4), // a read and an answer at least
+		Deadline: deadlines[r.IntN(len(deadlines))], ReloadedDeadline: deadlines[r.IntN(len(deadlines))], Attempts: 2 + r.IntN(4), // a read and an answer at least
 
 		PinLimit: time.Duration(200+r.IntN(2000)) * time.Millisecond, Clients: 6 + r.IntN(10), Sockets: 512,
 		EngineHang: 0.01 * float64(r.IntN(3)), EngineCut: 0.01 * float64(r.IntN(4)), EngineBusy: 0.02 * float64(r.IntN(4)),
@@ -135,10 +135,10 @@
 		p.Effect = SingleShot
 	}
 	if r.IntN(4) == 0 {
-		p.Crowd, p.Sockets = 150, 160
+		p.IdleConns, p.Sockets = 150, 160
 	}
 	if r.IntN(3) == 0 {
-		p.SilentAt, p.Silent = time.Duration(1000+r.IntN(3000))*time.Millisecond, time.Duration(500+r.IntN(4000))*time.Millisecond
+		p.OutageStart, p.Outage = time.Duration(1000+r.IntN(3000))*time.Millisecond, time.Duration(500+r.IntN(4000))*time.Millisecond
 	}
 	if r.IntN(2) == 0 {
 		p.EngineIdle = time.Duration(50+r.IntN(500)) * time.Millisecond
@@ -157,7 +157,7 @@
 // drainPlan is one drain and nothing else.
 func drainPlan(seed uint64) Plan {
 	return Plan{
-		Seed: seed, Gateways: 1, Effect: SingleShot, Deadline: 8 * time.Second, Retuned: 8 * time.Second, Attempts: 4, PinLimit: 2 * time.Second,
+		Seed: seed, Gateways: 1, Effect: SingleShot, Deadline: 8 * time.Second, ReloadedDeadline: 8 * time.Second, Attempts: 4, PinLimit: 2 * time.Second,
 		Clients: 60, Sockets: 512, Faults: make([]Injected, 1), Steps: []Step{{At: 3 * time.Second, Verb: Standby}},
 	}
 }
@@ -181,7 +181,7 @@
 	}
 	add := func(s Step) { p.Steps = append(p.Steps, s) }
 	for g := range p.Gateways {
-		for at := stepsBegin + time.Duration(r.IntN(1500))*time.Millisecond; at < length-time.Second; {
+		for at := stepsBegin + time.Duration(r.IntN(1500))*time.Millisecond; at < trafficLength-time.Second; {
 			s := Step{At: at, Gateway: g, Verb: verbs[r.IntN(len(verbs))], For: time.Duration(20+r.IntN(131)) * time.Millisecond}
 			add(s)
 			pause := time.Duration(r.IntN(3000)) * time.Millisecond
@@ -197,8 +197,8 @@
 		add(Step{At: at, Gateway: g, Engine: ejected, Verb: EjectOne})
 		add(Step{At: at + 4*time.Second, Gateway: g, Engine: ejected, Verb: ReturnOne})
 	}
-	drained := stepsBegin + time.Duration(r.IntN(2500))*time.Millisecond
-	add(Step{At: drained, Engine: engine, Verb: DrainOne})
-	add(Step{At: drained + 4*time.Second, Engine: engine, Verb: BackOne})
+	drainAt := stepsBegin + time.Duration(r.IntN(2500))*time.Millisecond
+	add(Step{At: drainAt, Engine: engine, Verb: DrainOne})
+	add(Step{At: drainAt + 4*time.Second, Engine: engine, Verb: BackOne})
 	slices.SortStableFunc(p.Steps, func(a, b Step) int { return int(a.At - b.At) })
 }
--- a/experiments/soak/process.go
+++ b/experiments/soak/process.go
@@ -32,39 +32,39 @@
 
 // gateway is one gateway: its processes, one after the other, and what clients know of it.
 type gateway struct {
-	number  int
-	plan    Plan
-	program string
-	dir     string
-	config  string // the file
-	where   string // discovery's address
+	number        int
+	plan          Plan
+	program       string
+	dir           string
+	config        string // the file
+	discoveryAddr string // discovery's address
 
 	discovery *discovery
 
-	book   *Book
-	socket *os.File // the clients', where the platform holds it; nil otherwise
+	observed *Observations
+	socket   *os.File // the clients', where the platform holds it; nil otherwise
 
-	mu       sync.Mutex
-	current  *process
-	addr     string
-	deadline time.Duration // of the settings in force
-	drain    *Drain        // under way, or the last one
-	unkept   []unkept
-	admitted atomic.Bool
+	mu              sync.Mutex
+	running         *process
+	addr            string
+	deadline        time.Duration // of the settings in force
+	drain           *Drain        // under way, or the last one
+	failedEjections []failedEjection
+	admitted        atomic.Bool
 
-	stepping     sync.Mutex // held while something is done to the process
+	stepMu       sync.Mutex // held while something is done to the process
 	killedInFile bool       // a process was killed in the middle of a file's write, as planned; mu guards it
 }
 
 // process is one run of the program.
 type process struct {
-	cmd     *exec.Cmd
-	life    *Life
-	control string
-	serving string
-	began   chan struct{} // closed once it says where it serves and takes calls, or ends
-	ended   chan struct{}
-	broken  string // an invariant that the log says was broken
+	cmd       *exec.Cmd
+	record    *ProcessRecord
+	control   string
+	serving   string
+	ready     chan struct{} // closed once it says where it serves and takes calls, or ends
+	ended     chan struct{}
+	violation string // an invariant that the log says was broken
 }
 
 // settings is the platform's document.
@@ -83,7 +83,7 @@
 func (g *gateway) write() error {
 	all, _ := g.discovery.list(g.number, -1)
 	text, err := json.Marshal(map[string]any{
-		"name": fmt.Sprint("g", g.number), "listen": "127.0.0.1:0", "discovery": g.where, "control": "127.0.0.1:0", "seed": fmt.Sprintf("%x", g.plan.Seed),
+		"name": fmt.Sprint("g", g.number), "listen": "127.0.0.1:0", "discovery": g.discoveryAddr, "control": "127.0.0.1:0", "seed": fmt.Sprintf("%x", g.plan.Seed),
 		"limits": map[string]any{"cores": 1, "memory_mb": 128, "sockets": g.plan.Sockets}, "settings": g.settings(), "known": all,
 	})
 	if err != nil {
@@ -112,17 +112,17 @@
 	if err != nil {
 		return nil, err
 	}
-	keep, err := os.OpenFile(filepath.Join(g.dir, "log"), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
+	logFile, err := os.OpenFile(filepath.Join(g.dir, "log"), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	p := &process{cmd: cmd, life: &Life{Gateway: g.number, Started: g.book.now(), Ready: Never, Terminated: Never, Killed: Never, Ended: Never}, began: make(chan struct{}), ended: make(chan struct{})}
+	p := &process{cmd: cmd, record: &ProcessRecord{Gateway: g.number, Started: g.observed.now(), Ready: Never, Terminated: Never, Killed: Never, Ended: Never}, ready: make(chan struct{}), ended: make(chan struct{})}
 	if err := cmd.Start(); err != nil {
 		return nil, err
 	}
-	g.book.locked(func() { g.book.Lives = append(g.book.Lives, p.life) })
-	go g.follow(ctx, p, errs, keep)
-	<-p.began
+	g.observed.locked(func() { g.observed.Processes = append(g.observed.Processes, p.record) })
+	go g.follow(ctx, p, errs, logFile)
+	<-p.ready
 	return p, nil
 }
 
@@ -145,9 +145,9 @@
 		return false
 	}
 	status, ok := failed.Sys().(syscall.WaitStatus)
-	untold := true
-	g.book.locked(func() { untold = p.life.Killed == Never })
-	if !ok || status.Signal() != syscall.SIGKILL || !untold {
+	unplanned := true
+	g.observed.locked(func() { unplanned = p.record.Killed == Never })
+	if !ok || status.Signal() != syscall.SIGKILL || !unplanned {
 		return false
 	}
 	g.mu.Lock()
@@ -158,29 +158,29 @@
 
 // restart starts the process that follows one that was killed, unless a step has done so.
 func (g *gateway) restart(ctx context.Context, killed *process) {
-	g.stepping.Lock()
-	defer g.stepping.Unlock()
-	if p, _, _ := g.now(); p != killed || ctx.Err() != nil {
+	g.stepMu.Lock()
+	defer g.stepMu.Unlock()
+	if p, _, _ := g.snapshot(); p != killed || ctx.Err() != nil {
 		return
 	}
-	g.interrupted()
+	g.markInterrupted()
 	g.endDrain()
-	_ = g.next(ctx) // what comes of a gateway that does not start again is judged by its readiness
+	_ = g.startNext(ctx) // what comes of a gateway that does not start again is judged by its readiness
 }
 
 // follow reads a process's log to its end, and records how it ended.
-func (g *gateway) follow(ctx context.Context, p *process, errs io.Reader, keep io.WriteCloser) {
+func (g *gateway) follow(ctx context.Context, p *process, errs io.Reader, logFile io.WriteCloser) {
 	defer close(p.ended)
-	defer keep.Close()
-	began := sync.OnceFunc(func() { close(p.began) })
-	defer began()
+	defer logFile.Close()
+	ready := sync.OnceFunc(func() { close(p.ready) })
+	defer ready()
 	scan := bufio.NewScanner(errs)
 	scan.Buffer(nil, 1<<20)
 	for scan.Scan() {
-		fmt.Fprintln(keep, scan.Text())
+		fmt.Fprintln(logFile, scan.Text())
 		var line struct{ Message, Listen, Control string }
 		if json.Unmarshal(scan.Bytes(), &line) != nil {
-			p.broken = "it wrote " + scan.Text()
+			p.violation = "it wrote " + scan.Text()
 			continue
 		}
 		switch {
@@ -189,10 +189,10 @@
 		case line.Message == "control listener open":
 			p.control = line.Control
 		case strings.Contains(line.Message, "invariant"):
-			p.broken = scan.Text()
+			p.violation = scan.Text()
 		}
 		if p.serving != "" && p.control != "" {
-			began()
+			ready()
 		}
 	}
 	err := p.cmd.Wait()
@@ -200,35 +200,35 @@
 	if inFile {
 		go g.restart(ctx, p)
 	}
-	g.book.locked(func() {
-		p.life.Ended = g.book.now()
+	g.observed.locked(func() {
+		p.record.Ended = g.observed.now()
 		if inFile {
-			p.life.Killed = p.life.Ended
+			p.record.Killed = p.record.Ended
 		}
-		if exit := (*exec.ExitError)(nil); err != nil && p.life.Killed == Never && errors.As(err, &exit) {
-			p.life.Crashed = fmt.Sprintf("ended by itself: %v %s", err, p.broken)
-		} else if p.broken != "" {
-			p.life.Crashed = p.broken
-		} else if p.life.Terminated == Never && p.life.Killed == Never {
-			p.life.Crashed = "ended by itself, untold"
+		if exit := (*exec.ExitError)(nil); err != nil && p.record.Killed == Never && errors.As(err, &exit) {
+			p.record.CrashReason = fmt.Sprintf("ended by itself: %v %s", err, p.violation)
+		} else if p.violation != "" {
+			p.record.CrashReason = p.violation
+		} else if p.record.Terminated == Never && p.record.Killed == Never {
+			p.record.CrashReason = "ended by itself, untold"
 		}
 	})
 }
 
 // enter makes a process the one that clients and operators know.
-func (g *gateway) enter(p *process) {
+func (g *gateway) publish(p *process) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.current = p
+	g.running = p
 	if g.socket == nil {
 		g.addr = p.serving
 	}
 }
 
-func (g *gateway) now() (p *process, addr string, deadline time.Duration) {
+func (g *gateway) snapshot() (p *process, addr string, deadline time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.current, g.addr, g.deadline
+	return g.running, g.addr, g.deadline
 }
 
 // call makes an operator's call.
@@ -248,9 +248,9 @@
 
 // healthy asks for a gateway's health on a connection of its own.
 func healthy(ctx context.Context, addr string) bool {
-	within, stop := context.WithTimeout(ctx, time.Second)
+	reqCtx, stop := context.WithTimeout(ctx, time.Second)
 	defer stop()
-	req, err := http.NewRequestWithContext(within, http.MethodGet, "http://"+addr+"/healthz", nil)
+	req, err := http.NewRequestWithContext(reqCtx, http.MethodGet, "http://"+addr+"/healthz", nil)
 	if err != nil {
 		return false
 	}
@@ -266,22 +266,22 @@
 // front watches a gateway's health, as what deals out clients does.
 func (g *gateway) front(ctx context.Context) {
 	for ; ctx.Err() == nil; wait(ctx, nil, frontEvery) {
-		p, addr, _ := g.now()
+		p, addr, _ := g.snapshot()
 		ok := healthy(ctx, addr)
-		now := g.book.now()
-		g.book.locked(func() {
-			if ok && p.life.Ready == Never {
-				p.life.Ready = now
+		now := g.observed.now()
+		g.observed.locked(func() {
+			if ok && p.record.Ready == Never {
+				p.record.Ready = now
 			}
 			d := g.drain
 			if d == nil || !ok {
 				return
 			}
-			if now > d.At+drainJudged && now < d.Until && d.HealthyAt == Never {
-				d.HealthyAt = now
+			if now > d.At+drainCheckDelay && now < d.Until && d.HealthyInDrain == Never {
+				d.HealthyInDrain = now
 			}
-			if d.ActiveAt != Never && d.HealthyAgain == Never {
-				d.HealthyAgain = now
+			if d.ActiveAt != Never && d.HealthyAfter == Never {
+				d.HealthyAfter = now
 			}
 		})
 		if ok {
@@ -293,35 +293,35 @@
 }
 
 // interrupted notes that something is done to the process, so that a drain can't be judged by it.
-func (g *gateway) interrupted() {
-	g.book.locked(func() {
+func (g *gateway) markInterrupted() {
+	g.observed.locked(func() {
 		d := g.drain
 		if d == nil {
 			return
 		}
-		now := g.book.now()
-		if now < d.At+drainJudged+slack {
-			d.DrainBroken = true
+		now := g.observed.now()
+		if now < d.At+drainCheckDelay+slack {
+			d.DrainInterrupted = true
 		}
-		if d.ActiveAt == Never || now < d.ActiveAt+drainOver+slack {
-			d.ActiveBroken = true
+		if d.ActiveAt == Never || now < d.ActiveAt+drainEndLimit+slack {
+			d.ActiveInterrupted = true
 		}
 	})
 }
 
 // end ends a drain's record.
 func (g *gateway) endDrain() {
-	g.book.locked(func() {
+	g.observed.locked(func() {
 		if g.drain != nil {
-			g.drain.Until = min(g.drain.Until, g.book.now())
+			g.drain.Until = min(g.drain.Until, g.observed.now())
 		}
 	})
 }
 
 // terminate sends SIGTERM and, at the earliest time that the page allows, SIGKILL.
 func (g *gateway) terminate(p *process) {
-	_, _, deadline := g.now()
-	g.book.locked(func() { p.life.Terminated = g.book.now() })
+	_, _, deadline := g.snapshot()
+	g.observed.locked(func() { p.record.Terminated = g.observed.now() })
 	_ = p.cmd.Process.Signal(syscall.SIGTERM)
 	select {
 	case <-p.ended:
@@ -338,7 +338,7 @@
 		return
 	default:
 	}
-	g.book.locked(func() { p.life.Killed = g.book.now() })
+	g.observed.locked(func() { p.record.Killed = g.observed.now() })
 	_ = p.cmd.Process.Kill()
 	select {
 	case <-p.ended:
@@ -347,7 +347,7 @@
 }
 
 // next starts the process that follows one that has ended.
-func (g *gateway) next(ctx context.Context) error {
+func (g *gateway) startNext(ctx context.Context) error {
 	if err := g.write(); err != nil { // the platform gives it the list as last known
 		return err
 	}
@@ -355,17 +355,17 @@
 	if err != nil {
 		return err
 	}
-	g.enter(p)
+	g.publish(p)
 	return nil
 }
 
 // step carries out one step.
 func (g *gateway) step(ctx context.Context, s Step) error {
-	g.stepping.Lock()
-	defer g.stepping.Unlock()
-	p, _, _ := g.now()
+	g.stepMu.Lock()
+	defer g.stepMu.Unlock()
+	p, _, _ := g.snapshot()
 	if s.Verb != Active && s.Verb != Standby && s.Verb != EjectOne && s.Verb != ReturnOne {
-		g.interrupted()
+		g.markInterrupted()
 	}
 	switch s.Verb {
 	case Standby:
@@ -375,14 +375,14 @@
 	case EjectOne:
 		g.eject(p, s.Engine)
 	case ReturnOne:
-		g.giveBack(p, s.Engine)
+		g.readmit(p, s.Engine)
 	case Stop:
 		_ = p.cmd.Process.Signal(syscall.SIGSTOP)
 		wait(ctx, nil, s.For)
 		_ = p.cmd.Process.Signal(syscall.SIGCONT)
 	case Reload:
 		g.mu.Lock()
-		g.deadline = g.plan.Retuned
+		g.deadline = g.plan.ReloadedDeadline
 		g.mu.Unlock()
 		if err := g.write(); err != nil {
 			return err
@@ -395,7 +395,7 @@
 			g.terminate(p)
 		}
 		g.endDrain()
-		return g.next(ctx)
+		return g.startNext(ctx)
 	case Upgrade:
 		return g.upgrade(ctx, p)
 	}
@@ -406,48 +406,48 @@
 	if !operatorsCall(p.control, "standby") {
 		return
 	}
-	g.book.locked(func() {
+	g.observed.locked(func() {
 		if g.drain != nil && g.drain.Until == Never {
 			return // it drains already
 		}
-		g.drain = &Drain{Gateway: g.number, At: g.book.now(), Until: Never, HealthyAt: Never, ActiveAt: Never, HealthyAgain: Never}
-		g.book.Drains = append(g.book.Drains, g.drain)
+		g.drain = &Drain{Gateway: g.number, At: g.observed.now(), Until: Never, HealthyInDrain: Never, ActiveAt: Never, HealthyAfter: Never}
+		g.observed.Drains = append(g.observed.Drains, g.drain)
 	})
 }
 
 func (g *gateway) active(p *process) {
-	sent := g.book.now()
+	sent := g.observed.now()
 	yes := operatorsCall(p.control, "active")
-	g.book.locked(func() {
+	g.observed.locked(func() {
 		if d := g.drain; yes && d != nil && d.Until == Never {
-			d.Until, d.ActiveAt = sent, g.book.now()
+			d.Until, d.ActiveAt = sent, g.observed.now()
 		}
 	})
 }
 
 // ejectionDue is how long after a call an engine is out, whatever the answer.
-const ejectionDue = time.Second
+const ejectionDelay = time.Second
 
 func (g *gateway) eject(p *process, engine int) {
-	sent := g.book.now()
+	sent := g.observed.now()
 	yes := operatorsCall(p.control, fmt.Sprint("maint-on d", engine))
-	g.book.locked(func() {
-		e := &Ejection{Gateway: g.number, Engine: engine, At: sent + ejectionDue, Until: Never}
+	g.observed.locked(func() {
+		e := &Ejection{Gateway: g.number, Engine: engine, At: sent + ejectionDelay, Until: Never}
 		if !yes { // it is told not to outlast the process, and not to hold if there was none
-			if e.Until = p.life.Ended; p.life.Terminated != Never || p.life.Killed != Never {
+			if e.Until = p.record.Ended; p.record.Terminated != Never || p.record.Killed != Never {
 				return
 			}
-			g.unkept = append(g.unkept, unkept{e, p})
+			g.failedEjections = append(g.failedEjections, failedEjection{e, p})
 		}
-		g.book.Ejected = append(g.book.Ejected, e)
+		g.observed.Ejections = append(g.observed.Ejections, e)
 	})
 }
 
-func (g *gateway) giveBack(p *process, engine int) {
-	g.book.locked(func() {
-		for _, e := range g.book.Ejected {
+func (g *gateway) readmit(p *process, engine int) {
+	g.observed.locked(func() {
+		for _, e := range g.observed.Ejections {
 			if e.Gateway == g.number && e.Engine == engine {
-				e.Until = min(e.Until, g.book.now())
+				e.Until = min(e.Until, g.observed.now())
 			}
 		}
 	})
@@ -455,21 +455,21 @@
 		if operatorsCall(p.control, fmt.Sprint("maint-off d", engine)) {
 			return
 		}
-		p, _, _ = g.now()
+		p, _, _ = g.snapshot()
 	}
 }
 
 // unkept is an ejection that was told no, and the process that has it in force.
-type unkept struct {
+type failedEjection struct {
 	ejection *Ejection
 	process  *process
 }
 
 // endUnkept ends the ejections that a process had in force and could not write.
-func (g *gateway) endUnkept() {
-	g.book.locked(func() {
-		for _, u := range g.unkept {
-			u.ejection.Until = min(u.ejection.Until, u.process.life.Ended)
+func (g *gateway) endFailedEjections() {
+	g.observed.locked(func() {
+		for _, u := range g.failedEjections {
+			u.ejection.Until = min(u.ejection.Until, u.process.record.Ended)
 		}
 	})
 }
@@ -484,10 +484,10 @@
 	if err != nil {
 		return err
 	}
-	for until := g.book.now() + upgradeWait; g.book.now() < until && !operatorsCall(p.control, "status"); {
+	for until := g.observed.now() + upgradeWait; g.observed.now() < until && !operatorsCall(p.control, "status"); {
 		wait(ctx, nil, 50*time.Millisecond)
 	}
-	g.enter(p)
+	g.publish(p)
 	g.terminate(old)
 	return nil
 }
--- a/experiments/soak/soak.go
+++ b/experiments/soak/soak.go
@@ -20,13 +20,13 @@
 
 // Sizes of a run.
 const (
-	usualSeeds    = 50
-	usualDrains   = 10
-	quickSeeds    = 6
-	atOnceSeeds   = 3
-	restAfter     = 1500 * time.Millisecond // after the traffic, until all is to be back where it was
-	moreAllowed   = 8                       // descriptors beyond those at the start
-	clientsFinish = 12 * time.Second
+	defaultSeeds        = 50
+	defaultDrains       = 10
+	quickSeeds          = 6
+	parallelSeeds       = 3
+	settleTime          = 1500 * time.Millisecond // after the traffic, until all is to be back where it was
+	maxExtraDescriptors = 8                       // descriptors beyond those at the start
+	clientsFinish       = 12 * time.Second
 )
 
 // Experiment returns the soak.
@@ -35,7 +35,7 @@
 		Name:  "soak",
 		About: "Drawn plans of faults, signals and calls, played with real processes and judged from outside.",
 		Run: func(ctx context.Context, opt experiments.Options) (*experiments.Report, error) {
-			return run(ctx, opt, usualSeeds, atOnceSeeds, draw)
+			return run(ctx, opt, defaultSeeds, parallelSeeds, draw)
 		},
 	}
 }
@@ -46,92 +46,92 @@
 		Name:  "drains",
 		About: "Gateways that are told to drain under clients that go on at once, rest or send slowly; no faults.",
 		Run: func(ctx context.Context, opt experiments.Options) (*experiments.Report, error) {
-			return run(ctx, opt, usualDrains, 1, drainPlan)
+			return run(ctx, opt, defaultDrains, 1, drainPlan)
 		},
 	}
 }
 
 // result is what came of one seed.
 type result struct {
-	plan     Plan
-	breaches []Breach
-	book     *Book
-	err      error
+	plan       Plan
+	violations []Violation
+	observed   *Observations
+	err        error
 }
 
 // run plays seeds, so many at once, by the plans that drawn gives.
-func run(ctx context.Context, opt experiments.Options, usual, atOnce int, drawn func(seed uint64) Plan) (*experiments.Report, error) {
+func run(ctx context.Context, opt experiments.Options, defaultCount, parallel int, planFor func(seed uint64) Plan) (*experiments.Report, error) {
 	seeds := opt.Seeds
 	if seeds == 0 {
-		seeds = usual
+		seeds = defaultCount
 	}
 	if opt.Quick {
 		seeds = quickSeeds
 	}
 	results := make([]result, seeds)
-	turns := make(chan struct{}, atOnce)
+	slots := make(chan struct{}, parallel)
 	var group sync.WaitGroup
-	begun := time.Now()
+	start := time.Now()
 	for n := range results {
-		turns <- struct{}{}
+		slots <- struct{}{}
 		group.Go(func() {
-			defer func() { <-turns }()
-			results[n] = playSeed(ctx, opt, drawn(opt.Seed+uint64(n)))
-			report(opt, begun, results[n])
+			defer func() { <-slots }()
+			results[n] = runSeed(ctx, opt, planFor(opt.Seed+uint64(n)))
+			report(opt, start, results[n])
 		})
 	}
 	group.Wait()
 	return summary(results), nil
 }
 
-func report(opt experiments.Options, begun time.Time, r result) {
+func report(opt experiments.Options, start time.Time, r result) {
 	verdict := "held"
 	switch {
 	case r.err != nil:
 		verdict = "NOT PLAYED: " + r.err.Error()
-	case len(r.breaches) > 0:
-		verdict = fmt.Sprintf("BROKEN (%d): %v", len(r.breaches), r.breaches[0])
+	case len(r.violations) > 0:
+		verdict = fmt.Sprintf("BROKEN (%d): %v", len(r.violations), r.violations[0])
 	}
-	opt.Say(begun, "seed %d: %s\n          %v", r.plan.Seed, verdict, r.plan)
+	opt.Say(start, "seed %d: %s\n          %v", r.plan.Seed, verdict, r.plan)
 }
 
 func summary(results []result) *experiments.Report {
 	r := &experiments.Report{}
 	t := experiments.Table{Title: "Seeds", Head: []string{"seed", "requests", "served", "attempts", "processes", "drains", "first broken rule"}}
 	byRule := map[Rule]int{}
-	unplayed := 0
+	failed := 0
 	var ends []time.Duration
 	for _, one := range results {
 		if one.err != nil {
-			unplayed++
+			failed++
 			t.Rows = append(t.Rows, []any{one.plan.Seed, "", "", "", "", "", one.err.Error()})
 			continue
 		}
 		first := ""
-		if len(one.breaches) > 0 {
-			first = one.breaches[0].String()
+		if len(one.violations) > 0 {
+			first = one.violations[0].String()
 		}
 		seen := map[Rule]bool{}
-		for _, b := range one.breaches {
+		for _, b := range one.violations {
 			if !seen[b.Rule] {
 				byRule[b.Rule]++
 			}
 			seen[b.Rule] = true
 		}
 		served := 0
-		for _, q := range one.book.Requests {
-			if q.Status == 200 && q.Whole {
+		for _, q := range one.observed.Requests {
+			if q.Status == 200 && q.Complete {
 				served++
 			}
 		}
-		ends = append(ends, drainEnds(one.book)...)
-		t.Rows = append(t.Rows, []any{one.plan.Seed, len(one.book.Requests), served, len(one.book.Attempts), len(one.book.Lives), len(one.book.Drains), first})
+		ends = append(ends, drainEnds(one.observed)...)
+		t.Rows = append(t.Rows, []any{one.plan.Seed, len(one.observed.Requests), served, len(one.observed.Attempts), len(one.observed.Processes), len(one.observed.Drains), first})
 	}
 	r.Tables = append(r.Tables, t)
-	for _, rule := range []Rule{Lost, Duplicate, DrainEng, DrainCli, Held, Deadlines, LeftRule, Events, Ready, Crash, Bad, Descriptors} {
+	for _, rule := range []Rule{Lost, Duplicate, EngineDrain, ClientDrain, HeldTooLong, Deadlines, SentAfterClose, EventsInTime, Ready, Crash, IncompleteKept, Descriptors} {
 		r.Hold(byRule[rule] == 0, "no rule broken: "+string(rule), "%d of %d seeds", byRule[rule], len(results))
 	}
-	r.Hold(unplayed == 0, "every seed was played", "%d were not", unplayed)
+	r.Hold(failed == 0, "every seed was played", "%d were not", failed)
 	if slices.Sort(ends); len(ends) > 0 {
 		r.Notes = append(r.Notes, fmt.Sprintf("%d drains judged: from the call until the last connection ended, median %v, p99 %v, highest %v",
 			len(ends), at(ends, 0.5), at(ends, 0.99), ends[len(ends)-1].Round(time.Millisecond)))
@@ -145,9 +145,9 @@
 
 // drainEnds returns, for each drain that was judged, how long after the call the last connection
 // ended that was open then.
-func drainEnds(b *Book) (ends []time.Duration) {
+func drainEnds(b *Observations) (ends []time.Duration) {
 	for _, d := range b.Drains {
-		if d.DrainBroken || d.Until < d.At+drainJudged {
+		if d.DrainInterrupted || d.Until < d.At+drainCheckDelay {
 			continue
 		}
 		last := time.Duration(0)
@@ -162,9 +162,9 @@
 }
 
 // world is all that one seed is played with.
-type world struct {
+type testbed struct {
 	plan      Plan
-	book      *Book
+	observed  *Observations
 	fleet     *fleet
 	discovery *discovery
 	network   *network // nil without faults of the network
@@ -173,34 +173,34 @@
 }
 
 // playSeed plays one seed and judges it.
-func playSeed(ctx context.Context, opt experiments.Options, p Plan) result {
-	r := result{plan: p, book: newBook()}
+func runSeed(ctx context.Context, opt experiments.Options, p Plan) result {
+	r := result{plan: p, observed: newObservations()}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	dir := filepath.Join(opt.Work, fmt.Sprint("seed-", p.Seed))
-	w, err := newWorld(ctx, opt.Program, dir, r.plan, r.book)
+	w, err := newTestbed(ctx, opt.Program, dir, r.plan, r.observed)
 	if err != nil {
 		r.err = err
 		return r
 	}
-	r.err = w.play(ctx)
-	r.book.locked(func() { r.breaches = append(r.breaches, Check(r.plan, r.book)...) })
-	if len(r.breaches) > 0 {
-		_ = os.WriteFile(filepath.Join(dir, "breaches"), []byte(lines(r.breaches)), 0o600)
+	r.err = w.runPlan(ctx)
+	r.observed.locked(func() { r.violations = append(r.violations, Check(r.plan, r.observed)...) })
+	if len(r.violations) > 0 {
+		_ = os.WriteFile(filepath.Join(dir, "breaches"), []byte(lines(r.violations)), 0o600)
 	}
 	return r
 }
 
-func lines(breaches []Breach) string {
+func lines(violations []Violation) string {
 	var b strings.Builder
-	for _, one := range breaches {
+	for _, one := range violations {
 		fmt.Fprintln(&b, one)
 	}
 	return b.String()
 }
 
-func newWorld(ctx context.Context, program, dir string, p Plan, b *Book) (*world, error) {
-	w := &world{plan: p, book: b, baseline: map[*process]int{}}
+func newTestbed(ctx context.Context, program, dir string, p Plan, b *Observations) (*testbed, error) {
+	w := &testbed{plan: p, observed: b, baseline: map[*process]int{}}
 	var err error
 	if w.fleet, err = startFleet(ctx, p, b); err != nil {
 		return nil, err
@@ -221,15 +221,15 @@
 	return w, nil
 }
 
-func (w *world) newGateway(ctx context.Context, program, dir string, n int) (*gateway, error) {
+func (w *testbed) newGateway(ctx context.Context, program, dir string, n int) (*gateway, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
-	where, err := w.discovery.listen(ctx, n)
+	discoveryAddr, err := w.discovery.listen(ctx, n)
 	if err != nil {
 		return nil, err
 	}
-	g := &gateway{number: n, plan: w.plan, program: program, dir: dir, config: filepath.Join(dir, "config.json"), where: where, discovery: w.discovery, book: w.book, deadline: w.plan.Deadline}
+	g := &gateway{number: n, plan: w.plan, program: program, dir: dir, config: filepath.Join(dir, "config.json"), discoveryAddr: discoveryAddr, discovery: w.discovery, observed: w.observed, deadline: w.plan.Deadline}
 	if w.plan.Shared {
 		l, err := net.Listen("tcp4", "127.0.0.1:0")
 		if err != nil {
@@ -241,26 +241,26 @@
 		g.addr = l.Addr().String()
 		l.Close()
 	}
-	return g, g.next(ctx)
+	return g, g.startNext(ctx)
 }
 
 var errNotServing = errors.New("a gateway did not begin to serve")
 
 // play plays the plan to its end.
-func (w *world) play(ctx context.Context) error {
-	watching, endFronts := context.WithCancel(ctx)
+func (w *testbed) runPlan(ctx context.Context) error {
+	frontCtx, endFronts := context.WithCancel(ctx)
 	defer endFronts()
 	for _, g := range w.gateways {
-		if g.current.serving == "" {
+		if g.running.serving == "" {
 			return errNotServing
 		}
-		go g.front(watching)
+		go g.front(frontCtx)
 	}
 	for _, g := range w.gateways {
-		for until := w.book.now() + readyLimit; !g.admitted.Load() && w.book.now() < until; {
-			wait(ctx, nil, noGateway)
+		for until := w.observed.now() + readyLimit; !g.admitted.Load() && w.observed.now() < until; {
+			wait(ctx, nil, gatewayPoll)
 		}
-		w.baseline[g.current] = g.current.descriptors()
+		w.baseline[g.running] = g.running.descriptors()
 	}
 	traffic, endTraffic := context.WithCancel(ctx)
 	defer endTraffic()
@@ -269,30 +269,30 @@
 		for n := range w.plan.Clients {
 			clients.Go(func() { newClient(g, n).run(traffic) })
 		}
-		for range w.plan.Crowd {
-			clients.Go(func() { g.crowd(traffic) })
+		for range w.plan.IdleConns {
+			clients.Go(func() { g.holdIdleConn(traffic) })
 		}
 	}
 	errs := make(chan error, len(w.gateways)+1)
-	begun := w.book.now()
+	start := w.observed.now()
 	for n, g := range w.gateways {
 		steps.Go(func() {
-			errs <- w.steps(ctx, begun, func(s Step) bool { return !s.engine() && s.Gateway == n }, g.step)
+			errs <- w.steps(ctx, start, func(s Step) bool { return !s.engine() && s.Gateway == n }, g.step)
 		})
 	}
-	steps.Go(func() { errs <- w.steps(ctx, begun, Step.engine, w.engineStep) })
+	steps.Go(func() { errs <- w.steps(ctx, start, Step.engine, w.engineStep) })
 	if w.network != nil {
-		go w.network.run(traffic, w.book, begun, w.fleet)
+		go w.network.run(traffic, w.observed, start, w.fleet)
 	}
-	wait(ctx, nil, length)
+	wait(ctx, nil, trafficLength)
 	steps.Wait()
 	endTraffic()
 	finished := make(chan struct{})
 	go func() { clients.Wait(); close(finished) }()
 	wait(ctx, finished, clientsFinish)
-	wait(ctx, nil, restAfter+w.plan.PinLimit)
+	wait(ctx, nil, settleTime+w.plan.PinLimit)
 	endFronts()
-	w.end()
+	w.shutDown()
 	close(errs)
 	for err := range errs {
 		if err != nil {
@@ -307,13 +307,13 @@
 
 // steps carries out the plan's steps that are chosen, each at its time or as soon as the one before
 // is done.
-func (w *world) steps(ctx context.Context, begun time.Duration, chosen func(Step) bool, do func(context.Context, Step) error) error {
+func (w *testbed) steps(ctx context.Context, start time.Duration, chosen func(Step) bool, do func(context.Context, Step) error) error {
 	for _, s := range w.plan.Steps {
 		if !chosen(s) {
 			continue
 		}
-		wait(ctx, nil, begun+s.At-w.book.now())
-		if begun+s.At+3*time.Second < w.book.now() && !s.engine() {
+		wait(ctx, nil, start+s.At-w.observed.now())
+		if start+s.At+3*time.Second < w.observed.now() && !s.engine() {
 			continue // the one before took too long
 		}
 		if err := do(ctx, s); err != nil {
@@ -323,7 +323,7 @@
 	return nil
 }
 
-func (w *world) engineStep(_ context.Context, s Step) error {
+func (w *testbed) engineStep(_ context.Context, s Step) error {
 	phase := "leaving"
 	if s.Verb == BackOne {
 		phase = "active"
@@ -333,13 +333,13 @@
 }
 
 // end looks at what the processes still have open, and ends them.
-func (w *world) end() {
+func (w *testbed) shutDown() {
 	var group sync.WaitGroup
 	for _, g := range w.gateways {
-		p, _, _ := g.now()
-		if open, first := p.descriptors(), w.baseline[p]; first > 0 && open > first+moreAllowed {
-			w.book.locked(func() {
-				w.book.Open = append(w.book.Open, Open{Gateway: g.number, At: w.book.now(), First: first, Last: open})
+		p, _, _ := g.snapshot()
+		if open, first := p.descriptors(), w.baseline[p]; first > 0 && open > first+maxExtraDescriptors {
+			w.observed.locked(func() {
+				w.observed.DescriptorLeaks = append(w.observed.DescriptorLeaks, DescriptorLeak{Gateway: g.number, At: w.observed.now(), Before: first, After: open})
 			})
 		}
 		g.endDrain()
@@ -347,6 +347,6 @@
 	}
 	group.Wait()
 	for _, g := range w.gateways {
-		g.endUnkept()
+		g.endFailedEjections()
 	}
 }
