--- a/experiments/soak/book.go
+++ b/experiments/soak/book.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Book is what the checker goes by: what clients, engines and the operators' side saw, on one clock.
+// Observations is the input of the checker: what clients, engines and operators observed, on one clock.
 type Observations struct {
 	mu                 sync.Mutex
 	start              time.Time
@@ -23,7 +23,7 @@
 
 func newObservations() *Observations { return &Observations{start: time.Now()} }
 
-// now is the time on the book's clock.
+// now returns the time since the start of the observations.
 func (b *Observations) now() time.Duration { return time.Since(b.start) }
 
 func (b *Observations) locked(do func()) {
@@ -32,105 +32,105 @@
 	do()
 }
 
-// Never is later than anything.
+// Never marks an event that did not happen; it sorts after every time.
 const Never = time.Duration(1<<63 - 1)
 
-// Request is one request as its client saw it.
+// Request is one request as its client observed it. Its times are Never for an event that did not happen.
 type Request struct {
 	ID           string
 	Gateway      int
-	Sent         time.Duration // its last byte
-	Deadline     time.Duration // as told to the gateway
-	ClientClosed time.Duration // the client closed its connection; Never
-	FirstByte    time.Duration // first byte of the answer; Never
-	Ended        time.Duration // last byte of the answer, or the connection's end; Never
-	Status       int           // 0 for none
-	Complete     bool          // the answer came to its end
-	LateEvents   int           // events that came too late
+	Sent         time.Duration // last byte written
+	Deadline     time.Duration // as sent to the gateway
+	ClientClosed time.Duration // the client closed its connection
+	FirstByte    time.Duration // first byte of the answer
+	Ended        time.Duration // last byte of the answer, or the end of the connection
+	Status       int           // 0 without an answer
+	Complete     bool          // the answer was read to its end
+	LateEvents   int           // events that exceeded the event limit
 	Conn         *Connection
 }
 
-// Connection is a client's connection as its client saw it.
+// Connection is one client connection as its client observed it.
 type Connection struct {
 	Gateway int
 	Opened  time.Duration
-	Closed  time.Duration // the client saw its end, or ended it; Never
+	Closed  time.Duration // either end closed it; Never while open
 }
 
-// Attempt is one attempt as its engine saw it.
+// Attempt is one attempt as its engine observed it.
 type Attempt struct {
 	ID            string
 	Engine        int
 	Decode        bool
-	FirstByte     time.Duration // first byte
-	LastByte      time.Duration // last byte
-	Deadline      time.Duration // as the engine was told
-	Ran           bool          // a decode engine began to answer
-	FaultInjected bool          // the engine hung or broke it
+	FirstByte     time.Duration // arrival of the first byte
+	LastByte      time.Duration // arrival of the last byte
+	Deadline      time.Duration // as sent to the engine
+	Ran           bool          // a decode engine started to answer
+	FaultInjected bool          // the engine hung, or closed the connection, on purpose
 	Ended         time.Duration // Never while it runs
 }
 
-// State is a read state that an engine holds.
+// HeldState is the held state of one prefill request at an engine.
 type HeldState struct {
 	ID    string
 	From  time.Duration
-	Until time.Duration // fetched or released; Never
+	Until time.Duration // fetched or released; otherwise Never
 
-	AnswerLost bool // on its way to the gateway, whose attempt is out until it gives it up
+	AnswerLost bool // the prefill answer was lost; the gateway's attempt is in flight until it is abandoned
 }
 
-// Span is a stretch of time.
+// Span is a time interval.
 type Span struct{ From, To time.Duration }
 
-// Told is when discovery told a gateway that an engine drains.
+// DrainNotice is the time at which discovery informed a gateway that an engine drains.
 type DrainNotice struct {
 	Gateway, Engine int
 	At              time.Duration // written to the gateway
-	Since           time.Duration // discovery had it
-	Until           time.Duration // it was told to be back; Never
+	Since           time.Duration // discovery had the change
+	Until           time.Duration // discovery listed the engine as active again; otherwise Never
 }
 
-// Life is one process of a gateway.
+// ProcessRecord is one process of a gateway. Its times are Never for an event that did not happen.
 type ProcessRecord struct {
 	Gateway     int
 	Started     time.Duration
-	Ready       time.Duration // Never
-	Terminated  time.Duration // SIGTERM; Never
-	Killed      time.Duration // SIGKILL; Never
-	Ended       time.Duration // Never
-	CrashReason string        // how it ended by itself, where it should not have
+	Ready       time.Duration // first successful health check
+	Terminated  time.Duration // SIGTERM
+	Killed      time.Duration // SIGKILL
+	Ended       time.Duration // exit of the process
+	CrashReason string        // why the process exited although nothing stopped it
 	Stops       []Span        // SIGSTOP to SIGCONT
 }
 
-// Drain is a drain by call.
+// Drain is one drain by an operator's command.
 type Drain struct {
 	Gateway           int
-	At                time.Duration // the call was answered
-	Until             time.Duration // `active`, or the end of the process; Never
-	HealthyInDrain    time.Duration // first yes after the drain's 4 s; Never
-	ActiveAt          time.Duration // `active` was answered with yes; Never
-	HealthyAfter      time.Duration // first yes after that; Never
-	DrainInterrupted  bool          // something else was done to the process before the drain was judged
-	ActiveInterrupted bool          // the same, before the return was
+	At                time.Duration // the command was answered
+	Until             time.Duration // `active`, or the end of the process; otherwise Never
+	HealthyInDrain    time.Duration // first successful health check later than 4 s into the drain; otherwise Never
+	ActiveAt          time.Duration // `active` was answered with YES; otherwise Never
+	HealthyAfter      time.Duration // first successful health check after ActiveAt; otherwise Never
+	DrainInterrupted  bool          // another step affected the process before the drain was checked
+	ActiveInterrupted bool          // another step affected the process before its return to service was checked
 }
 
-// Hostile is a client that stopped in the middle of a request and stayed.
+// IncompleteRequest is a request whose client sent only part of it and kept the connection open.
 type IncompleteRequest struct {
 	Gateway int
 	Since   time.Duration
-	Ended   time.Duration // answered or closed; Never
+	Ended   time.Duration // answered or closed; otherwise Never
 }
 
-// Open is a process with more descriptors open after its traffic than before.
+// DescriptorLeak is a process with more open descriptors after its traffic than before.
 type DescriptorLeak struct {
 	Gateway       int
 	At            time.Duration
 	Before, After int
 }
 
-// Ejection is an engine that operators took out at one gateway.
+// Ejection is a manual ejection of an engine at one gateway.
 type Ejection struct {
 	Gateway, Engine int
-	At              time.Duration // from when on nothing new may go there, but for the grace
-	Until           time.Duration // the call back or, where the call out was told no, the end of the process; Never
+	At              time.Duration // start of the ejection; new attempts are allowed only for the drain grace after it
+	Until           time.Duration // the engine was readmitted, or the process ended that failed to store the ejection; otherwise Never
 }
--- a/experiments/soak/check.go
+++ b/experiments/soak/check.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// What the rules allow, with the slack of a machine that plays several programs at once.
+// Limits of the rules. They include slack for a machine that runs several programs concurrently.
 const (
-	slack            = 250 * time.Millisecond // of this machine: the lab's own clients and engines wait for a core, too
+	slack            = 250 * time.Millisecond // the experiment's own clients and engines wait for a CPU core too
 	answerSlack      = 500 * time.Millisecond
 	drainCheckDelay  = 4 * time.Second
 	drainAcceptLimit = 2 * time.Second
@@ -18,13 +18,13 @@
 	deadlineSlack    = 150 * time.Millisecond
 	closeSlack       = 100 * time.Millisecond
 	eventLimit       = 300 * time.Millisecond
-	streamsPerLate   = 20 // one stream in so many may have an event held back
+	streamsPerLate   = 20 // at most one stream in this many may have a late event
 	readyLimit       = 10 * time.Second
 	incompleteLimit  = 3 * time.Second
 	killGrace        = 700 * time.Millisecond
 )
 
-// Rule names a rule of the protocol.
+// Rule is the name of a rule of the protocol, as the report prints it.
 type Rule string
 
 // The rules that are checked.
@@ -44,7 +44,7 @@
 	Descriptors Rule = "descriptors"
 )
 
-// Breach is a rule that was broken.
+// Violation is one violation of a rule.
 type Violation struct {
 	Rule   Rule
 	At     time.Duration
@@ -55,7 +55,7 @@
 	return fmt.Sprintf("%s at %.3fs: %s", b.Rule, b.At.Seconds(), b.Detail)
 }
 
-// Check returns the breaches in a book, the first first.
+// Check returns the violations in the observations, in order of time.
 func Check(p Plan, b *Observations) []Violation {
 	c := &checker{plan: p, observed: b, attempts: map[string][]*Attempt{}, requests: map[string]*Request{}}
 	for _, a := range b.Attempts {
@@ -94,8 +94,8 @@
 	c.violations = append(c.violations, Violation{rule, at, fmt.Sprintf(format, args...)})
 }
 
-// accepted is when a process could first accept what a client sent at a time. On a socket that the
-// platform holds connections come up while no process is there, after a kill.
+// accepted returns the earliest time at which a process could accept what a client sent at the time sent.
+// On a socket owned by the platform, connections are established after a kill while no process runs.
 func (c *checker) accepted(gateway int, sent time.Duration) time.Duration {
 	next := Never
 	for _, l := range c.observed.Processes {
@@ -115,9 +115,9 @@
 	return next
 }
 
-// killed tells whether the process that had a request was ended by SIGKILL while it was open, where
-// that frees it of the answer: a kill without warning, or one after SIGTERM for a request that had
-// come no later than the grace after it.
+// killed reports whether SIGKILL ended the process of a request while the request was open, in a way that
+// excuses a missing answer: a kill without SIGTERM, or a kill after SIGTERM for a request that was sent at
+// most killGrace after the SIGTERM.
 func (c *checker) killed(q *Request) bool {
 	for _, l := range c.observed.Processes {
 		if l.Gateway != q.Gateway || q.Sent < l.Started-slack || l.Killed == Never || l.Killed < q.Sent-slack {
@@ -133,7 +133,7 @@
 	return false
 }
 
-// cutAllowed tells whether the request's process may have cut its stream off to end in time.
+// cutAllowed reports whether the request's process was allowed to cut its stream to exit in time.
 func (c *checker) cutAllowed(q *Request) bool {
 	for _, l := range c.observed.Processes {
 		if l.Gateway == q.Gateway && c.plan.Resume && l.Terminated != Never && q.Ended >= l.Terminated && q.Ended <= l.Terminated+5*time.Second {
@@ -143,7 +143,7 @@
 	return false
 }
 
-// answers checks that every request that was taken has its one final answer, in time and whole.
+// answers checks that every accepted request has one final answer, complete and in time.
 func (c *checker) answers() {
 	for _, q := range c.observed.Requests {
 		if q.ClientClosed != Never || c.killed(q) {
@@ -168,15 +168,15 @@
 	}
 }
 
-// breaks is how often connections to engines are made to break under a gateway.
+// breaks returns the rate of injected connection failures between a gateway and its engines.
 func (p Plan) breaks(gateway int) float64 { return p.Faults[gateway].Break }
 
-// spoilt tells whether an engine hung or broke one of the attempts, or was never heard to its end.
+// faultInjected reports whether an engine hung, or closed the connection, on purpose in one of the attempts.
 func (c *checker) faultInjected(tries []*Attempt) bool {
 	return slices.ContainsFunc(tries, func(a *Attempt) bool { return a.FaultInjected })
 }
 
-// runs checks that nothing that must not run twice does.
+// duplicates checks that requests of class effect single_shot run at most once.
 func (c *checker) duplicates() {
 	if c.plan.Effect != SingleShot {
 		return
@@ -196,7 +196,7 @@
 	}
 }
 
-// engineDrains checks that nothing new goes to an engine that drains.
+// engineDrains checks that a draining engine gets no new attempts.
 func (c *checker) engineDrains() {
 	for _, t := range c.observed.DrainNotices {
 		told := min(t.At, t.Since+noticeLimit)
@@ -212,8 +212,8 @@
 	}
 }
 
-// ejections checks that nothing new goes to an engine that operators took out, also by the processes
-// that follow the one that was called.
+// ejections checks that a manually ejected engine gets no new attempts, including from the processes that
+// succeed the one that got the command.
 func (c *checker) ejections() {
 	for _, e := range c.observed.Ejections {
 		for _, a := range c.observed.Attempts {
@@ -228,7 +228,7 @@
 	}
 }
 
-// clientDrains checks drains by call, 4 s after the call and 2 s after their end.
+// clientDrains checks drains by command, 4 s after the command and 2 s after the end of the drain.
 func (c *checker) clientDrains() {
 	for _, d := range c.observed.Drains {
 		at := d.At + drainCheckDelay
@@ -263,7 +263,7 @@
 	}
 }
 
-// states checks that what is held for a request is fetched or released in time.
+// states checks that every held state is fetched or released in time.
 func (c *checker) states() {
 	limit := c.plan.PinLimit + pinSlack + slack
 	for _, s := range c.observed.HeldStates {
@@ -272,12 +272,12 @@
 			continue
 		}
 		from := s.From
-		for _, a := range c.attempts[s.ID] { // in order of arrival
+		for _, a := range c.attempts[s.ID] { // sorted by arrival
 			if a.LastByte <= from+limit {
 				from = max(from, a.Ended)
 			}
 		}
-		if s.AnswerLost { // the attempt has ended once its client has its answer, at the latest
+		if s.AnswerLost { // the attempt has ended when its client has the answer, at the latest
 			from = max(from, min(q.FirstByte, q.Ended, q.ClientClosed))
 		}
 		until := min(s.Until, c.observed.end())
@@ -287,7 +287,7 @@
 	}
 }
 
-// end is the end of what the book tells of.
+// end returns the exit time of the last process.
 func (b *Observations) end() time.Duration {
 	end := time.Duration(0)
 	for _, l := range b.Processes {
@@ -298,14 +298,14 @@
 	return end
 }
 
-// processKilled tells whether a process that lived at a time was ended by SIGKILL.
+// processKilled reports whether SIGKILL ended a process that ran at the given time.
 func (c *checker) processKilled(gateway int, at time.Duration) bool {
 	return slices.ContainsFunc(c.observed.Processes, func(l *ProcessRecord) bool {
 		return l.Gateway == gateway && l.Killed != Never && l.Started <= at && at <= l.Killed+slack
 	})
 }
 
-// told checks what engines are told of the time, and that none is sent to for a client that left.
+// deadlines checks the deadlines sent to engines, and that no attempt starts after its client closed.
 func (c *checker) deadlines() {
 	for _, a := range c.observed.Attempts {
 		q := c.requests[a.ID]
@@ -322,7 +322,7 @@
 	}
 }
 
-// events checks that events are passed on as they come.
+// events checks that gateways forward events without delay.
 func (c *checker) events() {
 	streams, late := 0, 0
 	var at time.Duration
@@ -340,14 +340,14 @@
 	}
 }
 
-// lives checks that processes become ready and end as they are told.
+// processes checks that processes become ready in time and exit only when stopped.
 func (c *checker) processes() {
 	for _, l := range c.observed.Processes {
 		if l.CrashReason != "" {
 			c.add(Crash, l.Ended, "g%d: %s", l.Gateway, l.CrashReason)
 		}
 		over := min(l.Ended, l.Terminated, l.Killed)
-		if c.drained(l) { // it was not to be healthy
+		if c.drained(l) { // a draining process does not report ready
 			continue
 		}
 		if l.Ready == Never && over > l.Started+readyLimit || l.Ready != Never && l.Ready > l.Started+readyLimit {
@@ -356,14 +356,14 @@
 	}
 }
 
-// drained tells whether a process was told to drain before it had to be ready.
+// drained reports whether a process got a drain command before its readiness limit.
 func (c *checker) drained(l *ProcessRecord) bool {
 	return slices.ContainsFunc(c.observed.Drains, func(d *Drain) bool {
 		return d.Gateway == l.Gateway && d.At >= l.Started && d.At < l.Started+readyLimit
 	})
 }
 
-// hostile checks that clients that stop in the middle of a request are not kept.
+// incompleteRequests checks that gateways close connections whose request stays incomplete.
 func (c *checker) incompleteRequests() {
 	for _, h := range c.observed.IncompleteRequests {
 		h.Since = c.accepted(h.Gateway, h.Since)
--- a/experiments/soak/check_test.go
+++ b/experiments/soak/check_test.go
@@ -9,7 +9,7 @@
 
 const s = time.Second
 
-// whole is a book of a process that served one request, which breaks no rule.
+// cleanRun returns the observations of a process that served one request without a violation.
 func cleanRun() (Plan, *Observations) {
 	p := Plan{Gateways: 1, Deadline: 2 * s, PinLimit: s, Effect: SingleShot, Faults: make([]Injected, 1)}
 	conn := &Connection{Opened: s, Closed: 4 * s}
@@ -27,7 +27,8 @@
 	}
 }
 
-// Each rule is broken in turn, and the checker names it; as it is, the book breaks none.
+// TestCheckerNamesEachRule violates each rule separately and checks that the checker reports that rule, and
+// that unmodified observations, and permitted deviations, give no violation.
 func TestCheckerNamesEachRule(t *testing.T) {
 	checkedDrain := func() *Drain {
 		return &Drain{At: 5 * s, Until: 10 * s, HealthyInDrain: Never, ActiveAt: Never, HealthyAfter: Never}
@@ -130,7 +131,7 @@
 	}
 }
 
-// The same seed gives the same plan, and others give others.
+// TestPlansFollowFromSeeds checks that one seed always gives the same plan and that two seeds differ.
 func TestPlansFollowFromSeeds(t *testing.T) {
 	if a, b := draw(7), draw(7); !reflect.DeepEqual(a, b) {
 		t.Errorf("%v\n%v", a, b)
@@ -140,7 +141,7 @@
 	}
 }
 
-// A bound of the tests' own: what the lab says of a closed port is a no.
+// TestOperatorsCallWithoutListener checks that a command to a closed port counts as refused.
 func TestOperatorsCallWithoutListener(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
--- a/experiments/soak/clients.go
+++ b/experiments/soak/clients.go
@@ -13,25 +13,25 @@
 	"time"
 )
 
-// How clients behave.
+// Limits and waits of clients.
 const (
 	clientTries    = 3
-	answerBound    = 40 * time.Second // of one answer: beyond every rule
+	answerBound    = 40 * time.Second // for reading one answer; above the limit of every rule
 	gatewayPoll    = 20 * time.Millisecond
 	incompleteWait = 6 * time.Second
 )
 
-// manner is how one client behaves.
+// behavior is how one client sends and reads.
 type behavior uint8
 
 const (
-	continuous behavior = iota // sends its next request at once
-	idling                     // rests between requests
-	slowSender                 // sends in pieces
-	abandoning                 // closes its connection at times, in the middle
-	incomplete                 // stops in the middle of a request at times, and stays
-	pipelining                 // sends two requests at once
-	slowReader                 // reads nothing of an answer for a while
+	continuous behavior = iota // sends the next request without a pause
+	idling                     // pauses between requests
+	slowSender                 // sends a request in pieces
+	abandoning                 // closes some connections in the middle of an answer
+	incomplete                 // sends some requests only in part and keeps the connection open
+	pipelining                 // sends two requests without waiting for the first answer
+	slowReader                 // pauses before it reads an answer
 )
 
 // client is one client of a gateway.
@@ -54,7 +54,7 @@
 	}
 }
 
-// run sends one request after the other until ctx ends.
+// run sends requests sequentially until ctx ends.
 func (c *client) run(ctx context.Context) {
 	defer c.close()
 	for ctx.Err() == nil {
@@ -73,7 +73,7 @@
 	}
 }
 
-// dial opens a connection, if the front deals out any to the gateway.
+// dial opens a connection if the front admits clients to the gateway.
 func (c *client) dial() bool {
 	if !c.admitted.Load() {
 		return false
@@ -98,7 +98,7 @@
 	c.conn = nil
 }
 
-// rest waits for a while, or until the gateway ends the connection.
+// idle pauses for a random time, or until the gateway closes the connection.
 func (c *client) idle(ctx context.Context) {
 	until := time.Duration(c.random.IntN(1500)) * time.Millisecond
 	defer c.readFor(ctx, until)()
@@ -107,7 +107,7 @@
 	}
 }
 
-// readFor bounds reads of the connection by a span and by ctx, until done is called.
+// readFor limits reads of the connection to a duration and to ctx, until done is called.
 func (c *client) readFor(ctx context.Context, d time.Duration) (done func() bool) {
 	conn := c.conn
 	_ = conn.SetReadDeadline(time.Now().Add(d))
@@ -119,7 +119,7 @@
 	return ok && timeout.Timeout()
 }
 
-// request is the text of the next request.
+// request returns the id and the text of the next request.
 func (c *client) request(deadline time.Duration) (id, text string) {
 	c.sent++
 	id = fmt.Sprintf("s%d-%s-%d", c.plan.Seed, c.name, c.sent)
@@ -127,7 +127,7 @@
 		id, c.name, deadline.Milliseconds())
 }
 
-// stop sends half a request and stays.
+// sendPartial sends part of a request and keeps the connection open.
 func (c *client) sendPartial(ctx context.Context) {
 	_, _, deadline := c.snapshot()
 	_, text := c.request(deadline)
@@ -141,7 +141,7 @@
 	_, err := c.in.Peek(1)
 	ended := c.observed.now()
 	if isTimeout(err) {
-		if ended < since+incompleteLimit+slack { // the traffic has ended: nobody looked on
+		if ended < since+incompleteLimit+slack { // the traffic ended before the limit, so the gateway can't be checked
 			c.close()
 			return
 		}
@@ -153,7 +153,7 @@
 	c.close()
 }
 
-// ask sends a request, or two at once, and reads the answers.
+// exchange sends one request, or two pipelined ones, and reads the answers.
 func (c *client) exchange(ctx context.Context) {
 	if c.conn == nil {
 		return
@@ -166,7 +166,7 @@
 	}
 	_ = c.conn.SetDeadline(time.Now().Add(answerBound))
 	if !c.send(ctx, text) {
-		c.close() // it was not sent
+		c.close() // the request was not sent completely
 		return
 	}
 	sent := c.observed.now()
@@ -180,7 +180,7 @@
 		defer c.closeLater(first).Stop()
 	}
 	for n, q := range requests {
-		if n > 0 { // it can't be answered before the one before it
+		if n > 0 { // the second request can't be answered before the first one
 			c.observed.locked(func() { q.Sent = c.observed.now() })
 		}
 		if c.conn == nil {
@@ -197,7 +197,7 @@
 	return &Request{ID: id, Gateway: c.number, Deadline: deadline, ClientClosed: Never, FirstByte: Never, Ended: Never, Conn: c.record}, text
 }
 
-// send writes a request, in pieces if that is the client's manner.
+// send writes a request, in pieces for a slowSender.
 func (c *client) send(ctx context.Context, text string) bool {
 	if c.behavior == slowSender {
 		for _, at := range []int{30, 60} {
@@ -212,7 +212,7 @@
 	return err == nil
 }
 
-// leave closes the connection a moment later, whatever has come by then.
+// closeLater closes the connection after up to 600 ms, whether or not the answer has arrived.
 func (c *client) closeLater(q *Request) *time.Timer {
 	conn := c.conn
 	return time.AfterFunc(time.Duration(c.random.IntN(600))*time.Millisecond, func() {
@@ -239,7 +239,7 @@
 		return
 	}
 	late, complete := c.events(resp.Body)
-	if c.behavior == slowReader { // it is to blame for what came late
+	if c.behavior == slowReader { // the client's own pause delayed the events
 		late = 0
 	}
 	c.observed.locked(func() {
@@ -255,8 +255,8 @@
 	c.observed.locked(func() { q.Ended = c.observed.now() })
 }
 
-// events reads a body to its end, and counts the events that came over the limit after they were
-// written.
+// events reads a body to its end and counts the events that arrived later than the event limit allows,
+// measured from the time that the engine wrote into the event.
 func (c *client) events(body io.Reader) (late int, complete bool) {
 	scan := bufio.NewScanner(body)
 	for scan.Scan() {
@@ -273,7 +273,7 @@
 	return late, scan.Err() == nil
 }
 
-// crowd is a client that rests on connections until the gateway ends them, and comes again.
+// holdIdleConn keeps one idle connection open and reopens it when the gateway closes it.
 func (g *gateway) holdIdleConn(ctx context.Context) {
 	for ; ctx.Err() == nil; wait(ctx, nil, 30*time.Millisecond) {
 		_, addr, _ := g.snapshot()
--- a/experiments/soak/discovery.go
+++ b/experiments/soak/discovery.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// member is an engine in discovery's form.
+// member is an engine in the wire format of discovery.
 type member struct {
 	ID       string  `json:"id"`
 	HostPort string  `json:"host_port"`
@@ -22,26 +22,26 @@
 	UpSince  int64   `json:"up_since_ms"`
 }
 
-// discoveryList is discovery's list or a change of it.
+// discoveryList is a snapshot of the engine list or a delta.
 type discoveryList struct {
 	Revision int64    `json:"revision"`
 	Complete bool     `json:"complete"`
 	Members  []member `json:"members"`
 }
 
-// discovery is the list of engines, told to each gateway at an address of its own.
+// discovery serves the engine list, to each gateway at a separate address.
 type discovery struct {
 	plan     Plan
 	observed *Observations
 
 	mu      sync.Mutex
 	members []member
-	changed map[int]int64 // revision of the latest change, by place in members
+	changed map[int]int64 // revision of the latest change, by index in members
 	rev     int64
 	wake    chan struct{} // closed at each change
-	// addresses are those of the relays to engines, by gateway; empty without relays
+	// addresses holds the relay addresses of the engines, by gateway; empty without relays.
 	addresses [][]string
-	drained   int // the decode engine that drains; -1 for none
+	drained   int // the draining decode engine; -1 for none
 	since     time.Duration
 }
 
@@ -57,8 +57,8 @@
 	return d
 }
 
-// list returns what changed after a revision, with the addresses that a gateway is told; all of it for a
-// negative one.
+// list returns the members that changed after a revision, with the addresses for this gateway; a negative
+// revision gives a snapshot. The channel is closed at the next change.
 func (d *discovery) list(gateway int, after int64) (discoveryList, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -74,7 +74,7 @@
 	return l, d.wake
 }
 
-// set changes the phase of a decode engine; one that is active again has been restarted.
+// set changes the phase of a decode engine. The phase "active" means that the engine was restarted.
 func (d *discovery) set(engine int, phase string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -91,7 +91,7 @@
 	} else {
 		d.drained, d.since = engine, d.observed.now()
 		if end := d.plan.OutageStart + d.plan.Outage; d.since >= d.plan.OutageStart && d.since < end {
-			d.since = end // it can't be reached before
+			d.since = end // discovery can't be reached before the end of its outage
 		}
 	}
 	d.rev++
@@ -100,7 +100,7 @@
 	d.wake = make(chan struct{})
 }
 
-// told records that a gateway has been told of the drain, if there is one.
+// recordDrainNotice records that a gateway was informed of the current drain, if there is one.
 func (d *discovery) recordDrainNotice(gateway int) {
 	d.mu.Lock()
 	engine, since := d.drained, d.since
@@ -118,7 +118,7 @@
 	})
 }
 
-// silent waits while discovery is silent.
+// awaitOutage blocks during the planned outage of discovery.
 func (d *discovery) awaitOutage(ctx context.Context) {
 	for ctx.Err() == nil {
 		now := d.observed.now()
@@ -131,7 +131,7 @@
 
 const watchHeartbeat = 2 * time.Second
 
-// listen serves one gateway and returns the address.
+// listen starts a server for one gateway and returns its address.
 func (d *discovery) listen(ctx context.Context, gateway int) (string, error) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
--- a/experiments/soak/engines.go
+++ b/experiments/soak/engines.go
@@ -14,13 +14,13 @@
 	"time"
 )
 
-// fleet is the engines of a seed. They keep the book's side of attempts and states.
+// fleet is the set of engines of one run. It records the attempts and held states.
 type fleet struct {
 	plan     Plan
 	observed *Observations
 	mu       sync.Mutex
 	random   *rand.Rand
-	states   map[string][]*HeldState // held, by request
+	states   map[string][]*HeldState // held states by request id
 	all      []*engineServer
 }
 
@@ -28,7 +28,7 @@
 type engineServer struct {
 	fleet  *fleet
 	number int
-	place  int // in the fleet
+	place  int // index in the fleet
 	decode bool
 	addr   string
 }
@@ -61,14 +61,14 @@
 	return f, nil
 }
 
-// draw returns a number from 0 to 1.
+// draw returns a random number from 0 to 1.
 func (f *fleet) draw() float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.random.Float64()
 }
 
-// between draws a duration.
+// between returns a random duration between two bounds.
 func (f *fleet) between(minimum, maximum time.Duration) time.Duration {
 	return minimum + time.Duration(f.draw()*float64(maximum-minimum))
 }
@@ -79,7 +79,7 @@
 	request   *http.Request
 	id        string
 	attempt   *Attempt
-	abandoned <-chan struct{} // closed once the gateway has given it up
+	abandoned <-chan struct{} // closed when the gateway closes the connection
 }
 
 func (e *engineServer) serve(ctx context.Context, c net.Conn) {
@@ -123,7 +123,7 @@
 	}
 }
 
-// answer answers one request, and tells whether the connection can carry another.
+// answer answers one request and reports whether the connection can carry another one.
 func (e *engineServer) answer(ctx context.Context, c *call) bool {
 	if c.request.Method == http.MethodDelete {
 		c.id = c.request.URL.Path[strings.LastIndexByte(c.request.URL.Path, '/')+1:]
@@ -160,7 +160,7 @@
 	return reply(c.conn, "202 Accepted", "X-Request-Id: "+c.id+"\r\n", `{"cached_tokens":0}`)
 }
 
-// wait waits until gone is closed or for so long, and tells whether gone was not.
+// wait waits for a duration and reports true, or false if ctx ends or abandoned is closed first.
 func wait(ctx context.Context, abandoned <-chan struct{}, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -177,7 +177,7 @@
 	return err == nil
 }
 
-// hold records the state that a read leaves.
+// holdState records the held state of a completed prefill.
 func (f *fleet) holdState(id string) {
 	s := &HeldState{ID: id, From: f.observed.now(), Until: Never}
 	f.mu.Lock()
@@ -186,8 +186,8 @@
 	f.observed.locked(func() { f.observed.HeldStates = append(f.observed.HeldStates, s) })
 }
 
-// answerLost records that the answer of a read is lost: what it leaves is held, and its gateway does not
-// know that it has ended.
+// answerLost records that the network lost the answer of a prefill: the state is held, but the gateway does
+// not see that the attempt has ended.
 func (f *fleet) answerLost(id string) {
 	f.mu.Lock()
 	held := f.states[id]
@@ -199,7 +199,7 @@
 	})
 }
 
-// release lets go of all that is held for a request, at whatever engine.
+// release releases all held states of a request, at every engine, and reports whether there were any.
 func (f *fleet) release(id string) bool {
 	f.mu.Lock()
 	held := f.states[id]
@@ -213,7 +213,7 @@
 	return len(held) > 0
 }
 
-// stream fetches the state and writes the answer, with the time of writing in each event.
+// stream fetches the held state and writes the answer, with the time of writing in each event.
 func (e *engineServer) stream(ctx context.Context, c *call) bool {
 	if !e.fleet.release(c.id) {
 		return reply(c.conn, "410 Gone", "X-Not-Run: 1\r\n", "")
--- a/experiments/soak/network.go
+++ b/experiments/soak/network.go
@@ -12,45 +12,45 @@
 	"wellgw/experiments/faultnet"
 )
 
-// NetworkFault is a kind of fault of the network between gateways and engines.
+// NetworkFault is a kind of network fault between gateways and engines.
 type NetworkFault string
 
-// The faults. What is sent on a lost connection is taken and never arrives, and nothing shows an error.
+// The faults. Writes to a lost connection succeed, but their data never arrives and no error is reported.
 const (
-	LoseOne   NetworkFault = "connection lost" // one, at rest or in use
-	LoseAll   NetworkFault = "all lost"        // all open ones to one engine; new ones work
-	Vanish    NetworkFault = "vanished"        // an engine's machine, for a while
-	Partition NetworkFault = "partition"       // a gateway from one zone's engines, for a while
+	LoseOne   NetworkFault = "connection lost" // one connection, idle or in use
+	LoseAll   NetworkFault = "all lost"        // all open connections to one engine; new ones work
+	Vanish    NetworkFault = "vanished"        // an engine's machine is unreachable for the duration of the step
+	Partition NetworkFault = "partition"       // a gateway is cut off from the engines of one zone for the duration of the step
 )
 
-// NetworkStep is a fault of the network and its time.
+// NetworkStep is one scheduled network fault.
 type NetworkStep struct {
 	At      time.Duration
-	For     time.Duration // of Vanish and Partition
+	For     time.Duration // duration of Vanish and Partition
 	Fault   NetworkFault
 	Gateway int
-	Engine  int // by its place in the fleet
+	Engine  int // index in the fleet; the zone's index for Partition
 	Use     faultnet.Use
 	Ways    faultnet.Ways
 }
 
-// Bounds of the faults that are drawn.
+// Bounds of the random faults.
 const (
 	minLossPause  = 40 * time.Millisecond
 	maxLossPause  = 400 * time.Millisecond
 	minOutage     = 300 * time.Millisecond
 	maxOutage     = 2500 * time.Millisecond
-	networkStream = 49 // of random numbers, apart from that of the rest of the plan
+	networkStream = 49 // random number stream, separate from that of the other parts of the plan
 )
 
-// drawNetwork draws the zones, kills in the middle of a file's write, and the faults of the network: none in
-// half of the plans.
+// drawNetwork draws the zones, the kills in the middle of a file write and the network faults. Half of the
+// plans have no network faults.
 func (p *Plan) drawNetwork(seed uint64) {
 	r := rand.New(rand.NewPCG(seed, networkStream))
 	p.Zones = 1 + r.IntN(2)
 	for g := range p.Faults {
 		if r.IntN(3) == 0 {
-			p.Faults[g].Kill = 2 + r.IntN(2) // the first is the mark of a process that has just started
+			p.Faults[g].Kill = 2 + r.IntN(2) // the first write is the mark that a process writes when it has started
 		}
 	}
 	if r.IntN(2) == 0 {
@@ -82,15 +82,15 @@
 	return minOutage + time.Duration(r.Int64N(int64(maxOutage-minOutage)))
 }
 
-// zone is that of a gateway or an engine, by its number.
+// zone returns the zone of a gateway or an engine, by its number.
 func (p Plan) zone(number int) string { return zoneNames[number%p.zones()] }
 
-// zones is how many there are; plans that draw none have one.
+// zones returns the number of zones; a plan without drawn zones has one.
 func (p Plan) zones() int { return max(1, p.Zones) }
 
 var zoneNames = []string{"a", "b"}
 
-// network is the relays between gateways and engines.
+// network holds the relays between gateways and engines.
 type network struct {
 	plan   Plan
 	fabric *faultnet.Net
@@ -100,7 +100,7 @@
 
 func (e *engineServer) name() string { return fmt.Sprint("e", e.place) }
 
-// newNetwork puts a relay between each gateway and each engine, whose addresses discovery tells.
+// newNetwork starts a relay between each gateway and each engine and gives the relay addresses to discovery.
 func newNetwork(ctx context.Context, p Plan, f *fleet, d *discovery) (*network, error) {
 	n := &network{plan: p, fabric: faultnet.New(p.Seed)}
 	context.AfterFunc(ctx, n.fabric.Close)
@@ -124,10 +124,10 @@
 	return n, nil
 }
 
-// lostAnswer finds the request in a prefill engine's answer.
+// lostAnswer matches the request id in a prefill engine's answer.
 var lostAnswer = regexp.MustCompile(`^HTTP/1.1 202 Accepted\r\nX-Request-Id: (\S+)`)
 
-// run carries out the faults, each at its time after begun.
+// run triggers each fault at its time after start.
 func (n *network) run(ctx context.Context, b *Observations, start time.Duration, f *fleet) {
 	steps := slices.SortedFunc(slices.Values(n.plan.Network), func(a, b NetworkStep) int { return cmp.Compare(a.At, b.At) })
 	for _, s := range steps {
@@ -158,7 +158,7 @@
 	}
 }
 
-// after does something once a span is over, unless the seed ends before.
+// after calls do after a delay, unless ctx ends first.
 func (n *network) after(ctx context.Context, span time.Duration, do func()) {
 	go func() {
 		if wait(ctx, nil, span) {
--- a/experiments/soak/plan.go
+++ b/experiments/soak/plan.go
@@ -9,52 +9,52 @@
 	"time"
 )
 
-// What a plan's gateways are told of their engines.
+// Constants of all plans.
 const (
 	prefillEngines = 2
 	decodeEngines  = 3
 	drainGrace     = 1500 * time.Millisecond
-	trafficLength  = 9 * time.Second // of a seed's traffic
+	trafficLength  = 9 * time.Second // of the traffic of one run
 	stepsBegin     = 800 * time.Millisecond
 )
 
-// Effect is what a class says of running a request twice.
+// Effect is the effect of a request class: whether a request may run twice.
 type Effect string
 
-// The effects, as settings word them.
+// The effects, spelt as in the settings.
 const (
 	Free       Effect = "free"
 	SingleShot Effect = "single_shot"
 )
 
-// Plan is all that is drawn from one seed.
+// Plan holds everything that is derived from one seed.
 type Plan struct {
 	Seed             uint64
 	Gateways         int
-	Shared           bool // the clients' socket is held by the platform, for upgrades
-	Resume           bool // clients ask for the rest of a stream that is cut off
+	Shared           bool // the platform owns the listening socket, for upgrades
+	Resume           bool // clients resume a stream that was cut off
 	Effect           Effect
 	Deadline         time.Duration
 	ReloadedDeadline time.Duration // the deadline after SIGHUP
 	Attempts         int
 	PinLimit         time.Duration
-	Clients          int // of each gateway
-	IdleConns        int // idle connections to each gateway
+	Clients          int // per gateway
+	IdleConns        int // idle connections per gateway
 	Sockets          int
-	EngineHang       float64       // the part of attempts that an engine leaves without an answer
-	EngineCut        float64       // the part whose connection it breaks
-	EngineBusy       float64       // the part that it turns away
-	EngineIdle       time.Duration // engines close connections that rest for so long; 0 for never
-	WatchReset       time.Duration // all open watches are reset then; 0 for never
+	EngineHang       float64       // fraction of attempts that an engine never answers
+	EngineCut        float64       // fraction of attempts whose connection the engine closes
+	EngineBusy       float64       // fraction of attempts that the engine rejects with 503
+	EngineIdle       time.Duration // engines close connections that are idle for this long; 0 for never
+	WatchReset       time.Duration // time at which all open watches are reset; 0 for never
 	Outage           time.Duration
-	OutageStart      time.Duration // since when discovery is silent, for Silent
-	Zones            int           // of gateways and engines
+	OutageStart      time.Duration // start of the outage of discovery, which lasts for Outage
+	Zones            int           // number of zones of gateways and engines
 	Network          []NetworkStep // faults between gateways and engines
-	Faults           []Injected    // for each gateway; used with a program that can inject them
+	Faults           []Injected    // per gateway; only a program built with fault injection uses them
 	Steps            []Step
 }
 
-// Injected is the schedule of one gateway's faults of the system, as internal/faultinject reads it.
+// Injected is the schedule of the system faults of one gateway, as internal/faultinject reads it.
 type Injected struct {
 	Seed    uint64         `json:"seed"`
 	Accept  float64        `json:"accept"`
@@ -63,10 +63,10 @@
 	Break   float64        `json:"break"`
 	Files   []InjectedSpan `json:"files,omitempty"`
 	Steps   []InjectedStep `json:"steps,omitempty"`
-	Kill    int            `json:"kill"` // the process is killed in the middle of this write of a file, once; 0 for none
+	Kill    int            `json:"kill"` // the process is killed once, in the middle of the file write with this number; 0 for never
 }
 
-// InjectedSpan is a stretch of time, in milliseconds, in which files fail.
+// InjectedSpan is a time interval, in milliseconds, in which file operations fail.
 type InjectedSpan struct {
 	From  int64         `json:"from"`
 	To    int64         `json:"to"`
@@ -79,38 +79,38 @@
 	By int64 `json:"by"`
 }
 
-// Verb is what a step does.
+// Verb is the action of a step.
 type Verb string
 
 // The verbs.
 const (
 	Standby   Verb = "standby"
 	Active    Verb = "active"
-	Terminate Verb = "SIGTERM" // and a new process once that one has ended
-	Kill      Verb = "SIGKILL" // likewise
+	Terminate Verb = "SIGTERM" // followed by a new process after the exit
+	Kill      Verb = "SIGKILL" // followed by a new process after the exit
 	Reload    Verb = "SIGHUP"
 	Stop      Verb = "SIGSTOP" // for up to 0.15 s
-	Upgrade   Verb = "upgrade" // a new process on the same socket, then SIGTERM to the old one
+	Upgrade   Verb = "upgrade" // a new process on the same socket, then SIGTERM to the old process
 	EjectOne  Verb = "maint-on"
 	ReturnOne Verb = "maint-off"
 	DrainOne  Verb = "engine drains"
-	BackOne   Verb = "engine is back" // restarted
+	BackOne   Verb = "engine is back" // the engine was restarted
 )
 
-// Step is something done to a gateway, or to an engine by way of discovery.
+// Step is an action on a gateway, or on an engine through discovery.
 type Step struct {
 	At      time.Duration
 	Gateway int
-	Engine  int // a decode engine
+	Engine  int // number of a decode engine
 	Verb    Verb
-	For     time.Duration // of Stop
+	For     time.Duration // duration of Stop
 }
 
 func (s Step) String() string {
 	return fmt.Sprintf("%.2fs g%d %s", s.At.Seconds(), s.Gateway, s.Verb)
 }
 
-// String says what a plan is about, in one line.
+// String summarises a plan in one line.
 func (p Plan) String() string {
 	steps := make([]string, 0, len(p.Steps))
 	for _, s := range p.Steps {
@@ -120,13 +120,13 @@
 		p.Gateways, p.zones(), len(p.Network), p.Shared, p.Resume, p.Effect, p.Deadline, p.ReloadedDeadline, p.Attempts, p.PinLimit, p.Clients, p.IdleConns, strings.Join(steps, ", "))
 }
 
-// draw makes the plan of a seed. The same seed gives the same plan.
+// draw returns the plan of a seed. The same seed gives the same plan.
 func draw(seed uint64) Plan {
 	r := rand.New(rand.NewPCG(seed, 42))
 	deadlines := []time.Duration{300 * time.Millisecond, 800 * time.Millisecond, 2 * time.Second, 3 * time.Second, 8 * time.Second}
 	p := Plan{
 		Seed: seed, Gateways: 1 + r.IntN(4), Shared: r.IntN(3) == 0, Resume: r.IntN(2) == 0, Effect: Free,
-		Deadline: deadlines[r.IntN(len(deadlines))], ReloadedDeadline: deadlines[r.IntN(len(deadlines))], Attempts: 2 + r.IntN(4), // a read and an answer at least
+		Deadline: deadlines[r.IntN(len(deadlines))], ReloadedDeadline: deadlines[r.IntN(len(deadlines))], Attempts: 2 + r.IntN(4), // at least one prefill and one decode attempt
 
 		PinLimit: time.Duration(200+r.IntN(2000)) * time.Millisecond, Clients: 6 + r.IntN(10), Sockets: 512,
 		EngineHang: 0.01 * float64(r.IntN(3)), EngineCut: 0.01 * float64(r.IntN(4)), EngineBusy: 0.02 * float64(r.IntN(4)),
@@ -154,7 +154,7 @@
 	return p
 }
 
-// drainPlan is one drain and nothing else.
+// drainPlan returns a plan with one drain and no faults.
 func drainPlan(seed uint64) Plan {
 	return Plan{
 		Seed: seed, Gateways: 1, Effect: SingleShot, Deadline: 8 * time.Second, ReloadedDeadline: 8 * time.Second, Attempts: 4, PinLimit: 2 * time.Second,
@@ -176,7 +176,7 @@
 
 func (p *Plan) drawSteps(r *rand.Rand) {
 	verbs := []Verb{Standby, Standby, Active, Terminate, Terminate, Kill, Reload, Stop, Stop}
-	if p.Shared { // there the platform ends no process before the next one can serve
+	if p.Shared { // with a shared socket the platform ends no process before its successor can serve
 		verbs = []Verb{Standby, Standby, Active, Upgrade, Upgrade, Kill, Reload, Stop, Stop}
 	}
 	add := func(s Step) { p.Steps = append(p.Steps, s) }
@@ -186,7 +186,7 @@
 			add(s)
 			pause := time.Duration(r.IntN(3000)) * time.Millisecond
 			if s.Verb == Standby && r.IntN(2) == 0 {
-				pause = 4500 * time.Millisecond // long enough to be judged
+				pause = 4500 * time.Millisecond // long enough for the drain to be checked
 			}
 			at += pause
 		}
--- a/experiments/soak/process.go
+++ b/experiments/soak/process.go
@@ -19,41 +19,41 @@
 	"time"
 )
 
-// Waits of the operators' side.
+// Intervals and limits of the operators and the front.
 const (
 	callWait    = 2 * time.Second
 	frontEvery  = 100 * time.Millisecond
-	frontLag    = 200 * time.Millisecond // clients keep coming for so long after a no
+	frontLag    = 200 * time.Millisecond // clients are admitted for this long after a failed health check
 	upgradeWait = 10 * time.Second
 	callTries   = 5
 	longestKill = 3 * time.Second
-	exitWait    = 30 * time.Second // for a process that SIGKILL has ended
+	exitWait    = 30 * time.Second // for a process to exit after SIGKILL
 )
 
-// gateway is one gateway: its processes, one after the other, and what clients know of it.
+// gateway is one gateway: its sequence of processes and the address that its clients use.
 type gateway struct {
 	number        int
 	plan          Plan
 	program       string
 	dir           string
-	config        string // the file
-	discoveryAddr string // discovery's address
+	config        string // path of the configuration file
+	discoveryAddr string
 
 	discovery *discovery
 
 	observed *Observations
-	socket   *os.File // the clients', where the platform holds it; nil otherwise
+	socket   *os.File // the clients' listening socket if the platform owns it; otherwise nil
 
 	mu              sync.Mutex
 	running         *process
 	addr            string
-	deadline        time.Duration // of the settings in force
-	drain           *Drain        // under way, or the last one
+	deadline        time.Duration // of the current settings
+	drain           *Drain        // the latest drain; nil before the first one
 	failedEjections []failedEjection
 	admitted        atomic.Bool
 
-	stepMu       sync.Mutex // held while something is done to the process
-	killedInFile bool       // a process was killed in the middle of a file's write, as planned; mu guards it
+	stepMu       sync.Mutex // held while a step acts on the process
+	killedInFile bool       // the planned kill in the middle of a file write has happened; guarded by mu
 }
 
 // process is one run of the program.
@@ -62,12 +62,12 @@
 	record    *ProcessRecord
 	control   string
 	serving   string
-	ready     chan struct{} // closed once it says where it serves and takes calls, or ends
+	ready     chan struct{} // closed when the log has the client and control addresses, or when the process ends
 	ended     chan struct{}
-	violation string // an invariant that the log says was broken
+	violation string // the log line that reports a violated invariant or is not JSON
 }
 
-// settings is the platform's document.
+// settings returns the platform's settings document.
 func (g *gateway) settings() map[string]any {
 	micros := func(d time.Duration) int64 { return d.Microseconds() }
 	return map[string]any{
@@ -79,7 +79,7 @@
 	}
 }
 
-// write writes the configuration, whole.
+// write replaces the configuration file atomically.
 func (g *gateway) write() error {
 	all, _ := g.discovery.list(g.number, -1)
 	text, err := json.Marshal(map[string]any{
@@ -96,7 +96,7 @@
 	return os.Rename(next, g.config)
 }
 
-// start starts a process and returns once it says that it serves.
+// start starts a process and returns when it serves or has ended.
 func (g *gateway) start(ctx context.Context) (*process, error) {
 	faults, err := json.Marshal(g.plannedFaults())
 	if err != nil {
@@ -126,7 +126,7 @@
 	return p, nil
 }
 
-// plannedFaults returns the faults of the system for the next process. One alone is killed by them.
+// plannedFaults returns the system faults for the next process. Only one process is killed by them.
 func (g *gateway) plannedFaults() Injected {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -137,8 +137,7 @@
 	return faults
 }
 
-// diedInFile reports whether a process ended by the kill in the middle of a file's write that was planned,
-// and records that.
+// diedInFile reports whether the planned kill in the middle of a file write ended a process, and records it.
 func (g *gateway) diedInFile(p *process, exit error) bool {
 	failed := (*exec.ExitError)(nil)
 	if g.plannedFaults().Kill == 0 || !errors.As(exit, &failed) {
@@ -156,7 +155,7 @@
 	return true
 }
 
-// restart starts the process that follows one that was killed, unless a step has done so.
+// restart starts the successor of a killed process, unless a step has already started it.
 func (g *gateway) restart(ctx context.Context, killed *process) {
 	g.stepMu.Lock()
 	defer g.stepMu.Unlock()
@@ -165,10 +164,10 @@
 	}
 	g.markInterrupted()
 	g.endDrain()
-	_ = g.startNext(ctx) // what comes of a gateway that does not start again is judged by its readiness
+	_ = g.startNext(ctx) // the readiness rule reports a gateway that does not start again
 }
 
-// follow reads a process's log to its end, and records how it ended.
+// follow reads a process's log to its end and records how the process exited.
 func (g *gateway) follow(ctx context.Context, p *process, errs io.Reader, logFile io.WriteCloser) {
 	defer close(p.ended)
 	defer logFile.Close()
@@ -215,7 +214,7 @@
 	})
 }
 
-// enter makes a process the one that clients and operators know.
+// publish directs clients and operators to a process.
 func (g *gateway) publish(p *process) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -231,7 +230,7 @@
 	return g.running, g.addr, g.deadline
 }
 
-// call makes an operator's call.
+// operatorsCall sends an operator's command and reports whether the answer was YES.
 func operatorsCall(control, line string) bool {
 	c, err := net.DialTimeout("tcp4", control, callWait)
 	if err != nil {
@@ -246,7 +245,7 @@
 	return strings.HasPrefix(answer, "YES")
 }
 
-// healthy asks for a gateway's health on a connection of its own.
+// healthy checks a gateway's health on a separate connection.
 func healthy(ctx context.Context, addr string) bool {
 	reqCtx, stop := context.WithTimeout(ctx, time.Second)
 	defer stop()
@@ -263,7 +262,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// front watches a gateway's health, as what deals out clients does.
+// front polls a gateway's health, like the front that distributes clients, and admits clients accordingly.
 func (g *gateway) front(ctx context.Context) {
 	for ; ctx.Err() == nil; wait(ctx, nil, frontEvery) {
 		p, addr, _ := g.snapshot()
@@ -292,7 +291,7 @@
 	}
 }
 
-// interrupted notes that something is done to the process, so that a drain can't be judged by it.
+// markInterrupted records that a step affects the process, so that its drain can't be checked.
 func (g *gateway) markInterrupted() {
 	g.observed.locked(func() {
 		d := g.drain
@@ -309,7 +308,7 @@
 	})
 }
 
-// end ends a drain's record.
+// endDrain ends the record of the latest drain.
 func (g *gateway) endDrain() {
 	g.observed.locked(func() {
 		if g.drain != nil {
@@ -318,7 +317,7 @@
 	})
 }
 
-// terminate sends SIGTERM and, at the earliest time that the page allows, SIGKILL.
+// terminate sends SIGTERM and then SIGKILL, at the earliest time that the platform's protocol allows.
 func (g *gateway) terminate(p *process) {
 	_, _, deadline := g.snapshot()
 	g.observed.locked(func() { p.record.Terminated = g.observed.now() })
@@ -331,7 +330,7 @@
 	g.kill(p)
 }
 
-// kill sends SIGKILL.
+// kill sends SIGKILL and waits for the exit.
 func (g *gateway) kill(p *process) {
 	select {
 	case <-p.ended:
@@ -346,9 +345,9 @@
 	}
 }
 
-// next starts the process that follows one that has ended.
+// startNext starts the successor of a process that has ended.
 func (g *gateway) startNext(ctx context.Context) error {
-	if err := g.write(); err != nil { // the platform gives it the list as last known
+	if err := g.write(); err != nil { // the platform includes the last known engine list
 		return err
 	}
 	p, err := g.start(ctx)
@@ -408,7 +407,7 @@
 	}
 	g.observed.locked(func() {
 		if g.drain != nil && g.drain.Until == Never {
-			return // it drains already
+			return // the gateway is already draining
 		}
 		g.drain = &Drain{Gateway: g.number, At: g.observed.now(), Until: Never, HealthyInDrain: Never, ActiveAt: Never, HealthyAfter: Never}
 		g.observed.Drains = append(g.observed.Drains, g.drain)
@@ -425,7 +424,7 @@
 	})
 }
 
-// ejectionDue is how long after a call an engine is out, whatever the answer.
+// ejectionDelay is the time after a command until the ejection is in force, whether or not it was stored.
 const ejectionDelay = time.Second
 
 func (g *gateway) eject(p *process, engine int) {
@@ -433,7 +432,7 @@
 	yes := operatorsCall(p.control, fmt.Sprint("maint-on d", engine))
 	g.observed.locked(func() {
 		e := &Ejection{Gateway: g.number, Engine: engine, At: sent + ejectionDelay, Until: Never}
-		if !yes { // it is told not to outlast the process, and not to hold if there was none
+		if !yes { // a refused ejection ends with its process, and never starts if the process was already stopped
 			if e.Until = p.record.Ended; p.record.Terminated != Never || p.record.Killed != Never {
 				return
 			}
@@ -451,7 +450,7 @@
 			}
 		}
 	})
-	for range callTries { // an operator repeats a call that was told no
+	for range callTries { // an operator repeats a refused command
 		if operatorsCall(p.control, fmt.Sprint("maint-off d", engine)) {
 			return
 		}
@@ -459,13 +458,13 @@
 	}
 }
 
-// unkept is an ejection that was told no, and the process that has it in force.
+// failedEjection is an ejection that a process answered with NO but has in force.
 type failedEjection struct {
 	ejection *Ejection
 	process  *process
 }
 
-// endUnkept ends the ejections that a process had in force and could not write.
+// endFailedEjections ends, at the exit of their process, the ejections that the process could not store.
 func (g *gateway) endFailedEjections() {
 	g.observed.locked(func() {
 		for _, u := range g.failedEjections {
@@ -474,9 +473,9 @@
 	})
 }
 
-// upgrade starts a new process on the same socket, and ends the old one once the new one can serve.
+// upgrade starts a new process on the same socket and stops the old one when the new one can serve.
 func (g *gateway) upgrade(ctx context.Context, old *process) error {
-	g.endDrain() // it was told to the old process alone
+	g.endDrain() // only the old process got the command
 	if err := g.write(); err != nil {
 		return err
 	}
@@ -492,7 +491,7 @@
 	return nil
 }
 
-// descriptors is how many a process has open.
+// descriptors returns the number of open descriptors of a process.
 func (p *process) descriptors() int {
 	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
 	if err != nil {
--- a/experiments/soak/soak.go
+++ b/experiments/soak/soak.go
@@ -1,6 +1,6 @@
-// Package soak plays drawn plans with real processes: gateways on the platform's protocol, with
-// engines, discovery and clients written here, faults of the system, and signals and calls in series.
-// A checker judges by what clients, engines and operators saw. One seed gives one plan.
+// Package soak runs random plans against real gateway processes on the platform's protocol. It provides the
+// engines, discovery and clients, injects system faults and sends signals and operators' commands. A checker
+// evaluates only what clients, engines and operators observed. Each seed gives one plan.
 package soak
 
 import (
@@ -18,18 +18,18 @@
 	"wellgw/experiments"
 )
 
-// Sizes of a run.
+// Sizes and limits of a run.
 const (
 	defaultSeeds        = 50
 	defaultDrains       = 10
 	quickSeeds          = 6
 	parallelSeeds       = 3
-	settleTime          = 1500 * time.Millisecond // after the traffic, until all is to be back where it was
-	maxExtraDescriptors = 8                       // descriptors beyond those at the start
+	settleTime          = 1500 * time.Millisecond // after the traffic, until connections and held states must be closed
+	maxExtraDescriptors = 8                       // allowed beyond the number at the start
 	clientsFinish       = 12 * time.Second
 )
 
-// Experiment returns the soak.
+// Experiment returns the soak experiment.
 func Experiment() experiments.Experiment {
 	return experiments.Experiment{
 		Name:  "soak",
@@ -40,7 +40,7 @@
 	}
 }
 
-// Drains returns an experiment of drains alone, with no fault: one gateway and 60 clients each.
+// Drains returns an experiment of drains without faults: one gateway and 60 clients for each seed.
 func Drains() experiments.Experiment {
 	return experiments.Experiment{
 		Name:  "drains",
@@ -51,7 +51,7 @@
 	}
 }
 
-// result is what came of one seed.
+// result is the outcome of one seed.
 type result struct {
 	plan       Plan
 	violations []Violation
@@ -59,7 +59,7 @@
 	err        error
 }
 
-// run plays seeds, so many at once, by the plans that drawn gives.
+// run runs the seeds with the given parallelism; planFor gives the plan of a seed.
 func run(ctx context.Context, opt experiments.Options, defaultCount, parallel int, planFor func(seed uint64) Plan) (*experiments.Report, error) {
 	seeds := opt.Seeds
 	if seeds == 0 {
@@ -143,8 +143,8 @@
 	return sorted[min(len(sorted)-1, int(part*float64(len(sorted))))].Round(time.Millisecond)
 }
 
-// drainEnds returns, for each drain that was judged, how long after the call the last connection
-// ended that was open then.
+// drainEnds returns, for each checked drain, the time from the command until the last connection closed that
+// was open at the command.
 func drainEnds(b *Observations) (ends []time.Duration) {
 	for _, d := range b.Drains {
 		if d.DrainInterrupted || d.Until < d.At+drainCheckDelay {
@@ -161,18 +161,18 @@
 	return ends
 }
 
-// world is all that one seed is played with.
+// testbed holds everything that one seed runs with.
 type testbed struct {
 	plan      Plan
 	observed  *Observations
 	fleet     *fleet
 	discovery *discovery
-	network   *network // nil without faults of the network
+	network   *network // nil without network faults
 	gateways  []*gateway
 	baseline  map[*process]int
 }
 
-// playSeed plays one seed and judges it.
+// runSeed runs the plan of one seed and checks the observations.
 func runSeed(ctx context.Context, opt experiments.Options, p Plan) result {
 	r := result{plan: p, observed: newObservations()}
 	ctx, stop := context.WithCancel(ctx)
@@ -246,7 +246,7 @@
 
 var errNotServing = errors.New("a gateway did not begin to serve")
 
-// play plays the plan to its end.
+// runPlan runs the plan to its end.
 func (w *testbed) runPlan(ctx context.Context) error {
 	frontCtx, endFronts := context.WithCancel(ctx)
 	defer endFronts()
@@ -302,11 +302,10 @@
 	return ctx.Err()
 }
 
-// engine tells whether a step is about an engine.
+// engine reports whether a step acts on an engine.
 func (s Step) engine() bool { return s.Verb == DrainOne || s.Verb == BackOne }
 
-// steps carries out the plan's steps that are chosen, each at its time or as soon as the one before
-// is done.
+// steps carries out the selected steps of the plan, each at its time or when the previous one has finished.
 func (w *testbed) steps(ctx context.Context, start time.Duration, chosen func(Step) bool, do func(context.Context, Step) error) error {
 	for _, s := range w.plan.Steps {
 		if !chosen(s) {
@@ -314,7 +313,7 @@
 		}
 		wait(ctx, nil, start+s.At-w.observed.now())
 		if start+s.At+3*time.Second < w.observed.now() && !s.engine() {
-			continue // the one before took too long
+			continue // the previous step took too long
 		}
 		if err := do(ctx, s); err != nil {
 			return fmt.Errorf("%v: %w", s, err)
@@ -332,7 +331,7 @@
 	return nil
 }
 
-// end looks at what the processes still have open, and ends them.
+// shutDown records leaked descriptors and then stops the processes.
 func (w *testbed) shutDown() {
 	var group sync.WaitGroup
 	for _, g := range w.gateways {
