--- a/experiments/soak/book.go
+++ b/experiments/soak/book.go
@@ -107,11 +107,11 @@
 	Gateway           int
 	At                time.Duration // the command was answered
 	Until             time.Duration // `active`, or the end of the process; otherwise Never
-	HealthyInDrain    time.Duration // first successful health check later than 4 s into the drain; otherwise Never
+	HealthyInDrain    time.Duration // first health check that succeeds after the drain's first 4 s
 	ActiveAt          time.Duration // `active` was answered with YES; otherwise Never
 	HealthyAfter      time.Duration // first successful health check after ActiveAt; otherwise Never
 	DrainInterrupted  bool          // another step affected the process before the drain was checked
-	ActiveInterrupted bool          // another step affected the process before its return to service was checked
+	ActiveInterrupted bool          // the same, before the return to service was checked
 }
 
 // IncompleteRequest is a request whose client sent only part of it and kept the connection open.
@@ -131,6 +131,6 @@
 // Ejection is a manual ejection of an engine at one gateway.
 type Ejection struct {
 	Gateway, Engine int
-	At              time.Duration // start of the ejection; new attempts are allowed only for the drain grace after it
-	Until           time.Duration // the engine was readmitted, or the process ended that failed to store the ejection; otherwise Never
+	At              time.Duration // new attempts are allowed until the drain grace after it
+	Until           time.Duration // readmission, or exit of a process that refused the ejection; otherwise Never
 }
--- a/experiments/soak/check.go
+++ b/experiments/soak/check.go
@@ -8,7 +8,8 @@
 
 // Limits of the rules. They include slack for a machine that runs several programs concurrently.
 const (
-	slack            = 250 * time.Millisecond // the experiment's own clients and engines wait for a CPU core too
+	// slack is for delays of this machine: the experiment's own clients and engines wait for a CPU core too.
+	slack            = 250 * time.Millisecond
 	answerSlack      = 500 * time.Millisecond
 	drainCheckDelay  = 4 * time.Second
 	drainAcceptLimit = 2 * time.Second
@@ -159,9 +160,9 @@
 				c.add(Lost, due, "%s has no answer", q.ID)
 			}
 		case q.FirstByte > due:
-			c.add(Lost, q.FirstByte, "%s was answered %v late", q.ID, q.FirstByte-due)
+			c.add(Lost, q.FirstByte, "%s was answered %v after its limit", q.ID, q.FirstByte-due)
 		case q.Status == 200 && !q.Complete && !c.faultInjected(tries) && !c.cutAllowed(q) && c.plan.breaks(q.Gateway) == 0 && len(c.plan.Network) == 0:
-			c.add(Lost, q.Ended, "%s: a stream was cut off while its engine wrote", q.ID)
+			c.add(Lost, q.Ended, "%s: the stream was cut off although its engine did not fail", q.ID)
 		case q.Status >= 400 && q.Status < 500 && q.Status != 429 && q.Status != 408:
 			c.add(Lost, q.Ended, "%s got status %d", q.ID, q.Status)
 		}
@@ -199,14 +200,14 @@
 // engineDrains checks that a draining engine gets no new attempts.
 func (c *checker) engineDrains() {
 	for _, t := range c.observed.DrainNotices {
-		told := min(t.At, t.Since+noticeLimit)
+		notice := min(t.At, t.Since+noticeLimit)
 		for _, a := range c.observed.Attempts {
 			q := c.requests[a.ID]
 			if q == nil || q.Gateway != t.Gateway || a.Engine != t.Engine || !a.Decode {
 				continue
 			}
-			if a.FirstByte > told+drainGrace+slack && a.FirstByte < t.Until {
-				c.add(EngineDrain, a.FirstByte, "%s went to d%d %v after its drain was told", a.ID, a.Engine, a.FirstByte-told)
+			if a.FirstByte > notice+drainGrace+slack && a.FirstByte < t.Until {
+				c.add(EngineDrain, a.FirstByte, "%s was sent to d%d %v after the notice of its drain", a.ID, a.Engine, a.FirstByte-notice)
 			}
 		}
 	}
@@ -222,7 +223,7 @@
 				continue
 			}
 			if a.FirstByte > e.At+drainGrace+slack && a.FirstByte < e.Until {
-				c.add(EngineDrain, a.FirstByte, "%s went to d%d %v after it was taken out", a.ID, a.Engine, a.FirstByte-e.At)
+				c.add(EngineDrain, a.FirstByte, "%s was sent to d%d %v after the manual ejection of the engine", a.ID, a.Engine, a.FirstByte-e.At)
 			}
 		}
 	}
@@ -236,14 +237,14 @@
 			c.checkDrain(d, at)
 		}
 		if d.ActiveAt != Never && !d.ActiveInterrupted && d.HealthyAfter > d.ActiveAt+drainEndLimit+slack {
-			c.add(ClientDrain, d.ActiveAt+drainEndLimit, "g%d is not healthy %v after the drain", d.Gateway, drainEndLimit)
+			c.add(ClientDrain, d.ActiveAt+drainEndLimit, "g%d does not report healthy %v after the end of its drain", d.Gateway, drainEndLimit)
 		}
 	}
 }
 
 func (c *checker) checkDrain(d *Drain, at time.Duration) {
 	if d.HealthyInDrain != Never {
-		c.add(ClientDrain, d.HealthyInDrain, "g%d is healthy in a drain", d.Gateway)
+		c.add(ClientDrain, d.HealthyInDrain, "g%d reports healthy while it drains", d.Gateway)
 	}
 	for _, conn := range c.observed.Conns {
 		if conn.Gateway != d.Gateway || conn.Opened > at-slack || conn.Closed < at+slack {
@@ -253,12 +254,12 @@
 			return q.Conn == conn && q.Sent <= at && q.Ended > at
 		})
 		if !carries {
-			c.add(ClientDrain, at, "g%d holds an idle connection, open since %.3fs", d.Gateway, conn.Opened.Seconds())
+			c.add(ClientDrain, at, "g%d has an idle connection while it drains, open since %.3fs", d.Gateway, conn.Opened.Seconds())
 		}
 	}
 	for _, q := range c.observed.Requests {
 		if q.Gateway == d.Gateway && q.Conn.Opened < at && q.Sent > d.At+drainAcceptLimit && q.Sent <= at && q.Status == 200 {
-			c.add(ClientDrain, q.Sent, "g%d took %s %v after the call", d.Gateway, q.ID, q.Sent-d.At)
+			c.add(ClientDrain, q.Sent, "g%d accepted %s %v after the drain command", d.Gateway, q.ID, q.Sent-d.At)
 		}
 	}
 }
@@ -282,7 +283,7 @@
 		}
 		until := min(s.Until, c.observed.end())
 		if until > from && until-from > limit {
-			c.add(HeldTooLong, from+limit, "the state of %s was held for %v with no attempt out", s.ID, until-from)
+			c.add(HeldTooLong, from+limit, "the state of %s was held for %v without an attempt in flight", s.ID, until-from)
 		}
 	}
 }
@@ -314,10 +315,10 @@
 		}
 		left := q.Sent + q.Deadline - a.FirstByte
 		if a.Deadline > left+deadlineSlack+slack {
-			c.add(Deadlines, a.FirstByte, "%s: an engine is told %v, its client has %v left", a.ID, a.Deadline, left)
+			c.add(Deadlines, a.FirstByte, "%s: the deadline sent to the engine is %v, the remaining time of the client %v", a.ID, a.Deadline, left)
 		}
 		if q.ClientClosed != Never && a.FirstByte > q.ClientClosed+closeSlack+slack {
-			c.add(SentAfterClose, a.FirstByte, "%s was sent %v after its client left", a.ID, a.FirstByte-q.ClientClosed)
+			c.add(SentAfterClose, a.FirstByte, "%s was sent %v after its client closed the connection", a.ID, a.FirstByte-q.ClientClosed)
 		}
 	}
 }
@@ -336,7 +337,7 @@
 		}
 	}
 	if late*streamsPerLate > streams && late > 2 {
-		c.add(EventsInTime, at, "%d of %d streams have events that came over %v late", late, streams, eventLimit)
+		c.add(EventsInTime, at, "%d of %d streams have events delayed by more than %v", late, streams, eventLimit)
 	}
 }
 
@@ -368,7 +369,7 @@
 	for _, h := range c.observed.IncompleteRequests {
 		h.Since = c.accepted(h.Gateway, h.Since)
 		if h.Ended > h.Since+incompleteLimit+slack && c.observed.end() > h.Since+incompleteLimit+slack && !c.processKilled(h.Gateway, h.Since) {
-			c.add(IncompleteKept, h.Since+incompleteLimit, "g%d keeps a client that stopped in the middle of a request", h.Gateway)
+			c.add(IncompleteKept, h.Since+incompleteLimit, "g%d did not close a connection with an incomplete request", h.Gateway)
 		}
 	}
 }
--- a/experiments/soak/check_test.go
+++ b/experiments/soak/check_test.go
@@ -37,57 +37,57 @@
 		breakRule func(*Plan, *Observations)
 		want      Rule
 	}{
-		"nothing":                      {func(*Plan, *Observations) {}, ""},
-		"forwarded and closed":         {func(_ *Plan, b *Observations) { b.Requests[0].Status, b.Requests[0].Complete = 0, false }, Lost},
-		"never answered":               {func(_ *Plan, b *Observations) { b.Requests[0].Status, b.Requests[0].Ended, b.Attempts = 0, Never, nil }, Lost},
-		"closed unread":                {func(_ *Plan, b *Observations) { b.Requests[0].Status, b.Attempts = 0, nil }, ""},
-		"answered late":                {func(_ *Plan, b *Observations) { b.Requests[0].FirstByte = 4 * s }, Lost},
-		"stream cut off":               {func(_ *Plan, b *Observations) { b.Requests[0].Complete = false }, Lost},
-		"stream broken by its engine":  {func(_ *Plan, b *Observations) { b.Requests[0].Complete, b.Attempts[1].FaultInjected = false, true }, ""},
-		"status that no client caused": {func(_ *Plan, b *Observations) { b.Requests[0].Status = 400 }, Lost},
-		"killed without warning": {func(_ *Plan, b *Observations) {
+		"unmodified": {func(*Plan, *Observations) {}, ""},
+		"forwarded, connection closed without an answer": {func(_ *Plan, b *Observations) { b.Requests[0].Status, b.Requests[0].Complete = 0, false }, Lost},
+		"never answered":                      {func(_ *Plan, b *Observations) { b.Requests[0].Status, b.Requests[0].Ended, b.Attempts = 0, Never, nil }, Lost},
+		"not forwarded, connection closed":    {func(_ *Plan, b *Observations) { b.Requests[0].Status, b.Attempts = 0, nil }, ""},
+		"answered late":                       {func(_ *Plan, b *Observations) { b.Requests[0].FirstByte = 4 * s }, Lost},
+		"stream cut off":                      {func(_ *Plan, b *Observations) { b.Requests[0].Complete = false }, Lost},
+		"stream broken by its engine":         {func(_ *Plan, b *Observations) { b.Requests[0].Complete, b.Attempts[1].FaultInjected = false, true }, ""},
+		"client error without a client fault": {func(_ *Plan, b *Observations) { b.Requests[0].Status = 400 }, Lost},
+		"SIGKILL without SIGTERM": {func(_ *Plan, b *Observations) {
 			b.Processes[0].Terminated, b.Processes[0].Killed, b.Requests[0].Status = Never, 3*s, 0
 		}, ""},
-		"killed after SIGTERM, taken before": {func(_ *Plan, b *Observations) {
+		"SIGKILL after SIGTERM, request within the kill grace": {func(_ *Plan, b *Observations) {
 			b.Processes[0].Terminated, b.Processes[0].Killed, b.Requests[0].Status = s/2, 3*s, 0
 		}, ""},
-		"killed after SIGTERM, taken late": {func(_ *Plan, b *Observations) {
+		"SIGKILL after SIGTERM, request after the kill grace": {func(_ *Plan, b *Observations) {
 			b.Processes[0].Terminated, b.Processes[0].Killed, b.Requests[0].Status = s/4, 3*s, 0
 		}, Lost},
 		"ran twice": {func(_ *Plan, b *Observations) {
 			duplicate := *b.Attempts[1]
 			b.Attempts = append(b.Attempts, &duplicate)
 		}, Duplicate},
-		"ran twice, and may": {func(p *Plan, b *Observations) {
+		"ran twice with effect free": {func(p *Plan, b *Observations) {
 			p.Effect = Free
 			duplicate := *b.Attempts[1]
 			b.Attempts = append(b.Attempts, &duplicate)
 		}, ""},
-		"sent to an engine that drains": {func(_ *Plan, b *Observations) {
+		"sent to a draining engine": {func(_ *Plan, b *Observations) {
 			b.DrainNotices = []DrainNotice{{At: 0, Since: 0, Until: Never}}
 			b.Attempts[1].FirstByte = drainGrace + s
 		}, EngineDrain},
-		"told by the time alone": {func(_ *Plan, b *Observations) {
+		"sent after the notice limit, without a notice": {func(_ *Plan, b *Observations) {
 			b.DrainNotices = []DrainNotice{{At: 90 * s, Since: 0, Until: Never}}
 			b.Attempts[1].FirstByte = noticeLimit + drainGrace + s
 			b.Requests[0].Sent, b.Requests[0].FirstByte = 8*s, 8*s
 		}, EngineDrain},
-		"sent to an engine that was taken out": {func(_ *Plan, b *Observations) {
+		"sent to a manually ejected engine": {func(_ *Plan, b *Observations) {
 			b.Ejections = []*Ejection{{At: 0, Until: Never}}
 			b.Attempts[1].FirstByte, b.Attempts[1].Deadline = drainGrace+s, 0
 		}, EngineDrain},
-		"sent to an engine that is back": {func(_ *Plan, b *Observations) {
+		"sent to a readmitted engine": {func(_ *Plan, b *Observations) {
 			b.Ejections = []*Ejection{{At: 0, Until: s}}
 			b.Attempts[1].FirstByte, b.Attempts[1].Deadline = drainGrace+s, 0
 		}, ""},
 		"idle connection in a drain": {func(_ *Plan, b *Observations) { b.Drains, b.Conns[0].Closed = []*Drain{checkedDrain()}, 12*s }, ClientDrain},
 		"healthy in a drain":         {func(_ *Plan, b *Observations) { d := checkedDrain(); d.HealthyInDrain = 9 * s; b.Drains = []*Drain{d} }, ClientDrain},
-		"request taken late in a drain": {func(_ *Plan, b *Observations) {
+		"request accepted late in a drain": {func(_ *Plan, b *Observations) {
 			b.Drains, b.Requests[0].Sent = []*Drain{checkedDrain()}, 8*s
 			b.Conns[0].Closed = 9 * s
 			b.Requests[0].FirstByte, b.Requests[0].Ended = 8*s, 9*s
 		}, ClientDrain},
-		"stream from before the drain": {func(_ *Plan, b *Observations) {
+		"stream that started before the drain": {func(_ *Plan, b *Observations) {
 			b.Drains, b.Conns[0].Closed, b.Requests[0].Ended = []*Drain{checkedDrain()}, 12*s, 12*s
 			b.Requests[0].Sent = 5 * s
 		}, ""},
@@ -96,14 +96,14 @@
 			d.ActiveAt, d.HealthyAfter = 10*s, 13*s
 			b.Drains = []*Drain{d}
 		}, ClientDrain},
-		"state held":                  {func(_ *Plan, b *Observations) { b.Attempts, b.HeldStates[0].Until = b.Attempts[:1], 4*s }, HeldTooLong},
-		"state held under an attempt": {func(_ *Plan, b *Observations) { b.HeldStates[0].Until = 3 * s }, ""},
-		"told too long a time":        {func(_ *Plan, b *Observations) { b.Attempts[1].Deadline = 3 * s }, Deadlines},
-		"sent for a client that left": {func(_ *Plan, b *Observations) {
+		"state held without an attempt":     {func(_ *Plan, b *Observations) { b.Attempts, b.HeldStates[0].Until = b.Attempts[:1], 4*s }, HeldTooLong},
+		"state held during an attempt":      {func(_ *Plan, b *Observations) { b.HeldStates[0].Until = 3 * s }, ""},
+		"deadline longer than the client's": {func(_ *Plan, b *Observations) { b.Attempts[1].Deadline = 3 * s }, Deadlines},
+		"sent after the client closed": {func(_ *Plan, b *Observations) {
 			b.Requests[0].ClientClosed, b.Attempts[1].FirstByte = s, 2*s
 			b.Attempts[1].Deadline = 0
 		}, SentAfterClose},
-		"events late": {func(_ *Plan, b *Observations) {
+		"late events": {func(_ *Plan, b *Observations) {
 			for range 3 {
 				q := *b.Requests[0]
 				q.LateEvents = 1
@@ -114,10 +114,10 @@
 			b.Processes = append(b.Processes, &ProcessRecord{Gateway: 1, Ready: Never, Terminated: 20 * s, Killed: Never, Ended: 21 * s})
 		}, Ready},
 		"crash": {func(_ *Plan, b *Observations) { b.Processes[0].CrashReason = "panic" }, Crash},
-		"half a request kept": {func(_ *Plan, b *Observations) {
+		"incomplete request not closed": {func(_ *Plan, b *Observations) {
 			b.IncompleteRequests = []IncompleteRequest{{Since: 2 * s, Ended: Never}}
 		}, IncompleteKept},
-		"descriptors": {func(_ *Plan, b *Observations) { b.DescriptorLeaks = []DescriptorLeak{{Before: 10, After: 90}} }, Descriptors},
+		"descriptor leak": {func(_ *Plan, b *Observations) { b.DescriptorLeaks = []DescriptorLeak{{Before: 10, After: 90}} }, Descriptors},
 	} {
 		p, b := cleanRun()
 		c.breakRule(&p, b)
@@ -126,7 +126,7 @@
 			got = found[0].Rule
 		}
 		if got != c.want {
-			t.Errorf("%s: %q, want %q", name, got, c.want)
+			t.Errorf("%s: first violated rule %q, want %q", name, got, c.want)
 		}
 	}
 }
@@ -134,10 +134,10 @@
 // TestPlansFollowFromSeeds checks that one seed always gives the same plan and that two seeds differ.
 func TestPlansFollowFromSeeds(t *testing.T) {
 	if a, b := draw(7), draw(7); !reflect.DeepEqual(a, b) {
-		t.Errorf("%v\n%v", a, b)
+		t.Errorf("seed 7 gave two plans:\n%v\n%v", a, b)
 	}
 	if reflect.DeepEqual(draw(7), draw(8)) {
-		t.Error("two seeds, one plan")
+		t.Error("seeds 7 and 8 gave the same plan")
 	}
 }
 
@@ -149,6 +149,6 @@
 	}
 	l.Close()
 	if operatorsCall(l.Addr().String(), "standby") {
-		t.Error("a call nobody took was answered yes")
+		t.Error("a command to a closed port was reported as accepted")
 	}
 }
--- a/experiments/soak/clients.go
+++ b/experiments/soak/clients.go
@@ -141,7 +141,7 @@
 	_, err := c.in.Peek(1)
 	ended := c.observed.now()
 	if isTimeout(err) {
-		if ended < since+incompleteLimit+slack { // the traffic ended before the limit, so the gateway can't be checked
+		if ended < since+incompleteLimit+slack { // traffic ended before the limit: not checked
 			c.close()
 			return
 		}
--- a/experiments/soak/network.go
+++ b/experiments/soak/network.go
@@ -19,8 +19,8 @@
 const (
 	LoseOne   NetworkFault = "connection lost" // one connection, idle or in use
 	LoseAll   NetworkFault = "all lost"        // all open connections to one engine; new ones work
-	Vanish    NetworkFault = "vanished"        // an engine's machine is unreachable for the duration of the step
-	Partition NetworkFault = "partition"       // a gateway is cut off from the engines of one zone for the duration of the step
+	Vanish    NetworkFault = "vanished"        // an engine's machine is unreachable for a time
+	Partition NetworkFault = "partition"       // between a gateway and one zone's engines, for a time
 )
 
 // NetworkStep is one scheduled network fault.
@@ -50,7 +50,7 @@
 	p.Zones = 1 + r.IntN(2)
 	for g := range p.Faults {
 		if r.IntN(3) == 0 {
-			p.Faults[g].Kill = 2 + r.IntN(2) // the first write is the mark that a process writes when it has started
+			p.Faults[g].Kill = 2 + r.IntN(2) // write 1 is the mark of a started process
 		}
 	}
 	if r.IntN(2) == 0 {
--- a/experiments/soak/plan.go
+++ b/experiments/soak/plan.go
@@ -63,7 +63,7 @@
 	Break   float64        `json:"break"`
 	Files   []InjectedSpan `json:"files,omitempty"`
 	Steps   []InjectedStep `json:"steps,omitempty"`
-	Kill    int            `json:"kill"` // the process is killed once, in the middle of the file write with this number; 0 for never
+	Kill    int            `json:"kill"` // number of the file write that one kill interrupts; 0 for never
 }
 
 // InjectedSpan is a time interval, in milliseconds, in which file operations fail.
--- a/experiments/soak/process.go
+++ b/experiments/soak/process.go
@@ -179,7 +179,7 @@
 		fmt.Fprintln(logFile, scan.Text())
 		var line struct{ Message, Listen, Control string }
 		if json.Unmarshal(scan.Bytes(), &line) != nil {
-			p.violation = "it wrote " + scan.Text()
+			p.violation = "log line is not JSON: " + scan.Text()
 			continue
 		}
 		switch {
@@ -205,11 +205,11 @@
 			p.record.Killed = p.record.Ended
 		}
 		if exit := (*exec.ExitError)(nil); err != nil && p.record.Killed == Never && errors.As(err, &exit) {
-			p.record.CrashReason = fmt.Sprintf("ended by itself: %v %s", err, p.violation)
+			p.record.CrashReason = fmt.Sprintf("exited unexpectedly: %v %s", err, p.violation)
 		} else if p.violation != "" {
 			p.record.CrashReason = p.violation
 		} else if p.record.Terminated == Never && p.record.Killed == Never {
-			p.record.CrashReason = "ended by itself, untold"
+			p.record.CrashReason = "exited without a signal from the experiment"
 		}
 	})
 }
@@ -432,7 +432,7 @@
 	yes := operatorsCall(p.control, fmt.Sprint("maint-on d", engine))
 	g.observed.locked(func() {
 		e := &Ejection{Gateway: g.number, Engine: engine, At: sent + ejectionDelay, Until: Never}
-		if !yes { // a refused ejection ends with its process, and never starts if the process was already stopped
+		if !yes { // a refused ejection may end with its process, and none is expected of a stopped process
 			if e.Until = p.record.Ended; p.record.Terminated != Never || p.record.Killed != Never {
 				return
 			}
--- a/experiments/soak/soak.go
+++ b/experiments/soak/soak.go
@@ -33,7 +33,7 @@
 func Experiment() experiments.Experiment {
 	return experiments.Experiment{
 		Name:  "soak",
-		About: "Drawn plans of faults, signals and calls, played with real processes and judged from outside.",
+		About: "Random plans of faults, signals and commands, run with real processes and checked from outside.",
 		Run: func(ctx context.Context, opt experiments.Options) (*experiments.Report, error) {
 			return run(ctx, opt, defaultSeeds, parallelSeeds, draw)
 		},
@@ -44,7 +44,7 @@
 func Drains() experiments.Experiment {
 	return experiments.Experiment{
 		Name:  "drains",
-		About: "Gateways that are told to drain under clients that go on at once, rest or send slowly; no faults.",
+		About: "Drains of gateways whose clients send continuously, pause or send slowly; no faults.",
 		Run: func(ctx context.Context, opt experiments.Options) (*experiments.Report, error) {
 			return run(ctx, opt, defaultDrains, 1, drainPlan)
 		},
@@ -133,7 +133,7 @@
 	}
 	r.Hold(failed == 0, "every seed was played", "%d were not", failed)
 	if slices.Sort(ends); len(ends) > 0 {
-		r.Notes = append(r.Notes, fmt.Sprintf("%d drains judged: from the call until the last connection ended, median %v, p99 %v, highest %v",
+		r.Notes = append(r.Notes, fmt.Sprintf("%d drains checked: time from the command until the last connection closed, median %v, p99 %v, maximum %v",
 			len(ends), at(ends, 0.5), at(ends, 0.99), ends[len(ends)-1].Round(time.Millisecond)))
 	}
 	return r
@@ -244,7 +244,7 @@
 	return g, g.startNext(ctx)
 }
 
-var errNotServing = errors.New("a gateway did not begin to serve")
+var errNotServing = errors.New("gateway process did not start to serve")
 
 // runPlan runs the plan to its end.
 func (w *testbed) runPlan(ctx context.Context) error {
