--- a/experiments/soak/book.go
+++ b/experiments/soak/book.go
@@ -102,7 +102,7 @@
 	Stops       []Span        // SIGSTOP to SIGCONT
 }
 
-// Drain is one drain by an operator's command.
+// Drain is one drain by an operator's command. Its times are Never for an event that did not happen.
 type Drain struct {
 	Gateway           int
 	At                time.Duration // the command was answered
@@ -110,7 +110,7 @@
 	HealthyInDrain    time.Duration // first health check that succeeds after the drain's first 4 s
 	ActiveAt          time.Duration // `active` was answered with YES; otherwise Never
 	HealthyAfter      time.Duration // first successful health check after ActiveAt; otherwise Never
-	DrainInterrupted  bool          // another step affected the process before the drain was checked
+	DrainInterrupted  bool          // another step came before the drain was checked
 	ActiveInterrupted bool          // the same, before the return to service was checked
 }
 
--- a/experiments/soak/check.go
+++ b/experiments/soak/check.go
@@ -14,7 +14,7 @@
 	drainCheckDelay  = 4 * time.Second
 	drainAcceptLimit = 2 * time.Second
 	drainEndLimit    = 2 * time.Second
-	noticeLimit      = 6 * time.Second
+	maxNoticeDelay   = 6 * time.Second
 	pinSlack         = 350 * time.Millisecond
 	deadlineSlack    = 150 * time.Millisecond
 	closeSlack       = 100 * time.Millisecond
@@ -150,18 +150,18 @@
 		if q.ClientClosed != Never || c.killed(q) {
 			continue
 		}
-		tries := c.attempts[q.ID]
-		due := q.Sent + q.Deadline + answerSlack + slack
+		attempts := c.attempts[q.ID]
+		limit := q.Sent + q.Deadline + answerSlack + slack
 		switch {
-		case q.Status == 0 && len(tries) > 0:
+		case q.Status == 0 && len(attempts) > 0:
 			c.add(Lost, q.Ended, "%s was forwarded and its connection ended without an answer", q.ID)
 		case q.Status == 0:
-			if q.Ended > due && q.Ended != Never || q.Ended == Never {
-				c.add(Lost, due, "%s has no answer", q.ID)
+			if q.Ended > limit && q.Ended != Never || q.Ended == Never {
+				c.add(Lost, limit, "%s has no answer", q.ID)
 			}
-		case q.FirstByte > due:
-			c.add(Lost, q.FirstByte, "%s was answered %v after its limit", q.ID, q.FirstByte-due)
-		case q.Status == 200 && !q.Complete && !c.faultInjected(tries) && !c.cutAllowed(q) && c.plan.breaks(q.Gateway) == 0 && len(c.plan.Network) == 0:
+		case q.FirstByte > limit:
+			c.add(Lost, q.FirstByte, "%s was answered %v after its limit", q.ID, q.FirstByte-limit)
+		case q.Status == 200 && !q.Complete && !c.faultInjected(attempts) && !c.cutAllowed(q) && c.plan.breaks(q.Gateway) == 0 && len(c.plan.Network) == 0:
 			c.add(Lost, q.Ended, "%s: the stream was cut off although its engine did not fail", q.ID)
 		case q.Status >= 400 && q.Status < 500 && q.Status != 429 && q.Status != 408:
 			c.add(Lost, q.Ended, "%s got status %d", q.ID, q.Status)
@@ -173,8 +173,8 @@
 func (p Plan) breaks(gateway int) float64 { return p.Faults[gateway].Break }
 
 // faultInjected reports whether an engine hung, or closed the connection, on purpose in one of the attempts.
-func (c *checker) faultInjected(tries []*Attempt) bool {
-	return slices.ContainsFunc(tries, func(a *Attempt) bool { return a.FaultInjected })
+func (c *checker) faultInjected(attempts []*Attempt) bool {
+	return slices.ContainsFunc(attempts, func(a *Attempt) bool { return a.FaultInjected })
 }
 
 // duplicates checks that requests of class effect single_shot run at most once.
@@ -182,10 +182,10 @@
 	if c.plan.Effect != SingleShot {
 		return
 	}
-	for id, tries := range c.attempts {
+	for id, attempts := range c.attempts {
 		ran := 0
 		last := time.Duration(0)
-		for _, a := range tries {
+		for _, a := range attempts {
 			if a.Ran {
 				ran++
 				last = max(last, a.LastByte)
@@ -200,7 +200,7 @@
 // engineDrains checks that a draining engine gets no new attempts.
 func (c *checker) engineDrains() {
 	for _, t := range c.observed.DrainNotices {
-		notice := min(t.At, t.Since+noticeLimit)
+		notice := min(t.At, t.Since+maxNoticeDelay)
 		for _, a := range c.observed.Attempts {
 			q := c.requests[a.ID]
 			if q == nil || q.Gateway != t.Gateway || a.Engine != t.Engine || !a.Decode {
@@ -250,10 +250,10 @@
 		if conn.Gateway != d.Gateway || conn.Opened > at-slack || conn.Closed < at+slack {
 			continue
 		}
-		carries := slices.ContainsFunc(c.observed.Requests, func(q *Request) bool {
+		busy := slices.ContainsFunc(c.observed.Requests, func(q *Request) bool {
 			return q.Conn == conn && q.Sent <= at && q.Ended > at
 		})
-		if !carries {
+		if !busy {
 			c.add(ClientDrain, at, "g%d has an idle connection while it drains, open since %.3fs", d.Gateway, conn.Opened.Seconds())
 		}
 	}
--- a/experiments/soak/check_test.go
+++ b/experiments/soak/check_test.go
@@ -69,7 +69,7 @@
 		}, EngineDrain},
 		"sent after the notice limit, without a notice": {func(_ *Plan, b *Observations) {
 			b.DrainNotices = []DrainNotice{{At: 90 * s, Since: 0, Until: Never}}
-			b.Attempts[1].FirstByte = noticeLimit + drainGrace + s
+			b.Attempts[1].FirstByte = maxNoticeDelay + drainGrace + s
 			b.Requests[0].Sent, b.Requests[0].FirstByte = 8*s, 8*s
 		}, EngineDrain},
 		"sent to a manually ejected engine": {func(_ *Plan, b *Observations) {
@@ -148,7 +148,7 @@
 		t.Fatal(err)
 	}
 	l.Close()
-	if operatorsCall(l.Addr().String(), "standby") {
+	if sendCommand(l.Addr().String(), "standby") {
 		t.Error("a command to a closed port was reported as accepted")
 	}
 }
--- a/experiments/soak/clients.go
+++ b/experiments/soak/clients.go
@@ -16,7 +16,7 @@
 // Limits and waits of clients.
 const (
 	clientTries    = 3
-	answerBound    = 40 * time.Second // for reading one answer; above the limit of every rule
+	answerTimeout  = 40 * time.Second // for reading one answer; above the limit of every rule
 	gatewayPoll    = 20 * time.Millisecond
 	incompleteWait = 6 * time.Second
 )
@@ -164,7 +164,7 @@
 		second, more := c.newRequest()
 		requests, text = append(requests, second), text+more
 	}
-	_ = c.conn.SetDeadline(time.Now().Add(answerBound))
+	_ = c.conn.SetDeadline(time.Now().Add(answerTimeout))
 	if !c.send(ctx, text) {
 		c.close() // the request was not sent completely
 		return
--- a/experiments/soak/discovery.go
+++ b/experiments/soak/discovery.go
@@ -41,14 +41,14 @@
 	wake    chan struct{} // closed at each change
 	// addresses holds the relay addresses of the engines, by gateway; empty without relays.
 	addresses [][]string
-	drained   int // the draining decode engine; -1 for none
+	draining  int // the draining decode engine; -1 for none
 	since     time.Duration
 }
 
 func newDiscovery(p Plan, b *Observations, f *fleet) *discovery {
-	d := &discovery{plan: p, observed: b, changed: map[int]int64{}, rev: 1, wake: make(chan struct{}), drained: -1}
+	d := &discovery{plan: p, observed: b, changed: map[int]int64{}, rev: 1, wake: make(chan struct{}), draining: -1}
 	for _, e := range f.all {
-		m := member{ID: fmt.Sprint("p", e.number), HostPort: e.addr, Locality: p.zone(e.place), Flavor: "r", Phase: "active", Size: 1}
+		m := member{ID: fmt.Sprint("p", e.number), HostPort: e.addr, Locality: p.zone(e.index), Flavor: "r", Phase: "active", Size: 1}
 		if e.decode {
 			m.ID, m.Flavor = fmt.Sprint("d", e.number), "w"
 		}
@@ -82,14 +82,14 @@
 	d.members[n].Phase = phase
 	if phase == "active" {
 		d.members[n].UpSince = time.Now().UnixMilli()
-		d.drained = -1
+		d.draining = -1
 		d.observed.locked(func() {
 			for i := range d.observed.DrainNotices {
 				d.observed.DrainNotices[i].Until = min(d.observed.DrainNotices[i].Until, d.observed.now())
 			}
 		})
 	} else {
-		d.drained, d.since = engine, d.observed.now()
+		d.draining, d.since = engine, d.observed.now()
 		if end := d.plan.OutageStart + d.plan.Outage; d.since >= d.plan.OutageStart && d.since < end {
 			d.since = end // discovery can't be reached before the end of its outage
 		}
@@ -103,7 +103,7 @@
 // recordDrainNotice records that a gateway was informed of the current drain, if there is one.
 func (d *discovery) recordDrainNotice(gateway int) {
 	d.mu.Lock()
-	engine, since := d.drained, d.since
+	engine, since := d.draining, d.since
 	d.mu.Unlock()
 	if engine < 0 || d.observed.now() < since {
 		return
@@ -118,8 +118,8 @@
 	})
 }
 
-// awaitOutage blocks during the planned outage of discovery.
-func (d *discovery) awaitOutage(ctx context.Context) {
+// awaitOutageEnd blocks during the planned outage of discovery.
+func (d *discovery) awaitOutageEnd(ctx context.Context) {
 	for ctx.Err() == nil {
 		now := d.observed.now()
 		if d.plan.Outage == 0 || now < d.plan.OutageStart || now >= d.plan.OutageStart+d.plan.Outage {
@@ -149,7 +149,7 @@
 }
 
 func (d *discovery) serve(ctx context.Context, w http.ResponseWriter, r *http.Request, gateway int) {
-	d.awaitOutage(ctx)
+	d.awaitOutageEnd(ctx)
 	if r.URL.Query().Get("watch") == "" {
 		l, _ := d.list(gateway, -1)
 		d.recordDrainNotice(gateway)
@@ -166,7 +166,7 @@
 		reset = time.After(at)
 	}
 	for ctx.Err() == nil {
-		d.awaitOutage(ctx)
+		d.awaitOutageEnd(ctx)
 		l, wake := d.list(gateway, after)
 		if after < 0 || len(l.Members) > 0 {
 			d.recordDrainNotice(gateway)
--- a/experiments/soak/engines.go
+++ b/experiments/soak/engines.go
@@ -28,7 +28,7 @@
 type engineServer struct {
 	fleet  *fleet
 	number int
-	place  int // index in the fleet
+	index  int // index in the fleet
 	decode bool
 	addr   string
 }
@@ -42,7 +42,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("engine: %w", err)
 		}
-		e := &engineServer{fleet: f, number: n, place: n, decode: n >= prefillEngines, addr: l.Addr().String()}
+		e := &engineServer{fleet: f, number: n, index: n, decode: n >= prefillEngines, addr: l.Addr().String()}
 		if e.decode {
 			e.number = n - prefillEngines
 		}
@@ -109,8 +109,8 @@
 			}
 			next <- err == nil
 		}()
-		one := &call{conn: c, request: req, abandoned: abandoned, attempt: &Attempt{Engine: e.number, Decode: e.decode, FirstByte: first, LastByte: last, Ended: Never}}
-		if !e.answer(ctx, one) {
+		reqCall := &call{conn: c, request: req, abandoned: abandoned, attempt: &Attempt{Engine: e.number, Decode: e.decode, FirstByte: first, LastByte: last, Ended: Never}}
+		if !e.answer(ctx, reqCall) {
 			return
 		}
 		if idle := e.fleet.plan.EngineIdle; idle > 0 {
--- a/experiments/soak/network.go
+++ b/experiments/soak/network.go
@@ -36,17 +36,17 @@
 
 // Bounds of the random faults.
 const (
-	minLossPause  = 40 * time.Millisecond
-	maxLossPause  = 400 * time.Millisecond
-	minOutage     = 300 * time.Millisecond
-	maxOutage     = 2500 * time.Millisecond
-	networkStream = 49 // random number stream, separate from that of the other parts of the plan
+	minLossPause        = 40 * time.Millisecond
+	maxLossPause        = 400 * time.Millisecond
+	minOutage           = 300 * time.Millisecond
+	maxOutage           = 2500 * time.Millisecond
+	networkRandomStream = 49 // random number stream, separate from that of the other parts of the plan
 )
 
 // drawNetwork draws the zones, the kills in the middle of a file write and the network faults. Half of the
 // plans have no network faults.
 func (p *Plan) drawNetwork(seed uint64) {
-	r := rand.New(rand.NewPCG(seed, networkStream))
+	r := rand.New(rand.NewPCG(seed, networkRandomStream))
 	p.Zones = 1 + r.IntN(2)
 	for g := range p.Faults {
 		if r.IntN(3) == 0 {
@@ -59,7 +59,7 @@
 	engines := prefillEngines + decodeEngines
 	add := func(s NetworkStep) { p.Network = append(p.Network, s) }
 	for g := range p.Gateways {
-		for at := stepsBegin; at < trafficLength; at += minLossPause + time.Duration(r.Int64N(int64(maxLossPause-minLossPause))) {
+		for at := stepsStart; at < trafficLength; at += minLossPause + time.Duration(r.Int64N(int64(maxLossPause-minLossPause))) {
 			add(NetworkStep{At: at, Fault: LoseOne, Gateway: g, Engine: r.IntN(engines), Use: faultnet.Use(r.IntN(3)), Ways: faultnet.Ways(1 + r.IntN(3))})
 		}
 	}
@@ -75,7 +75,7 @@
 }
 
 func drawnTime(r *rand.Rand) time.Duration {
-	return stepsBegin + time.Duration(r.Int64N(int64(trafficLength-2*stepsBegin)))
+	return stepsStart + time.Duration(r.Int64N(int64(trafficLength-2*stepsStart)))
 }
 
 func drawnOutage(r *rand.Rand) time.Duration {
@@ -98,7 +98,7 @@
 
 func gatewayName(n int) string { return fmt.Sprint("g", n) }
 
-func (e *engineServer) name() string { return fmt.Sprint("e", e.place) }
+func (e *engineServer) name() string { return fmt.Sprint("e", e.index) }
 
 // newNetwork starts a relay between each gateway and each engine and gives the relay addresses to discovery.
 func newNetwork(ctx context.Context, p Plan, f *fleet, d *discovery) (*network, error) {
@@ -150,7 +150,7 @@
 		n.after(ctx, s.For, func() { n.fabric.Return(engine) })
 	case Partition:
 		for _, e := range f.all {
-			if n.plan.zone(e.place) == zoneNames[s.Engine] {
+			if n.plan.zone(e.index) == zoneNames[s.Engine] {
 				n.fabric.Sever(gateway, e.name(), true)
 				n.after(ctx, s.For, func() { n.fabric.Sever(gateway, e.name(), false) })
 			}
--- a/experiments/soak/plan.go
+++ b/experiments/soak/plan.go
@@ -15,7 +15,7 @@
 	decodeEngines  = 3
 	drainGrace     = 1500 * time.Millisecond
 	trafficLength  = 9 * time.Second // of the traffic of one run
-	stepsBegin     = 800 * time.Millisecond
+	stepsStart     = 800 * time.Millisecond
 )
 
 // Effect is the effect of a request class: whether a request may run twice.
@@ -31,7 +31,7 @@
 type Plan struct {
 	Seed             uint64
 	Gateways         int
-	Shared           bool // the platform owns the listening socket, for upgrades
+	SharedSocket     bool // the platform owns the listening socket, for upgrades
 	Resume           bool // clients resume a stream that was cut off
 	Effect           Effect
 	Deadline         time.Duration
@@ -63,7 +63,7 @@
 	Break   float64        `json:"break"`
 	Files   []InjectedSpan `json:"files,omitempty"`
 	Steps   []InjectedStep `json:"steps,omitempty"`
-	Kill    int            `json:"kill"` // number of the file write that one kill interrupts; 0 for never
+	Kill    int            `json:"kill"` // file write that a kill interrupts, once; 0 for never
 }
 
 // InjectedSpan is a time interval, in milliseconds, in which file operations fail.
@@ -84,17 +84,17 @@
 
 // The verbs.
 const (
-	Standby   Verb = "standby"
-	Active    Verb = "active"
-	Terminate Verb = "SIGTERM" // followed by a new process after the exit
-	Kill      Verb = "SIGKILL" // followed by a new process after the exit
-	Reload    Verb = "SIGHUP"
-	Stop      Verb = "SIGSTOP" // for up to 0.15 s
-	Upgrade   Verb = "upgrade" // a new process on the same socket, then SIGTERM to the old process
-	EjectOne  Verb = "maint-on"
-	ReturnOne Verb = "maint-off"
-	DrainOne  Verb = "engine drains"
-	BackOne   Verb = "engine is back" // the engine was restarted
+	Standby       Verb = "standby"
+	Active        Verb = "active"
+	Terminate     Verb = "SIGTERM" // followed by a new process after the exit
+	Kill          Verb = "SIGKILL" // followed by a new process after the exit
+	Reload        Verb = "SIGHUP"
+	Pause         Verb = "SIGSTOP" // for up to 0.15 s
+	Upgrade       Verb = "upgrade" // a new process on the same socket, then SIGTERM to the old process
+	EjectEngine   Verb = "maint-on"
+	ReadmitEngine Verb = "maint-off"
+	DrainEngine   Verb = "engine drains"
+	RestartEngine Verb = "engine is back" // after a restart
 )
 
 // Step is an action on a gateway, or on an engine through discovery.
@@ -103,7 +103,7 @@
 	Gateway int
 	Engine  int // number of a decode engine
 	Verb    Verb
-	For     time.Duration // duration of Stop
+	For     time.Duration // duration of Pause
 }
 
 func (s Step) String() string {
@@ -117,7 +117,7 @@
 		steps = append(steps, s.String())
 	}
 	return fmt.Sprintf("gateways %d zones %d network faults %d shared %v resume %v %s deadline %v then %v attempts %d pin %v clients %d crowd %d; %s",
-		p.Gateways, p.zones(), len(p.Network), p.Shared, p.Resume, p.Effect, p.Deadline, p.ReloadedDeadline, p.Attempts, p.PinLimit, p.Clients, p.IdleConns, strings.Join(steps, ", "))
+		p.Gateways, p.zones(), len(p.Network), p.SharedSocket, p.Resume, p.Effect, p.Deadline, p.ReloadedDeadline, p.Attempts, p.PinLimit, p.Clients, p.IdleConns, strings.Join(steps, ", "))
 }
 
 // draw returns the plan of a seed. The same seed gives the same plan.
@@ -125,7 +125,7 @@
 	r := rand.New(rand.NewPCG(seed, 42))
 	deadlines := []time.Duration{300 * time.Millisecond, 800 * time.Millisecond, 2 * time.Second, 3 * time.Second, 8 * time.Second}
 	p := Plan{
-		Seed: seed, Gateways: 1 + r.IntN(4), Shared: r.IntN(3) == 0, Resume: r.IntN(2) == 0, Effect: Free,
+		Seed: seed, Gateways: 1 + r.IntN(4), SharedSocket: r.IntN(3) == 0, Resume: r.IntN(2) == 0, Effect: Free,
 		Deadline: deadlines[r.IntN(len(deadlines))], ReloadedDeadline: deadlines[r.IntN(len(deadlines))], Attempts: 2 + r.IntN(4), // at least one prefill and one decode attempt
 
 		PinLimit: time.Duration(200+r.IntN(2000)) * time.Millisecond, Clients: 6 + r.IntN(10), Sockets: 512,
@@ -175,13 +175,13 @@
 }
 
 func (p *Plan) drawSteps(r *rand.Rand) {
-	verbs := []Verb{Standby, Standby, Active, Terminate, Terminate, Kill, Reload, Stop, Stop}
-	if p.Shared { // with a shared socket the platform ends no process before its successor can serve
-		verbs = []Verb{Standby, Standby, Active, Upgrade, Upgrade, Kill, Reload, Stop, Stop}
+	verbs := []Verb{Standby, Standby, Active, Terminate, Terminate, Kill, Reload, Pause, Pause}
+	if p.SharedSocket { // with a shared socket the platform ends no process before its successor can serve
+		verbs = []Verb{Standby, Standby, Active, Upgrade, Upgrade, Kill, Reload, Pause, Pause}
 	}
 	add := func(s Step) { p.Steps = append(p.Steps, s) }
 	for g := range p.Gateways {
-		for at := stepsBegin + time.Duration(r.IntN(1500))*time.Millisecond; at < trafficLength-time.Second; {
+		for at := stepsStart + time.Duration(r.IntN(1500))*time.Millisecond; at < trafficLength-time.Second; {
 			s := Step{At: at, Gateway: g, Verb: verbs[r.IntN(len(verbs))], For: time.Duration(20+r.IntN(131)) * time.Millisecond}
 			add(s)
 			pause := time.Duration(r.IntN(3000)) * time.Millisecond
@@ -193,12 +193,12 @@
 	}
 	engine := r.IntN(decodeEngines)
 	if ejected := (engine + 1) % decodeEngines; r.IntN(2) == 0 {
-		g, at := r.IntN(p.Gateways), stepsBegin+time.Duration(r.IntN(2000))*time.Millisecond
-		add(Step{At: at, Gateway: g, Engine: ejected, Verb: EjectOne})
-		add(Step{At: at + 4*time.Second, Gateway: g, Engine: ejected, Verb: ReturnOne})
+		g, at := r.IntN(p.Gateways), stepsStart+time.Duration(r.IntN(2000))*time.Millisecond
+		add(Step{At: at, Gateway: g, Engine: ejected, Verb: EjectEngine})
+		add(Step{At: at + 4*time.Second, Gateway: g, Engine: ejected, Verb: ReadmitEngine})
 	}
-	drainAt := stepsBegin + time.Duration(r.IntN(2500))*time.Millisecond
-	add(Step{At: drainAt, Engine: engine, Verb: DrainOne})
-	add(Step{At: drainAt + 4*time.Second, Engine: engine, Verb: BackOne})
+	drainAt := stepsStart + time.Duration(r.IntN(2500))*time.Millisecond
+	add(Step{At: drainAt, Engine: engine, Verb: DrainEngine})
+	add(Step{At: drainAt + 4*time.Second, Engine: engine, Verb: RestartEngine})
 	slices.SortStableFunc(p.Steps, func(a, b Step) int { return int(a.At - b.At) })
 }
--- a/experiments/soak/process.go
+++ b/experiments/soak/process.go
@@ -21,13 +21,13 @@
 
 // Intervals and limits of the operators and the front.
 const (
-	callWait    = 2 * time.Second
-	frontEvery  = 100 * time.Millisecond
-	frontLag    = 200 * time.Millisecond // clients are admitted for this long after a failed health check
-	upgradeWait = 10 * time.Second
-	callTries   = 5
-	longestKill = 3 * time.Second
-	exitWait    = 30 * time.Second // for a process to exit after SIGKILL
+	commandTimeout  = 2 * time.Second
+	frontInterval   = 100 * time.Millisecond
+	frontLag        = 200 * time.Millisecond // clients are admitted for this long after a failed health check
+	upgradeTimeout  = 10 * time.Second
+	commandAttempts = 5
+	maxKillDelay    = 3 * time.Second
+	exitTimeout     = 30 * time.Second // for a process to exit after SIGKILL
 )
 
 // gateway is one gateway: its sequence of processes and the address that its clients use.
@@ -52,17 +52,17 @@
 	failedEjections []failedEjection
 	admitted        atomic.Bool
 
-	stepMu       sync.Mutex // held while a step acts on the process
-	killedInFile bool       // the planned kill in the middle of a file write has happened; guarded by mu
+	stepMu        sync.Mutex // held while a step acts on the process
+	killedInWrite bool       // the planned kill in the middle of a file write has happened; guarded by mu
 }
 
 // process is one run of the program.
 type process struct {
 	cmd       *exec.Cmd
 	record    *ProcessRecord
-	control   string
-	serving   string
-	ready     chan struct{} // closed when the log has the client and control addresses, or when the process ends
+	control   string        // address of the control listener
+	serving   string        // address for clients
+	ready     chan struct{} // closed when the log has both addresses, or when the process ends
 	ended     chan struct{}
 	violation string // the log line that reports a violated invariant or is not JSON
 }
@@ -131,27 +131,28 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	faults := g.plan.Faults[g.number]
-	if g.killedInFile {
+	if g.killedInWrite {
 		faults.Kill = 0
 	}
 	return faults
 }
 
-// diedInFile reports whether the planned kill in the middle of a file write ended a process, and records it.
-func (g *gateway) diedInFile(p *process, exit error) bool {
+// killedDuringWrite reports whether the planned kill in the middle of a file write ended a process, and
+// records it.
+func (g *gateway) killedDuringWrite(p *process, exit error) bool {
 	failed := (*exec.ExitError)(nil)
 	if g.plannedFaults().Kill == 0 || !errors.As(exit, &failed) {
 		return false
 	}
 	status, ok := failed.Sys().(syscall.WaitStatus)
-	unplanned := true
-	g.observed.locked(func() { unplanned = p.record.Killed == Never })
-	if !ok || status.Signal() != syscall.SIGKILL || !unplanned {
+	notKilled := true
+	g.observed.locked(func() { notKilled = p.record.Killed == Never })
+	if !ok || status.Signal() != syscall.SIGKILL || !notKilled {
 		return false
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.killedInFile = true
+	g.killedInWrite = true
 	return true
 }
 
@@ -195,13 +196,13 @@
 		}
 	}
 	err := p.cmd.Wait()
-	inFile := g.diedInFile(p, err)
-	if inFile {
+	inWrite := g.killedDuringWrite(p, err)
+	if inWrite {
 		go g.restart(ctx, p)
 	}
 	g.observed.locked(func() {
 		p.record.Ended = g.observed.now()
-		if inFile {
+		if inWrite {
 			p.record.Killed = p.record.Ended
 		}
 		if exit := (*exec.ExitError)(nil); err != nil && p.record.Killed == Never && errors.As(err, &exit) {
@@ -230,14 +231,14 @@
 	return g.running, g.addr, g.deadline
 }
 
-// operatorsCall sends an operator's command and reports whether the answer was YES.
-func operatorsCall(control, line string) bool {
-	c, err := net.DialTimeout("tcp4", control, callWait)
+// sendCommand sends an operator's command and reports whether the answer was YES.
+func sendCommand(control, line string) bool {
+	c, err := net.DialTimeout("tcp4", control, commandTimeout)
 	if err != nil {
 		return false
 	}
 	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(callWait))
+	_ = c.SetDeadline(time.Now().Add(commandTimeout))
 	if _, err := io.WriteString(c, line+"\n"); err != nil {
 		return false
 	}
@@ -264,7 +265,7 @@
 
 // front polls a gateway's health, like the front that distributes clients, and admits clients accordingly.
 func (g *gateway) front(ctx context.Context) {
-	for ; ctx.Err() == nil; wait(ctx, nil, frontEvery) {
+	for ; ctx.Err() == nil; wait(ctx, nil, frontInterval) {
 		p, addr, _ := g.snapshot()
 		ok := healthy(ctx, addr)
 		now := g.observed.now()
@@ -325,7 +326,7 @@
 	select {
 	case <-p.ended:
 		return
-	case <-time.After(min(deadline, longestKill) + killGrace):
+	case <-time.After(min(deadline, maxKillDelay) + killGrace):
 	}
 	g.kill(p)
 }
@@ -341,7 +342,7 @@
 	_ = p.cmd.Process.Kill()
 	select {
 	case <-p.ended:
-	case <-time.After(exitWait):
+	case <-time.After(exitTimeout):
 	}
 }
 
@@ -363,7 +364,7 @@
 	g.stepMu.Lock()
 	defer g.stepMu.Unlock()
 	p, _, _ := g.snapshot()
-	if s.Verb != Active && s.Verb != Standby && s.Verb != EjectOne && s.Verb != ReturnOne {
+	if s.Verb != Active && s.Verb != Standby && s.Verb != EjectEngine && s.Verb != ReadmitEngine {
 		g.markInterrupted()
 	}
 	switch s.Verb {
@@ -371,11 +372,11 @@
 		g.standby(p)
 	case Active:
 		g.active(p)
-	case EjectOne:
+	case EjectEngine:
 		g.eject(p, s.Engine)
-	case ReturnOne:
+	case ReadmitEngine:
 		g.readmit(p, s.Engine)
-	case Stop:
+	case Pause:
 		_ = p.cmd.Process.Signal(syscall.SIGSTOP)
 		wait(ctx, nil, s.For)
 		_ = p.cmd.Process.Signal(syscall.SIGCONT)
@@ -402,7 +403,7 @@
 }
 
 func (g *gateway) standby(p *process) {
-	if !operatorsCall(p.control, "standby") {
+	if !sendCommand(p.control, "standby") {
 		return
 	}
 	g.observed.locked(func() {
@@ -416,9 +417,9 @@
 
 func (g *gateway) active(p *process) {
 	sent := g.observed.now()
-	yes := operatorsCall(p.control, "active")
+	accepted := sendCommand(p.control, "active")
 	g.observed.locked(func() {
-		if d := g.drain; yes && d != nil && d.Until == Never {
+		if d := g.drain; accepted && d != nil && d.Until == Never {
 			d.Until, d.ActiveAt = sent, g.observed.now()
 		}
 	})
@@ -429,10 +430,10 @@
 
 func (g *gateway) eject(p *process, engine int) {
 	sent := g.observed.now()
-	yes := operatorsCall(p.control, fmt.Sprint("maint-on d", engine))
+	accepted := sendCommand(p.control, fmt.Sprint("maint-on d", engine))
 	g.observed.locked(func() {
 		e := &Ejection{Gateway: g.number, Engine: engine, At: sent + ejectionDelay, Until: Never}
-		if !yes { // a refused ejection may end with its process, and none is expected of a stopped process
+		if !accepted { // ends with its process; not expected of a stopped process
 			if e.Until = p.record.Ended; p.record.Terminated != Never || p.record.Killed != Never {
 				return
 			}
@@ -450,8 +451,8 @@
 			}
 		}
 	})
-	for range callTries { // an operator repeats a refused command
-		if operatorsCall(p.control, fmt.Sprint("maint-off d", engine)) {
+	for range commandAttempts { // an operator repeats a refused command
+		if sendCommand(p.control, fmt.Sprint("maint-off d", engine)) {
 			return
 		}
 		p, _, _ = g.snapshot()
@@ -483,7 +484,7 @@
 	if err != nil {
 		return err
 	}
-	for until := g.observed.now() + upgradeWait; g.observed.now() < until && !operatorsCall(p.control, "status"); {
+	for until := g.observed.now() + upgradeTimeout; g.observed.now() < until && !sendCommand(p.control, "status"); {
 		wait(ctx, nil, 50*time.Millisecond)
 	}
 	g.publish(p)
--- a/experiments/soak/soak.go
+++ b/experiments/soak/soak.go
@@ -24,9 +24,9 @@
 	defaultDrains       = 10
 	quickSeeds          = 6
 	parallelSeeds       = 3
-	settleTime          = 1500 * time.Millisecond // after the traffic, until connections and held states must be closed
+	settleTime          = 1500 * time.Millisecond // from the end of the traffic to the final checks
 	maxExtraDescriptors = 8                       // allowed beyond the number at the start
-	clientsFinish       = 12 * time.Second
+	clientsTimeout      = 12 * time.Second
 )
 
 // Experiment returns the soak experiment.
@@ -101,31 +101,31 @@
 	byRule := map[Rule]int{}
 	failed := 0
 	var ends []time.Duration
-	for _, one := range results {
-		if one.err != nil {
+	for _, res := range results {
+		if res.err != nil {
 			failed++
-			t.Rows = append(t.Rows, []any{one.plan.Seed, "", "", "", "", "", one.err.Error()})
+			t.Rows = append(t.Rows, []any{res.plan.Seed, "", "", "", "", "", res.err.Error()})
 			continue
 		}
 		first := ""
-		if len(one.violations) > 0 {
-			first = one.violations[0].String()
+		if len(res.violations) > 0 {
+			first = res.violations[0].String()
 		}
 		seen := map[Rule]bool{}
-		for _, b := range one.violations {
+		for _, b := range res.violations {
 			if !seen[b.Rule] {
 				byRule[b.Rule]++
 			}
 			seen[b.Rule] = true
 		}
 		served := 0
-		for _, q := range one.observed.Requests {
+		for _, q := range res.observed.Requests {
 			if q.Status == 200 && q.Complete {
 				served++
 			}
 		}
-		ends = append(ends, drainEnds(one.observed)...)
-		t.Rows = append(t.Rows, []any{one.plan.Seed, len(one.observed.Requests), served, len(one.observed.Attempts), len(one.observed.Processes), len(one.observed.Drains), first})
+		ends = append(ends, drainEnds(res.observed)...)
+		t.Rows = append(t.Rows, []any{res.plan.Seed, len(res.observed.Requests), served, len(res.observed.Attempts), len(res.observed.Processes), len(res.observed.Drains), first})
 	}
 	r.Tables = append(r.Tables, t)
 	for _, rule := range []Rule{Lost, Duplicate, EngineDrain, ClientDrain, HeldTooLong, Deadlines, SentAfterClose, EventsInTime, Ready, Crash, IncompleteKept, Descriptors} {
@@ -139,8 +139,8 @@
 	return r
 }
 
-func at(sorted []time.Duration, part float64) time.Duration {
-	return sorted[min(len(sorted)-1, int(part*float64(len(sorted))))].Round(time.Millisecond)
+func at(sorted []time.Duration, quantile float64) time.Duration {
+	return sorted[min(len(sorted)-1, int(quantile*float64(len(sorted))))].Round(time.Millisecond)
 }
 
 // drainEnds returns, for each checked drain, the time from the command until the last connection closed that
@@ -193,8 +193,8 @@
 
 func lines(violations []Violation) string {
 	var b strings.Builder
-	for _, one := range violations {
-		fmt.Fprintln(&b, one)
+	for _, res := range violations {
+		fmt.Fprintln(&b, res)
 	}
 	return b.String()
 }
@@ -230,7 +230,7 @@
 		return nil, err
 	}
 	g := &gateway{number: n, plan: w.plan, program: program, dir: dir, config: filepath.Join(dir, "config.json"), discoveryAddr: discoveryAddr, discovery: w.discovery, observed: w.observed, deadline: w.plan.Deadline}
-	if w.plan.Shared {
+	if w.plan.SharedSocket {
 		l, err := net.Listen("tcp4", "127.0.0.1:0")
 		if err != nil {
 			return nil, err
@@ -289,7 +289,7 @@
 	endTraffic()
 	finished := make(chan struct{})
 	go func() { clients.Wait(); close(finished) }()
-	wait(ctx, finished, clientsFinish)
+	wait(ctx, finished, clientsTimeout)
 	wait(ctx, nil, settleTime+w.plan.PinLimit)
 	endFronts()
 	w.shutDown()
@@ -303,12 +303,13 @@
 }
 
 // engine reports whether a step acts on an engine.
-func (s Step) engine() bool { return s.Verb == DrainOne || s.Verb == BackOne }
+func (s Step) engine() bool { return s.Verb == DrainEngine || s.Verb == RestartEngine }
 
-// steps carries out the selected steps of the plan, each at its time or when the previous one has finished.
-func (w *testbed) steps(ctx context.Context, start time.Duration, chosen func(Step) bool, do func(context.Context, Step) error) error {
+// steps carries out the selected steps of the plan, each at its time or when the previous one has finished,
+// whichever is later.
+func (w *testbed) steps(ctx context.Context, start time.Duration, selected func(Step) bool, do func(context.Context, Step) error) error {
 	for _, s := range w.plan.Steps {
-		if !chosen(s) {
+		if !selected(s) {
 			continue
 		}
 		wait(ctx, nil, start+s.At-w.observed.now())
@@ -324,7 +325,7 @@
 
 func (w *testbed) engineStep(_ context.Context, s Step) error {
 	phase := "leaving"
-	if s.Verb == BackOne {
+	if s.Verb == RestartEngine {
 		phase = "active"
 	}
 	w.discovery.set(s.Engine, phase)
