--- a/experiments/soak/clients.go
+++ b/experiments/soak/clients.go
@@ -13,79 +13,79 @@
 	"time"
 )
 
-// How clients behave.
+// Limits and waits of clients.
 const (
-	clientTries  = 3
-	answerBound  = 40 * time.Second // of one answer: beyond every rule
-	noGateway    = 20 * time.Millisecond
-	hostileStays = 6 * time.Second
+	clientTries    = 3
+	answerTimeout  = 40 * time.Second // for reading one answer; above the limit of every rule
+	gatewayPoll    = 20 * time.Millisecond
+	incompleteWait = 6 * time.Second
 )
 
-// manner is how one client behaves.
-type manner uint8
+// behavior is how one client sends and reads.
+type behavior uint8
 
 const (
-	atOnce   manner = iota // sends its next request at once
-	resting                // rests between requests
-	slow                   // sends in pieces
-	leaving                // closes its connection at times, in the middle
-	stopping               // stops in the middle of a request at times, and stays
-	ahead                  // sends two requests at once
-	stalling               // reads nothing of an answer for a while
+	continuous behavior = iota // sends the next request without a pause
+	idling                     // pauses between requests
+	slowSender                 // sends a request in pieces
+	abandoning                 // closes some connections in the middle of an answer
+	incomplete                 // sends some requests only in part and keeps the connection open
+	pipelining                 // sends two requests without waiting for the first answer
+	slowReader                 // pauses before it reads an answer
 )
 
 // client is one client of a gateway.
 type client struct {
 	*gateway
-	name   string
-	manner manner
-	random *rand.Rand
-	sent   int
-	conn   net.Conn
-	in     *bufio.Reader
-	record *Connection
+	name     string
+	behavior behavior
+	random   *rand.Rand
+	sent     int
+	conn     net.Conn
+	in       *bufio.Reader
+	record   *Connection
 }
 
 func newClient(g *gateway, n int) *client {
-	manners := []manner{atOnce, atOnce, atOnce, atOnce, resting, resting, slow, leaving, stopping, ahead, stalling}
+	behaviors := []behavior{continuous, continuous, continuous, continuous, idling, idling, slowSender, abandoning, incomplete, pipelining, slowReader}
 	return &client{
-		gateway: g, name: fmt.Sprintf("g%dc%d", g.number, n), manner: manners[n%len(manners)],
+		gateway: g, name: fmt.Sprintf("g%dc%d", g.number, n), behavior: behaviors[n%len(behaviors)],
 		random: rand.New(rand.NewPCG(g.plan.Seed, uint64(1000*g.number+n))),
 	}
 }
 
-// run sends one request after the other until ctx ends.
+// run sends requests sequentially until ctx ends.
 func (c *client) run(ctx context.Context) {
 	defer c.close()
 	for ctx.Err() == nil {
 		if c.conn == nil && !c.dial() {
-			wait(ctx, nil, noGateway)
+			wait(ctx, nil, gatewayPoll)
 			continue
 		}
 		switch {
-		case c.manner == resting:
-			c.rest(ctx)
-		case c.manner == stopping && c.random.IntN(8) == 0:
-			c.stop(ctx)
+		case c.behavior == idling:
+			c.idle(ctx)
+		case c.behavior == incomplete && c.random.IntN(8) == 0:
+			c.sendPartial(ctx)
 			continue
 		}
-		c.ask(ctx)
+		c.exchange(ctx)
 	}
 }
 
-// dial opens a connection, if the front deals out any to the gateway.
+// dial opens a connection if the front admits clients to the gateway.
 func (c *client) dial() bool {
 	if !c.admitted.Load() {
 		return false
 	}
-	_, addr, _ := c.now()
+	_, addr, _ := c.snapshot()
 	nc, err := net.DialTimeout("tcp4", addr, time.Second)
 	if err != nil {
 		return false
 	}
 	c.conn, c.in = nc, bufio.NewReader(nc)
-	c.record = &Connection{Gateway: c.number, Opened: c.book.now(), Closed: Never}
-	c.book.locked(func() { c.book.Conns = append(c.book.Conns, c.record) })
+	c.record = &Connection{Gateway: c.number, Opened: c.observed.now(), Closed: Never}
+	c.observed.locked(func() { c.observed.Conns = append(c.observed.Conns, c.record) })
 	return true
 }
 
@@ -94,12 +94,12 @@
 		return
 	}
 	c.conn.Close()
-	c.book.locked(func() { c.record.Closed = min(c.record.Closed, c.book.now()) })
+	c.observed.locked(func() { c.record.Closed = min(c.record.Closed, c.observed.now()) })
 	c.conn = nil
 }
 
-// rest waits for a while, or until the gateway ends the connection.
-func (c *client) rest(ctx context.Context) {
+// idle pauses for a random time, or until the gateway closes the connection.
+func (c *client) idle(ctx context.Context) {
 	until := time.Duration(c.random.IntN(1500)) * time.Millisecond
 	defer c.readFor(ctx, until)()
 	if _, err := c.in.Peek(1); err != nil && !isTimeout(err) {
@@ -107,7 +107,7 @@
 	}
 }
 
-// readFor bounds reads of the connection by a span and by ctx, until done is called.
+// readFor limits reads of the connection to a duration and to ctx, until done is called.
 func (c *client) readFor(ctx context.Context, d time.Duration) (done func() bool) {
 	conn := c.conn
 	_ = conn.SetReadDeadline(time.Now().Add(d))
@@ -119,7 +119,7 @@
 	return ok && timeout.Timeout()
 }
 
-// request is the text of the next request.
+// request returns the id and the text of the next request.
 func (c *client) request(deadline time.Duration) (id, text string) {
 	c.sent++
 	id = fmt.Sprintf("s%d-%s-%d", c.plan.Seed, c.name, c.sent)
@@ -127,61 +127,61 @@
 		id, c.name, deadline.Milliseconds())
 }
 
-// stop sends half a request and stays.
-func (c *client) stop(ctx context.Context) {
-	_, _, deadline := c.now()
+// sendPartial sends part of a request and keeps the connection open.
+func (c *client) sendPartial(ctx context.Context) {
+	_, _, deadline := c.snapshot()
 	_, text := c.request(deadline)
 	at := 1 + c.random.IntN(len(text)-2)
 	if _, err := io.WriteString(c.conn, text[:at]); err != nil {
 		c.close()
 		return
 	}
-	since := c.book.now()
-	defer c.readFor(ctx, hostileStays)()
+	since := c.observed.now()
+	defer c.readFor(ctx, incompleteWait)()
 	_, err := c.in.Peek(1)
-	ended := c.book.now()
+	ended := c.observed.now()
 	if isTimeout(err) {
-		if ended < since+hostileLimit+slack { // the traffic has ended: nobody looked on
+		if ended < since+incompleteLimit+slack { // traffic ended before the limit: not checked
 			c.close()
 			return
 		}
 		ended = Never
 	}
-	c.book.locked(func() {
-		c.book.Hostile = append(c.book.Hostile, Hostile{Gateway: c.number, Since: since, Ended: ended})
+	c.observed.locked(func() {
+		c.observed.IncompleteRequests = append(c.observed.IncompleteRequests, IncompleteRequest{Gateway: c.number, Since: since, Ended: ended})
 	})
 	c.close()
 }
 
-// ask sends a request, or two at once, and reads the answers.
-func (c *client) ask(ctx context.Context) {
+// exchange sends one request, or two pipelined ones, and reads the answers.
+func (c *client) exchange(ctx context.Context) {
 	if c.conn == nil {
 		return
 	}
 	first, text := c.newRequest()
 	requests := []*Request{first}
-	if c.manner == ahead {
+	if c.behavior == pipelining {
 		second, more := c.newRequest()
 		requests, text = append(requests, second), text+more
 	}
-	_ = c.conn.SetDeadline(time.Now().Add(answerBound))
+	_ = c.conn.SetDeadline(time.Now().Add(answerTimeout))
 	if !c.send(ctx, text) {
-		c.close() // it was not sent
+		c.close() // the request was not sent completely
 		return
 	}
-	sent := c.book.now()
-	c.book.locked(func() {
+	sent := c.observed.now()
+	c.observed.locked(func() {
 		for _, q := range requests {
 			q.Sent = sent
 		}
-		c.book.Requests = append(c.book.Requests, requests...)
+		c.observed.Requests = append(c.observed.Requests, requests...)
 	})
-	if c.manner == leaving && c.random.IntN(4) == 0 {
-		defer c.leave(first).Stop()
+	if c.behavior == abandoning && c.random.IntN(4) == 0 {
+		defer c.closeLater(first).Stop()
 	}
 	for n, q := range requests {
-		if n > 0 { // it can't be answered before the one before it
-			c.book.locked(func() { q.Sent = c.book.now() })
+		if n > 0 { // the second request can't be answered before the first one
+			c.observed.locked(func() { q.Sent = c.observed.now() })
 		}
 		if c.conn == nil {
 			c.ended(q)
@@ -192,14 +192,14 @@
 }
 
 func (c *client) newRequest() (*Request, string) {
-	_, _, deadline := c.now()
+	_, _, deadline := c.snapshot()
 	id, text := c.request(deadline)
-	return &Request{ID: id, Gateway: c.number, Deadline: deadline, Left: Never, First: Never, Ended: Never, Conn: c.record}, text
+	return &Request{ID: id, Gateway: c.number, Deadline: deadline, ClientClosed: Never, FirstByte: Never, Ended: Never, Conn: c.record}, text
 }
 
-// send writes a request, in pieces if that is the client's manner.
+// send writes a request, in pieces for a slowSender.
 func (c *client) send(ctx context.Context, text string) bool {
-	if c.manner == slow {
+	if c.behavior == slowSender {
 		for _, at := range []int{30, 60} {
 			if _, err := io.WriteString(c.conn, text[:at]); err != nil {
 				return false
@@ -212,11 +212,11 @@
 	return err == nil
 }
 
-// leave closes the connection a moment later, whatever has come by then.
-func (c *client) leave(q *Request) *time.Timer {
+// closeLater closes the connection after up to 600 ms, whether or not the answer has arrived.
+func (c *client) closeLater(q *Request) *time.Timer {
 	conn := c.conn
 	return time.AfterFunc(time.Duration(c.random.IntN(600))*time.Millisecond, func() {
-		c.book.locked(func() { q.Left = c.book.now() })
+		c.observed.locked(func() { q.ClientClosed = c.observed.now() })
 		conn.Close()
 	})
 }
@@ -228,8 +228,8 @@
 		c.close()
 		return
 	}
-	c.book.locked(func() { q.First = c.book.now() })
-	if c.manner == stalling {
+	c.observed.locked(func() { q.FirstByte = c.observed.now() })
+	if c.behavior == slowReader {
 		time.Sleep(time.Duration(c.random.IntN(400)) * time.Millisecond)
 	}
 	resp, err := http.ReadResponse(c.in, nil)
@@ -238,26 +238,26 @@
 		c.close()
 		return
 	}
-	late, whole := c.events(resp.Body)
-	if c.manner == stalling { // it is to blame for what came late
+	late, complete := c.events(resp.Body)
+	if c.behavior == slowReader { // the client's own pause delayed the events
 		late = 0
 	}
-	c.book.locked(func() {
-		q.Status, q.Late, q.Whole = resp.StatusCode, late, whole
+	c.observed.locked(func() {
+		q.Status, q.LateEvents, q.Complete = resp.StatusCode, late, complete
 	})
 	c.ended(q)
-	if resp.Close || !whole {
+	if resp.Close || !complete {
 		c.close()
 	}
 }
 
 func (c *client) ended(q *Request) {
-	c.book.locked(func() { q.Ended = c.book.now() })
+	c.observed.locked(func() { q.Ended = c.observed.now() })
 }
 
-// events reads a body to its end, and counts the events that came over the limit after they were
-// written.
-func (c *client) events(body io.Reader) (late int, whole bool) {
+// events reads a body to its end and counts the events that arrived later than the event limit allows,
+// measured from the time that the engine wrote into the event.
+func (c *client) events(body io.Reader) (late int, complete bool) {
 	scan := bufio.NewScanner(body)
 	for scan.Scan() {
 		_, after, found := strings.Cut(scan.Text(), `"t:`)
@@ -266,17 +266,17 @@
 		}
 		number, _, _ := strings.Cut(after, ";")
 		written, err := strconv.ParseInt(number, 10, 64)
-		if err == nil && c.book.now()-time.Duration(written) > eventLimit+slack {
+		if err == nil && c.observed.now()-time.Duration(written) > eventLimit+slack {
 			late++
 		}
 	}
 	return late, scan.Err() == nil
 }
 
-// crowd is a client that rests on connections until the gateway ends them, and comes again.
-func (g *gateway) crowd(ctx context.Context) {
+// holdIdleConn keeps one idle connection open and reopens it when the gateway closes it.
+func (g *gateway) holdIdleConn(ctx context.Context) {
 	for ; ctx.Err() == nil; wait(ctx, nil, 30*time.Millisecond) {
-		_, addr, _ := g.now()
+		_, addr, _ := g.snapshot()
 		if !g.admitted.Load() {
 			continue
 		}
--- a/experiments/soak/discovery.go
+++ b/experiments/soak/discovery.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// member is an engine in discovery's form.
+// member is an engine in the wire format of discovery.
 type member struct {
 	ID       string  `json:"id"`
 	HostPort string  `json:"host_port"`
@@ -22,33 +22,33 @@
 	UpSince  int64   `json:"up_since_ms"`
 }
 
-// discoveryList is discovery's list or a change of it.
+// discoveryList is a snapshot of the engine list or a delta.
 type discoveryList struct {
 	Revision int64    `json:"revision"`
 	Complete bool     `json:"complete"`
 	Members  []member `json:"members"`
 }
 
-// discovery is the list of engines, told to each gateway at an address of its own.
+// discovery serves the engine list, to each gateway at a separate address.
 type discovery struct {
-	plan Plan
-	book *Book
+	plan     Plan
+	observed *Observations
 
 	mu      sync.Mutex
 	members []member
-	changed map[int]int64 // revision of the latest change, by place in members
+	changed map[int]int64 // revision of the latest change, by index in members
 	rev     int64
 	wake    chan struct{} // closed at each change
-	// addresses are those of the relays to engines, by gateway; empty without relays
+	// addresses holds the relay addresses of the engines, by gateway; empty without relays.
 	addresses [][]string
-	drained   int // the decode engine that drains; -1 for none
+	draining  int // the draining decode engine; -1 for none
 	since     time.Duration
 }
 
-func newDiscovery(p Plan, b *Book, f *fleet) *discovery {
-	d := &discovery{plan: p, book: b, changed: map[int]int64{}, rev: 1, wake: make(chan struct{}), drained: -1}
+func newDiscovery(p Plan, b *Observations, f *fleet) *discovery {
+	d := &discovery{plan: p, observed: b, changed: map[int]int64{}, rev: 1, wake: make(chan struct{}), draining: -1}
 	for _, e := range f.all {
-		m := member{ID: fmt.Sprint("p", e.number), HostPort: e.addr, Locality: p.zone(e.place), Flavor: "r", Phase: "active", Size: 1}
+		m := member{ID: fmt.Sprint("p", e.number), HostPort: e.addr, Locality: p.zone(e.index), Flavor: "r", Phase: "active", Size: 1}
 		if e.decode {
 			m.ID, m.Flavor = fmt.Sprint("d", e.number), "w"
 		}
@@ -57,8 +57,8 @@
 	return d
 }
 
-// list returns what changed after a revision, with the addresses that a gateway is told; all of it for a
-// negative one.
+// list returns the members that changed after a revision, with the addresses for this gateway; a negative
+// revision gives a snapshot. The channel is closed at the next change.
 func (d *discovery) list(gateway int, after int64) (discoveryList, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -74,7 +74,7 @@
 	return l, d.wake
 }
 
-// set changes the phase of a decode engine; one that is active again has been restarted.
+// set changes the phase of a decode engine. The phase "active" means that the engine was restarted.
 func (d *discovery) set(engine int, phase string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -82,16 +82,16 @@
 	d.members[n].Phase = phase
 	if phase == "active" {
 		d.members[n].UpSince = time.Now().UnixMilli()
-		d.drained = -1
-		d.book.locked(func() {
-			for i := range d.book.Told {
-				d.book.Told[i].Until = min(d.book.Told[i].Until, d.book.now())
+		d.draining = -1
+		d.observed.locked(func() {
+			for i := range d.observed.DrainNotices {
+				d.observed.DrainNotices[i].Until = min(d.observed.DrainNotices[i].Until, d.observed.now())
 			}
 		})
 	} else {
-		d.drained, d.since = engine, d.book.now()
-		if end := d.plan.SilentAt + d.plan.Silent; d.since >= d.plan.SilentAt && d.since < end {
-			d.since = end // it can't be reached before
+		d.draining, d.since = engine, d.observed.now()
+		if end := d.plan.OutageStart + d.plan.Outage; d.since >= d.plan.OutageStart && d.since < end {
+			d.since = end // discovery can't be reached before the end of its outage
 		}
 	}
 	d.rev++
@@ -100,48 +100,48 @@
 	d.wake = make(chan struct{})
 }
 
-// told records that a gateway has been told of the drain, if there is one.
-func (d *discovery) told(gateway int) {
+// recordDrainNotice records that a gateway was informed of the current drain, if there is one.
+func (d *discovery) recordDrainNotice(gateway int) {
 	d.mu.Lock()
-	engine, since := d.drained, d.since
+	engine, since := d.draining, d.since
 	d.mu.Unlock()
-	if engine < 0 || d.book.now() < since {
+	if engine < 0 || d.observed.now() < since {
 		return
 	}
-	d.book.locked(func() {
-		for _, t := range d.book.Told {
+	d.observed.locked(func() {
+		for _, t := range d.observed.DrainNotices {
 			if t.Gateway == gateway && t.Engine == engine && t.Since == since {
 				return
 			}
 		}
-		d.book.Told = append(d.book.Told, Told{Gateway: gateway, Engine: engine, At: d.book.now(), Since: since, Until: Never})
+		d.observed.DrainNotices = append(d.observed.DrainNotices, DrainNotice{Gateway: gateway, Engine: engine, At: d.observed.now(), Since: since, Until: Never})
 	})
 }
 
-// silent waits while discovery is silent.
-func (d *discovery) silent(ctx context.Context) {
+// awaitOutageEnd blocks during the planned outage of discovery.
+func (d *discovery) awaitOutageEnd(ctx context.Context) {
 	for ctx.Err() == nil {
-		now := d.book.now()
-		if d.plan.Silent == 0 || now < d.plan.SilentAt || now >= d.plan.SilentAt+d.plan.Silent {
+		now := d.observed.now()
+		if d.plan.Outage == 0 || now < d.plan.OutageStart || now >= d.plan.OutageStart+d.plan.Outage {
 			return
 		}
-		wait(ctx, nil, min(d.plan.SilentAt+d.plan.Silent-now, 50*time.Millisecond))
+		wait(ctx, nil, min(d.plan.OutageStart+d.plan.Outage-now, 50*time.Millisecond))
 	}
 }
 
-const watchBeat = 2 * time.Second
+const watchHeartbeat = 2 * time.Second
 
-// listen serves one gateway and returns the address.
+// listen starts a server for one gateway and returns its address.
 func (d *discovery) listen(ctx context.Context, gateway int) (string, error) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return "", fmt.Errorf("discovery: %w", err)
 	}
 	srv := &http.Server{ReadHeaderTimeout: time.Minute, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		within, stop := context.WithCancel(r.Context())
+		reqCtx, stop := context.WithCancel(r.Context())
 		defer stop()
 		defer context.AfterFunc(ctx, stop)()
-		d.serve(within, w, r, gateway)
+		d.serve(reqCtx, w, r, gateway)
 	})}
 	context.AfterFunc(ctx, func() { srv.Close() })
 	go srv.Serve(l)
@@ -149,10 +149,10 @@
 }
 
 func (d *discovery) serve(ctx context.Context, w http.ResponseWriter, r *http.Request, gateway int) {
-	d.silent(ctx)
+	d.awaitOutageEnd(ctx)
 	if r.URL.Query().Get("watch") == "" {
 		l, _ := d.list(gateway, -1)
-		d.told(gateway)
+		d.recordDrainNotice(gateway)
 		_ = json.NewEncoder(w).Encode(l)
 		return
 	}
@@ -162,14 +162,14 @@
 	}
 	out := http.NewResponseController(w)
 	var reset <-chan time.Time
-	if at := d.plan.WatchReset - d.book.now(); d.plan.WatchReset > 0 && at > 0 {
+	if at := d.plan.WatchReset - d.observed.now(); d.plan.WatchReset > 0 && at > 0 {
 		reset = time.After(at)
 	}
 	for ctx.Err() == nil {
-		d.silent(ctx)
+		d.awaitOutageEnd(ctx)
 		l, wake := d.list(gateway, after)
 		if after < 0 || len(l.Members) > 0 {
-			d.told(gateway)
+			d.recordDrainNotice(gateway)
 			if json.NewEncoder(w).Encode(l) != nil {
 				return
 			}
@@ -185,7 +185,7 @@
 		case <-reset:
 			panic(http.ErrAbortHandler)
 		case <-wake:
-		case <-time.After(watchBeat):
+		case <-time.After(watchHeartbeat):
 		}
 	}
 }
--- a/experiments/soak/process.go
+++ b/experiments/soak/process.go
@@ -19,55 +19,55 @@
 	"time"
 )
 
-// Waits of the operators' side.
+// Intervals and limits of the operators and the front.
 const (
-	callWait    = 2 * time.Second
-	frontEvery  = 100 * time.Millisecond
-	frontLag    = 200 * time.Millisecond // clients keep coming for so long after a no
-	upgradeWait = 10 * time.Second
-	callTries   = 5
-	longestKill = 3 * time.Second
-	exitWait    = 30 * time.Second // for a process that SIGKILL has ended
+	commandTimeout  = 2 * time.Second
+	frontInterval   = 100 * time.Millisecond
+	frontLag        = 200 * time.Millisecond // clients are admitted for this long after a failed health check
+	upgradeTimeout  = 10 * time.Second
+	commandAttempts = 5
+	maxKillDelay    = 3 * time.Second
+	exitTimeout     = 30 * time.Second // for a process to exit after SIGKILL
 )
 
-// gateway is one gateway: its processes, one after the other, and what clients know of it.
+// gateway is one gateway: its sequence of processes and the address that its clients use.
 type gateway struct {
-	number  int
-	plan    Plan
-	program string
-	dir     string
-	config  string // the file
-	where   string // discovery's address
+	number        int
+	plan          Plan
+	program       string
+	dir           string
+	config        string // path of the configuration file
+	discoveryAddr string
 
 	discovery *discovery
 
-	book   *Book
-	socket *os.File // the clients', where the platform holds it; nil otherwise
+	observed *Observations
+	socket   *os.File // the clients' listening socket if the platform owns it; otherwise nil
 
-	mu       sync.Mutex
-	current  *process
-	addr     string
-	deadline time.Duration // of the settings in force
-	drain    *Drain        // under way, or the last one
-	unkept   []unkept
-	admitted atomic.Bool
+	mu              sync.Mutex
+	running         *process
+	addr            string
+	deadline        time.Duration // of the current settings
+	drain           *Drain        // the latest drain; nil before the first one
+	failedEjections []failedEjection
+	admitted        atomic.Bool
 
-	stepping     sync.Mutex // held while something is done to the process
-	killedInFile bool       // a process was killed in the middle of a file's write, as planned; mu guards it
+	stepMu        sync.Mutex // held while a step acts on the process
+	killedInWrite bool       // the planned kill in the middle of a file write has happened; guarded by mu
 }
 
 // process is one run of the program.
 type process struct {
-	cmd     *exec.Cmd
-	life    *Life
-	control string
-	serving string
-	began   chan struct{} // closed once it says where it serves and takes calls, or ends
-	ended   chan struct{}
-	broken  string // an invariant that the log says was broken
+	cmd       *exec.Cmd
+	record    *ProcessRecord
+	control   string        // address of the control listener
+	serving   string        // address for clients
+	ready     chan struct{} // closed when the log has both addresses, or when the process ends
+	ended     chan struct{}
+	violation string // the log line that reports a violated invariant or is not JSON
 }
 
-// settings is the platform's document.
+// settings returns the platform's settings document.
 func (g *gateway) settings() map[string]any {
 	micros := func(d time.Duration) int64 { return d.Microseconds() }
 	return map[string]any{
@@ -79,11 +79,11 @@
 	}
 }
 
-// write writes the configuration, whole.
+// write replaces the configuration file atomically.
 func (g *gateway) write() error {
 	all, _ := g.discovery.list(g.number, -1)
 	text, err := json.Marshal(map[string]any{
-		"name": fmt.Sprint("g", g.number), "listen": "127.0.0.1:0", "discovery": g.where, "control": "127.0.0.1:0", "seed": fmt.Sprintf("%x", g.plan.Seed),
+		"name": fmt.Sprint("g", g.number), "listen": "127.0.0.1:0", "discovery": g.discoveryAddr, "control": "127.0.0.1:0", "seed": fmt.Sprintf("%x", g.plan.Seed),
 		"limits": map[string]any{"cores": 1, "memory_mb": 128, "sockets": g.plan.Sockets}, "settings": g.settings(), "known": all,
 	})
 	if err != nil {
@@ -96,7 +96,7 @@
 	return os.Rename(next, g.config)
 }
 
-// start starts a process and returns once it says that it serves.
+// start starts a process and returns when it serves or has ended.
 func (g *gateway) start(ctx context.Context) (*process, error) {
 	faults, err := json.Marshal(g.plannedFaults())
 	if err != nil {
@@ -112,75 +112,75 @@
 	if err != nil {
 		return nil, err
 	}
-	keep, err := os.OpenFile(filepath.Join(g.dir, "log"), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
+	logFile, err := os.OpenFile(filepath.Join(g.dir, "log"), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	p := &process{cmd: cmd, life: &Life{Gateway: g.number, Started: g.book.now(), Ready: Never, Terminated: Never, Killed: Never, Ended: Never}, began: make(chan struct{}), ended: make(chan struct{})}
+	p := &process{cmd: cmd, record: &ProcessRecord{Gateway: g.number, Started: g.observed.now(), Ready: Never, Terminated: Never, Killed: Never, Ended: Never}, ready: make(chan struct{}), ended: make(chan struct{})}
 	if err := cmd.Start(); err != nil {
 		return nil, err
 	}
-	g.book.locked(func() { g.book.Lives = append(g.book.Lives, p.life) })
-	go g.follow(ctx, p, errs, keep)
-	<-p.began
+	g.observed.locked(func() { g.observed.Processes = append(g.observed.Processes, p.record) })
+	go g.follow(ctx, p, errs, logFile)
+	<-p.ready
 	return p, nil
 }
 
-// plannedFaults returns the faults of the system for the next process. One alone is killed by them.
+// plannedFaults returns the system faults for the next process. Only one process is killed by them.
 func (g *gateway) plannedFaults() Injected {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	faults := g.plan.Faults[g.number]
-	if g.killedInFile {
+	if g.killedInWrite {
 		faults.Kill = 0
 	}
 	return faults
 }
 
-// diedInFile reports whether a process ended by the kill in the middle of a file's write that was planned,
-// and records that.
-func (g *gateway) diedInFile(p *process, exit error) bool {
+// killedDuringWrite reports whether the planned kill in the middle of a file write ended a process, and
+// records it.
+func (g *gateway) killedDuringWrite(p *process, exit error) bool {
 	failed := (*exec.ExitError)(nil)
 	if g.plannedFaults().Kill == 0 || !errors.As(exit, &failed) {
 		return false
 	}
 	status, ok := failed.Sys().(syscall.WaitStatus)
-	untold := true
-	g.book.locked(func() { untold = p.life.Killed == Never })
-	if !ok || status.Signal() != syscall.SIGKILL || !untold {
+	notKilled := true
+	g.observed.locked(func() { notKilled = p.record.Killed == Never })
+	if !ok || status.Signal() != syscall.SIGKILL || !notKilled {
 		return false
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.killedInFile = true
+	g.killedInWrite = true
 	return true
 }
 
-// restart starts the process that follows one that was killed, unless a step has done so.
+// restart starts the successor of a killed process, unless a step has already started it.
 func (g *gateway) restart(ctx context.Context, killed *process) {
-	g.stepping.Lock()
-	defer g.stepping.Unlock()
-	if p, _, _ := g.now(); p != killed || ctx.Err() != nil {
+	g.stepMu.Lock()
+	defer g.stepMu.Unlock()
+	if p, _, _ := g.snapshot(); p != killed || ctx.Err() != nil {
 		return
 	}
-	g.interrupted()
+	g.markInterrupted()
 	g.endDrain()
-	_ = g.next(ctx) // what comes of a gateway that does not start again is judged by its readiness
+	_ = g.startNext(ctx) // the readiness rule reports a gateway that does not start again
 }
 
-// follow reads a process's log to its end, and records how it ended.
-func (g *gateway) follow(ctx context.Context, p *process, errs io.Reader, keep io.WriteCloser) {
+// follow reads a process's log to its end and records how the process exited.
+func (g *gateway) follow(ctx context.Context, p *process, errs io.Reader, logFile io.WriteCloser) {
 	defer close(p.ended)
-	defer keep.Close()
-	began := sync.OnceFunc(func() { close(p.began) })
-	defer began()
+	defer logFile.Close()
+	ready := sync.OnceFunc(func() { close(p.ready) })
+	defer ready()
 	scan := bufio.NewScanner(errs)
 	scan.Buffer(nil, 1<<20)
 	for scan.Scan() {
-		fmt.Fprintln(keep, scan.Text())
+		fmt.Fprintln(logFile, scan.Text())
 		var line struct{ Message, Listen, Control string }
 		if json.Unmarshal(scan.Bytes(), &line) != nil {
-			p.broken = "it wrote " + scan.Text()
+			p.violation = "log line is not JSON: " + scan.Text()
 			continue
 		}
 		switch {
@@ -189,56 +189,56 @@
 		case line.Message == "control listener open":
 			p.control = line.Control
 		case strings.Contains(line.Message, "invariant"):
-			p.broken = scan.Text()
+			p.violation = scan.Text()
 		}
 		if p.serving != "" && p.control != "" {
-			began()
+			ready()
 		}
 	}
 	err := p.cmd.Wait()
-	inFile := g.diedInFile(p, err)
-	if inFile {
+	inWrite := g.killedDuringWrite(p, err)
+	if inWrite {
 		go g.restart(ctx, p)
 	}
-	g.book.locked(func() {
-		p.life.Ended = g.book.now()
-		if inFile {
-			p.life.Killed = p.life.Ended
+	g.observed.locked(func() {
+		p.record.Ended = g.observed.now()
+		if inWrite {
+			p.record.Killed = p.record.Ended
 		}
-		if exit := (*exec.ExitError)(nil); err != nil && p.life.Killed == Never && errors.As(err, &exit) {
-			p.life.Crashed = fmt.Sprintf("ended by itself: %v %s", err, p.broken)
-		} else if p.broken != "" {
-			p.life.Crashed = p.broken
-		} else if p.life.Terminated == Never && p.life.Killed == Never {
-			p.life.Crashed = "ended by itself, untold"
+		if exit := (*exec.ExitError)(nil); err != nil && p.record.Killed == Never && errors.As(err, &exit) {
+			p.record.CrashReason = fmt.Sprintf("exited unexpectedly: %v %s", err, p.violation)
+		} else if p.violation != "" {
+			p.record.CrashReason = p.violation
+		} else if p.record.Terminated == Never && p.record.Killed == Never {
+			p.record.CrashReason = "exited without a signal from the experiment"
 		}
 	})
 }
 
-// enter makes a process the one that clients and operators know.
-func (g *gateway) enter(p *process) {
+// publish directs clients and operators to a process.
+func (g *gateway) publish(p *process) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.current = p
+	g.running = p
 	if g.socket == nil {
 		g.addr = p.serving
 	}
 }
 
-func (g *gateway) now() (p *process, addr string, deadline time.Duration) {
+func (g *gateway) snapshot() (p *process, addr string, deadline time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.current, g.addr, g.deadline
+	return g.running, g.addr, g.deadline
 }
 
-// call makes an operator's call.
-func operatorsCall(control, line string) bool {
-	c, err := net.DialTimeout("tcp4", control, callWait)
+// sendCommand sends an operator's command and reports whether the answer was YES.
+func sendCommand(control, line string) bool {
+	c, err := net.DialTimeout("tcp4", control, commandTimeout)
 	if err != nil {
 		return false
 	}
 	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(callWait))
+	_ = c.SetDeadline(time.Now().Add(commandTimeout))
 	if _, err := io.WriteString(c, line+"\n"); err != nil {
 		return false
 	}
@@ -246,11 +246,11 @@
 	return strings.HasPrefix(answer, "YES")
 }
 
-// healthy asks for a gateway's health on a connection of its own.
+// healthy checks a gateway's health on a separate connection.
 func healthy(ctx context.Context, addr string) bool {
-	within, stop := context.WithTimeout(ctx, time.Second)
+	reqCtx, stop := context.WithTimeout(ctx, time.Second)
 	defer stop()
-	req, err := http.NewRequestWithContext(within, http.MethodGet, "http://"+addr+"/healthz", nil)
+	req, err := http.NewRequestWithContext(reqCtx, http.MethodGet, "http://"+addr+"/healthz", nil)
 	if err != nil {
 		return false
 	}
@@ -263,25 +263,25 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// front watches a gateway's health, as what deals out clients does.
+// front polls a gateway's health, like the front that distributes clients, and admits clients accordingly.
 func (g *gateway) front(ctx context.Context) {
-	for ; ctx.Err() == nil; wait(ctx, nil, frontEvery) {
-		p, addr, _ := g.now()
+	for ; ctx.Err() == nil; wait(ctx, nil, frontInterval) {
+		p, addr, _ := g.snapshot()
 		ok := healthy(ctx, addr)
-		now := g.book.now()
-		g.book.locked(func() {
-			if ok && p.life.Ready == Never {
-				p.life.Ready = now
+		now := g.observed.now()
+		g.observed.locked(func() {
+			if ok && p.record.Ready == Never {
+				p.record.Ready = now
 			}
 			d := g.drain
 			if d == nil || !ok {
 				return
 			}
-			if now > d.At+drainJudged && now < d.Until && d.HealthyAt == Never {
-				d.HealthyAt = now
+			if now > d.At+drainCheckDelay && now < d.Until && d.HealthyInDrain == Never {
+				d.HealthyInDrain = now
 			}
-			if d.ActiveAt != Never && d.HealthyAgain == Never {
-				d.HealthyAgain = now
+			if d.ActiveAt != Never && d.HealthyAfter == Never {
+				d.HealthyAfter = now
 			}
 		})
 		if ok {
@@ -292,97 +292,97 @@
 	}
 }
 
-// interrupted notes that something is done to the process, so that a drain can't be judged by it.
-func (g *gateway) interrupted() {
-	g.book.locked(func() {
+// markInterrupted records that a step affects the process, so that its drain can't be checked.
+func (g *gateway) markInterrupted() {
+	g.observed.locked(func() {
 		d := g.drain
 		if d == nil {
 			return
 		}
-		now := g.book.now()
-		if now < d.At+drainJudged+slack {
-			d.DrainBroken = true
+		now := g.observed.now()
+		if now < d.At+drainCheckDelay+slack {
+			d.DrainInterrupted = true
 		}
-		if d.ActiveAt == Never || now < d.ActiveAt+drainOver+slack {
-			d.ActiveBroken = true
+		if d.ActiveAt == Never || now < d.ActiveAt+drainEndLimit+slack {
+			d.ActiveInterrupted = true
 		}
 	})
 }
 
-// end ends a drain's record.
+// endDrain ends the record of the latest drain.
 func (g *gateway) endDrain() {
-	g.book.locked(func() {
+	g.observed.locked(func() {
 		if g.drain != nil {
-			g.drain.Until = min(g.drain.Until, g.book.now())
+			g.drain.Until = min(g.drain.Until, g.observed.now())
 		}
 	})
 }
 
-// terminate sends SIGTERM and, at the earliest time that the page allows, SIGKILL.
+// terminate sends SIGTERM and then SIGKILL, at the earliest time that the platform's protocol allows.
 func (g *gateway) terminate(p *process) {
-	_, _, deadline := g.now()
-	g.book.locked(func() { p.life.Terminated = g.book.now() })
+	_, _, deadline := g.snapshot()
+	g.observed.locked(func() { p.record.Terminated = g.observed.now() })
 	_ = p.cmd.Process.Signal(syscall.SIGTERM)
 	select {
 	case <-p.ended:
 		return
-	case <-time.After(min(deadline, longestKill) + killGrace):
+	case <-time.After(min(deadline, maxKillDelay) + killGrace):
 	}
 	g.kill(p)
 }
 
-// kill sends SIGKILL.
+// kill sends SIGKILL and waits for the exit.
 func (g *gateway) kill(p *process) {
 	select {
 	case <-p.ended:
 		return
 	default:
 	}
-	g.book.locked(func() { p.life.Killed = g.book.now() })
+	g.observed.locked(func() { p.record.Killed = g.observed.now() })
 	_ = p.cmd.Process.Kill()
 	select {
 	case <-p.ended:
-	case <-time.After(exitWait):
+	case <-time.After(exitTimeout):
 	}
 }
 
-// next starts the process that follows one that has ended.
-func (g *gateway) next(ctx context.Context) error {
-	if err := g.write(); err != nil { // the platform gives it the list as last known
+// startNext starts the successor of a process that has ended.
+func (g *gateway) startNext(ctx context.Context) error {
+	if err := g.write(); err != nil { // the platform includes the last known engine list
 		return err
 	}
 	p, err := g.start(ctx)
 	if err != nil {
 		return err
 	}
-	g.enter(p)
+	g.publish(p)
 	return nil
 }
 
 // step carries out one step.
 func (g *gateway) step(ctx context.Context, s Step) error {
-	g.stepping.Lock()
-	defer g.stepping.Unlock()
-	p, _, _ := g.now()
-	if s.Verb != Active && s.Verb != Standby && s.Verb != EjectOne && s.Verb != ReturnOne {
-		g.interrupted()
+	g.stepMu.Lock()
+	defer g.stepMu.Unlock()
+	p, _, _ := g.snapshot()
+	if s.Verb != Active && s.Verb != Standby && s.Verb != EjectEngine && s.Verb != ReadmitEngine {
+		g.markInterrupted()
 	}
 	switch s.Verb {
 	case Standby:
 		g.standby(p)
 	case Active:
 		g.active(p)
-	case EjectOne:
+	case EjectEngine:
 		g.eject(p, s.Engine)
-	case ReturnOne:
-		g.giveBack(p, s.Engine)
-	case Stop:
+	case ReadmitEngine:
+		g.readmit(p, s.Engine)
+	case Pause:
 		_ = p.cmd.Process.Signal(syscall.SIGSTOP)
 		wait(ctx, nil, s.For)
 		_ = p.cmd.Process.Signal(syscall.SIGCONT)
 	case Reload:
 		g.mu.Lock()
-		g.deadline = g.plan.Retuned
+		g.deadline = g.plan.ReloadedDeadline
 		g.mu.Unlock()
 		if err := g.write(); err != nil {
 			return err
@@ -395,7 +395,7 @@
 			g.terminate(p)
 		}
 		g.endDrain()
-		return g.next(ctx)
+		return g.startNext(ctx)
 	case Upgrade:
 		return g.upgrade(ctx, p)
 	}
@@ -403,80 +403,80 @@
 }
 
 func (g *gateway) standby(p *process) {
-	if !operatorsCall(p.control, "standby") {
+	if !sendCommand(p.control, "standby") {
 		return
 	}
-	g.book.locked(func() {
+	g.observed.locked(func() {
 		if g.drain != nil && g.drain.Until == Never {
-			return // it drains already
+			return // the gateway is already draining
 		}
-		g.drain = &Drain{Gateway: g.number, At: g.book.now(), Until: Never, HealthyAt: Never, ActiveAt: Never, HealthyAgain: Never}
-		g.book.Drains = append(g.book.Drains, g.drain)
+		g.drain = &Drain{Gateway: g.number, At: g.observed.now(), Until: Never, HealthyInDrain: Never, ActiveAt: Never, HealthyAfter: Never}
+		g.observed.Drains = append(g.observed.Drains, g.drain)
 	})
 }
 
 func (g *gateway) active(p *process) {
-	sent := g.book.now()
-	yes := operatorsCall(p.control, "active")
-	g.book.locked(func() {
-		if d := g.drain; yes && d != nil && d.Until == Never {
-			d.Until, d.ActiveAt = sent, g.book.now()
+	sent := g.observed.now()
+	accepted := sendCommand(p.control, "active")
+	g.observed.locked(func() {
+		if d := g.drain; accepted && d != nil && d.Until == Never {
+			d.Until, d.ActiveAt = sent, g.observed.now()
 		}
 	})
 }
 
-// ejectionDue is how long after a call an engine is out, whatever the answer.
-const ejectionDue = time.Second
+// ejectionDelay is the time after a command until the ejection is in force, whether or not it was stored.
+const ejectionDelay = time.Second
 
 func (g *gateway) eject(p *process, engine int) {
-	sent := g.book.now()
-	yes := operatorsCall(p.control, fmt.Sprint("maint-on d", engine))
-	g.book.locked(func() {
-		e := &Ejection{Gateway: g.number, Engine: engine, At: sent + ejectionDue, Until: Never}
-		if !yes { // it is told not to outlast the process, and not to hold if there was none
-			if e.Until = p.life.Ended; p.life.Terminated != Never || p.life.Killed != Never {
+	sent := g.observed.now()
+	accepted := sendCommand(p.control, fmt.Sprint("maint-on d", engine))
+	g.observed.locked(func() {
+		e := &Ejection{Gateway: g.number, Engine: engine, At: sent + ejectionDelay, Until: Never}
+		if !accepted { // ends with its process; not expected of a stopped process
+			if e.Until = p.record.Ended; p.record.Terminated != Never || p.record.Killed != Never {
 				return
 			}
-			g.unkept = append(g.unkept, unkept{e, p})
+			g.failedEjections = append(g.failedEjections, failedEjection{e, p})
 		}
-		g.book.Ejected = append(g.book.Ejected, e)
+		g.observed.Ejections = append(g.observed.Ejections, e)
 	})
 }
 
-func (g *gateway) giveBack(p *process, engine int) {
-	g.book.locked(func() {
-		for _, e := range g.book.Ejected {
+func (g *gateway) readmit(p *process, engine int) {
+	g.observed.locked(func() {
+		for _, e := range g.observed.Ejections {
 			if e.Gateway == g.number && e.Engine == engine {
-				e.Until = min(e.Until, g.book.now())
+				e.Until = min(e.Until, g.observed.now())
 			}
 		}
 	})
-	for range callTries { // an operator repeats a call that was told no
-		if operatorsCall(p.control, fmt.Sprint("maint-off d", engine)) {
+	for range commandAttempts { // an operator repeats a refused command
+		if sendCommand(p.control, fmt.Sprint("maint-off d", engine)) {
 			return
 		}
-		p, _, _ = g.now()
+		p, _, _ = g.snapshot()
 	}
 }
 
-// unkept is an ejection that was told no, and the process that has it in force.
-type unkept struct {
+// failedEjection is an ejection that a process answered with NO but has in force.
+type failedEjection struct {
 	ejection *Ejection
 	process  *process
 }
 
-// endUnkept ends the ejections that a process had in force and could not write.
-func (g *gateway) endUnkept() {
-	g.book.locked(func() {
-		for _, u := range g.unkept {
-			u.ejection.Until = min(u.ejection.Until, u.process.life.Ended)
+// endFailedEjections ends, at the exit of their process, the ejections that the process could not store.
+func (g *gateway) endFailedEjections() {
+	g.observed.locked(func() {
+		for _, u := range g.failedEjections {
+			u.ejection.Until = min(u.ejection.Until, u.process.record.Ended)
 		}
 	})
 }
 
-// upgrade starts a new process on the same socket, and ends the old one once the new one can serve.
+// upgrade starts a new process on the same socket and stops the old one when the new one can serve.
 func (g *gateway) upgrade(ctx context.Context, old *process) error {
-	g.endDrain() // it was told to the old process alone
+	g.endDrain() // only the old process got the command
 	if err := g.write(); err != nil {
 		return err
 	}
@@ -484,15 +484,15 @@
 	if err != nil {
 		return err
 	}
-	for until := g.book.now() + upgradeWait; g.book.now() < until && !operatorsCall(p.control, "status"); {
+	for until := g.observed.now() + upgradeTimeout; g.observed.now() < until && !sendCommand(p.control, "status"); {
 		wait(ctx, nil, 50*time.Millisecond)
 	}
-	g.enter(p)
+	g.publish(p)
 	g.terminate(old)
 	return nil
 }
 
-// descriptors is how many a process has open.
+// descriptors returns the number of open descriptors of a process.
 func (p *process) descriptors() int {
 	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
 	if err != nil {
