--- a/cmd/wellgw/held_test.go
+++ b/cmd/wellgw/held_test.go
@@ -57,10 +57,10 @@
 	t.Helper()
 	h := &heldStates{t: t, fabric: faultnet.New(1), prefill: enginetest.NewEngine(t, releasedOr(prefill))}
 	t.Cleanup(h.fabric.Close)
-	h.fabric.Listens("r", h.prefill.Addr)
+	h.fabric.SetListener("r", h.prefill.Addr)
 	for i := range h.decodes {
 		h.decodes[i] = enginetest.NewEngine(t, releasedOr(func() string { return enginetest.Hang }))
-		h.fabric.Listens(fmt.Sprint("w", i), h.decodes[i].Addr)
+		h.fabric.SetListener(fmt.Sprint("w", i), h.decodes[i].Addr)
 	}
 	for g := range 3 {
 		h.start(fmt.Sprint("g", g))
@@ -138,8 +138,8 @@
 // cut cuts a gateway off from engines, or ends that.
 func (h *heldStates) cut(gateway string, cut bool, engines ...string) {
 	for _, engine := range engines {
-		h.fabric.Set(gateway, engine, faultnet.Rule{Cut: cut})
-		h.fabric.Set(engine, gateway, faultnet.Rule{Cut: cut})
+		h.fabric.SetRule(gateway, engine, faultnet.Rule{Cut: cut})
+		h.fabric.SetRule(engine, gateway, faultnet.Rule{Cut: cut})
 	}
 }
 
--- a/cmd/wellgw/heldinput_test.go
+++ b/cmd/wellgw/heldinput_test.go
@@ -57,7 +57,7 @@
 			answers := soundAnswers()
 			c.spoil(&answers)
 			l := newLostConnections(t, uint64(n), c.limit, answers)
-			l.play(func(round int) { loseOne("w", faultnet.AtRest, faultnet.Both)(l.fabric, round) })
+			l.play(func(round int) { loseOne("w", faultnet.Idle, faultnet.Both)(l.fabric, round) })
 			l.judge()
 			waitHealthy(t, l.url)
 		})
@@ -67,7 +67,7 @@
 // An engine that reads half of a call and closes has not got it: states are released or fetched elsewhere.
 func TestHeldStatesWhereHalfCallsAreRead(t *testing.T) {
 	l := newLostConnections(t, 1, lostHeldLimit, soundAnswers())
-	l.fabric.Listens("w1", halfReader(t))
+	l.fabric.SetListener("w1", halfReader(t))
 	l.play(func(int) {})
 	l.judge()
 	waitHealthy(t, l.url)
--- a/cmd/wellgw/lost_test.go
+++ b/cmd/wellgw/lost_test.go
@@ -174,7 +174,7 @@
 		name, flavor string
 		answer       func(enginetest.Call) string
 	}{{"r0", "r", l.prefill}, {"r1", "r", l.prefill}, {"w0", "w", l.decode}, {"w1", "w", l.decode}} {
-		l.fabric.Listens(engine.name, enginetest.NewEngine(t, l.recorded(engine.answer)).Addr)
+		l.fabric.SetListener(engine.name, enginetest.NewEngine(t, l.recorded(engine.answer)).Addr)
 		addr, err := l.fabric.Dial("g", engine.name)
 		if err != nil {
 			t.Fatal(err)
@@ -293,25 +293,25 @@
 	fault func(f *faultnet.Net, round int)
 }{
 	{"none", func(*faultnet.Net, int) {}},
-	{"single ones at rest, to decode engines", loseOne("w", faultnet.AtRest, faultnet.Both)},
-	{"single ones at rest, to decode engines, one way", loseOne("w", faultnet.AtRest, faultnet.Toward)},
-	{"single ones in use, to decode engines", loseOne("w", faultnet.InUse, faultnet.Both)},
-	{"single ones at rest, to prefill engines", loseOne("r", faultnet.AtRest, faultnet.Both)},
-	{"single ones in use, to prefill engines", loseOne("r", faultnet.InUse, faultnet.Both)},
+	{"single ones at rest, to decode engines", loseOne("w", faultnet.Idle, faultnet.Both)},
+	{"single ones at rest, to decode engines, one way", loseOne("w", faultnet.Idle, faultnet.ToServer)},
+	{"single ones in use, to decode engines", loseOne("w", faultnet.AwaitingAnswer, faultnet.Both)},
+	{"single ones at rest, to prefill engines", loseOne("r", faultnet.Idle, faultnet.Both)},
+	{"single ones in use, to prefill engines", loseOne("r", faultnet.AwaitingAnswer, faultnet.Both)},
 	{"single ones of any kind, to all", func(f *faultnet.Net, round int) {
-		loseOne([]string{"r", "w"}[round%2], faultnet.AnyUse, faultnet.Both)(f, round/2)
+		loseOne([]string{"r", "w"}[round%2], faultnet.AnyActivity, faultnet.Both)(f, round/2)
 	}},
 	{"all open ones of one engine", func(f *faultnet.Net, round int) {
 		if round%allLostEvery == 0 {
-			f.LoseAll("g", "w0", faultnet.AnyUse, faultnet.Both)
+			f.LoseAll("g", "w0", faultnet.AnyActivity, faultnet.Both)
 		}
 	}},
 	{"a machine that vanishes and is back", func(f *faultnet.Net, round int) {
 		switch round % allLostEvery {
 		case 0:
-			f.Vanish("w1")
+			f.TakeDown("w1")
 		case allLostEvery / 2:
-			f.Return("w1")
+			f.BringUp("w1")
 		}
 	}},
 }
@@ -320,7 +320,7 @@
 const allLostEvery = 16
 
 // loseOne loses a connection to either engine of a role in turn.
-func loseOne(role string, use faultnet.Use, ways faultnet.Ways) func(f *faultnet.Net, round int) {
+func loseOne(role string, use faultnet.Activity, ways faultnet.Directions) func(f *faultnet.Net, round int) {
 	return func(f *faultnet.Net, round int) { f.Lose("g", fmt.Sprint(role, round%2), use, ways) }
 }
 
@@ -342,7 +342,7 @@
 	l := newLostConnections(t, 1, lostHeldLimit, soundAnswers())
 	ended := make(chan struct{})
 	l.play(func(round int) {
-		loseOne("w", faultnet.AtRest, faultnet.Both)(l.fabric, round)
+		loseOne("w", faultnet.Idle, faultnet.Both)(l.fabric, round)
 		if round == shutdownRound {
 			go func() { defer close(ended); l.terminate() }()
 		}
--- a/cmd/wellgw/moments_test.go
+++ b/cmd/wellgw/moments_test.go
@@ -97,8 +97,8 @@
 	decode := enginetest.NewEngine(t, releasedOr(func() string { return enginetest.Stream(3, 0) }))
 	fabric := faultnet.New(1)
 	t.Cleanup(fabric.Close)
-	fabric.Listens("r", prefill.Addr)
-	fabric.Listens("w", decode.Addr)
+	fabric.SetListener("r", prefill.Addr)
+	fabric.SetListener("w", decode.Addr)
 	set := strings.NewReplacer(`"balancers":1`, `"balancers":2`, `"hard_limit":60000000`, `"hard_limit":4000000`, `"aim":10000000`, `"aim":3000000`).Replace(testSettings)
 	way := func(from, to string) *enginetest.Engine {
 		addr, err := fabric.Dial(from, to)
@@ -126,8 +126,8 @@
 	}
 	rule := func(r faultnet.Rule) {
 		for _, engine := range []string{"r", "w"} {
-			fabric.Set("g0", engine, r)
-			fabric.Set(engine, "g0", r)
+			fabric.SetRule("g0", engine, r)
+			fabric.SetRule(engine, "g0", r)
 		}
 	}
 	more(clients[0], "requests are under way")
--- a/cmd/wellgw/tier_test.go
+++ b/cmd/wellgw/tier_test.go
@@ -116,7 +116,7 @@
 func TestPacketLoss(t *testing.T) {
 	t.Parallel()
 	w := newTier(t, []string{"a", "b", "c", "d"}, nil)
-	w.faults.All(w.names, faultnet.Rule{Loss: 0.3, Double: 0.1, Jitter: 20 * time.Millisecond})
+	w.faults.SetAll(w.names, faultnet.Rule{Loss: 0.3, Duplicate: 0.1, Jitter: 20 * time.Millisecond})
 	time.Sleep(5 * time.Second)
 	w.agree("under loss")
 	w.gateways["d"].kill()
@@ -134,12 +134,12 @@
 			if from == to {
 				continue
 			}
-			w.faults.Set(from, to, faultnet.Rule{Cut: true})
+			w.faults.SetRule(from, to, faultnet.Rule{Cut: true})
 			enginetest.Eventually(t, fmt.Sprintf("%s knows that only others reach %s", from, to), func() bool {
 				g, known := w.gateways[from].viewOf(t, to)
 				return known && g.OneWay && g.Status < membership.Dead
 			})
-			w.faults.Set(from, to, faultnet.Rule{})
+			w.faults.SetRule(from, to, faultnet.Rule{})
 			w.agree("after the cut")
 			enginetest.Eventually(t, "it is direct again", func() bool { g, known := w.gateways[from].viewOf(t, to); return known && !g.OneWay })
 		}
@@ -200,10 +200,10 @@
 func TestRestartFasterThanDetection(t *testing.T) {
 	t.Parallel()
 	w := newTier(t, []string{"a", "b", "c"}, nil)
-	w.faults.Set("b", "a", faultnet.Rule{Delay: 8 * time.Second})
+	w.faults.SetRule("b", "a", faultnet.Rule{Delay: 8 * time.Second})
 	time.Sleep(500 * time.Millisecond) // some are under way
 	w.gateways["b"].kill()
-	w.faults.Set("b", "a", faultnet.Rule{})
+	w.faults.SetRule("b", "a", faultnet.Rule{})
 	w.start("b", "b", nil)
 	w.eventually("what the former life sent is dropped", []string{"a"}, func(s peers.Status) bool { return s.Counts.StaleInstance > 0 })
 	w.agree("after the restart")
@@ -387,7 +387,7 @@
 	names := []string{"n0", "n1", "n2"}
 	var at []string
 	for _, name := range names {
-		a, err := net.Port(name)
+		a, err := net.OpenPort(name)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -414,7 +414,7 @@
 		enginetest.Eventually(t, name+" serves", func() bool { return said(`"message":"serving"`) })
 		if text, _ := os.ReadFile(log.Name()); said(`"message":"tier transport listening"`) {
 			listen := regexp.MustCompile(`"listen":"([^"]+)"[^\n]*"message":"tier transport listening"`).FindSubmatch(text)
-			if err := net.Behind(name, string(listen[1])); err != nil {
+			if err := net.SetBackend(name, string(listen[1])); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/cmd/wellgw/tierharness_test.go
+++ b/cmd/wellgw/tierharness_test.go
@@ -65,7 +65,7 @@
 
 func (w *tier) relay(name string) {
 	w.t.Helper()
-	at, err := w.faults.Port(name)
+	at, err := w.faults.OpenPort(name)
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -106,7 +106,7 @@
 	go func() { defer close(m.exited); _ = cmd.Wait() }()
 	w.t.Cleanup(func() { m.signal(syscall.SIGCONT); m.kill() })
 	w.gateways[place] = m
-	if err := w.faults.Behind(place, m.status(w.t).Listen); err != nil {
+	if err := w.faults.SetBackend(place, m.status(w.t).Listen); err != nil {
 		w.t.Fatal(err)
 	}
 	return m
@@ -183,8 +183,8 @@
 func (w *tier) cut(some, rest []string, r faultnet.Rule) {
 	for _, a := range some {
 		for _, b := range rest {
-			w.faults.Set(a, b, r)
-			w.faults.Set(b, a, r)
+			w.faults.SetRule(a, b, r)
+			w.faults.SetRule(b, a, r)
 		}
 	}
 }
--- a/experiments/faultnet/faultnet.go
+++ b/experiments/faultnet/faultnet.go
@@ -14,12 +14,12 @@
 
 // Rule is what happens to what goes in one direction. The zero value lets all pass at once.
 type Rule struct {
-	Cut    bool          `json:"cut,omitempty"`
-	Stall  bool          `json:"stall,omitempty"` // held until the rule ends; the oldest are lost beyond a bound
-	Loss   float64       `json:"loss,omitempty"`  // part lost
-	Double float64       `json:"double,omitempty"`
-	Delay  time.Duration `json:"delay,omitempty"`
-	Jitter time.Duration `json:"jitter,omitempty"` // drawn anew for each, so that they overtake each other
+	Cut       bool          `json:"cut,omitempty"`
+	Stall     bool          `json:"stall,omitempty"` // held until the rule ends; the oldest are lost beyond a bound
+	Loss      float64       `json:"loss,omitempty"`  // part lost
+	Duplicate float64       `json:"double,omitempty"`
+	Delay     time.Duration `json:"delay,omitempty"`
+	Jitter    time.Duration `json:"jitter,omitempty"` // drawn anew for each, so that they overtake each other
 }
 
 // stalled is the most datagrams that a stalled direction holds.
@@ -29,16 +29,16 @@
 
 // Net is a set of relays. It is safe for concurrent use.
 type Net struct {
-	mu     sync.Mutex
-	rng    *rand.Rand
-	ports  map[string]*Port
-	names  map[netip.AddrPort]string // of who is behind the relays, by where they send from
-	rules  map[pair]Rule
-	held   map[pair][][]byte
-	tap    func(from, to string, b []byte)
-	onLost func(from, to string, b []byte)
-	Moved  uint64 // datagrams, and parts of connections, passed on
-	group  sync.WaitGroup
+	mu      sync.Mutex
+	rng     *rand.Rand
+	ports   map[string]*Port
+	names   map[netip.AddrPort]string // of who is behind the relays, by where they send from
+	rules   map[pair]Rule
+	held    map[pair][][]byte
+	tap     func(from, to string, b []byte)
+	onLost  func(from, to string, b []byte)
+	Relayed uint64 // datagrams, and parts of connections, passed on
+	group   sync.WaitGroup
 
 	listen   map[string]string // where processes take connections
 	doors    []net.Listener
@@ -68,7 +68,7 @@
 }
 
 // Port opens the relay before a process, whose address the others are to be told.
-func (n *Net) Port(name string) (addr string, err error) {
+func (n *Net) OpenPort(name string) (addr string, err error) {
 	conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		return "", fmt.Errorf("relay of %s: %w", name, err)
@@ -83,7 +83,7 @@
 
 // Behind says where the process behind a relay listens, and sends from. After a restart it
 // is said anew.
-func (n *Net) Behind(name, addr string) error {
+func (n *Net) SetBackend(name, addr string) error {
 	at, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return fmt.Errorf("relay of %s: %w", name, err)
@@ -98,7 +98,7 @@
 }
 
 // Set gives a direction a rule. What a stall has held goes on its way when it ends.
-func (n *Net) Set(from, to string, r Rule) {
+func (n *Net) SetRule(from, to string, r Rule) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	k := pair{from, to}
@@ -120,11 +120,11 @@
 }
 
 // All gives every direction between the names a rule.
-func (n *Net) All(names []string, r Rule) {
+func (n *Net) SetAll(names []string, r Rule) {
 	for _, a := range names {
 		for _, b := range names {
 			if a != b {
-				n.Set(a, b, r)
+				n.SetRule(a, b, r)
 			}
 		}
 	}
@@ -169,7 +169,7 @@
 		}
 	default:
 		n.pass(p, b, r)
-		if n.rng.Float64() < r.Double {
+		if n.rng.Float64() < r.Duplicate {
 			n.pass(p, b, r)
 		}
 	}
@@ -178,7 +178,7 @@
 // pass sends a datagram on, at once or later.
 func (n *Net) pass(p *Port, b []byte, r Rule) {
 	wait := n.wait(r)
-	n.Moved++
+	n.Relayed++
 	if wait == 0 {
 		_, _ = p.conn.WriteToUDPAddrPort(b, p.behind)
 		return
--- a/experiments/faultnet/faultnet_test.go
+++ b/experiments/faultnet/faultnet_test.go
@@ -15,7 +15,7 @@
 // end is a process's socket behind a relay.
 func end(t *testing.T, n *Net, name string) (conn *net.UDPConn, public string) {
 	t.Helper()
-	public, err := n.Port(name)
+	public, err := n.OpenPort(name)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	if err := n.Behind(name, conn.LocalAddr().String()); err != nil {
+	if err := n.SetBackend(name, conn.LocalAddr().String()); err != nil {
 		t.Fatal(err)
 	}
 	return conn, public
@@ -67,9 +67,9 @@
 		want []byte
 	}{
 		{"none", Rule{}, []byte{1, 2}}, {"cut", Rule{Cut: true}, nil}, {"loss", Rule{Loss: 1}, nil},
-		{"doubled", Rule{Double: 1}, []byte{1, 1, 2, 2}}, {"late", Rule{Delay: 50 * time.Millisecond}, []byte{1, 2}},
+		{"doubled", Rule{Duplicate: 1}, []byte{1, 1, 2, 2}}, {"late", Rule{Delay: 50 * time.Millisecond}, []byte{1, 2}},
 	} {
-		n.Set("a", "b", c.rule)
+		n.SetRule("a", "b", c.rule)
 		say(a, atB, 1, 2)
 		all := got(t, b, 300*time.Millisecond)
 		slices.Sort(all) // what comes late may overtake
@@ -81,12 +81,12 @@
 			t.Errorf("%s: the other direction brought %v", c.name, all)
 		}
 	}
-	n.Set("a", "b", Rule{Stall: true})
+	n.SetRule("a", "b", Rule{Stall: true})
 	say(a, atB, 5)
 	if all := got(t, b, 300*time.Millisecond); all != nil {
 		t.Errorf("stalled: %v came", all)
 	}
-	n.Set("a", "b", Rule{})
+	n.SetRule("a", "b", Rule{})
 	if all := got(t, b, 300*time.Millisecond); !reflect.DeepEqual(all, []byte{5}) {
 		t.Errorf("after the stall %v came", all)
 	}
@@ -94,8 +94,8 @@
 
 func TestSchedulesRepeatAndShrink(t *testing.T) {
 	names := []string{"a", "b", "c"}
-	s := Draw(7, names, 30*time.Second, 2*time.Second)
-	if len(s) < 10 || !reflect.DeepEqual(s, Draw(7, names, 30*time.Second, 2*time.Second)) {
+	s := Generate(7, names, 30*time.Second, 2*time.Second)
+	if len(s) < 10 || !reflect.DeepEqual(s, Generate(7, names, 30*time.Second, 2*time.Second)) {
 		t.Fatalf("%d steps, or others the second time", len(s))
 	}
 	raw, err := json.Marshal(s)
@@ -127,7 +127,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	n.Listens("b", l.Addr().String())
+	n.SetListener("b", l.Addr().String())
 	way, err := n.Dial("a", "b")
 	if err != nil {
 		t.Fatal(err)
@@ -161,12 +161,12 @@
 	if !says(a, b, "ask", wide) || !says(b, a, "answer", wide) {
 		t.Fatal("not carried")
 	}
-	n.Set("a", "b", Rule{Cut: true})
+	n.SetRule("a", "b", Rule{Cut: true})
 	if says(a, b, "x", brief) || !says(b, a, "still", wide) {
 		t.Error("the cut of one direction is not that of the one")
 	}
 	late := dial()
-	n.Set("a", "b", Rule{Delay: time.Millisecond})
+	n.SetRule("a", "b", Rule{Delay: time.Millisecond})
 	_ = b.SetReadDeadline(time.Now().Add(wide))
 	held := make([]byte, 1)
 	if _, err := b.Read(held); err != nil || held[0] != 'x' {
--- a/experiments/faultnet/lost.go
+++ b/experiments/faultnet/lost.go
@@ -6,33 +6,35 @@
 	"slices"
 )
 
-// Ways are directions of a connection, from the side of who dialled it.
-type Ways uint8
+// Directions are directions of a connection, from the side of who dialled it.
+type Directions uint8
 
 // The directions, which may be combined.
 const (
-	Toward Ways = 1 << iota // to who was dialled
-	Back                    // to who dialled
-	Both   = Toward | Back
+	ToServer Directions = 1 << iota // to who was dialled
+	ToClient                        // to who dialled
+	Both     = ToServer | ToClient
 )
 
 // Use is what a connection does at a moment.
-type Use uint8
+type Activity uint8
 
 // The uses of connections.
 const (
-	AnyUse Use = iota
-	AtRest     // what came last was an answer, or nothing has come
-	InUse      // something was sent toward who was dialled, and no answer has come yet
+	AnyActivity    Activity = iota
+	Idle                    // what came last was an answer, or nothing has come
+	AwaitingAnswer          // something was sent toward who was dialled, and no answer has come yet
 )
 
 // matches reports whether a link is in a use. The net's lock is held.
-func (u Use) matches(l *link) bool { return u == AnyUse || (u == InUse) == l.unanswered }
+func (u Activity) matches(l *link) bool {
+	return u == AnyActivity || (u == AwaitingAnswer) == l.unanswered
+}
 
 // Lose loses one open connection from one process to another, drawn from the net's seed among those in a
 // use. What is sent on it that way is taken and dropped from then on, the end of the sending included; no
 // side sees an error, and all other connections, old and new, go on. It reports whether there was one.
-func (n *Net) Lose(from, to string, use Use, ways Ways) bool {
+func (n *Net) Lose(from, to string, use Activity, ways Directions) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	open := n.openLinks(from, to, use)
@@ -45,7 +47,7 @@
 
 // LoseAll loses every open connection from one process to another that is in a use, and returns how
 // many there were.
-func (n *Net) LoseAll(from, to string, use Use, ways Ways) int {
+func (n *Net) LoseAll(from, to string, use Activity, ways Directions) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	open := n.openLinks(from, to, use)
@@ -57,7 +59,7 @@
 
 // Vanish has a machine vanish: its open connections are lost for good. So are those opened until Return,
 // as their relay on this machine takes them all the same.
-func (n *Net) Vanish(name string) {
+func (n *Net) TakeDown(name string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.vanished[name] = true
@@ -69,7 +71,7 @@
 }
 
 // Return has a machine come back: new connections work, and those that were lost stay lost.
-func (n *Net) Return(name string) {
+func (n *Net) BringUp(name string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.vanished, name)
@@ -107,7 +109,7 @@
 }
 
 // openLinks returns the links of a pair that are in a use and not lost yet, the oldest first. The lock is held.
-func (n *Net) openLinks(from, to string, use Use) []*link {
+func (n *Net) openLinks(from, to string, use Activity) []*link {
 	var open []*link
 	for l := range n.links {
 		if l.pair == (pair{from, to}) && l.lost == 0 && use.matches(l) {
@@ -140,12 +142,12 @@
 }
 
 // passes records that something is carried one way of a link, and reports whether it arrives.
-func (n *Net) passes(l *link, way Ways) bool {
+func (n *Net) passes(l *link, way Directions) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if l.lost&way != 0 {
 		return false
 	}
-	l.unanswered = way == Toward
+	l.unanswered = way == ToServer
 	return true
 }
--- a/experiments/faultnet/lost_test.go
+++ b/experiments/faultnet/lost_test.go
@@ -69,12 +69,12 @@
 func TestSingleConnectionsAreLost(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		ways Ways
-	}{{"toward", Toward}, {"back", Back}, {"both", Both}} {
+		ways Directions
+	}{{"toward", ToServer}, {"back", ToClient}, {"both", Both}} {
 		t.Run(c.name, func(t *testing.T) {
 			n := New(1)
 			defer n.Close()
-			n.Listens("b", echoServer(t))
+			n.SetListener("b", echoServer(t))
 			addr, err := n.Dial("a", "b")
 			if err != nil {
 				t.Fatal(err)
@@ -83,10 +83,10 @@
 			if !first.answered(longWait) || !second.answered(longWait) {
 				t.Fatal("not answered before the loss")
 			}
-			if n.Lose("a", "b", InUse, c.ways) {
+			if n.Lose("a", "b", AwaitingAnswer, c.ways) {
 				t.Error("a connection in use was lost, and none is in use")
 			}
-			if !n.Lose("a", "b", AtRest, c.ways) {
+			if !n.Lose("a", "b", Idle, c.ways) {
 				t.Fatal("no connection at rest")
 			}
 			if one, other := first.answered(shortWait), second.answered(shortWait); one == other {
@@ -103,7 +103,7 @@
 func TestVanishedMachineIsBack(t *testing.T) {
 	n := New(1)
 	defer n.Close()
-	n.Listens("b", echoServer(t))
+	n.SetListener("b", echoServer(t))
 	addr, err := n.Dial("a", "b")
 	if err != nil {
 		t.Fatal(err)
@@ -112,12 +112,12 @@
 	if !before.answered(longWait) {
 		t.Fatal("not answered before")
 	}
-	n.Vanish("b")
+	n.TakeDown("b")
 	during := dialLines(t, addr)
 	if before.answered(shortWait) || during.answered(shortWait) {
 		t.Error("answered by a machine that has vanished")
 	}
-	n.Return("b")
+	n.BringUp("b")
 	if before.answered(shortWait) || during.answered(shortWait) {
 		t.Error("a connection of before works again")
 	}
--- a/experiments/faultnet/schedule.go
+++ b/experiments/faultnet/schedule.go
@@ -23,7 +23,7 @@
 
 // Draw returns a schedule of one-sided cuts and pauses over a span, none of which lasts
 // longer than most. The same seed gives the same schedule.
-func Draw(seed uint64, names []string, span, most time.Duration) Schedule {
+func Generate(seed uint64, names []string, span, most time.Duration) Schedule {
 	rng := rand.New(rand.NewPCG(seed, 4))
 	var s Schedule
 	for at := time.Second; at < span-most; at += 500*time.Millisecond + time.Duration(rng.Int64N(int64(time.Second))) {
--- a/experiments/faultnet/stream.go
+++ b/experiments/faultnet/stream.go
@@ -16,15 +16,15 @@
 type link struct {
 	pair
 	in, out    *net.TCPConn
-	number     uint64 // in order of opening
-	lost       Ways   // on which what is sent is dropped; the net's lock guards it
-	unanswered bool   // something was sent toward out, and nothing has come back since; likewise
+	number     uint64     // in order of opening
+	lost       Directions // on which what is sent is dropped; the net's lock guards it
+	unanswered bool       // something was sent toward out, and nothing has come back since; likewise
 }
 
 // Dial opens a way by which one process connects to another, and returns the address that
 // the first is to be told. The dialled side is found at the time of each connection, so that
 // it may move (see Listens). The rules of both directions hold for what is carried: a delay
-// is per chunk, and Loss and Double mean nothing, as connections lose and double nothing.
+// is per chunk, and Loss and Duplicate mean nothing, as connections lose and double nothing.
 // A cut holds what comes and ends no connection, as a cut wire does; Reset ends them.
 func (n *Net) Dial(from, to string) (addr string, err error) {
 	l, err := net.ListenTCP("tcp4", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -49,7 +49,7 @@
 }
 
 // Listens says where a process takes connections.
-func (n *Net) Listens(name, addr string) {
+func (n *Net) SetListener(name, addr string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.listen[name] = addr
@@ -96,16 +96,16 @@
 	}
 	defer n.removeLink(l)
 	var both sync.WaitGroup
-	both.Go(func() { n.carry(l, Toward) })
-	both.Go(func() { n.carry(l, Back) })
+	both.Go(func() { n.carry(l, ToServer) })
+	both.Go(func() { n.carry(l, ToClient) })
 	both.Wait()
 }
 
 // carry moves one direction of a connection until it ends. An orderly end is passed on as
 // such; a broken one breaks the other side. Where the direction is lost, neither is passed on.
-func (n *Net) carry(l *link, way Ways) {
+func (n *Net) carry(l *link, way Directions) {
 	p, from, to := l.pair, l.in, l.out
-	if way == Back {
+	if way == ToClient {
 		p, from, to = pair{l.to, l.from}, l.out, l.in
 	}
 	buf := make([]byte, chunk)
@@ -116,7 +116,7 @@
 		}
 		n.mu.Lock()
 		wait := n.wait(n.rules[p])
-		n.Moved++
+		n.Relayed++
 		n.mu.Unlock()
 		time.Sleep(wait)
 		if !n.passes(l, way) {
--- a/experiments/fleetrun/programs.go
+++ b/experiments/fleetrun/programs.go
@@ -112,7 +112,7 @@
 	}
 	for i := range gateways {
 		name := fmt.Sprint("g", i+1)
-		if t.peers[name], err = t.net.Port(name); err != nil {
+		if t.peers[name], err = t.net.OpenPort(name); err != nil {
 			return err
 		}
 		door, err := t.net.Dial("clients", name)
@@ -155,13 +155,13 @@
 	if err := g.Page(ctx, admin.PeersPath, &p); err != nil {
 		return err
 	}
-	if err := t.net.Behind(name, p.Listen); err != nil {
+	if err := t.net.SetBackend(name, p.Listen); err != nil {
 		return err
 	}
 	if _, ok := g.Await(ctx, wait, func(v admin.View) bool { return len(v.Engines) >= engines-1 }); !ok {
 		return fmt.Errorf("%s: no engines in time", name)
 	}
-	t.net.Listens(name, g.Addr)
+	t.net.SetListener(name, g.Addr)
 	return nil
 }
 
@@ -213,7 +213,7 @@
 	at := time.Now()
 	for i, name := range victims {
 		t.gates[name].Kill()
-		t.net.Listens(name, t.gates[t.names[3*i]].Addr) // whoever deals out clients has noticed
+		t.net.SetListener(name, t.gates[t.names[3*i]].Addr) // whoever deals out clients has noticed
 	}
 	even("four of twelve gateways killed", at, all)
 	at = time.Now()
@@ -267,8 +267,8 @@
 func (t *tier) halves(rule faultnet.Rule) {
 	for _, a := range t.names[:gateways/2] {
 		for _, b := range t.names[gateways/2:] {
-			t.net.Set(a, b, rule)
-			t.net.Set(b, a, rule)
+			t.net.SetRule(a, b, rule)
+			t.net.SetRule(b, a, rule)
 		}
 	}
 }
--- a/experiments/membersrun/faults.go
+++ b/experiments/membersrun/faults.go
@@ -77,7 +77,7 @@
 // faults plays a schedule of pauses and one-sided cuts under loss, in which nobody dies. It
 // is written out, and can be played again.
 func (t *tier) faults(ctx context.Context, r *experiments.Report, span time.Duration) error {
-	s := faultnet.Draw(t.opt.Seed, t.names, span, longPause)
+	s := faultnet.Generate(t.opt.Seed, t.names, span, longPause)
 	if t.opt.Schedule != "" {
 		raw, err := os.ReadFile(t.opt.Schedule)
 		if err == nil {
@@ -120,7 +120,7 @@
 		return 0, 0, false, err
 	}
 	lossy := faultnet.Rule{Loss: 0.3}
-	t.net.All(t.names, lossy)
+	t.net.SetAll(t.names, lossy)
 	type edge struct {
 		at  time.Duration
 		run func()
@@ -132,8 +132,8 @@
 			edges = append(edges, edge{step.At, g.Pause}, edge{step.At + step.For, g.Resume})
 			continue
 		}
-		edges = append(edges, edge{step.At, func() { t.net.Set(step.From, step.To, step.Rule) }},
-			edge{step.At + step.For, func() { t.net.Set(step.From, step.To, lossy) }})
+		edges = append(edges, edge{step.At, func() { t.net.SetRule(step.From, step.To, step.Rule) }},
+			edge{step.At + step.For, func() { t.net.SetRule(step.From, step.To, lossy) }})
 	}
 	slices.SortStableFunc(edges, func(a, b edge) int { return int(a.at - b.at) })
 	begun := time.Now()
@@ -148,7 +148,7 @@
 	for _, g := range t.gates {
 		g.Resume()
 	}
-	t.net.All(t.names, faultnet.Rule{})
+	t.net.SetAll(t.names, faultnet.Rule{})
 	took, ok = t.agree(ctx, 4*healMost)
 	after, err := t.deaths(ctx)
 	return after - before, took, ok, err
@@ -159,8 +159,8 @@
 	cut := func(rule faultnet.Rule) {
 		for _, a := range t.names[:4] {
 			for _, b := range t.names[4:] {
-				t.net.Set(a, b, rule)
-				t.net.Set(b, a, rule)
+				t.net.SetRule(a, b, rule)
+				t.net.SetRule(b, a, rule)
 			}
 		}
 	}
@@ -194,7 +194,7 @@
 				continue
 			}
 			cuts++
-			t.net.Set(from, to, faultnet.Rule{Cut: true})
+			t.net.SetRule(from, to, faultnet.Rule{Cut: true})
 			time.Sleep(3500 * ms)
 			s, err := t.status(ctx, from)
 			if err != nil {
@@ -203,7 +203,7 @@
 			if slices.ContainsFunc(s.View.Peers, func(g membership.Gateway) bool { return g.ID == to && g.OneWay }) {
 				shown++
 			}
-			t.net.Set(from, to, faultnet.Rule{})
+			t.net.SetRule(from, to, faultnet.Rule{})
 		}
 	}
 	after, err := t.deaths(ctx)
@@ -223,8 +223,8 @@
 	cut := func(rule faultnet.Rule) {
 		for _, a := range t.names[:4] {
 			for _, b := range t.names[4:8] {
-				t.net.Set(a, b, rule)
-				t.net.Set(b, a, rule)
+				t.net.SetRule(a, b, rule)
+				t.net.SetRule(b, a, rule)
 			}
 		}
 	}
@@ -251,12 +251,12 @@
 	if err != nil {
 		return err
 	}
-	t.net.All(t.names, faultnet.Rule{Stall: true})
+	t.net.SetAll(t.names, faultnet.Rule{Stall: true})
 	still, _, err := t.serve(ctx, t.names, span, nil)
 	if err != nil {
 		return err
 	}
-	t.net.All(t.names, faultnet.Rule{})
+	t.net.SetAll(t.names, faultnet.Rule{})
 	r.Tables = append(r.Tables, experiments.Table{
 		Title: "Service to clients while all links between gateways stand still", Head: []string{"links", "asked", "served", "first event p50 us", "p99 us"},
 		Rows: [][]any{
--- a/experiments/membersrun/tier.go
+++ b/experiments/membersrun/tier.go
@@ -41,7 +41,7 @@
 	}
 	for i := range gateways {
 		name := fmt.Sprint("g", i+1)
-		addr, err := t.net.Port(name)
+		addr, err := t.net.OpenPort(name)
 		if err != nil {
 			return err
 		}
@@ -72,7 +72,7 @@
 	if err != nil {
 		return err
 	}
-	return t.net.Behind(name, s.Listen)
+	return t.net.SetBackend(name, s.Listen)
 }
 
 func (t *tier) close() {
--- a/experiments/soak/network.go
+++ b/experiments/soak/network.go
@@ -30,8 +30,8 @@
 	Fault   NetworkFault
 	Gateway int
 	Engine  int // by its place in the fleet
-	Use     faultnet.Use
-	Ways    faultnet.Ways
+	Use     faultnet.Activity
+	Ways    faultnet.Directions
 }
 
 // Bounds of the faults that are drawn.
@@ -60,7 +60,7 @@
 	add := func(s NetworkStep) { p.Network = append(p.Network, s) }
 	for g := range p.Gateways {
 		for at := stepsBegin; at < length; at += leastLossPause + time.Duration(r.Int64N(int64(mostLossPause-leastLossPause))) {
-			add(NetworkStep{At: at, Fault: LoseOne, Gateway: g, Engine: r.IntN(engines), Use: faultnet.Use(r.IntN(3)), Ways: faultnet.Ways(1 + r.IntN(3))})
+			add(NetworkStep{At: at, Fault: LoseOne, Gateway: g, Engine: r.IntN(engines), Use: faultnet.Activity(r.IntN(3)), Ways: faultnet.Directions(1 + r.IntN(3))})
 		}
 	}
 	for range r.IntN(4) {
@@ -112,7 +112,7 @@
 	for g := range p.Gateways {
 		addresses := make([]string, 0, len(f.all))
 		for _, e := range f.all {
-			n.fabric.Listens(e.name(), e.addr)
+			n.fabric.SetListener(e.name(), e.addr)
 			addr, err := n.fabric.Dial(gatewayName(g), e.name())
 			if err != nil {
 				return nil, err
@@ -144,10 +144,10 @@
 	case LoseOne:
 		n.fabric.Lose(gateway, engine, s.Use, s.Ways)
 	case LoseAll:
-		n.fabric.LoseAll(gateway, engine, faultnet.AnyUse, s.Ways)
+		n.fabric.LoseAll(gateway, engine, faultnet.AnyActivity, s.Ways)
 	case Vanish:
-		n.fabric.Vanish(engine)
-		n.after(ctx, s.For, func() { n.fabric.Return(engine) })
+		n.fabric.TakeDown(engine)
+		n.after(ctx, s.For, func() { n.fabric.BringUp(engine) })
 	case Partition:
 		for _, e := range f.all {
 			if n.plan.zone(e.place) == zoneNames[s.Engine] {
