--- a/cmd/wellgw/tier_test.go
+++ b/cmd/wellgw/tier_test.go
@@ -116,7 +116,7 @@
 func TestPacketLoss(t *testing.T) {
 	t.Parallel()
 	w := newTier(t, []string{"a", "b", "c", "d"}, nil)
-	w.faults.SetAll(w.names, faultnet.Rule{Loss: 0.3, Duplicate: 0.1, Jitter: 20 * time.Millisecond})
+	w.faults.SetAll(w.names, faultnet.Rule{Loss: 0.3, Double: 0.1, Jitter: 20 * time.Millisecond})
 	time.Sleep(5 * time.Second)
 	w.agree("under loss")
 	w.gateways["d"].kill()
--- a/experiments/chatrun/chatrun.go
+++ b/experiments/chatrun/chatrun.go
@@ -104,7 +104,7 @@
 	}
 	plan := load.Plan{
 		Name: "x", Key: gateway.Key, Models: []load.Model{{Name: "orders", Share: 1, Words: 20, Tokens: 12}},
-		Clients: 96, Turns: 1, Retries: 5, Keyed: true, Drop: 0.1, Seed: opt.Seed, MostHint: 300 * time.Millisecond,
+		Clients: 96, Turns: 1, Retries: 5, Keyed: true, Drop: 0.1, Seed: opt.Seed, MaxRetryAfter: 300 * time.Millisecond,
 	}
 	for _, g := range gates {
 		plan.Targets = append(plan.Targets, g.Addr)
--- a/experiments/faultnet/faultnet.go
+++ b/experiments/faultnet/faultnet.go
@@ -14,12 +14,12 @@
 
 // Rule is what happens to what goes in one direction. The zero value lets all pass at once.
 type Rule struct {
-	Cut       bool          `json:"cut,omitempty"`
-	Stall     bool          `json:"stall,omitempty"` // held until the rule ends; the oldest are lost beyond a bound
-	Loss      float64       `json:"loss,omitempty"`  // part lost
-	Duplicate float64       `json:"double,omitempty"`
-	Delay     time.Duration `json:"delay,omitempty"`
-	Jitter    time.Duration `json:"jitter,omitempty"` // drawn anew for each, so that they overtake each other
+	Cut    bool          `json:"cut,omitempty"`
+	Stall  bool          `json:"stall,omitempty"` // held until the rule ends; the oldest are lost beyond a bound
+	Loss   float64       `json:"loss,omitempty"`  // part lost
+	Double float64       `json:"double,omitempty"`
+	Delay  time.Duration `json:"delay,omitempty"`
+	Jitter time.Duration `json:"jitter,omitempty"` // drawn anew for each, so that they overtake each other
 }
 
 // stalled is the most datagrams that a stalled direction holds.
@@ -169,7 +169,7 @@
 		}
 	default:
 		n.pass(p, b, r)
-		if n.rng.Float64() < r.Duplicate {
+		if n.rng.Float64() < r.Double {
 			n.pass(p, b, r)
 		}
 	}
--- a/experiments/faultnet/faultnet_test.go
+++ b/experiments/faultnet/faultnet_test.go
@@ -67,7 +67,7 @@
 		want []byte
 	}{
 		{"none", Rule{}, []byte{1, 2}}, {"cut", Rule{Cut: true}, nil}, {"loss", Rule{Loss: 1}, nil},
-		{"doubled", Rule{Duplicate: 1}, []byte{1, 1, 2, 2}}, {"late", Rule{Delay: 50 * time.Millisecond}, []byte{1, 2}},
+		{"doubled", Rule{Double: 1}, []byte{1, 1, 2, 2}}, {"late", Rule{Delay: 50 * time.Millisecond}, []byte{1, 2}},
 	} {
 		n.SetRule("a", "b", c.rule)
 		say(a, atB, 1, 2)
--- a/experiments/faultnet/stream.go
+++ b/experiments/faultnet/stream.go
@@ -24,7 +24,7 @@
 // Dial opens a way by which one process connects to another, and returns the address that
 // the first is to be told. The dialled side is found at the time of each connection, so that
 // it may move (see Listens). The rules of both directions hold for what is carried: a delay
-// is per chunk, and Loss and Duplicate mean nothing, as connections lose and double nothing.
+// is per chunk, and Loss and Double mean nothing, as connections lose and double nothing.
 // A cut holds what comes and ends no connection, as a cut wire does; Reset ends them.
 func (n *Net) Dial(from, to string) (addr string, err error) {
 	l, err := net.ListenTCP("tcp4", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
--- a/experiments/load/load.go
+++ b/experiments/load/load.go
@@ -37,7 +37,7 @@
 	Turns     int     // of a session
 	Think     time.Duration
 	Retries   int           // by the client itself, on 429, 503 and no connection
-	MostHint  time.Duration // longest Retry-After that is waited for; 0 = a second
+	MaxRetryAfter  time.Duration // longest Retry-After that is waited for; 0 = a second
 	MaxTokens int
 	Whole     bool          // not streamed
 	Keyed     bool          // each request has an idempotency key, and is sent again under it whatever became of it
@@ -104,8 +104,8 @@
 	if p.Turns <= 0 {
 		p.Turns = 1
 	}
-	if p.MostHint <= 0 {
-		p.MostHint = time.Second
+	if p.MaxRetryAfter <= 0 {
+		p.MaxRetryAfter = time.Second
 	}
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024, IdleConnTimeout: time.Minute}}
 	defer client.CloseIdleConnections()
@@ -188,7 +188,7 @@
 		if !p.Keyed || p.Roam {
 			target = (target + 1) % len(p.Targets)
 		}
-		pause.Sleep(ctx, min(max(hint, 20*time.Millisecond), p.MostHint))
+		pause.Sleep(ctx, min(max(hint, 20*time.Millisecond), p.MaxRetryAfter))
 	}
 }
 
