--- a/experiments/faultnet/faultnet_test.go
+++ b/experiments/faultnet/faultnet_test.go
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// end is a process's socket behind a relay.
-func end(t *testing.T, n *Net, name string) (conn *net.UDPConn, public string) {
+// endpoint returns the socket of a process and the address of the relay in front of it.
+func endpoint(t *testing.T, n *Net, name string) (conn *net.UDPConn, relayAddr string) {
 	t.Helper()
-	public, err := n.OpenPort(name)
+	relayAddr, err := n.OpenPort(name)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -27,15 +27,15 @@
 	if err := n.SetBackend(name, conn.LocalAddr().String()); err != nil {
 		t.Fatal(err)
 	}
-	return conn, public
+	return conn, relayAddr
 }
 
-// got reads what comes until nothing has for a while.
-func got(t *testing.T, conn *net.UDPConn, quiet time.Duration) (all []byte) {
+// receiveAll reads datagrams until none has arrived for the idle time.
+func receiveAll(t *testing.T, conn *net.UDPConn, idle time.Duration) (all []byte) {
 	t.Helper()
 	buf := make([]byte, 64)
 	for {
-		_ = conn.SetReadDeadline(time.Now().Add(quiet))
+		_ = conn.SetReadDeadline(time.Now().Add(idle))
 		n, err := conn.Read(buf)
 		if err != nil {
 			return all
@@ -47,15 +47,15 @@
 func TestEachDirectionHasItsOwnFaults(t *testing.T) {
 	n := New(1)
 	defer n.Close()
-	a, atA := end(t, n, "a")
-	b, atB := end(t, n, "b")
-	say := func(from *net.UDPConn, to string, list ...byte) {
+	a, addrA := endpoint(t, n, "a")
+	b, addrB := endpoint(t, n, "b")
+	send := func(from *net.UDPConn, to string, payloads ...byte) {
 		t.Helper()
 		at, err := net.ResolveUDPAddr("udp4", to)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, x := range list {
+		for _, x := range payloads {
 			if _, err := from.WriteToUDP([]byte{x}, at); err != nil {
 				t.Fatal(err)
 			}
@@ -66,29 +66,30 @@
 		rule Rule
 		want []byte
 	}{
-		{"none", Rule{}, []byte{1, 2}}, {"cut", Rule{Cut: true}, nil}, {"loss", Rule{Loss: 1}, nil},
-		{"doubled", Rule{Double: 1}, []byte{1, 1, 2, 2}}, {"late", Rule{Delay: 50 * time.Millisecond}, []byte{1, 2}},
+		{"no fault", Rule{}, []byte{1, 2}}, {"cut", Rule{Cut: true}, nil}, {"loss", Rule{Loss: 1}, nil},
+		{"duplicate", Rule{Double: 1}, []byte{1, 1, 2, 2}},
+		{"delay", Rule{Delay: 50 * time.Millisecond}, []byte{1, 2}},
 	} {
 		n.SetRule("a", "b", c.rule)
-		say(a, atB, 1, 2)
-		all := got(t, b, 300*time.Millisecond)
-		slices.Sort(all) // what comes late may overtake
+		send(a, addrB, 1, 2)
+		all := receiveAll(t, b, 300*time.Millisecond)
+		slices.Sort(all) // delayed datagrams may be reordered
 		if !reflect.DeepEqual(all, c.want) {
-			t.Errorf("%s: %v came, want %v", c.name, all, c.want)
+			t.Errorf("%s: received %v, want %v", c.name, all, c.want)
 		}
-		say(b, atA, 9)
-		if all := got(t, a, 300*time.Millisecond); !reflect.DeepEqual(all, []byte{9}) {
-			t.Errorf("%s: the other direction brought %v", c.name, all)
+		send(b, addrA, 9)
+		if all := receiveAll(t, a, 300*time.Millisecond); !reflect.DeepEqual(all, []byte{9}) {
+			t.Errorf("%s: received %v in the other direction, want [9]", c.name, all)
 		}
 	}
 	n.SetRule("a", "b", Rule{Stall: true})
-	say(a, atB, 5)
-	if all := got(t, b, 300*time.Millisecond); all != nil {
-		t.Errorf("stalled: %v came", all)
+	send(a, addrB, 5)
+	if all := receiveAll(t, b, 300*time.Millisecond); all != nil {
+		t.Errorf("stalled: received %v, want nothing", all)
 	}
 	n.SetRule("a", "b", Rule{})
-	if all := got(t, b, 300*time.Millisecond); !reflect.DeepEqual(all, []byte{5}) {
-		t.Errorf("after the stall %v came", all)
+	if all := receiveAll(t, b, 300*time.Millisecond); !reflect.DeepEqual(all, []byte{5}) {
+		t.Errorf("after the stall: received %v, want [5]", all)
 	}
 }
 
@@ -96,29 +97,29 @@
 	names := []string{"a", "b", "c"}
 	s := Generate(7, names, 30*time.Second, 2*time.Second)
 	if len(s) < 10 || !reflect.DeepEqual(s, Generate(7, names, 30*time.Second, 2*time.Second)) {
-		t.Fatalf("%d steps, or others the second time", len(s))
+		t.Fatalf("%d steps, want at least 10 and the same again from the same seed", len(s))
 	}
 	raw, err := json.Marshal(s)
-	var back Schedule
+	var decoded Schedule
 	if err == nil {
-		err = json.Unmarshal(raw, &back)
+		err = json.Unmarshal(raw, &decoded)
 	}
-	if err != nil || !reflect.DeepEqual(s, back) {
-		t.Errorf("written and read again: %v", err)
+	if err != nil || !reflect.DeepEqual(s, decoded) {
+		t.Errorf("schedule differs after encoding and decoding, error %v", err)
 	}
-	plays := 0
-	need := []Step{s[2], s[len(s)-2]}
+	runs := 0
+	failing := []Step{s[2], s[len(s)-2]}
 	short := Shrink(s, func(x Schedule) bool {
-		plays++
-		return !slices.ContainsFunc(need, func(n Step) bool { return !slices.Contains(x, n) })
+		runs++
+		return !slices.ContainsFunc(failing, func(n Step) bool { return !slices.Contains(x, n) })
 	})
-	if !reflect.DeepEqual([]Step(short), need) || plays > 10*len(s) {
-		t.Errorf("shrunk to %d steps in %d plays: %v", len(short), plays, short)
+	if !reflect.DeepEqual([]Step(short), failing) || runs > 10*len(s) {
+		t.Errorf("shrunk to %d steps in %d runs: %v", len(short), runs, short)
 	}
 }
 
-// A connection is carried both ways; a cut of one direction holds just that one, a stall is
-// made up for, a reset is a reset, and who is not there refuses.
+// A relay forwards a connection in both directions. A cut of one direction blocks only that one, and its data
+// arrives after the cut; Reset resets the connection; a process that does not listen causes a reset.
 func TestConnections(t *testing.T) {
 	n := New(1)
 	defer n.Close()
@@ -128,13 +129,13 @@
 	}
 	defer l.Close()
 	n.SetListener("b", l.Addr().String())
-	way, err := n.Dial("a", "b")
+	relay, err := n.Dial("a", "b")
 	if err != nil {
 		t.Fatal(err)
 	}
 	dial := func() net.Conn {
 		t.Helper()
-		c, err := net.Dial("tcp4", way)
+		c, err := net.Dial("tcp4", relay)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -147,8 +148,8 @@
 		t.Fatal(err)
 	}
 	defer b.Close()
-	const wide, brief = 10 * time.Second, 100 * time.Millisecond
-	says := func(from, to net.Conn, text string, within time.Duration) bool {
+	const longTimeout, shortTimeout = 10 * time.Second, 100 * time.Millisecond
+	delivers := func(from, to net.Conn, text string, within time.Duration) bool {
 		t.Helper()
 		if _, err := from.Write([]byte(text)); err != nil {
 			t.Fatal(err)
@@ -158,39 +159,39 @@
 		size, err := io.ReadAtLeast(to, buf, len(text))
 		return err == nil && string(buf[:size]) == text
 	}
-	if !says(a, b, "ask", wide) || !says(b, a, "answer", wide) {
-		t.Fatal("not carried")
+	if !delivers(a, b, "ask", longTimeout) || !delivers(b, a, "answer", longTimeout) {
+		t.Fatal("data is not relayed in both directions")
 	}
 	n.SetRule("a", "b", Rule{Cut: true})
-	if says(a, b, "x", brief) || !says(b, a, "still", wide) {
-		t.Error("the cut of one direction is not that of the one")
+	if delivers(a, b, "x", shortTimeout) || !delivers(b, a, "still", longTimeout) {
+		t.Error("a cut of one direction must block that direction and not the other")
 	}
 	late := dial()
 	n.SetRule("a", "b", Rule{Delay: time.Millisecond})
-	_ = b.SetReadDeadline(time.Now().Add(wide))
-	held := make([]byte, 1)
-	if _, err := b.Read(held); err != nil || held[0] != 'x' {
-		t.Errorf("what the cut held: %q, %v", held, err)
+	_ = b.SetReadDeadline(time.Now().Add(longTimeout))
+	delayed := make([]byte, 1)
+	if _, err := b.Read(delayed); err != nil || delayed[0] != 'x' {
+		t.Errorf("data sent during the cut: %q, %v", delayed, err)
 	}
 	second, err := l.Accept()
-	if err != nil || !says(late, second, "late", wide) {
-		t.Errorf("who dialled into the cut is not carried after it: %v", err)
+	if err != nil || !delivers(late, second, "late", longTimeout) {
+		t.Errorf("a connection dialled during the cut does not work after it: %v", err)
 	}
 	n.Reset("a", "b")
-	_ = a.SetReadDeadline(time.Now().Add(wide))
+	_ = a.SetReadDeadline(time.Now().Add(longTimeout))
 	if _, err := a.Read(make([]byte, 8)); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("after a reset: %v", err)
 	}
 	l.Close()
-	// The way accepts before it finds that nobody listens. Its reset may come before the dialler has
-	// looked at how its connect went, which then reports it.
-	gone, err := net.Dial("tcp4", way)
+	// The relay accepts the connection before it finds that the process does not listen. Its reset may arrive
+	// before the client has read the result of its connect, and net.Dial then returns the reset.
+	gone, err := net.Dial("tcp4", relay)
 	if err == nil {
 		defer gone.Close()
-		_ = gone.SetReadDeadline(time.Now().Add(wide))
+		_ = gone.SetReadDeadline(time.Now().Add(longTimeout))
 		_, err = gone.Read(make([]byte, 8))
 	}
 	if !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("nobody listens, and the way says %v", err)
+		t.Errorf("dialling a process that does not listen: error %v, want a connection reset", err)
 	}
 }
--- a/experiments/faultnet/lost.go
+++ b/experiments/faultnet/lost.go
@@ -6,63 +6,64 @@
 	"slices"
 )
 
-// Directions are directions of a connection, from the side of who dialled it.
+// Directions is a set of directions of a connection.
 type Directions uint8
 
 // The directions, which may be combined.
 const (
-	ToServer Directions = 1 << iota // to who was dialled
-	ToClient                        // to who dialled
+	ToServer Directions = 1 << iota // from the dialling process to the accepting one
+	ToClient                        // from the accepting process to the dialling one
 	Both     = ToServer | ToClient
 )
 
-// Use is what a connection does at a moment.
+// Activity is a state of a connection, given by the direction of the data that was sent last.
 type Activity uint8
 
-// The uses of connections.
+// The states of activity of a connection.
 const (
 	AnyActivity    Activity = iota
-	Idle                    // what came last was an answer, or nothing has come
-	AwaitingAnswer          // something was sent toward who was dialled, and no answer has come yet
+	Idle                    // the last data was sent to the client, or no data was sent
+	AwaitingAnswer          // the last data was sent to the server
 )
 
-// matches reports whether a link is in a use. The net's lock is held.
-func (u Activity) matches(l *link) bool {
-	return u == AnyActivity || (u == AwaitingAnswer) == l.unanswered
+// matches reports whether a link has the given state of activity. The net's lock is held.
+func (a Activity) matches(l *link) bool {
+	return a == AnyActivity || (a == AwaitingAnswer) == l.unanswered
 }
 
-// Lose loses one open connection from one process to another, drawn from the net's seed among those in a
-// use. What is sent on it that way is taken and dropped from then on, the end of the sending included; no
-// side sees an error, and all other connections, old and new, go on. It reports whether there was one.
-func (n *Net) Lose(from, to string, use Activity, ways Directions) bool {
+// Lose loses one open connection from one process to another, drawn from the net's seed among those in the
+// given state of activity. Everything sent on it in these directions is then accepted and dropped, including
+// the end of the stream. Neither process sees an error, and all other connections, existing and new, still
+// work. Lose reports whether there was such a connection.
+func (n *Net) Lose(from, to string, activity Activity, directions Directions) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	open := n.openLinks(from, to, use)
+	open := n.openLinks(from, to, activity)
 	if len(open) == 0 {
 		return false
 	}
-	open[n.rng.IntN(len(open))].lost |= ways
+	open[n.rng.IntN(len(open))].lost |= directions
 	return true
 }
 
-// LoseAll loses every open connection from one process to another that is in a use, and returns how
-// many there were.
-func (n *Net) LoseAll(from, to string, use Activity, ways Directions) int {
+// LoseAll loses every open connection from one process to another in the given state of activity, as Lose
+// does, and returns their number.
+func (n *Net) LoseAll(from, to string, activity Activity, directions Directions) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	open := n.openLinks(from, to, use)
+	open := n.openLinks(from, to, activity)
 	for _, l := range open {
-		l.lost |= ways
+		l.lost |= directions
 	}
 	return len(open)
 }
 
-// Vanish has a machine vanish: its open connections are lost for good. So are those opened until Return,
-// as their relay on this machine takes them all the same.
+// TakeDown simulates the loss of a machine: its open connections are lost permanently. So are those opened
+// until BringUp, because their relay runs on this machine and accepts them nevertheless.
 func (n *Net) TakeDown(name string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.vanished[name] = true
+	n.down[name] = true
 	for l := range n.links {
 		if l.from == name || l.to == name {
 			l.lost = Both
@@ -70,30 +71,30 @@
 	}
 }
 
-// Return has a machine come back: new connections work, and those that were lost stay lost.
+// BringUp ends the loss of a machine: new connections work, and those that were lost stay lost.
 func (n *Net) BringUp(name string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	delete(n.vanished, name)
+	delete(n.down, name)
 }
 
-// TapLost has somebody told of what was sent on a lost connection, from a relay's goroutine.
-func (n *Net) TapLost(tell func(from, to string, b []byte)) {
+// TapLost sets a function that observes the data sent on lost connections. A relay's goroutine calls it.
+func (n *Net) TapLost(observe func(from, to string, b []byte)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.onLost = tell
+	n.onLost = observe
 }
 
-func (n *Net) tellLost(p pair, b []byte) {
+func (n *Net) reportLost(p pair, b []byte) {
 	n.mu.Lock()
-	tell := n.onLost
+	observe := n.onLost
 	n.mu.Unlock()
-	if tell != nil && len(b) > 0 {
-		tell(p.from, p.to, b)
+	if observe != nil && len(b) > 0 {
+		observe(p.from, p.to, b)
 	}
 }
 
-// Sever loses all connections from one process to another, those that are open and those opened until it
+// Sever with true loses all open connections from one process to another, and all that are opened until Sever
 // is called with false.
 func (n *Net) Sever(from, to string, severed bool) {
 	n.mu.Lock()
@@ -108,11 +109,12 @@
 	}
 }
 
-// openLinks returns the links of a pair that are in a use and not lost yet, the oldest first. The lock is held.
-func (n *Net) openLinks(from, to string, use Activity) []*link {
+// openLinks returns the links of a pair that have the given state of activity and are not lost, oldest first.
+// The net's lock is held.
+func (n *Net) openLinks(from, to string, activity Activity) []*link {
 	var open []*link
 	for l := range n.links {
-		if l.pair == (pair{from, to}) && l.lost == 0 && use.matches(l) {
+		if l.pair == (pair{from, to}) && l.lost == 0 && activity.matches(l) {
 			open = append(open, l)
 		}
 	}
@@ -120,19 +122,19 @@
 	return open
 }
 
-// addLink records a connection that is carried from now on; false if the net is closed.
-func (n *Net) addLink(p pair, in, out *net.TCPConn) (*link, bool) {
+// addLink registers a relayed connection. It returns false if the net is closed.
+func (n *Net) addLink(p pair, client, server *net.TCPConn) (*link, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.lastLink++
-	l := &link{pair: p, in: in, out: out, number: n.lastLink}
-	if n.vanished[p.from] || n.vanished[p.to] || n.severed[p] {
+	n.lastNumber++
+	l := &link{pair: p, client: client, server: server, number: n.lastNumber}
+	if n.down[p.from] || n.down[p.to] || n.severed[p] {
 		l.lost = Both
 	}
-	if !n.over { // Close has reset all links and would wait for this one
+	if !n.done { // otherwise Close has reset all links already and would wait for this one
 		n.links[l] = true
 	}
-	return l, !n.over
+	return l, !n.done
 }
 
 func (n *Net) removeLink(l *link) {
@@ -141,13 +143,13 @@
 	delete(n.links, l)
 }
 
-// passes records that something is carried one way of a link, and reports whether it arrives.
-func (n *Net) passes(l *link, way Directions) bool {
+// allow records data in one direction of a link, and reports whether it is to be forwarded.
+func (n *Net) allow(l *link, direction Directions) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if l.lost&way != 0 {
+	if l.lost&direction != 0 {
 		return false
 	}
-	l.unanswered = way == ToServer
+	l.unanswered = direction == ToServer
 	return true
 }
--- a/experiments/faultnet/lost_test.go
+++ b/experiments/faultnet/lost_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// echoServer answers each line with itself.
+// echoServer starts a server that sends back all data that it receives, and returns its address.
 func echoServer(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -28,7 +28,7 @@
 	return l.Addr().String()
 }
 
-// lineClient is a connection on which lines are sent and answered.
+// lineClient sends lines on a connection and reads their echoes.
 type lineClient struct {
 	t  *testing.T
 	c  net.Conn
@@ -45,32 +45,32 @@
 	return &lineClient{t, c, bufio.NewReader(c)}
 }
 
-// answered sends a line and reports whether it comes back within a while. A lost connection shows no
-// error: the line is taken, and nothing comes.
-func (l *lineClient) answered(wait time.Duration) bool {
+// answered sends a line and reports whether its echo arrives before the timeout. A lost connection returns no
+// error: the write succeeds, and no echo arrives.
+func (l *lineClient) answered(timeout time.Duration) bool {
 	l.t.Helper()
 	if _, err := io.WriteString(l.c, "x\n"); err != nil {
 		l.t.Fatal(err)
 	}
-	_ = l.c.SetReadDeadline(time.Now().Add(wait))
+	_ = l.c.SetReadDeadline(time.Now().Add(timeout))
 	_, err := l.in.ReadString('\n')
 	if e, ok := err.(net.Error); err != nil && !(ok && e.Timeout()) {
-		l.t.Fatalf("a lost connection shows %v", err)
+		l.t.Fatalf("a lost connection returned error %v, want only timeouts", err)
 	}
 	return err == nil
 }
 
 const (
-	longWait  = 10 * time.Second
-	shortWait = 200 * time.Millisecond
+	longTimeout  = 10 * time.Second
+	shortTimeout = 200 * time.Millisecond
 )
 
-// One connection is lost, whatever it does and whichever way, and the others go on.
+// Lose loses one connection with the given state and directions; all others, existing and new, still work.
 func TestSingleConnectionsAreLost(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		ways Directions
-	}{{"toward", ToServer}, {"back", ToClient}, {"both", Both}} {
+		name       string
+		directions Directions
+	}{{"to server", ToServer}, {"to client", ToClient}, {"both", Both}} {
 		t.Run(c.name, func(t *testing.T) {
 			n := New(1)
 			defer n.Close()
@@ -80,27 +80,27 @@
 				t.Fatal(err)
 			}
 			first, second := dialLines(t, addr), dialLines(t, addr)
-			if !first.answered(longWait) || !second.answered(longWait) {
+			if !first.answered(longTimeout) || !second.answered(longTimeout) {
 				t.Fatal("not answered before the loss")
 			}
-			if n.Lose("a", "b", AwaitingAnswer, c.ways) {
-				t.Error("a connection in use was lost, and none is in use")
+			if n.Lose("a", "b", AwaitingAnswer, c.directions) {
+				t.Error("Lose lost a connection that awaits an answer, and there is none")
 			}
-			if !n.Lose("a", "b", Idle, c.ways) {
-				t.Fatal("no connection at rest")
+			if !n.Lose("a", "b", Idle, c.directions) {
+				t.Fatal("Lose found no idle connection")
 			}
-			if one, other := first.answered(shortWait), second.answered(shortWait); one == other {
-				t.Errorf("answered after the loss: %v and %v, want one", one, other)
+			if one, other := first.answered(shortTimeout), second.answered(shortTimeout); one == other {
+				t.Errorf("answered after the loss: %v and %v, want exactly one of the two", one, other)
 			}
-			if !dialLines(t, addr).answered(longWait) {
+			if !dialLines(t, addr).answered(longTimeout) {
 				t.Error("a new connection is not answered")
 			}
 		})
 	}
 }
 
-// A machine that vanishes and is back answers on new connections, and on none of before.
-func TestVanishedMachineIsBack(t *testing.T) {
+// After BringUp, a machine answers on new connections, and on none opened before or while it was down.
+func TestMachineDownAndUp(t *testing.T) {
 	n := New(1)
 	defer n.Close()
 	n.SetListener("b", echoServer(t))
@@ -109,19 +109,19 @@
 		t.Fatal(err)
 	}
 	before := dialLines(t, addr)
-	if !before.answered(longWait) {
-		t.Fatal("not answered before")
+	if !before.answered(longTimeout) {
+		t.Fatal("not answered before the machine was down")
 	}
 	n.TakeDown("b")
 	during := dialLines(t, addr)
-	if before.answered(shortWait) || during.answered(shortWait) {
-		t.Error("answered by a machine that has vanished")
+	if before.answered(shortTimeout) || during.answered(shortTimeout) {
+		t.Error("answered by a machine that is down")
 	}
 	n.BringUp("b")
-	if before.answered(shortWait) || during.answered(shortWait) {
-		t.Error("a connection of before works again")
+	if before.answered(shortTimeout) || during.answered(shortTimeout) {
+		t.Error("a lost connection works again after BringUp")
 	}
-	if !dialLines(t, addr).answered(longWait) {
+	if !dialLines(t, addr).answered(longTimeout) {
 		t.Error("a new connection is not answered")
 	}
 }
--- a/experiments/faultnet/stream.go
+++ b/experiments/faultnet/stream.go
@@ -9,53 +9,53 @@
 	"time"
 )
 
-// chunk is how much of a connection is carried at once.
-const chunk = 16 << 10
+// chunkSize is the maximum number of bytes forwarded in one step.
+const chunkSize = 16 << 10
 
-// link is one connection that is carried, from its dialler to who listens.
+// link is one relayed connection.
 type link struct {
 	pair
-	in, out    *net.TCPConn
-	number     uint64     // in order of opening
-	lost       Directions // on which what is sent is dropped; the net's lock guards it
-	unanswered bool       // something was sent toward out, and nothing has come back since; likewise
+	client, server *net.TCPConn
+	number         uint64     // in the order in which links were opened
+	lost           Directions // data in these directions is dropped; guarded by the net's lock
+	unanswered     bool       // the last data was sent to the server; guarded by the net's lock
 }
 
-// Dial opens a way by which one process connects to another, and returns the address that
-// the first is to be told. The dialled side is found at the time of each connection, so that
-// it may move (see Listens). The rules of both directions hold for what is carried: a delay
-// is per chunk, and Loss and Double mean nothing, as connections lose and double nothing.
-// A cut holds what comes and ends no connection, as a cut wire does; Reset ends them.
+// Dial opens a relay for connections from one process to another, and returns the address that the first
+// process must dial. The address of the second process is looked up for each connection, so that it may
+// change (see SetListener). The rules of both directions apply: a delay applies to each chunk, and Loss and
+// Double have no effect, because a stream loses and duplicates no data. A cut delays the data and closes no
+// connection, as a cut cable does; Reset closes connections.
 func (n *Net) Dial(from, to string) (addr string, err error) {
 	l, err := net.ListenTCP("tcp4", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
-		return "", fmt.Errorf("way from %s to %s: %w", from, to, err)
+		return "", fmt.Errorf("relay from %s to %s: %w", from, to, err)
 	}
 	n.mu.Lock()
-	n.doors = append(n.doors, l)
+	n.listeners = append(n.listeners, l)
 	n.mu.Unlock()
-	n.group.Go(func() {
+	n.wg.Go(func() {
 		for {
 			conn, err := l.AcceptTCP()
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
 			if err == nil {
-				n.group.Go(func() { n.connect(pair{from, to}, conn) })
+				n.wg.Go(func() { n.connect(pair{from, to}, conn) })
 			}
 		}
 	})
 	return l.Addr().String(), nil
 }
 
-// Listens says where a process takes connections.
+// SetListener sets the address at which a process accepts connections.
 func (n *Net) SetListener(name, addr string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.listen[name] = addr
+	n.backends[name] = addr
 }
 
-// Reset ends all connections from one process to another, as a machine that restarts does.
+// Reset resets all connections from one process to another, as the restart of a machine does.
 func (n *Net) Reset(from, to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -67,60 +67,60 @@
 }
 
 func (l *link) reset() {
-	for _, c := range []*net.TCPConn{l.in, l.out} {
+	for _, c := range []*net.TCPConn{l.client, l.server} {
 		_ = c.SetLinger(0)
 		c.Close()
 	}
 }
 
-// connect carries one connection. Before the dialled side is reached, a cut of the way there
-// keeps the dialler waiting.
-func (n *Net) connect(p pair, in *net.TCPConn) {
-	defer in.Close()
-	if !n.open(p) {
+// connect relays one connection. While the direction to the server is cut or stalled, it waits before it
+// connects to the server.
+func (n *Net) connect(p pair, client *net.TCPConn) {
+	defer client.Close()
+	if !n.waitOpen(p) {
 		return
 	}
 	n.mu.Lock()
-	to := n.listen[p.to]
+	addr := n.backends[p.to]
 	n.mu.Unlock()
-	conn, err := net.Dial("tcp4", to)
+	conn, err := net.Dial("tcp4", addr)
 	if err != nil {
-		_ = in.SetLinger(0) // refused there, reset here
+		_ = client.SetLinger(0) // the relay has accepted already, so a refused connection becomes a reset
 		return
 	}
-	out := conn.(*net.TCPConn)
-	defer out.Close()
-	l, open := n.addLink(p, in, out)
+	server := conn.(*net.TCPConn)
+	defer server.Close()
+	l, open := n.addLink(p, client, server)
 	if !open {
 		return
 	}
 	defer n.removeLink(l)
-	var both sync.WaitGroup
-	both.Go(func() { n.carry(l, ToServer) })
-	both.Go(func() { n.carry(l, ToClient) })
-	both.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { n.relayStream(l, ToServer) })
+	directions.Go(func() { n.relayStream(l, ToClient) })
+	directions.Wait()
 }
 
-// carry moves one direction of a connection until it ends. An orderly end is passed on as
-// such; a broken one breaks the other side. Where the direction is lost, neither is passed on.
-func (n *Net) carry(l *link, way Directions) {
-	p, from, to := l.pair, l.in, l.out
-	if way == ToClient {
-		p, from, to = pair{l.to, l.from}, l.out, l.in
+// relayStream forwards the data of one direction of a connection until it ends. It forwards the end of the
+// stream, and resets the other side after an error. Where the direction is lost, it forwards neither.
+func (n *Net) relayStream(l *link, direction Directions) {
+	p, from, to := l.pair, l.client, l.server
+	if direction == ToClient {
+		p, from, to = pair{l.to, l.from}, l.server, l.client
 	}
-	buf := make([]byte, chunk)
+	buf := make([]byte, chunkSize)
 	for {
 		size, err := from.Read(buf)
-		if !n.open(p) {
+		if !n.waitOpen(p) {
 			return
 		}
 		n.mu.Lock()
-		wait := n.wait(n.rules[p])
+		wait := n.delay(n.rules[p])
 		n.Relayed++
 		n.mu.Unlock()
 		time.Sleep(wait)
-		if !n.passes(l, way) {
-			n.tellLost(p, buf[:size])
+		if !n.allow(l, direction) {
+			n.reportLost(p, buf[:size])
 			if err != nil {
 				return
 			}
@@ -145,12 +145,12 @@
 	}
 }
 
-// open waits until a direction is neither cut nor stalled; false when the net is closed.
-func (n *Net) open(p pair) bool {
+// waitOpen waits until a direction is neither cut nor stalled. It returns false when the net is closed.
+func (n *Net) waitOpen(p pair) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for !n.over && (n.rules[p].Cut || n.rules[p].Stall) {
+	for !n.done && (n.rules[p].Cut || n.rules[p].Stall) {
 		n.changed.Wait()
 	}
-	return !n.over
+	return !n.done
 }
