--- a/cmd/wellgw/orders_test.go
+++ b/cmd/wellgw/orders_test.go
@@ -31,8 +31,8 @@
 	text := strings.Replace(operatorConfig, `"effect": "free"`, `"effect": "single_shot"`, 1)
 	text = strings.Replace(text, `[{"id": "e", "address": "127.0.0.1:9", "role": "openai"}]`, "["+strings.Join(engines, ",")+"]", 1)
 	p := load.Plan{
-		Name: "o", Key: "k", Models: []load.Model{{Name: "m", Share: 1, Words: 3}}, MaxTokens: 8,
-		Clients: 24, Retries: 4, Keyed: true, Roam: true, Patience: 700 * time.Millisecond, Seed: 7,
+		Name: "o", Key: "k", Models: []load.Model{{Name: "m", Weight: 1, Words: 3}}, MaxTokens: 8,
+		Clients: 24, Retries: 4, Keyed: true, RotateGateways: true, Timeout: 700 * time.Millisecond, Seed: 7,
 	}
 	var signals []func(syscall.Signal)
 	for range 3 {
@@ -51,7 +51,7 @@
 	go func() { defer close(ended); load.Run(ctx, p, &rec) }()
 	enginetest.Eventually(t, "orders are under way", func() bool { return len(rec.All()) >= 48 })
 	signals[0](syscall.SIGSTOP) // its clients give up, and go elsewhere
-	time.Sleep(2 * p.Patience)
+	time.Sleep(2 * p.Timeout)
 	signals[0](syscall.SIGCONT)
 	signals[1](syscall.SIGKILL)
 	seen := len(rec.All())
--- a/cmd/wellgwlab/main.go
+++ b/cmd/wellgwlab/main.go
@@ -114,7 +114,7 @@
 		defer os.RemoveAll(work)
 	}
 	out := cmd.Root().Writer
-	r, err := e.Run(ctx, experiments.Options{Quick: cmd.Bool("quick"), Program: program, Former: cmd.String("former"), Work: work, Out: out, Seed: cmd.Uint64("seed"), Seeds: cmd.Int("seeds"),
+	r, err := e.Run(ctx, experiments.Options{Quick: cmd.Bool("quick"), Program: program, Baseline: cmd.String("former"), WorkDir: work, Out: out, Seed: cmd.Uint64("seed"), Seeds: cmd.Int("seeds"),
 		Schedule: cmd.String("schedule"), Shrink: cmd.Bool("shrink"),
 	})
 	if err != nil {
--- a/experiments/chatrun/chatrun.go
+++ b/experiments/chatrun/chatrun.go
@@ -46,7 +46,7 @@
 		name string
 		run  func(context.Context, experiments.Options, *experiments.Report) error
 	}{{"breaks", breaks}, {"slow clients", slow}, {"conformance", conform}, {"cost", cost}} {
-		opt.Say(begun, "%s", part.name)
+		opt.Progress(begun, "%s", part.name)
 		if err := part.run(ctx, opt, r); err != nil {
 			return nil, fmt.Errorf("%s: %w", part.name, err)
 		}
@@ -70,7 +70,7 @@
 }
 
 func start(ctx context.Context, opt experiments.Options, program, name string, file map[string]any, engines int) (*gateway.Gateway, error) {
-	g, err := gateway.Start(ctx, program, opt.Work, name, file)
+	g, err := gateway.Start(ctx, program, opt.WorkDir, name, file)
 	if err != nil {
 		return nil, err
 	}
@@ -103,8 +103,8 @@
 		span = 9 * time.Second
 	}
 	plan := load.Plan{
-		Name: "x", Key: gateway.Key, Models: []load.Model{{Name: "orders", Share: 1, Words: 20, Tokens: 12}},
-		Clients: 96, Turns: 1, Retries: 5, Keyed: true, Drop: 0.1, Seed: opt.Seed, MaxRetryAfter: 300 * time.Millisecond,
+		Name: "x", Key: gateway.Key, Models: []load.Model{{Name: "orders", Weight: 1, Words: 20, Tokens: 12}},
+		Clients: 96, Turns: 1, Retries: 5, Keyed: true, DropFraction: 0.1, Seed: opt.Seed, MaxRetryAfter: 300 * time.Millisecond,
 	}
 	for _, g := range gates {
 		plan.Targets = append(plan.Targets, g.Addr)
@@ -154,7 +154,7 @@
 		name := fmt.Sprintf("chat-%d", n)
 		file := settings(all, func(f map[string]any) {
 			f["gateways"] = 2
-			f["idempotency"] = map[string]any{"sticky": true, "keys": 200_000, "file": filepath.Join(opt.Work, name+".keys")}
+			f["idempotency"] = map[string]any{"sticky": true, "keys": 200_000, "file": filepath.Join(opt.WorkDir, name+".keys")}
 		})
 		g, err := start(ctx, opt, opt.Program, name, file, len(all))
 		if err != nil {
@@ -175,11 +175,11 @@
 		Head:  []string{"orders", "tries", "served", "of these replayed", "fate unknown", "turned away to the end", "other", "run twice", "tries without one final answer", "longest state after its end"},
 		Rows:  [][]any{{sum.orders, sum.tries, sum.served, sum.replayed, sum.unknown, sum.refused, sum.other, len(twice), len(sum.faults), long.Round(time.Millisecond)}},
 	})
-	r.Hold(sum.orders >= 1000, "thousands of orders", "%d orders in %d tries", sum.orders, sum.tries)
-	r.Hold(len(twice) == 0, "orders run twice", "%d %s", len(twice), strings.Join(twice[:min(3, len(twice))], " "))
-	r.Hold(len(sum.faults) == 0, "tries with none or two final answers", "%d %s", len(sum.faults), strings.Join(sum.faults[:min(3, len(sum.faults))], "; "))
-	r.Hold(long <= heldFor, "no state is held past 500 ms after its request's end", "%v %s", long.Round(time.Millisecond), story(fleet, which))
-	r.Hold(sum.served > sum.orders/3 && sum.unknown > 0, "some are served, and some have an unknown fate", "%d and %d of %d", sum.served, sum.unknown, sum.orders)
+	r.AddBound(sum.orders >= 1000, "thousands of orders", "%d orders in %d tries", sum.orders, sum.tries)
+	r.AddBound(len(twice) == 0, "orders run twice", "%d %s", len(twice), strings.Join(twice[:min(3, len(twice))], " "))
+	r.AddBound(len(sum.faults) == 0, "tries with none or two final answers", "%d %s", len(sum.faults), strings.Join(sum.faults[:min(3, len(sum.faults))], "; "))
+	r.AddBound(long <= heldFor, "no state is held past 500 ms after its request's end", "%v %s", long.Round(time.Millisecond), story(fleet, which))
+	r.AddBound(sum.served > sum.orders/3 && sum.unknown > 0, "some are served, and some have an unknown fate", "%d and %d of %d", sum.served, sum.unknown, sum.orders)
 }
 
 // restart ends a gateway as planned, starts it again, and asks for all its orders anew:
@@ -202,18 +202,18 @@
 			continue
 		}
 		asked++
-		again := load.Again(ctx, plan, g.Addr, o)
+		again := load.Repeat(ctx, plan, g.Addr, o)
 		switch {
-		case o.Served && again.Served && again.Again:
+		case o.Served && again.Served && again.Replayed:
 			replayed++
 		case !o.Served && again.Code == "idempotency_fate_unknown":
 		default:
-			wrong = append(wrong, fmt.Sprintf("%s: %s", o.Order, again.Problem))
+			wrong = append(wrong, fmt.Sprintf("%s: %s", o.RequestID, again.Problem))
 		}
 	}
 	ran := len(fleet.Attempts()) - before
-	r.Hold(asked > 50 && len(wrong) == 0, "after a planned restart, keys of before are replayed or stay unknown", "%d asked, %d replayed, %d otherwise %s", asked, replayed, len(wrong), strings.Join(wrong[:min(2, len(wrong))], "; "))
-	r.Hold(ran == 0, "and none goes to an engine", "%d", ran)
+	r.AddBound(asked > 50 && len(wrong) == 0, "after a planned restart, keys of before are replayed or stay unknown", "%d asked, %d replayed, %d otherwise %s", asked, replayed, len(wrong), strings.Join(wrong[:min(2, len(wrong))], "; "))
+	r.AddBound(ran == 0, "and none goes to an engine", "%d", ran)
 	return nil
 }
 
@@ -227,11 +227,11 @@
 	for _, o := range list {
 		t.orders++
 		t.tries += o.Tries
-		t.faults = append(t.faults, o.Faults...)
+		t.faults = append(t.faults, o.Violations...)
 		switch {
 		case o.Served:
 			t.served++
-			if o.Again {
+			if o.Replayed {
 				t.replayed++
 			}
 		case o.Code == "idempotency_fate_unknown":
@@ -320,11 +320,11 @@
 		time.Sleep(5 * time.Millisecond)
 	}
 	took := time.Since(begun)
-	resident := g.Use().Resident
+	resident := g.ReadUsage().Resident
 	for _, c := range closers {
 		c()
 	}
-	r.Hold(full > 0 && took <= freedIn, "slots of an engine whose clients do not read are free again in 2 s", "%d slots, %v; gateway %.0f MB", full, took.Round(time.Millisecond), resident)
+	r.AddBound(full > 0 && took <= freedIn, "slots of an engine whose clients do not read are free again in 2 s", "%d slots, %v; gateway %.0f MB", full, took.Round(time.Millisecond), resident)
 	return nil
 }
 
@@ -364,7 +364,7 @@
 		t.Rows = append(t.Rows, []any{n, strings.Join(failed[n], "; ")})
 	}
 	r.Tables = append(r.Tables, t)
-	r.Hold(bad == 0 && cases > 0, "all of the conformance suite passes", "%d of %d failed", bad, cases)
+	r.AddBound(bad == 0 && cases > 0, "all of the conformance suite passes", "%d of %d failed", bad, cases)
 	return nil
 }
 
@@ -374,8 +374,8 @@
 func cost(ctx context.Context, opt experiments.Options, r *experiments.Report) error {
 	type version struct{ name, program string }
 	versions := []version{{"this", opt.Program}}
-	if opt.Former != "" {
-		versions = append(versions, version{"former", opt.Former})
+	if opt.Baseline != "" {
+		versions = append(versions, version{"former", opt.Baseline})
 	}
 	span, rounds := 10*time.Second, 3
 	if opt.Quick {
@@ -406,7 +406,7 @@
 		{"the first event within 0.3 ms of direct at light load", first["this"]},
 	}})
 	if was, had := best["former"]; had {
-		r.Hold(best["this"] < was/costLess, "it costs a third of what the former version did, or less", "%.0f µs, former %.0f: %.1f times less", best["this"], was, was/best["this"])
+		r.AddBound(best["this"] < was/costLess, "it costs a third of what the former version did, or less", "%.0f µs, former %.0f: %.1f times less", best["this"], was, was/best["this"])
 	}
 	return nil
 }
@@ -429,18 +429,18 @@
 		return nil, 0, 0, err
 	}
 	defer g.Kill()
-	plan := load.Plan{Name: name, Key: gateway.Key, Targets: []string{g.Addr}, Models: []load.Model{{Name: "parts", Share: 1, Words: 60, Tokens: costEvents}}, Clients: 24, Seed: opt.Seed}
+	plan := load.Plan{Name: name, Key: gateway.Key, Targets: []string{g.Addr}, Models: []load.Model{{Name: "parts", Weight: 1, Words: 60, Tokens: costEvents}}, Clients: 24, Seed: opt.Seed}
 	play := func(p load.Plan, d time.Duration) load.Summary {
 		var rec load.Recorder
 		part, done := context.WithTimeout(ctx, d)
 		defer done()
 		load.Run(part, p, &rec)
-		return load.Sum(rec.All(), time.Time{}, time.Time{})
+		return load.Summarize(rec.All(), time.Time{}, time.Time{})
 	}
 	play(plan, span/4) // until the module knows its engines
-	before, begun := g.Use(), time.Now()
+	before, begun := g.ReadUsage(), time.Now()
 	s := play(plan, span)
-	took, after := time.Since(begun), g.Use()
+	took, after := time.Since(begun), g.ReadUsage()
 	if s.Served == 0 {
 		return nil, 0, 0, fmt.Errorf("%s: nothing was served: %v", name, s.Problems)
 	}
--- a/experiments/consulrun/consulrun.go
+++ b/experiments/consulrun/consulrun.go
@@ -202,7 +202,7 @@
 	for _, g := range s.gates {
 		v, err := g.View(ctx)
 		cold, warm := since(v, "e1"), since(v, "e2")
-		s.report.Hold(err == nil && cold > 0 && cold < coldFor && warm == 0, g.Name+": a restart is told from a flap",
+		s.report.AddBound(err == nil && cold > 0 && cold < coldFor && warm == 0, g.Name+": a restart is told from a flap",
 			"up for: restarted %v, flapped %v (0 = long)", cold.Round(time.Millisecond), warm)
 	}
 	pause.Sleep(ctx, s.span(6*time.Second, 1500*time.Millisecond))
@@ -221,8 +221,8 @@
 	at := time.Now()
 	for _, g := range s.gates {
 		file := s.settings(map[string]any{"address": third.Addr, "service": "llm"})
-		file["state_file"] = s.opt.Work + "/" + g.Name + ".view"
-		if err := g.Write(file); err != nil {
+		file["state_file"] = s.opt.WorkDir + "/" + g.Name + ".view"
+		if err := g.WriteSettings(file); err != nil {
 			s.say("%v", err)
 		}
 		g.Reload()
@@ -253,7 +253,7 @@
 	s.phase(ctx, "all well", func() { pause.Sleep(ctx, time.Second) })
 	for _, g := range s.gates {
 		_, ok := g.Await(ctx, 5*time.Second, func(v admin.View) bool { return v.Gateways == len(s.gates) })
-		s.report.Hold(ok, g.Name+": the gateways count each other", "%d expected", len(s.gates))
+		s.report.AddBound(ok, g.Name+": the gateways count each other", "%d expected", len(s.gates))
 	}
 	s.phase(ctx, "restored empty, past the hold, and back", func() {
 		good := s.store.Snapshot()
@@ -298,7 +298,7 @@
 	}
 	took := last.Sub(back)
 	s.rows = append(s.rows, []any{s.name, "recovery from all critical", took.Round(10 * time.Millisecond), recoveryLimit})
-	s.report.Hold(took <= recoveryLimit && first > 0, "recovery from all critical, no engine restarted", "all served after %v, the first after %v", took.Round(time.Millisecond), first.Round(time.Millisecond))
+	s.report.AddBound(took <= recoveryLimit && first > 0, "recovery from all critical, no engine restarted", "all served after %v, the first after %v", took.Round(time.Millisecond), first.Round(time.Millisecond))
 }
 
 // moveAndRename moves one engine, and lists another under a second id.
@@ -314,7 +314,7 @@
 	for _, g := range s.gates {
 		v, err := g.View(ctx)
 		ok := err == nil && state(v, "a2") == "gone" && state(v, "a9") == "in"
-		s.report.Hold(ok, g.Name+": an address has one engine", "a2 %s, a9 %s", state(v, "a2"), state(v, "a9"))
+		s.report.AddBound(ok, g.Name+": an address has one engine", "a2 %s, a9 %s", state(v, "a2"), state(v, "a9"))
 	}
 	s.store.Deregister(node, "a2")
 }
@@ -349,8 +349,8 @@
 func restartWithoutConsul(ctx context.Context, s *stage, section map[string]any) error {
 	const name = "catalogue-late"
 	file := s.settings(section)
-	file["state_file"] = s.opt.Work + "/" + name + ".view"
-	g, err := gateway.Start(ctx, s.opt.Program, s.opt.Work, name, file)
+	file["state_file"] = s.opt.WorkDir + "/" + name + ".view"
+	g, err := gateway.Start(ctx, s.opt.Program, s.opt.WorkDir, name, file)
 	if err != nil {
 		return err
 	}
@@ -360,7 +360,7 @@
 	g.Kill()
 	s.phase(ctx, "a gateway starts while Consul is away", func() {
 		s.fail(s.agents, consul.Faults{Refuse: true})
-		if g, err = gateway.Start(ctx, s.opt.Program, s.opt.Work, name, file); err != nil {
+		if g, err = gateway.Start(ctx, s.opt.Program, s.opt.WorkDir, name, file); err != nil {
 			return
 		}
 		end := s.forbid("b2", "critical by the view on disk", time.Now())
@@ -369,12 +369,12 @@
 		var rec load.Recorder
 		load.Run(sub, load.Plan{
 			Name: "late-", Targets: []string{g.Addr}, Key: gateway.Key, Clients: 4, Turns: 3, MaxTokens: 8, Seed: s.opt.Seed + 1,
-			Models: []load.Model{{Name: "parts", Share: 1, Words: 40}},
+			Models: []load.Model{{Name: "parts", Weight: 1, Words: 40}},
 		}, &rec)
 		cancel()
 		end()
-		sum := load.Sum(rec.All(), from, time.Time{})
-		s.report.Hold(seen && sum.Asked > 0 && sum.Served == sum.Asked, "served at once from the last good view", "%d of %d, first token %v", sum.Served, sum.Asked, sum.FirstP50.Round(time.Millisecond))
+		sum := load.Summarize(rec.All(), from, time.Time{})
+		s.report.AddBound(seen && sum.Asked > 0 && sum.Served == sum.Asked, "served at once from the last good view", "%d of %d, first token %v", sum.Served, sum.Asked, sum.FirstP50.Round(time.Millisecond))
 		s.fail(s.agents, consul.Faults{})
 		g.Kill()
 		s.mark("passing", "b2")
--- a/experiments/consulrun/cost.go
+++ b/experiments/consulrun/cost.go
@@ -57,7 +57,7 @@
 	s := &stage{}
 	file := s.settings(map[string]any{"address": agent.Addr, "tag": "engine", "max_watches": z.watches, "check_path": ""})
 	name := fmt.Sprintf("cost-%d-%d", z.engines, z.watches)
-	g, err := gateway.Start(ctx, opt.Program, opt.Work, name, file)
+	g, err := gateway.Start(ctx, opt.Program, opt.WorkDir, name, file)
 	if err != nil {
 		return nil, err
 	}
@@ -76,7 +76,7 @@
 	_, ok := g.Await(ctx, 10*time.Second, func(v admin.View) bool { return state(v, "x0007") == "critical" })
 	seen := time.Since(at)
 	mu.Lock()
-	r.Hold(ok && seen <= followLimit, fmt.Sprintf("a mark among %d engines is seen (%d watches)", z.engines, z.watches), "%v, limit %v", seen.Round(time.Millisecond), followLimit)
+	r.AddBound(ok && seen <= followLimit, fmt.Sprintf("a mark among %d engines is seen (%d watches)", z.engines, z.watches), "%v, limit %v", seen.Round(time.Millisecond), followLimit)
 	mu.Unlock()
 	flapping, stop := context.WithCancel(ctx)
 	var group sync.WaitGroup
@@ -93,7 +93,7 @@
 	_, ok = g.Await(ctx, 20*time.Second, func(v admin.View) bool { return in(v) == z.engines })
 	settled := time.Since(back)
 	mu.Lock()
-	r.Hold(ok && settled <= 10*time.Second, fmt.Sprintf("%d flapping engines settle (%d watches)", z.engines, z.watches), "%v", settled.Round(time.Millisecond))
+	r.AddBound(ok && settled <= 10*time.Second, fmt.Sprintf("%d flapping engines settle (%d watches)", z.engines, z.watches), "%v", settled.Round(time.Millisecond))
 	mu.Unlock()
 	way := "a watch each"
 	if idle.rounds {
@@ -115,11 +115,11 @@
 // watchUse measures a gateway for a while.
 func watchUse(ctx context.Context, g *gateway.Gateway, a *consul.Agent, d time.Duration) use {
 	before, _ := g.View(ctx)
-	was := g.Use()
+	was := g.ReadUsage()
 	q0, b0, _ := a.Load()
 	begun := time.Now()
 	pause.Sleep(ctx, d)
-	is := g.Use()
+	is := g.ReadUsage()
 	took := time.Since(begun).Seconds()
 	q1, b1, _ := a.Load()
 	after, _ := g.View(ctx)
--- a/experiments/consulrun/stage.go
+++ b/experiments/consulrun/stage.go
@@ -130,8 +130,8 @@
 	for range n {
 		name := fmt.Sprintf("%s-%d", s.name, len(s.gates)+1)
 		file := s.settings(section)
-		file["state_file"] = filepath.Join(s.opt.Work, name+".view")
-		g, err := gateway.Start(ctx, s.opt.Program, s.opt.Work, name, file)
+		file["state_file"] = filepath.Join(s.opt.WorkDir, name+".view")
+		g, err := gateway.Start(ctx, s.opt.Program, s.opt.WorkDir, name, file)
 		if err != nil {
 			return err
 		}
@@ -167,7 +167,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	p := load.Plan{
 		Key: gateway.Key, Clients: clients, Turns: 3, MaxTokens: 8, Seed: s.opt.Seed,
-		Models: []load.Model{{Name: "parts", Share: 0.53, Words: 60}, {Name: "orders", Share: 0.47, Words: 80}},
+		Models: []load.Model{{Name: "parts", Weight: 0.53, Words: 60}, {Name: "orders", Weight: 0.47, Words: 80}},
 	}
 	for _, g := range s.gates {
 		p.Targets = append(p.Targets, g.Addr)
@@ -188,7 +188,7 @@
 }
 
 func (s *stage) say(format string, args ...any) {
-	s.opt.Say(s.begun, s.name+": "+format, args...)
+	s.opt.Progress(s.begun, s.name+": "+format, args...)
 }
 
 // forbid states that an engine is to get no new work from a time on, and returns
@@ -216,7 +216,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.rows = append(s.rows, []any{s.name, what, worst.Round(10 * time.Millisecond), limit})
-	s.report.Hold(all && worst <= limit, what, "%v, limit %v", worst.Round(10*time.Millisecond), limit)
+	s.report.AddBound(all && worst <= limit, what, "%v, limit %v", worst.Round(10*time.Millisecond), limit)
 }
 
 // phase runs a part of the course and notes what was asked and served in it.
@@ -229,10 +229,10 @@
 	do()
 	to := time.Now()
 	time.Sleep(50 * time.Millisecond)
-	sum := load.Sum(s.rec.All(), from, to)
+	sum := load.Summarize(s.rec.All(), from, to)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.rows = append(s.rows, []any{s.name, name, "", "", sum.Asked, sum.Served, sum.FirstP50.Round(100 * time.Microsecond), sum.FirstP99.Round(100 * time.Microsecond), sum.Worst.Round(time.Millisecond)})
+	s.rows = append(s.rows, []any{s.name, name, "", "", sum.Asked, sum.Served, sum.FirstP50.Round(100 * time.Microsecond), sum.FirstP99.Round(100 * time.Microsecond), sum.MaxGap.Round(time.Millisecond)})
 }
 
 func (s *stage) excuseFrom(from, to time.Time) {
@@ -245,7 +245,7 @@
 func (s *stage) judge() {
 	attempts, outcomes := s.fleet.Attempts(), s.rec.All()
 	late := engine.WorkIn(attempts, s.spans)
-	s.report.Hold(len(late) == 0, s.name+": no new work after a mark", "%d engines got some %v", len(late), late)
+	s.report.AddBound(len(late) == 0, s.name+": no new work after a mark", "%d engines got some %v", len(late), late)
 	missed, first := 0, ""
 	for _, o := range outcomes {
 		excused := false
@@ -258,19 +258,19 @@
 			}
 		}
 	}
-	s.report.Hold(missed == 0 && len(outcomes) > 0, s.name+": no request unserved for a fault of Consul's alone", "%d of %d%s", missed, len(outcomes), first)
+	s.report.AddBound(missed == 0 && len(outcomes) > 0, s.name+": no request unserved for a fault of Consul's alone", "%d of %d%s", missed, len(outcomes), first)
 	orders := map[string]bool{}
 	for _, o := range outcomes {
 		if o.Model == "orders" {
-			orders[o.Order] = true
+			orders[o.RequestID] = true
 		}
 	}
 	twice := engine.RunTwice(attempts, func(order string) bool { return orders[order] })
-	s.report.Hold(len(twice) == 0, s.name+": no order ran twice", "%d of %d", len(twice), len(orders))
-	s.report.Hold(s.fleet.Fallen() == 0, s.name+": no cold engine pushed over", "%d", s.fleet.Fallen())
+	s.report.AddBound(len(twice) == 0, s.name+": no order ran twice", "%d of %d", len(twice), len(orders))
+	s.report.AddBound(s.fleet.Fallen() == 0, s.name+": no cold engine pushed over", "%d", s.fleet.Fallen())
 	for _, g := range s.gates {
 		if n := g.Count("invariants broken"); n > 0 {
-			s.report.Hold(false, s.name+": no invariant broken", "%s: %d lines", g.Name, n)
+			s.report.AddBound(false, s.name+": no invariant broken", "%s: %d lines", g.Name, n)
 		}
 	}
 }
--- a/experiments/experiments.go
+++ b/experiments/experiments.go
@@ -27,20 +27,20 @@
 
 // Options are what an experiment is run with.
 type Options struct {
-	Quick   bool   // ends within 50 s
-	Program string // the gateway's binary
-	Former  string // a former version's, to compare with; "" for none
-	Work    string // a folder for files, removed after
-	Out     io.Writer
-	Seed    uint64
-	Seeds   int // how many seeds from Seed on, where an experiment plays several; 0 for its usual number
+	Quick    bool   // ends within 50 s
+	Program  string // the gateway's binary
+	Baseline string // a former version's, to compare with; "" for none
+	WorkDir  string // a folder for files, removed after
+	Out      io.Writer
+	Seed     uint64
+	Seeds    int // how many seeds from Seed on, where an experiment plays several; 0 for its usual number
 
 	Schedule string // a file of faults to play in place of those of the seed; "" for those
 	Shrink   bool   // a schedule that fails is cut to the shortest that still does
 }
 
-// Say prints a line on the course of an experiment, with the time since its start.
-func (o Options) Say(begun time.Time, format string, args ...any) {
+// Progress prints a line on the course of an experiment, with the time since its start.
+func (o Options) Progress(begun time.Time, format string, args ...any) {
 	fmt.Fprintf(o.Out, "%6.1fs  %s\n", time.Since(begun).Seconds(), fmt.Sprintf(format, args...))
 }
 
@@ -73,21 +73,21 @@
 
 // Bound is a statement that must hold.
 type Bound struct {
-	What string
-	Held bool
-	Got  string
+	Statement string
+	Met       bool
+	Observed  string
 }
 
-// Hold states a bound and what was found.
-func (r *Report) Hold(held bool, what, format string, args ...any) {
-	r.Bounds = append(r.Bounds, Bound{What: what, Held: held, Got: fmt.Sprintf(format, args...)})
+// AddBound states a bound and what was found.
+func (r *Report) AddBound(held bool, what, format string, args ...any) {
+	r.Bounds = append(r.Bounds, Bound{Statement: what, Met: held, Observed: fmt.Sprintf(format, args...)})
 }
 
 // Missed returns the bounds that did not hold.
 func (r *Report) Missed() []Bound {
 	var out []Bound
 	for _, b := range r.Bounds {
-		if !b.Held {
+		if !b.Met {
 			out = append(out, b)
 		}
 	}
@@ -114,10 +114,10 @@
 	bounds := Table{Title: "Bounds", Head: []string{"bound", "held", "found"}}
 	for _, b := range r.Bounds {
 		held := "yes"
-		if !b.Held {
+		if !b.Met {
 			held = "NO"
 		}
-		bounds.Rows = append(bounds.Rows, []any{b.What, held, b.Got})
+		bounds.Rows = append(bounds.Rows, []any{b.Statement, held, b.Observed})
 	}
 	return append(append([]Table(nil), r.Tables...), bounds)
 }
--- a/experiments/fleetrun/fleetrun.go
+++ b/experiments/fleetrun/fleetrun.go
@@ -87,11 +87,11 @@
 				c.deployment.Name, what, n, c.result.Requests, fmt.Sprintf("%.3f", c.result.Service), fmt.Sprintf("%.3f", c.result.Worst10), c.result.Refused, c.result.Late, each(c.result.Probes), each(c.result.Conns),
 			})
 			if len(c.result.Broken) > 0 {
-				r.Hold(false, fmt.Sprintf("%s with %d gateways keeps the rules", c.deployment.Name, n), "%s", c.result.Broken[0])
+				r.AddBound(false, fmt.Sprintf("%s with %d gateways keeps the rules", c.deployment.Name, n), "%s", c.result.Broken[0])
 			}
 		}
 		few, many := cells[i][0].result.Service, cells[i][len(sizes)-1].result.Service
-		r.Hold(many >= few-points, fmt.Sprintf("%s: service at %d gateways is within 3 points of that at %d", cells[i][0].deployment.Name, sizes[len(sizes)-1], sizes[0]), "%.3f against %.3f", many, few)
+		r.AddBound(many >= few-points, fmt.Sprintf("%s: service at %d gateways is within 3 points of that at %d", cells[i][0].deployment.Name, sizes[len(sizes)-1], sizes[0]), "%.3f against %.3f", many, few)
 	}
 	r.Tables = append(r.Tables, t)
 	r.Charts = append(r.Charts, experiments.Chart{Name: "service", Title: "Service by the number of gateways, the same load", X: "gateways", Y: "service", Lines: []experiments.Line{service}})
--- a/experiments/fleetrun/programs.go
+++ b/experiments/fleetrun/programs.go
@@ -71,7 +71,7 @@
 		defer close(ended)
 		load.Run(within, load.Plan{
 			Name: "f", Key: gateway.Key, Targets: t.doors, Clients: clients, Turns: 3, MaxTokens: 8, Retries: 4, Seed: opt.Seed, Think: 20 * time.Millisecond,
-			Models: []load.Model{{Name: "parts", Share: 0.6, Words: 40}, {Name: "orders", Share: 0.4, Words: 60}},
+			Models: []load.Model{{Name: "parts", Weight: 0.6, Words: 40}, {Name: "orders", Weight: 0.4, Words: 60}},
 		}, &rec)
 	}()
 	all := []string{"e1", "e2", "e3", "e4", "e5", "e6", "e7", "e8"}
@@ -84,13 +84,13 @@
 	r.Tables = append(r.Tables, t.spread)
 	attempts, orders := t.fleet.Attempts(), map[string]bool{}
 	for _, o := range rec.All() {
-		orders[o.Order] = orders[o.Order] || o.Model == "orders"
+		orders[o.RequestID] = orders[o.RequestID] || o.Model == "orders"
 	}
 	late := engine.WorkIn(attempts, t.spans)
-	r.Hold(len(late) == 0, "no new work after its grace to an engine marked or gone", "%d %v", len(late), late)
+	r.AddBound(len(late) == 0, "no new work after its grace to an engine marked or gone", "%d %v", len(late), late)
 	twice := engine.RunTwice(attempts, func(order string) bool { return orders[order] })
-	r.Hold(len(twice) == 0, "no order ran twice", "%d of %d", len(twice), len(orders))
-	r.Hold(t.fleet.Fallen() == 0, "no cold engine pushed over by all gateways together", "%d", t.fleet.Fallen())
+	r.AddBound(len(twice) == 0, "no order ran twice", "%d of %d", len(twice), len(orders))
+	r.AddBound(t.fleet.Fallen() == 0, "no cold engine pushed over by all gateways together", "%d", t.fleet.Fallen())
 	return nil
 }
 
@@ -107,7 +107,7 @@
 		t.byID[id] = e
 		t.list(id)
 	}
-	if t.tier, err = gateway.NewTier(t.opt.Work, t.opt.Seed); err != nil {
+	if t.tier, err = gateway.NewTier(t.opt.WorkDir, t.opt.Seed); err != nil {
 		return err
 	}
 	for i := range gateways {
@@ -146,13 +146,13 @@
 	s := gateway.Settings(map[string]any{"check_path": "/healthz", "address": t.agent.Addr, "service": service})
 	s["gateways"] = gateways
 	s["peers"] = t.tier.Peers(name, t.peers[name])
-	g, err := gateway.Start(ctx, t.opt.Program, t.opt.Work, name, s)
+	g, err := gateway.Start(ctx, t.opt.Program, t.opt.WorkDir, name, s)
 	if err != nil {
 		return err
 	}
 	t.gates[name] = g
 	var p peers.Status
-	if err := g.Page(ctx, admin.PeersPath, &p); err != nil {
+	if err := g.FetchPage(ctx, admin.PeersPath, &p); err != nil {
 		return err
 	}
 	if err := t.net.SetBackend(name, p.Listen); err != nil {
@@ -170,7 +170,7 @@
 	for _, name := range names {
 		for begun := time.Now(); ; pause.Sleep(ctx, 50*time.Millisecond) {
 			var s peers.Status
-			err := t.gates[name].Page(ctx, admin.PeersPath, &s)
+			err := t.gates[name].FetchPage(ctx, admin.PeersPath, &s)
 			alive := 1
 			for _, g := range s.View.Peers {
 				if g.Status == membership.Alive {
@@ -294,8 +294,8 @@
 		total, most = total+by[id], max(most, by[id])
 	}
 	ratio := float64(most) * float64(len(among)) / float64(max(total, 1))
-	s := load.Sum(rec.All(), from, time.Time{})
+	s := load.Summarize(rec.All(), from, time.Time{})
 	t.spread.Rows = append(t.spread.Rows, []any{what, total, fmt.Sprintf("%.2f", ratio), s.Asked, s.Served})
-	r.Hold(total > 100 && ratio <= evenMost, fmt.Sprintf("%s: within %v load is even, busiest engine at most %.2f of the mean", what, evenIn, evenMost), "%.2f of %d attempts", ratio, total)
-	t.opt.Say(t.begun, "%s: %.2f, %d of %d served", what, ratio, s.Served, s.Asked)
+	r.AddBound(total > 100 && ratio <= evenMost, fmt.Sprintf("%s: within %v load is even, busiest engine at most %.2f of the mean", what, evenIn, evenMost), "%.2f of %d attempts", ratio, total)
+	t.opt.Progress(t.begun, "%s: %.2f, %d of %d served", what, ratio, s.Served, s.Asked)
 }
--- a/experiments/fleetsim/experiment.go
+++ b/experiments/fleetsim/experiment.go
@@ -163,8 +163,8 @@
 		worst.Lines[0].At = append(worst.Lines[0].At, [2]float64{x, high})
 		worst.Lines[1].At = append(worst.Lines[1].At, [2]float64{x, low})
 		classes.Rows = append(classes.Rows, []any{d.Name, strings.Join(by, "; "), fmt.Sprintf("%.3f", m.Worst10), m.Refused, m.Late})
-		r.Hold(len(m.Broken) == 0, d.Name+": no rule broken", "%d%s", len(m.Broken), firstOf(m.Broken))
-		r.Hold(m.Service >= best-slack, d.Name+": no less than the best plain policy that keeps the rules, less a point", "%.3f against %.3f (%s)", m.Service, best, who)
+		r.AddBound(len(m.Broken) == 0, d.Name+": no rule broken", "%d%s", len(m.Broken), firstOf(m.Broken))
+		r.AddBound(m.Service >= best-slack, d.Name+": no less than the best plain policy that keeps the rules, less a point", "%.3f against %.3f (%s)", m.Service, best, who)
 	}
 	r.Tables = []experiments.Table{t, classes}
 	r.Charts = []experiments.Chart{chart, worst}
--- a/experiments/gateway/gateway.go
+++ b/experiments/gateway/gateway.go
@@ -73,7 +73,7 @@
 		return nil, fmt.Errorf("gateway %s: %w", name, err)
 	}
 	g := &Gateway{Name: name, file: filepath.Join(dir, name+".json"), ended: make(chan struct{})}
-	if err := g.Write(settings); err != nil {
+	if err := g.WriteSettings(settings); err != nil {
 		return nil, err
 	}
 	g.cmd = exec.CommandContext(ctx, program, "serve", "--operator", g.file)
@@ -123,8 +123,8 @@
 	return g, nil
 }
 
-// Write replaces the operator's file.
-func (g *Gateway) Write(settings map[string]any) error {
+// WriteSettings replaces the operator's file.
+func (g *Gateway) WriteSettings(settings map[string]any) error {
 	raw, err := jsoniter.MarshalIndent(settings, "", "  ")
 	if err == nil {
 		err = os.WriteFile(g.file, raw, 0o600)
@@ -186,8 +186,8 @@
 // Resume has a paused program go on.
 func (g *Gateway) Resume() { _ = g.cmd.Process.Signal(syscall.SIGCONT) }
 
-// Page reads a page of the admin listener into v.
-func (g *Gateway) Page(ctx context.Context, path string, v any) error {
+// FetchPage reads a page of the admin listener into v.
+func (g *Gateway) FetchPage(ctx context.Context, path string, v any) error {
 	return admin.FetchPage(ctx, g.Admin, path, v)
 }
 
@@ -215,8 +215,8 @@
 	Resident float64       // MB
 }
 
-// Use reads what the program has used from /proc.
-func (g *Gateway) Use() Usage {
+// ReadUsage reads what the program has used from /proc.
+func (g *Gateway) ReadUsage() Usage {
 	var u Usage
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", g.cmd.Process.Pid))
 	if err != nil {
--- a/experiments/load/load.go
+++ b/experiments/load/load.go
@@ -28,50 +28,50 @@
 
 // Plan is what is asked.
 type Plan struct {
-	Name      string   // of the load: requests are named after it
-	Targets   []string // gateways' addresses
-	Key       string
-	Models    []Model
-	Clients   int     // in a closed loop
-	Rate      float64 // requests a second in an open loop, if Clients is 0
-	Turns     int     // of a session
-	Think     time.Duration
-	Retries   int           // by the client itself, on 429, 503 and no connection
+	Name           string   // of the load: requests are named after it
+	Targets        []string // gateways' addresses
+	Key            string
+	Models         []Model
+	Clients        int     // in a closed loop
+	Rate           float64 // requests a second in an open loop, if Clients is 0
+	Turns          int     // of a session
+	Think          time.Duration
+	Retries        int           // by the client itself, on 429, 503 and no connection
 	MaxRetryAfter  time.Duration // longest Retry-After that is waited for; 0 = a second
-	MaxTokens int
-	Whole     bool          // not streamed
-	Keyed     bool          // each request has an idempotency key, and is sent again under it whatever became of it
-	Roam      bool          // a client under a key asks another gateway each time
-	Patience  time.Duration // for an answer, of each try; 0 = 30 s
-	Drop      float64       // share of first tries whose client goes in the middle
-	Seed      uint64
+	MaxTokens      int
+	NonStreaming   bool          // not streamed
+	Keyed          bool          // each request has an idempotency key, and is sent again under it whatever became of it
+	RotateGateways bool          // a client under a key asks another gateway each time
+	Timeout        time.Duration // for an answer, of each try; 0 = 30 s
+	DropFraction   float64       // share of first tries whose client goes in the middle
+	Seed           uint64
 }
 
 // Model is one model and how much of the load asks for it.
 type Model struct {
 	Name   string
-	Share  float64
+	Weight float64
 	Words  int // of each turn
 	Tokens int // most that an answer may hold; 0 = the plan's
 }
 
 // Outcome is how a request ended, its client's retries included.
 type Outcome struct {
-	Order   string // the request's own name, the same in all its tries
-	Body    string // of a request under a key
-	Model   string
-	Target  string // that answered last
-	Asked   time.Time
-	First   time.Duration // to the first event; 0 if none came
-	Total   time.Duration
-	Status  int  // of the last answer; 0 = none came
-	Served  bool // the whole answer came
-	Tries   int
-	Problem string   // "" if served
-	Again   bool     // the answer was one that had been kept
-	Code    string   // of the last error
-	Ends    []End    // of all tries
-	Faults  []string // tries that had no final answer, or more than one
+	RequestID  string // the request's own name, the same in all its tries
+	Body       string // of a request under a key
+	Model      string
+	Target     string // that answered last
+	Asked      time.Time
+	First      time.Duration // to the first event; 0 if none came
+	Total      time.Duration
+	Status     int  // of the last answer; 0 = none came
+	Served     bool // the whole answer came
+	Tries      int
+	Problem    string   // "" if served
+	Replayed   bool     // the answer was one that had been kept
+	Code       string   // of the last error
+	Ends       []End    // of all tries
+	Violations []string // tries that had no final answer, or more than one
 }
 
 // End is when a try was over for its client.
@@ -133,11 +133,11 @@
 func pick(models []Model, random *rand.Rand) Model {
 	sum := 0.0
 	for _, m := range models {
-		sum += m.Share
+		sum += m.Weight
 	}
 	x := random.Float64() * sum
 	for _, m := range models {
-		if x -= m.Share; x < 0 {
+		if x -= m.Weight; x < 0 {
 			return m
 		}
 	}
@@ -155,7 +155,7 @@
 		order := fmt.Sprintf("%s-%d", name, turn)
 		fmt.Fprintf(&said, `,{"role":"user","content":"order-id %s %s"}`, order, strings.Repeat("fit ", m.Words))
 		body := fmt.Sprintf(`{"model":%q,"stream":%v,"max_tokens":%d,"messages":[{"role":"system","content":"parts of hulls"}%s]}`,
-			m.Name, !p.Whole, max(cmp.Or(m.Tokens, p.MaxTokens), 1), said.String())
+			m.Name, !p.NonStreaming, max(cmp.Or(m.Tokens, p.MaxTokens), 1), said.String())
 		// The request is finished even if the load ends meanwhile.
 		o := ask(context.WithoutCancel(ctx), p, client, random, order, body)
 		o.Model = m.Name
@@ -171,21 +171,21 @@
 // ask makes one request with its client's retries. Tries under a key stay with one gateway
 // unless clients roam.
 func ask(ctx context.Context, p Plan, client *http.Client, random *rand.Rand, order, body string) Outcome {
-	o := Outcome{Asked: time.Now(), Order: order}
+	o := Outcome{Asked: time.Now(), RequestID: order}
 	if p.Keyed {
 		o.Body = body
 	}
 	target := random.IntN(len(p.Targets))
 	for o.Tries = 1; ; o.Tries++ {
 		drop := -1
-		if o.Tries == 1 && random.Float64() < p.Drop {
+		if o.Tries == 1 && random.Float64() < p.DropFraction {
 			drop = random.IntN(dropWithin)
 		}
 		again, hint := try(ctx, p, client, p.Targets[target], body, drop, &o)
 		if o.Total = time.Since(o.Asked); !again || o.Tries > p.Retries {
 			return o
 		}
-		if !p.Keyed || p.Roam {
+		if !p.Keyed || p.RotateGateways {
 			target = (target + 1) % len(p.Targets)
 		}
 		pause.Sleep(ctx, min(max(hint, 20*time.Millisecond), p.MaxRetryAfter))
@@ -197,12 +197,12 @@
 	dropWithin = 12 // events, after the first of which a client that drops goes
 )
 
-// final are the codes that say that trying again is of no use.
-var final = []string{"idempotency_fate_unknown", "idempotency_answer_not_kept", "idempotency_key_reused"}
+// finalCodes are the codes that say that trying again is of no use.
+var finalCodes = []string{"idempotency_fate_unknown", "idempotency_answer_not_kept", "idempotency_key_reused"}
 
 // try makes one try; again says that another is to be made.
 func try(ctx context.Context, p Plan, client *http.Client, target, body string, drop int, o *Outcome) (again bool, hint time.Duration) {
-	ctx, cancel := context.WithTimeout(ctx, cmp.Or(p.Patience, answerWait))
+	ctx, cancel := context.WithTimeout(ctx, cmp.Or(p.Timeout, answerWait))
 	defer cancel()
 	o.Target, o.Status, o.Served, o.Code = target, 0, false, ""
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+target+"/v1/chat/completions", strings.NewReader(body))
@@ -212,9 +212,9 @@
 	}
 	req.Header.Set("Authorization", "Bearer "+p.Key)
 	req.Header.Set("Content-Type", "application/json")
-	req.Header.Set("X-Request-Id", o.Order) // for engines that are asked directly
+	req.Header.Set("X-Request-Id", o.RequestID) // for engines that are asked directly
 	if p.Keyed {
-		req.Header.Set("Idempotency-Key", o.Order)
+		req.Header.Set("Idempotency-Key", o.RequestID)
 		req.Header.Set("X-Stainless-Retry-Count", strconv.Itoa(o.Tries-1))
 	}
 	if drop == 0 { // before an answer has begun
@@ -224,17 +224,17 @@
 	if err != nil {
 		o.Problem = "no answer: " + err.Error()
 		if drop < 0 && p.Keyed {
-			o.Faults = append(o.Faults, o.Problem)
+			o.Violations = append(o.Violations, o.Problem)
 		}
 		return p.Keyed || errors.Is(err, syscall.ECONNREFUSED), 0
 	}
 	defer resp.Body.Close()
 	defer func() { o.Ends = append(o.Ends, End{resp.Header.Get("X-Request-Id"), time.Now()}) }()
-	o.Status, o.Again = resp.StatusCode, resp.Header.Get("Idempotent-Replayed") != ""
+	o.Status, o.Replayed = resp.StatusCode, resp.Header.Get("Idempotent-Replayed") != ""
 	switch {
 	case resp.StatusCode != http.StatusOK:
-		return o.turnedAway(p, resp)
-	case p.Whole:
+		return o.readRejection(p, resp)
+	case p.NonStreaming:
 		_, err := io.Copy(io.Discard, resp.Body)
 		o.First = time.Since(o.Asked)
 		o.Served, o.Problem = err == nil, ""
@@ -243,8 +243,8 @@
 	return o.stream(p, resp.Body, drop), 0
 }
 
-// turnedAway notes an answer other than 200, and tells whether and when to ask again.
-func (o *Outcome) turnedAway(p Plan, resp *http.Response) (again bool, hint time.Duration) {
+// readRejection notes an answer other than 200, and tells whether and when to ask again.
+func (o *Outcome) readRejection(p Plan, resp *http.Response) (again bool, hint time.Duration) {
 	text, _ := io.ReadAll(io.LimitReader(resp.Body, 600))
 	o.Problem = fmt.Sprintf("status %d: %.300s", resp.StatusCode, bytes.TrimSpace(text))
 	if _, after, found := strings.Cut(string(text), `"code":"`); found {
@@ -253,7 +253,7 @@
 	seconds, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 	again = resp.StatusCode == http.StatusTooManyRequests || resp.StatusCode == http.StatusServiceUnavailable
 	if p.Keyed { // it asks again whatever it is told, as long as that is not final
-		again = !slices.Contains(final, o.Code) && resp.StatusCode != http.StatusBadRequest
+		again = !slices.Contains(finalCodes, o.Code) && resp.StatusCode != http.StatusBadRequest
 	}
 	return again, time.Duration(seconds * float64(time.Second))
 }
@@ -282,7 +282,7 @@
 			continue
 		}
 		if n := done + failed; n != 1 && drop != 0 {
-			o.Faults = append(o.Faults, fmt.Sprintf("%d final answers in a stream that ended by %v", n, err))
+			o.Violations = append(o.Violations, fmt.Sprintf("%d final answers in a stream that ended by %v", n, err))
 		}
 		if o.Served = err == io.EOF && done == 1; o.Served {
 			o.Problem = ""
@@ -295,9 +295,9 @@
 
 const dropEarly = 3 * time.Millisecond
 
-// Again asks for what an outcome was of once more, under its key.
-func Again(ctx context.Context, p Plan, target string, was Outcome) Outcome {
-	o := Outcome{Asked: time.Now(), Order: was.Order, Model: was.Model, Tries: was.Tries + 1}
+// Repeat asks for what an outcome was of once more, under its key.
+func Repeat(ctx context.Context, p Plan, target string, was Outcome) Outcome {
+	o := Outcome{Asked: time.Now(), RequestID: was.RequestID, Model: was.Model, Tries: was.Tries + 1}
 	_, _ = try(ctx, p, http.DefaultClient, target, was.Body, -1, &o)
 	return o
 }
@@ -322,7 +322,7 @@
 	Asked, Served      int
 	FirstP50, FirstP99 time.Duration
 	TotalP50, TotalP99 time.Duration
-	Worst              time.Duration // longest time between two served answers
+	MaxGap             time.Duration // longest time between two served answers
 	Problems           map[string]int
 	Tries              int
 }
@@ -333,8 +333,8 @@
 	histogramFigures = 3
 )
 
-// Sum sums up the outcomes of requests asked within [from, to).
-func Sum(list []Outcome, from, to time.Time) Summary {
+// Summarize sums up the outcomes of requests asked within [from, to).
+func Summarize(list []Outcome, from, to time.Time) Summary {
 	s := Summary{Problems: map[string]int{}}
 	first, total := hdrhistogram.New(1, histogramMost, histogramFigures), hdrhistogram.New(1, histogramMost, histogramFigures)
 	var ends []time.Time
@@ -359,7 +359,7 @@
 	s.FirstP50, s.FirstP99, s.TotalP50, s.TotalP99 = at(first, 50), at(first, 99), at(total, 50), at(total, 99)
 	slices.SortFunc(ends, time.Time.Compare)
 	for i := 1; i < len(ends); i++ {
-		s.Worst = max(s.Worst, ends[i].Sub(ends[i-1]))
+		s.MaxGap = max(s.MaxGap, ends[i].Sub(ends[i-1]))
 	}
 	return s
 }
--- a/experiments/membersrun/faults.go
+++ b/experiments/membersrun/faults.go
@@ -47,7 +47,7 @@
 			return err
 		}
 		if took, ok := t.agree(ctx, killWait); !ok {
-			r.Hold(false, "a gateway started again is alive to all", "not after %v", took)
+			r.AddBound(false, "a gateway started again is alive to all", "not after %v", took)
 		}
 	}
 	slices.Sort(all)
@@ -56,7 +56,7 @@
 		Title: "Time until a kill is known, over all gateways that run", Head: []string{"kills", "p50 ms", "p99 ms", "longest ms"},
 		Rows: [][]any{{n, all[len(all)/2].Milliseconds(), p99.Milliseconds(), all[len(all)-1].Milliseconds()}},
 	})
-	r.Hold(p99 <= killP99, fmt.Sprintf("a kill is known to all within %v at p99", killP99), "%v, longest %v", p99.Round(ms), all[len(all)-1].Round(ms))
+	r.AddBound(p99 <= killP99, fmt.Sprintf("a kill is known to all within %v at p99", killP99), "%v, longest %v", p99.Round(ms), all[len(all)-1].Round(ms))
 	return nil
 }
 
@@ -93,8 +93,8 @@
 	if err != nil {
 		return err
 	}
-	r.Hold(died == 0, fmt.Sprintf("no false death in %d faults over %v with 30%% loss", len(s), span), "%d", died)
-	r.Hold(ok && took <= healMost, fmt.Sprintf("after the last fault views agree within %v", healMost), "%v", took.Round(10*ms))
+	r.AddBound(died == 0, fmt.Sprintf("no false death in %d faults over %v with 30%% loss", len(s), span), "%d", died)
+	r.AddBound(ok && took <= healMost, fmt.Sprintf("after the last fault views agree within %v", healMost), "%v", took.Round(10*ms))
 	if died > 0 && t.opt.Shrink {
 		s = faultnet.Shrink(s, func(x faultnet.Schedule) bool {
 			died, _, _, err := t.play(ctx, x, span)
@@ -108,7 +108,7 @@
 
 func (t *tier) write(name string, s faultnet.Schedule) {
 	if raw, err := json.MarshalIndent(s, "", " "); err == nil {
-		_ = os.WriteFile(filepath.Join(t.opt.Work, name), raw, 0o600)
+		_ = os.WriteFile(filepath.Join(t.opt.WorkDir, name), raw, 0o600)
 	}
 }
 
@@ -174,10 +174,10 @@
 		}
 		right = right && s.View.Minority == (i < 4) && s.View.ActiveGateways == len(t.names)
 	}
-	r.Hold(right, "of 4 and 5 cut apart the 4 know that they are a minority, and all say that nine share", "%v", right)
+	r.AddBound(right, "of 4 and 5 cut apart the 4 know that they are a minority, and all say that nine share", "%v", right)
 	cut(faultnet.Rule{})
 	took, ok := t.agree(ctx, 4*healMost)
-	r.Hold(ok && took <= healMost, fmt.Sprintf("healed halves agree within %v", healMost), "%v", took.Round(10*ms))
+	r.AddBound(ok && took <= healMost, fmt.Sprintf("healed halves agree within %v", healMost), "%v", took.Round(10*ms))
 	return nil
 }
 
@@ -210,7 +210,7 @@
 	if err != nil {
 		return err
 	}
-	r.Hold(after == before && shown == cuts, fmt.Sprintf("each of %d one-sided cuts of 3.5s shows at its gateway, and nobody dies", cuts), "%d show, %d deaths", shown, after-before)
+	r.AddBound(after == before && shown == cuts, fmt.Sprintf("each of %d one-sided cuts of 3.5s shows at its gateway, and nobody dies", cuts), "%d show, %d deaths", shown, after-before)
 	return nil
 }
 
@@ -236,8 +236,8 @@
 	}
 	cut(faultnet.Rule{})
 	took, ok := t.agree(ctx, 4*healMost)
-	r.Hold(ok, "healed, halves that had a hub agree", "%v", took.Round(10*ms))
-	r.Hold(after == before, fmt.Sprintf("two halves of four that reach each other by a ninth alone for %v stay one tier", hubFor), "%d deaths", after-before)
+	r.AddBound(ok, "healed, halves that had a hub agree", "%v", took.Round(10*ms))
+	r.AddBound(after == before, fmt.Sprintf("two halves of four that reach each other by a ninth alone for %v stay one tier", hubFor), "%d deaths", after-before)
 	return nil
 }
 
@@ -264,8 +264,8 @@
 			{"stalled", still.Asked, fmt.Sprintf("%.4f", part(still.Summary)), still.FirstP50.Microseconds(), still.FirstP99.Microseconds()},
 		},
 	})
-	r.Hold(part(still.Summary) >= part(usual.Summary)-served, "service with stalled links is within a point of the usual", "%.4f against %.4f", part(still.Summary), part(usual.Summary))
+	r.AddBound(part(still.Summary) >= part(usual.Summary)-served, "service with stalled links is within a point of the usual", "%.4f against %.4f", part(still.Summary), part(usual.Summary))
 	took, ok := t.agree(ctx, 4*healMost)
-	r.Hold(ok, "after the stall views agree again", "%v", took.Round(10*ms))
+	r.AddBound(ok, "after the stall views agree again", "%v", took.Round(10*ms))
 	return nil
 }
--- a/experiments/membersrun/flood.go
+++ b/experiments/membersrun/flood.go
@@ -66,9 +66,9 @@
 			{took, under.Asked, fmt.Sprintf("%.4f", part(under.Summary)), under.FirstP50.Microseconds(), under.FirstP99.Microseconds(), fmt.Sprintf("%.2f", under.cpu)},
 		},
 	})
-	r.Hold(took >= floodRate*9/10, fmt.Sprintf("the flood is one of %d datagrams a second at each", floodRate), "%d", took)
-	r.Hold(after == before, "nobody dies under the flood", "%d", after-before)
-	r.Hold(part(under.Summary) >= part(usual.Summary)-served, "service under the flood is within a point of the usual", "%.4f against %.4f", part(under.Summary), part(usual.Summary))
+	r.AddBound(took >= floodRate*9/10, fmt.Sprintf("the flood is one of %d datagrams a second at each", floodRate), "%d", took)
+	r.AddBound(after == before, "nobody dies under the flood", "%d", after-before)
+	r.AddBound(part(under.Summary) >= part(usual.Summary)-served, "service under the flood is within a point of the usual", "%.4f against %.4f", part(under.Summary), part(usual.Summary))
 	return nil
 }
 
@@ -92,7 +92,7 @@
 	begun, before := time.Now(), time.Duration(0)
 	for i, name := range names {
 		targets = append(targets, t.gates[name].Addr)
-		before += t.gates[name].Use().CPU
+		before += t.gates[name].ReadUsage().CPU
 		if flood == nil {
 			continue
 		}
@@ -118,15 +118,15 @@
 	}
 	var rec load.Recorder
 	load.Run(within, load.Plan{
-		Name: "members", Targets: targets, Key: gateway.Key, Models: []load.Model{{Name: "parts", Share: 1, Words: 20, Tokens: 12}},
+		Name: "members", Targets: targets, Key: gateway.Key, Models: []load.Model{{Name: "parts", Weight: 1, Words: 20, Tokens: 12}},
 		Clients: 2 * len(names), Turns: 3, MaxTokens: 12, Seed: t.opt.Seed,
 	}, &rec)
 	group.Wait()
 	took, after := time.Since(begun), time.Duration(0)
 	for _, name := range names {
-		after += t.gates[name].Use().CPU
+		after += t.gates[name].ReadUsage().CPU
 	}
-	l = loaded{load.Sum(rec.All(), time.Time{}, time.Time{}), (after - before).Seconds() / took.Seconds() / float64(len(names))}
+	l = loaded{load.Summarize(rec.All(), time.Time{}, time.Time{}), (after - before).Seconds() / took.Seconds() / float64(len(names))}
 	if flood != nil {
 		rate = int(float64(slices.Min(counts)) / took.Seconds())
 	}
--- a/experiments/membersrun/membersrun.go
+++ b/experiments/membersrun/membersrun.go
@@ -52,8 +52,8 @@
 		return nil, err
 	}
 	took, ok := t.agree(ctx, joinMost)
-	opt.Say(begun, "nine gateways agree after %v", took.Round(10*time.Millisecond))
-	r.Hold(ok, fmt.Sprintf("nine gateways that start together agree within %v", joinMost), "%v", took.Round(10*time.Millisecond))
+	opt.Progress(begun, "nine gateways agree after %v", took.Round(10*time.Millisecond))
+	r.AddBound(ok, fmt.Sprintf("nine gateways that start together agree within %v", joinMost), "%v", took.Round(10*time.Millisecond))
 	kills, span := 3, 15*time.Second
 	if !opt.Quick {
 		kills, span = 12, 90*time.Second
@@ -71,7 +71,7 @@
 		if err := step(ctx, r); err != nil {
 			return nil, err
 		}
-		opt.Say(begun, "%s: %s", r.Bounds[len(r.Bounds)-1].What, r.Bounds[len(r.Bounds)-1].Got)
+		opt.Progress(begun, "%s: %s", r.Bounds[len(r.Bounds)-1].Statement, r.Bounds[len(r.Bounds)-1].Observed)
 	}
 	sizes(r, opt)
 	return r, nil
@@ -137,8 +137,8 @@
 	for n := 4.0; n < last[0]+1; n *= 2 {
 		grown += 0.5
 	}
-	r.Hold(last[1] <= first[1]*grown, "what a gateway sends grows no faster than the logarithm of their number", "%.0f bytes a second at %.0f, %.0f at %.0f", first[1], first[0], last[1], last[0])
+	r.AddBound(last[1] <= first[1]*grown, "what a gateway sends grows no faster than the logarithm of their number", "%.0f bytes a second at %.0f, %.0f at %.0f", first[1], first[0], last[1], last[0])
 	small, big := cost.At[0], cost.At[len(cost.At)-1]
 	// A cache that no longer holds all of 300 machines is the emulator's, not a gateway's.
-	r.Hold(big[1] <= small[1]*grown*cpuSlack, "what a gateway's machine costs grows no faster than that either, but for noise", "%.0f us of CPU a second at %.0f, %.0f at %.0f", small[1], small[0], big[1], big[0])
+	r.AddBound(big[1] <= small[1]*grown*cpuSlack, "what a gateway's machine costs grows no faster than that either, but for noise", "%.0f us of CPU a second at %.0f, %.0f at %.0f", small[1], small[0], big[1], big[0])
 }
--- a/experiments/membersrun/tier.go
+++ b/experiments/membersrun/tier.go
@@ -27,7 +27,7 @@
 
 // start begins the engines and the gateways, each behind its relay.
 func (t *tier) start(ctx context.Context) error {
-	common, err := gateway.NewTier(t.opt.Work, t.opt.Seed)
+	common, err := gateway.NewTier(t.opt.WorkDir, t.opt.Seed)
 	if err != nil {
 		return err
 	}
@@ -63,7 +63,7 @@
 
 // begin starts a gateway's program, and tells the net where it is now.
 func (t *tier) begin(ctx context.Context, name string) error {
-	g, err := gateway.Start(ctx, t.opt.Program, t.opt.Work, name, t.files[name])
+	g, err := gateway.Start(ctx, t.opt.Program, t.opt.WorkDir, name, t.files[name])
 	if err != nil {
 		return err
 	}
@@ -85,7 +85,7 @@
 }
 
 func (t *tier) status(ctx context.Context, name string) (s peers.Status, err error) {
-	err = t.gates[name].Page(ctx, admin.PeersPath, &s)
+	err = t.gates[name].FetchPage(ctx, admin.PeersPath, &s)
 	return s, err
 }
 
--- a/experiments/rolesrun/rolesrun.go
+++ b/experiments/rolesrun/rolesrun.go
@@ -84,21 +84,21 @@
 	chart := experiments.Chart{Name: "service", Title: "Service by second", X: "seconds", Y: "worth in time over worth asked"}
 	for _, x := range results {
 		t.Rows = append(t.Rows, []any{x.name, f3(x.service), f3(x.worst), f3(x.worst10), f3(x.byModel["parts"]), f3(x.byModel["orders"]), x.changes, x.fallen, len(x.twice), len(x.after)})
-		r.Hold(x.fallen == 0, x.name+": no cold engine pushed over", "%d", x.fallen)
-		r.Hold(len(x.twice) == 0, x.name+": no order ran twice", "%d %s", len(x.twice), strings.Join(x.twice[:min(2, len(x.twice))], " "))
-		r.Hold(x.held == 0, x.name+": no read state is held by nobody", "%d", x.held)
-		r.Hold(len(x.after) == 0, x.name+": no work of the old kind after a mark", "%v", x.after)
+		r.AddBound(x.fallen == 0, x.name+": no cold engine pushed over", "%d", x.fallen)
+		r.AddBound(len(x.twice) == 0, x.name+": no order ran twice", "%d %s", len(x.twice), strings.Join(x.twice[:min(2, len(x.twice))], " "))
+		r.AddBound(x.held == 0, x.name+": no read state is held by nobody", "%d", x.held)
+		r.AddBound(len(x.after) == 0, x.name+": no work of the old kind after a mark", "%v", x.after)
 		chart.Lines = append(chart.Lines, experiments.Line{Name: x.name, At: x.over})
 	}
 	best := max(results[0].worst, results[1].worst, results[2].worst)
 	moving, fixedStill, movingStill := results[3], results[5], results[6]
-	r.Hold(moving.changes > 0, "moving: engines have changed their roles", "%d changes", moving.changes)
+	r.AddBound(moving.changes > 0, "moving: engines have changed their roles", "%d changes", moving.changes)
 	if opt.Quick { // a phase is little longer than the changes that it asks for
-		r.Hold(moving.service >= max(results[0].service, results[1].service, results[2].service), "moving beats the best fixed split over all", "%.3f; worst phase %.3f against %.3f", moving.service, moving.worst, best)
+		r.AddBound(moving.service >= max(results[0].service, results[1].service, results[2].service), "moving beats the best fixed split over all", "%.3f; worst phase %.3f against %.3f", moving.service, moving.worst, best)
 	} else {
-		r.Hold(moving.worst >= best+0.1, "moving beats the best fixed split by 10 points in the worst phase", "%.3f against %.3f", moving.worst, best)
+		r.AddBound(moving.worst >= best+0.1, "moving beats the best fixed split by 10 points in the worst phase", "%.3f against %.3f", moving.worst, best)
 	}
-	r.Hold(movingStill.service >= fixedStill.service-0.02, "moving loses at most 2 points when the mix stands still", "%.3f against %.3f", movingStill.service, fixedStill.service)
+	r.AddBound(movingStill.service >= fixedStill.service-0.02, "moving loses at most 2 points when the mix stands still", "%.3f against %.3f", movingStill.service, fixedStill.service)
 	r.Tables = append(r.Tables, t)
 	r.Charts = append(r.Charts, chart)
 	return r, nil
@@ -215,7 +215,7 @@
 	prefix := strings.NewReplacer(" ", "", ",", "-", ":", "to").Replace(s.variant.name)
 	for n := range gateways {
 		name := fmt.Sprintf("%s-%d", prefix, n)
-		g, err := gateway.Start(ctx, opt.Program, opt.Work, name, s.settings())
+		g, err := gateway.Start(ctx, opt.Program, opt.WorkDir, name, s.settings())
 		if err != nil {
 			return err
 		}
@@ -233,7 +233,7 @@
 	orders := map[string]bool{}
 	for _, o := range outcomes {
 		if o.Model == worthOf {
-			orders[o.Order] = true
+			orders[o.RequestID] = true
 		}
 	}
 	attempts := s.fleet.Attempts()
@@ -259,8 +259,8 @@
 	p := load.Plan{
 		Name: fmt.Sprintf("p%d-", phase), Key: gateway.Key, Rate: 56, Turns: 1, Seed: seed + uint64(phase),
 		Models: []load.Model{
-			{Name: "parts", Share: lookups, Words: 220, Tokens: 36},
-			{Name: "orders", Share: 1 - lookups, Words: 1150, Tokens: 14},
+			{Name: "parts", Weight: lookups, Words: 220, Tokens: 36},
+			{Name: "orders", Weight: 1 - lookups, Words: 1150, Tokens: 14},
 		},
 	}
 	for _, g := range s.gates {
@@ -456,9 +456,9 @@
 		add("oracle", rolesim.Play(d, classes, start, rolesim.Oracle(d, classes)))
 		switch mix.name {
 		case "swings every 5 min":
-			r.Hold(moved >= best+0.1, "emulator: predictive beats the best fixed split by 10 points in the worst phase", "%.3f against %.3f", moved, best)
+			r.AddBound(moved >= best+0.1, "emulator: predictive beats the best fixed split by 10 points in the worst phase", "%.3f against %.3f", moved, best)
 		case "stands at half":
-			r.Hold(moving.Service >= fixed.Service-0.02, "emulator: it loses at most 2 points when the mix stands still", "%.3f against %.3f", moving.Service, fixed.Service)
+			r.AddBound(moving.Service >= fixed.Service-0.02, "emulator: it loses at most 2 points when the mix stands still", "%.3f against %.3f", moving.Service, fixed.Service)
 		}
 	}
 	r.Tables = append(r.Tables, t)
--- a/experiments/soak/soak.go
+++ b/experiments/soak/soak.go
@@ -92,7 +92,7 @@
 	case len(r.breaches) > 0:
 		verdict = fmt.Sprintf("BROKEN (%d): %v", len(r.breaches), r.breaches[0])
 	}
-	opt.Say(begun, "seed %d: %s\n          %v", r.plan.Seed, verdict, r.plan)
+	opt.Progress(begun, "seed %d: %s\n          %v", r.plan.Seed, verdict, r.plan)
 }
 
 func summary(results []result) *experiments.Report {
@@ -129,9 +129,9 @@
 	}
 	r.Tables = append(r.Tables, t)
 	for _, rule := range []Rule{Lost, Duplicate, DrainEng, DrainCli, Held, Deadlines, LeftRule, Events, Ready, Crash, Bad, Descriptors} {
-		r.Hold(byRule[rule] == 0, "no rule broken: "+string(rule), "%d of %d seeds", byRule[rule], len(results))
+		r.AddBound(byRule[rule] == 0, "no rule broken: "+string(rule), "%d of %d seeds", byRule[rule], len(results))
 	}
-	r.Hold(unplayed == 0, "every seed was played", "%d were not", unplayed)
+	r.AddBound(unplayed == 0, "every seed was played", "%d were not", unplayed)
 	if slices.Sort(ends); len(ends) > 0 {
 		r.Notes = append(r.Notes, fmt.Sprintf("%d drains judged: from the call until the last connection ended, median %v, p99 %v, highest %v",
 			len(ends), at(ends, 0.5), at(ends, 0.99), ends[len(ends)-1].Round(time.Millisecond)))
@@ -177,7 +177,7 @@
 	r := result{plan: p, book: newBook()}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	dir := filepath.Join(opt.Work, fmt.Sprint("seed-", p.Seed))
+	dir := filepath.Join(opt.WorkDir, fmt.Sprint("seed-", p.Seed))
 	w, err := newWorld(ctx, opt.Program, dir, r.plan, r.book)
 	if err != nil {
 		r.err = err
