--- a/cmd/wellgw/orders_test.go
+++ b/cmd/wellgw/orders_test.go
@@ -32,7 +32,7 @@
 	text = strings.Replace(text, `[{"id": "e", "address": "127.0.0.1:9", "role": "openai"}]`, "["+strings.Join(engines, ",")+"]", 1)
 	p := load.Plan{
 		Name: "o", Key: "k", Models: []load.Model{{Name: "m", Weight: 1, Words: 3}}, MaxTokens: 8,
-		Clients: 24, Retries: 4, Keyed: true, RotateGateways: true, Timeout: 700 * time.Millisecond, Seed: 7,
+		Clients: 24, Retries: 4, Idempotent: true, RotateGateways: true, Timeout: 700 * time.Millisecond, Seed: 7,
 	}
 	var signals []func(syscall.Signal)
 	for range 3 {
--- a/experiments/chatrun/chatrun.go
+++ b/experiments/chatrun/chatrun.go
@@ -104,7 +104,7 @@
 	}
 	plan := load.Plan{
 		Name: "x", Key: gateway.Key, Models: []load.Model{{Name: "orders", Weight: 1, Words: 20, Tokens: 12}},
-		Clients: 96, Turns: 1, Retries: 5, Keyed: true, DropFraction: 0.1, Seed: opt.Seed, MaxRetryAfter: 300 * time.Millisecond,
+		Clients: 96, Turns: 1, Retries: 5, Idempotent: true, DropFraction: 0.1, Seed: opt.Seed, MaxRetryAfter: 300 * time.Millisecond,
 	}
 	for _, g := range gates {
 		plan.Targets = append(plan.Targets, g.Addr)
@@ -208,7 +208,7 @@
 			replayed++
 		case !o.Served && again.Code == "idempotency_fate_unknown":
 		default:
-			wrong = append(wrong, fmt.Sprintf("%s: %s", o.RequestID, again.Problem))
+			wrong = append(wrong, fmt.Sprintf("%s: %s", o.RequestID, again.Failure))
 		}
 	}
 	ran := len(fleet.Attempts()) - before
@@ -304,7 +304,7 @@
 	defer g.Kill()
 	var closers []func()
 	for range 4 {
-		c, err := load.Stall(ctx, g.Addr, gateway.Key, "parts")
+		c, err := load.OpenUnread(ctx, g.Addr, gateway.Key, "parts")
 		if err != nil {
 			return err
 		}
@@ -446,7 +446,7 @@
 	}
 	micros := float64((after.CPU - before.CPU).Microseconds()) / float64(s.Served)
 	light := plan
-	light.Clients, light.Think = 1, 2*time.Millisecond
+	light.Clients, light.ThinkTime = 1, 2*time.Millisecond
 	by := play(light, span/2)
 	direct := light
 	direct.Targets = []string{all[0].Addr()}
--- a/experiments/consulrun/consulrun.go
+++ b/experiments/consulrun/consulrun.go
@@ -289,11 +289,11 @@
 	last, first := back, time.Duration(0)
 	for _, o := range s.rec.All() {
 		switch {
-		case o.Asked.Before(back):
-		case !o.Served && o.Asked.After(last):
-			last = o.Asked
-		case o.Served && (first == 0 || o.Asked.Add(o.Total).Sub(back) < first):
-			first = o.Asked.Add(o.Total).Sub(back)
+		case o.SentAt.Before(back):
+		case !o.Served && o.SentAt.After(last):
+			last = o.SentAt
+		case o.Served && (first == 0 || o.SentAt.Add(o.Total).Sub(back) < first):
+			first = o.SentAt.Add(o.Total).Sub(back)
 		}
 	}
 	took := last.Sub(back)
@@ -374,7 +374,7 @@
 		cancel()
 		end()
 		sum := load.Summarize(rec.All(), from, time.Time{})
-		s.report.AddBound(seen && sum.Asked > 0 && sum.Served == sum.Asked, "served at once from the last good view", "%d of %d, first token %v", sum.Served, sum.Asked, sum.FirstP50.Round(time.Millisecond))
+		s.report.AddBound(seen && sum.Requests > 0 && sum.Served == sum.Requests, "served at once from the last good view", "%d of %d, first token %v", sum.Served, sum.Requests, sum.FirstP50.Round(time.Millisecond))
 		s.fail(s.agents, consul.Faults{})
 		g.Kill()
 		s.mark("passing", "b2")
--- a/experiments/consulrun/stage.go
+++ b/experiments/consulrun/stage.go
@@ -232,7 +232,7 @@
 	sum := load.Summarize(s.rec.All(), from, to)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.rows = append(s.rows, []any{s.name, name, "", "", sum.Asked, sum.Served, sum.FirstP50.Round(100 * time.Microsecond), sum.FirstP99.Round(100 * time.Microsecond), sum.MaxGap.Round(time.Millisecond)})
+	s.rows = append(s.rows, []any{s.name, name, "", "", sum.Requests, sum.Served, sum.FirstP50.Round(100 * time.Microsecond), sum.FirstP99.Round(100 * time.Microsecond), sum.MaxGap.Round(time.Millisecond)})
 }
 
 func (s *stage) excuseFrom(from, to time.Time) {
@@ -250,11 +250,11 @@
 	for _, o := range outcomes {
 		excused := false
 		for _, w := range s.excuse {
-			excused = excused || o.Asked.Add(o.Total).After(w.from) && o.Asked.Before(w.to)
+			excused = excused || o.SentAt.Add(o.Total).After(w.from) && o.SentAt.Before(w.to)
 		}
 		if !o.Served && !excused {
 			if missed++; first == "" {
-				first = fmt.Sprintf("; the first at %.2f s: %s", o.Asked.Sub(s.begun).Seconds(), o.Problem)
+				first = fmt.Sprintf("; the first at %.2f s: %s", o.SentAt.Sub(s.begun).Seconds(), o.Failure)
 			}
 		}
 	}
--- a/experiments/fleetrun/programs.go
+++ b/experiments/fleetrun/programs.go
@@ -70,7 +70,7 @@
 	go func() {
 		defer close(ended)
 		load.Run(within, load.Plan{
-			Name: "f", Key: gateway.Key, Targets: t.doors, Clients: clients, Turns: 3, MaxTokens: 8, Retries: 4, Seed: opt.Seed, Think: 20 * time.Millisecond,
+			Name: "f", Key: gateway.Key, Targets: t.doors, Clients: clients, Turns: 3, MaxTokens: 8, Retries: 4, Seed: opt.Seed, ThinkTime: 20 * time.Millisecond,
 			Models: []load.Model{{Name: "parts", Weight: 0.6, Words: 40}, {Name: "orders", Weight: 0.4, Words: 60}},
 		}, &rec)
 	}()
@@ -295,7 +295,7 @@
 	}
 	ratio := float64(most) * float64(len(among)) / float64(max(total, 1))
 	s := load.Summarize(rec.All(), from, time.Time{})
-	t.spread.Rows = append(t.spread.Rows, []any{what, total, fmt.Sprintf("%.2f", ratio), s.Asked, s.Served})
+	t.spread.Rows = append(t.spread.Rows, []any{what, total, fmt.Sprintf("%.2f", ratio), s.Requests, s.Served})
 	r.AddBound(total > 100 && ratio <= evenMost, fmt.Sprintf("%s: within %v load is even, busiest engine at most %.2f of the mean", what, evenIn, evenMost), "%.2f of %d attempts", ratio, total)
-	t.opt.Progress(t.begun, "%s: %.2f, %d of %d served", what, ratio, s.Served, s.Asked)
+	t.opt.Progress(t.begun, "%s: %.2f, %d of %d served", what, ratio, s.Served, s.Requests)
 }
--- a/experiments/gateway/gateway.go
+++ b/experiments/gateway/gateway.go
@@ -57,8 +57,8 @@
 	Fields map[string]any
 }
 
-// Text returns a field of a line as text.
-func (l Line) Text(field string) string {
+// StringField returns a field of a line as text.
+func (l Line) StringField(field string) string {
 	s, _ := l.Fields[field].(string)
 	return s
 }
@@ -100,12 +100,12 @@
 			l := Line{At: time.Now(), Fields: fields}
 			g.mu.Lock()
 			g.log = append(g.log, l)
-			switch l.Text("message") {
+			switch l.StringField("message") {
 			case "serving":
-				g.Addr = l.Text("listen")
+				g.Addr = l.StringField("listen")
 				once()
 			case "admin listener open":
-				g.Admin = l.Text("listen")
+				g.Admin = l.StringField("listen")
 			}
 			g.mu.Unlock()
 		}
@@ -155,7 +155,7 @@
 func (g *Gateway) Count(message string) int {
 	n := 0
 	for _, l := range g.Log() {
-		if strings.HasPrefix(l.Text("message"), message) {
+		if strings.HasPrefix(l.StringField("message"), message) {
 			n++
 		}
 	}
--- a/experiments/load/load.go
+++ b/experiments/load/load.go
@@ -35,12 +35,12 @@
 	Clients        int     // in a closed loop
 	Rate           float64 // requests a second in an open loop, if Clients is 0
 	Turns          int     // of a session
-	Think          time.Duration
+	ThinkTime      time.Duration
 	Retries        int           // by the client itself, on 429, 503 and no connection
 	MaxRetryAfter  time.Duration // longest Retry-After that is waited for; 0 = a second
 	MaxTokens      int
 	NonStreaming   bool          // not streamed
-	Keyed          bool          // each request has an idempotency key, and is sent again under it whatever became of it
+	Idempotent     bool          // each request has an idempotency key, and is sent again under it whatever became of it
 	RotateGateways bool          // a client under a key asks another gateway each time
 	Timeout        time.Duration // for an answer, of each try; 0 = 30 s
 	DropFraction   float64       // share of first tries whose client goes in the middle
@@ -61,13 +61,13 @@
 	Body       string // of a request under a key
 	Model      string
 	Target     string // that answered last
-	Asked      time.Time
-	First      time.Duration // to the first event; 0 if none came
+	SentAt     time.Time
+	FirstEvent time.Duration // to the first event; 0 if none came
 	Total      time.Duration
 	Status     int  // of the last answer; 0 = none came
 	Served     bool // the whole answer came
 	Tries      int
-	Problem    string   // "" if served
+	Failure    string   // "" if served
 	Replayed   bool     // the answer was one that had been kept
 	Code       string   // of the last error
 	Ends       []End    // of all tries
@@ -164,15 +164,15 @@
 			return
 		}
 		fmt.Fprintf(&said, `,{"role":"assistant","content":"ok"}`)
-		pause.Sleep(ctx, time.Duration(random.ExpFloat64()*float64(p.Think)))
+		pause.Sleep(ctx, time.Duration(random.ExpFloat64()*float64(p.ThinkTime)))
 	}
 }
 
 // ask makes one request with its client's retries. Tries under a key stay with one gateway
 // unless clients roam.
 func ask(ctx context.Context, p Plan, client *http.Client, random *rand.Rand, order, body string) Outcome {
-	o := Outcome{Asked: time.Now(), RequestID: order}
-	if p.Keyed {
+	o := Outcome{SentAt: time.Now(), RequestID: order}
+	if p.Idempotent {
 		o.Body = body
 	}
 	target := random.IntN(len(p.Targets))
@@ -182,10 +182,10 @@
 			drop = random.IntN(dropWithin)
 		}
 		again, hint := try(ctx, p, client, p.Targets[target], body, drop, &o)
-		if o.Total = time.Since(o.Asked); !again || o.Tries > p.Retries {
+		if o.Total = time.Since(o.SentAt); !again || o.Tries > p.Retries {
 			return o
 		}
-		if !p.Keyed || p.RotateGateways {
+		if !p.Idempotent || p.RotateGateways {
 			target = (target + 1) % len(p.Targets)
 		}
 		pause.Sleep(ctx, min(max(hint, 20*time.Millisecond), p.MaxRetryAfter))
@@ -207,13 +207,13 @@
 	o.Target, o.Status, o.Served, o.Code = target, 0, false, ""
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+target+"/v1/chat/completions", strings.NewReader(body))
 	if err != nil {
-		o.Problem = err.Error()
+		o.Failure = err.Error()
 		return false, 0
 	}
 	req.Header.Set("Authorization", "Bearer "+p.Key)
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set("X-Request-Id", o.RequestID) // for engines that are asked directly
-	if p.Keyed {
+	if p.Idempotent {
 		req.Header.Set("Idempotency-Key", o.RequestID)
 		req.Header.Set("X-Stainless-Retry-Count", strconv.Itoa(o.Tries-1))
 	}
@@ -222,11 +222,11 @@
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		o.Problem = "no answer: " + err.Error()
-		if drop < 0 && p.Keyed {
-			o.Violations = append(o.Violations, o.Problem)
+		o.Failure = "no answer: " + err.Error()
+		if drop < 0 && p.Idempotent {
+			o.Violations = append(o.Violations, o.Failure)
 		}
-		return p.Keyed || errors.Is(err, syscall.ECONNREFUSED), 0
+		return p.Idempotent || errors.Is(err, syscall.ECONNREFUSED), 0
 	}
 	defer resp.Body.Close()
 	defer func() { o.Ends = append(o.Ends, End{resp.Header.Get("X-Request-Id"), time.Now()}) }()
@@ -236,8 +236,8 @@
 		return o.readRejection(p, resp)
 	case p.NonStreaming:
 		_, err := io.Copy(io.Discard, resp.Body)
-		o.First = time.Since(o.Asked)
-		o.Served, o.Problem = err == nil, ""
+		o.FirstEvent = time.Since(o.SentAt)
+		o.Served, o.Failure = err == nil, ""
 		return false, 0
 	}
 	return o.stream(p, resp.Body, drop), 0
@@ -246,13 +246,13 @@
 // readRejection notes an answer other than 200, and tells whether and when to ask again.
 func (o *Outcome) readRejection(p Plan, resp *http.Response) (again bool, hint time.Duration) {
 	text, _ := io.ReadAll(io.LimitReader(resp.Body, 600))
-	o.Problem = fmt.Sprintf("status %d: %.300s", resp.StatusCode, bytes.TrimSpace(text))
+	o.Failure = fmt.Sprintf("status %d: %.300s", resp.StatusCode, bytes.TrimSpace(text))
 	if _, after, found := strings.Cut(string(text), `"code":"`); found {
 		o.Code, _, _ = strings.Cut(after, `"`)
 	}
 	seconds, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 	again = resp.StatusCode == http.StatusTooManyRequests || resp.StatusCode == http.StatusServiceUnavailable
-	if p.Keyed { // it asks again whatever it is told, as long as that is not final
+	if p.Idempotent { // it asks again whatever it is told, as long as that is not final
 		again = !slices.Contains(finalCodes, o.Code) && resp.StatusCode != http.StatusBadRequest
 	}
 	return again, time.Duration(seconds * float64(time.Second))
@@ -264,12 +264,12 @@
 	for {
 		line, err := lines.ReadSlice('\n')
 		if bytes.HasPrefix(line, []byte("data:")) {
-			if o.First == 0 {
-				o.First = time.Since(o.Asked)
+			if o.FirstEvent == 0 {
+				o.FirstEvent = time.Since(o.SentAt)
 			}
 			if events++; events == drop {
-				o.Problem = "dropped by the client"
-				return p.Keyed
+				o.Failure = "dropped by the client"
+				return p.Idempotent
 			}
 			switch {
 			case bytes.HasPrefix(line, []byte("data: [DONE]")):
@@ -285,11 +285,11 @@
 			o.Violations = append(o.Violations, fmt.Sprintf("%d final answers in a stream that ended by %v", n, err))
 		}
 		if o.Served = err == io.EOF && done == 1; o.Served {
-			o.Problem = ""
+			o.Failure = ""
 			return false
 		}
-		o.Problem = "the stream broke: " + err.Error()
-		return p.Keyed
+		o.Failure = "the stream broke: " + err.Error()
+		return p.Idempotent
 	}
 }
 
@@ -297,13 +297,13 @@
 
 // Repeat asks for what an outcome was of once more, under its key.
 func Repeat(ctx context.Context, p Plan, target string, was Outcome) Outcome {
-	o := Outcome{Asked: time.Now(), RequestID: was.RequestID, Model: was.Model, Tries: was.Tries + 1}
+	o := Outcome{SentAt: time.Now(), RequestID: was.RequestID, Model: was.Model, Tries: was.Tries + 1}
 	_, _ = try(ctx, p, http.DefaultClient, target, was.Body, -1, &o)
 	return o
 }
 
-// Stall asks for an answer and reads none of it. The function returned ends that.
-func Stall(ctx context.Context, target, key, model string) (func(), error) {
+// OpenUnread asks for an answer and reads none of it. The function returned ends that.
+func OpenUnread(ctx context.Context, target, key, model string) (func(), error) {
 	var d net.Dialer
 	c, err := d.DialContext(ctx, "tcp", target)
 	if err != nil {
@@ -319,7 +319,7 @@
 
 // Summary is what is said of many outcomes.
 type Summary struct {
-	Asked, Served      int
+	Requests, Served   int
 	FirstP50, FirstP99 time.Duration
 	TotalP50, TotalP99 time.Duration
 	MaxGap             time.Duration // longest time between two served answers
@@ -339,18 +339,18 @@
 	first, total := hdrhistogram.New(1, histogramMost, histogramFigures), hdrhistogram.New(1, histogramMost, histogramFigures)
 	var ends []time.Time
 	for _, o := range list {
-		if o.Asked.Before(from) || !to.IsZero() && !o.Asked.Before(to) {
+		if o.SentAt.Before(from) || !to.IsZero() && !o.SentAt.Before(to) {
 			continue
 		}
-		s.Asked++
+		s.Requests++
 		s.Tries += o.Tries
 		if !o.Served {
-			s.Problems[o.Problem]++
+			s.Problems[o.Failure]++
 			continue
 		}
 		s.Served++
-		ends = append(ends, o.Asked.Add(o.Total))
-		_ = first.RecordValue(max(1, o.First.Microseconds()))
+		ends = append(ends, o.SentAt.Add(o.Total))
+		_ = first.RecordValue(max(1, o.FirstEvent.Microseconds()))
 		_ = total.RecordValue(max(1, o.Total.Microseconds()))
 	}
 	at := func(h *hdrhistogram.Histogram, q float64) time.Duration {
@@ -369,14 +369,14 @@
 func Buckets(list []Outcome, begun time.Time) (served, not [][2]float64) {
 	most := 0
 	for _, o := range list {
-		most = max(most, int(o.Asked.Sub(begun).Seconds()))
+		most = max(most, int(o.SentAt.Sub(begun).Seconds()))
 	}
 	served, not = make([][2]float64, most+1), make([][2]float64, most+1)
 	for i := range served {
 		served[i][0], not[i][0] = float64(i), float64(i)
 	}
 	for _, o := range list {
-		i := int(o.Asked.Sub(begun).Seconds())
+		i := int(o.SentAt.Sub(begun).Seconds())
 		if i < 0 {
 			continue
 		}
--- a/experiments/membersrun/faults.go
+++ b/experiments/membersrun/faults.go
@@ -260,8 +260,8 @@
 	r.Tables = append(r.Tables, experiments.Table{
 		Title: "Service to clients while all links between gateways stand still", Head: []string{"links", "asked", "served", "first event p50 us", "p99 us"},
 		Rows: [][]any{
-			{"as usual", usual.Asked, fmt.Sprintf("%.4f", part(usual.Summary)), usual.FirstP50.Microseconds(), usual.FirstP99.Microseconds()},
-			{"stalled", still.Asked, fmt.Sprintf("%.4f", part(still.Summary)), still.FirstP50.Microseconds(), still.FirstP99.Microseconds()},
+			{"as usual", usual.Requests, fmt.Sprintf("%.4f", part(usual.Summary)), usual.FirstP50.Microseconds(), usual.FirstP99.Microseconds()},
+			{"stalled", still.Requests, fmt.Sprintf("%.4f", part(still.Summary)), still.FirstP50.Microseconds(), still.FirstP99.Microseconds()},
 		},
 	})
 	r.AddBound(part(still.Summary) >= part(usual.Summary)-served, "service with stalled links is within a point of the usual", "%.4f against %.4f", part(still.Summary), part(usual.Summary))
--- a/experiments/membersrun/flood.go
+++ b/experiments/membersrun/flood.go
@@ -62,8 +62,8 @@
 	r.Tables = append(r.Tables, experiments.Table{
 		Title: "Three gateways under forged and replayed datagrams and load", Head: []string{"datagrams a second each", "asked", "served", "first event p50 us", "p99 us", "CPU a gateway, s a s"},
 		Rows: [][]any{
-			{0, usual.Asked, fmt.Sprintf("%.4f", part(usual.Summary)), usual.FirstP50.Microseconds(), usual.FirstP99.Microseconds(), fmt.Sprintf("%.2f", usual.cpu)},
-			{took, under.Asked, fmt.Sprintf("%.4f", part(under.Summary)), under.FirstP50.Microseconds(), under.FirstP99.Microseconds(), fmt.Sprintf("%.2f", under.cpu)},
+			{0, usual.Requests, fmt.Sprintf("%.4f", part(usual.Summary)), usual.FirstP50.Microseconds(), usual.FirstP99.Microseconds(), fmt.Sprintf("%.2f", usual.cpu)},
+			{took, under.Requests, fmt.Sprintf("%.4f", part(under.Summary)), under.FirstP50.Microseconds(), under.FirstP99.Microseconds(), fmt.Sprintf("%.2f", under.cpu)},
 		},
 	})
 	r.AddBound(took >= floodRate*9/10, fmt.Sprintf("the flood is one of %d datagrams a second at each", floodRate), "%d", took)
@@ -79,7 +79,7 @@
 	cpu float64
 }
 
-func part(s load.Summary) float64 { return float64(s.Served) / float64(max(s.Asked, 1)) }
+func part(s load.Summary) float64 { return float64(s.Served) / float64(max(s.Requests, 1)) }
 
 // serve asks some gateways for a span. Meanwhile flood, if given, sends each of them a
 // datagram floodRate times a second; the rate reached, of the slowest, is returned.
--- a/experiments/rolesrun/rolesrun.go
+++ b/experiments/rolesrun/rolesrun.go
@@ -309,7 +309,7 @@
 	asked, earned := make([]float64, int(phase.Seconds())*phases+1), make([]float64, int(phase.Seconds())*phases+1)
 	byAsked := map[string]float64{}
 	for _, o := range list {
-		i := int(o.Asked.Sub(begun).Seconds())
+		i := int(o.SentAt.Sub(begun).Seconds())
 		if i < 0 || i >= len(asked) {
 			continue
 		}
@@ -317,7 +317,7 @@
 		byAsked[o.Model] += worths[o.Model]
 		got := 0.0
 		switch {
-		case o.Served && o.First <= aims[o.Model]:
+		case o.Served && o.FirstEvent <= aims[o.Model]:
 			got = worths[o.Model]
 		case o.Served:
 			got = 0.2 * worths[o.Model]
