--- a/experiments/chatrun/chatrun.go
+++ b/experiments/chatrun/chatrun.go
@@ -442,7 +442,7 @@
 	s := play(plan, span)
 	took, after := time.Since(begun), g.ReadUsage()
 	if s.Served == 0 {
-		return nil, 0, 0, fmt.Errorf("%s: nothing was served: %v", name, s.Problems)
+		return nil, 0, 0, fmt.Errorf("%s: nothing was served: %v", name, s.Failures)
 	}
 	micros := float64((after.CPU - before.CPU).Microseconds()) / float64(s.Served)
 	light := plan
--- a/experiments/experiments.go
+++ b/experiments/experiments.go
@@ -1,6 +1,5 @@
-// Package experiments stages experiments: gateways as programs of their own, before fakes
-// of all that is outside, under load. An experiment states bounds, and fails if one
-// is missed.
+// Package experiments defines experiments and their reports. An experiment runs gateways as separate
+// processes under load, with fakes for all external systems. It checks bounds, and fails if one is not met.
 package experiments
 
 import (
@@ -19,32 +18,32 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Experiment is one thing to be staged.
+// Experiment is one experiment that can be run by name.
 type Experiment struct {
 	Name, About string
 	Run         func(ctx context.Context, opt Options) (*Report, error)
 }
 
-// Options are what an experiment is run with.
+// Options are the parameters of a run of an experiment.
 type Options struct {
-	Quick    bool   // ends within 50 s
+	Quick    bool   // a short run, which ends within 50 s
 	Program  string // the gateway's binary
-	Baseline string // a former version's, to compare with; "" for none
-	WorkDir  string // a folder for files, removed after
+	Baseline string // the binary of a former version to compare with; "" for none
+	WorkDir  string // directory for files, removed after the run
 	Out      io.Writer
 	Seed     uint64
-	Seeds    int // how many seeds from Seed on, where an experiment plays several; 0 for its usual number
+	Seeds    int // number of consecutive seeds from Seed, if the experiment runs several; 0 = its default
 
-	Schedule string // a file of faults to play in place of those of the seed; "" for those
-	Shrink   bool   // a schedule that fails is cut to the shortest that still does
+	Schedule string // file with a fault schedule to replay; "" = generate one from the seed
+	Shrink   bool   // reduces a failing schedule to a shortest one that still fails
 }
 
-// Progress prints a line on the course of an experiment, with the time since its start.
-func (o Options) Progress(begun time.Time, format string, args ...any) {
-	fmt.Fprintf(o.Out, "%6.1fs  %s\n", time.Since(begun).Seconds(), fmt.Sprintf(format, args...))
+// Progress prints a progress line, prefixed with the time since the start of the experiment.
+func (o Options) Progress(started time.Time, format string, args ...any) {
+	fmt.Fprintf(o.Out, "%6.1fs  %s\n", time.Since(started).Seconds(), fmt.Sprintf(format, args...))
 }
 
-// Report is what came of an experiment.
+// Report is the result of an experiment.
 type Report struct {
 	Tables []Table
 	Charts []Chart
@@ -59,31 +58,31 @@
 	Rows  [][]any
 }
 
-// Chart is a chart of lines over x.
+// Chart is a line chart.
 type Chart struct {
 	Name, Title, X, Y string
 	Lines             []Line
 }
 
-// Line is one line of a chart.
+// Line is one series of a chart, as points (x, y).
 type Line struct {
 	Name string
 	At   [][2]float64
 }
 
-// Bound is a statement that must hold.
+// Bound is a condition that the result must meet, and the observed value.
 type Bound struct {
 	Statement string
 	Met       bool
 	Observed  string
 }
 
-// AddBound states a bound and what was found.
-func (r *Report) AddBound(held bool, what, format string, args ...any) {
-	r.Bounds = append(r.Bounds, Bound{Statement: what, Met: held, Observed: fmt.Sprintf(format, args...)})
+// AddBound adds a bound, whether it was met, and the observed value.
+func (r *Report) AddBound(met bool, statement, format string, args ...any) {
+	r.Bounds = append(r.Bounds, Bound{Statement: statement, Met: met, Observed: fmt.Sprintf(format, args...)})
 }
 
-// Missed returns the bounds that did not hold.
+// Missed returns the bounds that were not met.
 func (r *Report) Missed() []Bound {
 	var out []Bound
 	for _, b := range r.Bounds {
@@ -109,20 +108,20 @@
 	return w
 }
 
-// all returns the tables, the one of the bounds last.
+// all returns the tables, followed by the table of the bounds.
 func (r *Report) all() []Table {
 	bounds := Table{Title: "Bounds", Head: []string{"bound", "held", "found"}}
 	for _, b := range r.Bounds {
-		held := "yes"
+		met := "yes"
 		if !b.Met {
-			held = "NO"
+			met = "NO"
 		}
-		bounds.Rows = append(bounds.Rows, []any{b.Statement, held, b.Observed})
+		bounds.Rows = append(bounds.Rows, []any{b.Statement, met, b.Observed})
 	}
 	return append(append([]Table(nil), r.Tables...), bounds)
 }
 
-// Print writes the tables.
+// Print writes the tables and notes as text.
 func (r *Report) Print(w io.Writer) {
 	for _, t := range r.all() {
 		fmt.Fprintln(w, t.writer().Render())
@@ -132,7 +131,7 @@
 	}
 }
 
-// Write keeps tables and charts in a folder.
+// Write writes the report as README.md, and its charts as SVG files, into a directory.
 func (r *Report) Write(dir, name, about string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return fmt.Errorf("results: %w", err)
--- a/experiments/gateway/gateway.go
+++ b/experiments/gateway/gateway.go
@@ -1,4 +1,4 @@
-// Package gateway runs the gateway's own program for an experiment.
+// Package gateway runs the gateway's binary for experiments.
 package gateway
 
 import (
@@ -19,11 +19,11 @@
 	"wellgw/internal/admin"
 )
 
-// Key is the key of the one team in Settings.
+// Key is the API key of the only team in Settings.
 const Key = "lab-key"
 
-// Settings are an operator's file with two models, one free and one that must not run
-// twice, and engines from Consul.
+// Settings returns an operator's file with two models, one with the effect free and one that must not run
+// twice (single_shot), and with the engines of a Consul catalogue.
 func Settings(consul map[string]any) map[string]any {
 	return map[string]any{
 		"listen": "127.0.0.1:0", "zone": "a", "limits": map[string]any{"cores": 2, "memory_mb": 256, "sockets": 2048},
@@ -38,11 +38,11 @@
 	}
 }
 
-// Gateway is one program that runs.
+// Gateway is a running gateway process.
 type Gateway struct {
 	Name  string
-	Addr  string // where clients are served
-	Admin string
+	Addr  string // address that serves clients
+	Admin string // address of the admin listener
 	file  string
 	cmd   *exec.Cmd
 	ended chan struct{}
@@ -51,24 +51,25 @@
 	log []Line
 }
 
-// Line is one line of the log.
+// Line is one line of the gateway's log.
 type Line struct {
 	At     time.Time
 	Fields map[string]any
 }
 
-// StringField returns a field of a line as text.
+// StringField returns the value of a field, or "" if the field isn't a string.
 func (l Line) StringField(field string) string {
 	s, _ := l.Fields[field].(string)
 	return s
 }
 
-const startWait = 10 * time.Second
+// startTimeout is the limit for the start of a gateway.
+const startTimeout = 10 * time.Second
 
-// Start writes the operator's file and starts the program with it.
-// The log is also kept in a file beside it.
+// Start writes the operator's file, starts the program with it and waits until it serves clients. The log is
+// also written to a file in the same directory.
 func Start(ctx context.Context, program, dir, name string, settings map[string]any) (*Gateway, error) {
-	keep, err := os.OpenFile(filepath.Join(dir, name+".log"), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
+	logFile, err := os.OpenFile(filepath.Join(dir, name+".log"), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
 	if err != nil {
 		return nil, fmt.Errorf("gateway %s: %w", name, err)
 	}
@@ -77,7 +78,7 @@
 		return nil, err
 	}
 	g.cmd = exec.CommandContext(ctx, program, "serve", "--operator", g.file)
-	errs, err := g.cmd.StderrPipe()
+	stderr, err := g.cmd.StderrPipe()
 	if err != nil {
 		return nil, fmt.Errorf("gateway %s: %w", name, err)
 	}
@@ -87,12 +88,12 @@
 	serving := make(chan struct{})
 	go func() {
 		defer close(g.ended)
-		defer keep.Close()
+		defer logFile.Close()
 		once := sync.OnceFunc(func() { close(serving) })
-		scan := bufio.NewScanner(errs)
+		scan := bufio.NewScanner(stderr)
 		scan.Buffer(nil, 1<<20)
 		for scan.Scan() {
-			fmt.Fprintln(keep, scan.Text())
+			fmt.Fprintln(logFile, scan.Text())
 			var fields map[string]any
 			if jsoniter.Unmarshal(scan.Bytes(), &fields) != nil {
 				fields = map[string]any{"level": "error", "message": scan.Text()}
@@ -114,7 +115,7 @@
 	}()
 	select {
 	case <-serving:
-	case <-time.After(startWait):
+	case <-time.After(startTimeout):
 	}
 	if g.Addr == "" {
 		g.Kill()
@@ -135,7 +136,7 @@
 	return nil
 }
 
-// Log returns the log so far.
+// Log returns the lines logged so far.
 func (g *Gateway) Log() []Line {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -151,39 +152,39 @@
 	return strings.Join(text, "; ")
 }
 
-// Count counts the lines whose message begins so.
-func (g *Gateway) Count(message string) int {
+// Count returns the number of log lines whose message begins with a prefix.
+func (g *Gateway) Count(prefix string) int {
 	n := 0
 	for _, l := range g.Log() {
-		if strings.HasPrefix(l.StringField("message"), message) {
+		if strings.HasPrefix(l.StringField("message"), prefix) {
 			n++
 		}
 	}
 	return n
 }
 
-// View asks for the gateway's present view.
+// View fetches the gateway's view of its engines from the admin listener.
 func (g *Gateway) View(ctx context.Context) (admin.View, error) { return admin.FetchView(ctx, g.Admin) }
 
-// Await waits until the view is as it should be.
+// Await polls the view until a condition is met. It returns the time that this took, and whether it was met.
 func (g *Gateway) Await(ctx context.Context, within time.Duration, ok func(admin.View) bool) (time.Duration, bool) {
-	begun := time.Now()
-	for time.Since(begun) < within && ctx.Err() == nil {
+	started := time.Now()
+	for time.Since(started) < within && ctx.Err() == nil {
 		if v, err := g.View(ctx); err == nil && ok(v) {
-			return time.Since(begun), true
+			return time.Since(started), true
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	return time.Since(begun), false
+	return time.Since(started), false
 }
 
-// Reload sends SIGHUP.
+// Reload sends SIGHUP, on which the gateway reads its settings again.
 func (g *Gateway) Reload() { _ = g.cmd.Process.Signal(syscall.SIGHUP) }
 
-// Pause stops the program where it stands, and Resume has it go on.
+// Pause suspends the process by SIGSTOP.
 func (g *Gateway) Pause() { _ = g.cmd.Process.Signal(syscall.SIGSTOP) }
 
-// Resume has a paused program go on.
+// Resume continues a suspended process.
 func (g *Gateway) Resume() { _ = g.cmd.Process.Signal(syscall.SIGCONT) }
 
 // FetchPage reads a page of the admin listener into v.
@@ -191,13 +192,14 @@
 	return admin.FetchPage(ctx, g.Admin, path, v)
 }
 
-// Kill ends the program at once.
+// Kill terminates the process by SIGKILL and waits for its end.
 func (g *Gateway) Kill() {
 	_ = g.cmd.Process.Kill()
 	<-g.ended
 }
 
-// Stop sends SIGTERM and waits for the end.
+// Stop sends SIGTERM and waits for the end of the process. It kills the process and returns false if that
+// takes too long.
 func (g *Gateway) Stop(within time.Duration) bool {
 	_ = g.cmd.Process.Signal(syscall.SIGTERM)
 	select {
@@ -209,13 +211,13 @@
 	}
 }
 
-// Usage is what the program has used.
+// Usage is the resource use of a process.
 type Usage struct {
-	CPU      time.Duration // since its start
+	CPU      time.Duration // since the start of the process
 	Resident float64       // MB
 }
 
-// ReadUsage reads what the program has used from /proc.
+// ReadUsage reads the resource use of the process from /proc.
 func (g *Gateway) ReadUsage() Usage {
 	var u Usage
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", g.cmd.Process.Pid))
--- a/experiments/load/load.go
+++ b/experiments/load/load.go
@@ -1,6 +1,6 @@
-// Package load asks gateways for chat completions: in a closed loop, in which each
-// client waits for its answer, or in an open one, in which requests come at a rate
-// whatever becomes of them. Clients hold sessions, and may retry by themselves.
+// Package load generates a load of chat completions on gateways: in a closed loop, in which each client
+// waits for its answer before it sends the next request, or in an open loop, in which requests start at a
+// given rate independent of the answers. Clients run sessions of several turns, and may retry.
 package load
 
 import (
@@ -26,57 +26,57 @@
 	"wellgw/internal/pause"
 )
 
-// Plan is what is asked.
+// Plan describes the load.
 type Plan struct {
-	Name           string   // of the load: requests are named after it
-	Targets        []string // gateways' addresses
+	Name           string   // prefix of the request identifiers
+	Targets        []string // addresses of the gateways
 	Key            string
 	Models         []Model
-	Clients        int     // in a closed loop
-	Rate           float64 // requests a second in an open loop, if Clients is 0
-	Turns          int     // of a session
-	ThinkTime      time.Duration
-	Retries        int           // by the client itself, on 429, 503 and no connection
-	MaxRetryAfter  time.Duration // longest Retry-After that is waited for; 0 = a second
+	Clients        int           // number of clients in a closed loop
+	Rate           float64       // requests per second in an open loop, if Clients is 0
+	Turns          int           // requests per session; at least 1
+	ThinkTime      time.Duration // mean time between the turns of a session
+	Retries        int           // maximum retries per request, after 429, 503 and refused connections
+	MaxRetryAfter  time.Duration // upper bound of the wait for a Retry-After; 0 = 1 s
 	MaxTokens      int
-	NonStreaming   bool          // not streamed
-	Idempotent     bool          // each request has an idempotency key, and is sent again under it whatever became of it
-	RotateGateways bool          // a client under a key asks another gateway each time
-	Timeout        time.Duration // for an answer, of each try; 0 = 30 s
-	DropFraction   float64       // share of first tries whose client goes in the middle
+	NonStreaming   bool          // requests an answer without a stream
+	Idempotent     bool          // sends idempotency keys; retries unless a failure is final
+	RotateGateways bool          // sends each try under a key to another gateway
+	Timeout        time.Duration // limit for each try; 0 = 30 s
+	DropFraction   float64       // fraction of first tries that the client abandons
 	Seed           uint64
 }
 
-// Model is one model and how much of the load asks for it.
+// Model is one model and its fraction of the load.
 type Model struct {
 	Name   string
-	Weight float64
-	Words  int // of each turn
-	Tokens int // most that an answer may hold; 0 = the plan's
+	Weight float64 // relative to the sum of all weights
+	Words  int     // in the prompt of each turn
+	Tokens int     // maximum tokens of an answer; 0 = the plan's MaxTokens
 }
 
-// Outcome is how a request ended, its client's retries included.
+// Outcome is the result of a request, including the client's retries.
 type Outcome struct {
-	RequestID  string // the request's own name, the same in all its tries
-	Body       string // of a request under a key
+	RequestID  string // sent as X-Request-Id; the same in all tries
+	Body       string // set for requests under an idempotency key
 	Model      string
-	Target     string // that answered last
+	Target     string // gateway of the last try
 	SentAt     time.Time
-	FirstEvent time.Duration // to the first event; 0 if none came
+	FirstEvent time.Duration // from SentAt to the first event; 0 without events
 	Total      time.Duration
-	Status     int  // of the last answer; 0 = none came
-	Served     bool // the whole answer came
+	Status     int  // of the last answer; 0 without an answer
+	Served     bool // the answer arrived completely
 	Tries      int
-	Failure    string   // "" if served
-	Replayed   bool     // the answer was one that had been kept
-	Code       string   // of the last error
-	Ends       []End    // of all tries
-	Violations []string // tries that had no final answer, or more than one
+	Failure    string   // cause of the failure of the last try; "" if served
+	Replayed   bool     // the gateway replayed a stored answer
+	Code       string   // code of the last error answer
+	Ends       []End    // one for each try that got an answer
+	Violations []string // tries without a final answer, or with more than one
 }
 
-// End is when a try was over for its client.
+// End is the time at which the client finished reading a try.
 type End struct {
-	ID string // by which the gateway knows it
+	ID string // request identifier that the gateway assigned
 	At time.Time
 }
 
@@ -92,14 +92,14 @@
 	r.list = append(r.list, o)
 }
 
-// All returns the outcomes so far, in order of their ends.
+// All returns the outcomes recorded so far, in requestID of completion.
 func (r *Recorder) All() []Outcome {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.list)
 }
 
-// Run asks until ctx ends and the last requests have their answers.
+// Run generates the load until ctx ends, then waits for the requests in flight.
 func Run(ctx context.Context, p Plan, r *Recorder) {
 	if p.Turns <= 0 {
 		p.Turns = 1
@@ -109,11 +109,11 @@
 	}
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024, IdleConnTimeout: time.Minute}}
 	defer client.CloseIdleConnections()
-	var group sync.WaitGroup
-	defer group.Wait()
+	var wg sync.WaitGroup
+	defer wg.Wait()
 	if p.Clients > 0 {
 		for n := range p.Clients {
-			group.Go(func() {
+			wg.Go(func() {
 				random := rand.New(rand.NewPCG(p.Seed, uint64(n)))
 				for s := 0; ctx.Err() == nil; s++ {
 					session(ctx, p, client, random, fmt.Sprintf("%sc%d-%d", p.Name, n, s), r)
@@ -125,8 +125,8 @@
 	random := rand.New(rand.NewPCG(p.Seed, 0))
 	for n := 0; ctx.Err() == nil; n++ {
 		pause.Sleep(ctx, time.Duration(random.ExpFloat64()/p.Rate*float64(time.Second)))
-		own := rand.New(rand.NewPCG(p.Seed, uint64(n)+1))
-		group.Go(func() { session(ctx, p, client, own, fmt.Sprintf("%so%d", p.Name, n), r) })
+		clientRandom := rand.New(rand.NewPCG(p.Seed, uint64(n)+1))
+		wg.Go(func() { session(ctx, p, client, clientRandom, fmt.Sprintf("%so%d", p.Name, n), r) })
 	}
 }
 
@@ -144,34 +144,38 @@
 	return models[len(models)-1]
 }
 
-// session asks some turns, each with the text of those before.
+// session sends the requests of one session, each with the messages of the previous turns.
 func session(ctx context.Context, p Plan, client *http.Client, random *rand.Rand, name string, r *Recorder) {
 	m := pick(p.Models, random)
-	var said strings.Builder
+	var messages strings.Builder
 	for turn := range p.Turns {
 		if ctx.Err() != nil {
 			return
 		}
-		order := fmt.Sprintf("%s-%d", name, turn)
-		fmt.Fprintf(&said, `,{"role":"user","content":"order-id %s %s"}`, order, strings.Repeat("fit ", m.Words))
-		body := fmt.Sprintf(`{"model":%q,"stream":%v,"max_tokens":%d,"messages":[{"role":"system","content":"parts of hulls"}%s]}`,
-			m.Name, !p.NonStreaming, max(cmp.Or(m.Tokens, p.MaxTokens), 1), said.String())
-		// The request is finished even if the load ends meanwhile.
-		o := ask(context.WithoutCancel(ctx), p, client, random, order, body)
+		requestID := fmt.Sprintf("%s-%d", name, turn)
+		fmt.Fprintf(&messages, `,{"role":"user","content":"order-id %s %s"}`, requestID,
+			strings.Repeat("fit ", m.Words))
+		body := fmt.Sprintf(`{"model":%q,"stream":%v,"max_tokens":%d,`+
+			`"messages":[{"role":"system","content":"parts of hulls"}%s]}`,
+			m.Name, !p.NonStreaming, max(cmp.Or(m.Tokens, p.MaxTokens), 1), messages.String())
+		// A request in flight is completed even if the load ends.
+		o := send(context.WithoutCancel(ctx), p, client, random, requestID, body)
 		o.Model = m.Name
 		r.add(o)
 		if !o.Served {
 			return
 		}
-		fmt.Fprintf(&said, `,{"role":"assistant","content":"ok"}`)
+		fmt.Fprintf(&messages, `,{"role":"assistant","content":"ok"}`)
 		pause.Sleep(ctx, time.Duration(random.ExpFloat64()*float64(p.ThinkTime)))
 	}
 }
 
-// ask makes one request with its client's retries. Tries under a key stay with one gateway
-// unless clients roam.
-func ask(ctx context.Context, p Plan, client *http.Client, random *rand.Rand, order, body string) Outcome {
-	o := Outcome{SentAt: time.Now(), RequestID: order}
+// send sends one request and its retries. Tries under a key use the same gateway unless
+// Plan.RotateGateways is set.
+func send(
+	ctx context.Context, p Plan, client *http.Client, random *rand.Rand, requestID, body string,
+) Outcome {
+	o := Outcome{SentAt: time.Now(), RequestID: requestID}
 	if p.Idempotent {
 		o.Body = body
 	}
@@ -179,45 +183,48 @@
 	for o.Tries = 1; ; o.Tries++ {
 		drop := -1
 		if o.Tries == 1 && random.Float64() < p.DropFraction {
-			drop = random.IntN(dropWithin)
+			drop = random.IntN(maxDropEvent)
 		}
-		again, hint := try(ctx, p, client, p.Targets[target], body, drop, &o)
-		if o.Total = time.Since(o.SentAt); !again || o.Tries > p.Retries {
+		retry, retryAfter := try(ctx, p, client, p.Targets[target], body, drop, &o)
+		if o.Total = time.Since(o.SentAt); !retry || o.Tries > p.Retries {
 			return o
 		}
 		if !p.Idempotent || p.RotateGateways {
 			target = (target + 1) % len(p.Targets)
 		}
-		pause.Sleep(ctx, min(max(hint, 20*time.Millisecond), p.MaxRetryAfter))
+		pause.Sleep(ctx, min(max(retryAfter, 20*time.Millisecond), p.MaxRetryAfter))
 	}
 }
 
 const (
-	answerWait = 30 * time.Second
-	dropWithin = 12 // events, after the first of which a client that drops goes
+	defaultTimeout = 30 * time.Second
+	maxDropEvent   = 12 // a client abandons a try at an event below this number; 0 = before the answer begins
 )
 
-// finalCodes are the codes that say that trying again is of no use.
+// finalCodes are the error codes after which a retry can't succeed.
 var finalCodes = []string{"idempotency_fate_unknown", "idempotency_answer_not_kept", "idempotency_key_reused"}
 
-// try makes one try; again says that another is to be made.
-func try(ctx context.Context, p Plan, client *http.Client, target, body string, drop int, o *Outcome) (again bool, hint time.Duration) {
-	ctx, cancel := context.WithTimeout(ctx, cmp.Or(p.Timeout, answerWait))
+// try sends a request once. It reports whether the client is to retry, and the Retry-After of the answer.
+func try(
+	ctx context.Context, p Plan, client *http.Client, target, body string, drop int, o *Outcome,
+) (retry bool, retryAfter time.Duration) {
+	ctx, cancel := context.WithTimeout(ctx, cmp.Or(p.Timeout, defaultTimeout))
 	defer cancel()
 	o.Target, o.Status, o.Served, o.Code = target, 0, false, ""
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+target+"/v1/chat/completions", strings.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost,
+		"http://"+target+"/v1/chat/completions", strings.NewReader(body))
 	if err != nil {
 		o.Failure = err.Error()
 		return false, 0
 	}
 	req.Header.Set("Authorization", "Bearer "+p.Key)
 	req.Header.Set("Content-Type", "application/json")
-	req.Header.Set("X-Request-Id", o.RequestID) // for engines that are asked directly
+	req.Header.Set("X-Request-Id", o.RequestID) // used by engines that receive the request without a gateway
 	if p.Idempotent {
 		req.Header.Set("Idempotency-Key", o.RequestID)
 		req.Header.Set("X-Stainless-Retry-Count", strconv.Itoa(o.Tries-1))
 	}
-	if drop == 0 { // before an answer has begun
+	if drop == 0 { // abandons the try before its answer begins
 		time.AfterFunc(dropEarly, cancel)
 	}
 	resp, err := client.Do(req)
@@ -243,23 +250,25 @@
 	return o.stream(p, resp.Body, drop), 0
 }
 
-// readRejection notes an answer other than 200, and tells whether and when to ask again.
-func (o *Outcome) readRejection(p Plan, resp *http.Response) (again bool, hint time.Duration) {
+// readRejection records an answer with a status other than 200. It reports whether the client is to retry,
+// and after which time.
+func (o *Outcome) readRejection(p Plan, resp *http.Response) (retry bool, retryAfter time.Duration) {
 	text, _ := io.ReadAll(io.LimitReader(resp.Body, 600))
 	o.Failure = fmt.Sprintf("status %d: %.300s", resp.StatusCode, bytes.TrimSpace(text))
 	if _, after, found := strings.Cut(string(text), `"code":"`); found {
 		o.Code, _, _ = strings.Cut(after, `"`)
 	}
 	seconds, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
-	again = resp.StatusCode == http.StatusTooManyRequests || resp.StatusCode == http.StatusServiceUnavailable
-	if p.Idempotent { // it asks again whatever it is told, as long as that is not final
-		again = !slices.Contains(finalCodes, o.Code) && resp.StatusCode != http.StatusBadRequest
+	retry = resp.StatusCode == http.StatusTooManyRequests || resp.StatusCode == http.StatusServiceUnavailable
+	if p.Idempotent { // retries after any answer, unless its code is final or its status is 400
+		retry = !slices.Contains(finalCodes, o.Code) && resp.StatusCode != http.StatusBadRequest
 	}
-	return again, time.Duration(seconds * float64(time.Second))
+	return retry, time.Duration(seconds * float64(time.Second))
 }
 
-// stream reads a stream to its end, or drops it at an event, and tells whether to ask again.
-func (o *Outcome) stream(p Plan, body io.Reader, drop int) (again bool) {
+// stream reads a stream to its end, or abandons it at the event with number drop. It reports whether the
+// client is to retry.
+func (o *Outcome) stream(p Plan, body io.Reader, drop int) (retry bool) {
 	lines, done, failed, events := bufio.NewReader(body), 0, 0, 0
 	for {
 		line, err := lines.ReadSlice('\n')
@@ -293,50 +302,53 @@
 	}
 }
 
+// dropEarly is the time after which a client abandons a try whose answer has not begun.
 const dropEarly = 3 * time.Millisecond
 
-// Repeat asks for what an outcome was of once more, under its key.
-func Repeat(ctx context.Context, p Plan, target string, was Outcome) Outcome {
-	o := Outcome{SentAt: time.Now(), RequestID: was.RequestID, Model: was.Model, Tries: was.Tries + 1}
-	_, _ = try(ctx, p, http.DefaultClient, target, was.Body, -1, &o)
+// Repeat sends the request of an earlier outcome again, under the same idempotency key.
+func Repeat(ctx context.Context, p Plan, target string, earlier Outcome) Outcome {
+	o := Outcome{SentAt: time.Now(), RequestID: earlier.RequestID, Model: earlier.Model, Tries: earlier.Tries + 1}
+	_, _ = try(ctx, p, http.DefaultClient, target, earlier.Body, -1, &o)
 	return o
 }
 
-// OpenUnread asks for an answer and reads none of it. The function returned ends that.
+// OpenUnread requests a stream and reads none of it. The returned function closes the connection.
 func OpenUnread(ctx context.Context, target, key, model string) (func(), error) {
 	var d net.Dialer
 	c, err := d.DialContext(ctx, "tcp", target)
 	if err != nil {
-		return nil, fmt.Errorf("stall: %w", err)
+		return nil, fmt.Errorf("open a stream without reading it: %w", err)
 	}
 	if t, is := c.(*net.TCPConn); is {
 		_ = t.SetReadBuffer(4 << 10)
 	}
 	body := fmt.Sprintf(`{"model":%q,"stream":true,"messages":[{"role":"user","content":"much"}]}`, model)
-	_, err = fmt.Fprintf(c, "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nContent-Length: %d\r\n\r\n%s", key, len(body), body)
+	_, err = fmt.Fprintf(c, "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\n"+
+		"Content-Length: %d\r\n\r\n%s", key, len(body), body)
 	return func() { c.Close() }, err
 }
 
-// Summary is what is said of many outcomes.
+// Summary is the statistics of a set of outcomes.
 type Summary struct {
 	Requests, Served   int
 	FirstP50, FirstP99 time.Duration
 	TotalP50, TotalP99 time.Duration
-	MaxGap             time.Duration // longest time between two served answers
-	Problems           map[string]int
+	MaxGap             time.Duration // maximum time between two consecutive served answers
+	Failures           map[string]int
 	Tries              int
 }
 
-// The bounds of what a histogram keeps, in microseconds, and its figures.
+// The range of the histograms, in microseconds, and their significant figures.
 const (
-	histogramMost    = int64(time.Hour / time.Microsecond)
+	histogramMax     = int64(time.Hour / time.Microsecond)
 	histogramFigures = 3
 )
 
-// Summarize sums up the outcomes of requests asked within [from, to).
+// Summarize returns the statistics of the requests sent within [from, to). A zero to is no limit.
 func Summarize(list []Outcome, from, to time.Time) Summary {
-	s := Summary{Problems: map[string]int{}}
-	first, total := hdrhistogram.New(1, histogramMost, histogramFigures), hdrhistogram.New(1, histogramMost, histogramFigures)
+	s := Summary{Failures: map[string]int{}}
+	first, total := hdrhistogram.New(1, histogramMax, histogramFigures),
+		hdrhistogram.New(1, histogramMax, histogramFigures)
 	var ends []time.Time
 	for _, o := range list {
 		if o.SentAt.Before(from) || !to.IsZero() && !o.SentAt.Before(to) {
@@ -345,7 +357,7 @@
 		s.Requests++
 		s.Tries += o.Tries
 		if !o.Served {
-			s.Problems[o.Failure]++
+			s.Failures[o.Failure]++
 			continue
 		}
 		s.Served++
@@ -364,16 +376,15 @@
 	return s
 }
 
-// Buckets counts outcomes by the second in which they were asked, from begun on:
-// served and not served.
-func Buckets(list []Outcome, begun time.Time) (served, not [][2]float64) {
-	most := 0
+// Buckets counts the outcomes, served and failed, by the second in which they were sent, relative to begun.
+func Buckets(list []Outcome, begun time.Time) (served, failed [][2]float64) {
+	last := 0
 	for _, o := range list {
-		most = max(most, int(o.SentAt.Sub(begun).Seconds()))
+		last = max(last, int(o.SentAt.Sub(begun).Seconds()))
 	}
-	served, not = make([][2]float64, most+1), make([][2]float64, most+1)
+	served, failed = make([][2]float64, last+1), make([][2]float64, last+1)
 	for i := range served {
-		served[i][0], not[i][0] = float64(i), float64(i)
+		served[i][0], failed[i][0] = float64(i), float64(i)
 	}
 	for _, o := range list {
 		i := int(o.SentAt.Sub(begun).Seconds())
@@ -383,8 +394,8 @@
 		if o.Served {
 			served[i][1]++
 		} else {
-			not[i][1]++
+			failed[i][1]++
 		}
 	}
-	return served, not
+	return served, failed
 }
