--- a/experiments/chatrun/chatrun.go
+++ b/experiments/chatrun/chatrun.go
@@ -61,7 +61,9 @@
 	delete(file, "consul")
 	var list []any
 	for i, e := range engines {
-		list = append(list, map[string]any{"id": e.ID, "address": e.Addr(), "role": e.Role, "zone": "a", "cell": i % 2})
+		list = append(list, map[string]any{
+			"id": e.ID, "address": e.Addr(), "role": e.Role, "zone": "a", "cell": i % 2,
+		})
 	}
 	file["engines"] = list
 	if modify != nil {
@@ -70,7 +72,9 @@
 	return file
 }
 
-func start(ctx context.Context, opt experiments.Options, program, name string, file map[string]any, engines int) (*gateway.Gateway, error) {
+func start(
+	ctx context.Context, opt experiments.Options, program, name string, file map[string]any, engines int,
+) (*gateway.Gateway, error) {
 	g, err := gateway.Start(ctx, program, opt.WorkDir, name, file)
 	if err != nil {
 		return nil, err
@@ -134,7 +138,8 @@
 		engine.Read, engine.Read, engine.Write, engine.Write, engine.Write, engine.Both,
 		engine.OpenAI, engine.OpenAI, engine.OpenAI, engine.OpenAI, engine.OpenAI, engine.OpenAI, engine.OpenAI, engine.OpenAI, engine.OpenAI,
 	} {
-		o := engine.Options{ID: fmt.Sprintf("e%d", i), Role: role, Slots: 16, Tokens: 12, TokenEvery: time.Millisecond, CutShare: 0.35, Seed: seed + uint64(i)}
+		o := engine.Options{ID: fmt.Sprintf("e%d", i), Role: role, Slots: 16, Tokens: 12,
+			TokenEvery: time.Millisecond, CutShare: 0.35, Seed: seed + uint64(i)}
 		if role == engine.OpenAI {
 			o.Odd = deviations[i%len(deviations)]
 		}
@@ -149,14 +154,18 @@
 
 // pair starts two gateways that store their idempotency keys in files, so that the keys survive a restart. It
 // also returns the gateways' settings.
-func pair(ctx context.Context, opt experiments.Options, all []*engine.Engine) ([]*gateway.Gateway, []map[string]any, error) {
+func pair(
+	ctx context.Context, opt experiments.Options, all []*engine.Engine,
+) ([]*gateway.Gateway, []map[string]any, error) {
 	var gateways []*gateway.Gateway
 	var files []map[string]any
 	for n := range 2 {
 		name := fmt.Sprintf("chat-%d", n)
 		file := settings(all, func(f map[string]any) {
 			f["gateways"] = 2
-			f["idempotency"] = map[string]any{"sticky": true, "keys": 200_000, "file": filepath.Join(opt.WorkDir, name+".keys")}
+			f["idempotency"] = map[string]any{
+				"sticky": true, "keys": 200_000, "file": filepath.Join(opt.WorkDir, name+".keys"),
+			}
 		})
 		g, err := start(ctx, opt, opt.Program, name, file, len(all))
 		if err != nil {
@@ -174,19 +183,29 @@
 	longest, id := states.longest(outcomes)
 	r.Tables = append(r.Tables, experiments.Table{
 		Title: "Orders whose streams break anywhere, under keys and retrying clients",
-		Head:  []string{"orders", "tries", "served", "of these replayed", "fate unknown", "turned away to the end", "other", "run twice", "tries without one final answer", "longest state after its end"},
-		Rows:  [][]any{{sum.orders, sum.tries, sum.served, sum.replayed, sum.unknown, sum.refused, sum.other, len(duplicates), len(sum.faults), longest.Round(time.Millisecond)}},
+		Head: []string{"orders", "tries", "served", "of these replayed", "fate unknown",
+			"turned away to the end", "other", "run twice", "tries without one final answer",
+			"longest state after its end"},
+		Rows: [][]any{{sum.orders, sum.tries, sum.served, sum.replayed, sum.unknown, sum.refused, sum.other,
+			len(duplicates), len(sum.faults), longest.Round(time.Millisecond)}},
 	})
 	r.AddBound(sum.orders >= 1000, "thousands of orders", "%d orders in %d tries", sum.orders, sum.tries)
-	r.AddBound(len(duplicates) == 0, "orders run twice", "%d %s", len(duplicates), strings.Join(duplicates[:min(3, len(duplicates))], " "))
-	r.AddBound(len(sum.faults) == 0, "tries with none or two final answers", "%d %s", len(sum.faults), strings.Join(sum.faults[:min(3, len(sum.faults))], "; "))
-	r.AddBound(longest <= maxHeld, "no state is held past 500 ms after its request's end", "%v %s", longest.Round(time.Millisecond), attempts(fleet, id))
-	r.AddBound(sum.served > sum.orders/3 && sum.unknown > 0, "some are served, and some have an unknown fate", "%d and %d of %d", sum.served, sum.unknown, sum.orders)
+	r.AddBound(len(duplicates) == 0, "orders run twice", "%d %s", len(duplicates),
+		strings.Join(duplicates[:min(3, len(duplicates))], " "))
+	r.AddBound(len(sum.faults) == 0, "tries with none or two final answers", "%d %s", len(sum.faults),
+		strings.Join(sum.faults[:min(3, len(sum.faults))], "; "))
+	r.AddBound(longest <= maxHeld, "no state is held past 500 ms after its request's end", "%v %s",
+		longest.Round(time.Millisecond), attempts(fleet, id))
+	r.AddBound(sum.served > sum.orders/3 && sum.unknown > 0,
+		"some are served, and some have an unknown fate", "%d and %d of %d", sum.served, sum.unknown, sum.orders)
 }
 
 // restart shuts a gateway down gracefully, starts it again, and repeats up to 300 of its orders: those that
 // were served are replayed, and those that may have run are not run again.
-func restart(ctx context.Context, opt experiments.Options, r *experiments.Report, fleet *engine.Fleet, gateways []*gateway.Gateway, files []map[string]any, plan load.Plan, outcomes []load.Outcome) error {
+func restart(
+	ctx context.Context, opt experiments.Options, r *experiments.Report, fleet *engine.Fleet,
+	gateways []*gateway.Gateway, files []map[string]any, plan load.Plan, outcomes []load.Outcome,
+) error {
 	g := gateways[0]
 	before := len(fleet.Attempts())
 	if !g.Stop(10 * time.Second) {
@@ -214,7 +233,10 @@
 		}
 	}
 	ran := len(fleet.Attempts()) - before
-	r.AddBound(repeated > 50 && len(mismatched) == 0, "after a planned restart, keys of before are replayed or stay unknown", "%d asked, %d replayed, %d otherwise %s", repeated, replayed, len(mismatched), strings.Join(mismatched[:min(2, len(mismatched))], "; "))
+	r.AddBound(repeated > 50 && len(mismatched) == 0,
+		"after a planned restart, keys of before are replayed or stay unknown",
+		"%d asked, %d replayed, %d otherwise %s", repeated, replayed, len(mismatched),
+		strings.Join(mismatched[:min(2, len(mismatched))], "; "))
 	r.AddBound(ran == 0, "and none goes to an engine", "%d", ran)
 	return nil
 }
@@ -286,7 +308,8 @@
 	var all []string
 	for _, a := range f.Attempts() {
 		if a.Request == request && request != "" {
-			all = append(all, fmt.Sprintf("%s at %s as %q, status %d, whole %v", a.Engine, a.Came.Format("05.000"), a.Role, a.Status, a.Whole))
+			all = append(all, fmt.Sprintf("%s at %s as %q, status %d, whole %v",
+				a.Engine, a.Came.Format("05.000"), a.Role, a.Status, a.Whole))
 		}
 	}
 	return strings.Join(all, "; ")
@@ -297,7 +320,8 @@
 func slow(ctx context.Context, opt experiments.Options, r *experiments.Report) error {
 	fleet := engine.NewFleet()
 	defer fleet.Close()
-	e, err := fleet.Start(engine.Options{ID: "e0", Role: engine.OpenAI, Slots: 4, Tokens: 150_000, Burst: true}, true)
+	e, err := fleet.Start(engine.Options{ID: "e0", Role: engine.OpenAI, Slots: 4, Tokens: 150_000,
+		Burst: true}, true)
 	if err != nil {
 		return err
 	}
@@ -328,23 +352,28 @@
 	for _, c := range closers {
 		c()
 	}
-	r.AddBound(busySlots > 0 && elapsed <= maxFreeTime, "slots of an engine whose clients do not read are free again in 2 s", "%d slots, %v; gateway %.0f MB", busySlots, elapsed.Round(time.Millisecond), resident)
+	r.AddBound(busySlots > 0 && elapsed <= maxFreeTime,
+		"slots of an engine whose clients do not read are free again in 2 s", "%d slots, %v; gateway %.0f MB",
+		busySlots, elapsed.Round(time.Millisecond), resident)
 	return nil
 }
 
 // conform runs the conformance suite against engines with each deviation of engine.Odds, and one without.
 func conform(ctx context.Context, opt experiments.Options, r *experiments.Report) error {
-	t := experiments.Table{Title: "Conformance, by the official Go client library", Head: []string{"case", "failed before engines that have"}}
+	t := experiments.Table{Title: "Conformance, by the official Go client library",
+		Head: []string{"case", "failed before engines that have"}}
 	failed := map[string][]string{}
 	var names []string
 	cases := 0
 	for _, odd := range append([]string{""}, engine.Odds()...) {
 		fleet := engine.NewFleet()
-		e, err := fleet.Start(engine.Options{ID: "e0", Role: engine.OpenAI, Tokens: 8, TokenEvery: time.Millisecond, Odd: odd}, true)
+		e, err := fleet.Start(engine.Options{ID: "e0", Role: engine.OpenAI, Tokens: 8,
+			TokenEvery: time.Millisecond, Odd: odd}, true)
 		if err != nil {
 			return err
 		}
-		g, err := start(ctx, opt, opt.Program, "conform-"+strings.ReplaceAll(odd, " ", "-"), settings([]*engine.Engine{e}, nil), 1)
+		g, err := start(ctx, opt, opt.Program, "conform-"+strings.ReplaceAll(odd, " ", "-"),
+			settings([]*engine.Engine{e}, nil), 1)
 		if err != nil {
 			return err
 		}
@@ -386,12 +415,15 @@
 	if opt.Quick {
 		span, rounds = 2*time.Second, 2
 	}
-	t := experiments.Table{Title: fmt.Sprintf("Cost of a stream of %d events on one core", costEvents), Head: []string{"version", "requests a second", "µs of CPU a request", "first event, p50 over direct", "p99 over direct", "MB"}}
+	t := experiments.Table{Title: fmt.Sprintf("Cost of a stream of %d events on one core", costEvents),
+		Head: []string{"version", "requests a second", "µs of CPU a request", "first event, p50 over direct",
+			"p99 over direct", "MB"}}
 	best := map[string]float64{}
 	first := map[string]time.Duration{}
 	for round := range rounds { // alternate the versions, so that noise on the machine affects them equally
 		for _, v := range versions {
-			row, micros, over, err := costOf(ctx, opt, v.name, v.program, fmt.Sprintf("cost-%s-%d", v.name, round), span)
+			row, micros, over, err := costOf(ctx, opt, v.name, v.program,
+				fmt.Sprintf("cost-%s-%d", v.name, round), span)
 			if err != nil {
 				return err
 			}
@@ -406,22 +438,29 @@
 	}
 	r.Tables = append(r.Tables, t)
 	// These figures depend on the machine, so they are aims that are reported with the results, not bounds.
-	r.Tables = append(r.Tables, experiments.Table{Title: "Aims", Head: []string{"aim", "found, best of the rounds"}, Rows: [][]any{
-		{fmt.Sprintf("%.0f µs of CPU a request of %d events", targetCost, costEvents), fmt.Sprintf("%.0f µs", best["this"])},
-		{"the first event within 0.3 ms of direct at light load", first["this"]},
-	}})
+	r.Tables = append(r.Tables, experiments.Table{Title: "Aims",
+		Head: []string{"aim", "found, best of the rounds"}, Rows: [][]any{
+			{fmt.Sprintf("%.0f µs of CPU a request of %d events", targetCost, costEvents),
+				fmt.Sprintf("%.0f µs", best["this"])},
+			{"the first event within 0.3 ms of direct at light load", first["this"]},
+		}})
 	if former, ok := best["former"]; ok {
-		r.AddBound(best["this"] < former/minCostRatio, "it costs a third of what the former version did, or less", "%.0f µs, former %.0f: %.1f times less", best["this"], former, former/best["this"])
+		r.AddBound(best["this"] < former/minCostRatio,
+			"it costs a third of what the former version did, or less", "%.0f µs, former %.0f: %.1f times less",
+			best["this"], former, former/best["this"])
 	}
 	return nil
 }
 
-func costOf(ctx context.Context, opt experiments.Options, version, program, name string, span time.Duration) ([]any, float64, time.Duration, error) {
+func costOf(
+	ctx context.Context, opt experiments.Options, version, program, name string, span time.Duration,
+) ([]any, float64, time.Duration, error) {
 	fleet := engine.NewFleet()
 	defer fleet.Close()
 	var all []*engine.Engine
 	for i := range 3 {
-		e, err := fleet.Start(engine.Options{ID: fmt.Sprintf("e%d", i), Role: engine.OpenAI, Slots: 64, Queue: 256, Tokens: costEvents, Burst: true, ReadPerS: 1e9}, true)
+		e, err := fleet.Start(engine.Options{ID: fmt.Sprintf("e%d", i), Role: engine.OpenAI, Slots: 64,
+			Queue: 256, Tokens: costEvents, Burst: true, ReadPerS: 1e9}, true)
 		if err != nil {
 			return nil, 0, 0, err
 		}
@@ -434,7 +473,9 @@
 		return nil, 0, 0, err
 	}
 	defer g.Kill()
-	plan := load.Plan{Name: name, Key: gateway.Key, Targets: []string{g.Addr}, Models: []load.Model{{Name: "parts", Weight: 1, Words: 60, Tokens: costEvents}}, Clients: 24, Seed: opt.Seed}
+	plan := load.Plan{Name: name, Key: gateway.Key, Targets: []string{g.Addr},
+		Models: []load.Model{{Name: "parts", Weight: 1, Words: 60, Tokens: costEvents}}, Clients: 24,
+		Seed: opt.Seed}
 	measure := func(p load.Plan, d time.Duration) load.Summary {
 		var rec load.Recorder
 		part, done := context.WithTimeout(ctx, d)
@@ -457,5 +498,8 @@
 	direct.Targets = []string{all[0].Addr()}
 	directLoad := measure(direct, span/2)
 	over50, over99 := gatewayLoad.FirstP50-directLoad.FirstP50, gatewayLoad.FirstP99-directLoad.FirstP99
-	return []any{version, fmt.Sprintf("%.0f", float64(s.Served)/elapsed.Seconds()), fmt.Sprintf("%.0f", micros), over50, over99, fmt.Sprintf("%.0f", after.Resident)}, micros, over50, nil
+	return []any{
+		version, fmt.Sprintf("%.0f", float64(s.Served)/elapsed.Seconds()), fmt.Sprintf("%.0f", micros),
+		over50, over99, fmt.Sprintf("%.0f", after.Resident),
+	}, micros, over50, nil
 }
--- a/experiments/gateway/gateway.go
+++ b/experiments/gateway/gateway.go
@@ -26,14 +26,18 @@
 // twice (single_shot), and with the engines of a Consul catalogue.
 func Settings(consul map[string]any) map[string]any {
 	return map[string]any{
-		"listen": "127.0.0.1:0", "zone": "a", "limits": map[string]any{"cores": 2, "memory_mb": 256, "sockets": 2048},
-		"admin": map[string]any{"listen": "127.0.0.1:0"},
+		"listen": "127.0.0.1:0", "zone": "a",
+		"limits": map[string]any{"cores": 2, "memory_mb": 256, "sockets": 2048},
+		"admin":  map[string]any{"listen": "127.0.0.1:0"},
 		"contracts": []any{
 			map[string]any{"name": "part-lookup", "effect": "free", "aim_ms": 1000, "deadline_ms": 4000, "worth": 2},
-			map[string]any{"name": "place-order", "effect": "single_shot", "aim_ms": 2500, "deadline_ms": 10000, "worth": 3},
+			map[string]any{"name": "place-order", "effect": "single_shot", "aim_ms": 2500,
+				"deadline_ms": 10000, "worth": 3},
 		},
-		"models": []any{map[string]any{"name": "parts", "contract": "part-lookup"}, map[string]any{"name": "orders", "contract": "place-order"}},
-		"teams":  []any{map[string]any{"name": "lab", "keys": []string{Key}, "models": []string{"parts", "orders"}}},
+		"models": []any{map[string]any{"name": "parts", "contract": "part-lookup"},
+			map[string]any{"name": "orders", "contract": "place-order"}},
+		"teams": []any{map[string]any{"name": "lab", "keys": []string{Key},
+			"models": []string{"parts", "orders"}}},
 		"consul": consul,
 	}
 }
@@ -167,7 +171,9 @@
 func (g *Gateway) View(ctx context.Context) (admin.View, error) { return admin.FetchView(ctx, g.Admin) }
 
 // Await polls the view until a condition is met. It returns the time that this took, and whether it was met.
-func (g *Gateway) Await(ctx context.Context, within time.Duration, ok func(admin.View) bool) (time.Duration, bool) {
+func (g *Gateway) Await(
+	ctx context.Context, within time.Duration, ok func(admin.View) bool,
+) (time.Duration, bool) {
 	started := time.Now()
 	for time.Since(started) < within && ctx.Err() == nil {
 		if v, err := g.View(ctx); err == nil && ok(v) {
--- a/experiments/load/load.go
+++ b/experiments/load/load.go
@@ -307,7 +307,8 @@
 
 // Repeat sends the request of an earlier outcome again, under the same idempotency key.
 func Repeat(ctx context.Context, p Plan, target string, earlier Outcome) Outcome {
-	o := Outcome{SentAt: time.Now(), RequestID: earlier.RequestID, Model: earlier.Model, Tries: earlier.Tries + 1}
+	o := Outcome{SentAt: time.Now(), RequestID: earlier.RequestID, Model: earlier.Model,
+		Tries: earlier.Tries + 1}
 	_, _ = try(ctx, p, http.DefaultClient, target, earlier.Body, -1, &o)
 	return o
 }
