--- a/experiments/chatrun/chatrun.go
+++ b/experiments/chatrun/chatrun.go
@@ -483,7 +483,7 @@
 		load.Run(part, p, &rec)
 		return load.Summarize(rec.All(), time.Time{}, time.Time{})
 	}
-	measure(plan, span/4) // warm up until the module has reports of its engines
+	measure(plan, span/4) // warm-up: at the start the module has no data on its engines
 	before, started := g.ReadUsage(), time.Now()
 	s := measure(plan, span)
 	elapsed, after := time.Since(started), g.ReadUsage()
--- a/experiments/faultnet/schedule.go
+++ b/experiments/faultnet/schedule.go
@@ -26,7 +26,8 @@
 func Generate(seed uint64, names []string, span, maxDuration time.Duration) Schedule {
 	rng := rand.New(rand.NewPCG(seed, 4))
 	var s Schedule
-	for at := time.Second; at < span-maxDuration; at += 500*time.Millisecond + time.Duration(rng.Int64N(int64(time.Second))) {
+	for at := time.Second; at < span-maxDuration; at += 500*time.Millisecond +
+		time.Duration(rng.Int64N(int64(time.Second))) {
 		step := Step{
 			At: at, For: maxDuration/4 + time.Duration(rng.Int64N(int64(maxDuration-maxDuration/4))),
 			From: names[rng.IntN(len(names))],
--- a/experiments/load/load.go
+++ b/experiments/load/load.go
@@ -92,7 +92,7 @@
 	r.list = append(r.list, o)
 }
 
-// All returns the outcomes recorded so far, in requestID of completion.
+// All returns the outcomes recorded so far, in order of completion.
 func (r *Recorder) All() []Outcome {
 	r.mu.Lock()
 	defer r.mu.Unlock()
