--- a/cmd/wellgw/held_test.go
+++ b/cmd/wellgw/held_test.go
@@ -58,10 +58,10 @@
 	t.Helper()
 	c := &heldStateCluster{t: t, fabric: faultnet.New(1), prefill: enginetest.NewEngine(t, answerReleasesOr(prefill))}
 	t.Cleanup(c.fabric.Close)
-	c.fabric.Listens("r", c.prefill.Addr)
+	c.fabric.SetListener("r", c.prefill.Addr)
 	for i := range c.decodes {
 		c.decodes[i] = enginetest.NewEngine(t, answerReleasesOr(func() string { return enginetest.Hang }))
-		c.fabric.Listens(fmt.Sprint("w", i), c.decodes[i].Addr)
+		c.fabric.SetListener(fmt.Sprint("w", i), c.decodes[i].Addr)
 	}
 	for g := range 3 {
 		c.start(fmt.Sprint("g", g))
@@ -139,8 +139,8 @@
 // setPartition starts or ends a network partition between a gateway and engines.
 func (c *heldStateCluster) setPartition(gateway string, partitioned bool, engines ...string) {
 	for _, engine := range engines {
-		c.fabric.Set(gateway, engine, faultnet.Rule{Cut: partitioned})
-		c.fabric.Set(engine, gateway, faultnet.Rule{Cut: partitioned})
+		c.fabric.SetRule(gateway, engine, faultnet.Rule{Cut: partitioned})
+		c.fabric.SetRule(engine, gateway, faultnet.Rule{Cut: partitioned})
 	}
 }
 
--- a/cmd/wellgw/heldinput_test.go
+++ b/cmd/wellgw/heldinput_test.go
@@ -57,7 +57,7 @@
 			answers := validAnswers()
 			c.modify(&answers)
 			l := newConnectionLossTest(t, uint64(n), c.limit, answers)
-			l.runLoad(func(round int) { loseOneConnection("w", faultnet.AtRest, faultnet.Both)(l.fabric, round) })
+			l.runLoad(func(round int) { loseOneConnection("w", faultnet.Idle, faultnet.Both)(l.fabric, round) })
 			l.checkHeldDurations()
 			waitHealthy(t, l.url)
 		})
@@ -68,7 +68,7 @@
 // released, or fetched by another engine.
 func TestHeldStatesWithPartiallyReadCalls(t *testing.T) {
 	l := newConnectionLossTest(t, 1, lostHeldLimit, validAnswers())
-	l.fabric.Listens("w1", partialReader(t))
+	l.fabric.SetListener("w1", partialReader(t))
 	l.runLoad(func(int) {})
 	l.checkHeldDurations()
 	waitHealthy(t, l.url)
--- a/cmd/wellgw/lost_test.go
+++ b/cmd/wellgw/lost_test.go
@@ -174,7 +174,7 @@
 		name, flavor string
 		answer       func(enginetest.Call) string
 	}{{"r0", "r", l.prefill}, {"r1", "r", l.prefill}, {"w0", "w", l.decode}, {"w1", "w", l.decode}} {
-		l.fabric.Listens(engine.name, enginetest.NewEngine(t, l.recordReleases(engine.answer)).Addr)
+		l.fabric.SetListener(engine.name, enginetest.NewEngine(t, l.recordReleases(engine.answer)).Addr)
 		addr, err := l.fabric.Dial("g", engine.name)
 		if err != nil {
 			t.Fatal(err)
@@ -295,25 +295,25 @@
 	fault func(f *faultnet.Net, round int)
 }{
 	{"none", func(*faultnet.Net, int) {}},
-	{"single idle, decode engines", loseOneConnection("w", faultnet.AtRest, faultnet.Both)},
-	{"single idle, decode engines, one direction", loseOneConnection("w", faultnet.AtRest, faultnet.Toward)},
-	{"single in use, decode engines", loseOneConnection("w", faultnet.InUse, faultnet.Both)},
-	{"single idle, prefill engines", loseOneConnection("r", faultnet.AtRest, faultnet.Both)},
-	{"single in use, prefill engines", loseOneConnection("r", faultnet.InUse, faultnet.Both)},
+	{"single idle, decode engines", loseOneConnection("w", faultnet.Idle, faultnet.Both)},
+	{"single idle, decode engines, one direction", loseOneConnection("w", faultnet.Idle, faultnet.ToServer)},
+	{"single in use, decode engines", loseOneConnection("w", faultnet.AwaitingAnswer, faultnet.Both)},
+	{"single idle, prefill engines", loseOneConnection("r", faultnet.Idle, faultnet.Both)},
+	{"single in use, prefill engines", loseOneConnection("r", faultnet.AwaitingAnswer, faultnet.Both)},
 	{"single, idle or in use, all engines", func(f *faultnet.Net, round int) {
-		loseOneConnection([]string{"r", "w"}[round%2], faultnet.AnyUse, faultnet.Both)(f, round/2)
+		loseOneConnection([]string{"r", "w"}[round%2], faultnet.AnyActivity, faultnet.Both)(f, round/2)
 	}},
 	{"all connections of one engine", func(f *faultnet.Net, round int) {
 		if round%allLostInterval == 0 {
-			f.LoseAll("g", "w0", faultnet.AnyUse, faultnet.Both)
+			f.LoseAll("g", "w0", faultnet.AnyActivity, faultnet.Both)
 		}
 	}},
 	{"machine unreachable and back", func(f *faultnet.Net, round int) {
 		switch round % allLostInterval {
 		case 0:
-			f.Vanish("w1")
+			f.TakeDown("w1")
 		case allLostInterval / 2:
-			f.Return("w1")
+			f.BringUp("w1")
 		}
 	}},
 }
@@ -322,7 +322,7 @@
 const allLostInterval = 16
 
 // loseOneConnection drops one connection per round, alternating between the two engines of a role.
-func loseOneConnection(role string, use faultnet.Use, directions faultnet.Ways) func(f *faultnet.Net, round int) {
+func loseOneConnection(role string, use faultnet.Activity, directions faultnet.Directions) func(f *faultnet.Net, round int) {
 	return func(f *faultnet.Net, round int) { f.Lose("g", fmt.Sprint(role, round%2), use, directions) }
 }
 
@@ -344,7 +344,7 @@
 	l := newConnectionLossTest(t, 1, lostHeldLimit, validAnswers())
 	exited := make(chan struct{})
 	l.runLoad(func(round int) {
-		loseOneConnection("w", faultnet.AtRest, faultnet.Both)(l.fabric, round)
+		loseOneConnection("w", faultnet.Idle, faultnet.Both)(l.fabric, round)
 		if round == shutdownRound {
 			go func() { defer close(exited); l.terminate() }()
 		}
--- a/cmd/wellgw/orders_test.go
+++ b/cmd/wellgw/orders_test.go
@@ -31,8 +31,8 @@
 	config := strings.Replace(operatorConfig, `"effect": "free"`, `"effect": "single_shot"`, 1)
 	config = strings.Replace(config, `[{"id": "e", "address": "127.0.0.1:9", "role": "openai"}]`, "["+strings.Join(engines, ",")+"]", 1)
 	plan := load.Plan{
-		Name: "o", Key: "k", Models: []load.Model{{Name: "m", Share: 1, Words: 3}}, MaxTokens: 8,
-		Clients: 24, Retries: 4, Keyed: true, Roam: true, Patience: 700 * time.Millisecond, Seed: 7,
+		Name: "o", Key: "k", Models: []load.Model{{Name: "m", Weight: 1, Words: 3}}, MaxTokens: 8,
+		Clients: 24, Retries: 4, Idempotent: true, RotateGateways: true, Timeout: 700 * time.Millisecond, Seed: 7,
 	}
 	var signals []func(syscall.Signal)
 	for range 3 {
@@ -52,7 +52,7 @@
 	go func() { defer close(ended); load.Run(ctx, plan, &recorder) }()
 	enginetest.Eventually(t, "orders are in flight", func() bool { return len(recorder.All()) >= 48 })
 	signals[0](syscall.SIGSTOP) // its clients time out and retry at another gateway
-	time.Sleep(2 * plan.Patience)
+	time.Sleep(2 * plan.Timeout)
 	signals[0](syscall.SIGCONT)
 	signals[1](syscall.SIGKILL)
 	seen := len(recorder.All())
--- a/cmd/wellgw/tier_test.go
+++ b/cmd/wellgw/tier_test.go
@@ -118,7 +118,7 @@
 func TestPacketLoss(t *testing.T) {
 	t.Parallel()
 	w := newTier(t, []string{"a", "b", "c", "d"}, nil)
-	w.faults.All(w.names, faultnet.Rule{Loss: 0.3, Double: 0.1, Jitter: 20 * time.Millisecond})
+	w.faults.SetAll(w.names, faultnet.Rule{Loss: 0.3, Double: 0.1, Jitter: 20 * time.Millisecond})
 	time.Sleep(5 * time.Second)
 	w.awaitAgreement("under packet loss")
 	w.gateways["d"].kill()
@@ -137,12 +137,12 @@
 			if from == to {
 				continue
 			}
-			w.faults.Set(from, to, faultnet.Rule{Cut: true})
+			w.faults.SetRule(from, to, faultnet.Rule{Cut: true})
 			enginetest.Eventually(t, fmt.Sprintf("%s marks %s as one-way", from, to), func() bool {
 				peer, found := w.gateways[from].peerView(t, to)
 				return found && peer.OneWay && peer.Status < membership.Dead
 			})
-			w.faults.Set(from, to, faultnet.Rule{})
+			w.faults.SetRule(from, to, faultnet.Rule{})
 			w.awaitAgreement("after the partition")
 			enginetest.Eventually(t, "direct probes succeed again", func() bool { peer, found := w.gateways[from].peerView(t, to); return found && !peer.OneWay })
 		}
@@ -203,10 +203,10 @@
 func TestRestartFasterThanDetection(t *testing.T) {
 	t.Parallel()
 	w := newTier(t, []string{"a", "b", "c"}, nil)
-	w.faults.Set("b", "a", faultnet.Rule{Delay: 8 * time.Second})
+	w.faults.SetRule("b", "a", faultnet.Rule{Delay: 8 * time.Second})
 	time.Sleep(500 * time.Millisecond) // some messages are in flight
 	w.gateways["b"].kill()
-	w.faults.Set("b", "a", faultnet.Rule{})
+	w.faults.SetRule("b", "a", faultnet.Rule{})
 	w.start("b", "b", nil)
 	w.eventually("messages of the earlier instance are dropped", []string{"a"}, func(s peers.Status) bool { return s.Counts.StaleInstance > 0 })
 	w.awaitAgreement("after the restart")
@@ -389,7 +389,7 @@
 	names := []string{"n0", "n1", "n2"}
 	var addrs []string
 	for _, name := range names {
-		a, err := net.Port(name)
+		a, err := net.OpenPort(name)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -416,7 +416,7 @@
 		enginetest.Eventually(t, name+" serves", func() bool { return logged(`"message":"serving"`) })
 		if text, _ := os.ReadFile(log.Name()); logged(`"message":"tier transport listening"`) {
 			listen := regexp.MustCompile(`"listen":"([^"]+)"[^\n]*"message":"tier transport listening"`).FindSubmatch(text)
-			if err := net.Behind(name, string(listen[1])); err != nil {
+			if err := net.SetBackend(name, string(listen[1])); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/cmd/wellgw/tierharness_test.go
+++ b/cmd/wellgw/tierharness_test.go
@@ -65,7 +65,7 @@
 
 func (w *tier) relay(name string) {
 	w.t.Helper()
-	addr, err := w.faults.Port(name)
+	addr, err := w.faults.OpenPort(name)
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -107,7 +107,7 @@
 	go func() { defer close(m.exited); _ = cmd.Wait() }()
 	w.t.Cleanup(func() { m.signal(syscall.SIGCONT); m.kill() })
 	w.gateways[slot] = m
-	if err := w.faults.Behind(slot, m.status(w.t).Listen); err != nil {
+	if err := w.faults.SetBackend(slot, m.status(w.t).Listen); err != nil {
 		w.t.Fatal(err)
 	}
 	return m
@@ -184,8 +184,8 @@
 func (w *tier) setPartition(sideA, sideB []string, r faultnet.Rule) {
 	for _, a := range sideA {
 		for _, b := range sideB {
-			w.faults.Set(a, b, r)
-			w.faults.Set(b, a, r)
+			w.faults.SetRule(a, b, r)
+			w.faults.SetRule(b, a, r)
 		}
 	}
 }
--- a/cmd/wellgwlab/main.go
+++ b/cmd/wellgwlab/main.go
@@ -114,7 +114,7 @@
 		defer os.RemoveAll(workDir)
 	}
 	out := cmd.Root().Writer
-	r, err := e.Run(ctx, experiments.Options{Quick: cmd.Bool("quick"), Program: program, Former: cmd.String("former"), Work: workDir, Out: out, Seed: cmd.Uint64("seed"), Seeds: cmd.Int("seeds"),
+	r, err := e.Run(ctx, experiments.Options{Quick: cmd.Bool("quick"), Program: program, Baseline: cmd.String("former"), WorkDir: workDir, Out: out, Seed: cmd.Uint64("seed"), Seeds: cmd.Int("seeds"),
 		Schedule: cmd.String("schedule"), Shrink: cmd.Bool("shrink"),
 	})
 	if err != nil {
--- a/experiments/fleetrun/programs.go
+++ b/experiments/fleetrun/programs.go
@@ -70,8 +70,8 @@
 	go func() {
 		defer close(ended)
 		load.Run(within, load.Plan{
-			Name: "f", Key: gateway.Key, Targets: t.doors, Clients: clients, Turns: 3, MaxTokens: 8, Retries: 4, Seed: opt.Seed, Think: 20 * time.Millisecond,
-			Models: []load.Model{{Name: "parts", Share: 0.6, Words: 40}, {Name: "orders", Share: 0.4, Words: 60}},
+			Name: "f", Key: gateway.Key, Targets: t.doors, Clients: clients, Turns: 3, MaxTokens: 8, Retries: 4, Seed: opt.Seed, ThinkTime: 20 * time.Millisecond,
+			Models: []load.Model{{Name: "parts", Weight: 0.6, Words: 40}, {Name: "orders", Weight: 0.4, Words: 60}},
 		}, &rec)
 	}()
 	all := []string{"e1", "e2", "e3", "e4", "e5", "e6", "e7", "e8"}
@@ -84,13 +84,13 @@
 	r.Tables = append(r.Tables, t.spread)
 	attempts, orders := t.fleet.Attempts(), map[string]bool{}
 	for _, o := range rec.All() {
-		orders[o.Order] = orders[o.Order] || o.Model == "orders"
+		orders[o.RequestID] = orders[o.RequestID] || o.Model == "orders"
 	}
 	late := engine.AttemptsInSpans(attempts, t.spans)
-	r.Hold(len(late) == 0, "no new work after its grace to an engine marked or gone", "%d %v", len(late), late)
+	r.AddBound(len(late) == 0, "no new work after its grace to an engine marked or gone", "%d %v", len(late), late)
 	twice := engine.DuplicateExecutions(attempts, func(order string) bool { return orders[order] })
-	r.Hold(len(twice) == 0, "no order ran twice", "%d of %d", len(twice), len(orders))
-	r.Hold(t.fleet.OverloadCrashes() == 0, "no cold engine pushed over by all gateways together", "%d", t.fleet.OverloadCrashes())
+	r.AddBound(len(twice) == 0, "no order ran twice", "%d of %d", len(twice), len(orders))
+	r.AddBound(t.fleet.OverloadCrashes() == 0, "no cold engine pushed over by all gateways together", "%d", t.fleet.OverloadCrashes())
 	return nil
 }
 
@@ -107,12 +107,12 @@
 		t.byID[id] = e
 		t.list(id)
 	}
-	if t.tier, err = gateway.NewTier(t.opt.Work, t.opt.Seed); err != nil {
+	if t.tier, err = gateway.NewTier(t.opt.WorkDir, t.opt.Seed); err != nil {
 		return err
 	}
 	for i := range gateways {
 		name := fmt.Sprint("g", i+1)
-		if t.peers[name], err = t.net.Port(name); err != nil {
+		if t.peers[name], err = t.net.OpenPort(name); err != nil {
 			return err
 		}
 		door, err := t.net.Dial("clients", name)
@@ -146,22 +146,22 @@
 	s := gateway.Settings(map[string]any{"check_path": "/healthz", "address": t.agent.Addr, "service": service})
 	s["gateways"] = gateways
 	s["peers"] = t.tier.Peers(name, t.peers[name])
-	g, err := gateway.Start(ctx, t.opt.Program, t.opt.Work, name, s)
+	g, err := gateway.Start(ctx, t.opt.Program, t.opt.WorkDir, name, s)
 	if err != nil {
 		return err
 	}
 	t.gates[name] = g
 	var p peers.Status
-	if err := g.Page(ctx, admin.PeersPath, &p); err != nil {
+	if err := g.FetchPage(ctx, admin.PeersPath, &p); err != nil {
 		return err
 	}
-	if err := t.net.Behind(name, p.Listen); err != nil {
+	if err := t.net.SetBackend(name, p.Listen); err != nil {
 		return err
 	}
 	if _, ok := g.Await(ctx, wait, func(v admin.View) bool { return len(v.Engines) >= engines-1 }); !ok {
 		return fmt.Errorf("%s: no engines in time", name)
 	}
-	t.net.Listens(name, g.Addr)
+	t.net.SetListener(name, g.Addr)
 	return nil
 }
 
@@ -170,7 +170,7 @@
 	for _, name := range names {
 		for begun := time.Now(); ; pause.Sleep(ctx, 50*time.Millisecond) {
 			var s peers.Status
-			err := t.gates[name].Page(ctx, admin.PeersPath, &s)
+			err := t.gates[name].FetchPage(ctx, admin.PeersPath, &s)
 			alive := 1
 			for _, g := range s.View.Peers {
 				if g.Status == membership.Alive {
@@ -213,7 +213,7 @@
 	at := time.Now()
 	for i, name := range victims {
 		t.gates[name].Kill()
-		t.net.Listens(name, t.gates[t.names[3*i]].Addr) // whoever deals out clients has noticed
+		t.net.SetListener(name, t.gates[t.names[3*i]].Addr) // whoever deals out clients has noticed
 	}
 	even("four of twelve gateways killed", at, all)
 	at = time.Now()
@@ -267,8 +267,8 @@
 func (t *tier) halves(rule faultnet.Rule) {
 	for _, a := range t.names[:gateways/2] {
 		for _, b := range t.names[gateways/2:] {
-			t.net.Set(a, b, rule)
-			t.net.Set(b, a, rule)
+			t.net.SetRule(a, b, rule)
+			t.net.SetRule(b, a, rule)
 		}
 	}
 }
@@ -294,8 +294,8 @@
 		total, most = total+by[id], max(most, by[id])
 	}
 	ratio := float64(most) * float64(len(among)) / float64(max(total, 1))
-	s := load.Sum(rec.All(), from, time.Time{})
-	t.spread.Rows = append(t.spread.Rows, []any{what, total, fmt.Sprintf("%.2f", ratio), s.Asked, s.Served})
-	r.Hold(total > 100 && ratio <= evenMost, fmt.Sprintf("%s: within %v load is even, busiest engine at most %.2f of the mean", what, evenIn, evenMost), "%.2f of %d attempts", ratio, total)
-	t.opt.Say(t.begun, "%s: %.2f, %d of %d served", what, ratio, s.Served, s.Asked)
+	s := load.Summarize(rec.All(), from, time.Time{})
+	t.spread.Rows = append(t.spread.Rows, []any{what, total, fmt.Sprintf("%.2f", ratio), s.Requests, s.Served})
+	r.AddBound(total > 100 && ratio <= evenMost, fmt.Sprintf("%s: within %v load is even, busiest engine at most %.2f of the mean", what, evenIn, evenMost), "%.2f of %d attempts", ratio, total)
+	t.opt.Progress(t.begun, "%s: %.2f, %d of %d served", what, ratio, s.Served, s.Requests)
 }
--- a/experiments/membersrun/faults.go
+++ b/experiments/membersrun/faults.go
@@ -47,7 +47,7 @@
 			return err
 		}
 		if took, ok := t.agree(ctx, killWait); !ok {
-			r.Hold(false, "a gateway started again is alive to all", "not after %v", took)
+			r.AddBound(false, "a gateway started again is alive to all", "not after %v", took)
 		}
 	}
 	slices.Sort(all)
@@ -56,7 +56,7 @@
 		Title: "Time until a kill is known, over all gateways that run", Head: []string{"kills", "p50 ms", "p99 ms", "longest ms"},
 		Rows: [][]any{{n, all[len(all)/2].Milliseconds(), p99.Milliseconds(), all[len(all)-1].Milliseconds()}},
 	})
-	r.Hold(p99 <= killP99, fmt.Sprintf("a kill is known to all within %v at p99", killP99), "%v, longest %v", p99.Round(ms), all[len(all)-1].Round(ms))
+	r.AddBound(p99 <= killP99, fmt.Sprintf("a kill is known to all within %v at p99", killP99), "%v, longest %v", p99.Round(ms), all[len(all)-1].Round(ms))
 	return nil
 }
 
@@ -77,7 +77,7 @@
 // faults plays a schedule of pauses and one-sided cuts under loss, in which nobody dies. It
 // is written out, and can be played again.
 func (t *tier) faults(ctx context.Context, r *experiments.Report, span time.Duration) error {
-	s := faultnet.Draw(t.opt.Seed, t.names, span, longPause)
+	s := faultnet.Generate(t.opt.Seed, t.names, span, longPause)
 	if t.opt.Schedule != "" {
 		raw, err := os.ReadFile(t.opt.Schedule)
 		if err == nil {
@@ -93,8 +93,8 @@
 	if err != nil {
 		return err
 	}
-	r.Hold(died == 0, fmt.Sprintf("no false death in %d faults over %v with 30%% loss", len(s), span), "%d", died)
-	r.Hold(ok && took <= healMost, fmt.Sprintf("after the last fault views agree within %v", healMost), "%v", took.Round(10*ms))
+	r.AddBound(died == 0, fmt.Sprintf("no false death in %d faults over %v with 30%% loss", len(s), span), "%d", died)
+	r.AddBound(ok && took <= healMost, fmt.Sprintf("after the last fault views agree within %v", healMost), "%v", took.Round(10*ms))
 	if died > 0 && t.opt.Shrink {
 		s = faultnet.Shrink(s, func(x faultnet.Schedule) bool {
 			died, _, _, err := t.play(ctx, x, span)
@@ -108,7 +108,7 @@
 
 func (t *tier) write(name string, s faultnet.Schedule) {
 	if raw, err := json.MarshalIndent(s, "", " "); err == nil {
-		_ = os.WriteFile(filepath.Join(t.opt.Work, name), raw, 0o600)
+		_ = os.WriteFile(filepath.Join(t.opt.WorkDir, name), raw, 0o600)
 	}
 }
 
@@ -120,7 +120,7 @@
 		return 0, 0, false, err
 	}
 	lossy := faultnet.Rule{Loss: 0.3}
-	t.net.All(t.names, lossy)
+	t.net.SetAll(t.names, lossy)
 	type edge struct {
 		at  time.Duration
 		run func()
@@ -132,8 +132,8 @@
 			edges = append(edges, edge{step.At, g.Pause}, edge{step.At + step.For, g.Resume})
 			continue
 		}
-		edges = append(edges, edge{step.At, func() { t.net.Set(step.From, step.To, step.Rule) }},
-			edge{step.At + step.For, func() { t.net.Set(step.From, step.To, lossy) }})
+		edges = append(edges, edge{step.At, func() { t.net.SetRule(step.From, step.To, step.Rule) }},
+			edge{step.At + step.For, func() { t.net.SetRule(step.From, step.To, lossy) }})
 	}
 	slices.SortStableFunc(edges, func(a, b edge) int { return int(a.at - b.at) })
 	begun := time.Now()
@@ -148,7 +148,7 @@
 	for _, g := range t.gates {
 		g.Resume()
 	}
-	t.net.All(t.names, faultnet.Rule{})
+	t.net.SetAll(t.names, faultnet.Rule{})
 	took, ok = t.agree(ctx, 4*healMost)
 	after, err := t.deaths(ctx)
 	return after - before, took, ok, err
@@ -159,8 +159,8 @@
 	cut := func(rule faultnet.Rule) {
 		for _, a := range t.names[:4] {
 			for _, b := range t.names[4:] {
-				t.net.Set(a, b, rule)
-				t.net.Set(b, a, rule)
+				t.net.SetRule(a, b, rule)
+				t.net.SetRule(b, a, rule)
 			}
 		}
 	}
@@ -174,10 +174,10 @@
 		}
 		right = right && s.View.Minority == (i < 4) && s.View.ActiveGateways == len(t.names)
 	}
-	r.Hold(right, "of 4 and 5 cut apart the 4 know that they are a minority, and all say that nine share", "%v", right)
+	r.AddBound(right, "of 4 and 5 cut apart the 4 know that they are a minority, and all say that nine share", "%v", right)
 	cut(faultnet.Rule{})
 	took, ok := t.agree(ctx, 4*healMost)
-	r.Hold(ok && took <= healMost, fmt.Sprintf("healed halves agree within %v", healMost), "%v", took.Round(10*ms))
+	r.AddBound(ok && took <= healMost, fmt.Sprintf("healed halves agree within %v", healMost), "%v", took.Round(10*ms))
 	return nil
 }
 
@@ -194,7 +194,7 @@
 				continue
 			}
 			cuts++
-			t.net.Set(from, to, faultnet.Rule{Cut: true})
+			t.net.SetRule(from, to, faultnet.Rule{Cut: true})
 			time.Sleep(3500 * ms)
 			s, err := t.status(ctx, from)
 			if err != nil {
@@ -203,14 +203,14 @@
 			if slices.ContainsFunc(s.View.Peers, func(g membership.Gateway) bool { return g.ID == to && g.OneWay }) {
 				shown++
 			}
-			t.net.Set(from, to, faultnet.Rule{})
+			t.net.SetRule(from, to, faultnet.Rule{})
 		}
 	}
 	after, err := t.deaths(ctx)
 	if err != nil {
 		return err
 	}
-	r.Hold(after == before && shown == cuts, fmt.Sprintf("each of %d one-sided cuts of 3.5s shows at its gateway, and nobody dies", cuts), "%d show, %d deaths", shown, after-before)
+	r.AddBound(after == before && shown == cuts, fmt.Sprintf("each of %d one-sided cuts of 3.5s shows at its gateway, and nobody dies", cuts), "%d show, %d deaths", shown, after-before)
 	return nil
 }
 
@@ -223,8 +223,8 @@
 	cut := func(rule faultnet.Rule) {
 		for _, a := range t.names[:4] {
 			for _, b := range t.names[4:8] {
-				t.net.Set(a, b, rule)
-				t.net.Set(b, a, rule)
+				t.net.SetRule(a, b, rule)
+				t.net.SetRule(b, a, rule)
 			}
 		}
 	}
@@ -236,8 +236,8 @@
 	}
 	cut(faultnet.Rule{})
 	took, ok := t.agree(ctx, 4*healMost)
-	r.Hold(ok, "healed, halves that had a hub agree", "%v", took.Round(10*ms))
-	r.Hold(after == before, fmt.Sprintf("two halves of four that reach each other by a ninth alone for %v stay one tier", hubFor), "%d deaths", after-before)
+	r.AddBound(ok, "healed, halves that had a hub agree", "%v", took.Round(10*ms))
+	r.AddBound(after == before, fmt.Sprintf("two halves of four that reach each other by a ninth alone for %v stay one tier", hubFor), "%d deaths", after-before)
 	return nil
 }
 
@@ -251,21 +251,21 @@
 	if err != nil {
 		return err
 	}
-	t.net.All(t.names, faultnet.Rule{Stall: true})
+	t.net.SetAll(t.names, faultnet.Rule{Stall: true})
 	still, _, err := t.serve(ctx, t.names, span, nil)
 	if err != nil {
 		return err
 	}
-	t.net.All(t.names, faultnet.Rule{})
+	t.net.SetAll(t.names, faultnet.Rule{})
 	r.Tables = append(r.Tables, experiments.Table{
 		Title: "Service to clients while all links between gateways stand still", Head: []string{"links", "asked", "served", "first event p50 us", "p99 us"},
 		Rows: [][]any{
-			{"as usual", usual.Asked, fmt.Sprintf("%.4f", part(usual.Summary)), usual.FirstP50.Microseconds(), usual.FirstP99.Microseconds()},
-			{"stalled", still.Asked, fmt.Sprintf("%.4f", part(still.Summary)), still.FirstP50.Microseconds(), still.FirstP99.Microseconds()},
+			{"as usual", usual.Requests, fmt.Sprintf("%.4f", part(usual.Summary)), usual.FirstP50.Microseconds(), usual.FirstP99.Microseconds()},
+			{"stalled", still.Requests, fmt.Sprintf("%.4f", part(still.Summary)), still.FirstP50.Microseconds(), still.FirstP99.Microseconds()},
 		},
 	})
-	r.Hold(part(still.Summary) >= part(usual.Summary)-served, "service with stalled links is within a point of the usual", "%.4f against %.4f", part(still.Summary), part(usual.Summary))
+	r.AddBound(part(still.Summary) >= part(usual.Summary)-served, "service with stalled links is within a point of the usual", "%.4f against %.4f", part(still.Summary), part(usual.Summary))
 	took, ok := t.agree(ctx, 4*healMost)
-	r.Hold(ok, "after the stall views agree again", "%v", took.Round(10*ms))
+	r.AddBound(ok, "after the stall views agree again", "%v", took.Round(10*ms))
 	return nil
 }
--- a/experiments/soak/soak.go
+++ b/experiments/soak/soak.go
@@ -92,7 +92,7 @@
 	case len(r.violations) > 0:
 		verdict = fmt.Sprintf("BROKEN (%d): %v", len(r.violations), r.violations[0])
 	}
-	opt.Say(start, "seed %d: %s\n          %v", r.plan.Seed, verdict, r.plan)
+	opt.Progress(start, "seed %d: %s\n          %v", r.plan.Seed, verdict, r.plan)
 }
 
 func summary(results []result) *experiments.Report {
@@ -129,9 +129,9 @@
 	}
 	r.Tables = append(r.Tables, t)
 	for _, rule := range []Rule{Lost, Duplicate, EngineDrain, ClientDrain, HeldTooLong, Deadlines, SentAfterClose, EventsInTime, Ready, Crash, IncompleteKept, Descriptors} {
-		r.Hold(byRule[rule] == 0, "no rule broken: "+string(rule), "%d of %d seeds", byRule[rule], len(results))
+		r.AddBound(byRule[rule] == 0, "no rule broken: "+string(rule), "%d of %d seeds", byRule[rule], len(results))
 	}
-	r.Hold(failed == 0, "every seed was played", "%d were not", failed)
+	r.AddBound(failed == 0, "every seed was played", "%d were not", failed)
 	if slices.Sort(ends); len(ends) > 0 {
 		r.Notes = append(r.Notes, fmt.Sprintf("%d drains checked: time from the command until the last connection closed, median %v, p99 %v, maximum %v",
 			len(ends), at(ends, 0.5), at(ends, 0.99), ends[len(ends)-1].Round(time.Millisecond)))
@@ -177,7 +177,7 @@
 	r := result{plan: p, observed: newObservations()}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	dir := filepath.Join(opt.Work, fmt.Sprint("seed-", p.Seed))
+	dir := filepath.Join(opt.WorkDir, fmt.Sprint("seed-", p.Seed))
 	w, err := newTestbed(ctx, opt.Program, dir, r.plan, r.observed)
 	if err != nil {
 		r.err = err
