--- a/cmd/wellgw/lost_test.go
+++ b/cmd/wellgw/lost_test.go
@@ -46,12 +46,14 @@
 // Parameters of the tests. Client deadlines are long, so that a state that is only released when its attempt
 // times out clearly exceeds the limit.
 const (
-	lostHeldLimit     = 500 * time.Millisecond
-	lostClientWait    = 6 * time.Second
-	lostClients       = 24
-	lostLoadDuration  = 4 * time.Second                         // of the clients
-	lostFaultInterval = 60 * time.Millisecond                   // between faults
-	lostTolerance     = 350*time.Millisecond + lostMachineSlack // allowed beyond the limit
+	lostHeldLimit    = 500 * time.Millisecond
+	lostClientWait   = 6 * time.Second
+	lostClients      = 24
+	lostLoadDuration = 4 * time.Second // of the clients, at least
+	// maxLostLoadDuration limits the load on a machine too busy for minHeldStates in lostLoadDuration.
+	maxLostLoadDuration = 40 * time.Second
+	lostFaultInterval   = 60 * time.Millisecond                   // between faults
+	lostTolerance       = 350*time.Millisecond + lostMachineSlack // allowed beyond the limit
 
 	// lostMachineSlack allows for a busy machine; a state that is held until its attempt times out
 	// exceeds the limit by several seconds.
@@ -128,6 +130,13 @@
 	return violations, len(r.durations)
 }
 
+// count returns the number of states whose hold has ended.
+func (r *heldStateRecorder) count() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return len(r.durations)
+}
+
 // connectionLossTest is one gateway with two prefill and two decode engines, connected through relays that
 // can drop connections without an error.
 type connectionLossTest struct {
@@ -258,17 +267,23 @@
 	resp.Body.Close()
 }
 
-// runLoad runs the clients, calls fault at every lostFaultInterval, and then waits for all answers.
+// runLoad runs the clients, calls fault at every lostFaultInterval, and then waits for all answers. The load
+// lasts for lostLoadDuration, and on a busy machine until minHeldStates states were held, but not longer than
+// maxLostLoadDuration.
 func (l *connectionLossTest) runLoad(fault func(round int)) {
-	ctx, stop := context.WithTimeout(l.t.Context(), lostLoadDuration)
+	ctx, stop := context.WithTimeout(l.t.Context(), maxLostLoadDuration)
 	defer stop()
 	l.startClients(ctx)
+	start := time.Now()
 	for round := 0; ctx.Err() == nil; round++ {
 		select {
 		case <-ctx.Done():
 		case <-time.After(lostFaultInterval):
 			fault(round)
 		}
+		if time.Since(start) >= lostLoadDuration && l.heldStates.count() >= minHeldStates {
+			stop()
+		}
 	}
 	l.clients.Wait()
 }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -128,10 +128,11 @@
 			core := newCore(t, f)
 			answers := make(answerChannel, 1)
 			core.Submit(newTestRequest("once", 2*time.Second), answers)
-			enginetest.Eventually(t, "the attempt is sent", func() bool {
+			enginetest.Eventually(t, "the attempt is written", func() bool {
 				f.mu.Lock()
 				defer f.mu.Unlock()
-				return len(f.attempts) == map[string]int{"r": 1, "w": 2}[kind]
+				attempts := map[string]int{"r": 1, "w": 2}[kind]
+				return len(f.started) == attempts && f.started[attempts-1].written.Load()
 			})
 			core.NotifyShutdown(true)
 			before, _, _ := f.counts()
