--- a/cmd/wellgw/tier_test.go
+++ b/cmd/wellgw/tier_test.go
@@ -177,10 +177,9 @@
 			w.setPartition(c.sideA, c.sideB, faultnet.Rule{})
 			w.awaitAgreement("after the partition")
 			for _, name := range restarted {
-				self := w.gateways[name].status(t).View.Self.Incarnation
 				for _, other := range w.names {
-					if peer, found := w.gateways[other].peerView(t, name); other != name && (!found || peer.Incarnation != self) {
-						t.Errorf("%s sees %s at incarnation %d, want %d", other, name, peer.Incarnation, self)
+					if other != name {
+						w.awaitIncarnation(other, name)
 					}
 				}
 			}
--- a/cmd/wellgw/tierharness_test.go
+++ b/cmd/wellgw/tierharness_test.go
@@ -172,6 +172,17 @@
 	})
 }
 
+// awaitIncarnation waits until one gateway sees another at that one's current incarnation. The incarnation may
+// increase meanwhile, when a gateway refutes a late suspicion.
+func (w *tier) awaitIncarnation(observer, name string) {
+	w.t.Helper()
+	enginetest.Eventually(w.t, observer+" sees the incarnation of "+name, func() bool {
+		self := w.gateways[name].status(w.t).View.Self.Incarnation
+		peer, found := w.gateways[observer].peerView(w.t, name)
+		return found && peer.Incarnation == self
+	})
+}
+
 // eventually waits until the status of every named gateway satisfies the condition.
 func (w *tier) eventually(what string, names []string, condition func(peers.Status) bool) {
 	w.t.Helper()
